--- /dev/null
+++ b/internal/core/decisions_test.go
@@ -0,0 +1,251 @@
+package core_test
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"io"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"stairrelay/internal/core"
+	"stairrelay/internal/standin"
+	"stairrelay/internal/wire"
+)
+
+// goldenDecisions holds a line for each run: its name, the number of effects
+// and their digest.
+const goldenDecisions = "testdata/decisions.txt"
+
+// The days that are recorded besides the kept traces.
+const (
+	recordedRandomDays  = 8
+	recordedSevenDays   = 3
+	recordedUpgradeDays = 4
+)
+
+// TestDecisions compares every effect of a fixed set of simulated runs, in its
+// order, with what was recorded in testdata/decisions.txt. Effects are encoded
+// by their wire and stored forms, so renaming Go declarations changes nothing.
+// Log lines are left out.
+//
+// A commit that changes decisions on purpose records them anew with -update and
+// says why. STAIRRELAY_DECISIONS=DIR writes each run's effects to a file, to be
+// compared with those of another build.
+func TestDecisions(t *testing.T) {
+	recorder := &decisionRecorder{digests: map[string]string{}}
+	t.Run("runs", recorder.recordAll)
+	if t.Failed() {
+		return
+	}
+	if *update {
+		if err := writeGoldenDecisions(recorder.digests); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := readGoldenDecisions()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, digest := range want {
+		if got := recorder.digests[name]; got != digest {
+			t.Errorf("%s: recorded %q, now %q", name, digest, got)
+		}
+	}
+	if len(recorder.digests) != len(want) {
+		t.Errorf("%d runs, %d recorded", len(recorder.digests), len(want))
+	}
+}
+
+// decisionRecorder keeps the digest of each run's effects, by the run's name.
+type decisionRecorder struct {
+	mu      sync.Mutex
+	digests map[string]string
+}
+
+func (r *decisionRecorder) recordAll(t *testing.T) {
+	for seed := 1; seed <= recordedRandomDays; seed++ {
+		r.record(t, "random-"+strconv.Itoa(seed), func(t *testing.T, observed standin.Option) {
+			playDay(t, uint64(seed), testConfig(), observed)
+		})
+	}
+	for seed := 1; seed <= recordedSevenDays; seed++ {
+		r.record(t, "seven-"+strconv.Itoa(seed), func(t *testing.T, observed standin.Option) {
+			playDay(t, uint64(seed), sevenConfig(), observed)
+		})
+	}
+	for seed := 1; seed <= recordedUpgradeDays; seed++ {
+		r.record(t, "upgrade-"+strconv.Itoa(seed), func(t *testing.T, observed standin.Option) {
+			playUpgradeDay(t, uint64(seed), observed)
+		})
+	}
+	traces, err := filepath.Glob("testdata/stories/*.txt")
+	if err != nil || len(traces) == 0 {
+		t.Fatalf("%d traces: %v", len(traces), err)
+	}
+	for _, file := range traces {
+		name := strings.TrimSuffix(filepath.Base(file), ".txt")
+		r.record(t, "trace-"+name, func(t *testing.T, observed standin.Option) {
+			script, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			tell(t, string(script), observed)
+		})
+	}
+}
+
+// record plays a run beside the others and keeps its digest.
+func (r *decisionRecorder) record(t *testing.T, name string, play func(*testing.T, standin.Option)) {
+	t.Run(name, func(t *testing.T) {
+		t.Parallel()
+		digest := newDecisionDigest(t, name)
+		play(t, standin.ObserveEffects(digest.add))
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.digests[name] = digest.String()
+	})
+}
+
+// decisionDigest is a digest over the effects of one run.
+type decisionDigest struct {
+	t       *testing.T
+	out     io.Writer
+	hash    hash.Hash
+	encoder cbor.EncMode
+	effects int
+}
+
+func newDecisionDigest(t *testing.T, name string) *decisionDigest {
+	t.Helper()
+	encoder, err := cbor.CanonicalEncOptions().EncMode() // maps in a fixed order
+	if err != nil {
+		t.Fatal(err)
+	}
+	sum := sha256.New()
+	digest := &decisionDigest{t: t, hash: sum, out: sum, encoder: encoder}
+	if dir := os.Getenv("STAIRRELAY_DECISIONS"); dir != "" {
+		file, err := os.Create(filepath.Join(dir, name+".txt"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() {
+			if err := file.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+		digest.out = io.MultiWriter(sum, file)
+	}
+	return digest
+}
+
+func (d *decisionDigest) String() string {
+	return fmt.Sprintf("%d %s", d.effects, hex.EncodeToString(d.hash.Sum(nil)))
+}
+
+// add takes in the next effect.
+func (d *decisionDigest) add(now core.Time, node core.NodeID, effect core.Effect) {
+	text, decided := d.encode(effect)
+	if !decided {
+		return
+	}
+	d.effects++
+	if _, err := fmt.Fprintf(d.out, "%d %s %s\n", now, node, text); err != nil {
+		d.t.Fatal(err)
+	}
+}
+
+// encode writes an effect by its wire form; false: it is a log line.
+func (d *decisionDigest) encode(effect core.Effect) (string, bool) {
+	switch e := effect.(type) {
+	case core.Log:
+		return "", false
+	case core.StoreTxn:
+		return fmt.Sprintf("txn %d %s", e.Call, wire.EncodeTxn(e)), true
+	case core.StoreGet:
+		return fmt.Sprintf("get %d %s", e.Call, e.Key), true
+	case core.StoreList:
+		return fmt.Sprintf("list %d %s", e.Call, e.Prefix), true
+	case core.StoreWatch:
+		return fmt.Sprintf("watch %d %s %d %d", e.Call, e.Prefix, e.Since, e.Wait), true
+	case core.CloudTypes:
+		return fmt.Sprintf("types %d", e.Call), true
+	case core.CloudRent:
+		return fmt.Sprintf("rent %d %s", e.Call, wire.EncodeRental(e)), true
+	case core.CloudReturn:
+		return fmt.Sprintf("return %d %s", e.Call, wire.EncodeReturn(e.IDs)), true
+	case core.CloudList:
+		return fmt.Sprintf("machines %d %s", e.Call, e.Since), true
+	case core.Orders:
+		return fmt.Sprintf("orders %d %s %s", e.Call, e.Addr, wire.EncodeOrders(e)), true
+	case core.Inspect:
+		return fmt.Sprintf("inspect %d %s", e.Call, e.Addr), true
+	case core.PeerCall:
+		return fmt.Sprintf("peer %d %s %d %s", e.Call, e.To, e.Timeout, d.message(e.Msg)), true
+	case core.Respond:
+		return "respond " + d.answer(e), true
+	default:
+		d.t.Fatalf("effect %T has no encoding here", effect)
+		return "", false
+	}
+}
+
+// answer writes the answer to a user, a worker or another controller.
+func (d *decisionDigest) answer(answer core.Respond) string {
+	text := fmt.Sprintf("%d %d %d %q", answer.Req, answer.Status, answer.RetryAfter, answer.Error)
+	if answer.View != nil {
+		text += " view " + string(wire.EncodeView(*answer.View))
+	}
+	if answer.Worker != nil {
+		text += " worker " + string(wire.EncodeWorkerAnswer(answer.Status, *answer.Worker))
+	}
+	if answer.Peer != nil {
+		text += " peer " + d.message(*answer.Peer)
+	}
+	return text
+}
+
+// message writes a message between controllers.
+func (d *decisionDigest) message(message core.PeerMsg) string {
+	frame, err := d.encoder.Marshal(message)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	return hex.EncodeToString(frame)
+}
+
+func readGoldenDecisions() (map[string]string, error) {
+	file, err := os.Open(goldenDecisions)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	digests := map[string]string{}
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		name, digest, found := strings.Cut(lines.Text(), " ")
+		if !found {
+			return nil, fmt.Errorf("%s: no digest in %q", goldenDecisions, lines.Text())
+		}
+		digests[name] = digest
+	}
+	return digests, nil
+}
+
+func writeGoldenDecisions(digests map[string]string) error {
+	var text strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(digests)) {
+		fmt.Fprintf(&text, "%s %s\n", name, digests[name])
+	}
+	return os.WriteFile(goldenDecisions, []byte(text.String()), 0o644)
+}
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -127,9 +127,9 @@
 	return from, to
 }
 
-func playDay(t *testing.T, seed uint64, cfg core.Config) map[string]int {
+func playDay(t *testing.T, seed uint64, cfg core.Config, options ...standin.Option) map[string]int {
 	var w *standin.World
-	w = standin.NewWorld(seed, cfg, testCloud(func() *standin.World { return w }))
+	w = standin.NewWorld(seed, cfg, testCloud(func() *standin.World { return w }), options...)
 	if len(cfg.Nodes) == 3 { // else no machine is up at the start
 		addMachines(w)
 	}
--- a/internal/core/story_test.go
+++ b/internal/core/story_test.go
@@ -52,7 +52,7 @@
 }
 
 // tell plays a story's script and returns the story with what came of it.
-func tell(t *testing.T, text string) string {
+func tell(t *testing.T, text string, options ...standin.Option) string {
 	t.Helper()
 	var out strings.Builder
 	var w *standin.World
@@ -95,9 +95,9 @@
 		if w == nil {
 			if before != nil {
 				cfg.WriteRPS, cfg.ValueBytes, cfg.TxnOps = upgradeConfig().WriteRPS, upgradeConfig().ValueBytes, upgradeConfig().TxnOps
-				w = standin.NewUpgradeWorld(1, cfg, *before, cloud)
+				w = standin.NewUpgradeWorld(1, cfg, *before, cloud, options...)
 			} else {
-				w = standin.NewWorld(1, cfg, cloud)
+				w = standin.NewWorld(1, cfg, cloud, options...)
 			}
 			w.Calm = true
 			w.Log = say
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -59,10 +59,10 @@
 	}
 }
 
-func playUpgradeDay(t *testing.T, seed uint64) map[string]int {
+func playUpgradeDay(t *testing.T, seed uint64, options ...standin.Option) map[string]int {
 	cfg := upgradeConfig()
 	var w *standin.World
-	w = standin.NewUpgradeWorld(seed, cfg, limitsBeforeUpgrade, testCloud(func() *standin.World { return w }))
+	w = standin.NewUpgradeWorld(seed, cfg, limitsBeforeUpgrade, testCloud(func() *standin.World { return w }), options...)
 	addMachines(w)
 	runTroubles(t, w, cfg, func(teams []string, until core.Time) {
 		plan(w, teams, until)
--- a/internal/standin/controllers.go
+++ b/internal/standin/controllers.go
@@ -81,6 +81,7 @@
 	w.Spent += time.Since(begun)
 	w.Allocs += w.allocs() - before
 	for _, f := range effects {
+		w.observe(w.Now, n.ID, f)
 		w.effect(n, releaseEffect(n.Release, f))
 	}
 	if at, ok := n.core.NextWake(); ok {
--- a/internal/standin/release.go
+++ b/internal/standin/release.go
@@ -194,8 +194,8 @@
 // NewUpgradeWorld makes a cluster whose controllers all run the production
 // release, under the limits that the state service has at first. cfg holds the
 // lower limits to come, which only the current release knows of.
-func NewUpgradeWorld(seed uint64, cfg core.Config, before Limits, cloud *Cloud) *World {
-	w := emptyWorld(seed, cfg, cloud)
+func NewUpgradeWorld(seed uint64, cfg core.Config, before Limits, cloud *Cloud, options ...Option) *World {
+	w := emptyWorld(seed, cfg, cloud, options)
 	w.limitsBefore = before
 	for _, n := range w.Nodes {
 		n.Release = ProductionRelease
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -48,17 +48,30 @@
 	Steps        int           // events that they were given
 	Count        bool          // count the cores' allocations, which takes time itself
 	Allocs       uint64        // counted
+	observe      EffectObserver
+}
+
+// EffectObserver is told of every effect that a controller asks for, in the
+// order in which the controllers ask.
+type EffectObserver func(now core.Time, node core.NodeID, effect core.Effect)
+
+// Option changes a cluster before its controllers start.
+type Option func(*World)
+
+// ObserveEffects has every effect shown to an observer.
+func ObserveEffects(observe EffectObserver) Option {
+	return func(w *World) { w.observe = observe }
 }
 
 // NewWorld makes a cluster whose controllers all start at once.
-func NewWorld(seed uint64, cfg core.Config, cloud *Cloud) *World {
-	w := emptyWorld(seed, cfg, cloud)
+func NewWorld(seed uint64, cfg core.Config, cloud *Cloud, options ...Option) *World {
+	w := emptyWorld(seed, cfg, cloud, options)
 	w.start()
 	return w
 }
 
 // emptyWorld makes a cluster none of whose controllers has started.
-func emptyWorld(seed uint64, cfg core.Config, cloud *Cloud) *World {
+func emptyWorld(seed uint64, cfg core.Config, cloud *Cloud, options []Option) *World {
 	w := &World{
 		Rand:    rand.New(rand.NewPCG(seed, 1)),
 		State:   NewState(),
@@ -71,6 +84,10 @@
 		Faults:    map[string]int{},
 		cfg:       cfg,
 		Log:       func(string) {},
+		observe:   func(core.Time, core.NodeID, core.Effect) {},
+	}
+	for _, option := range options {
+		option(w)
 	}
 	for _, id := range cfg.Nodes {
 		w.Nodes = append(w.Nodes, &Node{ID: id})
