--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -97,9 +97,9 @@
 type (
 	// KV is a key of the store with its value.
 	KV struct {
-		Key   string
-		Value []byte
-		Mark  Mark
+		Key   string `cbor:"Key"`
+		Value []byte `cbor:"Value"`
+		Mark  Mark   `cbor:"Mark"`
 	}
 	// TxnOp sets a key, or drops it when Value is nil.
 	TxnOp struct {
@@ -268,40 +268,40 @@
 
 // PeerMsg is what controllers say to one another; exactly one pointer is set.
 type PeerMsg struct {
-	Version int
-	From    NodeID
-	Ping    *Ping
-	Tell    *Tell
-	Ask     *Ask
-	Views   []JobView
-	Cancel  JobID
-	Submit  *HandedOn
-	Status  ReplyStatus
-	After   int // seconds until a refused submission should come again
-	Why     string
+	Version int         `cbor:"Version"`
+	From    NodeID      `cbor:"From"`
+	Ping    *Ping       `cbor:"Ping"`
+	Tell    *Tell       `cbor:"Tell"`
+	Ask     *Ask        `cbor:"Ask"`
+	Views   []JobView   `cbor:"Views"`
+	Cancel  JobID       `cbor:"Cancel"`
+	Submit  *HandedOn   `cbor:"Submit"`
+	Status  ReplyStatus `cbor:"Status"`
+	After   int         `cbor:"After"` // seconds until a refused submission should come again
+	Why     string      `cbor:"Why"`
 }
 
 // HandedOn is a submission that its sender can't store now.
 type HandedOn struct {
-	ID   JobID
-	Spec JobSpec
+	ID   JobID   `cbor:"ID"`
+	Spec JobSpec `cbor:"Spec"`
 }
 
 // Ping is both the call and the answer of failure detection.
 type Ping struct {
-	Boot      string
-	Parts     []PartTerm
-	StoreOK   bool
-	StoreBad  bool // the last request failed; StoreOK follows if that lasts
-	WorkersOK bool
-	Heard     map[NodeID]int64 // ms since each other node last answered
-	Offer     []Part           // parts that their home may claim back now
-	Groups    []GroupOffer
-	Puts      float64 // a second that the sender could use
-	Cloud     float64 // calls of the cloud a second that the sender could use
-	Loads     []PartLoad
-	Level     int    // of the sender's release; absent before pipelines
-	Terms     []Term // the latest terms that the sender knows, by part
+	Boot      string           `cbor:"Boot"`
+	Parts     []PartTerm       `cbor:"Parts"`
+	StoreOK   bool             `cbor:"StoreOK"`
+	StoreBad  bool             `cbor:"StoreBad"` // the last request failed; StoreOK follows if that lasts
+	WorkersOK bool             `cbor:"WorkersOK"`
+	Heard     map[NodeID]int64 `cbor:"Heard"` // ms since each other node last answered
+	Offer     []Part           `cbor:"Offer"` // parts that their home may claim back now
+	Groups    []GroupOffer     `cbor:"Groups"`
+	Puts      float64          `cbor:"Puts"`  // a second that the sender could use
+	Cloud     float64          `cbor:"Cloud"` // calls of the cloud a second that the sender could use
+	Loads     []PartLoad       `cbor:"Loads"`
+	Level     int              `cbor:"Level"` // of the sender's release; absent before pipelines
+	Terms     []Term           `cbor:"Terms"` // the latest terms that the sender knows, by part
 }
 
 // PartLoad is what a part has and what its jobs could use, by priority.
@@ -309,16 +309,16 @@
 
 // PartTerm says that the sender holds a part.
 type PartTerm struct {
-	Part Part
-	Term Term
+	Part Part `cbor:"Part"`
+	Term Term `cbor:"Term"`
 }
 
 // Tell passes on jobs that have just been stored.
 type Tell struct {
-	Keys []KV
+	Keys []KV `cbor:"Keys"`
 }
 
 // Ask asks the owner about jobs.
 type Ask struct {
-	IDs []JobID
+	IDs []JobID `cbor:"IDs"`
 }
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -9,17 +9,18 @@
 
 // GroupOffer tells a part of a group of idle machines that it may take.
 type GroupOffer struct {
-	Key   string
-	Mark  Mark
-	To    Part
-	Kinds []KindCount
+	Key   string      `cbor:"Key"`
+	Mark  Mark        `cbor:"Mark"`
+	To    Part        `cbor:"To"`
+	Kinds []KindCount `cbor:"Kinds"`
 }
 
 // KindCount counts like machines.
 type KindCount struct {
-	Type, Zone string
-	Spot       bool
-	N          int
+	Type string `cbor:"Type"`
+	Zone string `cbor:"Zone"`
+	Spot bool   `cbor:"Spot"`
+	N    int    `cbor:"N"`
 }
 
 // offers lists the groups that the parts held here offer to others.
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -150,14 +150,14 @@
 
 // MachineType is one kind of machine that the cloud rents.
 type MachineType struct {
-	Name      string
-	Cap       Res
-	CacheGB   float64
-	FetchGBs  float64
-	Price     float64
-	SpotPrice float64
-	BootS     float64
-	Zones     []string
+	Name      string   `json:"Name"`
+	Cap       Res      `json:"Cap"`
+	CacheGB   float64  `json:"CacheGB"`
+	FetchGBs  float64  `json:"FetchGBs"`
+	Price     float64  `json:"Price"`
+	SpotPrice float64  `json:"SpotPrice"`
+	BootS     float64  `json:"BootS"`
+	Zones     []string `json:"Zones"`
 }
 
 // price is what a machine of the type costs an hour.
@@ -192,10 +192,10 @@
 
 // JobView answers a question about a job.
 type JobView struct {
-	ID      JobID
-	Status  Status
-	Done    int
-	Running int
+	ID      JobID  `cbor:"ID"`
+	Status  Status `cbor:"Status"`
+	Done    int    `cbor:"Done"`
+	Running int    `cbor:"Running"`
 }
 
 // Final tells whether the status can never change again.
--- a/internal/model/resources.go
+++ b/internal/model/resources.go
@@ -3,7 +3,9 @@
 // Res is what a task takes or a machine has. Its field names are part of the
 // stored form of a job.
 type Res struct {
-	CPU, GPU, Mem Amount
+	CPU Amount `json:"CPU"`
+	GPU Amount `json:"GPU"`
+	Mem Amount `json:"Mem"`
 }
 
 // Plus adds up both.
--- a/internal/sharing/load.go
+++ b/internal/sharing/load.go
@@ -19,10 +19,10 @@
 // PartLoad is what a part has and what its jobs could use, by priority. All
 // amounts are CPUs. Controllers send it to each other.
 type PartLoad struct {
-	Part   model.Part
-	Have   model.Amount // usable now
-	Coming model.Amount // booting
-	Demand [model.Production + 1]model.Amount
+	Part   model.Part                         `cbor:"Part"`
+	Have   model.Amount                       `cbor:"Have"`   // usable now
+	Coming model.Amount                       `cbor:"Coming"` // booting
+	Demand [model.Production + 1]model.Amount `cbor:"Demand"`
 }
 
 // Need is what the part's jobs could use in all.
