--- a/cmd/stairrelay/command.go
+++ b/cmd/stairrelay/command.go
@@ -27,8 +27,8 @@
 
 // options are the values of the command line's flags.
 type options struct {
-	config    string
-	operators string
+	configPath    string
+	operatorsPath string
 }
 
 func newCommand() *cobra.Command {
@@ -41,8 +41,8 @@
 		Args:          cobra.NoArgs,
 		RunE:          opts.runController,
 	}
-	root.Flags().StringVar(&opts.config, "config", "", "the platform's settings file (TOML)")
-	root.PersistentFlags().StringVar(&opts.operators, "operators", os.Getenv(operatorsEnv), "the operators' settings file (JSON); also "+operatorsEnv)
+	root.Flags().StringVar(&opts.configPath, "config", "", "the platform's settings file (TOML)")
+	root.PersistentFlags().StringVar(&opts.operatorsPath, "operators", os.Getenv(operatorsEnv), "the operators' settings file (JSON); also "+operatorsEnv)
 	root.AddCommand(&cobra.Command{
 		Use:   "check-config FILE",
 		Short: "Check the settings and open nothing",
@@ -60,10 +60,10 @@
 }
 
 func (o *options) runController(command *cobra.Command, _ []string) error {
-	if o.config == "" {
+	if o.configPath == "" {
 		return &settingsError{errNoConfig}
 	}
-	loaded, err := settings.Load(o.config, o.operators)
+	loaded, err := settings.Load(o.configPath, o.operatorsPath)
 	if err != nil {
 		return &settingsError{err}
 	}
@@ -71,7 +71,7 @@
 }
 
 func (o *options) checkConfig(command *cobra.Command, args []string) error {
-	loaded, err := settings.Load(args[0], o.operators)
+	loaded, err := settings.Load(args[0], o.operatorsPath)
 	if err != nil {
 		return &settingsError{err}
 	}
--- a/cmd/stairrelay/controller.go
+++ b/cmd/stairrelay/controller.go
@@ -27,20 +27,20 @@
 	// logLevelEnv names the least level that is logged: error, info or debug.
 	logLevelEnv = "LOG_LEVEL"
 	// garbagePercent is how much the heap may grow between two collections.
-	garbagePercent = 200
+	gcPercent = 200
 	// heapShare is the share of the memory limit for what the garbage collector
 	// sees; stacks and the runtime fit beside it. Near the limit it runs all the
 	// time, so that the limit costs processor time first.
-	heapShare  = 0.75
-	bytesPerMB = 1 << 20
+	heapLimitShare = 0.75
+	bytesPerMB     = 1 << 20
 	// bootIDLength is the length in bytes of what tells this process from others.
 	bootIDLength = 4
 	// A connection is closed when it says nothing for so many reports, but for
 	// not less than the least time.
-	idleReports      = 4
-	leastIdleTimeout = 15 * time.Second
+	idleHeartbeats = 4
+	minIdleTimeout = 15 * time.Second
 	// servers is the number of servers that may fail.
-	servers = 2
+	serverCount = 2
 )
 
 // runController runs a controller until one of its servers fails.
@@ -51,30 +51,30 @@
 	if err != nil {
 		return err
 	}
-	config.Core.Boot = bootID
-	eng := engine.New(config.Core, config.CoreShare, log)
-	plan := sockets.MakePlan(config.Connections, len(config.Peers))
-	actors := newActors(config, plan, eng.Answer)
-	frontListener, err := listen(ctx, "listen", config.Listen)
+	config.Controller.InstanceID = bootID
+	eng := engine.New(config.Controller, config.CPUShare, log)
+	plan := sockets.NewBudget(config.MaxConnections, len(config.PeerAddresses))
+	actors := newExecutors(config, plan, eng.DeliverReply)
+	frontListener, err := listen(ctx, "listen", config.ListenAddress)
 	if err != nil {
 		return err
 	}
-	backListener, err := listen(ctx, "back", config.Back)
+	backListener, err := listen(ctx, "back", config.PeerListenAddress)
 	if err != nil {
 		return err
 	}
-	front := sockets.NewFront(plan.Front)
-	frontHandler := users.Handler(eng, front.Users, front.Workers(workers.Handler(eng, log)))
-	back := sockets.NewFront(0)
+	front := sockets.NewConnectionLimiter(plan.Inbound)
+	frontHandler := users.Handler(eng, front.UserMiddleware, front.WorkerMiddleware(workers.Handler(eng, log)))
+	back := sockets.NewConnectionLimiter(0)
 	backHandler := peers.Handler(eng, log)
-	idleTimeout := max(idleReports*time.Duration(config.Core.ReportEvery), leastIdleTimeout)
-	failed := make(chan error, servers)
-	go func() { failed <- serve(frontListener, front.Server(frontHandler, idleTimeout), log) }()
-	go func() { failed <- serve(backListener, back.Server(backHandler, idleTimeout), log) }()
+	idleTimeout := max(idleHeartbeats*time.Duration(config.Controller.HeartbeatInterval), minIdleTimeout)
+	failed := make(chan error, serverCount)
+	go func() { failed <- serve(frontListener, front.NewServer(frontHandler, idleTimeout), log) }()
+	go func() { failed <- serve(backListener, back.NewServer(backHandler, idleTimeout), log) }()
 	for _, warning := range config.Warnings {
 		log.Warn("odd setting", "what", warning)
 	}
-	log.Info("started", "version", version, "node", string(config.Core.Self), "listen", config.Listen)
+	log.Info("started", "version", version, "node", string(config.Controller.Self), "listen", config.ListenAddress)
 	go eng.Run(ctx, actors)
 	return <-failed
 }
@@ -84,9 +84,9 @@
 func limitResources(config *settings.Settings) {
 	runtime.GOMAXPROCS(1)
 	if config.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(config.MemoryMB * heapShare * bytesPerMB))
+		debug.SetMemoryLimit(int64(config.MemoryMB * heapLimitShare * bytesPerMB))
 	}
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 }
 
 func newLogger() *slog.Logger {
@@ -108,12 +108,12 @@
 	return hex.EncodeToString(id[:]), nil
 }
 
-func newActors(config *settings.Settings, plan sockets.Plan, reply engine.ReplyFunc) engine.Actors {
-	return engine.Actors{
-		Store:   store.New(config.State, reply).Do,
-		Cloud:   cloud.New(config.Cloud, reply).Do,
+func newExecutors(config *settings.Settings, plan sockets.Budget, reply engine.ReplyFunc) engine.Executors {
+	return engine.Executors{
+		Store:   store.New(config.StoreAddress, reply).Do,
+		Cloud:   cloud.New(config.CloudAddress, reply).Do,
 		Workers: workers.New(plan.Calls, reply).Do,
-		Peers:   peers.New(config.Peers, reply).Do,
+		Peers:   peers.New(config.PeerAddresses, reply).Do,
 	}
 }
 
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -16,91 +16,91 @@
 	dialTimeout = time.Second
 	callTimeout = 4 * time.Second
 	// idleCalls is the number of idle connections that are kept.
-	idleCalls = 2
+	maxIdleConnections = 2
 	// pageSize is the number of machines that is asked for in a page of the list.
 	pageSize = 500
 )
 
 // Cloud carries out the core's cloud effects.
-type Cloud struct {
+type Client struct {
 	service *wire.JSONService
 	reply   engine.ReplyFunc
 }
 
 // New makes a Cloud for the cloud's interface at addr.
-func New(addr string, reply engine.ReplyFunc) *Cloud {
-	options := wire.ClientOptions{DialTimeout: dialTimeout, IdlePerHost: idleCalls}
-	return &Cloud{
+func New(addr string, reply engine.ReplyFunc) *Client {
+	options := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleConnections}
+	return &Client{
 		service: wire.NewJSONService(addr, callTimeout, options),
 		reply:   reply,
 	}
 }
 
 // Do starts a call; its reply follows.
-func (c *Cloud) Do(effect core.Effect) {
+func (c *Client) Do(effect core.Effect) {
 	switch effect := effect.(type) {
-	case core.CloudTypes:
-		go func() { c.reply(effect.Call, c.machineTypes()) }()
-	case core.CloudRent:
-		go func() { c.reply(effect.Call, c.rent(effect)) }()
-	case core.CloudReturn:
-		go func() { c.reply(effect.Call, c.returnMachines(effect)) }()
+	case core.CloudMachineTypes:
+		go func() { c.reply(effect.Call, c.listMachineTypes()) }()
+	case core.CloudScaleOut:
+		go func() { c.reply(effect.Call, c.scaleOut(effect)) }()
+	case core.CloudScaleIn:
+		go func() { c.reply(effect.Call, c.scaleIn(effect)) }()
 	case core.CloudList:
-		go func() { c.reply(effect.Call, c.list(effect.Since)) }()
+		go func() { c.reply(effect.Call, c.listMachines(effect.After)) }()
 	}
 }
 
-func (c *Cloud) machineTypes() core.TypesReply {
+func (c *Client) listMachineTypes() core.MachineTypesReply {
 	response, err := c.service.Call(http.MethodGet, "/flavors", nil)
 	if err != nil || response.Status != http.StatusOK {
-		return core.TypesReply{Out: core.NotDone}
+		return core.MachineTypesReply{Outcome: core.NotApplied}
 	}
 	types, err := wire.DecodeTypes(response.Body)
 	if err != nil {
-		return core.TypesReply{Out: core.Unknown}
+		return core.MachineTypesReply{Outcome: core.UnknownOutcome}
 	}
-	return core.TypesReply{Out: core.OK, Types: types}
+	return core.MachineTypesReply{Outcome: core.OK, Types: types}
 }
 
-func (c *Cloud) rent(rent core.CloudRent) core.RentReply {
-	response, err := c.service.Call(http.MethodPost, "/rentals", wire.EncodeRental(rent))
+func (c *Client) scaleOut(rent core.CloudScaleOut) core.ScaleOutReply {
+	response, err := c.service.Call(http.MethodPost, "/rentals", wire.EncodeScaleOut(rent))
 	if err != nil {
-		return core.RentReply{Out: core.Unknown}
+		return core.ScaleOutReply{Outcome: core.UnknownOutcome}
 	}
 	switch response.Status {
 	case http.StatusOK:
-		return decodeRental(response.Body)
+		return decodeScaleOut(response.Body)
 	case http.StatusServiceUnavailable:
-		if wire.SaysNoCapacity(response.Body) {
-			return core.RentReply{Out: core.Missing}
+		if wire.IsOutOfCapacity(response.Body) {
+			return core.ScaleOutReply{Outcome: core.NotFound}
 		}
-		return core.RentReply{Out: core.NotDone}
+		return core.ScaleOutReply{Outcome: core.NotApplied}
 	case http.StatusBadRequest:
-		return core.RentReply{Out: core.Invalid}
+		return core.ScaleOutReply{Outcome: core.Invalid}
 	case http.StatusTooManyRequests:
-		return core.RentReply{Out: core.Throttled}
+		return core.ScaleOutReply{Outcome: core.Throttled}
 	}
-	return core.RentReply{Out: core.Unknown}
+	return core.ScaleOutReply{Outcome: core.UnknownOutcome}
 }
 
-func decodeRental(body []byte) core.RentReply {
-	ids, err := wire.DecodeRental(body)
+func decodeScaleOut(body []byte) core.ScaleOutReply {
+	ids, err := wire.DecodeScaleOut(body)
 	if err != nil {
-		return core.RentReply{Out: core.Unknown}
+		return core.ScaleOutReply{Outcome: core.UnknownOutcome}
 	}
-	return core.RentReply{Out: core.OK, IDs: ids}
+	return core.ScaleOutReply{Outcome: core.OK, IDs: ids}
 }
 
-func (c *Cloud) returnMachines(effect core.CloudReturn) core.ReturnReply {
-	response, err := c.service.Call(http.MethodPost, "/rentals/return", wire.EncodeReturn(effect.IDs))
+func (c *Client) scaleIn(effect core.CloudScaleIn) core.ScaleInReply {
+	response, err := c.service.Call(http.MethodPost, "/rentals/return", wire.EncodeScaleIn(effect.IDs))
 	if err != nil || response.Status != http.StatusOK {
-		return core.ReturnReply{Out: core.Unknown}
+		return core.ScaleInReply{Outcome: core.UnknownOutcome}
 	}
-	return core.ReturnReply{Out: core.OK}
+	return core.ScaleInReply{Outcome: core.OK}
 }
 
 // list reads the page of the machine list that follows a machine.
-func (c *Cloud) list(since core.MachineID) core.CloudListReply {
+func (c *Client) listMachines(since core.MachineID) core.CloudListReply {
 	query := url.Values{"page": {strconv.Itoa(pageSize)}}
 	if since != "" {
 		query.Set("since", string(since))
@@ -108,13 +108,13 @@
 	response, err := c.service.Call(http.MethodGet, "/rentals?"+query.Encode(), nil)
 	switch {
 	case err == nil && response.Status == http.StatusTooManyRequests:
-		return core.CloudListReply{Out: core.Throttled}
+		return core.CloudListReply{Outcome: core.Throttled}
 	case err != nil || response.Status != http.StatusOK:
-		return core.CloudListReply{Out: core.NotDone}
+		return core.CloudListReply{Outcome: core.NotApplied}
 	}
 	page, err := wire.DecodeMachines(response.Body)
 	if err != nil {
-		return core.CloudListReply{Out: core.Unknown}
+		return core.CloudListReply{Outcome: core.UnknownOutcome}
 	}
-	return core.CloudListReply{Out: core.OK, Items: page.Machines, More: page.More}
+	return core.CloudListReply{Outcome: core.OK, Items: page.Machines, More: page.More}
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -12,7 +12,7 @@
 )
 
 // ask carries out an effect against a server and returns its reply.
-func ask(t *testing.T, handler http.HandlerFunc, effect core.Effect) any {
+func execute(t *testing.T, handler http.HandlerFunc, effect core.Effect) any {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -46,8 +46,8 @@
 		since, want core.MachineID
 		more        bool
 	}{{"", "m-1", true}, {"m-1", "m-2", true}, {"m-2", "m-3", false}} {
-		reply := ask(t, serve, core.CloudList{Since: page.since}).(core.CloudListReply)
-		if reply.Out != core.OK || len(reply.Items) != 1 || reply.Items[0].ID != page.want || reply.More != page.more {
+		reply := execute(t, serve, core.CloudList{After: page.since}).(core.CloudListReply)
+		if reply.Outcome != core.OK || len(reply.Items) != 1 || reply.Items[0].ID != page.want || reply.More != page.more {
 			t.Errorf("after %q: %+v", page.since, reply)
 		}
 	}
@@ -61,27 +61,27 @@
 		body   string
 		want   string
 	}{
-		{core.CloudRent{}, 200, `{"coaches":["m-1"]}`, fmt.Sprint(core.RentReply{Out: core.OK, IDs: []core.MachineID{"m-1"}})},
-		{core.CloudRent{}, 200, `{}`, fmt.Sprint(core.RentReply{Out: core.Unknown})},
-		{core.CloudRent{}, 503, `{"error":"no capacity"}`, fmt.Sprint(core.RentReply{Out: core.Missing})},
-		{core.CloudRent{}, 503, `{"error":"trouble"}`, fmt.Sprint(core.RentReply{Out: core.NotDone})},
-		{core.CloudRent{}, 503, ``, fmt.Sprint(core.RentReply{Out: core.NotDone})},
-		{core.CloudRent{}, 400, ``, fmt.Sprint(core.RentReply{Out: core.Invalid})},
-		{core.CloudRent{}, 429, ``, fmt.Sprint(core.RentReply{Out: core.Throttled})},
-		{core.CloudRent{}, 500, ``, fmt.Sprint(core.RentReply{Out: core.Unknown})},
-		{core.CloudReturn{}, 200, `{}`, fmt.Sprint(core.ReturnReply{Out: core.OK})},
-		{core.CloudReturn{}, 503, ``, fmt.Sprint(core.ReturnReply{Out: core.Unknown})},
-		{core.CloudTypes{}, 503, ``, fmt.Sprint(core.TypesReply{Out: core.NotDone})},
-		{core.CloudTypes{}, 200, `{"fleets":[{"name":"x","vcpus":0}]}`, fmt.Sprint(core.TypesReply{Out: core.Unknown})},
-		{core.CloudList{}, 429, ``, fmt.Sprint(core.CloudListReply{Out: core.Throttled})},
-		{core.CloudList{}, 503, ``, fmt.Sprint(core.CloudListReply{Out: core.NotDone})},
-		{core.CloudList{}, 200, `[]`, fmt.Sprint(core.CloudListReply{Out: core.Unknown})},
+		{core.CloudScaleOut{}, 200, `{"coaches":["m-1"]}`, fmt.Sprint(core.ScaleOutReply{Outcome: core.OK, IDs: []core.MachineID{"m-1"}})},
+		{core.CloudScaleOut{}, 200, `{}`, fmt.Sprint(core.ScaleOutReply{Outcome: core.UnknownOutcome})},
+		{core.CloudScaleOut{}, 503, `{"error":"no capacity"}`, fmt.Sprint(core.ScaleOutReply{Outcome: core.NotFound})},
+		{core.CloudScaleOut{}, 503, `{"error":"trouble"}`, fmt.Sprint(core.ScaleOutReply{Outcome: core.NotApplied})},
+		{core.CloudScaleOut{}, 503, ``, fmt.Sprint(core.ScaleOutReply{Outcome: core.NotApplied})},
+		{core.CloudScaleOut{}, 400, ``, fmt.Sprint(core.ScaleOutReply{Outcome: core.Invalid})},
+		{core.CloudScaleOut{}, 429, ``, fmt.Sprint(core.ScaleOutReply{Outcome: core.Throttled})},
+		{core.CloudScaleOut{}, 500, ``, fmt.Sprint(core.ScaleOutReply{Outcome: core.UnknownOutcome})},
+		{core.CloudScaleIn{}, 200, `{}`, fmt.Sprint(core.ScaleInReply{Outcome: core.OK})},
+		{core.CloudScaleIn{}, 503, ``, fmt.Sprint(core.ScaleInReply{Outcome: core.UnknownOutcome})},
+		{core.CloudMachineTypes{}, 503, ``, fmt.Sprint(core.MachineTypesReply{Outcome: core.NotApplied})},
+		{core.CloudMachineTypes{}, 200, `{"fleets":[{"name":"x","vcpus":0}]}`, fmt.Sprint(core.MachineTypesReply{Outcome: core.UnknownOutcome})},
+		{core.CloudList{}, 429, ``, fmt.Sprint(core.CloudListReply{Outcome: core.Throttled})},
+		{core.CloudList{}, 503, ``, fmt.Sprint(core.CloudListReply{Outcome: core.NotApplied})},
+		{core.CloudList{}, 200, `[]`, fmt.Sprint(core.CloudListReply{Outcome: core.UnknownOutcome})},
 	} {
 		answer := func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
 			_, _ = w.Write([]byte(c.body))
 		}
-		if got := fmt.Sprint(ask(t, answer, c.effect)); got != c.want {
+		if got := fmt.Sprint(execute(t, answer, c.effect)); got != c.want {
 			t.Errorf("%T answered %d %s: got %s, want %s", c.effect, c.status, c.body, got, c.want)
 		}
 	}
--- a/internal/core/claim_conflict_test.go
+++ b/internal/core/acquire_conflict_test.go
@@ -8,19 +8,19 @@
 // dropped, as the part is not held, and the controller counted as claiming for
 // ever. Then nobody served the part: its last holder waited for its own claim,
 // and the others saw that holder alive.
-func TestClaimBesideConflict(t *testing.T) {
-	b := newCoreHarness()
-	part := b.parts[1]
-	part.held, part.ready = false, false
+func TestAcquireResentAfterBatchConflict(t *testing.T) {
+	b := newControllerHarness()
+	part := b.shards[1]
+	part.owned, part.ready = false, false
 	b.store.keys["jobs/j-1"] = KV{"jobs/j-1", []byte(`{"s":{"tm":"red","n":1},"w":"b1-1"}`), 31}
-	b.onSubmit(Submit{Req: 1, Job: JobSpec{ID: "j-1", Team: "red", Tasks: 1, Need: Res{CPU: 1_000_000, Mem: 1_000_000}}})
-	b.claimPart(part)
-	b.play(2 * second)
+	b.handleSubmit(Submit{Request: 1, Spec: JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.acquireShard(part)
+	b.runFor(2 * second)
 
-	if len(b.txns) == 0 || len(b.txns[0].Then) != 2 {
+	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
 		t.Fatal("the claim and the acceptance did not share a transaction")
 	}
-	if !part.held || part.claiming {
-		t.Errorf("held %v, claiming %v; want the part held", part.held, part.claiming)
+	if !part.owned || part.acquiring {
+		t.Errorf("held %v, claiming %v; want the part held", part.owned, part.acquiring)
 	}
 }
--- /dev/null
+++ b/internal/core/admission.go
@@ -0,0 +1,389 @@
+package core
+
+import (
+	"encoding/json"
+	"slices"
+	"strconv"
+)
+
+// A submission is accepted by a record in the store. Those that come in
+// together share one: a record each would cost a put each, and when many come
+// at once their users would wait for the write rate.
+
+// acceptPrefix is where the records of jobs accepted together are stored.
+const admissionKeyPrefix = "accepts/"
+
+// acceptWithin is how long a submission may wait for its record.
+const admissionTimeout = 3500 * millisecond
+
+// acceptRecord is what accepts/<name> holds: jobs that came in together. A job
+// has a record of its own, jobs/<id>, from its first outcome on; that one
+// counts where both exist.
+type admissionRecord struct {
+	Jobs    []admittedJob `json:"j"`
+	WriteID string        `json:"w"`
+}
+
+type admittedJob struct {
+	ID   JobID   `json:"id"`
+	Spec JobSpec `json:"s"`
+}
+
+// acceptance is a submission that waits for its record.
+type pendingAdmission struct {
+	spec     JobSpec
+	respond  func(Respond)
+	deadline Time // too late after that
+	answered bool
+
+	duplicateChecked     bool            // whether another controller accepted the job
+	duplicateCheckFailed bool            // that could not be read
+	idempotentRetries    []func(Respond) // the same id once more, in the same record
+	answerStored         func()          // answers, once it is stored
+}
+
+// finish answers when the job is stored and was looked for.
+func (a *pendingAdmission) answerIfReady() {
+	if a.duplicateChecked && a.answerStored != nil {
+		a.answerStored()
+	}
+}
+
+// answer tells the user, once.
+func (a *pendingAdmission) answer(r Respond) {
+	if a.answered {
+		return
+	}
+	a.answered = true
+	a.respond(r)
+	for _, respond := range a.idempotentRetries {
+		respond(r)
+	}
+}
+
+// acceptances holds the submissions that wait for their record, and what is
+// known of the records that accepted several jobs at once.
+//
+// A submission that has no answer yet is in waiting or belongs to one write.
+// While any is waiting, at least one write is queued that will take it. The
+// revision kept of a job is that of the first record that accepted it.
+type admissionQueue struct {
+	waiting         []*pendingAdmission // not taken into a write yet
+	unchecked       []*pendingAdmission // to be checked for an acceptance by another controller
+	queuedWrites    int                 // writes that have not taken their submissions yet
+	keysIssued      int                 // record names given so far
+	firstRevisions  map[JobID]ModRevision
+	appliedRevision Revision // what was stored until then is known
+	loaded          bool     // all records were read at least once
+}
+
+// nextKey names the next record. The name is used once, as no other process
+// has the same boot.
+func (s *admissionQueue) nextKey(boot string) string {
+	s.keysIssued++
+	return admissionKeyPrefix + boot + "-" + strconv.Itoa(s.keysIssued)
+}
+
+// add queues a submission; true: it needs a write of its own.
+func (s *admissionQueue) enqueue(a *pendingAdmission) bool {
+	s.waiting = append(s.waiting, a)
+	return s.queuedWrites < len(s.waiting)
+}
+
+// knows tells whether a record of several is known to have accepted a job.
+func (s *admissionQueue) isAdmitted(id JobID) bool { return s.firstRevisions[id] > 0 }
+
+// note takes in that a record of several with a revision accepted a job.
+func (s *admissionQueue) recordAdmission(id JobID, revision ModRevision) {
+	if first := s.firstRevisions[id]; first == 0 || revision < first {
+		s.firstRevisions[id] = revision
+	}
+}
+
+// acceptedBefore tells whether an earlier record than that with a revision
+// accepted a job.
+func (s *admissionQueue) wasAdmittedBefore(id JobID, revision ModRevision) bool {
+	return s.isAdmitted(id) && s.firstRevisions[id] < revision
+}
+
+// transactions is how many puts the waiting submissions need when each takes
+// as many as a transaction may have.
+func (s *admissionQueue) putsNeeded(perPut int) float64 {
+	return float64(len(s.waiting)) / float64(perPut)
+}
+
+// accept has a job stored and answers its submission then, or says that this
+// took too long.
+func (c *Controller) enqueueAdmission(spec JobSpec, answer func(Respond)) {
+	a := &pendingAdmission{spec: spec, respond: answer, deadline: c.now + admissionTimeout}
+	c.after(admissionTimeout, func() {
+		a.answer(Respond{Status: ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "not stored in time"})
+	})
+	c.after(storeSlowThreshold+50*millisecond, func() {
+		if !a.answered && c.storeHealth.isUnresponsive(c.now) {
+			c.proxySubmission(a.spec, a.answer)
+		}
+	})
+	if c.admissions.enqueue(a) {
+		c.queueAdmissionWrite()
+	}
+	c.checkDuplicateAdmission(a)
+}
+
+// checkOtherAcceptance finds out whether another controller has accepted the
+// job in a record of several, while its record here is being written: then this
+// is a repeat, and is answered as one. A reading begun now shows all that its
+// user can have been told. One serves the submissions of some milliseconds.
+func (c *Controller) checkDuplicateAdmission(a *pendingAdmission) {
+	s := &c.admissions
+	s.unchecked = append(s.unchecked, a)
+	if len(s.unchecked) > 1 {
+		return
+	}
+	c.after(5*millisecond, func() {
+		batch := s.unchecked
+		s.unchecked = nil
+		c.readAdmissionChanges(func(ok bool) {
+			for _, a := range batch {
+				a.duplicateChecked, a.duplicateCheckFailed = true, !ok
+				a.answerIfReady()
+			}
+		})
+	})
+}
+
+// takeWaiting takes the submissions that still wait for an answer, as many as
+// go into one record.
+func (c *Controller) takeAdmissionBatch() []*pendingAdmission {
+	s := &c.admissions
+	var batch []*pendingAdmission
+	size := 0
+	for len(s.waiting) > 0 {
+		a := s.waiting[0]
+		if !a.answered && c.now <= a.deadline && !c.joinIdempotentRetry(a, batch) {
+			v, _ := json.Marshal(a.spec)
+			size += len(v) + len(a.spec.ID) + 20
+			if len(batch) > 0 && size > c.config.MaxValueBytes*4/5 || len(batch) == c.config.MaxTxnOps {
+				break
+			}
+			batch = append(batch, a)
+		}
+		s.waiting = s.waiting[1:]
+	}
+	return batch
+}
+
+// joinRepeat answers a submission whose job is known meanwhile, or has it
+// answered with the same id's submission of a batch; false: it is neither.
+func (c *Controller) joinIdempotentRetry(a *pendingAdmission, batch []*pendingAdmission) bool {
+	id := a.spec.ID
+	if c.jobs.known[id] != nil { // the same id came in twice at once
+		c.answerIdempotentRetry(a.answer, id)
+		return true
+	}
+	i := slices.IndexFunc(batch, func(o *pendingAdmission) bool { return o.spec.ID == id })
+	if i < 0 {
+		return false
+	}
+	batch[i].idempotentRetries = append(batch[i].idempotentRetries, func(r Respond) {
+		if r.View != nil {
+			c.answerIdempotentRetry(a.answer, id)
+		} else {
+			a.answer(r)
+		}
+	})
+	return true
+}
+
+// acceptanceWrite is a write that accepts the submissions it takes when its
+// turn comes: one alone as the job's own record, several as one record, on
+// condition that none of them is known.
+type admissionWrite struct {
+	controller *Controller
+	write      *queuedWrite
+	batchKey   string // of the record of several
+	built      bool   // it has been built at least once
+	batch      []*pendingAdmission
+	jobRecords [][]byte // a record of its own for each of the batch
+}
+
+// writeAccepted queues the write that takes the next waiting submissions.
+func (c *Controller) queueAdmissionWrite() {
+	c.admissions.queuedWrites++
+	key := c.admissions.nextKey(c.config.InstanceID)
+	w := &admissionWrite{controller: c, batchKey: key}
+	w.write = &queuedWrite{
+		shardID:          NoShard,
+		keys:             []string{key},
+		maxExtraCompares: c.config.MaxTxnOps,
+		build:            w.build,
+		onApplied:        w.handleStored,
+		onConflict:       w.handleConflict,
+	}
+	c.writeQueue.enqueue(priorityAdmit, w.write)
+}
+
+// build makes the record. It is called again where another write of its
+// transaction was refused.
+func (w *admissionWrite) build(nonce string) ([]TxnOp, []ModRevision) {
+	s := &w.controller.admissions
+	if !w.built {
+		w.built = true
+		s.queuedWrites--
+	}
+	s.waiting = append(w.batch, s.waiting...)
+	w.batch, w.jobRecords = w.controller.takeAdmissionBatch(), nil
+	w.write.extraCompares, w.write.keys[0] = nil, w.batchKey
+	if len(s.waiting) > s.queuedWrites {
+		w.controller.queueAdmissionWrite()
+	}
+	if len(w.batch) == 0 {
+		return nil, nil
+	}
+	var rec admissionRecord
+	for _, a := range w.batch {
+		v, _ := json.Marshal(jobRecord{Spec: &a.spec, WriteID: nonce})
+		w.jobRecords = append(w.jobRecords, v)
+		rec.Jobs = append(rec.Jobs, admittedJob{a.spec.ID, a.spec})
+	}
+	if len(w.batch) == 1 {
+		w.write.keys[0] = jobKey(w.batch[0].spec.ID)
+		return []TxnOp{{w.write.keys[0], w.jobRecords[0]}}, []ModRevision{0}
+	}
+	rec.WriteID = nonce
+	for _, a := range w.batch {
+		w.write.extraCompares = append(w.write.extraCompares, Compare{jobKey(a.spec.ID), 0})
+	}
+	v, _ := json.Marshal(rec)
+	return []TxnOp{{w.batchKey, v}}, []ModRevision{0}
+}
+
+// stored takes in the jobs accepted and answers their users.
+func (w *admissionWrite) handleStored(e Revision) {
+	revision := ModRevision(e)
+	own := revision
+	if len(w.batch) > 1 {
+		own = 0 // of their own records, which don't exist yet
+	}
+	for i, a := range w.batch {
+		if len(w.batch) > 1 {
+			w.controller.admissions.recordAdmission(a.spec.ID, revision)
+		}
+		kv := KV{Key: jobKey(a.spec.ID), Value: w.jobRecords[i], ModRevision: own}
+		w.controller.applyJobRecord(kv, nil)
+		w.controller.notifyOwner(w.controller.teams[a.spec.Team].shard, kv)
+		w.controller.notifyDependencyOwners(&a.spec, kv)
+		if w.write.inDoubt {
+			// It may have been carried out long before this answer, and others may
+			// have told more of it since.
+			w.controller.answerIdempotentRetry(a.answer, a.spec.ID)
+		}
+	}
+	if w.write.inDoubt {
+		return
+	}
+	for _, a := range w.batch {
+		a.answerStored = func() { w.controller.answerAdmitted(a, revision) }
+		a.answerIfReady()
+	}
+}
+
+// answerAccepted answers a submission that was stored with a revision: as new,
+// unless an earlier record accepted it or that could not be read.
+func (c *Controller) answerAdmitted(a *pendingAdmission, revision ModRevision) {
+	id := a.spec.ID
+	if a.duplicateCheckFailed || c.admissions.wasAdmittedBefore(id, revision) {
+		c.answerIdempotentRetry(a.answer, id)
+		return
+	}
+	v := JobView{ID: id, Status: JobPending}
+	if k := c.jobs.finalJob(id); k != nil {
+		v = finalView(id, k)
+	}
+	a.answer(Respond{Status: ReplyCreated, View: &v})
+}
+
+// refused follows a conflict: some of the batch are known. Each learns which by
+// itself.
+func (w *admissionWrite) handleConflict() {
+	for _, a := range w.batch {
+		if a.answered {
+			continue
+		}
+		if len(w.batch) == 1 {
+			w.controller.answerIdempotentRetry(a.answer, a.spec.ID)
+			continue
+		}
+		w.controller.lookUpJobInStore(a.spec.ID, func(status ReplyStatus, v JobView) {
+			switch {
+			case a.answered:
+			case status == ReplyOK:
+				a.answer(Respond{Status: ReplyOK, View: &v})
+			default: // not this one: it is tried again
+				w.controller.admissions.enqueue(a)
+				w.controller.queueAdmissionWrite()
+			}
+		})
+	}
+}
+
+// learnAccepted takes in a record of jobs that were accepted together.
+func (c *Controller) applyAdmissionRecord(kv KV, loading *shard) {
+	if kv.Value == nil {
+		return
+	}
+	c.recordPeerWrite(kv)
+	var rec admissionRecord
+	if err := json.Unmarshal(kv.Value, &rec); err != nil {
+		c.log(LogError, "unreadable record", "key", kv.Key)
+		return
+	}
+	for i := range rec.Jobs {
+		j := &rec.Jobs[i]
+		c.admissions.recordAdmission(j.ID, kv.ModRevision)
+		v, _ := json.Marshal(jobRecord{Spec: &j.Spec})
+		c.applyJobRecord(KV{Key: jobKey(j.ID), Value: v}, loading)
+	}
+}
+
+// loadAccepted learns of the jobs that were accepted together, then follows.
+func (c *Controller) loadAdmissions() {
+	s := &c.admissions
+	c.listPrefix(admissionKeyPrefix, func(r ListReply) {
+		if r.Outcome != OK {
+			c.after(second, c.loadAdmissions)
+			return
+		}
+		for _, kv := range r.Items {
+			c.applyAdmissionRecord(kv, nil)
+		}
+		s.appliedRevision, s.loaded = r.Revision, true
+		c.watchPrefix(admissionKeyPrefix, &s.appliedRevision, 2*second, func(kv KV) { c.applyAdmissionRecord(kv, nil) }, c.loadAdmissions)
+	})
+}
+
+// catchUp calls fn with whether a job was accepted in a record of several, as
+// the store shows it now: what changed since the last reading is read.
+func (c *Controller) lookUpAdmission(id JobID, fn func(known, ok bool)) {
+	s := &c.admissions
+	if s.isAdmitted(id) {
+		fn(true, true)
+		return
+	}
+	if !s.loaded {
+		fn(false, false)
+		return
+	}
+	c.readAdmissionChanges(func(ok bool) { fn(s.isAdmitted(id), ok) })
+}
+
+// readAccepts reads the records of several that were stored since the last
+// reading; fn gets whether that worked.
+func (c *Controller) readAdmissionChanges(fn func(bool)) {
+	c.readPrefixSince(admissionKeyPrefix, c.admissions.appliedRevision, func(r WatchReply) {
+		for _, kv := range r.Items {
+			c.applyAdmissionRecord(kv, nil)
+		}
+		fn(r.Outcome == OK)
+	})
+}
--- /dev/null
+++ b/internal/core/all_controllers_down_test.go
@@ -0,0 +1,29 @@
+package core_test
+
+import (
+	"testing"
+
+	"stairrelay/internal/core"
+)
+
+// TestAllAwayLongerThanLease: all controllers are away for longer than a lease.
+// The tasks are lost with it; none runs twice, and the job gets done.
+func TestAllControllersDownLongerThanLease(t *testing.T) {
+	m := newTestCluster(t, 2)
+	other := m.submitJob("j-000002", 2, 20*second)
+	m.RunUntil(m.Now + 3*second)
+	for _, n := range m.Nodes {
+		m.KillNode(n)
+	}
+	m.RunUntil(m.Now + m.config.WorkerLease + 5*second)
+	if n := m.countRunningTasks(m.longJob); n != 0 {
+		t.Fatalf("%d tasks outlive their lease", n)
+	}
+	for i, n := range m.Nodes {
+		m.After(core.Time(i)*second/5, func() { m.StartNode(n) })
+	}
+	m.runAndCheck(90 * second)
+	if other.ReportedStatus != core.JobDone || m.countRunningTasks(m.longJob) != 3 {
+		t.Errorf("the short job is %s, %d of the long one's 3 tasks run", other.ReportedStatus, m.countRunningTasks(m.longJob))
+	}
+}
--- a/internal/core/attempt_numbers_test.go
+++ b/internal/core/attempt_numbers_test.go
@@ -10,19 +10,19 @@
 // more starts than the count of an attempt has room for. Each number is new,
 // and belongs to a store change of the holder's own. Before, the count ran over
 // into the claim's bits: the numbers of an odd claim came again.
-func TestAttemptsBeyondOneClaim(t *testing.T) {
-	b := newCoreHarness()
-	p := b.parts[0]
-	p.claim, p.attemptBase, p.lastStored = 31, 31, 31
+func TestAttemptNumbersBeyondOneRevision(t *testing.T) {
+	b := newControllerHarness()
+	p := b.shards[0]
+	p.claimRevision, p.attemptBase, p.lastStoredRevision = 31, 31, 31
 	first := p.nextAttempt()
-	b.job("j-1", 1)
-	m, _ := b.running(b.jobs.held["j-1"])
-	b.store.epoch = 50
-	m.group.mark = 0
-	b.writeMachine(m, prioStart)
-	b.play(100 * milli)
+	b.addTestJob("j-1", 1)
+	m, _ := b.addRunningMachine(b.jobs.owned["j-1"])
+	b.store.revision = 50
+	m.group.modRevision = 0
+	b.writeMachine(m, priorityStart)
+	b.runFor(100 * millisecond)
 
-	p.attempts = model.MaxAttemptCount - 1
+	p.attemptCount = model.MaxAttemptCount - 1
 	last, next := p.nextAttempt(), p.nextAttempt()
 	if last.Claim() != 31 || last.Count() != model.MaxAttemptCount {
 		t.Errorf("the last of the claim is %d of %d", last.Count(), last.Claim())
--- a/internal/core/cloud_pages_test.go
+++ b/internal/core/cloud_pages_test.go
@@ -10,8 +10,8 @@
 // allows, and the next reading waits until all controllers' readings together
 // take half of the rate at most. Read at once every 8 s, nine pages by five
 // controllers were more calls than the cloud allows, and none were left to rent.
-func TestListWithinCloudRate(t *testing.T) {
-	b := newCoreHarness()
+func TestMachineListWithinCloudRate(t *testing.T) {
+	b := newControllerHarness()
 	const machines, pageSize = 4000, 500
 	page := func(since MachineID) CloudListReply {
 		first := 0
@@ -19,22 +19,22 @@
 			_, _ = fmt.Sscanf(string(since), "m-%d", &first)
 			first++
 		}
-		reply := CloudListReply{Out: OK, More: first+pageSize < machines}
+		reply := CloudListReply{Outcome: OK, More: first+pageSize < machines}
 		for i := range pageSize {
-			reply.Items = append(reply.Items, Listed{ID: MachineID(fmt.Sprintf("m-%06d", first+i)), Status: "running"})
+			reply.Items = append(reply.Items, ListedMachine{ID: MachineID(fmt.Sprintf("m-%06d", first+i)), Status: "running"})
 		}
 		return reply
 	}
-	b.cloud.bucket.Fill()
+	b.cloudRate.bucket.Fill()
 	calls, throttled := 0, false
 	listed := 0
 	begin := b.now
-	b.listCloud()
-	b.cloudListing.nextAt = 1 << 62
-	for b.now = begin; b.now < begin+30*second && listed == 0; b.now += 50 * milli {
+	b.pollCloudList()
+	b.cloudListing.nextReadAt = 1 << 62
+	for b.now = begin; b.now < begin+30*second && listed == 0; b.now += 50 * millisecond {
 		b.runTimers()
-		out := b.out
-		b.out = nil
+		out := b.effects
+		b.effects = nil
 		for _, f := range out {
 			ask, isList := f.(CloudList)
 			if !isList {
@@ -43,11 +43,11 @@
 			calls++
 			if calls == 3 && !throttled { // refused once: the page is asked for again
 				throttled = true
-				b.calls[ask.Call](CloudListReply{Out: Throttled})
+				b.pendingCalls[ask.Call](CloudListReply{Outcome: Throttled})
 				continue
 			}
-			b.calls[ask.Call](page(ask.Since))
-			if !b.cloudListing.reading {
+			b.pendingCalls[ask.Call](page(ask.After))
+			if !b.cloudListing.inProgress {
 				listed = machines
 			}
 		}
@@ -56,15 +56,15 @@
 	if calls != pages+1 {
 		t.Errorf("%d calls for %d pages, one of them refused once", calls, pages)
 	}
-	if b.cloudListing.pages != pages || b.cloudListing.reading {
-		t.Fatalf("%d pages read", b.cloudListing.pages)
+	if b.cloudListing.lastPageCount != pages || b.cloudListing.inProgress {
+		t.Fatalf("%d pages read", b.cloudListing.lastPageCount)
 	}
-	share := b.cfg.CloudRPS * b.cfg.Tuning.BudgetShare / 3
+	share := b.config.CloudRPS * b.config.Tuning.RateBudgetShare / 3
 	took := (b.now - begin).Seconds()
 	if allowed := 2*share + share*took + 1; float64(calls) > allowed {
 		t.Errorf("%d calls within %.1f s, %.1f are allowed", calls, took, allowed)
 	}
-	if rate := float64(pages*3) / b.listPause().Seconds(); rate > b.cfg.CloudRPS*listShare*1.01 {
-		t.Errorf("regular readings take %.1f of %.1f calls a second", rate, b.cfg.CloudRPS)
+	if rate := float64(pages*3) / b.cloudListInterval().Seconds(); rate > b.config.CloudRPS*listRateShare*1.01 {
+		t.Errorf("regular readings take %.1f of %.1f calls a second", rate, b.config.CloudRPS)
 	}
 }
--- a/internal/core/cloudrate.go
+++ b/internal/core/cloudrate.go
@@ -8,57 +8,57 @@
 // what is allowed, while six that need nothing have the rest.
 
 // cloudShare is this controller's part of the cloud's request rate.
-type cloudShare struct {
-	bucket ratelimit.TokenBucket
-	sent   int     // calls since demand was last worked out
-	denied bool    // something had to wait since then
-	demand float64 // calls a second that this controller could use
+type cloudRateShare struct {
+	bucket    ratelimit.TokenBucket
+	callCount int     // calls since demand was last worked out
+	wasDenied bool    // something had to wait since then
+	demand    float64 // calls a second that this controller could use
 }
 
 // demandHeard is how long what another controller told of its demand counts:
 // calls come each second, so it has missed two by then.
-const demandHeard = 3 * second
+const demandFreshness = 3 * second
 
 // shareByNeed returns this controller's part of a limit that all live ones
 // share. told picks the demand on it from what another one has told.
-func (c *Core) shareByNeed(limit, demand float64, told func(*Ping) float64) float64 {
+func (c *Controller) shareByDemand(limit, demand float64, told func(*Ping) float64) float64 {
 	others := make([]ratelimit.Demand, 0, len(c.peers))
-	for _, id := range c.cfg.Nodes {
+	for _, id := range c.config.Nodes {
 		if p := c.peers[id]; p != nil && !p.failed {
-			known := p.heard && c.now-p.pingAt < demandHeard
-			others = append(others, ratelimit.Demand{Rate: told(&p.ping), Known: known})
+			known := p.hasAnswered && c.now-p.lastPingAt < demandFreshness
+			others = append(others, ratelimit.Demand{Rate: told(&p.lastPing), Known: known})
 		}
 	}
-	return ratelimit.Divide(limit, demand, c.writer.live, others)
+	return ratelimit.Divide(limit, demand, c.writeQueue.liveControllers, others)
 }
 
 // measureCloud works out once a second what this controller could use. A need
 // shows at once and fades slowly: rentals come in waves.
-func (c *Core) measureCloud() {
-	s := &c.cloud
-	want := float64(s.sent)
-	if s.denied {
-		want = c.cfg.CloudRPS
+func (c *Controller) measureCloudDemand() {
+	s := &c.cloudRate
+	want := float64(s.callCount)
+	if s.wasDenied {
+		want = c.config.CloudRPS
 	}
-	s.sent, s.denied = 0, false
+	s.callCount, s.wasDenied = 0, false
 	s.demand = max(want, s.demand*0.8)
-	c.divideCloud()
+	c.updateCloudRate()
 }
 
 // cloudBurst is for how many seconds of the rate the cloud allows bursts.
-const cloudBurst = 2
+const cloudBurstSeconds = 2
 
-func (c *Core) divideCloud() {
-	s := &c.cloud
+func (c *Controller) updateCloudRate() {
+	s := &c.cloudRate
 	s.bucket.Refill(c.now)
-	rate := c.shareByNeed(c.cfg.CloudRPS*c.cfg.Tuning.BudgetShare, s.demand, func(g *Ping) float64 { return g.Cloud })
-	s.bucket.SetRate(rate, max(cloudBurst*rate, 1))
+	rate := c.shareByDemand(c.config.CloudRPS*c.config.Tuning.RateBudgetShare, s.demand, func(g *Ping) float64 { return g.CloudDemand })
+	s.bucket.SetRate(rate, max(cloudBurstSeconds*rate, 1))
 }
 
 // mayCallCloud takes a call out of the share, or notes that one had to wait.
-func (c *Core) mayCallCloud() bool {
-	if !c.cloud.bucket.Take(c.now, 1) {
-		c.cloud.denied = true
+func (c *Controller) tryCloudCall() bool {
+	if !c.cloudRate.bucket.Take(c.now, 1) {
+		c.cloudRate.wasDenied = true
 		return false
 	}
 	c.countCloudCall()
@@ -67,17 +67,17 @@
 
 // mustCallCloud counts a call that waits for nothing: without the machine types
 // nothing runs, and a request that is repeated was paid for once.
-func (c *Core) mustCallCloud() {
-	c.cloud.bucket.Refill(c.now)
-	c.cloud.bucket.Spend(1)
+func (c *Controller) forceCloudCall() {
+	c.cloudRate.bucket.Refill(c.now)
+	c.cloudRate.bucket.Spend(1)
 	c.countCloudCall()
 }
 
-func (c *Core) countCloudCall() {
-	c.cloud.sent++
+func (c *Controller) countCloudCall() {
+	c.cloudRate.callCount++
 	c.counters.CloudCalls++
 }
 
 // cloudThrottled follows a 429: the controllers' views of their shares differ
 // for a moment, and this one has used more than there was.
-func (c *Core) cloudThrottled() { c.cloud.bucket.Lower(0) }
+func (c *Controller) handleCloudThrottled() { c.cloudRate.bucket.Lower(0) }
--- /dev/null
+++ b/internal/core/commandpush.go
@@ -0,0 +1,105 @@
+package core
+
+import "slices"
+
+// Commands that are sent to a machine at once.
+
+// orderSoon notes a machine whose commands can't wait for its next report.
+func (c *Controller) queueCommandPush(m *machine) {
+	if !m.pushQueued {
+		m.pushQueued = true
+		c.urgentPushes = append(c.urgentPushes, m)
+	}
+}
+
+// pushOrders sends what can't wait for the machines' next reports.
+func (c *Controller) pushQueuedCommands() {
+	queue := c.urgentPushes
+	c.urgentPushes = nil
+	for _, m := range queue {
+		m.pushQueued = false
+		if c.machines[m.id] != m || m.pendingHeartbeat != 0 || m.pushInFlight || m.address == "" || c.now-m.lastHeartbeat > 2*c.config.HeartbeatInterval {
+			continue
+		}
+		cmds := c.commandsFor(m, true)
+		if !m.tokenAcknowledged || m.raisingToken {
+			cmds = onlyStops(cmds)
+		}
+		if c.processHealth.isOverloaded() && m.hasRunningTask() {
+			// A call costs more than an answer. Where tasks run, reports come with
+			// every change and at least each interval: starts go with their answers.
+			cmds = slices.DeleteFunc(cmds, func(x Command) bool { return x.Kind == Start })
+		}
+		if len(cmds) > 0 {
+			c.pushCommands(m, cmds)
+		}
+	}
+}
+
+func (c *Controller) pushCommands(m *machine, cmds []Command) {
+	m.pushInFlight, m.lastPushAt = true, c.now
+	c.counters.CommandPushes++
+	var starts []*assignment
+	for _, cmd := range cmds {
+		if cmd.Kind == Start {
+			a := m.assignments[cmd.Task]
+			a.phase, a.pushed = phaseDispatched, true
+			starts = append(starts, a)
+		}
+	}
+	token := m.token
+	c.emit(PushCommands{Addr: m.address, FencingToken: token, Incarnation: m.incarnation, Commands: cmds, Call: c.registerCall(func(b any) {
+		r := b.(PushCommandsReply)
+		m.pushInFlight = false
+		if c.machines[m.id] != m {
+			return
+		}
+		unsent := func() {
+			for _, a := range starts {
+				if a.phase == phaseDispatched {
+					a.phase = phaseReady
+					if !a.job.isActive() {
+						c.confirmAbsent(m, a)
+					}
+				}
+			}
+		}
+		switch r.Outcome {
+		case OK:
+			c.applyPushReply(m, &r.Status)
+		case Conflict:
+			unsent()
+			if r.Status.FencingToken > m.token {
+				c.checkOwner(m)
+				return
+			}
+			c.applyPushReply(m, &r.Status)
+		case NotApplied:
+			m.resetSentStops()
+			unsent()
+		default:
+			m.resetSentStops()
+			if len(starts) > 0 {
+				// The command may arrive minutes late; a higher token ends that.
+				m.startInDoubt = true
+				c.raiseToken(m)
+			}
+		}
+	})})
+}
+
+// resetStops notes that the stops sent may not have arrived.
+func (m *machine) resetSentStops() {
+	for _, a := range m.assignments {
+		a.stopSentAt = 0
+	}
+}
+
+func (c *Controller) applyPushReply(m *machine, r *HeartbeatStatus) {
+	if r.Machine != m.id {
+		return
+	}
+	if c.reconcile(m, r, true) {
+		c.schedulingTrigger.request()
+	}
+}
--- a/internal/core/doneranges.go
+++ b/internal/core/completedindexes.go
@@ -10,17 +10,17 @@
 // in base64 after a "b", whichever is shorter.
 
 // bitmapMark begins a bitmap.
-const bitmapMark = "b"
+const bitmapPrefix = "b"
 
 // rangeBytes is what one more range may take at most.
-const rangeBytes = 12
+const maxRangeBytes = 12
 
 // encodeDone writes which of a chunk's tasks are done, in at most so many bytes:
 // from the index it returns on, what is done did not fit. To list fewer is safe,
 // as a task that is started again after it was done ends at once.
-func encodeDone(state []uint8, limit int) (string, int) {
+func encodeCompleted(state []uint8, limit int) (string, int) {
 	ranges, fits := encodeRanges(state, limit)
-	bitmap := base64.RawStdEncoding.EncodedLen((len(state)+7)/8) + len(bitmapMark)
+	bitmap := base64.RawStdEncoding.EncodedLen((len(state)+7)/8) + len(bitmapPrefix)
 	if fits == len(state) && len(ranges) <= bitmap || bitmap > limit {
 		return ranges, fits
 	}
@@ -30,14 +30,14 @@
 func encodeRanges(state []uint8, limit int) (string, int) {
 	var b strings.Builder
 	for i := 0; i < len(state); i++ {
-		if state[i] < tDone {
+		if state[i] < taskCompleted {
 			continue
 		}
 		last := i
-		for last+1 < len(state) && state[last+1] >= tDone {
+		for last+1 < len(state) && state[last+1] >= taskCompleted {
 			last++
 		}
-		if b.Len()+rangeBytes > limit {
+		if b.Len()+maxRangeBytes > limit {
 			return b.String(), i
 		}
 		if b.Len() > 0 {
@@ -56,20 +56,20 @@
 func encodeBitmap(state []uint8) string {
 	bits := make([]byte, (len(state)+7)/8)
 	for i, s := range state {
-		if s >= tDone {
+		if s >= taskCompleted {
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
-	return bitmapMark + base64.RawStdEncoding.EncodeToString(bits)
+	return bitmapPrefix + base64.RawStdEncoding.EncodeToString(bits)
 }
 
 // decodeDone calls set for each of n tasks that is done; false: the text makes
 // no sense.
-func decodeDone(text string, n int, set func(int)) bool {
+func decodeCompleted(text string, n int, set func(int)) bool {
 	if text == "" {
 		return true
 	}
-	if bitmap, ok := strings.CutPrefix(text, bitmapMark); ok {
+	if bitmap, ok := strings.CutPrefix(text, bitmapPrefix); ok {
 		return decodeBitmap(bitmap, n, set)
 	}
 	for _, r := range strings.Split(text, ",") {
--- /dev/null
+++ b/internal/core/controller_harness_test.go
@@ -0,0 +1,131 @@
+package core
+
+import (
+	"strings"
+
+	"stairrelay/internal/grouprecord"
+)
+
+// testStore is a store that a test plays by hand; what it carries out is real.
+type testStore struct {
+	keys     map[string]KV
+	revision Revision
+}
+
+func (s *testStore) commit(f StoreTxn) TxnReply {
+	for _, w := range f.If {
+		if s.keys[w.Key].ModRevision != w.ModRevision {
+			return TxnReply{Outcome: Conflict, FailedKeys: []string{w.Key}}
+		}
+	}
+	s.revision++
+	for _, o := range f.Then {
+		if s.keys[o.Key] = (KV{o.Key, o.Value, ModRevision(s.revision)}); o.Value == nil {
+			delete(s.keys, o.Key)
+		}
+	}
+	return TxnReply{Outcome: OK, Revision: s.revision}
+}
+
+func (s *testStore) get(key string) GetReply {
+	if kv, ok := s.keys[key]; ok {
+		return GetReply{Outcome: OK, KV: kv}
+	}
+	return GetReply{Outcome: NotFound}
+}
+
+func (s *testStore) list(prefix string, since Revision) []KV {
+	var l []KV
+	for _, k := range sortedKeys(s.keys) {
+		if kv := s.keys[k]; strings.HasPrefix(k, prefix) && kv.ModRevision > ModRevision(since) {
+			l = append(l, kv)
+		}
+	}
+	return l
+}
+
+// coreHarness is one controller among three, which holds part 0, with its store.
+type controllerHarness struct {
+	*Controller
+	store            *testStore
+	sentResponses    []Respond
+	sentTransactions []StoreTxn
+	// lose tells whether a transaction's answer is lost.
+	losesReply         func(StoreTxn) bool
+	rejectsAsMalformed func(StoreTxn) bool // as malformed; nil: none
+	throttles          func(StoreTxn) bool // as beyond the rate; nil: none
+	failsReads         bool
+}
+
+func newControllerHarness() *controllerHarness {
+	c := New(Config{Self: "n0", Nodes: []NodeID{"n0", "n1", "n2"}, InstanceID: "b0", HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
+		StoreRPS: 1000, WriteRPS: 1000, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Teams: []Team{{Name: "red", QuotaLimit: Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
+	c.machineTypes["small"] = MachineType{Name: "small", Capacity: Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
+	c.now, c.admissions.loaded = 100*second, true
+	b := &controllerHarness{Controller: c, store: &testStore{keys: map[string]KV{}, revision: 30}, losesReply: func(StoreTxn) bool { return false }}
+	for _, p := range c.shards {
+		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.now
+		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]Time{}
+		b.store.keys[p.key()] = KV{p.key(), []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), 30}
+	}
+	return b
+}
+
+// play lets time pass and the store answer; what it was asked for is kept.
+func (b *controllerHarness) runFor(d Time) {
+	for end := b.now + d; b.now <= end; b.now += 20 * millisecond {
+		b.runTimers()
+		b.writeQueue.dispatch()
+		out := b.effects
+		b.effects = nil
+		for _, f := range out {
+			switch f := f.(type) {
+			case StoreTxn:
+				b.sentTransactions = append(b.sentTransactions, f)
+				if b.rejectsAsMalformed != nil && b.rejectsAsMalformed(f) {
+					b.pendingCalls[f.Call](TxnReply{Outcome: Invalid})
+				} else if b.throttles != nil && b.throttles(f) {
+					b.pendingCalls[f.Call](TxnReply{Outcome: Throttled})
+				} else if r := b.store.commit(f); b.losesReply(f) {
+					b.pendingCalls[f.Call](TxnReply{Outcome: UnknownOutcome})
+				} else {
+					b.pendingCalls[f.Call](r)
+				}
+			case StoreGet:
+				b.pendingCalls[f.Call](b.store.get(f.Key))
+			case StoreList:
+				if b.failsReads {
+					b.pendingCalls[f.Call](ListReply{Outcome: UnknownOutcome})
+					continue
+				}
+				b.pendingCalls[f.Call](ListReply{Outcome: OK, Items: b.store.list(f.Prefix, 0), Revision: b.store.revision})
+			case StoreWatch:
+				if f.Timeout == 0 && b.failsReads {
+					b.pendingCalls[f.Call](WatchReply{Outcome: UnknownOutcome})
+				} else if f.Timeout == 0 {
+					b.pendingCalls[f.Call](WatchReply{Outcome: OK, Items: b.store.list(f.Prefix, f.SinceRevision), Revision: b.store.revision})
+				}
+			case Respond:
+				b.sentResponses = append(b.sentResponses, f)
+			}
+		}
+	}
+}
+
+func (b *controllerHarness) addTestJob(id JobID, tasks int) *job {
+	spec := JobSpec{ID: id, Team: "red", Tasks: tasks, ResourceRequest: Resources{CPU: 1_000_000}}
+	j := newJob(spec, 0, 0, b.now)
+	b.addOwnedJob(j)
+	b.jobs.known[id] = &knownJob{shard: 0, tasks: tasks, team: "red"}
+	return j
+}
+
+// running is a machine that runs the first task of a job.
+func (b *controllerHarness) addRunningMachine(j *job) (*machine, *assignment) {
+	m := b.addMachine(b.newGroup(b.shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
+	m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.now
+	a := &assignment{task: TaskID{Job: j.spec.ID, Index: 0}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 7, phase: phaseAcknowledged, state: Running}
+	m.addAssignment(a)
+	j.setAssigned(0, a)
+	return m, a
+}
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -48,7 +48,7 @@
 	if t.Failed() {
 		return
 	}
-	if *update {
+	if *updateGolden {
 		if err := writeGoldenDecisions(recorder.digests); err != nil {
 			t.Fatal(err)
 		}
@@ -77,17 +77,17 @@
 func (r *decisionRecorder) recordAll(t *testing.T) {
 	for seed := 1; seed <= recordedRandomDays; seed++ {
 		r.record(t, "random-"+strconv.Itoa(seed), func(t *testing.T, observed standin.Option) {
-			playDay(t, uint64(seed), testConfig(), observed)
+			simulateDay(t, uint64(seed), testConfig(), observed)
 		})
 	}
 	for seed := 1; seed <= recordedSevenDays; seed++ {
 		r.record(t, "seven-"+strconv.Itoa(seed), func(t *testing.T, observed standin.Option) {
-			playDay(t, uint64(seed), sevenConfig(), observed)
+			simulateDay(t, uint64(seed), sevenNodeConfig(), observed)
 		})
 	}
 	for seed := 1; seed <= recordedUpgradeDays; seed++ {
 		r.record(t, "upgrade-"+strconv.Itoa(seed), func(t *testing.T, observed standin.Option) {
-			playUpgradeDay(t, uint64(seed), observed)
+			simulateUpgrade(t, uint64(seed), observed)
 		})
 	}
 	traces, err := filepath.Glob("testdata/stories/*.txt")
@@ -101,7 +101,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			tell(t, string(script), observed)
+			replayTrace(t, string(script), observed)
 		})
 	}
 }
@@ -178,21 +178,21 @@
 	case core.StoreList:
 		return fmt.Sprintf("list %d %s", e.Call, e.Prefix), true
 	case core.StoreWatch:
-		return fmt.Sprintf("watch %d %s %d %d", e.Call, e.Prefix, e.Since, e.Wait), true
-	case core.CloudTypes:
+		return fmt.Sprintf("watch %d %s %d %d", e.Call, e.Prefix, e.SinceRevision, e.Timeout), true
+	case core.CloudMachineTypes:
 		return fmt.Sprintf("types %d", e.Call), true
-	case core.CloudRent:
-		return fmt.Sprintf("rent %d %s", e.Call, wire.EncodeRental(e)), true
-	case core.CloudReturn:
-		return fmt.Sprintf("return %d %s", e.Call, wire.EncodeReturn(e.IDs)), true
+	case core.CloudScaleOut:
+		return fmt.Sprintf("rent %d %s", e.Call, wire.EncodeScaleOut(e)), true
+	case core.CloudScaleIn:
+		return fmt.Sprintf("return %d %s", e.Call, wire.EncodeScaleIn(e.IDs)), true
 	case core.CloudList:
-		return fmt.Sprintf("machines %d %s", e.Call, e.Since), true
-	case core.Orders:
-		return fmt.Sprintf("orders %d %s %s", e.Call, e.Addr, wire.EncodeOrders(e)), true
-	case core.Inspect:
+		return fmt.Sprintf("machines %d %s", e.Call, e.After), true
+	case core.PushCommands:
+		return fmt.Sprintf("orders %d %s %s", e.Call, e.Addr, wire.EncodePushCommands(e)), true
+	case core.QueryWorkerStatus:
 		return fmt.Sprintf("inspect %d %s", e.Call, e.Addr), true
 	case core.PeerCall:
-		return fmt.Sprintf("peer %d %s %d %s", e.Call, e.To, e.Timeout, d.message(e.Msg)), true
+		return fmt.Sprintf("peer %d %s %d %s", e.Call, e.To, e.Timeout, d.message(e.Message)), true
 	case core.Respond:
 		return "respond " + d.answer(e), true
 	default:
@@ -203,12 +203,12 @@
 
 // answer writes the answer to a user, a worker or another controller.
 func (d *decisionDigest) answer(answer core.Respond) string {
-	text := fmt.Sprintf("%d %d %d %q", answer.Req, answer.Status, answer.RetryAfter, answer.Error)
+	text := fmt.Sprintf("%d %d %d %q", answer.Request, answer.Status, answer.RetryAfter, answer.Error)
 	if answer.View != nil {
-		text += " view " + string(wire.EncodeView(*answer.View))
+		text += " view " + string(wire.EncodeJobView(*answer.View))
 	}
-	if answer.Worker != nil {
-		text += " worker " + string(wire.EncodeWorkerAnswer(answer.Status, *answer.Worker))
+	if answer.Heartbeat != nil {
+		text += " worker " + string(wire.EncodeHeartbeatResponse(answer.Status, *answer.Heartbeat))
 	}
 	if answer.Peer != nil {
 		text += " peer " + d.message(*answer.Peer)
@@ -217,7 +217,7 @@
 }
 
 // message writes a message between controllers.
-func (d *decisionDigest) message(message core.PeerMsg) string {
+func (d *decisionDigest) message(message core.PeerMessage) string {
 	frame, err := d.encoder.Marshal(message)
 	if err != nil {
 		d.t.Fatal(err)
--- a/internal/core/awaits.go
+++ b/internal/core/dependencies.go
@@ -18,69 +18,69 @@
 
 // pipelineLevel is what a controller's calls say of its release: from this
 // level on it knows what awaiting means. Absent in releases before.
-const pipelineLevel = 1
+const dependencyFeatureLevel = 1
 
 // learnAwaits takes in what a job awaits, when its record is first seen.
-func (c *Core) learnAwaits(id JobID, k *knownJob, spec *JobSpec) {
+func (c *Controller) applyDependencies(id JobID, k *knownJob, spec *JobSpec) {
 	if k.spec != nil {
 		return
 	}
 	k.spec = spec
-	k.inherit(spec.Priority, due(spec))
+	k.inheritUrgency(spec.Priority, jobDeadline(spec))
 	for _, d := range c.jobs.dependents[id] { // learned before it
 		c.propagateUrgency(d)
 	}
-	if len(spec.Awaits) == 0 {
+	if len(spec.Dependencies) == 0 {
 		return
 	}
-	k.awaits = spec.Awaits
-	for _, a := range k.awaits {
+	k.dependencies = spec.Dependencies
+	for _, a := range k.dependencies {
 		c.jobs.addDependent(a, id)
 		// Its owner may have learned of the end before it knew that this one waits.
-		if o := c.jobs.known[a]; o != nil && o.final != "" && c.parts[o.part].held && o.part != k.part {
-			c.tell(k.part, finalRecord(a, o))
+		if o := c.jobs.known[a]; o != nil && o.finalStatus != "" && c.shards[o.shard].owned && o.shard != k.shard {
+			c.notifyOwner(k.shard, finalStatusRecord(a, o))
 		}
 	}
 	c.propagateUrgency(id)
-	for _, a := range k.awaits {
-		if o := c.jobs.known[a]; o != nil && o.final == StCancelled {
-			c.settle(id, k, StCancelled)
+	for _, a := range k.dependencies {
+		if o := c.jobs.known[a]; o != nil && o.finalStatus == JobCancelled {
+			c.applyFinalStatus(id, k, JobCancelled)
 			return
 		}
 	}
 }
 
 // due is when a job's user wants it done, as time of day; 0: no deadline.
-func due(s *JobSpec) float64 {
-	if s.DeadlineS <= 0 {
+func jobDeadline(s *JobSpec) float64 {
+	if s.DeadlineSeconds <= 0 {
 		return 0
 	}
-	return float64(s.Submitted) + s.DeadlineS*1000
+	return float64(s.SubmittedAt) + s.DeadlineSeconds*1000
 }
 
 // betweenStages is what passes between the end of a job and the start of one
 // that awaits it, roughly, in milliseconds.
-const betweenStages = 2000
+const stageDelayMillis = 2000
 
 // propagateUrgency gives a job's priority and deadline, less its estimated run time, to
 // those that it awaits, and on to those that they await.
-func (c *Core) propagateUrgency(id JobID) {
+func (c *Controller) propagateUrgency(id JobID) {
 	k := c.jobs.known[id]
 	if k == nil || k.spec == nil {
 		return
 	}
 	by := 0.0
-	if k.dueBy > 0 {
-		by = k.dueBy - c.class(k.spec.Class).ratio*k.spec.RuntimeS*1000 - betweenStages
+	if k.effectiveDeadline > 0 {
+		by = k.effectiveDeadline - c.statsOfClass(k.spec.Class).runtimeRatio*k.spec.RuntimeSeconds*1000 - stageDelayMillis
 	}
-	for _, a := range k.awaits {
+	for _, a := range k.dependencies {
 		o := c.jobs.known[a]
-		if o == nil || o.final != "" || !o.inherit(k.prio, by) {
+		if o == nil || o.finalStatus != "" || !o.inheritUrgency(k.effectivePriority, by) {
 			continue
 		}
-		if j := c.jobs.held[a]; j != nil {
-			j.prio = max(j.prio, o.prio)
-			c.parts[j.part].order = nil
+		if j := c.jobs.owned[a]; j != nil {
+			j.effectivePriority = max(j.effectivePriority, o.effectivePriority)
+			c.shards[j.shard].queueOrder = nil
 		}
 		c.propagateUrgency(a)
 	}
@@ -88,59 +88,59 @@
 
 // settle notes a job's stored end, or the one that follows from the stored end
 // of a job that it needs, and what follows from it.
-func (c *Core) settle(id JobID, k *knownJob, end Status) {
-	if k.final != "" {
+func (c *Controller) applyFinalStatus(id JobID, k *knownJob, end JobStatus) {
+	if k.finalStatus != "" {
 		return
 	}
-	k.final, k.finalAt, k.spec = end, c.jobs.learntAt(c.now), nil
-	j := c.jobs.held[id]
-	if j != nil && j.final == "" && end == StCancelled && !j.cancelling && len(k.awaits) > 0 {
-		c.cancelImplied(j)
+	k.finalStatus, k.finalSince, k.spec = end, c.jobs.observedAt(c.now), nil
+	j := c.jobs.owned[id]
+	if j != nil && j.finalStatus == "" && end == JobCancelled && !j.cancelling && len(k.dependencies) > 0 {
+		c.cancelWithDependency(j)
 	}
 	for _, d := range c.jobs.dependents[id] {
 		o := c.jobs.known[d]
-		if o == nil || o.final != "" {
+		if o == nil || o.finalStatus != "" {
 			continue
 		}
-		if end == StCancelled {
-			c.settle(d, o, StCancelled)
-		} else if j := c.jobs.held[d]; j != nil {
-			c.release(j)
+		if end == JobCancelled {
+			c.applyFinalStatus(d, o, JobCancelled)
+		} else if j := c.jobs.owned[d]; j != nil {
+			c.updateReadiness(j)
 		}
 	}
 }
 
 // cancelImplied stores that a job is cancelled with one that it needs.
-func (c *Core) cancelImplied(j *job) {
+func (c *Controller) cancelWithDependency(j *job) {
 	j.cancelling = true
-	c.unplan(j)
-	c.stopAll(j)
-	c.writeJob(j, prioDone)
+	c.withdrawUnsentStarts(j)
+	c.stopAllTasks(j)
+	c.writeJob(j, priorityOutcome)
 }
 
 // release lets a job's tasks start when nothing is left that it awaits.
-func (c *Core) release(j *job) {
+func (c *Controller) updateReadiness(j *job) {
 	k := c.jobs.known[j.spec.ID]
-	waiting := k != nil && len(c.jobs.openAwaits(k)) > 0
-	if waiting == j.waiting {
+	waiting := k != nil && len(c.jobs.unmetDependencies(k)) > 0
+	if waiting == j.blocked {
 		return
 	}
-	j.waiting = waiting
+	j.blocked = waiting
 	if waiting {
 		return
 	}
-	j.since = c.wall
-	c.logf(LogDebug, "job released", "job", string(j.spec.ID), "awaited", len(k.awaits))
-	c.parts[j.part].order = nil
-	c.placement.request()
-	c.rentSoon()
+	j.readySince = c.wallTime
+	c.log(LogDebug, "job released", "job", string(j.spec.ID), "awaited", len(k.dependencies))
+	c.shards[j.shard].queueOrder = nil
+	c.schedulingTrigger.request()
+	c.scheduleScaleOut()
 }
 
 // finalRecord is a job's final state as another controller learns it.
-func finalRecord(id JobID, k *knownJob) KV {
-	rec := jobRecord{State: k.final, Team: k.team, Tasks: k.tasks}
-	if k.final == StCancelled {
-		rec.Need = &k.need
+func finalStatusRecord(id JobID, k *knownJob) KV {
+	rec := jobRecord{FinalStatus: k.finalStatus, Team: k.team, Tasks: k.tasks}
+	if k.finalStatus == JobCancelled {
+		rec.ResourceRequest = &k.resourceRequest
 	}
 	v, _ := json.Marshal(rec)
 	return KV{Key: jobKey(id), Value: v}
@@ -148,8 +148,8 @@
 
 // tellDependents passes a job's stored end on to the owners of all that needs
 // it; their watches are the safety net.
-func (c *Core) tellDependents(id JobID, k *knownJob) {
-	told := map[Part]bool{}
+func (c *Controller) notifyDependentOwners(id JobID, k *knownJob) {
+	told := map[ShardID]bool{}
 	var visit func(JobID)
 	visit = func(at JobID) {
 		for _, d := range c.jobs.dependents[at] {
@@ -157,11 +157,11 @@
 			if o == nil {
 				continue
 			}
-			if p := c.parts[o.part]; !p.held && !told[o.part] {
-				told[o.part] = true
-				c.tell(o.part, finalRecord(id, k))
+			if p := c.shards[o.shard]; !p.owned && !told[o.shard] {
+				told[o.shard] = true
+				c.notifyOwner(o.shard, finalStatusRecord(id, k))
 			}
-			if k.final == StCancelled {
+			if k.finalStatus == JobCancelled {
 				visit(d)
 			}
 		}
@@ -172,17 +172,17 @@
 // unfinished answers with a job's unfinished state. That of an unreleased one
 // is told only after what was stored until now has been read: a job that it
 // needs may have been cancelled, and others may have told what follows.
-func (c *Core) unfinished(id JobID, v JobView, fn func(ReplyStatus, JobView)) {
-	if k := c.jobs.finished(id); k != nil {
+func (c *Controller) answerUnfinished(id JobID, v JobView, fn func(ReplyStatus, JobView)) {
+	if k := c.jobs.finalJob(id); k != nil {
 		fn(ReplyOK, finalView(id, k))
 		return
 	}
-	if !c.jobs.unreleased(id) {
+	if !c.jobs.isBlocked(id) {
 		fn(ReplyOK, v)
 		return
 	}
-	c.freshen(func(ok bool) {
-		if k := c.jobs.known[id]; k.final != "" {
+	c.linearizableJobRead(func(ok bool) {
+		if k := c.jobs.known[id]; k.finalStatus != "" {
 			fn(ReplyOK, finalView(id, k))
 		} else if ok {
 			fn(ReplyOK, v)
@@ -196,8 +196,8 @@
 // 0, or the status that it gets instead. Only the store can show that one never
 // was. While a controller may be of an earlier release, which would start the job
 // at once, it can't be taken.
-func (c *Core) checkAwaits(spec *JobSpec, fn func(ReplyStatus)) {
-	if !c.everybodyUnderstandsAwaits() {
+func (c *Controller) checkDependencies(spec *JobSpec, fn func(ReplyStatus)) {
+	if !c.allSupportDependencies() {
 		fn(ReplyUnavailable)
 		return
 	}
@@ -208,17 +208,17 @@
 			fn(worst)
 		}
 	}
-	for _, id := range spec.Awaits {
+	for _, id := range spec.Dependencies {
 		if c.jobs.known[id] != nil {
 			continue
 		}
 		left++
-		c.lookInStore(id, func(status ReplyStatus, _ JobView) {
+		c.lookUpJobInStore(id, func(status ReplyStatus, _ JobView) {
 			switch status {
 			case ReplyOK:
 				done(0)
-			case ReplyNoSuchJob:
-				done(ReplyNeverRuns)
+			case ReplyJobNotFound:
+				done(ReplyUnschedulable)
 			default:
 				done(ReplyUnavailable)
 			}
@@ -229,29 +229,29 @@
 
 // shorten drops what needs no record: repeats, and jobs that are done. Of a list
 // with a cancelled job that one is enough.
-func (c *Core) shorten(spec *JobSpec) {
+func (c *Controller) pruneDependencies(spec *JobSpec) {
 	var open []JobID
-	for _, id := range spec.Awaits {
+	for _, id := range spec.Dependencies {
 		k := c.jobs.known[id]
-		if k != nil && k.final == StCancelled {
-			spec.Awaits = []JobID{id}
+		if k != nil && k.finalStatus == JobCancelled {
+			spec.Dependencies = []JobID{id}
 			return
 		}
-		if (k == nil || k.final != StDone) && !slices.Contains(open, id) {
+		if (k == nil || k.finalStatus != JobDone) && !slices.Contains(open, id) {
 			open = append(open, id)
 		}
 	}
-	spec.Awaits = open
+	spec.Dependencies = open
 }
 
 // tellAwaited lets the owners of the jobs that a job awaits know of it, so that
 // they tell its owner of their end.
-func (c *Core) tellAwaited(spec *JobSpec, kv KV) {
-	told := map[Part]bool{c.teams[spec.Team].part: true}
-	for _, id := range spec.Awaits {
-		if k := c.jobs.known[id]; k != nil && !told[k.part] {
-			told[k.part] = true
-			c.tell(k.part, kv)
+func (c *Controller) notifyDependencyOwners(spec *JobSpec, kv KV) {
+	told := map[ShardID]bool{c.teams[spec.Team].shard: true}
+	for _, id := range spec.Dependencies {
+		if k := c.jobs.known[id]; k != nil && !told[k.shard] {
+			told[k.shard] = true
+			c.notifyOwner(k.shard, kv)
 		}
 	}
 }
--- /dev/null
+++ b/internal/core/dependencies_test.go
@@ -0,0 +1,347 @@
+package core_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"stairrelay/internal/core"
+	"stairrelay/internal/standin"
+)
+
+// Pipelines. Cycles can't arise: a job names only jobs that were accepted, and
+// a repeat of an accepted id never changes what that awaits
+// (TestAwaitsOfSubmissions), so each job is later than all that it names.
+
+// after hands in a job of a team that awaits others.
+func (m *testCluster) submitAfter(id core.JobID, team string, tasks int, run core.Time, awaits ...core.JobID) *standin.Job {
+	j := newTestJob(m, id, team, tasks, run, awaits...)
+	m.SubmitAfterDependencies(j, false)
+	return j
+}
+
+func newTestJob(m *testCluster, id core.JobID, team string, tasks int, run core.Time, awaits ...core.JobID) *standin.Job {
+	s := core.JobSpec{ID: id, Class: "c", Team: team, Priority: core.Normal, Tasks: tasks, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu},
+		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: core.WallTime(m.Now / 1e6), Dependencies: awaits}
+	return &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
+}
+
+// ask puts one question to one controller and waits for the answer.
+func (m *testCluster) requestAnswer(n *standin.Node, ev func(core.RequestID) core.Event) core.Respond {
+	m.t.Helper()
+	var got *core.Respond
+	m.SendRequest(n, ev, func(r core.Respond) { got = &r })
+	m.waitFor("an answer", 6*second, func() bool { return got != nil })
+	return *got
+}
+
+func (m *testCluster) queryAt(n *standin.Node, id core.JobID) core.Respond {
+	m.t.Helper()
+	return m.requestAnswer(n, func(r core.RequestID) core.Event { return core.Query{Request: r, ID: id} })
+}
+
+func (m *testCluster) submitAt(n *standin.Node, j *standin.Job) core.Respond {
+	m.t.Helper()
+	return m.requestAnswer(n, func(r core.RequestID) core.Event { return core.Submit{Request: r, Spec: j.Spec} })
+}
+
+// chain hands in jobs each of which awaits the one before, in turns of three teams.
+func (m *testCluster) submitChain(first *standin.Job, n int, run core.Time) []*standin.Job {
+	l := []*standin.Job{first}
+	for i := 1; i < n; i++ {
+		id := core.JobID(fmt.Sprintf("j-1%05d", i))
+		l = append(l, m.submitAfter(id, []string{"red", "green", "blue"}[i%3], 1, run, l[i-1].Spec.ID))
+	}
+	m.waitFor("all are accepted", 120*second, func() bool { return l[n-1].Accepted })
+	return l
+}
+
+// calmNoJob is a calm cluster in which nothing runs.
+func newIdleCluster(t *testing.T, machines int) *testCluster {
+	t.Helper()
+	cfg := testConfig()
+	m := &testCluster{t: t, config: cfg}
+	m.Simulator = standin.NewSimulator(1, cfg, testCloud(func() *standin.Simulator { return m.Simulator }))
+	m.NoRandomFaults = true
+	for range machines {
+		m.AddMachine("small", "a", false)
+	}
+	m.RunUntil(10 * second)
+	return m
+}
+
+// teamPart is each team's part under testConfig.
+var shardOfTeam = map[string]int{"green": 0, "red": 1, "blue": 2}
+
+// holderOf is the controller that the store shows as holder of a part.
+func (m *testCluster) shardOwner(part int) core.NodeID {
+	m.t.Helper()
+	var rec struct {
+		Holder core.NodeID `json:"holder"`
+	}
+	if err := json.Unmarshal(m.StateService.Get(fmt.Sprint("parts/", part)).KV.Value, &rec); err != nil {
+		m.t.Fatal(err)
+	}
+	return rec.Holder
+}
+
+// storedEnd is the final state in a job's own record; none: "".
+func (m *testCluster) storedFinalStatus(j *standin.Job) core.JobStatus {
+	var rec struct {
+		State core.JobStatus `json:"st"`
+	}
+	if r := m.StateService.Get("jobs/" + string(j.Spec.ID)); r.Outcome == core.OK {
+		if err := json.Unmarshal(r.KV.Value, &rec); err != nil {
+			m.t.Fatal(err)
+		}
+	}
+	return rec.State
+}
+
+// noBreach fails when a rule was broken.
+func (m *testCluster) checkNoViolations() {
+	m.t.Helper()
+	for _, b := range m.Violations {
+		m.t.Error(b)
+	}
+}
+
+// TestChain: fifty jobs of three teams, one after the other.
+func TestDependencyChain(t *testing.T) {
+	m := newIdleCluster(t, 3)
+	first := m.submitAfter("j-100000", "red", 1, 40*second)
+	l := m.submitChain(first, 50, second)
+	begun := 1
+	m.waitFor("the last is done", 900*second, func() bool {
+		for ; begun < 50 && l[begun].FirstStartAt > 0; begun++ {
+			if end := m.storedFinalStatus(l[begun-1]); end != core.JobDone {
+				t.Errorf("%s has begun, the one before it is stored as %q", l[begun].Spec.ID, end)
+			}
+		}
+		return l[49].ReportedStatus == core.JobDone
+	})
+	if begun != 50 {
+		t.Errorf("%d have begun in their order", begun)
+	}
+	m.checkNoViolations()
+}
+
+// TestChainCancelled: the first of fifty is cancelled. Within cancel_s every
+// controller tells so of each, and none has had a task.
+func TestDependencyChainCancelled(t *testing.T) {
+	m := newIdleCluster(t, 3)
+	first := m.submitAfter("j-100000", "red", 1, 600*second)
+	l := m.submitChain(first, 50, second)
+	m.cancelAt(m.Nodes[2], first)
+	m.RunUntil(first.CancelConfirmedAt + m.config.CancelDeadline - 2*second)
+	for _, n := range m.Nodes {
+		for _, j := range l {
+			if r := m.queryAt(n, j.Spec.ID); r.Status != 200 || r.View.Status != core.JobCancelled {
+				t.Errorf("%s says of %s: %d %+v", n.ID, j.Spec.ID, r.Status, r.View)
+			}
+		}
+	}
+	for _, j := range l[1:] {
+		if j.FirstStartAt != 0 {
+			t.Errorf("%s had a task", j.Spec.ID)
+		}
+	}
+	if n := m.countRunningTasks(first); n > 0 {
+		t.Errorf("%d tasks of the first still run", n)
+	}
+	m.RunUntil(m.Now + 60*second)
+	m.checkNoViolations()
+}
+
+// TestAwaitsOfSubmissions: what a submission may name, and what it gets.
+func TestDependenciesOfSubmissions(t *testing.T) {
+	m := newTestCluster(t, 2)
+	expect := func(n *standin.Node, j *standin.Job, want core.ReplyStatus) core.Respond {
+		t.Helper()
+		r := m.submitAt(n, j)
+		if r.Status != want {
+			t.Errorf("%s, which awaits %v, gets %d %s, want %d", j.Spec.ID, j.Spec.Dependencies, r.Status, r.Error, want)
+		}
+		if j.Accepted = r.Status == 200 || r.Status == 201; j.Accepted {
+			m.Jobs[j.Spec.ID] = j
+		}
+		return r
+	}
+	for i, n := range m.Nodes {
+		expect(n, newTestJob(m, core.JobID(fmt.Sprintf("j-20000%d", i)), "green", 1, second, "j-000001", "j-999999"), 422)
+		// The id was not taken by that: it may come again with another list.
+		expect(n, newTestJob(m, core.JobID(fmt.Sprintf("j-20000%d", i)), "green", 1, second, "j-000001", "j-000001"), 201)
+	}
+	// Accepted a moment ago by another controller, in a record of its own and in one of several.
+	for round, several := range []int{1, 14} {
+		m.StoreDelay = second / 5 // more come in than there are writes at once
+		var ids []core.JobID
+		left := several
+		for k := range several {
+			j := newTestJob(m, core.JobID(fmt.Sprintf("j-30%d%03d", round, k)), "blue", 1, 60*second)
+			ids = append(ids, j.Spec.ID)
+			m.Jobs[j.Spec.ID] = j
+			m.SendRequest(m.Nodes[0], func(r core.RequestID) core.Event { return core.Submit{Request: r, Spec: j.Spec} }, func(r core.Respond) {
+				if r.Status != 201 {
+					t.Errorf("%s gets %d", j.Spec.ID, r.Status)
+				}
+				j.Accepted = true
+				left--
+			})
+		}
+		m.waitFor("they are accepted", 5*second, func() bool { return left == 0 })
+		m.StoreDelay = 0
+		n := 0
+		for _, kv := range m.StateService.List("accepts/").Items {
+			n += len(kv.Value)
+		}
+		if several > 1 && n == 0 {
+			t.Error("no record of several was written: the test shows nothing of them")
+		}
+		for i, n := range m.Nodes[1:] {
+			expect(n, newTestJob(m, core.JobID(fmt.Sprintf("j-40%d%03d", round, i)), "green", 1, second, ids...), 201)
+		}
+	}
+	// A repeat gets 200 whatever its list says, at every controller.
+	for _, n := range m.Nodes {
+		for _, list := range [][]core.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
+			again := newTestJob(m, "j-200000", "green", 1, second, list...)
+			if r := m.submitAt(n, again); r.Status != 200 {
+				t.Errorf("a repeat with %v gets %d at %s", list, r.Status, n.ID)
+			}
+		}
+	}
+	// So no cycle: the first job that a list names can't come to await a later one.
+	if r := m.submitAt(m.Nodes[0], newTestJob(m, "j-000001", "red", 3, 300*second, "j-200000")); r.Status != 200 {
+		t.Errorf("a repeat gets %d", r.Status)
+	}
+	m.StoreDownUntil = m.Now + 20*second
+	m.RunUntil(m.Now + 2*second)
+	for _, n := range m.Nodes {
+		expect(n, newTestJob(m, "j-500000", "green", 1, second, "j-999999"), 503)
+		expect(n, newTestJob(m, "j-500001", "green", 1, second, "j-000001"), 503)
+	}
+	m.RunUntil(m.Now + 30*second)
+	expect(m.Nodes[1], newTestJob(m, "j-500000", "green", 1, second, "j-999999"), 422)
+	m.RunUntil(m.Now + 20*second)
+	m.checkNoViolations()
+}
+
+// TestCancelledBeforeSubmission: a job that names a cancelled one is accepted
+// and cancelled.
+func TestDependentOfCancelledJobCancelled(t *testing.T) {
+	m := newTestCluster(t, 2)
+	m.cancelAt(m.Nodes[1], m.longJob)
+	for i, n := range m.Nodes {
+		for k, team := range []string{"red", "green", "blue"} {
+			j := newTestJob(m, core.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, 1, second, "j-000001")
+			m.Jobs[j.Spec.ID] = j
+			r := m.submitAt(n, j)
+			if r.Status != 201 {
+				t.Errorf("%s gets %d at %s", j.Spec.ID, r.Status, n.ID)
+			}
+			j.Accepted = true
+			for _, other := range m.Nodes {
+				if r := m.queryAt(other, j.Spec.ID); r.Status != 200 || r.View.Status != core.JobCancelled {
+					t.Errorf("%s says of %s: %d %+v", other.ID, j.Spec.ID, r.Status, r.View)
+				}
+			}
+		}
+	}
+	m.runAndCheck(60 * second)
+}
+
+// TestToldByOneAskedOfAnother: a controller that is cut from the others and has
+// not yet seen the cancellation in its watch is asked about a dependent right
+// after another has told the cancellation. It reads first.
+func TestCancellationVisibleAtPartitionedController(t *testing.T) {
+	for i := range 3 {
+		for _, team := range []string{"red", "green", "blue"} {
+			m := newTestCluster(t, 2)
+			d := m.submitAfter("j-200000", team, 1, second, "j-000001")
+			e := m.submitAfter("j-200001", "blue", 1, second, "j-200000")
+			m.waitFor("accepted", 20*second, func() bool { return e.Accepted })
+			m.RunUntil(m.Now + 5*second)
+			deaf := m.Nodes[i]
+			at := m.Nodes[(i+1)%3]
+			if i != 1 {
+				at = m.Nodes[1]
+			}
+			deaf.PeersRefuseUntil = m.Now + 4*second
+			m.cancelAt(at, m.longJob)
+			for range 10 {
+				for _, j := range []*standin.Job{d, e} {
+					if r := m.queryAt(deaf, j.Spec.ID); r.Status == 200 && r.View.Status != core.JobCancelled {
+						t.Errorf("%s, cut off, calls %s of %s %s, told cancelled %v before", deaf.ID, j.Spec.ID, team, r.View.Status, time.Duration(m.Now-m.longJob.CancelConfirmedAt))
+					}
+				}
+			}
+			m.runAndCheck(50 * second)
+		}
+	}
+}
+
+// TestReleaseAcrossParts: on a quiet day a dependent of another part is released
+// within a second of its predecessor's stored end, and not before. What it then
+// takes to start is what any job takes.
+func TestDependentReadyAcrossShards(t *testing.T) {
+	m := newIdleCluster(t, 3)
+	released := map[string]core.Time{}
+	m.Log = func(s string) {
+		if _, id, ok := strings.Cut(s, "job released [job "); ok {
+			released[strings.Fields(id)[0]] = m.Now
+		}
+	}
+	worst := core.Time(0)
+	for i := range 9 {
+		from, to := []string{"red", "green", "blue"}[i%3], []string{"red", "green", "blue"}[(i+1+i/3)%3]
+		a := m.submitAfter(core.JobID(fmt.Sprintf("j-10000%d", i)), from, 1, 10*second)
+		b := m.submitAfter(core.JobID(fmt.Sprintf("j-20000%d", i)), to, 1, 5*second, a.Spec.ID)
+		m.waitFor("accepted", 10*second, func() bool { return b.Accepted })
+		m.waitFor("the first is stored as done", 60*second, func() bool { return m.storedFinalStatus(a) == core.JobDone })
+		stored := m.Now
+		if b.FirstStartAt != 0 || released[string(b.Spec.ID)] != 0 {
+			t.Fatal("too early")
+		}
+		m.waitFor("the second is released", 5*second, func() bool { return released[string(b.Spec.ID)] > 0 })
+		worst = max(worst, m.Now-stored)
+		m.waitFor("the second starts", 40*second, func() bool { return b.FirstStartAt > 0 })
+		t.Logf("%s after %s: released after %v, begun after %v", to, from, time.Duration(released[string(b.Spec.ID)]-stored), time.Duration(b.FirstStartAt-stored))
+		m.waitFor("the second is done", 60*second, func() bool { return b.ReportedStatus == core.JobDone })
+	}
+	if worst > second {
+		t.Errorf("released %v after the stored end", time.Duration(worst))
+	}
+	m.checkNoViolations()
+}
+
+// TestReleaseAndTakeOver: the holder of the dependent's part ends, once while
+// the job waits and once right as its predecessor's end is stored.
+func TestDependentReadyAcrossFailover(t *testing.T) {
+	for _, late := range []bool{false, true} {
+		for i, team := range []string{"red", "green", "blue"} {
+			m := newTestCluster(t, 3)
+			a := m.submitAfter("j-100000", "red", 1, 30*second)
+			b := m.submitAfter("j-200000", team, 1, 5*second, a.Spec.ID)
+			c := m.submitAfter("j-200001", team, 1, 5*second, "j-000001")
+			m.waitFor("accepted", 10*second, func() bool { return b.Accepted && c.Accepted })
+			if late {
+				m.waitFor("the first is stored as done", 90*second, func() bool {
+					return m.storedFinalStatus(a) == core.JobDone
+				})
+			}
+			for _, n := range m.Nodes {
+				if n.ID == m.shardOwner(shardOfTeam[team]) {
+					restart(m.Simulator, n, 20*second)
+				}
+			}
+			m.waitFor(fmt.Sprintf("the dependent is done (%d, late %v)", i, late), 200*second, func() bool { return b.ReportedStatus == core.JobDone })
+			if c.FirstStartAt != 0 {
+				t.Error("what awaits the long job has begun")
+			}
+			m.runAndCheck(30 * second)
+		}
+	}
+}
--- a/internal/core/emptied_group_test.go
+++ b/internal/core/emptied_group_test.go
@@ -11,29 +11,29 @@
 // part's mark as known here is not the one in the group's name. The claim is in
 // force: its holder's late writes are still carried out, and the key must stay.
 // It goes once the part has a claim later than the one that made the group.
-func TestDropBesideUnheardClaim(t *testing.T) {
-	const makingClaim = Epoch(40)
+func TestEmptyGroupKeptBesideUnseenAcquire(t *testing.T) {
+	const makingClaim = Revision(40)
 	for _, test := range []struct {
 		name    string
-		known   Mark // of the other part's claim, here
-		stored  Mark // of its claim in force
+		known   ModRevision // of the other part's claim, here
+		stored  ModRevision // of its claim in force
 		dropped bool
 	}{
 		{"a later claim is in force", 50, 50, true},
-		{"the claim that made it is in force, and known", Mark(makingClaim), Mark(makingClaim), false},
-		{"the claim that made it is in force, and not heard of", 30, Mark(makingClaim), false},
+		{"the claim that made it is in force, and known", ModRevision(makingClaim), ModRevision(makingClaim), false},
+		{"the claim that made it is in force, and not heard of", 30, ModRevision(makingClaim), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newCoreHarness()
-			part, other := b.parts[0], b.parts[1]
-			b.store.epoch = 60
-			other.held, other.ready, other.mark = false, false, test.known
+			b := newControllerHarness()
+			part, other := b.shards[0], b.shards[1]
+			b.store.revision = 60
+			other.owned, other.ready, other.modRevision = false, false, test.known
 			b.store.keys[other.key()] = KV{other.key(), []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), test.stored}
-			emptied := KV{"groups/b1-40-1", grouprecord.Encode(grouprecord.Record{Part: part.id, Nonce: "b0-5"}), 55}
+			emptied := KV{"groups/b1-40-1", grouprecord.Encode(grouprecord.Record{ShardID: part.id, WriteID: "b0-5"}), 55}
 			b.store.keys[emptied.Key] = emptied
-			b.learnGroup(emptied, part)
-			b.play(second)
-			if dropped := b.store.get(emptied.Key).Out == Missing; dropped != test.dropped {
+			b.applyGroupRecord(emptied, part)
+			b.runFor(second)
+			if dropped := b.store.get(emptied.Key).Outcome == NotFound; dropped != test.dropped {
 				t.Errorf("dropped %v, want %v", dropped, test.dropped)
 			}
 		})
@@ -44,28 +44,28 @@
 // dropped. Were its key absent, a late copy of the transaction that created it
 // would be carried out again and list its machines a second time (random seed
 // 1083: a task ran twice). The next claim, which fences such copies, drops it.
-func TestEmptiedGroupStays(t *testing.T) {
-	c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, ValueBytes: 4096, TxnOps: 12, Tuning: DefaultTuning()})
-	p := c.parts[0]
-	v, s := c.snap(0, nil, "n-1")
+func TestEmptiedGroupRecordKept(t *testing.T) {
+	c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
+	p := c.shards[0]
+	v, s := c.buildGroupRecord(0, nil, "n-1")
 	rec, err := grouprecord.Decode(v)
-	part, ms := rec.Part, rec.Machines
-	if v == nil || err != nil || part != 0 || len(ms) != 0 || nonceOf(v) != "n-1" || len(s.machines) != 0 {
+	part, ms := rec.ShardID, rec.Machines
+	if v == nil || err != nil || part != 0 || len(ms) != 0 || writeIDOf(v) != "n-1" || len(s.machines) != 0 {
 		t.Fatalf("an emptied group is written as %q: %v", v, err)
 	}
-	p.held, p.claim, p.mark = true, 30, 30
-	c.learnGroup(KV{Key: "groups/b1-12-1", Value: v, Mark: 20}, p)
-	q := c.writer.queues[prioLazy]
-	if len(q) != 1 || q[0].keys[0] != "groups/b1-12-1" || len(c.groups) != 0 {
-		t.Fatalf("the next claim queues %d writes and knows %d groups", len(q), len(c.groups))
+	p.owned, p.claimRevision, p.modRevision = true, 30, 30
+	c.applyGroupRecord(KV{Key: "groups/b1-12-1", Value: v, ModRevision: 20}, p)
+	q := c.writeQueue.queues[priorityBackground]
+	if len(q) != 1 || q[0].keys[0] != "groups/b1-12-1" || len(c.machineGroups) != 0 {
+		t.Fatalf("the next claim queues %d writes and knows %d groups", len(q), len(c.machineGroups))
 	}
 	if ops, _ := q[0].build("n-2"); len(ops) != 1 || ops[0].Value != nil {
 		t.Errorf("the next claim writes %v", ops)
 	}
 	// The claim that made it is in force, or the key doesn't say which that was.
-	c.learnGroup(KV{Key: "groups/b1-30-1", Value: v, Mark: 20}, p)
-	c.learnGroup(KV{Key: "groups/g", Value: v, Mark: 20}, p)
-	for _, x := range c.writer.queues[prioLazy][1:] {
+	c.applyGroupRecord(KV{Key: "groups/b1-30-1", Value: v, ModRevision: 20}, p)
+	c.applyGroupRecord(KV{Key: "groups/g", Value: v, ModRevision: 20}, p)
+	for _, x := range c.writeQueue.queues[priorityBackground][1:] {
 		if ops, _ := x.build("n-3"); ops != nil {
 			t.Errorf("%v is dropped though a copy of its creation may come", ops)
 		}
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -13,37 +13,37 @@
 	Tick struct{}
 	// Submit is a user's checked submission.
 	Submit struct {
-		Req ReqID
-		Job JobSpec
-		Bad ReplyStatus // ReplyMalformed when the body is unusable but names an id, else 0
-		Why string      // what is wrong with it
+		Request   RequestID
+		Spec      JobSpec
+		Rejection ReplyStatus // ReplyMalformed when the body is unusable but names an id, else 0
+		Reason    string      // what is wrong with it
 	}
 	// Query asks for a job's state.
 	Query struct {
-		Req ReqID
-		ID  JobID
+		Request RequestID
+		ID      JobID
 	}
 	// Cancel asks for a job to be cancelled.
 	Cancel struct {
-		Req ReqID
-		ID  JobID
+		Request RequestID
+		ID      JobID
 	}
 	// Health asks whether this node can take requests.
-	Health struct{ Req ReqID }
+	Health struct{ Request RequestID }
 	// Checkin is a worker's report that waits for an answer.
-	Checkin struct {
-		Req    ReqID
-		Report Report
+	Heartbeat struct {
+		Request RequestID
+		Status  HeartbeatStatus
 	}
 	// PeerAsk is another controller's message that waits for an answer.
-	PeerAsk struct {
-		Req ReqID
-		Msg PeerMsg
+	PeerRequest struct {
+		Request RequestID
+		Message PeerMessage
 	}
 	// Load tells how busy the process is, about once a second while that matters.
-	Load struct {
-		Busy float64 // processor time used of what is allowed
-		Lag  Time    // how late events were taken up at the worst
+	ProcessLoad struct {
+		CPUUsage   float64 // processor time used of what is allowed
+		EventDelay Time    // how late events were taken up at the worst
 	}
 	// Reply answers an outgoing call.
 	Reply struct {
@@ -52,15 +52,15 @@
 	}
 )
 
-func (Tick) isEvent()    {}
-func (Submit) isEvent()  {}
-func (Query) isEvent()   {}
-func (Cancel) isEvent()  {}
-func (Health) isEvent()  {}
-func (Checkin) isEvent() {}
-func (PeerAsk) isEvent() {}
-func (Reply) isEvent()   {}
-func (Load) isEvent()    {}
+func (Tick) isEvent()        {}
+func (Submit) isEvent()      {}
+func (Query) isEvent()       {}
+func (Cancel) isEvent()      {}
+func (Health) isEvent()      {}
+func (Heartbeat) isEvent()   {}
+func (PeerRequest) isEvent() {}
+func (Reply) isEvent()       {}
+func (ProcessLoad) isEvent() {}
 
 // LogLevel says how important a line of the log is.
 type LogLevel string
@@ -81,13 +81,13 @@
 	// Conflict: compared and refused, nothing carried out.
 	Conflict
 	// NotDone: certainly not carried out; may be tried again.
-	NotDone
+	NotApplied
 	// Unknown: may have been, or may yet be, carried out.
-	Unknown
+	UnknownOutcome
 	// Missing: the thing asked for does not exist.
-	Missing
+	NotFound
 	// Gone: the position asked for is too old.
-	Gone
+	Compacted
 	// Throttled: over the request limit, not carried out.
 	Throttled
 	// Invalid: the other side calls the request malformed.
@@ -97,9 +97,9 @@
 type (
 	// KV is a key of the store with its value.
 	KV struct {
-		Key   string `cbor:"Key"`
-		Value []byte `cbor:"Value"`
-		Mark  Mark   `cbor:"Mark"`
+		Key         string      `cbor:"Key"`
+		Value       []byte      `cbor:"Value"`
+		ModRevision ModRevision `cbor:"Mark"`
 	}
 	// TxnOp sets a key, or drops it when Value is nil.
 	TxnOp struct {
@@ -107,14 +107,14 @@
 		Value []byte
 	}
 	// Cond demands a key's version.
-	Cond struct {
-		Key  string
-		Mark Mark
+	Compare struct {
+		Key         string
+		ModRevision ModRevision
 	}
 	// StoreTxn asks for an atomic change.
 	StoreTxn struct {
 		Call CallID
-		When []Cond
+		If   []Compare
 		Then []TxnOp
 	}
 	// StoreGet reads a key.
@@ -129,39 +129,39 @@
 	}
 	// StoreWatch waits for changes.
 	StoreWatch struct {
-		Call   CallID
-		Prefix string
-		Since  Epoch
-		Wait   Time
+		Call          CallID
+		Prefix        string
+		SinceRevision Revision
+		Timeout       Time
 	}
 	// TxnReply answers a StoreTxn.
 	TxnReply struct {
-		Out    Outcome
-		Epoch  Epoch
-		Failed []string
+		Outcome    Outcome
+		Revision   Revision
+		FailedKeys []string
 	}
 	// GetReply answers a StoreGet.
 	GetReply struct {
-		Out Outcome
-		KV  KV
+		Outcome Outcome
+		KV      KV
 	}
 	// ListReply answers a StoreList.
 	ListReply struct {
-		Out   Outcome
-		Items []KV
-		Epoch Epoch // as of the first page
-		Paged bool  // more than one page: records changed between them may be missing
+		Outcome   Outcome
+		Items     []KV
+		Revision  Revision // as of the first page
+		Paginated bool     // more than one page: records changed between them may be missing
 	}
 	// WatchReply answers a StoreWatch; an item without value was dropped.
 	WatchReply struct {
-		Out   Outcome
-		Items []KV
-		Epoch Epoch
+		Outcome  Outcome
+		Items    []KV
+		Revision Revision
 	}
 	// CloudTypes asks for the machine types.
-	CloudTypes struct{ Call CallID }
+	CloudMachineTypes struct{ Call CallID }
 	// CloudRent rents under a recorded name.
-	CloudRent struct {
+	CloudScaleOut struct {
 		Call  CallID
 		Name  string
 		Type  string
@@ -170,7 +170,7 @@
 		Count int
 	}
 	// CloudReturn gives machines back.
-	CloudReturn struct {
+	CloudScaleIn struct {
 		Call CallID
 		IDs  []MachineID
 	}
@@ -178,147 +178,147 @@
 	// first has no such machine.
 	CloudList struct {
 		Call  CallID
-		Since MachineID
+		After MachineID
 	}
 	// TypesReply answers CloudTypes.
-	TypesReply struct {
-		Out   Outcome
-		Types []MachineType
+	MachineTypesReply struct {
+		Outcome Outcome
+		Types   []MachineType
 	}
 	// RentReply answers CloudRent. Missing: no capacity.
-	RentReply struct {
-		Out Outcome
-		IDs []MachineID
+	ScaleOutReply struct {
+		Outcome Outcome
+		IDs     []MachineID
 	}
 	// ReturnReply answers CloudReturn.
-	ReturnReply struct{ Out Outcome }
+	ScaleInReply struct{ Outcome Outcome }
 	// CloudListReply answers CloudList.
 	CloudListReply struct {
-		Out   Outcome
-		Items []Listed
-		More  bool // another page follows
+		Outcome Outcome
+		Items   []ListedMachine
+		More    bool // another page follows
 	}
 	// Orders sends commands straight to a worker.
-	Orders struct {
-		Call     CallID
-		Addr     string
-		Token    Token
-		Session  Session
-		Commands []Command
+	PushCommands struct {
+		Call         CallID
+		Addr         string
+		FencingToken FencingToken
+		Incarnation  Incarnation
+		Commands     []Command
 	}
 	// Inspect asks a worker for its report; answered by an OrdersReply.
-	Inspect struct {
+	QueryWorkerStatus struct {
 		Call CallID
 		Addr string
 	}
 	// OrdersReply answers Orders; Report is set for OK and Conflict.
-	OrdersReply struct {
-		Out    Outcome
-		Report Report
+	PushCommandsReply struct {
+		Outcome Outcome
+		Status  HeartbeatStatus
 	}
 	// PeerCall sends a message to another controller.
 	PeerCall struct {
 		Call    CallID
 		To      NodeID
 		Timeout Time
-		Msg     PeerMsg
+		Message PeerMessage
 	}
 	// PeerReply answers a PeerCall.
 	PeerReply struct {
-		Out Outcome
-		Msg PeerMsg
+		Outcome Outcome
+		Message PeerMessage
 	}
 	// Respond answers a request that came in.
 	Respond struct {
-		Req        ReqID
+		Request    RequestID
 		Status     ReplyStatus
 		RetryAfter int
 		View       *JobView
-		Worker     *WorkerAnswer
-		Peer       *PeerMsg
+		Heartbeat  *HeartbeatResponse
+		Peer       *PeerMessage
 		Error      string
 	}
 	// WorkerAnswer is the body for a worker.
-	WorkerAnswer struct {
-		Token    Token
-		Commands []Command
-		Redirect NodeID
+	HeartbeatResponse struct {
+		FencingToken FencingToken
+		Commands     []Command
+		RedirectTo   NodeID
 	}
 	// Log is a line for the operators.
 	Log struct {
-		Level LogLevel
-		Text  string
-		Args  []any
+		Level   LogLevel
+		Message string
+		Args    []any
 	}
 )
 
-func (StoreTxn) isEffect()    {}
-func (StoreGet) isEffect()    {}
-func (StoreList) isEffect()   {}
-func (StoreWatch) isEffect()  {}
-func (CloudTypes) isEffect()  {}
-func (CloudRent) isEffect()   {}
-func (CloudReturn) isEffect() {}
-func (CloudList) isEffect()   {}
-func (Orders) isEffect()      {}
-func (Inspect) isEffect()     {}
-func (PeerCall) isEffect()    {}
-func (Respond) isEffect()     {}
-func (Log) isEffect()         {}
+func (StoreTxn) isEffect()          {}
+func (StoreGet) isEffect()          {}
+func (StoreList) isEffect()         {}
+func (StoreWatch) isEffect()        {}
+func (CloudMachineTypes) isEffect() {}
+func (CloudScaleOut) isEffect()     {}
+func (CloudScaleIn) isEffect()      {}
+func (CloudList) isEffect()         {}
+func (PushCommands) isEffect()      {}
+func (QueryWorkerStatus) isEffect() {}
+func (PeerCall) isEffect()          {}
+func (Respond) isEffect()           {}
+func (Log) isEffect()               {}
 
 // PeerMsg is what controllers say to one another; exactly one pointer is set.
-type PeerMsg struct {
-	Version int         `cbor:"Version"`
-	From    NodeID      `cbor:"From"`
-	Ping    *Ping       `cbor:"Ping"`
-	Tell    *Tell       `cbor:"Tell"`
-	Ask     *Ask        `cbor:"Ask"`
-	Views   []JobView   `cbor:"Views"`
-	Cancel  JobID       `cbor:"Cancel"`
-	Submit  *HandedOn   `cbor:"Submit"`
-	Status  ReplyStatus `cbor:"Status"`
-	After   int         `cbor:"After"` // seconds until a refused submission should come again
-	Why     string      `cbor:"Why"`
+type PeerMessage struct {
+	Version    int                `cbor:"Version"`
+	From       NodeID             `cbor:"From"`
+	Ping       *Ping              `cbor:"Ping"`
+	Notice     *JobNotice         `cbor:"Tell"`
+	Query      *JobQuery          `cbor:"Ask"`
+	Views      []JobView          `cbor:"Views"`
+	Cancel     JobID              `cbor:"Cancel"`
+	Submission *ProxiedSubmission `cbor:"Submit"`
+	Status     ReplyStatus        `cbor:"Status"`
+	RetryAfter int                `cbor:"After"` // seconds until a refused submission should come again
+	Reason     string             `cbor:"Why"`
 }
 
 // HandedOn is a submission that its sender can't store now.
-type HandedOn struct {
+type ProxiedSubmission struct {
 	ID   JobID   `cbor:"ID"`
 	Spec JobSpec `cbor:"Spec"`
 }
 
 // Ping is both the call and the answer of failure detection.
 type Ping struct {
-	Boot      string           `cbor:"Boot"`
-	Parts     []PartTerm       `cbor:"Parts"`
-	StoreOK   bool             `cbor:"StoreOK"`
-	StoreBad  bool             `cbor:"StoreBad"` // the last request failed; StoreOK follows if that lasts
-	WorkersOK bool             `cbor:"WorkersOK"`
-	Heard     map[NodeID]int64 `cbor:"Heard"` // ms since each other node last answered
-	Offer     []Part           `cbor:"Offer"` // parts that their home may claim back now
-	Groups    []GroupOffer     `cbor:"Groups"`
-	Puts      float64          `cbor:"Puts"`  // a second that the sender could use
-	Cloud     float64          `cbor:"Cloud"` // calls of the cloud a second that the sender could use
-	Loads     []PartLoad       `cbor:"Loads"`
-	Level     int              `cbor:"Level"` // of the sender's release; absent before pipelines
-	Terms     []Term           `cbor:"Terms"` // the latest terms that the sender knows, by part
+	InstanceID         string           `cbor:"Boot"`
+	Shards             []ShardTerm      `cbor:"Parts"`
+	StoreReachable     bool             `cbor:"StoreOK"`
+	StoreFailing       bool             `cbor:"StoreBad"` // the last request failed; StoreOK follows if that lasts
+	WorkersReachable   bool             `cbor:"WorkersOK"`
+	MillisSinceContact map[NodeID]int64 `cbor:"Heard"` // ms since each other node last answered
+	FailbackOffers     []ShardID        `cbor:"Offer"` // parts that their home may claim back now
+	TransferOffers     []TransferOffer  `cbor:"Groups"`
+	WriteDemand        float64          `cbor:"Puts"`  // a second that the sender could use
+	CloudDemand        float64          `cbor:"Cloud"` // calls of the cloud a second that the sender could use
+	ShardLoads         []ShardLoad      `cbor:"Loads"`
+	FeatureLevel       int              `cbor:"Level"` // of the sender's release; absent before pipelines
+	KnownTerms         []Term           `cbor:"Terms"` // the latest terms that the sender knows, by part
 }
 
 // PartLoad is what a part has and what its jobs could use, by priority.
-type PartLoad = sharing.PartLoad
+type ShardLoad = sharing.ShardLoad
 
 // PartTerm says that the sender holds a part.
-type PartTerm struct {
-	Part Part `cbor:"Part"`
-	Term Term `cbor:"Term"`
+type ShardTerm struct {
+	Shard ShardID `cbor:"Part"`
+	Term  Term    `cbor:"Term"`
 }
 
 // Tell passes on jobs that have just been stored.
-type Tell struct {
+type JobNotice struct {
 	Keys []KV `cbor:"Keys"`
 }
 
 // Ask asks the owner about jobs.
-type Ask struct {
+type JobQuery struct {
 	IDs []JobID `cbor:"IDs"`
 }
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -4,31 +4,31 @@
 
 // UseMismatch says where the kept sums of tasks differ from the tasks
 // themselves, or returns "".
-func (c *Core) UseMismatch() string {
-	for _, p := range c.parts {
-		teams := teamUse{}
+func (c *Controller) UsageMismatch() string {
+	for _, p := range c.shards {
+		teams := teamUsage{}
 		for _, m := range p.machines {
-			var sum Res
+			var sum Resources
 			n := 0
-			for _, a := range m.assigns {
-				if a.live() {
+			for _, a := range m.assignments {
+				if a.isLive() {
 					n++
-					sum = sum.Plus(a.need)
-					teams[a.job.spec.Team] = teams[a.job.spec.Team].Plus(a.need)
+					sum = sum.Plus(a.resourceRequest)
+					teams[a.job.spec.Team] = teams[a.job.spec.Team].Plus(a.resourceRequest)
 				}
 			}
-			if sum != m.used() || n != m.liveTasks() {
-				return fmt.Sprintf("%s: %d tasks take %v, counted are %d with %v", m.id, n, sum, m.liveTasks(), m.used())
+			if sum != m.usedResources() || n != m.liveTaskCount() {
+				return fmt.Sprintf("%s: %d tasks take %v, counted are %d with %v", m.id, n, sum, m.liveTaskCount(), m.usedResources())
 			}
 		}
-		for team, kept := range p.use {
+		for team, kept := range p.usage {
 			if kept != teams[team] {
 				return fmt.Sprintf("part %d: %s takes %v, counted is %v", p.id, team, teams[team], kept)
 			}
 		}
 		for team, sum := range teams {
-			if sum != p.use[team] {
-				return fmt.Sprintf("part %d: %s takes %v, counted is %v", p.id, team, sum, p.use[team])
+			if sum != p.usage[team] {
+				return fmt.Sprintf("part %d: %s takes %v, counted is %v", p.id, team, sum, p.usage[team])
 			}
 		}
 	}
@@ -37,13 +37,13 @@
 
 // MachinesHeld counts the machines that are up of the parts held here, and those
 // of them whose workers have acknowledged their tokens.
-func (c *Core) MachinesHeld() (acknowledged, up int) {
+func (c *Controller) OwnedMachines() (acknowledged, up int) {
 	for _, m := range c.machines {
 		if m.booting {
 			continue
 		}
 		up++
-		if m.acked {
+		if m.tokenAcknowledged {
 			acknowledged++
 		}
 	}
@@ -51,7 +51,7 @@
 }
 
 // StalledParts counts the parts without progress.
-func (c *Core) StalledParts() int { return c.stalledParts() }
+func (c *Controller) StalledShards() int { return c.stalledShardCount() }
 
 // Counts returns what was counted since the last periodic log line.
-func (c *Core) Counts() Counters { return c.counters }
+func (c *Controller) Counts() Counters { return c.counters }
--- a/internal/core/takeover_quota_test.go
+++ b/internal/core/failover_quota_test.go
@@ -8,21 +8,21 @@
 
 // TestQuotaAfterTakeOver: what a group's record lists counts against the team's
 // limit after a take-over, a cancelled job's tasks too, until it is proven gone.
-func TestQuotaAfterTakeOver(t *testing.T) {
+func TestQuotaAfterFailover(t *testing.T) {
 	for _, acked := range []bool{false, true} {
-		b := newCoreHarness()
-		p := b.parts[0]
-		b.learnJob(KV{"jobs/j-1", []byte(`{"st":"cancelled","tm":"red","n":2,"r":{"CPU":3000000,"GPU":0,"Mem":1},"w":"b9-1"}`), 20}, p)
+		b := newControllerHarness()
+		p := b.shards[0]
+		b.applyJobRecord(KV{"jobs/j-1", []byte(`{"st":"cancelled","tm":"red","n":2,"r":{"CPU":3000000,"GPU":0,"Mem":1},"w":"b9-1"}`), 20}, p)
 		l := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: TaskID{Job: "j-1", Index: 0}, Attempt: 7}}}
-		b.learnGroup(KV{"groups/g", grouprecord.Encode(grouprecord.Record{Part: 0, Machines: []grouprecord.Machine{l}, Nonce: "b9-2"}), 25}, p)
+		b.applyGroupRecord(KV{"groups/g", grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{l}, WriteID: "b9-2"}), 25}, p)
 		m := b.machines["m-1"]
-		r := Report{Machine: "m-1", Addr: "m-1", Session: 1, Stamp: 5, Token: 12, Notice: -1} // an old one, without the task
+		r := HeartbeatStatus{Machine: "m-1", Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1} // an old one, without the task
 		want := Amount(3_000_000)
 		if acked {
-			r.Token, want = m.token, 0
+			r.FencingToken, want = m.token, 0
 		}
 		b.reconcile(m, &r, false)
-		if use := b.teamUse(p)["red"].CPU; use != want {
+		if use := b.teamUsageOf(p)["red"].CPU; use != want {
 			t.Errorf("acknowledged %v: the team uses %d, want %d", acked, use, want)
 		}
 	}
--- a/internal/core/failuredetector.go
+++ b/internal/core/failuredetector.go
@@ -7,70 +7,70 @@
 // One call is under way or scheduled at any time. missed counts the calls
 // without an answer since the last that had one.
 type failureDetector struct {
-	core   *Core
-	peer   *peer
-	missed int
+	controller   *Controller
+	peer         *peer
+	missedProbes int
 }
 
 // watchPeer begins the detection of a peer's failure.
-func (c *Core) watchPeer(p *peer) {
-	d := &failureDetector{core: c, peer: p}
-	d.call()
+func (c *Controller) startFailureDetector(p *peer) {
+	d := &failureDetector{controller: c, peer: p}
+	d.probe()
 }
 
-func (d *failureDetector) call() {
-	c, p := d.core, d.peer
+func (d *failureDetector) probe() {
+	c, p := d.controller, d.peer
 	timeout, begun := d.timeout(), c.now
-	c.ask(p.id, timeout, PeerMsg{Ping: c.makePing(p)}, func(r PeerReply) {
-		if r.Out == OK && r.Msg.Ping != nil && c.makesSense(p, r.Msg.Ping) {
-			d.missed = 0
-			c.heardPing(p, *r.Msg.Ping, begun)
-			c.after(c.cfg.Tuning.PingEvery, d.call)
+	c.callPeer(p.id, timeout, PeerMessage{Ping: c.makePing(p)}, func(r PeerReply) {
+		if r.Outcome == OK && r.Message.Ping != nil && c.isValidPing(p, r.Message.Ping) {
+			d.missedProbes = 0
+			c.applyPingReply(p, *r.Message.Ping, begun)
+			c.after(c.config.Tuning.PingInterval, d.probe)
 			return
 		}
-		d.miss()
+		d.handleMissedProbe()
 		// A refused connection comes back at once and proves nothing: it
 		// must not shorten the detection, so the full interval passes.
 		wait := begun + timeout - c.now
-		if d.exhausted() {
-			wait = max(wait, c.cfg.Tuning.ProbeEvery)
+		if d.isExhausted() {
+			wait = max(wait, c.config.Tuning.ProbeInterval)
 		}
-		c.after(max(wait, 5*milli), d.call)
+		c.after(max(wait, 5*millisecond), d.probe)
 	})
 }
 
 // timeout is how long the next call may take.
 func (d *failureDetector) timeout() Time {
-	tuning := &d.core.cfg.Tuning
+	tuning := &d.controller.config.Tuning
 	switch {
-	case d.missed == 0:
+	case d.missedProbes == 0:
 		return tuning.PingTimeout
-	case d.missed <= tuning.Retries:
-		return tuning.RetryFirst << (d.missed - 1)
+	case d.missedProbes <= tuning.PingRetries:
+		return tuning.InitialRetryTimeout << (d.missedProbes - 1)
 	default:
-		return tuning.ProbeEvery
+		return tuning.ProbeInterval
 	}
 }
 
 // exhausted tells whether all retries and probes were in vain.
-func (d *failureDetector) exhausted() bool {
-	return d.missed > d.core.cfg.Tuning.Retries+d.core.cfg.Tuning.Probes
+func (d *failureDetector) isExhausted() bool {
+	return d.missedProbes > d.controller.config.Tuning.PingRetries+d.controller.config.Tuning.ProbeCount
 }
 
 // miss follows a call without an answer.
-func (d *failureDetector) miss() {
-	c, p := d.core, d.peer
-	d.missed++
-	if d.missed > c.cfg.Tuning.Retries && !p.prone {
-		p.prone = true
-		c.logf(LogDebug, "peer failure-prone", "peer", string(p.id))
+func (d *failureDetector) handleMissedProbe() {
+	c, p := d.controller, d.peer
+	d.missedProbes++
+	if d.missedProbes > c.config.Tuning.PingRetries && !p.suspected {
+		p.suspected = true
+		c.log(LogDebug, "peer failure-prone", "peer", string(p.id))
 	}
-	if d.exhausted() && !p.failed {
-		p.failed, p.failedAt, p.beatRead = true, c.now, false
-		c.logf(LogInfo, "peer failed", "peer", string(p.id))
-		c.livenessChanged()
+	if d.isExhausted() && !p.failed {
+		p.failed, p.failedAt, p.livenessRead = true, c.now, false
+		c.log(LogInfo, "peer failed", "peer", string(p.id))
+		c.handleLivenessChange()
 	}
 	if p.failed {
-		c.reviewParts()
+		c.reviewShards()
 	}
 }
--- /dev/null
+++ b/internal/core/fairshare.go
@@ -0,0 +1,228 @@
+package core
+
+import (
+	"sort"
+
+	"stairrelay/internal/sharing"
+)
+
+// Machines are split among the parts, but the need for them is not split
+// evenly: package sharing says how much of all machines each part should have.
+// This file tells it the parts' loads, lets a part that has more give machines
+// up, and stops less important work.
+
+// loadCache keeps the loads of the parts held here as last worked out: many ask
+// for them within one interval.
+//
+// It is void once a part held here has changed.
+type loadCache struct {
+	loads            []ShardLoad
+	computedAt       Time // when they were worked out; 0: never
+	ownershipChanges int  // of the parts held here until then
+}
+
+// valid tells whether the loads are those of the parts held now, and new enough.
+func (l *loadCache) isValid(now Time, changes int) bool {
+	return l.computedAt > 0 && now-l.computedAt < second/4 && l.ownershipChanges == changes
+}
+
+// loads describes the parts held here.
+func (c *Controller) ownedShardLoads() []ShardLoad {
+	if c.loadCache.isValid(c.now, c.ownedShardChanges) {
+		return c.loadCache.loads
+	}
+	c.loadCache.computedAt, c.loadCache.ownershipChanges = c.now, c.ownedShardChanges
+	var out []ShardLoad
+	for _, p := range c.shards {
+		if p.owned && p.ready {
+			out = append(out, c.computeShardLoad(p))
+		}
+	}
+	c.loadCache.loads = out
+	return out
+}
+
+func (c *Controller) computeShardLoad(p *shard) ShardLoad {
+	l := ShardLoad{Shard: p.id}
+	c.counters.addMachineScans(p.machines)
+	for _, m := range p.machines {
+		if m.releasing || m.draining {
+			continue
+		}
+		if m.booting {
+			l.Booting += c.machineTypes[m.machineType].Capacity.CPU
+			continue
+		}
+		l.Available += c.machineTypes[m.machineType].Capacity.CPU
+		for _, a := range m.assignments {
+			if a.isLive() && a.job.isActive() {
+				l.Demand[a.job.effectivePriority] += a.resourceRequest.CPU
+			}
+		}
+	}
+	for _, w := range c.listPendingWork(p) {
+		prio := w.job.effectivePriority
+		if w.starving {
+			prio = max(prio, Urgent) // it goes before all else
+		}
+		l.Demand[prio] += w.job.spec.ResourceRequest.CPU * Amount(w.tasks)
+	}
+	return l
+}
+
+// allLoads is every part's load as far as it is known, by number.
+func (c *Controller) allShardLoads() sharing.Snapshot {
+	out := sharing.Snapshot{}
+	for _, id := range c.config.Nodes {
+		if p := c.peers[id]; p != nil && !p.failed && c.now-p.lastPingAt < 3*second {
+			for _, l := range p.lastPing.ShardLoads {
+				if int(l.Shard) >= 0 && int(l.Shard) < len(c.shards) && c.shards[l.Shard].owner == id {
+					out[l.Shard] = l
+				}
+			}
+		}
+	}
+	for _, l := range c.ownedShardLoads() {
+		out[l.Shard] = l
+	}
+	return out
+}
+
+// yieldMachines picks the machines that the parts held here give up. They get
+// nothing new; once empty they are offered as idle machines.
+func (c *Controller) cordonSurplusMachines() {
+	c.expireOffers()
+	plan := sharing.NewPlan(c.allShardLoads())
+	for _, p := range c.shards {
+		if load, known := plan.Loads[p.id]; known && p.owned && p.ready {
+			c.cordonSurplusOf(p, load, plan)
+		}
+	}
+}
+
+// yieldOf picks the machines that one part gives up.
+func (c *Controller) cordonSurplusOf(p *shard, load ShardLoad, plan *sharing.Plan) {
+	spare := plan.Spare(p.id)
+	ms := c.uncordonMachines(p, spare)
+	c.sortByRemainingTime(ms)
+	top := plan.ShortfallPriority(p.id)
+	for _, i := range sharing.PickWithin(c.machineCPUs(ms), spare) {
+		ms[i].cordoned = true
+		c.evictForPriority(ms[i], top)
+	}
+	if plan.TotalShortfall <= 0 {
+		c.selectScaleInCandidates(p, ms, load)
+	} else {
+		c.offerIdleMachines(p, plan)
+	}
+}
+
+// resetYield takes back what was picked before, and returns the machines to
+// pick from.
+func (c *Controller) uncordonMachines(p *shard, spare Amount) []*machine {
+	var ms []*machine
+	c.counters.addMachineScans(p.machines)
+	for _, m := range p.machines {
+		if m.cordoned && spare <= 0 {
+			c.schedulingTrigger.request()
+		}
+		m.cordoned, m.scaleInCandidate = false, false
+		if c.isSchedulable(m) {
+			ms = append(ms, m)
+		}
+	}
+	return ms
+}
+
+// sortByRest puts the machines first that will be free soonest.
+func (c *Controller) sortByRemainingTime(ms []*machine) {
+	rest := map[*machine]float64{}
+	for _, m := range ms {
+		for _, a := range m.assignments {
+			if a.isLive() {
+				rest[m] = max(rest[m], c.expectedRemainingSeconds(a))
+			}
+		}
+	}
+	sort.SliceStable(ms, func(i, j int) bool { return rest[ms[i]] < rest[ms[j]] })
+}
+
+// sizes lists the machines' CPUs.
+func (c *Controller) machineCPUs(ms []*machine) []Amount {
+	out := make([]Amount, len(ms))
+	for i, m := range ms {
+		out[i] = c.machineTypes[m.machineType].Capacity.CPU
+	}
+	return out
+}
+
+// retire picks the machines that a part can do without, dearest first. They
+// run empty and are returned, so that the work gathers on the cheaper ones.
+func (c *Controller) selectScaleInCandidates(p *shard, ms []*machine, load ShardLoad) {
+	typical := c.typicalRequest(p)
+	sort.SliceStable(ms, func(i, j int) bool { return c.costPerUsefulCPU(ms[i], typical) > c.costPerUsefulCPU(ms[j], typical) })
+	for _, i := range sharing.PickWithin(c.machineCPUs(ms), load.Surplus(c.config.Tuning.SpareCapacityShare)) {
+		ms[i].cordoned, ms[i].scaleInCandidate = true, true
+	}
+}
+
+// dearness is a machine's price per CPU that work of the present kind can use:
+// a small machine wastes what is left beside tasks that don't divide it.
+func (c *Controller) costPerUsefulCPU(m *machine, need Resources) float64 {
+	t := c.machineTypes[m.machineType]
+	if t.Capacity.CPU == 0 {
+		return 0
+	}
+	price := t.hourlyPrice(m.spot)
+	if need.CPU == 0 {
+		return price / float64(t.Capacity.CPU)
+	}
+	return price / float64(need.CPU*Amount(tasksPerMachine(t.Capacity, need)))
+}
+
+// typicalNeed is what a somewhat larger than average task of a part takes.
+func (c *Controller) typicalRequest(p *shard) Resources {
+	var sum Resources
+	var n Amount
+	for _, j := range p.jobs {
+		if k := Amount(j.pendingCount() + j.assignedCount); j.isActive() && !j.blocked && k > 0 {
+			sum = sum.Plus(j.spec.ResourceRequest.Times(int(k)))
+			n += k
+		}
+	}
+	if n == 0 {
+		return Resources{}
+	}
+	return Resources{CPU: sum.CPU / n * 115 / 100, GPU: sum.GPU / n, Memory: sum.Memory / n * 115 / 100}
+}
+
+// clearFor empties a yielded machine of work that can save, when the work that
+// other parts lack it for is more important.
+func (c *Controller) evictForPriority(m *machine, top Priority) {
+	if top < Urgent {
+		return
+	}
+	for _, a := range m.assignments {
+		if a.isLive() && (a.job.effectivePriority >= top || a.job.spec.CheckpointSeconds == 0 || c.isPreemptionExempt(a.job)) {
+			return
+		}
+	}
+	for _, a := range m.sortedAssignments() {
+		if a.isLive() && a.phase == phaseAcknowledged {
+			c.stopTask(m, a, a.job.spec.SaveSeconds+1)
+		}
+	}
+}
+
+// mayRent holds back a part that has its share already while others lack
+// theirs: what the cloud still has should go to them first.
+func (c *Controller) canScaleOut(p *shard) bool {
+	if c.allShardLoads().CanScaleOutFirst(p.id) {
+		return true
+	}
+	if c.now-p.lastScaleOutAt < 4*second {
+		return false
+	}
+	p.lastScaleOutAt = c.now
+	return true
+}
--- a/internal/core/group_check_test.go
+++ b/internal/core/group_check_test.go
@@ -8,25 +8,25 @@
 // it anew. Writes that were queued while it read conflicted in their turn, each
 // was followed by another check, and none of them concluded anything: the
 // group's tasks waited for their record for good, at three requests a round.
-func TestRecordCheckEnds(t *testing.T) {
-	b := newCoreHarness()
-	m, _ := b.running(b.job("j-1", 1))
-	part := b.parts[0]
+func TestGroupRecordCheckTerminates(t *testing.T) {
+	b := newControllerHarness()
+	m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
+	part := b.shards[0]
 	key := m.group.key()
-	b.writeMachine(m, prioStart)
-	m.group.mark = 0 // as the store has none yet
-	b.play(100 * milli)
+	b.writeMachine(m, priorityStart)
+	m.group.modRevision = 0 // as the store has none yet
+	b.runFor(100 * millisecond)
 	kv := b.store.get(key).KV
-	kv.Mark++
-	b.store.epoch = Epoch(kv.Mark)
+	kv.ModRevision++
+	b.store.revision = Revision(kv.ModRevision)
 	b.store.keys[key] = kv // the same, by another hand
 
-	sent := len(b.txns)
+	sent := len(b.sentTransactions)
 	for range 50 {
-		b.writeMachine(m, prioStart)
-		b.play(0) // one round of answers
+		b.writeMachine(m, priorityStart)
+		b.runFor(0) // one round of answers
 	}
-	if part.breaks == 0 {
-		t.Errorf("no conclusion after %d refused writes", len(b.txns)-sent)
+	if part.corruptRecordCount == 0 {
+		t.Errorf("no conclusion after %d refused writes", len(b.sentTransactions)-sent)
 	}
 }
--- a/internal/core/groupsplit.go
+++ b/internal/core/groupsplit.go
@@ -9,118 +9,118 @@
 //
 // From its queueing to its end the group counts as being written.
 type groupSplit struct {
-	core  *Core
-	part  *part
-	claim Epoch
-	group *group
-	ids   []string // of the new groups
-	keys  []string // of the group and the new ones
+	controller    *Controller
+	shard         *shard
+	claimRevision Revision
+	group         *machineGroup
+	newIDs        []string // of the new groups
+	keys          []string // of the group and the new ones
 
-	pieces [][]*machine // by the last records built, the first one stays
-	snaps  []*snapshot  // of the pieces
+	pieces    [][]*machine     // by the last records built, the first one stays
+	snapshots []*groupSnapshot // of the pieces
 }
 
 // splitGroup splits a group into two, or as many as a transaction may write
 // where the record is far too large, as one that was written under higher limits
 // may be.
-func (c *Core) splitGroup(p *part, g *group) {
-	if g.sent || len(g.machines) < 2 {
+func (c *Controller) splitGroup(p *shard, g *machineGroup) {
+	if g.writeInFlight || len(g.machines) < 2 {
 		return
 	}
-	n := min(max(c.valueLimit().Pieces(g.length()), g.minPieces), c.cfg.TxnOps, len(g.machines))
+	n := min(max(c.valueLimit().SplitCount(g.estimatedSize()), g.minPieces), c.config.MaxTxnOps, len(g.machines))
 	if g.queuedWrite != nil {
-		c.writer.cancel(g.queuedWrite)
+		c.writeQueue.cancel(g.queuedWrite)
 		g.queuedWrite = nil
 	}
-	g.writing, g.sent, g.again = true, true, prios
-	s := &groupSplit{core: c, part: p, claim: p.claim, group: g, keys: []string{g.key()}}
+	g.writePending, g.writeInFlight, g.nextWritePriority = true, true, priorityCount
+	s := &groupSplit{controller: c, shard: p, claimRevision: p.claimRevision, group: g, keys: []string{g.key()}}
 	for range n - 1 {
-		id := c.groupName(p)
-		s.ids = append(s.ids, id)
+		id := c.nextMachineGroupName(p)
+		s.newIDs = append(s.newIDs, id)
 		s.keys = append(s.keys, "groups/"+id)
 	}
-	c.writer.add(prioStart, &write{
-		part:        p.id,
-		keys:        s.keys,
-		cpusWaiting: func() float64 { return c.cpusWaiting(g) },
-		build:       s.build,
-		ok:          s.stored,
-		conflict:    s.refused,
-		tooLarge:    s.tooLarge,
-		lost:        g.endWrite,
+	c.writeQueue.enqueue(priorityStart, &queuedWrite{
+		shardID:         p.id,
+		keys:            s.keys,
+		cpusWaiting:     func() float64 { return c.cpusWaiting(g) },
+		build:           s.build,
+		onApplied:       s.handleStored,
+		onConflict:      s.handleConflict,
+		onTooLarge:      s.handleTooLarge,
+		onOwnershipLost: g.endWrite,
 	})
 }
 
 // current tells whether the group is still held under the claim of the split.
-func (s *groupSplit) current() bool {
-	return s.core.groups[s.group.id] == s.group && s.part.heldUnder(s.claim)
+func (s *groupSplit) isCurrent() bool {
+	return s.controller.machineGroups[s.group.id] == s.group && s.shard.isOwnedUnder(s.claimRevision)
 }
 
-func (s *groupSplit) build(nonce string) ([]TxnOp, []Mark) {
-	c, g := s.core, s.group
-	if c.groups[g.id] != g {
+func (s *groupSplit) build(nonce string) ([]TxnOp, []ModRevision) {
+	c, g := s.controller, s.group
+	if c.machineGroups[g.id] != g {
 		g.endWrite()
 		return nil, nil
 	}
-	g.again, g.added = prios, 0
-	s.pieces, s.snaps = grouprecord.Split(g.list(), len(s.keys), (*machine).tasks), nil
+	g.nextWritePriority, g.addedBytes = priorityCount, 0
+	s.pieces, s.snapshots = grouprecord.Split(g.sortedMachines(), len(s.keys), (*machine).taskCount), nil
 	var ops []TxnOp
-	var marks []Mark
+	var marks []ModRevision
 	for i, ms := range s.pieces {
-		v, snap := c.snap(s.part.id, ms, nonce)
-		mark := Mark(0)
+		v, snap := c.buildGroupRecord(s.shard.id, ms, nonce)
+		mark := ModRevision(0)
 		if i == 0 {
-			mark = g.mark
+			mark = g.modRevision
 		}
 		ops = append(ops, TxnOp{s.keys[i], v})
 		marks = append(marks, mark)
-		s.snaps = append(s.snaps, snap)
+		s.snapshots = append(s.snapshots, snap)
 	}
 	return ops, marks
 }
 
 // stored moves the machines as the records now say.
-func (s *groupSplit) stored(e Epoch) {
-	c, g := s.core, s.group
+func (s *groupSplit) handleStored(e Revision) {
+	c, g := s.controller, s.group
 	g.endWrite()
-	if !s.current() {
+	if !s.isCurrent() {
 		return
 	}
-	again := g.again
+	again := g.nextWritePriority
 	for i, ms := range s.pieces {
 		to := g
 		if i > 0 {
-			to = c.newGroup(s.part, s.ids[i-1], 0)
+			to = c.newGroup(s.shard, s.newIDs[i-1], 0)
 			for _, m := range ms {
-				to.take(m)
+				to.moveIn(m)
 			}
 		}
-		to.mark, to.size = Mark(e), s.snaps[i].size
-		c.groupStored(to, s.snaps[i], e)
-		if to.again = again; len(to.machines) > 0 { // what was asked of the whole may concern each
-			c.writeAgain(to)
+		to.modRevision, to.recordSize = ModRevision(e), s.snapshots[i].size
+		c.handleGroupStored(to, s.snapshots[i], e)
+		if to.nextWritePriority = again; len(to.machines) > 0 { // what was asked of the whole may concern each
+			c.queueNextWrite(to)
 		}
 	}
 }
 
 // refused follows a conflict with another writer.
-func (s *groupSplit) refused() {
+func (s *groupSplit) handleConflict() {
 	s.group.endWrite()
-	if s.core.groups[s.group.id] == s.group {
-		s.core.checkGroup(s.group)
+	if s.controller.machineGroups[s.group.id] == s.group {
+		s.controller.checkGroup(s.group)
 	}
 }
 
 // tooLarge follows the store's refusal of the records by their length. Tasks
 // end, and the record gets shorter; what the store takes now is less than the
 // settings say.
-func (s *groupSplit) tooLarge() {
+func (s *groupSplit) handleTooLarge() {
 	g := s.group
 	g.endWrite()
 	g.minPieces = 2 * len(s.keys)
-	s.core.after(second, func() {
-		if s.current() {
-			s.core.writeGroup(g, prioStart)
+	s.controller.after(second, func() {
+		if s.isCurrent() {
+			s.controller.writeGroup(g, priorityStart)
 		}
 	})
 }
--- /dev/null
+++ b/internal/core/grouptransfer.go
@@ -0,0 +1,129 @@
+package core
+
+import (
+	"slices"
+	"strings"
+
+	"stairrelay/internal/grouprecord"
+)
+
+// groupTake moves a group of idle machines to a part held here, by a conditional
+// write on a record that lists no task. The revision of this write is the
+// machines' token: it lies above all earlier ones.
+//
+// Where the part that offers the group is held here too, the group stays in its
+// books until the write is done, and counts as being written until then.
+type groupTransfer struct {
+	controller      *Controller
+	shard           *shard
+	claimRevision   Revision
+	groupID         string
+	offeredRevision ModRevision // of the record when it was offered
+	fromShard       ShardID
+	machines        []grouprecord.Machine
+	localGroup      *machineGroup // of a part held here; nil: another controller's
+	recordSize      int           // of the record as last built
+}
+
+// takeGroup takes a group that was offered to a part at a revision of its record.
+func (c *Controller) acquireGroup(p *shard, key string, mark ModRevision) {
+	take := &groupTransfer{controller: c, shard: p, claimRevision: p.claimRevision, groupID: strings.TrimPrefix(key, "groups/"), offeredRevision: mark}
+	c.readKey(key, func(r GetReply) {
+		if r.Outcome == OK && r.KV.ModRevision == mark && p.isOwnedUnder(take.claimRevision) {
+			take.begin(r.KV.Value)
+		}
+	})
+}
+
+func (t *groupTransfer) key() string { return "groups/" + t.groupID }
+
+// begin queues the write if the record lists machines that may be taken.
+func (t *groupTransfer) begin(value []byte) {
+	c := t.controller
+	record, err := grouprecord.Decode(value)
+	if err != nil || record.ShardID == t.shard.id || len(record.Machines) == 0 {
+		return
+	}
+	t.fromShard, t.machines = record.ShardID, record.Machines
+	if slices.ContainsFunc(t.machines, isMachineInUse) || !t.lock() {
+		return
+	}
+	c.writeQueue.enqueue(priorityScaleOut, &queuedWrite{
+		shardID:         t.shard.id,
+		keys:            []string{t.key()},
+		build:           t.build,
+		onApplied:       t.handleStored,
+		onConflict:      t.handleConflict,
+		onOwnershipLost: t.unlock,
+	})
+}
+
+// inUse tells whether a machine must stay with its part.
+func isMachineInUse(m grouprecord.Machine) bool { return len(m.Tasks) > 0 || m.Releasing }
+
+// lock marks a group that is held here as being written; false: it can't be
+// taken any more.
+func (t *groupTransfer) lock() bool {
+	g := t.controller.machineGroups[t.groupID]
+	if g == nil {
+		return true
+	}
+	if g.writePending || g.modRevision != t.offeredRevision || g.offer == nil {
+		return false
+	}
+	for _, m := range g.machines {
+		if len(m.assignments) > 0 {
+			return false
+		}
+	}
+	t.localGroup = g
+	g.writePending, g.writeInFlight, g.nextWritePriority = true, true, priorityCount
+	return true
+}
+
+// unlock leaves the group with the part that offered it.
+func (t *groupTransfer) unlock() {
+	if t.localGroup != nil {
+		t.localGroup.endWrite()
+		t.controller.queueNextWrite(t.localGroup)
+	}
+}
+
+func (t *groupTransfer) build(nonce string) ([]TxnOp, []ModRevision) {
+	value := grouprecord.Encode(grouprecord.Record{ShardID: t.shard.id, Machines: t.machines, WriteID: nonce})
+	t.recordSize = len(value)
+	return []TxnOp{{t.key(), value}}, []ModRevision{t.offeredRevision}
+}
+
+// stored follows the write: the machines are the part's now.
+func (t *groupTransfer) handleStored(e Revision) {
+	c, p := t.controller, t.shard
+	if g := t.localGroup; g != nil && c.machineGroups[t.groupID] == g {
+		c.dropTransferredGroup(g, p.id)
+	}
+	if !p.isOwnedUnder(t.claimRevision) || c.machineGroups[t.groupID] != nil {
+		return
+	}
+	g := c.newGroup(p, t.groupID, ModRevision(e))
+	g.recordSize = t.recordSize
+	for _, line := range t.machines {
+		if c.machines[line.ID] == nil {
+			c.addMachine(g, line, FencingToken(e))
+		}
+	}
+	c.log(LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(p.id), "from", int(t.fromShard))
+	c.schedulingTrigger.request()
+	c.maintainMachines()
+}
+
+// refused follows a conflict with another writer of the record.
+func (t *groupTransfer) handleConflict() {
+	g := t.localGroup
+	if g == nil {
+		return
+	}
+	g.endWrite()
+	if t.controller.machineGroups[t.groupID] == g {
+		t.controller.checkGroup(g)
+	}
+}
--- a/internal/core/growth_test.go
+++ b/internal/core/growth_test.go
@@ -8,7 +8,7 @@
 
 // fleetWork is what all controllers do for each machine and second.
 type fleetWork struct {
-	visits    float64 // how often it is looked at
+	scans     float64 // how often it is looked at
 	puts      float64
 	peerCalls float64
 	events    float64
@@ -19,36 +19,36 @@
 	t.Helper()
 	const (
 		controllers = 3
-		settled     = 31 * sec // counts begin anew each 30 s
-		measured    = 25 * sec
+		settled     = 31 * second // counts begin anew each 30 s
+		measured    = 25 * second
 	)
 	f := newFleet(t, controllers, machines)
 	// The write rate in proportion: what is counted is the work, not its limits.
-	f.State.Limits.WriteRPS = 0
-	f.allHeld(20 * sec)
-	f.flood(4*machines, 20*sec)
-	f.Run(settled)
-	before, steps := f.counts(), f.Steps
-	f.Run(settled + measured)
-	after := f.counts()
-	if len(f.Broken) > 0 {
-		t.Fatal(f.Broken)
+	f.StateService.Limits.WriteRPS = 0
+	f.waitForAllOwned(20 * second)
+	f.submitLoad(4*machines, 20*second)
+	f.RunUntil(settled)
+	before, steps := f.sumCounters(), f.StepCount
+	f.RunUntil(settled + measured)
+	after := f.sumCounters()
+	if len(f.Violations) > 0 {
+		t.Fatal(f.Violations)
 	}
 	each := func(n int) float64 { return float64(n) / float64(machines) / core.Time(measured).Seconds() }
 	return fleetWork{
-		visits:    each(after.Visits - before.Visits),
+		scans:     each(after.MachineScans - before.MachineScans),
 		puts:      each(after.Puts - before.Puts),
 		peerCalls: each(after.PeerCalls - before.PeerCalls),
-		events:    each(f.Steps - steps),
+		events:    each(f.StepCount - steps),
 	}
 }
 
 // counts adds up what all controllers have counted.
-func (f *fleet) counts() core.Counters {
+func (f *fleet) sumCounters() core.Counters {
 	var sum core.Counters
-	for _, c := range f.Cores() {
+	for _, c := range f.Controllers() {
 		n := c.Counts()
-		sum.Visits += n.Visits
+		sum.MachineScans += n.MachineScans
 		sum.Puts += n.Puts
 		sum.PeerCalls += n.PeerCalls
 	}
@@ -68,7 +68,7 @@
 		name         string
 		small, large float64
 	}{
-		{"looks", small.visits, large.visits},
+		{"looks", small.scans, large.scans},
 		{"puts", small.puts, large.puts},
 		{"calls of other controllers", small.peerCalls, large.peerCalls},
 		{"events", small.events, large.events},
--- a/internal/core/notices.go
+++ b/internal/core/jobnotices.go
@@ -6,27 +6,27 @@
 //
 // A message is scheduled or under way while any wait. Those of a message that
 // was lost go out again, a few times.
-type notices struct {
+type jobNoticeQueue struct {
 	waiting   []KV
 	scheduled bool
 }
 
 const (
-	noticePause   = 20 * milli
-	noticeTimeout = second
-	noticeRetries = 3
+	jobNoticeDelay   = 20 * millisecond
+	jobNoticeTimeout = second
+	jobNoticeRetries = 3
 	// A message tells of so many jobs, and has about so many bytes of records: a
 	// quarter of what a controller takes. One record, whatever its size, always goes.
-	maxNotices     = 50
-	maxNoticeBytes = 256 << 10
+	maxJobNotices     = 50
+	maxJobNoticeBytes = 256 << 10
 )
 
 // batch lists the jobs that the next message tells of.
-func (s *notices) batch() []KV {
+func (s *jobNoticeQueue) nextBatch() []KV {
 	bytes := 0
 	for i, kv := range s.waiting {
 		bytes += len(kv.Key) + len(kv.Value)
-		if i == maxNotices || i > 0 && bytes > maxNoticeBytes {
+		if i == maxJobNotices || i > 0 && bytes > maxJobNoticeBytes {
 			return s.waiting[:i]
 		}
 	}
@@ -34,29 +34,29 @@
 }
 
 // tell passes a stored job to its owner.
-func (c *Core) tell(part Part, kv KV) {
-	p := c.peers[c.parts[part].holder]
+func (c *Controller) notifyOwner(part ShardID, kv KV) {
+	p := c.peers[c.shards[part].owner]
 	if p == nil || p.failed {
 		return
 	}
-	p.notices.waiting = append(p.notices.waiting, kv)
-	if !p.notices.scheduled {
-		p.notices.scheduled = true
-		c.after(noticePause, func() { c.sendNotices(p, 0) })
+	p.jobNotices.waiting = append(p.jobNotices.waiting, kv)
+	if !p.jobNotices.scheduled {
+		p.jobNotices.scheduled = true
+		c.after(jobNoticeDelay, func() { c.sendJobNotices(p, 0) })
 	}
 }
 
-func (c *Core) sendNotices(p *peer, tries int) {
-	s := &p.notices
-	batch := s.batch()
-	c.ask(p.id, noticeTimeout, PeerMsg{Tell: &Tell{Keys: batch}}, func(r PeerReply) {
-		if r.Out != OK && tries < noticeRetries && !p.failed {
-			c.sendNotices(p, tries+1)
+func (c *Controller) sendJobNotices(p *peer, tries int) {
+	s := &p.jobNotices
+	batch := s.nextBatch()
+	c.callPeer(p.id, jobNoticeTimeout, PeerMessage{Notice: &JobNotice{Keys: batch}}, func(r PeerReply) {
+		if r.Outcome != OK && tries < jobNoticeRetries && !p.failed {
+			c.sendJobNotices(p, tries+1)
 			return
 		}
 		s.waiting = append([]KV(nil), s.waiting[len(batch):]...)
 		if len(s.waiting) > 0 {
-			c.sendNotices(p, 0)
+			c.sendJobNotices(p, 0)
 			return
 		}
 		s.scheduled = false
--- a/internal/core/freshness.go
+++ b/internal/core/jobreads.go
@@ -2,20 +2,20 @@
 
 // readPause is the least time between the beginnings of two readings of the
 // same changes: those who ask in between share the next one.
-const readPause = 100 * milli
+const jobReadInterval = 100 * millisecond
 
 // jobReads gathers those who wait for a reading of what the store holds of jobs.
 //
 // A reading serves only those who asked before it began, and no two run at a
 // time.
-type jobReads struct {
+type linearizableJobReads struct {
 	waiting   []func(ok bool)
 	scheduled bool // a reading runs, or is about to
-	begunAt   Time
+	startedAt Time
 }
 
 // wait queues fn for the next reading; true: that has yet to be scheduled.
-func (r *jobReads) wait(fn func(ok bool)) bool {
+func (r *linearizableJobReads) enqueue(fn func(ok bool)) bool {
 	r.waiting = append(r.waiting, fn)
 	if r.scheduled {
 		return false
@@ -25,36 +25,36 @@
 }
 
 // begin takes those whom the reading that begins now serves.
-func (r *jobReads) begin(now Time) []func(ok bool) {
+func (r *linearizableJobReads) takeBatch(now Time) []func(ok bool) {
 	served := r.waiting
-	r.waiting, r.begunAt = nil, now
+	r.waiting, r.startedAt = nil, now
 	return served
 }
 
 // end tells whether another reading has to follow.
-func (r *jobReads) end() bool {
+func (r *linearizableJobReads) finish() bool {
 	r.scheduled = len(r.waiting) > 0
 	return r.scheduled
 }
 
 // delay is how long the next reading has to wait.
-func (r *jobReads) delay(now Time) Time { return max(0, r.begunAt+readPause-now) }
+func (r *linearizableJobReads) delay(now Time) Time { return max(0, r.startedAt+jobReadInterval-now) }
 
 // freshen calls fn after everything has been learned that was stored about jobs
 // before this call, with readings begun after it; false: that could not be read.
-func (c *Core) freshen(fn func(bool)) {
-	if c.storeLost(second) || c.jobs.epoch == 0 || !c.acceptances.loaded {
+func (c *Controller) linearizableJobRead(fn func(bool)) {
+	if c.isStoreUnavailableFor(second) || c.jobs.appliedRevision == 0 || !c.admissions.loaded {
 		fn(false)
 		return
 	}
-	if c.jobReads.wait(fn) {
-		c.after(c.jobReads.delay(c.now), c.readChanges)
+	if c.jobReads.enqueue(fn) {
+		c.after(c.jobReads.delay(c.now), c.readJobChanges)
 	}
 }
 
 // readChanges reads the jobs' own records and those of several.
-func (c *Core) readChanges() {
-	served := c.jobReads.begin(c.now)
+func (c *Controller) readJobChanges() {
+	served := c.jobReads.takeBatch(c.now)
 	left, good := 2, true
 	done := func(ok bool) {
 		good = good && ok
@@ -64,15 +64,15 @@
 		for _, fn := range served {
 			fn(good)
 		}
-		if c.jobReads.end() {
-			c.after(c.jobReads.delay(c.now), c.readChanges)
+		if c.jobReads.finish() {
+			c.after(c.jobReads.delay(c.now), c.readJobChanges)
 		}
 	}
-	c.readAccepts(done)
-	c.readSince(jobPrefix, c.jobs.epoch, func(r WatchReply) {
+	c.readAdmissionChanges(done)
+	c.readPrefixSince(jobKeyPrefix, c.jobs.appliedRevision, func(r WatchReply) {
 		for _, kv := range r.Items {
-			c.learnJob(kv, nil)
+			c.applyJobRecord(kv, nil)
 		}
-		done(r.Out == OK)
+		done(r.Outcome == OK)
 	})
 }
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -10,170 +10,170 @@
 
 // Task states inside a job.
 const (
-	tPending uint8 = iota
-	tPlaced        // on, or on its way to, or perhaps still on, a machine
-	tDone          // completed, not stored yet
-	tStored        // completed and stored
+	taskPending          uint8 = iota
+	taskAssigned               // on, or on its way to, or perhaps still on, a machine
+	taskCompleted              // completed, not stored yet
+	taskCompletionStored       // completed and stored
 )
 
 // chunkTasks is how many tasks' outcomes one key holds. Chunk 0 lives in the
 // job's own record, the others beside it, so that 100,000 tasks fit under any
 // value limit from 4 KiB on.
-const chunkTasks = 16384
+const tasksPerChunk = 16384
 
 // job of a part held here.
 type job struct {
-	spec   JobSpec
-	part   Part
-	marks  []Mark // per chunk
-	dirty  []bool
-	state  []uint8
-	placed int
-	done   int
-	next   int // no pending task lies below
-	where  map[int]*assign
-	on     map[*assign]bool // all that machines list of it, ended and doubly listed tasks too
-
-	final      Status // stored
-	cancelling bool   // its user has asked for that, or it is stored
-	ending     bool   // a write of its end is under way: it may be carried out already
-	writing    bool   // a write is queued
-	again      bool
-	waiters    []func(Status)
-
-	loading   int // chunks still to be read; nothing is placed before
-	errors    int
-	tooLong   bool // its record with what it asks for is more than the store takes now
-	outcomeAt Time // not written before, while starts wait for their records: each interval's would take their puts
-	failedOn  map[MachineID]bool
-	prio      Priority // its own, or that of a job that needs it
-	holdUntil Time
-	preemptAt Time      // not before then again
-	keeps     MachineID // kept free for it while it starves
-	judged    bool
-	owedFirst bool // it fitted into its team's guarantee when it came; for the log
-	arrived   Time
-	waiting   bool         // for jobs that it awaits
-	since     Wall         // its aims' times count from then: its submission, or its release
-	restarted map[int]bool // tasks that did not end at their first start
-	runs      int          // tasks that ran to their end here, and their time in all
-	runSum    float64
-	firstRun  Time
-	lastRun   Time
+	spec              JobSpec
+	shard             ShardID
+	modRevisions      []ModRevision // per chunk
+	dirtyChunks       []bool
+	taskStates        []uint8
+	assignedCount     int
+	completedCount    int
+	firstPendingHint  int // no pending task lies below
+	assignments       map[int]*assignment
+	listedAssignments map[*assignment]bool // all that machines list of it, ended and doubly listed tasks too
+
+	finalStatus   JobStatus // stored
+	cancelling    bool      // its user has asked for that, or it is stored
+	endInFlight   bool      // a write of its end is under way: it may be carried out already
+	writeQueued   bool      // a write is queued
+	rewriteNeeded bool
+	waiters       []func(JobStatus)
+
+	chunksLoading       int // chunks still to be read; nothing is placed before
+	taskErrors          int
+	recordTooLarge      bool // its record with what it asks for is more than the store takes now
+	nextCheckpointAt    Time // not written before, while starts wait for their records: each interval's would take their puts
+	failedMachines      map[MachineID]bool
+	effectivePriority   Priority // its own, or that of a job that needs it
+	backoffUntil        Time
+	nextPreemptionAt    Time      // not before then again
+	reservedMachine     MachineID // kept free for it while it starves
+	guaranteeChecked    bool
+	initiallyGuaranteed bool // it fitted into its team's guarantee when it came; for the log
+	arrivedAt           Time
+	blocked             bool         // for jobs that it awaits
+	readySince          WallTime     // its aims' times count from then: its submission, or its release
+	restartedTasks      map[int]bool // tasks that did not end at their first start
+	completedRuns       int          // tasks that ran to their end here, and their time in all
+	totalRunSeconds     float64
+	firstRunAt          Time
+	lastRunAt           Time
 }
 
 type jobRecord struct {
-	Spec  *JobSpec `json:"s,omitempty"`
-	Done  string   `json:"d,omitempty"`
-	State Status   `json:"st,omitempty"`
-	Team  string   `json:"tm,omitempty"`
-	Tasks int      `json:"n,omitempty"`
-	Need  *Res     `json:"r,omitempty"` // a cancelled job's tasks may still use quota
-	W     string   `json:"w"`
+	Spec             *JobSpec   `json:"s,omitempty"`
+	CompletedIndexes string     `json:"d,omitempty"`
+	FinalStatus      JobStatus  `json:"st,omitempty"`
+	Team             string     `json:"tm,omitempty"`
+	Tasks            int        `json:"n,omitempty"`
+	ResourceRequest  *Resources `json:"r,omitempty"` // a cancelled job's tasks may still use quota
+	WriteID          string     `json:"w"`
 }
 
 // jobPrefix is where the jobs' own records are stored.
-const jobPrefix = "jobs/"
+const jobKeyPrefix = "jobs/"
 
 // jobKey is the key of a job's own record.
-func jobKey(id JobID) string { return jobPrefix + string(id) }
+func jobKey(id JobID) string { return jobKeyPrefix + string(id) }
 
-func (j *job) key(chunk int) string {
+func (j *job) chunkKey(chunk int) string {
 	if chunk == 0 {
 		return jobKey(j.spec.ID)
 	}
 	return "done/" + string(j.spec.ID) + "/" + strconv.Itoa(chunk)
 }
 
-func chunks(tasks int) int { return (tasks + chunkTasks - 1) / chunkTasks }
+func chunkCount(tasks int) int { return (tasks + tasksPerChunk - 1) / tasksPerChunk }
 
-func newJob(spec JobSpec, part Part, mark Mark, now Time) *job {
-	n := chunks(spec.Tasks)
-	j := &job{spec: spec, part: part, marks: make([]Mark, n), dirty: make([]bool, n), state: make([]uint8, spec.Tasks),
-		where: map[int]*assign{}, on: map[*assign]bool{}, failedOn: map[MachineID]bool{}, restarted: map[int]bool{}, arrived: now, since: spec.Submitted, prio: spec.Priority}
-	j.marks[0] = mark
+func newJob(spec JobSpec, part ShardID, mark ModRevision, now Time) *job {
+	n := chunkCount(spec.Tasks)
+	j := &job{spec: spec, shard: part, modRevisions: make([]ModRevision, n), dirtyChunks: make([]bool, n), taskStates: make([]uint8, spec.Tasks),
+		assignments: map[int]*assignment{}, listedAssignments: map[*assignment]bool{}, failedMachines: map[MachineID]bool{}, restartedTasks: map[int]bool{}, arrivedAt: now, readySince: spec.SubmittedAt, effectivePriority: spec.Priority}
+	j.modRevisions[0] = mark
 	return j
 }
 
-func (j *job) pending() int { return j.spec.Tasks - j.placed - j.done }
+func (j *job) pendingCount() int { return j.spec.Tasks - j.assignedCount - j.completedCount }
 
-func (j *job) active() bool { return j.final == "" && !j.cancelling }
+func (j *job) isActive() bool { return j.finalStatus == "" && !j.cancelling }
 
-func (j *job) nextPending() int {
-	for j.next < len(j.state) && j.state[j.next] != tPending {
-		j.next++
+func (j *job) nextPendingTask() int {
+	for j.firstPendingHint < len(j.taskStates) && j.taskStates[j.firstPendingHint] != taskPending {
+		j.firstPendingHint++
 	}
-	if j.next == len(j.state) {
+	if j.firstPendingHint == len(j.taskStates) {
 		return -1
 	}
-	return j.next
+	return j.firstPendingHint
 }
 
-func (j *job) setPlaced(i int, a *assign) {
-	j.state[i] = tPlaced
-	j.placed++
-	j.where[i] = a
+func (j *job) setAssigned(i int, a *assignment) {
+	j.taskStates[i] = taskAssigned
+	j.assignedCount++
+	j.assignments[i] = a
 }
 
 // setPending makes a task that is on no machine any more wait again.
 func (j *job) setPending(i int) {
-	if j.state[i] != tPlaced {
+	if j.taskStates[i] != taskAssigned {
 		return
 	}
-	j.state[i] = tPending
-	j.restarted[i] = true
-	j.placed--
-	delete(j.where, i)
-	j.next = min(j.next, i)
+	j.taskStates[i] = taskPending
+	j.restartedTasks[i] = true
+	j.assignedCount--
+	delete(j.assignments, i)
+	j.firstPendingHint = min(j.firstPendingHint, i)
 }
 
-func (j *job) setDone(i int) {
-	switch j.state[i] {
-	case tPlaced:
-		j.placed--
-		delete(j.where, i)
-	case tPending:
+func (j *job) setCompleted(i int) {
+	switch j.taskStates[i] {
+	case taskAssigned:
+		j.assignedCount--
+		delete(j.assignments, i)
+	case taskPending:
 	default:
 		return
 	}
-	j.state[i] = tDone
-	j.done++
-	j.dirty[i/chunkTasks] = true
+	j.taskStates[i] = taskCompleted
+	j.completedCount++
+	j.dirtyChunks[i/tasksPerChunk] = true
 }
 
 func (j *job) view() JobView {
-	v := JobView{ID: j.spec.ID, Status: StPending, Done: j.done}
+	v := JobView{ID: j.spec.ID, Status: JobPending, Done: j.completedCount}
 	switch {
-	case j.final != "":
-		v.Status = j.final
+	case j.finalStatus != "":
+		v.Status = j.finalStatus
 		return v
 	default:
-		for _, a := range j.where {
-			if a.phase == aSeen {
+		for _, a := range j.assignments {
+			if a.phase == phaseAcknowledged {
 				v.Running++
 			}
 		}
-		if v.Running > 0 || j.done > 0 {
-			v.Status = StRunning
+		if v.Running > 0 || j.completedCount > 0 {
+			v.Status = JobRunning
 		}
 	}
 	return v
 }
 
-func (j *job) chunk(k int) []uint8 {
-	return j.state[k*chunkTasks : min((k+1)*chunkTasks, len(j.state))]
+func (j *job) chunkStates(k int) []uint8 {
+	return j.taskStates[k*tasksPerChunk : min((k+1)*tasksPerChunk, len(j.taskStates))]
 }
 
 // learnJob takes in a job's record from the store, a peer or the watch. With
 // loading set, the part is being taken over and its record is the truth.
-func (c *Core) learnJob(kv KV, loading *part) {
-	id := JobID(strings.TrimPrefix(kv.Key, jobPrefix))
+func (c *Controller) applyJobRecord(kv KV, loading *shard) {
+	id := JobID(strings.TrimPrefix(kv.Key, jobKeyPrefix))
 	if kv.Value == nil {
 		return
 	}
 	var rec jobRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
-		c.logf(LogError, "unreadable record", "key", kv.Key)
+		c.log(LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	name, tasks := rec.Team, rec.Tasks
@@ -182,164 +182,164 @@
 	}
 	t := c.teams[name]
 	if t == nil || tasks < 1 {
-		c.logf(LogError, "job record of no known team", "key", kv.Key)
+		c.log(LogError, "job record of no known team", "key", kv.Key)
 		return
 	}
-	k := c.jobs.learn(id, t.part, name, tasks)
-	if rec.Need != nil {
-		k.need = *rec.Need
+	k := c.jobs.register(id, t.shard, name, tasks)
+	if rec.ResourceRequest != nil {
+		k.resourceRequest = *rec.ResourceRequest
 	}
-	if rec.State.Final() {
-		k.stored = true
-		c.settle(id, k, rec.State)
+	if rec.FinalStatus.IsFinal() {
+		k.finalRecorded = true
+		c.applyFinalStatus(id, k, rec.FinalStatus)
 		return
 	}
-	if rec.Spec != nil && k.final == "" {
-		c.learnAwaits(id, k, rec.Spec)
+	if rec.Spec != nil && k.finalStatus == "" {
+		c.applyDependencies(id, k, rec.Spec)
 	}
-	p := c.parts[t.part]
-	implied := k.final == StCancelled && !k.stored && len(k.awaits) > 0 // its own record has to follow
-	if k.final != "" && !implied || !p.held || c.jobs.held[id] != nil || rec.Spec == nil {
+	p := c.shards[t.shard]
+	implied := k.finalStatus == JobCancelled && !k.finalRecorded && len(k.dependencies) > 0 // its own record has to follow
+	if k.finalStatus != "" && !implied || !p.owned || c.jobs.owned[id] != nil || rec.Spec == nil {
 		return
 	}
 	if !p.ready && p != loading {
 		// The part is being read, but perhaps its jobs were read before this
 		// one was stored: it is looked at again when the part is ready.
-		p.early = append(p.early, kv)
+		p.earlyJobs = append(p.earlyJobs, kv)
 		return
 	}
 	rec.Spec.ID = id
-	c.holdJob(c.jobOfRecord(kv, &rec, t.part), k, implied)
+	c.serveJob(c.jobFromRecord(kv, &rec, t.shard), k, implied)
 }
 
 // jobOfRecord makes a job of its own record.
-func (c *Core) jobOfRecord(kv KV, rec *jobRecord, part Part) *job {
-	j := newJob(*rec.Spec, part, kv.Mark, c.now)
-	ok := decodeDone(rec.Done, len(j.chunk(0)), func(i int) {
-		j.state[i] = tStored
-		j.done++
+func (c *Controller) jobFromRecord(kv KV, rec *jobRecord, part ShardID) *job {
+	j := newJob(*rec.Spec, part, kv.ModRevision, c.now)
+	ok := decodeCompleted(rec.CompletedIndexes, len(j.chunkStates(0)), func(i int) {
+		j.taskStates[i] = taskCompletionStored
+		j.completedCount++
 	})
 	if ok {
 		return j
 	}
 	// A task that is started again after it was done ends at once, so to
 	// take all of them for not done is safe.
-	c.logf(LogInfo, "impossible record", "key", kv.Key, "why", "done ranges")
-	return newJob(*rec.Spec, part, kv.Mark, c.now)
+	c.log(LogInfo, "impossible record", "key", kv.Key, "why", "done ranges")
+	return newJob(*rec.Spec, part, kv.ModRevision, c.now)
 }
 
 // holdJob begins to serve a job of a part held here. Where its cancellation is
 // implied by that of one that it needs, only its own record has to follow.
-func (c *Core) holdJob(j *job, k *knownJob, implied bool) {
-	j.prio = max(j.prio, k.prio)
-	c.addJob(j)
+func (c *Controller) serveJob(j *job, k *knownJob, implied bool) {
+	j.effectivePriority = max(j.effectivePriority, k.effectivePriority)
+	c.addOwnedJob(j)
 	if implied {
-		c.cancelImplied(j)
+		c.cancelWithDependency(j)
 		return
 	}
-	c.release(j)
-	c.placement.request()
-	c.rentSoon()
-	for n := 1; n < len(j.marks); n++ {
-		j.loading++
-		c.loadChunk(j, n)
+	c.updateReadiness(j)
+	c.schedulingTrigger.request()
+	c.scheduleScaleOut()
+	for n := 1; n < len(j.modRevisions); n++ {
+		j.chunksLoading++
+		c.loadJobChunk(j, n)
 	}
-	if j.loading == 0 && j.done == j.spec.Tasks {
-		c.writeJob(j, prioAccept)
+	if j.chunksLoading == 0 && j.completedCount == j.spec.Tasks {
+		c.writeJob(j, priorityAdmit)
 	}
 }
 
 // loadChunk reads a further chunk; the job is held back until it is known.
-func (c *Core) loadChunk(j *job, n int) {
-	c.get(j.key(n), func(r GetReply) {
-		if !c.jobs.holds(j) {
+func (c *Controller) loadJobChunk(j *job, n int) {
+	c.readKey(j.chunkKey(n), func(r GetReply) {
+		if !c.jobs.owns(j) {
 			return
 		}
-		switch r.Out {
+		switch r.Outcome {
 		case OK:
 			var rec jobRecord
-			base := n * chunkTasks
-			if json.Unmarshal(r.KV.Value, &rec) != nil || !decodeDone(rec.Done, len(j.chunk(n)), func(i int) {
-				if j.state[base+i] == tPending {
-					j.state[base+i] = tStored
-					j.done++
+			base := n * tasksPerChunk
+			if json.Unmarshal(r.KV.Value, &rec) != nil || !decodeCompleted(rec.CompletedIndexes, len(j.chunkStates(n)), func(i int) {
+				if j.taskStates[base+i] == taskPending {
+					j.taskStates[base+i] = taskCompletionStored
+					j.completedCount++
 				}
 			}) {
-				c.logf(LogInfo, "impossible record", "key", r.KV.Key, "why", "done ranges")
+				c.log(LogInfo, "impossible record", "key", r.KV.Key, "why", "done ranges")
 			}
-			j.marks[n] = r.KV.Mark
-		case Missing:
+			j.modRevisions[n] = r.KV.ModRevision
+		case NotFound:
 		default:
 			c.after(second/2, func() {
-				if c.jobs.holds(j) {
-					c.loadChunk(j, n)
+				if c.jobs.owns(j) {
+					c.loadJobChunk(j, n)
 				}
 			})
 			return
 		}
-		j.loading--
-		c.placement.request()
-		if j.loading == 0 && j.done == j.spec.Tasks {
-			c.writeJob(j, prioAccept)
+		j.chunksLoading--
+		c.schedulingTrigger.request()
+		if j.chunksLoading == 0 && j.completedCount == j.spec.Tasks {
+			c.writeJob(j, priorityAdmit)
 		}
 	})
 }
 
 // loadJobs learns of all jobs and then follows the changes at an easy pace;
 // it is the safety net under the messages between controllers.
-func (c *Core) loadJobs() {
-	c.list(jobPrefix, func(r ListReply) {
-		if r.Out != OK {
+func (c *Controller) loadJobs() {
+	c.listPrefix(jobKeyPrefix, func(r ListReply) {
+		if r.Outcome != OK {
 			c.after(second, c.loadJobs)
 			return
 		}
 		for _, kv := range r.Items {
-			c.learnJob(kv, nil)
+			c.applyJobRecord(kv, nil)
 		}
-		c.jobs.epoch = r.Epoch
+		c.jobs.appliedRevision = r.Revision
 		c.watchJobs()
 	})
 }
 
-func (c *Core) watchJobs() {
-	c.follow(jobPrefix, &c.jobs.epoch, 2*second, func(kv KV) {
-		c.signOfLife(kv)
-		c.learnJob(kv, nil)
+func (c *Controller) watchJobs() {
+	c.watchPrefix(jobKeyPrefix, &c.jobs.appliedRevision, 2*second, func(kv KV) {
+		c.recordPeerWrite(kv)
+		c.applyJobRecord(kv, nil)
 	}, c.loadJobs)
 }
 
 // signOfLife notes which controller wrote a record that has just changed.
-func (c *Core) signOfLife(kv KV) {
+func (c *Controller) recordPeerWrite(kv KV) {
 	if kv.Value == nil {
 		return
 	}
-	boot := nonceBoot(nonceOf(kv.Value))
+	boot := writeIDInstance(writeIDOf(kv.Value))
 	for _, p := range c.peers {
-		if p.boot == boot {
-			p.wroteAt = c.now
+		if p.instanceID == boot {
+			p.lastWriteSeenAt = c.now
 		}
 	}
 }
 
-func (c *Core) addJob(j *job) {
-	c.jobs.held[j.spec.ID] = j
-	p := c.parts[j.part]
+func (c *Controller) addOwnedJob(j *job) {
+	c.jobs.owned[j.spec.ID] = j
+	p := c.shards[j.shard]
 	i := sort.Search(len(p.jobs), func(i int) bool { return p.jobs[i].spec.ID >= j.spec.ID })
 	p.jobs = slices.Insert(p.jobs, i, j)
-	p.order = nil
+	p.queueOrder = nil
 }
 
-func (c *Core) removeJob(j *job) {
-	delete(c.jobs.held, j.spec.ID)
-	p := c.parts[j.part]
+func (c *Controller) removeOwnedJob(j *job) {
+	delete(c.jobs.owned, j.spec.ID)
+	p := c.shards[j.shard]
 	if i := slices.Index(p.jobs, j); i >= 0 {
 		p.jobs = slices.Delete(slices.Clone(p.jobs), i, i+1) // somebody may be walking the old list
-		p.order = slices.DeleteFunc(slices.Clone(p.order), func(x *job) bool { return x == j })
+		p.queueOrder = slices.DeleteFunc(slices.Clone(p.queueOrder), func(x *job) bool { return x == j })
 	}
 }
 
-func (c *Core) dropJob(j *job) {
-	c.removeJob(j)
+func (c *Controller) abandonJob(j *job) {
+	c.removeOwnedJob(j)
 	for _, fn := range j.waiters {
 		fn("")
 	}
@@ -348,84 +348,84 @@
 
 // releaseDone lets machine records forget the tasks whose outcome is stored:
 // they have exited, whoever owns the machine may reap them.
-func (c *Core) releaseDone(j *job) {
-	for a := range j.on {
-		m := c.machines[a.mach]
-		if m == nil || m.assigns[a.task] != a || m.unsure {
+func (c *Controller) acknowledgeStoredTasks(j *job) {
+	for a := range j.listedAssignments {
+		m := c.machines[a.machineID]
+		if m == nil || m.assignments[a.task] != a || m.startInDoubt {
 			continue
 		}
 		switch {
-		case !a.completed() || a.gone || !c.storedDone(a):
-		case a.unlisted:
-			c.removeAssign(m, a)
+		case !a.isCompleted() || a.confirmedAbsent || !c.isOutcomeStored(a):
+		case a.removedFromRecord:
+			c.removeAssignment(m, a)
 		default:
-			m.markGone(a)
-			m.reap[a.start()] = true
+			m.markConfirmedAbsent(a)
+			m.endedToAcknowledge[a.taskAttempt()] = true
 		}
 	}
 }
 
 // promote moves a queued write to a more urgent class.
-func (w *writer) promote(key string, prio int) {
-	for q := prio + 1; q < prios; q++ {
+func (w *writeQueue) raisePriority(key string, prio int) {
+	for q := prio + 1; q < priorityCount; q++ {
 		for i, x := range w.queues[q] {
 			if x.keys[0] == key {
 				w.queues[q] = append(w.queues[q][:i:i], w.queues[q][i+1:]...)
-				w.add(prio, x)
+				w.enqueue(prio, x)
 				return
 			}
 		}
 	}
 }
 
-func (c *Core) jobEnded(j *job, end Status) {
-	j.final = end
+func (c *Controller) handleJobEnd(j *job, end JobStatus) {
+	j.finalStatus = end
 	if k := c.jobs.known[j.spec.ID]; k != nil {
-		k.stored = true
-		c.settle(j.spec.ID, k, end)
-		c.tellDependents(j.spec.ID, k)
+		k.finalRecorded = true
+		c.applyFinalStatus(j.spec.ID, k, end)
+		c.notifyDependentOwners(j.spec.ID, k)
 	}
 	for _, fn := range j.waiters {
 		fn(end)
 	}
 	j.waiters = nil
-	if !c.jobs.holds(j) {
+	if !c.jobs.owns(j) {
 		return
 	}
-	c.logf(LogDebug, "job over", "job", string(j.spec.ID), "status", string(end), "class", j.spec.Class, "team", j.spec.Team,
-		"tasks", j.spec.Tasks, "first_run_s", int((j.firstRun-j.arrived)/second), "all_run_s", int((j.lastRun-j.arrived)/second),
-		"took_s", int((c.now-j.arrived)/second), "run_s", int(j.spec.RuntimeS), "due_s", int(j.spec.DeadlineS), "cpu", float64(j.spec.Need.CPU)/1e6, "guaranteed", j.owedFirst)
-	if end == StCancelled {
-		c.stopAll(j)
+	c.log(LogDebug, "job over", "job", string(j.spec.ID), "status", string(end), "class", j.spec.Class, "team", j.spec.Team,
+		"tasks", j.spec.Tasks, "first_run_s", int((j.firstRunAt-j.arrivedAt)/second), "all_run_s", int((j.lastRunAt-j.arrivedAt)/second),
+		"took_s", int((c.now-j.arrivedAt)/second), "run_s", int(j.spec.RuntimeSeconds), "due_s", int(j.spec.DeadlineSeconds), "cpu", float64(j.spec.ResourceRequest.CPU)/1e6, "guaranteed", j.initiallyGuaranteed)
+	if end == JobCancelled {
+		c.stopAllTasks(j)
 	}
-	c.placement.request()
-	if len(j.where) == 0 {
-		c.removeJob(j)
+	c.schedulingTrigger.request()
+	if len(j.assignments) == 0 {
+		c.removeOwnedJob(j)
 	}
 }
 
 // checkpoint stores what can wait: outcomes of tasks whose job goes on, and
 // machine records that list more than they need to.
-func (c *Core) checkpoint() {
-	for _, j := range c.heldJobs() {
-		if j.writing || j.final != "" || j.tooLong || c.now < j.outcomeAt && len(c.writer.queues[prioStart]) > 0 {
+func (c *Controller) writeBackgroundState() {
+	for _, j := range c.ownedJobs() {
+		if j.writeQueued || j.finalStatus != "" || j.recordTooLarge || c.now < j.nextCheckpointAt && len(c.writeQueue.queues[priorityStart]) > 0 {
 			continue
 		}
-		for _, d := range j.dirty {
+		for _, d := range j.dirtyChunks {
 			if d {
-				j.outcomeAt = c.now + 4*c.cfg.Tuning.Checkpoint
-				c.writeJob(j, prioLazy)
+				j.nextCheckpointAt = c.now + 4*c.config.Tuning.CheckpointInterval
+				c.writeJob(j, priorityBackground)
 				break
 			}
 		}
 	}
-	c.checkpointGroups()
-	c.watchProgress()
+	c.cleanUpGroups()
+	c.checkShardProgress()
 }
 
-func (c *Core) heldJobs() []*job {
+func (c *Controller) ownedJobs() []*job {
 	var l []*job
-	for _, p := range c.parts {
+	for _, p := range c.shards {
 		l = append(l, p.jobs...)
 	}
 	return l
--- a/internal/core/jobwrite.go
+++ b/internal/core/jobwrite.go
@@ -11,198 +11,198 @@
 // refused for another write's sake. wrote, outcomes and end say what the last
 // record built holds. A job has one write at a time.
 type jobWrite struct {
-	core     *Core
-	job      *job
-	prio     int
-	chunks   []int  // that it may set
-	wrote    []int  // chunks that it sets
-	outcomes []int  // tasks whose end it tells
-	end      Status // of the job, or ""
+	controller     *Controller
+	job            *job
+	priority       int
+	eligibleChunks []int     // that it may set
+	writtenChunks  []int     // chunks that it sets
+	writtenTasks   []int     // tasks whose end it tells
+	finalStatus    JobStatus // of the job, or ""
 }
 
 // writeJob stores what has become of a job's tasks, or its end.
-func (c *Core) writeJob(j *job, prio int) {
-	if j.final != "" {
+func (c *Controller) writeJob(j *job, prio int) {
+	if j.finalStatus != "" {
 		return
 	}
-	if j.writing {
-		j.again = true
-		if prio < prioLazy {
-			c.writer.promote(j.key(0), prio)
+	if j.writeQueued {
+		j.rewriteNeeded = true
+		if prio < priorityBackground {
+			c.writeQueue.raisePriority(j.chunkKey(0), prio)
 		}
 		return
 	}
-	j.writing, j.again = true, false
-	keys, chunks := j.writeKeys(c.cfg.TxnOps)
-	w := &jobWrite{core: c, job: j, prio: prio, chunks: chunks}
-	c.writer.add(prio, &write{
-		part:     j.part,
-		keys:     keys,
-		build:    w.build,
-		ok:       w.stored,
-		conflict: w.refused,
-		tooLarge: w.tooLarge,
-		lost:     w.over,
+	j.writeQueued, j.rewriteNeeded = true, false
+	keys, chunks := j.selectWriteKeys(c.config.MaxTxnOps)
+	w := &jobWrite{controller: c, job: j, priority: prio, eligibleChunks: chunks}
+	c.writeQueue.enqueue(prio, &queuedWrite{
+		shardID:         j.shard,
+		keys:            keys,
+		build:           w.build,
+		onApplied:       w.handleStored,
+		onConflict:      w.handleConflict,
+		onTooLarge:      w.handleTooLarge,
+		onOwnershipLost: w.finish,
 	})
 }
 
 // build makes the records of the chunks that have changed; of a job that ends,
 // its own record and the removal of all others.
-func (w *jobWrite) build(nonce string) ([]TxnOp, []Mark) {
+func (w *jobWrite) build(nonce string) ([]TxnOp, []ModRevision) {
 	j := w.job
-	j.again = false
-	w.wrote, w.outcomes, w.end = nil, nil, j.endNow()
-	j.ending = w.end != ""
+	j.rewriteNeeded = false
+	w.writtenChunks, w.writtenTasks, w.finalStatus = nil, nil, j.currentFinalStatus()
+	j.endInFlight = w.finalStatus != ""
 	var ops []TxnOp
-	var marks []Mark
-	for _, chunk := range w.chunks {
-		if w.unchanged(chunk) {
+	var marks []ModRevision
+	for _, chunk := range w.eligibleChunks {
+		if w.isChunkUnchanged(chunk) {
 			continue
 		}
-		ops = append(ops, TxnOp{j.key(chunk), w.record(chunk, nonce)})
-		marks = append(marks, j.marks[chunk])
-		w.wrote = append(w.wrote, chunk)
+		ops = append(ops, TxnOp{j.chunkKey(chunk), w.chunkRecord(chunk, nonce)})
+		marks = append(marks, j.modRevisions[chunk])
+		w.writtenChunks = append(w.writtenChunks, chunk)
 	}
 	if len(ops) == 0 {
-		j.writing = false
+		j.writeQueued = false
 		return nil, nil
 	}
 	return ops, marks
 }
 
 // endNow is the final state that a job is in by what is known here, or "".
-func (j *job) endNow() Status {
+func (j *job) currentFinalStatus() JobStatus {
 	switch {
-	case j.done == j.spec.Tasks:
-		return StDone
+	case j.completedCount == j.spec.Tasks:
+		return JobDone
 	case j.cancelling:
-		return StCancelled
+		return JobCancelled
 	}
 	return ""
 }
 
 // unchanged tells whether a chunk needs no write: of a job that goes on one
 // without new outcomes, of one that ends one that was never stored.
-func (w *jobWrite) unchanged(chunk int) bool {
-	if w.end == "" {
-		return !w.job.dirty[chunk]
+func (w *jobWrite) isChunkUnchanged(chunk int) bool {
+	if w.finalStatus == "" {
+		return !w.job.dirtyChunks[chunk]
 	}
-	return chunk > 0 && w.job.marks[chunk] == 0
+	return chunk > 0 && w.job.modRevisions[chunk] == 0
 }
 
 // record is what a chunk's key is set to; nil: it is removed. It notes the
 // outcomes that the record tells.
-func (w *jobWrite) record(chunk int, nonce string) []byte {
-	rec := jobRecord{W: nonce}
-	fits := chunkTasks
-	if w.end != "" {
-		w.fillEnd(&rec)
+func (w *jobWrite) chunkRecord(chunk int, nonce string) []byte {
+	rec := jobRecord{WriteID: nonce}
+	fits := tasksPerChunk
+	if w.finalStatus != "" {
+		w.fillFinalStatus(&rec)
 	} else {
-		fits = w.fillOutcomes(&rec, chunk)
+		fits = w.fillCompletedIndexes(&rec, chunk)
 	}
-	for i, state := range w.job.chunk(chunk) {
-		if state == tDone && i < fits {
-			w.outcomes = append(w.outcomes, chunk*chunkTasks+i)
+	for i, state := range w.job.chunkStates(chunk) {
+		if state == taskCompleted && i < fits {
+			w.writtenTasks = append(w.writtenTasks, chunk*tasksPerChunk+i)
 		}
 	}
-	if chunk > 0 && w.end != "" {
+	if chunk > 0 && w.finalStatus != "" {
 		return nil
 	}
 	v, _ := json.Marshal(rec)
 	return v
 }
 
-func (w *jobWrite) fillEnd(rec *jobRecord) {
+func (w *jobWrite) fillFinalStatus(rec *jobRecord) {
 	spec := &w.job.spec
-	rec.State, rec.Team, rec.Tasks = w.end, spec.Team, spec.Tasks
-	if w.end == StCancelled {
-		rec.Need = &spec.Need
+	rec.FinalStatus, rec.Team, rec.Tasks = w.finalStatus, spec.Team, spec.Tasks
+	if w.finalStatus == JobCancelled {
+		rec.ResourceRequest = &spec.ResourceRequest
 	}
 }
 
 // fillOutcomes lists a chunk's tasks that are done. From the index it returns
 // on, they did not fit.
-func (w *jobWrite) fillOutcomes(rec *jobRecord, chunk int) int {
-	room := w.core.cfg.ValueBytes * 9 / 10
+func (w *jobWrite) fillCompletedIndexes(rec *jobRecord, chunk int) int {
+	room := w.controller.config.MaxValueBytes * 9 / 10
 	if chunk == 0 {
 		rec.Spec = &w.job.spec
 		v, _ := json.Marshal(rec)
 		room -= len(v)
 	}
 	fits := 0
-	rec.Done, fits = encodeDone(w.job.chunk(chunk), room)
+	rec.CompletedIndexes, fits = encodeCompleted(w.job.chunkStates(chunk), room)
 	return fits
 }
 
 // stored takes in that the last record built is stored.
-func (w *jobWrite) stored(e Epoch) {
+func (w *jobWrite) handleStored(e Revision) {
 	j := w.job
-	w.over()
-	for _, chunk := range w.wrote {
-		j.marks[chunk] = Mark(e)
+	w.finish()
+	for _, chunk := range w.writtenChunks {
+		j.modRevisions[chunk] = ModRevision(e)
 	}
-	for _, i := range w.outcomes {
-		j.state[i] = tStored
+	for _, i := range w.writtenTasks {
+		j.taskStates[i] = taskCompletionStored
 	}
 	// Only now: a build whose transaction failed must be built again.
-	j.findDirty()
-	if w.core.jobs.holds(j) {
-		w.core.releaseDone(j)
+	j.recomputeDirtyChunks()
+	if w.controller.jobs.owns(j) {
+		w.controller.acknowledgeStoredTasks(j)
 	}
-	if w.end != "" {
-		w.core.dropChunks(j, w.wrote)
-		w.core.jobEnded(j, w.end)
-	} else if j.again {
-		w.core.writeJob(j, prioDone)
+	if w.finalStatus != "" {
+		w.controller.deleteLeftoverChunks(j, w.writtenChunks)
+		w.controller.handleJobEnd(j, w.finalStatus)
+	} else if j.rewriteNeeded {
+		w.controller.writeJob(j, priorityOutcome)
 	}
 }
 
 // findDirty works out which chunks have outcomes that are not stored.
-func (j *job) findDirty() {
-	for chunk := range j.dirty {
-		j.dirty[chunk] = false
+func (j *job) recomputeDirtyChunks() {
+	for chunk := range j.dirtyChunks {
+		j.dirtyChunks[chunk] = false
 	}
-	for i, state := range j.state {
-		if state == tDone {
-			j.dirty[i/chunkTasks] = true
+	for i, state := range j.taskStates {
+		if state == taskCompleted {
+			j.dirtyChunks[i/tasksPerChunk] = true
 		}
 	}
 }
 
 // refused follows a conflict with another writer.
-func (w *jobWrite) refused() {
+func (w *jobWrite) handleConflict() {
 	j := w.job
-	w.over()
-	if !w.core.jobs.holds(j) {
+	w.finish()
+	if !w.controller.jobs.owns(j) {
 		return
 	}
-	if j.marks[0] == 0 {
-		w.core.ownRecord(j, w.prio)
+	if j.modRevisions[0] == 0 {
+		w.controller.resolveFirstRecordConflict(j, w.priority)
 		return
 	}
-	w.core.broken(w.core.parts[j.part], j.key(0), "changed by another writer")
+	w.controller.giveUpCorruptShard(w.controller.shards[j.shard], j.chunkKey(0), "changed by another writer")
 }
 
 // tooLarge follows the store's refusal of a record by its length. The job was
 // accepted under higher limits: its outcomes wait for its end, whose record is
 // short.
-func (w *jobWrite) tooLarge() {
-	w.over()
-	w.job.tooLong = true
+func (w *jobWrite) handleTooLarge() {
+	w.finish()
+	w.job.recordTooLarge = true
 }
 
 // over notes that the write is no longer under way.
-func (w *jobWrite) over() { w.job.writing, w.job.ending = false, false }
+func (w *jobWrite) finish() { w.job.writeQueued, w.job.endInFlight = false, false }
 
 // writeKeys picks the keys that a write of a job may set, within the changes that
 // a transaction may have: its own record, and further chunks that have changed or
 // exist. What does not fit has its turn in the next write.
-func (j *job) writeKeys(ops int) ([]string, []int) {
-	keys, chunks := []string{j.key(0)}, []int{0}
+func (j *job) selectWriteKeys(ops int) ([]string, []int) {
+	keys, chunks := []string{j.chunkKey(0)}, []int{0}
 	for _, changed := range []bool{true, false} {
-		for k := 1; k < len(j.marks) && len(keys) < ops; k++ {
-			if j.dirty[k] == changed && (changed || j.marks[k] != 0) {
-				keys, chunks = append(keys, j.key(k)), append(chunks, k)
+		for k := 1; k < len(j.modRevisions) && len(keys) < ops; k++ {
+			if j.dirtyChunks[k] == changed && (changed || j.modRevisions[k] != 0) {
+				keys, chunks = append(keys, j.chunkKey(k)), append(chunks, k)
 			}
 		}
 	}
@@ -211,10 +211,10 @@
 
 // dropChunks removes the outcomes of a job that is over which its last write had
 // no room to remove.
-func (c *Core) dropChunks(j *job, wrote []int) {
-	for k := 1; k < len(j.marks); k++ {
-		if j.marks[k] != 0 && !slices.Contains(wrote, k) {
-			c.dropKey(c.parts[j.part], j.key(k), j.marks[k])
+func (c *Controller) deleteLeftoverChunks(j *job, wrote []int) {
+	for k := 1; k < len(j.modRevisions); k++ {
+		if j.modRevisions[k] != 0 && !slices.Contains(wrote, k) {
+			c.deleteKeyInBackground(c.shards[j.shard], j.chunkKey(k), j.modRevisions[k])
 		}
 	}
 }
@@ -222,19 +222,19 @@
 // ownRecord follows the conflict of a job's first own record: the job came in
 // twice at once, and its other acceptance has written one. That says no more
 // than the acceptance here.
-func (c *Core) ownRecord(j *job, prio int) {
-	c.get(j.key(0), func(r GetReply) {
-		if !c.jobs.holds(j) || j.writing || j.marks[0] != 0 {
+func (c *Controller) resolveFirstRecordConflict(j *job, prio int) {
+	c.readKey(j.chunkKey(0), func(r GetReply) {
+		if !c.jobs.owns(j) || j.writeQueued || j.modRevisions[0] != 0 {
 			return
 		}
 		var rec jobRecord
 		switch {
-		case r.Out != OK:
-			c.after(second/2, func() { c.ownRecord(j, prio) })
-		case json.Unmarshal(r.KV.Value, &rec) != nil || rec.Spec == nil || rec.Done != "" || rec.State != "":
-			c.broken(c.parts[j.part], j.key(0), "changed by another writer")
+		case r.Outcome != OK:
+			c.after(second/2, func() { c.resolveFirstRecordConflict(j, prio) })
+		case json.Unmarshal(r.KV.Value, &rec) != nil || rec.Spec == nil || rec.CompletedIndexes != "" || rec.FinalStatus != "":
+			c.giveUpCorruptShard(c.shards[j.shard], j.chunkKey(0), "changed by another writer")
 		default:
-			j.marks[0] = r.KV.Mark
+			j.modRevisions[0] = r.KV.ModRevision
 			c.writeJob(j, prio)
 		}
 	})
--- a/internal/core/late_claim_answer_test.go
+++ b/internal/core/late_acquire_reply_test.go
@@ -4,21 +4,21 @@
 
 // answerPing lets a peer, whose present run has been known for long, answer a
 // call that was sent now with the latest term that it knows of part 0.
-func answerPing(b *coreHarness, id NodeID, term Term) {
+func answerProbe(b *controllerHarness, id NodeID, term Term) {
 	peer := b.peers[id]
-	peer.boot, peer.bootAt = "boot-"+string(id), 50*second
-	b.heardPing(peer, Ping{Boot: peer.boot, Terms: []Term{term, 1, 1}}, b.now)
+	peer.instanceID, peer.instanceSeenAt = "boot-"+string(id), 50*second
+	b.applyPingReply(peer, Ping{InstanceID: peer.instanceID, KnownTerms: []Term{term, 1, 1}}, b.now)
 }
 
 // sendClaim makes the controller claim part 0 and returns the transaction, which
 // has no answer yet.
-func sendClaim(t *testing.T, b *coreHarness) StoreTxn {
+func sendAcquire(t *testing.T, b *controllerHarness) StoreTxn {
 	t.Helper()
-	part := b.parts[0]
-	part.held, part.ready, part.provenAt = false, false, 0
-	b.claimPart(part)
-	b.writer.pump()
-	for _, effect := range b.out {
+	part := b.shards[0]
+	part.owned, part.ready, part.confirmedAt = false, false, 0
+	b.acquireShard(part)
+	b.writeQueue.dispatch()
+	for _, effect := range b.effects {
 		if claim, ok := effect.(StoreTxn); ok {
 			return claim
 		}
@@ -33,7 +33,7 @@
 // that has been succeeded already: hearTerms ignored the later term, as the part
 // was not held yet, so nothing but the comparison of terms in wordOn keeps that
 // peer's answer from counting as its word that there is no later claim.
-func TestLaterTermHeardBeforeClaimAnswer(t *testing.T) {
+func TestLaterTermSeenBeforeAcquireReply(t *testing.T) {
 	const ownTerm = 2
 	for _, test := range []struct {
 		name     string
@@ -44,26 +44,26 @@
 		{"the peer has claimed the part since", ownTerm + 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newCoreHarness()
-			part := b.parts[0]
-			claim := sendClaim(t, b)
+			b := newControllerHarness()
+			part := b.shards[0]
+			claim := sendAcquire(t, b)
 			sent := b.now
 
 			b.now += 3 * second
 			heard := b.now
-			answerPing(b, "n1", test.heard)
-			answerPing(b, "n2", ownTerm)
+			answerProbe(b, "n1", test.heard)
+			answerProbe(b, "n2", ownTerm)
 
 			b.now += second
-			b.calls[claim.Call](TxnReply{Out: OK, Epoch: 40})
-			if !part.held || part.term != ownTerm {
-				t.Fatalf("held %v, term %d; want the part held with term %d", part.held, part.term, ownTerm)
+			b.pendingCalls[claim.Call](TxnReply{Outcome: OK, Revision: 40})
+			if !part.owned || part.term != ownTerm {
+				t.Fatalf("held %v, term %d; want the part held with term %d", part.owned, part.term, ownTerm)
 			}
 			want := sent
 			if test.wordHeld {
 				want = heard
 			}
-			if got := b.certainAt(part); got != want {
+			if got := b.ownershipConfirmedAt(part); got != want {
 				t.Errorf("certain as of %d s, want %d s", got/second, want/second)
 			}
 		})
--- a/internal/core/machine_bytes_test.go
+++ b/internal/core/machine_bytes_test.go
@@ -15,7 +15,7 @@
 		b.Run(fmt.Sprintf("%d-machines", machines), func(b *testing.B) {
 			for range b.N {
 				before := heapBytes()
-				c := coreWithMachines(machines)
+				c := controllerWithMachines(machines)
 				b.ReportMetric(float64(heapBytes()-before)/float64(machines), "bytes/machine")
 				runtime.KeepAlive(c)
 			}
@@ -32,22 +32,22 @@
 
 // coreWithMachines is a controller that holds so many machines, each with three
 // tasks of one of many jobs.
-func coreWithMachines(machines int) *coreHarness {
+func controllerWithMachines(machines int) *controllerHarness {
 	const groupSize, tasks = 51, 3
-	b := newCoreHarness()
-	p := b.parts[0]
-	var g *group
+	b := newControllerHarness()
+	p := b.shards[0]
+	var g *machineGroup
 	for i := range machines {
 		if i%groupSize == 0 {
 			g = b.newGroup(p, fmt.Sprintf("g%05d", i), 31)
 		}
 		id := MachineID(fmt.Sprintf("m-%06d", i))
 		m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "10.1.0.232:9000"}, 31)
-		j := b.job(JobID(fmt.Sprintf("j-%06d", i)), tasks)
+		j := b.addTestJob(JobID(fmt.Sprintf("j-%06d", i)), tasks)
 		for k := range tasks {
-			a := &assign{task: TaskID{Job: j.spec.ID, Index: k}, job: j, need: j.spec.Need, mach: m.id, attempt: p.nextAttempt(), phase: aSeen, state: Running}
-			m.addAssign(a)
-			j.setPlaced(k, a)
+			a := &assignment{task: TaskID{Job: j.spec.ID, Index: k}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: p.nextAttempt(), phase: phaseAcknowledged, state: Running}
+			m.addAssignment(a)
+			j.setAssigned(k, a)
 		}
 	}
 	return b
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -9,187 +9,187 @@
 
 // Phases of a task on a machine. The machine's stored record lists every task
 // from aReady on; a task leaves m.assigns only after a stored record without it.
-type phase uint8
+type assignmentPhase uint8
 
 const (
-	aRecording phase = iota // the record that lists it is not stored yet
-	aReady                  // recorded, the start may be sent
-	aSent                   // the start was sent, no report has shown it
-	aSeen                   // a report has shown it
-	aEnded                  // a report has shown it ended
-	aDoubt                  // listed by an earlier holder's record, not compared yet
+	phaseRecording    assignmentPhase = iota // the record that lists it is not stored yet
+	phaseReady                               // recorded, the start may be sent
+	phaseDispatched                          // the start was sent, no report has shown it
+	phaseAcknowledged                        // a report has shown it
+	phaseEnded                               // a report has shown it ended
+	phaseUnverified                          // listed by an earlier holder's record, not compared yet
 )
 
 // assign is a task that is, or may be, on a machine.
-type assign struct {
-	task      TaskID
-	mach      MachineID
-	job       *job
-	attempt   Attempt
-	phase     phase
-	cause     Cause
-	need      Res
-	gone      bool // proven not to be on the machine; waits for the record to say so
-	counted   bool // in its machine's use
-	unlisted  bool // completed, and the stored record does not list it any more
-	viaOrders bool
-	sentStamp Stamp
-	state     TaskState
-	stop      bool // is to be stopped
-	grace     float64
-	stopSent  Time
-	stopAt    Time // when its stop was decided
-	runAt     Time
-	partial   bool // its start was not seen
+type assignment struct {
+	task                 TaskID
+	machineID            MachineID
+	job                  *job
+	attempt              Attempt
+	phase                assignmentPhase
+	cause                Cause
+	resourceRequest      Resources
+	confirmedAbsent      bool // proven not to be on the machine; waits for the record to say so
+	countedInUsage       bool // in its machine's use
+	removedFromRecord    bool // completed, and the stored record does not list it any more
+	pushed               bool
+	dispatchedAtSequence SequenceNumber
+	state                TaskState
+	stopRequested        bool // is to be stopped
+	gracePeriod          float64
+	stopSentAt           Time
+	stopRequestedAt      Time // when its stop was decided
+	runningSince         Time
+	startUnobserved      bool // its start was not seen
 }
 
 // start is one start of a task. A worker may hold two at once: it refuses a
 // second attempt as busy and reports both.
-type start struct {
+type taskAttempt struct {
 	task    TaskID
 	attempt Attempt
 }
 
-func (a *assign) start() start { return start{a.task, a.attempt} }
+func (a *assignment) taskAttempt() taskAttempt { return taskAttempt{a.task, a.attempt} }
 
 // completed tells whether a report has shown that the task has run to its end.
-func (a *assign) completed() bool { return a.phase == aEnded && a.cause == CauseDone }
+func (a *assignment) isCompleted() bool { return a.phase == phaseEnded && a.cause == CauseCompleted }
 
-func (a *assign) live() bool { return a.phase != aEnded && !a.gone }
+func (a *assignment) isLive() bool { return a.phase != phaseEnded && !a.confirmedAbsent }
 
-type image struct {
-	name string
-	gb   float64
+type cachedImage struct {
+	name   string
+	sizeGB float64
 }
 
 // machine of a part held here.
 type machine struct {
-	id        MachineID
-	part      Part
-	group     *group
-	addr      string
-	typ       string
-	zone      string
-	spot      bool
-	token     Token
-	acked     bool  // the worker's highest token is ours
-	taken     bool  // taken over with its part, and not so since
-	unackedAt Time  // since when it is not
-	outbid    bool  // its worker has seen a higher token
-	first     Token // of a machine that only this claim has ever owned: its token; else 0
-	since     Time  // when this node began to own it
-	booting   bool
+	id                           MachineID
+	shardID                      ShardID
+	group                        *machineGroup
+	address                      string
+	machineType                  string
+	zone                         string
+	spot                         bool
+	token                        FencingToken
+	tokenAcknowledged            bool         // the worker's highest token is ours
+	awaitingFirstAcknowledgement bool         // taken over with its part, and not so since
+	unacknowledgedSince          Time         // since when it is not
+	fencedOff                    bool         // its worker has seen a higher token
+	initialToken                 FencingToken // of a machine that only this claim has ever owned: its token; else 0
+	ownedSince                   Time         // when this node began to own it
+	booting                      bool
 
-	session Session
-	stamp   Stamp
-	heard   Time
-	assigns map[TaskID]*assign
-	use     machineUse
-	reap    map[start]bool // ended, the record no longer lists it
-	kill    map[start]bool // running without being listed
-	stored  int            // tasks in the stored record
+	incarnation        Incarnation
+	sequenceNumber     SequenceNumber
+	lastHeartbeat      Time
+	assignments        map[TaskID]*assignment
+	usage              machineUsage
+	endedToAcknowledge map[taskAttempt]bool // ended, the record no longer lists it
+	unrecordedToStop   map[taskAttempt]bool // running without being listed
+	recordedTaskCount  int                  // tasks in the stored record
 
-	bumping  bool // a higher token is to be stored
-	unsure   bool // a start sent by /orders may yet arrive
-	unlisted bool // not in the cloud's list when it was last read
-	dead     bool // the cloud has taken it back; the record has to say so
+	raisingToken         bool // a higher token is to be stored
+	startInDoubt         bool // a start sent by /orders may yet arrive
+	missingFromCloudList bool // not in the cloud's list when it was last read
+	terminated           bool // the cloud has taken it back; the record has to say so
 
-	returning  bool
-	returned   bool // the record says so, the cloud may be called
-	calling    bool
-	draining   bool
-	noticeAt   Time
-	notBefore  Time // no new starts before
-	errors     int
-	failedJobs map[JobID]bool
-	images     []image
-	timed      int     // tasks whose pace was compared with their job's others
-	pace       float64 // smoothed run time over theirs
-	lateHits   int
+	releasing           bool
+	releaseConfirmed    bool // the record says so, the cloud may be called
+	scaleInCallInFlight bool
+	draining            bool
+	preemptionDeadline  Time
+	noStartsBefore      Time // no new starts before
+	taskErrors          int
+	failedJobs          map[JobID]bool
+	cachedImages        []cachedImage
+	paceSamples         int     // tasks whose pace was compared with their job's others
+	relativePace        float64 // smoothed run time over theirs
+	lateChecks          int
 
-	pending      ReqID
-	reportHeld   bool // among the reports that wait for the next look at all
-	pendingStamp Stamp
-	deadline     Time
-	ordersBusy   bool
-	ordersAt     Time
-	orderQueued  bool // to be called for its commands
-	idleSince    Time
-	yield        bool // gets nothing new: another part needs it more
-	retire       bool // as before, but only because it costs more than others
+	pendingHeartbeat      RequestID
+	heartbeatHeld         bool // among the reports that wait for the next look at all
+	pendingSequenceNumber SequenceNumber
+	replyDeadline         Time
+	pushInFlight          bool
+	lastPushAt            Time
+	pushQueued            bool // to be called for its commands
+	idleSince             Time
+	cordoned              bool // gets nothing new: another part needs it more
+	scaleInCandidate      bool // as before, but only because it costs more than others
 }
 
 // kind is what the machine has in common with others of its rental.
 func (m *machine) kind() grouprecord.Kind {
-	return grouprecord.Kind{Type: m.typ, Zone: m.zone, Spot: m.spot}
+	return grouprecord.Kind{Type: m.machineType, Zone: m.zone, Spot: m.spot}
 }
 
 // tasks is how many tasks the machine's record lists.
-func (m *machine) tasks() int { return len(m.assigns) }
+func (m *machine) taskCount() int { return len(m.assignments) }
 
-func (c *Core) addMachine(g *group, l grouprecord.Machine, token Token) *machine {
-	m := &machine{id: l.ID, part: g.part, group: g, addr: l.Address, typ: l.Kind.Type, zone: l.Kind.Zone, spot: l.Kind.Spot, token: token,
-		since: c.now, heard: c.now, idleSince: c.now, unackedAt: c.now, booting: l.Booting,
-		assigns: map[TaskID]*assign{}, reap: map[start]bool{}, kill: map[start]bool{}, failedJobs: map[JobID]bool{}}
+func (c *Controller) addMachine(g *machineGroup, l grouprecord.Machine, token FencingToken) *machine {
+	m := &machine{id: l.ID, shardID: g.shardID, group: g, address: l.Address, machineType: l.Kind.Type, zone: l.Kind.Zone, spot: l.Kind.Spot, token: token,
+		ownedSince: c.now, lastHeartbeat: c.now, idleSince: c.now, unacknowledgedSince: c.now, booting: l.Booting,
+		assignments: map[TaskID]*assignment{}, endedToAcknowledge: map[taskAttempt]bool{}, unrecordedToStop: map[taskAttempt]bool{}, failedJobs: map[JobID]bool{}}
 	if old := c.machines[m.id]; old != nil { // never two pictures of one machine
 		c.removeMachine(old)
-		m.assigns = old.assigns
+		m.assignments = old.assignments
 	}
-	p := c.parts[m.part]
-	m.use.teams = p.use
-	for _, a := range m.assigns {
-		m.use.count(a)
+	p := c.shards[m.shardID]
+	m.usage.byTeam = p.usage
+	for _, a := range m.assignments {
+		m.usage.add(a)
 	}
 	g.machines[m.id] = m
 	c.machines[m.id] = m
 	i := sort.Search(len(p.machines), func(i int) bool { return p.machines[i].id >= m.id })
 	p.machines = slices.Insert(p.machines, i, m)
-	delete(c.owners, m.id)
+	delete(c.machineOwners, m.id)
 	return m
 }
 
-func (c *Core) removeMachine(m *machine) {
+func (c *Controller) removeMachine(m *machine) {
 	if c.machines[m.id] == m {
 		delete(c.machines, m.id)
 	}
 	delete(m.group.machines, m.id)
-	for _, a := range m.assigns {
-		m.use.uncount(a)
+	for _, a := range m.assignments {
+		m.usage.remove(a)
 	}
-	p := c.parts[m.part]
+	p := c.shards[m.shardID]
 	if i := slices.Index(p.machines, m); i >= 0 {
 		p.machines = slices.Delete(slices.Clone(p.machines), i, i+1) // somebody may be walking the old list
 	}
 }
 
-func (m *machine) addAssign(a *assign) {
-	if old := m.assigns[a.task]; old != nil { // the same task listed twice
-		m.use.uncount(old)
+func (m *machine) addAssignment(a *assignment) {
+	if old := m.assignments[a.task]; old != nil { // the same task listed twice
+		m.usage.remove(old)
 	}
-	m.assigns[a.task] = a
-	a.job.on[a] = true
-	m.use.count(a)
+	m.assignments[a.task] = a
+	a.job.listedAssignments[a] = true
+	m.usage.add(a)
 }
 
 // dropMachine forgets a machine that is no longer ours.
-func (c *Core) dropMachine(m *machine) {
+func (c *Controller) dropMachine(m *machine) {
 	c.removeMachine(m)
-	if m.pending != 0 {
-		c.redirect(m.pending, c.parts[m.part].holder)
-		m.pending = 0
+	if m.pendingHeartbeat != 0 {
+		c.redirectWorker(m.pendingHeartbeat, c.shards[m.shardID].owner)
+		m.pendingHeartbeat = 0
 	}
 }
 
-func (c *Core) redirect(req ReqID, to NodeID) {
-	if to == c.cfg.Self {
+func (c *Controller) redirectWorker(req RequestID, to NodeID) {
+	if to == c.config.Self {
 		to = ""
 	}
-	c.emit(Respond{Req: req, Status: ReplyElsewhere, Worker: &WorkerAnswer{Redirect: to}})
+	c.emit(Respond{Request: req, Status: ReplyMisdirected, Heartbeat: &HeartbeatResponse{RedirectTo: to}})
 }
 
-func (m *machine) sorted() []*assign {
-	l := make([]*assign, 0, len(m.assigns))
-	for _, a := range m.assigns {
+func (m *machine) sortedAssignments() []*assignment {
+	l := make([]*assignment, 0, len(m.assignments))
+	for _, a := range m.assignments {
 		l = append(l, a)
 	}
 	sort.Slice(l, func(i, k int) bool {
@@ -200,9 +200,9 @@
 }
 
 // busy tells whether a report has shown a task that is still running.
-func (m *machine) busy() bool {
-	for _, a := range m.assigns {
-		if a.phase == aSeen && !a.gone {
+func (m *machine) hasRunningTask() bool {
+	for _, a := range m.assignments {
+		if a.phase == phaseAcknowledged && !a.confirmedAbsent {
 			return true
 		}
 	}
@@ -211,56 +211,56 @@
 
 // removeAssign follows a stored record that no longer lists the task: from
 // here on it may be started elsewhere.
-func (c *Core) removeAssign(m *machine, a *assign) {
-	if m.assigns[a.task] != a {
+func (c *Controller) removeAssignment(m *machine, a *assignment) {
+	if m.assignments[a.task] != a {
 		return
 	}
-	delete(m.assigns, a.task)
-	m.use.uncount(a)
-	if a.phase == aEnded {
-		m.reap[a.start()] = true
+	delete(m.assignments, a.task)
+	m.usage.remove(a)
+	if a.phase == phaseEnded {
+		m.endedToAcknowledge[a.taskAttempt()] = true
 	}
-	c.freeTask(a)
-	if len(m.assigns) == 0 {
+	c.unassignTask(a)
+	if len(m.assignments) == 0 {
 		m.idleSince = c.now
 	}
 }
 
-func (c *Core) freeTask(a *assign) {
+func (c *Controller) unassignTask(a *assignment) {
 	j := a.job
-	delete(j.on, a)
-	if j.where[a.task.Index] == a {
+	delete(j.listedAssignments, a)
+	if j.assignments[a.task.Index] == a {
 		j.setPending(a.task.Index)
 		// Two machines may be listed with one task after a take-over: it waits
 		// for the other too.
-		var other *assign
-		for b := range j.on {
-			if b != a && b.task == a.task && (other == nil || b.mach < other.mach) {
+		var other *assignment
+		for b := range j.listedAssignments {
+			if b != a && b.task == a.task && (other == nil || b.machineID < other.machineID) {
 				other = b
 			}
 		}
 		if other != nil {
-			j.setPlaced(a.task.Index, other)
+			j.setAssigned(a.task.Index, other)
 		}
 	}
-	if j.final != "" && len(j.where) == 0 && c.jobs.holds(j) {
-		c.removeJob(j)
+	if j.finalStatus != "" && len(j.assignments) == 0 && c.jobs.owns(j) {
+		c.removeOwnedJob(j)
 	}
-	c.placement.request()
+	c.schedulingTrigger.request()
 }
 
 // checkOwner finds out whether a machine was moved to another part.
-func (c *Core) checkOwner(m *machine) {
-	m.outbid = true
+func (c *Controller) checkOwner(m *machine) {
+	m.fencedOff = true
 	c.checkGroup(m.group)
 }
 
 // bump raises a machine's token. Whatever was sent under the lower one can't
 // be executed any more once the worker has acknowledged the new one.
-func (c *Core) bump(m *machine) {
-	if m.bumping || m.returning {
+func (c *Controller) raiseToken(m *machine) {
+	if m.raisingToken || m.releasing {
 		return
 	}
-	m.bumping = true
-	c.writeMachine(m, prioStart)
+	m.raisingToken = true
+	c.writeMachine(m, priorityStart)
 }
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -7,13 +7,13 @@
 // Maintenance of the machines held here: tokens are raised, silent and idle ones
 // returned.
 
-func (c *Core) booted(m *machine) {
-	c.logf(LogDebug, "machine up", "machine", string(m.id), "type", m.typ, "after_s", int((c.now-m.since)/second))
+func (c *Controller) handleMachineBooted(m *machine) {
+	c.log(LogDebug, "machine up", "machine", string(m.id), "type", m.machineType, "after_s", int((c.now-m.ownedSince)/second))
 	m.idleSince = c.now // it has not been idle while it booted
-	c.placement.request()
+	c.schedulingTrigger.request()
 }
 
-const sweepEvery = second / 2
+const maintenanceInterval = second / 2
 
 // maxTokenCalls bounds how many workers are called at once to raise their
 // tokens, so that a take-over of hundreds does not use up sockets and
@@ -22,85 +22,85 @@
 
 // machineSweep looks after the machines: raises tokens, gives up the silent,
 // returns the idle and replaces slow boots.
-func (c *Core) machineSweep() {
-	reporting := c.workerContact.reporting(c.now, c.cfg.ReportEvery)
+func (c *Controller) maintainMachines() {
+	reporting := c.workerReachability.hasOwnedHeartbeatWithin(c.now, c.config.HeartbeatInterval)
 	var ms []*machine
-	for _, p := range c.parts {
-		if p.held && p.ready {
+	for _, p := range c.shards {
+		if p.owned && p.ready {
 			ms = append(ms, p.machines...)
 		}
 	}
-	c.counters.visiting(ms)
-	c.callMachines(ms)
-	s := &machineSweeping{core: c, reporting: reporting, useless: c.idleJudge()}
+	c.counters.addMachineScans(ms)
+	c.pushMaintenanceCommands(ms)
+	s := &machineMaintenance{controller: c, workersReporting: reporting, isSurplus: c.surplusPredicate()}
 	for _, m := range ms {
-		s.sweep(m)
+		s.maintain(m)
 	}
 }
 
 // machineSweeping is one look at the machines held here.
-type machineSweeping struct {
-	core      *Core
-	reporting bool                // reports of some machines come in
-	useless   func(*machine) bool // an idle machine is of no use to any part
+type machineMaintenance struct {
+	controller       *Controller
+	workersReporting bool                // reports of some machines come in
+	isSurplus        func(*machine) bool // an idle machine is of no use to any part
 }
 
 // sweep looks after one machine.
-func (s *machineSweeping) sweep(m *machine) {
-	c := s.core
+func (s *machineMaintenance) maintain(m *machine) {
+	c := s.controller
 	if m.spot && !m.booting {
-		c.spotLosses.served(sweepEvery)
+		c.spotInterruptions.addServed(maintenanceInterval)
 	}
-	if c.storeLost(second) && !m.returned && (c.hangsWithCancelled(m) || c.ignoresStop(m)) {
-		c.returnUnrecorded(m)
+	if c.isStoreUnavailableFor(second) && !m.releaseConfirmed && (c.hangsWithCancelledTasks(m) || c.ignoresStop(m)) {
+		c.scaleInBeforeRecorded(m)
 	}
-	if m.returning {
-		if m.returned && !m.calling {
-			c.returnSoon()
+	if m.releasing {
+		if m.releaseConfirmed && !m.scaleInCallInFlight {
+			c.scheduleScaleIn()
 		}
 		return
 	}
-	if c.storeLost(second) {
+	if c.isStoreUnavailableFor(second) {
 		return
 	}
-	c.checkPace(m)
+	c.handleSlowMachine(m)
 	if m.booting {
-		if s.bootsTooLong(m) {
-			c.returnMachine(m, "never came up")
+		if s.isBootTimedOut(m) {
+			c.scaleInMachine(m, "never came up")
 		}
 		return
 	}
-	if why := s.stuckWithCancelled(m); why != "" {
-		c.returnMachine(m, why)
+	if why := s.stopFailureReason(m); why != "" {
+		c.scaleInMachine(m, why)
 		return
 	}
-	if why := s.silence(m); why != "" {
-		c.lostSpot(m)
-		c.returnMachine(m, why)
+	if why := s.silenceReason(m); why != "" {
+		c.countSpotLoss(m)
+		c.scaleInMachine(m, why)
 		return
 	}
-	if why := s.unneeded(m); why != "" {
-		c.returnMachine(m, why)
+	if why := s.scaleInReason(m); why != "" {
+		c.scaleInMachine(m, why)
 	}
 }
 
-func (s *machineSweeping) bootsTooLong(m *machine) bool {
-	c := s.core
-	t := c.types[m.typ]
-	patience := Time((t.BootS*c.cfg.Tuning.BootPatience + 5) * float64(second))
-	return t.BootS > 0 && c.now-m.since > patience
+func (s *machineMaintenance) isBootTimedOut(m *machine) bool {
+	c := s.controller
+	t := c.machineTypes[m.machineType]
+	patience := Time((t.BootSeconds*c.config.Tuning.BootTimeoutFactor + 5) * float64(second))
+	return t.BootSeconds > 0 && c.now-m.ownedSince > patience
 }
 
 // stuckWithCancelled says why a machine can't be relied on to stop tasks, or "".
 // One that hangs with a cancelled job's tasks must be gone before its
 // cancellation's time is up.
-func (s *machineSweeping) stuckWithCancelled(m *machine) string {
+func (s *machineMaintenance) stopFailureReason(m *machine) string {
 	switch {
-	case s.core.hangsWithCancelled(m):
+	case s.controller.hangsWithCancelledTasks(m):
 		return "silent with cancelled tasks"
-	case s.core.ignoresStop(m):
+	case s.controller.ignoresStop(m):
 		return "does not stop a cancelled task"
-	case s.ignoresToken(m):
+	case s.isUnreachableForCommands(m):
 		return "deaf"
 	}
 	return ""
@@ -108,42 +108,42 @@
 
 // ignoresToken tells whether a machine's reports come, but nothing that is sent
 // to it has an effect.
-func (s *machineSweeping) ignoresToken(m *machine) bool {
-	c := s.core
-	if m.acked || m.bumping || m.session == 0 {
+func (s *machineMaintenance) isUnreachableForCommands(m *machine) bool {
+	c := s.controller
+	if m.tokenAcknowledged || m.raisingToken || m.incarnation == 0 {
 		return false
 	}
-	unacked := c.now - max(m.unackedAt, c.process.resumedAt)
-	return unacked > c.cfg.Lease+5*second && c.silentFor(m) < 3*c.cfg.Lease && c.now-m.since > c.cfg.Lease
+	unacked := c.now - max(m.unacknowledgedSince, c.processHealth.resumedAt)
+	return unacked > c.config.WorkerLease+5*second && c.heartbeatAge(m) < 3*c.config.WorkerLease && c.now-m.ownedSince > c.config.WorkerLease
 }
 
 // silence says how a machine counts as lost that is not heard any more, or "".
-func (s *machineSweeping) silence(m *machine) string {
-	c := s.core
-	silent, lease := c.silentFor(m), c.cfg.Lease
+func (s *machineMaintenance) silenceReason(m *machine) string {
+	c := s.controller
+	silent, lease := c.heartbeatAge(m), c.config.WorkerLease
 	switch {
-	case m.unlisted && silent > 5*c.cfg.ReportEvery/2 && s.reporting:
+	case m.missingFromCloudList && silent > 5*c.config.HeartbeatInterval/2 && s.workersReporting:
 		return "silent and not listed"
-	case silent > lease+5*second && (s.reporting || silent > 3*lease) && c.now-m.since > lease:
+	case silent > lease+5*second && (s.workersReporting || silent > 3*lease) && c.now-m.ownedSince > lease:
 		return "silent"
 	}
 	return ""
 }
 
 // unneeded says why a machine without tasks is to be given back, or "".
-func (s *machineSweeping) unneeded(m *machine) string {
-	c := s.core
+func (s *machineMaintenance) scaleInReason(m *machine) string {
+	c := s.controller
 	idleFor := c.now - m.idleSince
 	switch {
-	case m.draining && len(m.assigns) == 0 && c.now > m.noticeAt:
+	case m.draining && len(m.assignments) == 0 && c.now > m.preemptionDeadline:
 		return "drained"
-	case m.liveTasks() > 0:
+	case m.liveTaskCount() > 0:
 		return ""
-	case m.draining && m.noticeAt > 0:
+	case m.draining && m.preemptionDeadline > 0:
 		return "notice"
-	case m.yield && idleFor > 4*second && s.useless(m):
+	case m.cordoned && idleFor > 4*second && s.isSurplus(m):
 		return "retired"
-	case idleFor > c.cfg.Tuning.IdleReturn && s.useless(m) && c.silentFor(m) < 3*c.cfg.ReportEvery:
+	case idleFor > c.config.Tuning.ScaleInIdleTime && s.isSurplus(m) && c.heartbeatAge(m) < 3*c.config.HeartbeatInterval:
 		return "idle"
 	}
 	return ""
@@ -153,19 +153,19 @@
 // that run cancelled tasks and are silent: they may be unable to report and
 // still be reached. Machines with cancelled tasks come first: after a take-over
 // in an outage nothing but these calls may reach them.
-func (c *Core) callMachines(ms []*machine) {
+func (c *Controller) pushMaintenanceCommands(ms []*machine) {
 	asked := 0
 	for _, cancelled := range []bool{true, false} {
 		for _, m := range ms {
-			if m.returned || m.ordersBusy || m.addr == "" || m.booting || c.now-m.ordersAt <= 1500*milli || asked >= maxTokenCalls {
+			if m.releaseConfirmed || m.pushInFlight || m.address == "" || m.booting || c.now-m.lastPushAt <= 1500*millisecond || asked >= maxTokenCalls {
 				continue
 			}
-			if cancelled && c.holdsCancelled(m) && (!m.acked || c.silentFor(m) > 2*c.cfg.ReportEvery) {
+			if cancelled && c.hasCancelledTask(m) && (!m.tokenAcknowledged || c.heartbeatAge(m) > 2*c.config.HeartbeatInterval) {
 				asked++
-				c.sendOrders(m, onlyStops(c.commands(m, true)))
-			} else if !cancelled && !m.acked && !m.bumping && !m.returning {
+				c.pushCommands(m, onlyStops(c.commandsFor(m, true)))
+			} else if !cancelled && !m.tokenAcknowledged && !m.raisingToken && !m.releasing {
 				asked++
-				c.sendOrders(m, nil)
+				c.pushCommands(m, nil)
 			}
 		}
 	}
@@ -174,38 +174,40 @@
 // takenPatience is how long a machine taken over with cancelled tasks may take
 // to acknowledge its token. That a report of it came says nothing by itself: it
 // may be a copy that was held up until now, while the machine hangs.
-func (c *Core) takenPatience() Time { return max(5*second, 2*c.cfg.ReportEvery) }
+func (c *Controller) firstAcknowledgementTimeout() Time {
+	return max(5*second, 2*c.config.HeartbeatInterval)
+}
 
 // hangsWithCancelled tells whether a machine that may run tasks of a cancelled
 // job seems to hang, so that it has to be returned before the cancellation's time
 // is up.
-func (c *Core) hangsWithCancelled(m *machine) bool {
-	if !c.holdsCancelled(m) {
+func (c *Controller) hangsWithCancelledTasks(m *machine) bool {
+	if !c.hasCancelledTask(m) {
 		return false
 	}
-	if c.silentFor(m) > c.cfg.Lease+2*second {
+	if c.heartbeatAge(m) > c.config.WorkerLease+2*second {
 		return true
 	}
-	if !m.taken {
+	if !m.awaitingFirstAcknowledgement {
 		return false
 	}
-	if c.now-max(m.since, c.process.resumedAt) > c.takenPatience() {
+	if c.now-max(m.ownedSince, c.processHealth.resumedAt) > c.firstAcknowledgementTimeout() {
 		return true
 	}
-	return c.holdsLongCancelled(m) && m.ordersBusy && c.now-max(m.ordersAt, c.process.resumedAt) > slowCall
+	return c.hasLongCancelledTask(m) && m.pushInFlight && c.now-max(m.lastPushAt, c.processHealth.resumedAt) > slowPushThreshold
 }
 
 // slowCall is well above what a call takes to a machine that runs.
-const slowCall = 1500 * milli
+const slowPushThreshold = 1500 * millisecond
 
 // holdsLongCancelled tells whether half of the time for a cancellation has passed
 // since this process learnt of one whose tasks may be on a machine. Where each
 // holder of the part ended sooner than takenPatience, the rest may not be enough
 // for that either.
-func (c *Core) holdsLongCancelled(m *machine) bool {
-	for _, a := range m.assigns {
-		known := c.jobs.finished(a.task.Job)
-		if a.live() && known != nil && known.final == StCancelled && c.now-known.finalAt > c.cfg.CancelWithin/2 {
+func (c *Controller) hasLongCancelledTask(m *machine) bool {
+	for _, a := range m.assignments {
+		known := c.jobs.finalJob(a.task.Job)
+		if a.isLive() && known != nil && known.finalStatus == JobCancelled && c.now-known.finalSince > c.config.CancelDeadline/2 {
 			return true
 		}
 	}
@@ -213,15 +215,15 @@
 }
 
 // lostSpot notes a spot machine that went without notice.
-func (c *Core) lostSpot(m *machine) {
+func (c *Controller) countSpotLoss(m *machine) {
 	if m.spot && !m.draining {
-		c.spotLosses.lost++
+		c.spotInterruptions.interruptionCount++
 	}
 }
 
-func (c *Core) holdsCancelled(m *machine) bool {
-	for _, a := range m.assigns {
-		if a.live() && a.job.cancelling {
+func (c *Controller) hasCancelledTask(m *machine) bool {
+	for _, a := range m.assignments {
+		if a.isLive() && a.job.cancelling {
 			return true
 		}
 	}
@@ -230,9 +232,9 @@
 
 // ignoresStop tells whether a cancelled task goes on in spite of stop commands:
 // perhaps they don't reach the machine.
-func (c *Core) ignoresStop(m *machine) bool {
-	for _, a := range m.assigns {
-		if a.live() && a.stopAt > 0 && a.job.cancelling && c.now-a.stopAt > min(c.cfg.Lease+2*second, c.cfg.CancelWithin/2) {
+func (c *Controller) ignoresStop(m *machine) bool {
+	for _, a := range m.assignments {
+		if a.isLive() && a.stopRequestedAt > 0 && a.job.cancelling && c.now-a.stopRequestedAt > min(c.config.WorkerLease+2*second, c.config.CancelDeadline/2) {
 			return true
 		}
 	}
@@ -242,23 +244,23 @@
 // idleJudge returns a function that tells whether an idle machine is of no use
 // to any part. Another part with too few machines is better offered it than
 // left to rent one. What all machines share is worked out at most once.
-func (c *Core) idleJudge() func(*machine) bool {
+func (c *Controller) surplusPredicate() func(*machine) bool {
 	var loads sharing.Snapshot
-	work := map[Part][]waitingWork{}
+	work := map[ShardID][]pendingWork{}
 	return func(m *machine) bool {
 		if loads == nil {
-			loads = c.allLoads()
+			loads = c.allShardLoads()
 		}
-		if loads.OthersLack(m.part) {
+		if loads.OthersHaveShortfall(m.shardID) {
 			return false
 		}
-		w, ok := work[m.part]
+		w, ok := work[m.shardID]
 		if !ok {
-			w = c.unplaced(c.parts[m.part])
-			work[m.part] = w
+			w = c.listPendingWork(c.shards[m.shardID])
+			work[m.shardID] = w
 		}
 		for _, x := range w {
-			if c.allowedOn(x.job, m) {
+			if c.isAllowedOn(x.job, m) {
 				return false
 			}
 		}
@@ -268,25 +270,25 @@
 
 // checkpointGroups clears what records list though it is over, and keeps the
 // records' sizes in hand.
-func (c *Core) checkpointGroups() {
-	for _, id := range sortedKeys(c.groups) {
-		g := c.groups[id]
-		if g.writing {
+func (c *Controller) cleanUpGroups() {
+	for _, id := range sortedKeys(c.machineGroups) {
+		g := c.machineGroups[id]
+		if g.writePending {
 			continue
 		}
 	machines:
-		for _, m := range g.list() {
-			for _, a := range m.assigns {
-				if a.gone {
-					c.writeGroup(g, prioLazy)
+		for _, m := range g.sortedMachines() {
+			for _, a := range m.assignments {
+				if a.confirmedAbsent {
+					c.writeGroup(g, priorityBackground)
 					break machines
 				}
 			}
 		}
 	}
-	for _, p := range c.parts {
-		if p.held && p.ready {
-			c.tidyGroups(p)
+	for _, p := range c.shards {
+		if p.owned && p.ready {
+			c.splitAndMergeGroups(p)
 		}
 	}
 }
