--- a/internal/core/message_bounds_test.go
+++ b/internal/core/message_bounds_test.go
@@ -9,22 +9,22 @@
 // TestAbsurdCallRefused: a call that lists more than there can be is refused,
 // once in the log, and the controller goes on. A count of machines is gone
 // through one by one where an offer is weighed.
-func TestAbsurdCallRefused(t *testing.T) {
+func TestOversizedPeerRequestRejected(t *testing.T) {
 	for name, ping := range map[string]Ping{
-		"Parts":          {Parts: make([]PartTerm, 4)},
-		"Loads":          {Loads: make([]PartLoad, 4)},
-		"Terms":          {Terms: make([]Term, 4)},
-		"Offer":          {Offer: make([]Part, 4)},
-		"Groups":         {Groups: make([]GroupOffer, maxOffers+1)},
-		"Groups.Kinds.N": {Groups: []GroupOffer{{Key: "groups/g", To: 0, Kinds: []KindCount{{Type: "small", Zone: "a", N: 1 << 62}}}}},
+		"Parts":          {Shards: make([]ShardTerm, 4)},
+		"Loads":          {ShardLoads: make([]ShardLoad, 4)},
+		"Terms":          {KnownTerms: make([]Term, 4)},
+		"Offer":          {FailbackOffers: make([]ShardID, 4)},
+		"Groups":         {TransferOffers: make([]TransferOffer, maxOffers+1)},
+		"Groups.Kinds.N": {TransferOffers: []TransferOffer{{Key: "groups/g", Recipient: 0, Kinds: []MachineKindCount{{Type: "small", Zone: "a", Count: 1 << 62}}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newCoreHarness()
+			b := newControllerHarness()
 			lines := 0
 			for req := range 2 {
-				b.out = nil
-				b.onPeer(PeerAsk{Req: ReqID(req + 1), Msg: PeerMsg{Version: peerVersion, From: "n1", Ping: &ping}})
-				for _, effect := range b.out {
+				b.effects = nil
+				b.handlePeerRequest(PeerRequest{Request: RequestID(req + 1), Message: PeerMessage{Version: peerProtocolVersion, From: "n1", Ping: &ping}})
+				for _, effect := range b.effects {
 					switch effect := effect.(type) {
 					case Respond:
 						if effect.Status != 400 || !strings.HasPrefix(effect.Error, name) {
@@ -39,13 +39,13 @@
 				t.Errorf("%d lines in the log, want 1", lines)
 			}
 			var wrong *PingError
-			if err := b.checkPing(&ping); !errors.As(err, &wrong) || wrong.Field != name {
+			if err := b.validatePing(&ping); !errors.As(err, &wrong) || wrong.Field != name {
 				t.Errorf("error %v", err)
 			}
 		})
 	}
-	b := newCoreHarness()
-	if err := b.checkPing(b.makePing(b.peers["n1"])); err != nil {
+	b := newControllerHarness()
+	if err := b.validatePing(b.makePing(b.peers["n1"])); err != nil {
 		t.Errorf("our own call: %v", err)
 	}
 }
@@ -53,21 +53,21 @@
 // TestNoticesWithinMessage: records near the largest value of the store are told
 // in several messages, each within what a controller takes; one that is larger
 // goes alone.
-func TestNoticesWithinMessage(t *testing.T) {
+func TestJobNoticesWithinMessageLimit(t *testing.T) {
 	large := KV{Key: "jobs/j", Value: make([]byte, 64<<10)}
-	huge := KV{Key: "jobs/h", Value: make([]byte, 2*maxNoticeBytes)}
+	huge := KV{Key: "jobs/h", Value: make([]byte, 2*maxJobNoticeBytes)}
 	for _, test := range []struct {
 		name    string
 		waiting []KV
 		want    int
 	}{
-		{"small", make([]KV, 2*maxNotices), maxNotices},
+		{"small", make([]KV, 2*maxJobNotices), maxJobNotices},
 		{"large", []KV{large, large, large, large, large, large}, 3},
 		{"one too large, first", []KV{huge, large}, 1},
 		{"one too large, later", []KV{large, huge}, 1},
 	} {
-		notices := notices{waiting: test.waiting}
-		if got := len(notices.batch()); got != test.want {
+		notices := jobNoticeQueue{waiting: test.waiting}
+		if got := len(notices.nextBatch()); got != test.want {
 			t.Errorf("%s: %d records, want %d", test.name, got, test.want)
 		}
 	}
@@ -75,27 +75,27 @@
 
 // TestQueriesInSeveralMessages: questions beyond what one message asks wait for
 // the next, and all are answered.
-func TestQueriesInSeveralMessages(t *testing.T) {
-	const questions = 2*maxQueries + 1
-	b := newCoreHarness()
+func TestJobQueriesSplitAcrossMessages(t *testing.T) {
+	const questions = 2*maxQueriesPerMessage + 1
+	b := newControllerHarness()
 	answered := 0
 	for range questions {
-		b.askOwner(b.peers["n1"], "j-1", func(ReplyStatus, JobView) { answered++ })
+		b.queryOwner(b.peers["n1"], "j-1", func(ReplyStatus, JobView) { answered++ })
 	}
 	messages := 0
-	for end := b.now + second; b.now < end; b.now += 10 * milli {
-		b.out = nil
+	for end := b.now + second; b.now < end; b.now += 10 * millisecond {
+		b.effects = nil
 		b.runTimers()
-		for _, effect := range b.out {
+		for _, effect := range b.effects {
 			call, ok := effect.(PeerCall)
-			if !ok || call.Msg.Ask == nil {
+			if !ok || call.Message.Query == nil {
 				continue
 			}
 			messages++
-			if len(call.Msg.Ask.IDs) > maxQueries {
-				t.Errorf("a message asks %d questions", len(call.Msg.Ask.IDs))
+			if len(call.Message.Query.IDs) > maxQueriesPerMessage {
+				t.Errorf("a message asks %d questions", len(call.Message.Query.IDs))
 			}
-			b.calls[call.Call](PeerReply{Out: OK, Msg: PeerMsg{Views: []JobView{{ID: "j-1", Status: StRunning}}}})
+			b.pendingCalls[call.Call](PeerReply{Outcome: OK, Message: PeerMessage{Views: []JobView{{ID: "j-1", Status: JobRunning}}}})
 		}
 	}
 	if messages != 3 || answered != questions {
--- a/internal/core/one_task_jobs_test.go
+++ b/internal/core/one_task_jobs_test.go
@@ -18,50 +18,50 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			cfg := testConfig()
-			var w *standin.World
-			w = standin.NewWorld(seed, cfg, testCloud(func() *standin.World { return w }))
-			w.Late, w.Copies, w.SlowPeers = true, 0.03, 0.03
+			var w *standin.Simulator
+			w = standin.NewSimulator(seed, cfg, testCloud(func() *standin.Simulator { return w }))
+			w.LateDelivery, w.HeartbeatDuplicateChance, w.SlowPeerChance = true, 0.03, 0.03
 			for _, z := range []string{"a", "b", "c"} {
 				w.AddMachine("small", z, false)
 				w.AddMachine("small", z, false)
 			}
 			cancelled := 0
 			for i := range 160 {
-				run := w.Between(sec, 8*sec)
+				run := w.RandomBetween(second, 8*second)
 				s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: cfg.Teams[i%3].Name, Priority: core.Priority(w.Rand.IntN(4)),
-					Tasks: 1, Need: core.Res{CPU: cpu, Mem: cpu}, Image: "img", ImageGB: 1, RuntimeS: float64(run) / 1e9, Spot: true}
-				j := &standin.Job{Spec: s, Info: standin.JobInfo{Need: s.Need, Run: run, Tasks: 1, Image: "img"}}
-				at := 10*sec + core.Time(i)*sec/4
+					Tasks: 1, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, Spot: true}
+				j := &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: 1, Image: "img"}}
+				at := 10*second + core.Time(i)*second/4
 				w.After(at, func() { w.Submit(j) })
 				if i%4 == 0 {
-					j.MayCancel = true
-					w.After(at+w.Between(0, 12*sec), func() { w.Cancel(j) })
+					j.CancelPlanned = true
+					w.After(at+w.RandomBetween(0, 12*second), func() { w.Cancel(j) })
 				}
 			}
-			w.After(12*sec, func() { w.CloseLooks(40 * sec) })
-			w.After(w.Between(15*sec, 25*sec), func() { w.LateWrites(0.1, 10*sec, true) })
-			w.After(w.Between(30*sec, 45*sec), func() {
-				if n := w.Busiest(); n != nil {
+			w.After(12*second, func() { w.EnableReadAfterWriteChecks(40 * second) })
+			w.After(w.RandomBetween(15*second, 25*second), func() { w.LoseWriteReplies(0.1, 10*second, true) })
+			w.After(w.RandomBetween(30*second, 45*second), func() {
+				if n := w.BusiestNode(); n != nil {
 					crash(w, n)
 				}
 			})
-			w.Calmed = 60 * sec
-			w.Run(240 * sec)
-			for _, b := range w.Broken {
+			w.FaultsOverAt = 60 * second
+			w.RunUntil(240 * second)
+			for _, b := range w.Violations {
 				t.Error(b)
 			}
 			for _, j := range w.Jobs {
-				if j.Told == core.StCancelled {
+				if j.ReportedStatus == core.JobCancelled {
 					cancelled++
 				}
 			}
-			if n := w.Unfinished(); n > 0 && !t.Failed() {
+			if n := w.UnfinishedJobCount(); n > 0 && !t.Failed() {
 				t.Errorf("%d of %d jobs have no end after %v", n, len(w.Jobs), time.Duration(w.Now))
 			}
-			if !t.Failed() && (len(w.Jobs) != 160 || cancelled < 10 || w.Faults["answers lost though carried out"] == 0) {
-				t.Errorf("%d jobs, %d cancelled, faults %v: the day tests nothing", len(w.Jobs), cancelled, w.Faults)
+			if !t.Failed() && (len(w.Jobs) != 160 || cancelled < 10 || w.FaultCounts["answers lost though carried out"] == 0) {
+				t.Errorf("%d jobs, %d cancelled, faults %v: the day tests nothing", len(w.Jobs), cancelled, w.FaultCounts)
 			}
-			t.Logf("%d cancelled, %v", cancelled, w.Faults)
+			t.Logf("%d cancelled, %v", cancelled, w.FaultCounts)
 		})
 	}
 }
--- a/internal/core/orphans.go
+++ b/internal/core/orphans.go
@@ -13,33 +13,33 @@
 // At most one search for owners runs at a time, and serves all reports that
 // came in before it began. A machine in enlisting is being inspected or
 // written into a record here, and is not taken up a second time meanwhile.
-type orphans struct {
-	listedSince map[MachineID]Time // shown by the cloud's list and by no record, since when
-	found       []Listed           // shown by the list, to be looked for in the records
-	reports     []Checkin          // from machines whose owner is to be looked for
-	searching   bool
-	searchedAt  Time
-	enlisting   map[MachineID]bool
+type orphanedMachines struct {
+	unrecordedSince map[MachineID]Time // shown by the cloud's list and by no record, since when
+	candidates      []ListedMachine    // shown by the list, to be looked for in the records
+	heartbeats      []Heartbeat        // from machines whose owner is to be looked for
+	searching       bool
+	lastSearchAt    Time
+	registering     map[MachineID]bool
 }
 
 const (
 	// ownerNoteFresh is how long a note of a machine's owner answers its reports.
-	ownerNoteFresh = 15 * second
+	ownerHintFresh = 15 * second
 	// ownerNoteKept is how long such a note shows that it is somebody's.
-	ownerNoteKept = 60 * second
+	ownerHintRetention = 60 * second
 	// searchDelay is how long reports are gathered for one search.
-	searchDelay = 50 * milli
+	ownerSearchDelay = 50 * millisecond
 	// searchPause is the least time between two searches.
-	searchPause = 500 * milli
+	ownerSearchInterval = 500 * millisecond
 )
 
-func newOrphans() orphans {
-	return orphans{listedSince: map[MachineID]Time{}, enlisting: map[MachineID]bool{}}
+func newOrphanedMachines() orphanedMachines {
+	return orphanedMachines{unrecordedSince: map[MachineID]Time{}, registering: map[MachineID]bool{}}
 }
 
 // startSearch tells whether a search has to begin now, and notes that it does.
-func (o *orphans) startSearch() bool {
-	if o.searching || len(o.reports) == 0 {
+func (o *orphanedMachines) startSearch() bool {
+	if o.searching || len(o.heartbeats) == 0 {
 		return false
 	}
 	o.searching = true
@@ -47,78 +47,80 @@
 }
 
 // delay is how long the next search has to wait.
-func (o *orphans) delay(now Time) Time { return max(searchDelay, o.searchedAt+searchPause-now) }
+func (o *orphanedMachines) nextSearchDelay(now Time) Time {
+	return max(ownerSearchDelay, o.lastSearchAt+ownerSearchInterval-now)
+}
 
 // takeReports takes the reports that the search which begins now serves.
-func (o *orphans) takeReports(now Time) []Checkin {
-	batch := o.reports
-	o.reports, o.searchedAt = nil, now
+func (o *orphanedMachines) takeHeartbeats(now Time) []Heartbeat {
+	batch := o.heartbeats
+	o.heartbeats, o.lastSearchAt = nil, now
 	return batch
 }
 
 // endSearch notes that no search runs any more.
-func (o *orphans) endSearch(now Time) { o.searching, o.searchedAt = false, now }
+func (o *orphanedMachines) endSearch(now Time) { o.searching, o.lastSearchAt = false, now }
 
 // addFound notes a machine that the cloud's list shows; true: it is the first.
-func (o *orphans) addFound(l Listed) bool {
-	o.enlisting[l.ID] = true
-	o.found = append(o.found, l)
-	return len(o.found) == 1
+func (o *orphanedMachines) addCandidate(l ListedMachine) bool {
+	o.registering[l.ID] = true
+	o.candidates = append(o.candidates, l)
+	return len(o.candidates) == 1
 }
 
 // takeFound takes the machines found so far.
-func (o *orphans) takeFound() []Listed {
-	found := o.found
-	o.found = nil
+func (o *orphanedMachines) takeCandidates() []ListedMachine {
+	found := o.candidates
+	o.candidates = nil
 	return found
 }
 
 // tooNew tells whether a machine was first listed without a record less than a
 // time ago.
-func (o *orphans) tooNew(id MachineID, now, patience Time) bool {
-	first, ok := o.listedSince[id]
+func (o *orphanedMachines) isTooNew(id MachineID, now, patience Time) bool {
+	first, ok := o.unrecordedSince[id]
 	return ok && now-first < patience
 }
 
 // onUnknownReport answers a worker that this node doesn't own. Who does is known
 // from the records; one reading of them serves all that ask meanwhile.
-func (c *Core) onUnknownReport(e Checkin) {
-	if part, ok := c.owners.recent(e.Report.Machine, c.now, ownerNoteFresh); ok {
-		c.redirectToPart(e.Req, part)
+func (c *Controller) handleUnknownHeartbeat(e Heartbeat) {
+	if part, ok := c.machineOwners.recent(e.Status.Machine, c.now, ownerHintFresh); ok {
+		c.redirectToOwner(e.Request, part)
 		return
 	}
-	if c.storeLost(500 * milli) {
-		c.refuse(e.Req, ReplyUnavailable, 0, "")
+	if c.isStoreUnavailableFor(500 * millisecond) {
+		c.respondError(e.Request, ReplyUnavailable, 0, "")
 		return
 	}
-	c.orphans.reports = append(c.orphans.reports, e)
+	c.orphanedMachines.heartbeats = append(c.orphanedMachines.heartbeats, e)
 	c.findOwners()
 }
 
 // redirectToPart sends a worker to the holder of a part. While that is this
 // node, its machine is about to be learned here.
-func (c *Core) redirectToPart(req ReqID, part Part) {
-	if p := c.parts[part]; !p.held {
-		c.redirect(req, p.holder)
+func (c *Controller) redirectToOwner(req RequestID, part ShardID) {
+	if p := c.shards[part]; !p.owned {
+		c.redirectWorker(req, p.owner)
 		return
 	}
-	c.refuse(req, ReplyUnavailable, 0, "")
+	c.respondError(req, ReplyUnavailable, 0, "")
 }
 
 // findOwners reads which machines the records list. Only the holder of the part
 // that an orphan's number points to may enlist it, and so nobody else does at
 // the same time.
-func (c *Core) findOwners() {
-	o := &c.orphans
+func (c *Controller) findOwners() {
+	o := &c.orphanedMachines
 	if !o.startSearch() {
 		return
 	}
-	c.after(o.delay(c.now), func() {
-		reports := o.takeReports(c.now)
-		c.readRecorded(func(rec *recordedMachines) {
+	c.after(o.nextSearchDelay(c.now), func() {
+		reports := o.takeHeartbeats(c.now)
+		c.readRecordedMachines(func(rec *recordedMachines) {
 			o.endSearch(c.now)
 			for _, e := range reports {
-				c.answerUnknown(e, rec)
+				c.answerUnknownHeartbeat(e, rec)
 			}
 			c.findOwners()
 		})
@@ -126,64 +128,64 @@
 }
 
 // answerUnknown answers a worker whose machine was looked for in the records.
-func (c *Core) answerUnknown(e Checkin, rec *recordedMachines) {
-	id := e.Report.Machine
+func (c *Controller) answerUnknownHeartbeat(e Heartbeat, rec *recordedMachines) {
+	id := e.Status.Machine
 	switch {
 	case c.machines[id] != nil: // learned meanwhile
-		c.onCheckin(e)
+		c.handleHeartbeat(e)
 	case rec == nil:
-		c.refuse(e.Req, ReplyUnavailable, 0, "")
+		c.respondError(e.Request, ReplyUnavailable, 0, "")
 	case rec.listed[id]:
-		c.redirectToPart(e.Req, c.owners[id].part)
+		c.redirectToOwner(e.Request, c.machineOwners[id].shardID)
 	default:
-		p := c.partFor(id)
-		c.redirectToPart(e.Req, p.id)
-		if p.held {
-			c.inspectOrphan(p, &e.Report, rec)
+		p := c.shardForMachine(id)
+		c.redirectToOwner(e.Request, p.id)
+		if p.owned {
+			c.queryOrphanStatus(p, &e.Status, rec)
 		}
 	}
 }
 
 // inspectOrphan asks a machine that is nobody's for its state, and enlists it
 // when it answers: a report may be an old copy from one that is long gone.
-func (c *Core) inspectOrphan(p *part, r *Report, rec *recordedMachines) {
+func (c *Controller) queryOrphanStatus(p *shard, r *HeartbeatStatus, rec *recordedMachines) {
 	id, kind := r.Machine, grouprecord.Kind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-	if !p.ready || rec.open[kind] || c.orphans.enlisting[id] || r.Addr == "" {
+	if !p.ready || rec.requestedKinds[kind] || c.orphanedMachines.registering[id] || r.Addr == "" {
 		return
 	}
-	c.orphans.enlisting[id] = true
-	c.emit(Inspect{Addr: r.Addr, Call: c.call(func(b any) {
-		reply := b.(OrdersReply)
-		if reply.Out != OK || reply.Report.Machine != id || !p.held || !p.ready {
-			delete(c.orphans.enlisting, id)
+	c.orphanedMachines.registering[id] = true
+	c.emit(QueryWorkerStatus{Addr: r.Addr, Call: c.registerCall(func(b any) {
+		reply := b.(PushCommandsReply)
+		if reply.Outcome != OK || reply.Status.Machine != id || !p.owned || !p.ready {
+			delete(c.orphanedMachines.registering, id)
 			return
 		}
-		c.enlistSoon(p, grouprecord.Machine{ID: id, Kind: kind, Address: r.Addr})
+		c.queueRegistration(p, grouprecord.Machine{ID: id, Kind: kind, Address: r.Addr})
 	})})
 }
 
 // orphanAfter is how long a machine must have been in the list and in no record:
 // the list still shows for a while what has been returned or has died.
-func (c *Core) orphanAfter() Time { return 3*c.cfg.ListLag + 45*second }
+func (c *Controller) minOrphanAge() Time { return 3*c.config.CloudListLag + 45*second }
 
 // seenUnrecorded follows a machine in the cloud's list that is not held here.
 // The lag must be over, or a record that is being written would be missed.
-func (c *Core) seenUnrecorded(l Listed) {
-	if l.AgeS < 3*float64(c.cfg.ListLag)/float64(second)+20 {
+func (c *Controller) handleUnrecordedMachine(l ListedMachine) {
+	if l.AgeSeconds < 3*float64(c.config.CloudListLag)/float64(second)+20 {
 		return
 	}
-	if _, ok := c.owners.recent(l.ID, c.now, ownerNoteKept); ok {
+	if _, ok := c.machineOwners.recent(l.ID, c.now, ownerHintRetention); ok {
 		return
 	}
-	p := c.partFor(l.ID)
-	if !p.held || !p.ready || c.storeLost(second) {
+	p := c.shardForMachine(l.ID)
+	if !p.owned || !p.ready || c.isStoreUnavailableFor(second) {
 		return
 	}
-	if c.orphans.tooNew(l.ID, c.now, c.orphanAfter()) || c.orphans.enlisting[l.ID] {
+	if c.orphanedMachines.isTooNew(l.ID, c.now, c.minOrphanAge()) || c.orphanedMachines.registering[l.ID] {
 		return
 	}
-	if c.orphans.addFound(l) {
-		c.after(0, c.enlistFound)
+	if c.orphanedMachines.addCandidate(l) {
+		c.after(0, c.adoptCandidates)
 	}
 }
 
@@ -191,68 +193,68 @@
 // takes those that have been nobody's for long enough. That they were listed
 // long ago says nothing: they may have been somebody's until now, and then a
 // machine just returned would be taken in though it is gone.
-func (c *Core) enlistFound() {
-	found := c.orphans.takeFound()
-	c.readRecorded(func(rec *recordedMachines) {
+func (c *Controller) adoptCandidates() {
+	found := c.orphanedMachines.takeCandidates()
+	c.readRecordedMachines(func(rec *recordedMachines) {
 		for _, l := range found {
-			c.adopt(l, rec)
+			c.adoptOrphan(l, rec)
 		}
 	})
 }
 
 // adopt enlists a machine from the cloud's list if no record lists it still.
-func (c *Core) adopt(l Listed, rec *recordedMachines) {
-	o := &c.orphans
-	delete(o.enlisting, l.ID)
-	p := c.partFor(l.ID)
+func (c *Controller) adoptOrphan(l ListedMachine, rec *recordedMachines) {
+	o := &c.orphanedMachines
+	delete(o.registering, l.ID)
+	p := c.shardForMachine(l.ID)
 	kind := grouprecord.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}
-	if rec == nil || rec.listed[l.ID] || rec.open[kind] || c.machines[l.ID] != nil || !p.held || !p.ready {
-		delete(o.listedSince, l.ID)
+	if rec == nil || rec.listed[l.ID] || rec.requestedKinds[kind] || c.machines[l.ID] != nil || !p.owned || !p.ready {
+		delete(o.unrecordedSince, l.ID)
 		return
 	}
-	if _, ok := o.listedSince[l.ID]; !ok {
-		o.listedSince[l.ID] = c.now
+	if _, ok := o.unrecordedSince[l.ID]; !ok {
+		o.unrecordedSince[l.ID] = c.now
 		return
 	}
-	if o.tooNew(l.ID, c.now, c.orphanAfter()) {
+	if o.isTooNew(l.ID, c.now, c.minOrphanAge()) {
 		return
 	}
-	c.logf(LogInfo, "adopted stray machine", "machine", string(l.ID))
-	c.enlistSoon(p, grouprecord.Machine{ID: l.ID, Kind: kind, Address: l.Addr})
+	c.log(LogInfo, "adopted stray machine", "machine", string(l.ID))
+	c.queueRegistration(p, grouprecord.Machine{ID: l.ID, Kind: kind, Address: l.Addr})
 }
 
 // enlistSoon gathers what is to be enlisted within a moment. Until that is
 // stored or has failed, the machine is not enlisted a second time.
-func (c *Core) enlistSoon(p *part, l grouprecord.Machine) {
-	c.orphans.enlisting[l.ID] = true
-	p.toEnlist = append(p.toEnlist, l)
-	if len(p.toEnlist) > 1 {
+func (c *Controller) queueRegistration(p *shard, l grouprecord.Machine) {
+	c.orphanedMachines.registering[l.ID] = true
+	p.toRegister = append(p.toRegister, l)
+	if len(p.toRegister) > 1 {
 		return
 	}
-	claim := p.claim
-	c.after(100*milli, func() {
-		all := p.toEnlist
-		p.toEnlist = nil
+	claim := p.claimRevision
+	c.after(100*millisecond, func() {
+		all := p.toRegister
+		p.toRegister = nil
 		for n := c.groupMachines(); len(all) > 0; {
 			ms := all[:min(n, len(all))]
 			all = all[len(ms):]
 			done := func() {
 				for _, l := range ms {
-					delete(c.orphans.enlisting, l.ID)
+					delete(c.orphanedMachines.registering, l.ID)
 				}
-				c.machineSweep()
+				c.maintainMachines()
 			}
-			if !p.heldUnder(claim) {
+			if !p.isOwnedUnder(claim) {
 				done()
 				continue
 			}
-			c.enlist(p, slices.Clone(ms), done)
+			c.registerMachines(p, slices.Clone(ms), done)
 		}
 	})
 }
 
 // partFor spreads unknown machines over the parts by their number.
-func (c *Core) partFor(id MachineID) *part {
+func (c *Controller) shardForMachine(id MachineID) *shard {
 	n := 0
 	for i := len(id) - 1; i >= 0 && id[i] >= '0' && id[i] <= '9'; i-- {
 		v, _ := strconv.Atoi(string(id[i:]))
@@ -261,47 +263,47 @@
 			break
 		}
 	}
-	return c.parts[n%len(c.parts)]
+	return c.shards[n%len(c.shards)]
 }
 
 // enlist writes machines that no record lists into a new group of a part. done
 // is called when that is stored, or has failed.
-func (c *Core) enlist(p *part, ms []grouprecord.Machine, done func()) {
-	claim := p.claim
-	id := c.groupName(p)
+func (c *Controller) registerMachines(p *shard, ms []grouprecord.Machine, done func()) {
+	claim := p.claimRevision
+	id := c.nextMachineGroupName(p)
 	size := 0
-	c.writer.add(prioRent, &write{
-		part: p.id, keys: []string{"groups/" + id},
-		build: func(nonce string) ([]TxnOp, []Mark) {
+	c.writeQueue.enqueue(priorityScaleOut, &queuedWrite{
+		shardID: p.id, keys: []string{"groups/" + id},
+		build: func(nonce string) ([]TxnOp, []ModRevision) {
 			ms = slices.DeleteFunc(ms, func(l grouprecord.Machine) bool { return c.machines[l.ID] != nil })
 			if len(ms) == 0 {
 				done()
 				return nil, nil
 			}
-			v := grouprecord.Encode(grouprecord.Record{Part: p.id, Machines: ms, Nonce: nonce})
+			v := grouprecord.Encode(grouprecord.Record{ShardID: p.id, Machines: ms, WriteID: nonce})
 			size = len(v)
-			return []TxnOp{{"groups/" + id, v}}, []Mark{0}
+			return []TxnOp{{"groups/" + id, v}}, []ModRevision{0}
 		},
-		ok: func(e Epoch) {
-			if p.heldUnder(claim) {
-				c.addGroup(p, id, ms, size, e)
+		onApplied: func(e Revision) {
+			if p.isOwnedUnder(claim) {
+				c.addRegisteredGroup(p, id, ms, size, e)
 			}
 			done()
 		},
-		conflict: done,
-		lost:     done,
+		onConflict:      done,
+		onOwnershipLost: done,
 	})
 }
 
 // addGroup follows the first record of machines that only this claim has owned.
-func (c *Core) addGroup(p *part, id string, ms []grouprecord.Machine, size int, e Epoch) {
-	g := c.newGroup(p, id, Mark(e))
-	g.size = size
+func (c *Controller) addRegisteredGroup(p *shard, id string, ms []grouprecord.Machine, size int, e Revision) {
+	g := c.newGroup(p, id, ModRevision(e))
+	g.recordSize = size
 	for _, l := range ms {
 		if c.machines[l.ID] == nil {
-			m := c.addMachine(g, l, Token(e))
-			m.first = m.token
+			m := c.addMachine(g, l, FencingToken(e))
+			m.initialToken = m.token
 		}
 	}
-	c.placement.request()
+	c.schedulingTrigger.request()
 }
--- a/internal/core/ownerqueries.go
+++ b/internal/core/ownerqueries.go
@@ -20,7 +20,7 @@
 }
 
 // add queues a question to a controller; true: a message has yet to be scheduled.
-func (s *ownerQueries) add(to NodeID, q ownerQuery) bool {
+func (s *ownerQueries) enqueue(to NodeID, q ownerQuery) bool {
 	s.waiting[to] = append(s.waiting[to], q)
 	if s.scheduled[to] {
 		return false
@@ -30,13 +30,13 @@
 }
 
 // maxQueries is how many jobs a message asks about.
-const maxQueries = 1000
+const maxQueriesPerMessage = 1000
 
 // take returns the questions for the message that is sent now; more: others
 // wait for another, which has been scheduled.
-func (s *ownerQueries) take(to NodeID) (batch []ownerQuery, more bool) {
+func (s *ownerQueries) takeBatch(to NodeID) (batch []ownerQuery, more bool) {
 	waiting := s.waiting[to]
-	n := min(len(waiting), maxQueries)
+	n := min(len(waiting), maxQueriesPerMessage)
 	if n < len(waiting) {
 		s.waiting[to] = waiting[n:]
 		return waiting[:n], true
@@ -49,48 +49,48 @@
 // queryPause is how long questions to a controller are gathered, and
 // queryTimeout how long its answer may take.
 const (
-	queryPause   = 50 * milli
-	queryTimeout = 800 * milli
+	queryBatchDelay = 50 * millisecond
+	queryTimeout    = 800 * millisecond
 )
 
 // askOwner asks another controller, which holds a job's part, for its state.
-func (c *Core) askOwner(p *peer, id JobID, answer func(ReplyStatus, JobView)) {
-	if c.ownerQueries.add(p.id, ownerQuery{id, answer}) {
-		c.after(queryPause, func() { c.sendOwnerQueries(p) })
+func (c *Controller) queryOwner(p *peer, id JobID, answer func(ReplyStatus, JobView)) {
+	if c.ownerQueries.enqueue(p.id, ownerQuery{id, answer}) {
+		c.after(queryBatchDelay, func() { c.sendOwnerQueries(p) })
 	}
 }
 
-func (c *Core) sendOwnerQueries(p *peer) {
-	batch, more := c.ownerQueries.take(p.id)
+func (c *Controller) sendOwnerQueries(p *peer) {
+	batch, more := c.ownerQueries.takeBatch(p.id)
 	if more {
-		c.after(queryPause, func() { c.sendOwnerQueries(p) })
+		c.after(queryBatchDelay, func() { c.sendOwnerQueries(p) })
 	}
 	ids := make([]JobID, len(batch))
 	for i, q := range batch {
 		ids[i] = q.id
 	}
-	c.ask(p.id, queryTimeout, PeerMsg{Ask: &Ask{IDs: ids}}, func(r PeerReply) {
+	c.callPeer(p.id, queryTimeout, PeerMessage{Query: &JobQuery{IDs: ids}}, func(r PeerReply) {
 		c.answerOwnerQueries(batch, r)
 	})
 }
 
 // answerOwnerQueries passes the owner's answers on. What it could not vouch for
 // is looked up in the store.
-func (c *Core) answerOwnerQueries(batch []ownerQuery, r PeerReply) {
+func (c *Controller) answerOwnerQueries(batch []ownerQuery, r PeerReply) {
 	views := map[JobID]JobView{}
-	if r.Out == OK {
-		for _, v := range r.Msg.Views {
+	if r.Outcome == OK {
+		for _, v := range r.Message.Views {
 			views[v.ID] = v
 		}
 	}
 	for _, q := range batch {
 		v, ok := views[q.id]
 		if !ok {
-			c.lookInStore(q.id, q.answer)
+			c.lookUpJobInStore(q.id, q.answer)
 			continue
 		}
-		if k := c.jobs.known[q.id]; k != nil && v.Status.Final() {
-			c.settle(q.id, k, v.Status)
+		if k := c.jobs.known[q.id]; k != nil && v.Status.IsFinal() {
+			c.applyFinalStatus(q.id, k, v.Status)
 		}
 		q.answer(ReplyOK, v)
 	}
--- /dev/null
+++ b/internal/core/ownership_lease_test.go
@@ -0,0 +1,96 @@
+package core
+
+import (
+	"testing"
+
+	"stairrelay/internal/entitlement"
+)
+
+// TestWord: what another controller's word that it knows of no later claim of a
+// part is worth, and how long a holder may answer and start by it.
+func TestOwnershipLeaseByPeerAcknowledgement(t *testing.T) {
+	const heard = 130 * second // the part was proven at 100 s
+	for _, x := range []struct {
+		name          string
+		play          func(b *controllerHarness, q *peer)
+		certain       Time
+		held          bool
+		entitled, may bool // 8 s later
+	}{
+		{"every word", func(*controllerHarness, *peer) {}, heard, true, true, false},
+		{"none of one", func(_ *controllerHarness, q *peer) { q.acknowledgedCallAt, q.acknowledgedTerms = 0, nil }, 100 * second, true, false, false},
+		{"a new run", func(b *controllerHarness, q *peer) {
+			b.applyPingReply(q, Ping{InstanceID: "other", KnownTerms: []Term{1, 1, 1}}, heard)
+		}, 100 * second, true, false, false},
+		{"a new run, the store read since", func(b *controllerHarness, q *peer) {
+			b.applyPingReply(q, Ping{InstanceID: "other", KnownTerms: []Term{1, 1, 1}}, heard)
+			b.recordConfirmation(b.shards[0], 30, heard)
+		}, heard, true, true, false},
+		{"a new run, another's mark read", func(b *controllerHarness, q *peer) {
+			b.applyPingReply(q, Ping{InstanceID: "other", KnownTerms: []Term{1, 1, 1}}, heard)
+			b.recordConfirmation(b.shards[0], 31, heard)
+		}, 100 * second, true, false, false},
+		{"an older release", func(b *controllerHarness, q *peer) { b.applyPingReply(q, Ping{InstanceID: "b-" + string(q.id)}, heard) }, 100 * second, true, false, false},
+		{"a later term", func(b *controllerHarness, q *peer) {
+			b.applyPingReply(q, Ping{InstanceID: "b-" + string(q.id), KnownTerms: []Term{2, 1, 1}}, heard)
+		}, 0, false, false, false},
+		{"its own call only", func(b *controllerHarness, q *peer) {
+			q.acknowledgedCallAt = 100 * second
+			b.applyPing(q, Ping{InstanceID: "b-" + string(q.id), KnownTerms: []Term{1, 1, 1}})
+		}, 100 * second, true, false, false},
+	} {
+		b := newControllerHarness()
+		p := b.shards[0]
+		p.confirmedAt = 100 * second
+		b.now = heard
+		for _, id := range []NodeID{"n1", "n2"} {
+			q := b.peers[id]
+			q.instanceID, q.instanceSeenAt = "b-"+string(id), 50*second
+			b.applyPingReply(q, Ping{InstanceID: q.instanceID, KnownTerms: []Term{1, 1, 1}}, heard)
+		}
+		x.play(b, b.peers["n2"])
+		if p.owned != x.held {
+			t.Errorf("%s: held %v", x.name, p.owned)
+			continue
+		}
+		if !x.held {
+			continue
+		}
+		if at := b.ownershipConfirmedAt(p); at != x.certain {
+			t.Errorf("%s: certain as of %d s, want %d s", x.name, at/second, x.certain/second)
+		}
+		if b.now == heard && x.certain == heard && !b.canStartTasks(p) {
+			t.Errorf("%s: may not start", x.name)
+		}
+		b.now += 8 * second
+		if b.canAnswerWorkers(p) != x.entitled || b.canStartTasks(p) != x.may {
+			t.Errorf("%s, 8 s later: entitled %v, may start %v", x.name, b.canAnswerWorkers(p), b.canStartTasks(p))
+		}
+	}
+}
+
+// TestNoStartUncertain: a holder that has not been certain of its part for a
+// while sends no start, but stops all the same.
+func TestNoStartWithoutConfirmedLease(t *testing.T) {
+	for d, want := range map[Time]int{second: 1, entitlement.StartWindow + second: 0} {
+		b := newControllerHarness()
+		j := b.addTestJob("j-1", 1)
+		m, a := b.addRunningMachine(j)
+		a.phase = phaseReady
+		b.now += d
+		if n := len(b.commandsFor(m, false)); n != want {
+			t.Errorf("%d s after the last proof: %d starts", d/second, n)
+		}
+	}
+}
+
+// TestClaimProven: while one controller gives no word and the store serves, the
+// mark is read again and again, and the holder stays entitled.
+func TestOwnershipConfirmedByStoreReads(t *testing.T) {
+	b := newControllerHarness()
+	p := b.shards[0]
+	b.runFor(b.config.CancelDeadline)
+	if d := b.now - p.confirmedAt; d > 4*second || !b.canAnswerWorkers(p) || !b.canStartTasks(p) {
+		t.Errorf("last proven %d s ago: entitled %v, may start %v", d/second, b.canAnswerWorkers(p), b.canStartTasks(p))
+	}
+}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -5,82 +5,82 @@
 )
 
 // peerVersion guards against frames of another release.
-const peerVersion = 2
+const peerProtocolVersion = 2
 
 // peer is another controller as seen from here.
 type peer struct {
-	id       NodeID
-	boot     string
-	bootAt   Time   // when its present run was first heard of
-	wordAt   Time   // when the last call was sent that it has answered
-	terms    []Term // the latest terms that it knew then, by part
-	answered Time   // when it last answered a call
-	heard    bool
-	prone    bool // marked failure-prone, being probed
-	failed   bool
-	ping     Ping
-	pingAt   Time
-	goodFrom Time            // since when it has answered and had its store
-	notices  notices         // of stored jobs, for it
-	taken    map[string]Mark // groups of its that we have tried to take, at which mark
-	failedAt Time
-	wroteAt  Time   // when a record it wrote was last seen
-	beat     Mark   // of its nodes/<id>
-	beatRead bool   // since it failed
-	aliveAt  Time   // when a new sign of life of it came after it had failed
-	nonsense string // what was wrong with its last call that made no sense
+	id                  NodeID
+	instanceID          string
+	instanceSeenAt      Time   // when its present run was first heard of
+	acknowledgedCallAt  Time   // when the last call was sent that it has answered
+	acknowledgedTerms   []Term // the latest terms that it knew then, by part
+	lastAnswerAt        Time   // when it last answered a call
+	hasAnswered         bool
+	suspected           bool // marked failure-prone, being probed
+	failed              bool
+	lastPing            Ping
+	lastPingAt          Time
+	healthySince        Time                   // since when it has answered and had its store
+	jobNotices          jobNoticeQueue         // of stored jobs, for it
+	attemptedTransfers  map[string]ModRevision // groups of its that we have tried to take, at which mark
+	failedAt            Time
+	lastWriteSeenAt     Time        // when a record it wrote was last seen
+	livenessModRevision ModRevision // of its nodes/<id>
+	livenessRead        bool        // since it failed
+	recoverySeenAt      Time        // when a new sign of life of it came after it had failed
+	lastPingError       string      // what was wrong with its last call that made no sense
 }
 
-func (c *Core) ask(to NodeID, timeout Time, m PeerMsg, fn func(PeerReply)) {
-	m.Version, m.From = peerVersion, c.cfg.Self
+func (c *Controller) callPeer(to NodeID, timeout Time, m PeerMessage, fn func(PeerReply)) {
+	m.Version, m.From = peerProtocolVersion, c.config.Self
 	c.counters.PeerCalls++
-	c.emit(PeerCall{Call: c.call(func(b any) { fn(b.(PeerReply)) }), To: to, Timeout: timeout, Msg: m})
+	c.emit(PeerCall{Call: c.registerCall(func(b any) { fn(b.(PeerReply)) }), To: to, Timeout: timeout, Message: m})
 }
 
-func (c *Core) livenessChanged() {
+func (c *Controller) handleLivenessChange() {
 	n := 1
 	for _, p := range c.peers {
 		if !p.failed {
 			n++
 		}
 	}
-	c.writer.setShare(n)
-	c.divideCloud()
+	c.writeQueue.setLiveControllers(n)
+	c.updateCloudRate()
 }
 
-func (c *Core) makePing(to *peer) *Ping {
-	g := &Ping{Boot: c.cfg.Boot, StoreOK: !c.storeLost(2500*milli) && (c.storeHealth.lastOK > 0 || c.now < startGrace), WorkersOK: c.workersOK(), Heard: map[NodeID]int64{}, StoreBad: c.storeHealth.failing}
-	for _, p := range c.parts {
-		if !p.held {
+func (c *Controller) makePing(to *peer) *Ping {
+	g := &Ping{InstanceID: c.config.InstanceID, StoreReachable: !c.isStoreUnavailableFor(2500*millisecond) && (c.storeHealth.lastSuccess > 0 || c.now < startupGrace), WorkersReachable: c.canReachWorkers(), MillisSinceContact: map[NodeID]int64{}, StoreFailing: c.storeHealth.failing}
+	for _, p := range c.shards {
+		if !p.owned {
 			continue
 		}
-		g.Parts = append(g.Parts, PartTerm{p.id, p.term})
-		if to != nil && p.home == to.id && p.ready && !to.failed && to.goodFrom > 0 &&
-			c.now-to.goodFrom > c.cfg.Tuning.HandBackAfter && c.now-p.since > c.cfg.Tuning.HandBackAfter && c.relieves(p) {
-			g.Offer = append(g.Offer, p.id)
+		g.Shards = append(g.Shards, ShardTerm{p.id, p.term})
+		if to != nil && p.preferredOwner == to.id && p.ready && !to.failed && to.healthySince > 0 &&
+			c.now-to.healthySince > c.config.Tuning.FailbackDelay && c.now-p.ownershipChangedAt > c.config.Tuning.FailbackDelay && c.failbackRelievesLoad(p) {
+			g.FailbackOffers = append(g.FailbackOffers, p.id)
 		}
 	}
-	for _, id := range c.cfg.Nodes {
-		if p := c.peers[id]; p != nil && p.heard {
-			g.Heard[id] = int64((c.now - p.answered) / milli)
+	for _, id := range c.config.Nodes {
+		if p := c.peers[id]; p != nil && p.hasAnswered {
+			g.MillisSinceContact[id] = int64((c.now - p.lastAnswerAt) / millisecond)
 		}
 	}
-	g.Groups = c.offers()
-	g.Puts, g.Cloud = c.writer.demand, c.cloud.demand
-	g.Loads = c.loads()
-	g.Terms, g.Level = c.terms(), pipelineLevel
+	g.TransferOffers = c.transferOffers()
+	g.WriteDemand, g.CloudDemand = c.writeQueue.demand, c.cloudRate.demand
+	g.ShardLoads = c.ownedShardLoads()
+	g.KnownTerms, g.FeatureLevel = c.knownTerms(), dependencyFeatureLevel
 	return g
 }
 
 // relieves tells whether handing a part back would take work off this
 // controller that it does beside other work. A part that has all the work would
 // only change hands: its machines and users would wait for that for nothing.
-func (c *Core) relieves(p *part) bool {
+func (c *Controller) failbackRelievesLoad(p *shard) bool {
 	if len(p.jobs)+len(p.machines) == 0 {
 		return true
 	}
-	for _, q := range c.parts {
-		if q != p && q.held && len(q.jobs)+len(q.machines) > 0 {
+	for _, q := range c.shards {
+		if q != p && q.owned && len(q.jobs)+len(q.machines) > 0 {
 			return true
 		}
 	}
@@ -90,82 +90,82 @@
 // startGrace is how long a new process may take to reach the store before it
 // counts as unable to: one that is back within a fraction of a second should
 // claim its own part again, not lose it to a neighbour that it tells so.
-const startGrace = 3 * second
+const startupGrace = 3 * second
 
 // heardPing takes in the answer to a call sent at a time. Only answers give a
 // controller's word: its own calls may have been held up for minutes.
-func (c *Core) heardPing(p *peer, g Ping, sent Time) {
-	p.heard, p.answered, p.prone = true, c.now, false
+func (c *Controller) applyPingReply(p *peer, g Ping, sent Time) {
+	p.hasAnswered, p.lastAnswerAt, p.suspected = true, c.now, false
 	if p.failed {
 		p.failed = false
-		c.logf(LogInfo, "peer is back", "peer", string(p.id))
-		c.livenessChanged()
+		c.log(LogInfo, "peer is back", "peer", string(p.id))
+		c.handleLivenessChange()
 	}
-	c.takePing(p, g)
-	p.wordAt, p.terms = sent, g.Terms
+	c.applyPing(p, g)
+	p.acknowledgedCallAt, p.acknowledgedTerms = sent, g.KnownTerms
 }
 
-func (c *Core) takePing(p *peer, g Ping) {
-	if p.boot != g.Boot {
-		p.boot, p.goodFrom = g.Boot, 0
-		p.bootAt, p.wordAt, p.terms = c.now, 0, nil
+func (c *Controller) applyPing(p *peer, g Ping) {
+	if p.instanceID != g.InstanceID {
+		p.instanceID, p.healthySince = g.InstanceID, 0
+		p.instanceSeenAt, p.acknowledgedCallAt, p.acknowledgedTerms = c.now, 0, nil
 	}
-	p.ping, p.pingAt = g, c.now
-	if g.Level >= pipelineLevel {
-		c.releases.learn(p.id)
+	p.lastPing, p.lastPingAt = g, c.now
+	if g.FeatureLevel >= dependencyFeatureLevel {
+		c.versionRegistry.recordUpgraded(p.id)
 	}
-	if !g.StoreOK || !g.WorkersOK {
-		p.goodFrom = 0
-	} else if p.goodFrom == 0 {
-		p.goodFrom = c.now
+	if !g.StoreReachable || !g.WorkersReachable {
+		p.healthySince = 0
+	} else if p.healthySince == 0 {
+		p.healthySince = c.now
 	}
-	if g.StoreBad || !g.StoreOK {
+	if g.StoreFailing || !g.StoreReachable {
 		c.storeHealth.probeUntil = c.now + 3*second
 	}
-	for key := range p.taken {
-		if !slices.ContainsFunc(g.Groups, func(o GroupOffer) bool { return o.Key == key }) {
-			delete(p.taken, key)
+	for key := range p.attemptedTransfers {
+		if !slices.ContainsFunc(g.TransferOffers, func(o TransferOffer) bool { return o.Key == key }) {
+			delete(p.attemptedTransfers, key)
 		}
 	}
-	if len(g.Groups) > 0 {
-		c.rentSoon()
+	if len(g.TransferOffers) > 0 {
+		c.scheduleScaleOut()
 	}
-	for _, pt := range g.Parts {
-		if int(pt.Part) < 0 || int(pt.Part) >= len(c.parts) {
+	for _, pt := range g.Shards {
+		if int(pt.Shard) < 0 || int(pt.Shard) >= len(c.shards) {
 			continue
 		}
-		q := c.parts[pt.Part]
-		if pt.Term > q.term && q.held {
-			c.fenced(q.id)
+		q := c.shards[pt.Shard]
+		if pt.Term > q.term && q.owned {
+			c.handleDeposed(q.id)
 		}
-		if pt.Term > q.term && !q.held && !q.claiming {
+		if pt.Term > q.term && !q.owned && !q.acquiring {
 			// The mark is not told, so a claim from here needs a read first.
-			q.holder, q.term = p.id, pt.Term
-			c.rereadPart(q)
+			q.owner, q.term = p.id, pt.Term
+			c.rereadShard(q)
 		}
-		q.offered = q.offered && q.holder != p.id
+		q.failbackOffered = q.failbackOffered && q.owner != p.id
 	}
-	for _, id := range g.Offer {
-		if int(id) < 0 || int(id) >= len(c.parts) {
+	for _, id := range g.FailbackOffers {
+		if int(id) < 0 || int(id) >= len(c.shards) {
 			continue
 		}
-		if q := c.parts[id]; q.home == c.cfg.Self && q.holder == p.id {
-			q.offered = true
+		if q := c.shards[id]; q.preferredOwner == c.config.Self && q.owner == p.id {
+			q.failbackOffered = true
 		}
 	}
-	c.hearTerms(g.Terms)
-	c.reviewParts()
+	c.applyTerms(g.KnownTerms)
+	c.reviewShards()
 }
 
-func (c *Core) reviewParts() {
-	for _, p := range c.parts {
-		c.considerClaim(p)
+func (c *Controller) reviewShards() {
+	for _, p := range c.shards {
+		c.considerAcquire(p)
 	}
 }
 
 // lost tells whether a node can't hold its parts: detected as failed and not
 // heard by a third node either, or by its own word unable to serve.
-func (c *Core) lost(id NodeID) bool {
+func (c *Controller) isFailed(id NodeID) bool {
 	p := c.peers[id]
 	if p == nil {
 		return false
@@ -174,101 +174,101 @@
 		// It serves, though calls don't reach it. Where all links between
 		// controllers were refused, the first to be heard again would else take
 		// the parts of those that are not heard yet.
-		if p.aliveAt > 0 && c.now-p.aliveAt < 6*second {
+		if p.recoverySeenAt > 0 && c.now-p.recoverySeenAt < 6*second {
 			return false
 		}
 		alone := len(c.peers) > 1
-		for _, o := range c.cfg.Nodes {
+		for _, o := range c.config.Nodes {
 			q := c.peers[o]
-			if q == nil || q == p || q.failed || c.now-q.pingAt > 3*second {
+			if q == nil || q == p || q.failed || c.now-q.lastPingAt > 3*second {
 				continue
 			}
 			alone = false
-			if ms, ok := q.ping.Heard[id]; ok && ms < 3000 {
+			if ms, ok := q.lastPing.MillisSinceContact[id]; ok && ms < 3000 {
 				return false // only our own link to it is cut
 			}
 		}
 		// A node that hears nobody is more likely cut off than alone in the
 		// world: it waits longer and takes records being written as a sign of life.
 		// After its own cut it must have had the store for a while to see those.
-		return !alone || c.now-p.failedAt > 6*second && c.now-p.wroteAt > 6*second && c.now-c.storeHealth.servedSince > 8*second
+		return !alone || c.now-p.failedAt > 6*second && c.now-p.lastWriteSeenAt > 6*second && c.now-c.storeHealth.healthySince > 8*second
 	}
-	if !p.heard || c.now-p.pingAt > 3*second {
+	if !p.hasAnswered || c.now-p.lastPingAt > 3*second {
 		return false
 	}
 	// Its store counts as lost to it alone only if ours has served us all along:
 	// after an outage the first to be served would else take all the parts.
 	// What an idle controller heard of the store long ago says nothing.
-	return !p.ping.StoreOK && c.storeHealth.steady(c.now) ||
-		!p.ping.WorkersOK && c.workersOK() && c.workerContact.heardAny(c.now, 2*c.cfg.ReportEvery)
+	return !p.lastPing.StoreReachable && c.storeHealth.isStable(c.now) ||
+		!p.lastPing.WorkersReachable && c.canReachWorkers() && c.workerReachability.hasHeartbeatWithin(c.now, 2*c.config.HeartbeatInterval)
 }
 
-func (c *Core) onPeer(e PeerAsk) {
-	m := e.Msg
+func (c *Controller) handlePeerRequest(e PeerRequest) {
+	m := e.Message
 	p := c.peers[m.From]
-	if p == nil || m.Version != peerVersion {
-		c.refuse(e.Req, ReplyMalformed, 0, "unknown sender or version")
+	if p == nil || m.Version != peerProtocolVersion {
+		c.respondError(e.Request, ReplyBadRequest, 0, "unknown sender or version")
 		return
 	}
-	reply := func(r PeerMsg) {
-		r.Version, r.From = peerVersion, c.cfg.Self
-		c.emit(Respond{Req: e.Req, Status: ReplyOK, Peer: &r})
+	reply := func(r PeerMessage) {
+		r.Version, r.From = peerProtocolVersion, c.config.Self
+		c.emit(Respond{Request: e.Request, Status: ReplyOK, Peer: &r})
 	}
 	switch {
 	case m.Ping != nil:
-		if !c.makesSense(p, m.Ping) {
-			c.refuse(e.Req, ReplyMalformed, 0, p.nonsense)
+		if !c.isValidPing(p, m.Ping) {
+			c.respondError(e.Request, ReplyBadRequest, 0, p.lastPingError)
 			return
 		}
-		c.takePing(p, *m.Ping)
-		reply(PeerMsg{Ping: c.makePing(p)})
-	case m.Tell != nil:
-		for _, kv := range m.Tell.Keys {
-			c.learnJob(kv, nil)
+		c.applyPing(p, *m.Ping)
+		reply(PeerMessage{Ping: c.makePing(p)})
+	case m.Notice != nil:
+		for _, kv := range m.Notice.Keys {
+			c.applyJobRecord(kv, nil)
 		}
-		reply(PeerMsg{Status: ReplyOK})
-	case m.Ask != nil:
-		c.answerAsk(m.Ask.IDs, func(v []JobView) { reply(PeerMsg{Views: v}) })
-	case m.Submit != nil:
-		spec := m.Submit.Spec
-		spec.ID = m.Submit.ID
+		reply(PeerMessage{Status: ReplyOK})
+	case m.Query != nil:
+		c.answerJobQuery(m.Query.IDs, func(v []JobView) { reply(PeerMessage{Views: v}) })
+	case m.Submission != nil:
+		spec := m.Submission.Spec
+		spec.ID = m.Submission.ID
 		if spec.ID == "" || spec.Tasks < 1 {
-			c.refuse(e.Req, ReplyMalformed, 0, "no job")
+			c.respondError(e.Request, ReplyBadRequest, 0, "no job")
 			return
 		}
 		c.submit(spec, 0, "", func(r Respond) {
-			a := PeerMsg{Status: r.Status, After: r.RetryAfter, Why: r.Error}
+			a := PeerMessage{Status: r.Status, RetryAfter: r.RetryAfter, Reason: r.Error}
 			if r.View != nil {
 				a.Views = []JobView{*r.View}
 			}
 			reply(a)
 		})
 	case m.Cancel != "":
-		c.cancelHere(m.Cancel, func(status ReplyStatus, v *JobView) {
-			r := PeerMsg{Status: status}
+		c.cancelOwnedJob(m.Cancel, func(status ReplyStatus, v *JobView) {
+			r := PeerMessage{Status: status}
 			if v != nil {
 				r.Views = []JobView{*v}
 			}
 			reply(r)
 		})
 	default:
-		c.refuse(e.Req, ReplyMalformed, 0, "empty message")
+		c.respondError(e.Request, ReplyBadRequest, 0, "empty message")
 	}
 }
 
 // onHealth tells whether this node can take requests.
-func (c *Core) onHealth(e Health) {
-	if c.storeHealth.lastOK == 0 || len(c.types) == 0 && c.now < 10*second {
-		c.refuse(e.Req, ReplyUnavailable, 0, "starting")
+func (c *Controller) handleHealth(e Health) {
+	if c.storeHealth.lastSuccess == 0 || len(c.machineTypes) == 0 && c.now < 10*second {
+		c.respondError(e.Request, ReplyUnavailable, 0, "starting")
 		return
 	}
-	if c.storeLost(2500 * milli) {
+	if c.isStoreUnavailableFor(2500 * millisecond) {
 		for _, p := range c.peers {
-			if !p.failed && p.ping.StoreOK && c.now-p.pingAt < 3*second {
-				c.refuse(e.Req, ReplyUnavailable, 0, "store out of reach")
+			if !p.failed && p.lastPing.StoreReachable && c.now-p.lastPingAt < 3*second {
+				c.respondError(e.Request, ReplyUnavailable, 0, "store out of reach")
 				return
 			}
 		}
 	}
-	c.emit(Respond{Req: e.Req, Status: ReplyOK})
+	c.emit(Respond{Request: e.Request, Status: ReplyOK})
 }
--- a/internal/core/pingcheck.go
+++ b/internal/core/pingvalidation.go
@@ -6,12 +6,12 @@
 type PingError struct {
 	Field string
 	Count int
-	Most  int
+	Max   int
 }
 
 // Error names the field and how much it may hold.
 func (e *PingError) Error() string {
-	return fmt.Sprintf("%s: %d, at most %d make sense", e.Field, e.Count, e.Most)
+	return fmt.Sprintf("%s: %d, at most %d make sense", e.Field, e.Count, e.Max)
 }
 
 // maxOffers is how many groups a call offers; the others follow once those were
@@ -21,22 +21,22 @@
 // checkPing refuses a call that lists more than there can be. What it lists is
 // gone through, and a count in it is gone through one by one, so that an absurd
 // one would hold up everything else.
-func (c *Core) checkPing(g *Ping) error {
-	parts, nodes := len(c.parts), len(c.cfg.Nodes)
+func (c *Controller) validatePing(g *Ping) error {
+	parts, nodes := len(c.shards), len(c.config.Nodes)
 	for _, list := range []PingError{
-		{"Parts", len(g.Parts), parts},
-		{"Offer", len(g.Offer), parts},
-		{"Loads", len(g.Loads), parts},
-		{"Terms", len(g.Terms), parts},
-		{"Heard", len(g.Heard), nodes},
-		{"Groups", len(g.Groups), maxOffers},
+		{"Parts", len(g.Shards), parts},
+		{"Offer", len(g.FailbackOffers), parts},
+		{"Loads", len(g.ShardLoads), parts},
+		{"Terms", len(g.KnownTerms), parts},
+		{"Heard", len(g.MillisSinceContact), nodes},
+		{"Groups", len(g.TransferOffers), maxOffers},
 	} {
-		if list.Count > list.Most {
+		if list.Count > list.Max {
 			return &list
 		}
 	}
-	for _, offer := range g.Groups {
-		if err := c.checkOffer(&offer); err != nil {
+	for _, offer := range g.TransferOffers {
+		if err := c.validateOffer(&offer); err != nil {
 			return err
 		}
 	}
@@ -45,26 +45,26 @@
 
 // makesSense tells whether a peer's call or answer can be taken in. What is wrong
 // with it is logged once.
-func (c *Core) makesSense(p *peer, g *Ping) bool {
-	err := c.checkPing(g)
+func (c *Controller) isValidPing(p *peer, g *Ping) bool {
+	err := c.validatePing(g)
 	if err == nil {
 		return true
 	}
-	if why := err.Error(); p.nonsense != why {
-		p.nonsense = why
-		c.logf(LogInfo, "call makes no sense", "peer", string(p.id), "why", why)
+	if why := err.Error(); p.lastPingError != why {
+		p.lastPingError = why
+		c.log(LogInfo, "call makes no sense", "peer", string(p.id), "why", why)
 	}
 	return false
 }
 
 // checkOffer refuses a group with more machines than a record can list.
-func (c *Core) checkOffer(o *GroupOffer) error {
+func (c *Controller) validateOffer(o *TransferOffer) error {
 	machines := 0
 	for _, kind := range o.Kinds {
-		if kind.N < 0 || kind.N > c.cfg.ValueBytes || machines > c.cfg.ValueBytes {
-			return &PingError{"Groups.Kinds.N", kind.N, c.cfg.ValueBytes}
+		if kind.Count < 0 || kind.Count > c.config.MaxValueBytes || machines > c.config.MaxValueBytes {
+			return &PingError{"Groups.Kinds.N", kind.Count, c.config.MaxValueBytes}
 		}
-		machines += kind.N
+		machines += kind.Count
 	}
 	return nil
 }
--- a/internal/core/process_standstill_test.go
+++ b/internal/core/process_pause_test.go
@@ -9,12 +9,12 @@
 // TestStoodStill: a controller that stood still for longer than a lease has
 // heard no machine meanwhile. The first report after that must not make it
 // return all the others as silent; that they stay silent from then on does.
-func TestStoodStill(t *testing.T) {
-	c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, ReportEvery: 5 * second, Lease: 26 * second, CancelWithin: 60 * second,
-		StoreRPS: 100, WriteRPS: 100, ValueBytes: 4096, TxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
+func TestProcessPauseReleasesNoMachines(t *testing.T) {
+	c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
+		StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
 	c.Step(0, 0, Tick{})
-	p := c.parts[0]
-	p.held, p.ready = true, true
+	p := c.shards[0]
+	p.owned, p.ready = true, true
 	g := c.newGroup(p, "g", 1)
 	var ms []*machine
 	for _, id := range []MachineID{"m-1", "m-2", "m-3"} {
@@ -24,26 +24,26 @@
 	}
 	returned := func() (n int) {
 		for _, m := range ms {
-			if m.returning {
+			if m.releasing {
 				n++
 			}
 		}
 		return n
 	}
-	report := func(at Time, stamp Stamp) {
-		c.Step(at, 0, Checkin{Req: 1, Report: Report{Machine: "m-1", Addr: "x", Session: 1, Stamp: stamp, Token: 5, Notice: -1}})
+	report := func(at Time, stamp SequenceNumber) {
+		c.Step(at, 0, Heartbeat{Request: 1, Status: HeartbeatStatus{Machine: "m-1", Addr: "x", Incarnation: 1, SequenceNumber: stamp, FencingToken: 5, PreemptionNotice: -1}})
 	}
 	report(second, 1)
 	at := 41 * second
 	report(at, 2)
-	for i := range Stamp(4) {
+	for i := range SequenceNumber(4) {
 		at += second
 		report(at, 3+i)
 	}
 	if n := returned(); n > 0 {
 		t.Errorf("%d machines returned after a standstill", n)
 	}
-	for i := range Stamp(60) {
+	for i := range SequenceNumber(60) {
 		at += second
 		report(at, 10+i)
 	}
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -15,7 +15,7 @@
 // Records of the version in production (deploy/service.toml), as its own code
 // wrote them into testdata/production/records.json.
 
-func productionRecords(t *testing.T) map[string]json.RawMessage {
+func loadProductionRecords(t *testing.T) map[string]json.RawMessage {
 	t.Helper()
 	text, err := os.ReadFile("testdata/production/records.json")
 	if err != nil {
@@ -38,61 +38,61 @@
 // TestProductionRecordsRead: all that the version in production has written is
 // taken in as it was meant.
 func TestProductionRecordsRead(t *testing.T) {
-	recs := productionRecords(t)
-	b := newCoreHarness()
+	recs := loadProductionRecords(t)
+	b := newControllerHarness()
 	b.timers = timerQueue{}
 	for _, k := range sortedKeys(recs) {
 		kv := KV{k, []byte(recs[k]), 31}
 		b.store.keys[k] = kv
 		switch {
 		case strings.HasPrefix(k, "jobs/"):
-			b.learnJob(kv, nil)
+			b.applyJobRecord(kv, nil)
 		case strings.HasPrefix(k, "accepts/"):
-			b.learnAccepted(kv, nil)
+			b.applyAdmissionRecord(kv, nil)
 		}
 	}
-	b.play(second)
+	b.runFor(second)
 	for id, done := range map[JobID]int{"j-000412": 4, "j-000413": 0, "j-000414": 5462 + 100, "j-000417": 0, "j-000418": 0} {
-		if j := b.jobs.held[id]; j == nil || j.done != done || len(j.spec.Awaits) > 0 || j.waiting || !j.active() || j.loading > 0 {
+		if j := b.jobs.owned[id]; j == nil || j.completedCount != done || len(j.spec.Dependencies) > 0 || j.blocked || !j.isActive() || j.chunksLoading > 0 {
 			t.Errorf("%s: %+v, want %d done", id, j, done)
 		}
 	}
-	want := JobSpec{ID: "j-000412", Class: "train", Team: "red", Priority: Urgent, Tasks: 16, Need: Res{CPU: 8_000_000, GPU: 1_000_000, Mem: 64_000_000}, Types: []string{"g8"}, Zone: "a",
-		SamePlace: true, Scatter: true, Spot: true, Image: "img-07", ImageGB: 6.2, RuntimeS: 240, CheckpntS: 30, SaveS: 4, DeadlineS: 900, Submitted: 1_700_000_000_000}
-	if j := b.jobs.held["j-000412"]; !reflect.DeepEqual(j.spec, want) {
+	want := JobSpec{ID: "j-000412", Class: "train", Team: "red", Priority: Urgent, Tasks: 16, ResourceRequest: Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}, MachineTypes: []string{"g8"}, Zone: "a",
+		Colocate: true, Spread: true, Spot: true, Image: "img-07", ImageGB: 6.2, RuntimeSeconds: 240, CheckpointSeconds: 30, SaveSeconds: 4, DeadlineSeconds: 900, SubmittedAt: 1_700_000_000_000}
+	if j := b.jobs.owned["j-000412"]; !reflect.DeepEqual(j.spec, want) {
 		t.Errorf("read %+v", j.spec)
 	}
-	for id, end := range map[JobID]Status{"j-000415": StDone, "j-000416": StCancelled} {
-		if k := b.jobs.known[id]; k == nil || k.final != end || k.tasks != 4 || !k.stored {
+	for id, end := range map[JobID]JobStatus{"j-000415": JobDone, "j-000416": JobCancelled} {
+		if k := b.jobs.known[id]; k == nil || k.finalStatus != end || k.tasks != 4 || !k.finalRecorded {
 			t.Errorf("%s: %+v, want %s", id, k, end)
 		}
 	}
-	if b.jobs.known["j-000416"].need.CPU != 2_000_000 {
+	if b.jobs.known["j-000416"].resourceRequest.CPU != 2_000_000 {
 		t.Error("a cancelled job's need is lost")
 	}
 	for _, k := range []string{"groups/b1-30-1", "groups/b1-30-2"} {
-		b.learnGroup(KV{k, recs[k], 31}, b.parts[0])
+		b.applyGroupRecord(KV{k, recs[k], 31}, b.shards[0])
 	}
 	m1, m2, m3 := b.machines["m-000001"], b.machines["m-000002"], b.machines["m-000003"]
-	if m1 == nil || m2 == nil || m3 == nil || len(m1.assigns) != 3 || m1.addr != "10.1.0.232:9000" || !m1.spot || m1.zone != "a" || !m2.booting || !m3.returned || len(m3.assigns) != 1 {
+	if m1 == nil || m2 == nil || m3 == nil || len(m1.assignments) != 3 || m1.address != "10.1.0.232:9000" || !m1.spot || m1.zone != "a" || !m2.booting || !m3.releaseConfirmed || len(m3.assignments) != 1 {
 		t.Errorf("machines %+v, %+v, %+v", m1, m2, m3)
-	} else if a := m1.assigns[TaskID{Job: "j-000412", Index: 4}]; a == nil || a.attempt != 30<<20|2 {
+	} else if a := m1.assignments[TaskID{Job: "j-000412", Index: 4}]; a == nil || a.attempt != 30<<20|2 {
 		t.Errorf("task 4 is listed as %+v", a)
 	}
-	var r rentalRecord
-	if json.Unmarshal(recs["rentals/r-b1-30-1"], &r) != nil || r != (rentalRecord{0, "small", "a", true, 3, "b1-12"}) {
+	var r provisioningRecord
+	if json.Unmarshal(recs["rentals/r-b1-30-1"], &r) != nil || r != (provisioningRecord{0, "small", "a", true, 3, "b1-12"}) {
 		t.Errorf("rental %+v", r)
 	}
-	var p partRecord
-	if json.Unmarshal(recs["parts/0"], &p) != nil || !reflect.DeepEqual(p, partRecord{Holder: "n0", Term: 7, W: "b1-13"}) {
+	var p shardRecord
+	if json.Unmarshal(recs["parts/0"], &p) != nil || !reflect.DeepEqual(p, shardRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}) {
 		t.Errorf("part %+v", p)
 	}
-	var c typesRecord
-	if json.Unmarshal(recs["types"], &c) != nil || len(c.Types) != 1 || c.Types[0].SpotPrice != 0.07 || len(c.Types[0].Zones) != 2 || c.W != "b1-14" {
+	var c machineTypesRecord
+	if json.Unmarshal(recs["types"], &c) != nil || len(c.Types) != 1 || c.Types[0].SpotPrice != 0.07 || len(c.Types[0].Zones) != 2 || c.WriteID != "b1-14" {
 		t.Errorf("types %+v", c)
 	}
-	for _, p := range b.parts {
-		if !p.held {
+	for _, p := range b.shards {
+		if !p.owned {
 			t.Errorf("part %d was given up", p.id)
 		}
 	}
@@ -102,22 +102,22 @@
 // byte for byte what the version in production writes.
 // Of the two forms of outcomes that version reads, ranges and a bitmap, this one
 // writes the shorter, so a few outcomes may come as a bitmap.
-func TestNothingNewWritten(t *testing.T) {
+func TestRecordsMatchProductionEncoding(t *testing.T) {
 	productionForm := regexp.MustCompile(`^(|[0-9]+(-[0-9]+)?(,[0-9]+(-[0-9]+)?)*|b[A-Za-z0-9+/]+)$`)
 	forms := map[bool]bool{}
-	for key, old := range productionRecords(t) {
+	for key, old := range loadProductionRecords(t) {
 		var rec any
 		switch {
 		case strings.HasPrefix(key, "jobs/"), strings.HasPrefix(key, "done/"):
 			rec = &jobRecord{}
 		case strings.HasPrefix(key, "accepts/"):
-			rec = &acceptRecord{}
+			rec = &admissionRecord{}
 		case strings.HasPrefix(key, "rentals/"):
-			rec = &rentalRecord{}
+			rec = &provisioningRecord{}
 		case strings.HasPrefix(key, "parts/"):
-			rec = &partRecord{}
+			rec = &shardRecord{}
 		case key == "types":
-			rec = &typesRecord{}
+			rec = &machineTypesRecord{}
 		case strings.HasPrefix(key, "groups/"):
 			group, err := grouprecord.Decode(old)
 			if err != nil {
@@ -137,20 +137,20 @@
 			t.Errorf("%s: wrote %.300s, was %.300s", key, v, old)
 		}
 		if j, ok := rec.(*jobRecord); ok && j.Spec != nil && strings.HasPrefix(key, "jobs/") {
-			state := make([]uint8, min(j.Spec.Tasks, chunkTasks))
-			decodeDone(j.Done, len(state), func(i int) { state[i] = tStored })
-			out, fits := encodeDone(state, 1<<20)
+			state := make([]uint8, min(j.Spec.Tasks, tasksPerChunk))
+			decodeCompleted(j.CompletedIndexes, len(state), func(i int) { state[i] = taskCompletionStored })
+			out, fits := encodeCompleted(state, 1<<20)
 			again := make([]uint8, len(state))
-			if fits != len(state) || !productionForm.MatchString(out) || !decodeDone(out, len(state), func(i int) { again[i] = tStored }) || !bytes.Equal(again, state) {
-				t.Errorf("%s: outcomes %.80s, were %.80s", key, out, j.Done)
+			if fits != len(state) || !productionForm.MatchString(out) || !decodeCompleted(out, len(state), func(i int) { again[i] = taskCompletionStored }) || !bytes.Equal(again, state) {
+				t.Errorf("%s: outcomes %.80s, were %.80s", key, out, j.CompletedIndexes)
 			}
-			forms[strings.HasPrefix(j.Done, "b")] = true
+			forms[strings.HasPrefix(j.CompletedIndexes, "b")] = true
 		}
 	}
 	if len(forms) != 2 {
 		t.Error("the records don't show both forms of outcomes")
 	}
-	v, _ := json.Marshal(jobRecord{Spec: &JobSpec{Awaits: []JobID{}}})
+	v, _ := json.Marshal(jobRecord{Spec: &JobSpec{Dependencies: []JobID{}}})
 	if strings.Contains(string(v), `"aw"`) {
 		t.Errorf("an empty list is written: %s", v)
 	}
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -8,95 +8,95 @@
 
 // stallCheckpoints is how many checkpoints in a row a part may go without
 // progress before operators are told, and again after as many more.
-const stallCheckpoints = 15
+const stallThreshold = 15
 
 // partProgress counts for how long a part has not been served, so that operators
 // learn of a state that no failure detector sees: every controller is alive, yet
 // nobody holds the part, or its holder gets nowhere with it.
-type partProgress struct {
-	stalled int    // checkpoints in a row
-	planned uint64 // starts planned, as of the last checkpoint
-	stored  uint64 // transactions stored, as of then
+type shardProgress struct {
+	stalledCheckpoints int    // checkpoints in a row
+	plannedStarts      uint64 // starts planned, as of the last checkpoint
+	storedTransactions uint64 // transactions stored, as of then
 }
 
 // stall says in what way a part is not served.
-type stall string
+type stallReason string
 
 const (
-	served   stall = ""
-	noHolder stall = "nobody serves it"
-	noStarts stall = "waiting tasks fit on its machines and none is started"
-	noWrites stall = "its writes are not stored"
+	stallNone     stallReason = ""
+	stallNoOwner  stallReason = "nobody serves it"
+	stallNoStarts stallReason = "waiting tasks fit on its machines and none is started"
+	stallNoWrites stallReason = "its writes are not stored"
 )
 
 // watchProgress notes at each checkpoint which parts are served.
-func (c *Core) watchProgress() {
-	for _, p := range c.parts {
-		c.noteProgress(p, c.stallOf(p))
+func (c *Controller) checkShardProgress() {
+	for _, p := range c.shards {
+		c.recordShardProgress(p, c.shardStallReason(p))
 	}
 }
 
 // noteProgress counts the checkpoints without progress, and logs each time that
 // there were too many.
-func (c *Core) noteProgress(p *part, why stall) {
+func (c *Controller) recordShardProgress(p *shard, why stallReason) {
 	state := &p.progress
-	state.planned, state.stored = p.planned, p.storedTxns
-	if why == served {
-		state.stalled = 0
+	state.plannedStarts, state.storedTransactions = p.plannedStarts, p.storedTransactions
+	if why == stallNone {
+		state.stalledCheckpoints = 0
 		return
 	}
-	if state.stalled++; state.stalled%stallCheckpoints != 0 {
+	if state.stalledCheckpoints++; state.stalledCheckpoints%stallThreshold != 0 {
 		return
 	}
-	c.logf(LogInfo, "part makes no progress",
+	c.log(LogInfo, "part makes no progress",
 		"part", int(p.id),
 		"why", string(why),
-		"checkpoints", state.stalled,
-		"holder", string(p.holder),
-		"claiming", p.claiming)
+		"checkpoints", state.stalledCheckpoints,
+		"holder", string(p.owner),
+		"claiming", p.acquiring)
 }
 
 // stallOf says whether a part is served, as far as this controller knows.
-func (c *Core) stallOf(p *part) stall {
+func (c *Controller) shardStallReason(p *shard) stallReason {
 	switch {
-	case c.storeLost(second): // nobody can get on with anything
-		return served
-	case !p.held:
-		if c.servedElsewhere(p) {
-			return served
+	case c.isStoreUnavailableFor(second): // nobody can get on with anything
+		return stallNone
+	case !p.owned:
+		if c.isServedByPeer(p) {
+			return stallNone
 		}
-		return noHolder
+		return stallNoOwner
 	case !p.ready:
-		return noHolder
-	case c.writesStalled(p):
-		return noWrites
-	case c.startsStalled(p):
-		return noStarts
+		return stallNoOwner
+	case c.hasStalledWrites(p):
+		return stallNoWrites
+	case c.hasStalledStarts(p):
+		return stallNoStarts
 	}
-	return served
+	return stallNone
 }
 
 // servedElsewhere tells whether the part's holder says that it holds it, or is
 // alive though its word does not come through.
-func (c *Core) servedElsewhere(p *part) bool {
-	holder := c.peers[p.holder]
+func (c *Controller) isServedByPeer(p *shard) bool {
+	holder := c.peers[p.owner]
 	if holder == nil {
 		return false
 	}
-	if c.now-holder.pingAt > 3*second {
-		return !c.lost(p.holder)
+	if c.now-holder.lastPingAt > 3*second {
+		return !c.isFailed(p.owner)
 	}
-	return slices.ContainsFunc(holder.ping.Parts, func(held PartTerm) bool { return held.Part == p.id })
+	return slices.ContainsFunc(holder.lastPing.Shards, func(held ShardTerm) bool { return held.Shard == p.id })
 }
 
 // writesStalled tells whether records of the part's machines wait to be stored,
 // and nothing of the part was stored since the last checkpoint.
-func (c *Core) writesStalled(p *part) bool {
-	if p.storedTxns != p.progress.stored {
+func (c *Controller) hasStalledWrites(p *shard) bool {
+	if p.storedTransactions != p.progress.storedTransactions {
 		return false
 	}
-	for _, g := range c.groups {
-		if g.part == p.id && g.writing {
+	for _, g := range c.machineGroups {
+		if g.shardID == p.id && g.writePending {
 			return true
 		}
 	}
@@ -105,19 +105,19 @@
 
 // startsStalled tells whether waiting tasks fit on the part's machines, and none
 // was given one since the last checkpoint.
-func (c *Core) startsStalled(p *part) bool {
-	if p.planned != p.progress.planned || !slices.ContainsFunc(p.jobs, c.waits) {
+func (c *Controller) hasStalledStarts(p *shard) bool {
+	if p.plannedStarts != p.progress.plannedStarts || !slices.ContainsFunc(p.jobs, c.hasSchedulableTasks) {
 		return false
 	}
-	work := c.unplaced(p)
-	slots, _ := c.slots(p, 1)
+	work := c.listPendingWork(p)
+	slots, _ := c.listFreeCapacity(p, 1)
 	for i := range slots {
 		s := &slots[i]
 		fits := func(j *job) bool {
-			return c.allowedOn(j, s.m) && c.mayUse(j, s.m) && c.room(s.m.group, j) && s.image(j) != placement.ImageBlocked &&
-				zoneAllowed(&j.spec, c.zonesOf(j), s.m.zone)
+			return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) && c.hasRoom(s.machine.group, j) && s.imageState(j) != placement.ImageBlocked &&
+				isZoneAllowed(&j.spec, c.countTasksByZone(j), s.machine.zone)
 		}
-		if c.fill(work, s.free, fits) > 0 {
+		if c.packWork(work, s.available, fits) > 0 {
 			return true
 		}
 	}
@@ -126,10 +126,10 @@
 
 // stalledParts counts the parts that have not been served for so long that
 // operators were told.
-func (c *Core) stalledParts() int {
+func (c *Controller) stalledShardCount() int {
 	stalled := 0
-	for _, p := range c.parts {
-		if p.progress.stalled >= stallCheckpoints {
+	for _, p := range c.shards {
+		if p.progress.stalledCheckpoints >= stallThreshold {
 			stalled++
 		}
 	}
--- a/internal/core/progress_test.go
+++ b/internal/core/progress_test.go
@@ -8,10 +8,10 @@
 )
 
 // stallsLogged lists what the log says of parts without progress.
-func stallsLogged(effects []Effect) []string {
+func loggedStalls(effects []Effect) []string {
 	var whys []string
 	for _, effect := range effects {
-		if line, ok := effect.(Log); ok && line.Text == "part makes no progress" {
+		if line, ok := effect.(Log); ok && line.Message == "part makes no progress" {
 			whys = append(whys, line.Args[3].(string))
 		}
 	}
@@ -19,67 +19,67 @@
 }
 
 // checkpoints lets so many checkpoints pass with nothing else happening.
-func (b *coreHarness) checkpoints(n int) []string {
-	b.out = nil
+func (b *controllerHarness) runStallChecks(n int) []string {
+	b.effects = nil
 	for range n {
 		b.now += 2 * second
 		for _, id := range []NodeID{"n1", "n2"} {
-			b.peers[id].pingAt = b.now
+			b.peers[id].lastPingAt = b.now
 		}
-		b.watchProgress()
+		b.checkShardProgress()
 	}
-	return stallsLogged(b.out)
+	return loggedStalls(b.effects)
 }
 
 // TestStalledPartIsLogged: operators are told of a part that nobody serves, and
 // of one whose holder gets nowhere with it, and of no other.
-func TestStalledPartIsLogged(t *testing.T) {
+func TestStalledShardIsLogged(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		prepare func(*coreHarness)
+		prepare func(*controllerHarness)
 		want    string
 	}{
-		{"all parts idle", func(*coreHarness) {}, ""},
-		{"nobody holds it", func(b *coreHarness) {
-			b.parts[0].held, b.parts[0].holder = false, "n1"
+		{"all parts idle", func(*controllerHarness) {}, ""},
+		{"nobody holds it", func(b *controllerHarness) {
+			b.shards[0].owned, b.shards[0].owner = false, "n1"
 		}, "nobody serves it"},
-		{"another holds it", func(b *coreHarness) {
-			b.parts[0].held, b.parts[0].holder = false, "n1"
-			b.peers["n1"].ping.Parts = []PartTerm{{Part: 0, Term: 2}}
+		{"another holds it", func(b *controllerHarness) {
+			b.shards[0].owned, b.shards[0].owner = false, "n1"
+			b.peers["n1"].lastPing.Shards = []ShardTerm{{Shard: 0, Term: 2}}
 		}, ""},
-		{"idle machines beside waiting tasks", func(b *coreHarness) {
-			b.running(b.job("j-1", 1))
-			b.job("j-2", 2)
+		{"idle machines beside waiting tasks", func(b *controllerHarness) {
+			b.addRunningMachine(b.addTestJob("j-1", 1))
+			b.addTestJob("j-2", 2)
 		}, "waiting tasks fit on its machines and none is started"},
-		{"waiting tasks that fit nowhere", func(b *coreHarness) {
-			m, _ := b.running(b.job("j-1", 1))
+		{"waiting tasks that fit nowhere", func(b *controllerHarness) {
+			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
 			m.draining = true
-			b.job("j-2", 2)
+			b.addTestJob("j-2", 2)
 		}, ""},
-		{"waiting tasks that may not go to the zone", func(b *coreHarness) {
-			b.running(b.job("j-1", 1))
-			far := b.addMachine(b.newGroup(b.parts[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
-			j := b.job("j-2", 2)
-			j.spec.SamePlace = true
-			j.setPlaced(0, &assign{task: TaskID{Job: "j-2", Index: 0}, job: j, mach: far.id, phase: aSeen})
+		{"waiting tasks that may not go to the zone", func(b *controllerHarness) {
+			b.addRunningMachine(b.addTestJob("j-1", 1))
+			far := b.addMachine(b.newGroup(b.shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
+			j := b.addTestJob("j-2", 2)
+			j.spec.Colocate = true
+			j.setAssigned(0, &assignment{task: TaskID{Job: "j-2", Index: 0}, job: j, machineID: far.id, phase: phaseAcknowledged})
 		}, ""},
-		{"a record that is never stored", func(b *coreHarness) {
-			m, _ := b.running(b.job("j-1", 1))
-			m.group.writing = true
+		{"a record that is never stored", func(b *controllerHarness) {
+			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
+			m.group.writePending = true
 		}, "its writes are not stored"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newCoreHarness()
+			b := newControllerHarness()
 			test.prepare(b)
 			beat := func() { // the machine goes on reporting
 				for _, m := range b.machines {
-					m.heard = b.now + 2*second
+					m.lastHeartbeat = b.now + 2*second
 				}
 			}
 			var logged []string
-			for range stallCheckpoints {
+			for range stallThreshold {
 				beat()
-				logged = append(logged, b.checkpoints(1)...)
+				logged = append(logged, b.runStallChecks(1)...)
 			}
 			want := []string{test.want}
 			if test.want == "" {
@@ -88,7 +88,7 @@
 			if !slices.Equal(logged, want) {
 				t.Errorf("logged %q, want %q", logged, want)
 			}
-			if stalled := b.stalledParts(); stalled != len(want) {
+			if stalled := b.stalledShardCount(); stalled != len(want) {
 				t.Errorf("%d parts stalled, want %d", stalled, len(want))
 			}
 		})
@@ -98,14 +98,14 @@
 // TestProgressEndsStall: one stored transaction, or one planned start, is
 // progress.
 func TestProgressEndsStall(t *testing.T) {
-	b := newCoreHarness()
-	b.enlist(b.parts[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
-	b.play(100 * milli)
+	b := newControllerHarness()
+	b.registerMachines(b.shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
+	b.runFor(100 * millisecond)
 	m := b.machines["m-1"]
-	m.group.writing = true
-	b.checkpoints(stallCheckpoints - 1)
-	b.parts[0].storedTxns++
-	if logged := b.checkpoints(stallCheckpoints - 1); len(logged) > 0 {
+	m.group.writePending = true
+	b.runStallChecks(stallThreshold - 1)
+	b.shards[0].storedTransactions++
+	if logged := b.runStallChecks(stallThreshold - 1); len(logged) > 0 {
 		t.Errorf("logged %q beside progress", logged)
 	}
 }
--- /dev/null
+++ b/internal/core/provisioning_late_write_test.go
@@ -0,0 +1,90 @@
+package core
+
+import (
+	"slices"
+	"testing"
+)
+
+// TestLateCopyOfRental: a late copy of the transaction that recorded a rental
+// must not bring the record back after its machines are in a group: the next
+// holder would repeat it and list them twice (seed 175, a task ran twice).
+func TestLateProvisioningWriteRejected(t *testing.T) {
+	c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
+	p := c.shards[0]
+	p.owned, p.ready, p.modRevision = true, true, 3
+	p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]Time{}
+	keys := map[string]ModRevision{p.key(): 3}
+	carryOut := func(f StoreTxn) TxnReply {
+		for _, w := range f.If {
+			if keys[w.Key] != w.ModRevision {
+				return TxnReply{Outcome: Conflict, FailedKeys: []string{w.Key}}
+			}
+		}
+		for _, o := range f.Then {
+			keys[o.Key] = 7
+			if o.Value == nil {
+				delete(keys, o.Key)
+			}
+		}
+		return TxnReply{Outcome: OK, Revision: 7}
+	}
+	var first *StoreTxn
+	rented := false
+	c.createProvisioningRequest(p, provisioningOption{"small", "a", true}, 2)
+	for range 3 {
+		c.writeQueue.dispatch()
+		out := c.effects
+		c.effects = nil
+		for _, f := range out {
+			switch f := f.(type) {
+			case StoreTxn:
+				if first == nil {
+					first = &f
+				}
+				c.pendingCalls[f.Call](carryOut(f))
+			case CloudScaleOut:
+				rented = true
+				c.pendingCalls[f.Call](ScaleOutReply{Outcome: OK, IDs: []MachineID{"m-1", "m-2"}})
+			}
+		}
+	}
+	if !rented || len(c.machineGroups) != 1 || len(p.provisioningRequests) != 0 {
+		t.Fatalf("rented %v, %d groups, %d open rentals", rented, len(c.machineGroups), len(p.provisioningRequests))
+	}
+	if r := carryOut(*first); r.Outcome != Conflict {
+		t.Errorf("a late copy of the rental's record was carried out: %v", keys)
+	}
+}
+
+// TestLateCopyOfRefusedRental: the creation of a rental was carried out twice,
+// as far as its writer knows, and the cloud refused it. A late copy must not
+// bring the request back (seven controllers, seed 1030).
+func TestLateWriteOfRefusedProvisioningRejected(t *testing.T) {
+	b := newControllerHarness()
+	p := b.shards[0]
+	n := 0
+	b.losesReply = func(StoreTxn) bool { n++; return n == 1 }
+	b.createProvisioningRequest(p, provisioningOption{"small", "a", true}, 2)
+	var rent *CloudScaleOut
+	for range 100 {
+		b.runTimers()
+		b.writeQueue.dispatch()
+		if i := slices.IndexFunc(b.effects, func(f Effect) bool { _, ok := f.(CloudScaleOut); return ok }); i >= 0 {
+			f := b.effects[i].(CloudScaleOut)
+			rent = &f
+			break
+		}
+		b.runFor(0)
+	}
+	if rent == nil {
+		t.Fatal("nothing was asked of the cloud")
+	}
+	b.pendingCalls[rent.Call](ScaleOutReply{Outcome: NotFound})
+	b.runFor(second)
+	if len(p.provisioningRequests) != 0 || b.store.get("rentals/"+rent.Name).Outcome != NotFound {
+		t.Fatalf("the refused request is still there: %v", p.provisioningRequests)
+	}
+	if r := b.store.commit(b.sentTransactions[0]); r.Outcome != Conflict {
+		t.Error("a late copy of the refused request was carried out")
+	}
+}
--- /dev/null
+++ b/internal/core/proxy_test.go
@@ -0,0 +1,28 @@
+package core
+
+import "testing"
+
+// TestAwaitsNotHandedToOld: a controller that has lost the store never hands a
+// job that awaits others on to one of an earlier release, which would store it
+// without them and start it at once.
+func TestDependentJobNotProxiedToOldVersion(t *testing.T) {
+	for level, want := range map[int]bool{0: false, dependencyFeatureLevel: true} {
+		b := newControllerHarness()
+		b.timers, b.effects = timerQueue{}, nil
+		for _, p := range b.peers {
+			p.hasAnswered, p.lastPingAt, p.lastPing.StoreReachable, p.lastPing.FeatureLevel = true, b.now, true, level
+		}
+		b.storeHealth.failing, b.storeHealth.failingSince = true, b.now-10*second
+		b.jobs.known["j-1"] = &knownJob{shard: 0, tasks: 1, team: "red"}
+		b.handleSubmit(Submit{Request: 1, Spec: JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000}, Dependencies: []JobID{"j-1"}}})
+		handed := false
+		for _, f := range b.effects {
+			if c, ok := f.(PeerCall); ok && c.Message.Submission != nil {
+				handed = true
+			}
+		}
+		if handed != want {
+			t.Errorf("level %d: handed on: %v, want %v", level, handed, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/quarantine.go
@@ -0,0 +1,149 @@
+package core
+
+import (
+	"slices"
+
+	"stairrelay/internal/grouprecord"
+)
+
+// What a record that makes no sense lists is unknown, and guessing could run a
+// task twice. The part's other records are kept; its machines are returned to
+// the cloud, after which nothing that they held can still run, and the record
+// is dropped. Until then users are answered from the store.
+
+// setAside notes a group's record that makes no sense.
+func (c *Controller) quarantineRecord(p *shard, kv KV, why string) {
+	c.log(LogInfo, "impossible record", "key", kv.Key, "why", why)
+	if p.quarantined == nil {
+		p.quarantined = map[string]ModRevision{}
+	}
+	p.quarantined[kv.Key] = kv.ModRevision
+	for _, g := range sortedKeys(c.machineGroups) {
+		if c.machineGroups[g].key() == kv.Key {
+			c.dropTransferredGroup(c.machineGroups[g], NoShard)
+		}
+	}
+}
+
+// clearAside returns every machine that the cloud lists and no readable record
+// does, then drops the records set aside and reads the part again. The list may
+// be as old as twice its lag: only one that must show all that existed at the
+// claim will do.
+func (c *Controller) repairQuarantined(p *shard) {
+	claim := p.claimRevision
+	again := func(d Time) {
+		c.after(d, func() {
+			if p.owned && p.claimRevision == claim && !p.ready {
+				c.repairQuarantined(p)
+			}
+		})
+	}
+	if wait := p.ownershipChangedAt + 2*c.config.CloudListLag + 3*second - c.now; wait > 0 {
+		again(wait)
+		return
+	}
+	c.forceCloudCall()
+	c.readCloudList(func(listedByCloud []ListedMachine, ok bool) {
+		if !ok {
+			again(2 * second)
+			return
+		}
+		c.listPrefix("groups/", func(l ListReply) {
+			if l.Outcome != OK {
+				again(second)
+				return
+			}
+			listed := map[MachineID]bool{}
+			for _, kv := range l.Items {
+				if _, bad := p.quarantined[kv.Key]; bad {
+					continue
+				}
+				if rec, err := grouprecord.Decode(kv.Value); err == nil {
+					for i := range rec.Machines {
+						listed[rec.Machines[i].ID] = true
+					}
+				}
+			}
+			var lost []MachineID
+			for _, x := range listedByCloud {
+				if !listed[x.ID] {
+					lost = append(lost, x.ID)
+				}
+			}
+			c.releaseUnlistedMachines(p, claim, lost, again)
+		})
+	})
+}
+
+func (c *Controller) releaseUnlistedMachines(p *shard, claim Revision, lost []MachineID, again func(Time)) {
+	if !p.owned || p.claimRevision != claim {
+		return
+	}
+	if len(lost) == 0 {
+		c.deleteQuarantinedRecords(p, claim)
+		return
+	}
+	n := min(len(lost), maxScaleInMachines)
+	c.forceCloudCall()
+	c.emit(CloudScaleIn{IDs: lost[:n], Call: c.registerCall(func(b any) {
+		if b.(ScaleInReply).Outcome != OK {
+			again(2 * second)
+			return
+		}
+		c.releaseUnlistedMachines(p, claim, lost[n:], again)
+	})})
+}
+
+func (c *Controller) deleteQuarantinedRecords(p *shard, claim Revision) {
+	keys := sortedKeys(p.quarantined)
+	keys = keys[:min(len(keys), c.config.MaxTxnOps)]
+	c.writeQueue.enqueue(priorityScaleOut, &queuedWrite{
+		shardID: p.id, keys: keys,
+		build: func(string) ([]TxnOp, []ModRevision) {
+			var ops []TxnOp
+			var marks []ModRevision
+			for _, k := range keys {
+				ops, marks = append(ops, TxnOp{k, nil}), append(marks, p.quarantined[k])
+			}
+			return ops, marks
+		},
+		onApplied: func(Revision) {
+			if p.owned && p.claimRevision == claim {
+				c.log(LogInfo, "impossible records dropped", "part", int(p.id), "records", len(keys))
+				c.reloadShard(p)
+			}
+		},
+		onConflict: func() { // another part's holder was faster, or an earlier sending was carried out
+			if p.owned && p.claimRevision == claim {
+				c.reloadShard(p)
+			}
+		},
+	})
+}
+
+// reload reads a part's records anew.
+func (c *Controller) reloadShard(p *shard) {
+	p.quarantined = nil
+	for _, m := range slices.Clone(p.machines) {
+		c.dropMachine(m)
+	}
+	for _, j := range slices.Clone(p.jobs) {
+		c.abandonJob(j)
+	}
+	for _, id := range sortedKeys(c.machineGroups) {
+		if c.machineGroups[id].shardID == p.id {
+			delete(c.machineGroups, id)
+		}
+	}
+	p.provisioningRequests = map[string]*provisioningRequest{}
+	c.loadShard(p)
+}
+
+// groupPart reads at least whose a record is that makes no sense otherwise.
+func groupRecordShard(v []byte, parts int) (ShardID, bool) {
+	part, ok := grouprecord.ShardOf(v)
+	if !ok || part < 0 || int(part) >= parts {
+		return 0, false
+	}
+	return part, true
+}
--- a/internal/core/random_test.go
+++ b/internal/core/random_faults_test.go
@@ -13,62 +13,62 @@
 )
 
 const (
-	sec = core.Time(time.Second)
-	cpu = core.Amount(1_000_000)
+	second = core.Time(time.Second)
+	cpu    = core.Amount(1_000_000)
 )
 
 func testConfig() core.Config {
 	return core.Config{
 		Nodes: []core.NodeID{"n0", "n1", "n2"},
 		Teams: []core.Team{
-			{Name: "red", Guarantee: core.Res{CPU: 8 * cpu}, Limit: core.Res{CPU: 14 * cpu}},
-			{Name: "green", Guarantee: core.Res{CPU: 8 * cpu}, Limit: core.Res{CPU: 16 * cpu}},
-			{Name: "blue", Guarantee: core.Res{CPU: 6 * cpu}, Limit: core.Res{CPU: 10 * cpu}},
+			{Name: "red", GuaranteedQuota: core.Resources{CPU: 8 * cpu}, QuotaLimit: core.Resources{CPU: 14 * cpu}},
+			{Name: "green", GuaranteedQuota: core.Resources{CPU: 8 * cpu}, QuotaLimit: core.Resources{CPU: 16 * cpu}},
+			{Name: "blue", GuaranteedQuota: core.Resources{CPU: 6 * cpu}, QuotaLimit: core.Resources{CPU: 10 * cpu}},
 		},
-		ReportEvery: 2 * sec, Lease: 12 * sec, CancelWithin: 37 * sec,
-		StoreRPS: 150, WriteRPS: 40, ValueBytes: 4096, TxnOps: 12, CloudRPS: 6, ListLag: 3 * sec,
+		HeartbeatInterval: 2 * second, WorkerLease: 12 * second, CancelDeadline: 37 * second,
+		StoreRPS: 150, WriteRPS: 40, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 6, CloudListLag: 3 * second,
 		Tuning: core.DefaultTuning(),
 	}
 }
 
 // sevenConfig is a place with more controllers than teams: one team without
 // guarantee or limit, a short lease, and a slow cloud list.
-func sevenConfig() core.Config {
+func sevenNodeConfig() core.Config {
 	c := testConfig()
 	c.Nodes = []core.NodeID{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}
-	c.Teams = []core.Team{{Name: "red", Limit: core.Res{CPU: core.NoLimit, GPU: core.NoLimit}}}
-	c.ReportEvery, c.Lease, c.CancelWithin = 5*sec/2, 14*sec, 34*sec
-	c.StoreRPS, c.WriteRPS, c.ValueBytes, c.TxnOps, c.CloudRPS, c.ListLag = 100, 25, 16384, 20, 4, 8*sec
+	c.Teams = []core.Team{{Name: "red", QuotaLimit: core.Resources{CPU: core.NoLimit, GPU: core.NoLimit}}}
+	c.HeartbeatInterval, c.WorkerLease, c.CancelDeadline = 5*second/2, 14*second, 34*second
+	c.StoreRPS, c.WriteRPS, c.MaxValueBytes, c.MaxTxnOps, c.CloudRPS, c.CloudListLag = 100, 25, 16384, 20, 4, 8*second
 	return c
 }
 
-func testCloud(w func() *standin.World) *standin.Cloud {
+func testCloud(w func() *standin.Simulator) *standin.FakeCloud {
 	types := []core.MachineType{
-		{Name: "small", Cap: core.Res{CPU: 4 * cpu, Mem: 16 * cpu}, CacheGB: 20, FetchGBs: 0.3, Price: 0.2, SpotPrice: 0.07, BootS: 15, Zones: []string{"a", "b", "c"}},
-		{Name: "big", Cap: core.Res{CPU: 16 * cpu, Mem: 64 * cpu}, CacheGB: 20, FetchGBs: 0.3, Price: 0.9, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}},
+		{Name: "small", Capacity: core.Resources{CPU: 4 * cpu, Memory: 16 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.2, SpotPrice: 0.07, BootSeconds: 15, Zones: []string{"a", "b", "c"}},
+		{Name: "big", Capacity: core.Resources{CPU: 16 * cpu, Memory: 64 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.9, SpotPrice: 0.3, BootSeconds: 25, Zones: []string{"a", "b"}},
 	}
 	capacity := map[string]int{}
 	for _, z := range []string{"a", "b", "c"} {
-		capacity[standin.Slot("small", z, true)] = 3
-		capacity[standin.Slot("small", z, false)] = 2
-	}
-	capacity[standin.Slot("big", "a", true)] = 1
-	capacity[standin.Slot("big", "b", false)] = 1
-	return standin.NewCloud(types, capacity, func() core.Time {
-		if w().BootsQuickly() {
-			return w().Between(sec, 2*sec)
+		capacity[standin.CapacityKey("small", z, true)] = 3
+		capacity[standin.CapacityKey("small", z, false)] = 2
+	}
+	capacity[standin.CapacityKey("big", "a", true)] = 1
+	capacity[standin.CapacityKey("big", "b", false)] = 1
+	return standin.NewFakeCloud(types, capacity, func() core.Time {
+		if w().HasFastBoots() {
+			return w().RandomBetween(second, 2*second)
 		}
 		if w().Chance(0.1) {
-			return w().Between(sec, 200*sec)
+			return w().RandomBetween(second, 200*second)
 		}
-		return w().Between(9*sec, 22*sec)
+		return w().RandomBetween(9*second, 22*second)
 	})
 }
 
 // TestRandomClusters plays seeded days with crashes, cuts, hangs, outages and
 // late messages, and checks the protocol's rules all along and that the work
 // gets done once the troubles are over.
-func TestRandomClusters(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	from, to := seedRange(t, 1, 25)
 	var mu sync.Mutex
 	faults := map[string]int{}
@@ -76,7 +76,7 @@
 		for seed := from; seed <= to; seed++ {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
 				t.Parallel()
-				f := playDay(t, uint64(seed), testConfig())
+				f := simulateDay(t, uint64(seed), testConfig())
 				mu.Lock()
 				defer mu.Unlock()
 				for k, n := range f {
@@ -89,7 +89,7 @@
 		for seed := from; seed <= from+(to-from)/2; seed++ {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
 				t.Parallel()
-				playDay(t, uint64(seed), sevenConfig())
+				simulateDay(t, uint64(seed), sevenNodeConfig())
 			})
 		}
 	})
@@ -127,30 +127,30 @@
 	return from, to
 }
 
-func playDay(t *testing.T, seed uint64, cfg core.Config, options ...standin.Option) map[string]int {
-	var w *standin.World
-	w = standin.NewWorld(seed, cfg, testCloud(func() *standin.World { return w }), options...)
+func simulateDay(t *testing.T, seed uint64, cfg core.Config, options ...standin.Option) map[string]int {
+	var w *standin.Simulator
+	w = standin.NewSimulator(seed, cfg, testCloud(func() *standin.Simulator { return w }), options...)
 	if len(cfg.Nodes) == 3 { // else no machine is up at the start
-		addMachines(w)
+		addMachinePerZone(w)
 	}
-	runTroubles(t, w, cfg, func(teams []string, until core.Time) {
-		plan(w, teams, until)
-		planTogether(w, until, cfg.CancelWithin)
+	runWithFaults(t, w, cfg, func(teams []string, until core.Time) {
+		planJobsAndFaults(w, teams, until)
+		planCombinedFaults(w, until, cfg.CancelDeadline)
 		planPipelines(w, teams, until)
 	})
 	if len(w.Jobs) == 0 {
 		t.Error("no job was submitted: the day tests nothing")
 	}
-	for _, j := range largest(w) {
-		if begun := j.Began; !j.AskedCancel && (begun == 0 || begun-j.Submitted > 240*sec) {
-			t.Errorf("%s, the largest of class %s, began %v after its submission", j.Spec.ID, j.Spec.Class, time.Duration(begun-j.Submitted))
+	for _, j := range largestJobs(w) {
+		if begun := j.FirstStartAt; !j.CancelRequested && (begun == 0 || begun-j.SubmittedAt > 240*second) {
+			t.Errorf("%s, the largest of class %s, began %v after its submission", j.Spec.ID, j.Spec.Class, time.Duration(begun-j.SubmittedAt))
 		}
 	}
-	return w.Faults
+	return w.FaultCounts
 }
 
 // addMachines puts a small machine into each zone, up at once.
-func addMachines(w *standin.World) {
+func addMachinePerZone(w *standin.Simulator) {
 	for _, zone := range []string{"a", "b", "c"} {
 		w.AddMachine("small", zone, false)
 	}
@@ -159,9 +159,9 @@
 // runTroubles plays a day with late messages and the troubles that are planned
 // for it, and then until the work should be done. No rule may be broken and no
 // job left.
-func runTroubles(t *testing.T, w *standin.World, cfg core.Config, plans func(teams []string, until core.Time)) {
+func runWithFaults(t *testing.T, w *standin.Simulator, cfg core.Config, plans func(teams []string, until core.Time)) {
 	t.Helper()
-	w.Late, w.Copies, w.SlowPeers = true, 0.03, 0.03
+	w.LateDelivery, w.HeartbeatDuplicateChance, w.SlowPeerChance = true, 0.03, 0.03
 	if os.Getenv("STAIRRELAY_LOG") != "" {
 		w.Log = func(s string) { t.Log(time.Duration(w.Now), s) }
 	}
@@ -169,51 +169,51 @@
 	for _, team := range cfg.Teams {
 		teams = append(teams, team.Name)
 	}
-	const troubles = 240 * sec
+	const troubles = 240 * second
 	plans(teams, troubles)
-	checkSums(t, w)
-	w.Calmed = troubles + 40*sec
+	checkUsageSums(t, w)
+	w.FaultsOverAt = troubles + 40*second
 	// The least important work of a team at its limit is through after some eight minutes
 	// where half of the machines died more than once.
-	w.Run(troubles + 540*sec)
-	for _, broken := range w.Broken {
+	w.RunUntil(troubles + 540*second)
+	for _, broken := range w.Violations {
 		t.Error(broken)
 	}
-	if w.Unfinished() == 0 || t.Failed() {
+	if w.UnfinishedJobCount() == 0 || t.Failed() {
 		return
 	}
 	for _, j := range w.Jobs {
-		if !j.Told.Final() {
-			t.Errorf("%s (%d tasks, spot %v, same %v, scatter %v) is still %q", j.Spec.ID, j.Spec.Tasks, j.Spec.Spot, j.Spec.SamePlace, j.Spec.Scatter, j.Told)
+		if !j.ReportedStatus.IsFinal() {
+			t.Errorf("%s (%d tasks, spot %v, same %v, scatter %v) is still %q", j.Spec.ID, j.Spec.Tasks, j.Spec.Spot, j.Spec.Colocate, j.Spec.Spread, j.ReportedStatus)
 		}
 	}
 }
 
 // checkSums looks each second of a day whether the sums that the controllers keep
 // of their tasks are those of the tasks themselves.
-func checkSums(t *testing.T, w *standin.World) {
+func checkUsageSums(t *testing.T, w *standin.Simulator) {
 	var check func()
 	check = func() {
-		for _, c := range w.Cores() {
-			if wrong := c.UseMismatch(); wrong != "" {
+		for _, c := range w.Controllers() {
+			if wrong := c.UsageMismatch(); wrong != "" {
 				t.Errorf("%v: %s", time.Duration(w.Now), wrong)
 				return
 			}
 		}
-		w.After(sec, check)
+		w.After(second, check)
 	}
-	w.After(sec, check)
+	w.After(second, check)
 }
 
 // largest lists each class's largest job, by what its tasks need in all.
-func largest(w *standin.World) map[string]*standin.Job {
+func largestJobs(w *standin.Simulator) map[string]*standin.Job {
 	out := map[string]*standin.Job{}
 	for _, j := range w.Jobs {
-		if len(j.Spec.Awaits) > 0 { // its time counts from another moment
+		if len(j.Spec.Dependencies) > 0 { // its time counts from another moment
 			continue
 		}
 		size := func(j *standin.Job) float64 {
-			return float64(j.Spec.Need.CPU) * float64(j.Spec.Tasks) * j.Spec.RuntimeS
+			return float64(j.Spec.ResourceRequest.CPU) * float64(j.Spec.Tasks) * j.Spec.RuntimeSeconds
 		}
 		if o := out[j.Spec.Class]; o == nil || size(j) > size(o) {
 			out[j.Spec.Class] = j
--- a/internal/core/recordnames.go
+++ b/internal/core/recordnames.go
@@ -6,22 +6,22 @@
 // one process. Of several processes and claims, the boot and the claim in the
 // name differ.
 type recordNames struct {
-	groups  int
-	rentals int
+	machineGroups        int
+	provisioningRequests int
 }
 
 // groupName names a new group of a part.
-func (c *Core) groupName(p *part) string {
-	c.names.groups++
-	return c.recordName(p, c.names.groups)
+func (c *Controller) nextMachineGroupName(p *shard) string {
+	c.recordNames.machineGroups++
+	return c.formatRecordName(p, c.recordNames.machineGroups)
 }
 
 // rentalName names a new rental of a part.
-func (c *Core) rentalName(p *part) string {
-	c.names.rentals++
-	return "r-" + c.recordName(p, c.names.rentals)
+func (c *Controller) nextProvisioningRequestName(p *shard) string {
+	c.recordNames.provisioningRequests++
+	return "r-" + c.formatRecordName(p, c.recordNames.provisioningRequests)
 }
 
-func (c *Core) recordName(p *part, number int) string {
-	return c.cfg.Boot + "-" + strconv.FormatUint(uint64(p.claim), 10) + "-" + strconv.Itoa(number)
+func (c *Controller) formatRecordName(p *shard, number int) string {
+	return c.config.InstanceID + "-" + strconv.FormatUint(uint64(p.claimRevision), 10) + "-" + strconv.Itoa(number)
 }
--- a/internal/core/regroup.go
+++ b/internal/core/regroup.go
@@ -11,52 +11,52 @@
 // From its queueing to its end all these groups count as being written, so
 // nothing else changes their records.
 type regrouping struct {
-	core     *Core
-	part     *part
-	claim    Epoch
-	machines []*machine // that are to be moved
-	from     []*group
-	to       *group   // nil: a new one
-	all      []*group // from, and to if it exists already
-	id       string   // of to
-	done     func(*group)
+	controller    *Controller
+	shard         *shard
+	claimRevision Revision
+	machines      []*machine // that are to be moved
+	sources       []*machineGroup
+	target        *machineGroup   // nil: a new one
+	affected      []*machineGroup // from, and to if it exists already
+	targetID      string          // of to
+	done          func(*machineGroup)
 
-	moving []*machine  // by the last records built
-	snaps  []*snapshot // of from and to, in these records
+	moving    []*machine       // by the last records built
+	snapshots []*groupSnapshot // of from and to, in these records
 }
 
 // regroup moves machines of a part into one group, a new one if to is nil. done
 // gets the group, or nil.
-func (c *Core) regroup(p *part, ms []*machine, to *group, prio int, done func(*group)) {
-	from, ok := groupsToLeave(ms, to)
-	if !ok || len(from) == 0 || len(from)+1 > c.cfg.TxnOps || to != nil && to.sent {
+func (c *Controller) regroup(p *shard, ms []*machine, to *machineGroup, prio int, done func(*machineGroup)) {
+	from, ok := sourceGroups(ms, to)
+	if !ok || len(from) == 0 || len(from)+1 > c.config.MaxTxnOps || to != nil && to.writeInFlight {
 		done(nil)
 		return
 	}
-	r := &regrouping{core: c, part: p, claim: p.claim, machines: ms, from: from, to: to, done: done}
-	r.id = c.groupName(p)
-	r.all = slices.Clone(from)
+	r := &regrouping{controller: c, shard: p, claimRevision: p.claimRevision, machines: ms, sources: from, target: to, done: done}
+	r.targetID = c.nextMachineGroupName(p)
+	r.affected = slices.Clone(from)
 	if to != nil {
-		r.id = to.id
-		r.all = append(r.all, to)
-	}
-	c.writer.add(prio, &write{
-		part:        p.id,
-		keys:        r.lock(),
-		cpusWaiting: func() float64 { return c.cpusWaiting(r.all...) },
-		build:       r.build,
-		ok:          r.stored,
-		conflict:    r.refused,
-		lost:        r.lost,
+		r.targetID = to.id
+		r.affected = append(r.affected, to)
+	}
+	c.writeQueue.enqueue(prio, &queuedWrite{
+		shardID:         p.id,
+		keys:            r.lock(),
+		cpusWaiting:     func() float64 { return c.cpusWaiting(r.affected...) },
+		build:           r.build,
+		onApplied:       r.handleStored,
+		onConflict:      r.handleConflict,
+		onOwnershipLost: r.handleShardLost,
 	})
 }
 
 // groupsToLeave lists the groups that machines are in; false: one of them is in
 // the target already, or its record is on its way to the store.
-func groupsToLeave(ms []*machine, to *group) ([]*group, bool) {
-	var from []*group
+func sourceGroups(ms []*machine, to *machineGroup) ([]*machineGroup, bool) {
+	var from []*machineGroup
 	for _, m := range ms {
-		if m.group.sent || m.group == to {
+		if m.group.writeInFlight || m.group == to {
 			return nil, false
 		}
 		if !slices.Contains(from, m.group) {
@@ -69,63 +69,63 @@
 // lock marks the groups as being written, and returns the keys of all records.
 func (r *regrouping) lock() []string {
 	var keys []string
-	for _, g := range r.all {
+	for _, g := range r.affected {
 		// A write that still waits its turn says nothing that this one won't.
 		if g.queuedWrite != nil {
-			r.core.writer.cancel(g.queuedWrite)
+			r.controller.writeQueue.cancel(g.queuedWrite)
 			g.queuedWrite = nil
 		}
-		g.writing, g.sent, g.again = true, true, prios
+		g.writePending, g.writeInFlight, g.nextWritePriority = true, true, priorityCount
 		keys = append(keys, g.key())
 	}
-	if r.to == nil {
-		keys = append(keys, "groups/"+r.id)
+	if r.target == nil {
+		keys = append(keys, "groups/"+r.targetID)
 	}
 	return keys
 }
 
 func (r *regrouping) unlock() {
-	for _, g := range r.all {
+	for _, g := range r.affected {
 		g.endWrite()
 	}
 }
 
 // build makes the records of the groups that are left and of the one they go to.
-func (r *regrouping) build(nonce string) ([]TxnOp, []Mark) {
-	c := r.core
-	r.snaps = nil
+func (r *regrouping) build(nonce string) ([]TxnOp, []ModRevision) {
+	c := r.controller
+	r.snapshots = nil
 	r.moving = r.stillToMove()
 	var ops []TxnOp
-	var marks []Mark
-	for _, g := range r.from {
-		rest := slices.DeleteFunc(g.list(), func(m *machine) bool { return slices.Contains(r.moving, m) })
-		g.again, g.added = prios, 0
-		v, s := c.snap(r.part.id, rest, nonce)
+	var marks []ModRevision
+	for _, g := range r.sources {
+		rest := slices.DeleteFunc(g.sortedMachines(), func(m *machine) bool { return slices.Contains(r.moving, m) })
+		g.nextWritePriority, g.addedBytes = priorityCount, 0
+		v, s := c.buildGroupRecord(r.shard.id, rest, nonce)
 		ops = append(ops, TxnOp{g.key(), v})
-		marks = append(marks, g.mark)
-		r.snaps = append(r.snaps, s)
+		marks = append(marks, g.modRevision)
+		r.snapshots = append(r.snapshots, s)
 	}
-	mark, into := Mark(0), slices.Clone(r.moving)
-	if r.to != nil {
-		mark = r.to.mark
-		r.to.again, r.to.added = prios, 0
-		into = append(into, r.to.list()...)
+	mark, into := ModRevision(0), slices.Clone(r.moving)
+	if r.target != nil {
+		mark = r.target.modRevision
+		r.target.nextWritePriority, r.target.addedBytes = priorityCount, 0
+		into = append(into, r.target.sortedMachines()...)
 	}
 	sort.Slice(into, func(i, k int) bool { return into[i].id < into[k].id })
-	v, s := c.snap(r.part.id, into, nonce)
-	r.snaps = append(r.snaps, s)
-	if !c.valueLimit().Within(len(v)) || len(r.moving) == 0 {
-		r.giveUp()
+	v, s := c.buildGroupRecord(r.shard.id, into, nonce)
+	r.snapshots = append(r.snapshots, s)
+	if !c.valueLimit().WithinSoftLimit(len(v)) || len(r.moving) == 0 {
+		r.abandon()
 		return nil, nil
 	}
-	return append(ops, TxnOp{"groups/" + r.id, v}), append(marks, mark)
+	return append(ops, TxnOp{"groups/" + r.targetID, v}), append(marks, mark)
 }
 
 // stillToMove lists the machines that are where they were.
 func (r *regrouping) stillToMove() []*machine {
 	var moving []*machine
 	for _, m := range r.machines {
-		if r.core.machines[m.id] == m && m.group != r.to && slices.Contains(r.from, m.group) {
+		if r.controller.machines[m.id] == m && m.group != r.target && slices.Contains(r.sources, m.group) {
 			moving = append(moving, m)
 		}
 	}
@@ -134,62 +134,62 @@
 
 // giveUp leaves the groups as they are. Their own writes may have been taken
 // back for this one.
-func (r *regrouping) giveUp() {
+func (r *regrouping) abandon() {
 	r.unlock()
-	for _, g := range r.all {
-		r.core.writeGroup(g, prioStart)
+	for _, g := range r.affected {
+		r.controller.writeGroup(g, priorityStart)
 	}
 	r.done(nil)
 }
 
 // stored moves the machines as the records now say.
-func (r *regrouping) stored(e Epoch) {
-	c := r.core
+func (r *regrouping) handleStored(e Revision) {
+	c := r.controller
 	r.unlock()
-	if !r.part.heldUnder(r.claim) {
+	if !r.shard.isOwnedUnder(r.claimRevision) {
 		r.done(nil)
 		return
 	}
-	if r.to == nil {
-		r.to = c.newGroup(r.part, r.id, 0)
-		r.all = append(r.all, r.to)
+	if r.target == nil {
+		r.target = c.newGroup(r.shard, r.targetID, 0)
+		r.affected = append(r.affected, r.target)
 	}
 	for _, m := range r.moving {
-		r.to.take(m)
+		r.target.moveIn(m)
 	}
-	again := prios
-	for _, g := range r.all {
-		again = min(again, g.again)
+	again := priorityCount
+	for _, g := range r.affected {
+		again = min(again, g.nextWritePriority)
 	}
-	for i, g := range append(slices.Clone(r.from), r.to) {
-		g.mark, g.size = Mark(e), r.snaps[i].size
-		c.groupStored(g, r.snaps[i], e)
-		if g.again = again; len(g.machines) > 0 { // what was asked of one may now concern the other
-			c.writeAgain(g)
+	for i, g := range append(slices.Clone(r.sources), r.target) {
+		g.modRevision, g.recordSize = ModRevision(e), r.snapshots[i].size
+		c.handleGroupStored(g, r.snapshots[i], e)
+		if g.nextWritePriority = again; len(g.machines) > 0 { // what was asked of one may now concern the other
+			c.queueNextWrite(g)
 		}
 	}
-	r.done(r.to)
+	r.done(r.target)
 }
 
 // refused follows a conflict with another writer.
-func (r *regrouping) refused() {
+func (r *regrouping) handleConflict() {
 	r.unlock()
-	for _, g := range r.all {
-		if r.core.groups[g.id] == g {
-			r.core.checkGroup(g)
+	for _, g := range r.affected {
+		if r.controller.machineGroups[g.id] == g {
+			r.controller.checkGroup(g)
 		}
 	}
 	r.done(nil)
 }
 
 // lost follows the loss of the part.
-func (r *regrouping) lost() {
+func (r *regrouping) handleShardLost() {
 	r.unlock()
 	r.done(nil)
 }
 
 // take moves a machine here from the group that it is in.
-func (g *group) take(m *machine) {
+func (g *machineGroup) moveIn(m *machine) {
 	delete(m.group.machines, m.id)
 	m.group = g
 	g.machines[m.id] = m
--- /dev/null
+++ b/internal/core/rejected_split_test.go
@@ -0,0 +1,29 @@
+package core
+
+import "testing"
+
+// TestSplitRefused: the limit in force is far below the one known, so that the
+// two halves of a record are refused as well. It is split further, and what it
+// was to be written for is stored in the end.
+func TestRejectedSplitIsSplitFurther(t *testing.T) {
+	b := newControllerHarness()
+	b.timers = timerQueue{}
+	const limit = 1000
+	b.rejectLongerValues(limit)
+	j := b.addTestJob("j-1", 20_000)
+	g := b.addGroupWithTasks("large", j, 45, 3, 0)
+	var m *machine
+	for _, x := range g.sortedMachines() {
+		m = x
+	}
+	a := &assignment{task: TaskID{Job: "j-1", Index: 15_000}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 15_000, phase: phaseRecording}
+	m.addAssignment(a)
+	j.setAssigned(15_000, a)
+	b.writeMachine(m, priorityStart)
+	b.runFor(30 * second)
+	n, longest := b.countStoredMachines(t)
+	if len(n) != 45 || longest > limit || a.phase == phaseRecording {
+		t.Errorf("after %d transactions %d of 45 machines are listed, the longest record has %d bytes, the start waits for its record: %v",
+			len(b.sentTransactions), len(n), longest, a.phase == phaseRecording)
+	}
+}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -7,27 +7,27 @@
 
 // What users ask of accepted jobs: questions and cancellations.
 
-func (c *Core) answerView(req ReqID, status ReplyStatus, v JobView) {
-	c.emit(Respond{Req: req, Status: status, View: &v})
+func (c *Controller) respondView(req RequestID, status ReplyStatus, v JobView) {
+	c.emit(Respond{Request: req, Status: status, View: &v})
 }
 
 func finalView(id JobID, k *knownJob) JobView {
-	v := JobView{ID: id, Status: k.final}
-	if k.final == StDone {
+	v := JobView{ID: id, Status: k.finalStatus}
+	if k.finalStatus == JobDone {
 		v.Done = k.tasks
 	}
 	return v
 }
 
-func viewOfRecord(kv KV, id JobID) (JobView, bool) {
+func viewFromRecord(kv KV, id JobID) (JobView, bool) {
 	var rec jobRecord
 	if json.Unmarshal(kv.Value, &rec) != nil {
 		return JobView{}, false
 	}
-	v := JobView{ID: id, Status: StPending}
-	if rec.State.Final() {
-		v.Status = rec.State
-		if rec.State == StDone {
+	v := JobView{ID: id, Status: JobPending}
+	if rec.FinalStatus.IsFinal() {
+		v.Status = rec.FinalStatus
+		if rec.FinalStatus == JobDone {
 			v.Done = rec.Tasks
 		}
 		return v, true
@@ -35,86 +35,86 @@
 	if rec.Spec == nil {
 		return v, false
 	}
-	decodeDone(rec.Done, min(rec.Spec.Tasks, chunkTasks), func(int) { v.Done++ })
+	decodeCompleted(rec.CompletedIndexes, min(rec.Spec.Tasks, tasksPerChunk), func(int) { v.Done++ })
 	if v.Done > 0 {
-		v.Status = StRunning
+		v.Status = JobRunning
 	}
 	return v, true
 }
 
 // retrySoon is how many seconds a user waits who is to come again at once.
-const retrySoon = 1
+const shortRetryAfterSeconds = 1
 
-func (c *Core) onQuery(e Query) {
-	c.lookUp(e.ID, func(status ReplyStatus, v JobView) {
+func (c *Controller) handleQuery(e Query) {
+	c.lookUpJob(e.ID, func(status ReplyStatus, v JobView) {
 		if status == ReplyOK {
-			c.answerView(e.Req, ReplyOK, v)
+			c.respondView(e.Request, ReplyOK, v)
 			return
 		}
 		after := 0
 		if status == ReplyUnavailable {
-			after = retrySoon
+			after = shortRetryAfterSeconds
 		}
-		c.refuse(e.Req, status, after, "")
+		c.respondError(e.Request, status, after, "")
 	})
 }
 
 // lookUp finds a job's state: a final one from memory, else from its owner,
 // else from the store, which alone can say that there is no such job.
-func (c *Core) lookUp(id JobID, fn func(ReplyStatus, JobView)) {
+func (c *Controller) lookUpJob(id JobID, fn func(ReplyStatus, JobView)) {
 	k := c.jobs.known[id]
-	if k != nil && k.final != "" {
+	if k != nil && k.finalStatus != "" {
 		fn(ReplyOK, finalView(id, k))
 		return
 	}
-	if j := c.jobs.held[id]; j != nil {
-		c.confirm(c.parts[j.part], func(good bool) {
-			if k := c.jobs.finished(id); k != nil {
+	if j := c.jobs.owned[id]; j != nil {
+		c.confirmOwnership(c.shards[j.shard], func(good bool) {
+			if k := c.jobs.finalJob(id); k != nil {
 				fn(ReplyOK, finalView(id, k))
-			} else if j := c.jobs.held[id]; good && j != nil && !j.ending {
-				c.unfinished(id, j.view(), fn)
+			} else if j := c.jobs.owned[id]; good && j != nil && !j.endInFlight {
+				c.answerUnfinished(id, j.view(), fn)
 			} else { // another may have read and told an end that is on its way here
-				c.lookInStore(id, fn)
+				c.lookUpJobInStore(id, fn)
 			}
 		})
 		return
 	}
 	if k != nil {
-		if p := c.peers[c.parts[k.part].holder]; p != nil && !p.failed && !p.prone {
-			c.askOwner(p, id, fn)
+		if p := c.peers[c.shards[k.shard].owner]; p != nil && !p.failed && !p.suspected {
+			c.queryOwner(p, id, fn)
 			return
 		}
 	}
-	c.lookInStore(id, fn)
+	c.lookUpJobInStore(id, fn)
 }
 
-func (c *Core) lookInStore(id JobID, fn func(ReplyStatus, JobView)) {
-	if c.storeLost(second) || c.writer.reqs.Level() < -c.writer.reqs.Capacity() {
+func (c *Controller) lookUpJobInStore(id JobID, fn func(ReplyStatus, JobView)) {
+	if c.isStoreUnavailableFor(second) || c.writeQueue.requestBudget.Level() < -c.writeQueue.requestBudget.Capacity() {
 		fn(ReplyUnavailable, JobView{})
 		return
 	}
-	c.get(jobKey(id), func(r GetReply) {
-		switch r.Out {
+	c.readKey(jobKey(id), func(r GetReply) {
+		switch r.Outcome {
 		case OK:
-			c.learnJob(r.KV, nil)
-			v, ok := viewOfRecord(r.KV, id)
+			c.applyJobRecord(r.KV, nil)
+			v, ok := viewFromRecord(r.KV, id)
 			switch {
 			case !ok:
 				fn(ReplyUnavailable, JobView{})
-			case v.Status.Final():
+			case v.Status.IsFinal():
 				fn(ReplyOK, v)
 			default:
-				c.unfinished(id, v, fn)
+				c.answerUnfinished(id, v, fn)
 			}
-		case Missing:
-			c.catchUp(id, func(known, ok bool) {
+		case NotFound:
+			c.lookUpAdmission(id, func(known, ok bool) {
 				switch {
 				case !ok:
 					fn(ReplyUnavailable, JobView{})
 				case known:
-					c.unfinished(id, JobView{ID: id, Status: StPending}, fn)
+					c.answerUnfinished(id, JobView{ID: id, Status: JobPending}, fn)
 				default:
-					fn(ReplyNoSuchJob, JobView{})
+					fn(ReplyJobNotFound, JobView{})
 				}
 			})
 		default:
@@ -124,15 +124,15 @@
 }
 
 // answerAsk answers what this node can vouch for and leaves out the rest.
-func (c *Core) answerAsk(ids []JobID, fn func([]JobView)) {
-	byPart := map[Part]bool{}
+func (c *Controller) answerJobQuery(ids []JobID, fn func([]JobView)) {
+	byPart := map[ShardID]bool{}
 	for _, id := range ids {
-		if j := c.jobs.held[id]; j != nil {
-			byPart[j.part] = true
+		if j := c.jobs.owned[id]; j != nil {
+			byPart[j.shard] = true
 		}
 	}
 	left := 1
-	good := map[Part]bool{}
+	good := map[ShardID]bool{}
 	fresh := false
 	finish := func() {
 		if left--; left > 0 {
@@ -140,25 +140,25 @@
 		}
 		var out []JobView
 		for _, id := range ids {
-			if k := c.jobs.finished(id); k != nil {
+			if k := c.jobs.finalJob(id); k != nil {
 				out = append(out, finalView(id, k))
-			} else if j := c.jobs.held[id]; j != nil && good[j.part] && !j.ending && (fresh || !c.jobs.unreleased(id)) {
+			} else if j := c.jobs.owned[id]; j != nil && good[j.shard] && !j.endInFlight && (fresh || !c.jobs.isBlocked(id)) {
 				out = append(out, j.view())
 			}
 		}
 		fn(out)
 	}
-	if slices.ContainsFunc(ids, func(id JobID) bool { return c.jobs.held[id] != nil && c.jobs.unreleased(id) }) {
+	if slices.ContainsFunc(ids, func(id JobID) bool { return c.jobs.owned[id] != nil && c.jobs.isBlocked(id) }) {
 		left++
-		c.freshen(func(ok bool) {
+		c.linearizableJobRead(func(ok bool) {
 			fresh = ok
 			finish()
 		})
 	}
-	for _, p := range c.parts {
+	for _, p := range c.shards {
 		if byPart[p.id] {
 			left++
-			c.confirm(p, func(ok bool) {
+			c.confirmOwnership(p, func(ok bool) {
 				good[p.id] = ok
 				finish()
 			})
@@ -167,21 +167,21 @@
 	finish()
 }
 
-func (c *Core) onCancel(req ReqID, id JobID, first bool) {
-	answer := func(s Status) {
+func (c *Controller) handleCancel(req RequestID, id JobID, first bool) {
+	answer := func(s JobStatus) {
 		if s == "" {
-			c.refuse(req, ReplyUnavailable, retrySoon, "")
+			c.respondError(req, ReplyUnavailable, shortRetryAfterSeconds, "")
 			return
 		}
 		v := JobView{ID: id, Status: s}
-		c.answerView(req, ReplyOK, v)
+		c.respondView(req, ReplyOK, v)
 	}
 	k := c.jobs.known[id]
 	switch {
-	case k != nil && k.final != "":
-		answer(k.final)
-	case k != nil && c.parts[k.part].held:
-		c.cancelHere(id, func(status ReplyStatus, v *JobView) {
+	case k != nil && k.finalStatus != "":
+		answer(k.finalStatus)
+	case k != nil && c.shards[k.shard].owned:
+		c.cancelOwnedJob(id, func(status ReplyStatus, v *JobView) {
 			if v == nil {
 				answer("")
 				return
@@ -189,15 +189,15 @@
 			answer(v.Status)
 		})
 	case k != nil:
-		p := c.peers[c.parts[k.part].holder]
+		p := c.peers[c.shards[k.shard].owner]
 		if p == nil || p.failed {
 			answer("")
 			return
 		}
-		c.ask(p.id, 3*second, PeerMsg{Cancel: id}, func(r PeerReply) {
-			if r.Out == OK && len(r.Msg.Views) == 1 {
-				if s := r.Msg.Views[0].Status; s.Final() {
-					c.settle(id, k, s)
+		c.callPeer(p.id, 3*second, PeerMessage{Cancel: id}, func(r PeerReply) {
+			if r.Outcome == OK && len(r.Message.Views) == 1 {
+				if s := r.Message.Views[0].Status; s.IsFinal() {
+					c.applyFinalStatus(id, k, s)
 					answer(s)
 					return
 				}
@@ -205,14 +205,14 @@
 			answer("")
 		})
 	default:
-		c.lookInStore(id, func(status ReplyStatus, v JobView) {
+		c.lookUpJobInStore(id, func(status ReplyStatus, v JobView) {
 			switch {
-			case status == ReplyOK && v.Status.Final():
+			case status == ReplyOK && v.Status.IsFinal():
 				answer(v.Status)
 			case status == ReplyOK && first:
-				c.onCancel(req, id, false)
-			case status == ReplyNoSuchJob:
-				c.refuse(req, ReplyNoSuchJob, 0, "")
+				c.handleCancel(req, id, false)
+			case status == ReplyJobNotFound:
+				c.respondError(req, ReplyJobNotFound, 0, "")
 			default:
 				answer("")
 			}
@@ -221,18 +221,18 @@
 }
 
 // cancelHere cancels a job of a part held here; told only after it is stored.
-func (c *Core) cancelHere(id JobID, fn func(ReplyStatus, *JobView)) {
-	if k := c.jobs.finished(id); k != nil {
-		fn(ReplyOK, &JobView{ID: id, Status: k.final})
+func (c *Controller) cancelOwnedJob(id JobID, fn func(ReplyStatus, *JobView)) {
+	if k := c.jobs.finalJob(id); k != nil {
+		fn(ReplyOK, &JobView{ID: id, Status: k.finalStatus})
 		return
 	}
-	j := c.jobs.held[id]
-	if j == nil || !c.parts[j.part].ready {
+	j := c.jobs.owned[id]
+	if j == nil || !c.shards[j.shard].ready {
 		fn(ReplyUnavailable, nil)
 		return
 	}
 	over := false
-	done := func(s Status) {
+	done := func(s JobStatus) {
 		if over {
 			return
 		}
@@ -243,14 +243,14 @@
 		}
 		fn(ReplyOK, &JobView{ID: id, Status: s})
 	}
-	c.after(2800*milli, func() { done("") })
+	c.after(2800*millisecond, func() { done("") })
 	j.waiters = append(j.waiters, done)
 	if !j.cancelling {
 		// Its tasks are of no use from now on, and the store's answer may be lost
 		// though others read, and tell, that it is cancelled.
 		j.cancelling = true
-		c.unplan(j)
-		c.stopAll(j)
+		c.withdrawUnsentStarts(j)
+		c.stopAllTasks(j)
 	}
-	c.writeJob(j, prioAccept)
+	c.writeJob(j, priorityAdmit)
 }
--- /dev/null
+++ b/internal/core/scalein.go
@@ -0,0 +1,142 @@
+package core
+
+import "strings"
+
+// machineReturns gathers the machines that are given back, so that many share
+// one call of the cloud and one log line.
+//
+// While a return is counted in byCause, a log line is scheduled that will tell
+// of it.
+type scaleInBatch struct {
+	callScheduled   bool
+	machinesByCause map[string]int // not logged yet; nil: none
+	taskCount       int            // that were on these machines
+}
+
+// add counts a return; true: a log line has yet to be scheduled.
+func (s *scaleInBatch) add(cause string, tasks int) bool {
+	first := s.machinesByCause == nil
+	if first {
+		s.machinesByCause = map[string]int{}
+	}
+	s.machinesByCause[cause]++
+	s.taskCount += tasks
+	return first
+}
+
+// takeLog returns the arguments of the log line that is due.
+func (s *scaleInBatch) takeLogArgs() []any {
+	args := make([]any, 0, 2*len(s.machinesByCause)+2)
+	for _, cause := range sortedKeys(s.machinesByCause) {
+		args = append(args, strings.ReplaceAll(cause, " ", "_"), s.machinesByCause[cause])
+	}
+	args = append(args, "tasks", s.taskCount)
+	s.machinesByCause, s.taskCount = nil, 0
+	return args
+}
+
+// returnMachine gives a machine back: the record says so first, so that no
+// part can take it while the cloud is called.
+func (c *Controller) scaleInMachine(m *machine, why string) {
+	if m.releasing {
+		return
+	}
+	c.log(LogDebug, "returning machine", "machine", string(m.id), "why", why, "tasks", m.liveTaskCount())
+	c.recordScaleIn(why, m.liveTaskCount())
+	m.releasing = true
+	c.writeMachine(m, priorityOutcome)
+}
+
+// returnUnrecorded gives a machine back before its record says so: it holds
+// cancelled tasks, and an outage of the store may outlast their time. A machine
+// whose record lists tasks can't be taken by another part. One that has been claimed with its part meanwhile may be lost to its new
+// holder, as if it had died: the return itself frees nothing, the record does.
+func (c *Controller) scaleInBeforeRecorded(m *machine) {
+	if c.canAnswerWorkers(c.shards[m.shardID]) {
+		c.scaleInMachine(m, "cancelled tasks in an outage")
+		m.releaseConfirmed = true
+	}
+}
+
+// noteReturn gathers what is returned within a second into one line: hundreds
+// of machines may fall together.
+func (c *Controller) recordScaleIn(cause string, tasks int) {
+	if c.machineReleases.add(cause, tasks) {
+		c.after(second, func() { c.log(LogInfo, "returning machines", c.machineReleases.takeLogArgs()...) })
+	}
+}
+
+// returnSoon gathers the machines whose return is recorded into few calls.
+func (c *Controller) scheduleScaleIn() {
+	if c.machineReleases.callScheduled {
+		return
+	}
+	c.machineReleases.callScheduled = true
+	c.after(50*millisecond, func() {
+		c.machineReleases.callScheduled = false
+		c.callScaleIn()
+	})
+}
+
+// maxReturn is how many machines the protocol lets one call return.
+const maxScaleInMachines = 100
+
+func (c *Controller) callScaleIn() {
+	var ms []*machine
+	var ids []MachineID
+	for _, p := range c.shards {
+		for _, m := range p.machines {
+			if p.owned && m.releaseConfirmed && !m.scaleInCallInFlight && !m.terminated && len(ms) < maxScaleInMachines {
+				ms, ids = append(ms, m), append(ids, m.id)
+			}
+		}
+	}
+	if len(ms) == 0 || !c.tryCloudCall() {
+		return
+	}
+	for _, m := range ms {
+		m.scaleInCallInFlight = true
+	}
+	c.emit(CloudScaleIn{IDs: ids, Call: c.registerCall(func(b any) {
+		if b.(ScaleInReply).Outcome != OK {
+			c.after(2*second, func() {
+				for _, m := range ms {
+					m.scaleInCallInFlight = false
+				}
+			})
+			return
+		}
+		for _, m := range ms {
+			if c.machines[m.id] == m {
+				c.handleMachineTerminated(m)
+			}
+		}
+	})})
+}
+
+// machineGone follows the cloud's word that a machine and all on it are gone.
+// What ran there may start elsewhere once the record says so.
+func (c *Controller) handleMachineTerminated(m *machine) {
+	m.terminated = true
+	for _, a := range m.assignments {
+		m.markConfirmedAbsent(a)
+	}
+	c.writeMachine(m, priorityStart)
+}
+
+// forgetMachine drops a machine whose record no longer lists it, and frees its
+// tasks.
+func (c *Controller) removeMachineAndFreeTasks(m *machine) {
+	if c.machines[m.id] != m {
+		return
+	}
+	c.removeMachine(m)
+	for _, a := range m.sortedAssignments() {
+		delete(m.assignments, a.task)
+		c.unassignTask(a)
+	}
+	if m.pendingHeartbeat != 0 {
+		c.redirectWorker(m.pendingHeartbeat, "")
+		m.pendingHeartbeat = 0
+	}
+}
--- /dev/null
+++ b/internal/core/schedule.go
@@ -0,0 +1,322 @@
+package core
+
+import (
+	"slices"
+
+	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/placement"
+)
+
+// usable tells whether new starts may go to a machine.
+func (c *Controller) isSchedulable(m *machine) bool {
+	return m.tokenAcknowledged && !m.booting && !m.draining && !m.releasing && !m.startInDoubt && !m.raisingToken && c.now >= m.noStartsBefore &&
+		c.now-m.lastHeartbeat < 2*c.config.HeartbeatInterval+second
+}
+
+// slot is a machine with room.
+type freeCapacity struct {
+	machine      *machine
+	available    Resources
+	kindIndex    int // its index among the kinds of the slots
+	imageFetches placement.ImageFetches
+	machineCPU   Amount // CPUs of the whole machine
+}
+
+// slots lists the machines with room, and their kinds: what a job may use is
+// decided once for all machines of a kind.
+func (c *Controller) listFreeCapacity(p *shard, least Amount) ([]freeCapacity, []grouprecord.Kind) {
+	var l []freeCapacity
+	var kinds []grouprecord.Kind
+	c.counters.addMachineScans(p.machines)
+	for _, m := range p.machines {
+		if m.cordoned && !m.scaleInCandidate || !c.isSchedulable(m) || m.group.offer != nil {
+			continue
+		}
+		t, ok := c.machineTypes[m.machineType]
+		if !ok {
+			continue
+		}
+		s := freeCapacity{machine: m, available: t.Capacity.Minus(m.usedResources()), machineCPU: t.Capacity.CPU, kindIndex: -1}
+		if s.available.CPU < least {
+			continue
+		}
+		for _, a := range m.assignments {
+			if a.isLive() && a.runningSince == 0 && !m.hasCachedImage(a.job.spec.Image) {
+				s.addFetch(a.job)
+			}
+		}
+		k := m.kind()
+		for i := range kinds {
+			if kinds[i] == k {
+				s.kindIndex = i
+			}
+		}
+		if s.kindIndex < 0 {
+			s.kindIndex = len(kinds)
+			kinds = append(kinds, k)
+		}
+		l = append(l, s)
+	}
+	return l, kinds
+}
+
+// fetching notes that a task of a job waits for its image there.
+func (s *freeCapacity) addFetch(j *job) {
+	s.imageFetches.Add(j.spec.Image, j.effectivePriority, j.spec.ResourceRequest.CPU)
+}
+
+// image says how soon the machine can start a job for its image.
+func (s *freeCapacity) imageState(j *job) placement.ImageState {
+	if s.machine.hasCachedImage(j.spec.Image) {
+		return placement.ImageCached
+	}
+	return s.imageFetches.State(j.spec.Image, j.effectivePriority, j.spec.ResourceRequest.CPU, s.machineCPU)
+}
+
+// placePause is the least time between two placements: what happens within it
+// is decided together.
+const schedulingInterval = 40 * millisecond
+
+// place starts waiting tasks of every part held here.
+func (c *Controller) scheduleOwnedShards() {
+	for _, p := range c.shards {
+		if p.owned && p.ready {
+			c.scheduleShard(p)
+		}
+	}
+}
+
+func (c *Controller) scheduleShard(p *shard) {
+	if c.isStoreUnavailableFor(second) {
+		return
+	}
+	jobs, owed := c.queuedJobs(p)
+	if len(jobs) == 0 {
+		return
+	}
+	least := jobs[0].spec.ResourceRequest.CPU
+	for _, j := range jobs {
+		least = min(least, j.spec.ResourceRequest.CPU)
+	}
+	slots, kinds := c.listFreeCapacity(p, least)
+	use := c.teamUsageOf(p)
+	// What has waited too long goes first, with one task. Where that does not
+	// fit yet, smaller work must not take again and again what it waits for: a
+	// part of its team's limit and a machine are kept free for it.
+	kept := map[string]Resources{}
+	for _, j := range jobs {
+		if !c.isStarving(j) {
+			continue
+		}
+		before := j.assignedCount
+		if c.scheduleJob(p, j, slots, kinds, use, Resources{}, 1); j.assignedCount > before {
+			continue
+		}
+		kept[j.spec.Team] = kept[j.spec.Team].Plus(j.spec.ResourceRequest)
+		if m := c.reserveMachine(p, j); m != nil {
+			slots = slices.DeleteFunc(slots, func(s freeCapacity) bool { return s.machine == m })
+		}
+	}
+	for _, j := range jobs {
+		if len(slots) > 0 {
+			c.scheduleJob(p, j, slots, kinds, use, kept[j.spec.Team], j.pendingCount())
+		}
+	}
+	if c.now >= p.nextPreemptionAt {
+		p.nextPreemptionAt = c.now + second/2
+		c.preempt(p, jobs, owed, use)
+	}
+}
+
+// jobPlacement starts tasks of one job on the machines that suit it.
+type jobScheduling struct {
+	controller  *Controller
+	shard       *shard
+	job         *job
+	teamUsage   teamUsage      // of the job's team, kept up to date
+	quotaLimit  Resources      // of the team, less what is kept for starving jobs
+	tasksByZone map[string]int // the job's tasks by zone
+	remaining   int            // how many tasks may still be started
+}
+
+// placeJob starts up to n tasks of a job: on machines that have its image,
+// else are getting it, else have most free room.
+func (c *Controller) scheduleJob(p *shard, j *job, slots []freeCapacity, kinds []grouprecord.Kind, use teamUsage, kept Resources, n int) {
+	allowed := make([]bool, len(kinds))
+	any := false
+	for i, k := range kinds {
+		allowed[i] = (j.spec.Spot || !k.Spot) && c.isTypeAllowed(&j.spec, c.machineTypes[k.Type], k.Zone)
+		any = any || allowed[i]
+	}
+	limit := c.teams[j.spec.Team].QuotaLimit.Minus(kept)
+	l := &jobScheduling{controller: c, shard: p, job: j, teamUsage: use, quotaLimit: limit, remaining: n}
+	if !any || !l.isWithinQuota() {
+		return
+	}
+	candidates := c.rankCandidates(p, j, slots, allowed)
+	l.tasksByZone = c.countTasksByZone(j)
+	for _, candidate := range candidates {
+		if !l.fillMachine(candidate) || l.remaining <= 0 || j.pendingCount() == 0 {
+			return
+		}
+	}
+}
+
+// withinLimit tells whether the team may have one more of the job's tasks.
+func (l *jobScheduling) isWithinQuota() bool {
+	with := l.teamUsage[l.job.spec.Team].Plus(l.job.spec.ResourceRequest)
+	return with.CPU <= l.quotaLimit.CPU && with.GPU <= l.quotaLimit.GPU
+}
+
+// fill starts tasks on a machine as long as there is room; false: the job can
+// have no more anywhere.
+func (l *jobScheduling) fillMachine(f candidate) bool {
+	c, j, m := l.controller, l.job, f.capacity.machine
+	last := TaskID{}
+	for l.remaining > 0 && j.pendingCount() > 0 && j.spec.ResourceRequest.FitsIn(f.capacity.available) && c.hasRoom(m.group, j) {
+		if !l.isWithinQuota() {
+			return false
+		}
+		index := j.nextPendingTask()
+		if index < 0 {
+			return false
+		}
+		task := TaskID{Job: j.spec.ID, Index: index}
+		// An earlier attempt may still be being cleared away there.
+		if !isZoneAllowed(&j.spec, l.tasksByZone, m.zone) || m.assignments[task] != nil {
+			return true
+		}
+		l.assignTask(f, task, last)
+		last = task
+	}
+	return true
+}
+
+// zoneAllowed tells whether a job's rules let one more of its tasks into a zone,
+// given its tasks by zone.
+func isZoneAllowed(spec *JobSpec, zones map[string]int, zone string) bool {
+	if spec.Colocate && !isOnlyZone(zones, zone) {
+		return false
+	}
+	return !spec.Spread || zones[zone] < (spec.Tasks+1)/2
+}
+
+// start plans the start of a task on a machine; last is the task that was placed
+// there just before.
+func (l *jobScheduling) assignTask(f candidate, task, last TaskID) {
+	c, j, m := l.controller, l.job, f.capacity.machine
+	a := &assignment{task: task, job: j, attempt: l.shard.nextAttempt(), resourceRequest: j.spec.ResourceRequest, machineID: m.id}
+	m.addAssignment(a)
+	m.group.addedBytes += addedRecordBytes(j, m, task, last)
+	j.setAssigned(task.Index, a)
+	l.tasksByZone[m.zone]++
+	l.teamUsage[j.spec.Team] = l.teamUsage[j.spec.Team].Plus(j.spec.ResourceRequest)
+	f.capacity.available = f.capacity.available.Minus(j.spec.ResourceRequest)
+	if f.Image == placement.ImageAbsent {
+		f.capacity.addFetch(j)
+	}
+	l.remaining--
+	c.writeMachine(m, priorityStart)
+}
+
+// candidate is a slot that a job's tasks may go to.
+type candidate struct {
+	placement.Candidate
+	capacity *freeCapacity
+}
+
+// candidates lists the slots that a job's tasks may go to, the best first.
+// allowed tells it by their kinds.
+func (c *Controller) rankCandidates(p *shard, j *job, slots []freeCapacity, allowed []bool) []candidate {
+	var fit []candidate
+	for i := range slots {
+		s := &slots[i]
+		if !allowed[s.kindIndex] || !j.spec.ResourceRequest.FitsIn(s.available) || !c.hasRoom(s.machine.group, j) || c.shouldAvoid(j, s.machine) || !c.canUseMachine(j, s.machine) {
+			continue
+		}
+		if image := s.imageState(j); image != placement.ImageBlocked {
+			fit = append(fit, candidate{placement.Candidate{Image: image, Spot: s.machine.spot, FreeCPU: s.available.CPU}, s})
+		}
+	}
+	spotSuits, ordinarySuits := c.isMarketSuited(p, j, true), c.isMarketSuited(p, j, false)
+	for i := range fit {
+		if fit[i].Suitable = ordinarySuits; fit[i].Spot {
+			fit[i].Suitable = spotSuits
+		}
+	}
+	ordinaryFirst := c.isOnDemandWorthFetching(j)
+	slices.SortStableFunc(fit, func(a, b candidate) int { return a.Compare(&b.Candidate, ordinaryFirst) })
+	return fit
+}
+
+// listedBytes is about how much longer a record gets by a task: one that follows
+// on the task placed before on the same machine only widens its range.
+func addedRecordBytes(j *job, m *machine, t, last TaskID) int {
+	continues := last.Job == t.Job && last.Index+1 == t.Index
+	jobListed := false
+	if !continues {
+		for a := range j.listedAssignments {
+			if a.machineID == m.id && a.task != t {
+				jobListed = true
+				break
+			}
+		}
+	}
+	return grouprecord.AddedBytes(t.Job, continues, jobListed)
+}
+
+// keepMachine picks the machine that is kept free for a starving job: the one
+// that it has been kept already, else the one with most room.
+func (c *Controller) reserveMachine(p *shard, j *job) *machine {
+	var best *machine
+	var most Amount
+	c.counters.addMachineScans(p.machines)
+	for _, m := range p.machines {
+		if !c.isSchedulable(m) || m.cordoned || m.group.offer != nil || !c.isAllowedOn(j, m) {
+			continue
+		}
+		if m.id == j.reservedMachine {
+			return m
+		}
+		if free := c.machineTypes[m.machineType].Capacity.Minus(m.usedResources()).CPU; best == nil || free > most {
+			best, most = m, free
+		}
+	}
+	if best != nil {
+		j.reservedMachine = best.id
+	}
+	return best
+}
+
+// avoids tells whether a job has failed on a machine and may try others.
+func (c *Controller) shouldAvoid(j *job, m *machine) bool {
+	return len(j.failedMachines) > 0 && len(j.failedMachines) < 3 && j.failedMachines[m.id]
+}
+
+// zonesOf counts a job's tasks by zone, where its rules ask for that. Those
+// proven gone don't count, though their records still have to say so.
+func (c *Controller) countTasksByZone(j *job) map[string]int {
+	zones := map[string]int{}
+	if j.spec.Colocate || j.spec.Spread {
+		for _, a := range j.assignments {
+			if m := c.machines[a.machineID]; m != nil && a.isLive() {
+				zones[m.zone]++
+			}
+		}
+	}
+	return zones
+}
+
+func isOnlyZone(zones map[string]int, z string) bool {
+	for other, n := range zones {
+		if n > 0 && other != z {
+			return false
+		}
+	}
+	return true
+}
+
+func (c *Controller) isAllowedOn(j *job, m *machine) bool {
+	s := &j.spec
+	return (s.Spot || !m.spot) && c.isTypeAllowed(s, c.machineTypes[m.machineType], m.zone) && !c.shouldAvoid(j, m)
+}
--- /dev/null
+++ b/internal/core/shardload.go
@@ -0,0 +1,115 @@
+package core
+
+// partLoading is the reading of the checkpoint of a part just claimed: the
+// records come first, what the workers say is compared with them afterwards.
+//
+// It ends with its claim. Nothing is taken in before all records were read.
+type shardLoad struct {
+	controller           *Controller
+	shard                *shard
+	claimRevision        Revision
+	groups               *ListReply
+	provisioningRequests *ListReply
+	admissions           *ListReply
+	jobs                 *ListReply
+}
+
+// loadPart reads the checkpoint of a part.
+func (c *Controller) loadShard(p *shard) {
+	l := &shardLoad{controller: c, shard: p, claimRevision: p.claimRevision}
+	l.read("groups/", &l.groups)
+	l.read("rentals/", &l.provisioningRequests)
+	// The accepts first: what is accepted in between comes by the watch.
+	l.read(admissionKeyPrefix, &l.admissions)
+	l.read(jobKeyPrefix, &l.jobs)
+}
+
+// read lists the records with a prefix until that works.
+func (l *shardLoad) read(prefix string, to **ListReply) {
+	l.controller.listPrefix(prefix, func(r ListReply) {
+		if !l.shard.isOwnedUnder(l.claimRevision) {
+			return
+		}
+		if r.Outcome != OK {
+			l.controller.after(second/3, func() { l.read(prefix, to) })
+			return
+		}
+		*to = &r
+		if l.groups != nil && l.provisioningRequests != nil && l.admissions != nil && l.jobs != nil {
+			l.finish()
+		}
+	})
+}
+
+// finish takes the records in and begins to serve the part, unless they show
+// that it is lost or hold something that makes no sense.
+func (l *shardLoad) finish() {
+	c, p := l.controller, l.shard
+	l.applyRecords()
+	if !p.owned {
+		return
+	}
+	if len(p.quarantined) > 0 {
+		c.repairQuarantined(p)
+		return
+	}
+	p.ready = true
+	c.ownedShardChanges++
+	early := p.earlyJobs
+	p.earlyJobs = nil
+	for _, kv := range early {
+		c.applyJobRecord(kv, nil)
+	}
+	l.awaitAcknowledgements()
+	c.schedulingTrigger.request()
+	if len(p.machines)+len(p.provisioningRequests) > 0 {
+		c.cloudListing.nextReadAt = 0 // the cloud's list shows what the records may lack
+	}
+	c.log(LogInfo, "part ready",
+		"part", int(p.id),
+		"machines", len(p.machines),
+		"jobs", len(p.jobs),
+		"took_ms", int((c.now-p.ownershipChangedAt)/millisecond))
+	c.maintainMachines()
+}
+
+func (l *shardLoad) applyRecords() {
+	c, p := l.controller, l.shard
+	for _, kv := range l.jobs.Items {
+		c.applyJobRecord(kv, p)
+	}
+	for _, kv := range l.admissions.Items { // after the jobs' own records, which count
+		c.applyAdmissionRecord(kv, p)
+	}
+	for _, kv := range l.groups.Items {
+		c.applyGroupRecord(kv, p)
+	}
+	for _, kv := range l.provisioningRequests.Items {
+		c.applyProvisioningRecord(kv, p)
+	}
+}
+
+// awaitMachines notes which machines have yet to acknowledge this claim's token,
+// and logs after a lease how many did.
+func (l *shardLoad) awaitAcknowledgements() {
+	c, p := l.controller, l.shard
+	p.awaitingFirstAcknowledgement, p.lastAcknowledgedAt = 0, c.now
+	for _, m := range p.machines {
+		if m.awaitingFirstAcknowledgement = !m.booting; m.awaitingFirstAcknowledgement {
+			p.awaitingFirstAcknowledgement++
+		}
+	}
+	taken := p.awaitingFirstAcknowledgement
+	if taken == 0 {
+		return
+	}
+	c.after(c.config.WorkerLease, func() {
+		if p.isOwnedUnder(l.claimRevision) {
+			c.log(LogInfo, "machines answered",
+				"part", int(p.id),
+				"machines", taken,
+				"silent", p.awaitingFirstAcknowledgement,
+				"took_ms", int((p.lastAcknowledgedAt-p.ownershipChangedAt)/millisecond))
+		}
+	})
+}
--- a/internal/core/slow_store_test.go
+++ b/internal/core/slow_store_test.go
@@ -14,36 +14,36 @@
 // delays every capped write and so answers and starts. Rules are kept, work is
 // done, and a submission waits about one round trip, not the sum of many.
 func TestSlowStore(t *testing.T) {
-	for _, slow := range []core.Time{0, 200 * sec / 1000, 600 * sec / 1000} {
-		var w *standin.World
-		w = standin.NewWorld(3, testConfig(), testCloud(func() *standin.World { return w }))
-		w.Calm, w.Slow = true, slow
+	for _, slow := range []core.Time{0, 200 * second / 1000, 600 * second / 1000} {
+		var w *standin.Simulator
+		w = standin.NewSimulator(3, testConfig(), testCloud(func() *standin.Simulator { return w }))
+		w.NoRandomFaults, w.StoreDelay = true, slow
 		for _, z := range []string{"a", "b", "c"} {
 			w.AddMachine("small", z, false)
 			w.AddMachine("small", z, false)
 		}
-		w.Run(10 * sec)
+		w.RunUntil(10 * second)
 		var waits []time.Duration
 		for i := range 30 {
 			s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: []string{"red", "green", "blue"}[i%3], Priority: core.Normal,
-				Tasks: 4, Need: core.Res{CPU: cpu, Mem: cpu}, Image: "img", ImageGB: 1, RuntimeS: 5, Spot: true}
-			j := &standin.Job{Spec: s, Info: standin.JobInfo{Need: s.Need, Run: 5 * sec, Tasks: s.Tasks, Image: s.Image}}
+				Tasks: 4, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 5, Spot: true}
+			j := &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 5 * second, TaskCount: s.Tasks, Image: s.Image}}
 			w.Jobs[s.ID] = j
-			w.After(core.Time(i)*sec, func() {
+			w.After(core.Time(i)*second, func() {
 				at := w.Now
-				w.Ask(w.Nodes[i%3], func(id core.ReqID) core.Event { return core.Submit{Req: id, Job: s} }, func(r core.Respond) {
+				w.SendRequest(w.Nodes[i%3], func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: s} }, func(r core.Respond) {
 					waits = append(waits, time.Duration(w.Now-at))
 					if r.Status == 201 {
 						j.Accepted = true
-						w.Told(j, r.View.Status)
+						w.CheckReportedStatus(j, r.View.Status)
 					}
 				})
 			})
 		}
-		w.Run(100 * sec)
+		w.RunUntil(100 * second)
 		sort.Slice(waits, func(i, k int) bool { return waits[i] < waits[k] })
-		if len(waits) != 30 || len(w.Broken) > 0 {
-			t.Fatalf("slow by %v: %d answers, broken %v", time.Duration(slow), len(waits), w.Broken)
+		if len(waits) != 30 || len(w.Violations) > 0 {
+			t.Fatalf("slow by %v: %d answers, broken %v", time.Duration(slow), len(waits), w.Violations)
 		}
 		p50, top := waits[15], waits[29]
 		t.Logf("store slower by %v: submissions p50 %v, longest %v", time.Duration(slow), p50, top)
@@ -52,13 +52,13 @@
 		}
 		left := 0
 		for id := range w.Jobs {
-			w.Ask(w.Nodes[0], func(r core.ReqID) core.Event { return core.Query{Req: r, ID: id} }, func(r core.Respond) {
-				if r.View == nil || r.View.Status != core.StDone {
+			w.SendRequest(w.Nodes[0], func(r core.RequestID) core.Event { return core.Query{Request: r, ID: id} }, func(r core.Respond) {
+				if r.View == nil || r.View.Status != core.JobDone {
 					left++
 				}
 			})
 		}
-		w.Run(105 * sec)
+		w.RunUntil(105 * second)
 		if left > 0 {
 			t.Errorf("slow by %v: %d jobs not done", time.Duration(slow), left)
 		}
--- a/internal/core/spotpreference.go
+++ b/internal/core/spotpreference.go
@@ -5,12 +5,12 @@
 // expectedSpotLoss is what a job's tasks must expect to lose on spot machines, in seconds:
 // those that can't save lose half a run in the mean when theirs is taken. That
 // counts four times, as a job of many tasks waits for its unluckiest.
-func (c *Core) expectedSpotLoss(j *job) float64 {
-	if !j.spec.Spot || j.spec.CheckpntS > 0 {
+func (c *Controller) expectedSpotLoss(j *job) float64 {
+	if !j.spec.Spot || j.spec.CheckpointSeconds > 0 {
 		return 0
 	}
-	run := c.expectedRun(j)
-	return 4 * c.spotLosses.rate() * run * run / 2
+	run := c.expectedRunSeconds(j)
+	return 4 * c.spotInterruptions.rate() * run * run / 2
 }
 
 // spotLossLimit is the expected loss, in seconds, from which a job should rather have
@@ -19,41 +19,41 @@
 
 // likelyTasksLost is how many of its tasks a job must expect to lose on spot
 // machines for its deadline to be at risk: a few small tasks are hardly ever hit.
-const likelyTasksLost = 0.1
+const taskLossThreshold = 0.1
 
 // prefersOrdinary tells whether a job should rather have ordinary machines: much loss
 // is to be expected, or it is likely to lose a task and its first aim gives it so
 // little time that a task begun anew would miss it. For others the choice would
 // only scatter their tasks over machines with little room, each of which has to
 // fetch the image.
-func (c *Core) prefersOrdinary(j *job) bool {
+func (c *Controller) prefersOnDemand(j *job) bool {
 	loss := c.expectedSpotLoss(j)
 	if loss == 0 || loss > spotLossLimit {
 		return loss > 0
 	}
-	if c.spotLosses.rate()*c.expectedRun(j)*float64(j.spec.Tasks) < likelyTasksLost {
+	if c.spotInterruptions.rate()*c.expectedRunSeconds(j)*float64(j.spec.Tasks) < taskLossThreshold {
 		return false
 	}
 	aim := 0.0
-	for _, o := range c.cfg.Objectives {
-		within := o.WithinS
+	for _, o := range c.config.SLOs {
+		within := o.WithinSeconds
 		if o.Kind == "deadline" {
-			within = j.spec.DeadlineS * max(o.Times, 0.1)
+			within = j.spec.DeadlineSeconds * max(o.DeadlineFactor, 0.1)
 		}
 		if o.Class == j.spec.Class && o.Kind != "wait" && within > 0 && (aim == 0 || within < aim) {
 			aim = within
 		}
 	}
-	return aim > 0 && aim < 3*c.expectedRun(j)
+	return aim > 0 && aim < 3*c.expectedRunSeconds(j)
 }
 
 // ordinaryWorthFetch tells whether so much loss is to be expected that an ordinary
 // machine is worth fetching the image anew.
-func (c *Core) ordinaryWorthFetch(j *job) bool {
+func (c *Controller) isOnDemandWorthFetching(j *job) bool {
 	fetch := 0.0
-	for _, t := range c.types {
-		if t.FetchGBs > 0 {
-			fetch = max(fetch, j.spec.ImageGB/t.FetchGBs)
+	for _, t := range c.machineTypes {
+		if t.FetchGBPerSecond > 0 {
+			fetch = max(fetch, j.spec.ImageGB/t.FetchGBPerSecond)
 		}
 	}
 	return c.expectedSpotLoss(j) > max(fetch, spotLossLimit)
@@ -61,17 +61,17 @@
 
 // mayUse tells whether a job may go to a machine that is to run empty because
 // it is dear: only one to which the cheaper ones are a risk.
-func (c *Core) mayUse(j *job, m *machine) bool {
-	return !m.retire || !m.spot && c.ordinaryWorthFetch(j)
+func (c *Controller) canUseMachine(j *job, m *machine) bool {
+	return !m.scaleInCandidate || !m.spot && c.isOnDemandWorthFetching(j)
 }
 
 // suits tells whether a job should have a spot machine, or an ordinary one,
 // rather than another that is equal otherwise: a job that spares its time should
 // have an ordinary one; where there are such, what saves makes room for them and
 // goes to spot machines. Else neither matters.
-func (c *Core) suits(p *part, j *job, spot bool) bool {
-	if j.spec.CheckpntS > 0 {
+func (c *Controller) isMarketSuited(p *shard, j *job, spot bool) bool {
+	if j.spec.CheckpointSeconds > 0 {
 		return spot || !p.avoidSpot
 	}
-	return !spot || !c.prefersOrdinary(j)
+	return !spot || !c.prefersOnDemand(j)
 }
--- a/internal/core/old_report_test.go
+++ b/internal/core/stale_heartbeat_test.go
@@ -9,13 +9,13 @@
 
 // reportUnderToken is a report of the machine's present session under its
 // present token, which is proof of what it does not show.
-func reportUnderToken(m *machine, stamp Stamp, tasks ...TaskReport) *Report {
-	return &Report{Machine: m.id, Addr: m.addr, Session: m.session, Stamp: stamp, Token: m.token, Notice: -1, Tasks: tasks}
+func statusUnderToken(m *machine, stamp SequenceNumber, tasks ...TaskStatus) *HeartbeatStatus {
+	return &HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: stamp, FencingToken: m.token, PreemptionNotice: -1, Tasks: tasks}
 }
 
 // runningPresentAttempt is a machine on which the present attempt of a task runs.
-func runningPresentAttempt(b *coreHarness) (*machine, *assign) {
-	m, present := b.running(b.job("j-1", 1))
+func addMachineRunningPresentAttempt(b *controllerHarness) (*machine, *assignment) {
+	m, present := b.addRunningMachine(b.addTestJob("j-1", 1))
 	present.attempt = presentAttempt
 	return m, present
 }
@@ -23,17 +23,17 @@
 // TestEarlierAttemptEnded: a worker still shows the end of an earlier attempt of
 // a task beside the present one. Taken for the present attempt's, that end would
 // free the task, and it would start elsewhere while it runs here.
-func TestEarlierAttemptEnded(t *testing.T) {
-	b := newCoreHarness()
-	m, present := runningPresentAttempt(b)
+func TestEarlierAttemptEndIgnored(t *testing.T) {
+	b := newControllerHarness()
+	m, present := addMachineRunningPresentAttempt(b)
 	task := present.task
-	b.reconcile(m, reportUnderToken(m, m.stamp+1,
-		TaskReport{Task: task, Attempt: earlierAttempt, State: Ended, Cause: CauseStopped},
-		TaskReport{Task: task, Attempt: presentAttempt, State: Running}), false)
-	if present.gone || present.phase != aSeen {
-		t.Errorf("the present attempt: gone %v, phase %d; want it running", present.gone, present.phase)
+	b.reconcile(m, statusUnderToken(m, m.sequenceNumber+1,
+		TaskStatus{Task: task, Attempt: earlierAttempt, State: Ended, Cause: CauseStopped},
+		TaskStatus{Task: task, Attempt: presentAttempt, State: Running}), false)
+	if present.confirmedAbsent || present.phase != phaseAcknowledged {
+		t.Errorf("the present attempt: gone %v, phase %d; want it running", present.confirmedAbsent, present.phase)
 	}
-	if !m.reap[start{task, earlierAttempt}] {
+	if !m.endedToAcknowledge[taskAttempt{task, earlierAttempt}] {
 		t.Error("the worker is not told to forget the earlier attempt")
 	}
 }
@@ -41,32 +41,32 @@
 // TestEarlierAttemptRuns: a worker shows that an earlier attempt runs, and
 // nothing of the present one, whose start was sent. Taken for the present
 // attempt, it could not be stopped: commands name the attempt that they mean.
-func TestEarlierAttemptRuns(t *testing.T) {
-	b := newCoreHarness()
-	m, present := runningPresentAttempt(b)
-	present.phase, present.sentStamp = aSent, m.stamp
-	b.reconcile(m, reportUnderToken(m, m.stamp+1,
-		TaskReport{Task: present.task, Attempt: earlierAttempt, State: Running}), false)
-	if !m.kill[start{present.task, earlierAttempt}] {
+func TestRunningEarlierAttemptStopped(t *testing.T) {
+	b := newControllerHarness()
+	m, present := addMachineRunningPresentAttempt(b)
+	present.phase, present.dispatchedAtSequence = phaseDispatched, m.sequenceNumber
+	b.reconcile(m, statusUnderToken(m, m.sequenceNumber+1,
+		TaskStatus{Task: present.task, Attempt: earlierAttempt, State: Running}), false)
+	if !m.unrecordedToStop[taskAttempt{present.task, earlierAttempt}] {
 		t.Error("the earlier attempt is not stopped")
 	}
-	if present.phase != aReady {
-		t.Errorf("the present attempt is in phase %d, want %d: its start did not arrive", present.phase, aReady)
+	if present.phase != phaseReady {
+		t.Errorf("the present attempt is in phase %d, want %d: its start did not arrive", present.phase, phaseReady)
 	}
 }
 
 // TestAbsenceInOlderReport: a report that lacks a task proves it gone only if it
 // is newer than the last one taken in. One of an earlier session proves nothing
 // whatever its stamp, as stamps begin anew with each session.
-func TestAbsenceInOlderReport(t *testing.T) {
+func TestAbsenceInStaleHeartbeatIgnored(t *testing.T) {
 	const (
-		lastSession = Session(2)
-		lastStamp   = Stamp(5)
+		lastSession = Incarnation(2)
+		lastStamp   = SequenceNumber(5)
 	)
 	for _, test := range []struct {
 		name    string
-		session Session
-		stamp   Stamp
+		session Incarnation
+		stamp   SequenceNumber
 		proof   bool
 	}{
 		{"newer", lastSession, lastStamp + 1, true},
@@ -75,16 +75,16 @@
 		{"an earlier session's, with a higher stamp", lastSession - 1, lastStamp + 50, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newCoreHarness()
-			m, present := runningPresentAttempt(b)
-			m.session, m.stamp = lastSession, lastStamp
-			report := reportUnderToken(m, test.stamp)
-			report.Session = test.session
+			b := newControllerHarness()
+			m, present := addMachineRunningPresentAttempt(b)
+			m.incarnation, m.sequenceNumber = lastSession, lastStamp
+			report := statusUnderToken(m, test.stamp)
+			report.Incarnation = test.session
 			if taken := b.reconcile(m, report, false); taken != test.proof {
 				t.Errorf("taken in %v, want %v", taken, test.proof)
 			}
-			if present.gone != test.proof {
-				t.Errorf("the task counts as gone: %v, want %v", present.gone, test.proof)
+			if present.confirmedAbsent != test.proof {
+				t.Errorf("the task counts as gone: %v, want %v", present.confirmedAbsent, test.proof)
 			}
 		})
 	}
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -2,29 +2,29 @@
 
 // Counters count what happened since the last periodic log line.
 type Counters struct {
-	Kinds      [prios]int // puts by priority of their writes
-	Reports    int
-	Submits    int
-	Queries    int
-	Cancels    int
-	Orders     int
-	Txns       int
-	Puts       int
-	Conflicts  int
-	Gets       int
-	PeerCalls  int
-	CloudCalls int
+	PutsByPriority [priorityCount]int // puts by priority of their writes
+	Heartbeats     int
+	Submissions    int
+	Queries        int
+	Cancellations  int
+	CommandPushes  int
+	Transactions   int
+	Puts           int
+	Conflicts      int
+	Gets           int
+	PeerCalls      int
+	CloudCalls     int
 	// Visits counts the machines that were looked at one by one, whatever for.
-	Visits int
+	MachineScans int
 }
 
 // visiting counts a look at each of so many machines.
-func (n *Counters) visiting(machines []*machine) { n.Visits += len(machines) }
+func (n *Counters) addMachineScans(machines []*machine) { n.MachineScans += len(machines) }
 
 // capacityUse sums up what the machines of all parts have and what is done with
 // it, in processors.
-type capacityUse struct {
-	room      Amount // of machines that are up
+type capacityUsage struct {
+	total     Amount // of machines that are up
 	spot      Amount
 	idle      Amount
 	booting   Amount
@@ -33,70 +33,70 @@
 	fetching  Amount
 	running   Amount
 	ended     Amount
-	waiting   Amount // of tasks without a machine
+	pending   Amount // of tasks without a machine
 }
 
-func (u *capacityUse) addMachine(m *machine, cpu Amount) {
+func (u *capacityUsage) addMachine(m *machine, cpu Amount) {
 	if m.booting {
 		u.booting += cpu
 		return
 	}
-	u.room += cpu
+	u.total += cpu
 	if m.spot {
 		u.spot += cpu
 	}
-	if m.liveTasks() == 0 {
+	if m.liveTaskCount() == 0 {
 		u.idle += cpu
 	}
-	for _, a := range m.assigns {
+	for _, a := range m.assignments {
 		u.addTask(a)
 	}
 }
 
-func (u *capacityUse) addTask(a *assign) {
+func (u *capacityUsage) addTask(a *assignment) {
 	switch {
-	case a.phase == aEnded:
-		u.ended += a.need.CPU
-	case a.phase == aRecording:
-		u.recording += a.need.CPU
-	case a.phase == aReady:
-		u.ready += a.need.CPU
-	case a.runAt == 0:
-		u.fetching += a.need.CPU
+	case a.phase == phaseEnded:
+		u.ended += a.resourceRequest.CPU
+	case a.phase == phaseRecording:
+		u.recording += a.resourceRequest.CPU
+	case a.phase == phaseReady:
+		u.ready += a.resourceRequest.CPU
+	case a.runningSince == 0:
+		u.fetching += a.resourceRequest.CPU
 	default:
-		u.running += a.need.CPU
+		u.running += a.resourceRequest.CPU
 	}
 }
 
 // capacityUse sums up the parts held here.
-func (c *Core) capacityUse() capacityUse {
-	var use capacityUse
-	for _, p := range c.parts {
+func (c *Controller) capacityUsage() capacityUsage {
+	var use capacityUsage
+	for _, p := range c.shards {
 		for _, m := range p.machines {
-			use.addMachine(m, c.types[m.typ].Cap.CPU)
+			use.addMachine(m, c.machineTypes[m.machineType].Capacity.CPU)
 		}
-		if !p.held || !p.ready {
+		if !p.owned || !p.ready {
 			continue
 		}
-		for _, w := range c.unplaced(p) {
-			use.waiting += w.job.spec.Need.CPU * Amount(w.tasks)
+		for _, w := range c.listPendingWork(p) {
+			use.pending += w.job.spec.ResourceRequest.CPU * Amount(w.tasks)
 		}
 	}
 	return use
 }
 
 // logStats writes the periodic log lines.
-func (c *Core) logStats() {
+func (c *Controller) logStats() {
 	counts := c.counters
 	c.counters = Counters{}
-	use := c.capacityUse()
+	use := c.capacityUsage()
 	groupBytes := 0
-	for _, g := range c.groups {
-		groupBytes += g.size
+	for _, g := range c.machineGroups {
+		groupBytes += g.recordSize
 	}
 	cpus := func(a Amount) int { return int(a / 1_000_000) }
-	c.logf(LogInfo, "load",
-		"cpus", cpus(use.room),
+	c.log(LogInfo, "load",
+		"cpus", cpus(use.total),
 		"spot", cpus(use.spot),
 		"idle", cpus(use.idle),
 		"running", cpus(use.running),
@@ -104,43 +104,43 @@
 		"ready", cpus(use.ready),
 		"recording", cpus(use.recording),
 		"ended", cpus(use.ended),
-		"waiting", cpus(use.waiting),
+		"waiting", cpus(use.pending),
 		"booting", cpus(use.booting),
-		"groups", len(c.groups),
-		"group_bytes", groupBytes/max(len(c.groups), 1),
-		"puts_share", int(c.writer.puts.Rate()*10)/10)
-	c.logf(LogInfo, "stats",
-		"reports", counts.Reports,
-		"submits", counts.Submits,
+		"groups", len(c.machineGroups),
+		"group_bytes", groupBytes/max(len(c.machineGroups), 1),
+		"puts_share", int(c.writeQueue.putBudget.Rate()*10)/10)
+	c.log(LogInfo, "stats",
+		"reports", counts.Heartbeats,
+		"submits", counts.Submissions,
 		"queries", counts.Queries,
-		"cancels", counts.Cancels,
-		"orders", counts.Orders,
-		"txns", counts.Txns,
+		"cancels", counts.Cancellations,
+		"orders", counts.CommandPushes,
+		"txns", counts.Transactions,
 		"puts", counts.Puts,
-		"claims", counts.Kinds[prioClaim],
-		"rentals", counts.Kinds[prioRent],
-		"accepts", counts.Kinds[prioAccept],
-		"starts", counts.Kinds[prioStart],
-		"outcomes", counts.Kinds[prioDone],
-		"lazy", counts.Kinds[prioLazy],
+		"claims", counts.PutsByPriority[priorityAcquire],
+		"rentals", counts.PutsByPriority[priorityScaleOut],
+		"accepts", counts.PutsByPriority[priorityAdmit],
+		"starts", counts.PutsByPriority[priorityStart],
+		"outcomes", counts.PutsByPriority[priorityOutcome],
+		"lazy", counts.PutsByPriority[priorityBackground],
 		"conflicts", counts.Conflicts,
 		"gets", counts.Gets,
 		"peer_calls", counts.PeerCalls,
 		"cloud_calls", counts.CloudCalls,
-		"visits", counts.Visits,
-		"parts", c.heldParts(),
-		"stalled_parts", c.stalledParts(),
-		"jobs", len(c.jobs.held),
+		"visits", counts.MachineScans,
+		"parts", c.ownedShardCount(),
+		"stalled_parts", c.stalledShardCount(),
+		"jobs", len(c.jobs.owned),
 		"machines", len(c.machines),
-		"queue", c.writer.depth(),
-		"inflight", c.writer.inflight)
+		"queue", c.writeQueue.depth(),
+		"inflight", c.writeQueue.inFlight)
 }
 
 // heldParts counts the parts held here.
-func (c *Core) heldParts() int {
+func (c *Controller) ownedShardCount() int {
 	held := 0
-	for _, p := range c.parts {
-		if p.held {
+	for _, p := range c.shards {
+		if p.owned {
 			held++
 		}
 	}
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -6,22 +6,22 @@
 
 // onNotice: the cloud will take the machine. What can save does so in time,
 // what can't finish starts anew elsewhere, what can finish is left alone.
-func (c *Core) onNotice(m *machine, left float64) {
+func (c *Controller) handlePreemptionNotice(m *machine, left float64) {
 	if !m.draining {
-		c.spotLosses.lost++
-		c.logf(LogDebug, "spot notice", "machine", string(m.id), "left_s", left)
+		c.spotInterruptions.interruptionCount++
+		c.log(LogDebug, "spot notice", "machine", string(m.id), "left_s", left)
 		m.draining = true
 	}
-	m.noticeAt = c.now + Time(left*float64(second))
-	for _, a := range m.sorted() {
-		if !a.live() || a.stop {
+	m.preemptionDeadline = c.now + Time(left*float64(second))
+	for _, a := range m.sortedAssignments() {
+		if !a.isLive() || a.stopRequested {
 			continue
 		}
-		rest := c.expectedRest(a)
+		rest := c.expectedRemainingSeconds(a)
 		s := a.job.spec
-		if s.CheckpntS > 0 {
-			if rest > left-2 && left < s.SaveS+10 {
-				c.stopTask(m, a, s.SaveS+1)
+		if s.CheckpointSeconds > 0 {
+			if rest > left-2 && left < s.SaveSeconds+10 {
+				c.stopTask(m, a, s.SaveSeconds+1)
 			}
 		} else if rest > left*1.5+5 {
 			c.stopTask(m, a, 0)
@@ -29,55 +29,55 @@
 	}
 }
 
-func (c *Core) stopTask(m *machine, a *assign, grace float64) {
-	if a.stop {
+func (c *Controller) stopTask(m *machine, a *assignment, grace float64) {
+	if a.stopRequested {
 		return
 	}
-	a.stop, a.grace = true, grace
-	if a.phase == aReady || a.phase == aRecording {
+	a.stopRequested, a.gracePeriod = true, grace
+	if a.phase == phaseReady || a.phase == phaseRecording {
 		// Never sent: only the record has to forget it.
-		if a.phase == aReady {
-			c.setGone(m, a)
+		if a.phase == phaseReady {
+			c.confirmAbsent(m, a)
 		} else {
-			a.stop = false
+			a.stopRequested = false
 		}
 		return
 	}
-	if a.stopAt == 0 {
-		a.stopAt = c.now
+	if a.stopRequestedAt == 0 {
+		a.stopRequestedAt = c.now
 	}
-	c.orderSoon(m)
+	c.queueCommandPush(m)
 }
 
 // held lists a job's tasks that are, or may be, on machines.
-func (j *job) held() []*assign {
-	l := make([]*assign, 0, len(j.on))
-	for a := range j.on {
+func (j *job) sortedAssignments() []*assignment {
+	l := make([]*assignment, 0, len(j.listedAssignments))
+	for a := range j.listedAssignments {
 		l = append(l, a)
 	}
 	sort.Slice(l, func(i, k int) bool {
 		a, b := l[i], l[k]
-		return a.task.Index < b.task.Index || a.task.Index == b.task.Index && a.mach < b.mach
+		return a.task.Index < b.task.Index || a.task.Index == b.task.Index && a.machineID < b.machineID
 	})
 	return l
 }
 
 // unplan withdraws the starts that have not been sent.
-func (c *Core) unplan(j *job) {
-	for _, a := range j.held() {
-		if m := c.machines[a.mach]; m != nil && a.phase == aReady {
-			c.setGone(m, a)
+func (c *Controller) withdrawUnsentStarts(j *job) {
+	for _, a := range j.sortedAssignments() {
+		if m := c.machines[a.machineID]; m != nil && a.phase == phaseReady {
+			c.confirmAbsent(m, a)
 		}
 	}
 }
 
 // stopAll stops every task of a job that is cancelled.
-func (c *Core) stopAll(j *job) {
-	for _, a := range j.held() {
-		if m := c.machines[a.mach]; m != nil && a.live() && a.phase != aRecording {
-			a.stop = false
+func (c *Controller) stopAllTasks(j *job) {
+	for _, a := range j.sortedAssignments() {
+		if m := c.machines[a.machineID]; m != nil && a.isLive() && a.phase != phaseRecording {
+			a.stopRequested = false
 			c.stopTask(m, a, 0)
-			a.grace, a.stopSent = 0, 0
+			a.gracePeriod, a.stopSentAt = 0, 0
 		}
 	}
 }
--- a/internal/core/store_limits_test.go
+++ b/internal/core/store_limits_test.go
@@ -15,35 +15,35 @@
 
 // TestOutcomesUnderLimit: what is listed under a limit keeps to it, is never
 // wrong, and is all there is wherever the function says so.
-func TestOutcomesUnderLimit(t *testing.T) {
+func TestOutcomesWithinSizeLimit(t *testing.T) {
 	r := rand.New(rand.NewPCG(18, 1))
 	for round := range 400 {
 		state := make([]uint8, 1+r.IntN(5000))
 		density := r.Float64()
 		for i := range state {
-			if state[i] = tPending; r.Float64() < density {
-				state[i] = tDone + uint8(r.IntN(2))
+			if state[i] = taskPending; r.Float64() < density {
+				state[i] = taskCompleted + uint8(r.IntN(2))
 			} else if r.IntN(3) == 0 {
-				state[i] = tPlaced
+				state[i] = taskAssigned
 			}
 		}
 		limit := r.IntN(1200) - 50
-		s, fits := encodeDone(state, limit)
+		s, fits := encodeCompleted(state, limit)
 		if len(s) > max(limit, 0) {
 			t.Fatalf("round %d: %d bytes, the limit is %d", round, len(s), limit)
 		}
 		listed := make([]bool, len(state))
-		if !decodeDone(s, len(state), func(i int) { listed[i] = true }) {
+		if !decodeCompleted(s, len(state), func(i int) { listed[i] = true }) {
 			t.Fatalf("round %d: %q can't be read", round, s)
 		}
 		for i, is := range state {
-			if done := is >= tDone; listed[i] != (done && i < fits) {
+			if done := is >= taskCompleted; listed[i] != (done && i < fits) {
 				t.Fatalf("round %d: task %d of %d, done %v, is listed: %v; %d fit", round, i, len(state), done, listed[i], fits)
 			}
 		}
 	}
 	// Without a limit that matters all is listed.
-	if s, fits := encodeDone(append([]uint8{tDone, tStored, tPending, tDone}, make([]uint8, 60)...), 3000); s != "0-1,3" || fits != 64 {
+	if s, fits := encodeCompleted(append([]uint8{taskCompleted, taskCompletionStored, taskPending, taskCompleted}, make([]uint8, 60)...), 3000); s != "0-1,3" || fits != 64 {
 		t.Errorf("%q, %d fit", s, fits)
 	}
 }
@@ -52,52 +52,52 @@
 // transaction may write has them all stored in the end, and none is left of it
 // once it is over.
 func TestLargestJobInSmallTransactions(t *testing.T) {
-	b := newCoreHarness()
-	b.cfg.TxnOps = 4
-	j := b.job("j-1", 100_000)
-	v, _ := json.Marshal(jobRecord{Spec: &j.spec, W: "x"})
+	b := newControllerHarness()
+	b.config.MaxTxnOps = 4
+	j := b.addTestJob("j-1", 100_000)
+	v, _ := json.Marshal(jobRecord{Spec: &j.spec, WriteID: "x"})
 	b.store.keys["jobs/j-1"] = KV{"jobs/j-1", v, 31}
-	j.marks[0] = 31
+	j.modRevisions[0] = 31
 	for i := 0; i < 100_000; i += 3 {
-		j.setDone(i)
+		j.setCompleted(i)
 	}
 	stored := func() int {
 		n := 0
-		for k := range j.marks {
+		for k := range j.modRevisions {
 			var rec jobRecord
-			if json.Unmarshal(b.store.keys[j.key(k)].Value, &rec) == nil {
-				decodeDone(rec.Done, len(j.chunk(k)), func(int) { n++ })
+			if json.Unmarshal(b.store.keys[j.chunkKey(k)].Value, &rec) == nil {
+				decodeCompleted(rec.CompletedIndexes, len(j.chunkStates(k)), func(int) { n++ })
 			}
 		}
 		return n
 	}
 	for range 5 {
-		b.writeJob(j, prioLazy)
-		b.play(2 * second)
+		b.writeJob(j, priorityBackground)
+		b.runFor(2 * second)
 	}
 	if n := stored(); n != 33_334 {
 		t.Errorf("%d of 33,334 outcomes are stored", n)
 	}
 	for i := range 100_000 {
-		j.setDone(i)
+		j.setCompleted(i)
 	}
-	b.writeJob(j, prioAccept)
-	b.play(20 * second)
-	for k := 1; k < chunks(100_000); k++ {
-		if b.store.get(j.key(k)).Out != Missing {
-			t.Errorf("%s is left", j.key(k))
+	b.writeJob(j, priorityAdmit)
+	b.runFor(20 * second)
+	for k := 1; k < chunkCount(100_000); k++ {
+		if b.store.get(j.chunkKey(k)).Outcome != NotFound {
+			t.Errorf("%s is left", j.chunkKey(k))
 		}
 	}
 	var rec jobRecord
-	if json.Unmarshal(b.store.keys["jobs/j-1"].Value, &rec) != nil || rec.State != StDone || rec.Tasks != 100_000 {
+	if json.Unmarshal(b.store.keys["jobs/j-1"].Value, &rec) != nil || rec.FinalStatus != JobDone || rec.Tasks != 100_000 {
 		t.Errorf("stored at the end: %s", b.store.keys["jobs/j-1"].Value)
 	}
-	for _, x := range b.txns {
-		if len(x.Then) > 4 || len(x.When) > condsPerOp*4 {
-			t.Errorf("a transaction of %d changes on %d conditions", len(x.Then), len(x.When))
+	for _, x := range b.sentTransactions {
+		if len(x.Then) > 4 || len(x.If) > comparesPerOperation*4 {
+			t.Errorf("a transaction of %d changes on %d conditions", len(x.Then), len(x.If))
 		}
 		for _, o := range x.Then {
-			if len(o.Value) > b.cfg.ValueBytes {
+			if len(o.Value) > b.config.MaxValueBytes {
 				t.Errorf("%s: %d bytes", o.Key, len(o.Value))
 			}
 		}
@@ -106,33 +106,33 @@
 
 // filled is a group of machines with tasks of a job on each, none of which
 // follows on another, so that none shares a range.
-func (b *coreHarness) filled(name string, j *job, machines, tasks, from int) *group {
-	g := b.newGroup(b.parts[0], name, 0)
+func (b *controllerHarness) addGroupWithTasks(name string, j *job, machines, tasks, from int) *machineGroup {
+	g := b.newGroup(b.shards[0], name, 0)
 	for i := range machines {
 		id := MachineID(fmt.Sprintf("m-%s-%04d", name, i))
 		m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 31)
-		m.acked, m.session, m.stamp, m.heard = true, 1, 1, b.now
+		m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.now
 		for k := range tasks {
 			n := from + (k*machines+i)*2
-			a := &assign{task: TaskID{Job: j.spec.ID, Index: n}, job: j, need: j.spec.Need, mach: id, attempt: Attempt(n + 1), phase: aSeen, state: Running}
-			m.addAssign(a)
-			j.setPlaced(n, a)
+			a := &assignment{task: TaskID{Job: j.spec.ID, Index: n}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: id, attempt: Attempt(n + 1), phase: phaseAcknowledged, state: Running}
+			m.addAssignment(a)
+			j.setAssigned(n, a)
 		}
 	}
-	v, s := b.snap(0, g.list(), "x")
-	g.size, g.mark = s.size, 20
+	v, s := b.buildGroupRecord(0, g.sortedMachines(), "x")
+	g.recordSize, g.modRevision = s.size, 20
 	b.store.keys[g.key()] = KV{g.key(), v, 20}
 	return g
 }
 
 // listed tells how often each machine is listed in the store, and the length of
 // the longest record.
-func (b *coreHarness) listed(t *testing.T) (map[MachineID]int, int) {
+func (b *controllerHarness) countStoredMachines(t *testing.T) (map[MachineID]int, int) {
 	t.Helper()
 	n, longest := map[MachineID]int{}, 0
 	for _, kv := range b.store.list("groups/", 0) {
 		rec, err := grouprecord.Decode(kv.Value)
-		part, ms := rec.Part, rec.Machines
+		part, ms := rec.ShardID, rec.Machines
 		if err != nil || part != 0 {
 			t.Fatalf("%s: part %d, %v", kv.Key, part, err)
 		}
@@ -147,22 +147,22 @@
 // TestSplitFarTooLarge: a record that was written under far higher limits is
 // split by one transaction into as many as that may write. Each machine is in
 // exactly one, and none is above the limit where that can be.
-func TestSplitFarTooLarge(t *testing.T) {
+func TestOversizedRecordSplitInOneTransaction(t *testing.T) {
 	for _, c := range []struct {
 		machines, ops int
 		within        bool
 	}{{60, 4, true}, {200, 12, true}, {400, 4, false}} {
-		b := newCoreHarness()
-		b.cfg.TxnOps = c.ops
-		j := b.job("j-1", 20_000)
-		g := b.filled("g", j, c.machines, 3, 0)
-		before := g.size
-		b.splitGroup(b.parts[0], g)
-		b.play(200 * milli)
-		if len(b.txns) == 0 || len(b.txns[0].Then) != min(c.ops, max(before/(b.cfg.ValueBytes/2), 2)) {
-			t.Fatalf("%d machines, %d bytes: first %d transactions", c.machines, before, len(b.txns))
+		b := newControllerHarness()
+		b.config.MaxTxnOps = c.ops
+		j := b.addTestJob("j-1", 20_000)
+		g := b.addGroupWithTasks("g", j, c.machines, 3, 0)
+		before := g.recordSize
+		b.splitGroup(b.shards[0], g)
+		b.runFor(200 * millisecond)
+		if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != min(c.ops, max(before/(b.config.MaxValueBytes/2), 2)) {
+			t.Fatalf("%d machines, %d bytes: first %d transactions", c.machines, before, len(b.sentTransactions))
 		}
-		n, longest := b.listed(t)
+		n, longest := b.countStoredMachines(t)
 		for id, times := range n {
 			if times != 1 {
 				t.Errorf("%s is listed %d times", id, times)
@@ -170,22 +170,22 @@
 		}
 		tasks := 0
 		for _, m := range b.machines {
-			tasks += len(m.assigns)
+			tasks += len(m.assignments)
 		}
 		if len(n) != c.machines || tasks != 3*c.machines {
 			t.Errorf("%d of %d machines are listed, with %d tasks", len(n), c.machines, tasks)
 		}
-		if c.within != (longest <= b.cfg.ValueBytes) {
+		if c.within != (longest <= b.config.MaxValueBytes) {
 			t.Errorf("%d machines, %d bytes: the longest record has %d", c.machines, before, longest)
 		}
 		for range 4 { // what is still too large is split further
-			b.tidyGroups(b.parts[0])
-			b.play(second)
+			b.splitAndMergeGroups(b.shards[0])
+			b.runFor(second)
 		}
-		if n, longest = b.listed(t); len(n) != c.machines || longest > b.cfg.ValueBytes {
+		if n, longest = b.countStoredMachines(t); len(n) != c.machines || longest > b.config.MaxValueBytes {
 			t.Errorf("in the end %d of %d machines, the longest record has %d bytes", len(n), c.machines, longest)
 		}
-		if !b.parts[0].held {
+		if !b.shards[0].owned {
 			t.Error("the part was given up")
 		}
 	}
@@ -194,33 +194,33 @@
 // TestMalformedTransaction: the store calls a transaction of several writes
 // malformed, as one of its records is above a limit that has come into force.
 // Each is tried by itself, only the too large one is split, and no part is lost.
-func TestMalformedTransaction(t *testing.T) {
-	b := newCoreHarness()
+func TestRejectedTransactionRetriedSeparately(t *testing.T) {
+	b := newControllerHarness()
 	b.timers = timerQueue{} // no tidying up, which would split or join them first
 	limit := 2048
-	b.refuseLonger(limit)
-	j := b.job("j-1", 20_000)
-	large := b.filled("large", j, 45, 3, 0)
-	small, other := b.filled("small", j, 3, 3, 10_000), b.filled("other", j, 3, 3, 12_000)
-	if large.size <= limit || large.size > b.cfg.ValueBytes {
-		t.Fatalf("%d bytes: the test shows nothing", large.size)
+	b.rejectLongerValues(limit)
+	j := b.addTestJob("j-1", 20_000)
+	large := b.addGroupWithTasks("large", j, 45, 3, 0)
+	small, other := b.addGroupWithTasks("small", j, 3, 3, 10_000), b.addGroupWithTasks("other", j, 3, 3, 12_000)
+	if large.recordSize <= limit || large.recordSize > b.config.MaxValueBytes {
+		t.Fatalf("%d bytes: the test shows nothing", large.recordSize)
 	}
-	marks := map[string]Mark{small.key(): small.mark, other.key(): other.mark}
-	for _, g := range []*group{large, small, other} {
-		b.writeGroup(g, prioStart)
+	marks := map[string]ModRevision{small.key(): small.modRevision, other.key(): other.modRevision}
+	for _, g := range []*machineGroup{large, small, other} {
+		b.writeGroup(g, priorityStart)
 	}
-	b.play(3 * second)
-	if len(b.txns) < 4 || len(b.txns[0].Then) != 3 {
-		for _, x := range b.txns {
+	b.runFor(3 * second)
+	if len(b.sentTransactions) < 4 || len(b.sentTransactions[0].Then) != 3 {
+		for _, x := range b.sentTransactions {
 			for _, o := range x.Then {
 				t.Logf("%d changes: %s, %d bytes", len(x.Then), o.Key, len(o.Value))
 			}
 		}
-		t.Fatalf("%d transactions, the first with %d changes", len(b.txns), len(b.txns[0].Then))
+		t.Fatalf("%d transactions, the first with %d changes", len(b.sentTransactions), len(b.sentTransactions[0].Then))
 	}
 	refused := map[string]int{}
-	for _, x := range b.txns {
-		if b.refuse(x) {
+	for _, x := range b.sentTransactions {
+		if b.rejectsAsMalformed(x) {
 			key := ""
 			for _, o := range x.Then {
 				key += fmt.Sprintf("%s:%d ", o.Key, len(o.Value))
@@ -231,19 +231,19 @@
 		}
 	}
 	for key, mark := range marks {
-		if b.store.keys[key].Mark <= mark {
+		if b.store.keys[key].ModRevision <= mark {
 			t.Errorf("%s was not written", key)
 		}
 	}
-	n, longest := b.listed(t)
+	n, longest := b.countStoredMachines(t)
 	if len(n) != 51 || longest > limit {
 		t.Errorf("%d of 51 machines are listed, the longest record has %d bytes", len(n), longest)
 	}
 	if len(small.machines) != 3 || len(other.machines) != 3 || len(large.machines) >= 45 {
 		t.Errorf("the groups have %d, %d and %d machines", len(large.machines), len(small.machines), len(other.machines))
 	}
-	for _, p := range b.parts {
-		if !p.held {
+	for _, p := range b.shards {
+		if !p.owned {
 			t.Errorf("part %d was given up", p.id)
 		}
 	}
@@ -251,44 +251,44 @@
 
 // TestConditionsCounted: with many parts, or many jobs in one record, a
 // transaction has no more conditions than the protocol allows.
-func TestConditionsCounted(t *testing.T) {
-	cfg := newCoreHarness().cfg
-	cfg.TxnOps, cfg.Nodes = 4, nil
+func TestComparesWithinLimit(t *testing.T) {
+	cfg := newControllerHarness().config
+	cfg.MaxTxnOps, cfg.Nodes = 4, nil
 	for i := range 9 {
 		cfg.Nodes = append(cfg.Nodes, NodeID("n"+strconv.Itoa(i)))
 	}
 	c := New(cfg)
-	b := newCoreHarness()
-	b.Core = c
-	c.types["small"] = MachineType{Name: "small", Cap: Res{CPU: 4_000_000, Mem: 16_000_000}, Zones: []string{"a"}}
-	c.now, c.acceptances.loaded = 100*second, true
+	b := newControllerHarness()
+	b.Controller = c
+	c.machineTypes["small"] = MachineType{Name: "small", Capacity: Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
+	c.now, c.admissions.loaded = 100*second, true
 	c.timers = timerQueue{}
-	for _, p := range c.parts {
-		p.held, p.ready, p.holder, p.claim, p.mark, p.term, p.provenAt = true, true, "n0", 30, 30, 1, c.now
-		p.rentals, p.refused = map[string]*rental{}, map[rentOption]Time{}
+	for _, p := range c.shards {
+		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.now
+		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]Time{}
 		b.store.keys[p.key()] = KV{p.key(), []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), 30}
 	}
 	for i := range 6 {
-		kv := KV{fmt.Sprintf("groups/b9-7-%d", i), grouprecord.Encode(grouprecord.Record{Part: 0, Machines: nil, Nonce: "x"}), Mark(10 + i)}
+		kv := KV{fmt.Sprintf("groups/b9-7-%d", i), grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: nil, WriteID: "x"}), ModRevision(10 + i)}
 		b.store.keys[kv.Key] = kv
-		b.dropEmpty(b.parts[0], kv)
+		b.deleteEmptyGroup(b.shards[0], kv)
 	}
 	told := 0
 	for i := range 20 {
-		s := JobSpec{ID: JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, Need: Res{CPU: 1_000_000}, RuntimeS: 5}
+		s := JobSpec{ID: JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000}, RuntimeSeconds: 5}
 		b.submit(s, 0, "", func(r Respond) {
 			if told++; r.Status != 201 {
 				t.Errorf("%s gets %d", s.ID, r.Status)
 			}
 		})
 	}
-	b.play(3 * second)
+	b.runFor(3 * second)
 	several := false
-	for _, x := range b.txns {
-		if len(x.Then) > 4 || len(x.When) > condsPerOp*4 {
-			t.Errorf("%d changes on %d conditions", len(x.Then), len(x.When))
+	for _, x := range b.sentTransactions {
+		if len(x.Then) > 4 || len(x.If) > comparesPerOperation*4 {
+			t.Errorf("%d changes on %d conditions", len(x.Then), len(x.If))
 		}
-		several = several || len(x.When) > 8
+		several = several || len(x.If) > 8
 	}
 	if left := len(b.store.list("groups/", 0)); left != 0 || told != 20 || !several {
 		t.Errorf("%d empty groups left, %d of 20 submissions answered, many conditions seen: %v", left, told, several)
@@ -296,8 +296,8 @@
 }
 
 // refuseLonger has the store call transactions with a longer value malformed.
-func (b *coreHarness) refuseLonger(limit int) {
-	b.refuse = func(x StoreTxn) bool {
+func (b *controllerHarness) rejectLongerValues(limit int) {
+	b.rejectsAsMalformed = func(x StoreTxn) bool {
 		return slices.ContainsFunc(x.Then, func(o TxnOp) bool { return len(o.Value) > limit })
 	}
 }
--- a/internal/core/store_writes_test.go
+++ b/internal/core/store_writes_test.go
@@ -10,71 +10,71 @@
 // TestLateCopyAfterDrop: a group that one part made and another took and
 // emptied is dropped by the other's next claim, which fences no copy of its
 // creation: that one is guarded by the claim of the part that made it.
-func TestLateCopyAfterDrop(t *testing.T) {
-	b := newCoreHarness()
-	p, q := b.parts[0], b.parts[1]
-	b.enlist(p, []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}}, func() {})
-	b.play(100 * milli)
-	if len(b.txns) == 0 || len(b.groups) != 1 {
-		t.Fatalf("%d transactions, %d groups", len(b.txns), len(b.groups))
+func TestLateGroupWriteAfterDropRejected(t *testing.T) {
+	b := newControllerHarness()
+	p, q := b.shards[0], b.shards[1]
+	b.registerMachines(p, []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}}, func() {})
+	b.runFor(100 * millisecond)
+	if len(b.sentTransactions) == 0 || len(b.machineGroups) != 1 {
+		t.Fatalf("%d transactions, %d groups", len(b.sentTransactions), len(b.machineGroups))
 	}
-	first := b.txns[0]
+	first := b.sentTransactions[0]
 	key := first.Then[0].Key
-	g := b.groups[sortedKeys(b.groups)[0]]
-	g.offer = &groupOffer{to: q.id, until: b.now + 5*second}
-	b.takeGroup(q, key, g.mark)
-	b.play(100 * milli)
+	g := b.machineGroups[sortedKeys(b.machineGroups)[0]]
+	g.offer = &groupOffer{toShard: q.id, until: b.now + 5*second}
+	b.acquireGroup(q, key, g.modRevision)
+	b.runFor(100 * millisecond)
 	m := b.machines["m-1"]
-	if m == nil || m.part != q.id {
+	if m == nil || m.shardID != q.id {
 		t.Fatal("the group was not taken")
 	}
-	b.machineGone(m)
-	b.play(200 * milli)
-	if kv := b.store.get(key); kv.Out != OK || b.machines["m-1"] != nil {
+	b.handleMachineTerminated(m)
+	b.runFor(200 * millisecond)
+	if kv := b.store.get(key); kv.Outcome != OK || b.machines["m-1"] != nil {
 		t.Fatalf("the emptied group: %v", kv)
 	}
 	// The other part's next claim.
-	b.store.epoch++
-	q.claim, q.mark = b.store.epoch, Mark(b.store.epoch)
-	b.store.keys[q.key()] = KV{q.key(), []byte(`{"holder":"n0","term":2,"w":"b0-9"}`), q.mark}
-	b.learnGroup(b.store.get(key).KV, q)
-	b.play(second)
-	if r := b.store.txn(first); r.Out != Conflict {
+	b.store.revision++
+	q.claimRevision, q.modRevision = b.store.revision, ModRevision(b.store.revision)
+	b.store.keys[q.key()] = KV{q.key(), []byte(`{"holder":"n0","term":2,"w":"b0-9"}`), q.modRevision}
+	b.applyGroupRecord(b.store.get(key).KV, q)
+	b.runFor(second)
+	if r := b.store.commit(first); r.Outcome != Conflict {
 		t.Errorf("a late copy of the group's creation is carried out: %s is there again", key)
 	}
 }
 
 // TestAcceptanceBesideConflict: a transaction is refused because of another
 // write in it. The submissions that it took along are stored by the next.
-func TestAcceptanceBesideConflict(t *testing.T) {
-	b := newCoreHarness()
-	m, _ := b.running(b.job("j-9", 1))
-	m.group.mark = 77 // another writer was there
-	b.writeMachine(m, prioStart)
-	b.onSubmit(Submit{Req: 1, Job: JobSpec{ID: "j-1", Team: "red", Tasks: 1, Need: Res{CPU: 1_000_000, Mem: 1_000_000}}})
-	b.play(5 * second)
-	if len(b.txns) == 0 || len(b.txns[0].Then) != 2 {
+func TestAdmissionResentAfterBatchConflict(t *testing.T) {
+	b := newControllerHarness()
+	m, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
+	m.group.modRevision = 77 // another writer was there
+	b.writeMachine(m, priorityStart)
+	b.handleSubmit(Submit{Request: 1, Spec: JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.runFor(5 * second)
+	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
 		t.Fatal("the two writes did not share a transaction")
 	}
-	if len(b.told) != 1 || b.told[0].Status != 201 {
-		t.Errorf("answered %+v, want 201", b.told)
+	if len(b.sentResponses) != 1 || b.sentResponses[0].Status != 201 {
+		t.Errorf("answered %+v, want 201", b.sentResponses)
 	}
-	b.play(5 * second)
-	if n := len(b.writer.queues[prioAccept]); n != 0 || b.acceptances.names > 3 {
-		t.Errorf("nothing waits to be accepted, but %d writes are queued, after %d", n, b.acceptances.names)
+	b.runFor(5 * second)
+	if n := len(b.writeQueue.queues[priorityAdmit]); n != 0 || b.admissions.keysIssued > 3 {
+		t.Errorf("nothing waits to be accepted, but %d writes are queued, after %d", n, b.admissions.keysIssued)
 	}
 }
 
 // TestAcceptsUnread: whether another controller accepted the job before can't
 // be read. Then it is not called new.
-func TestAcceptsUnread(t *testing.T) {
-	b := newCoreHarness()
-	b.store.epoch = 40
+func TestAdmissionWithUnreadableRecords(t *testing.T) {
+	b := newControllerHarness()
+	b.store.revision = 40
 	b.store.keys["accepts/b1-1"] = KV{"accepts/b1-1", []byte(`{"j":[{"id":"j-1","s":{"Team":"red","Tasks":1}}],"w":"b1-1"}`), 40}
-	b.failWatch = true
-	b.onSubmit(Submit{Req: 1, Job: JobSpec{ID: "j-1", Team: "red", Tasks: 1, Need: Res{CPU: 1_000_000, Mem: 1_000_000}}})
-	b.play(4 * second)
-	for _, r := range b.told {
+	b.failsReads = true
+	b.handleSubmit(Submit{Request: 1, Spec: JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.runFor(4 * second)
+	for _, r := range b.sentResponses {
 		if r.Status == 201 {
 			t.Errorf("answered %+v", r)
 		}
@@ -83,22 +83,22 @@
 
 // TestSameIDInOneRecord: the same submission comes in twice before either is
 // written. It is stored once, and one of the two is answered as a repeat.
-func TestSameIDInOneRecord(t *testing.T) {
-	b := newCoreHarness()
-	for i := range ReqID(2) {
-		b.onSubmit(Submit{Req: 1 + i, Job: JobSpec{ID: "j-1", Team: "red", Tasks: 1, Need: Res{CPU: 1_000_000, Mem: 1_000_000}}})
+func TestDuplicateSubmissionInOneRecord(t *testing.T) {
+	b := newControllerHarness()
+	for i := range RequestID(2) {
+		b.handleSubmit(Submit{Request: 1 + i, Spec: JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	}
-	b.play(second)
+	b.runFor(second)
 	n := map[ReplyStatus]int{}
-	for _, r := range b.told {
+	for _, r := range b.sentResponses {
 		n[r.Status]++
 	}
 	if n[201] != 1 || n[200] != 1 {
 		t.Errorf("answered %v, want one 201 and one 200", n)
 	}
-	for _, f := range b.txns {
+	for _, f := range b.sentTransactions {
 		keys := map[string]bool{}
-		for _, w := range f.When {
+		for _, w := range f.If {
 			if keys[w.Key] {
 				t.Errorf("a transaction has two conditions on %s", w.Key)
 			}
@@ -110,22 +110,22 @@
 // TestConditionsOfBurst: submissions that pile up while the store is slow go out
 // in transactions that the store takes: conditions are limited to four times
 // the puts.
-func TestConditionsOfBurst(t *testing.T) {
-	b := newCoreHarness()
-	b.play(second)
-	inflight := b.writer.inflight
-	b.writer.inflight = maxInflight // the store is slow
-	for i := range ReqID(60) {
-		b.onSubmit(Submit{Req: 1 + i, Job: JobSpec{ID: JobID(fmt.Sprintf("j-%03d", i)), Team: "red", Tasks: 1, Need: Res{CPU: 1_000_000, Mem: 1_000_000}}})
+func TestComparesOfBurstWithinLimit(t *testing.T) {
+	b := newControllerHarness()
+	b.runFor(second)
+	inflight := b.writeQueue.inFlight
+	b.writeQueue.inFlight = maxTransactionsInFlight // the store is slow
+	for i := range RequestID(60) {
+		b.handleSubmit(Submit{Request: 1 + i, Spec: JobSpec{ID: JobID(fmt.Sprintf("j-%03d", i)), Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	}
-	b.writer.inflight = inflight
-	b.play(second)
-	for _, f := range b.txns {
-		if len(f.When) > 4*b.cfg.TxnOps {
-			t.Errorf("a transaction of %d puts has %d conditions", len(f.Then), len(f.When))
+	b.writeQueue.inFlight = inflight
+	b.runFor(second)
+	for _, f := range b.sentTransactions {
+		if len(f.If) > 4*b.config.MaxTxnOps {
+			t.Errorf("a transaction of %d puts has %d conditions", len(f.Then), len(f.If))
 		}
 	}
-	for _, r := range b.told {
+	for _, r := range b.sentResponses {
 		if r.Status != 201 {
 			t.Errorf("answered %+v", r)
 		}
--- a/internal/core/many_holders_test.go
+++ b/internal/core/successive_owners_test.go
@@ -10,42 +10,42 @@
 
 // A part that changes hands many times within minutes.
 
-const holders = 10
+const successiveOwners = 10
 
 // succeeded lets another controller claim part 0, which the one under test
 // learns of by its watch.
-func succeeded(t *testing.T, b *coreHarness) {
+func deposeOwner(t *testing.T, b *controllerHarness) {
 	t.Helper()
-	part := b.parts[0]
-	b.store.epoch++
-	claim := KV{part.key(), fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, part.term+1, b.store.epoch), Mark(b.store.epoch)}
+	part := b.shards[0]
+	b.store.revision++
+	claim := KV{part.key(), fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, part.term+1, b.store.revision), ModRevision(b.store.revision)}
 	b.store.keys[part.key()] = claim
-	b.learnPart(claim)
-	if part.held {
+	b.applyShardRecord(claim)
+	if part.owned {
 		t.Fatal("the part is still held after another's claim")
 	}
 }
 
 // claimed lets the controller under test claim part 0 and read its records.
-func claimed(t *testing.T, b *coreHarness) {
+func acquireAndLoadShard(t *testing.T, b *controllerHarness) {
 	t.Helper()
-	part := b.parts[0]
-	b.claimPart(part)
-	b.play(200 * milli)
-	if !part.held || !part.ready {
-		t.Fatalf("held %v, ready %v after the claim", part.held, part.ready)
+	part := b.shards[0]
+	b.acquireShard(part)
+	b.runFor(200 * millisecond)
+	if !part.owned || !part.ready {
+		t.Fatalf("held %v, ready %v after the claim", part.owned, part.ready)
 	}
 }
 
 // loseNextWrite sends the write that is queued and lets it be held up on its way:
 // its sender gets no answer.
-func loseNextWrite(t *testing.T, b *coreHarness) StoreTxn {
+func loseNextWriteReply(t *testing.T, b *controllerHarness) StoreTxn {
 	t.Helper()
-	b.writer.pump()
-	for i, effect := range b.out {
+	b.writeQueue.dispatch()
+	for i, effect := range b.effects {
 		if write, ok := effect.(StoreTxn); ok {
-			b.out = slices.Delete(b.out, i, i+1)
-			b.calls[write.Call](TxnReply{Out: Unknown})
+			b.effects = slices.Delete(b.effects, i, i+1)
+			b.pendingCalls[write.Call](TxnReply{Outcome: UnknownOutcome})
 			return write
 		}
 	}
@@ -58,35 +58,35 @@
 // term and token than all before it, so reports under an earlier holder's token,
 // which lack the task, never prove it gone: an earlier holder's start of it may
 // still be on its way.
-func TestTokenOfEachHolder(t *testing.T) {
-	b := newCoreHarness()
-	part := b.parts[0]
+func TestEachOwnerRaisesToken(t *testing.T) {
+	b := newControllerHarness()
+	part := b.shards[0]
 	const need = Amount(3_000_000)
 	b.store.keys["jobs/j-1"] = KV{"jobs/j-1", fmt.Appendf(nil, `{"st":"cancelled","tm":"red","n":1,"r":{"CPU":%d,"GPU":0,"Mem":1},"w":"b9-1"}`, need), 20}
 	listed := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: TaskID{Job: "j-1", Index: 0}, Attempt: 7}}}
-	b.store.keys["groups/g"] = KV{"groups/g", grouprecord.Encode(grouprecord.Record{Part: 0, Machines: []grouprecord.Machine{listed}, Nonce: "b9-2"}), 25}
+	b.store.keys["groups/g"] = KV{"groups/g", grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{listed}, WriteID: "b9-2"}), 25}
 
-	earlierToken := Token(25)
-	for range holders {
-		succeeded(t, b)
+	earlierToken := FencingToken(25)
+	for range successiveOwners {
+		deposeOwner(t, b)
 		earlierTerm := part.term
-		claimed(t, b)
+		acquireAndLoadShard(t, b)
 		m := b.machines["m-1"]
 		if m.token <= earlierToken || part.term <= earlierTerm {
 			t.Errorf("token %d and term %d after %d and %d: not higher", m.token, part.term, earlierToken, earlierTerm)
 		}
-		m.session = 1
-		report := reportUnderToken(m, 1)
-		report.Token = earlierToken
+		m.incarnation = 1
+		report := statusUnderToken(m, 1)
+		report.FencingToken = earlierToken
 		b.reconcile(m, report, false)
-		if use := b.teamUse(part)["red"].CPU; use != need {
+		if use := b.teamUsageOf(part)["red"].CPU; use != need {
 			t.Errorf("after a report under token %d, with %d in force, the team uses %d, want %d", earlierToken, m.token, use, need)
 		}
 		earlierToken = m.token
 	}
 	m := b.machines["m-1"]
-	b.reconcile(m, reportUnderToken(m, 2), false)
-	if use := b.teamUse(part)["red"].CPU; use != 0 {
+	b.reconcile(m, statusUnderToken(m, 2), false)
+	if use := b.teamUsageOf(part)["red"].CPU; use != 0 {
 		t.Errorf("after a report under the token in force the team uses %d, want 0", use)
 	}
 }
@@ -95,22 +95,22 @@
 // a write that is held up on its way and repeats it, not knowing that it has been
 // succeeded. Neither is carried out: the claim that both are conditional on is
 // not in force any more.
-func TestLateWritesOfEarlierHolders(t *testing.T) {
-	b := newCoreHarness()
-	part := b.parts[0]
+func TestLateWritesOfDeposedOwnersRejected(t *testing.T) {
+	b := newControllerHarness()
+	part := b.shards[0]
 	var heldUp []StoreTxn
-	for holder := range holders {
+	for holder := range successiveOwners {
 		id := MachineID(fmt.Sprintf("m-%d", 3*holder)) // numbers of part 0
-		b.enlist(part, []grouprecord.Machine{{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}}, func() {})
-		heldUp = append(heldUp, loseNextWrite(t, b))
-		succeeded(t, b)
-		claimed(t, b)
+		b.registerMachines(part, []grouprecord.Machine{{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}}, func() {})
+		heldUp = append(heldUp, loseNextWriteReply(t, b))
+		deposeOwner(t, b)
+		acquireAndLoadShard(t, b)
 	}
 	for i, write := range heldUp {
 		key := write.Then[0].Key
-		if b.store.get(key).Out != Missing {
+		if b.store.get(key).Outcome != NotFound {
 			t.Errorf("holder %d repeated its write under a later claim: %s", i, key)
-		} else if b.store.txn(write).Out != Conflict {
+		} else if b.store.commit(write).Outcome != Conflict {
 			t.Errorf("the late write of holder %d was carried out: %s", i, key)
 		}
 	}
@@ -119,20 +119,20 @@
 // TestClaimsOfQuarrelDamped: two controllers each believe the other to be lost,
 // and take a part from one another. The pauses grow with the changes of hands,
 // so that in between a holder has time to serve the part.
-func TestClaimsOfQuarrelDamped(t *testing.T) {
+func TestMutualAcquiresBackOff(t *testing.T) {
 	const (
 		quarrel    = 120 * second
 		most       = 12 // 2, 4, 8, 16 and then 30 s after the change before
 		leastAtEnd = 4 * second
 	)
-	part := &part{}
+	part := &shard{}
 	now := 100 * second
-	part.changed(now)
+	part.recordOwnerChange(now)
 	changes, last := 0, Time(0)
 	for end := now + quarrel; now < end; now += second / 10 {
-		if part.settled(now) {
-			last = now - part.since
-			part.changed(now)
+		if part.isBackoffOver(now) {
+			last = now - part.ownershipChangedAt
+			part.recordOwnerChange(now)
 			changes++
 		}
 	}
@@ -145,23 +145,23 @@
 // TestNoClaimInOutage: the holder of a part is lost, and so is the state service:
 // nothing is claimed. A claim that waited for the end of the outage would then
 // take the part from a holder that is back.
-func TestNoClaimInOutage(t *testing.T) {
+func TestNoAcquireDuringOutage(t *testing.T) {
 	for _, outage := range []bool{false, true} {
-		b := newCoreHarness()
-		part := b.parts[1]
-		part.held, part.ready, part.seen, part.holder, part.home = false, false, true, "n2", "n2"
+		b := newControllerHarness()
+		part := b.shards[1]
+		part.owned, part.ready, part.recordRead, part.owner, part.preferredOwner = false, false, true, "n2", "n2"
 		for _, peer := range b.peers {
-			peer.heard, peer.answered, peer.pingAt = true, b.now, b.now
+			peer.hasAnswered, peer.lastAnswerAt, peer.lastPingAt = true, b.now, b.now
 		}
 		lost := b.peers["n2"]
-		lost.failed, lost.failedAt, lost.pingAt = true, b.now-second, b.now-10*second
-		b.storeHealth.lastOK, b.storeHealth.servedSince = b.now, second
+		lost.failed, lost.failedAt, lost.lastPingAt = true, b.now-second, b.now-10*second
+		b.storeHealth.lastSuccess, b.storeHealth.healthySince = b.now, second
 		if outage {
 			b.storeHealth.failing, b.storeHealth.failingSince = true, b.now-2*second
 		}
-		b.considerClaim(part)
-		if part.claiming == outage {
-			t.Errorf("outage %v: claims %v", outage, part.claiming)
+		b.considerAcquire(part)
+		if part.acquiring == outage {
+			t.Errorf("outage %v: claims %v", outage, part.acquiring)
 		}
 	}
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,21 +5,21 @@
 // timerQueue holds what is to be done at a time, in the order of the times, and
 // of one time in the order in which it was asked for.
 type timerQueue struct {
-	heap timerHeap
-	last uint64 // number of the last timer
+	heap         timerHeap
+	lastSequence uint64 // number of the last timer
 }
 
 type timer struct {
-	at     Time
-	number uint64
-	run    func()
+	due      Time
+	sequence uint64
+	callback func()
 }
 
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].number < h[j].number
+	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].sequence < h[j].sequence
 }
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
@@ -34,8 +34,8 @@
 
 // add runs a function at a time.
 func (q *timerQueue) add(at Time, run func()) {
-	q.last++
-	heap.Push(&q.heap, timer{at, q.last, run})
+	q.lastSequence++
+	heap.Push(&q.heap, timer{at, q.lastSequence, run})
 }
 
 // next is when the next timer is due; false: there is none.
@@ -43,22 +43,22 @@
 	if len(q.heap) == 0 {
 		return 0, false
 	}
-	return q.heap[0].at, true
+	return q.heap[0].due, true
 }
 
 // runDue runs what is due, also what that adds if it is due at once.
 func (q *timerQueue) runDue(now Time) {
-	for len(q.heap) > 0 && q.heap[0].at <= now {
+	for len(q.heap) > 0 && q.heap[0].due <= now {
 		due := heap.Pop(&q.heap).(timer)
-		due.run()
+		due.callback()
 	}
 }
 
 // after runs fn when a time has passed.
-func (c *Core) after(d Time, fn func()) { c.timers.add(c.now+d, fn) }
+func (c *Controller) after(d Time, fn func()) { c.timers.add(c.now+d, fn) }
 
 // every runs fn at once, and again each time that a pause has passed.
-func (c *Core) every(pause func() Time, fn func()) {
+func (c *Controller) every(pause func() Time, fn func()) {
 	var loop func()
 	loop = func() {
 		fn()
@@ -67,9 +67,9 @@
 	loop()
 }
 
-func fixed(d Time) func() Time { return func() Time { return d } }
+func fixedInterval(d Time) func() Time { return func() Time { return d } }
 
 // NextWake says when the next Tick is due.
-func (c *Core) NextWake() (Time, bool) { return c.timers.next() }
+func (c *Controller) NextWake() (Time, bool) { return c.timers.next() }
 
-func (c *Core) runTimers() { c.timers.runDue(c.now) }
+func (c *Controller) runTimers() { c.timers.runDue(c.now) }
