--- a/internal/core/story_test.go
+++ b/internal/core/trace_test.go
@@ -14,13 +14,13 @@
 	"stairrelay/internal/standin"
 )
 
-var update = flag.Bool("update", false, "write the traces of testdata/stories anew")
+var updateGolden = flag.Bool("update", false, "write the traces of testdata/stories anew")
 
 // TestStories replays the kept traces. A story is a text file: lines that
 // begin with # tell it, lines that begin with > are what happens, the others
 // are what the controllers and workers did about it. With -update the last are
 // written anew: read the difference before it is committed.
-func TestStories(t *testing.T) {
+func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/stories/*.txt")
 	if err != nil || len(files) < 8 {
 		t.Fatalf("only %d stories: %v", len(files), err)
@@ -31,8 +31,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := tell(t, string(text))
-			if *update {
+			got := replayTrace(t, string(text))
+			if *updateGolden {
 				if err := os.WriteFile(f, []byte(got), 0o644); err != nil {
 					t.Fatal(err)
 				}
@@ -52,16 +52,16 @@
 }
 
 // tell plays a story's script and returns the story with what came of it.
-func tell(t *testing.T, text string, options ...standin.Option) string {
+func replayTrace(t *testing.T, text string, options ...standin.Option) string {
 	t.Helper()
 	var out strings.Builder
-	var w *standin.World
-	var before *standin.Limits
+	var w *standin.Simulator
+	var before *standin.StoreLimits
 	jobs := map[string]*standin.Job{}
 	cfg := testConfig()
-	cloud := testCloud(func() *standin.World { return w })
-	cloud.Capacity = map[string]int{}
-	cloud.Boot = func() core.Time { return 10 * sec }
+	cloud := testCloud(func() *standin.Simulator { return w })
+	cloud.AvailableCapacity = map[string]int{}
+	cloud.BootDuration = func() core.Time { return 10 * second }
 	say := func(s string) { fmt.Fprintf(&out, "%8.3f %s\n", time.Duration(w.Now).Seconds(), s) }
 	for i, line := range strings.Split(text, "\n") {
 		if strings.HasPrefix(line, "#") {
@@ -73,16 +73,16 @@
 		out.WriteString(line + "\n")
 		if strings.HasPrefix(line, "> teams one-part") { // two teams that share a part
 			cfg.Teams = []core.Team{
-				{Name: "red", Guarantee: core.Res{CPU: 8 * cpu}, Limit: core.Res{CPU: 16 * cpu}},
-				{Name: "green", Guarantee: core.Res{CPU: 40 * cpu}, Limit: core.Res{CPU: 48 * cpu}},
-				{Name: "blue", Guarantee: core.Res{CPU: 40 * cpu}, Limit: core.Res{CPU: 48 * cpu}},
-				{Name: "gold", Guarantee: core.Res{CPU: 8 * cpu}, Limit: core.Res{CPU: 16 * cpu}},
+				{Name: "red", GuaranteedQuota: core.Resources{CPU: 8 * cpu}, QuotaLimit: core.Resources{CPU: 16 * cpu}},
+				{Name: "green", GuaranteedQuota: core.Resources{CPU: 40 * cpu}, QuotaLimit: core.Resources{CPU: 48 * cpu}},
+				{Name: "blue", GuaranteedQuota: core.Resources{CPU: 40 * cpu}, QuotaLimit: core.Resources{CPU: 48 * cpu}},
+				{Name: "gold", GuaranteedQuota: core.Resources{CPU: 8 * cpu}, QuotaLimit: core.Resources{CPU: 16 * cpu}},
 			}
 			continue
 		}
 		if f := strings.Fields(line); len(f) == 4 && f[1] == "aim" { // done within so many seconds
 			within, _ := strconv.ParseFloat(f[3], 64)
-			cfg.Objectives = append(cfg.Objectives, core.Objective{Kind: "finished", Class: f[2], WithinS: within})
+			cfg.SLOs = append(cfg.SLOs, core.SLO{Kind: "finished", Class: f[2], WithinSeconds: within})
 			continue
 		}
 		if f := strings.Fields(line); len(f) == 5 && f[1] == "production" { // the old release under these limits; the settings name those of upgradeConfig
@@ -94,29 +94,29 @@
 		}
 		if w == nil {
 			if before != nil {
-				cfg.WriteRPS, cfg.ValueBytes, cfg.TxnOps = upgradeConfig().WriteRPS, upgradeConfig().ValueBytes, upgradeConfig().TxnOps
-				w = standin.NewUpgradeWorld(1, cfg, *before, cloud, options...)
+				cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = upgradeConfig().WriteRPS, upgradeConfig().MaxValueBytes, upgradeConfig().MaxTxnOps
+				w = standin.NewUpgradeSimulator(1, cfg, *before, cloud, options...)
 			} else {
-				w = standin.NewWorld(1, cfg, cloud, options...)
+				w = standin.NewSimulator(1, cfg, cloud, options...)
 			}
-			w.Calm = true
+			w.NoRandomFaults = true
 			w.Log = say
 		}
-		if err := act(w, cloud, jobs, strings.Fields(line[1:]), say); err != nil {
+		if err := runTraceCommand(w, cloud, jobs, strings.Fields(line[1:]), say); err != nil {
 			t.Fatalf("line %d: %v", i+1, err)
 		}
 	}
 	if w == nil {
 		t.Fatal("the story has no script")
 	}
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Errorf("rule broken: %s", b)
 	}
 	return out.String()
 }
 
 // parseLimits reads value bytes, changes a transaction and changes a second.
-func parseLimits(f []string) (*standin.Limits, error) {
+func parseLimits(f []string) (*standin.StoreLimits, error) {
 	valueBytes, err := strconv.Atoi(f[0])
 	if err != nil {
 		return nil, err
@@ -129,10 +129,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &standin.Limits{WriteRPS: rate, ValueBytes: valueBytes, TxnOps: changes}, nil
+	return &standin.StoreLimits{WriteRPS: rate, ValueBytes: valueBytes, TxnOps: changes}, nil
 }
 
-func act(w *standin.World, cloud *standin.Cloud, jobs map[string]*standin.Job, f []string, say func(string)) error {
+func runTraceCommand(w *standin.Simulator, cloud *standin.FakeCloud, jobs map[string]*standin.Job, f []string, say func(string)) error {
 	opt := map[string]string{}
 	var arg []string
 	for _, x := range f[1:] {
@@ -175,7 +175,7 @@
 			}
 			if r.View != nil && jobs[id] != nil {
 				jobs[id].Accepted = true
-				w.Told(jobs[id], r.View.Status)
+				w.CheckReportedStatus(jobs[id], r.View.Status)
 			}
 		}
 	}
@@ -187,98 +187,98 @@
 		}
 	case "capacity": // capacity small a 2 [spot=1]
 		n, _ := strconv.Atoi(arg[2])
-		cloud.Capacity[standin.Slot(arg[0], arg[1], opt["spot"] != "")] = n
+		cloud.AvailableCapacity[standin.CapacityKey(arg[0], arg[1], opt["spot"] != "")] = n
 	case "submit": // submit j-000001 red via n0 tasks=3 run=10 cpu=1
 		run := num("run", 10)
 		s := core.JobSpec{ID: core.JobID(arg[0]), Class: "c", Team: arg[1], Priority: core.Priority(num("priority", 1)), Tasks: int(num("tasks", 1)),
-			Need: core.Res{CPU: core.Amount(num("cpu", 1) * 1e6), Mem: cpu}, Image: "img", ImageGB: 1, RuntimeS: run, Spot: opt["spot"] != "", Submitted: core.Wall(w.Now / 1e6)}
+			ResourceRequest: core.Resources{CPU: core.Amount(num("cpu", 1) * 1e6), Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: run, Spot: opt["spot"] != "", SubmittedAt: core.WallTime(w.Now / 1e6)}
 		if opt["awaits"] != "" {
-			s.Awaits = []core.JobID{core.JobID(opt["awaits"])}
+			s.Dependencies = []core.JobID{core.JobID(opt["awaits"])}
 		}
-		info := standin.JobInfo{Need: s.Need, Run: core.Time(run * 1e9), Tasks: s.Tasks, Image: s.Image}
+		info := standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: core.Time(run * 1e9), TaskCount: s.Tasks, Image: s.Image}
 		if v := num("save", 0); v > 0 {
-			s.CheckpntS, s.SaveS, info.Checkpoint, info.Save = 5, v, true, core.Time(v*1e9)
+			s.CheckpointSeconds, s.SaveSeconds, info.CanCheckpoint, info.SaveDuration = 5, v, true, core.Time(v*1e9)
 		}
 		if w.Jobs[s.ID] == nil {
 			jobs[arg[0]] = &standin.Job{Spec: s, Info: info}
 			w.Jobs[s.ID] = jobs[arg[0]]
 		}
-		w.Ask(node(arg[3]), func(id core.ReqID) core.Event { return core.Submit{Req: id, Job: s} }, answered("submits", arg[0]))
+		w.SendRequest(node(arg[3]), func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: s} }, answered("submits", arg[0]))
 	case "flood": // flood 50 red via n0 priority=1
 		n, _ := strconv.Atoi(arg[0])
 		count := map[string]int{}
 		for i := range n {
 			s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%v%05d", num("priority", 1), i)), Class: "c", Team: arg[1], Priority: core.Priority(num("priority", 1)),
-				Tasks: 1, Need: core.Res{CPU: cpu, Mem: cpu}, Image: "img", ImageGB: 1, RuntimeS: 500}
-			w.Jobs[s.ID] = &standin.Job{Spec: s, Info: standin.JobInfo{Need: s.Need, Run: 500 * sec, Tasks: 1, Image: "img"}}
-			w.Ask(node(arg[3]), func(id core.ReqID) core.Event { return core.Submit{Req: id, Job: s} }, func(r core.Respond) {
+				Tasks: 1, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 500}
+			w.Jobs[s.ID] = &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 500 * second, TaskCount: 1, Image: "img"}}
+			w.SendRequest(node(arg[3]), func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: s} }, func(r core.Respond) {
 				count[fmt.Sprint(r.Status)]++
 			})
 		}
-		w.After(3500*sec/1000, func() { say(fmt.Sprintf("users of priority %v: %v", num("priority", 1), count)) })
+		w.After(3500*second/1000, func() { say(fmt.Sprintf("users of priority %v: %v", num("priority", 1), count)) })
 	case "query":
-		w.Ask(node(arg[2]), func(id core.ReqID) core.Event { return core.Query{Req: id, ID: core.JobID(arg[0])} }, answered("asks for", arg[0]))
+		w.SendRequest(node(arg[2]), func(id core.RequestID) core.Event { return core.Query{Request: id, ID: core.JobID(arg[0])} }, answered("asks for", arg[0]))
 	case "cancel":
 		if j := jobs[arg[0]]; j != nil {
-			j.AskedCancel = true
+			j.CancelRequested = true
 		}
-		w.Ask(node(arg[2]), func(id core.ReqID) core.Event { return core.Cancel{Req: id, ID: core.JobID(arg[0])} }, answered("cancels", arg[0]))
+		w.SendRequest(node(arg[2]), func(id core.RequestID) core.Event { return core.Cancel{Request: id, ID: core.JobID(arg[0])} }, answered("cancels", arg[0]))
 	case "upgrade": // upgrade n0 6s: it ends and is back after that, new
-		w.Upgrade(node(arg[0]), dur(arg[1]))
+		w.UpgradeNode(node(arg[0]), dur(arg[1]))
 	case "limits": // the lower limits come into force
-		w.LowerLimits()
+		w.LowerStoreLimits()
 	case "crash":
-		w.Kill(node(arg[0]))
+		w.KillNode(node(arg[0]))
 	case "boot":
-		w.Boot(node(arg[0]))
+		w.StartNode(node(arg[0]))
 	case "cut": // cut n0 store 10s
 		n, until := node(arg[0]), w.Now+dur(arg[2])
 		switch arg[1] {
 		case "store":
-			n.StoreCut = until
+			n.StoreCutUntil = until
 		case "workers":
-			n.WorkerCut = until
+			n.WorkersCutUntil = until
 		case "peers":
-			n.PeerCut = until
+			n.PeersCutUntil = until
 		case "servers": // it keeps its workers
-			n.StoreCut, n.PeerCut = until, until
+			n.StoreCutUntil, n.PeersCutUntil = until, until
 		case "all":
-			n.StoreCut, n.WorkerCut, n.PeerCut = until, until, until
+			n.StoreCutUntil, n.WorkersCutUntil, n.PeersCutUntil = until, until, until
 		default:
 			return fmt.Errorf("cut from %q", arg[1])
 		}
 	case "freeze": // freeze all 20s: they stand still while their clocks run on
 		for _, n := range w.Nodes {
 			if arg[0] == "all" || arg[0] == string(n.ID) {
-				n.Frozen = w.Now + dur(arg[1])
+				n.PausedUntil = w.Now + dur(arg[1])
 			}
 		}
 	case "outage":
-		w.Down = w.Now + dur(arg[0])
+		w.StoreDownUntil = w.Now + dur(arg[0])
 	case "cloud": // cloud 30s: its interface is down
-		w.CloudDn = w.Now + dur(arg[0])
+		w.CloudDownUntil = w.Now + dur(arg[0])
 	case "hang":
-		w.Hang(core.MachineID(arg[0]), dur(arg[1]))
+		w.HangMachine(core.MachineID(arg[0]), dur(arg[1]))
 	case "corrupt": // the record that lists a machine makes no sense any more
-		for _, kv := range w.State.List("groups/").Items {
+		for _, kv := range w.StateService.List("groups/").Items {
 			if strings.Contains(string(kv.Value), arg[0]) {
-				w.State.Txn(nil, []core.TxnOp{{Key: kv.Key, Value: []byte(`{"p":1,"m":["?"]}`)}})
+				w.StateService.Commit(nil, []core.TxnOp{{Key: kv.Key, Value: []byte(`{"p":1,"m":["?"]}`)}})
 			}
 		}
 	case "deaf": // reports arrive, nothing reaches it
-		w.Deafen(core.MachineID(arg[0]), dur(arg[1]))
+		w.MakeUnreachable(core.MachineID(arg[0]), dur(arg[1]))
 	case "copy": // its present report is delivered again later
-		w.CopyReport(core.MachineID(arg[0]), dur(arg[1]))
+		w.DuplicateHeartbeat(core.MachineID(arg[0]), dur(arg[1]))
 	case "refuse": // refuse n0 10s: by the state service, that controller alone
-		node(arg[0]).Refused = w.Now + dur(arg[1])
+		node(arg[0]).StoreRefusesUntil = w.Now + dur(arg[1])
 	case "mute": // it reaches no controller, direct commands reach it
-		w.Mute(core.MachineID(arg[0]), dur(arg[1]))
+		w.BlockHeartbeats(core.MachineID(arg[0]), dur(arg[1]))
 	case "lose": // lose n0 answers 3s: its transactions are carried out, their answers lost
-		node(arg[0]).Unheard = w.Now + dur(arg[2])
+		node(arg[0]).StoreRepliesLostUntil = w.Now + dur(arg[2])
 	case "slow": // slow 500ms 30s: the state service answers that much later
 		w.SlowStore(dur(arg[0]), dur(arg[1]))
 	case "reboot": // the worker is back at once, in its next session
-		w.Reboot(core.MachineID(arg[0]))
+		w.RebootWorker(core.MachineID(arg[0]))
 	case "stream": // stream red via n0 every=4s for=60s tasks=1 run=10: small jobs that keep coming
 		every, left, n := dur(opt["every"]), dur(opt["for"]), 0
 		run := num("run", 10)
@@ -286,18 +286,18 @@
 		next = func() {
 			n++
 			s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-8%05d", n)), Class: "small", Team: arg[0], Priority: core.Priority(num("priority", 1)), Tasks: int(num("tasks", 1)),
-				Need: core.Res{CPU: cpu, Mem: cpu}, Image: "img", ImageGB: 1, RuntimeS: run, Submitted: core.Wall(w.Now / 1e6)}
-			w.Jobs[s.ID] = &standin.Job{Spec: s, Info: standin.JobInfo{Need: s.Need, Run: core.Time(run * 1e9), Tasks: s.Tasks, Image: s.Image}}
-			w.Ask(node(arg[2]), func(id core.ReqID) core.Event { return core.Submit{Req: id, Job: s} }, func(core.Respond) {})
+				ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: run, SubmittedAt: core.WallTime(w.Now / 1e6)}
+			w.Jobs[s.ID] = &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: core.Time(run * 1e9), TaskCount: s.Tasks, Image: s.Image}}
+			w.SendRequest(node(arg[2]), func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: s} }, func(core.Respond) {})
 			if left -= every; left > 0 {
 				w.After(every, next)
 			}
 		}
 		next()
 	case "notice":
-		w.SpotNotice(core.MachineID(arg[0]), dur(arg[1]))
+		w.PreemptSpotMachine(core.MachineID(arg[0]), dur(arg[1]))
 	case "run":
-		w.Run(w.Now + dur(arg[0]))
+		w.RunUntil(w.Now + dur(arg[0]))
 	default:
 		return fmt.Errorf("unknown line %q", f)
 	}
--- a/internal/core/take_lost_test.go
+++ b/internal/core/transfer_lost_test.go
@@ -12,32 +12,32 @@
 // them: forgotten at the taking, they were listed by a record of a part held
 // here and by nothing in its books, so that their workers were answered 503 and
 // got no work until that part changed hands.
-func TestTakeLostWithItsPart(t *testing.T) {
-	b := newCoreHarness()
-	giver, taker := b.parts[0], b.parts[1]
+func TestTransferAbortedWhenShardIsLost(t *testing.T) {
+	b := newControllerHarness()
+	giver, taker := b.shards[0], b.shards[1]
 	kind := grouprecord.Kind{Type: "small", Zone: "a"}
-	b.enlist(giver, []grouprecord.Machine{{ID: "m-1", Kind: kind, Address: "m-1"}}, func() {})
-	b.play(100 * milli)
-	g := b.groups[sortedKeys(b.groups)[0]]
-	g.offer = &groupOffer{to: taker.id, until: b.now + 5*second}
-	b.store.epoch++
-	b.store.keys[taker.key()] = KV{taker.key(), []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), Mark(b.store.epoch)}
-	b.takeGroup(taker, g.key(), g.mark)
-	b.play(200 * milli)
+	b.registerMachines(giver, []grouprecord.Machine{{ID: "m-1", Kind: kind, Address: "m-1"}}, func() {})
+	b.runFor(100 * millisecond)
+	g := b.machineGroups[sortedKeys(b.machineGroups)[0]]
+	g.offer = &groupOffer{toShard: taker.id, until: b.now + 5*second}
+	b.store.revision++
+	b.store.keys[taker.key()] = KV{taker.key(), []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision(b.store.revision)}
+	b.acquireGroup(taker, g.key(), g.modRevision)
+	b.runFor(200 * millisecond)
 
-	if taker.held {
+	if taker.owned {
 		t.Fatal("the loss of the taking part went unnoticed")
 	}
 	m := b.machines["m-1"]
-	if m == nil || m.part != giver.id || b.groups[g.id] != g {
+	if m == nil || m.shardID != giver.id || b.machineGroups[g.id] != g {
 		t.Fatal("the machine is in no book though its record lists it for a part held here")
 	}
-	if g.writing || g.sent {
+	if g.writePending || g.writeInFlight {
 		t.Error("the group still counts as being written")
 	}
-	b.writeMachine(m, prioStart)
-	b.play(200 * milli)
-	if kv := b.store.get(g.key()).KV; g.mark != kv.Mark || g.mark <= 31 {
-		t.Errorf("its record can't be written any more: mark %d, stored %d", g.mark, kv.Mark)
+	b.writeMachine(m, priorityStart)
+	b.runFor(200 * millisecond)
+	if kv := b.store.get(g.key()).KV; g.modRevision != kv.ModRevision || g.modRevision <= 31 {
+		t.Errorf("its record can't be written any more: mark %d, stored %d", g.modRevision, kv.ModRevision)
 	}
 }
--- a/internal/core/upgrade_test.go
+++ b/internal/core/upgrade_test.go
@@ -11,11 +11,11 @@
 
 // limitsBeforeUpgrade are those that the store has until some moment after the
 // upgrade; upgradeConfig holds the lower ones.
-var limitsBeforeUpgrade = standin.Limits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
+var limitsBeforeUpgrade = standin.StoreLimits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
 
 func upgradeConfig() core.Config {
 	cfg := testConfig()
-	cfg.WriteRPS, cfg.ValueBytes, cfg.TxnOps = 25, 2048, 8
+	cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = 25, 2048, 8
 	return cfg
 }
 
@@ -24,7 +24,7 @@
 // users already ask the new ones for pipelines; some old processes end and come
 // back old before their turn, in mid-take-over and several at once; the store's
 // limits are lowered at some moment after the upgrade. All rules are checked.
-func TestUpgradeDays(t *testing.T) {
+func TestRollingUpgrade(t *testing.T) {
 	from, to := seedRange(t, 1, 12)
 	var mu sync.Mutex
 	seen := map[string]int{}
@@ -32,7 +32,7 @@
 		for seed := from; seed <= to; seed++ {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
 				t.Parallel()
-				faults := playUpgradeDay(t, uint64(seed))
+				faults := simulateUpgrade(t, uint64(seed))
 				mu.Lock()
 				defer mu.Unlock()
 				for what, n := range faults {
@@ -59,44 +59,44 @@
 	}
 }
 
-func playUpgradeDay(t *testing.T, seed uint64, options ...standin.Option) map[string]int {
+func simulateUpgrade(t *testing.T, seed uint64, options ...standin.Option) map[string]int {
 	cfg := upgradeConfig()
-	var w *standin.World
-	w = standin.NewUpgradeWorld(seed, cfg, limitsBeforeUpgrade, testCloud(func() *standin.World { return w }), options...)
-	addMachines(w)
-	runTroubles(t, w, cfg, func(teams []string, until core.Time) {
-		plan(w, teams, until)
+	var w *standin.Simulator
+	w = standin.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, testCloud(func() *standin.Simulator { return w }), options...)
+	addMachinePerZone(w)
+	runWithFaults(t, w, cfg, func(teams []string, until core.Time) {
+		planJobsAndFaults(w, teams, until)
 		planPipelines(w, teams, until)
 		planUpgrade(w)
 	})
-	if !w.Upgraded() {
+	if !w.IsUpgraded() {
 		t.Error("a controller was left on the production release")
 	}
-	if n := w.State.Refused.Size; n > 0 {
+	if n := w.StateService.Rejected.Size; n > 0 {
 		t.Errorf("%d transactions were above the lowered limits, which the settings name", n)
 	}
-	w.Faults["transactions above the lowered rate"] += w.State.Refused.Rate
-	return w.Faults
+	w.FaultCounts["transactions above the lowered rate"] += w.StateService.Rejected.Rate
+	return w.FaultCounts
 }
 
 // planUpgrade replaces the controllers in two turns, one and then two at once,
 // in a random order, with old ones ending before theirs.
-func planUpgrade(w *standin.World) {
+func planUpgrade(w *standin.Simulator) {
 	order := w.Rand.Perm(len(w.Nodes))
 	first, rest := w.Nodes[order[0]], order[1:]
-	begin := w.Between(20*sec, 60*sec)
-	w.After(begin, func() { w.Upgrade(first, 6*sec) })
+	begin := w.RandomBetween(20*second, 60*second)
+	w.After(begin, func() { w.UpgradeNode(first, 6*second) })
 
 	back := w.Nodes[rest[0]]
-	w.After(begin+w.Between(sec, 15*sec), func() {
-		w.Faults["old controllers ended and back old"]++
-		restart(w, back, w.Between(sec/10, 8*sec))
+	w.After(begin+w.RandomBetween(second, 15*second), func() {
+		w.FaultCounts["old controllers ended and back old"]++
+		restart(w, back, w.RandomBetween(second/10, 8*second))
 	})
-	w.OnClaim(begin+60*sec, func(core.NodeID) {
+	w.OnShardAcquired(begin+60*second, func(core.NodeID) {
 		ended := w.Nodes[rest[w.Rand.IntN(len(rest))]]
-		w.After(w.Between(0, sec), func() {
-			if ended.Release == standin.ProductionRelease {
-				w.Faults["an old controller ended within a second of a claim"]++
+		w.After(w.RandomBetween(0, second), func() {
+			if ended.Version == standin.ProductionVersion {
+				w.FaultCounts["an old controller ended within a second of a claim"]++
 				crash(w, ended)
 			}
 		})
@@ -105,18 +105,18 @@
 	// One that is cut from the other controllers is not heard by those that
 	// start meanwhile, and serves on with what it knows.
 	apart := w.Nodes[rest[1]]
-	last := begin + w.Between(40*sec, 70*sec)
+	last := begin + w.RandomBetween(40*second, 70*second)
 	if w.Chance(0.6) {
-		w.After(begin-sec, func() {
-			w.Faults["an old controller apart while others are upgraded"]++
-			apart.PeerCut = w.Now + w.Between(20*sec, last-begin)
+		w.After(begin-second, func() {
+			w.FaultCounts["an old controller apart while others are upgraded"]++
+			apart.PeersCutUntil = w.Now + w.RandomBetween(20*second, last-begin)
 		})
 	}
 	w.After(last, func() {
-		w.Faults["several controllers upgraded at once"]++
+		w.FaultCounts["several controllers upgraded at once"]++
 		for _, i := range rest {
-			w.Upgrade(w.Nodes[i], w.Between(5*sec, 8*sec))
+			w.UpgradeNode(w.Nodes[i], w.RandomBetween(5*second, 8*second))
 		}
 	})
-	w.After(last+w.Between(0, 60*sec), w.LowerLimits)
+	w.After(last+w.RandomBetween(0, 60*second), w.LowerStoreLimits)
 }
--- a/internal/core/releases.go
+++ b/internal/core/versionregistry.go
@@ -9,38 +9,38 @@
 // claim in the store lists it: each claim lists its holder and all controllers
 // that the holder knew to be upgraded. An upgraded controller is not replaced by
 // an earlier release again, so the knowledge stays true and only grows.
-type releaseRegistry struct {
+type versionRegistry struct {
 	upgraded map[NodeID]bool
 }
 
-func newReleaseRegistry(self NodeID) releaseRegistry {
-	return releaseRegistry{upgraded: map[NodeID]bool{self: true}}
+func newVersionRegistry(self NodeID) versionRegistry {
+	return versionRegistry{upgraded: map[NodeID]bool{self: true}}
 }
 
 // learn adds controllers that are known to be upgraded.
-func (r *releaseRegistry) learn(ids ...NodeID) {
+func (r *versionRegistry) recordUpgraded(ids ...NodeID) {
 	for _, id := range ids {
 		r.upgraded[id] = true
 	}
 }
 
 // list names the controllers that are known to be upgraded, sorted.
-func (r *releaseRegistry) list() []NodeID { return sortedKeys(r.upgraded) }
+func (r *versionRegistry) upgradedNodes() []NodeID { return sortedKeys(r.upgraded) }
 
 // understandsAwaits tells whether a controller certainly runs a release that
 // knows what awaiting means. What it said last in its present run counts most.
-func (c *Core) understandsAwaits(p *peer) bool {
-	if p.pingAt > 0 {
-		return p.ping.Level >= pipelineLevel
+func (c *Controller) supportsDependencies(p *peer) bool {
+	if p.lastPingAt > 0 {
+		return p.lastPing.FeatureLevel >= dependencyFeatureLevel
 	}
-	return c.releases.upgraded[p.id]
+	return c.versionRegistry.upgraded[p.id]
 }
 
 // everybodyUnderstandsAwaits tells whether a job that awaits others may be
 // stored: no controller that could take its part would ignore the field.
-func (c *Core) everybodyUnderstandsAwaits() bool {
+func (c *Controller) allSupportDependencies() bool {
 	for _, p := range c.peers {
-		if !c.understandsAwaits(p) {
+		if !c.supportsDependencies(p) {
 			return false
 		}
 	}
--- a/internal/core/nonce_test.go
+++ b/internal/core/write_id_test.go
@@ -8,9 +8,9 @@
 
 // TestNonceOfGroup: readBack finds a group's record by the nonce of the
 // transaction that wrote it.
-func TestNonceOfGroup(t *testing.T) {
-	v := grouprecord.Encode(grouprecord.Record{Part: 2, Nonce: "n-1"})
-	if got := nonceOf(v); got != "n-1" {
+func TestWriteIDOfGroup(t *testing.T) {
+	v := grouprecord.Encode(grouprecord.Record{ShardID: 2, WriteID: "n-1"})
+	if got := writeIDOf(v); got != "n-1" {
 		t.Errorf("the nonce is %q, not where readBack looks for it", got)
 	}
 }
--- a/internal/core/write_order_test.go
+++ b/internal/core/write_order_test.go
@@ -3,20 +3,20 @@
 import "testing"
 
 // recordingTasks makes the first tasks of a group's machines wait for its record.
-func recordingTasks(g *group, n int) {
-	for _, m := range g.list() {
-		for _, a := range m.sorted() {
+func markTasksRecording(g *machineGroup, n int) {
+	for _, m := range g.sortedMachines() {
+		for _, a := range m.sortedAssignments() {
 			if n > 0 {
-				a.phase, n = aRecording, n-1
+				a.phase, n = phaseRecording, n-1
 			}
 		}
 	}
 }
 
 // writesOf is how many of the transactions so far write a key.
-func (b *coreHarness) writesOf(key string) int {
+func (b *controllerHarness) countWrites(key string) int {
 	n := 0
-	for _, x := range b.txns {
+	for _, x := range b.sentTransactions {
 		for _, o := range x.Then {
 			if o.Key == key {
 				n++
@@ -27,31 +27,31 @@
 }
 
 // scarcePuts leaves the given number of puts a second and no more at once.
-func (b *coreHarness) scarcePuts(rate float64) {
+func (b *controllerHarness) limitPutRate(rate float64) {
 	b.timers = timerQueue{} // no new division of the rate
-	b.writer.puts.SetRate(rate, 1)
-	b.writer.puts.Refill(b.now)
-	b.writer.puts.Lower(0)
+	b.writeQueue.putBudget.SetRate(rate, 1)
+	b.writeQueue.putBudget.Refill(b.now)
+	b.writeQueue.putBudget.Lower(0)
 }
 
 // TestMostWaitingCPUsAreRecordedFirst: of two records of which the one with
 // less to start was queued first, the other is written first; both are written.
 func TestMostWaitingCPUsAreRecordedFirst(t *testing.T) {
-	b := newCoreHarness()
-	j := b.job("j-1", 1000)
-	few, many := b.filled("few", j, 3, 2, 0), b.filled("many", j, 3, 2, 100)
-	recordingTasks(few, 1)
-	recordingTasks(many, 6)
-	b.scarcePuts(0.5)
-	b.writeGroup(few, prioStart)
+	b := newControllerHarness()
+	j := b.addTestJob("j-1", 1000)
+	few, many := b.addGroupWithTasks("few", j, 3, 2, 0), b.addGroupWithTasks("many", j, 3, 2, 100)
+	markTasksRecording(few, 1)
+	markTasksRecording(many, 6)
+	b.limitPutRate(0.5)
+	b.writeGroup(few, priorityStart)
 	b.now += second / 2
-	b.writeGroup(many, prioStart)
-	b.play(second * 5 / 2)
-	if f, m := b.writesOf(few.key()), b.writesOf(many.key()); f != 0 || m != 1 {
+	b.writeGroup(many, priorityStart)
+	b.runFor(second * 5 / 2)
+	if f, m := b.countWrites(few.key()), b.countWrites(many.key()); f != 0 || m != 1 {
 		t.Fatalf("after the first put the record with one start was written %d times, that with six %d times", f, m)
 	}
-	b.play(2 * second)
-	if f := b.writesOf(few.key()); f != 1 {
+	b.runFor(2 * second)
+	if f := b.countWrites(few.key()); f != 1 {
 		t.Errorf("the record with one start was written %d times", f)
 	}
 }
@@ -59,15 +59,15 @@
 // TestRaisedTokenIsRecordedBeforeStarts: a machine whose token is to be raised
 // counts more than its size, as the leases of its tasks run on.
 func TestRaisedTokenIsRecordedBeforeStarts(t *testing.T) {
-	b := newCoreHarness()
-	j := b.job("j-1", 1000)
-	starts, bumped := b.filled("starts", j, 4, 2, 0), b.filled("bumped", j, 1, 2, 100)
-	recordingTasks(starts, 8)
-	b.scarcePuts(0.5)
-	b.writeGroup(starts, prioStart)
-	b.bump(bumped.list()[0])
-	b.play(second * 5 / 2)
-	if s, r := b.writesOf(starts.key()), b.writesOf(bumped.key()); s != 0 || r != 1 {
+	b := newControllerHarness()
+	j := b.addTestJob("j-1", 1000)
+	starts, bumped := b.addGroupWithTasks("starts", j, 4, 2, 0), b.addGroupWithTasks("bumped", j, 1, 2, 100)
+	markTasksRecording(starts, 8)
+	b.limitPutRate(0.5)
+	b.writeGroup(starts, priorityStart)
+	b.raiseToken(bumped.sortedMachines()[0])
+	b.runFor(second * 5 / 2)
+	if s, r := b.countWrites(starts.key()), b.countWrites(bumped.key()); s != 0 || r != 1 {
 		t.Errorf("after the first put the record with eight starts was written %d times, that of the raised token %d times", s, r)
 	}
 }
@@ -75,18 +75,18 @@
 // TestLittleWaitingIsRecordedInTime: a record with one start is written though
 // another has more to start each time that it was written.
 func TestLittleWaitingIsRecordedInTime(t *testing.T) {
-	b := newCoreHarness()
-	j := b.job("j-1", 1000)
-	few, many := b.filled("few", j, 3, 2, 0), b.filled("many", j, 3, 2, 100)
-	recordingTasks(few, 1)
-	b.scarcePuts(1)
-	b.writeGroup(few, prioStart)
+	b := newControllerHarness()
+	j := b.addTestJob("j-1", 1000)
+	few, many := b.addGroupWithTasks("few", j, 3, 2, 0), b.addGroupWithTasks("many", j, 3, 2, 100)
+	markTasksRecording(few, 1)
+	b.limitPutRate(1)
+	b.writeGroup(few, priorityStart)
 	for range 8 {
-		recordingTasks(many, 6)
-		b.writeGroup(many, prioStart)
-		b.play(second)
+		markTasksRecording(many, 6)
+		b.writeGroup(many, priorityStart)
+		b.runFor(second)
 	}
-	if f, m := b.writesOf(few.key()), b.writesOf(many.key()); f != 1 || m < 5 {
+	if f, m := b.countWrites(few.key()), b.countWrites(many.key()); f != 1 || m < 5 {
 		t.Errorf("the record with one start was written %d times, that with more to start %d times", f, m)
 	}
 }
--- a/internal/core/zone_cut_guards_test.go
+++ b/internal/core/zone_partition_guards_test.go
@@ -12,12 +12,12 @@
 // not started again.
 
 // reportStatus is the status with which a report of a machine is answered.
-func reportStatus(b *coreHarness, m *machine) ReplyStatus {
-	b.out = nil
-	b.onCheckin(Checkin{Req: 1, Report: Report{Machine: m.id, Addr: m.addr, Session: m.session, Stamp: m.stamp + 1, Token: m.token, Notice: -1}})
-	b.now += reportHold
+func heartbeatReplyStatus(b *controllerHarness, m *machine) ReplyStatus {
+	b.effects = nil
+	b.handleHeartbeat(Heartbeat{Request: 1, Status: HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: m.sequenceNumber + 1, FencingToken: m.token, PreemptionNotice: -1}})
+	b.now += maxHeartbeatHold
 	b.flush()
-	for _, effect := range b.out {
+	for _, effect := range b.effects {
 		if answer, ok := effect.(Respond); ok {
 			return answer.Status
 		}
@@ -30,18 +30,18 @@
 // answers its machines for a lease where it hears nobody, so that they have a
 // lease left to find their new holder in, and in any case only as long as the
 // time for a cancellation allows.
-func TestCutOffHolderLetsMachinesGo(t *testing.T) {
-	newHolder := func() *coreHarness {
-		b := newCoreHarness()
+func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
+	newHolder := func() *controllerHarness {
+		b := newControllerHarness()
 		b.storeHealth.failing, b.storeHealth.failingSince = true, b.now
 		for _, peer := range b.peers {
-			answerPing(b, peer.id, 1)
+			answerProbe(b, peer.id, 1)
 		}
 		return b
 	}
-	config := newHolder().cfg
-	bound := entitlement.Bound(config.CancelWithin, config.Lease)
-	if bound < config.Lease+2*second {
+	config := newHolder().config
+	bound := entitlement.AnswerWindow(config.CancelDeadline, config.WorkerLease)
+	if bound < config.WorkerLease+2*second {
 		t.Fatalf("entitled for %d s: no later than isolated", bound/second)
 	}
 	for _, test := range []struct {
@@ -50,19 +50,19 @@
 		hears  bool // the other controller in the zone
 		status ReplyStatus
 	}{
-		{"hears nobody, within the lease", config.Lease - 2*second, false, 200},
-		{"hears nobody, after the lease", config.Lease + second, false, 421},
-		{"hears one, after the lease", config.Lease + second, true, 200},
+		{"hears nobody, within the lease", config.WorkerLease - 2*second, false, 200},
+		{"hears nobody, after the lease", config.WorkerLease + second, false, 421},
+		{"hears one, after the lease", config.WorkerLease + second, true, 200},
 		{"hears one, too late for a cancellation", bound + second, true, 421},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newHolder()
-			m, _ := b.running(b.job("j-1", 1))
+			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
 			b.now += test.after
 			if test.hears {
-				answerPing(b, "n1", 1)
+				answerProbe(b, "n1", 1)
 			}
-			if status := reportStatus(b, m); status != test.status {
+			if status := heartbeatReplyStatus(b, m); status != test.status {
 				t.Errorf("a report is answered with %d, want %d", status, test.status)
 			}
 		})
@@ -73,33 +73,33 @@
 // task that the record lists on a silent machine of the zone is not started on a
 // free machine outside, until the cloud has taken the silent one back and the
 // record says so.
-func TestTaskOfCutZoneNotStartedAgain(t *testing.T) {
-	b := newCoreHarness()
-	part := b.parts[0]
-	job := b.job("j-1", 1)
+func TestTaskOfPartitionedZoneNotRestarted(t *testing.T) {
+	b := newControllerHarness()
+	part := b.shards[0]
+	job := b.addTestJob("j-1", 1)
 	task := TaskID{Job: "j-1", Index: 0}
 	cut := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: task, Attempt: 7}}}
-	record := KV{"groups/cut", grouprecord.Encode(grouprecord.Record{Part: 0, Machines: []grouprecord.Machine{cut}, Nonce: "b9-1"}), 25}
+	record := KV{"groups/cut", grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{cut}, WriteID: "b9-1"}), 25}
 	b.store.keys[record.Key] = record
-	b.learnGroup(record, part)
+	b.applyGroupRecord(record, part)
 	outside := b.addMachine(b.newGroup(part, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
-	b.store.keys["groups/outside"] = KV{"groups/outside", grouprecord.Encode(grouprecord.Record{Part: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, Nonce: "b9-2"}), 26}
-	outside.acked, outside.session, outside.stamp = true, 1, 1
+	b.store.keys["groups/outside"] = KV{"groups/outside", grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), 26}
+	outside.tokenAcknowledged, outside.incarnation, outside.sequenceNumber = true, 1, 1
 
 	startedOutside := func() bool {
-		b.placePart(part)
-		return outside.assigns[task] != nil
+		b.scheduleShard(part)
+		return outside.assignments[task] != nil
 	}
 	if startedOutside() {
 		t.Error("started outside while the record lists it on a machine of the zone")
 	}
-	b.machineGone(b.machines["m-1"])
+	b.handleMachineTerminated(b.machines["m-1"])
 	if startedOutside() {
 		t.Error("started outside before the record shows that the machine is gone")
 	}
-	b.play(second)
-	outside.heard = b.now
-	if !startedOutside() || job.pending() != 0 {
+	b.runFor(second)
+	outside.lastHeartbeat = b.now
+	if !startedOutside() || job.pendingCount() != 0 {
 		t.Error("not started outside though the machine is gone and the record says so")
 	}
 }
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -21,20 +21,20 @@
 
 const (
 	// nodes is the number of controllers.
-	nodes = 3
+	nodeCount = 3
 	// reportEvery and lease are those of the settings below.
-	reportEvery = 500 * time.Millisecond
-	lease       = 6 * time.Second
+	heartbeatInterval = 500 * time.Millisecond
+	leaseDuration     = 6 * time.Second
 	// callTimeout bounds a user's call.
 	callTimeout = 5 * time.Second
 	// patience bounds how long a test waits for anything.
-	patience  = 25 * time.Second
-	waitPause = 50 * time.Millisecond
+	waitTimeout      = 25 * time.Second
+	waitPollInterval = 50 * time.Millisecond
 )
 
 // clusterSettings is the part of the settings that all controllers share,
 // after the addresses of the cloud and the state service.
-const clusterSettings = `[external]
+const sharedSettings = `[external]
 cloud = %q
 state = %q
 [cluster]
@@ -66,22 +66,22 @@
 `
 
 // teams are those of the settings.
-var teams = []string{"red", "green", "blue"}
+var teamNames = []string{"red", "green", "blue"}
 
 // smallType is the one machine type of the region.
-var smallType = core.MachineType{
-	Name:      "small",
-	Cap:       core.Res{CPU: 4_000_000, Mem: 16_000_000},
-	CacheGB:   10,
-	FetchGBs:  1,
-	Price:     0.2,
-	SpotPrice: 0.1,
-	BootS:     1,
-	Zones:     []string{"a"},
+var smallMachineType = core.MachineType{
+	Name:             "small",
+	Capacity:         core.Resources{CPU: 4_000_000, Memory: 16_000_000},
+	CacheGB:          10,
+	FetchGBPerSecond: 1,
+	OnDemandPrice:    0.2,
+	SpotPrice:        0.1,
+	BootSeconds:      1,
+	Zones:            []string{"a"},
 }
 
 // program is the path of the program under test, built once for all tests.
-var program string
+var programPath string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
@@ -94,8 +94,8 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	program = filepath.Join(dir, "stairrelay")
-	build := exec.Command("go", "build", "-o", program, "stairrelay/cmd/stairrelay")
+	programPath = filepath.Join(dir, "stairrelay")
+	build := exec.Command("go", "build", "-o", programPath, "stairrelay/cmd/stairrelay")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
@@ -104,15 +104,15 @@
 }
 
 // cluster is a region with the processes of its controllers.
-type cluster struct {
-	t         *testing.T
-	region    *standin.Region
-	front     []string // the controllers' addresses for users and workers
-	back      []string // and those for one another
-	settings  []string // the paths of their settings
-	processes []*exec.Cmd
-	logs      []processLog // of all processes that were started
-	client    *http.Client
+type processCluster struct {
+	t              *testing.T
+	services       *standin.FakeServices
+	frontAddresses []string // the controllers' addresses for users and workers
+	peerAddresses  []string // and those for one another
+	settingsPaths  []string // the paths of their settings
+	processes      []*exec.Cmd
+	logs           []processLog // of all processes that were started
+	client         *http.Client
 }
 
 type processLog struct {
@@ -121,41 +121,41 @@
 }
 
 // startCluster starts a region and its controllers; they end with the test.
-func startCluster(t *testing.T) *cluster {
+func startCluster(t *testing.T) *processCluster {
 	t.Helper()
-	c := &cluster{
-		t:         t,
-		region:    newRegion(t),
-		front:     freePorts(t, nodes),
-		back:      freePorts(t, nodes),
-		processes: make([]*exec.Cmd, nodes),
-		client:    &http.Client{Timeout: callTimeout},
+	c := &processCluster{
+		t:              t,
+		services:       newFakeServices(t),
+		frontAddresses: freeAddresses(t, nodeCount),
+		peerAddresses:  freeAddresses(t, nodeCount),
+		processes:      make([]*exec.Cmd, nodeCount),
+		client:         &http.Client{Timeout: callTimeout},
 	}
-	for i := range nodes {
-		c.region.Nodes[nodeName(i)] = c.front[i]
+	for i := range nodeCount {
+		c.services.NodeAddresses[nodeName(i)] = c.frontAddresses[i]
 	}
 	c.writeSettings()
-	t.Cleanup(c.stop)
-	for i := range nodes {
-		c.run(i)
+	t.Cleanup(c.stopAll)
+	for i := range nodeCount {
+		c.startNode(i)
 	}
 	return c
 }
 
-func newRegion(t *testing.T) *standin.Region {
+func newFakeServices(t *testing.T) *standin.FakeServices {
 	t.Helper()
-	capacity := map[string]int{standin.Slot(smallType.Name, "a", true): 3}
-	region := standin.NewRegion([]core.MachineType{smallType}, capacity, reportEvery, lease)
+	capacity := map[string]int{standin.CapacityKey(smallMachineType.Name, "a", true): 3}
+	region := standin.NewFakeServices([]core.MachineType{smallMachineType}, capacity, heartbeatInterval, leaseDuration)
 	t.Cleanup(region.Close)
-	region.Add(smallType.Name, "a", false)
-	region.Add(smallType.Name, "a", false)
+	region.AddMachine(smallMachineType.Name, "a", false)
+	region.AddMachine(smallMachineType.Name, "a", false)
 	return region
 }
 
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // freePorts finds addresses on loopback that nothing listens on.
-func freePorts(t *testing.T, n int) []string {
+func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	var addresses []string
 	for range n {
@@ -171,58 +171,58 @@
 
 // writeSettings starts the state service and the cloud, and writes the
 // settings of all controllers.
-func (c *cluster) writeSettings() {
+func (c *processCluster) writeSettings() {
 	c.t.Helper()
-	state, err := c.region.ServeState()
+	state, err := c.services.ServeState()
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	cloud, err := c.region.ServeCloud()
+	cloud, err := c.services.ServeCloud()
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	dir := c.t.TempDir()
-	for i := range nodes {
+	for i := range nodeCount {
 		path := filepath.Join(dir, nodeName(i)+".toml")
-		text := c.nodeSettings(i) + fmt.Sprintf(clusterSettings, cloud, state)
+		text := c.nodeSettings(i) + fmt.Sprintf(sharedSettings, cloud, state)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			c.t.Fatal(err)
 		}
-		c.settings = append(c.settings, path)
+		c.settingsPaths = append(c.settingsPaths, path)
 	}
 }
 
 // nodeSettings is the part of the settings that is a controller's own.
-func (c *cluster) nodeSettings(node int) string {
+func (c *processCluster) nodeSettings(node int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "host_name = %q\n", nodeName(node))
 	fmt.Fprintf(&text, "domain = \"a\"\n")
-	fmt.Fprintf(&text, "listen = %q\n", c.front[node])
-	fmt.Fprintf(&text, "back = %q\n", c.back[node])
-	for peer := range nodes {
+	fmt.Fprintf(&text, "listen = %q\n", c.frontAddresses[node])
+	fmt.Fprintf(&text, "back = %q\n", c.peerAddresses[node])
+	for peer := range nodeCount {
 		if peer != node {
-			fmt.Fprintf(&text, "[[peers]]\nhost_name = %q\nendpoint = %q\n", nodeName(peer), c.back[peer])
+			fmt.Fprintf(&text, "[[peers]]\nhost_name = %q\nendpoint = %q\n", nodeName(peer), c.peerAddresses[peer])
 		}
 	}
 	return text.String()
 }
 
 // run starts a controller and waits until it is healthy.
-func (c *cluster) run(node int) {
+func (c *processCluster) startNode(node int) {
 	c.t.Helper()
 	log := &bytes.Buffer{}
-	process := exec.Command(program, "--config", c.settings[node])
+	process := exec.Command(programPath, "--config", c.settingsPaths[node])
 	process.Stderr = log
 	if err := process.Start(); err != nil {
 		c.t.Fatal(err)
 	}
 	c.processes[node] = process
 	c.logs = append(c.logs, processLog{node: nodeName(node), text: log})
-	c.wait(nodeName(node)+" healthy", func() bool { return c.healthy(node) })
+	c.waitFor(nodeName(node)+" healthy", func() bool { return c.isHealthy(node) })
 }
 
-func (c *cluster) healthy(node int) bool {
-	response, err := c.client.Get("http://" + c.front[node] + "/healthz")
+func (c *processCluster) isHealthy(node int) bool {
+	response, err := c.client.Get("http://" + c.frontAddresses[node] + "/healthz")
 	if err != nil {
 		return false
 	}
@@ -231,7 +231,7 @@
 }
 
 // kill ends a controller's process at once, if it runs.
-func (c *cluster) kill(node int) {
+func (c *processCluster) killNode(node int) {
 	process := c.processes[node]
 	if process == nil {
 		return
@@ -243,13 +243,13 @@
 
 // stop ends all controllers and checks that no task ran twice at once. Only
 // then are the logs whole; a failed test shows them.
-func (c *cluster) stop() {
-	for node := range nodes {
-		c.kill(node)
+func (c *processCluster) stopAll() {
+	for node := range nodeCount {
+		c.killNode(node)
 	}
-	c.region.Locked(func() {
-		if len(c.region.RanTwice) > 0 {
-			c.t.Errorf("ran twice: %v", c.region.RanTwice)
+	c.services.WithLock(func() {
+		if len(c.services.DuplicateRuns) > 0 {
+			c.t.Errorf("ran twice: %v", c.services.DuplicateRuns)
 		}
 	})
 	if !c.t.Failed() {
@@ -261,34 +261,34 @@
 }
 
 // wait fails the test unless a condition holds in time.
-func (c *cluster) wait(what string, holds func() bool) {
+func (c *processCluster) waitFor(what string, holds func() bool) {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		if holds() {
 			return
 		}
-		time.Sleep(waitPause)
+		time.Sleep(waitPollInterval)
 	}
 	c.t.Fatalf("waited in vain: %s", what)
 }
 
 // submit hands a job to a controller and returns the answer's status.
-func (c *cluster) submit(node int, id, team string, tasks int, run time.Duration) int {
+func (c *processCluster) submit(node int, id, team string, tasks int, run time.Duration) int {
 	c.t.Helper()
 	info := standin.JobInfo{
-		Need:  core.Res{CPU: 1_000_000, Mem: 1_000_000},
-		Run:   core.Time(run),
-		Tasks: tasks,
-		Image: "img",
+		ResourceRequest: core.Resources{CPU: 1_000_000, Memory: 1_000_000},
+		RunDuration:     core.Time(run),
+		TaskCount:       tasks,
+		Image:           "img",
 	}
-	c.region.Locked(func() { c.region.Jobs[core.JobID(id)] = info })
-	code, _ := c.call(http.MethodPost, node, "/v2/runs", standin.Submission(id, team, tasks))
+	c.services.WithLock(func() { c.services.Jobs[core.JobID(id)] = info })
+	code, _ := c.callUserAPI(http.MethodPost, node, "/v2/runs", standin.Submission(id, team, tasks))
 	return code
 }
 
 // mustSubmit hands in a job that has to be accepted.
-func (c *cluster) mustSubmit(node int, id, team string, tasks int, run time.Duration) {
+func (c *processCluster) mustSubmit(node int, id, team string, tasks int, run time.Duration) {
 	c.t.Helper()
 	if code := c.submit(node, id, team, tasks, run); code != http.StatusCreated {
 		c.t.Fatalf("%s submitted to %s: %d", id, nodeName(node), code)
@@ -297,9 +297,9 @@
 
 // call makes a user's call and returns the answer's status and the job's state;
 // status 0: there was no answer.
-func (c *cluster) call(method string, node int, path, body string) (int, string) {
+func (c *processCluster) callUserAPI(method string, node int, path, body string) (int, string) {
 	c.t.Helper()
-	request, err := http.NewRequest(method, "http://"+c.front[node]+path, strings.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+c.frontAddresses[node]+path, strings.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -316,8 +316,8 @@
 }
 
 // status is a job's state, or the answer's status if it is not 200.
-func (c *cluster) status(node int, id string) string {
-	code, status := c.call(http.MethodGet, node, "/v2/runs/"+id, "")
+func (c *processCluster) jobStatus(node int, id string) string {
+	code, status := c.callUserAPI(http.MethodGet, node, "/v2/runs/"+id, "")
 	if code != http.StatusOK {
 		return fmt.Sprint(code)
 	}
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -15,14 +15,14 @@
 )
 
 // TestUsersInterface: every node takes jobs of every team and knows them all.
-func TestUsersInterface(t *testing.T) {
+func TestUserAPIOnEveryNode(t *testing.T) {
 	c := startCluster(t)
-	for i, team := range teams {
-		c.mustSubmit((i+1)%nodes, fmt.Sprintf("j-00000%d", i), team, 3, time.Second)
+	for i, team := range teamNames {
+		c.mustSubmit((i+1)%nodeCount, fmt.Sprintf("j-00000%d", i), team, 3, time.Second)
 	}
-	for node := range nodes {
-		for i := range teams {
-			c.wait("done everywhere", func() bool { return c.status(node, fmt.Sprintf("j-00000%d", i)) == "done" })
+	for node := range nodeCount {
+		for i := range teamNames {
+			c.waitFor("done everywhere", func() bool { return c.jobStatus(node, fmt.Sprintf("j-00000%d", i)) == "done" })
 		}
 	}
 	for body, want := range map[string]int{
@@ -34,50 +34,50 @@
 		standin.Submission("j-000001", "nobody", 100): http.StatusOK,
 		strings.Repeat("x", 70<<10):                   http.StatusBadRequest,
 	} {
-		if code, _ := c.call(http.MethodPost, 0, "/v2/runs", body); code != want {
+		if code, _ := c.callUserAPI(http.MethodPost, 0, "/v2/runs", body); code != want {
 			t.Errorf("%.40s: %d, want %d", body, code, want)
 		}
 	}
-	if s := c.status(1, "j-999999"); s != "404" {
+	if s := c.jobStatus(1, "j-999999"); s != "404" {
 		t.Errorf("unknown job: %s", s)
 	}
-	if code, s := c.call(http.MethodPost, 2, "/v2/runs/j-000000/cancel", ""); code != http.StatusOK || s != "done" {
+	if code, s := c.callUserAPI(http.MethodPost, 2, "/v2/runs/j-000000/cancel", ""); code != http.StatusOK || s != "done" {
 		t.Errorf("cancel after done: %d %s", code, s)
 	}
 }
 
 // TestKillsAndOutage: controllers die, one and then all, and the state service
 // goes away for a while; accepted work is done all the same, once.
-func TestKillsAndOutage(t *testing.T) {
+func TestNodeKillsAndStoreOutage(t *testing.T) {
 	c := startCluster(t)
-	for i, team := range teams {
+	for i, team := range teamNames {
 		c.mustSubmit(i, fmt.Sprintf("j-00001%d", i), team, 2, 4*time.Second)
 	}
 	c.mustSubmit(0, "j-000019", "red", 4, 60*time.Second)
-	c.wait("running", func() bool { return c.status(1, "j-000019") == "running" })
-	c.kill(0)
-	c.wait("asked while n0 is down", func() bool { return c.status(1, "j-000010") != "0" && c.status(1, "j-000010") != "503" })
-	c.run(0)
-	c.region.Locked(func() { c.region.StateDown = true })
+	c.waitFor("running", func() bool { return c.jobStatus(1, "j-000019") == "running" })
+	c.killNode(0)
+	c.waitFor("asked while n0 is down", func() bool { return c.jobStatus(1, "j-000010") != "0" && c.jobStatus(1, "j-000010") != "503" })
+	c.startNode(0)
+	c.services.WithLock(func() { c.services.StateServiceDown = true })
 	time.Sleep(2 * time.Second)
 	if code := c.submit(1, "j-000020", "green", 1, time.Second); code != http.StatusServiceUnavailable {
 		t.Errorf("submission during the outage: %d", code)
 	}
-	c.region.Locked(func() { c.region.StateDown = false })
-	for node := range nodes {
-		c.kill(node)
+	c.services.WithLock(func() { c.services.StateServiceDown = false })
+	for node := range nodeCount {
+		c.killNode(node)
 	}
-	for node := range nodes {
-		c.run(node)
+	for node := range nodeCount {
+		c.startNode(node)
 	}
-	for i := range teams {
-		c.wait("done after all", func() bool { return c.status(i, fmt.Sprintf("j-00001%d", i)) == "done" })
+	for i := range teamNames {
+		c.waitFor("done after all", func() bool { return c.jobStatus(i, fmt.Sprintf("j-00001%d", i)) == "done" })
 	}
-	c.wait("cancelled", func() bool {
-		code, s := c.call(http.MethodPost, 2, "/v2/runs/j-000019/cancel", "")
+	c.waitFor("cancelled", func() bool {
+		code, s := c.callUserAPI(http.MethodPost, 2, "/v2/runs/j-000019/cancel", "")
 		return code == http.StatusOK && s == "cancelled"
 	})
-	if s := c.status(0, "j-000019"); s != "cancelled" {
+	if s := c.jobStatus(0, "j-000019"); s != "cancelled" {
 		t.Errorf("after the cancellation: %s", s)
 	}
 }
@@ -85,39 +85,39 @@
 // TestOneWayMachine: a machine's reports arrive, but nothing reaches it. Its
 // tasks run elsewhere only after they can't run there any more, and it is
 // returned.
-func TestOneWayMachine(t *testing.T) {
+func TestUnreachableMachineReplaced(t *testing.T) {
 	c := startCluster(t)
 	c.mustSubmit(0, "j-000031", "red", 3, 8*time.Second)
 	var unreachable core.MachineID
-	c.wait("running", func() bool {
-		if ids := c.region.Running(); len(ids) > 0 {
+	c.waitFor("running", func() bool {
+		if ids := c.services.BusyMachines(); len(ids) > 0 {
 			unreachable = ids[0]
 		}
 		return unreachable != ""
 	})
-	c.region.Locked(func() { c.region.Unreachable[unreachable] = true })
-	c.wait("returned", func() bool { return c.region.Gone(unreachable) })
-	c.wait("done elsewhere", func() bool { return c.status(1, "j-000031") == "done" })
+	c.services.WithLock(func() { c.services.UnreachableMachines[unreachable] = true })
+	c.waitFor("returned", func() bool { return c.services.IsReleased(unreachable) })
+	c.waitFor("done elsewhere", func() bool { return c.jobStatus(1, "j-000031") == "done" })
 }
 
 // TestQuickRestarts: processes that are back at once, one of them twice, lose
 // no task and start none again.
-func TestQuickRestarts(t *testing.T) {
+func TestQuickRestartsLoseNoTask(t *testing.T) {
 	c := startCluster(t)
-	for i, team := range teams {
+	for i, team := range teamNames {
 		c.mustSubmit(i, fmt.Sprintf("j-00004%d", i), team, 2, 6*time.Second)
 	}
-	c.wait("running", func() bool { return c.status(0, "j-000040") == "running" && c.status(0, "j-000041") == "running" })
+	c.waitFor("running", func() bool { return c.jobStatus(0, "j-000040") == "running" && c.jobStatus(0, "j-000041") == "running" })
 	for _, node := range []int{0, 1, 2, 0} {
-		c.kill(node)
-		c.run(node)
+		c.killNode(node)
+		c.startNode(node)
 	}
-	for i := range teams {
+	for i := range teamNames {
 		id := fmt.Sprintf("j-00004%d", i)
-		c.wait("done", func() bool { return c.status(i, id) == "done" })
-		c.region.Locked(func() {
+		c.waitFor("done", func() bool { return c.jobStatus(i, id) == "done" })
+		c.services.WithLock(func() {
 			for k := range 2 {
-				if n := c.region.Starts[core.TaskID{Job: core.JobID(id), Index: k}]; n != 1 {
+				if n := c.services.StartCounts[core.TaskID{Job: core.JobID(id), Index: k}]; n != 1 {
 					t.Errorf("%s/%d was started %d times", id, k, n)
 				}
 			}
@@ -129,7 +129,7 @@
 func TestBadSettingsExit(t *testing.T) {
 	dir := t.TempDir()
 	for _, args := range [][]string{{"--config", filepath.Join(dir, "none.toml")}, {"check-config", filepath.Join(dir, "none.toml")}, {}} {
-		out, err := exec.Command(program, args...).CombinedOutput()
+		out, err := exec.Command(programPath, args...).CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 2 || strings.Count(string(out), "\n") != 1 {
 			t.Errorf("%v: %v %q", args, err, out)
--- a/internal/e2e/report_bench_test.go
+++ b/internal/e2e/heartbeat_bench_test.go
@@ -25,7 +25,7 @@
 	// benchConnections is the number of workers that report in turn.
 	benchConnections = 200
 	// benchReport is a report with three tasks, as most are.
-	benchReport = `{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,"shift":1,"stamp":88,"baton":41,"recallS":null,"legs":[` +
+	benchHeartbeat = `{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,"shift":1,"stamp":88,"baton":41,"recallS":null,"legs":[` +
 		`{"leg":"j-000412/3","boarding":2097153,"status":"running"},{"leg":"j-000412/4","boarding":2097154,"status":"fetching"},{"leg":"j-000398/0","boarding":2097100,"status":"ended","cause":"done"}]}`
 )
 
@@ -33,74 +33,74 @@
 // HTTP, JSON, the engine and the core and back, on kept connections. The
 // sender's part is in it too, made as small as possible. The core knows none
 // of the machines: what it does with those it knows is BenchmarkFleet's.
-func BenchmarkReport(b *testing.B) {
-	addr, _ := serveReports(b, 5*benchConnections)
-	var senders []*reportSender
+func BenchmarkHeartbeat(b *testing.B) {
+	addr, _ := startHeartbeatServer(b, 5*benchConnections)
+	var senders []*heartbeatSender
 	for range benchConnections {
-		senders = append(senders, dialReports(b, addr))
+		senders = append(senders, dialHeartbeatSender(b, addr))
 	}
 	time.Sleep(time.Second) // for the core to find that it can't claim its part
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		senders[i%len(senders)].send(b)
+		senders[i%len(senders)].mustSend(b)
 	}
 }
 
 // serveReports starts a controller whose state service refuses everything:
 // after half a second reports get their 503 at once. It has so many connections
 // for workers and users. It returns its address, and counts what is open.
-func serveReports(b testing.TB, connections int) (string, *sockets.Front) {
+func startHeartbeatServer(b testing.TB, connections int) (string, *sockets.ConnectionLimiter) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	config := core.Config{
-		Self:        "n0",
-		Nodes:       []core.NodeID{"n0"},
-		Teams:       []core.Team{{Name: "t"}},
-		ReportEvery: core.Time(5 * time.Second),
-		Lease:       core.Time(26 * time.Second),
-		StoreRPS:    100,
-		WriteRPS:    100,
-		ValueBytes:  8192,
-		TxnOps:      16,
-		CloudRPS:    5,
-		Boot:        "b",
-		Tuning:      core.DefaultTuning(),
+		Self:              "n0",
+		Nodes:             []core.NodeID{"n0"},
+		Teams:             []core.Team{{Name: "t"}},
+		HeartbeatInterval: core.Time(5 * time.Second),
+		WorkerLease:       core.Time(26 * time.Second),
+		StoreRPS:          100,
+		WriteRPS:          100,
+		MaxValueBytes:     8192,
+		MaxTxnOps:         16,
+		CloudRPS:          5,
+		InstanceID:        "b",
+		Tuning:            core.DefaultTuning(),
 	}
 	eng := engine.New(config, 0, log)
 	nothing := func(core.Effect) {}
 	refuse := func(effect core.Effect) {
 		switch effect := effect.(type) {
 		case core.StoreList:
-			go eng.Answer(effect.Call, core.ListReply{Out: core.NotDone})
+			go eng.DeliverReply(effect.Call, core.ListReply{Outcome: core.NotApplied})
 		case core.StoreGet:
-			go eng.Answer(effect.Call, core.GetReply{Out: core.NotDone})
+			go eng.DeliverReply(effect.Call, core.GetReply{Outcome: core.NotApplied})
 		case core.StoreTxn:
-			go eng.Answer(effect.Call, core.TxnReply{Out: core.NotDone})
+			go eng.DeliverReply(effect.Call, core.TxnReply{Outcome: core.NotApplied})
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	go eng.Run(ctx, engine.Actors{Store: refuse, Cloud: nothing, Workers: nothing, Peers: func(core.PeerCall) {}})
+	go eng.Run(ctx, engine.Executors{Store: refuse, Cloud: nothing, Workers: nothing, Peers: func(core.PeerCall) {}})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	front := sockets.NewFront(connections)
-	server := front.Server(users.Handler(eng, front.Users, front.Workers(workers.Handler(eng, log))), time.Minute)
+	front := sockets.NewConnectionLimiter(connections)
+	server := front.NewServer(users.Handler(eng, front.UserMiddleware, front.WorkerMiddleware(workers.Handler(eng, log))), time.Minute)
 	go func() { _ = server.Serve(listener) }()
 	b.Cleanup(func() { server.Close() })
 	return listener.Addr().String(), front
 }
 
 // reportSender sends the same report again and again on one connection.
-type reportSender struct {
-	conn    net.Conn
-	reader  *bufio.Reader
-	request []byte
-	closed  bool // the last answer said so
+type heartbeatSender struct {
+	connection     net.Conn
+	reader         *bufio.Reader
+	request        []byte
+	closeAnnounced bool // the last answer said so
 }
 
-func dialReports(b testing.TB, addr string) *reportSender {
+func dialHeartbeatSender(b testing.TB, addr string) *heartbeatSender {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		b.Fatal(err)
@@ -109,23 +109,23 @@
 	header := "POST /checkin HTTP/1.1\r\n" +
 		"Host: 10.0.0.1:8080\r\n" +
 		"Content-Type: application/json\r\n" +
-		"Content-Length: " + strconv.Itoa(len(benchReport)) + "\r\n\r\n"
-	return &reportSender{
-		conn:    conn,
-		reader:  bufio.NewReaderSize(conn, 1024),
-		request: []byte(header + benchReport),
+		"Content-Length: " + strconv.Itoa(len(benchHeartbeat)) + "\r\n\r\n"
+	return &heartbeatSender{
+		connection: conn,
+		reader:     bufio.NewReaderSize(conn, 1024),
+		request:    []byte(header + benchHeartbeat),
 	}
 }
 
-func (s *reportSender) send(b testing.TB) {
-	if err := s.report(); err != nil {
+func (s *heartbeatSender) mustSend(b testing.TB) {
+	if err := s.sendHeartbeat(); err != nil {
 		b.Fatal(err)
 	}
 }
 
 // report sends the report and reads the answer.
-func (s *reportSender) report() error {
-	if _, err := s.conn.Write(s.request); err != nil {
+func (s *heartbeatSender) sendHeartbeat() error {
+	if _, err := s.connection.Write(s.request); err != nil {
 		return err
 	}
 	response, err := http.ReadResponse(s.reader, nil)
@@ -136,16 +136,16 @@
 	if response.StatusCode != http.StatusMisdirectedRequest && response.StatusCode != http.StatusServiceUnavailable {
 		return fmt.Errorf("status %d", response.StatusCode)
 	}
-	s.closed = response.Close
+	s.closeAnnounced = response.Close
 	_, err = io.Copy(io.Discard, response.Body)
 	return err
 }
 
 // closedByServer tells whether the server has closed the connection while it was
 // idle, as any client looks before it uses one again.
-func (s *reportSender) closedByServer() bool {
-	_ = s.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
-	defer func() { _ = s.conn.SetReadDeadline(time.Time{}) }()
+func (s *heartbeatSender) isClosedByServer() bool {
+	_ = s.connection.SetReadDeadline(time.Now().Add(time.Millisecond))
+	defer func() { _ = s.connection.SetReadDeadline(time.Time{}) }()
 	_, err := s.reader.Peek(1)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -13,46 +13,46 @@
 // submitAfter hands in a job of one task that awaits others, until it is taken:
 // in the first second after its start a controller may not know yet that all
 // the others run a release that understands pipelines.
-func (c *cluster) submitAfter(node int, id, team string, run time.Duration, awaits ...string) {
+func (c *processCluster) submitWithDependencies(node int, id, team string, run time.Duration, awaits ...string) {
 	c.t.Helper()
-	c.region.Locked(func() {
-		c.region.Jobs[core.JobID(id)] = standin.JobInfo{Need: core.Res{CPU: 1_000_000, Mem: 1_000_000}, Run: core.Time(run), Tasks: 1, Image: "img"}
+	c.services.WithLock(func() {
+		c.services.Jobs[core.JobID(id)] = standin.JobInfo{ResourceRequest: core.Resources{CPU: 1_000_000, Memory: 1_000_000}, RunDuration: core.Time(run), TaskCount: 1, Image: "img"}
 	})
-	body := withAwaits(standin.Submission(id, team, 1), fmt.Sprintf(`["%s"]`, strings.Join(awaits, `","`)))
-	c.wait(id+" accepted", func() bool {
-		status, _ := c.call("POST", node, "/v2/runs", body)
+	body := addDependencies(standin.Submission(id, team, 1), fmt.Sprintf(`["%s"]`, strings.Join(awaits, `","`)))
+	c.waitFor(id+" accepted", func() bool {
+		status, _ := c.callUserAPI("POST", node, "/v2/runs", body)
 		return status == 200 || status == 201
 	})
 }
 
 // withAwaits adds the field awaits to a submission.
-func withAwaits(submission, list string) string {
+func addDependencies(submission, list string) string {
 	return strings.TrimSuffix(strings.TrimSpace(submission), "}") + `,"awaits":` + list + "}"
 }
 
 // starts tells how often a job's only task was started.
-func (c *cluster) starts(id string) int {
+func (c *processCluster) startCount(id string) int {
 	n := 0
-	c.region.Locked(func() { n = c.region.Starts[core.TaskID{Job: core.JobID(id), Index: 0}] })
+	c.services.WithLock(func() { n = c.services.StartCounts[core.TaskID{Job: core.JobID(id), Index: 0}] })
 	return n
 }
 
 // TestPipeline: three real processes take a pipeline over three teams, run its
 // jobs one after the other, and cancel what needs a cancelled job.
-func TestPipeline(t *testing.T) {
+func TestDependencyPipeline(t *testing.T) {
 	c := startCluster(t)
 	if status := c.submit(0, "j-000051", "red", 1, 3*time.Second); status != 201 {
 		t.Fatalf("submitted: %d", status)
 	}
-	c.submitAfter(1, "j-000052", "green", time.Second, "j-000051")
-	c.submitAfter(2, "j-000053", "blue", time.Second, "j-000052", "j-000051")
-	c.wait("first job runs", func() bool { return c.starts("j-000051") == 1 })
-	if second, third := c.starts("j-000052"), c.starts("j-000053"); second+third > 0 {
+	c.submitWithDependencies(1, "j-000052", "green", time.Second, "j-000051")
+	c.submitWithDependencies(2, "j-000053", "blue", time.Second, "j-000052", "j-000051")
+	c.waitFor("first job runs", func() bool { return c.startCount("j-000051") == 1 })
+	if second, third := c.startCount("j-000052"), c.startCount("j-000053"); second+third > 0 {
 		t.Errorf("started before the first is done: %d and %d times", second, third)
 	}
-	c.wait("pipeline done", func() bool { return c.status(0, "j-000053") == "done" })
+	c.waitFor("pipeline done", func() bool { return c.jobStatus(0, "j-000053") == "done" })
 	for _, id := range []string{"j-000051", "j-000052", "j-000053"} {
-		if n := c.starts(id); n != 1 {
+		if n := c.startCount(id); n != 1 {
 			t.Errorf("%s was started %d times", id, n)
 		}
 	}
@@ -60,18 +60,18 @@
 	if status := c.submit(1, "j-000061", "red", 1, 60*time.Second); status != 201 {
 		t.Fatalf("submitted: %d", status)
 	}
-	c.submitAfter(2, "j-000062", "green", time.Second, "j-000061")
-	c.submitAfter(0, "j-000063", "blue", time.Second, "j-000062")
-	c.wait("first job is cancelled", func() bool {
-		status, state := c.call("POST", 2, "/v2/runs/j-000061/cancel", "")
+	c.submitWithDependencies(2, "j-000062", "green", time.Second, "j-000061")
+	c.submitWithDependencies(0, "j-000063", "blue", time.Second, "j-000062")
+	c.waitFor("first job is cancelled", func() bool {
+		status, state := c.callUserAPI("POST", 2, "/v2/runs/j-000061/cancel", "")
 		return status == 200 && state == "cancelled"
 	})
 	for node := range 3 {
-		c.wait("all that need it are cancelled", func() bool {
-			return c.status(node, "j-000062") == "cancelled" && c.status(node, "j-000063") == "cancelled"
+		c.waitFor("all that need it are cancelled", func() bool {
+			return c.jobStatus(node, "j-000062") == "cancelled" && c.jobStatus(node, "j-000063") == "cancelled"
 		})
 	}
-	if n := c.starts("j-000062") + c.starts("j-000063"); n > 0 {
+	if n := c.startCount("j-000062") + c.startCount("j-000063"); n > 0 {
 		t.Errorf("jobs after a cancelled one were started %d times", n)
 	}
 
@@ -80,7 +80,7 @@
 		`"j-000051"`:   400,
 		`["j-777777"]`: 422, // never accepted
 	} {
-		if status, _ := c.call("POST", 1, "/v2/runs", withAwaits(standin.Submission("j-000064", "red", 1), list)); status != want {
+		if status, _ := c.callUserAPI("POST", 1, "/v2/runs", addDependencies(standin.Submission("j-000064", "red", 1), list)); status != want {
 			t.Errorf("awaits %s: %d, want %d", list, status, want)
 		}
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -15,15 +15,15 @@
 
 // Asker hands a request to the core and waits for its answer; false when the
 // context ended first.
-type Asker interface {
-	Ask(ctx context.Context, event func(core.ReqID) core.Event) (core.Respond, bool)
+type Requester interface {
+	Request(ctx context.Context, event func(core.RequestID) core.Event) (core.Respond, bool)
 }
 
 // ReplyFunc hands an outgoing call's reply to the core.
 type ReplyFunc func(call core.CallID, body any)
 
 // Actors carry out effects. They must not block.
-type Actors struct {
+type Executors struct {
 	Store   func(core.Effect)
 	Cloud   func(core.Effect)
 	Workers func(core.Effect)
@@ -32,43 +32,43 @@
 
 // Engine runs a core.
 type Engine struct {
-	core    *core.Core
-	inbox   chan message
-	log     *slog.Logger
-	actors  Actors
-	start   time.Time
-	waiting map[core.ReqID]chan core.Respond
-	lastReq core.ReqID
-	load    loadMeter
-	usage   usageMeter
+	controller      *core.Controller
+	inbox           chan queuedEvent
+	log             *slog.Logger
+	executors       Executors
+	startTime       time.Time
+	pendingRequests map[core.RequestID]chan core.Respond
+	lastRequestID   core.RequestID
+	load            loadMeter
+	usage           usageMeter
 }
 
 // message is an event on its way to the core.
-type message struct {
-	event   func(core.ReqID) core.Event
-	answer  chan core.Respond // nil: nobody waits
-	arrived time.Time
+type queuedEvent struct {
+	makeEvent  func(core.RequestID) core.Event
+	response   chan core.Respond // nil: nobody waits
+	enqueuedAt time.Time
 }
 
 // New makes an engine for a process that may use a share of a core; 0: not
 // limited. Run starts it.
 func New(config core.Config, coreShare float64, log *slog.Logger) *Engine {
 	return &Engine{
-		core:    core.New(config),
-		inbox:   make(chan message, inboxSize),
-		log:     log,
-		start:   time.Now(),
-		waiting: map[core.ReqID]chan core.Respond{},
-		load:    loadMeter{coreShare: coreShare},
+		controller:      core.New(config),
+		inbox:           make(chan queuedEvent, inboxSize),
+		log:             log,
+		startTime:       time.Now(),
+		pendingRequests: map[core.RequestID]chan core.Respond{},
+		load:            loadMeter{cpuShare: coreShare},
 	}
 }
 
 // Ask hands a request to the core and waits for its answer; false when ctx
 // ended first.
-func (e *Engine) Ask(ctx context.Context, event func(core.ReqID) core.Event) (core.Respond, bool) {
+func (e *Engine) Request(ctx context.Context, event func(core.RequestID) core.Event) (core.Respond, bool) {
 	answer := make(chan core.Respond, 1)
 	select {
-	case e.inbox <- message{event: event, answer: answer, arrived: time.Now()}:
+	case e.inbox <- queuedEvent{makeEvent: event, response: answer, enqueuedAt: time.Now()}:
 	case <-ctx.Done():
 		return core.Respond{}, false
 	}
@@ -81,15 +81,15 @@
 }
 
 // Answer hands an outgoing call's reply to the core.
-func (e *Engine) Answer(call core.CallID, body any) {
-	reply := func(core.ReqID) core.Event { return core.Reply{Call: call, Body: body} }
-	e.inbox <- message{event: reply, arrived: time.Now()}
+func (e *Engine) DeliverReply(call core.CallID, body any) {
+	reply := func(core.RequestID) core.Event { return core.Reply{Call: call, Body: body} }
+	e.inbox <- queuedEvent{makeEvent: reply, enqueuedAt: time.Now()}
 }
 
 // Run owns the core until ctx ends.
-func (e *Engine) Run(ctx context.Context, actors Actors) {
-	e.actors = actors
-	e.load.since = time.Now()
+func (e *Engine) Run(ctx context.Context, actors Executors) {
+	e.executors = actors
+	e.load.windowStart = time.Now()
 	due := e.now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -98,16 +98,16 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			e.load.noteLag(time.Duration(e.now() - due))
+			e.load.recordLag(time.Duration(e.now() - due))
 			e.step(core.Tick{})
 		case m := <-e.inbox:
-			e.load.noteLag(time.Since(m.arrived))
-			e.step(e.receive(m))
+			e.load.recordLag(time.Since(m.enqueuedAt))
+			e.step(e.assignRequestID(m))
 		}
 		if load, worthTelling := e.load.measure(); worthTelling {
 			e.step(load)
 		}
-		if wake, wanted := e.core.NextWake(); wanted {
+		if wake, wanted := e.controller.NextWake(); wanted {
 			due = max(wake, e.now())
 			timer.Reset(time.Duration(due - e.now()))
 		}
@@ -115,47 +115,47 @@
 }
 
 // receive numbers a message and notes who waits for its answer.
-func (e *Engine) receive(m message) core.Event {
-	e.lastReq++
-	if m.answer != nil {
-		e.waiting[e.lastReq] = m.answer
+func (e *Engine) assignRequestID(m queuedEvent) core.Event {
+	e.lastRequestID++
+	if m.response != nil {
+		e.pendingRequests[e.lastRequestID] = m.response
 	}
-	return m.event(e.lastReq)
+	return m.makeEvent(e.lastRequestID)
 }
 
 // step takes an event to the core and has its effects carried out.
 func (e *Engine) step(event core.Event) {
 	e.usage.steps++
-	wall := core.Wall(time.Now().UnixMilli())
-	for _, effect := range e.core.Step(e.now(), wall, event) {
-		e.carryOut(effect)
+	wall := core.WallTime(time.Now().UnixMilli())
+	for _, effect := range e.controller.Step(e.now(), wall, event) {
+		e.executeEffect(effect)
 	}
 }
 
-func (e *Engine) now() core.Time { return core.Time(time.Since(e.start)) }
+func (e *Engine) now() core.Time { return core.Time(time.Since(e.startTime)) }
 
-func (e *Engine) carryOut(effect core.Effect) {
+func (e *Engine) executeEffect(effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Respond:
 		e.respond(effect)
 	case core.StoreTxn, core.StoreGet, core.StoreList, core.StoreWatch:
-		e.actors.Store(effect)
-	case core.CloudTypes, core.CloudRent, core.CloudReturn, core.CloudList:
-		e.actors.Cloud(effect)
-	case core.Orders, core.Inspect:
-		e.actors.Workers(effect)
+		e.executors.Store(effect)
+	case core.CloudMachineTypes, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
+		e.executors.Cloud(effect)
+	case core.PushCommands, core.QueryWorkerStatus:
+		e.executors.Workers(effect)
 	case core.PeerCall:
-		e.actors.Peers(effect)
+		e.executors.Peers(effect)
 	case core.Log:
-		e.write(effect)
+		e.writeLog(effect)
 	}
 }
 
 // respond answers a request, unless its sender has been answered.
 func (e *Engine) respond(respond core.Respond) {
-	if answer := e.waiting[respond.Req]; answer != nil {
+	if answer := e.pendingRequests[respond.Request]; answer != nil {
 		answer <- respond
-		delete(e.waiting, respond.Req)
+		delete(e.pendingRequests, respond.Request)
 	}
 }
 
@@ -163,15 +163,15 @@
 const statsLine = "stats"
 
 // write writes a line of the core's to the log.
-func (e *Engine) write(line core.Log) {
+func (e *Engine) writeLog(line core.Log) {
 	arguments := line.Args
-	if line.Text == statsLine {
+	if line.Message == statsLine {
 		arguments = append(arguments, e.usage.sample(&e.load)...)
 	}
-	e.log.Log(context.Background(), levelOf(line), line.Text, arguments...)
+	e.log.Log(context.Background(), slogLevel(line), line.Message, arguments...)
 }
 
-func levelOf(line core.Log) slog.Level {
+func slogLevel(line core.Log) slog.Level {
 	switch line.Level {
 	case core.LogDebug:
 		return slog.LevelDebug
--- a/internal/engine/usage.go
+++ b/internal/engine/usage.go
@@ -17,19 +17,19 @@
 // usageMeter counts what the process uses between two stats lines, so that a
 // day can be judged from its log.
 type usageMeter struct {
-	cpuThen time.Duration // processor time used at the last stats line
-	steps   int           // since then
+	lastCPUTime time.Duration // processor time used at the last stats line
+	steps       int           // since then
 }
 
 // sample gives the log arguments of the usage since the last one; none when
 // the system does not tell.
 func (u *usageMeter) sample(load *loadMeter) []any {
-	cpu, known := processorTime()
+	cpu, known := processCPUTime()
 	if !known {
 		return nil
 	}
-	used, steps := cpu-u.cpuThen, u.steps
-	u.cpuThen, u.steps = cpu, 0
+	used, steps := cpu-u.lastCPUTime, u.steps
+	u.lastCPUTime, u.steps = cpu, 0
 	peakBusy, peakLag := load.takePeaks()
 	return []any{
 		"cpu_ms", used.Milliseconds(),
@@ -43,7 +43,7 @@
 
 // processorTime is what the process has taken so far; false when the system
 // does not tell.
-func processorTime() (time.Duration, bool) {
+func processCPUTime() (time.Duration, bool) {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0, false
--- a/internal/entitlement/entitlement.go
+++ b/internal/entitlement/ownership.go
@@ -25,76 +25,76 @@
 const clockDrift = 0.001
 
 // killSlack is left for what a worker takes to notice that its lease is over.
-const killSlack = 2 * model.Second
+const stopMargin = 2 * model.Second
 
 // Least is what calls each second need: with less, one lost call would cost
 // tasks. Where the settings leave less than that, the bound on cancellations
 // can't be kept in every outage.
-const Least = 4 * model.Second
+const MinAnswerWindow = 4 * model.Second
 
 // StartBound is how old a certainty may be for starts: one that is sent by a
 // holder that was succeeded would only be stopped again.
-const StartBound = 5 * model.Second
+const StartWindow = 5 * model.Second
 
 // proofAge is how old a certainty gets before the store is asked: calls renew
 // it each second while all controllers answer.
-const proofAge = 2 * model.Second
+const renewalAge = 2 * model.Second
 
 // Bound is how long after a holder was last certain of its part it may answer
 // the part's workers: a cancellation that it can't know of was confirmed after
 // that moment, and the lease that its last answer renews, counted from the
 // sending of a report, must be over within cancelWithin of it.
-func Bound(cancelWithin, lease model.Time) model.Time {
+func AnswerWindow(cancelWithin, lease model.Time) model.Time {
 	drift := model.Time(float64(cancelWithin+lease) * clockDrift)
-	return cancelWithin - lease - killSlack - drift
+	return cancelWithin - lease - stopMargin - drift
 }
 
 // MayAnswer tells whether a holder may answer the part's workers at an age of
 // its certainty.
-func MayAnswer(age, cancelWithin, lease model.Time) bool {
-	return age <= max(Bound(cancelWithin, lease), Least)
+func CanAnswer(age, cancelWithin, lease model.Time) bool {
+	return age <= max(AnswerWindow(cancelWithin, lease), MinAnswerWindow)
 }
 
 // MayStart tells whether tasks of the part may be sent to its machines at an age
 // of the certainty.
-func MayStart(age model.Time) bool { return age <= StartBound }
+func CanStart(age model.Time) bool { return age <= StartWindow }
 
 // NeedsProof tells whether the store should be asked at an age of the certainty.
-func NeedsProof(age model.Time) bool { return age > proofAge }
+func NeedsRenewal(age model.Time) bool { return age > renewalAge }
 
 // Claim is a holder's own claim of a part.
 type Claim struct {
-	Part model.Part
-	Term model.Term
+	ShardID model.ShardID
+	Term    model.Term
 	// ProvenAt is when the last exchange with the store began that showed the
 	// claim in force.
-	ProvenAt model.Time
+	ConfirmedAt model.Time
 }
 
 // Word is what another controller has last answered to a call.
-type Word struct {
+type Acknowledgement struct {
 	// At is when that call was sent; 0: none was answered in the present run.
-	At model.Time
+	SentAt model.Time
 	// RunSince is when the controller's present run was first heard of.
-	RunSince model.Time
+	InstanceSeenAt model.Time
 	// Terms are the latest that it knows, by part; none from an older release.
 	Terms []model.Term
 }
 
 // covers tells whether a word says that there is no later claim than the given.
-func (w *Word) covers(c Claim) bool {
-	return int(c.Part) < len(w.Terms) && w.Terms[c.Part] <= c.Term && w.RunSince <= c.ProvenAt
+func (w *Acknowledgement) covers(c Claim) bool {
+	return int(c.ShardID) < len(w.Terms) && w.Terms[c.ShardID] <= c.Term && w.InstanceSeenAt <= c.ConfirmedAt
 }
 
 // CertainAt is the last moment up to now at which it is certain that nobody had
 // claimed the part later, by the words of all other controllers and the store.
-func (c Claim) CertainAt(now model.Time, words []Word) model.Time {
+func (c Claim) LastConfirmedAt(now model.Time, words []Acknowledgement) model.Time {
 	agreed := now
 	for i := range words {
 		if !words[i].covers(c) {
-			return c.ProvenAt
+			return c.ConfirmedAt
 		}
-		agreed = min(agreed, words[i].At)
+		agreed = min(agreed, words[i].SentAt)
 	}
-	return max(agreed, c.ProvenAt)
+	return max(agreed, c.ConfirmedAt)
 }
--- a/internal/grouprecord/address.go
+++ b/internal/grouprecord/address.go
@@ -15,7 +15,7 @@
 )
 
 func packAddress(address string) string {
-	if ap, err := netip.ParseAddrPort(address); err == nil && ap.Addr().Is4() && comesBack(ap, address) {
+	if ap, err := netip.ParseAddrPort(address); err == nil && ap.Addr().Is4() && roundTrips(ap, address) {
 		ip, port := ap.Addr().As4(), ap.Port()
 		return base64.RawURLEncoding.EncodeToString([]byte{ip[0], ip[1], ip[2], ip[3], byte(port >> 8), byte(port)})
 	}
@@ -26,11 +26,11 @@
 }
 
 // longestIPv4 is the longest text of an IPv4 address with its port.
-const longestIPv4 = len("255.255.255.255:65535")
+const maxIPv4Length = len("255.255.255.255:65535")
 
 // comesBack tells whether an IPv4 address is written as it was stated.
-func comesBack(ap netip.AddrPort, stated string) bool {
-	var buffer [longestIPv4]byte // spares an allocation for each machine
+func roundTrips(ap netip.AddrPort, stated string) bool {
+	var buffer [maxIPv4Length]byte // spares an allocation for each machine
 	return string(ap.AppendTo(buffer[:0])) == stated
 }
 
@@ -43,7 +43,7 @@
 	}
 	b, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(b) != packedLength {
-		return "", ErrAddress
+		return "", ErrInvalidAddress
 	}
 	ip, port := netip.AddrFrom4([4]byte(b[:4])), uint16(b[4])<<8|uint16(b[5])
 	return netip.AddrPortFrom(ip, port).String(), nil
--- a/internal/grouprecord/decode.go
+++ b/internal/grouprecord/decode.go
@@ -12,9 +12,9 @@
 
 // Errors of records that make no sense. MachineError says in which line.
 var (
-	ErrNoMachines = errors.New("group without machines")
-	ErrKind       = errors.New("kind")
-	ErrAddress    = errors.New("address")
+	ErrNoMachines     = errors.New("group without machines")
+	ErrInvalidKind    = errors.New("kind")
+	ErrInvalidAddress = errors.New("address")
 )
 
 // MachineError is an error in a machine's line.
@@ -41,7 +41,7 @@
 func (e *RangeError) Error() string { return fmt.Sprintf("tasks %q", e.Text) }
 
 // minFields of a machine's line: id, kind and address.
-const minFields = 3
+const minLineFields = 3
 
 // maxTaskIndex is beyond every task of a job. A range up to a larger number
 // would make a short record fill the memory.
@@ -59,20 +59,20 @@
 	}
 	machines := make([]Machine, 0, len(form.Machines))
 	for _, line := range form.Machines {
-		m, err := form.machine(line)
+		m, err := form.parseMachine(line)
 		if err != nil {
 			return Record{}, err
 		}
 		machines = append(machines, m)
 	}
-	return Record{Part: form.Part, Machines: machines, Nonce: form.Nonce}, nil
+	return Record{ShardID: form.ShardID, Machines: machines, WriteID: form.WriteID}, nil
 }
 
 // PartOf reads only whose the record is, which may be legible in one that
 // Decode refuses.
-func PartOf(value []byte) (model.Part, bool) {
+func ShardOf(value []byte) (model.ShardID, bool) {
 	var form struct {
-		Part *model.Part `json:"p"`
+		Part *model.ShardID `json:"p"`
 	}
 	if json.Unmarshal(value, &form) != nil || form.Part == nil {
 		return 0, false
@@ -80,20 +80,20 @@
 	return *form.Part, true
 }
 
-func (f *storedForm) machine(line string) (Machine, error) {
+func (f *storedForm) parseMachine(line string) (Machine, error) {
 	fields := strings.Split(line, " ")
-	if len(fields) < minFields || fields[0] == "" {
+	if len(fields) < minLineFields || fields[0] == "" {
 		return Machine{}, &MachineError{Line: line}
 	}
 	m := Machine{ID: model.MachineID(fields[0])}
-	if err := f.kind(&m, fields[1]); err != nil {
+	if err := f.parseKind(&m, fields[1]); err != nil {
 		return Machine{}, &MachineError{line, err}
 	}
 	var err error
 	if m.Address, err = unpackAddress(fields[2]); err != nil {
 		return Machine{}, &MachineError{line, err}
 	}
-	for _, text := range fields[minFields:] {
+	for _, text := range fields[minLineFields:] {
 		if m.Tasks, err = f.appendRange(m.Tasks, text); err != nil {
 			return Machine{}, &MachineError{line, err}
 		}
@@ -102,13 +102,13 @@
 }
 
 // kind reads a machine's kind and flags.
-func (f *storedForm) kind(m *Machine, text string) error {
-	m.Returned = strings.ContainsRune(text, returnedFlag)
+func (f *storedForm) parseKind(m *Machine, text string) error {
+	m.Releasing = strings.ContainsRune(text, releasingFlag)
 	m.Booting = strings.ContainsRune(text, bootingFlag)
-	number := strings.TrimRight(text, string([]rune{returnedFlag, bootingFlag}))
+	number := strings.TrimRight(text, string([]rune{releasingFlag, bootingFlag}))
 	i, err := strconv.Atoi(number)
 	if err != nil || i < 0 || i >= len(f.Kinds) {
-		return ErrKind
+		return ErrInvalidKind
 	}
 	m.Kind = f.Kinds[i]
 	return nil
@@ -120,7 +120,7 @@
 	jobText, span, hasSpan := strings.Cut(where, ":")
 	job, jobErr := strconv.Atoi(jobText)
 	first, last, spanErr := parseSpan(span)
-	start, attemptErr := f.attempt(attempt)
+	start, attemptErr := f.parseAttempt(attempt)
 	switch {
 	case !found || !hasSpan:
 		return nil, &RangeError{text}
@@ -153,7 +153,7 @@
 }
 
 // attempt reads claim.count, or only the count where the claim is the first.
-func (f *storedForm) attempt(text string) (model.Attempt, error) {
+func (f *storedForm) parseAttempt(text string) (model.Attempt, error) {
 	claim, count := 0, text
 	if before, after, found := strings.Cut(text, "."); found {
 		var err error
@@ -169,5 +169,5 @@
 	if claim < 0 || claim >= len(f.Claims) {
 		return 0, strconv.ErrRange
 	}
-	return model.MakeAttempt(f.Claims[claim], n), nil
+	return model.NewAttempt(f.Claims[claim], n), nil
 }
--- a/internal/grouprecord/encode.go
+++ b/internal/grouprecord/encode.go
@@ -12,18 +12,18 @@
 // address, then its tasks as job:first-last@attempt, where attempts count up
 // along the range and belong to a claim of the table.
 type storedForm struct {
-	Part     model.Part    `json:"p"`
+	ShardID  model.ShardID `json:"p"`
 	Claims   []uint64      `json:"c,omitempty"`
 	Kinds    []Kind        `json:"k,omitempty"`
 	Jobs     []model.JobID `json:"j,omitempty"`
 	Machines []string      `json:"m"`
-	Nonce    string        `json:"w"`
+	WriteID  string        `json:"w"`
 }
 
 // The flags that follow a machine's kind.
 const (
-	returnedFlag = 'r'
-	bootingFlag  = 'b'
+	releasingFlag = 'r'
+	bootingFlag   = 'b'
 )
 
 // attemptBase is the base in which an attempt's count is written.
@@ -38,7 +38,7 @@
 // Encode returns the record's JSON form.
 func Encode(r Record) []byte {
 	e := encoder{
-		form: storedForm{Part: r.Part, Nonce: r.Nonce, Machines: make([]string, 0, len(r.Machines))},
+		form: storedForm{ShardID: r.ShardID, WriteID: r.WriteID, Machines: make([]string, 0, len(r.Machines))},
 		jobs: map[model.JobID]int{},
 	}
 	var line []byte // reused for each machine
@@ -56,9 +56,9 @@
 func (e *encoder) appendMachine(line []byte, m *Machine) []byte {
 	line = append(line, m.ID...)
 	line = append(line, ' ')
-	line = appendInt(line, position(&e.form.Kinds, m.Kind))
-	if m.Returned {
-		line = append(line, returnedFlag)
+	line = appendInt(line, tableIndex(&e.form.Kinds, m.Kind))
+	if m.Releasing {
+		line = append(line, releasingFlag)
 	}
 	if m.Booting {
 		line = append(line, bootingFlag)
@@ -85,7 +85,7 @@
 
 func (e *encoder) appendRange(line []byte, tasks []Task) []byte {
 	first, last := &tasks[0], &tasks[len(tasks)-1]
-	line = appendInt(line, e.jobPosition(first.ID.Job))
+	line = appendInt(line, e.jobIndex(first.ID.Job))
 	line = append(line, ':')
 	line = appendInt(line, first.ID.Index)
 	if len(tasks) > 1 {
@@ -93,7 +93,7 @@
 		line = appendInt(line, last.ID.Index)
 	}
 	line = append(line, '@')
-	if claim := position(&e.form.Claims, first.Attempt.Claim()); claim > 0 { // the first is understood
+	if claim := tableIndex(&e.form.Claims, first.Attempt.Claim()); claim > 0 { // the first is understood
 		line = appendInt(line, claim)
 		line = append(line, '.')
 	}
@@ -104,7 +104,7 @@
 
 // position returns where a short table lists a value, and appends it if it
 // doesn't. A record has a handful of kinds and claims.
-func position[T comparable](table *[]T, value T) int {
+func tableIndex[T comparable](table *[]T, value T) int {
 	for i := range *table {
 		if (*table)[i] == value {
 			return i
@@ -115,7 +115,7 @@
 }
 
 // jobPosition does the same for jobs, of which there may be many.
-func (e *encoder) jobPosition(job model.JobID) int {
+func (e *encoder) jobIndex(job model.JobID) int {
 	i, known := e.jobs[job]
 	if !known {
 		i = len(e.form.Jobs)
--- a/internal/grouprecord/record.go
+++ b/internal/grouprecord/record.go
@@ -7,20 +7,20 @@
 
 // Record is what groups/<id> says.
 type Record struct {
-	Part     model.Part
+	ShardID  model.ShardID
 	Machines []Machine
 	// Nonce is that of the transaction that wrote the record.
-	Nonce string
+	WriteID string
 }
 
 // Machine is a machine as a record lists it.
 type Machine struct {
-	ID       model.MachineID
-	Kind     Kind
-	Address  string
-	Returned bool // the cloud has been or will be told to take it back
-	Booting  bool // it has not reported yet
-	Tasks    []Task
+	ID        model.MachineID
+	Kind      Kind
+	Address   string
+	Releasing bool // the cloud has been or will be told to take it back
+	Booting   bool // it has not reported yet
+	Tasks     []Task
 }
 
 // Kind is what is alike in machines that are rented together. Its JSON form is
--- a/internal/grouprecord/record_test.go
+++ b/internal/grouprecord/record_test.go
@@ -10,19 +10,19 @@
 )
 
 func start(job model.JobID, index int, claim, count uint64) Task {
-	return Task{ID: model.TaskID{Job: job, Index: index}, Attempt: model.MakeAttempt(claim, count)}
+	return Task{ID: model.TaskID{Job: job, Index: index}, Attempt: model.NewAttempt(claim, count)}
 }
 
 // sample has ranges, attempts of two claims, all flags and forms of addresses.
 func sample() Record {
 	const lastCount = 1<<model.AttemptCountBits - 1
-	return Record{Part: 2, Nonce: "n-1", Machines: []Machine{
+	return Record{ShardID: 2, WriteID: "n-1", Machines: []Machine{
 		{ID: "m-000001", Kind: Kind{"small", "a", true}, Address: "10.1.0.232:9000", Tasks: []Task{
 			start("j-1", 0, 41, 7), start("j-1", 1, 41, 8), start("j-1", 2, 41, 9), // one range
 			start("j-1", 3, 41, 11), // another attempt's counter
 			start("j-2", 4, 41, 12), // another job's
 			start("j-2", 99_999, 7, lastCount)}},
-		{ID: "m-000002", Kind: Kind{"big", "b", false}, Returned: true},
+		{ID: "m-000002", Kind: Kind{"big", "b", false}, Releasing: true},
 		{ID: "m-000003", Kind: Kind{"small", "a", true}, Address: "host:1", Booting: true},
 	}}
 }
@@ -42,7 +42,7 @@
 	if got := string(Encode(sample())); got != want {
 		t.Errorf("stored as\n%s\nwant\n%s", got, want)
 	}
-	if got, want := string(Encode(Record{Part: 1, Nonce: "x"})), `{"p":1,"m":[],"w":"x"}`; got != want {
+	if got, want := string(Encode(Record{ShardID: 1, WriteID: "x"})), `{"p":1,"m":[],"w":"x"}`; got != want {
 		t.Errorf("an empty one is stored as %s, want %s", got, want)
 	}
 }
@@ -86,13 +86,13 @@
 
 // TestPartOf: whose a record is can be read where the rest makes no sense.
 func TestPartOf(t *testing.T) {
-	for rec, want := range map[string]model.Part{`{"p":3}`: 3, `{"p":0,"m":["?"]}`: 0} {
-		if part, ok := PartOf([]byte(rec)); !ok || part != want {
+	for rec, want := range map[string]model.ShardID{`{"p":3}`: 3, `{"p":0,"m":["?"]}`: 0} {
+		if part, ok := ShardOf([]byte(rec)); !ok || part != want {
 			t.Errorf("%s: part %d, %v", rec, part, ok)
 		}
 	}
 	for _, rec := range []string{``, `{}`, `{"p":"x"}`, `[1]`} {
-		if part, ok := PartOf([]byte(rec)); ok {
+		if part, ok := ShardOf([]byte(rec)); ok {
 			t.Errorf("%s: part %d", rec, part)
 		}
 	}
@@ -119,7 +119,7 @@
 		t.Errorf("an address that would break the line is written as %q", got)
 	}
 	for _, bad := range []string{"", "!", "CgEA6CM", "CgEA6CMoAA"} {
-		if _, err := unpackAddress(bad); !errors.Is(err, ErrAddress) {
+		if _, err := unpackAddress(bad); !errors.Is(err, ErrInvalidAddress) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
--- a/internal/grouprecord/size.go
+++ b/internal/grouprecord/size.go
@@ -9,36 +9,36 @@
 
 // machineBytes is what a machine with a handful of tasks takes of a limit that
 // is to be about half used.
-const machineBytes = 80
+const targetMachineBytes = 80
 
 // minMachines is what a record is made for under the smallest limits.
 const minMachines = 4
 
 // Machines is how many machines a record is made for: with a handful of tasks
 // each they take about half of the limit.
-func (l ValueLimit) Machines() int { return max(int(l)/machineBytes, minMachines) }
+func (l ValueLimit) TargetMachines() int { return max(int(l)/targetMachineBytes, minMachines) }
 
 // newTaskBytes is the most that a task takes beside its job's id: its range,
 // with the claim, and the job's quotes and comma.
-const newTaskBytes = 28
+const maxTaskBytes = 28
 
 // HasRoom tells whether a record of a size can list one more task of a job.
 func (l ValueLimit) HasRoom(size int, job model.JobID) bool {
-	return l.Within(size + len(job) + newTaskBytes)
+	return l.WithinSoftLimit(size + len(job) + maxTaskBytes)
 }
 
 // Within tells whether a record of a size may be written of one's own accord.
 // The rest of the limit is kept for what has to be listed in any case.
-func (l ValueLimit) Within(size int) bool { return size <= int(l)*17/20 }
+func (l ValueLimit) WithinSoftLimit(size int) bool { return size <= int(l)*17/20 }
 
 // TooLong tells whether a record should be split in time.
-func (l ValueLimit) TooLong(size int) bool { return size > int(l)*4/5 }
+func (l ValueLimit) ShouldSplit(size int) bool { return size > int(l)*4/5 }
 
 // Short tells whether a record should be joined with others.
-func (l ValueLimit) Short(size int) bool { return size < int(l)*3/5 }
+func (l ValueLimit) ShouldMerge(size int) bool { return size < int(l)*3/5 }
 
 // Pieces is how many records of half the limit a record is split into.
-func (l ValueLimit) Pieces(size int) int { return max(size/(int(l)/2), 2) }
+func (l ValueLimit) SplitCount(size int) int { return max(size/(int(l)/2), 2) }
 
 // Size is what counts about a record when it is to be joined with others.
 type Size struct {
@@ -48,12 +48,12 @@
 
 // Joinable returns how many records from the first on fit into one, which must
 // stay well below what is split again. A transaction may write so many.
-func (l ValueLimit) Joinable(records []Size, mostWrites int) int {
+func (l ValueLimit) MergeableCount(records []Size, mostWrites int) int {
 	var sum Size
 	for i, r := range records {
 		sum.Bytes += r.Bytes
 		sum.Machines += r.Machines
-		if sum.Bytes > int(l)*7/10 || sum.Machines > 2*l.Machines() || i == mostWrites-1 {
+		if sum.Bytes > int(l)*7/10 || sum.Machines > 2*l.TargetMachines() || i == mostWrites-1 {
 			return i
 		}
 	}
@@ -62,9 +62,9 @@
 
 // What a task adds to a record, in bytes.
 const (
-	widenedBytes = 1  // of a range that gets another digit at times
-	rangeBytes   = 16 // of a range of its own
-	quotingBytes = 3  // the quotes and comma of a job's id in the table
+	rangeGrowthBytes = 1  // of a range that gets another digit at times
+	rangeBytes       = 16 // of a range of its own
+	jobQuotingBytes  = 3  // the quotes and comma of a job's id in the table
 )
 
 // AddedBytes is about how much longer a record gets by a task: one that
@@ -73,24 +73,24 @@
 func AddedBytes(job model.JobID, continues, jobListed bool) int {
 	switch {
 	case continues:
-		return widenedBytes
+		return rangeGrowthBytes
 	case jobListed:
 		return rangeBytes
 	}
-	return rangeBytes + len(job) + quotingBytes
+	return rangeBytes + len(job) + jobQuotingBytes
 }
 
 // What a machine takes in the estimate by which a record is split, in bytes.
 const (
-	lineBytes = 40 // its id, kind and address
-	taskBytes = 16
+	machineLineBytes = 40 // its id, kind and address
+	taskBytes        = 16
 )
 
 // Split divides machines into so many lists whose records are about equally
 // long, each with at least one. It returns fewer where there are fewer machines.
 // tasks is how many a machine has.
 func Split[M any](machines []M, records int, tasks func(M) int) [][]M {
-	length := func(m M) int { return lineBytes + taskBytes*tasks(m) }
+	length := func(m M) int { return machineLineBytes + taskBytes*tasks(m) }
 	rest := 0 // of the lists that are not complete
 	for _, m := range machines {
 		rest += length(m)
--- a/internal/grouprecord/size_test.go
+++ b/internal/grouprecord/size_test.go
@@ -11,8 +11,8 @@
 // fullRecord lists as many machines as a record is made for, with three tasks
 // of three jobs each, of an earlier claim and this one.
 func fullRecord(limit ValueLimit) Record {
-	rec := Record{Part: 1, Nonce: "0123456789ab-1234"}
-	for i := range limit.Machines() {
+	rec := Record{ShardID: 1, WriteID: "0123456789ab-1234"}
+	for i := range limit.TargetMachines() {
 		m := Machine{ID: model.MachineID(fmt.Sprintf("m-%06d", i)), Kind: Kind{"depot-small", "haverhill-yard", true}, Address: "10.1.0.232:9000"}
 		for k := range 3 {
 			job := model.JobID(fmt.Sprintf("j-%06d", (i+k)%30))
@@ -28,11 +28,11 @@
 func TestGroupSize(t *testing.T) {
 	for _, limit := range []ValueLimit{4096, 8192} {
 		rec := fullRecord(limit)
-		if n := len(Encode(rec)); !limit.Within(n) || n > int(limit)*17/20 {
+		if n := len(Encode(rec)); !limit.WithinSoftLimit(n) || n > int(limit)*17/20 {
 			t.Errorf("limit %d: %d machines take %d bytes", limit, len(rec.Machines), n)
 		}
 	}
-	if n := ValueLimit(100).Machines(); n != 4 {
+	if n := ValueLimit(100).TargetMachines(); n != 4 {
 		t.Errorf("the smallest records are made for %d machines", n)
 	}
 }
@@ -56,9 +56,9 @@
 		{1500, false, true, false, 3},
 		{5000, false, true, false, 10},
 	} {
-		if limit.Short(x.size) != x.short || limit.TooLong(x.size) != x.tooLong || limit.Within(x.size) != x.within || limit.Pieces(x.size) != x.pieces {
+		if limit.ShouldMerge(x.size) != x.short || limit.ShouldSplit(x.size) != x.tooLong || limit.WithinSoftLimit(x.size) != x.within || limit.SplitCount(x.size) != x.pieces {
 			t.Errorf("%d bytes: short %v, too long %v, within %v, %d pieces", x.size,
-				limit.Short(x.size), limit.TooLong(x.size), limit.Within(x.size), limit.Pieces(x.size))
+				limit.ShouldMerge(x.size), limit.ShouldSplit(x.size), limit.WithinSoftLimit(x.size), limit.SplitCount(x.size))
 		}
 	}
 	// 850 less 28 and the id's 5.
@@ -74,8 +74,8 @@
 	before := len(Encode(rec))
 	job := model.JobID("a-job-of-its-own")
 	rec.Machines[0].Tasks = append(rec.Machines[0].Tasks, start(job, 99_999, 41, 1<<model.AttemptCountBits-1))
-	if grown := len(Encode(rec)) - before; grown > len(job)+newTaskBytes {
-		t.Errorf("a task took %d bytes, %d were reckoned", grown, len(job)+newTaskBytes)
+	if grown := len(Encode(rec)) - before; grown > len(job)+maxTaskBytes {
+		t.Errorf("a task took %d bytes, %d were reckoned", grown, len(job)+maxTaskBytes)
 	}
 }
 
@@ -96,7 +96,7 @@
 		{"machines", []Size{{10, 12}, {10, 12}, {10, 1}}, 8, 2},
 		{"writes", []Size{{10, 1}, {10, 1}, {10, 1}, {10, 1}}, 3, 2},
 	} {
-		if got := limit.Joinable(x.sizes, x.writes); got != x.want {
+		if got := limit.MergeableCount(x.sizes, x.writes); got != x.want {
 			t.Errorf("%s: %d, want %d", x.name, got, x.want)
 		}
 	}
--- a/internal/model/model.go
+++ b/internal/model/cluster.go
@@ -18,25 +18,25 @@
 	// NodeID names a controller.
 	NodeID string
 	// Part numbers a part: a set of teams and some machines with one owner.
-	Part int
+	ShardID int
 	// Epoch is the state service's change counter.
-	Epoch uint64
+	Revision uint64
 	// Mark is the revision of a key's last change; 0 means the key is absent.
-	Mark uint64
+	ModRevision uint64
 	// Token says to a worker who is entitled to command it.
-	Token uint64
+	FencingToken uint64
 	// Attempt distinguishes the starts of one task.
 	Attempt uint64
 	// Session counts a worker's lives; it rises when its lease runs out.
-	Session uint64
+	Incarnation uint64
 	// Stamp orders a worker's messages within a session.
-	Stamp uint64
+	SequenceNumber uint64
 	// Term counts the claims of a part.
 	Term uint64
 	// Time is the steady clock, counted from the process's start.
 	Time time.Duration
 	// Wall is time of day in milliseconds; used for display and ordering only.
-	Wall int64
+	WallTime int64
 	// Amount is a resource quantity in millionths, so that sums are exact.
 	Amount int64
 )
@@ -59,7 +59,7 @@
 const MaxAttemptCount = 1<<AttemptCountBits - 1
 
 // MakeAttempt numbers a start under the claim that a store change made.
-func MakeAttempt(claim, count uint64) Attempt { return Attempt(claim<<AttemptCountBits | count) }
+func NewAttempt(claim, count uint64) Attempt { return Attempt(claim<<AttemptCountBits | count) }
 
 // Claim returns the claim under which the attempt was numbered.
 func (a Attempt) Claim() uint64 { return uint64(a) >> AttemptCountBits }
@@ -68,7 +68,7 @@
 func (a Attempt) Count() uint64 { return uint64(a) & (1<<AttemptCountBits - 1) }
 
 // NoPart is for writes that no claim guards.
-const NoPart Part = -1
+const NoShard ShardID = -1
 
 // AmountsPerUnit is how many Amounts make one CPU, GPU or GB.
 const AmountsPerUnit = 1_000_000
@@ -104,7 +104,7 @@
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
 // ParseTask reads the form that String writes.
-func ParseTask(s string) (TaskID, bool) {
+func ParseTaskID(s string) (TaskID, bool) {
 	i := strings.LastIndexByte(s, '/')
 	if i <= 0 {
 		return TaskID{}, false
--- a/internal/model/model_test.go
+++ b/internal/model/cluster_test.go
@@ -5,12 +5,12 @@
 // TestParseTask: what String writes is read back, job ids with slashes too.
 func TestParseTask(t *testing.T) {
 	for _, want := range []TaskID{{"j-1", 0}, {"a/b", 17}, {"/", 3}} {
-		if got, ok := ParseTask(want.String()); !ok || got != want {
+		if got, ok := ParseTaskID(want.String()); !ok || got != want {
 			t.Errorf("%q came back as %v, %v", want.String(), got, ok)
 		}
 	}
 	for _, bad := range []string{"", "j-1", "/3", "j-1/", "j-1/x", "j-1/-1"} {
-		if got, ok := ParseTask(bad); ok {
+		if got, ok := ParseTaskID(bad); ok {
 			t.Errorf("%q was read as %v", bad, got)
 		}
 	}
@@ -39,7 +39,7 @@
 // are higher than all of an earlier one.
 func TestAttempt(t *testing.T) {
 	const most = 1<<AttemptCountBits - 1
-	a, b := MakeAttempt(41, most), MakeAttempt(42, 0)
+	a, b := NewAttempt(41, most), NewAttempt(42, 0)
 	if a.Claim() != 41 || a.Count() != most || b.Claim() != 42 || b.Count() != 0 {
 		t.Errorf("%d is claim %d, count %d; %d is claim %d, count %d", a, a.Claim(), a.Count(), b, b.Claim(), b.Count())
 	}
--- a/internal/model/resources.go
+++ b/internal/model/resources.go
@@ -2,43 +2,47 @@
 
 // Res is what a task takes or a machine has. Its field names are part of the
 // stored form of a job.
-type Res struct {
-	CPU Amount `json:"CPU"`
-	GPU Amount `json:"GPU"`
-	Mem Amount `json:"Mem"`
+type Resources struct {
+	CPU    Amount `json:"CPU"`
+	GPU    Amount `json:"GPU"`
+	Memory Amount `json:"Mem"`
 }
 
 // Plus adds up both.
-func (r Res) Plus(o Res) Res { return Res{r.CPU + o.CPU, r.GPU + o.GPU, r.Mem + o.Mem} }
+func (r Resources) Plus(o Resources) Resources {
+	return Resources{r.CPU + o.CPU, r.GPU + o.GPU, r.Memory + o.Memory}
+}
 
 // Minus is what is left of r without o, which may be below zero.
-func (r Res) Minus(o Res) Res { return Res{r.CPU - o.CPU, r.GPU - o.GPU, r.Mem - o.Mem} }
+func (r Resources) Minus(o Resources) Resources {
+	return Resources{r.CPU - o.CPU, r.GPU - o.GPU, r.Memory - o.Memory}
+}
 
 // Times is n times as much.
-func (r Res) Times(n int) Res {
+func (r Resources) Times(n int) Resources {
 	k := Amount(n)
-	return Res{r.CPU * k, r.GPU * k, r.Mem * k}
+	return Resources{r.CPU * k, r.GPU * k, r.Memory * k}
 }
 
 // Fits tells whether r finds room in another.
-func (r Res) Fits(in Res) bool {
-	return r.CPU <= in.CPU && r.GPU <= in.GPU && r.Mem <= in.Mem
+func (r Resources) FitsIn(in Resources) bool {
+	return r.CPU <= in.CPU && r.GPU <= in.GPU && r.Memory <= in.Memory
 }
 
 // mostHeld is what Holds counts at most, as of a need of nothing.
-const mostHeld = 1 << 20
+const maxFitCount = 1 << 20
 
 // Holds counts how many times a need finds room in r.
-func (r Res) Holds(need Res) int {
-	n := Amount(mostHeld)
+func (r Resources) FitCount(need Resources) int {
+	n := Amount(maxFitCount)
 	if need.CPU > 0 {
 		n = min(n, r.CPU/need.CPU)
 	}
 	if need.GPU > 0 {
 		n = min(n, r.GPU/need.GPU)
 	}
-	if need.Mem > 0 {
-		n = min(n, r.Mem/need.Mem)
+	if need.Memory > 0 {
+		n = min(n, r.Memory/need.Memory)
 	}
 	return int(max(n, 0))
 }
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -11,7 +11,7 @@
 )
 
 // MaxFrame bounds a message.
-const MaxFrame = 1 << 20
+const MaxMessageSize = 1 << 20
 
 // The bounds of a message's contents, against malformed ones.
 const (
@@ -41,20 +41,20 @@
 }
 
 // Encode writes a message.
-func Encode(message core.PeerMsg) ([]byte, error) {
+func Encode(message core.PeerMessage) ([]byte, error) {
 	frame, err := cbor.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("encoding message: %w", err)
 	}
-	if len(frame) > MaxFrame {
+	if len(frame) > MaxMessageSize {
 		return nil, fmt.Errorf("%w: %d bytes", ErrTooLarge, len(frame))
 	}
 	return frame, nil
 }
 
 // Decode reads a message.
-func Decode(frame []byte) (core.PeerMsg, error) {
-	var message core.PeerMsg
+func Decode(frame []byte) (core.PeerMessage, error) {
+	var message core.PeerMessage
 	// A decoder, unlike Unmarshal, allows bytes after the message.
 	if err := decodeMode.NewDecoder(bytes.NewReader(frame)).Decode(&message); err != nil {
 		return message, fmt.Errorf("decoding message: %w", err)
--- a/internal/peers/handler.go
+++ b/internal/peers/handler.go
@@ -11,21 +11,21 @@
 )
 
 // Handler serves the other controllers.
-func Handler(asker engine.Asker, log *slog.Logger) http.Handler {
+func Handler(asker engine.Requester, log *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(http.MethodPost+" "+path, &handler{asker: asker, log: log})
+	mux.Handle(http.MethodPost+" "+messagePath, &handler{requester: asker, log: log})
 	return mux
 }
 
 type handler struct {
-	asker  engine.Asker
-	log    *slog.Logger
-	logged sync.Map // the errors of malformed messages that are in the log
+	requester    engine.Requester
+	log          *slog.Logger
+	loggedErrors sync.Map // the errors of malformed messages that are in the log
 }
 
 // ServeHTTP hands a message to the core and answers with its message.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	frame, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxFrame))
+	frame, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxMessageSize))
 	if err != nil {
 		http.Error(w, "unreadable or too large", http.StatusBadRequest)
 		return
@@ -36,8 +36,8 @@
 		http.Error(w, "malformed", http.StatusBadRequest)
 		return
 	}
-	ask := func(id core.ReqID) core.Event { return core.PeerAsk{Req: id, Msg: message} }
-	answer, answered := h.asker.Ask(r.Context(), ask)
+	ask := func(id core.RequestID) core.Event { return core.PeerRequest{Request: id, Message: message} }
+	answer, answered := h.requester.Request(r.Context(), ask)
 	if !answered || answer.Peer == nil {
 		http.Error(w, answer.Error, http.StatusBadRequest)
 		return
@@ -52,7 +52,7 @@
 
 // logMalformed logs each kind of error once.
 func (h *handler) logMalformed(sender string, err error) {
-	if _, known := h.logged.LoadOrStore(err.Error(), true); !known {
+	if _, known := h.loggedErrors.LoadOrStore(err.Error(), true); !known {
 		h.log.Info("malformed message from a controller", "from", sender, "error", err)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -12,53 +12,53 @@
 )
 
 // path is the one resource that controllers serve to one another.
-const path = "/peer"
+const messagePath = "/peer"
 
 const (
 	dialTimeout = time.Second
 	// idlePerPeer is the number of idle connections that are kept to each controller.
-	idlePerPeer = 4
+	maxIdlePerPeer = 4
 )
 
 // Peers carries out the core's PeerCall effects.
-type Peers struct {
+type Client struct {
 	addresses map[core.NodeID]string
 	client    *wire.Client
 	reply     engine.ReplyFunc
 }
 
 // New makes Peers for the controllers at the given addresses.
-func New(addresses map[core.NodeID]string, reply engine.ReplyFunc) *Peers {
-	return &Peers{
+func New(addresses map[core.NodeID]string, reply engine.ReplyFunc) *Client {
+	return &Client{
 		addresses: addresses,
-		client:    wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, IdlePerHost: idlePerPeer}),
+		client:    wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdlePerPeer}),
 		reply:     reply,
 	}
 }
 
 // Do sends a message; the reply follows.
-func (p *Peers) Do(call core.PeerCall) {
-	go func() { p.reply(call.Call, p.call(call)) }()
+func (p *Client) Do(call core.PeerCall) {
+	go func() { p.reply(call.Call, p.send(call)) }()
 }
 
-func (p *Peers) call(call core.PeerCall) core.PeerReply {
-	frame, err := Encode(call.Msg)
+func (p *Client) send(call core.PeerCall) core.PeerReply {
+	frame, err := Encode(call.Message)
 	if err != nil {
-		return core.PeerReply{Out: core.NotDone}
+		return core.PeerReply{Outcome: core.NotApplied}
 	}
 	response, err := p.client.Do(wire.Request{
 		Method:      http.MethodPost,
-		URL:         wire.BaseURL(p.addresses[call.To]) + path,
-		ContentType: wire.CBOR,
+		URL:         wire.BaseURL(p.addresses[call.To]) + messagePath,
+		ContentType: wire.ContentTypeCBOR,
 		Body:        frame,
 		Timeout:     time.Duration(call.Timeout),
 	})
 	if err != nil || response.Status != http.StatusOK {
-		return core.PeerReply{Out: core.Unknown}
+		return core.PeerReply{Outcome: core.UnknownOutcome}
 	}
 	message, err := Decode(response.Body)
 	if err != nil {
-		return core.PeerReply{Out: core.Unknown}
+		return core.PeerReply{Outcome: core.UnknownOutcome}
 	}
-	return core.PeerReply{Out: core.OK, Msg: message}
+	return core.PeerReply{Outcome: core.OK, Message: message}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -13,29 +13,29 @@
 	"stairrelay/internal/core"
 )
 
-type echo struct{}
+type echoRequester struct{}
 
-func (echo) Ask(_ context.Context, event func(core.ReqID) core.Event) (core.Respond, bool) {
-	m := event(1).(core.PeerAsk).Msg
+func (echoRequester) Request(_ context.Context, event func(core.RequestID) core.Event) (core.Respond, bool) {
+	m := event(1).(core.PeerRequest).Message
 	return core.Respond{Status: 200, Peer: &m}, true
 }
 
 func TestFrames(t *testing.T) {
-	h := Handler(echo{}, slog.New(slog.NewTextHandler(&bytes.Buffer{}, nil)))
+	h := Handler(echoRequester{}, slog.New(slog.NewTextHandler(&bytes.Buffer{}, nil)))
 	post := func(body []byte) (int, []byte) {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest("POST", path, bytes.NewReader(body)))
+		h.ServeHTTP(w, httptest.NewRequest("POST", messagePath, bytes.NewReader(body)))
 		return w.Code, w.Body.Bytes()
 	}
-	offer := core.GroupOffer{Key: "groups/g", Mark: 9, To: 1, Kinds: []core.KindCount{{Type: "x", N: 3}}}
+	offer := core.TransferOffer{Key: "groups/g", ModRevision: 9, Recipient: 1, Kinds: []core.MachineKindCount{{Type: "x", Count: 3}}}
 	ping := &core.Ping{
-		Boot:    "b",
-		StoreOK: true,
-		Parts:   []core.PartTerm{{Part: 2, Term: 7}},
-		Heard:   map[core.NodeID]int64{"n2": 40},
-		Groups:  []core.GroupOffer{offer},
+		InstanceID:         "b",
+		StoreReachable:     true,
+		Shards:             []core.ShardTerm{{Shard: 2, Term: 7}},
+		MillisSinceContact: map[core.NodeID]int64{"n2": 40},
+		TransferOffers:     []core.TransferOffer{offer},
 	}
-	m := core.PeerMsg{Version: 1, From: "n1", Ping: ping}
+	m := core.PeerMessage{Version: 1, From: "n1", Ping: ping}
 	b, err := Encode(m)
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 		"no CBOR":    []byte(strings.Repeat("{", 100)),
 		"truncated":  b[:len(b)/2],
 		"no version": {0xa0},
-		"too large":  bytes.Repeat([]byte{0x80}, MaxFrame+1),
+		"too large":  bytes.Repeat([]byte{0x80}, MaxMessageSize+1),
 	} {
 		if code, _ := post(bad); code != 400 {
 			t.Errorf("%s: answered %d", name, code)
@@ -63,8 +63,8 @@
 
 // TestMessageTooLarge: a message that no controller would take is not sent.
 func TestMessageTooLarge(t *testing.T) {
-	tell := &core.Tell{Keys: []core.KV{{Key: "jobs/j", Value: make([]byte, MaxFrame)}}}
-	if _, err := Encode(core.PeerMsg{Version: 1, From: "n1", Tell: tell}); !errors.Is(err, ErrTooLarge) {
+	tell := &core.JobNotice{Keys: []core.KV{{Key: "jobs/j", Value: make([]byte, MaxMessageSize)}}}
+	if _, err := Encode(core.PeerMessage{Version: 1, From: "n1", Notice: tell}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/peers/production_test.go
+++ b/internal/peers/production_test.go
@@ -21,20 +21,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	load := core.PartLoad{Part: 0, Have: 8_000_000, Coming: 4_000_000, Demand: [4]core.Amount{1, 2, 3, 4}}
+	load := core.ShardLoad{Shard: 0, Available: 8_000_000, Booting: 4_000_000, Demand: [4]core.Amount{1, 2, 3, 4}}
 	ping := &core.Ping{
-		Boot:      "b1",
-		Parts:     []core.PartTerm{{Part: 0, Term: 7}},
-		StoreOK:   true,
-		WorkersOK: true,
-		Heard:     map[core.NodeID]int64{"n2": 120},
-		Offer:     []core.Part{2},
-		Puts:      3.5,
-		Cloud:     1,
-		Loads:     []core.PartLoad{load},
-		Terms:     []core.Term{7, 3, 9},
+		InstanceID:         "b1",
+		Shards:             []core.ShardTerm{{Shard: 0, Term: 7}},
+		StoreReachable:     true,
+		WorkersReachable:   true,
+		MillisSinceContact: map[core.NodeID]int64{"n2": 120},
+		FailbackOffers:     []core.ShardID{2},
+		WriteDemand:        3.5,
+		CloudDemand:        1,
+		ShardLoads:         []core.ShardLoad{load},
+		KnownTerms:         []core.Term{7, 3, 9},
 	}
-	want := core.PeerMsg{Version: 2, From: "n1", Ping: ping}
+	want := core.PeerMessage{Version: 2, From: "n1", Ping: ping}
 	if !reflect.DeepEqual(m, want) {
 		t.Errorf("read %+v with %+v", m, m.Ping)
 	}
@@ -53,7 +53,7 @@
 		}
 		return out
 	}
-	m.Ping.Level = 1
+	m.Ping.FeatureLevel = 1
 	b, err := Encode(m)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/placement/jobs.go
+++ b/internal/placement/jobs.go
@@ -25,38 +25,38 @@
 // JobFacts is what a job's rank follows from. Times are milliseconds of the time
 // of day.
 type JobFacts struct {
-	Priority    model.Priority
-	Owed        bool    // within its team's guarantee, as are its earlier unfinished jobs
-	Now         float64 // the time of day
-	Since       float64 // when the job could first start
-	LatestStart float64 // to meet the first of its aims that it still can, or Never
-	Horizon     float64 // the longest time that its aims give it, in milliseconds
-	Alone       float64 // how long its waiting work would take all of the part, in seconds
+	Priority         model.Priority
+	WithinGuarantee  bool    // within its team's guarantee, as are its earlier unfinished jobs
+	Now              float64 // the time of day
+	ReadySince       float64 // when the job could first start
+	LatestStart      float64 // to meet the first of its aims that it still can, or Never
+	Horizon          float64 // the longest time that its aims give it, in milliseconds
+	ExclusiveSeconds float64 // how long its waiting work would take all of the part, in seconds
 }
 
 // JobRank says when a job is served among the others of its part.
 type JobRank struct {
-	tier  model.Priority // urgent work goes before all other
-	owed  bool
-	late  bool // for good, but not overdue
-	start float64
+	tier            model.Priority // urgent work goes before all other
+	withinGuarantee bool
+	missedSLO       bool // for good, but not overdue
+	latestStart     float64
 }
 
 // RankJob works out a job's rank. Those within their team's guarantee go first,
 // the urgent before the others, then by their latest start. smallFirst is by how
 // many times what its work takes a job moves back behind others.
 func RankJob(f JobFacts, smallFirst float64) JobRank {
-	r := JobRank{owed: f.Owed, start: f.LatestStart}
+	r := JobRank{withinGuarantee: f.WithinGuarantee, latestStart: f.LatestStart}
 	if f.Priority >= model.Urgent {
 		r.tier = f.Priority
 	}
 	if f.LatestStart != Never {
-		r.start += min(smallFirst*millisPerSecond*f.Alone, pushBackHorizons*f.Horizon)
+		r.latestStart += min(smallFirst*millisPerSecond*f.ExclusiveSeconds, pushBackHorizons*f.Horizon)
 		return r
 	}
-	r.start = f.Since
-	r.late = f.Now < f.Since+overdueHorizons*f.Horizon
-	if !r.late {
+	r.latestStart = f.ReadySince
+	r.missedSLO = f.Now < f.ReadySince+overdueHorizons*f.Horizon
+	if !r.missedSLO {
 		r.tier = max(r.tier, model.Urgent)
 	}
 	return r
@@ -67,12 +67,12 @@
 	switch {
 	case r.tier != other.tier:
 		return cmp.Compare(other.tier, r.tier)
-	case r.owed != other.owed:
-		return trueFirst(r.owed)
-	case r.late != other.late:
-		return trueFirst(other.late)
+	case r.withinGuarantee != other.withinGuarantee:
+		return trueFirst(r.withinGuarantee)
+	case r.missedSLO != other.missedSLO:
+		return trueFirst(other.missedSLO)
 	}
-	return cmp.Compare(r.start, other.start)
+	return cmp.Compare(r.latestStart, other.latestStart)
 }
 
 // trueFirst orders two that differ in a property by whether the first has it.
--- a/internal/placement/machines.go
+++ b/internal/placement/machines.go
@@ -30,31 +30,31 @@
 )
 
 // Fetches are the images that a machine is getting.
-type Fetches struct {
-	images  []fetch
-	waiting model.Amount // CPUs of the tasks that wait for them
+type ImageFetches struct {
+	images     []imageFetch
+	waitingCPU model.Amount // CPUs of the tasks that wait for them
 }
 
-type fetch struct {
+type imageFetch struct {
 	image    string
 	priority model.Priority // the highest of those that wait for it
 }
 
 // Add notes that a task waits for an image.
-func (f *Fetches) Add(image string, priority model.Priority, cpu model.Amount) {
-	f.waiting += cpu
+func (f *ImageFetches) Add(image string, priority model.Priority, cpu model.Amount) {
+	f.waitingCPU += cpu
 	for i := range f.images {
 		if f.images[i].image == image {
 			f.images[i].priority = max(f.images[i].priority, priority)
 			return
 		}
 	}
-	f.images = append(f.images, fetch{image, priority})
+	f.images = append(f.images, imageFetch{image, priority})
 }
 
 // State returns how soon a machine of a size that doesn't have the image could
 // start a task of a job.
-func (f *Fetches) State(image string, priority model.Priority, cpu, size model.Amount) ImageState {
+func (f *ImageFetches) State(image string, priority model.Priority, cpu, size model.Amount) ImageState {
 	important := false // something that waits is as important, or urgent
 	for _, other := range f.images {
 		if other.image == image {
@@ -63,7 +63,7 @@
 		important = important || other.priority >= min(priority, model.Urgent)
 	}
 	takesMany := size >= manyTasks*cpu
-	nearlyIdle := f.waiting*busyFraction < size
+	nearlyIdle := f.waitingCPU*busyFraction < size
 	if important && !(takesMany && nearlyIdle) {
 		return ImageBlocked
 	}
@@ -72,10 +72,10 @@
 
 // Candidate is a machine that a job's tasks may go to.
 type Candidate struct {
-	Image  ImageState
-	Spot   bool
-	Suited bool // its kind suits the job
-	Free   model.Amount
+	Image    ImageState
+	Spot     bool
+	Suitable bool // its kind suits the job
+	FreeCPU  model.Amount
 }
 
 // Compare is negative when c should get tasks before another candidate: the one
@@ -87,8 +87,8 @@
 		return trueFirst(!c.Spot)
 	case c.Image != other.Image:
 		return cmp.Compare(other.Image, c.Image)
-	case c.Suited != other.Suited:
-		return trueFirst(c.Suited)
+	case c.Suitable != other.Suitable:
+		return trueFirst(c.Suitable)
 	}
-	return cmp.Compare(other.Free, c.Free)
+	return cmp.Compare(other.FreeCPU, c.FreeCPU)
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,28 +10,28 @@
 func TestJobOrder(t *testing.T) {
 	const now, horizon = 1_000_000, 100_000
 	facts := func(change func(*JobFacts)) JobFacts {
-		f := JobFacts{Priority: model.Normal, Now: now, Since: now - 10_000, LatestStart: now + 50_000, Horizon: horizon}
+		f := JobFacts{Priority: model.Normal, Now: now, ReadySince: now - 10_000, LatestStart: now + 50_000, Horizon: horizon}
 		change(&f)
 		return f
 	}
-	overdue := func(f *JobFacts) { f.LatestStart, f.Since = Never, now-4*horizon }
+	overdue := func(f *JobFacts) { f.LatestStart, f.ReadySince = Never, now-4*horizon }
 	order := []struct {
 		name  string
 		facts JobFacts
 	}{
 		{"production", facts(func(f *JobFacts) { f.Priority = model.Production })},
-		{"urgent and owed", facts(func(f *JobFacts) { f.Priority, f.Owed = model.Urgent, true })},
+		{"urgent and owed", facts(func(f *JobFacts) { f.Priority, f.WithinGuarantee = model.Urgent, true })},
 		{"overdue, so as urgent since it came", facts(overdue)},
 		{"urgent", facts(func(f *JobFacts) { f.Priority = model.Urgent })},
 		{"urgent, a little later", facts(func(f *JobFacts) { f.Priority = model.Urgent; f.LatestStart++ })},
-		{"owed", facts(func(f *JobFacts) { f.Owed = true })},
-		{"owed and late", facts(func(f *JobFacts) { f.Owed = true; f.LatestStart = Never })},
-		{"small", facts(func(f *JobFacts) { f.Alone = 1 })},
-		{"larger", facts(func(f *JobFacts) { f.Alone = 2 })},
-		{"so large that the push back ends", facts(func(f *JobFacts) { f.Alone = 1000 })},
+		{"owed", facts(func(f *JobFacts) { f.WithinGuarantee = true })},
+		{"owed and late", facts(func(f *JobFacts) { f.WithinGuarantee = true; f.LatestStart = Never })},
+		{"small", facts(func(f *JobFacts) { f.ExclusiveSeconds = 1 })},
+		{"larger", facts(func(f *JobFacts) { f.ExclusiveSeconds = 2 })},
+		{"so large that the push back ends", facts(func(f *JobFacts) { f.ExclusiveSeconds = 1000 })},
 		{"after the end of the push back", facts(func(f *JobFacts) { f.LatestStart += 2*horizon + 1 })},
 		{"late", facts(func(f *JobFacts) { f.LatestStart = Never })},
-		{"late, and newer", facts(func(f *JobFacts) { f.LatestStart = Never; f.Since++ })},
+		{"late, and newer", facts(func(f *JobFacts) { f.LatestStart = Never; f.ReadySince++ })},
 	}
 	for i := range order {
 		for k := range order {
@@ -47,13 +47,13 @@
 // TestOverdue: what is late for good is served as urgent from four horizons on.
 func TestOverdue(t *testing.T) {
 	const horizon = 100_000
-	f := JobFacts{Priority: model.BestEffort, LatestStart: Never, Since: 5000, Horizon: horizon}
-	f.Now = f.Since + 4*horizon - 1
-	if r := RankJob(f, 32); !r.late || r.tier >= model.Urgent {
+	f := JobFacts{Priority: model.BestEffort, LatestStart: Never, ReadySince: 5000, Horizon: horizon}
+	f.Now = f.ReadySince + 4*horizon - 1
+	if r := RankJob(f, 32); !r.missedSLO || r.tier >= model.Urgent {
 		t.Errorf("just before: %+v", r)
 	}
 	f.Now++
-	if r := RankJob(f, 32); r.late || r.tier != model.Urgent || r.start != f.Since {
+	if r := RankJob(f, 32); r.missedSLO || r.tier != model.Urgent || r.latestStart != f.ReadySince {
 		t.Errorf("then: %+v", r)
 	}
 	f.Priority = model.Production
@@ -81,7 +81,7 @@
 		{"a large machine, an eighth waits", model.Normal, 2, model.Normal, 1, 16, ImageBlocked},
 		{"it takes too few of the tasks", model.Normal, 1, model.Normal, 2, 31, ImageBlocked},
 	} {
-		var f Fetches
+		var f ImageFetches
 		if got := f.State("new", x.priority, x.cpu*cpu, x.size*cpu); got != ImageAbsent {
 			t.Errorf("%s: nothing is fetched, yet %d", x.name, got)
 		}
@@ -94,7 +94,7 @@
 		}
 	}
 	// The highest priority of those that wait for an image counts, and all their CPUs.
-	var f Fetches
+	var f ImageFetches
 	f.Add("other", model.Urgent, cpu)
 	f.Add("other", model.BestEffort, cpu)
 	if got := f.State("new", model.Urgent, cpu, 16*cpu); got != ImageBlocked {
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -11,10 +11,10 @@
 // gains nothing. A bucket doesn't read a clock: every call that depends on the
 // time is given it.
 type TokenBucket struct {
-	rate     float64 // tokens a second
-	capacity float64
-	level    float64
-	refilled model.Time // up to when the level accounts for the rate
+	rate       float64 // tokens a second
+	capacity   float64
+	level      float64
+	refilledAt model.Time // up to when the level accounts for the rate
 }
 
 // SetRate changes the tokens gained a second and the most that the bucket
@@ -36,9 +36,9 @@
 
 // Refill adds what was gained since the last refill.
 func (b *TokenBucket) Refill(now model.Time) {
-	b.level += b.rate * float64(now-b.refilled) / float64(model.Second)
+	b.level += b.rate * float64(now-b.refilledAt) / float64(model.Second)
 	b.level = min(b.level, b.capacity)
-	b.refilled = now
+	b.refilledAt = now
 }
 
 // Take spends tokens if the bucket holds as many, and tells whether it did.
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -24,21 +24,21 @@
 
 // operatorsFile is the operators' JSON file; an absent field keeps its default.
 type operatorsFile struct {
-	CheckpointS  *float64 `json:"checkpoint_s"`
-	PingS        *float64 `json:"ping_s"`
-	PingTimeoutS *float64 `json:"ping_timeout_s"`
-	Retries      *int     `json:"retries"`
-	RetryFirstS  *float64 `json:"retry_first_s"`
-	ProbeS       *float64 `json:"probe_s"`
-	Probes       *int     `json:"probes"`
-	IdleReturnS  *float64 `json:"idle_return_s"`
-	RefusedWaitS *float64 `json:"refused_wait_s"`
-	BootPatience *float64 `json:"boot_patience"`
-	BudgetShare  *float64 `json:"budget_share"`
-	HandBackS    *float64 `json:"hand_back_s"`
-	SpareShare   *float64 `json:"spare_share"`
-	SmallFirst   *float64 `json:"small_first"`
-	BeginWithinS *float64 `json:"begin_within_s"`
+	CheckpointSeconds        *float64 `json:"checkpoint_s"`
+	PingSeconds              *float64 `json:"ping_s"`
+	PingTimeoutSeconds       *float64 `json:"ping_timeout_s"`
+	Retries                  *int     `json:"retries"`
+	RetryFirstSeconds        *float64 `json:"retry_first_s"`
+	ProbeSeconds             *float64 `json:"probe_s"`
+	Probes                   *int     `json:"probes"`
+	IdleScaleInSeconds       *float64 `json:"idle_return_s"`
+	OutOfCapacityWaitSeconds *float64 `json:"refused_wait_s"`
+	BootPatience             *float64 `json:"boot_patience"`
+	BudgetShare              *float64 `json:"budget_share"`
+	FailbackSeconds          *float64 `json:"hand_back_s"`
+	SpareShare               *float64 `json:"spare_share"`
+	SmallFirst               *float64 `json:"small_first"`
+	BeginWithinSeconds       *float64 `json:"begin_within_s"`
 }
 
 // applyOperators checks the operators' file and sets what it names in tuning.
@@ -91,21 +91,21 @@
 }
 
 func (f *operatorsFile) apply(tuning *core.Tuning) {
-	setSeconds(&tuning.Checkpoint, f.CheckpointS)
-	setSeconds(&tuning.PingEvery, f.PingS)
-	setSeconds(&tuning.PingTimeout, f.PingTimeoutS)
-	setSeconds(&tuning.RetryFirst, f.RetryFirstS)
-	setSeconds(&tuning.ProbeEvery, f.ProbeS)
-	setSeconds(&tuning.IdleReturn, f.IdleReturnS)
-	setSeconds(&tuning.RefusedWait, f.RefusedWaitS)
-	setSeconds(&tuning.HandBackAfter, f.HandBackS)
-	setSeconds(&tuning.BeginWithin, f.BeginWithinS)
-	setIfPresent(&tuning.Retries, f.Retries)
-	setIfPresent(&tuning.Probes, f.Probes)
-	setIfPresent(&tuning.BootPatience, f.BootPatience)
-	setIfPresent(&tuning.BudgetShare, f.BudgetShare)
-	setIfPresent(&tuning.SpareShare, f.SpareShare)
-	setIfPresent(&tuning.SmallFirst, f.SmallFirst)
+	setSeconds(&tuning.CheckpointInterval, f.CheckpointSeconds)
+	setSeconds(&tuning.PingInterval, f.PingSeconds)
+	setSeconds(&tuning.PingTimeout, f.PingTimeoutSeconds)
+	setSeconds(&tuning.InitialRetryTimeout, f.RetryFirstSeconds)
+	setSeconds(&tuning.ProbeInterval, f.ProbeSeconds)
+	setSeconds(&tuning.ScaleInIdleTime, f.IdleScaleInSeconds)
+	setSeconds(&tuning.OutOfCapacityBackoff, f.OutOfCapacityWaitSeconds)
+	setSeconds(&tuning.FailbackDelay, f.FailbackSeconds)
+	setSeconds(&tuning.FirstTaskTarget, f.BeginWithinSeconds)
+	setIfPresent(&tuning.PingRetries, f.Retries)
+	setIfPresent(&tuning.ProbeCount, f.Probes)
+	setIfPresent(&tuning.BootTimeoutFactor, f.BootPatience)
+	setIfPresent(&tuning.RateBudgetShare, f.BudgetShare)
+	setIfPresent(&tuning.SpareCapacityShare, f.SpareShare)
+	setIfPresent(&tuning.ShortJobWeight, f.SmallFirst)
 }
 
 func setIfPresent[T any](target, value *T) {
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -14,16 +14,16 @@
 const (
 	// leastTxnOps and leastValueKB are the smallest limits of the state service
 	// that the records can be cut to.
-	leastTxnOps  = 4
-	leastValueKB = 2
-	bytesPerKB   = 1024
+	minTxnOps  = 4
+	minValueKB = 2
+	bytesPerKB = 1024
 	// mostValueKB is the largest value that fits into a transaction beside its key
 	// and conditions: the protocol takes 64 KiB overall. A larger limit of the
 	// state service is of no use.
-	mostValueKB = 60
+	maxValueKB = 60
 	// fewConnections is the number of sockets below which a controller serves
 	// so few workers and users that its operators should know.
-	fewConnections = 256
+	connectionWarningThreshold = 256
 )
 
 // parsePlatform reads and checks the platform's file.
@@ -33,24 +33,24 @@
 		return nil, err
 	}
 	settings := &Settings{
-		Listen:      file.Listen,
-		Back:        file.Back,
-		Cloud:       file.External.Cloud,
-		State:       file.External.State,
-		MemoryMB:    file.Cluster.Limits.MemoryMB,
-		Connections: file.Cluster.Limits.Connections,
-		CoreShare:   file.Cluster.Limits.CoreShare,
+		ListenAddress:     file.Listen,
+		PeerListenAddress: file.Back,
+		CloudAddress:      file.External.Cloud,
+		StoreAddress:      file.External.State,
+		MemoryMB:          file.Cluster.Limits.MemoryMB,
+		MaxConnections:    file.Cluster.Limits.MaxConnections,
+		CPUShare:          file.Cluster.Limits.CPUShare,
 	}
 	steps := []func(*platformFile) error{
 		settings.readNodes,
 		checkAddresses,
-		checkSane,
+		checkBounds,
 		checkRequiredAmounts,
 		settings.readStateLimits,
 		settings.readCloudLimits,
 		checkNodeCount,
 		settings.readTeams,
-		settings.readObjectives,
+		settings.readSLOs,
 		settings.readWorkerTimes,
 		settings.checkMachineLimits,
 	}
@@ -64,22 +64,22 @@
 
 // readNodes takes in this controller's name and the other controllers.
 func (s *Settings) readNodes(file *platformFile) error {
-	if file.Host == "" {
+	if file.HostName == "" {
 		return fieldErrorf("host_name", "missing")
 	}
-	s.Core.Self = core.NodeID(file.Host)
-	s.Core.Zone = file.Domain
-	s.Core.Nodes = []core.NodeID{s.Core.Self}
-	s.Peers = map[core.NodeID]string{}
+	s.Controller.Self = core.NodeID(file.HostName)
+	s.Controller.Zone = file.Domain
+	s.Controller.Nodes = []core.NodeID{s.Controller.Self}
+	s.PeerAddresses = map[core.NodeID]string{}
 	for _, peer := range file.Peers {
-		node := core.NodeID(peer.Host)
-		if node == "" || slices.Contains(s.Core.Nodes, node) {
-			return fieldErrorf("peers.host_name", "%q is missing, repeated or this controller's own", peer.Host)
+		node := core.NodeID(peer.HostName)
+		if node == "" || slices.Contains(s.Controller.Nodes, node) {
+			return fieldErrorf("peers.host_name", "%q is missing, repeated or this controller's own", peer.HostName)
 		}
-		s.Peers[node] = peer.Endpoint
-		s.Core.Nodes = append(s.Core.Nodes, node)
+		s.PeerAddresses[node] = peer.Endpoint
+		s.Controller.Nodes = append(s.Controller.Nodes, node)
 	}
-	slices.Sort(s.Core.Nodes)
+	slices.Sort(s.Controller.Nodes)
 	return nil
 }
 
@@ -109,16 +109,16 @@
 		field string
 		value float64
 	}{
-		{"cluster.workers.report_s", cluster.Workers.ReportS},
-		{"cluster.workers.lease_s", cluster.Workers.LeaseS},
-		{"cluster.workers.cancel_s", cluster.Workers.CancelS},
+		{"cluster.workers.report_s", cluster.Workers.HeartbeatSeconds},
+		{"cluster.workers.lease_s", cluster.Workers.LeaseSeconds},
+		{"cluster.workers.cancel_s", cluster.Workers.CancelSeconds},
 		{"cluster.state.rps", cluster.State.RPS},
 		{"cluster.state.write_rps", cluster.State.WriteRPS},
 		{"cluster.state.value_kb", cluster.State.ValueKB},
 		{"cluster.state.txn_ops", float64(cluster.State.TxnOps)},
 		{"cluster.cloud.rps", cluster.Cloud.RPS},
 	} {
-		if !positive(required.value) {
+		if !isPositive(required.value) {
 			return fieldErrorf(required.field, "missing or not above 0")
 		}
 	}
@@ -126,39 +126,39 @@
 }
 
 // positive tells whether x is a finite number above 0; NaN is not.
-func positive(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
+func isPositive(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
 
 // readStateLimits takes in the limits of the state service. Those to come hold
 // without notice from some moment on, so the lower of both holds all the time,
 // but for the rate of changes: the present one may be used until it is refused.
 func (s *Settings) readStateLimits(file *platformFile) error {
 	state := file.Cluster.State
-	s.Core.PresentWriteRPS = state.WriteRPS
+	s.Controller.CurrentWriteRPS = state.WriteRPS
 	if state.Next != nil {
 		if err := checkNextState(state.Next); err != nil {
 			return err
 		}
-		state.WriteRPS = lower(state.WriteRPS, state.Next.WriteRPS)
-		state.ValueKB = lower(state.ValueKB, state.Next.ValueKB)
-		state.TxnOps = lower(state.TxnOps, state.Next.TxnOps)
+		state.WriteRPS = lowerLimit(state.WriteRPS, state.Next.WriteRPS)
+		state.ValueKB = lowerLimit(state.ValueKB, state.Next.ValueKB)
+		state.TxnOps = lowerLimit(state.TxnOps, state.Next.TxnOps)
 	}
-	if state.TxnOps < leastTxnOps || state.ValueKB < leastValueKB {
+	if state.TxnOps < minTxnOps || state.ValueKB < minValueKB {
 		return fieldErrorf("cluster.state",
 			"txn_ops below %d or value_kb below %d, now or next, is more than the records can be cut to",
-			leastTxnOps, leastValueKB)
+			minTxnOps, minValueKB)
 	}
-	s.Core.StoreRPS = state.RPS
-	s.Core.WriteRPS = state.WriteRPS
-	s.Core.ValueBytes = int(min(state.ValueKB, mostValueKB) * bytesPerKB)
-	s.Core.TxnOps = state.TxnOps
+	s.Controller.StoreRPS = state.RPS
+	s.Controller.WriteRPS = state.WriteRPS
+	s.Controller.MaxValueBytes = int(min(state.ValueKB, maxValueKB) * bytesPerKB)
+	s.Controller.MaxTxnOps = state.TxnOps
 	return nil
 }
 
 func checkNextState(next *nextStateTable) error {
-	if next.WriteRPS != nil && !positive(*next.WriteRPS) {
+	if next.WriteRPS != nil && !isPositive(*next.WriteRPS) {
 		return fieldErrorf("cluster.state.next.write_rps", "not above 0")
 	}
-	if next.ValueKB != nil && !positive(*next.ValueKB) {
+	if next.ValueKB != nil && !isPositive(*next.ValueKB) {
 		return fieldErrorf("cluster.state.next.value_kb", "not above 0")
 	}
 	if next.TxnOps != nil && *next.TxnOps <= 0 {
@@ -168,7 +168,7 @@
 }
 
 // lower is the lower of a present limit and one to come, if there is one.
-func lower[T int | float64](now T, next *T) T {
+func lowerLimit[T int | float64](now T, next *T) T {
 	if next == nil {
 		return now
 	}
@@ -177,11 +177,11 @@
 
 func (s *Settings) readCloudLimits(file *platformFile) error {
 	cloud := file.Cluster.Cloud
-	if cloud.ListLagS < 0 {
+	if cloud.ListLagSeconds < 0 {
 		return fieldErrorf("cluster.cloud.list_lag_s", "below 0")
 	}
-	s.Core.CloudRPS = cloud.RPS
-	s.Core.ListLag = seconds(cloud.ListLagS)
+	s.Controller.CloudRPS = cloud.RPS
+	s.Controller.CloudListLag = seconds(cloud.ListLagSeconds)
 	return nil
 }
 
@@ -208,63 +208,63 @@
 				return err
 			}
 		}
-		team := teamOf(table)
-		if team.Limit.CPU < team.Guarantee.CPU || team.Limit.GPU < team.Guarantee.GPU {
+		team := newTeam(table)
+		if team.QuotaLimit.CPU < team.GuaranteedQuota.CPU || team.QuotaLimit.GPU < team.GuaranteedQuota.GPU {
 			s.warnf("cluster.teams: %s is guaranteed more than its limit; the limit holds", team.Name)
 		}
-		s.Core.Teams = append(s.Core.Teams, team)
+		s.Controller.Teams = append(s.Controller.Teams, team)
 	}
 	return nil
 }
 
-func teamOf(table teamTable) core.Team {
+func newTeam(table teamTable) core.Team {
 	return core.Team{
-		Name:      table.Name,
-		Guarantee: core.Res{CPU: core.FloorAmount(table.CPUs), GPU: core.FloorAmount(table.GPUs)},
-		Limit:     core.Res{CPU: limitOf(table.CPUsMax), GPU: limitOf(table.GPUsMax)},
+		Name:            table.Name,
+		GuaranteedQuota: core.Resources{CPU: core.FloorAmount(table.CPUs), GPU: core.FloorAmount(table.GPUs)},
+		QuotaLimit:      core.Resources{CPU: quotaLimit(table.CPUsMax), GPU: quotaLimit(table.GPUsMax)},
 	}
 }
 
 // limitOf reads a team's limit, where 0 means none: the team may use all there
 // is. Read as nothing at all, every job of such a team would get 422.
-func limitOf(most float64) core.Amount {
+func quotaLimit(most float64) core.Amount {
 	if most == 0 {
 		return core.NoLimit
 	}
 	return core.FloorAmount(most)
 }
 
-func (s *Settings) readObjectives(file *platformFile) error {
-	for _, table := range file.Cluster.Objectives {
-		s.Core.Objectives = append(s.Core.Objectives, core.Objective(table))
+func (s *Settings) readSLOs(file *platformFile) error {
+	for _, table := range file.Cluster.SLOs {
+		s.Controller.SLOs = append(s.Controller.SLOs, core.SLO(table))
 	}
 	return nil
 }
 
 func (s *Settings) readWorkerTimes(file *platformFile) error {
 	workers := file.Cluster.Workers
-	s.Core.ReportEvery = seconds(workers.ReportS)
-	s.Core.Lease = seconds(workers.LeaseS)
-	s.Core.CancelWithin = seconds(workers.CancelS)
-	bound := entitlement.Bound(s.Core.CancelWithin, s.Core.Lease)
-	if bound >= entitlement.Least {
+	s.Controller.HeartbeatInterval = seconds(workers.HeartbeatSeconds)
+	s.Controller.WorkerLease = seconds(workers.LeaseSeconds)
+	s.Controller.CancelDeadline = seconds(workers.CancelSeconds)
+	bound := entitlement.AnswerWindow(s.Controller.CancelDeadline, s.Controller.WorkerLease)
+	if bound >= entitlement.MinAnswerWindow {
 		return nil
 	}
 	// The entitlement grows by a little less than a second for each second of
 	// cancel_s, so somewhat more than what is missing is needed.
 	const margin = 1.01
-	missing := float64(entitlement.Least-bound) / nanosPerSecond
-	enough := math.Ceil(workers.CancelS + missing*margin)
+	missing := float64(entitlement.MinAnswerWindow-bound) / nanosPerSecond
+	enough := math.Ceil(workers.CancelSeconds + missing*margin)
 	s.warnf("cluster.workers: with lease_s %g a cancel_s of %g leaves a cut-off controller %.2f s to notice that it was succeeded, of %g that it needs; "+
 		"in an outage of the state service a cancelled task may run on past cancel_s. A cancel_s of %g would do",
-		workers.LeaseS, workers.CancelS, float64(bound)/nanosPerSecond, float64(entitlement.Least)/nanosPerSecond, enough)
+		workers.LeaseSeconds, workers.CancelSeconds, float64(bound)/nanosPerSecond, float64(entitlement.MinAnswerWindow)/nanosPerSecond, enough)
 	return nil
 }
 
 func (s *Settings) checkMachineLimits(*platformFile) error {
-	if s.Connections > 0 && s.Connections < fewConnections {
-		plan := sockets.MakePlan(s.Connections, len(s.Peers))
-		s.warnf("cluster.machine_limits.max_connections: %d serves about %d workers and users at once", s.Connections, plan.Front)
+	if s.MaxConnections > 0 && s.MaxConnections < connectionWarningThreshold {
+		plan := sockets.NewBudget(s.MaxConnections, len(s.PeerAddresses))
+		s.warnf("cluster.machine_limits.max_connections: %d serves about %d workers and users at once", s.MaxConnections, plan.Inbound)
 	}
 	return nil
 }
--- a/internal/settings/platformfile.go
+++ b/internal/settings/platformfile.go
@@ -11,7 +11,7 @@
 // platformFile is the platform's TOML file. Fields that it does not name are
 // ignored: the platform may add some.
 type platformFile struct {
-	Host     string        `toml:"host_name"`
+	HostName string        `toml:"host_name"`
 	Domain   string        `toml:"domain"`
 	Listen   string        `toml:"listen"`
 	Back     string        `toml:"back"`
@@ -21,7 +21,7 @@
 }
 
 type peerTable struct {
-	Host     string `toml:"host_name"`
+	HostName string `toml:"host_name"`
 	Endpoint string `toml:"endpoint"`
 }
 
@@ -31,13 +31,13 @@
 }
 
 type clusterTable struct {
-	Count      int              `toml:"count"`
-	Teams      []teamTable      `toml:"teams"`
-	Objectives []objectiveTable `toml:"objectives"`
-	Workers    workersTable     `toml:"workers"`
-	State      stateTable       `toml:"state"`
-	Cloud      cloudTable       `toml:"cloud"`
-	Limits     limitsTable      `toml:"machine_limits"`
+	Count   int          `toml:"count"`
+	Teams   []teamTable  `toml:"teams"`
+	SLOs    []sloTable   `toml:"objectives"`
+	Workers workersTable `toml:"workers"`
+	State   stateTable   `toml:"state"`
+	Cloud   cloudTable   `toml:"cloud"`
+	Limits  limitsTable  `toml:"machine_limits"`
 }
 
 type teamTable struct {
@@ -48,17 +48,17 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-type objectiveTable struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Times   float64 `toml:"times"`
+type sloTable struct {
+	Kind           string  `toml:"kind"`
+	Class          string  `toml:"class"`
+	WithinSeconds  float64 `toml:"within_s"`
+	DeadlineFactor float64 `toml:"times"`
 }
 
 type workersTable struct {
-	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
-	CancelS float64 `toml:"cancel_s"`
+	HeartbeatSeconds float64 `toml:"report_s"`
+	LeaseSeconds     float64 `toml:"lease_s"`
+	CancelSeconds    float64 `toml:"cancel_s"`
 }
 
 type stateTable struct {
@@ -77,14 +77,14 @@
 }
 
 type cloudTable struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RPS            float64 `toml:"rps"`
+	ListLagSeconds float64 `toml:"list_lag_s"`
 }
 
 type limitsTable struct {
-	MemoryMB    float64 `toml:"mem_mb"`
-	Connections int     `toml:"max_connections"`
-	CoreShare   float64 `toml:"core_share"`
+	MemoryMB       float64 `toml:"mem_mb"`
+	MaxConnections int     `toml:"max_connections"`
+	CPUShare       float64 `toml:"core_share"`
 }
 
 // decodePlatform reads the file's text; its errors name line and field.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,19 +12,19 @@
 // Settings is all that the program is started with.
 type Settings struct {
 	// Listen is the address for users and workers, Back the one for the other controllers.
-	Listen, Back string
+	ListenAddress, PeerListenAddress string
 	// Cloud and State are the addresses of the cloud's interface and of the state service.
-	Cloud, State string
+	CloudAddress, StoreAddress string
 	// Peers holds the address of every other controller.
-	Peers map[core.NodeID]string
+	PeerAddresses map[core.NodeID]string
 	// MemoryMB is the memory that the process may use; 0: not limited.
 	MemoryMB float64
 	// Connections is the number of sockets that the process may have; 0: not limited.
-	Connections int
+	MaxConnections int
 	// CoreShare is the share of a processor core that the process may use; 0: not limited.
-	CoreShare float64
+	CPUShare float64
 	// Core configures the scheduler's core.
-	Core core.Config
+	Controller core.Config
 	// Warnings describes settings that are served although they look wrong.
 	Warnings []string
 }
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings %s: %w", platformPath, err)
 	}
-	settings.Core.Tuning = core.DefaultTuning()
+	settings.Controller.Tuning = core.DefaultTuning()
 	if operatorsPath == "" {
 		return settings, nil
 	}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("operators' settings: %w", err)
 	}
-	if err := applyOperators(&settings.Core.Tuning, text); err != nil {
+	if err := applyOperators(&settings.Controller.Tuning, text); err != nil {
 		return nil, fmt.Errorf("operators' settings %s: %w", operatorsPath, err)
 	}
 	return settings, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/core"
 )
 
-const good = `
+const validPlatformText = `
 host_name = "n0"
 domain = "a"
 listen = "127.0.0.1:1"
@@ -42,7 +42,7 @@
 list_lag_s = 3.0
 `
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	p := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
@@ -52,9 +52,9 @@
 }
 
 // load reads settings that have to be accepted.
-func load(t *testing.T, text string) *Settings {
+func mustLoad(t *testing.T, text string) *Settings {
 	t.Helper()
-	s, err := Load(write(t, "s.toml", text), "")
+	s, err := Load(writeFile(t, "s.toml", text), "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,23 +62,23 @@
 }
 
 func TestLoad(t *testing.T) {
-	s := load(t, good)
-	if s.Core.Self != "n0" || len(s.Core.Nodes) != 2 || s.Peers["n1"] != "127.0.0.1:3" || s.Core.ValueBytes != 4096 {
+	s := mustLoad(t, validPlatformText)
+	if s.Controller.Self != "n0" || len(s.Controller.Nodes) != 2 || s.PeerAddresses["n1"] != "127.0.0.1:3" || s.Controller.MaxValueBytes != 4096 {
 		t.Errorf("read %+v", s)
 	}
-	if s.Core.Teams[0].Limit.CPU != 8_500_000 || s.Core.Lease != core.Time(12*time.Second) {
-		t.Errorf("read %+v", s.Core)
+	if s.Controller.Teams[0].QuotaLimit.CPU != 8_500_000 || s.Controller.WorkerLease != core.Time(12*time.Second) {
+		t.Errorf("read %+v", s.Controller)
 	}
 	if len(s.Warnings) != 0 {
 		t.Errorf("called odd: %v", s.Warnings)
 	}
-	if s.Core.Tuning != core.DefaultTuning() {
-		t.Errorf("defaults changed: %+v", s.Core.Tuning)
+	if s.Controller.Tuning != core.DefaultTuning() {
+		t.Errorf("defaults changed: %+v", s.Controller.Tuning)
 	}
 }
 
 func TestGuaranteeAboveLimit(t *testing.T) {
-	s := load(t, strings.Replace(good, "cpus = 4.0", "cpus = 9.0", 1))
+	s := mustLoad(t, strings.Replace(validPlatformText, "cpus = 4.0", "cpus = 9.0", 1))
 	if len(s.Warnings) != 1 || !strings.Contains(s.Warnings[0], "red") {
 		t.Errorf("warnings: %v", s.Warnings)
 	}
@@ -87,24 +87,24 @@
 // TestTeamWithoutFigures: a team that states neither figure is guaranteed
 // nothing and limited by nothing; nor is that odd. Taken for a limit of 0, all
 // its jobs got 422.
-func TestTeamWithoutFigures(t *testing.T) {
-	s := load(t, strings.Replace(good, "cpus = 4.0\ncpus_max = 8.5\n", "", 1))
-	team := s.Core.Teams[0]
-	if len(s.Warnings) != 0 || team.Guarantee.CPU != 0 || team.Limit.CPU != core.NoLimit || team.Limit.GPU != core.NoLimit {
+func TestTeamWithoutAmounts(t *testing.T) {
+	s := mustLoad(t, strings.Replace(validPlatformText, "cpus = 4.0\ncpus_max = 8.5\n", "", 1))
+	team := s.Controller.Teams[0]
+	if len(s.Warnings) != 0 || team.GuaranteedQuota.CPU != 0 || team.QuotaLimit.CPU != core.NoLimit || team.QuotaLimit.GPU != core.NoLimit {
 		t.Errorf("read %+v with warnings %v", team, s.Warnings)
 	}
 }
 
 func TestMachineLimits(t *testing.T) {
-	limits := good + "\n[cluster.machine_limits]\ncore_share = 0.18\nmax_connections = "
-	s := load(t, limits+"200\n")
-	if s.CoreShare != 0.18 || s.Connections != 200 {
+	limits := validPlatformText + "\n[cluster.machine_limits]\ncore_share = 0.18\nmax_connections = "
+	s := mustLoad(t, limits+"200\n")
+	if s.CPUShare != 0.18 || s.MaxConnections != 200 {
 		t.Errorf("read %+v", s)
 	}
 	if len(s.Warnings) != 1 || !strings.Contains(s.Warnings[0], "max_connections") {
 		t.Errorf("warnings: %v", s.Warnings)
 	}
-	if _, err := Load(write(t, "s.toml", limits+"-1\n"), ""); err == nil || !strings.Contains(err.Error(), "max_connections") {
+	if _, err := Load(writeFile(t, "s.toml", limits+"-1\n"), ""); err == nil || !strings.Contains(err.Error(), "max_connections") {
 		t.Errorf("sockets below 0: %v", err)
 	}
 }
@@ -113,11 +113,11 @@
 // certain of its part: 12 + 2 + 4 s and 0.1% of both are not there with 18, and
 // are with 19.
 func TestCancelWithin(t *testing.T) {
-	short := load(t, strings.Replace(good, "cancel_s = 37.0", "cancel_s = 18.0", 1))
+	short := mustLoad(t, strings.Replace(validPlatformText, "cancel_s = 37.0", "cancel_s = 18.0", 1))
 	if len(short.Warnings) != 1 || !strings.Contains(short.Warnings[0], "3.97 s") || !strings.HasSuffix(short.Warnings[0], "A cancel_s of 19 would do") {
 		t.Errorf("cancel_s 18 with lease_s 12: %v", short.Warnings)
 	}
-	enough := load(t, strings.Replace(good, "cancel_s = 37.0", "cancel_s = 19.0", 1))
+	enough := mustLoad(t, strings.Replace(validPlatformText, "cancel_s = 37.0", "cancel_s = 19.0", 1))
 	if len(enough.Warnings) != 0 {
 		t.Errorf("cancel_s 19 with lease_s 12: %v", enough.Warnings)
 	}
@@ -145,7 +145,7 @@
 		"huge memory":  {"[cluster]", "[cluster.machine_limits]\nmem_mb = -1.0\n[cluster]", "cluster.machine_limits.mem_mb"},
 		"no sockets":   {"[cluster]", "[cluster.machine_limits]\nmax_connections = -5\n[cluster]", "cluster.machine_limits.max_connections"},
 	} {
-		p := write(t, "s.toml", strings.Replace(good, c.from, c.to, 1))
+		p := writeFile(t, "s.toml", strings.Replace(validPlatformText, c.from, c.to, 1))
 		_, err := Load(p, "")
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), p) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
@@ -157,14 +157,14 @@
 }
 
 func TestOperatorsFile(t *testing.T) {
-	p := write(t, "s.toml", good)
-	s, err := Load(p, write(t, "o.json", `{"checkpoint_s": 3, "probes": 7, "spare_share": 0, "begin_within_s": 90}`))
+	p := writeFile(t, "s.toml", validPlatformText)
+	s, err := Load(p, writeFile(t, "o.json", `{"checkpoint_s": 3, "probes": 7, "spare_share": 0, "begin_within_s": 90}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Core.Tuning.Checkpoint != core.Time(3*time.Second) || s.Core.Tuning.Probes != 7 || s.Core.Tuning.SpareShare != 0 ||
-		s.Core.Tuning.BeginWithin != core.Time(90*time.Second) {
-		t.Errorf("read %+v", s.Core.Tuning)
+	if s.Controller.Tuning.CheckpointInterval != core.Time(3*time.Second) || s.Controller.Tuning.ProbeCount != 7 || s.Controller.Tuning.SpareCapacityShare != 0 ||
+		s.Controller.Tuning.FirstTaskTarget != core.Time(90*time.Second) {
+		t.Errorf("read %+v", s.Controller.Tuning)
 	}
 	for text, want := range map[string]string{
 		`{"checkpoint_s": 0}`:     "/checkpoint_s",
@@ -176,7 +176,7 @@
 		`{"budget_share": 1.5}`:   "/budget_share",
 		`{"boot_patience": null}`: "/boot_patience",
 	} {
-		_, err := Load(p, write(t, "o.json", text))
+		_, err := Load(p, writeFile(t, "o.json", text))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "o.json") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", text, err)
 		}
@@ -186,7 +186,7 @@
 // TestLimitsToCome: values and transactions keep under the lower of the present
 // limits and those of state.next, which come into force without notice; of the
 // write rate both are known.
-func TestLimitsToCome(t *testing.T) {
+func TestNextStateLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		next  string
 		rate  float64
@@ -200,18 +200,18 @@
 		"each by itself": {"[cluster.state.next]\nwrite_rps = 80.0\nvalue_kb = 2.0\ntxn_ops = 12\n", 25, 2048, 12},
 		"only one":       {"[cluster.state.next]\ntxn_ops = 4\n", 25, 4096, 4},
 	} {
-		s, err := Load(write(t, "s.toml", good+c.next), "")
+		s, err := Load(writeFile(t, "s.toml", validPlatformText+c.next), "")
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if k := s.Core; k.PresentWriteRPS != 25 || k.WriteRPS != c.rate || k.ValueBytes != c.bytes || k.TxnOps != c.ops || k.StoreRPS != 150 {
-			t.Errorf("%s: %v changes a second, %v later, %d bytes, %d a transaction", name, k.PresentWriteRPS, k.WriteRPS, k.ValueBytes, k.TxnOps)
+		if k := s.Controller; k.CurrentWriteRPS != 25 || k.WriteRPS != c.rate || k.MaxValueBytes != c.bytes || k.MaxTxnOps != c.ops || k.StoreRPS != 150 {
+			t.Errorf("%s: %v changes a second, %v later, %d bytes, %d a transaction", name, k.CurrentWriteRPS, k.WriteRPS, k.MaxValueBytes, k.MaxTxnOps)
 		}
 	}
 	for field, values := range map[string][]string{"write_rps": {"0.0", "-1.0", "nan", "inf"}, "value_kb": {"0.0", "-4.0", "nan", "1.5"}, "txn_ops": {"0", "-1", "3", "2.5"}} {
 		for _, v := range values {
-			p := write(t, "s.toml", good+"[cluster.state.next]\n"+field+" = "+v+"\n")
+			p := writeFile(t, "s.toml", validPlatformText+"[cluster.state.next]\n"+field+" = "+v+"\n")
 			_, err := Load(p, "")
 			if err == nil || !strings.Contains(err.Error(), field) || !strings.Contains(err.Error(), p) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%s = %s: %v", field, v, err)
--- a/internal/sharing/plan.go
+++ b/internal/sharing/plan.go
@@ -8,47 +8,47 @@
 )
 
 // yieldMargin: a part keeps what is one part in this many beyond its target.
-const yieldMargin = 6
+const rebalanceMargin = 6
 
 // Plan is the division of all machines that there are.
 type Plan struct {
 	Loads Snapshot
 	// Targets is what each part should have.
-	Targets map[model.Part]model.Amount
+	Targets map[model.ShardID]model.Amount
 	// Lack is what parts have less than their targets, in all.
-	Lack model.Amount
+	TotalShortfall model.Amount
 }
 
 // NewPlan divides the machines of a snapshot.
 func NewPlan(loads Snapshot) *Plan {
-	p := &Plan{Loads: loads, Targets: targets(loads)}
+	p := &Plan{Loads: loads, Targets: computeTargets(loads)}
 	for part := range loads {
-		p.Lack += p.shortfall(part)
+		p.TotalShortfall += p.shortfall(part)
 	}
 	return p
 }
 
 // targets divides all the machines there are: more important work first, and
 // within a priority the least served part first.
-func targets(loads Snapshot) map[model.Part]model.Amount {
-	parts, rest := make([]model.Part, 0, len(loads)), model.Amount(0)
+func computeTargets(loads Snapshot) map[model.ShardID]model.Amount {
+	parts, rest := make([]model.ShardID, 0, len(loads)), model.Amount(0)
 	for part, load := range loads {
 		parts = append(parts, part)
-		rest += load.Have
+		rest += load.Available
 	}
 	slices.Sort(parts)
-	out := make(map[model.Part]model.Amount, len(parts))
+	out := make(map[model.ShardID]model.Amount, len(parts))
 	for priority := model.Production; priority >= model.BestEffort; priority-- {
-		rest = loads.serve(parts, priority, rest, out)
+		rest = loads.allocate(parts, priority, rest, out)
 	}
 	return out
 }
 
 // serve gives each part what its work of a priority could use, of at most rest
 // evenly where that is not enough. It adds to given and returns what is left.
-func (s Snapshot) serve(parts []model.Part, priority model.Priority, rest model.Amount, given map[model.Part]model.Amount) model.Amount {
+func (s Snapshot) allocate(parts []model.ShardID, priority model.Priority, rest model.Amount, given map[model.ShardID]model.Amount) model.Amount {
 	open := slices.Clone(parts)
-	slices.SortStableFunc(open, func(a, b model.Part) int {
+	slices.SortStableFunc(open, func(a, b model.ShardID) int {
 		return cmp.Compare(s[a].Demand[priority], s[b].Demand[priority])
 	})
 	for i, part := range open {
@@ -61,8 +61,8 @@
 }
 
 // shortfall is how much less than its target a part has; 0: it has enough.
-func (p *Plan) shortfall(part model.Part) model.Amount {
-	return max(p.Targets[part]-p.Loads[part].Have, 0)
+func (p *Plan) shortfall(part model.ShardID) model.Amount {
+	return max(p.Targets[part]-p.Loads[part].Available, 0)
 }
 
 // Spare is what a part should give up; zero or less: nothing.
@@ -70,23 +70,23 @@
 // Between parts that all lack machines needs change every second; what moves
 // for that runs empty first and fetches its images anew. Only what goes beyond
 // a margin is worth it, and no more than others lack.
-func (p *Plan) Spare(part model.Part) model.Amount {
-	if p.Lack <= 0 {
+func (p *Plan) Spare(part model.ShardID) model.Amount {
+	if p.TotalShortfall <= 0 {
 		return 0
 	}
 	target := p.Targets[part]
-	return min(p.Loads[part].Have-target-target/yieldMargin, p.Lack)
+	return min(p.Loads[part].Available-target-target/rebalanceMargin, p.TotalShortfall)
 }
 
 // Shortfall says how much less than its target a part has.
 type Shortfall struct {
-	Part   model.Part
+	Shard  model.ShardID
 	Amount model.Amount
 }
 
 // Recipients lists the parts that lack machines which the giver could offer
 // them, the neediest first.
-func (p *Plan) Recipients(giver model.Part) []Shortfall {
+func (p *Plan) Recipients(giver model.ShardID) []Shortfall {
 	out := make([]Shortfall, 0, len(p.Loads))
 	for part := range p.Loads {
 		if amount := p.shortfall(part); part != giver && amount > 0 {
@@ -97,14 +97,14 @@
 		if a.Amount != b.Amount {
 			return cmp.Compare(b.Amount, a.Amount)
 		}
-		return int(a.Part) - int(b.Part)
+		return int(a.Shard) - int(b.Shard)
 	})
 	return out
 }
 
 // LackPriority is the highest priority of work in parts other than the giver
 // that lack machines; BestEffort if there is none.
-func (p *Plan) LackPriority(giver model.Part) model.Priority {
+func (p *Plan) ShortfallPriority(giver model.ShardID) model.Priority {
 	top := model.BestEffort
 	for part, load := range p.Loads {
 		if part == giver || p.shortfall(part) == 0 {
--- a/internal/sharing/sharing_test.go
+++ b/internal/sharing/sharing_test.go
@@ -8,8 +8,8 @@
 )
 
 // load is a part's with CPUs in use or free, and demand by priority.
-func load(have, coming model.Amount, demand ...model.Amount) PartLoad {
-	l := PartLoad{Have: have * cpu, Coming: coming * cpu}
+func load(have, coming model.Amount, demand ...model.Amount) ShardLoad {
+	l := ShardLoad{Available: have * cpu, Booting: coming * cpu}
 	for priority, amount := range demand {
 		l.Demand[priority] = amount * cpu
 	}
@@ -17,8 +17,8 @@
 }
 
 // cpus turns a map of CPUs into one of Amounts.
-func cpus(of map[model.Part]model.Amount) map[model.Part]model.Amount {
-	out := map[model.Part]model.Amount{}
+func cpus(of map[model.ShardID]model.Amount) map[model.ShardID]model.Amount {
+	out := map[model.ShardID]model.Amount{}
 	for part, amount := range of {
 		out[part] = amount * cpu
 	}
@@ -28,7 +28,7 @@
 // TestTargets: more important work is served first, and within a priority the
 // part that needs least, evenly where there is too little.
 func TestTargets(t *testing.T) {
-	type amounts = map[model.Part]model.Amount
+	type amounts = map[model.ShardID]model.Amount
 	for _, x := range []struct {
 		name  string
 		loads Snapshot
@@ -51,7 +51,7 @@
 // millionth that can't be divided evenly.
 func TestTargetsAgree(t *testing.T) {
 	const third = 100 * cpu / 3
-	want := map[model.Part]model.Amount{0: third, 1: third, 2: third + 1}
+	want := map[model.ShardID]model.Amount{0: third, 1: third, 2: third + 1}
 	for range 100 { // a map's order differs each time
 		plan := NewPlan(Snapshot{0: load(100, 0, 0, 80), 1: load(0, 0, 0, 80), 2: load(0, 0, 0, 80)})
 		if !reflect.DeepEqual(plan.Targets, want) {
@@ -96,8 +96,8 @@
 	if got := plan.Recipients(2); !reflect.DeepEqual(got, want[1:]) {
 		t.Errorf("beside part 2: %v, want %v", got, want[1:])
 	}
-	if plan.Lack != 50*cpu {
-		t.Errorf("in all %d are lacking", plan.Lack)
+	if plan.TotalShortfall != 50*cpu {
+		t.Errorf("in all %d are lacking", plan.TotalShortfall)
 	}
 }
 
@@ -114,7 +114,7 @@
 		{"own work doesn't count", Snapshot{0: load(0, 0, 0, 0, 0, 50), 1: load(0, 0, 0, 5), 2: load(90, 0)}, model.Normal},
 		{"one that has enough doesn't count", Snapshot{0: load(100, 0), 1: load(50, 0, 0, 0, 0, 50), 2: load(0, 0, 5)}, model.BestEffort},
 	} {
-		if got := NewPlan(x.loads).LackPriority(0); got != x.want {
+		if got := NewPlan(x.loads).ShortfallPriority(0); got != x.want {
 			t.Errorf("%s: %d, want %d", x.name, got, x.want)
 		}
 	}
@@ -136,10 +136,10 @@
 		{"it lacks, and has more than 16 less", Snapshot{0: load(20, 7, 0, 90), 1: load(5, 5, 0, 11)}, true, false},
 		{"this one is not known", Snapshot{1: load(10, 0, 0, 11)}, true, true},
 	} {
-		if got := x.loads.OthersLack(0); got != x.othersLack {
+		if got := x.loads.OthersHaveShortfall(0); got != x.othersLack {
 			t.Errorf("%s: others lack machines: %v", x.name, got)
 		}
-		if got := x.loads.RentsFirst(0); got != x.rentsFirst0 {
+		if got := x.loads.CanScaleOutFirst(0); got != x.rentsFirst0 {
 			t.Errorf("%s: rents first: %v", x.name, got)
 		}
 	}
@@ -148,8 +148,8 @@
 // TestSurplus: the need, its share of spare room and 8 CPUs are kept.
 func TestSurplus(t *testing.T) {
 	l := load(100, 50, 10, 20, 5, 5)
-	if l.Need() != 40*cpu {
-		t.Errorf("the need is %d", l.Need())
+	if l.TotalDemand() != 40*cpu {
+		t.Errorf("the need is %d", l.TotalDemand())
 	}
 	if got := l.Surplus(0.5); got != 32*cpu {
 		t.Errorf("of 100 CPUs at a need of 40 and half of that spare, %d are over", got)
--- a/internal/sockets/plan.go
+++ b/internal/sockets/budget.go
@@ -6,29 +6,29 @@
 
 const (
 	// ownSockets is what the state service, the cloud and the listeners may need at once.
-	ownSockets = 16
+	reservedSockets = 16
 	// socketsPerPeer is what each other controller may need at once.
 	socketsPerPeer = 8
 	// leastShared is what a plan divides even of too few sockets.
-	leastShared = 8
+	minSharedSockets = 8
 	// callDivisor is the part of the shared sockets that calls to workers get
 	// twice, in use and idle. An eighth left 900 workers of 1,200 sockets no room.
 	callDivisor = 10
-	leastCalls  = 2
+	minCalls    = 2
 )
 
 // Plan says how many sockets each use gets; 0: no limit is known.
-type Plan struct {
-	Calls int // to workers at once; as many idle connections are kept for them
-	Front int // connections of workers and users
+type Budget struct {
+	Calls   int // to workers at once; as many idle connections are kept for them
+	Inbound int // connections of workers and users
 }
 
 // MakePlan divides the sockets that a process may have; 0: no limit is known.
-func MakePlan(sockets, peers int) Plan {
+func NewBudget(sockets, peers int) Budget {
 	if sockets <= 0 {
-		return Plan{}
+		return Budget{}
 	}
-	shared := max(sockets-ownSockets-socketsPerPeer*peers, leastShared)
-	calls := max(shared/callDivisor, leastCalls)
-	return Plan{Calls: calls, Front: shared - 2*calls}
+	shared := max(sockets-reservedSockets-socketsPerPeer*peers, minSharedSockets)
+	calls := max(shared/callDivisor, minCalls)
+	return Budget{Calls: calls, Inbound: shared - 2*calls}
 }
--- a/internal/sockets/slots.go
+++ b/internal/sockets/calllimiter.go
@@ -7,76 +7,76 @@
 
 const (
 	// silentDivisor is the part of the slots that silent places get.
-	silentDivisor = 4
+	unresponsiveDivisor = 4
 	// maxSilent bounds the places that are remembered as silent. Most of so many
 	// are machines that are long gone.
-	maxSilent = 1 << 14
+	maxUnresponsive = 1 << 14
 )
 
 // Slots bounds calls that run at once. Those to places that did not answer
 // last time have a quarter of their own, so that many silent machines never
 // hold up calls to the others.
-type Slots struct {
-	answering slotPool
-	silent    slotPool
-	mu        sync.Mutex
-	isSilent  map[string]bool
+type CallLimiter struct {
+	responsive            semaphore
+	unresponsive          semaphore
+	mu                    sync.Mutex
+	unresponsiveAddresses map[string]bool
 }
 
 // slotPool holds an element for each slot that is taken; nil: without limit.
-type slotPool chan struct{}
+type semaphore chan struct{}
 
 // NewSlots makes slots for so many calls at once; 0: without limit.
-func NewSlots(calls int) *Slots {
-	s := &Slots{isSilent: map[string]bool{}}
+func NewCallLimiter(calls int) *CallLimiter {
+	s := &CallLimiter{unresponsiveAddresses: map[string]bool{}}
 	if calls > 0 {
-		silent := calls / silentDivisor
-		s.silent = make(slotPool, max(silent, 1))
-		s.answering = make(slotPool, max(calls-silent, 1))
+		silent := calls / unresponsiveDivisor
+		s.unresponsive = make(semaphore, max(silent, 1))
+		s.responsive = make(semaphore, max(calls-silent, 1))
 	}
 	return s
 }
 
 // Take waits for a slot for a call to a place, at most so long. The function
 // it returns gives the slot back and says whether the place answered.
-func (s *Slots) Take(addr string, wait time.Duration) (release func(answered bool), taken bool) {
-	pool := s.poolFor(addr)
-	if !pool.take(wait) {
+func (s *CallLimiter) Acquire(addr string, wait time.Duration) (release func(answered bool), taken bool) {
+	pool := s.semaphoreFor(addr)
+	if !pool.acquire(wait) {
 		return nil, false
 	}
 	release = func(answered bool) {
-		s.note(addr, answered)
+		s.recordResult(addr, answered)
 		pool.release()
 	}
 	return release, true
 }
 
-func (s *Slots) poolFor(addr string) slotPool {
+func (s *CallLimiter) semaphoreFor(addr string) semaphore {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isSilent[addr] {
-		return s.silent
+	if s.unresponsiveAddresses[addr] {
+		return s.unresponsive
 	}
-	return s.answering
+	return s.responsive
 }
 
 // note remembers whether a place answered. When too many are silent all are
 // forgotten; those that still are will be found again.
-func (s *Slots) note(addr string, answered bool) {
+func (s *CallLimiter) recordResult(addr string, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if answered {
-		delete(s.isSilent, addr)
+		delete(s.unresponsiveAddresses, addr)
 		return
 	}
-	if len(s.isSilent) >= maxSilent {
-		clear(s.isSilent)
+	if len(s.unresponsiveAddresses) >= maxUnresponsive {
+		clear(s.unresponsiveAddresses)
 	}
-	s.isSilent[addr] = true
+	s.unresponsiveAddresses[addr] = true
 }
 
 // take waits for a slot, at most so long.
-func (p slotPool) take(wait time.Duration) bool {
+func (p semaphore) acquire(wait time.Duration) bool {
 	if p == nil {
 		return true
 	}
@@ -95,7 +95,7 @@
 	}
 }
 
-func (p slotPool) release() {
+func (p semaphore) release() {
 	if p != nil {
 		<-p
 	}
--- a/internal/sockets/front.go
+++ b/internal/sockets/connectionlimiter.go
@@ -18,9 +18,9 @@
 // The shares, in sixteenths of the limit, above which connections are closed
 // after each answer: first users', then workers' too.
 const (
-	sixteenths    = 16
-	usersClosed   = 14
-	workersClosed = 15
+	shareDenominator  = 16
+	closeUsersAbove   = 14
+	closeWorkersAbove = 15
 )
 
 // sharedFor is how long workers go on being told to close after a new connection
@@ -28,24 +28,24 @@
 // has one for the length of a report; kept again as soon as there is room, they
 // would fill it up within a report's interval. Short of that only those above
 // the share are closed: a connection for each report costs processor time.
-const sharedFor = time.Minute
+const closeWorkersDuration = time.Minute
 
 // Front counts the connections of workers and users, and has them closed when
 // there are too many: after an answer, or idle ones to make room for a new one.
-type Front struct {
-	limit int // 0: none
-	mu    sync.Mutex
-	open  map[net.Conn]*connection
+type ConnectionLimiter struct {
+	limit       int // 0: none
+	mu          sync.Mutex
+	connections map[net.Conn]*connection
 	// The idle connections, the longest idle first.
 	idleUsers, idleWorkers *list.List
 	// sharedUntil is when workers may keep their connections again.
-	sharedUntil time.Time
+	closeWorkersUntil time.Time
 }
 
 type connection struct {
 	net.Conn
-	role    role
-	idlePos *list.Element // in one of the lists of idle ones; nil: not there
+	role        role
+	idleElement *list.Element // in one of the lists of idle ones; nil: not there
 }
 
 // role says whose connection it is, as far as its requests have shown.
@@ -61,10 +61,10 @@
 type connectionKey struct{}
 
 // NewFront makes a Front for at most so many connections; 0: no limit.
-func NewFront(limit int) *Front {
-	return &Front{
+func NewConnectionLimiter(limit int) *ConnectionLimiter {
+	return &ConnectionLimiter{
 		limit:       limit,
-		open:        map[net.Conn]*connection{},
+		connections: map[net.Conn]*connection{},
 		idleUsers:   list.New(),
 		idleWorkers: list.New(),
 	}
@@ -73,7 +73,7 @@
 // Server makes a server whose connections are counted. A connection that says
 // nothing for idleTimeout is closed: that of a machine without power never ends
 // by itself.
-func (f *Front) Server(handler http.Handler, idleTimeout time.Duration) *http.Server {
+func (f *ConnectionLimiter) NewServer(handler http.Handler, idleTimeout time.Duration) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
@@ -86,42 +86,42 @@
 }
 
 // connContext puts a connection's entry into the context of its requests.
-func (f *Front) connContext(ctx context.Context, conn net.Conn) context.Context {
+func (f *ConnectionLimiter) connContext(ctx context.Context, conn net.Conn) context.Context {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return context.WithValue(ctx, connectionKey{}, f.entry(conn))
+	return context.WithValue(ctx, connectionKey{}, f.ensureConnection(conn))
 }
 
 // entry is a connection's entry, made if need be.
-func (f *Front) entry(conn net.Conn) *connection {
-	entry := f.open[conn]
+func (f *ConnectionLimiter) ensureConnection(conn net.Conn) *connection {
+	entry := f.connections[conn]
 	if entry == nil {
 		entry = &connection{Conn: conn}
-		f.open[conn] = entry
+		f.connections[conn] = entry
 	}
 	return entry
 }
 
 // connState follows a connection's states.
-func (f *Front) connState(conn net.Conn, state http.ConnState) {
+func (f *ConnectionLimiter) connState(conn net.Conn, state http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	entry := f.entry(conn)
+	entry := f.ensureConnection(conn)
 	f.removeIdle(entry)
 	switch state {
 	case http.StateNew:
-		f.makeRoom()
+		f.evictIdle()
 	case http.StateIdle:
-		if idle := f.idleOf(entry); idle != nil {
-			entry.idlePos = idle.PushBack(entry)
+		if idle := f.idleList(entry); idle != nil {
+			entry.idleElement = idle.PushBack(entry)
 		}
 	case http.StateClosed, http.StateHijacked:
-		delete(f.open, conn)
+		delete(f.connections, conn)
 	}
 }
 
 // idleOf is the list of idle connections of an entry's role; nil: none is kept.
-func (f *Front) idleOf(entry *connection) *list.List {
+func (f *ConnectionLimiter) idleList(entry *connection) *list.List {
 	switch entry.role {
 	case userRole:
 		return f.idleUsers
@@ -132,10 +132,10 @@
 	}
 }
 
-func (f *Front) removeIdle(entry *connection) {
-	if entry.idlePos != nil {
-		f.idleOf(entry).Remove(entry.idlePos)
-		entry.idlePos = nil
+func (f *ConnectionLimiter) removeIdle(entry *connection) {
+	if entry.idleElement != nil {
+		f.idleList(entry).Remove(entry.idleElement)
+		entry.idleElement = nil
 	}
 }
 
@@ -144,14 +144,14 @@
 // next report is farthest off. The server reports the close by connState; until
 // then the next new connection must not count on the same one, so it leaves the
 // list here.
-func (f *Front) makeRoom() {
-	if f.limit <= 0 || len(f.open) <= f.limit {
+func (f *ConnectionLimiter) evictIdle() {
+	if f.limit <= 0 || len(f.connections) <= f.limit {
 		return
 	}
 	idle := f.idleUsers.Front()
 	if idle == nil {
 		idle = f.idleWorkers.Back()
-		f.sharedUntil = time.Now().Add(sharedFor)
+		f.closeWorkersUntil = time.Now().Add(closeWorkersDuration)
 	}
 	if idle == nil {
 		return
@@ -163,19 +163,19 @@
 
 // Users marks the connections of those that handler serves as users'. While
 // most of the connections are taken they are told to close.
-func (f *Front) Users(handler http.Handler) http.Handler {
-	return f.marked(handler, f.markUser)
+func (f *ConnectionLimiter) UserMiddleware(handler http.Handler) http.Handler {
+	return f.middleware(handler, f.markUser)
 }
 
 // Workers marks the connections of those that handler serves as workers'. While
 // nearly all connections are taken, and for a while after there were too few, they are told to close.
-func (f *Front) Workers(handler http.Handler) http.Handler {
-	return f.marked(handler, f.markWorker)
+func (f *ConnectionLimiter) WorkerMiddleware(handler http.Handler) http.Handler {
+	return f.middleware(handler, f.markWorker)
 }
 
 // marked passes on the requests that handler serves, whose connections mark says
 // to close or not.
-func (f *Front) marked(handler http.Handler, mark func(*connection) (closes bool)) http.Handler {
+func (f *ConnectionLimiter) middleware(handler http.Handler, mark func(*connection) (closes bool)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if entry, ok := r.Context().Value(connectionKey{}).(*connection); ok && mark(entry) {
 			w.Header().Set("Connection", "close")
@@ -186,32 +186,32 @@
 
 // markUser notes that a connection is a user's; true when it should be closed
 // after the answer.
-func (f *Front) markUser(entry *connection) bool {
+func (f *ConnectionLimiter) markUser(entry *connection) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	entry.role = userRole
-	return f.above(usersClosed)
+	return f.isAboveShare(closeUsersAbove)
 }
 
 // markWorker does the same for a worker's.
-func (f *Front) markWorker(entry *connection) bool {
+func (f *ConnectionLimiter) markWorker(entry *connection) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	entry.role = workerRole
 	if f.limit <= 0 {
 		return false
 	}
-	return f.above(workersClosed) || time.Now().Before(f.sharedUntil)
+	return f.isAboveShare(closeWorkersAbove) || time.Now().Before(f.closeWorkersUntil)
 }
 
 // above tells whether more than a share of the connections is taken.
-func (f *Front) above(share int) bool {
-	return f.limit > 0 && len(f.open) > f.limit*share/sixteenths
+func (f *ConnectionLimiter) isAboveShare(share int) bool {
+	return f.limit > 0 && len(f.connections) > f.limit*share/shareDenominator
 }
 
 // Open is how many connections there are.
-func (f *Front) Open() int {
+func (f *ConnectionLimiter) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.open)
+	return len(f.connections)
 }
--- a/internal/sockets/many_workers_test.go
+++ b/internal/sockets/connectionlimiter_test.go
@@ -8,14 +8,14 @@
 )
 
 // serveWorkers serves workers' reports behind a Front, and returns its address.
-func serveWorkers(t *testing.T, f *Front) string {
+func serveWorkers(t *testing.T, f *ConnectionLimiter) string {
 	t.Helper()
 	report := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := f.Server(f.Workers(report), time.Minute)
+	server := f.NewServer(f.WorkerMiddleware(report), time.Minute)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
@@ -24,7 +24,7 @@
 // awaitClosed waits until the server has noticed the closing of all connections
 // but those that are kept: until then each counts, and on a busy machine the next
 // worker might be given another's place.
-func awaitClosed(t *testing.T, f *Front, connections []net.Conn) {
+func awaitClosed(t *testing.T, f *ConnectionLimiter, connections []net.Conn) {
 	t.Helper()
 	kept := 0
 	for _, c := range connections {
@@ -32,9 +32,9 @@
 			kept++
 		}
 	}
-	for end := time.Now().Add(5 * time.Second); f.Open() > kept; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); f.OpenConnections() > kept; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections are open, %d are kept", f.Open(), kept)
+			t.Fatalf("%d connections are open, %d are kept", f.OpenConnections(), kept)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 // until their leases ran out.
 func TestMoreWorkersThanConnections(t *testing.T) {
 	const limit, workers, rounds = 32, 128, 3
-	f := NewFront(limit)
+	f := NewConnectionLimiter(limit)
 	address := serveWorkers(t, f)
 	connections := make([]net.Conn, workers)
 	t.Cleanup(func() {
@@ -66,7 +66,7 @@
 				}
 				connections[i] = c
 			}
-			response, err := ask(t, connections[i], "/checkin")
+			response, err := sendRequest(t, connections[i], "/checkin")
 			if err != nil {
 				t.Fatalf("worker %d: %v", i, err)
 			}
@@ -75,7 +75,7 @@
 				connections[i] = nil
 				awaitClosed(t, f, connections)
 			}
-			mostOpen = max(mostOpen, f.Open())
+			mostOpen = max(mostOpen, f.OpenConnections())
 		}
 	}
 	// A connection counts until the server has noticed that it was closed.
@@ -91,20 +91,20 @@
 // room of a worker that has just had its answer. That of the one idle the longest
 // is about to be used: closed under its next report, it would cost the worker a
 // round through all controllers.
-func TestWorkerIdleShortestMakesRoom(t *testing.T) {
-	f := NewFront(2)
+func TestShortestIdleWorkerEvicted(t *testing.T) {
+	f := NewConnectionLimiter(2)
 	var idle []*connection
 	for range 2 {
 		near, far := net.Pipe()
 		t.Cleanup(func() { _ = far.Close() })
 		f.connState(near, http.StateNew)
-		f.open[near].role = workerRole
+		f.connections[near].role = workerRole
 		f.connState(near, http.StateIdle)
-		idle = append(idle, f.open[near])
+		idle = append(idle, f.connections[near])
 	}
 	added, _ := net.Pipe()
 	f.connState(added, http.StateNew)
-	if idle[0].idlePos == nil || idle[1].idlePos != nil {
-		t.Errorf("kept: the longest idle %v, the shortest %v", idle[0].idlePos != nil, idle[1].idlePos != nil)
+	if idle[0].idleElement == nil || idle[1].idleElement != nil {
+		t.Errorf("kept: the longest idle %v, the shortest %v", idle[0].idleElement != nil, idle[1].idleElement != nil)
 	}
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -12,7 +12,7 @@
 )
 
 // ask makes a request on a connection and returns the answer's headers.
-func ask(t *testing.T, c net.Conn, path string) (*http.Response, error) {
+func sendRequest(t *testing.T, c net.Conn, path string) (*http.Response, error) {
 	t.Helper()
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path)
@@ -22,17 +22,17 @@
 // A controller that is alone with all machines ran out of sockets: users'
 // kept connections took them, and workers and health checks were refused.
 // Idle connections of users make room, workers' are left alone.
-func TestUsersMakeRoomForWorkers(t *testing.T) {
-	f := NewFront(8)
+func TestIdleUsersEvictedForWorkers(t *testing.T) {
+	f := NewConnectionLimiter(8)
 	mux := http.NewServeMux()
 	answer := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) })
 	mux.Handle("/checkin", answer)
-	mux.Handle("/v2/", f.Users(answer))
+	mux.Handle("/v2/", f.UserMiddleware(answer))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := f.Server(mux, 500*time.Millisecond)
+	srv := f.NewServer(mux, 500*time.Millisecond)
 	go func() { _ = srv.Serve(l) }()
 	defer srv.Close()
 	dial := func() net.Conn {
@@ -46,14 +46,14 @@
 	var workers, users []net.Conn
 	for range 4 {
 		c := dial()
-		if _, err := ask(t, c, "/checkin"); err != nil {
+		if _, err := sendRequest(t, c, "/checkin"); err != nil {
 			t.Fatal(err)
 		}
 		workers = append(workers, c)
 	}
 	for i := range 3 {
 		c := dial()
-		r, err := ask(t, c, "/v2/x")
+		r, err := sendRequest(t, c, "/v2/x")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,82 +65,82 @@
 		awaitIdleUsers(t, f, i+1)
 		users = append(users, c)
 	}
-	r, err := ask(t, dial(), "/v2/x") // the eighth of eight
+	r, err := sendRequest(t, dial(), "/v2/x") // the eighth of eight
 	if err != nil || !r.Close {
 		t.Errorf("the last user was not told to close: %v", err)
 	}
 	for range 3 { // three workers too many, with the one above gone: two idle users go
 		c := dial()
-		if _, err := ask(t, c, "/checkin"); err != nil {
+		if _, err := sendRequest(t, c, "/checkin"); err != nil {
 			t.Errorf("a worker was kept out: %v", err)
 		}
 		workers = append(workers, c)
 	}
-	if _, err := ask(t, users[0], "/v2/x"); err == nil {
+	if _, err := sendRequest(t, users[0], "/v2/x"); err == nil {
 		t.Error("the user idle the longest still has its connection")
 	}
 	for i, c := range workers {
-		if _, err := ask(t, c, "/checkin"); err != nil {
+		if _, err := sendRequest(t, c, "/checkin"); err != nil {
 			t.Errorf("worker %d lost its connection: %v", i, err)
 		}
 	}
-	for end := time.Now().Add(5 * time.Second); f.Open() > 0; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); f.OpenConnections() > 0; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections that say nothing are still open", f.Open())
+			t.Fatalf("%d connections that say nothing are still open", f.OpenConnections())
 		}
 	}
 }
 
 // Calls to hundreds of silent machines must not hold up those to others.
-func TestSilentMachinesHoldNobodyUp(t *testing.T) {
-	s := NewSlots(4)
-	done, ok := s.Take("silent", time.Millisecond)
+func TestUnresponsiveMachinesDoNotBlockOthers(t *testing.T) {
+	s := NewCallLimiter(4)
+	done, ok := s.Acquire("silent", time.Millisecond)
 	if !ok {
 		t.Fatal("no slot at the start")
 	}
 	done(false)
-	if _, ok := s.Take("silent", time.Millisecond); !ok {
+	if _, ok := s.Acquire("silent", time.Millisecond); !ok {
 		t.Fatal("the silent one is never called again")
 	}
-	if _, ok := s.Take("silent", time.Millisecond); ok {
+	if _, ok := s.Acquire("silent", time.Millisecond); ok {
 		t.Error("a second call to silent places at once")
 	}
 	for i := range 3 {
-		if _, ok := s.Take(fmt.Sprint("good", i), time.Millisecond); !ok {
+		if _, ok := s.Acquire(fmt.Sprint("good", i), time.Millisecond); !ok {
 			t.Errorf("call %d to a place that answers was held up", i)
 		}
 	}
-	if _, ok := s.Take("good3", time.Millisecond); ok {
+	if _, ok := s.Acquire("good3", time.Millisecond); ok {
 		t.Error("more calls at once than allowed")
 	}
 }
 
-func TestPlan(t *testing.T) {
+func TestBudget(t *testing.T) {
 	for _, c := range []struct{ most, peers, workers int }{{3092, 2, 1884}, {4101, 4, 1827}} {
-		p := MakePlan(c.most, c.peers)
-		if p.Front < c.workers+300 || p.Calls < 300 || p.Front+2*p.Calls > c.most-30 {
+		p := NewBudget(c.most, c.peers)
+		if p.Inbound < c.workers+300 || p.Calls < 300 || p.Inbound+2*p.Calls > c.most-30 {
 			t.Errorf("%d sockets: %+v, too few for %d workers and some hundred users", c.most, p, c.workers)
 		}
 	}
 	// One of seven controllers with all 900 machines: they and all calls must fit.
-	if p := MakePlan(1200, 6); p.Front < 900 || 900+2*p.Calls > 1200-ownSockets-6*socketsPerPeer {
+	if p := NewBudget(1200, 6); p.Inbound < 900 || 900+2*p.Calls > 1200-reservedSockets-6*socketsPerPeer {
 		t.Errorf("1,200 sockets: %+v, too few for 900 workers", p)
 	}
-	if p := MakePlan(0, 2); p != (Plan{}) {
+	if p := NewBudget(0, 2); p != (Budget{}) {
 		t.Errorf("without a limit: %+v", p)
 	}
 }
 
 // Connections that come at once each get room of their own: the second must
 // not count on the one that is being closed for the first.
-func TestRoomForEach(t *testing.T) {
-	f := NewFront(2)
+func TestEvictsForEachNewConnection(t *testing.T) {
+	f := NewConnectionLimiter(2)
 	var far []net.Conn
 	for range 2 {
 		near, other := net.Pipe()
 		far = append(far, other)
 		f.connState(near, http.StateNew)
-		f.open[near].role = userRole
+		f.connections[near].role = userRole
 		f.connState(near, http.StateIdle)
 	}
 	for range 2 {
@@ -156,7 +156,7 @@
 }
 
 // awaitIdleUsers waits until so many users' connections are known to be idle.
-func awaitIdleUsers(t *testing.T, f *Front, want int) {
+func awaitIdleUsers(t *testing.T, f *ConnectionLimiter, want int) {
 	t.Helper()
 	idle := func() int {
 		f.mu.Lock()
--- a/internal/standin/controllers.go
+++ b/internal/standin/controllers.go
@@ -13,50 +13,50 @@
 
 // Node is one controller.
 type Node struct {
-	ID        core.NodeID
-	core      *core.Core
-	up        bool
-	gen       int // raised at every end: answers to an earlier life are lost
-	started   core.Time
-	waiting   map[core.ReqID]func(core.Respond)
-	nextReq   core.ReqID
-	wake      core.Time
-	StoreCut  core.Time // cut until then
-	WorkerCut core.Time
-	PeerCut   core.Time
-	Refused   core.Time // gets 503 from the store until then
-	NoPeers   core.Time // its connections with the others are refused until then
-	Unheard   core.Time // its transactions are carried out until then, their answers lost
-	Frozen    core.Time // stands still until then, its clocks run on
-	Release   Release   // of its next or present process
+	ID                    core.NodeID
+	controller            *core.Controller
+	running               bool
+	generation            int // raised at every end: answers to an earlier life are lost
+	startedAt             core.Time
+	pendingRequests       map[core.RequestID]func(core.Respond)
+	lastRequestID         core.RequestID
+	nextWakeAt            core.Time
+	StoreCutUntil         core.Time // cut until then
+	WorkersCutUntil       core.Time
+	PeersCutUntil         core.Time
+	StoreRefusesUntil     core.Time // gets 503 from the store until then
+	PeersRefuseUntil      core.Time // its connections with the others are refused until then
+	StoreRepliesLostUntil core.Time // its transactions are carried out until then, their answers lost
+	PausedUntil           core.Time // stands still until then, its clocks run on
+	Version               Version   // of its next or present process
 }
 
 // Boot starts a controller's process.
-func (w *World) Boot(n *Node) {
-	if n.up {
+func (w *Simulator) StartNode(n *Node) {
+	if n.running {
 		return
 	}
-	w.boots++
-	cfg := w.configOf(n)
-	cfg.Self, cfg.Boot = n.ID, fmt.Sprintf("b%d", w.boots)
-	n.core, n.up, n.started = core.New(cfg), true, w.Now
-	n.waiting, n.wake = map[core.ReqID]func(core.Respond){}, 0
-	w.step(n, core.Tick{})
+	w.bootCount++
+	cfg := w.nodeConfig(n)
+	cfg.Self, cfg.InstanceID = n.ID, fmt.Sprintf("b%d", w.bootCount)
+	n.controller, n.running, n.startedAt = core.New(cfg), true, w.Now
+	n.pendingRequests, n.nextWakeAt = map[core.RequestID]func(core.Respond){}, 0
+	w.stepNode(n, core.Tick{})
 }
 
 // Kill ends a controller's process without a signal.
-func (w *World) Kill(n *Node) {
-	w.lastKill = w.Now
-	n.up = false
-	n.gen++
-	for _, id := range sortedReqs(n.waiting) {
-		n.waiting[id](core.Respond{Status: 0})
+func (w *Simulator) KillNode(n *Node) {
+	w.lastNodeKillAt = w.Now
+	n.running = false
+	n.generation++
+	for _, id := range sortedRequestIDs(n.pendingRequests) {
+		n.pendingRequests[id](core.Respond{Status: 0})
 	}
-	n.waiting = nil
+	n.pendingRequests = nil
 }
 
-func sortedReqs(m map[core.ReqID]func(core.Respond)) []core.ReqID {
-	var l []core.ReqID
+func sortedRequestIDs(m map[core.RequestID]func(core.Respond)) []core.RequestID {
+	var l []core.RequestID
 	for k := range m {
 		l = append(l, k)
 	}
@@ -64,35 +64,35 @@
 	return l
 }
 
-func (w *World) step(n *Node, ev core.Event) {
-	if w.Now < n.Frozen { // what comes in waits, and is all taken up at once
-		gen := n.gen
-		w.After(n.Frozen-w.Now, func() {
-			if n.up && n.gen == gen {
-				w.step(n, ev)
+func (w *Simulator) stepNode(n *Node, ev core.Event) {
+	if w.Now < n.PausedUntil { // what comes in waits, and is all taken up at once
+		gen := n.generation
+		w.After(n.PausedUntil-w.Now, func() {
+			if n.running && n.generation == gen {
+				w.stepNode(n, ev)
 			}
 		})
 		return
 	}
-	w.Steps++
-	before := w.allocs()
+	w.StepCount++
+	before := w.readAllocations()
 	begun := time.Now()
-	effects := n.core.Step(w.Now-n.started, core.Wall(w.Now/milli), releaseEvent(n.Release, ev))
-	w.Spent += time.Since(begun)
-	w.Allocs += w.allocs() - before
+	effects := n.controller.Step(w.Now-n.startedAt, core.WallTime(w.Now/millisecond), filterEvent(n.Version, ev))
+	w.ControllerTime += time.Since(begun)
+	w.Allocations += w.readAllocations() - before
 	for _, f := range effects {
 		w.observe(w.Now, n.ID, f)
-		w.effect(n, releaseEffect(n.Release, f))
+		w.executeEffect(n, filterEffect(n.Version, f))
 	}
-	if at, ok := n.core.NextWake(); ok {
-		at += n.started
-		if n.wake <= w.Now || at < n.wake {
-			n.wake = max(at, w.Now)
-			gen, when := n.gen, n.wake
-			w.After(at-w.Now+w.Between(0, milli), func() {
-				if n.gen == gen && n.up && n.wake == when {
-					n.wake = 0
-					w.step(n, core.Tick{})
+	if at, ok := n.controller.NextWake(); ok {
+		at += n.startedAt
+		if n.nextWakeAt <= w.Now || at < n.nextWakeAt {
+			n.nextWakeAt = max(at, w.Now)
+			gen, when := n.generation, n.nextWakeAt
+			w.After(at-w.Now+w.RandomBetween(0, millisecond), func() {
+				if n.generation == gen && n.running && n.nextWakeAt == when {
+					n.nextWakeAt = 0
+					w.stepNode(n, core.Tick{})
 				}
 			})
 		}
@@ -100,8 +100,8 @@
 }
 
 // allocs is how many objects the process has allocated so far, if that counts.
-func (w *World) allocs() uint64 {
-	if !w.Count {
+func (w *Simulator) readAllocations() uint64 {
+	if !w.CountAllocations {
 		return 0
 	}
 	sample := []metrics.Sample{{Name: "/gc/heap/allocs:objects"}}
@@ -110,35 +110,35 @@
 }
 
 // Ask sends a request to a controller; fn gets status 0 when it can't be reached.
-func (w *World) Ask(n *Node, ev func(core.ReqID) core.Event, fn func(core.Respond)) {
-	w.After(w.Between(milli, 5*milli), func() {
-		if !n.up {
+func (w *Simulator) SendRequest(n *Node, ev func(core.RequestID) core.Event, fn func(core.Respond)) {
+	w.After(w.RandomBetween(millisecond, 5*millisecond), func() {
+		if !n.running {
 			fn(core.Respond{})
 			return
 		}
-		n.nextReq++
-		id := n.nextReq
-		n.waiting[id] = fn
-		w.step(n, ev(id))
+		n.lastRequestID++
+		id := n.lastRequestID
+		n.pendingRequests[id] = fn
+		w.stepNode(n, ev(id))
 	})
 }
 
 // reply delivers an answer to the run of a process that asked; a later run
 // never gets it.
-func (w *World) reply(n *Node, gen int, id core.CallID, d core.Time, body any) {
+func (w *Simulator) deliverReply(n *Node, gen int, id core.CallID, d core.Time, body any) {
 	w.After(d, func() {
-		if n.up && n.gen == gen {
-			w.step(n, core.Reply{Call: id, Body: body})
+		if n.running && n.generation == gen {
+			w.stepNode(n, core.Reply{Call: id, Body: body})
 		}
 	})
 }
 
 // Cores lists the cores of the controllers that are up.
-func (w *World) Cores() []*core.Core {
-	var cores []*core.Core
+func (w *Simulator) Controllers() []*core.Controller {
+	var cores []*core.Controller
 	for _, n := range w.Nodes {
-		if n.up {
-			cores = append(cores, n.core)
+		if n.running {
+			cores = append(cores, n.controller)
 		}
 	}
 	return cores
