--- a/internal/standin/effects.go
+++ b/internal/standin/effects.go
@@ -11,26 +11,26 @@
 // stalledPart is what a controller logs of a part that is not served. It may do
 // so for some time after the troubles, since it tells of what went before.
 const (
-	stalledPart  = "part makes no progress"
-	stallAllowed = 60 * second
+	stallLogText        = "part makes no progress"
+	stallLogGracePeriod = 60 * second
 )
 
-func (w *World) effect(n *Node, f core.Effect) {
-	gen := n.gen
+func (w *Simulator) executeEffect(n *Node, f core.Effect) {
+	gen := n.generation
 	switch f := f.(type) {
 	case core.Respond:
-		if fn := n.waiting[f.Req]; fn != nil {
-			delete(n.waiting, f.Req)
-			w.After(w.delay(), func() { fn(f) })
+		if fn := n.pendingRequests[f.Request]; fn != nil {
+			delete(n.pendingRequests, f.Request)
+			w.After(w.networkDelay(), func() { fn(f) })
 		}
 	case core.StoreTxn:
-		w.store(n, f.Call, true, core.TxnReply{Out: core.NotDone}, core.TxnReply{Out: core.Unknown}, func() any {
-			if out := w.State.Admit(w.Now, f.Then, f.When); out != core.OK {
-				return core.TxnReply{Out: out}
+		w.callStore(n, f.Call, true, core.TxnReply{Outcome: core.NotApplied}, core.TxnReply{Outcome: core.UnknownOutcome}, func() any {
+			if out := w.StateService.Admit(w.Now, f.Then, f.If); out != core.OK {
+				return core.TxnReply{Outcome: out}
 			}
-			r := w.State.Txn(f.When, f.Then)
+			r := w.StateService.Commit(f.If, f.Then)
 			what := "writes"
-			if r.Out != core.OK {
+			if r.Outcome != core.OK {
 				what = "may not write"
 			}
 			for _, o := range f.Then {
@@ -38,166 +38,166 @@
 				if o.Value == nil {
 					v = "(dropped)"
 				}
-				w.Log(fmt.Sprintf("%s %s %s@%d %s", n.ID, what, o.Key, r.Epoch, v))
+				w.Log(fmt.Sprintf("%s %s %s@%d %s", n.ID, what, o.Key, r.Revision, v))
 			}
-			if r.Out == core.OK {
-				w.claimed(f.Then)
+			if r.Outcome == core.OK {
+				w.recordShardOwners(f.Then)
 			}
 			return r
 		})
 	case core.StoreGet:
-		w.store(n, f.Call, false, core.GetReply{Out: core.NotDone}, core.GetReply{Out: core.Unknown}, func() any { return w.State.Get(f.Key) })
+		w.callStore(n, f.Call, false, core.GetReply{Outcome: core.NotApplied}, core.GetReply{Outcome: core.UnknownOutcome}, func() any { return w.StateService.Get(f.Key) })
 	case core.StoreList:
-		w.store(n, f.Call, false, core.ListReply{Out: core.NotDone}, core.ListReply{Out: core.Unknown}, func() any { return w.State.List(f.Prefix) })
+		w.callStore(n, f.Call, false, core.ListReply{Outcome: core.NotApplied}, core.ListReply{Outcome: core.UnknownOutcome}, func() any { return w.StateService.List(f.Prefix) })
 	case core.StoreWatch:
-		if f.Wait == 0 { // a reading, answered at once like any other
-			w.store(n, f.Call, false, core.WatchReply{Out: core.NotDone}, core.WatchReply{Out: core.Unknown}, func() any { return w.State.Changes(f.Prefix, f.Since) })
+		if f.Timeout == 0 { // a reading, answered at once like any other
+			w.callStore(n, f.Call, false, core.WatchReply{Outcome: core.NotApplied}, core.WatchReply{Outcome: core.UnknownOutcome}, func() any { return w.StateService.Changes(f.Prefix, f.SinceRevision) })
 			return
 		}
-		w.watch(n, gen, f, w.Now+f.Wait)
-	case core.CloudTypes:
-		if w.Now < w.CloudDn {
-			w.reply(n, gen, f.Call, w.delay(), core.TypesReply{Out: core.NotDone})
+		w.pollWatch(n, gen, f, w.Now+f.Timeout)
+	case core.CloudMachineTypes:
+		if w.Now < w.CloudDownUntil {
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.MachineTypesReply{Outcome: core.NotApplied})
 			return
 		}
-		w.reply(n, gen, f.Call, w.delay(), core.TypesReply{Out: core.OK, Types: w.Cloud.Types})
-	case core.CloudRent:
-		if w.Now < w.CloudDn {
-			w.reply(n, gen, f.Call, w.delay(), core.RentReply{Out: core.NotDone})
+		w.deliverReply(n, gen, f.Call, w.networkDelay(), core.MachineTypesReply{Outcome: core.OK, Types: w.Cloud.MachineTypes})
+	case core.CloudScaleOut:
+		if w.Now < w.CloudDownUntil {
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.ScaleOutReply{Outcome: core.NotApplied})
 			return
 		}
 		if w.Chance(0.05) { // carried out late, the answer lost
-			w.After(w.Between(second, 30*second), func() { w.Cloud.Rent(w.Now, f) })
-			w.reply(n, gen, f.Call, 4*second, core.RentReply{Out: core.Unknown})
+			w.After(w.RandomBetween(second, 30*second), func() { w.Cloud.ScaleOut(w.Now, f) })
+			w.deliverReply(n, gen, f.Call, 4*second, core.ScaleOutReply{Outcome: core.UnknownOutcome})
 			return
 		}
-		w.reply(n, gen, f.Call, w.delay(), w.Cloud.Rent(w.Now, f))
-	case core.CloudReturn:
-		if w.Now < w.CloudDn {
-			w.reply(n, gen, f.Call, w.delay(), core.ReturnReply{Out: core.Unknown})
+		w.deliverReply(n, gen, f.Call, w.networkDelay(), w.Cloud.ScaleOut(w.Now, f))
+	case core.CloudScaleIn:
+		if w.Now < w.CloudDownUntil {
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.ScaleInReply{Outcome: core.UnknownOutcome})
 			return
 		}
 		for _, id := range f.IDs {
-			w.Remove(id)
+			w.RemoveMachine(id)
 		}
-		w.reply(n, gen, f.Call, w.delay(), core.ReturnReply{Out: core.OK})
+		w.deliverReply(n, gen, f.Call, w.networkDelay(), core.ScaleInReply{Outcome: core.OK})
 	case core.CloudList:
-		if w.Now < w.CloudDn {
-			w.reply(n, gen, f.Call, w.delay(), core.CloudListReply{Out: core.NotDone})
+		if w.Now < w.CloudDownUntil {
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.CloudListReply{Outcome: core.NotApplied})
 			return
 		}
-		items, more := w.Cloud.Page(w.Now, f.Since)
-		w.reply(n, gen, f.Call, w.cfg.ListLag/2, core.CloudListReply{Out: core.OK, Items: items, More: more})
-	case core.Orders:
-		w.orders(n, f)
-	case core.Inspect:
+		items, more := w.Cloud.ListPage(w.Now, f.After)
+		w.deliverReply(n, gen, f.Call, w.config.CloudListLag/2, core.CloudListReply{Outcome: core.OK, Items: items, More: more})
+	case core.PushCommands:
+		w.pushCommands(n, f)
+	case core.QueryWorkerStatus:
 		l := w.Workers[core.MachineID(f.Addr)]
-		if l == nil || l.gone || w.Now < max(n.WorkerCut, l.cut, l.hang, l.deaf) {
-			w.reply(n, gen, f.Call, 2500*milli, core.OrdersReply{Out: core.Unknown})
+		if l == nil || l.removed || w.Now < max(n.WorkersCutUntil, l.cutUntil, l.hungUntil, l.unreachableUntil) {
+			w.deliverReply(n, gen, f.Call, 2500*millisecond, core.PushCommandsReply{Outcome: core.UnknownOutcome})
 			return
 		}
-		w.reply(n, gen, f.Call, w.delay(), core.OrdersReply{Out: core.OK, Report: l.Report()})
+		w.deliverReply(n, gen, f.Call, w.networkDelay(), core.PushCommandsReply{Outcome: core.OK, Status: l.NextStatus()})
 	case core.PeerCall:
-		w.peerCall(n, f)
+		w.callPeer(n, f)
 	case core.Log:
-		if f.Text != "stats" && f.Text != "load" {
-			w.Log(fmt.Sprintf("%s logs %s: %s %v", n.ID, f.Level, f.Text, f.Args))
+		if f.Message != "stats" && f.Message != "load" {
+			w.Log(fmt.Sprintf("%s logs %s: %s %v", n.ID, f.Level, f.Message, f.Args))
 		}
 		if f.Level == core.LogError {
-			w.broke("%s logs an error: %s %v", n.ID, f.Text, f.Args)
+			w.reportViolation("%s logs an error: %s %v", n.ID, f.Message, f.Args)
 		}
-		if f.Text == stalledPart && w.Calmed > 0 && w.Now > w.Calmed+stallAllowed {
-			w.broke("unserved: %s says %v", n.ID, f.Args)
+		if f.Message == stallLogText && w.FaultsOverAt > 0 && w.Now > w.FaultsOverAt+stallLogGracePeriod {
+			w.reportViolation("unserved: %s says %v", n.ID, f.Args)
 		}
 	}
 }
 
-func (w *World) store(n *Node, id core.CallID, txn bool, refused, unknown any, do func() any) {
-	gen := n.gen
+func (w *Simulator) callStore(n *Node, id core.CallID, txn bool, refused, unknown any, do func() any) {
+	gen := n.generation
 	switch {
-	case w.Now < w.Down || w.Now < n.Refused:
-		w.reply(n, gen, id, w.delay(), refused)
-	case w.Now < n.StoreCut:
-		if d, ok := w.lateBy(n.StoreCut); ok {
+	case w.Now < w.StoreDownUntil || w.Now < n.StoreRefusesUntil:
+		w.deliverReply(n, gen, id, w.networkDelay(), refused)
+	case w.Now < n.StoreCutUntil:
+		if d, ok := w.lateArrival(n.StoreCutUntil); ok {
 			w.After(d, func() { do() })
 		}
-		w.reply(n, gen, id, 1200*milli, unknown)
-	case txn && w.lateWrite(n, do):
-		w.reply(n, gen, id, 1200*milli, unknown)
+		w.deliverReply(n, gen, id, 1200*millisecond, unknown)
+	case txn && w.loseWriteReply(n, do):
+		w.deliverReply(n, gen, id, 1200*millisecond, unknown)
 	case w.Chance(0.01): // lost on the way, or delivered late
-		if d, ok := w.lateBy(w.Now); ok {
+		if d, ok := w.lateArrival(w.Now); ok {
 			w.After(d, func() { do() })
 		}
-		w.reply(n, gen, id, 1200*milli, unknown)
+		w.deliverReply(n, gen, id, 1200*millisecond, unknown)
 	default:
-		w.After(w.delay(), func() {
+		w.After(w.networkDelay(), func() {
 			body := do()
 			if w.Chance(0.005) { // carried out, the answer lost
-				w.reply(n, gen, id, 1200*milli, unknown)
+				w.deliverReply(n, gen, id, 1200*millisecond, unknown)
 				return
 			}
-			w.reply(n, gen, id, w.delay()+w.Slow+w.more.slowNow(w.Now), body)
+			w.deliverReply(n, gen, id, w.networkDelay()+w.StoreDelay+w.faults.currentStoreDelay(w.Now), body)
 		})
 	}
 }
 
-func (w *World) watch(n *Node, gen int, f core.StoreWatch, until core.Time) {
-	w.After(w.Between(10*milli, 200*milli), func() {
-		if !n.up || n.gen != gen {
+func (w *Simulator) pollWatch(n *Node, gen int, f core.StoreWatch, until core.Time) {
+	w.After(w.RandomBetween(10*millisecond, 200*millisecond), func() {
+		if !n.running || n.generation != gen {
 			return
 		}
-		if w.Now >= w.Down && w.Now >= n.StoreCut && w.Now >= n.Refused {
-			if r := w.State.Changes(f.Prefix, f.Since); len(r.Items) > 0 || w.Now > until {
-				w.reply(n, gen, f.Call, 0, r)
+		if w.Now >= w.StoreDownUntil && w.Now >= n.StoreCutUntil && w.Now >= n.StoreRefusesUntil {
+			if r := w.StateService.Changes(f.Prefix, f.SinceRevision); len(r.Items) > 0 || w.Now > until {
+				w.deliverReply(n, gen, f.Call, 0, r)
 				return
 			}
 		}
-		w.watch(n, gen, f, until)
+		w.pollWatch(n, gen, f, until)
 	})
 }
 
-func (w *World) peerCall(n *Node, f core.PeerCall) {
-	to, gen := w.node(f.To), n.gen
-	lost := core.PeerReply{Out: core.Unknown}
-	if !to.up || w.Now < n.NoPeers || w.Now < to.NoPeers {
-		w.reply(n, gen, f.Call, w.delay(), lost) // refused
+func (w *Simulator) callPeer(n *Node, f core.PeerCall) {
+	to, gen := w.nodeByID(f.To), n.generation
+	lost := core.PeerReply{Outcome: core.UnknownOutcome}
+	if !to.running || w.Now < n.PeersRefuseUntil || w.Now < to.PeersRefuseUntil {
+		w.deliverReply(n, gen, f.Call, w.networkDelay(), lost) // refused
 		return
 	}
-	if w.Now < n.PeerCut || w.Now < to.PeerCut {
-		w.reply(n, gen, f.Call, f.Timeout, lost)
+	if w.Now < n.PeersCutUntil || w.Now < to.PeersCutUntil {
+		w.deliverReply(n, gen, f.Call, f.Timeout, lost)
 		return
 	}
 	answered := false
 	send := func() {
-		w.Ask(to, func(id core.ReqID) core.Event { return core.PeerAsk{Req: id, Msg: f.Msg} }, func(r core.Respond) {
+		w.SendRequest(to, func(id core.RequestID) core.Event { return core.PeerRequest{Request: id, Message: f.Message} }, func(r core.Respond) {
 			if answered {
 				return
 			}
 			answered = true
 			if r.Peer == nil {
-				w.reply(n, gen, f.Call, 0, lost)
+				w.deliverReply(n, gen, f.Call, 0, lost)
 				return
 			}
-			w.reply(n, gen, f.Call, w.delay(), core.PeerReply{Out: core.OK, Msg: *r.Peer})
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.PeerReply{Outcome: core.OK, Message: *r.Peer})
 		})
 	}
-	if w.SlowPeers > 0 && w.Chance(w.SlowPeers) { // else what one controller tells another would always be there before its user asks there
-		w.Faults["slow messages between controllers"]++
-		w.After(w.Between(50*milli, 400*milli), send)
+	if w.SlowPeerChance > 0 && w.Chance(w.SlowPeerChance) { // else what one controller tells another would always be there before its user asks there
+		w.FaultCounts["slow messages between controllers"]++
+		w.After(w.RandomBetween(50*millisecond, 400*millisecond), send)
 	} else {
 		send()
 	}
 	w.After(f.Timeout, func() {
 		if !answered {
 			answered = true
-			if n.up && n.gen == gen {
-				w.step(n, core.Reply{Call: f.Call, Body: lost})
+			if n.running && n.generation == gen {
+				w.stepNode(n, core.Reply{Call: f.Call, Body: lost})
 			}
 		}
 	})
 }
 
-func (w *World) node(id core.NodeID) *Node {
+func (w *Simulator) nodeByID(id core.NodeID) *Node {
 	for _, n := range w.Nodes {
 		if n.ID == id {
 			return n
@@ -206,60 +206,60 @@
 	return nil
 }
 
-func (w *World) orders(n *Node, f core.Orders) {
-	gen := n.gen
+func (w *Simulator) pushCommands(n *Node, f core.PushCommands) {
+	gen := n.generation
 	l := w.Workers[core.MachineID(f.Addr)]
-	if l == nil || l.gone {
-		w.reply(n, gen, f.Call, 1500*milli, core.OrdersReply{Out: core.NotDone})
+	if l == nil || l.removed {
+		w.deliverReply(n, gen, f.Call, 1500*millisecond, core.PushCommandsReply{Outcome: core.NotApplied})
 		return
 	}
-	cut := max(n.WorkerCut, l.cut, l.hang, l.deaf)
-	if w.Now < l.mute && w.Now >= cut {
-		w.Faults["commands to a mute machine"]++
+	cut := max(n.WorkersCutUntil, l.cutUntil, l.hungUntil, l.unreachableUntil)
+	if w.Now < l.heartbeatsBlockedUntil && w.Now >= cut {
+		w.FaultCounts["commands to a mute machine"]++
 	}
-	if w.Now < l.deaf {
-		w.Faults["commands to a one-way machine"]++
+	if w.Now < l.unreachableUntil {
+		w.FaultCounts["commands to a one-way machine"]++
 	}
 	if w.Now < cut || w.Chance(0.01) {
-		if d, ok := w.lateBy(cut); ok {
-			w.After(d, func() { w.late(l, f) })
+		if d, ok := w.lateArrival(cut); ok {
+			w.After(d, func() { w.deliverLateCommands(l, f) })
 		}
-		w.reply(n, gen, f.Call, 2500*milli, core.OrdersReply{Out: core.Unknown})
+		w.deliverReply(n, gen, f.Call, 2500*millisecond, core.PushCommandsReply{Outcome: core.UnknownOutcome})
 		return
 	}
-	w.After(w.delay(), func() {
-		if l.gone {
-			w.reply(n, gen, f.Call, 2*second, core.OrdersReply{Out: core.Unknown})
+	w.After(w.networkDelay(), func() {
+		if l.removed {
+			w.deliverReply(n, gen, f.Call, 2*second, core.PushCommandsReply{Outcome: core.UnknownOutcome})
 			return
 		}
-		r := l.Orders(f)
-		w.logCommands(n, l, f.Token, f.Commands)
-		w.changed(l)
+		r := l.HandleCommands(f)
+		w.logCommands(n, l, f.FencingToken, f.Commands)
+		w.scheduleHeartbeat(l)
 		if w.Chance(0.01) {
-			w.reply(n, gen, f.Call, 2*second, core.OrdersReply{Out: core.Unknown})
+			w.deliverReply(n, gen, f.Call, 2*second, core.PushCommandsReply{Outcome: core.UnknownOutcome})
 			return
 		}
-		w.reply(n, gen, f.Call, w.delay(), r)
+		w.deliverReply(n, gen, f.Call, w.networkDelay(), r)
 	})
 }
 
-func (w *World) late(l *Live, f core.Orders) {
-	if l.gone {
+func (w *Simulator) deliverLateCommands(l *SimulatedWorker, f core.PushCommands) {
+	if l.removed {
 		return
 	}
-	if w.Now < l.hang {
-		w.After(l.hang-w.Now+milli, func() { w.late(l, f) })
+	if w.Now < l.hungUntil {
+		w.After(l.hungUntil-w.Now+millisecond, func() { w.deliverLateCommands(l, f) })
 		return
 	}
-	if w.Now-l.renewed > l.Lease { // it notices that first when it goes on
+	if w.Now-l.leaseRenewedAt > l.LeaseDuration { // it notices that first when it goes on
 		l.Advance(w.Now)
 	}
-	l.Orders(f)
+	l.HandleCommands(f)
 }
 
-func (w *World) logCommands(n *Node, l *Live, token core.Token, cmds []core.Command) {
+func (w *Simulator) logCommands(n *Node, l *SimulatedWorker, token core.FencingToken, cmds []core.Command) {
 	for _, c := range cmds {
-		verb := [...]string{"start", "stop", "forget"}[c.Verb]
+		verb := [...]string{"start", "stop", "forget"}[c.Kind]
 		w.Log(fmt.Sprintf("%s -> %s token %d: %s %s attempt %d", n.ID, l.ID, token, verb, c.Task, c.Attempt))
 	}
 }
--- a/internal/standin/eventqueue.go
+++ b/internal/standin/eventqueue.go
@@ -9,24 +9,24 @@
 // The queue of what happens in simulated time.
 
 type event struct {
-	at  core.Time
-	seq uint64
-	fn  func()
+	dueAt    core.Time
+	sequence uint64
+	action   func()
 }
 
-type events []event
+type eventHeap []event
 
-func (h events) Len() int { return len(h) }
+func (h eventHeap) Len() int { return len(h) }
 
-func (h events) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].dueAt < h[j].dueAt || h[i].dueAt == h[j].dueAt && h[i].sequence < h[j].sequence
 }
 
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *events) Push(x any) { *h = append(*h, x.(event)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-func (h *events) Pop() any {
+func (h *eventHeap) Pop() any {
 	o := *h
 	x := o[len(o)-1]
 	*h = o[:len(o)-1]
@@ -34,20 +34,20 @@
 }
 
 // After runs fn later.
-func (w *World) After(d core.Time, fn func()) {
-	w.seq++
-	heap.Push(&w.events, event{w.Now + max(d, 0), w.seq, fn})
+func (w *Simulator) After(d core.Time, fn func()) {
+	w.eventSequence++
+	heap.Push(&w.eventQueue, event{w.Now + max(d, 0), w.eventSequence, fn})
 }
 
-func (w *World) every(d core.Time, fn func()) {
-	w.After(d, func() { fn(); w.every(d, fn) })
+func (w *Simulator) repeatEvery(d core.Time, fn func()) {
+	w.After(d, func() { fn(); w.repeatEvery(d, fn) })
 }
 
 // Run plays until a time.
-func (w *World) Run(until core.Time) {
-	for len(w.events) > 0 && w.events[0].at <= until && len(w.Broken) == 0 {
-		e := heap.Pop(&w.events).(event)
-		w.Now = e.at
-		e.fn()
+func (w *Simulator) RunUntil(until core.Time) {
+	for len(w.eventQueue) > 0 && w.eventQueue[0].dueAt <= until && len(w.Violations) == 0 {
+		e := heap.Pop(&w.eventQueue).(event)
+		w.Now = e.dueAt
+		e.action()
 	}
 }
--- /dev/null
+++ b/internal/standin/http_cloud.go
@@ -0,0 +1,166 @@
+package standin
+
+import (
+	"net/http"
+	"time"
+
+	"stairrelay/internal/core"
+)
+
+const (
+	// maxRental is the largest number of machines that one request may ask for.
+	maxScaleOutCount = 50
+	// bootPoll is how often the region looks for machines that have booted.
+	bootPollInterval = 50 * time.Millisecond
+	// amountsPerUnit: core.Amount counts millionths.
+	amountsPerUnit = 1e6
+)
+
+// ServeCloud starts the cloud and the workers of its machines, and returns the
+// cloud's address.
+func (r *FakeServices) ServeCloud() (string, error) {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /flavors", r.serveMachineTypes)
+	mux.HandleFunc("POST /rentals", r.serveScaleOut)
+	mux.HandleFunc("POST /rentals/return", r.serveScaleIn)
+	mux.HandleFunc("GET /rentals", r.serveMachines)
+	go r.startBootedWorkers()
+	return r.serve(mux)
+}
+
+// typeForm is a machine type.
+type machineTypeForm struct {
+	Name             string   `json:"name"`
+	CPU              float64  `json:"vcpus"`
+	GPU              float64  `json:"accelerators"`
+	Memory           float64  `json:"memoryGb"`
+	CacheGB          float64  `json:"cacheGb"`
+	FetchGBPerSecond float64  `json:"pullGbPerS"`
+	Price            float64  `json:"rate"`
+	SpotPrice        float64  `json:"spotPrice"`
+	BootSeconds      float64  `json:"bootS"`
+	Zones            []string `json:"yards"`
+}
+
+func (r *FakeServices) serveMachineTypes(w http.ResponseWriter, _ *http.Request) {
+	forms := []machineTypeForm{}
+	for _, t := range r.Cloud.MachineTypes {
+		forms = append(forms, machineTypeForm{
+			Name:             t.Name,
+			CPU:              float64(t.Capacity.CPU) / amountsPerUnit,
+			Memory:           float64(t.Capacity.Memory) / amountsPerUnit,
+			CacheGB:          t.CacheGB,
+			FetchGBPerSecond: t.FetchGBPerSecond,
+			Price:            t.OnDemandPrice,
+			SpotPrice:        t.SpotPrice,
+			BootSeconds:      t.BootSeconds,
+			Zones:            t.Zones,
+		})
+	}
+	writeJSON(w, http.StatusOK, struct {
+		Types []machineTypeForm `json:"fleets"`
+	}{forms})
+}
+
+// rentalForm is a rental request.
+type scaleOutForm struct {
+	Name  string `json:"charter"`
+	Type  string `json:"fleet"`
+	Zone  string `json:"yard"`
+	Spot  bool   `json:"standby"`
+	Count int    `json:"count"`
+}
+
+// idsForm is a list of machines' ids.
+type machineIDsForm struct {
+	IDs []core.MachineID `json:"coaches"`
+}
+
+func (r *FakeServices) serveScaleOut(w http.ResponseWriter, request *http.Request) {
+	var form scaleOutForm
+	if !readJSON(w, request, &form) {
+		return
+	}
+	if form.Name == "" || form.Count < 1 || form.Count > maxScaleOutCount {
+		writeJSON(w, http.StatusBadRequest, nil)
+		return
+	}
+	rent := core.CloudScaleOut{Name: form.Name, Type: form.Type, Zone: form.Zone, Spot: form.Spot, Count: form.Count}
+	var reply core.ScaleOutReply
+	r.WithLock(func() { reply = r.Cloud.ScaleOut(r.now(), rent) })
+	if reply.Outcome != core.OK {
+		writeJSON(w, http.StatusServiceUnavailable, errorForm{Error: "no capacity"})
+		return
+	}
+	writeJSON(w, http.StatusOK, machineIDsForm{IDs: reply.IDs})
+}
+
+func (r *FakeServices) serveScaleIn(w http.ResponseWriter, request *http.Request) {
+	var form machineIDsForm
+	if !readJSON(w, request, &form) {
+		return
+	}
+	r.WithLock(func() {
+		for _, id := range form.IDs {
+			r.Cloud.RemoveMachine(id)
+			if worker := r.workers[id]; worker != nil {
+				worker.terminate()
+			}
+		}
+	})
+	writeJSON(w, http.StatusOK, struct{}{})
+}
+
+// machineForm is a line of the machine list.
+type machineForm struct {
+	ID         core.MachineID `json:"id"`
+	Address    string         `json:"addr"`
+	Type       string         `json:"fleet"`
+	Zone       string         `json:"yard"`
+	Spot       bool           `json:"standby"`
+	Status     string         `json:"status"`
+	AgeSeconds float64        `json:"ageS"`
+}
+
+func (r *FakeServices) serveMachines(w http.ResponseWriter, request *http.Request) {
+	forms := []machineForm{}
+	truncated := false
+	r.WithLock(func() {
+		var page []core.ListedMachine
+		page, truncated = r.Cloud.ListPage(r.now(), core.MachineID(request.URL.Query().Get("since")))
+		for _, machine := range page {
+			forms = append(forms, r.encodeMachine(machine))
+		}
+	})
+	writeJSON(w, http.StatusOK, struct {
+		Machines  []machineForm `json:"coaches"`
+		Truncated bool          `json:"truncated"`
+	}{Machines: forms, Truncated: truncated})
+}
+
+func (r *FakeServices) encodeMachine(machine core.ListedMachine) machineForm {
+	form := machineForm{
+		ID:         machine.ID,
+		Type:       machine.Type,
+		Zone:       machine.Zone,
+		Spot:       machine.Spot,
+		Status:     machine.Status,
+		AgeSeconds: machine.AgeSeconds,
+	}
+	if worker := r.workers[machine.ID]; worker != nil {
+		form.Address = worker.address
+	}
+	return form
+}
+
+// bootMachines starts the workers of machines that have booted.
+func (r *FakeServices) startBootedWorkers() {
+	for r.ctx.Err() == nil {
+		var booted []core.ListedMachine
+		r.WithLock(func() { booted = r.Cloud.CompleteBoots(r.now()) })
+		for _, machine := range booted {
+			r.startWorker(machine)
+		}
+		time.Sleep(bootPollInterval)
+	}
+}
--- /dev/null
+++ b/internal/standin/http_state_service.go
@@ -0,0 +1,178 @@
+package standin
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"time"
+
+	"stairrelay/internal/core"
+)
+
+// watchPoll is how often a watch looks for changes.
+const watchPollInterval = 20 * time.Millisecond
+
+// itemForm is a key of a list, with Key, or a change, with Set or Drop.
+type itemForm struct {
+	Key         string          `json:"key,omitempty"`
+	Set         string          `json:"set,omitempty"`
+	Drop        string          `json:"drop,omitempty"`
+	Value       json.RawMessage `json:"value,omitempty"`
+	ModRevision uint64          `json:"mark"`
+}
+
+func encodeKey(kv core.KV) itemForm {
+	return itemForm{Key: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
+}
+
+func encodeChange(kv core.KV) itemForm {
+	if kv.Value == nil {
+		return itemForm{Drop: kv.Key, ModRevision: uint64(kv.ModRevision)}
+	}
+	return itemForm{Set: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
+}
+
+// epochForm is the body of an answer without keys.
+type revisionForm struct {
+	Revision core.Revision `json:"epoch"`
+	Failed   []string      `json:"failed,omitempty"`
+}
+
+// ServeState starts the state service and returns its address.
+func (r *FakeServices) ServeState() (string, error) {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /multi", r.serveTransaction)
+	mux.HandleFunc("GET /keys/{key...}", r.serveKey)
+	mux.HandleFunc("GET /keys", r.serveKeys)
+	mux.HandleFunc("GET /watch", r.serveWatch)
+	return r.serve(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		var down bool
+		r.WithLock(func() { down = r.StateServiceDown })
+		if down {
+			writeJSON(w, http.StatusServiceUnavailable, errorForm{Error: "trouble"})
+			return
+		}
+		mux.ServeHTTP(w, request)
+	}))
+}
+
+// txnForm is a transaction.
+type transactionForm struct {
+	When []struct {
+		Key         string `json:"key"`
+		ModRevision uint64 `json:"mark"`
+	} `json:"when"`
+	Then []itemForm `json:"then"`
+}
+
+func (f *transactionForm) compares() []core.Compare {
+	var conditions []core.Compare
+	for _, c := range f.When {
+		conditions = append(conditions, core.Compare{Key: c.Key, ModRevision: core.ModRevision(c.ModRevision)})
+	}
+	return conditions
+}
+
+func (f *transactionForm) operations() []core.TxnOp {
+	var operations []core.TxnOp
+	for _, o := range f.Then {
+		if o.Drop != "" {
+			operations = append(operations, core.TxnOp{Key: o.Drop})
+		} else {
+			operations = append(operations, core.TxnOp{Key: o.Set, Value: o.Value})
+		}
+	}
+	return operations
+}
+
+func (r *FakeServices) serveTransaction(w http.ResponseWriter, request *http.Request) {
+	var form transactionForm
+	if !readJSON(w, request, &form) {
+		return
+	}
+	var reply core.TxnReply
+	r.WithLock(func() { reply = r.StateService.Commit(form.compares(), form.operations()) })
+	status := http.StatusOK
+	if reply.Outcome == core.Conflict {
+		status = http.StatusConflict
+	}
+	writeJSON(w, status, revisionForm{Revision: reply.Revision, Failed: reply.FailedKeys})
+}
+
+func (r *FakeServices) serveKey(w http.ResponseWriter, request *http.Request) {
+	var reply core.GetReply
+	var epoch core.Revision
+	r.WithLock(func() {
+		reply = r.StateService.Get(request.PathValue("key"))
+		epoch = r.StateService.Revision
+	})
+	if reply.Outcome == core.NotFound {
+		writeJSON(w, http.StatusNotFound, revisionForm{Revision: epoch})
+		return
+	}
+	writeJSON(w, http.StatusOK, encodeKey(reply.KV))
+}
+
+func (r *FakeServices) serveKeys(w http.ResponseWriter, request *http.Request) {
+	query := request.URL.Query()
+	var list core.ListReply
+	r.WithLock(func() { list = r.StateService.List(query.Get("prefix")) })
+	pageSize, _ := strconv.Atoi(query.Get("page"))
+	items, truncated := keyPage(list.Items, query.Get("since"), pageSize)
+	writeJSON(w, http.StatusOK, struct {
+		Items     []itemForm    `json:"items"`
+		Truncated bool          `json:"truncated"`
+		Epoch     core.Revision `json:"epoch"`
+	}{items, truncated, list.Revision})
+}
+
+// pageOf cuts the page that follows a key out of a sorted list; true when
+// there are more keys.
+func keyPage(list []core.KV, since string, size int) ([]itemForm, bool) {
+	items := []itemForm{}
+	for _, kv := range list {
+		if kv.Key <= since {
+			continue
+		}
+		if len(items) == size {
+			return items, true
+		}
+		items = append(items, encodeKey(kv))
+	}
+	return items, false
+}
+
+// serveWatch answers as soon as there is a change, at the latest after the
+// time that the caller asks for.
+func (r *FakeServices) serveWatch(w http.ResponseWriter, request *http.Request) {
+	query := request.URL.Query()
+	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
+	block, _ := strconv.Atoi(query.Get("blockMs"))
+	until := time.Now().Add(time.Duration(block) * time.Millisecond)
+	for {
+		var changes core.WatchReply
+		r.WithLock(func() { changes = r.StateService.Changes(query.Get("prefix"), core.Revision(since)) })
+		if len(changes.Items) > 0 || time.Now().After(until) {
+			writeChanges(w, changes)
+			return
+		}
+		select {
+		case <-request.Context().Done():
+			return
+		case <-r.ctx.Done():
+			return
+		case <-time.After(watchPollInterval):
+		}
+	}
+}
+
+func writeChanges(w http.ResponseWriter, changes core.WatchReply) {
+	events := []itemForm{}
+	for _, kv := range changes.Items {
+		events = append(events, encodeChange(kv))
+	}
+	writeJSON(w, http.StatusOK, struct {
+		Epoch  core.Revision `json:"epoch"`
+		Events []itemForm    `json:"events"`
+	}{changes.Revision, events})
+}
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -13,148 +13,148 @@
 	userTimeout = 2 * second
 	// A user asks again after a time between these; after a job's end after this
 	// many times as long.
-	leastPollPause  = 2 * second
-	mostPollPause   = 6 * second
+	minPollPause    = 2 * second
+	maxPollPause    = 6 * second
 	finalPollFactor = 5
 	// retryPause is the least time before a user repeats a refused request.
 	retryPause = second
 )
 
 // Told checks an answer that a user got.
-func (w *World) Told(job *Job, status core.Status) {
-	if status == core.StDone {
-		if index, found := w.undoneTask(job); found {
-			w.broke("not_done: %s is called done before task %d is", job.Spec.ID, index)
+func (w *Simulator) CheckReportedStatus(job *Job, status core.JobStatus) {
+	if status == core.JobDone {
+		if index, found := w.findUndoneTask(job); found {
+			w.reportViolation("not_done: %s is called done before task %d is", job.Spec.ID, index)
 			return
 		}
 	}
-	w.checkOrphan(job, status, w.Now)
-	if job.Told.Final() && status != job.Told {
-		w.broke("went_back: %s was %s, now %s", job.Spec.ID, job.Told, status)
+	w.checkDependentCancelled(job, status, w.Now)
+	if job.ReportedStatus.IsFinal() && status != job.ReportedStatus {
+		w.reportViolation("went_back: %s was %s, now %s", job.Spec.ID, job.ReportedStatus, status)
 	}
-	if status == core.StCancelled {
-		w.toldCancelled(job)
+	if status == core.JobCancelled {
+		w.recordCancelConfirmed(job)
 	}
-	ended := status.Final() && !job.Told.Final()
-	job.Told = status
+	ended := status.IsFinal() && !job.ReportedStatus.IsFinal()
+	job.ReportedStatus = status
 	if ended {
-		job.finalAt = w.Now
-		w.lookClosely(job)
+		job.finalReportedAt = w.Now
+		w.checkReadAfterWrite(job)
 	}
 }
 
 // undoneTask finds a task of a job that is not done.
-func (w *World) undoneTask(job *Job) (int, bool) {
+func (w *Simulator) findUndoneTask(job *Job) (int, bool) {
 	for index := range job.Spec.Tasks {
-		if !w.done[core.TaskID{Job: job.Spec.ID, Index: index}] {
+		if !w.doneTasks[core.TaskID{Job: job.Spec.ID, Index: index}] {
 			return index, true
 		}
 	}
 	return 0, false
 }
 
-func (w *World) toldCancelled(job *Job) {
+func (w *Simulator) recordCancelConfirmed(job *Job) {
 	if !w.mayBeCancelled(job) {
-		w.broke("went_back: %s called cancelled unasked", job.Spec.ID)
+		w.reportViolation("went_back: %s called cancelled unasked", job.Spec.ID)
 	}
-	if job.CancelTold == 0 {
-		job.CancelTold = w.Now
+	if job.CancelConfirmedAt == 0 {
+		job.CancelConfirmedAt = w.Now
 	}
 }
 
 // Submit hands in a job until it is accepted.
-func (w *World) Submit(job *Job) {
+func (w *Simulator) Submit(job *Job) {
 	w.Jobs[job.Spec.ID] = job
-	job.Submitted = w.Now
-	w.resubmit(job)
+	job.SubmittedAt = w.Now
+	w.trySubmit(job)
 }
 
-func (w *World) resubmit(job *Job) {
+func (w *Simulator) trySubmit(job *Job) {
 	asked := w.Now
-	to := w.submitTo(job)
+	to := w.submissionTarget(job)
 	if to == nil {
-		w.After(retryPause, func() { w.resubmit(job) })
+		w.After(retryPause, func() { w.trySubmit(job) })
 		return
 	}
-	submit := func(id core.ReqID) core.Event { return core.Submit{Req: id, Job: job.Spec} }
-	w.Ask(to, submit, func(answer core.Respond) {
+	submit := func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: job.Spec} }
+	w.SendRequest(to, submit, func(answer core.Respond) {
 		switch answer.Status {
 		case http.StatusOK, http.StatusCreated:
-			w.accepted(job, asked, answer.View.Status)
+			w.handleAccepted(job, asked, answer.View.Status)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			w.broke("%s refused with %d", job.Spec.ID, answer.Status)
+			w.reportViolation("%s refused with %d", job.Spec.ID, answer.Status)
 		default:
-			if len(job.Spec.Awaits) > 0 && !w.Upgraded() {
-				w.Faults["jobs that await others refused in the upgrade"]++
+			if len(job.Spec.Dependencies) > 0 && !w.IsUpgraded() {
+				w.FaultCounts["jobs that await others refused in the upgrade"]++
 			}
 			pause := max(retryPause, core.Time(answer.RetryAfter)*second)
-			w.After(pause, func() { w.resubmit(job) })
+			w.After(pause, func() { w.trySubmit(job) })
 		}
 	})
 }
 
 // accepted takes in the answer to a submission that was made at a time.
-func (w *World) accepted(job *Job, asked core.Time, status core.Status) {
+func (w *Simulator) handleAccepted(job *Job, asked core.Time, status core.JobStatus) {
 	first := !job.Accepted
 	job.Accepted = true
-	job.answeredAt = w.Now
-	if asked >= job.finalAt {
-		w.Told(job, status)
+	job.lastAnswerAt = w.Now
+	if asked >= job.finalReportedAt {
+		w.CheckReportedStatus(job, status)
 	}
 	if first {
-		w.lookClosely(job)
+		w.checkReadAfterWrite(job)
 	}
-	w.poll(job)
+	w.pollJob(job)
 }
 
 // any draws a controller.
-func (w *World) any() *Node { return w.Nodes[w.Rand.IntN(len(w.Nodes))] }
+func (w *Simulator) randomNode() *Node { return w.Nodes[w.Rand.IntN(len(w.Nodes))] }
 
 // poll asks for a job's state again and again.
-func (w *World) poll(job *Job) {
-	pause := w.Between(leastPollPause, mostPollPause)
-	if job.Told.Final() {
+func (w *Simulator) pollJob(job *Job) {
+	pause := w.RandomBetween(minPollPause, maxPollPause)
+	if job.ReportedStatus.IsFinal() {
 		pause *= finalPollFactor
 	}
 	w.After(pause, func() {
 		asked := w.Now
-		query := func(id core.ReqID) core.Event { return core.Query{Req: id, ID: job.Spec.ID} }
-		w.Ask(w.any(), query, func(answer core.Respond) {
-			w.polled(job, asked, answer)
-			w.poll(job)
+		query := func(id core.RequestID) core.Event { return core.Query{Request: id, ID: job.Spec.ID} }
+		w.SendRequest(w.randomNode(), query, func(answer core.Respond) {
+			w.handlePollAnswer(job, asked, answer)
+			w.pollJob(job)
 		})
 	})
 }
 
 // polled takes in the answer to a question that was asked at a time, unless
 // its user has given up.
-func (w *World) polled(job *Job, asked core.Time, answer core.Respond) {
+func (w *Simulator) handlePollAnswer(job *Job, asked core.Time, answer core.Respond) {
 	if w.Now-asked > userTimeout {
 		return
 	}
 	switch answer.Status {
 	case http.StatusOK:
-		job.answeredAt = w.Now
+		job.lastAnswerAt = w.Now
 		// An earlier question may have been answered before the end was.
-		if asked >= job.finalAt {
-			w.Told(job, answer.View.Status)
+		if asked >= job.finalReportedAt {
+			w.CheckReportedStatus(job, answer.View.Status)
 		}
 	case http.StatusNotFound:
-		w.broke("forgotten: %s", job.Spec.ID)
+		w.reportViolation("forgotten: %s", job.Spec.ID)
 	}
 }
 
 // Cancel asks until it is answered.
-func (w *World) Cancel(job *Job) {
-	job.AskedCancel = true
+func (w *Simulator) Cancel(job *Job) {
+	job.CancelRequested = true
 	accepted := job.Accepted
-	cancel := func(id core.ReqID) core.Event { return core.Cancel{Req: id, ID: job.Spec.ID} }
-	w.Ask(w.any(), cancel, func(answer core.Respond) {
+	cancel := func(id core.RequestID) core.Event { return core.Cancel{Request: id, ID: job.Spec.ID} }
+	w.SendRequest(w.randomNode(), cancel, func(answer core.Respond) {
 		switch {
 		case answer.Status == http.StatusOK:
-			w.Told(job, answer.View.Status)
+			w.CheckReportedStatus(job, answer.View.Status)
 		case answer.Status == http.StatusNotFound && accepted:
-			w.broke("forgotten: %s at its cancellation", job.Spec.ID)
+			w.reportViolation("forgotten: %s at its cancellation", job.Spec.ID)
 		default:
 			w.After(retryPause, func() { w.Cancel(job) })
 		}
@@ -162,20 +162,20 @@
 }
 
 // Unknown polls for a job that nobody has submitted.
-func (w *World) Unknown(id core.JobID) {
-	query := func(request core.ReqID) core.Event { return core.Query{Req: request, ID: id} }
-	w.Ask(w.any(), query, func(answer core.Respond) {
+func (w *Simulator) QueryUnknownJob(id core.JobID) {
+	query := func(request core.RequestID) core.Event { return core.Query{Request: request, ID: id} }
+	w.SendRequest(w.randomNode(), query, func(answer core.Respond) {
 		if answer.Status == http.StatusOK {
-			w.broke("invented: %s", id)
+			w.reportViolation("invented: %s", id)
 		}
 	})
 }
 
 // Unfinished counts the jobs whose users wait.
-func (w *World) Unfinished() int {
+func (w *Simulator) UnfinishedJobCount() int {
 	unfinished := 0
 	for _, job := range w.Jobs {
-		if !job.Told.Final() {
+		if !job.ReportedStatus.IsFinal() {
 			unfinished++
 		}
 	}
--- a/internal/standin/release.go
+++ b/internal/standin/versions.go
@@ -9,21 +9,21 @@
 )
 
 // Release is the version of the program that a controller runs.
-type Release int
+type Version int
 
 const (
 	// CurrentRelease is the version under test.
-	CurrentRelease Release = iota
+	CurrentVersion Version = iota
 	// ProductionRelease is the version that deploy/service.toml names as
 	// production. It is modelled by the current core behind a filter that drops,
 	// in both directions, what that version does not know. The filter follows the
 	// table of its reading rules in docs/design.md ("Pipelines and the upgrade"):
 	// unknown JSON and CBOR fields are ignored, and none of them is ever written.
-	ProductionRelease
+	ProductionVersion
 )
 
 // Limits are those of the state service that change with the upgrade.
-type Limits struct {
+type StoreLimits struct {
 	WriteRPS   float64
 	ValueBytes int
 	TxnOps     int
@@ -31,46 +31,46 @@
 
 // awaitsField marks, in the JSON of a job's description, the jobs that it
 // awaits. The production release does not know it.
-const awaitsField = "aw"
+const dependenciesField = "aw"
 
 // releaseEvent is what a controller of a release makes of an event.
-func releaseEvent(r Release, ev core.Event) core.Event {
-	if r == CurrentRelease {
+func filterEvent(r Version, ev core.Event) core.Event {
+	if r == CurrentVersion {
 		return ev
 	}
 	switch e := ev.(type) {
 	case core.Submit:
-		e.Job.Awaits = nil
+		e.Spec.Dependencies = nil
 		return e
-	case core.PeerAsk:
-		e.Msg = productionMessage(e.Msg)
+	case core.PeerRequest:
+		e.Message = filterProductionMessage(e.Message)
 		return e
 	case core.Reply:
-		e.Body = productionReply(e.Body)
+		e.Body = filterProductionReply(e.Body)
 		return e
 	}
 	return ev
 }
 
 // releaseEffect is what a controller of a release sends of an effect.
-func releaseEffect(r Release, f core.Effect) core.Effect {
-	if r == CurrentRelease {
+func filterEffect(r Version, f core.Effect) core.Effect {
+	if r == CurrentVersion {
 		return f
 	}
 	switch f := f.(type) {
 	case core.PeerCall:
-		f.Msg = productionMessage(f.Msg)
+		f.Message = filterProductionMessage(f.Message)
 		return f
 	case core.Respond:
 		if f.Peer != nil {
-			m := productionMessage(*f.Peer)
+			m := filterProductionMessage(*f.Peer)
 			f.Peer = &m
 		}
 		return f
 	case core.StoreTxn:
 		then := make([]core.TxnOp, len(f.Then))
 		for i, op := range f.Then {
-			then[i] = core.TxnOp{Key: op.Key, Value: ProductionRecord(op.Key, op.Value)}
+			then[i] = core.TxnOp{Key: op.Key, Value: FilterProductionRecord(op.Key, op.Value)}
 		}
 		f.Then = then
 		return f
@@ -78,80 +78,80 @@
 	return f
 }
 
-func productionReply(body any) any {
+func filterProductionReply(body any) any {
 	switch r := body.(type) {
 	case core.GetReply:
-		r.KV.Value = ProductionRecord(r.KV.Key, r.KV.Value)
+		r.KV.Value = FilterProductionRecord(r.KV.Key, r.KV.Value)
 		return r
 	case core.ListReply:
-		r.Items = productionItems(r.Items)
+		r.Items = filterProductionItems(r.Items)
 		return r
 	case core.WatchReply:
-		r.Items = productionItems(r.Items)
+		r.Items = filterProductionItems(r.Items)
 		return r
 	case core.PeerReply:
-		r.Msg = productionMessage(r.Msg)
+		r.Message = filterProductionMessage(r.Message)
 		return r
 	}
 	return body
 }
 
-func productionItems(items []core.KV) []core.KV {
+func filterProductionItems(items []core.KV) []core.KV {
 	out := make([]core.KV, len(items))
 	for i, kv := range items {
-		out[i] = core.KV{Key: kv.Key, Value: ProductionRecord(kv.Key, kv.Value), Mark: kv.Mark}
+		out[i] = core.KV{Key: kv.Key, Value: FilterProductionRecord(kv.Key, kv.Value), ModRevision: kv.ModRevision}
 	}
 	return out
 }
 
 // productionMessage is a message between controllers without the fields that
 // the production release does not know.
-func productionMessage(m core.PeerMsg) core.PeerMsg {
+func filterProductionMessage(m core.PeerMessage) core.PeerMessage {
 	if m.Ping != nil {
 		ping := *m.Ping
-		ping.Level = 0
+		ping.FeatureLevel = 0
 		m.Ping = &ping
 	}
-	if m.Submit != nil {
-		handedOn := *m.Submit
-		handedOn.Spec.Awaits = nil
-		m.Submit = &handedOn
+	if m.Submission != nil {
+		handedOn := *m.Submission
+		handedOn.Spec.Dependencies = nil
+		m.Submission = &handedOn
 	}
-	if m.Tell != nil {
-		m.Tell = &core.Tell{Keys: productionItems(m.Tell.Keys)}
+	if m.Notice != nil {
+		m.Notice = &core.JobNotice{Keys: filterProductionItems(m.Notice.Keys)}
 	}
 	return m
 }
 
 // ProductionRecord is a stored record without the fields that the production
 // release does not know. A record that has none of them stays as it is.
-func ProductionRecord(key string, value []byte) []byte {
+func FilterProductionRecord(key string, value []byte) []byte {
 	switch {
-	case strings.HasPrefix(key, "parts/") && bytes.Contains(value, []byte(`"`+upgradedField+`"`)):
-		return withoutField(value, upgradedField)
-	case !bytes.Contains(value, []byte(`"`+awaitsField+`"`)):
+	case strings.HasPrefix(key, "parts/") && bytes.Contains(value, []byte(`"`+upgradedNodesField+`"`)):
+		return withoutField(value, upgradedNodesField)
+	case !bytes.Contains(value, []byte(`"`+dependenciesField+`"`)):
 		return value
 	case strings.HasPrefix(key, "jobs/"):
 		return editField(value, "s", func(spec json.RawMessage) json.RawMessage {
-			return withoutField(spec, awaitsField)
+			return withoutField(spec, dependenciesField)
 		})
 	case strings.HasPrefix(key, "accepts/"):
-		return editField(value, "j", productionAcceptedJobs)
+		return editField(value, "j", filterProductionAdmissions)
 	}
 	return value
 }
 
 // upgradedField lists, in a claim, the controllers known to be upgraded.
-const upgradedField = "up"
+const upgradedNodesField = "up"
 
-func productionAcceptedJobs(list json.RawMessage) json.RawMessage {
+func filterProductionAdmissions(list json.RawMessage) json.RawMessage {
 	var jobs []json.RawMessage
 	if json.Unmarshal(list, &jobs) != nil {
 		return list
 	}
 	for i, job := range jobs {
 		jobs[i] = editField(job, "s", func(spec json.RawMessage) json.RawMessage {
-			return withoutField(spec, awaitsField)
+			return withoutField(spec, dependenciesField)
 		})
 	}
 	out, err := json.Marshal(jobs)
@@ -194,40 +194,40 @@
 // NewUpgradeWorld makes a cluster whose controllers all run the production
 // release, under the limits that the state service has at first. cfg holds the
 // lower limits to come, which only the current release knows of.
-func NewUpgradeWorld(seed uint64, cfg core.Config, before Limits, cloud *Cloud, options ...Option) *World {
-	w := emptyWorld(seed, cfg, cloud, options)
-	w.limitsBefore = before
+func NewUpgradeSimulator(seed uint64, cfg core.Config, before StoreLimits, cloud *FakeCloud, options ...Option) *Simulator {
+	w := newStoppedSimulator(seed, cfg, cloud, options)
+	w.limitsBeforeUpgrade = before
 	for _, n := range w.Nodes {
-		n.Release = ProductionRelease
+		n.Version = ProductionVersion
 	}
-	w.State.Limits = before
-	w.start()
+	w.StateService.Limits = before
+	w.startNodes()
 	return w
 }
 
 // LowerLimits brings the limits to come into force: from now on the state
 // service refuses what is above them.
-func (w *World) LowerLimits() {
-	w.State.Limits = Limits{WriteRPS: w.cfg.WriteRPS, ValueBytes: w.cfg.ValueBytes, TxnOps: w.cfg.TxnOps}
-	w.Faults["limits of the store lowered"]++
+func (w *Simulator) LowerStoreLimits() {
+	w.StateService.Limits = StoreLimits{WriteRPS: w.config.WriteRPS, ValueBytes: w.config.MaxValueBytes, TxnOps: w.config.MaxTxnOps}
+	w.FaultCounts["limits of the store lowered"]++
 }
 
 // Upgrade ends a controller's process; the one that is started in its place
 // after a while runs the current release.
-func (w *World) Upgrade(n *Node, gap core.Time) {
-	if n.up {
-		w.Kill(n)
+func (w *Simulator) UpgradeNode(n *Node, gap core.Time) {
+	if n.running {
+		w.KillNode(n)
 	}
-	n.Release = CurrentRelease
-	w.Faults["controllers upgraded"]++
-	w.After(gap, func() { w.Boot(n) })
+	n.Version = CurrentVersion
+	w.FaultCounts["controllers upgraded"]++
+	w.After(gap, func() { w.StartNode(n) })
 }
 
 // Upgraded tells whether every controller's next or present process is of the
 // current release.
-func (w *World) Upgraded() bool {
+func (w *Simulator) IsUpgraded() bool {
 	for _, n := range w.Nodes {
-		if n.Release != CurrentRelease {
+		if n.Version != CurrentVersion {
 			return false
 		}
 	}
@@ -237,21 +237,21 @@
 // configOf is the configuration that a controller's release makes of the
 // settings: the production release ignores the limits to come, the current one
 // uses the present write rate until it is refused.
-func (w *World) configOf(n *Node) core.Config {
-	cfg := w.cfg
-	cfg.PresentWriteRPS = w.limitsBefore.WriteRPS
-	if n.Release == ProductionRelease {
-		cfg.WriteRPS, cfg.ValueBytes, cfg.TxnOps = w.limitsBefore.WriteRPS, w.limitsBefore.ValueBytes, w.limitsBefore.TxnOps
+func (w *Simulator) nodeConfig(n *Node) core.Config {
+	cfg := w.config
+	cfg.CurrentWriteRPS = w.limitsBeforeUpgrade.WriteRPS
+	if n.Version == ProductionVersion {
+		cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = w.limitsBeforeUpgrade.WriteRPS, w.limitsBeforeUpgrade.ValueBytes, w.limitsBeforeUpgrade.TxnOps
 	}
 	return cfg
 }
 
 // anyCurrent draws a controller of the current release, or none: users ask
 // nothing new of the production release.
-func (w *World) anyCurrent() *Node {
+func (w *Simulator) randomCurrentNode() *Node {
 	var current []*Node
 	for _, n := range w.Nodes {
-		if n.Release == CurrentRelease {
+		if n.Version == CurrentVersion {
 			current = append(current, n)
 		}
 	}
@@ -263,9 +263,9 @@
 
 // submitTo draws the controller that a submission goes to; nil: nobody can take
 // it yet.
-func (w *World) submitTo(j *Job) *Node {
-	if len(j.Spec.Awaits) > 0 && !w.Upgraded() {
-		return w.anyCurrent()
+func (w *Simulator) submissionTarget(j *Job) *Node {
+	if len(j.Spec.Dependencies) > 0 && !w.IsUpgraded() {
+		return w.randomCurrentNode()
 	}
-	return w.any()
+	return w.randomNode()
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -17,40 +17,40 @@
 	dialTimeout = time.Second
 	callTimeout = 1200 * time.Millisecond
 	// watchMargin is how much longer than its own wait a watch may take.
-	watchMargin = 3 * time.Second
+	watchTimeoutMargin = 3 * time.Second
 	// throttledPause is the wait before a page of a list is asked for again.
-	throttledPause = 200 * time.Millisecond
+	throttleBackoff = 200 * time.Millisecond
 	// pageSize is the number of keys that is asked for in a page of a list.
 	pageSize = 1000
 	// The idle connections that are kept for calls and for watches.
-	idleCalls, idleWatches = 8, 4
+	maxIdleCalls, maxIdleWatches = 8, 4
 )
 
 // Store carries out the core's store effects.
-type Store struct {
-	service *wire.JSONService
-	watches *wire.Client // apart, since a watch takes as long as it asks for
-	baseURL string
-	reply   engine.ReplyFunc
+type Client struct {
+	service     *wire.JSONService
+	watchClient *wire.Client // apart, since a watch takes as long as it asks for
+	baseURL     string
+	reply       engine.ReplyFunc
 }
 
 // New makes a Store for the state service at addr.
-func New(addr string, reply engine.ReplyFunc) *Store {
-	forCalls := wire.ClientOptions{DialTimeout: dialTimeout, IdlePerHost: idleCalls}
-	forWatches := wire.ClientOptions{DialTimeout: dialTimeout, IdlePerHost: idleWatches}
-	return &Store{
-		service: wire.NewJSONService(addr, callTimeout, forCalls),
-		watches: wire.NewClient(forWatches),
-		baseURL: wire.BaseURL(addr),
-		reply:   reply,
+func New(addr string, reply engine.ReplyFunc) *Client {
+	forCalls := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleCalls}
+	forWatches := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleWatches}
+	return &Client{
+		service:     wire.NewJSONService(addr, callTimeout, forCalls),
+		watchClient: wire.NewClient(forWatches),
+		baseURL:     wire.BaseURL(addr),
+		reply:       reply,
 	}
 }
 
 // Do starts a call; its reply follows.
-func (s *Store) Do(effect core.Effect) {
+func (s *Client) Do(effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.StoreTxn:
-		go func() { s.reply(effect.Call, s.txn(effect)) }()
+		go func() { s.reply(effect.Call, s.transaction(effect)) }()
 	case core.StoreGet:
 		go func() { s.reply(effect.Call, s.get(effect)) }()
 	case core.StoreList:
@@ -61,93 +61,93 @@
 }
 
 // outcomeOf maps the statuses that all calls share.
-func outcomeOf(status int) core.Outcome {
+func outcomeFromStatus(status int) core.Outcome {
 	switch status {
 	case http.StatusOK:
 		return core.OK
 	case http.StatusTooManyRequests:
 		return core.Throttled
 	case http.StatusServiceUnavailable:
-		return core.NotDone
+		return core.NotApplied
 	case http.StatusBadRequest:
 		return core.Invalid
 	}
-	return core.Unknown
+	return core.UnknownOutcome
 }
 
-func (s *Store) txn(txn core.StoreTxn) core.TxnReply {
+func (s *Client) transaction(txn core.StoreTxn) core.TxnReply {
 	response, err := s.service.Call(http.MethodPost, "/multi", wire.EncodeTxn(txn))
 	if err != nil {
-		return core.TxnReply{Out: core.Unknown}
+		return core.TxnReply{Outcome: core.UnknownOutcome}
 	}
 	if response.Status != http.StatusOK && response.Status != http.StatusConflict {
-		return core.TxnReply{Out: outcomeOf(response.Status)}
+		return core.TxnReply{Outcome: outcomeFromStatus(response.Status)}
 	}
 	answer, err := wire.DecodeTxn(response.Body)
 	switch {
 	case err != nil:
-		return core.TxnReply{Out: core.Unknown}
+		return core.TxnReply{Outcome: core.UnknownOutcome}
 	case response.Status == http.StatusOK:
-		return core.TxnReply{Out: core.OK, Epoch: answer.Epoch}
-	case len(answer.Failed) == 0: // a conflict that names no key makes no sense
-		return core.TxnReply{Out: core.Unknown}
+		return core.TxnReply{Outcome: core.OK, Revision: answer.Revision}
+	case len(answer.FailedKeys) == 0: // a conflict that names no key makes no sense
+		return core.TxnReply{Outcome: core.UnknownOutcome}
 	}
-	return core.TxnReply{Out: core.Conflict, Epoch: answer.Epoch, Failed: answer.Failed}
+	return core.TxnReply{Outcome: core.Conflict, Revision: answer.Revision, FailedKeys: answer.FailedKeys}
 }
 
-func (s *Store) get(get core.StoreGet) core.GetReply {
+func (s *Client) get(get core.StoreGet) core.GetReply {
 	response, err := s.service.Call(http.MethodGet, "/keys/"+get.Key, nil)
 	if err != nil {
-		return core.GetReply{Out: core.Unknown}
+		return core.GetReply{Outcome: core.UnknownOutcome}
 	}
 	if response.Status == http.StatusNotFound {
-		return core.GetReply{Out: core.Missing}
+		return core.GetReply{Outcome: core.NotFound}
 	}
-	if outcome := outcomeOf(response.Status); outcome != core.OK {
-		return core.GetReply{Out: outcome}
+	if outcome := outcomeFromStatus(response.Status); outcome != core.OK {
+		return core.GetReply{Outcome: outcome}
 	}
 	kv, err := wire.DecodeGet(response.Body)
 	if err != nil {
-		return core.GetReply{Out: core.Unknown}
+		return core.GetReply{Outcome: core.UnknownOutcome}
 	}
 	kv.Key = get.Key
-	return core.GetReply{Out: core.OK, KV: kv}
+	return core.GetReply{Outcome: core.OK, KV: kv}
 }
 
 // list reads all pages. The epoch is the first page's: whatever changes while
 // the others are read is shown again by a watch from there.
-func (s *Store) list(list core.StoreList) core.ListReply {
-	first, outcome := s.page(list.Prefix, "")
+func (s *Client) list(list core.StoreList) core.ListReply {
+	first, outcome := s.readPage(list.Prefix, "")
 	if outcome != core.OK {
-		return core.ListReply{Out: outcome}
+		return core.ListReply{Outcome: outcome}
 	}
-	reply := core.ListReply{Out: core.OK, Items: first.Items, Epoch: first.Epoch}
+	reply := core.ListReply{Outcome: core.OK, Items: first.Items, Revision: first.Revision}
 	for page := first; page.More && len(page.Items) > 0; {
 		lastKey := page.Items[len(page.Items)-1].Key
-		page, outcome = s.nextPage(list.Prefix, lastKey)
+		page, outcome = s.readNextPage(list.Prefix, lastKey)
 		if outcome != core.OK {
-			return core.ListReply{Out: outcome}
+			return core.ListReply{Outcome: outcome}
 		}
 		reply.Items = append(reply.Items, page.Items...)
-		reply.Paged = true
+		reply.Paginated = true
 	}
 	return reply
 }
 
 // nextPage reads a page after the first. A list that is half read is not given
 // up because of the request limit.
-func (s *Store) nextPage(prefix, lastKey string) (wire.ItemPage, core.Outcome) {
+func (s *Client) readNextPage(prefix, lastKey string) (wire.ItemPage, core.Outcome) {
 	for {
-		page, outcome := s.page(prefix, lastKey)
+		page, outcome := s.readPage(prefix, lastKey)
 		if outcome != core.Throttled {
 			return page, outcome
 		}
-		time.Sleep(throttledPause)
+		time.Sleep(throttleBackoff)
 	}
 }
 
 // page reads the page of a list that follows a key; the first has no such key.
-func (s *Store) page(prefix, lastKey string) (wire.ItemPage, core.Outcome) {
+func (s *Client) readPage(prefix, lastKey string) (wire.ItemPage, core.Outcome) {
 	query := url.Values{
 		"prefix": {prefix},
 		"page":   {strconv.Itoa(pageSize)},
@@ -161,38 +161,38 @@
 
 func decodePage(response wire.Response, err error) (wire.ItemPage, core.Outcome) {
 	if err != nil {
-		return wire.ItemPage{}, core.Unknown
+		return wire.ItemPage{}, core.UnknownOutcome
 	}
-	if outcome := outcomeOf(response.Status); outcome != core.OK {
+	if outcome := outcomeFromStatus(response.Status); outcome != core.OK {
 		return wire.ItemPage{}, outcome
 	}
 	page, err := wire.DecodeItems(response.Body)
 	if err != nil {
-		return wire.ItemPage{}, core.Unknown
+		return wire.ItemPage{}, core.UnknownOutcome
 	}
 	return page, core.OK
 }
 
-func (s *Store) watch(watch core.StoreWatch) core.WatchReply {
-	wait := time.Duration(watch.Wait)
+func (s *Client) watch(watch core.StoreWatch) core.WatchReply {
+	wait := time.Duration(watch.Timeout)
 	query := url.Values{
 		"prefix":  {watch.Prefix},
-		"since":   {strconv.FormatUint(uint64(watch.Since), 10)},
+		"since":   {strconv.FormatUint(uint64(watch.SinceRevision), 10)},
 		"blockMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
-	response, err := s.watches.Do(wire.Request{
+	response, err := s.watchClient.Do(wire.Request{
 		Method:  http.MethodGet,
 		URL:     s.baseURL + "/watch?" + query.Encode(),
-		Timeout: wait + watchMargin,
+		Timeout: wait + watchTimeoutMargin,
 	})
 	// The answer holds all changes and may be of any size. One that is too large
 	// is as good as none: the keys are read again by pages.
-	if errors.Is(err, wire.ErrAnswerTooLarge) || err == nil && response.Status == http.StatusGone {
-		return core.WatchReply{Out: core.Gone}
+	if errors.Is(err, wire.ErrResponseTooLarge) || err == nil && response.Status == http.StatusGone {
+		return core.WatchReply{Outcome: core.Compacted}
 	}
 	page, outcome := decodePage(response, err)
 	if outcome != core.OK {
-		return core.WatchReply{Out: outcome}
+		return core.WatchReply{Outcome: outcome}
 	}
-	return core.WatchReply{Out: core.OK, Items: page.Items, Epoch: page.Epoch}
+	return core.WatchReply{Outcome: core.OK, Items: page.Items, Revision: page.Revision}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -14,7 +14,7 @@
 )
 
 // ask carries out an effect against a server and returns its reply.
-func ask(t *testing.T, handler http.HandlerFunc, effect core.Effect) any {
+func execute(t *testing.T, handler http.HandlerFunc, effect core.Effect) any {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -31,7 +31,7 @@
 }
 
 // pages serves a list in three pages, the second of which is throttled once.
-func pages(t *testing.T) http.HandlerFunc {
+func servePages(t *testing.T) http.HandlerFunc {
 	throttled := false
 	next := map[string]struct {
 		key       string
@@ -64,12 +64,12 @@
 // TestListPages: a list holds all pages as of the first one's epoch, also when
 // the request limit is met on the way.
 func TestListPages(t *testing.T) {
-	reply := ask(t, pages(t), core.StoreList{Prefix: "jobs/"}).(core.ListReply)
+	reply := execute(t, servePages(t), core.StoreList{Prefix: "jobs/"}).(core.ListReply)
 	var keys []string
 	for _, item := range reply.Items {
 		keys = append(keys, item.Key)
 	}
-	if reply.Out != core.OK || strings.Join(keys, "") != "abc" || reply.Epoch != 7 || !reply.Paged {
+	if reply.Outcome != core.OK || strings.Join(keys, "") != "abc" || reply.Revision != 7 || !reply.Paginated {
 		t.Errorf("read %+v", reply)
 	}
 }
@@ -82,28 +82,28 @@
 		body   string
 		want   string
 	}{
-		{core.StoreTxn{}, 200, `{"epoch":4}`, fmt.Sprint(core.TxnReply{Out: core.OK, Epoch: 4})},
-		{core.StoreTxn{}, 200, `{}`, fmt.Sprint(core.TxnReply{Out: core.Unknown})},
-		{core.StoreTxn{}, 409, `{"epoch":4,"failed":["k"]}`, fmt.Sprint(core.TxnReply{Out: core.Conflict, Epoch: 4, Failed: []string{"k"}})},
-		{core.StoreTxn{}, 409, `{"epoch":4}`, fmt.Sprint(core.TxnReply{Out: core.Unknown})},
-		{core.StoreTxn{}, 400, ``, fmt.Sprint(core.TxnReply{Out: core.Invalid})},
-		{core.StoreTxn{}, 429, ``, fmt.Sprint(core.TxnReply{Out: core.Throttled})},
-		{core.StoreTxn{}, 503, ``, fmt.Sprint(core.TxnReply{Out: core.NotDone})},
-		{core.StoreTxn{}, 500, ``, fmt.Sprint(core.TxnReply{Out: core.Unknown})},
-		{core.StoreGet{Key: "k"}, 404, `{"epoch":4}`, fmt.Sprint(core.GetReply{Out: core.Missing})},
-		{core.StoreGet{Key: "k"}, 503, ``, fmt.Sprint(core.GetReply{Out: core.NotDone})},
-		{core.StoreGet{Key: "k"}, 200, `{"key":"k"}`, fmt.Sprint(core.GetReply{Out: core.Unknown})},
-		{core.StoreList{}, 429, ``, fmt.Sprint(core.ListReply{Out: core.Throttled})},
-		{core.StoreList{}, 200, `{"items":[]}`, fmt.Sprint(core.ListReply{Out: core.Unknown})},
-		{core.StoreWatch{}, 410, `{"epoch":4}`, fmt.Sprint(core.WatchReply{Out: core.Gone})},
-		{core.StoreWatch{}, 200, `{"epoch":4,"events":[]}`, fmt.Sprint(core.WatchReply{Out: core.OK, Epoch: 4})},
-		{core.StoreWatch{}, 200, `{"events":[]}`, fmt.Sprint(core.WatchReply{Out: core.Unknown})},
+		{core.StoreTxn{}, 200, `{"epoch":4}`, fmt.Sprint(core.TxnReply{Outcome: core.OK, Revision: 4})},
+		{core.StoreTxn{}, 200, `{}`, fmt.Sprint(core.TxnReply{Outcome: core.UnknownOutcome})},
+		{core.StoreTxn{}, 409, `{"epoch":4,"failed":["k"]}`, fmt.Sprint(core.TxnReply{Outcome: core.Conflict, Revision: 4, FailedKeys: []string{"k"}})},
+		{core.StoreTxn{}, 409, `{"epoch":4}`, fmt.Sprint(core.TxnReply{Outcome: core.UnknownOutcome})},
+		{core.StoreTxn{}, 400, ``, fmt.Sprint(core.TxnReply{Outcome: core.Invalid})},
+		{core.StoreTxn{}, 429, ``, fmt.Sprint(core.TxnReply{Outcome: core.Throttled})},
+		{core.StoreTxn{}, 503, ``, fmt.Sprint(core.TxnReply{Outcome: core.NotApplied})},
+		{core.StoreTxn{}, 500, ``, fmt.Sprint(core.TxnReply{Outcome: core.UnknownOutcome})},
+		{core.StoreGet{Key: "k"}, 404, `{"epoch":4}`, fmt.Sprint(core.GetReply{Outcome: core.NotFound})},
+		{core.StoreGet{Key: "k"}, 503, ``, fmt.Sprint(core.GetReply{Outcome: core.NotApplied})},
+		{core.StoreGet{Key: "k"}, 200, `{"key":"k"}`, fmt.Sprint(core.GetReply{Outcome: core.UnknownOutcome})},
+		{core.StoreList{}, 429, ``, fmt.Sprint(core.ListReply{Outcome: core.Throttled})},
+		{core.StoreList{}, 200, `{"items":[]}`, fmt.Sprint(core.ListReply{Outcome: core.UnknownOutcome})},
+		{core.StoreWatch{}, 410, `{"epoch":4}`, fmt.Sprint(core.WatchReply{Outcome: core.Compacted})},
+		{core.StoreWatch{}, 200, `{"epoch":4,"events":[]}`, fmt.Sprint(core.WatchReply{Outcome: core.OK, Revision: 4})},
+		{core.StoreWatch{}, 200, `{"events":[]}`, fmt.Sprint(core.WatchReply{Outcome: core.UnknownOutcome})},
 	} {
 		answer := func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
 			_, _ = w.Write([]byte(c.body))
 		}
-		if got := fmt.Sprint(ask(t, answer, c.effect)); got != c.want {
+		if got := fmt.Sprint(execute(t, answer, c.effect)); got != c.want {
 			t.Errorf("%T answered %d %s: got %s, want %s", c.effect, c.status, c.body, got, c.want)
 		}
 	}
@@ -115,12 +115,12 @@
 func TestWatchTooLarge(t *testing.T) {
 	answer := func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"epoch":4,"events":[`))
-		_, _ = w.Write(make([]byte, wire.MaxAnswer))
+		_, _ = w.Write(make([]byte, wire.MaxResponseSize))
 	}
-	if reply := ask(t, answer, core.StoreWatch{}).(core.WatchReply); reply.Out != core.Gone {
+	if reply := execute(t, answer, core.StoreWatch{}).(core.WatchReply); reply.Outcome != core.Compacted {
 		t.Errorf("read as %+v", reply)
 	}
-	if reply := ask(t, answer, core.StoreList{}).(core.ListReply); reply.Out != core.Unknown {
-		t.Errorf("a list of that size was read as %+v", reply.Out)
+	if reply := execute(t, answer, core.StoreList{}).(core.ListReply); reply.Outcome != core.UnknownOutcome {
+		t.Errorf("a list of that size was read as %+v", reply.Outcome)
 	}
 }
--- a/internal/users/users.go
+++ b/internal/users/users.go
@@ -16,12 +16,12 @@
 const retryAfterSeconds = 1
 
 // checkinPath is where workers send their reports.
-const checkinPath = "/checkin"
+const heartbeatPath = "/checkin"
 
 // Handler serves users, the health check and, through checkin, workers. What
 // is not a worker's goes through markUser.
-func Handler(asker engine.Asker, markUser func(http.Handler) http.Handler, checkin http.Handler) http.Handler {
-	h := &handler{asker: asker}
+func Handler(asker engine.Requester, markUser func(http.Handler) http.Handler, checkin http.Handler) http.Handler {
+	h := &handler{requester: asker}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", h.health)
 	mux.HandleFunc("POST /v2/runs", h.submit)
@@ -30,7 +30,7 @@
 	marked := markUser(mux)
 	// Reports are most of what comes in: they don't go through the patterns.
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == checkinPath && r.Method == http.MethodPost {
+		if r.URL.Path == heartbeatPath && r.Method == http.MethodPost {
 			checkin.ServeHTTP(w, r)
 			return
 		}
@@ -39,66 +39,66 @@
 }
 
 type handler struct {
-	asker engine.Asker
+	requester engine.Requester
 }
 
 func (h *handler) health(w http.ResponseWriter, r *http.Request) {
-	h.ask(w, r, func(id core.ReqID) core.Event { return core.Health{Req: id} })
+	h.serve(w, r, func(id core.RequestID) core.Event { return core.Health{Request: id} })
 }
 
 func (h *handler) submit(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodySize))
 	if err != nil {
 		http.Error(w, "body unreadable or too large", http.StatusBadRequest)
 		return
 	}
 	spec, err := wire.DecodeSubmission(body)
-	submit := core.Submit{Job: spec}
+	submit := core.Submit{Spec: spec}
 	if err != nil {
 		if spec.ID == "" {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		// The id may be that of a known job, which only the core can tell.
-		submit.Bad = core.ReplyMalformed
-		submit.Why = err.Error()
+		submit.Rejection = core.ReplyBadRequest
+		submit.Reason = err.Error()
 	}
-	h.ask(w, r, func(id core.ReqID) core.Event {
-		submit.Req = id
+	h.serve(w, r, func(id core.RequestID) core.Event {
+		submit.Request = id
 		return submit
 	})
 }
 
 func (h *handler) query(w http.ResponseWriter, r *http.Request) {
-	job, valid := jobOf(r)
+	job, valid := jobIDFromPath(r)
 	if !valid {
 		http.NotFound(w, r)
 		return
 	}
-	h.ask(w, r, func(id core.ReqID) core.Event { return core.Query{Req: id, ID: job} })
+	h.serve(w, r, func(id core.RequestID) core.Event { return core.Query{Request: id, ID: job} })
 }
 
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request) {
-	job, valid := jobOf(r)
+	job, valid := jobIDFromPath(r)
 	if !valid {
 		http.NotFound(w, r)
 		return
 	}
 	// A body has no meaning here; read, it does not cost the connection.
-	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, wire.MaxBody))
-	h.ask(w, r, func(id core.ReqID) core.Event { return core.Cancel{Req: id, ID: job} })
+	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, wire.MaxBodySize))
+	h.serve(w, r, func(id core.RequestID) core.Event { return core.Cancel{Request: id, ID: job} })
 }
 
 // jobOf is the job that a request's path names. One whose id is malformed was
 // never accepted.
-func jobOf(r *http.Request) (core.JobID, bool) {
+func jobIDFromPath(r *http.Request) (core.JobID, bool) {
 	id := r.PathValue("id")
-	return core.JobID(id), wire.ValidJobID(id)
+	return core.JobID(id), wire.IsValidJobID(id)
 }
 
 // ask hands a request to the core and writes its answer.
-func (h *handler) ask(w http.ResponseWriter, r *http.Request, event func(core.ReqID) core.Event) {
-	answer, answered := h.asker.Ask(r.Context(), event)
+func (h *handler) serve(w http.ResponseWriter, r *http.Request, event func(core.RequestID) core.Event) {
+	answer, answered := h.requester.Request(r.Context(), event)
 	if !answered {
 		answer = core.Respond{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterSeconds}
 	}
@@ -107,9 +107,9 @@
 	}
 	switch {
 	case answer.View != nil:
-		w.Header().Set("Content-Type", wire.JSON)
+		w.Header().Set("Content-Type", wire.ContentTypeJSON)
 		w.WriteHeader(int(answer.Status))
-		_, _ = w.Write(wire.EncodeView(*answer.View))
+		_, _ = w.Write(wire.EncodeJobView(*answer.View))
 	case answer.Status == core.ReplyOK:
 		w.WriteHeader(http.StatusOK)
 	default:
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -13,7 +13,7 @@
 
 const (
 	// MaxAnswer bounds what is read of any answer.
-	MaxAnswer = 16 << 20
+	MaxResponseSize = 16 << 20
 	// idleTimeout is how long a connection is kept without a call.
 	idleTimeout = 60 * time.Second
 	// bufferSize is small, since a thousand connections may be kept.
@@ -22,21 +22,21 @@
 
 // The content types of request bodies.
 const (
-	JSON = "application/json"
-	CBOR = "application/cbor"
+	ContentTypeJSON = "application/json"
+	ContentTypeCBOR = "application/cbor"
 )
 
 // ErrNotSent marks a call that certainly never reached the other side.
 var ErrNotSent = errors.New("not sent")
 
 // ErrAnswerTooLarge marks an answer longer than MaxAnswer, none of which is used.
-var ErrAnswerTooLarge = errors.New("answer too large")
+var ErrResponseTooLarge = errors.New("answer too large")
 
 // ClientOptions bound a client's connections.
 type ClientOptions struct {
-	DialTimeout time.Duration
-	IdlePerHost int // idle connections that are kept for each host
-	Idle        int // idle connections that are kept in all; 0: not limited
+	DialTimeout    time.Duration
+	MaxIdlePerHost int // idle connections that are kept for each host
+	MaxIdle        int // idle connections that are kept in all; 0: not limited
 }
 
 // Client makes HTTP calls over few, kept connections. It follows no redirects.
@@ -49,8 +49,8 @@
 	dialer := &net.Dialer{Timeout: options.DialTimeout, KeepAlive: -1}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConns:        options.Idle,
-		MaxIdleConnsPerHost: options.IdlePerHost,
+		MaxIdleConns:        options.MaxIdle,
+		MaxIdleConnsPerHost: options.MaxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 		ReadBufferSize:      bufferSize,
@@ -86,15 +86,15 @@
 	}
 	incoming, err := c.http.Do(outgoing)
 	if err != nil {
-		return Response{}, callError(err)
+		return Response{}, classifyCallError(err)
 	}
 	defer incoming.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(incoming.Body, MaxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(incoming.Body, MaxResponseSize+1))
 	if err != nil {
 		return Response{}, fmt.Errorf("reading answer: %w", err)
 	}
-	if len(body) > MaxAnswer {
-		return Response{}, ErrAnswerTooLarge
+	if len(body) > MaxResponseSize {
+		return Response{}, ErrResponseTooLarge
 	}
 	return Response{Status: incoming.StatusCode, Body: body}, nil
 }
@@ -113,7 +113,7 @@
 
 // callError tells a connection that was never made from a call that may have
 // been carried out.
-func callError(err error) error {
+func classifyCallError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -142,7 +142,7 @@
 	return s.client.Do(Request{
 		Method:      method,
 		URL:         s.baseURL + path,
-		ContentType: JSON,
+		ContentType: ContentTypeJSON,
 		Body:        body,
 		Timeout:     s.timeout,
 	})
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -12,24 +12,24 @@
 var ErrNoMachines = errors.New("rental answer names no machines")
 
 // BadMachineTypeError is the error of a machine type that can't run anything.
-type BadMachineTypeError struct{ Name string }
+type InvalidMachineTypeError struct{ Name string }
 
 // Error names the type.
-func (e *BadMachineTypeError) Error() string {
+func (e *InvalidMachineTypeError) Error() string {
 	return fmt.Sprintf("machine type %q makes no sense", e.Name)
 }
 
 type machineType struct {
-	Name      string   `json:"name"`
-	CPU       float64  `json:"vcpus"`
-	GPU       float64  `json:"accelerators"`
-	Memory    float64  `json:"memoryGb"`
-	Cache     float64  `json:"cacheGb"`
-	Fetch     float64  `json:"pullGbPerS"`
-	Price     float64  `json:"rate"`
-	SpotPrice float64  `json:"spotPrice"`
-	Boot      float64  `json:"bootS"`
-	Zones     []string `json:"yards"`
+	Name        string   `json:"name"`
+	CPU         float64  `json:"vcpus"`
+	GPU         float64  `json:"accelerators"`
+	Memory      float64  `json:"memoryGb"`
+	Cache       float64  `json:"cacheGb"`
+	FetchRate   float64  `json:"pullGbPerS"`
+	Price       float64  `json:"rate"`
+	SpotPrice   float64  `json:"spotPrice"`
+	BootSeconds float64  `json:"bootS"`
+	Zones       []string `json:"yards"`
 }
 
 // DecodeTypes reads the cloud's machine types.
@@ -43,7 +43,7 @@
 	var types []core.MachineType
 	for _, t := range form.Types {
 		if t.Name == "" || t.CPU <= 0 {
-			return nil, &BadMachineTypeError{Name: t.Name}
+			return nil, &InvalidMachineTypeError{Name: t.Name}
 		}
 		types = append(types, t.decode())
 	}
@@ -53,22 +53,22 @@
 func (t *machineType) decode() core.MachineType {
 	return core.MachineType{
 		Name: t.Name,
-		Cap: core.Res{
-			CPU: core.FloorAmount(t.CPU),
-			GPU: core.FloorAmount(t.GPU),
-			Mem: core.FloorAmount(t.Memory),
+		Capacity: core.Resources{
+			CPU:    core.FloorAmount(t.CPU),
+			GPU:    core.FloorAmount(t.GPU),
+			Memory: core.FloorAmount(t.Memory),
 		},
-		CacheGB:   t.Cache,
-		FetchGBs:  t.Fetch,
-		Price:     t.Price,
-		SpotPrice: t.SpotPrice,
-		BootS:     t.Boot,
-		Zones:     t.Zones,
+		CacheGB:          t.Cache,
+		FetchGBPerSecond: t.FetchRate,
+		OnDemandPrice:    t.Price,
+		SpotPrice:        t.SpotPrice,
+		BootSeconds:      t.BootSeconds,
+		Zones:            t.Zones,
 	}
 }
 
 // rental's fields are in the order of their names, as all releases send them.
-type rental struct {
+type scaleOutRequest struct {
 	Name  string `json:"charter"`
 	Count int    `json:"count"`
 	Type  string `json:"fleet"`
@@ -77,19 +77,19 @@
 }
 
 // EncodeRental writes a rental request.
-func EncodeRental(r core.CloudRent) []byte {
-	return marshal(rental{Name: r.Name, Count: r.Count, Type: r.Type, Spot: r.Spot, Zone: r.Zone})
+func EncodeScaleOut(r core.CloudScaleOut) []byte {
+	return marshal(scaleOutRequest{Name: r.Name, Count: r.Count, Type: r.Type, Spot: r.Spot, Zone: r.Zone})
 }
 
-type machineReturn struct {
+type scaleInRequest struct {
 	IDs []core.MachineID `json:"coaches"`
 }
 
 // EncodeReturn writes a return request.
-func EncodeReturn(ids []core.MachineID) []byte { return marshal(machineReturn{IDs: ids}) }
+func EncodeScaleIn(ids []core.MachineID) []byte { return marshal(scaleInRequest{IDs: ids}) }
 
 // DecodeRental reads which machines a request got.
-func DecodeRental(body []byte) ([]core.MachineID, error) {
+func DecodeScaleOut(body []byte) ([]core.MachineID, error) {
 	var form struct {
 		IDs *[]core.MachineID `json:"coaches"`
 	}
@@ -103,18 +103,18 @@
 }
 
 type listedMachine struct {
-	ID     string  `json:"id"`
-	Addr   string  `json:"addr"`
-	Type   string  `json:"fleet"`
-	Zone   string  `json:"yard"`
-	Spot   bool    `json:"standby"`
-	Status string  `json:"status"`
-	Age    float64 `json:"ageS"`
+	ID      string  `json:"id"`
+	Address string  `json:"addr"`
+	Type    string  `json:"fleet"`
+	Zone    string  `json:"yard"`
+	Spot    bool    `json:"standby"`
+	Status  string  `json:"status"`
+	Age     float64 `json:"ageS"`
 }
 
 // MachinePage is a page of the cloud's machine list.
 type MachinePage struct {
-	Machines []core.Listed
+	Machines []core.ListedMachine
 	More     bool // there is another page
 }
 
@@ -129,27 +129,27 @@
 	}
 	page := MachinePage{More: form.More}
 	for _, m := range form.Machines {
-		page.Machines = append(page.Machines, core.Listed{
-			ID:     core.MachineID(m.ID),
-			Addr:   m.Addr,
-			Type:   m.Type,
-			Zone:   m.Zone,
-			Spot:   m.Spot,
-			Status: m.Status,
-			AgeS:   m.Age,
+		page.Machines = append(page.Machines, core.ListedMachine{
+			ID:         core.MachineID(m.ID),
+			Addr:       m.Address,
+			Type:       m.Type,
+			Zone:       m.Zone,
+			Spot:       m.Spot,
+			Status:     m.Status,
+			AgeSeconds: m.Age,
 		})
 	}
 	return page, nil
 }
 
 // noCapacity is the error text of a cloud that has no machine of the kind.
-const noCapacity = "no capacity"
+const outOfCapacityText = "no capacity"
 
 // SaysNoCapacity tells whether an answer's body says that the cloud has no
 // machine of the kind. The status alone does not tell that from trouble.
-func SaysNoCapacity(body []byte) bool {
+func IsOutOfCapacity(body []byte) bool {
 	var form struct {
 		Error string `json:"error"`
 	}
-	return json.Unmarshal(body, &form) == nil && form.Error == noCapacity
+	return json.Unmarshal(body, &form) == nil && form.Error == outOfCapacityText
 }
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -10,14 +10,14 @@
 
 var (
 	// ErrNoEpoch is the error of a state service's answer without its epoch.
-	ErrNoEpoch = errors.New("answer has no epoch")
+	ErrNoRevision = errors.New("answer has no epoch")
 	// ErrNoValue is the error of a key's answer without value or mark.
 	ErrNoValue = errors.New("key's answer has no value or mark")
 )
 
-type condition struct {
-	Key  string `json:"key"`
-	Mark uint64 `json:"mark"`
+type compare struct {
+	Key         string `json:"key"`
+	ModRevision uint64 `json:"mark"`
 }
 
 type operation struct {
@@ -29,17 +29,17 @@
 // transaction's fields are in the order of their names, as all releases send them.
 type transaction struct {
 	Then []operation `json:"then"`
-	When []condition `json:"when"`
+	When []compare   `json:"when"`
 }
 
 // EncodeTxn writes a transaction.
 func EncodeTxn(txn core.StoreTxn) []byte {
 	form := transaction{
 		Then: make([]operation, 0, len(txn.Then)),
-		When: make([]condition, 0, len(txn.When)),
+		When: make([]compare, 0, len(txn.If)),
 	}
-	for _, c := range txn.When {
-		form.When = append(form.When, condition{Key: c.Key, Mark: uint64(c.Mark)})
+	for _, c := range txn.If {
+		form.When = append(form.When, compare{Key: c.Key, ModRevision: uint64(c.ModRevision)})
 	}
 	for _, o := range txn.Then {
 		if o.Value == nil {
@@ -52,37 +52,37 @@
 }
 
 // TxnAnswer is the answer to a transaction.
-type TxnAnswer struct {
-	Epoch  core.Epoch
-	Failed []string // keys whose conditions did not hold
+type TxnResponse struct {
+	Revision   core.Revision
+	FailedKeys []string // keys whose conditions did not hold
 }
 
 // DecodeTxn reads a transaction's answer.
-func DecodeTxn(body []byte) (TxnAnswer, error) {
+func DecodeTxn(body []byte) (TxnResponse, error) {
 	var form struct {
 		Epoch  *uint64  `json:"epoch"`
 		Failed []string `json:"failed"`
 	}
 	if err := json.Unmarshal(body, &form); err != nil {
-		return TxnAnswer{}, fmt.Errorf("reading transaction's answer: %w", err)
+		return TxnResponse{}, fmt.Errorf("reading transaction's answer: %w", err)
 	}
 	if form.Epoch == nil {
-		return TxnAnswer{}, fmt.Errorf("transaction: %w", ErrNoEpoch)
+		return TxnResponse{}, fmt.Errorf("transaction: %w", ErrNoRevision)
 	}
-	return TxnAnswer{Epoch: core.Epoch(*form.Epoch), Failed: form.Failed}, nil
+	return TxnResponse{Revision: core.Revision(*form.Epoch), FailedKeys: form.Failed}, nil
 }
 
 // item is a key of a list, with Key, or a change of a watch, with Set or Drop.
 type item struct {
-	Key   string          `json:"key"`
-	Set   string          `json:"set"`
-	Drop  string          `json:"drop"`
-	Value json.RawMessage `json:"value"`
-	Mark  uint64          `json:"mark"`
+	Key         string          `json:"key"`
+	Set         string          `json:"set"`
+	Drop        string          `json:"drop"`
+	Value       json.RawMessage `json:"value"`
+	ModRevision uint64          `json:"mark"`
 }
 
 func (i *item) decode() core.KV {
-	kv := core.KV{Key: i.Key, Value: i.Value, Mark: core.Mark(i.Mark)}
+	kv := core.KV{Key: i.Key, Value: i.Value, ModRevision: core.ModRevision(i.ModRevision)}
 	switch {
 	case i.Drop != "":
 		kv.Key = i.Drop
@@ -99,17 +99,17 @@
 	if err := json.Unmarshal(body, &form); err != nil {
 		return core.KV{}, fmt.Errorf("reading key: %w", err)
 	}
-	if form.Mark == 0 || len(form.Value) == 0 {
+	if form.ModRevision == 0 || len(form.Value) == 0 {
 		return core.KV{}, ErrNoValue
 	}
-	return core.KV{Key: form.Key, Value: form.Value, Mark: core.Mark(form.Mark)}, nil
+	return core.KV{Key: form.Key, Value: form.Value, ModRevision: core.ModRevision(form.ModRevision)}, nil
 }
 
 // ItemPage is a page of keys, or of changes. A dropped key has no value.
 type ItemPage struct {
-	Items []core.KV
-	More  bool // there is another page
-	Epoch core.Epoch
+	Items    []core.KV
+	More     bool // there is another page
+	Revision core.Revision
 }
 
 // DecodeItems reads a page of keys, or of changes.
@@ -124,9 +124,9 @@
 		return ItemPage{}, fmt.Errorf("reading keys: %w", err)
 	}
 	if form.Epoch == nil {
-		return ItemPage{}, ErrNoEpoch
+		return ItemPage{}, ErrNoRevision
 	}
-	page := ItemPage{More: form.More, Epoch: core.Epoch(*form.Epoch)}
+	page := ItemPage{More: form.More, Revision: core.Revision(*form.Epoch)}
 	for _, i := range append(form.Items, form.Events...) {
 		page.Items = append(page.Items, i.decode())
 	}
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -14,7 +14,7 @@
 // service's limit for a value.
 const (
 	maxNameLength       = 200
-	maxTypes            = 32
+	maxMachineTypes     = 32
 	maxTypeNamesLength  = 1000
 	maxTasks            = 100_000
 	maxQuantity         = 1e9
@@ -27,7 +27,7 @@
 
 // noType stands for an empty list of machine types, which allows none; a
 // missing list allows all.
-const noType = "-"
+const noMachineType = "-"
 
 var jobIDPattern = regexp.MustCompile(`^j-[0-9]{1,40}$`)
 
@@ -39,7 +39,7 @@
 }
 
 // ValidJobID tells whether an id has the form that all ids have.
-func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
+func IsValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // InvalidFieldError says what is wrong with a field of a submission.
 type InvalidFieldError struct {
@@ -62,27 +62,27 @@
 // submission is the protocol's form of a job. Pointers tell a missing field
 // from a zero.
 type submission struct {
-	ID         *string  `json:"id"`
-	Class      *string  `json:"route"`
-	Team       *string  `json:"crew"`
-	Shape      *string  `json:"shape"`
-	Priority   *string  `json:"urgency"`
-	Tasks      *float64 `json:"legs"`
-	CPU        *float64 `json:"vcpus"`
-	GPU        *float64 `json:"accelerators"`
-	Memory     *float64 `json:"memoryGb"`
-	Image      *string  `json:"bundle"`
-	ImageGB    *float64 `json:"sizeGb"`
-	Types      []string `json:"fleets"`
-	Zone       *string  `json:"yard"`
-	SamePlace  *bool    `json:"samePlace"`
-	Scatter    *bool    `json:"scatter"`
-	Spot       *bool    `json:"standby"`
-	Runtime    *float64 `json:"runtimeS"`
-	Checkpoint *float64 `json:"waypointS"`
-	Save       *float64 `json:"stowS"`
-	Deadline   *float64 `json:"dueS"`
-	Awaits     []string `json:"awaits"`
+	ID           *string  `json:"id"`
+	Class        *string  `json:"route"`
+	Team         *string  `json:"crew"`
+	Shape        *string  `json:"shape"`
+	Priority     *string  `json:"urgency"`
+	Tasks        *float64 `json:"legs"`
+	CPU          *float64 `json:"vcpus"`
+	GPU          *float64 `json:"accelerators"`
+	Memory       *float64 `json:"memoryGb"`
+	Image        *string  `json:"bundle"`
+	ImageGB      *float64 `json:"sizeGb"`
+	Types        []string `json:"fleets"`
+	Zone         *string  `json:"yard"`
+	Colocate     *bool    `json:"samePlace"`
+	Spread       *bool    `json:"scatter"`
+	Spot         *bool    `json:"standby"`
+	Runtime      *float64 `json:"runtimeS"`
+	Checkpoint   *float64 `json:"waypointS"`
+	Save         *float64 `json:"stowS"`
+	Deadline     *float64 `json:"dueS"`
+	Dependencies []string `json:"awaits"`
 }
 
 // DecodeSubmission reads a submission. With an error, the spec's ID is still
@@ -99,12 +99,12 @@
 	if err := form.check(); err != nil {
 		return spec, err
 	}
-	awaits, err := form.awaited(spec.ID)
+	awaits, err := form.decodeDependencies(spec.ID)
 	if err != nil {
 		return spec, err
 	}
-	spec.Awaits = awaits
-	form.fill(&spec)
+	spec.Dependencies = awaits
+	form.fillSpec(&spec)
 	return spec, nil
 }
 
@@ -114,7 +114,7 @@
 	var form struct {
 		ID *string `json:"id"`
 	}
-	if json.Unmarshal(body, &form) != nil || form.ID == nil || !ValidJobID(*form.ID) {
+	if json.Unmarshal(body, &form) != nil || form.ID == nil || !IsValidJobID(*form.ID) {
 		return ""
 	}
 	return core.JobID(*form.ID)
@@ -140,14 +140,14 @@
 		{"shape", s.Shape},
 		{"urgency", s.Priority},
 	} {
-		if required.text == nil || !validName(*required.text) {
+		if required.text == nil || !isValidName(*required.text) {
 			return &InvalidFieldError{required.field, missingOrInvalid}
 		}
 	}
 	return nil
 }
 
-func validName(name string) bool { return name != "" && len(name) <= maxNameLength }
+func isValidName(name string) bool { return name != "" && len(name) <= maxNameLength }
 
 func (s *submission) checkQuantities() error {
 	for _, required := range []struct {
@@ -170,7 +170,7 @@
 }
 
 func (s *submission) checkFlags() error {
-	if s.SamePlace == nil || s.Scatter == nil || s.Spot == nil {
+	if s.Colocate == nil || s.Spread == nil || s.Spot == nil {
 		return &InvalidFieldError{"samePlace, scatter or standby", missing}
 	}
 	return nil
@@ -197,19 +197,19 @@
 	if s.Deadline != nil && (*s.Deadline <= 0 || *s.Deadline > maxQuantity) {
 		return &InvalidFieldError{"dueS", invalid}
 	}
-	if s.Zone != nil && !validName(*s.Zone) {
+	if s.Zone != nil && !isValidName(*s.Zone) {
 		return &InvalidFieldError{"yard", invalid}
 	}
 	return nil
 }
 
 func (s *submission) checkTypes() error {
-	if len(s.Types) > maxTypes {
+	if len(s.Types) > maxMachineTypes {
 		return &InvalidFieldError{"fleets", tooLong}
 	}
 	length := 0
 	for _, name := range s.Types {
-		if !validName(name) {
+		if !isValidName(name) {
 			return &InvalidFieldError{"fleets", invalid}
 		}
 		length += len(name)
@@ -221,11 +221,11 @@
 }
 
 // awaited lists each job once that the job has to wait for.
-func (s *submission) awaited(self core.JobID) ([]core.JobID, error) {
+func (s *submission) decodeDependencies(self core.JobID) ([]core.JobID, error) {
 	var awaits []core.JobID
-	for _, text := range s.Awaits {
+	for _, text := range s.Dependencies {
 		id := core.JobID(text)
-		if !ValidJobID(text) || id == self {
+		if !IsValidJobID(text) || id == self {
 			return nil, &InvalidFieldError{"awaits", "names no job that it could wait for"}
 		}
 		if !slices.Contains(awaits, id) {
@@ -236,33 +236,33 @@
 }
 
 // fill sets the spec's fields from a checked submission.
-func (s *submission) fill(spec *core.JobSpec) {
+func (s *submission) fillSpec(spec *core.JobSpec) {
 	spec.Class = *s.Class
 	spec.Team = *s.Team
 	spec.Priority = priorities[*s.Priority]
 	spec.Tasks = int(*s.Tasks)
-	spec.Need = core.Res{
-		CPU: ceilAmount(*s.CPU),
-		GPU: ceilAmount(*s.GPU),
-		Mem: ceilAmount(*s.Memory),
+	spec.ResourceRequest = core.Resources{
+		CPU:    ceilAmount(*s.CPU),
+		GPU:    ceilAmount(*s.GPU),
+		Memory: ceilAmount(*s.Memory),
 	}
-	spec.Types = s.Types
+	spec.MachineTypes = s.Types
 	if s.Types != nil && len(s.Types) == 0 {
-		spec.Types = []string{noType}
+		spec.MachineTypes = []string{noMachineType}
 	}
 	if s.Zone != nil {
 		spec.Zone = *s.Zone
 	}
-	spec.SamePlace = *s.SamePlace
-	spec.Scatter = *s.Scatter
+	spec.Colocate = *s.Colocate
+	spec.Spread = *s.Spread
 	spec.Spot = *s.Spot
 	spec.Image = *s.Image
 	spec.ImageGB = *s.ImageGB
-	spec.RuntimeS = *s.Runtime
-	spec.CheckpntS = *s.Checkpoint
-	spec.SaveS = *s.Save
+	spec.RuntimeSeconds = *s.Runtime
+	spec.CheckpointSeconds = *s.Checkpoint
+	spec.SaveSeconds = *s.Save
 	if s.Deadline != nil {
-		spec.DeadlineS = *s.Deadline
+		spec.DeadlineSeconds = *s.Deadline
 	}
 }
 
@@ -273,11 +273,11 @@
 
 // jobView is a job's state as users get it.
 type jobView struct {
-	ID      core.JobID  `json:"id"`
-	Status  core.Status `json:"status"`
-	Done    int         `json:"done"`
-	Running int         `json:"running"`
+	ID      core.JobID     `json:"id"`
+	Status  core.JobStatus `json:"status"`
+	Done    int            `json:"done"`
+	Running int            `json:"running"`
 }
 
 // EncodeView writes a job's state.
-func EncodeView(view core.JobView) []byte { return marshal(jobView(view)) }
+func EncodeJobView(view core.JobView) []byte { return marshal(jobView(view)) }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -6,7 +6,7 @@
 import "encoding/json"
 
 // MaxBody is the protocol's limit for a request body.
-const MaxBody = 64 << 10
+const MaxBodySize = 64 << 10
 
 // marshal writes one of this package's forms, all of which have a JSON form.
 func marshal(form any) []byte {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,18 +7,18 @@
 	"stairrelay/internal/core"
 )
 
-const job = `{"id":"j-000412","route":"train","crew":"vision","shape":"sweep","urgency":"urgent","legs":16,
+const validSubmission = `{"id":"j-000412","route":"train","crew":"vision","shape":"sweep","urgency":"urgent","legs":16,
  "vcpus":8.0,"accelerators":1.0,"memoryGb":64.0,"bundle":"img-07","sizeGb":6.2,"fleets":["g8"],"yard":null,
  "samePlace":true,"scatter":false,"standby":true,"runtimeS":240.0,"waypointS":30.0,"stowS":4.0,"dueS":900.0,"later":1}`
 
 func TestDecodeSubmission(t *testing.T) {
-	s, err := DecodeSubmission([]byte(job))
+	s, err := DecodeSubmission([]byte(validSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := core.Res{CPU: 8_000_000, GPU: 1_000_000, Mem: 64_000_000}
-	if s.ID != "j-000412" || s.Team != "vision" || s.Priority != core.Urgent || s.Tasks != 16 || s.Need != want ||
-		!s.SamePlace || s.Scatter || !s.Spot || s.Zone != "" || s.DeadlineS != 900 || s.Types[0] != "g8" {
+	want := core.Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}
+	if s.ID != "j-000412" || s.Team != "vision" || s.Priority != core.Urgent || s.Tasks != 16 || s.ResourceRequest != want ||
+		!s.Colocate || s.Spread || !s.Spot || s.Zone != "" || s.DeadlineSeconds != 900 || s.MachineTypes[0] != "g8" {
 		t.Errorf("read %+v", s)
 	}
 }
@@ -31,8 +31,8 @@
 		id       bool
 	}{
 		"not JSON":      {`{"id"`, `"id"`, false},
-		"array":         {job, `[1]`, false},
-		"null":          {job, `null`, false},
+		"array":         {validSubmission, `[1]`, false},
+		"null":          {validSubmission, `null`, false},
 		"bad id":        {"j-000412", "j-0004x2", false},
 		"id a number":   {`"j-000412"`, "412", false},
 		"other shape":   {"sweep", "gang", true},
@@ -50,7 +50,7 @@
 		"long image":    {"img-07", strings.Repeat("x", 300), true},
 		"types a text":  {`["g8"]`, `"g8"`, true},
 	} {
-		body := strings.Replace(job, c.from, c.to, 1)
+		body := strings.Replace(validSubmission, c.from, c.to, 1)
 		s, err := DecodeSubmission([]byte(body))
 		if err == nil {
 			t.Errorf("%s: accepted", name)
@@ -63,7 +63,7 @@
 
 // TestAwaits: missing, null and empty mean none; each job is listed once; a
 // malformed id, or the job's own, is refused, and the job's id is still given.
-func TestAwaits(t *testing.T) {
+func TestDependencies(t *testing.T) {
 	for list, want := range map[string]string{
 		"":     "",
 		"null": "", "[]": "",
@@ -84,9 +84,9 @@
 		`["j-000398 "]`:                      "refused",
 		`["jobs/j-000398"]`:                  "refused",
 	} {
-		body := job
+		body := validSubmission
 		if list != "" {
-			body = strings.Replace(job, `"later":1`, `"awaits":`+list, 1)
+			body = strings.Replace(validSubmission, `"later":1`, `"awaits":`+list, 1)
 		}
 		s, err := DecodeSubmission([]byte(body))
 		if s.ID != "j-000412" || (err != nil) != (want == "refused") {
@@ -94,7 +94,7 @@
 			continue
 		}
 		var got []string
-		for _, id := range s.Awaits {
+		for _, id := range s.Dependencies {
 			got = append(got, string(id))
 		}
 		if err == nil && strings.Join(got, " ") != want {
@@ -103,46 +103,46 @@
 	}
 }
 
-func TestReportsAndAnswers(t *testing.T) {
-	r, err := DecodeReport([]byte(`{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,
+func TestHeartbeatsAndResponses(t *testing.T) {
+	r, err := DecodeHeartbeatStatus([]byte(`{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,
 	 "shift":1,"stamp":88,"baton":41,"recallS":12.5,"legs":[{"leg":"j-000412/3","boarding":2,"status":"running"},
 	 {"leg":"j-000398/0","boarding":1,"status":"ended","cause":"stopped","stored":true},
 	 {"leg":"j-000398/1","boarding":1,"status":"ended","cause":"melted"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Machine != "m-000231" || r.Notice != 12.5 || r.Token != 41 || len(r.Tasks) != 3 ||
-		r.Tasks[0].Task != (core.TaskID{Job: "j-000412", Index: 3}) || !r.Tasks[1].Saved || r.Tasks[2].Cause != core.CauseError {
+	if r.Machine != "m-000231" || r.PreemptionNotice != 12.5 || r.FencingToken != 41 || len(r.Tasks) != 3 ||
+		r.Tasks[0].Task != (core.TaskID{Job: "j-000412", Index: 3}) || !r.Tasks[1].Checkpointed || r.Tasks[2].Cause != core.CauseFailed {
 		t.Errorf("read %+v", r)
 	}
 	for _, bad := range []string{`{}`, `[]`, `{"coach":"m-1","shift":0}`, `{"coach":"m/1","shift":1}`,
 		`{"coach":"m-1","shift":1,"legs":[{"leg":"j-1","boarding":1,"status":"running"}]}`,
 		`{"coach":"m-1","shift":1,"legs":[{"leg":"j-1/0","boarding":1,"status":"flying"}]}`} {
-		if _, err := DecodeReport([]byte(bad)); err == nil {
+		if _, err := DecodeHeartbeatStatus([]byte(bad)); err == nil {
 			t.Errorf("%s: accepted", bad)
 		}
 	}
-	a := core.WorkerAnswer{Token: 41, Commands: []core.Command{
-		{Verb: core.Start, Task: core.TaskID{Job: "j-000412", Index: 4}, Attempt: 2},
-		{Verb: core.Stop, Task: core.TaskID{Job: "j-000377", Index: 1}, Attempt: 1, Grace: 10},
-		{Verb: core.Forget, Task: core.TaskID{Job: "j-000398"}, Attempt: 1}}}
+	a := core.HeartbeatResponse{FencingToken: 41, Commands: []core.Command{
+		{Kind: core.Start, Task: core.TaskID{Job: "j-000412", Index: 4}, Attempt: 2},
+		{Kind: core.Stop, Task: core.TaskID{Job: "j-000377", Index: 1}, Attempt: 1, GraceSeconds: 10},
+		{Kind: core.Acknowledge, Task: core.TaskID{Job: "j-000398"}, Attempt: 1}}}
 	want := `{"baton":41,"dispatches":[{"verb":"start","leg":"j-000412/4","boarding":2},` +
 		`{"verb":"halt","leg":"j-000377/1","boarding":1,"layoverS":10},{"verb":"reap","leg":"j-000398/0","boarding":1}]}`
-	if got := string(EncodeWorkerAnswer(200, a)); got != want {
+	if got := string(EncodeHeartbeatResponse(200, a)); got != want {
 		t.Errorf("wrote %s", got)
 	}
-	if got := string(EncodeWorkerAnswer(421, core.WorkerAnswer{Redirect: "landing-2"})); got != `{"dispatcher":"landing-2"}` {
+	if got := string(EncodeHeartbeatResponse(421, core.HeartbeatResponse{RedirectTo: "landing-2"})); got != `{"dispatcher":"landing-2"}` {
 		t.Errorf("wrote %s", got)
 	}
-	if got := string(EncodeWorkerAnswer(421, core.WorkerAnswer{})); got != `{}` {
+	if got := string(EncodeHeartbeatResponse(421, core.HeartbeatResponse{})); got != `{}` {
 		t.Errorf("wrote %s", got)
 	}
 }
 
 // TestTruncatedAnswers: a cloud's or store's answer that makes no sense is an
 // error, never an empty success.
-func TestTruncatedAnswers(t *testing.T) {
-	if _, err := DecodeRental([]byte(`{}`)); err == nil {
+func TestTruncatedResponses(t *testing.T) {
+	if _, err := DecodeScaleOut([]byte(`{}`)); err == nil {
 		t.Error("a rental without machines passed")
 	}
 	if _, err := DecodeTxn([]byte(`{"failed":["a"]}`)); err == nil {
@@ -159,7 +159,7 @@
 	}
 	page, err := DecodeItems([]byte(`{"epoch":433,"events":[{"set":"c/9","value":{"a":1},"mark":433},{"drop":"c/d","mark":432}]}`))
 	items := page.Items
-	if err != nil || page.Epoch != 433 || len(items) != 2 || items[0].Key != "c/9" || items[1].Key != "c/d" || items[1].Value != nil {
+	if err != nil || page.Revision != 433 || len(items) != 2 || items[0].Key != "c/9" || items[1].Key != "c/d" || items[1].Value != nil {
 		t.Errorf("read %+v %v", items, err)
 	}
 }
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -14,9 +14,9 @@
 	maxMachineIDLength = 150
 	// unsafeInPaths are the characters that a machine's id must not have, since
 	// it becomes part of a key's path.
-	unsafeInPaths = " /?#%"
+	unsafePathCharacters = " /?#%"
 	// noNotice is the Notice of a machine that the cloud has not called back.
-	noNotice = -1
+	noPreemptionNotice = -1
 )
 
 // ErrNoIdentity is the error of a report that does not say whose it is.
@@ -34,20 +34,20 @@
 	return fmt.Sprintf("report with task %q in state %q", e.Task, e.State)
 }
 
-type report struct {
-	Machine string       `json:"coach"`
-	Addr    string       `json:"addr"`
-	Type    string       `json:"fleet"`
-	Zone    string       `json:"yard"`
-	Spot    bool         `json:"standby"`
-	Session uint64       `json:"shift"`
-	Stamp   uint64       `json:"stamp"`
-	Token   uint64       `json:"baton"`
-	Notice  *float64     `json:"recallS"`
-	Tasks   []taskReport `json:"legs"`
+type heartbeatStatus struct {
+	Machine          string       `json:"coach"`
+	Address          string       `json:"addr"`
+	Type             string       `json:"fleet"`
+	Zone             string       `json:"yard"`
+	Spot             bool         `json:"standby"`
+	Incarnation      uint64       `json:"shift"`
+	SequenceNumber   uint64       `json:"stamp"`
+	FencingToken     uint64       `json:"baton"`
+	PreemptionNotice *float64     `json:"recallS"`
+	Tasks            []taskStatus `json:"legs"`
 }
 
-type taskReport struct {
+type taskStatus struct {
 	Task    string `json:"leg"`
 	Attempt uint64 `json:"boarding"`
 	State   string `json:"status"`
@@ -58,67 +58,67 @@
 var taskStates = map[string]core.TaskState{
 	"fetching": core.Fetching,
 	"running":  core.Running,
-	"flushing": core.Saving,
+	"flushing": core.Checkpointing,
 	"ended":    core.Ended,
 }
 
 var endCauses = map[string]core.Cause{
-	"done":    core.CauseDone,
+	"done":    core.CauseCompleted,
 	"stopped": core.CauseStopped,
-	"error":   core.CauseError,
-	"full":    core.CauseFull,
-	"busy":    core.CauseBusy,
-	"no_such": core.CauseNoSuch,
+	"error":   core.CauseFailed,
+	"full":    core.CauseNoCapacity,
+	"busy":    core.CauseDuplicateAttempt,
+	"no_such": core.CauseUnknownTask,
 }
 
 // DecodeReport reads a worker's report.
-func DecodeReport(body []byte) (core.Report, error) {
-	var form report
+func DecodeHeartbeatStatus(body []byte) (core.HeartbeatStatus, error) {
+	var form heartbeatStatus
 	if err := json.Unmarshal(body, &form); err != nil {
-		return core.Report{}, fmt.Errorf("reading report: %w", err)
+		return core.HeartbeatStatus{}, fmt.Errorf("reading report: %w", err)
 	}
-	if !validMachineID(form.Machine) || form.Session == 0 {
-		return core.Report{}, ErrNoIdentity
+	if !isValidMachineID(form.Machine) || form.Incarnation == 0 {
+		return core.HeartbeatStatus{}, ErrNoIdentity
 	}
-	decoded := core.Report{
-		Machine: core.MachineID(form.Machine),
-		Addr:    form.Addr,
-		Type:    form.Type,
-		Zone:    form.Zone,
-		Spot:    form.Spot,
-		Session: core.Session(form.Session),
-		Stamp:   core.Stamp(form.Stamp),
-		Token:   core.Token(form.Token),
-		Notice:  noNotice,
+	decoded := core.HeartbeatStatus{
+		Machine:          core.MachineID(form.Machine),
+		Addr:             form.Address,
+		Type:             form.Type,
+		Zone:             form.Zone,
+		Spot:             form.Spot,
+		Incarnation:      core.Incarnation(form.Incarnation),
+		SequenceNumber:   core.SequenceNumber(form.SequenceNumber),
+		FencingToken:     core.FencingToken(form.FencingToken),
+		PreemptionNotice: noPreemptionNotice,
 	}
-	if form.Notice != nil {
-		decoded.Notice = max(0, *form.Notice)
+	if form.PreemptionNotice != nil {
+		decoded.PreemptionNotice = max(0, *form.PreemptionNotice)
 	}
 	for _, t := range form.Tasks {
 		task, err := t.decode()
 		if err != nil {
-			return core.Report{}, err
+			return core.HeartbeatStatus{}, err
 		}
 		decoded.Tasks = append(decoded.Tasks, task)
 	}
 	return decoded, nil
 }
 
-func validMachineID(id string) bool {
-	return id != "" && len(id) <= maxMachineIDLength && !strings.ContainsAny(id, unsafeInPaths)
+func isValidMachineID(id string) bool {
+	return id != "" && len(id) <= maxMachineIDLength && !strings.ContainsAny(id, unsafePathCharacters)
 }
 
-func (t *taskReport) decode() (core.TaskReport, error) {
-	task, wellFormed := core.ParseTask(t.Task)
+func (t *taskStatus) decode() (core.TaskStatus, error) {
+	task, wellFormed := core.ParseTaskID(t.Task)
 	state, known := taskStates[t.State]
 	if !wellFormed || !known {
-		return core.TaskReport{}, &UnknownTaskError{Task: t.Task, State: t.State}
+		return core.TaskStatus{}, &UnknownTaskError{Task: t.Task, State: t.State}
 	}
-	decoded := core.TaskReport{
-		Task:    task,
-		Attempt: core.Attempt(t.Attempt),
-		State:   state,
-		Saved:   t.Saved,
+	decoded := core.TaskStatus{
+		Task:         task,
+		Attempt:      core.Attempt(t.Attempt),
+		State:        state,
+		Checkpointed: t.Saved,
 	}
 	if state == core.Ended {
 		decoded.Cause = decodeCause(t.Cause)
@@ -131,32 +131,32 @@
 	if cause, known := endCauses[text]; known {
 		return cause
 	}
-	return core.CauseError
+	return core.CauseFailed
 }
 
 type command struct {
-	Verb    string   `json:"verb"`
+	Kind    string   `json:"verb"`
 	Task    string   `json:"leg"`
 	Attempt uint64   `json:"boarding"`
 	Grace   *float64 `json:"layoverS,omitempty"`
 }
 
-var verbs = map[core.Verb]string{
-	core.Start:  "start",
-	core.Stop:   "halt",
-	core.Forget: "reap",
+var commandNames = map[core.CommandKind]string{
+	core.Start:       "start",
+	core.Stop:        "halt",
+	core.Acknowledge: "reap",
 }
 
 func encodeCommands(commands []core.Command) []command {
 	forms := make([]command, 0, len(commands))
 	for _, c := range commands {
 		form := command{
-			Verb:    verbs[c.Verb],
+			Kind:    commandNames[c.Kind],
 			Task:    c.Task.String(),
 			Attempt: uint64(c.Attempt),
 		}
-		if c.Verb == core.Stop {
-			form.Grace = &c.Grace
+		if c.Kind == core.Stop {
+			form.Grace = &c.GraceSeconds
 		}
 		forms = append(forms, form)
 	}
@@ -167,34 +167,34 @@
 	Node core.NodeID `json:"dispatcher,omitempty"`
 }
 
-type workerAnswer struct {
-	Token    uint64    `json:"baton"`
-	Commands []command `json:"dispatches"`
+type heartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []command `json:"dispatches"`
 }
 
 // EncodeWorkerAnswer writes the body of an answer to a report: a redirection
 // with status 421, otherwise commands.
-func EncodeWorkerAnswer(status core.ReplyStatus, answer core.WorkerAnswer) []byte {
-	if status == core.ReplyElsewhere {
-		return marshal(redirection{Node: answer.Redirect})
+func EncodeHeartbeatResponse(status core.ReplyStatus, answer core.HeartbeatResponse) []byte {
+	if status == core.ReplyMisdirected {
+		return marshal(redirection{Node: answer.RedirectTo})
 	}
-	return marshal(workerAnswer{
-		Token:    uint64(answer.Token),
-		Commands: encodeCommands(answer.Commands),
+	return marshal(heartbeatResponse{
+		FencingToken: uint64(answer.FencingToken),
+		Commands:     encodeCommands(answer.Commands),
 	})
 }
 
-type orders struct {
-	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"shift"`
-	Commands []command `json:"dispatches"`
+type pushCommands struct {
+	FencingToken uint64    `json:"baton"`
+	Incarnation  uint64    `json:"shift"`
+	Commands     []command `json:"dispatches"`
 }
 
 // EncodeOrders writes commands that are sent straight to a worker.
-func EncodeOrders(o core.Orders) []byte {
-	return marshal(orders{
-		Token:    uint64(o.Token),
-		Session:  uint64(o.Session),
-		Commands: encodeCommands(o.Commands),
+func EncodePushCommands(o core.PushCommands) []byte {
+	return marshal(pushCommands{
+		FencingToken: uint64(o.FencingToken),
+		Incarnation:  uint64(o.Incarnation),
+		Commands:     encodeCommands(o.Commands),
 	})
 }
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -13,43 +13,43 @@
 )
 
 // Handler serves POST /checkin, a worker's report.
-func Handler(asker engine.Asker, log *slog.Logger) http.Handler {
-	return &handler{asker: asker, log: log, logged: &onceSet{seen: map[string]bool{}}}
+func Handler(asker engine.Requester, log *slog.Logger) http.Handler {
+	return &handler{requester: asker, log: log, loggedErrors: &logDeduplicator{seen: map[string]bool{}}}
 }
 
 type handler struct {
-	asker  engine.Asker
-	log    *slog.Logger
-	logged *onceSet
+	requester    engine.Requester
+	log          *slog.Logger
+	loggedErrors *logDeduplicator
 }
 
 // ServeHTTP hands the report to the core and answers with its commands.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodySize))
 	if err != nil {
 		h.logMalformed(r.RemoteAddr, err)
 		http.Error(w, "body unreadable or too large", http.StatusBadRequest)
 		return
 	}
-	report, err := wire.DecodeReport(body)
+	report, err := wire.DecodeHeartbeatStatus(body)
 	if err != nil {
 		h.logMalformed(r.RemoteAddr, err)
 		http.Error(w, "malformed report", http.StatusBadRequest)
 		return
 	}
-	checkin := func(id core.ReqID) core.Event { return core.Checkin{Req: id, Report: report} }
-	answer, answered := h.asker.Ask(r.Context(), checkin)
+	checkin := func(id core.RequestID) core.Event { return core.Heartbeat{Request: id, Status: report} }
+	answer, answered := h.requester.Request(r.Context(), checkin)
 	if !answered {
 		http.Error(w, "given up", http.StatusServiceUnavailable)
 		return
 	}
-	if answer.Worker == nil {
+	if answer.Heartbeat == nil {
 		http.Error(w, answer.Error, int(answer.Status))
 		return
 	}
-	w.Header().Set("Content-Type", wire.JSON)
+	w.Header().Set("Content-Type", wire.ContentTypeJSON)
 	w.WriteHeader(int(answer.Status))
-	_, _ = w.Write(wire.EncodeWorkerAnswer(answer.Status, *answer.Worker))
+	_, _ = w.Write(wire.EncodeHeartbeatResponse(answer.Status, *answer.Heartbeat))
 }
 
 func (h *handler) logMalformed(sender string, err error) {
@@ -57,26 +57,26 @@
 	if splitErr != nil {
 		host = sender
 	}
-	if h.logged.add(host + err.Error()) {
+	if h.loggedErrors.add(host + err.Error()) {
 		h.log.Info("malformed report", "from", host, "error", err)
 	}
 }
 
 // maxLogged bounds the malformed reports that are logged.
-const maxLogged = 1000
+const maxLoggedErrors = 1000
 
 // onceSet remembers what has been logged, so that a sender that repeats itself
 // fills no log.
-type onceSet struct {
+type logDeduplicator struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
 // add tells whether the key is new and there is room for it.
-func (s *onceSet) add(key string) bool {
+func (s *logDeduplicator) add(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen[key] || len(s.seen) > maxLogged {
+	if s.seen[key] || len(s.seen) > maxLoggedErrors {
 		return false
 	}
 	s.seen[key] = true
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -17,46 +17,46 @@
 	callTimeout = 2500 * time.Millisecond
 	// slotWait is how long a call waits for others to end before it is given up
 	// as certainly not made.
-	slotWait = time.Second
+	acquireTimeout = time.Second
 )
 
 // Workers carries out the core's Orders and Inspect effects.
-type Workers struct {
-	client *wire.Client
-	slots  *sockets.Slots
-	reply  engine.ReplyFunc
+type Client struct {
+	client  *wire.Client
+	limiter *sockets.CallLimiter
+	reply   engine.ReplyFunc
 }
 
 // New makes Workers for so many calls at once; 0: without limit.
-func New(calls int, reply engine.ReplyFunc) *Workers {
-	return &Workers{
-		client: wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, IdlePerHost: 1, Idle: calls}),
-		slots:  sockets.NewSlots(calls),
-		reply:  reply,
+func New(calls int, reply engine.ReplyFunc) *Client {
+	return &Client{
+		client:  wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: 1, MaxIdle: calls}),
+		limiter: sockets.NewCallLimiter(calls),
+		reply:   reply,
 	}
 }
 
 // Do sends commands, or asks for a report; the reply follows.
-func (w *Workers) Do(effect core.Effect) {
+func (w *Client) Do(effect core.Effect) {
 	switch effect := effect.(type) {
-	case core.Orders:
-		go func() { w.reply(effect.Call, w.order(effect)) }()
-	case core.Inspect:
-		go func() { w.reply(effect.Call, w.inspect(effect)) }()
+	case core.PushCommands:
+		go func() { w.reply(effect.Call, w.pushCommands(effect)) }()
+	case core.QueryWorkerStatus:
+		go func() { w.reply(effect.Call, w.queryStatus(effect)) }()
 	}
 }
 
-func (w *Workers) order(orders core.Orders) core.OrdersReply {
+func (w *Client) pushCommands(orders core.PushCommands) core.PushCommandsReply {
 	return w.send(orders.Addr, wire.Request{
 		Method:      http.MethodPost,
 		URL:         wire.BaseURL(orders.Addr) + "/orders",
-		ContentType: wire.JSON,
-		Body:        wire.EncodeOrders(orders),
+		ContentType: wire.ContentTypeJSON,
+		Body:        wire.EncodePushCommands(orders),
 		Timeout:     callTimeout,
 	})
 }
 
-func (w *Workers) inspect(inspect core.Inspect) core.OrdersReply {
+func (w *Client) queryStatus(inspect core.QueryWorkerStatus) core.PushCommandsReply {
 	return w.send(inspect.Addr, wire.Request{
 		Method:  http.MethodGet,
 		URL:     wire.BaseURL(inspect.Addr) + "/inspect",
@@ -65,24 +65,24 @@
 }
 
 // send makes a call as soon as there is a slot for it.
-func (w *Workers) send(addr string, request wire.Request) core.OrdersReply {
-	release, taken := w.slots.Take(addr, slotWait)
+func (w *Client) send(addr string, request wire.Request) core.PushCommandsReply {
+	release, taken := w.limiter.Acquire(addr, acquireTimeout)
 	if !taken {
-		return core.OrdersReply{Out: core.NotDone}
+		return core.PushCommandsReply{Outcome: core.NotApplied}
 	}
 	reply := w.call(request)
-	answered := reply.Out == core.OK || reply.Out == core.Conflict
+	answered := reply.Outcome == core.OK || reply.Outcome == core.Conflict
 	release(answered)
 	return reply
 }
 
-func (w *Workers) call(request wire.Request) core.OrdersReply {
+func (w *Client) call(request wire.Request) core.PushCommandsReply {
 	response, err := w.client.Do(request)
 	if errors.Is(err, wire.ErrNotSent) {
-		return core.OrdersReply{Out: core.NotDone}
+		return core.PushCommandsReply{Outcome: core.NotApplied}
 	}
 	if err != nil {
-		return core.OrdersReply{Out: core.Unknown}
+		return core.PushCommandsReply{Outcome: core.UnknownOutcome}
 	}
 	var outcome core.Outcome
 	switch response.Status {
@@ -91,11 +91,11 @@
 	case http.StatusConflict:
 		outcome = core.Conflict
 	default:
-		return core.OrdersReply{Out: core.Unknown}
+		return core.PushCommandsReply{Outcome: core.UnknownOutcome}
 	}
-	report, err := wire.DecodeReport(response.Body)
+	report, err := wire.DecodeHeartbeatStatus(response.Body)
 	if err != nil {
-		return core.OrdersReply{Out: core.Unknown}
+		return core.PushCommandsReply{Outcome: core.UnknownOutcome}
 	}
-	return core.OrdersReply{Out: outcome, Report: report}
+	return core.PushCommandsReply{Outcome: outcome, Status: report}
 }
