--- a/cmd/stairrelay/controller.go
+++ b/cmd/stairrelay/controller.go
@@ -26,9 +26,9 @@
 const (
 	// logLevelEnv names the least level that is logged: error, info or debug.
 	logLevelEnv = "LOG_LEVEL"
-	// garbagePercent is how much the heap may grow between two collections.
+	// gcPercent is how much the heap may grow between two collections.
 	gcPercent = 200
-	// heapShare is the share of the memory limit for what the garbage collector
+	// heapLimitShare is the share of the memory limit for what the garbage collector
 	// sees; stacks and the runtime fit beside it. Near the limit it runs all the
 	// time, so that the limit costs processor time first.
 	heapLimitShare = 0.75
@@ -39,7 +39,7 @@
 	// not less than the least time.
 	idleHeartbeats = 4
 	minIdleTimeout = 15 * time.Second
-	// servers is the number of servers that may fail.
+	// serverCount is the number of servers that may fail.
 	serverCount = 2
 )
 
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -7,7 +7,9 @@
 	"strconv"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/engine"
 	"stairrelay/internal/wire"
 )
@@ -15,13 +17,13 @@
 const (
 	dialTimeout = time.Second
 	callTimeout = 4 * time.Second
-	// idleCalls is the number of idle connections that are kept.
+	// maxIdleConnections is the number of idle connections that are kept.
 	maxIdleConnections = 2
 	// pageSize is the number of machines that is asked for in a page of the list.
 	pageSize = 500
 )
 
-// Cloud carries out the core's cloud effects.
+// Client carries out the core's cloud effects.
 type Client struct {
 	service *wire.JSONService
 	reply   engine.ReplyFunc
@@ -37,70 +39,70 @@
 }
 
 // Do starts a call; its reply follows.
-func (c *Client) Do(effect core.Effect) {
+func (c *Client) Do(effect messages.Effect) {
 	switch effect := effect.(type) {
-	case core.CloudMachineTypes:
+	case messages.CloudMachineTypes:
 		go func() { c.reply(effect.Call, c.listMachineTypes()) }()
-	case core.CloudScaleOut:
+	case messages.CloudScaleOut:
 		go func() { c.reply(effect.Call, c.scaleOut(effect)) }()
-	case core.CloudScaleIn:
+	case messages.CloudScaleIn:
 		go func() { c.reply(effect.Call, c.scaleIn(effect)) }()
-	case core.CloudList:
+	case messages.CloudList:
 		go func() { c.reply(effect.Call, c.listMachines(effect.After)) }()
 	}
 }
 
-func (c *Client) listMachineTypes() core.MachineTypesReply {
+func (c *Client) listMachineTypes() messages.MachineTypesReply {
 	response, err := c.service.Call(http.MethodGet, "/flavors", nil)
 	if err != nil || response.Status != http.StatusOK {
-		return core.MachineTypesReply{Outcome: core.NotApplied}
+		return messages.MachineTypesReply{Outcome: messages.NotApplied}
 	}
 	types, err := wire.DecodeTypes(response.Body)
 	if err != nil {
-		return core.MachineTypesReply{Outcome: core.UnknownOutcome}
+		return messages.MachineTypesReply{Outcome: messages.UnknownOutcome}
 	}
-	return core.MachineTypesReply{Outcome: core.OK, Types: types}
+	return messages.MachineTypesReply{Outcome: messages.OK, Types: types}
 }
 
-func (c *Client) scaleOut(rent core.CloudScaleOut) core.ScaleOutReply {
+func (c *Client) scaleOut(rent messages.CloudScaleOut) messages.ScaleOutReply {
 	response, err := c.service.Call(http.MethodPost, "/rentals", wire.EncodeScaleOut(rent))
 	if err != nil {
-		return core.ScaleOutReply{Outcome: core.UnknownOutcome}
+		return messages.ScaleOutReply{Outcome: messages.UnknownOutcome}
 	}
 	switch response.Status {
 	case http.StatusOK:
 		return decodeScaleOut(response.Body)
 	case http.StatusServiceUnavailable:
 		if wire.IsOutOfCapacity(response.Body) {
-			return core.ScaleOutReply{Outcome: core.NotFound}
+			return messages.ScaleOutReply{Outcome: messages.NotFound}
 		}
-		return core.ScaleOutReply{Outcome: core.NotApplied}
+		return messages.ScaleOutReply{Outcome: messages.NotApplied}
 	case http.StatusBadRequest:
-		return core.ScaleOutReply{Outcome: core.Invalid}
+		return messages.ScaleOutReply{Outcome: messages.Invalid}
 	case http.StatusTooManyRequests:
-		return core.ScaleOutReply{Outcome: core.Throttled}
+		return messages.ScaleOutReply{Outcome: messages.Throttled}
 	}
-	return core.ScaleOutReply{Outcome: core.UnknownOutcome}
+	return messages.ScaleOutReply{Outcome: messages.UnknownOutcome}
 }
 
-func decodeScaleOut(body []byte) core.ScaleOutReply {
+func decodeScaleOut(body []byte) messages.ScaleOutReply {
 	ids, err := wire.DecodeScaleOut(body)
 	if err != nil {
-		return core.ScaleOutReply{Outcome: core.UnknownOutcome}
+		return messages.ScaleOutReply{Outcome: messages.UnknownOutcome}
 	}
-	return core.ScaleOutReply{Outcome: core.OK, IDs: ids}
+	return messages.ScaleOutReply{Outcome: messages.OK, IDs: ids}
 }
 
-func (c *Client) scaleIn(effect core.CloudScaleIn) core.ScaleInReply {
+func (c *Client) scaleIn(effect messages.CloudScaleIn) messages.ScaleInReply {
 	response, err := c.service.Call(http.MethodPost, "/rentals/return", wire.EncodeScaleIn(effect.IDs))
 	if err != nil || response.Status != http.StatusOK {
-		return core.ScaleInReply{Outcome: core.UnknownOutcome}
+		return messages.ScaleInReply{Outcome: messages.UnknownOutcome}
 	}
-	return core.ScaleInReply{Outcome: core.OK}
+	return messages.ScaleInReply{Outcome: messages.OK}
 }
 
-// list reads the page of the machine list that follows a machine.
-func (c *Client) listMachines(since core.MachineID) core.CloudListReply {
+// listMachines reads the page of the machine list that follows a machine.
+func (c *Client) listMachines(since cluster.MachineID) messages.CloudListReply {
 	query := url.Values{"page": {strconv.Itoa(pageSize)}}
 	if since != "" {
 		query.Set("since", string(since))
@@ -108,13 +110,13 @@
 	response, err := c.service.Call(http.MethodGet, "/rentals?"+query.Encode(), nil)
 	switch {
 	case err == nil && response.Status == http.StatusTooManyRequests:
-		return core.CloudListReply{Outcome: core.Throttled}
+		return messages.CloudListReply{Outcome: messages.Throttled}
 	case err != nil || response.Status != http.StatusOK:
-		return core.CloudListReply{Outcome: core.NotApplied}
+		return messages.CloudListReply{Outcome: messages.NotApplied}
 	}
 	page, err := wire.DecodeMachines(response.Body)
 	if err != nil {
-		return core.CloudListReply{Outcome: core.UnknownOutcome}
+		return messages.CloudListReply{Outcome: messages.UnknownOutcome}
 	}
-	return core.CloudListReply{Outcome: core.OK, Items: page.Machines, More: page.More}
+	return messages.CloudListReply{Outcome: messages.OK, Items: page.Machines, More: page.More}
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -8,16 +8,17 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
-// ask carries out an effect against a server and returns its reply.
-func execute(t *testing.T, handler http.HandlerFunc, effect core.Effect) any {
+// execute carries out an effect against a server and returns its reply.
+func execute(t *testing.T, handler http.HandlerFunc, effect messages.Effect) any {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	replies := make(chan any, 1)
-	cloud := New(strings.TrimPrefix(server.URL, "http://"), func(_ core.CallID, body any) { replies <- body })
+	cloud := New(strings.TrimPrefix(server.URL, "http://"), func(_ messages.CallID, body any) { replies <- body })
 	cloud.Do(effect)
 	select {
 	case reply := <-replies:
@@ -43,11 +44,11 @@
 		_, _ = w.Write([]byte(pages[r.URL.Query().Get("since")]))
 	}
 	for _, page := range []struct {
-		since, want core.MachineID
+		since, want cluster.MachineID
 		more        bool
 	}{{"", "m-1", true}, {"m-1", "m-2", true}, {"m-2", "m-3", false}} {
-		reply := execute(t, serve, core.CloudList{After: page.since}).(core.CloudListReply)
-		if reply.Outcome != core.OK || len(reply.Items) != 1 || reply.Items[0].ID != page.want || reply.More != page.more {
+		reply := execute(t, serve, messages.CloudList{After: page.since}).(messages.CloudListReply)
+		if reply.Outcome != messages.OK || len(reply.Items) != 1 || reply.Items[0].ID != page.want || reply.More != page.more {
 			t.Errorf("after %q: %+v", page.since, reply)
 		}
 	}
@@ -56,26 +57,26 @@
 // TestOutcomes: what each status means; out of machines is not out of order.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		effect core.Effect
+		effect messages.Effect
 		status int
 		body   string
 		want   string
 	}{
-		{core.CloudScaleOut{}, 200, `{"coaches":["m-1"]}`, fmt.Sprint(core.ScaleOutReply{Outcome: core.OK, IDs: []core.MachineID{"m-1"}})},
-		{core.CloudScaleOut{}, 200, `{}`, fmt.Sprint(core.ScaleOutReply{Outcome: core.UnknownOutcome})},
-		{core.CloudScaleOut{}, 503, `{"error":"no capacity"}`, fmt.Sprint(core.ScaleOutReply{Outcome: core.NotFound})},
-		{core.CloudScaleOut{}, 503, `{"error":"trouble"}`, fmt.Sprint(core.ScaleOutReply{Outcome: core.NotApplied})},
-		{core.CloudScaleOut{}, 503, ``, fmt.Sprint(core.ScaleOutReply{Outcome: core.NotApplied})},
-		{core.CloudScaleOut{}, 400, ``, fmt.Sprint(core.ScaleOutReply{Outcome: core.Invalid})},
-		{core.CloudScaleOut{}, 429, ``, fmt.Sprint(core.ScaleOutReply{Outcome: core.Throttled})},
-		{core.CloudScaleOut{}, 500, ``, fmt.Sprint(core.ScaleOutReply{Outcome: core.UnknownOutcome})},
-		{core.CloudScaleIn{}, 200, `{}`, fmt.Sprint(core.ScaleInReply{Outcome: core.OK})},
-		{core.CloudScaleIn{}, 503, ``, fmt.Sprint(core.ScaleInReply{Outcome: core.UnknownOutcome})},
-		{core.CloudMachineTypes{}, 503, ``, fmt.Sprint(core.MachineTypesReply{Outcome: core.NotApplied})},
-		{core.CloudMachineTypes{}, 200, `{"fleets":[{"name":"x","vcpus":0}]}`, fmt.Sprint(core.MachineTypesReply{Outcome: core.UnknownOutcome})},
-		{core.CloudList{}, 429, ``, fmt.Sprint(core.CloudListReply{Outcome: core.Throttled})},
-		{core.CloudList{}, 503, ``, fmt.Sprint(core.CloudListReply{Outcome: core.NotApplied})},
-		{core.CloudList{}, 200, `[]`, fmt.Sprint(core.CloudListReply{Outcome: core.UnknownOutcome})},
+		{messages.CloudScaleOut{}, 200, `{"coaches":["m-1"]}`, fmt.Sprint(messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1"}})},
+		{messages.CloudScaleOut{}, 200, `{}`, fmt.Sprint(messages.ScaleOutReply{Outcome: messages.UnknownOutcome})},
+		{messages.CloudScaleOut{}, 503, `{"error":"no capacity"}`, fmt.Sprint(messages.ScaleOutReply{Outcome: messages.NotFound})},
+		{messages.CloudScaleOut{}, 503, `{"error":"trouble"}`, fmt.Sprint(messages.ScaleOutReply{Outcome: messages.NotApplied})},
+		{messages.CloudScaleOut{}, 503, ``, fmt.Sprint(messages.ScaleOutReply{Outcome: messages.NotApplied})},
+		{messages.CloudScaleOut{}, 400, ``, fmt.Sprint(messages.ScaleOutReply{Outcome: messages.Invalid})},
+		{messages.CloudScaleOut{}, 429, ``, fmt.Sprint(messages.ScaleOutReply{Outcome: messages.Throttled})},
+		{messages.CloudScaleOut{}, 500, ``, fmt.Sprint(messages.ScaleOutReply{Outcome: messages.UnknownOutcome})},
+		{messages.CloudScaleIn{}, 200, `{}`, fmt.Sprint(messages.ScaleInReply{Outcome: messages.OK})},
+		{messages.CloudScaleIn{}, 503, ``, fmt.Sprint(messages.ScaleInReply{Outcome: messages.UnknownOutcome})},
+		{messages.CloudMachineTypes{}, 503, ``, fmt.Sprint(messages.MachineTypesReply{Outcome: messages.NotApplied})},
+		{messages.CloudMachineTypes{}, 200, `{"fleets":[{"name":"x","vcpus":0}]}`, fmt.Sprint(messages.MachineTypesReply{Outcome: messages.UnknownOutcome})},
+		{messages.CloudList{}, 429, ``, fmt.Sprint(messages.CloudListReply{Outcome: messages.Throttled})},
+		{messages.CloudList{}, 503, ``, fmt.Sprint(messages.CloudListReply{Outcome: messages.NotApplied})},
+		{messages.CloudList{}, 200, `[]`, fmt.Sprint(messages.CloudListReply{Outcome: messages.UnknownOutcome})},
 	} {
 		answer := func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
--- a/internal/model/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,6 +1,7 @@
-// Package model holds the small value types that the scheduler's packages
-// share: ids, times and amounts. It imports no other package of the module.
-package model
+// Package cluster holds the values that all packages share: ids, times, amounts
+// and resources, and the descriptions of jobs, machines and workers. It imports
+// no other package of the module.
+package cluster
 
 import (
 	"math"
@@ -17,25 +18,25 @@
 	MachineID string
 	// NodeID names a controller.
 	NodeID string
-	// Part numbers a part: a set of teams and some machines with one owner.
+	// ShardID numbers a part: a set of teams and some machines with one owner.
 	ShardID int
-	// Epoch is the state service's change counter.
+	// Revision is the state service's change counter.
 	Revision uint64
-	// Mark is the revision of a key's last change; 0 means the key is absent.
+	// ModRevision is the revision of a key's last change; 0 means the key is absent.
 	ModRevision uint64
-	// Token says to a worker who is entitled to command it.
+	// FencingToken says to a worker who is entitled to command it.
 	FencingToken uint64
 	// Attempt distinguishes the starts of one task.
 	Attempt uint64
-	// Session counts a worker's lives; it rises when its lease runs out.
+	// Incarnation counts a worker's lives; it rises when its lease runs out.
 	Incarnation uint64
-	// Stamp orders a worker's messages within a session.
+	// SequenceNumber orders a worker's messages within a session.
 	SequenceNumber uint64
 	// Term counts the claims of a part.
 	Term uint64
 	// Time is the steady clock, counted from the process's start.
 	Time time.Duration
-	// Wall is time of day in milliseconds; used for display and ordering only.
+	// WallTime is time of day in milliseconds; used for display and ordering only.
 	WallTime int64
 	// Amount is a resource quantity in millionths, so that sums are exact.
 	Amount int64
@@ -58,7 +59,7 @@
 // MaxAttemptCount is the largest count of an attempt.
 const MaxAttemptCount = 1<<AttemptCountBits - 1
 
-// MakeAttempt numbers a start under the claim that a store change made.
+// NewAttempt numbers a start under the claim that a store change made.
 func NewAttempt(claim, count uint64) Attempt { return Attempt(claim<<AttemptCountBits | count) }
 
 // Claim returns the claim under which the attempt was numbered.
@@ -67,7 +68,7 @@
 // Count returns the attempt's number among those of its claim.
 func (a Attempt) Count() uint64 { return uint64(a) & (1<<AttemptCountBits - 1) }
 
-// NoPart is for writes that no claim guards.
+// NoShard is for writes that no claim guards.
 const NoShard ShardID = -1
 
 // AmountsPerUnit is how many Amounts make one CPU, GPU or GB.
@@ -103,7 +104,7 @@
 // String returns the task's id as job/index.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// ParseTask reads the form that String writes.
+// ParseTaskID reads the form that String writes.
 func ParseTaskID(s string) (TaskID, bool) {
 	i := strings.LastIndexByte(s, '/')
 	if i <= 0 {
--- a/internal/model/resources.go
+++ b/internal/cluster/resources.go
@@ -1,6 +1,6 @@
-package model
+package cluster
 
-// Res is what a task takes or a machine has. Its field names are part of the
+// Resources is what a task takes or a machine has. Its field names are part of the
 // stored form of a job.
 type Resources struct {
 	CPU    Amount `json:"CPU"`
@@ -24,15 +24,15 @@
 	return Resources{r.CPU * k, r.GPU * k, r.Memory * k}
 }
 
-// Fits tells whether r finds room in another.
+// FitsIn tells whether r finds room in another.
 func (r Resources) FitsIn(in Resources) bool {
 	return r.CPU <= in.CPU && r.GPU <= in.GPU && r.Memory <= in.Memory
 }
 
-// mostHeld is what Holds counts at most, as of a need of nothing.
+// maxFitCount is what Holds counts at most, as of a need of nothing.
 const maxFitCount = 1 << 20
 
-// Holds counts how many times a need finds room in r.
+// FitCount counts how many times a need finds room in r.
 func (r Resources) FitCount(need Resources) int {
 	n := Amount(maxFitCount)
 	if need.CPU > 0 {
--- a/internal/model/resources_test.go
+++ b/internal/cluster/resources_test.go
@@ -1,4 +1,4 @@
-package model
+package cluster
 
 import "testing"
 
--- a/internal/core/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -1,17 +1,19 @@
-package core
+package controller
 
 import (
 	"testing"
 	"time"
+
+	"stairrelay/internal/cluster"
 )
 
-// TestPauses: however often a part has changed hands or its records made no
+// TestAcquireBackoffBounded: however often a part has changed hands or its records made no
 // sense, the pauses before somebody claims it stay, all together, below the
 // 75 s after which a job without an answer counts as forgotten.
 func TestAcquireBackoffBounded(t *testing.T) {
-	c := New(Config{Self: "n0", Nodes: []NodeID{"n0", "n1", "n2"}, WorkerLease: 22 * second, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
+	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, WorkerLease: 22 * second, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
 	p, tune := c.shards[0], c.config.Tuning
-	detect := tune.PingInterval + tune.ProbeInterval*Time(tune.ProbeCount)
+	detect := tune.PingInterval + tune.ProbeInterval*cluster.Time(tune.ProbeCount)
 	for i := range tune.PingRetries {
 		detect += tune.InitialRetryTimeout << i
 	}
@@ -19,11 +21,11 @@
 	for range 50 {
 		p.recordOwnerChange(c.now)
 	}
-	damped := Time(0)
+	damped := cluster.Time(0)
 	for !p.isBackoffOver(c.now + damped) {
 		damped += second
 	}
-	var rest Time
+	var rest cluster.Time
 	for range 20 {
 		p.owned = true
 		c.giveUpCorruptShard(p, "k", "test")
--- a/internal/core/acquire_conflict_test.go
+++ b/internal/controller/acquire_conflict_test.go
@@ -1,8 +1,13 @@
-package core
+package controller
 
-import "testing"
+import (
+	"testing"
 
-// TestClaimBesideConflict: a claim shares its transaction with an acceptance
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// TestAcquireResentAfterBatchConflict: a claim shares its transaction with an acceptance
 // that is refused, since another controller accepted the job meanwhile. The
 // claim has to be sent again as a claim: sent as an ordinary write it was
 // dropped, as the part is not held, and the controller counted as claiming for
@@ -12,8 +17,8 @@
 	b := newControllerHarness()
 	part := b.shards[1]
 	part.owned, part.ready = false, false
-	b.store.keys["jobs/j-1"] = KV{"jobs/j-1", []byte(`{"s":{"tm":"red","n":1},"w":"b1-1"}`), 31}
-	b.handleSubmit(Submit{Request: 1, Spec: JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: []byte(`{"s":{"tm":"red","n":1},"w":"b1-1"}`), ModRevision: 31}
+	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.acquireShard(part)
 	b.runFor(2 * second)
 
--- a/internal/core/admission.go
+++ b/internal/controller/admission.go
@@ -1,22 +1,25 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"slices"
 	"strconv"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // A submission is accepted by a record in the store. Those that come in
 // together share one: a record each would cost a put each, and when many come
 // at once their users would wait for the write rate.
 
-// acceptPrefix is where the records of jobs accepted together are stored.
+// admissionKeyPrefix is where the records of jobs accepted together are stored.
 const admissionKeyPrefix = "accepts/"
 
-// acceptWithin is how long a submission may wait for its record.
+// admissionTimeout is how long a submission may wait for its record.
 const admissionTimeout = 3500 * millisecond
 
-// acceptRecord is what accepts/<name> holds: jobs that came in together. A job
+// admissionRecord is what accepts/<name> holds: jobs that came in together. A job
 // has a record of its own, jobs/<id>, from its first outcome on; that one
 // counts where both exist.
 type admissionRecord struct {
@@ -25,24 +28,24 @@
 }
 
 type admittedJob struct {
-	ID   JobID   `json:"id"`
-	Spec JobSpec `json:"s"`
+	ID   cluster.JobID   `json:"id"`
+	Spec cluster.JobSpec `json:"s"`
 }
 
-// acceptance is a submission that waits for its record.
+// pendingAdmission is a submission that waits for its record.
 type pendingAdmission struct {
-	spec     JobSpec
-	respond  func(Respond)
-	deadline Time // too late after that
+	spec     cluster.JobSpec
+	respond  func(messages.Respond)
+	deadline cluster.Time // too late after that
 	answered bool
 
-	duplicateChecked     bool            // whether another controller accepted the job
-	duplicateCheckFailed bool            // that could not be read
-	idempotentRetries    []func(Respond) // the same id once more, in the same record
-	answerStored         func()          // answers, once it is stored
+	duplicateChecked     bool                     // whether another controller accepted the job
+	duplicateCheckFailed bool                     // that could not be read
+	idempotentRetries    []func(messages.Respond) // the same id once more, in the same record
+	answerStored         func()                   // answers, once it is stored
 }
 
-// finish answers when the job is stored and was looked for.
+// answerIfReady answers when the job is stored and was looked for.
 func (a *pendingAdmission) answerIfReady() {
 	if a.duplicateChecked && a.answerStored != nil {
 		a.answerStored()
@@ -50,7 +53,7 @@
 }
 
 // answer tells the user, once.
-func (a *pendingAdmission) answer(r Respond) {
+func (a *pendingAdmission) answer(r messages.Respond) {
 	if a.answered {
 		return
 	}
@@ -61,7 +64,7 @@
 	}
 }
 
-// acceptances holds the submissions that wait for their record, and what is
+// admissionQueue holds the submissions that wait for their record, and what is
 // known of the records that accepted several jobs at once.
 //
 // A submission that has no answer yet is in waiting or belongs to one write.
@@ -72,9 +75,9 @@
 	unchecked       []*pendingAdmission // to be checked for an acceptance by another controller
 	queuedWrites    int                 // writes that have not taken their submissions yet
 	keysIssued      int                 // record names given so far
-	firstRevisions  map[JobID]ModRevision
-	appliedRevision Revision // what was stored until then is known
-	loaded          bool     // all records were read at least once
+	firstRevisions  map[cluster.JobID]cluster.ModRevision
+	appliedRevision cluster.Revision // what was stored until then is known
+	loaded          bool             // all records were read at least once
 }
 
 // nextKey names the next record. The name is used once, as no other process
@@ -84,40 +87,40 @@
 	return admissionKeyPrefix + boot + "-" + strconv.Itoa(s.keysIssued)
 }
 
-// add queues a submission; true: it needs a write of its own.
+// enqueue queues a submission; true: it needs a write of its own.
 func (s *admissionQueue) enqueue(a *pendingAdmission) bool {
 	s.waiting = append(s.waiting, a)
 	return s.queuedWrites < len(s.waiting)
 }
 
-// knows tells whether a record of several is known to have accepted a job.
-func (s *admissionQueue) isAdmitted(id JobID) bool { return s.firstRevisions[id] > 0 }
+// isAdmitted tells whether a record of several is known to have accepted a job.
+func (s *admissionQueue) isAdmitted(id cluster.JobID) bool { return s.firstRevisions[id] > 0 }
 
-// note takes in that a record of several with a revision accepted a job.
-func (s *admissionQueue) recordAdmission(id JobID, revision ModRevision) {
+// recordAdmission takes in that a record of several with a revision accepted a job.
+func (s *admissionQueue) recordAdmission(id cluster.JobID, revision cluster.ModRevision) {
 	if first := s.firstRevisions[id]; first == 0 || revision < first {
 		s.firstRevisions[id] = revision
 	}
 }
 
-// acceptedBefore tells whether an earlier record than that with a revision
+// wasAdmittedBefore tells whether an earlier record than that with a revision
 // accepted a job.
-func (s *admissionQueue) wasAdmittedBefore(id JobID, revision ModRevision) bool {
+func (s *admissionQueue) wasAdmittedBefore(id cluster.JobID, revision cluster.ModRevision) bool {
 	return s.isAdmitted(id) && s.firstRevisions[id] < revision
 }
 
-// transactions is how many puts the waiting submissions need when each takes
+// putsNeeded is how many puts the waiting submissions need when each takes
 // as many as a transaction may have.
 func (s *admissionQueue) putsNeeded(perPut int) float64 {
 	return float64(len(s.waiting)) / float64(perPut)
 }
 
-// accept has a job stored and answers its submission then, or says that this
+// enqueueAdmission has a job stored and answers its submission then, or says that this
 // took too long.
-func (c *Controller) enqueueAdmission(spec JobSpec, answer func(Respond)) {
+func (c *Controller) enqueueAdmission(spec cluster.JobSpec, answer func(messages.Respond)) {
 	a := &pendingAdmission{spec: spec, respond: answer, deadline: c.now + admissionTimeout}
 	c.after(admissionTimeout, func() {
-		a.answer(Respond{Status: ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "not stored in time"})
+		a.answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "not stored in time"})
 	})
 	c.after(storeSlowThreshold+50*millisecond, func() {
 		if !a.answered && c.storeHealth.isUnresponsive(c.now) {
@@ -130,7 +133,7 @@
 	c.checkDuplicateAdmission(a)
 }
 
-// checkOtherAcceptance finds out whether another controller has accepted the
+// checkDuplicateAdmission finds out whether another controller has accepted the
 // job in a record of several, while its record here is being written: then this
 // is a repeat, and is answered as one. A reading begun now shows all that its
 // user can have been told. One serves the submissions of some milliseconds.
@@ -152,7 +155,7 @@
 	})
 }
 
-// takeWaiting takes the submissions that still wait for an answer, as many as
+// takeAdmissionBatch takes the submissions that still wait for an answer, as many as
 // go into one record.
 func (c *Controller) takeAdmissionBatch() []*pendingAdmission {
 	s := &c.admissions
@@ -173,7 +176,7 @@
 	return batch
 }
 
-// joinRepeat answers a submission whose job is known meanwhile, or has it
+// joinIdempotentRetry answers a submission whose job is known meanwhile, or has it
 // answered with the same id's submission of a batch; false: it is neither.
 func (c *Controller) joinIdempotentRetry(a *pendingAdmission, batch []*pendingAdmission) bool {
 	id := a.spec.ID
@@ -185,7 +188,7 @@
 	if i < 0 {
 		return false
 	}
-	batch[i].idempotentRetries = append(batch[i].idempotentRetries, func(r Respond) {
+	batch[i].idempotentRetries = append(batch[i].idempotentRetries, func(r messages.Respond) {
 		if r.View != nil {
 			c.answerIdempotentRetry(a.answer, id)
 		} else {
@@ -195,7 +198,7 @@
 	return true
 }
 
-// acceptanceWrite is a write that accepts the submissions it takes when its
+// admissionWrite is a write that accepts the submissions it takes when its
 // turn comes: one alone as the job's own record, several as one record, on
 // condition that none of them is known.
 type admissionWrite struct {
@@ -207,13 +210,13 @@
 	jobRecords [][]byte // a record of its own for each of the batch
 }
 
-// writeAccepted queues the write that takes the next waiting submissions.
+// queueAdmissionWrite queues the write that takes the next waiting submissions.
 func (c *Controller) queueAdmissionWrite() {
 	c.admissions.queuedWrites++
 	key := c.admissions.nextKey(c.config.InstanceID)
 	w := &admissionWrite{controller: c, batchKey: key}
 	w.write = &queuedWrite{
-		shardID:          NoShard,
+		shardID:          cluster.NoShard,
 		keys:             []string{key},
 		maxExtraCompares: c.config.MaxTxnOps,
 		build:            w.build,
@@ -225,7 +228,7 @@
 
 // build makes the record. It is called again where another write of its
 // transaction was refused.
-func (w *admissionWrite) build(nonce string) ([]TxnOp, []ModRevision) {
+func (w *admissionWrite) build(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 	s := &w.controller.admissions
 	if !w.built {
 		w.built = true
@@ -248,19 +251,19 @@
 	}
 	if len(w.batch) == 1 {
 		w.write.keys[0] = jobKey(w.batch[0].spec.ID)
-		return []TxnOp{{w.write.keys[0], w.jobRecords[0]}}, []ModRevision{0}
+		return []messages.TxnOp{{Key: w.write.keys[0], Value: w.jobRecords[0]}}, []cluster.ModRevision{0}
 	}
 	rec.WriteID = nonce
 	for _, a := range w.batch {
-		w.write.extraCompares = append(w.write.extraCompares, Compare{jobKey(a.spec.ID), 0})
+		w.write.extraCompares = append(w.write.extraCompares, messages.Compare{Key: jobKey(a.spec.ID), ModRevision: 0})
 	}
 	v, _ := json.Marshal(rec)
-	return []TxnOp{{w.batchKey, v}}, []ModRevision{0}
+	return []messages.TxnOp{{Key: w.batchKey, Value: v}}, []cluster.ModRevision{0}
 }
 
-// stored takes in the jobs accepted and answers their users.
-func (w *admissionWrite) handleStored(e Revision) {
-	revision := ModRevision(e)
+// handleStored takes in the jobs accepted and answers their users.
+func (w *admissionWrite) handleStored(e cluster.Revision) {
+	revision := cluster.ModRevision(e)
 	own := revision
 	if len(w.batch) > 1 {
 		own = 0 // of their own records, which don't exist yet
@@ -269,7 +272,7 @@
 		if len(w.batch) > 1 {
 			w.controller.admissions.recordAdmission(a.spec.ID, revision)
 		}
-		kv := KV{Key: jobKey(a.spec.ID), Value: w.jobRecords[i], ModRevision: own}
+		kv := messages.KV{Key: jobKey(a.spec.ID), Value: w.jobRecords[i], ModRevision: own}
 		w.controller.applyJobRecord(kv, nil)
 		w.controller.notifyOwner(w.controller.teams[a.spec.Team].shard, kv)
 		w.controller.notifyDependencyOwners(&a.spec, kv)
@@ -288,22 +291,22 @@
 	}
 }
 
-// answerAccepted answers a submission that was stored with a revision: as new,
+// answerAdmitted answers a submission that was stored with a revision: as new,
 // unless an earlier record accepted it or that could not be read.
-func (c *Controller) answerAdmitted(a *pendingAdmission, revision ModRevision) {
+func (c *Controller) answerAdmitted(a *pendingAdmission, revision cluster.ModRevision) {
 	id := a.spec.ID
 	if a.duplicateCheckFailed || c.admissions.wasAdmittedBefore(id, revision) {
 		c.answerIdempotentRetry(a.answer, id)
 		return
 	}
-	v := JobView{ID: id, Status: JobPending}
+	v := cluster.JobView{ID: id, Status: cluster.JobPending}
 	if k := c.jobs.finalJob(id); k != nil {
 		v = finalView(id, k)
 	}
-	a.answer(Respond{Status: ReplyCreated, View: &v})
+	a.answer(messages.Respond{Status: messages.ReplyCreated, View: &v})
 }
 
-// refused follows a conflict: some of the batch are known. Each learns which by
+// handleConflict follows a conflict: some of the batch are known. Each learns which by
 // itself.
 func (w *admissionWrite) handleConflict() {
 	for _, a := range w.batch {
@@ -314,11 +317,11 @@
 			w.controller.answerIdempotentRetry(a.answer, a.spec.ID)
 			continue
 		}
-		w.controller.lookUpJobInStore(a.spec.ID, func(status ReplyStatus, v JobView) {
+		w.controller.lookUpJobInStore(a.spec.ID, func(status messages.ReplyStatus, v cluster.JobView) {
 			switch {
 			case a.answered:
-			case status == ReplyOK:
-				a.answer(Respond{Status: ReplyOK, View: &v})
+			case status == messages.ReplyOK:
+				a.answer(messages.Respond{Status: messages.ReplyOK, View: &v})
 			default: // not this one: it is tried again
 				w.controller.admissions.enqueue(a)
 				w.controller.queueAdmissionWrite()
@@ -327,30 +330,30 @@
 	}
 }
 
-// learnAccepted takes in a record of jobs that were accepted together.
-func (c *Controller) applyAdmissionRecord(kv KV, loading *shard) {
+// applyAdmissionRecord takes in a record of jobs that were accepted together.
+func (c *Controller) applyAdmissionRecord(kv messages.KV, loading *shard) {
 	if kv.Value == nil {
 		return
 	}
 	c.recordPeerWrite(kv)
 	var rec admissionRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
-		c.log(LogError, "unreadable record", "key", kv.Key)
+		c.log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	for i := range rec.Jobs {
 		j := &rec.Jobs[i]
 		c.admissions.recordAdmission(j.ID, kv.ModRevision)
 		v, _ := json.Marshal(jobRecord{Spec: &j.Spec})
-		c.applyJobRecord(KV{Key: jobKey(j.ID), Value: v}, loading)
+		c.applyJobRecord(messages.KV{Key: jobKey(j.ID), Value: v}, loading)
 	}
 }
 
-// loadAccepted learns of the jobs that were accepted together, then follows.
+// loadAdmissions learns of the jobs that were accepted together, then follows.
 func (c *Controller) loadAdmissions() {
 	s := &c.admissions
-	c.listPrefix(admissionKeyPrefix, func(r ListReply) {
-		if r.Outcome != OK {
+	c.listPrefix(admissionKeyPrefix, func(r messages.ListReply) {
+		if r.Outcome != messages.OK {
 			c.after(second, c.loadAdmissions)
 			return
 		}
@@ -358,13 +361,13 @@
 			c.applyAdmissionRecord(kv, nil)
 		}
 		s.appliedRevision, s.loaded = r.Revision, true
-		c.watchPrefix(admissionKeyPrefix, &s.appliedRevision, 2*second, func(kv KV) { c.applyAdmissionRecord(kv, nil) }, c.loadAdmissions)
+		c.watchPrefix(admissionKeyPrefix, &s.appliedRevision, 2*second, func(kv messages.KV) { c.applyAdmissionRecord(kv, nil) }, c.loadAdmissions)
 	})
 }
 
-// catchUp calls fn with whether a job was accepted in a record of several, as
+// lookUpAdmission calls fn with whether a job was accepted in a record of several, as
 // the store shows it now: what changed since the last reading is read.
-func (c *Controller) lookUpAdmission(id JobID, fn func(known, ok bool)) {
+func (c *Controller) lookUpAdmission(id cluster.JobID, fn func(known, ok bool)) {
 	s := &c.admissions
 	if s.isAdmitted(id) {
 		fn(true, true)
@@ -377,13 +380,13 @@
 	c.readAdmissionChanges(func(ok bool) { fn(s.isAdmitted(id), ok) })
 }
 
-// readAccepts reads the records of several that were stored since the last
+// readAdmissionChanges reads the records of several that were stored since the last
 // reading; fn gets whether that worked.
 func (c *Controller) readAdmissionChanges(fn func(bool)) {
-	c.readPrefixSince(admissionKeyPrefix, c.admissions.appliedRevision, func(r WatchReply) {
+	c.readPrefixSince(admissionKeyPrefix, c.admissions.appliedRevision, func(r messages.WatchReply) {
 		for _, kv := range r.Items {
 			c.applyAdmissionRecord(kv, nil)
 		}
-		fn(r.Outcome == OK)
+		fn(r.Outcome == messages.OK)
 	})
 }
--- a/internal/core/all_controllers_down_test.go
+++ b/internal/controller/all_controllers_down_test.go
@@ -1,12 +1,12 @@
-package core_test
+package controller_test
 
 import (
 	"testing"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
 )
 
-// TestAllAwayLongerThanLease: all controllers are away for longer than a lease.
+// TestAllControllersDownLongerThanLease: all controllers are away for longer than a lease.
 // The tasks are lost with it; none runs twice, and the job gets done.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	m := newTestCluster(t, 2)
@@ -20,10 +20,10 @@
 		t.Fatalf("%d tasks outlive their lease", n)
 	}
 	for i, n := range m.Nodes {
-		m.After(core.Time(i)*second/5, func() { m.StartNode(n) })
+		m.After(cluster.Time(i)*second/5, func() { m.StartNode(n) })
 	}
 	m.runAndCheck(90 * second)
-	if other.ReportedStatus != core.JobDone || m.countRunningTasks(m.longJob) != 3 {
+	if other.ReportedStatus != cluster.JobDone || m.countRunningTasks(m.longJob) != 3 {
 		t.Errorf("the short job is %s, %d of the long one's 3 tasks run", other.ReportedStatus, m.countRunningTasks(m.longJob))
 	}
 }
--- a/internal/core/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -1,12 +1,12 @@
-package core
+package controller
 
 import (
 	"testing"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
-// TestAttemptsBeyondOneClaim: a part that one controller holds for days numbers
+// TestAttemptNumbersBeyondOneRevision: a part that one controller holds for days numbers
 // more starts than the count of an attempt has room for. Each number is new,
 // and belongs to a store change of the holder's own. Before, the count ran over
 // into the claim's bits: the numbers of an odd claim came again.
@@ -22,9 +22,9 @@
 	b.writeMachine(m, priorityStart)
 	b.runFor(100 * millisecond)
 
-	p.attemptCount = model.MaxAttemptCount - 1
+	p.attemptCount = cluster.MaxAttemptCount - 1
 	last, next := p.nextAttempt(), p.nextAttempt()
-	if last.Claim() != 31 || last.Count() != model.MaxAttemptCount {
+	if last.Claim() != 31 || last.Count() != cluster.MaxAttemptCount {
 		t.Errorf("the last of the claim is %d of %d", last.Count(), last.Claim())
 	}
 	if next.Claim() != 51 || next.Count() != 1 {
--- a/internal/core/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -1,18 +1,19 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
 	"testing"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/simulation"
 )
 
 // BenchmarkClusterSecond measures a simulated second of a loaded cluster of
 // three cores: reports, placement, writes, polls.
 func BenchmarkClusterSecond(b *testing.B) {
-	var w *standin.Simulator
-	w = standin.NewSimulator(1, testConfig(), testCloud(func() *standin.Simulator { return w }))
+	var w *simulation.Simulator
+	w = simulation.NewSimulator(1, testConfig(), testCloud(func() *simulation.Simulator { return w }))
 	w.NoRandomFaults = true
 	for _, z := range []string{"a", "b", "c"} {
 		for range 5 {
@@ -21,9 +22,9 @@
 	}
 	w.RunUntil(5 * second)
 	for i := range 60 {
-		s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: []string{"red", "green", "blue"}[i%3], Priority: core.Normal,
-			Tasks: 1000, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 4, Spot: true}
-		w.Submit(&standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 4 * second, TaskCount: s.Tasks, Image: s.Image}})
+		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: []string{"red", "green", "blue"}[i%3], Priority: cluster.Normal,
+			Tasks: 1000, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 4, Spot: true}
+		w.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 4 * second, TaskCount: s.Tasks, Image: s.Image}})
 	}
 	w.RunUntil(30 * second)
 	b.ReportAllocs()
@@ -50,24 +51,24 @@
 	cfg := testConfig()
 	cfg.Nodes, cfg.Teams = nil, nil
 	for i := range nodes {
-		cfg.Nodes = append(cfg.Nodes, core.NodeID(fmt.Sprintf("n%d", i)))
+		cfg.Nodes = append(cfg.Nodes, cluster.NodeID(fmt.Sprintf("n%d", i)))
 	}
 	for i := range 6 {
-		cfg.Teams = append(cfg.Teams, core.Team{Name: fmt.Sprintf("t%d", i), GuaranteedQuota: core.Resources{CPU: cpu * core.Amount(machines) / 2}, QuotaLimit: core.Resources{CPU: cpu * core.Amount(machines) * 3 / 2}})
+		cfg.Teams = append(cfg.Teams, cluster.Team{Name: fmt.Sprintf("t%d", i), GuaranteedQuota: cluster.Resources{CPU: cpu * cluster.Amount(machines) / 2}, QuotaLimit: cluster.Resources{CPU: cpu * cluster.Amount(machines) * 3 / 2}})
 	}
 	cfg.HeartbeatInterval, cfg.WorkerLease = 5*second, 26*second
 	cfg.StoreRPS, cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = 500, 100, 8192, 16
-	var w *standin.Simulator
-	w = standin.NewSimulator(1, cfg, testCloud(func() *standin.Simulator { return w }))
+	var w *simulation.Simulator
+	w = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return w }))
 	w.NoRandomFaults = true
 	for i := range machines {
 		w.AddMachine("small", []string{"a", "b", "c"}[i%3], false)
 	}
 	w.RunUntil(10 * second)
 	for i := range machines * 9 / 19 {
-		s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%06d", i)), Class: fmt.Sprintf("c%d", i%3), Team: cfg.Teams[i%6].Name, Priority: core.Priority(i % 3),
-			Tasks: 10 + 30*(i%7), ResourceRequest: core.Resources{CPU: cpu * core.Amount(1+i%2), Memory: 3 * cpu}, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1, RuntimeSeconds: 25, Spot: true}
-		w.Submit(&standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 25 * second, TaskCount: s.Tasks, Image: s.Image}})
+		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: fmt.Sprintf("c%d", i%3), Team: cfg.Teams[i%6].Name, Priority: cluster.Priority(i % 3),
+			Tasks: 10 + 30*(i%7), ResourceRequest: cluster.Resources{CPU: cpu * cluster.Amount(1+i%2), Memory: 3 * cpu}, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1, RuntimeSeconds: 25, Spot: true}
+		w.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 25 * second, TaskCount: s.Tasks, Image: s.Image}})
 	}
 	w.RunUntil(60 * second)
 	b.ResetTimer()
--- a/internal/core/cloud_pages_test.go
+++ b/internal/controller/cloud_pages_test.go
@@ -1,11 +1,14 @@
-package core
+package controller
 
 import (
 	"fmt"
 	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
-// TestListWithinCloudRate: the machine list of a large fleet has many pages. All
+// TestMachineListWithinCloudRate: the machine list of a large fleet has many pages. All
 // are read, none faster than this controller's share of the cloud's calls
 // allows, and the next reading waits until all controllers' readings together
 // take half of the rate at most. Read at once every 8 s, nine pages by five
@@ -13,15 +16,15 @@
 func TestMachineListWithinCloudRate(t *testing.T) {
 	b := newControllerHarness()
 	const machines, pageSize = 4000, 500
-	page := func(since MachineID) CloudListReply {
+	page := func(since cluster.MachineID) messages.CloudListReply {
 		first := 0
 		if since != "" {
 			_, _ = fmt.Sscanf(string(since), "m-%d", &first)
 			first++
 		}
-		reply := CloudListReply{Outcome: OK, More: first+pageSize < machines}
+		reply := messages.CloudListReply{Outcome: messages.OK, More: first+pageSize < machines}
 		for i := range pageSize {
-			reply.Items = append(reply.Items, ListedMachine{ID: MachineID(fmt.Sprintf("m-%06d", first+i)), Status: "running"})
+			reply.Items = append(reply.Items, cluster.ListedMachine{ID: cluster.MachineID(fmt.Sprintf("m-%06d", first+i)), Status: "running"})
 		}
 		return reply
 	}
@@ -36,14 +39,14 @@
 		out := b.effects
 		b.effects = nil
 		for _, f := range out {
-			ask, isList := f.(CloudList)
+			ask, isList := f.(messages.CloudList)
 			if !isList {
 				continue
 			}
 			calls++
 			if calls == 3 && !throttled { // refused once: the page is asked for again
 				throttled = true
-				b.pendingCalls[ask.Call](CloudListReply{Outcome: Throttled})
+				b.pendingCalls[ask.Call](messages.CloudListReply{Outcome: messages.Throttled})
 				continue
 			}
 			b.pendingCalls[ask.Call](page(ask.After))
--- a/internal/core/cloudlist.go
+++ b/internal/controller/cloudlist.go
@@ -1,7 +1,10 @@
-package core
+package controller
 
 import (
 	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // cloudListing is the state of reading the cloud's machine list, which shows
@@ -10,44 +13,44 @@
 // One reading runs at a time.
 type cloudListing struct {
 	inProgress    bool
-	nextReadAt    Time // no reading begins before
-	lastPageCount int  // of the last whole list
+	nextReadAt    cluster.Time // no reading begins before
+	lastPageCount int          // of the last whole list
 }
 
-// listReading reads the machine list page by page. Each page is a call of the
+// cloudListRead reads the machine list page by page. Each page is a call of the
 // cloud, taken out of this controller's share like any other: the list of a large
 // fleet is spread over time rather than read at the cost of rentals.
 type cloudListRead struct {
 	controller *Controller
-	items      []ListedMachine
+	items      []cluster.ListedMachine
 	pageCount  int
-	done       func(items []ListedMachine, ok bool)
+	done       func(items []cluster.ListedMachine, ok bool)
 }
 
 const (
-	// listRetry is the wait for a call of the cloud that the share does not allow yet.
+	// listRetryDelay is the wait for a call of the cloud that the share does not allow yet.
 	listRetryDelay = second / 4
-	// listThrottled is the wait after the cloud has refused a page for its rate.
+	// listThrottledDelay is the wait after the cloud has refused a page for its rate.
 	listThrottledDelay = second
-	// listShare is the part of the cloud's rate that the controllers' regular
+	// listRateShare is the part of the cloud's rate that the controllers' regular
 	// readings may take together.
 	listRateShare = 0.5
 )
 
-// readList reads the whole machine list; the first page was paid for.
-func (c *Controller) readCloudList(done func(items []ListedMachine, ok bool)) {
+// readCloudList reads the whole machine list; the first page was paid for.
+func (c *Controller) readCloudList(done func(items []cluster.ListedMachine, ok bool)) {
 	l := &cloudListRead{controller: c, done: done}
 	l.readPage("")
 }
 
-// read asks for the page that follows a machine.
-func (l *cloudListRead) readPage(since MachineID) {
+// readPage asks for the page that follows a machine.
+func (l *cloudListRead) readPage(since cluster.MachineID) {
 	c := l.controller
-	c.emit(CloudList{After: since, Call: c.registerCall(func(b any) { l.handlePage(since, b.(CloudListReply)) })})
+	c.emit(messages.CloudList{After: since, Call: c.registerCall(func(b any) { l.handlePage(since, b.(messages.CloudListReply)) })})
 }
 
-// readWhenAllowed asks for a page as soon as the share of calls allows it.
-func (l *cloudListRead) readPageWhenAllowed(since MachineID) {
+// readPageWhenAllowed asks for a page as soon as the share of calls allows it.
+func (l *cloudListRead) readPageWhenAllowed(since cluster.MachineID) {
 	if !l.controller.tryCloudCall() {
 		l.controller.after(listRetryDelay, func() { l.readPageWhenAllowed(since) })
 		return
@@ -55,15 +58,15 @@
 	l.readPage(since)
 }
 
-// learn takes in a page and goes on with the next.
-func (l *cloudListRead) handlePage(since MachineID, page CloudListReply) {
+// handlePage takes in a page and goes on with the next.
+func (l *cloudListRead) handlePage(since cluster.MachineID, page messages.CloudListReply) {
 	c := l.controller
 	switch {
-	case page.Outcome == Throttled:
+	case page.Outcome == messages.Throttled:
 		c.handleCloudThrottled()
 		c.after(listThrottledDelay, func() { l.readPageWhenAllowed(since) })
 		return
-	case page.Outcome != OK:
+	case page.Outcome != messages.OK:
 		l.done(nil, false)
 		return
 	}
@@ -77,12 +80,12 @@
 	l.done(l.items, true)
 }
 
-// listPause is the time between two readings of the cloud's list: the more pages
+// cloudListInterval is the time between two readings of the cloud's list: the more pages
 // it has and the more controllers read it, the longer. A controller without
 // machines has only orphans to look for, which takes a minute anyway.
-func (c *Controller) cloudListInterval() Time {
+func (c *Controller) cloudListInterval() cluster.Time {
 	calls := float64(c.cloudListing.lastPageCount * c.writeQueue.liveControllers)
-	spread := Time(calls / (c.config.CloudRPS * listRateShare) * float64(second))
+	spread := cluster.Time(calls / (c.config.CloudRPS * listRateShare) * float64(second))
 	d := max(c.config.CloudListLag, 8*second, spread)
 	if len(c.machines) == 0 {
 		d *= 4
@@ -90,14 +93,14 @@
 	return d
 }
 
-// firstList spreads the controllers' first readings: they start together, at
+// firstCloudListAt spreads the controllers' first readings: they start together, at
 // the moment at which a fleet may have to be rented.
-func (c *Controller) firstCloudListAt() Time {
+func (c *Controller) firstCloudListAt() cluster.Time {
 	at := slices.Index(c.config.Nodes, c.config.Self)
-	return 2*second + c.cloudListInterval()*Time(max(at, 0))/Time(len(c.config.Nodes))
+	return 2*second + c.cloudListInterval()*cluster.Time(max(at, 0))/cluster.Time(len(c.config.Nodes))
 }
 
-// listCloud reads the machine list now and then: it shows machines that died
+// pollCloudList reads the machine list now and then: it shows machines that died
 // and orphans that no record lists.
 func (c *Controller) pollCloudList() {
 	if c.cloudListing.inProgress || c.now < c.cloudListing.nextReadAt || !c.tryCloudCall() {
@@ -105,7 +108,7 @@
 	}
 	c.cloudListing.nextReadAt = c.now + c.cloudListInterval()
 	c.cloudListing.inProgress = true
-	c.readCloudList(func(items []ListedMachine, ok bool) {
+	c.readCloudList(func(items []cluster.ListedMachine, ok bool) {
 		c.cloudListing.inProgress = false
 		if ok {
 			c.applyCloudList(items)
@@ -113,9 +116,9 @@
 	})
 }
 
-// learnCloudList takes in the whole machine list.
-func (c *Controller) applyCloudList(items []ListedMachine) {
-	listed := make(map[MachineID]bool, len(items))
+// applyCloudList takes in the whole machine list.
+func (c *Controller) applyCloudList(items []cluster.ListedMachine) {
+	listed := make(map[cluster.MachineID]bool, len(items))
 	for _, l := range items {
 		listed[l.ID] = true
 		c.applyCloudListItem(l)
@@ -133,8 +136,8 @@
 	}
 }
 
-// seenInList takes in one machine of the cloud's list.
-func (c *Controller) applyCloudListItem(l ListedMachine) {
+// applyCloudListItem takes in one machine of the cloud's list.
+func (c *Controller) applyCloudListItem(l cluster.ListedMachine) {
 	m := c.machines[l.ID]
 	if m == nil {
 		c.handleUnrecordedMachine(l)
--- a/internal/core/cloudrate.go
+++ b/internal/controller/cloudrate.go
@@ -1,13 +1,16 @@
-package core
+package controller
 
-import "stairrelay/internal/ratelimit"
+import (
+	"stairrelay/internal/messages"
+	"stairrelay/internal/ratelimit"
+)
 
 // The cloud's request rate is one limit for all controllers. Each takes a part
 // of it by what it could use, as with the store's write rate: the one that
 // holds the only team with work would otherwise rent a fleet with a seventh of
 // what is allowed, while six that need nothing have the rest.
 
-// cloudShare is this controller's part of the cloud's request rate.
+// cloudRateShare is this controller's part of the cloud's request rate.
 type cloudRateShare struct {
 	bucket    ratelimit.TokenBucket
 	callCount int     // calls since demand was last worked out
@@ -15,13 +18,13 @@
 	demand    float64 // calls a second that this controller could use
 }
 
-// demandHeard is how long what another controller told of its demand counts:
+// demandFreshness is how long what another controller told of its demand counts:
 // calls come each second, so it has missed two by then.
 const demandFreshness = 3 * second
 
-// shareByNeed returns this controller's part of a limit that all live ones
+// shareByDemand returns this controller's part of a limit that all live ones
 // share. told picks the demand on it from what another one has told.
-func (c *Controller) shareByDemand(limit, demand float64, told func(*Ping) float64) float64 {
+func (c *Controller) shareByDemand(limit, demand float64, told func(*messages.Ping) float64) float64 {
 	others := make([]ratelimit.Demand, 0, len(c.peers))
 	for _, id := range c.config.Nodes {
 		if p := c.peers[id]; p != nil && !p.failed {
@@ -32,7 +35,7 @@
 	return ratelimit.Divide(limit, demand, c.writeQueue.liveControllers, others)
 }
 
-// measureCloud works out once a second what this controller could use. A need
+// measureCloudDemand works out once a second what this controller could use. A need
 // shows at once and fades slowly: rentals come in waves.
 func (c *Controller) measureCloudDemand() {
 	s := &c.cloudRate
@@ -45,17 +48,17 @@
 	c.updateCloudRate()
 }
 
-// cloudBurst is for how many seconds of the rate the cloud allows bursts.
+// cloudBurstSeconds is for how many seconds of the rate the cloud allows bursts.
 const cloudBurstSeconds = 2
 
 func (c *Controller) updateCloudRate() {
 	s := &c.cloudRate
 	s.bucket.Refill(c.now)
-	rate := c.shareByDemand(c.config.CloudRPS*c.config.Tuning.RateBudgetShare, s.demand, func(g *Ping) float64 { return g.CloudDemand })
+	rate := c.shareByDemand(c.config.CloudRPS*c.config.Tuning.RateBudgetShare, s.demand, func(g *messages.Ping) float64 { return g.CloudDemand })
 	s.bucket.SetRate(rate, max(cloudBurstSeconds*rate, 1))
 }
 
-// mayCallCloud takes a call out of the share, or notes that one had to wait.
+// tryCloudCall takes a call out of the share, or notes that one had to wait.
 func (c *Controller) tryCloudCall() bool {
 	if !c.cloudRate.bucket.Take(c.now, 1) {
 		c.cloudRate.wasDenied = true
@@ -65,7 +68,7 @@
 	return true
 }
 
-// mustCallCloud counts a call that waits for nothing: without the machine types
+// forceCloudCall counts a call that waits for nothing: without the machine types
 // nothing runs, and a request that is repeated was paid for once.
 func (c *Controller) forceCloudCall() {
 	c.cloudRate.bucket.Refill(c.now)
@@ -78,6 +81,6 @@
 	c.counters.CloudCalls++
 }
 
-// cloudThrottled follows a 429: the controllers' views of their shares differ
+// handleCloudThrottled follows a 429: the controllers' views of their shares differ
 // for a moment, and this one has used more than there was.
 func (c *Controller) handleCloudThrottled() { c.cloudRate.bucket.Lower(0) }
--- a/internal/core/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -1,20 +1,23 @@
-package core_test
+package controller_test
 
 import (
 	"encoding/json"
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/controller"
+	"stairrelay/internal/simulation"
 )
 
-// calmCluster is a calm cluster with some machines up and one long job that runs.
+// testCluster is a calm cluster with some machines up and one long job that runs.
 type testCluster struct {
-	*standin.Simulator
+	*simulation.Simulator
 	t       *testing.T
-	config  core.Config
-	longJob *standin.Job
+	config  controller.Config
+	longJob *simulation.Job
 }
 
 func newTestCluster(t *testing.T, machines int) *testCluster {
@@ -27,11 +30,11 @@
 	return newTestClusterWithConfig(t, testConfig(), seed, machines)
 }
 
-// newCalmClusterWith is newMeetingOf with settings of its own.
-func newTestClusterWithConfig(t *testing.T, cfg core.Config, seed uint64, machines int) *testCluster {
+// newTestClusterWithConfig is newMeetingOf with settings of its own.
+func newTestClusterWithConfig(t *testing.T, cfg controller.Config, seed uint64, machines int) *testCluster {
 	t.Helper()
 	m := &testCluster{t: t, config: cfg}
-	m.Simulator = standin.NewSimulator(seed, cfg, testCloud(func() *standin.Simulator { return m.Simulator }))
+	m.Simulator = simulation.NewSimulator(seed, cfg, testCloud(func() *simulation.Simulator { return m.Simulator }))
 	m.NoRandomFaults = true
 	for range machines {
 		m.AddMachine("small", "a", false)
@@ -45,19 +48,19 @@
 	return m
 }
 
-// submit hands in a job of team red, whose part is n1's.
-func (m *testCluster) submitJob(id core.JobID, tasks int, run core.Time) *standin.Job {
-	s := core.JobSpec{ID: id, Class: "c", Team: "red", Priority: core.Normal, Tasks: tasks, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu},
-		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: core.WallTime(m.Now / 1e6)}
-	j := &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
+// submitJob hands in a job of team red, whose part is n1's.
+func (m *testCluster) submitJob(id cluster.JobID, tasks int, run cluster.Time) *simulation.Job {
+	s := cluster.JobSpec{ID: id, Class: "c", Team: "red", Priority: cluster.Normal, Tasks: tasks, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu},
+		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: cluster.WallTime(m.Now / 1e6)}
+	j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
 	m.Submit(j)
 	return j
 }
 
-// holder is the controller that the store shows as holder of part 1.
-func (m *testCluster) longJobOwner() core.NodeID {
+// longJobOwner is the controller that the store shows as holder of part 1.
+func (m *testCluster) longJobOwner() cluster.NodeID {
 	var rec struct {
-		Holder core.NodeID `json:"holder"`
+		Holder cluster.NodeID `json:"holder"`
 	}
 	if err := json.Unmarshal(m.StateService.Get("parts/1").KV.Value, &rec); err != nil {
 		m.t.Fatal(err)
@@ -65,8 +68,8 @@
 	return rec.Holder
 }
 
-// until runs in small steps until something holds, or fails.
-func (m *testCluster) waitFor(what string, within core.Time, ok func() bool) {
+// waitFor runs in small steps until something holds, or fails.
+func (m *testCluster) waitFor(what string, within cluster.Time, ok func() bool) {
 	m.t.Helper()
 	at := m.Now
 	for end := at + within; !ok(); m.RunUntil(at) {
@@ -77,12 +80,12 @@
 }
 
 // cancelAt asks one controller to cancel the job until it is confirmed.
-func (m *testCluster) cancelAt(n *standin.Node, j *standin.Job) {
+func (m *testCluster) cancelAt(n *simulation.Node, j *simulation.Job) {
 	m.t.Helper()
 	j.CancelRequested = true
 	var ask func()
 	ask = func() {
-		m.SendRequest(n, func(id core.RequestID) core.Event { return core.Cancel{Request: id, ID: j.Spec.ID} }, func(r core.Respond) {
+		m.SendRequest(n, func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: j.Spec.ID} }, func(r messages.Respond) {
 			if r.Status == 200 {
 				m.CheckReportedStatus(j, r.View.Status)
 			} else if j.CancelConfirmedAt == 0 {
@@ -94,12 +97,12 @@
 	m.waitFor("the cancellation is confirmed", 5*second, func() bool { return j.CancelConfirmedAt > 0 })
 }
 
-// onMachines counts the job's tasks that run on machines.
-func (m *testCluster) countRunningTasks(j *standin.Job) int {
+// countRunningTasks counts the job's tasks that run on machines.
+func (m *testCluster) countRunningTasks(j *simulation.Job) int {
 	n := 0
 	for _, l := range m.Workers {
 		for _, x := range l.Tasks {
-			if x.ID.Job == j.Spec.ID && (x.State == core.Running || x.State == core.Checkpointing) {
+			if x.ID.Job == j.Spec.ID && (x.State == cluster.Running || x.State == cluster.Checkpointing) {
 				n++
 			}
 		}
@@ -107,9 +110,9 @@
 	return n
 }
 
-// rest plays on and checks that no rule broke and that no task of the job is
+// runAndCheck plays on and checks that no rule broke and that no task of the job is
 // left once the cancellation's time is up.
-func (m *testCluster) runAndCheck(d core.Time) {
+func (m *testCluster) runAndCheck(d cluster.Time) {
 	m.t.Helper()
 	m.RunUntil(m.Now + d)
 	for _, b := range m.Violations {
--- a/internal/core/commandpush.go
+++ b/internal/controller/commandpush.go
@@ -1,10 +1,15 @@
-package core
+package controller
 
-import "slices"
+import (
+	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
 
 // Commands that are sent to a machine at once.
 
-// orderSoon notes a machine whose commands can't wait for its next report.
+// queueCommandPush notes a machine whose commands can't wait for its next report.
 func (c *Controller) queueCommandPush(m *machine) {
 	if !m.pushQueued {
 		m.pushQueued = true
@@ -12,7 +17,7 @@
 	}
 }
 
-// pushOrders sends what can't wait for the machines' next reports.
+// pushQueuedCommands sends what can't wait for the machines' next reports.
 func (c *Controller) pushQueuedCommands() {
 	queue := c.urgentPushes
 	c.urgentPushes = nil
@@ -28,7 +33,7 @@
 		if c.processHealth.isOverloaded() && m.hasRunningTask() {
 			// A call costs more than an answer. Where tasks run, reports come with
 			// every change and at least each interval: starts go with their answers.
-			cmds = slices.DeleteFunc(cmds, func(x Command) bool { return x.Kind == Start })
+			cmds = slices.DeleteFunc(cmds, func(x cluster.Command) bool { return x.Kind == cluster.Start })
 		}
 		if len(cmds) > 0 {
 			c.pushCommands(m, cmds)
@@ -36,20 +41,20 @@
 	}
 }
 
-func (c *Controller) pushCommands(m *machine, cmds []Command) {
+func (c *Controller) pushCommands(m *machine, cmds []cluster.Command) {
 	m.pushInFlight, m.lastPushAt = true, c.now
 	c.counters.CommandPushes++
 	var starts []*assignment
 	for _, cmd := range cmds {
-		if cmd.Kind == Start {
+		if cmd.Kind == cluster.Start {
 			a := m.assignments[cmd.Task]
 			a.phase, a.pushed = phaseDispatched, true
 			starts = append(starts, a)
 		}
 	}
 	token := m.token
-	c.emit(PushCommands{Addr: m.address, FencingToken: token, Incarnation: m.incarnation, Commands: cmds, Call: c.registerCall(func(b any) {
-		r := b.(PushCommandsReply)
+	c.emit(messages.PushCommands{Addr: m.address, FencingToken: token, Incarnation: m.incarnation, Commands: cmds, Call: c.registerCall(func(b any) {
+		r := b.(messages.PushCommandsReply)
 		m.pushInFlight = false
 		if c.machines[m.id] != m {
 			return
@@ -65,16 +70,16 @@
 			}
 		}
 		switch r.Outcome {
-		case OK:
+		case messages.OK:
 			c.applyPushReply(m, &r.Status)
-		case Conflict:
+		case messages.Conflict:
 			unsent()
 			if r.Status.FencingToken > m.token {
 				c.checkOwner(m)
 				return
 			}
 			c.applyPushReply(m, &r.Status)
-		case NotApplied:
+		case messages.NotApplied:
 			m.resetSentStops()
 			unsent()
 		default:
@@ -88,14 +93,14 @@
 	})})
 }
 
-// resetStops notes that the stops sent may not have arrived.
+// resetSentStops notes that the stops sent may not have arrived.
 func (m *machine) resetSentStops() {
 	for _, a := range m.assignments {
 		a.stopSentAt = 0
 	}
 }
 
-func (c *Controller) applyPushReply(m *machine, r *HeartbeatStatus) {
+func (c *Controller) applyPushReply(m *machine, r *cluster.HeartbeatStatus) {
 	if r.Machine != m.id {
 		return
 	}
--- a/internal/core/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -1,16 +1,18 @@
-package core
+package controller
 
 import (
 	"strings"
 	"testing"
+
+	"stairrelay/internal/cluster"
 )
 
-// report is a machine's next account of itself.
-func (b *controllerHarness) deliverStatus(m *machine, tasks ...TaskStatus) {
-	b.reconcile(m, &HeartbeatStatus{Machine: m.id, Incarnation: m.incarnation, SequenceNumber: m.sequenceNumber + 1, FencingToken: m.token, PreemptionNotice: -1, Tasks: tasks}, false)
+// deliverStatus is a machine's next account of itself.
+func (b *controllerHarness) deliverStatus(m *machine, tasks ...cluster.TaskStatus) {
+	b.reconcile(m, &cluster.HeartbeatStatus{Machine: m.id, Incarnation: m.incarnation, SequenceNumber: m.sequenceNumber + 1, FencingToken: m.token, PreemptionNotice: -1, Tasks: tasks}, false)
 }
 
-// TestCompletedLeavesRecord: a completed task is left out of its group's next
+// TestCompletedTaskLeavesGroupRecord: a completed task is left out of its group's next
 // record, though its outcome is not stored yet. It stays in the books and with
 // its worker until that is stored, and then goes without another write of the
 // record. Listed until then, completed tasks filled the records of a store that
@@ -21,7 +23,7 @@
 	m, a := b.addRunningMachine(j)
 	j.recordTooLarge = true // no checkpoint stores its outcomes
 	m.group.modRevision = 0
-	b.deliverStatus(m, TaskStatus{Task: a.task, Attempt: a.attempt, State: Ended, Cause: CauseCompleted})
+	b.deliverStatus(m, cluster.TaskStatus{Task: a.task, Attempt: a.attempt, State: cluster.Ended, Cause: cluster.CauseCompleted})
 	b.writeMachine(m, priorityStart)
 	b.runFor(100 * millisecond)
 
@@ -43,32 +45,32 @@
 	}
 }
 
-// TestCompletedUnderEarlierHolder: the holder before has seen a task complete,
+// TestTaskCompletedUnderPreviousOwner: the holder before has seen a task complete,
 // left it out of the record, and ended before it stored the outcome. Its
 // successor learns it from the worker's report, has it stored, and only then
 // lets the worker forget it. Forgotten at once, as other tasks that no record
 // lists, it would be started again.
 func TestTaskCompletedUnderPreviousOwner(t *testing.T) {
-	completed := TaskStatus{Task: TaskID{Job: "j-1", Index: 1}, Attempt: 3, State: Ended, Cause: CauseCompleted}
+	completed := cluster.TaskStatus{Task: cluster.TaskID{Job: "j-1", Index: 1}, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseCompleted}
 	for _, test := range []struct {
 		name    string
 		prepare func(*job)
-		task    TaskStatus
+		task    cluster.TaskStatus
 		learned bool
 	}{
 		{"not known to be done", func(*job) {}, completed, true},
 		{"waits for the job's further outcomes", func(j *job) { j.chunksLoading = 1 }, completed, false},
 		{"started elsewhere meanwhile", func(j *job) { j.setAssigned(1, &assignment{task: completed.Task, job: j, attempt: 9}) }, completed, false},
 		{"cancelled", func(j *job) { j.cancelling = true }, completed, false},
-		{"failed", func(*job) {}, TaskStatus{Task: completed.Task, Attempt: 3, State: Ended, Cause: CauseFailed}, false},
-		{"beyond the job", func(*job) {}, TaskStatus{Task: TaskID{Job: "j-1", Index: 7}, Attempt: 3, State: Ended, Cause: CauseCompleted}, false},
+		{"failed", func(*job) {}, cluster.TaskStatus{Task: completed.Task, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseFailed}, false},
+		{"beyond the job", func(*job) {}, cluster.TaskStatus{Task: cluster.TaskID{Job: "j-1", Index: 7}, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseCompleted}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			j := b.addTestJob("j-1", 3)
 			m, a := b.addRunningMachine(j)
 			test.prepare(j)
-			b.deliverStatus(m, TaskStatus{Task: a.task, Attempt: a.attempt, State: Running}, test.task)
+			b.deliverStatus(m, cluster.TaskStatus{Task: a.task, Attempt: a.attempt, State: cluster.Running}, test.task)
 			if got := j.completedCount == 1 && m.assignments[test.task.Task] != nil; got != test.learned {
 				t.Fatalf("learned %v, %d done", got, j.completedCount)
 			}
--- a/internal/core/completedindexes.go
+++ b/internal/controller/completedindexes.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/base64"
@@ -9,13 +9,13 @@
 // Which of a chunk's tasks are done is stored as ranges, "0-3,7", or as a bitmap
 // in base64 after a "b", whichever is shorter.
 
-// bitmapMark begins a bitmap.
+// bitmapPrefix begins a bitmap.
 const bitmapPrefix = "b"
 
-// rangeBytes is what one more range may take at most.
+// maxRangeBytes is what one more range may take at most.
 const maxRangeBytes = 12
 
-// encodeDone writes which of a chunk's tasks are done, in at most so many bytes:
+// encodeCompleted writes which of a chunk's tasks are done, in at most so many bytes:
 // from the index it returns on, what is done did not fit. To list fewer is safe,
 // as a task that is started again after it was done ends at once.
 func encodeCompleted(state []uint8, limit int) (string, int) {
@@ -63,7 +63,7 @@
 	return bitmapPrefix + base64.RawStdEncoding.EncodeToString(bits)
 }
 
-// decodeDone calls set for each of n tasks that is done; false: the text makes
+// decodeCompleted calls set for each of n tasks that is done; false: the text makes
 // no sense.
 func decodeCompleted(text string, n int, set func(int)) bool {
 	if text == "" {
--- a/internal/core/controller.go
+++ b/internal/controller/controller.go
@@ -1,26 +1,36 @@
-package core
+// Package controller is the controller's state machine: it makes all decisions
+// and carries out none of them.
+//
+// A Controller is driven by Step(now, event) -> effects. It has no clock, no
+// randomness, no goroutine and no input or output: whatever it needs from
+// outside arrives as an event, whatever it wants done leaves as an effect. So
+// every failure can be replayed in a test by feeding events.
+package controller
 
 import (
 	"sort"
 	"time"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 const (
-	second      = Time(time.Second)
-	millisecond = Time(time.Millisecond)
+	second      = cluster.Time(time.Second)
+	millisecond = cluster.Time(time.Millisecond)
 )
 
-// Core is a controller's whole state, by owner: each type says what always
+// Controller is a controller's whole state, by owner: each type says what always
 // holds of its fields, in the file that it is named for.
 type Controller struct {
 	config   Config
-	now      Time
-	wallTime WallTime
+	now      cluster.Time
+	wallTime cluster.WallTime
 
 	// What it wants done, and what it waits for.
-	effects      []Effect
-	lastCallID   CallID
-	pendingCalls map[CallID]func(any)
+	effects      []messages.Effect
+	lastCallID   messages.CallID
+	pendingCalls map[messages.CallID]func(any)
 	timers       timerQueue
 	writeQueue   writeQueue
 	cloudRate    cloudRateShare
@@ -33,14 +43,14 @@
 	workerReachability workerReachability
 
 	// The other controllers.
-	peers           map[NodeID]*peer
+	peers           map[cluster.NodeID]*peer
 	versionRegistry versionRegistry
 	ownerQueries    ownerQueries
 
 	// Parts, teams and jobs.
-	shards            []*shard // by number
-	shardsRevision    Revision // who holds which part is known up to this revision
-	ownedShardChanges int      // of the parts held here
+	shards            []*shard         // by number
+	shardsRevision    cluster.Revision // who holds which part is known up to this revision
+	ownedShardChanges int              // of the parts held here
 	teams             map[string]*team
 	jobs              jobRegistry
 	jobReads          linearizableJobReads
@@ -50,12 +60,12 @@
 	schedulingTrigger schedulingTrigger
 
 	// Machines.
-	machines          map[MachineID]*machine   // of parts held here
-	machineGroups     map[string]*machineGroup // of parts held here
+	machines          map[cluster.MachineID]*machine // of parts held here
+	machineGroups     map[string]*machineGroup       // of parts held here
 	recordNames       recordNames
 	machineOwners     machineOwners
 	orphanedMachines  orphanedMachines
-	machineTypes      map[string]MachineType
+	machineTypes      map[string]cluster.MachineType
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
 	scaleOutScheduled bool // a look for machines before the next regular one
@@ -69,23 +79,23 @@
 func New(cfg Config) *Controller {
 	c := &Controller{
 		config:           cfg,
-		pendingCalls:     map[CallID]func(any){},
+		pendingCalls:     map[messages.CallID]func(any){},
 		jobs:             newJobRegistry(),
-		machines:         map[MachineID]*machine{},
+		machines:         map[cluster.MachineID]*machine{},
 		machineGroups:    map[string]*machineGroup{},
-		admissions:       admissionQueue{firstRevisions: map[JobID]ModRevision{}},
+		admissions:       admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
 		machineOwners:    machineOwners{},
 		orphanedMachines: newOrphanedMachines(),
-		peers:            map[NodeID]*peer{},
+		peers:            map[cluster.NodeID]*peer{},
 		ownerQueries:     newOwnerQueries(),
 		teams:            map[string]*team{},
-		machineTypes:     map[string]MachineType{},
+		machineTypes:     map[string]cluster.MachineType{},
 		classStats:       map[string]*classStats{},
 	}
 	c.versionRegistry = newVersionRegistry(cfg.Self)
 	c.writeQueue.init(c)
 	for i := range cfg.Nodes {
-		c.shards = append(c.shards, &shard{id: ShardID(i), preferredOwner: cfg.Nodes[i], outOfCapacityCount: map[provisioningOption]int{}, usage: teamUsage{}})
+		c.shards = append(c.shards, &shard{id: cluster.ShardID(i), preferredOwner: cfg.Nodes[i], outOfCapacityCount: map[provisioningOption]int{}, usage: teamUsage{}})
 		if n := cfg.Nodes[i]; n != cfg.Self {
 			c.peers[n] = &peer{id: n}
 		}
@@ -102,7 +112,7 @@
 }
 
 // Step takes one event and returns what is to be done about it.
-func (c *Controller) Step(now Time, wall WallTime, ev Event) []Effect {
+func (c *Controller) Step(now cluster.Time, wall cluster.WallTime, ev messages.Event) []messages.Effect {
 	stood := now-c.now > processPauseThreshold
 	if now > c.now {
 		c.now = now
@@ -113,26 +123,26 @@
 		c.handleProcessPause()
 	}
 	switch e := ev.(type) {
-	case Tick:
-	case Submit:
+	case messages.Tick:
+	case messages.Submit:
 		c.counters.Submissions++
 		c.handleSubmit(e)
-	case Query:
+	case messages.Query:
 		c.counters.Queries++
 		c.handleQuery(e)
-	case Cancel:
+	case messages.Cancel:
 		c.counters.Cancellations++
 		c.handleCancel(e.Request, e.ID, true)
-	case Health:
+	case messages.Health:
 		c.handleHealth(e)
-	case Heartbeat:
+	case messages.Heartbeat:
 		c.counters.Heartbeats++
 		c.handleHeartbeat(e)
-	case PeerRequest:
+	case messages.PeerRequest:
 		c.handlePeerRequest(e)
-	case ProcessLoad:
+	case messages.ProcessLoad:
 		c.processHealth.load = e
-	case Reply:
+	case messages.Reply:
 		if fn := c.pendingCalls[e.Call]; fn != nil {
 			delete(c.pendingCalls, e.Call)
 			fn(e.Body)
@@ -157,24 +167,24 @@
 	c.answerHeldHeartbeats()
 }
 
-func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
+func (c *Controller) emit(e messages.Effect) { c.effects = append(c.effects, e) }
 
-func (c *Controller) registerCall(fn func(any)) CallID {
+func (c *Controller) registerCall(fn func(any)) messages.CallID {
 	c.lastCallID++
 	c.pendingCalls[c.lastCallID] = fn
 	return c.lastCallID
 }
 
-func (c *Controller) log(level LogLevel, text string, args ...any) {
-	c.emit(Log{Level: level, Message: text, Args: args})
+func (c *Controller) log(level messages.LogLevel, text string, args ...any) {
+	c.emit(messages.Log{Level: level, Message: text, Args: args})
 }
 
-// refuse answers at once that the request can't be taken now.
-func (c *Controller) respondError(req RequestID, status ReplyStatus, after int, why string) {
-	c.emit(Respond{Request: req, Status: status, RetryAfter: after, Error: why})
+// respondError answers at once that the request can't be taken now.
+func (c *Controller) respondError(req messages.RequestID, status messages.ReplyStatus, after int, why string) {
+	c.emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
 }
 
-// boot starts everything that runs on its own.
+// startLoops starts everything that runs on its own.
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
 	for _, n := range c.config.Nodes {
--- /dev/null
+++ b/internal/controller/controller_harness_test.go
@@ -0,0 +1,134 @@
+package controller
+
+import (
+	"strings"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/grouprecord"
+)
+
+// testStore is a store that a test plays by hand; what it carries out is real.
+type testStore struct {
+	keys     map[string]messages.KV
+	revision cluster.Revision
+}
+
+func (s *testStore) commit(f messages.StoreTxn) messages.TxnReply {
+	for _, w := range f.If {
+		if s.keys[w.Key].ModRevision != w.ModRevision {
+			return messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{w.Key}}
+		}
+	}
+	s.revision++
+	for _, o := range f.Then {
+		if s.keys[o.Key] = (messages.KV{Key: o.Key, Value: o.Value, ModRevision: cluster.ModRevision(s.revision)}); o.Value == nil {
+			delete(s.keys, o.Key)
+		}
+	}
+	return messages.TxnReply{Outcome: messages.OK, Revision: s.revision}
+}
+
+func (s *testStore) get(key string) messages.GetReply {
+	if kv, ok := s.keys[key]; ok {
+		return messages.GetReply{Outcome: messages.OK, KV: kv}
+	}
+	return messages.GetReply{Outcome: messages.NotFound}
+}
+
+func (s *testStore) list(prefix string, since cluster.Revision) []messages.KV {
+	var l []messages.KV
+	for _, k := range sortedKeys(s.keys) {
+		if kv := s.keys[k]; strings.HasPrefix(k, prefix) && kv.ModRevision > cluster.ModRevision(since) {
+			l = append(l, kv)
+		}
+	}
+	return l
+}
+
+// controllerHarness is one controller among three, which holds part 0, with its store.
+type controllerHarness struct {
+	*Controller
+	store            *testStore
+	sentResponses    []messages.Respond
+	sentTransactions []messages.StoreTxn
+	// losesReply tells whether a transaction's answer is lost.
+	losesReply         func(messages.StoreTxn) bool
+	rejectsAsMalformed func(messages.StoreTxn) bool // as malformed; nil: none
+	throttles          func(messages.StoreTxn) bool // as beyond the rate; nil: none
+	failsReads         bool
+}
+
+func newControllerHarness() *controllerHarness {
+	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, InstanceID: "b0", HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
+		StoreRPS: 1000, WriteRPS: 1000, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
+	c.machineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
+	c.now, c.admissions.loaded = 100*second, true
+	b := &controllerHarness{Controller: c, store: &testStore{keys: map[string]messages.KV{}, revision: 30}, losesReply: func(messages.StoreTxn) bool { return false }}
+	for _, p := range c.shards {
+		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.now
+		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]cluster.Time{}
+		b.store.keys[p.key()] = messages.KV{Key: p.key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
+	}
+	return b
+}
+
+// runFor lets time pass and the store answer; what it was asked for is kept.
+func (b *controllerHarness) runFor(d cluster.Time) {
+	for end := b.now + d; b.now <= end; b.now += 20 * millisecond {
+		b.runTimers()
+		b.writeQueue.dispatch()
+		out := b.effects
+		b.effects = nil
+		for _, f := range out {
+			switch f := f.(type) {
+			case messages.StoreTxn:
+				b.sentTransactions = append(b.sentTransactions, f)
+				if b.rejectsAsMalformed != nil && b.rejectsAsMalformed(f) {
+					b.pendingCalls[f.Call](messages.TxnReply{Outcome: messages.Invalid})
+				} else if b.throttles != nil && b.throttles(f) {
+					b.pendingCalls[f.Call](messages.TxnReply{Outcome: messages.Throttled})
+				} else if r := b.store.commit(f); b.losesReply(f) {
+					b.pendingCalls[f.Call](messages.TxnReply{Outcome: messages.UnknownOutcome})
+				} else {
+					b.pendingCalls[f.Call](r)
+				}
+			case messages.StoreGet:
+				b.pendingCalls[f.Call](b.store.get(f.Key))
+			case messages.StoreList:
+				if b.failsReads {
+					b.pendingCalls[f.Call](messages.ListReply{Outcome: messages.UnknownOutcome})
+					continue
+				}
+				b.pendingCalls[f.Call](messages.ListReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, 0), Revision: b.store.revision})
+			case messages.StoreWatch:
+				if f.Timeout == 0 && b.failsReads {
+					b.pendingCalls[f.Call](messages.WatchReply{Outcome: messages.UnknownOutcome})
+				} else if f.Timeout == 0 {
+					b.pendingCalls[f.Call](messages.WatchReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, f.SinceRevision), Revision: b.store.revision})
+				}
+			case messages.Respond:
+				b.sentResponses = append(b.sentResponses, f)
+			}
+		}
+	}
+}
+
+func (b *controllerHarness) addTestJob(id cluster.JobID, tasks int) *job {
+	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}}
+	j := newJob(spec, 0, 0, b.now)
+	b.addOwnedJob(j)
+	b.jobs.known[id] = &knownJob{shard: 0, tasks: tasks, team: "red"}
+	return j
+}
+
+// addRunningMachine is a machine that runs the first task of a job.
+func (b *controllerHarness) addRunningMachine(j *job) (*machine, *assignment) {
+	m := b.addMachine(b.newGroup(b.shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
+	m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.now
+	a := &assignment{task: cluster.TaskID{Job: j.spec.ID, Index: 0}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 7, phase: phaseAcknowledged, state: cluster.Running}
+	m.addAssignment(a)
+	j.setAssigned(0, a)
+	return m, a
+}
--- a/internal/core/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controller_test
 
 import (
 	"bufio"
@@ -16,10 +16,12 @@
 	"sync"
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"github.com/fxamacker/cbor/v2"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/simulation"
 	"stairrelay/internal/wire"
 )
 
@@ -76,17 +78,17 @@
 
 func (r *decisionRecorder) recordAll(t *testing.T) {
 	for seed := 1; seed <= recordedRandomDays; seed++ {
-		r.record(t, "random-"+strconv.Itoa(seed), func(t *testing.T, observed standin.Option) {
+		r.record(t, "random-"+strconv.Itoa(seed), func(t *testing.T, observed simulation.Option) {
 			simulateDay(t, uint64(seed), testConfig(), observed)
 		})
 	}
 	for seed := 1; seed <= recordedSevenDays; seed++ {
-		r.record(t, "seven-"+strconv.Itoa(seed), func(t *testing.T, observed standin.Option) {
+		r.record(t, "seven-"+strconv.Itoa(seed), func(t *testing.T, observed simulation.Option) {
 			simulateDay(t, uint64(seed), sevenNodeConfig(), observed)
 		})
 	}
 	for seed := 1; seed <= recordedUpgradeDays; seed++ {
-		r.record(t, "upgrade-"+strconv.Itoa(seed), func(t *testing.T, observed standin.Option) {
+		r.record(t, "upgrade-"+strconv.Itoa(seed), func(t *testing.T, observed simulation.Option) {
 			simulateUpgrade(t, uint64(seed), observed)
 		})
 	}
@@ -96,7 +98,7 @@
 	}
 	for _, file := range traces {
 		name := strings.TrimSuffix(filepath.Base(file), ".txt")
-		r.record(t, "trace-"+name, func(t *testing.T, observed standin.Option) {
+		r.record(t, "trace-"+name, func(t *testing.T, observed simulation.Option) {
 			script, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
@@ -107,11 +109,11 @@
 }
 
 // record plays a run beside the others and keeps its digest.
-func (r *decisionRecorder) record(t *testing.T, name string, play func(*testing.T, standin.Option)) {
+func (r *decisionRecorder) record(t *testing.T, name string, play func(*testing.T, simulation.Option)) {
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
 		digest := newDecisionDigest(t, name)
-		play(t, standin.ObserveEffects(digest.add))
+		play(t, simulation.ObserveEffects(digest.add))
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.digests[name] = digest.String()
@@ -155,7 +157,7 @@
 }
 
 // add takes in the next effect.
-func (d *decisionDigest) add(now core.Time, node core.NodeID, effect core.Effect) {
+func (d *decisionDigest) add(now cluster.Time, node cluster.NodeID, effect messages.Effect) {
 	text, decided := d.encode(effect)
 	if !decided {
 		return
@@ -167,33 +169,33 @@
 }
 
 // encode writes an effect by its wire form; false: it is a log line.
-func (d *decisionDigest) encode(effect core.Effect) (string, bool) {
+func (d *decisionDigest) encode(effect messages.Effect) (string, bool) {
 	switch e := effect.(type) {
-	case core.Log:
+	case messages.Log:
 		return "", false
-	case core.StoreTxn:
+	case messages.StoreTxn:
 		return fmt.Sprintf("txn %d %s", e.Call, wire.EncodeTxn(e)), true
-	case core.StoreGet:
+	case messages.StoreGet:
 		return fmt.Sprintf("get %d %s", e.Call, e.Key), true
-	case core.StoreList:
+	case messages.StoreList:
 		return fmt.Sprintf("list %d %s", e.Call, e.Prefix), true
-	case core.StoreWatch:
+	case messages.StoreWatch:
 		return fmt.Sprintf("watch %d %s %d %d", e.Call, e.Prefix, e.SinceRevision, e.Timeout), true
-	case core.CloudMachineTypes:
+	case messages.CloudMachineTypes:
 		return fmt.Sprintf("types %d", e.Call), true
-	case core.CloudScaleOut:
+	case messages.CloudScaleOut:
 		return fmt.Sprintf("rent %d %s", e.Call, wire.EncodeScaleOut(e)), true
-	case core.CloudScaleIn:
+	case messages.CloudScaleIn:
 		return fmt.Sprintf("return %d %s", e.Call, wire.EncodeScaleIn(e.IDs)), true
-	case core.CloudList:
+	case messages.CloudList:
 		return fmt.Sprintf("machines %d %s", e.Call, e.After), true
-	case core.PushCommands:
+	case messages.PushCommands:
 		return fmt.Sprintf("orders %d %s %s", e.Call, e.Addr, wire.EncodePushCommands(e)), true
-	case core.QueryWorkerStatus:
+	case messages.QueryWorkerStatus:
 		return fmt.Sprintf("inspect %d %s", e.Call, e.Addr), true
-	case core.PeerCall:
+	case messages.PeerCall:
 		return fmt.Sprintf("peer %d %s %d %s", e.Call, e.To, e.Timeout, d.message(e.Message)), true
-	case core.Respond:
+	case messages.Respond:
 		return "respond " + d.answer(e), true
 	default:
 		d.t.Fatalf("effect %T has no encoding here", effect)
@@ -202,7 +204,7 @@
 }
 
 // answer writes the answer to a user, a worker or another controller.
-func (d *decisionDigest) answer(answer core.Respond) string {
+func (d *decisionDigest) answer(answer messages.Respond) string {
 	text := fmt.Sprintf("%d %d %d %q", answer.Request, answer.Status, answer.RetryAfter, answer.Error)
 	if answer.View != nil {
 		text += " view " + string(wire.EncodeJobView(*answer.View))
@@ -217,7 +219,7 @@
 }
 
 // message writes a message between controllers.
-func (d *decisionDigest) message(message core.PeerMessage) string {
+func (d *decisionDigest) message(message messages.PeerMessage) string {
 	frame, err := d.encoder.Marshal(message)
 	if err != nil {
 		d.t.Fatal(err)
--- a/internal/core/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -1,8 +1,11 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // Pipelines: jobs that await others. What a job awaits is part of its record;
@@ -16,12 +19,12 @@
 // follow. So whoever calls an unreleased job unfinished must first have read
 // what was stored until then.
 
-// pipelineLevel is what a controller's calls say of its release: from this
+// dependencyFeatureLevel is what a controller's calls say of its release: from this
 // level on it knows what awaiting means. Absent in releases before.
 const dependencyFeatureLevel = 1
 
-// learnAwaits takes in what a job awaits, when its record is first seen.
-func (c *Controller) applyDependencies(id JobID, k *knownJob, spec *JobSpec) {
+// applyDependencies takes in what a job awaits, when its record is first seen.
+func (c *Controller) applyDependencies(id cluster.JobID, k *knownJob, spec *cluster.JobSpec) {
 	if k.spec != nil {
 		return
 	}
@@ -43,28 +46,28 @@
 	}
 	c.propagateUrgency(id)
 	for _, a := range k.dependencies {
-		if o := c.jobs.known[a]; o != nil && o.finalStatus == JobCancelled {
-			c.applyFinalStatus(id, k, JobCancelled)
+		if o := c.jobs.known[a]; o != nil && o.finalStatus == cluster.JobCancelled {
+			c.applyFinalStatus(id, k, cluster.JobCancelled)
 			return
 		}
 	}
 }
 
-// due is when a job's user wants it done, as time of day; 0: no deadline.
-func jobDeadline(s *JobSpec) float64 {
+// jobDeadline is when a job's user wants it done, as time of day; 0: no deadline.
+func jobDeadline(s *cluster.JobSpec) float64 {
 	if s.DeadlineSeconds <= 0 {
 		return 0
 	}
 	return float64(s.SubmittedAt) + s.DeadlineSeconds*1000
 }
 
-// betweenStages is what passes between the end of a job and the start of one
+// stageDelayMillis is what passes between the end of a job and the start of one
 // that awaits it, roughly, in milliseconds.
 const stageDelayMillis = 2000
 
 // propagateUrgency gives a job's priority and deadline, less its estimated run time, to
 // those that it awaits, and on to those that they await.
-func (c *Controller) propagateUrgency(id JobID) {
+func (c *Controller) propagateUrgency(id cluster.JobID) {
 	k := c.jobs.known[id]
 	if k == nil || k.spec == nil {
 		return
@@ -86,15 +89,15 @@
 	}
 }
 
-// settle notes a job's stored end, or the one that follows from the stored end
+// applyFinalStatus notes a job's stored end, or the one that follows from the stored end
 // of a job that it needs, and what follows from it.
-func (c *Controller) applyFinalStatus(id JobID, k *knownJob, end JobStatus) {
+func (c *Controller) applyFinalStatus(id cluster.JobID, k *knownJob, end cluster.JobStatus) {
 	if k.finalStatus != "" {
 		return
 	}
 	k.finalStatus, k.finalSince, k.spec = end, c.jobs.observedAt(c.now), nil
 	j := c.jobs.owned[id]
-	if j != nil && j.finalStatus == "" && end == JobCancelled && !j.cancelling && len(k.dependencies) > 0 {
+	if j != nil && j.finalStatus == "" && end == cluster.JobCancelled && !j.cancelling && len(k.dependencies) > 0 {
 		c.cancelWithDependency(j)
 	}
 	for _, d := range c.jobs.dependents[id] {
@@ -102,15 +105,15 @@
 		if o == nil || o.finalStatus != "" {
 			continue
 		}
-		if end == JobCancelled {
-			c.applyFinalStatus(d, o, JobCancelled)
+		if end == cluster.JobCancelled {
+			c.applyFinalStatus(d, o, cluster.JobCancelled)
 		} else if j := c.jobs.owned[d]; j != nil {
 			c.updateReadiness(j)
 		}
 	}
 }
 
-// cancelImplied stores that a job is cancelled with one that it needs.
+// cancelWithDependency stores that a job is cancelled with one that it needs.
 func (c *Controller) cancelWithDependency(j *job) {
 	j.cancelling = true
 	c.withdrawUnsentStarts(j)
@@ -118,7 +121,7 @@
 	c.writeJob(j, priorityOutcome)
 }
 
-// release lets a job's tasks start when nothing is left that it awaits.
+// updateReadiness lets a job's tasks start when nothing is left that it awaits.
 func (c *Controller) updateReadiness(j *job) {
 	k := c.jobs.known[j.spec.ID]
 	waiting := k != nil && len(c.jobs.unmetDependencies(k)) > 0
@@ -130,28 +133,28 @@
 		return
 	}
 	j.readySince = c.wallTime
-	c.log(LogDebug, "job released", "job", string(j.spec.ID), "awaited", len(k.dependencies))
+	c.log(messages.LogDebug, "job released", "job", string(j.spec.ID), "awaited", len(k.dependencies))
 	c.shards[j.shard].queueOrder = nil
 	c.schedulingTrigger.request()
 	c.scheduleScaleOut()
 }
 
-// finalRecord is a job's final state as another controller learns it.
-func finalStatusRecord(id JobID, k *knownJob) KV {
+// finalStatusRecord is a job's final state as another controller learns it.
+func finalStatusRecord(id cluster.JobID, k *knownJob) messages.KV {
 	rec := jobRecord{FinalStatus: k.finalStatus, Team: k.team, Tasks: k.tasks}
-	if k.finalStatus == JobCancelled {
+	if k.finalStatus == cluster.JobCancelled {
 		rec.ResourceRequest = &k.resourceRequest
 	}
 	v, _ := json.Marshal(rec)
-	return KV{Key: jobKey(id), Value: v}
+	return messages.KV{Key: jobKey(id), Value: v}
 }
 
-// tellDependents passes a job's stored end on to the owners of all that needs
+// notifyDependentOwners passes a job's stored end on to the owners of all that needs
 // it; their watches are the safety net.
-func (c *Controller) notifyDependentOwners(id JobID, k *knownJob) {
-	told := map[ShardID]bool{}
-	var visit func(JobID)
-	visit = func(at JobID) {
+func (c *Controller) notifyDependentOwners(id cluster.JobID, k *knownJob) {
+	told := map[cluster.ShardID]bool{}
+	var visit func(cluster.JobID)
+	visit = func(at cluster.JobID) {
 		for _, d := range c.jobs.dependents[at] {
 			o := c.jobs.known[d]
 			if o == nil {
@@ -161,7 +164,7 @@
 				told[o.shard] = true
 				c.notifyOwner(o.shard, finalStatusRecord(id, k))
 			}
-			if k.finalStatus == JobCancelled {
+			if k.finalStatus == cluster.JobCancelled {
 				visit(d)
 			}
 		}
@@ -169,40 +172,40 @@
 	visit(id)
 }
 
-// unfinished answers with a job's unfinished state. That of an unreleased one
+// answerUnfinished answers with a job's unfinished state. That of an unreleased one
 // is told only after what was stored until now has been read: a job that it
 // needs may have been cancelled, and others may have told what follows.
-func (c *Controller) answerUnfinished(id JobID, v JobView, fn func(ReplyStatus, JobView)) {
+func (c *Controller) answerUnfinished(id cluster.JobID, v cluster.JobView, fn func(messages.ReplyStatus, cluster.JobView)) {
 	if k := c.jobs.finalJob(id); k != nil {
-		fn(ReplyOK, finalView(id, k))
+		fn(messages.ReplyOK, finalView(id, k))
 		return
 	}
 	if !c.jobs.isBlocked(id) {
-		fn(ReplyOK, v)
+		fn(messages.ReplyOK, v)
 		return
 	}
 	c.linearizableJobRead(func(ok bool) {
 		if k := c.jobs.known[id]; k.finalStatus != "" {
-			fn(ReplyOK, finalView(id, k))
+			fn(messages.ReplyOK, finalView(id, k))
 		} else if ok {
-			fn(ReplyOK, v)
+			fn(messages.ReplyOK, v)
 		} else {
-			fn(ReplyUnavailable, JobView{})
+			fn(messages.ReplyUnavailable, cluster.JobView{})
 		}
 	})
 }
 
-// checkAwaits finds out whether all jobs that a submission names were accepted:
+// checkDependencies finds out whether all jobs that a submission names were accepted:
 // 0, or the status that it gets instead. Only the store can show that one never
 // was. While a controller may be of an earlier release, which would start the job
 // at once, it can't be taken.
-func (c *Controller) checkDependencies(spec *JobSpec, fn func(ReplyStatus)) {
+func (c *Controller) checkDependencies(spec *cluster.JobSpec, fn func(messages.ReplyStatus)) {
 	if !c.allSupportDependencies() {
-		fn(ReplyUnavailable)
+		fn(messages.ReplyUnavailable)
 		return
 	}
-	left, worst := 1, ReplyNone
-	done := func(status ReplyStatus) {
+	left, worst := 1, messages.ReplyNone
+	done := func(status messages.ReplyStatus) {
 		worst = max(worst, status)
 		if left--; left == 0 {
 			fn(worst)
@@ -213,41 +216,41 @@
 			continue
 		}
 		left++
-		c.lookUpJobInStore(id, func(status ReplyStatus, _ JobView) {
+		c.lookUpJobInStore(id, func(status messages.ReplyStatus, _ cluster.JobView) {
 			switch status {
-			case ReplyOK:
+			case messages.ReplyOK:
 				done(0)
-			case ReplyJobNotFound:
-				done(ReplyUnschedulable)
+			case messages.ReplyJobNotFound:
+				done(messages.ReplyUnschedulable)
 			default:
-				done(ReplyUnavailable)
+				done(messages.ReplyUnavailable)
 			}
 		})
 	}
 	done(0)
 }
 
-// shorten drops what needs no record: repeats, and jobs that are done. Of a list
+// pruneDependencies drops what needs no record: repeats, and jobs that are done. Of a list
 // with a cancelled job that one is enough.
-func (c *Controller) pruneDependencies(spec *JobSpec) {
-	var open []JobID
+func (c *Controller) pruneDependencies(spec *cluster.JobSpec) {
+	var open []cluster.JobID
 	for _, id := range spec.Dependencies {
 		k := c.jobs.known[id]
-		if k != nil && k.finalStatus == JobCancelled {
-			spec.Dependencies = []JobID{id}
+		if k != nil && k.finalStatus == cluster.JobCancelled {
+			spec.Dependencies = []cluster.JobID{id}
 			return
 		}
-		if (k == nil || k.finalStatus != JobDone) && !slices.Contains(open, id) {
+		if (k == nil || k.finalStatus != cluster.JobDone) && !slices.Contains(open, id) {
 			open = append(open, id)
 		}
 	}
 	spec.Dependencies = open
 }
 
-// tellAwaited lets the owners of the jobs that a job awaits know of it, so that
+// notifyDependencyOwners lets the owners of the jobs that a job awaits know of it, so that
 // they tell its owner of their end.
-func (c *Controller) notifyDependencyOwners(spec *JobSpec, kv KV) {
-	told := map[ShardID]bool{c.teams[spec.Team].shard: true}
+func (c *Controller) notifyDependencyOwners(spec *cluster.JobSpec, kv messages.KV) {
+	told := map[cluster.ShardID]bool{c.teams[spec.Team].shard: true}
 	for _, id := range spec.Dependencies {
 		if k := c.jobs.known[id]; k != nil && !told[k.shard] {
 			told[k.shard] = true
--- a/internal/core/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controller_test
 
 import (
 	"encoding/json"
@@ -7,63 +7,65 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/simulation"
 )
 
 // Pipelines. Cycles can't arise: a job names only jobs that were accepted, and
 // a repeat of an accepted id never changes what that awaits
 // (TestAwaitsOfSubmissions), so each job is later than all that it names.
 
-// after hands in a job of a team that awaits others.
-func (m *testCluster) submitAfter(id core.JobID, team string, tasks int, run core.Time, awaits ...core.JobID) *standin.Job {
+// submitAfter hands in a job of a team that awaits others.
+func (m *testCluster) submitAfter(id cluster.JobID, team string, tasks int, run cluster.Time, awaits ...cluster.JobID) *simulation.Job {
 	j := newTestJob(m, id, team, tasks, run, awaits...)
 	m.SubmitAfterDependencies(j, false)
 	return j
 }
 
-func newTestJob(m *testCluster, id core.JobID, team string, tasks int, run core.Time, awaits ...core.JobID) *standin.Job {
-	s := core.JobSpec{ID: id, Class: "c", Team: team, Priority: core.Normal, Tasks: tasks, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu},
-		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: core.WallTime(m.Now / 1e6), Dependencies: awaits}
-	return &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
+func newTestJob(m *testCluster, id cluster.JobID, team string, tasks int, run cluster.Time, awaits ...cluster.JobID) *simulation.Job {
+	s := cluster.JobSpec{ID: id, Class: "c", Team: team, Priority: cluster.Normal, Tasks: tasks, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu},
+		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: cluster.WallTime(m.Now / 1e6), Dependencies: awaits}
+	return &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
 }
 
-// ask puts one question to one controller and waits for the answer.
-func (m *testCluster) requestAnswer(n *standin.Node, ev func(core.RequestID) core.Event) core.Respond {
+// requestAnswer puts one question to one controller and waits for the answer.
+func (m *testCluster) requestAnswer(n *simulation.Node, ev func(messages.RequestID) messages.Event) messages.Respond {
 	m.t.Helper()
-	var got *core.Respond
-	m.SendRequest(n, ev, func(r core.Respond) { got = &r })
+	var got *messages.Respond
+	m.SendRequest(n, ev, func(r messages.Respond) { got = &r })
 	m.waitFor("an answer", 6*second, func() bool { return got != nil })
 	return *got
 }
 
-func (m *testCluster) queryAt(n *standin.Node, id core.JobID) core.Respond {
+func (m *testCluster) queryAt(n *simulation.Node, id cluster.JobID) messages.Respond {
 	m.t.Helper()
-	return m.requestAnswer(n, func(r core.RequestID) core.Event { return core.Query{Request: r, ID: id} })
+	return m.requestAnswer(n, func(r messages.RequestID) messages.Event { return messages.Query{Request: r, ID: id} })
 }
 
-func (m *testCluster) submitAt(n *standin.Node, j *standin.Job) core.Respond {
+func (m *testCluster) submitAt(n *simulation.Node, j *simulation.Job) messages.Respond {
 	m.t.Helper()
-	return m.requestAnswer(n, func(r core.RequestID) core.Event { return core.Submit{Request: r, Spec: j.Spec} })
+	return m.requestAnswer(n, func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: j.Spec} })
 }
 
-// chain hands in jobs each of which awaits the one before, in turns of three teams.
-func (m *testCluster) submitChain(first *standin.Job, n int, run core.Time) []*standin.Job {
-	l := []*standin.Job{first}
+// submitChain hands in jobs each of which awaits the one before, in turns of three teams.
+func (m *testCluster) submitChain(first *simulation.Job, n int, run cluster.Time) []*simulation.Job {
+	l := []*simulation.Job{first}
 	for i := 1; i < n; i++ {
-		id := core.JobID(fmt.Sprintf("j-1%05d", i))
+		id := cluster.JobID(fmt.Sprintf("j-1%05d", i))
 		l = append(l, m.submitAfter(id, []string{"red", "green", "blue"}[i%3], 1, run, l[i-1].Spec.ID))
 	}
 	m.waitFor("all are accepted", 120*second, func() bool { return l[n-1].Accepted })
 	return l
 }
 
-// calmNoJob is a calm cluster in which nothing runs.
+// newIdleCluster is a calm cluster in which nothing runs.
 func newIdleCluster(t *testing.T, machines int) *testCluster {
 	t.Helper()
 	cfg := testConfig()
 	m := &testCluster{t: t, config: cfg}
-	m.Simulator = standin.NewSimulator(1, cfg, testCloud(func() *standin.Simulator { return m.Simulator }))
+	m.Simulator = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return m.Simulator }))
 	m.NoRandomFaults = true
 	for range machines {
 		m.AddMachine("small", "a", false)
@@ -72,14 +74,14 @@
 	return m
 }
 
-// teamPart is each team's part under testConfig.
+// shardOfTeam is each team's part under testConfig.
 var shardOfTeam = map[string]int{"green": 0, "red": 1, "blue": 2}
 
-// holderOf is the controller that the store shows as holder of a part.
-func (m *testCluster) shardOwner(part int) core.NodeID {
+// shardOwner is the controller that the store shows as holder of a part.
+func (m *testCluster) shardOwner(part int) cluster.NodeID {
 	m.t.Helper()
 	var rec struct {
-		Holder core.NodeID `json:"holder"`
+		Holder cluster.NodeID `json:"holder"`
 	}
 	if err := json.Unmarshal(m.StateService.Get(fmt.Sprint("parts/", part)).KV.Value, &rec); err != nil {
 		m.t.Fatal(err)
@@ -87,12 +89,12 @@
 	return rec.Holder
 }
 
-// storedEnd is the final state in a job's own record; none: "".
-func (m *testCluster) storedFinalStatus(j *standin.Job) core.JobStatus {
+// storedFinalStatus is the final state in a job's own record; none: "".
+func (m *testCluster) storedFinalStatus(j *simulation.Job) cluster.JobStatus {
 	var rec struct {
-		State core.JobStatus `json:"st"`
+		State cluster.JobStatus `json:"st"`
 	}
-	if r := m.StateService.Get("jobs/" + string(j.Spec.ID)); r.Outcome == core.OK {
+	if r := m.StateService.Get("jobs/" + string(j.Spec.ID)); r.Outcome == messages.OK {
 		if err := json.Unmarshal(r.KV.Value, &rec); err != nil {
 			m.t.Fatal(err)
 		}
@@ -100,7 +102,7 @@
 	return rec.State
 }
 
-// noBreach fails when a rule was broken.
+// checkNoViolations fails when a rule was broken.
 func (m *testCluster) checkNoViolations() {
 	m.t.Helper()
 	for _, b := range m.Violations {
@@ -108,7 +110,7 @@
 	}
 }
 
-// TestChain: fifty jobs of three teams, one after the other.
+// TestDependencyChain: fifty jobs of three teams, one after the other.
 func TestDependencyChain(t *testing.T) {
 	m := newIdleCluster(t, 3)
 	first := m.submitAfter("j-100000", "red", 1, 40*second)
@@ -116,11 +118,11 @@
 	begun := 1
 	m.waitFor("the last is done", 900*second, func() bool {
 		for ; begun < 50 && l[begun].FirstStartAt > 0; begun++ {
-			if end := m.storedFinalStatus(l[begun-1]); end != core.JobDone {
+			if end := m.storedFinalStatus(l[begun-1]); end != cluster.JobDone {
 				t.Errorf("%s has begun, the one before it is stored as %q", l[begun].Spec.ID, end)
 			}
 		}
-		return l[49].ReportedStatus == core.JobDone
+		return l[49].ReportedStatus == cluster.JobDone
 	})
 	if begun != 50 {
 		t.Errorf("%d have begun in their order", begun)
@@ -128,7 +130,7 @@
 	m.checkNoViolations()
 }
 
-// TestChainCancelled: the first of fifty is cancelled. Within cancel_s every
+// TestDependencyChainCancelled: the first of fifty is cancelled. Within cancel_s every
 // controller tells so of each, and none has had a task.
 func TestDependencyChainCancelled(t *testing.T) {
 	m := newIdleCluster(t, 3)
@@ -138,7 +140,7 @@
 	m.RunUntil(first.CancelConfirmedAt + m.config.CancelDeadline - 2*second)
 	for _, n := range m.Nodes {
 		for _, j := range l {
-			if r := m.queryAt(n, j.Spec.ID); r.Status != 200 || r.View.Status != core.JobCancelled {
+			if r := m.queryAt(n, j.Spec.ID); r.Status != 200 || r.View.Status != cluster.JobCancelled {
 				t.Errorf("%s says of %s: %d %+v", n.ID, j.Spec.ID, r.Status, r.View)
 			}
 		}
@@ -155,10 +157,10 @@
 	m.checkNoViolations()
 }
 
-// TestAwaitsOfSubmissions: what a submission may name, and what it gets.
+// TestDependenciesOfSubmissions: what a submission may name, and what it gets.
 func TestDependenciesOfSubmissions(t *testing.T) {
 	m := newTestCluster(t, 2)
-	expect := func(n *standin.Node, j *standin.Job, want core.ReplyStatus) core.Respond {
+	expect := func(n *simulation.Node, j *simulation.Job, want messages.ReplyStatus) messages.Respond {
 		t.Helper()
 		r := m.submitAt(n, j)
 		if r.Status != want {
@@ -170,20 +172,20 @@
 		return r
 	}
 	for i, n := range m.Nodes {
-		expect(n, newTestJob(m, core.JobID(fmt.Sprintf("j-20000%d", i)), "green", 1, second, "j-000001", "j-999999"), 422)
+		expect(n, newTestJob(m, cluster.JobID(fmt.Sprintf("j-20000%d", i)), "green", 1, second, "j-000001", "j-999999"), 422)
 		// The id was not taken by that: it may come again with another list.
-		expect(n, newTestJob(m, core.JobID(fmt.Sprintf("j-20000%d", i)), "green", 1, second, "j-000001", "j-000001"), 201)
+		expect(n, newTestJob(m, cluster.JobID(fmt.Sprintf("j-20000%d", i)), "green", 1, second, "j-000001", "j-000001"), 201)
 	}
 	// Accepted a moment ago by another controller, in a record of its own and in one of several.
 	for round, several := range []int{1, 14} {
 		m.StoreDelay = second / 5 // more come in than there are writes at once
-		var ids []core.JobID
+		var ids []cluster.JobID
 		left := several
 		for k := range several {
-			j := newTestJob(m, core.JobID(fmt.Sprintf("j-30%d%03d", round, k)), "blue", 1, 60*second)
+			j := newTestJob(m, cluster.JobID(fmt.Sprintf("j-30%d%03d", round, k)), "blue", 1, 60*second)
 			ids = append(ids, j.Spec.ID)
 			m.Jobs[j.Spec.ID] = j
-			m.SendRequest(m.Nodes[0], func(r core.RequestID) core.Event { return core.Submit{Request: r, Spec: j.Spec} }, func(r core.Respond) {
+			m.SendRequest(m.Nodes[0], func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: j.Spec} }, func(r messages.Respond) {
 				if r.Status != 201 {
 					t.Errorf("%s gets %d", j.Spec.ID, r.Status)
 				}
@@ -201,12 +203,12 @@
 			t.Error("no record of several was written: the test shows nothing of them")
 		}
 		for i, n := range m.Nodes[1:] {
-			expect(n, newTestJob(m, core.JobID(fmt.Sprintf("j-40%d%03d", round, i)), "green", 1, second, ids...), 201)
+			expect(n, newTestJob(m, cluster.JobID(fmt.Sprintf("j-40%d%03d", round, i)), "green", 1, second, ids...), 201)
 		}
 	}
 	// A repeat gets 200 whatever its list says, at every controller.
 	for _, n := range m.Nodes {
-		for _, list := range [][]core.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
+		for _, list := range [][]cluster.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
 			again := newTestJob(m, "j-200000", "green", 1, second, list...)
 			if r := m.submitAt(n, again); r.Status != 200 {
 				t.Errorf("a repeat with %v gets %d at %s", list, r.Status, n.ID)
@@ -229,14 +231,14 @@
 	m.checkNoViolations()
 }
 
-// TestCancelledBeforeSubmission: a job that names a cancelled one is accepted
+// TestDependentOfCancelledJobCancelled: a job that names a cancelled one is accepted
 // and cancelled.
 func TestDependentOfCancelledJobCancelled(t *testing.T) {
 	m := newTestCluster(t, 2)
 	m.cancelAt(m.Nodes[1], m.longJob)
 	for i, n := range m.Nodes {
 		for k, team := range []string{"red", "green", "blue"} {
-			j := newTestJob(m, core.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, 1, second, "j-000001")
+			j := newTestJob(m, cluster.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, 1, second, "j-000001")
 			m.Jobs[j.Spec.ID] = j
 			r := m.submitAt(n, j)
 			if r.Status != 201 {
@@ -244,7 +246,7 @@
 			}
 			j.Accepted = true
 			for _, other := range m.Nodes {
-				if r := m.queryAt(other, j.Spec.ID); r.Status != 200 || r.View.Status != core.JobCancelled {
+				if r := m.queryAt(other, j.Spec.ID); r.Status != 200 || r.View.Status != cluster.JobCancelled {
 					t.Errorf("%s says of %s: %d %+v", other.ID, j.Spec.ID, r.Status, r.View)
 				}
 			}
@@ -253,7 +255,7 @@
 	m.runAndCheck(60 * second)
 }
 
-// TestToldByOneAskedOfAnother: a controller that is cut from the others and has
+// TestCancellationVisibleAtPartitionedController: a controller that is cut from the others and has
 // not yet seen the cancellation in its watch is asked about a dependent right
 // after another has told the cancellation. It reads first.
 func TestCancellationVisibleAtPartitionedController(t *testing.T) {
@@ -272,8 +274,8 @@
 			deaf.PeersRefuseUntil = m.Now + 4*second
 			m.cancelAt(at, m.longJob)
 			for range 10 {
-				for _, j := range []*standin.Job{d, e} {
-					if r := m.queryAt(deaf, j.Spec.ID); r.Status == 200 && r.View.Status != core.JobCancelled {
+				for _, j := range []*simulation.Job{d, e} {
+					if r := m.queryAt(deaf, j.Spec.ID); r.Status == 200 && r.View.Status != cluster.JobCancelled {
 						t.Errorf("%s, cut off, calls %s of %s %s, told cancelled %v before", deaf.ID, j.Spec.ID, team, r.View.Status, time.Duration(m.Now-m.longJob.CancelConfirmedAt))
 					}
 				}
@@ -283,24 +285,24 @@
 	}
 }
 
-// TestReleaseAcrossParts: on a quiet day a dependent of another part is released
+// TestDependentReadyAcrossShards: on a quiet day a dependent of another part is released
 // within a second of its predecessor's stored end, and not before. What it then
 // takes to start is what any job takes.
 func TestDependentReadyAcrossShards(t *testing.T) {
 	m := newIdleCluster(t, 3)
-	released := map[string]core.Time{}
+	released := map[string]cluster.Time{}
 	m.Log = func(s string) {
 		if _, id, ok := strings.Cut(s, "job released [job "); ok {
 			released[strings.Fields(id)[0]] = m.Now
 		}
 	}
-	worst := core.Time(0)
+	worst := cluster.Time(0)
 	for i := range 9 {
 		from, to := []string{"red", "green", "blue"}[i%3], []string{"red", "green", "blue"}[(i+1+i/3)%3]
-		a := m.submitAfter(core.JobID(fmt.Sprintf("j-10000%d", i)), from, 1, 10*second)
-		b := m.submitAfter(core.JobID(fmt.Sprintf("j-20000%d", i)), to, 1, 5*second, a.Spec.ID)
+		a := m.submitAfter(cluster.JobID(fmt.Sprintf("j-10000%d", i)), from, 1, 10*second)
+		b := m.submitAfter(cluster.JobID(fmt.Sprintf("j-20000%d", i)), to, 1, 5*second, a.Spec.ID)
 		m.waitFor("accepted", 10*second, func() bool { return b.Accepted })
-		m.waitFor("the first is stored as done", 60*second, func() bool { return m.storedFinalStatus(a) == core.JobDone })
+		m.waitFor("the first is stored as done", 60*second, func() bool { return m.storedFinalStatus(a) == cluster.JobDone })
 		stored := m.Now
 		if b.FirstStartAt != 0 || released[string(b.Spec.ID)] != 0 {
 			t.Fatal("too early")
@@ -309,7 +311,7 @@
 		worst = max(worst, m.Now-stored)
 		m.waitFor("the second starts", 40*second, func() bool { return b.FirstStartAt > 0 })
 		t.Logf("%s after %s: released after %v, begun after %v", to, from, time.Duration(released[string(b.Spec.ID)]-stored), time.Duration(b.FirstStartAt-stored))
-		m.waitFor("the second is done", 60*second, func() bool { return b.ReportedStatus == core.JobDone })
+		m.waitFor("the second is done", 60*second, func() bool { return b.ReportedStatus == cluster.JobDone })
 	}
 	if worst > second {
 		t.Errorf("released %v after the stored end", time.Duration(worst))
@@ -317,7 +319,7 @@
 	m.checkNoViolations()
 }
 
-// TestReleaseAndTakeOver: the holder of the dependent's part ends, once while
+// TestDependentReadyAcrossFailover: the holder of the dependent's part ends, once while
 // the job waits and once right as its predecessor's end is stored.
 func TestDependentReadyAcrossFailover(t *testing.T) {
 	for _, late := range []bool{false, true} {
@@ -329,7 +331,7 @@
 			m.waitFor("accepted", 10*second, func() bool { return b.Accepted && c.Accepted })
 			if late {
 				m.waitFor("the first is stored as done", 90*second, func() bool {
-					return m.storedFinalStatus(a) == core.JobDone
+					return m.storedFinalStatus(a) == cluster.JobDone
 				})
 			}
 			for _, n := range m.Nodes {
@@ -337,7 +339,7 @@
 					restart(m.Simulator, n, 20*second)
 				}
 			}
-			m.waitFor(fmt.Sprintf("the dependent is done (%d, late %v)", i, late), 200*second, func() bool { return b.ReportedStatus == core.JobDone })
+			m.waitFor(fmt.Sprintf("the dependent is done (%d, late %v)", i, late), 200*second, func() bool { return b.ReportedStatus == cluster.JobDone })
 			if c.FirstStartAt != 0 {
 				t.Error("what awaits the long job has begun")
 			}
--- a/internal/core/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -1,51 +1,54 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// TestDropBesideUnheardClaim: the record of an emptied group was made under
+// TestEmptyGroupKeptBesideUnseenAcquire: the record of an emptied group was made under
 // another part's claim. This controller has not heard of that claim, so that the
 // part's mark as known here is not the one in the group's name. The claim is in
 // force: its holder's late writes are still carried out, and the key must stay.
 // It goes once the part has a claim later than the one that made the group.
 func TestEmptyGroupKeptBesideUnseenAcquire(t *testing.T) {
-	const makingClaim = Revision(40)
+	const makingClaim = cluster.Revision(40)
 	for _, test := range []struct {
 		name    string
-		known   ModRevision // of the other part's claim, here
-		stored  ModRevision // of its claim in force
+		known   cluster.ModRevision // of the other part's claim, here
+		stored  cluster.ModRevision // of its claim in force
 		dropped bool
 	}{
 		{"a later claim is in force", 50, 50, true},
-		{"the claim that made it is in force, and known", ModRevision(makingClaim), ModRevision(makingClaim), false},
-		{"the claim that made it is in force, and not heard of", 30, ModRevision(makingClaim), false},
+		{"the claim that made it is in force, and known", cluster.ModRevision(makingClaim), cluster.ModRevision(makingClaim), false},
+		{"the claim that made it is in force, and not heard of", 30, cluster.ModRevision(makingClaim), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			part, other := b.shards[0], b.shards[1]
 			b.store.revision = 60
 			other.owned, other.ready, other.modRevision = false, false, test.known
-			b.store.keys[other.key()] = KV{other.key(), []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), test.stored}
-			emptied := KV{"groups/b1-40-1", grouprecord.Encode(grouprecord.Record{ShardID: part.id, WriteID: "b0-5"}), 55}
+			b.store.keys[other.key()] = messages.KV{Key: other.key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.stored}
+			emptied := messages.KV{Key: "groups/b1-40-1", Value: grouprecord.Encode(grouprecord.Record{ShardID: part.id, WriteID: "b0-5"}), ModRevision: 55}
 			b.store.keys[emptied.Key] = emptied
 			b.applyGroupRecord(emptied, part)
 			b.runFor(second)
-			if dropped := b.store.get(emptied.Key).Outcome == NotFound; dropped != test.dropped {
+			if dropped := b.store.get(emptied.Key).Outcome == messages.NotFound; dropped != test.dropped {
 				t.Errorf("dropped %v, want %v", dropped, test.dropped)
 			}
 		})
 	}
 }
 
-// TestEmptiedGroupStays: the record of an emptied group is written, not
+// TestEmptiedGroupRecordKept: the record of an emptied group is written, not
 // dropped. Were its key absent, a late copy of the transaction that created it
 // would be carried out again and list its machines a second time (random seed
 // 1083: a task ran twice). The next claim, which fences such copies, drops it.
 func TestEmptiedGroupRecordKept(t *testing.T) {
-	c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
+	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
 	p := c.shards[0]
 	v, s := c.buildGroupRecord(0, nil, "n-1")
 	rec, err := grouprecord.Decode(v)
@@ -54,7 +57,7 @@
 		t.Fatalf("an emptied group is written as %q: %v", v, err)
 	}
 	p.owned, p.claimRevision, p.modRevision = true, 30, 30
-	c.applyGroupRecord(KV{Key: "groups/b1-12-1", Value: v, ModRevision: 20}, p)
+	c.applyGroupRecord(messages.KV{Key: "groups/b1-12-1", Value: v, ModRevision: 20}, p)
 	q := c.writeQueue.queues[priorityBackground]
 	if len(q) != 1 || q[0].keys[0] != "groups/b1-12-1" || len(c.machineGroups) != 0 {
 		t.Fatalf("the next claim queues %d writes and knows %d groups", len(q), len(c.machineGroups))
@@ -63,8 +66,8 @@
 		t.Errorf("the next claim writes %v", ops)
 	}
 	// The claim that made it is in force, or the key doesn't say which that was.
-	c.applyGroupRecord(KV{Key: "groups/b1-30-1", Value: v, ModRevision: 20}, p)
-	c.applyGroupRecord(KV{Key: "groups/g", Value: v, ModRevision: 20}, p)
+	c.applyGroupRecord(messages.KV{Key: "groups/b1-30-1", Value: v, ModRevision: 20}, p)
+	c.applyGroupRecord(messages.KV{Key: "groups/g", Value: v, ModRevision: 20}, p)
 	for _, x := range c.writeQueue.queues[priorityBackground][1:] {
 		if ops, _ := x.build("n-3"); ops != nil {
 			t.Errorf("%v is dropped though a copy of its creation may come", ops)
--- a/internal/core/export_test.go
+++ b/internal/controller/export_test.go
@@ -1,14 +1,18 @@
-package core
+package controller
 
-import "fmt"
+import (
+	"fmt"
 
-// UseMismatch says where the kept sums of tasks differ from the tasks
+	"stairrelay/internal/cluster"
+)
+
+// UsageMismatch says where the kept sums of tasks differ from the tasks
 // themselves, or returns "".
 func (c *Controller) UsageMismatch() string {
 	for _, p := range c.shards {
 		teams := teamUsage{}
 		for _, m := range p.machines {
-			var sum Resources
+			var sum cluster.Resources
 			n := 0
 			for _, a := range m.assignments {
 				if a.isLive() {
@@ -35,7 +39,7 @@
 	return ""
 }
 
-// MachinesHeld counts the machines that are up of the parts held here, and those
+// OwnedMachines counts the machines that are up of the parts held here, and those
 // of them whose workers have acknowledged their tokens.
 func (c *Controller) OwnedMachines() (acknowledged, up int) {
 	for _, m := range c.machines {
@@ -50,7 +54,7 @@
 	return acknowledged, up
 }
 
-// StalledParts counts the parts without progress.
+// StalledShards counts the parts without progress.
 func (c *Controller) StalledShards() int { return c.stalledShardCount() }
 
 // Counts returns what was counted since the last periodic log line.
--- a/internal/core/failuredetector.go
+++ b/internal/controller/failuredetector.go
@@ -1,4 +1,9 @@
-package core
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
 
 // failureDetector calls another controller as the design's detection says: a
 // call each second, then retries with exponential back-off, then probes at a
@@ -12,7 +17,7 @@
 	missedProbes int
 }
 
-// watchPeer begins the detection of a peer's failure.
+// startFailureDetector begins the detection of a peer's failure.
 func (c *Controller) startFailureDetector(p *peer) {
 	d := &failureDetector{controller: c, peer: p}
 	d.probe()
@@ -21,8 +26,8 @@
 func (d *failureDetector) probe() {
 	c, p := d.controller, d.peer
 	timeout, begun := d.timeout(), c.now
-	c.callPeer(p.id, timeout, PeerMessage{Ping: c.makePing(p)}, func(r PeerReply) {
-		if r.Outcome == OK && r.Message.Ping != nil && c.isValidPing(p, r.Message.Ping) {
+	c.callPeer(p.id, timeout, messages.PeerMessage{Ping: c.makePing(p)}, func(r messages.PeerReply) {
+		if r.Outcome == messages.OK && r.Message.Ping != nil && c.isValidPing(p, r.Message.Ping) {
 			d.missedProbes = 0
 			c.applyPingReply(p, *r.Message.Ping, begun)
 			c.after(c.config.Tuning.PingInterval, d.probe)
@@ -40,7 +45,7 @@
 }
 
 // timeout is how long the next call may take.
-func (d *failureDetector) timeout() Time {
+func (d *failureDetector) timeout() cluster.Time {
 	tuning := &d.controller.config.Tuning
 	switch {
 	case d.missedProbes == 0:
@@ -52,22 +57,22 @@
 	}
 }
 
-// exhausted tells whether all retries and probes were in vain.
+// isExhausted tells whether all retries and probes were in vain.
 func (d *failureDetector) isExhausted() bool {
 	return d.missedProbes > d.controller.config.Tuning.PingRetries+d.controller.config.Tuning.ProbeCount
 }
 
-// miss follows a call without an answer.
+// handleMissedProbe follows a call without an answer.
 func (d *failureDetector) handleMissedProbe() {
 	c, p := d.controller, d.peer
 	d.missedProbes++
 	if d.missedProbes > c.config.Tuning.PingRetries && !p.suspected {
 		p.suspected = true
-		c.log(LogDebug, "peer failure-prone", "peer", string(p.id))
+		c.log(messages.LogDebug, "peer failure-prone", "peer", string(p.id))
 	}
 	if d.isExhausted() && !p.failed {
 		p.failed, p.failedAt, p.livenessRead = true, c.now, false
-		c.log(LogInfo, "peer failed", "peer", string(p.id))
+		c.log(messages.LogInfo, "peer failed", "peer", string(p.id))
 		c.handleLivenessChange()
 	}
 	if p.failed {
--- a/internal/core/fairshare.go
+++ b/internal/controller/fairshare.go
@@ -1,9 +1,11 @@
-package core
+package controller
 
 import (
 	"sort"
 
-	"stairrelay/internal/sharing"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/fairshare"
 )
 
 // Machines are split among the parts, but the need for them is not split
@@ -16,23 +18,23 @@
 //
 // It is void once a part held here has changed.
 type loadCache struct {
-	loads            []ShardLoad
-	computedAt       Time // when they were worked out; 0: never
-	ownershipChanges int  // of the parts held here until then
+	loads            []fairshare.ShardLoad
+	computedAt       cluster.Time // when they were worked out; 0: never
+	ownershipChanges int          // of the parts held here until then
 }
 
-// valid tells whether the loads are those of the parts held now, and new enough.
-func (l *loadCache) isValid(now Time, changes int) bool {
+// isValid tells whether the loads are those of the parts held now, and new enough.
+func (l *loadCache) isValid(now cluster.Time, changes int) bool {
 	return l.computedAt > 0 && now-l.computedAt < second/4 && l.ownershipChanges == changes
 }
 
-// loads describes the parts held here.
-func (c *Controller) ownedShardLoads() []ShardLoad {
+// ownedShardLoads describes the parts held here.
+func (c *Controller) ownedShardLoads() []fairshare.ShardLoad {
 	if c.loadCache.isValid(c.now, c.ownedShardChanges) {
 		return c.loadCache.loads
 	}
 	c.loadCache.computedAt, c.loadCache.ownershipChanges = c.now, c.ownedShardChanges
-	var out []ShardLoad
+	var out []fairshare.ShardLoad
 	for _, p := range c.shards {
 		if p.owned && p.ready {
 			out = append(out, c.computeShardLoad(p))
@@ -42,8 +44,8 @@
 	return out
 }
 
-func (c *Controller) computeShardLoad(p *shard) ShardLoad {
-	l := ShardLoad{Shard: p.id}
+func (c *Controller) computeShardLoad(p *shard) fairshare.ShardLoad {
+	l := fairshare.ShardLoad{Shard: p.id}
 	c.counters.addMachineScans(p.machines)
 	for _, m := range p.machines {
 		if m.releasing || m.draining {
@@ -63,16 +65,16 @@
 	for _, w := range c.listPendingWork(p) {
 		prio := w.job.effectivePriority
 		if w.starving {
-			prio = max(prio, Urgent) // it goes before all else
+			prio = max(prio, cluster.Urgent) // it goes before all else
 		}
-		l.Demand[prio] += w.job.spec.ResourceRequest.CPU * Amount(w.tasks)
+		l.Demand[prio] += w.job.spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
 	}
 	return l
 }
 
-// allLoads is every part's load as far as it is known, by number.
-func (c *Controller) allShardLoads() sharing.Snapshot {
-	out := sharing.Snapshot{}
+// allShardLoads is every part's load as far as it is known, by number.
+func (c *Controller) allShardLoads() fairshare.Snapshot {
+	out := fairshare.Snapshot{}
 	for _, id := range c.config.Nodes {
 		if p := c.peers[id]; p != nil && !p.failed && c.now-p.lastPingAt < 3*second {
 			for _, l := range p.lastPing.ShardLoads {
@@ -88,11 +90,11 @@
 	return out
 }
 
-// yieldMachines picks the machines that the parts held here give up. They get
+// cordonSurplusMachines picks the machines that the parts held here give up. They get
 // nothing new; once empty they are offered as idle machines.
 func (c *Controller) cordonSurplusMachines() {
 	c.expireOffers()
-	plan := sharing.NewPlan(c.allShardLoads())
+	plan := fairshare.NewPlan(c.allShardLoads())
 	for _, p := range c.shards {
 		if load, known := plan.Loads[p.id]; known && p.owned && p.ready {
 			c.cordonSurplusOf(p, load, plan)
@@ -100,13 +102,13 @@
 	}
 }
 
-// yieldOf picks the machines that one part gives up.
-func (c *Controller) cordonSurplusOf(p *shard, load ShardLoad, plan *sharing.Plan) {
+// cordonSurplusOf picks the machines that one part gives up.
+func (c *Controller) cordonSurplusOf(p *shard, load fairshare.ShardLoad, plan *fairshare.Plan) {
 	spare := plan.Spare(p.id)
 	ms := c.uncordonMachines(p, spare)
 	c.sortByRemainingTime(ms)
 	top := plan.ShortfallPriority(p.id)
-	for _, i := range sharing.PickWithin(c.machineCPUs(ms), spare) {
+	for _, i := range fairshare.PickWithin(c.machineCPUs(ms), spare) {
 		ms[i].cordoned = true
 		c.evictForPriority(ms[i], top)
 	}
@@ -117,9 +119,9 @@
 	}
 }
 
-// resetYield takes back what was picked before, and returns the machines to
+// uncordonMachines takes back what was picked before, and returns the machines to
 // pick from.
-func (c *Controller) uncordonMachines(p *shard, spare Amount) []*machine {
+func (c *Controller) uncordonMachines(p *shard, spare cluster.Amount) []*machine {
 	var ms []*machine
 	c.counters.addMachineScans(p.machines)
 	for _, m := range p.machines {
@@ -134,7 +136,7 @@
 	return ms
 }
 
-// sortByRest puts the machines first that will be free soonest.
+// sortByRemainingTime puts the machines first that will be free soonest.
 func (c *Controller) sortByRemainingTime(ms []*machine) {
 	rest := map[*machine]float64{}
 	for _, m := range ms {
@@ -147,59 +149,59 @@
 	sort.SliceStable(ms, func(i, j int) bool { return rest[ms[i]] < rest[ms[j]] })
 }
 
-// sizes lists the machines' CPUs.
-func (c *Controller) machineCPUs(ms []*machine) []Amount {
-	out := make([]Amount, len(ms))
+// machineCPUs lists the machines' CPUs.
+func (c *Controller) machineCPUs(ms []*machine) []cluster.Amount {
+	out := make([]cluster.Amount, len(ms))
 	for i, m := range ms {
 		out[i] = c.machineTypes[m.machineType].Capacity.CPU
 	}
 	return out
 }
 
-// retire picks the machines that a part can do without, dearest first. They
+// selectScaleInCandidates picks the machines that a part can do without, dearest first. They
 // run empty and are returned, so that the work gathers on the cheaper ones.
-func (c *Controller) selectScaleInCandidates(p *shard, ms []*machine, load ShardLoad) {
+func (c *Controller) selectScaleInCandidates(p *shard, ms []*machine, load fairshare.ShardLoad) {
 	typical := c.typicalRequest(p)
 	sort.SliceStable(ms, func(i, j int) bool { return c.costPerUsefulCPU(ms[i], typical) > c.costPerUsefulCPU(ms[j], typical) })
-	for _, i := range sharing.PickWithin(c.machineCPUs(ms), load.Surplus(c.config.Tuning.SpareCapacityShare)) {
+	for _, i := range fairshare.PickWithin(c.machineCPUs(ms), load.Surplus(c.config.Tuning.SpareCapacityShare)) {
 		ms[i].cordoned, ms[i].scaleInCandidate = true, true
 	}
 }
 
-// dearness is a machine's price per CPU that work of the present kind can use:
+// costPerUsefulCPU is a machine's price per CPU that work of the present kind can use:
 // a small machine wastes what is left beside tasks that don't divide it.
-func (c *Controller) costPerUsefulCPU(m *machine, need Resources) float64 {
+func (c *Controller) costPerUsefulCPU(m *machine, need cluster.Resources) float64 {
 	t := c.machineTypes[m.machineType]
 	if t.Capacity.CPU == 0 {
 		return 0
 	}
-	price := t.hourlyPrice(m.spot)
+	price := t.HourlyPrice(m.spot)
 	if need.CPU == 0 {
 		return price / float64(t.Capacity.CPU)
 	}
-	return price / float64(need.CPU*Amount(tasksPerMachine(t.Capacity, need)))
+	return price / float64(need.CPU*cluster.Amount(tasksPerMachine(t.Capacity, need)))
 }
 
-// typicalNeed is what a somewhat larger than average task of a part takes.
-func (c *Controller) typicalRequest(p *shard) Resources {
-	var sum Resources
-	var n Amount
+// typicalRequest is what a somewhat larger than average task of a part takes.
+func (c *Controller) typicalRequest(p *shard) cluster.Resources {
+	var sum cluster.Resources
+	var n cluster.Amount
 	for _, j := range p.jobs {
-		if k := Amount(j.pendingCount() + j.assignedCount); j.isActive() && !j.blocked && k > 0 {
+		if k := cluster.Amount(j.pendingCount() + j.assignedCount); j.isActive() && !j.blocked && k > 0 {
 			sum = sum.Plus(j.spec.ResourceRequest.Times(int(k)))
 			n += k
 		}
 	}
 	if n == 0 {
-		return Resources{}
+		return cluster.Resources{}
 	}
-	return Resources{CPU: sum.CPU / n * 115 / 100, GPU: sum.GPU / n, Memory: sum.Memory / n * 115 / 100}
+	return cluster.Resources{CPU: sum.CPU / n * 115 / 100, GPU: sum.GPU / n, Memory: sum.Memory / n * 115 / 100}
 }
 
-// clearFor empties a yielded machine of work that can save, when the work that
+// evictForPriority empties a yielded machine of work that can save, when the work that
 // other parts lack it for is more important.
-func (c *Controller) evictForPriority(m *machine, top Priority) {
-	if top < Urgent {
+func (c *Controller) evictForPriority(m *machine, top cluster.Priority) {
+	if top < cluster.Urgent {
 		return
 	}
 	for _, a := range m.assignments {
@@ -214,7 +216,7 @@
 	}
 }
 
-// mayRent holds back a part that has its share already while others lack
+// canScaleOut holds back a part that has its share already while others lack
 // theirs: what the cloud still has should go to them first.
 func (c *Controller) canScaleOut(p *shard) bool {
 	if c.allShardLoads().CanScaleOutFirst(p.id) {
--- a/internal/core/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -1,23 +1,26 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
 // Machines that are up moments after they were rented, while writes lag.
 
-const fastBootMachine = MachineID("m-3") // its number belongs to part 0
+const fastBootMachine = cluster.MachineID("m-3") // its number belongs to part 0
 
-// startsIn counts the starts that are sent, by calls and in answers to reports.
-func countStarts(effects []Effect) int {
-	var sent []Command
+// countStarts counts the starts that are sent, by calls and in answers to reports.
+func countStarts(effects []messages.Effect) int {
+	var sent []cluster.Command
 	for _, effect := range effects {
 		switch effect := effect.(type) {
-		case PushCommands:
+		case messages.PushCommands:
 			sent = append(sent, effect.Commands...)
-		case Respond:
+		case messages.Respond:
 			if effect.Heartbeat != nil {
 				sent = append(sent, effect.Heartbeat.Commands...)
 			}
@@ -25,29 +28,29 @@
 	}
 	starts := 0
 	for _, command := range sent {
-		if command.Kind == Start {
+		if command.Kind == cluster.Start {
 			starts++
 		}
 	}
 	return starts
 }
 
-// flushed decides on what has changed and returns what is to be done about it.
-func flushEffects(b *controllerHarness) []Effect {
+// flushEffects decides on what has changed and returns what is to be done about it.
+func flushEffects(b *controllerHarness) []messages.Effect {
 	b.effects = nil
 	b.flush()
 	return b.effects
 }
 
-// firstReport is what a machine that has just come up sends.
-func firstHeartbeat(id MachineID) Heartbeat {
-	return Heartbeat{Request: 1, Status: HeartbeatStatus{Machine: id, Addr: string(id), Type: "small", Zone: "a", Incarnation: 1, SequenceNumber: 1, PreemptionNotice: -1}}
+// firstHeartbeat is what a machine that has just come up sends.
+func firstHeartbeat(id cluster.MachineID) messages.Heartbeat {
+	return messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: id, Addr: string(id), Type: "small", Zone: "a", Incarnation: 1, SequenceNumber: 1, PreemptionNotice: -1}}
 }
 
-// effectsWithin lets the store answer for a while and returns what its answers
+// effectsDuring lets the store answer for a while and returns what its answers
 // brought about.
-func effectsDuring(b *controllerHarness, d Time) []Effect {
-	var effects []Effect
+func effectsDuring(b *controllerHarness, d cluster.Time) []messages.Effect {
+	var effects []messages.Effect
 	for end := b.now + d; b.now < end; {
 		b.runFor(0)
 		effects = append(effects, b.effects...)
@@ -55,19 +58,19 @@
 	return effects
 }
 
-// TestStartAwaitsRecord: a machine comes up and gets a task at once, and the
+// TestStartWaitsForRecord: a machine comes up and gets a task at once, and the
 // write of the record that lists the task has no answer for long. Until the
 // store has confirmed it nothing is started: a successor that finds no record of
 // the task would start it on another machine as well.
 func TestStartWaitsForRecord(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		answer TxnReply
+		answer messages.TxnReply
 		starts int
 	}{
-		{"stored", TxnReply{Outcome: OK, Revision: 50}, 1},
-		{"refused", TxnReply{Outcome: Conflict, FailedKeys: []string{"groups/g"}}, 0},
-		{"not known", TxnReply{Outcome: UnknownOutcome}, 0},
+		{"stored", messages.TxnReply{Outcome: messages.OK, Revision: 50}, 1},
+		{"refused", messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{"groups/g"}}, 0},
+		{"not known", messages.TxnReply{Outcome: messages.UnknownOutcome}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
@@ -75,9 +78,9 @@
 			b.addRegisteredGroup(b.shards[0], "g", []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}, 100, 31)
 			b.handleHeartbeat(firstHeartbeat(fastBootMachine))
 			effects := flushEffects(b)
-			var record *StoreTxn
+			var record *messages.StoreTxn
 			for _, effect := range effects {
-				if transaction, ok := effect.(StoreTxn); ok {
+				if transaction, ok := effect.(messages.StoreTxn); ok {
 					record = &transaction
 				}
 			}
@@ -99,7 +102,7 @@
 	}
 }
 
-// TestRentedMachineAlwaysRecorded: from the recording of a rental until its
+// TestProvisionedMachineAlwaysRecorded: from the recording of a rental until its
 // machine is in a group, each state of the store shows one of the two, so that a
 // holder which follows at any moment repeats the request or has the machine.
 func TestProvisionedMachineAlwaysRecorded(t *testing.T) {
@@ -118,7 +121,7 @@
 		return len(b.store.list("rentals/", 0)) > 0
 	}
 	states := 0
-	b.losesReply = func(StoreTxn) bool { // called after each transaction
+	b.losesReply = func(messages.StoreTxn) bool { // called after each transaction
 		if states++; !recorded() {
 			t.Errorf("after transaction %d neither the rental nor its machine is recorded", states)
 		}
@@ -126,8 +129,8 @@
 	}
 	b.createProvisioningRequest(part, provisioningOption{"small", "a", false}, 1)
 	for _, effect := range effectsDuring(b, second) {
-		if rent, ok := effect.(CloudScaleOut); ok {
-			b.pendingCalls[rent.Call](ScaleOutReply{Outcome: OK, IDs: []MachineID{fastBootMachine}})
+		if rent, ok := effect.(messages.CloudScaleOut); ok {
+			b.pendingCalls[rent.Call](messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}})
 		}
 	}
 	b.runFor(second)
@@ -136,7 +139,7 @@
 	}
 }
 
-// TestMachineOfOpenRentalNotEnlisted: a machine reports before the group that
+// TestMachineOfOpenProvisioningNotRegistered: a machine reports before the group that
 // lists it is stored. While a rental of its kind is open it is left alone: the
 // settlement of that one is about to list it, and it would be listed twice.
 func TestMachineOfOpenProvisioningNotRegistered(t *testing.T) {
@@ -150,11 +153,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			record := `{"p":1,"f":"small","y":"` + test.zone + `","n":1,"w":"b1-1"}`
-			b.store.keys["rentals/r-1"] = KV{"rentals/r-1", []byte(record), 29}
+			b.store.keys["rentals/r-1"] = messages.KV{Key: "rentals/r-1", Value: []byte(record), ModRevision: 29}
 			b.handleUnknownHeartbeat(firstHeartbeat(fastBootMachine))
 			inspected := false
 			for _, effect := range effectsDuring(b, second) {
-				_, ok := effect.(QueryWorkerStatus)
+				_, ok := effect.(messages.QueryWorkerStatus)
 				inspected = inspected || ok
 			}
 			if inspected != test.inspected {
--- a/internal/core/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -1,68 +1,69 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/simulation"
 )
 
-// trouble is something that goes wrong for a while, at one controller where it
+// faultScenario is something that goes wrong for a while, at one controller where it
 // concerns one.
 type faultScenario struct {
 	name   string
-	inject func(w *standin.Simulator, n *standin.Node, d core.Time)
+	inject func(w *simulation.Simulator, n *simulation.Node, d cluster.Time)
 }
 
-// singleTroubles are drawn alike, so what is to come twice as often stands twice.
+// singleFaults are drawn alike, so what is to come twice as often stands twice.
 var singleFaults = []faultScenario{
 	{"a controller crashes", crashOne},
 	{"a controller crashes", crashOne},
-	{"all controllers crash", func(w *standin.Simulator, _ *standin.Node, _ core.Time) { crashAll(w) }},
-	{"cut from the store", func(w *standin.Simulator, n *standin.Node, d core.Time) { n.StoreCutUntil = w.Now + d }},
-	{"cut from the workers", func(w *standin.Simulator, n *standin.Node, d core.Time) { n.WorkersCutUntil = w.Now + d }},
-	{"cut from the other controllers", func(w *standin.Simulator, n *standin.Node, d core.Time) { n.PeersCutUntil = w.Now + d }},
-	{"refused by the store", func(w *standin.Simulator, n *standin.Node, d core.Time) { n.StoreRefusesUntil = w.Now + d }},
+	{"all controllers crash", func(w *simulation.Simulator, _ *simulation.Node, _ cluster.Time) { crashAll(w) }},
+	{"cut from the store", func(w *simulation.Simulator, n *simulation.Node, d cluster.Time) { n.StoreCutUntil = w.Now + d }},
+	{"cut from the workers", func(w *simulation.Simulator, n *simulation.Node, d cluster.Time) { n.WorkersCutUntil = w.Now + d }},
+	{"cut from the other controllers", func(w *simulation.Simulator, n *simulation.Node, d cluster.Time) { n.PeersCutUntil = w.Now + d }},
+	{"refused by the store", func(w *simulation.Simulator, n *simulation.Node, d cluster.Time) { n.StoreRefusesUntil = w.Now + d }},
 	{"cut from everything", partitionFromAll},
-	{"the store is out", func(w *standin.Simulator, _ *standin.Node, d core.Time) {
+	{"the store is out", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 		w.StoreDownUntil = w.Now + min(d, longestOutage)
 	}},
-	{"machines hang", onTwoMachines((*standin.Simulator).HangMachine)},
+	{"machines hang", onTwoMachines((*simulation.Simulator).HangMachine)},
 	{"machines cut off while the cloud is out", cutMachinesWithoutCloud},
 	{"machines taken back", preemptMachines},
-	{"machines heard that hear nothing", onTwoMachines((*standin.Simulator).MakeUnreachable)},
+	{"machines heard that hear nothing", onTwoMachines((*simulation.Simulator).MakeUnreachable)},
 	{"a heap of old reports", duplicateHeartbeats},
-	{"with its workers alone", func(w *standin.Simulator, n *standin.Node, d core.Time) {
+	{"with its workers alone", func(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
 		n.StoreCutUntil, n.PeersCutUntil = w.Now+d, w.Now+d
 	}},
 	{"all back at once, one ends again", restartTwice},
-	{"writes without an answer carried out late", func(w *standin.Simulator, _ *standin.Node, d core.Time) { w.LoseWriteReplies(0.3, d, false) }},
-	{"writes carried out, their answers lost", func(w *standin.Simulator, _ *standin.Node, d core.Time) { w.LoseWriteReplies(0.3, d, true) }},
-	{"machines that reach no controller", onTwoMachines((*standin.Simulator).BlockHeartbeats)},
+	{"writes without an answer carried out late", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.LoseWriteReplies(0.3, d, false) }},
+	{"writes carried out, their answers lost", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.LoseWriteReplies(0.3, d, true) }},
+	{"machines that reach no controller", onTwoMachines((*simulation.Simulator).BlockHeartbeats)},
 	{"old reports as the next holder begins", replayHeartbeatsAfterFailover},
 	{"running jobs cancelled while their machines hang", cancelOnHungMachines},
-	{"cancelled as they end", func(w *standin.Simulator, _ *standin.Node, d core.Time) { w.CancelAtEnd(0.5, d) }},
-	{"users ask everywhere at once", func(w *standin.Simulator, _ *standin.Node, d core.Time) { w.EnableReadAfterWriteChecks(d) }},
-	{"odd requests", func(w *standin.Simulator, _ *standin.Node, d core.Time) { w.SendOddRequests(d) }},
+	{"cancelled as they end", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.CancelAtEnd(0.5, d) }},
+	{"users ask everywhere at once", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.EnableReadAfterWriteChecks(d) }},
+	{"odd requests", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.SendOddRequests(d) }},
 }
 
 // longestOutage is how long the store is out at the most in these troubles;
 // longer outages are a trouble of their own.
 const longestOutage = 20 * second
 
-// singlePerDay is how many of the single troubles a day has.
+// singleFaultsPerDay is how many of the single troubles a day has.
 const singleFaultsPerDay = 18
 
-func planSingleFaults(w *standin.Simulator, until core.Time) {
+func planSingleFaults(w *simulation.Simulator, until cluster.Time) {
 	for range singleFaultsPerDay {
 		at, d, kind := w.RandomBetween(5*second, until-40*second), w.RandomBetween(second, 40*second), w.Rand.IntN(len(singleFaults))
 		planFault(w, singleFaults[kind], at, d)
 	}
 }
 
-// planTrouble draws the controller that a trouble concerns and has it begin.
-func planFault(w *standin.Simulator, t faultScenario, at, d core.Time) {
+// planFault draws the controller that a trouble concerns and has it begin.
+func planFault(w *simulation.Simulator, t faultScenario, at, d cluster.Time) {
 	n := w.Nodes[w.Rand.IntN(len(w.Nodes))]
 	w.After(at, func() {
 		w.Log(fmt.Sprintf("--- trouble: %s, %s for %v at %v", t.name, n.ID, time.Duration(d), time.Duration(w.Now)))
@@ -70,16 +71,16 @@
 	})
 }
 
-func crashOne(w *standin.Simulator, n *standin.Node, _ core.Time) { crash(w, n) }
+func crashOne(w *simulation.Simulator, n *simulation.Node, _ cluster.Time) { crash(w, n) }
 
-func crashAll(w *standin.Simulator) {
+func crashAll(w *simulation.Simulator) {
 	for _, n := range w.Nodes {
 		crash(w, n)
 	}
 }
 
 // crashBusiest ends the controller that holds most, if any is up.
-func crashBusiest(w *standin.Simulator) bool {
+func crashBusiest(w *simulation.Simulator) bool {
 	n := w.BusiestNode()
 	if n != nil {
 		crash(w, n)
@@ -87,26 +88,26 @@
 	return n != nil
 }
 
-func partitionFromAll(w *standin.Simulator, n *standin.Node, d core.Time) {
+func partitionFromAll(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
 	until := w.Now + d
 	n.StoreCutUntil, n.WorkersCutUntil, n.PeersCutUntil = until, until, until
 }
 
-// twoMachines is a trouble of two machines.
-func onTwoMachines(begin func(*standin.Simulator, core.MachineID, core.Time)) func(*standin.Simulator, *standin.Node, core.Time) {
-	return func(w *standin.Simulator, _ *standin.Node, d core.Time) {
+// onTwoMachines is a trouble of two machines.
+func onTwoMachines(begin func(*simulation.Simulator, cluster.MachineID, cluster.Time)) func(*simulation.Simulator, *simulation.Node, cluster.Time) {
+	return func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 		begin(w, w.RandomMachine(), d)
 		begin(w, w.RandomMachine(), d)
 	}
 }
 
-func cutMachinesWithoutCloud(w *standin.Simulator, n *standin.Node, d core.Time) {
-	onTwoMachines((*standin.Simulator).CutMachine)(w, n, d)
+func cutMachinesWithoutCloud(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
+	onTwoMachines((*simulation.Simulator).CutMachine)(w, n, d)
 	w.CloudDownUntil = w.Now + d
 }
 
-// takeMachinesBack has the cloud take machines, with a notice or without.
-func preemptMachines(w *standin.Simulator, _ *standin.Node, _ core.Time) {
+// preemptMachines has the cloud take machines, with a notice or without.
+func preemptMachines(w *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for range 3 {
 		if w.Chance(0.5) {
 			w.PreemptSpotMachine(w.RandomMachine(), w.RandomBetween(5*second, 25*second))
@@ -116,7 +117,7 @@
 	}
 }
 
-func duplicateHeartbeats(w *standin.Simulator, _ *standin.Node, _ core.Time) {
+func duplicateHeartbeats(w *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for range 20 {
 		w.DuplicateHeartbeat(w.RandomMachine(), w.RandomBetween(second, 40*second))
 	}
@@ -124,7 +125,7 @@
 
 // restartTwice ends all controllers, which are back at once, and one of them
 // again in the middle of the claims.
-func restartTwice(w *standin.Simulator, n *standin.Node, _ core.Time) {
+func restartTwice(w *simulation.Simulator, n *simulation.Node, _ cluster.Time) {
 	for _, n := range w.Nodes {
 		restart(w, n, w.RandomBetween(second/20, second/2))
 	}
@@ -134,14 +135,14 @@
 	})
 }
 
-func replayHeartbeatsAfterFailover(w *standin.Simulator, n *standin.Node, d core.Time) {
+func replayHeartbeatsAfterFailover(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
 	w.CaptureHeartbeats(0.5, d)
 	w.After(d, func() { crash(w, n) })
 }
 
 // cancelOnHungMachines cancels running jobs while their machines hang; in some
 // the busiest controller ends as well, or the store is out.
-func cancelOnHungMachines(w *standin.Simulator, _ *standin.Node, d core.Time) {
+func cancelOnHungMachines(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	w.CancelRunningJobs(8, w.RandomBetween(10*second, 45*second))
 	switch w.Rand.IntN(3) {
 	case 0:
@@ -153,13 +154,13 @@
 	}
 }
 
-// jointTroubles concern many at once, as in a large fleet.
-func combinedFaults(cancelWithin core.Time) []faultScenario {
+// combinedFaults concern many at once, as in a large fleet.
+func combinedFaults(cancelWithin cluster.Time) []faultScenario {
 	return []faultScenario{
 		{"a controller stood still", pauseProcess},
 		{"all controllers stood still", pauseAllProcesses},
 		{"a zone cut off", partitionZone},
-		{"half of the machines died", func(w *standin.Simulator, _ *standin.Node, _ core.Time) {
+		{"half of the machines died", func(w *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 			w.RemoveEveryNthMachine(2)
 			w.FaultCounts["half of the machines died"]++
 		}},
@@ -167,17 +168,19 @@
 		{"all controllers ended in an outage", crashAllInOutage},
 		{"sick machines in an outage of the cloud", faultyMachinesWithoutCloud},
 		{"the busiest controller ended again and again", crashBusiestRepeatedly},
-		{"a controller refused alone, then everybody", func(w *standin.Simulator, n *standin.Node, _ core.Time) { storeRefusalThenOutage(w, n, cancelWithin) }},
+		{"a controller refused alone, then everybody", func(w *simulation.Simulator, n *simulation.Node, _ cluster.Time) {
+			storeRefusalThenOutage(w, n, cancelWithin)
+		}},
 		{"quick boots with a slow store", fastBootsWithSlowStore},
 		{"a slow store that refuses one controller", slowStoreRefusesController},
 	}
 }
 
-// jointPerDay is how many of the joint troubles a day has.
+// combinedFaultsPerDay is how many of the joint troubles a day has.
 const combinedFaultsPerDay = 5
 
-// planTogether plans troubles of many at once.
-func planCombinedFaults(w *standin.Simulator, until, cancelWithin core.Time) {
+// planCombinedFaults plans troubles of many at once.
+func planCombinedFaults(w *simulation.Simulator, until, cancelWithin cluster.Time) {
 	troubles := combinedFaults(cancelWithin)
 	for range combinedFaultsPerDay {
 		at, d, kind := w.RandomBetween(5*second, until-40*second), w.RandomBetween(5*second, 30*second), w.Rand.IntN(len(troubles))
@@ -185,57 +188,57 @@
 	}
 }
 
-// standStill stops a process for longer than a lease, mostly.
-func pauseProcess(w *standin.Simulator, n *standin.Node, d core.Time) {
+// pauseProcess stops a process for longer than a lease, mostly.
+func pauseProcess(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
 	n.PausedUntil = w.Now + d
 	w.FaultCounts["a controller stood still"]++
 }
 
-func pauseAllProcesses(w *standin.Simulator, _ *standin.Node, d core.Time) {
+func pauseAllProcesses(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	for _, n := range w.Nodes {
 		n.PausedUntil = w.Now + d
 	}
 	w.FaultCounts["all controllers stood still"]++
 }
 
-func partitionZone(w *standin.Simulator, _ *standin.Node, d core.Time) {
+func partitionZone(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	zones := []string{"a", "b", "c"}
 	w.CutZone(zones[w.Rand.IntN(len(zones))], d)
 	w.FaultCounts["a zone cut off"]++
 }
 
-func refusePeerConnections(w *standin.Simulator, _ *standin.Node, d core.Time) {
+func refusePeerConnections(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	for _, n := range w.Nodes {
 		n.PeersRefuseUntil = w.Now + d
 	}
 	w.FaultCounts["controllers refused one another"]++
 }
 
-func crashAllInOutage(w *standin.Simulator, _ *standin.Node, d core.Time) {
+func crashAllInOutage(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	outage := min(d, longestOutage)
 	w.StoreDownUntil = w.Now + outage
 	w.After(outage/2, func() { crashAll(w) })
 	w.FaultCounts["all controllers ended in an outage"]++
 }
 
-func faultyMachinesWithoutCloud(w *standin.Simulator, _ *standin.Node, d core.Time) {
+func faultyMachinesWithoutCloud(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	w.MakeMachinesFaulty(3, d)
 	w.CloudDownUntil = w.Now + d
 	w.FaultCounts["sick machines in an outage of the cloud"]++
 }
 
-// endBusiestAgain ends the busiest controller three times within a minute,
+// crashBusiestRepeatedly ends the busiest controller three times within a minute,
 // whoever that is then.
-func crashBusiestRepeatedly(w *standin.Simulator, _ *standin.Node, _ core.Time) {
-	for _, at := range []core.Time{0, 12 * second, 25 * second} {
+func crashBusiestRepeatedly(w *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
+	for _, at := range []cluster.Time{0, 12 * second, 25 * second} {
 		w.After(at, func() { crashBusiest(w) })
 	}
 	w.FaultCounts["the busiest controller ended again and again"]++
 }
 
-// quickBootsWithSlowStore has machines get work at once while writes lag, and
+// fastBootsWithSlowStore has machines get work at once while writes lag, and
 // the busiest controller end meanwhile.
-func fastBootsWithSlowStore(w *standin.Simulator, _ *standin.Node, d core.Time) {
+func fastBootsWithSlowStore(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	w.EnableFastBoots(d)
 	w.SlowStore(w.RandomBetween(second/5, 4*second/5), d)
 	w.After(w.RandomBetween(second, d), func() {
@@ -245,19 +248,19 @@
 	})
 }
 
-func slowStoreRefusesController(w *standin.Simulator, n *standin.Node, d core.Time) {
+func slowStoreRefusesController(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
 	n.StoreRefusesUntil = w.Now + d
 	w.SlowStore(w.RandomBetween(second/5, 4*second/5), d)
 	w.FaultCounts["a slow store that refuses one controller"]++
 }
 
-// refusedThenOut has the state service refuse one controller alone, and a few
+// storeRefusalThenOutage has the state service refuse one controller alone, and a few
 // seconds later everybody, for longer than a cancellation may take, while users
 // cancel all along. In most of these the outage waits for the next holder's
 // claim, which takes some five seconds, and comes within a second of it; in
 // some of those another controller ends as well, so that nobody may be left who knows
 // what users were told. Once a day is enough.
-func storeRefusalThenOutage(w *standin.Simulator, n *standin.Node, cancelWithin core.Time) {
+func storeRefusalThenOutage(w *simulation.Simulator, n *simulation.Node, cancelWithin cluster.Time) {
 	if w.FaultCounts["a controller refused alone, then everybody"] > 0 {
 		return
 	}
@@ -275,7 +278,7 @@
 	} else {
 		n.StoreRefusesUntil = w.Now + 10*second
 		ends := w.Chance(0.8)
-		w.OnShardAcquired(10*second, func(holder core.NodeID) {
+		w.OnShardAcquired(10*second, func(holder cluster.NodeID) {
 			w.FaultCounts["an outage within a second of a claim"]++
 			w.After(w.RandomBetween(0, second), begin)
 			o := w.Nodes[w.Rand.IntN(len(w.Nodes))]
@@ -290,15 +293,15 @@
 		w.After(10*second, begin)
 	}
 	for i := range 10 {
-		at := core.Time(i) * second
+		at := cluster.Time(i) * second
 		if i >= 7 { // the outage goes on
-			at = core.Time(i-5) * 8 * second
+			at = cluster.Time(i-5) * 8 * second
 		}
 		w.After(at+w.RandomBetween(0, second), w.CancelRandomJob)
 	}
 }
 
-func crash(w *standin.Simulator, n *standin.Node) {
+func crash(w *simulation.Simulator, n *simulation.Node) {
 	gap := 6 * second
 	if w.Chance(0.3) {
 		gap = w.RandomBetween(second/10, second)
@@ -306,7 +309,7 @@
 	restart(w, n, gap)
 }
 
-func restart(w *standin.Simulator, n *standin.Node, gap core.Time) {
+func restart(w *simulation.Simulator, n *simulation.Node, gap cluster.Time) {
 	w.KillNode(n)
 	w.After(gap, func() { w.StartNode(n) })
 }
--- a/internal/core/group_check_test.go
+++ b/internal/controller/group_check_test.go
@@ -1,8 +1,12 @@
-package core
+package controller
 
-import "testing"
+import (
+	"testing"
 
-// TestRecordCheckEnds: another writer has changed a group's record, and tasks
+	"stairrelay/internal/cluster"
+)
+
+// TestGroupRecordCheckTerminates: another writer has changed a group's record, and tasks
 // keep coming and going on its machines. The check that follows the first
 // conflict has to come to its conclusion, which is to give the part up and read
 // it anew. Writes that were queued while it read conflicted in their turn, each
@@ -18,7 +22,7 @@
 	b.runFor(100 * millisecond)
 	kv := b.store.get(key).KV
 	kv.ModRevision++
-	b.store.revision = Revision(kv.ModRevision)
+	b.store.revision = cluster.Revision(kv.ModRevision)
 	b.store.keys[key] = kv // the same, by another hand
 
 	sent := len(b.sentTransactions)
--- a/internal/core/groupsplit.go
+++ b/internal/controller/groupsplit.go
@@ -1,7 +1,9 @@
-package core
+package controller
 
 import (
+	"stairrelay/internal/cluster"
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
 )
 
 // groupSplit moves machines of a group into new ones by one transaction on all
@@ -11,7 +13,7 @@
 type groupSplit struct {
 	controller    *Controller
 	shard         *shard
-	claimRevision Revision
+	claimRevision cluster.Revision
 	group         *machineGroup
 	newIDs        []string // of the new groups
 	keys          []string // of the group and the new ones
@@ -51,12 +53,12 @@
 	})
 }
 
-// current tells whether the group is still held under the claim of the split.
+// isCurrent tells whether the group is still held under the claim of the split.
 func (s *groupSplit) isCurrent() bool {
 	return s.controller.machineGroups[s.group.id] == s.group && s.shard.isOwnedUnder(s.claimRevision)
 }
 
-func (s *groupSplit) build(nonce string) ([]TxnOp, []ModRevision) {
+func (s *groupSplit) build(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 	c, g := s.controller, s.group
 	if c.machineGroups[g.id] != g {
 		g.endWrite()
@@ -64,23 +66,23 @@
 	}
 	g.nextWritePriority, g.addedBytes = priorityCount, 0
 	s.pieces, s.snapshots = grouprecord.Split(g.sortedMachines(), len(s.keys), (*machine).taskCount), nil
-	var ops []TxnOp
-	var marks []ModRevision
+	var ops []messages.TxnOp
+	var marks []cluster.ModRevision
 	for i, ms := range s.pieces {
 		v, snap := c.buildGroupRecord(s.shard.id, ms, nonce)
-		mark := ModRevision(0)
+		mark := cluster.ModRevision(0)
 		if i == 0 {
 			mark = g.modRevision
 		}
-		ops = append(ops, TxnOp{s.keys[i], v})
+		ops = append(ops, messages.TxnOp{Key: s.keys[i], Value: v})
 		marks = append(marks, mark)
 		s.snapshots = append(s.snapshots, snap)
 	}
 	return ops, marks
 }
 
-// stored moves the machines as the records now say.
-func (s *groupSplit) handleStored(e Revision) {
+// handleStored moves the machines as the records now say.
+func (s *groupSplit) handleStored(e cluster.Revision) {
 	c, g := s.controller, s.group
 	g.endWrite()
 	if !s.isCurrent() {
@@ -95,7 +97,7 @@
 				to.moveIn(m)
 			}
 		}
-		to.modRevision, to.recordSize = ModRevision(e), s.snapshots[i].size
+		to.modRevision, to.recordSize = cluster.ModRevision(e), s.snapshots[i].size
 		c.handleGroupStored(to, s.snapshots[i], e)
 		if to.nextWritePriority = again; len(to.machines) > 0 { // what was asked of the whole may concern each
 			c.queueNextWrite(to)
@@ -103,7 +105,7 @@
 	}
 }
 
-// refused follows a conflict with another writer.
+// handleConflict follows a conflict with another writer.
 func (s *groupSplit) handleConflict() {
 	s.group.endWrite()
 	if s.controller.machineGroups[s.group.id] == s.group {
@@ -111,7 +113,7 @@
 	}
 }
 
-// tooLarge follows the store's refusal of the records by their length. Tasks
+// handleTooLarge follows the store's refusal of the records by their length. Tasks
 // end, and the record gets shorter; what the store takes now is less than the
 // settings say.
 func (s *groupSplit) handleTooLarge() {
--- a/internal/core/grouptransfer.go
+++ b/internal/controller/grouptransfer.go
@@ -1,13 +1,16 @@
-package core
+package controller
 
 import (
 	"slices"
 	"strings"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// groupTake moves a group of idle machines to a part held here, by a conditional
+// groupTransfer moves a group of idle machines to a part held here, by a conditional
 // write on a record that lists no task. The revision of this write is the
 // machines' token: it lies above all earlier ones.
 //
@@ -16,20 +19,20 @@
 type groupTransfer struct {
 	controller      *Controller
 	shard           *shard
-	claimRevision   Revision
+	claimRevision   cluster.Revision
 	groupID         string
-	offeredRevision ModRevision // of the record when it was offered
-	fromShard       ShardID
+	offeredRevision cluster.ModRevision // of the record when it was offered
+	fromShard       cluster.ShardID
 	machines        []grouprecord.Machine
 	localGroup      *machineGroup // of a part held here; nil: another controller's
 	recordSize      int           // of the record as last built
 }
 
-// takeGroup takes a group that was offered to a part at a revision of its record.
-func (c *Controller) acquireGroup(p *shard, key string, mark ModRevision) {
+// acquireGroup takes a group that was offered to a part at a revision of its record.
+func (c *Controller) acquireGroup(p *shard, key string, mark cluster.ModRevision) {
 	take := &groupTransfer{controller: c, shard: p, claimRevision: p.claimRevision, groupID: strings.TrimPrefix(key, "groups/"), offeredRevision: mark}
-	c.readKey(key, func(r GetReply) {
-		if r.Outcome == OK && r.KV.ModRevision == mark && p.isOwnedUnder(take.claimRevision) {
+	c.readKey(key, func(r messages.GetReply) {
+		if r.Outcome == messages.OK && r.KV.ModRevision == mark && p.isOwnedUnder(take.claimRevision) {
 			take.begin(r.KV.Value)
 		}
 	})
@@ -58,7 +61,7 @@
 	})
 }
 
-// inUse tells whether a machine must stay with its part.
+// isMachineInUse tells whether a machine must stay with its part.
 func isMachineInUse(m grouprecord.Machine) bool { return len(m.Tasks) > 0 || m.Releasing }
 
 // lock marks a group that is held here as being written; false: it can't be
@@ -89,14 +92,14 @@
 	}
 }
 
-func (t *groupTransfer) build(nonce string) ([]TxnOp, []ModRevision) {
+func (t *groupTransfer) build(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 	value := grouprecord.Encode(grouprecord.Record{ShardID: t.shard.id, Machines: t.machines, WriteID: nonce})
 	t.recordSize = len(value)
-	return []TxnOp{{t.key(), value}}, []ModRevision{t.offeredRevision}
+	return []messages.TxnOp{{Key: t.key(), Value: value}}, []cluster.ModRevision{t.offeredRevision}
 }
 
-// stored follows the write: the machines are the part's now.
-func (t *groupTransfer) handleStored(e Revision) {
+// handleStored follows the write: the machines are the part's now.
+func (t *groupTransfer) handleStored(e cluster.Revision) {
 	c, p := t.controller, t.shard
 	if g := t.localGroup; g != nil && c.machineGroups[t.groupID] == g {
 		c.dropTransferredGroup(g, p.id)
@@ -104,19 +107,19 @@
 	if !p.isOwnedUnder(t.claimRevision) || c.machineGroups[t.groupID] != nil {
 		return
 	}
-	g := c.newGroup(p, t.groupID, ModRevision(e))
+	g := c.newGroup(p, t.groupID, cluster.ModRevision(e))
 	g.recordSize = t.recordSize
 	for _, line := range t.machines {
 		if c.machines[line.ID] == nil {
-			c.addMachine(g, line, FencingToken(e))
+			c.addMachine(g, line, cluster.FencingToken(e))
 		}
 	}
-	c.log(LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(p.id), "from", int(t.fromShard))
+	c.log(messages.LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(p.id), "from", int(t.fromShard))
 	c.schedulingTrigger.request()
 	c.maintainMachines()
 }
 
-// refused follows a conflict with another writer of the record.
+// handleConflict follows a conflict with another writer of the record.
 func (t *groupTransfer) handleConflict() {
 	g := t.localGroup
 	if g == nil {
--- a/internal/core/growth_test.go
+++ b/internal/controller/growth_test.go
@@ -1,9 +1,11 @@
-package core_test
+package controller_test
 
 import (
 	"testing"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/controller"
 )
 
 // fleetWork is what all controllers do for each machine and second.
@@ -34,7 +36,7 @@
 	if len(f.Violations) > 0 {
 		t.Fatal(f.Violations)
 	}
-	each := func(n int) float64 { return float64(n) / float64(machines) / core.Time(measured).Seconds() }
+	each := func(n int) float64 { return float64(n) / float64(machines) / cluster.Time(measured).Seconds() }
 	return fleetWork{
 		scans:     each(after.MachineScans - before.MachineScans),
 		puts:      each(after.Puts - before.Puts),
@@ -43,9 +45,9 @@
 	}
 }
 
-// counts adds up what all controllers have counted.
-func (f *fleet) sumCounters() core.Counters {
-	var sum core.Counters
+// sumCounters adds up what all controllers have counted.
+func (f *fleet) sumCounters() controller.Counters {
+	var sum controller.Counters
 	for _, c := range f.Controllers() {
 		n := c.Counts()
 		sum.MachineScans += n.MachineScans
--- a/internal/core/hung_machine_test.go
+++ b/internal/controller/hung_machine_test.go
@@ -1,18 +1,18 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
 )
 
-// endEachHolder ends whoever holds part 1 a while after its claim, again and
+// restartEachOwner ends whoever holds part 1 a while after its claim, again and
 // again, each for long enough that another controller succeeds it.
-func (m *testCluster) restartEachOwner(life core.Time) {
+func (m *testCluster) restartEachOwner(life cluster.Time) {
 	const away = 9 * second
-	var last core.NodeID
+	var last cluster.NodeID
 	var look func()
 	look = func() {
 		if holder := m.longJobOwner(); holder != last {
@@ -24,7 +24,7 @@
 	look()
 }
 
-func (m *testCluster) restartNode(id core.NodeID, away core.Time) {
+func (m *testCluster) restartNode(id cluster.NodeID, away cluster.Time) {
 	for _, node := range m.Nodes {
 		if node.ID == id {
 			restart(m.Simulator, node, away)
@@ -33,7 +33,7 @@
 }
 
 // hangMachinesOfJob stops the machines on which tasks of the job are.
-func (m *testCluster) hangMachinesOfJob(d core.Time) {
+func (m *testCluster) hangMachinesOfJob(d cluster.Time) {
 	for id, worker := range m.Workers {
 		if len(worker.Tasks) > 0 {
 			m.HangMachine(id, d)
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestHungMachineOverShortHolders: the machine of a cancelled job hangs, and no
+// TestHungMachineAcrossShortOwnerships: the machine of a cancelled job hangs, and no
 // holder of its part lives as long as a holder waits for a machine that it has
 // just taken over (takenPatience). The job's tasks are gone in time all the same:
 // a controller that has known of the cancellation for half of its time, or began
@@ -49,7 +49,7 @@
 func TestHungMachineAcrossShortOwnerships(t *testing.T) {
 	const tenInTwoMinutes = 5400 * second / 1000 // of the 12 s for each, detection takes 6.6 s
 	for _, site := range []struct {
-		report, lease, cancelWithin, life core.Time
+		report, lease, cancelWithin, life cluster.Time
 	}{
 		{2 * second, 12 * second, 37 * second, 2 * second},
 		{3 * second, 22 * second, 52 * second, tenInTwoMinutes},
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestHungInOutage: a cancelled job's machine hangs, and the state service is
+// TestHungMachineReleasedInOutage: a cancelled job's machine hangs, and the state service is
 // out for longer than cancel_s: the machine is returned without a record.
 func TestHungMachineReleasedInOutage(t *testing.T) {
 	m := newTestCluster(t, 2)
--- a/internal/core/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -1,29 +1,30 @@
-package core_test
+package controller_test
 
 import (
 	"testing"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/simulation"
 )
 
-// TestLonelyControllerSendsOn: a controller that keeps its workers but has lost
+// TestIsolatedControllerOwnershipExpires: a controller that keeps its workers but has lost
 // the store and the other controllers is entitled for a bounded time only. Here
 // nobody else reaches the worker either, so that no higher token tells.
 func TestIsolatedControllerOwnershipExpires(t *testing.T) {
 	cfg := testConfig()
-	var w *standin.Simulator
-	w = standin.NewSimulator(1, cfg, testCloud(func() *standin.Simulator { return w }))
+	var w *simulation.Simulator
+	w = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return w }))
 	w.NoRandomFaults = true
 	w.AddMachine("small", "a", false)
 	w.RunUntil(10 * second)
 	owner := w.Nodes[1] // of the part that the machine's number points to
 	owner.StoreCutUntil, owner.PeersCutUntil = w.Now+100*second, w.Now+100*second
 	w.Nodes[0].WorkersCutUntil, w.Nodes[2].WorkersCutUntil = w.Now+100*second, w.Now+100*second
-	answer := func() core.ReplyStatus {
-		status := core.ReplyNone
+	answer := func() messages.ReplyStatus {
+		status := messages.ReplyNone
 		r := w.Workers["m-000001"].NextStatus()
-		w.SendRequest(owner, func(id core.RequestID) core.Event { return core.Heartbeat{Request: id, Status: r} }, func(a core.Respond) { status = a.Status })
+		w.SendRequest(owner, func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: r} }, func(a messages.Respond) { status = a.Status })
 		w.RunUntil(w.Now + second)
 		return status
 	}
--- a/internal/core/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -1,32 +1,35 @@
-package core
+package controller
 
 import (
 	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
-// TestEndUnderWay: the write of a job's end is carried out and its answer is
+// TestJobEndInDoubtConfirmedBeforeAnswer: the write of a job's end is carried out and its answer is
 // lost; others may have read and told it. Neither a question nor another
 // controller's may then get the owner's older view.
 func TestJobEndInDoubtConfirmedBeforeAnswer(t *testing.T) {
 	b := newControllerHarness()
 	j := b.addTestJob("j-1", 1)
 	j.setCompleted(0)
-	b.losesReply = func(StoreTxn) bool { return true }
+	b.losesReply = func(messages.StoreTxn) bool { return true }
 	b.writeJob(j, priorityAdmit)
 	b.runFor(60 * millisecond)
-	if b.store.get("jobs/j-1").Outcome != OK || j.finalStatus != "" {
+	if b.store.get("jobs/j-1").Outcome != messages.OK || j.finalStatus != "" {
 		t.Fatal("the end is not stored, or its answer is not lost")
 	}
 	b.jobs.known["j-1"].finalStatus = "" // nothing has told this controller
-	b.handleQuery(Query{Request: 5, ID: "j-1"})
-	var views []JobView
-	b.answerJobQuery([]JobID{"j-1"}, func(v []JobView) { views = v })
+	b.handleQuery(messages.Query{Request: 5, ID: "j-1"})
+	var views []cluster.JobView
+	b.answerJobQuery([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
 	b.runFor(300 * millisecond)
-	if len(b.sentResponses) != 1 || b.sentResponses[0].View == nil || b.sentResponses[0].View.Status != JobDone {
+	if len(b.sentResponses) != 1 || b.sentResponses[0].View == nil || b.sentResponses[0].View.Status != cluster.JobDone {
 		t.Errorf("a question gets %+v", b.sentResponses)
 	}
 	for _, v := range views {
-		if v.Status != JobDone {
+		if v.Status != cluster.JobDone {
 			t.Errorf("another controller gets %+v", v)
 		}
 	}
--- a/internal/core/jobnotices.go
+++ b/internal/controller/jobnotices.go
@@ -1,13 +1,18 @@
-package core
+package controller
 
-// notices gathers the stored jobs that another controller is to be told of, so
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// jobNoticeQueue gathers the stored jobs that another controller is to be told of, so
 // that those of some milliseconds share a message. Its watch of the store is the
 // safety net.
 //
 // A message is scheduled or under way while any wait. Those of a message that
 // was lost go out again, a few times.
 type jobNoticeQueue struct {
-	waiting   []KV
+	waiting   []messages.KV
 	scheduled bool
 }
 
@@ -21,8 +26,8 @@
 	maxJobNoticeBytes = 256 << 10
 )
 
-// batch lists the jobs that the next message tells of.
-func (s *jobNoticeQueue) nextBatch() []KV {
+// nextBatch lists the jobs that the next message tells of.
+func (s *jobNoticeQueue) nextBatch() []messages.KV {
 	bytes := 0
 	for i, kv := range s.waiting {
 		bytes += len(kv.Key) + len(kv.Value)
@@ -33,8 +38,8 @@
 	return s.waiting
 }
 
-// tell passes a stored job to its owner.
-func (c *Controller) notifyOwner(part ShardID, kv KV) {
+// notifyOwner passes a stored job to its owner.
+func (c *Controller) notifyOwner(part cluster.ShardID, kv messages.KV) {
 	p := c.peers[c.shards[part].owner]
 	if p == nil || p.failed {
 		return
@@ -49,12 +54,12 @@
 func (c *Controller) sendJobNotices(p *peer, tries int) {
 	s := &p.jobNotices
 	batch := s.nextBatch()
-	c.callPeer(p.id, jobNoticeTimeout, PeerMessage{Notice: &JobNotice{Keys: batch}}, func(r PeerReply) {
-		if r.Outcome != OK && tries < jobNoticeRetries && !p.failed {
+	c.callPeer(p.id, jobNoticeTimeout, messages.PeerMessage{Notice: &messages.JobNotice{Keys: batch}}, func(r messages.PeerReply) {
+		if r.Outcome != messages.OK && tries < jobNoticeRetries && !p.failed {
 			c.sendJobNotices(p, tries+1)
 			return
 		}
-		s.waiting = append([]KV(nil), s.waiting[len(batch):]...)
+		s.waiting = append([]messages.KV(nil), s.waiting[len(batch):]...)
 		if len(s.waiting) > 0 {
 			c.sendJobNotices(p, 0)
 			return
--- a/internal/core/jobreads.go
+++ b/internal/controller/jobreads.go
@@ -1,20 +1,25 @@
-package core
+package controller
 
-// readPause is the least time between the beginnings of two readings of the
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// jobReadInterval is the least time between the beginnings of two readings of the
 // same changes: those who ask in between share the next one.
 const jobReadInterval = 100 * millisecond
 
-// jobReads gathers those who wait for a reading of what the store holds of jobs.
+// linearizableJobReads gathers those who wait for a reading of what the store holds of jobs.
 //
 // A reading serves only those who asked before it began, and no two run at a
 // time.
 type linearizableJobReads struct {
 	waiting   []func(ok bool)
 	scheduled bool // a reading runs, or is about to
-	startedAt Time
+	startedAt cluster.Time
 }
 
-// wait queues fn for the next reading; true: that has yet to be scheduled.
+// enqueue queues fn for the next reading; true: that has yet to be scheduled.
 func (r *linearizableJobReads) enqueue(fn func(ok bool)) bool {
 	r.waiting = append(r.waiting, fn)
 	if r.scheduled {
@@ -24,23 +29,25 @@
 	return true
 }
 
-// begin takes those whom the reading that begins now serves.
-func (r *linearizableJobReads) takeBatch(now Time) []func(ok bool) {
+// takeBatch takes those whom the reading that begins now serves.
+func (r *linearizableJobReads) takeBatch(now cluster.Time) []func(ok bool) {
 	served := r.waiting
 	r.waiting, r.startedAt = nil, now
 	return served
 }
 
-// end tells whether another reading has to follow.
+// finish tells whether another reading has to follow.
 func (r *linearizableJobReads) finish() bool {
 	r.scheduled = len(r.waiting) > 0
 	return r.scheduled
 }
 
 // delay is how long the next reading has to wait.
-func (r *linearizableJobReads) delay(now Time) Time { return max(0, r.startedAt+jobReadInterval-now) }
+func (r *linearizableJobReads) delay(now cluster.Time) cluster.Time {
+	return max(0, r.startedAt+jobReadInterval-now)
+}
 
-// freshen calls fn after everything has been learned that was stored about jobs
+// linearizableJobRead calls fn after everything has been learned that was stored about jobs
 // before this call, with readings begun after it; false: that could not be read.
 func (c *Controller) linearizableJobRead(fn func(bool)) {
 	if c.isStoreUnavailableFor(second) || c.jobs.appliedRevision == 0 || !c.admissions.loaded {
@@ -52,7 +59,7 @@
 	}
 }
 
-// readChanges reads the jobs' own records and those of several.
+// readJobChanges reads the jobs' own records and those of several.
 func (c *Controller) readJobChanges() {
 	served := c.jobReads.takeBatch(c.now)
 	left, good := 2, true
@@ -69,10 +76,10 @@
 		}
 	}
 	c.readAdmissionChanges(done)
-	c.readPrefixSince(jobKeyPrefix, c.jobs.appliedRevision, func(r WatchReply) {
+	c.readPrefixSince(jobKeyPrefix, c.jobs.appliedRevision, func(r messages.WatchReply) {
 		for _, kv := range r.Items {
 			c.applyJobRecord(kv, nil)
 		}
-		done(r.Outcome == OK)
+		done(r.Outcome == messages.OK)
 	})
 }
--- a/internal/core/jobs.go
+++ b/internal/controller/jobs.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/json"
@@ -6,6 +6,9 @@
 	"sort"
 	"strconv"
 	"strings"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // Task states inside a job.
@@ -16,16 +19,16 @@
 	taskCompletionStored       // completed and stored
 )
 
-// chunkTasks is how many tasks' outcomes one key holds. Chunk 0 lives in the
+// tasksPerChunk is how many tasks' outcomes one key holds. Chunk 0 lives in the
 // job's own record, the others beside it, so that 100,000 tasks fit under any
 // value limit from 4 KiB on.
 const tasksPerChunk = 16384
 
 // job of a part held here.
 type job struct {
-	spec              JobSpec
-	shard             ShardID
-	modRevisions      []ModRevision // per chunk
+	spec              cluster.JobSpec
+	shard             cluster.ShardID
+	modRevisions      []cluster.ModRevision // per chunk
 	dirtyChunks       []bool
 	taskStates        []uint8
 	assignedCount     int
@@ -34,49 +37,49 @@
 	assignments       map[int]*assignment
 	listedAssignments map[*assignment]bool // all that machines list of it, ended and doubly listed tasks too
 
-	finalStatus   JobStatus // stored
-	cancelling    bool      // its user has asked for that, or it is stored
-	endInFlight   bool      // a write of its end is under way: it may be carried out already
-	writeQueued   bool      // a write is queued
+	finalStatus   cluster.JobStatus // stored
+	cancelling    bool              // its user has asked for that, or it is stored
+	endInFlight   bool              // a write of its end is under way: it may be carried out already
+	writeQueued   bool              // a write is queued
 	rewriteNeeded bool
-	waiters       []func(JobStatus)
+	waiters       []func(cluster.JobStatus)
 
 	chunksLoading       int // chunks still to be read; nothing is placed before
 	taskErrors          int
-	recordTooLarge      bool // its record with what it asks for is more than the store takes now
-	nextCheckpointAt    Time // not written before, while starts wait for their records: each interval's would take their puts
-	failedMachines      map[MachineID]bool
-	effectivePriority   Priority // its own, or that of a job that needs it
-	backoffUntil        Time
-	nextPreemptionAt    Time      // not before then again
-	reservedMachine     MachineID // kept free for it while it starves
+	recordTooLarge      bool         // its record with what it asks for is more than the store takes now
+	nextCheckpointAt    cluster.Time // not written before, while starts wait for their records: each interval's would take their puts
+	failedMachines      map[cluster.MachineID]bool
+	effectivePriority   cluster.Priority // its own, or that of a job that needs it
+	backoffUntil        cluster.Time
+	nextPreemptionAt    cluster.Time      // not before then again
+	reservedMachine     cluster.MachineID // kept free for it while it starves
 	guaranteeChecked    bool
 	initiallyGuaranteed bool // it fitted into its team's guarantee when it came; for the log
-	arrivedAt           Time
-	blocked             bool         // for jobs that it awaits
-	readySince          WallTime     // its aims' times count from then: its submission, or its release
-	restartedTasks      map[int]bool // tasks that did not end at their first start
-	completedRuns       int          // tasks that ran to their end here, and their time in all
+	arrivedAt           cluster.Time
+	blocked             bool             // for jobs that it awaits
+	readySince          cluster.WallTime // its aims' times count from then: its submission, or its release
+	restartedTasks      map[int]bool     // tasks that did not end at their first start
+	completedRuns       int              // tasks that ran to their end here, and their time in all
 	totalRunSeconds     float64
-	firstRunAt          Time
-	lastRunAt           Time
+	firstRunAt          cluster.Time
+	lastRunAt           cluster.Time
 }
 
 type jobRecord struct {
-	Spec             *JobSpec   `json:"s,omitempty"`
-	CompletedIndexes string     `json:"d,omitempty"`
-	FinalStatus      JobStatus  `json:"st,omitempty"`
-	Team             string     `json:"tm,omitempty"`
-	Tasks            int        `json:"n,omitempty"`
-	ResourceRequest  *Resources `json:"r,omitempty"` // a cancelled job's tasks may still use quota
-	WriteID          string     `json:"w"`
+	Spec             *cluster.JobSpec   `json:"s,omitempty"`
+	CompletedIndexes string             `json:"d,omitempty"`
+	FinalStatus      cluster.JobStatus  `json:"st,omitempty"`
+	Team             string             `json:"tm,omitempty"`
+	Tasks            int                `json:"n,omitempty"`
+	ResourceRequest  *cluster.Resources `json:"r,omitempty"` // a cancelled job's tasks may still use quota
+	WriteID          string             `json:"w"`
 }
 
-// jobPrefix is where the jobs' own records are stored.
+// jobKeyPrefix is where the jobs' own records are stored.
 const jobKeyPrefix = "jobs/"
 
 // jobKey is the key of a job's own record.
-func jobKey(id JobID) string { return jobKeyPrefix + string(id) }
+func jobKey(id cluster.JobID) string { return jobKeyPrefix + string(id) }
 
 func (j *job) chunkKey(chunk int) string {
 	if chunk == 0 {
@@ -87,10 +90,10 @@
 
 func chunkCount(tasks int) int { return (tasks + tasksPerChunk - 1) / tasksPerChunk }
 
-func newJob(spec JobSpec, part ShardID, mark ModRevision, now Time) *job {
+func newJob(spec cluster.JobSpec, part cluster.ShardID, mark cluster.ModRevision, now cluster.Time) *job {
 	n := chunkCount(spec.Tasks)
-	j := &job{spec: spec, shard: part, modRevisions: make([]ModRevision, n), dirtyChunks: make([]bool, n), taskStates: make([]uint8, spec.Tasks),
-		assignments: map[int]*assignment{}, listedAssignments: map[*assignment]bool{}, failedMachines: map[MachineID]bool{}, restartedTasks: map[int]bool{}, arrivedAt: now, readySince: spec.SubmittedAt, effectivePriority: spec.Priority}
+	j := &job{spec: spec, shard: part, modRevisions: make([]cluster.ModRevision, n), dirtyChunks: make([]bool, n), taskStates: make([]uint8, spec.Tasks),
+		assignments: map[int]*assignment{}, listedAssignments: map[*assignment]bool{}, failedMachines: map[cluster.MachineID]bool{}, restartedTasks: map[int]bool{}, arrivedAt: now, readySince: spec.SubmittedAt, effectivePriority: spec.Priority}
 	j.modRevisions[0] = mark
 	return j
 }
@@ -141,8 +144,8 @@
 	j.dirtyChunks[i/tasksPerChunk] = true
 }
 
-func (j *job) view() JobView {
-	v := JobView{ID: j.spec.ID, Status: JobPending, Done: j.completedCount}
+func (j *job) view() cluster.JobView {
+	v := cluster.JobView{ID: j.spec.ID, Status: cluster.JobPending, Done: j.completedCount}
 	switch {
 	case j.finalStatus != "":
 		v.Status = j.finalStatus
@@ -154,7 +157,7 @@
 			}
 		}
 		if v.Running > 0 || j.completedCount > 0 {
-			v.Status = JobRunning
+			v.Status = cluster.JobRunning
 		}
 	}
 	return v
@@ -164,16 +167,16 @@
 	return j.taskStates[k*tasksPerChunk : min((k+1)*tasksPerChunk, len(j.taskStates))]
 }
 
-// learnJob takes in a job's record from the store, a peer or the watch. With
+// applyJobRecord takes in a job's record from the store, a peer or the watch. With
 // loading set, the part is being taken over and its record is the truth.
-func (c *Controller) applyJobRecord(kv KV, loading *shard) {
-	id := JobID(strings.TrimPrefix(kv.Key, jobKeyPrefix))
+func (c *Controller) applyJobRecord(kv messages.KV, loading *shard) {
+	id := cluster.JobID(strings.TrimPrefix(kv.Key, jobKeyPrefix))
 	if kv.Value == nil {
 		return
 	}
 	var rec jobRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
-		c.log(LogError, "unreadable record", "key", kv.Key)
+		c.log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	name, tasks := rec.Team, rec.Tasks
@@ -182,7 +185,7 @@
 	}
 	t := c.teams[name]
 	if t == nil || tasks < 1 {
-		c.log(LogError, "job record of no known team", "key", kv.Key)
+		c.log(messages.LogError, "job record of no known team", "key", kv.Key)
 		return
 	}
 	k := c.jobs.register(id, t.shard, name, tasks)
@@ -198,7 +201,7 @@
 		c.applyDependencies(id, k, rec.Spec)
 	}
 	p := c.shards[t.shard]
-	implied := k.finalStatus == JobCancelled && !k.finalRecorded && len(k.dependencies) > 0 // its own record has to follow
+	implied := k.finalStatus == cluster.JobCancelled && !k.finalRecorded && len(k.dependencies) > 0 // its own record has to follow
 	if k.finalStatus != "" && !implied || !p.owned || c.jobs.owned[id] != nil || rec.Spec == nil {
 		return
 	}
@@ -212,8 +215,8 @@
 	c.serveJob(c.jobFromRecord(kv, &rec, t.shard), k, implied)
 }
 
-// jobOfRecord makes a job of its own record.
-func (c *Controller) jobFromRecord(kv KV, rec *jobRecord, part ShardID) *job {
+// jobFromRecord makes a job of its own record.
+func (c *Controller) jobFromRecord(kv messages.KV, rec *jobRecord, part cluster.ShardID) *job {
 	j := newJob(*rec.Spec, part, kv.ModRevision, c.now)
 	ok := decodeCompleted(rec.CompletedIndexes, len(j.chunkStates(0)), func(i int) {
 		j.taskStates[i] = taskCompletionStored
@@ -224,11 +227,11 @@
 	}
 	// A task that is started again after it was done ends at once, so to
 	// take all of them for not done is safe.
-	c.log(LogInfo, "impossible record", "key", kv.Key, "why", "done ranges")
+	c.log(messages.LogInfo, "impossible record", "key", kv.Key, "why", "done ranges")
 	return newJob(*rec.Spec, part, kv.ModRevision, c.now)
 }
 
-// holdJob begins to serve a job of a part held here. Where its cancellation is
+// serveJob begins to serve a job of a part held here. Where its cancellation is
 // implied by that of one that it needs, only its own record has to follow.
 func (c *Controller) serveJob(j *job, k *knownJob, implied bool) {
 	j.effectivePriority = max(j.effectivePriority, k.effectivePriority)
@@ -249,14 +252,14 @@
 	}
 }
 
-// loadChunk reads a further chunk; the job is held back until it is known.
+// loadJobChunk reads a further chunk; the job is held back until it is known.
 func (c *Controller) loadJobChunk(j *job, n int) {
-	c.readKey(j.chunkKey(n), func(r GetReply) {
+	c.readKey(j.chunkKey(n), func(r messages.GetReply) {
 		if !c.jobs.owns(j) {
 			return
 		}
 		switch r.Outcome {
-		case OK:
+		case messages.OK:
 			var rec jobRecord
 			base := n * tasksPerChunk
 			if json.Unmarshal(r.KV.Value, &rec) != nil || !decodeCompleted(rec.CompletedIndexes, len(j.chunkStates(n)), func(i int) {
@@ -265,10 +268,10 @@
 					j.completedCount++
 				}
 			}) {
-				c.log(LogInfo, "impossible record", "key", r.KV.Key, "why", "done ranges")
+				c.log(messages.LogInfo, "impossible record", "key", r.KV.Key, "why", "done ranges")
 			}
 			j.modRevisions[n] = r.KV.ModRevision
-		case NotFound:
+		case messages.NotFound:
 		default:
 			c.after(second/2, func() {
 				if c.jobs.owns(j) {
@@ -288,8 +291,8 @@
 // loadJobs learns of all jobs and then follows the changes at an easy pace;
 // it is the safety net under the messages between controllers.
 func (c *Controller) loadJobs() {
-	c.listPrefix(jobKeyPrefix, func(r ListReply) {
-		if r.Outcome != OK {
+	c.listPrefix(jobKeyPrefix, func(r messages.ListReply) {
+		if r.Outcome != messages.OK {
 			c.after(second, c.loadJobs)
 			return
 		}
@@ -302,14 +305,14 @@
 }
 
 func (c *Controller) watchJobs() {
-	c.watchPrefix(jobKeyPrefix, &c.jobs.appliedRevision, 2*second, func(kv KV) {
+	c.watchPrefix(jobKeyPrefix, &c.jobs.appliedRevision, 2*second, func(kv messages.KV) {
 		c.recordPeerWrite(kv)
 		c.applyJobRecord(kv, nil)
 	}, c.loadJobs)
 }
 
-// signOfLife notes which controller wrote a record that has just changed.
-func (c *Controller) recordPeerWrite(kv KV) {
+// recordPeerWrite notes which controller wrote a record that has just changed.
+func (c *Controller) recordPeerWrite(kv messages.KV) {
 	if kv.Value == nil {
 		return
 	}
@@ -346,7 +349,7 @@
 	j.waiters = nil
 }
 
-// releaseDone lets machine records forget the tasks whose outcome is stored:
+// acknowledgeStoredTasks lets machine records forget the tasks whose outcome is stored:
 // they have exited, whoever owns the machine may reap them.
 func (c *Controller) acknowledgeStoredTasks(j *job) {
 	for a := range j.listedAssignments {
@@ -365,7 +368,7 @@
 	}
 }
 
-// promote moves a queued write to a more urgent class.
+// raisePriority moves a queued write to a more urgent class.
 func (w *writeQueue) raisePriority(key string, prio int) {
 	for q := prio + 1; q < priorityCount; q++ {
 		for i, x := range w.queues[q] {
@@ -378,7 +381,7 @@
 	}
 }
 
-func (c *Controller) handleJobEnd(j *job, end JobStatus) {
+func (c *Controller) handleJobEnd(j *job, end cluster.JobStatus) {
 	j.finalStatus = end
 	if k := c.jobs.known[j.spec.ID]; k != nil {
 		k.finalRecorded = true
@@ -392,10 +395,10 @@
 	if !c.jobs.owns(j) {
 		return
 	}
-	c.log(LogDebug, "job over", "job", string(j.spec.ID), "status", string(end), "class", j.spec.Class, "team", j.spec.Team,
+	c.log(messages.LogDebug, "job over", "job", string(j.spec.ID), "status", string(end), "class", j.spec.Class, "team", j.spec.Team,
 		"tasks", j.spec.Tasks, "first_run_s", int((j.firstRunAt-j.arrivedAt)/second), "all_run_s", int((j.lastRunAt-j.arrivedAt)/second),
 		"took_s", int((c.now-j.arrivedAt)/second), "run_s", int(j.spec.RuntimeSeconds), "due_s", int(j.spec.DeadlineSeconds), "cpu", float64(j.spec.ResourceRequest.CPU)/1e6, "guaranteed", j.initiallyGuaranteed)
-	if end == JobCancelled {
+	if end == cluster.JobCancelled {
 		c.stopAllTasks(j)
 	}
 	c.schedulingTrigger.request()
@@ -404,7 +407,7 @@
 	}
 }
 
-// checkpoint stores what can wait: outcomes of tasks whose job goes on, and
+// writeBackgroundState stores what can wait: outcomes of tasks whose job goes on, and
 // machine records that list more than they need to.
 func (c *Controller) writeBackgroundState() {
 	for _, j := range c.ownedJobs() {
--- a/internal/core/jobwrite.go
+++ b/internal/controller/jobwrite.go
@@ -1,8 +1,11 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // jobWrite is a write of what has become of a job: of its tasks, or its end.
@@ -14,10 +17,10 @@
 	controller     *Controller
 	job            *job
 	priority       int
-	eligibleChunks []int     // that it may set
-	writtenChunks  []int     // chunks that it sets
-	writtenTasks   []int     // tasks whose end it tells
-	finalStatus    JobStatus // of the job, or ""
+	eligibleChunks []int             // that it may set
+	writtenChunks  []int             // chunks that it sets
+	writtenTasks   []int             // tasks whose end it tells
+	finalStatus    cluster.JobStatus // of the job, or ""
 }
 
 // writeJob stores what has become of a job's tasks, or its end.
@@ -48,18 +51,18 @@
 
 // build makes the records of the chunks that have changed; of a job that ends,
 // its own record and the removal of all others.
-func (w *jobWrite) build(nonce string) ([]TxnOp, []ModRevision) {
+func (w *jobWrite) build(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 	j := w.job
 	j.rewriteNeeded = false
 	w.writtenChunks, w.writtenTasks, w.finalStatus = nil, nil, j.currentFinalStatus()
 	j.endInFlight = w.finalStatus != ""
-	var ops []TxnOp
-	var marks []ModRevision
+	var ops []messages.TxnOp
+	var marks []cluster.ModRevision
 	for _, chunk := range w.eligibleChunks {
 		if w.isChunkUnchanged(chunk) {
 			continue
 		}
-		ops = append(ops, TxnOp{j.chunkKey(chunk), w.chunkRecord(chunk, nonce)})
+		ops = append(ops, messages.TxnOp{Key: j.chunkKey(chunk), Value: w.chunkRecord(chunk, nonce)})
 		marks = append(marks, j.modRevisions[chunk])
 		w.writtenChunks = append(w.writtenChunks, chunk)
 	}
@@ -70,18 +73,18 @@
 	return ops, marks
 }
 
-// endNow is the final state that a job is in by what is known here, or "".
-func (j *job) currentFinalStatus() JobStatus {
+// currentFinalStatus is the final state that a job is in by what is known here, or "".
+func (j *job) currentFinalStatus() cluster.JobStatus {
 	switch {
 	case j.completedCount == j.spec.Tasks:
-		return JobDone
+		return cluster.JobDone
 	case j.cancelling:
-		return JobCancelled
+		return cluster.JobCancelled
 	}
 	return ""
 }
 
-// unchanged tells whether a chunk needs no write: of a job that goes on one
+// isChunkUnchanged tells whether a chunk needs no write: of a job that goes on one
 // without new outcomes, of one that ends one that was never stored.
 func (w *jobWrite) isChunkUnchanged(chunk int) bool {
 	if w.finalStatus == "" {
@@ -90,7 +93,7 @@
 	return chunk > 0 && w.job.modRevisions[chunk] == 0
 }
 
-// record is what a chunk's key is set to; nil: it is removed. It notes the
+// chunkRecord is what a chunk's key is set to; nil: it is removed. It notes the
 // outcomes that the record tells.
 func (w *jobWrite) chunkRecord(chunk int, nonce string) []byte {
 	rec := jobRecord{WriteID: nonce}
@@ -115,12 +118,12 @@
 func (w *jobWrite) fillFinalStatus(rec *jobRecord) {
 	spec := &w.job.spec
 	rec.FinalStatus, rec.Team, rec.Tasks = w.finalStatus, spec.Team, spec.Tasks
-	if w.finalStatus == JobCancelled {
+	if w.finalStatus == cluster.JobCancelled {
 		rec.ResourceRequest = &spec.ResourceRequest
 	}
 }
 
-// fillOutcomes lists a chunk's tasks that are done. From the index it returns
+// fillCompletedIndexes lists a chunk's tasks that are done. From the index it returns
 // on, they did not fit.
 func (w *jobWrite) fillCompletedIndexes(rec *jobRecord, chunk int) int {
 	room := w.controller.config.MaxValueBytes * 9 / 10
@@ -134,12 +137,12 @@
 	return fits
 }
 
-// stored takes in that the last record built is stored.
-func (w *jobWrite) handleStored(e Revision) {
+// handleStored takes in that the last record built is stored.
+func (w *jobWrite) handleStored(e cluster.Revision) {
 	j := w.job
 	w.finish()
 	for _, chunk := range w.writtenChunks {
-		j.modRevisions[chunk] = ModRevision(e)
+		j.modRevisions[chunk] = cluster.ModRevision(e)
 	}
 	for _, i := range w.writtenTasks {
 		j.taskStates[i] = taskCompletionStored
@@ -157,7 +160,7 @@
 	}
 }
 
-// findDirty works out which chunks have outcomes that are not stored.
+// recomputeDirtyChunks works out which chunks have outcomes that are not stored.
 func (j *job) recomputeDirtyChunks() {
 	for chunk := range j.dirtyChunks {
 		j.dirtyChunks[chunk] = false
@@ -169,7 +172,7 @@
 	}
 }
 
-// refused follows a conflict with another writer.
+// handleConflict follows a conflict with another writer.
 func (w *jobWrite) handleConflict() {
 	j := w.job
 	w.finish()
@@ -183,7 +186,7 @@
 	w.controller.giveUpCorruptShard(w.controller.shards[j.shard], j.chunkKey(0), "changed by another writer")
 }
 
-// tooLarge follows the store's refusal of a record by its length. The job was
+// handleTooLarge follows the store's refusal of a record by its length. The job was
 // accepted under higher limits: its outcomes wait for its end, whose record is
 // short.
 func (w *jobWrite) handleTooLarge() {
@@ -191,10 +194,10 @@
 	w.job.recordTooLarge = true
 }
 
-// over notes that the write is no longer under way.
+// finish notes that the write is no longer under way.
 func (w *jobWrite) finish() { w.job.writeQueued, w.job.endInFlight = false, false }
 
-// writeKeys picks the keys that a write of a job may set, within the changes that
+// selectWriteKeys picks the keys that a write of a job may set, within the changes that
 // a transaction may have: its own record, and further chunks that have changed or
 // exist. What does not fit has its turn in the next write.
 func (j *job) selectWriteKeys(ops int) ([]string, []int) {
@@ -209,7 +212,7 @@
 	return keys, chunks
 }
 
-// dropChunks removes the outcomes of a job that is over which its last write had
+// deleteLeftoverChunks removes the outcomes of a job that is over which its last write had
 // no room to remove.
 func (c *Controller) deleteLeftoverChunks(j *job, wrote []int) {
 	for k := 1; k < len(j.modRevisions); k++ {
@@ -219,17 +222,17 @@
 	}
 }
 
-// ownRecord follows the conflict of a job's first own record: the job came in
+// resolveFirstRecordConflict follows the conflict of a job's first own record: the job came in
 // twice at once, and its other acceptance has written one. That says no more
 // than the acceptance here.
 func (c *Controller) resolveFirstRecordConflict(j *job, prio int) {
-	c.readKey(j.chunkKey(0), func(r GetReply) {
+	c.readKey(j.chunkKey(0), func(r messages.GetReply) {
 		if !c.jobs.owns(j) || j.writeQueued || j.modRevisions[0] != 0 {
 			return
 		}
 		var rec jobRecord
 		switch {
-		case r.Outcome != OK:
+		case r.Outcome != messages.OK:
 			c.after(second/2, func() { c.resolveFirstRecordConflict(j, prio) })
 		case json.Unmarshal(r.KV.Value, &rec) != nil || rec.Spec == nil || rec.CompletedIndexes != "" || rec.FinalStatus != "":
 			c.giveUpCorruptShard(c.shards[j.shard], j.chunkKey(0), "changed by another writer")
