--- a/internal/core/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -1,18 +1,19 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/simulation"
 )
 
 // fleet is a cluster with many machines, all up at the start, and the limits of a
 // state service that knows nothing of their number.
 type fleet struct {
-	*standin.Simulator
+	*simulation.Simulator
 	t            *testing.T
 	machineCount int
 	jobCount     int
@@ -25,37 +26,37 @@
 	cfg := testConfig()
 	cfg.Nodes, cfg.Teams = nil, nil
 	for i := range controllers {
-		cfg.Nodes = append(cfg.Nodes, core.NodeID(fmt.Sprintf("n%d", i)))
+		cfg.Nodes = append(cfg.Nodes, cluster.NodeID(fmt.Sprintf("n%d", i)))
 	}
 	for i := range fleetTeamCount {
-		most := cpu * core.Amount(machines)
-		cfg.Teams = append(cfg.Teams, core.Team{Name: fmt.Sprintf("t%d", i), GuaranteedQuota: core.Resources{CPU: most / 2}, QuotaLimit: core.Resources{CPU: 2 * most}})
+		most := cpu * cluster.Amount(machines)
+		cfg.Teams = append(cfg.Teams, cluster.Team{Name: fmt.Sprintf("t%d", i), GuaranteedQuota: cluster.Resources{CPU: most / 2}, QuotaLimit: cluster.Resources{CPU: 2 * most}})
 	}
 	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelDeadline = 5*second, 26*second, 56*second
 	cfg.StoreRPS, cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps, cfg.CloudRPS, cfg.CloudListLag = 250, 100, 8192, 16, 6, 10*second
 	f := &fleet{t: t, machineCount: machines}
-	f.Simulator = standin.NewSimulator(1, cfg, testCloud(func() *standin.Simulator { return f.Simulator }))
+	f.Simulator = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return f.Simulator }))
 	f.NoRandomFaults = true
-	f.StateService.Limits = standin.StoreLimits{WriteRPS: cfg.WriteRPS, ValueBytes: cfg.MaxValueBytes, TxnOps: cfg.MaxTxnOps}
+	f.StateService.Limits = simulation.StoreLimits{WriteRPS: cfg.WriteRPS, ValueBytes: cfg.MaxValueBytes, TxnOps: cfg.MaxTxnOps}
 	for i := range machines {
 		f.AddMachine("small", []string{"a", "b", "c"}[i%3], false)
 	}
 	return f
 }
 
-// flood hands in jobs whose tasks fill so many machines.
-func (f *fleet) submitLoad(machines int, run core.Time) {
+// submitLoad hands in jobs whose tasks fill so many machines.
+func (f *fleet) submitLoad(machines int, run cluster.Time) {
 	const tasks = 80 // of one CPU on machines of four: a job fills twenty
 	for range machines * 4 / tasks {
 		team := fmt.Sprintf("t%d", f.jobCount%fleetTeamCount)
-		s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%06d", f.jobCount)), Class: "c", Team: team, Priority: core.Normal, Tasks: tasks,
-			ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: fmt.Sprintf("img-%d", f.jobCount%20), ImageGB: 1, RuntimeSeconds: run.Seconds()}
+		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", f.jobCount)), Class: "c", Team: team, Priority: cluster.Normal, Tasks: tasks,
+			ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: fmt.Sprintf("img-%d", f.jobCount%20), ImageGB: 1, RuntimeSeconds: run.Seconds()}
 		f.jobCount++
-		f.Submit(&standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: s.Image}})
+		f.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: s.Image}})
 	}
 }
 
-// held counts the machines that are held, and that have acknowledged their token.
+// countOwnedMachines counts the machines that are held, and that have acknowledged their token.
 func (f *fleet) countOwnedMachines() (acknowledged, all int) {
 	for _, c := range f.Controllers() {
 		acked, machines := c.OwnedMachines()
@@ -64,9 +65,9 @@
 	return acknowledged, all
 }
 
-// until plays until something holds, a quarter of a second at a time, and returns how long
+// waitFor plays until something holds, a quarter of a second at a time, and returns how long
 // that took.
-func (f *fleet) waitFor(what string, within core.Time, ok func() bool) core.Time {
+func (f *fleet) waitFor(what string, within cluster.Time, ok func() bool) cluster.Time {
 	f.t.Helper()
 	begin := f.Now
 	for at := begin; !ok(); f.RunUntil(at) {
@@ -79,13 +80,13 @@
 	return f.Now - begin
 }
 
-// justUp is how many machines may have come up in this moment, and have yet to
+// bootingAllowance is how many machines may have come up in this moment, and have yet to
 // report: some are rented beside those that were up at the start.
 const bootingAllowance = 10
 
-// allHeld plays until the machines that are up are held and have acknowledged
+// waitForAllOwned plays until the machines that are up are held and have acknowledged
 // their tokens; they must still be most of the fleet.
-func (f *fleet) waitForAllOwned(within core.Time) core.Time {
+func (f *fleet) waitForAllOwned(within cluster.Time) cluster.Time {
 	f.t.Helper()
 	return f.waitFor("all machines acknowledge their token", within, func() bool {
 		acked, all := f.countOwnedMachines()
@@ -93,8 +94,8 @@
 	})
 }
 
-// finish plays until all jobs are done, and checks what must hold at the end.
-func (f *fleet) waitForAllDone(within core.Time) core.Time {
+// waitForAllDone plays until all jobs are done, and checks what must hold at the end.
+func (f *fleet) waitForAllDone(within cluster.Time) cluster.Time {
 	f.t.Helper()
 	took := f.waitFor("all jobs are done", within, func() bool { return f.UnfinishedJobCount() == 0 })
 	for _, c := range f.Controllers() {
@@ -113,7 +114,7 @@
 
 const largeFleetMachines = 4000
 
-// TestFourThousandMachines plays the troubles that concern all machines of a
+// TestLargeFleetFaults plays the troubles that concern all machines of a
 // large fleet at once: each must be owned and working again within a lease or
 // so, no rule broken and no part left behind.
 func TestLargeFleetFaults(t *testing.T) {
--- a/internal/core/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -1,33 +1,38 @@
-package core
+package controller
 
-import "testing"
+import (
+	"testing"
 
-// answerPing lets a peer, whose present run has been known for long, answer a
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// answerProbe lets a peer, whose present run has been known for long, answer a
 // call that was sent now with the latest term that it knows of part 0.
-func answerProbe(b *controllerHarness, id NodeID, term Term) {
+func answerProbe(b *controllerHarness, id cluster.NodeID, term cluster.Term) {
 	peer := b.peers[id]
 	peer.instanceID, peer.instanceSeenAt = "boot-"+string(id), 50*second
-	b.applyPingReply(peer, Ping{InstanceID: peer.instanceID, KnownTerms: []Term{term, 1, 1}}, b.now)
+	b.applyPingReply(peer, messages.Ping{InstanceID: peer.instanceID, KnownTerms: []cluster.Term{term, 1, 1}}, b.now)
 }
 
-// sendClaim makes the controller claim part 0 and returns the transaction, which
+// sendAcquire makes the controller claim part 0 and returns the transaction, which
 // has no answer yet.
-func sendAcquire(t *testing.T, b *controllerHarness) StoreTxn {
+func sendAcquire(t *testing.T, b *controllerHarness) messages.StoreTxn {
 	t.Helper()
 	part := b.shards[0]
 	part.owned, part.ready, part.confirmedAt = false, false, 0
 	b.acquireShard(part)
 	b.writeQueue.dispatch()
 	for _, effect := range b.effects {
-		if claim, ok := effect.(StoreTxn); ok {
+		if claim, ok := effect.(messages.StoreTxn); ok {
 			return claim
 		}
 	}
 	t.Fatal("no claim was sent")
-	return StoreTxn{}
+	return messages.StoreTxn{}
 }
 
-// TestLaterTermHeardBeforeClaimAnswer: the store carries out a claim, and the
+// TestLaterTermSeenBeforeAcquireReply: the store carries out a claim, and the
 // answer is late. Meanwhile a peer claims the part in its turn and answers a call
 // with its later term. The claim's answer then makes this controller a holder
 // that has been succeeded already: hearTerms ignored the later term, as the part
@@ -37,7 +42,7 @@
 	const ownTerm = 2
 	for _, test := range []struct {
 		name     string
-		heard    Term
+		heard    cluster.Term
 		wordHeld bool
 	}{
 		{"the peer knows of no later claim", ownTerm, true},
@@ -55,7 +60,7 @@
 			answerProbe(b, "n2", ownTerm)
 
 			b.now += second
-			b.pendingCalls[claim.Call](TxnReply{Outcome: OK, Revision: 40})
+			b.pendingCalls[claim.Call](messages.TxnReply{Outcome: messages.OK, Revision: 40})
 			if !part.owned || part.term != ownTerm {
 				t.Fatalf("held %v, term %d; want the part held with term %d", part.owned, part.term, ownTerm)
 			}
--- a/internal/core/machine_bytes_test.go
+++ b/internal/controller/machine_bytes_test.go
@@ -1,10 +1,12 @@
-package core
+package controller
 
 import (
 	"fmt"
 	"runtime"
 	"testing"
 
+	"stairrelay/internal/cluster"
+
 	"stairrelay/internal/grouprecord"
 )
 
@@ -30,7 +32,7 @@
 	return stats.HeapAlloc
 }
 
-// coreWithMachines is a controller that holds so many machines, each with three
+// controllerWithMachines is a controller that holds so many machines, each with three
 // tasks of one of many jobs.
 func controllerWithMachines(machines int) *controllerHarness {
 	const groupSize, tasks = 51, 3
@@ -41,11 +43,11 @@
 		if i%groupSize == 0 {
 			g = b.newGroup(p, fmt.Sprintf("g%05d", i), 31)
 		}
-		id := MachineID(fmt.Sprintf("m-%06d", i))
+		id := cluster.MachineID(fmt.Sprintf("m-%06d", i))
 		m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "10.1.0.232:9000"}, 31)
-		j := b.addTestJob(JobID(fmt.Sprintf("j-%06d", i)), tasks)
+		j := b.addTestJob(cluster.JobID(fmt.Sprintf("j-%06d", i)), tasks)
 		for k := range tasks {
-			a := &assignment{task: TaskID{Job: j.spec.ID, Index: k}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: p.nextAttempt(), phase: phaseAcknowledged, state: Running}
+			a := &assignment{task: cluster.TaskID{Job: j.spec.ID, Index: k}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: p.nextAttempt(), phase: phaseAcknowledged, state: cluster.Running}
 			m.addAssignment(a)
 			j.setAssigned(k, a)
 		}
--- a/internal/core/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -1,21 +1,24 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// TestUnlistedAndSilent: a machine that is silent and gone from the cloud's
+// TestUnlistedSilentMachineReleased: a machine that is silent and gone from the cloud's
 // list is returned without waiting for its lease; one that only is silent, or
 // only is missing from a list that may be old, is not.
 func TestUnlistedSilentMachineReleased(t *testing.T) {
 	for _, x := range []struct {
 		listed, silent, returned bool
 	}{{false, true, true}, {true, true, false}, {false, false, false}} {
-		c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, HeartbeatInterval: 2 * second, WorkerLease: 14 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
-			CloudRPS: 4, CloudListLag: 8 * second, Teams: []Team{{Name: "red", QuotaLimit: Resources{CPU: NoLimit}}}, Tuning: DefaultTuning()})
-		c.Step(0, 0, Tick{})
+		c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 2 * second, WorkerLease: 14 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
+			CloudRPS: 4, CloudListLag: 8 * second, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: cluster.NoLimit}}}, Tuning: DefaultTuning()})
+		c.Step(0, 0, messages.Tick{})
 		p := c.shards[0]
 		p.owned, p.ready = true, true
 		g := c.newGroup(p, "g", 1)
@@ -25,11 +28,11 @@
 			if !x.silent {
 				m.lastHeartbeat = c.now
 			}
-			for _, f := range c.Step(c.now+second/4, 0, Tick{}) {
-				if f, ok := f.(CloudList); ok {
-					r := CloudListReply{Outcome: OK}
+			for _, f := range c.Step(c.now+second/4, 0, messages.Tick{}) {
+				if f, ok := f.(messages.CloudList); ok {
+					r := messages.CloudListReply{Outcome: messages.OK}
 					if x.listed {
-						r.Items = []ListedMachine{{ID: "m-1", Status: "running", AgeSeconds: 100}}
+						r.Items = []cluster.ListedMachine{{ID: "m-1", Status: "running", AgeSeconds: 100}}
 					}
 					c.pendingCalls[f.Call](r)
 				}
@@ -41,7 +44,7 @@
 	}
 }
 
-// TestTakenMachineHangs: after a take-over an old copy of a report arrives from
+// TestHungMachineReleasedAfterFailover: after a take-over an old copy of a report arrives from
 // a machine with cancelled tasks. It proves no life: unless the machine
 // acknowledges its token soon, it is returned; one without such tasks is not.
 func TestHungMachineReleasedAfterFailover(t *testing.T) {
@@ -54,7 +57,7 @@
 			a.stopRequested = true
 		}
 		b.now += second
-		r := HeartbeatStatus{Machine: "m-1", Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1, Tasks: []TaskStatus{{Task: TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: Running}}}
+		r := cluster.HeartbeatStatus{Machine: "m-1", Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1, Tasks: []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}}}
 		if x.acks {
 			r.FencingToken = m.token
 		}
@@ -67,7 +70,7 @@
 	}
 }
 
-// TestCancelledCalledFirst: machines with cancelled tasks that are silent, or
+// TestMachinesWithCancelledTasksCalledFirst: machines with cancelled tasks that are silent, or
 // wait for a higher token that an outage keeps from being stored, are called
 // with the stops, before all others.
 func TestMachinesWithCancelledTasksCalledFirst(t *testing.T) {
@@ -82,13 +85,13 @@
 			m.raisingToken, m.tokenAcknowledged = true, false
 		}
 		b.pushMaintenanceCommands(b.shards[0].machines)
-		var got []Command
+		var got []cluster.Command
 		for _, f := range b.effects {
-			if o, ok := f.(PushCommands); ok && o.Addr == m.address {
+			if o, ok := f.(messages.PushCommands); ok && o.Addr == m.address {
 				got = append(got, o.Commands...)
 			}
 		}
-		if len(got) != 1 || got[0].Kind != Stop {
+		if len(got) != 1 || got[0].Kind != cluster.Stop {
 			t.Errorf("%s: called with %+v", name, got)
 		}
 	}
--- a/internal/core/machinegroups.go
+++ b/internal/controller/machinegroups.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -6,6 +6,9 @@
 	"strconv"
 	"strings"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
@@ -18,9 +21,9 @@
 
 type machineGroup struct {
 	id          string
-	shardID     ShardID
-	modRevision ModRevision
-	machines    map[MachineID]*machine
+	shardID     cluster.ShardID
+	modRevision cluster.ModRevision
+	machines    map[cluster.MachineID]*machine
 
 	writePending       bool         // a write is queued or on its way
 	writeInFlight      bool         // it is on its way: what it lists is settled until it is answered
@@ -36,8 +39,8 @@
 // groupOffer says that a part may take the group. Until then nothing is
 // started on its machines; a write of ours after that makes a late take fail.
 type groupOffer struct {
-	toShard ShardID
-	until   Time
+	toShard cluster.ShardID
+	until   cluster.Time
 }
 
 func (g *machineGroup) key() string { return "groups/" + g.id }
@@ -59,15 +62,15 @@
 // groupMachines is how many machines a record is made for.
 func (c *Controller) groupMachines() int { return c.valueLimit().TargetMachines() }
 
-// length is how long the group's record may be by now.
+// estimatedSize is how long the group's record may be by now.
 func (g *machineGroup) estimatedSize() int { return g.recordSize + g.addedBytes }
 
-// room tells whether the record can list one more task of a job.
+// hasRoom tells whether the record can list one more task of a job.
 func (c *Controller) hasRoom(g *machineGroup, j *job) bool {
 	return c.valueLimit().HasRoom(g.estimatedSize(), j.spec.ID)
 }
 
-// snapshot remembers what a built record says, for when it is stored.
+// groupSnapshot remembers what a built record says, for when it is stored.
 type groupSnapshot struct {
 	machines   []machineSnapshot
 	terminated []*machine // not listed any more: the cloud has taken them back
@@ -81,9 +84,9 @@
 	raisesToken, releases bool
 }
 
-// snap builds the record of a group that consists of the given machines. Nil:
+// buildGroupRecord builds the record of a group that consists of the given machines. Nil:
 // there is nothing left to list.
-func (c *Controller) buildGroupRecord(part ShardID, ms []*machine, nonce string) ([]byte, *groupSnapshot) {
+func (c *Controller) buildGroupRecord(part cluster.ShardID, ms []*machine, nonce string) ([]byte, *groupSnapshot) {
 	s := &groupSnapshot{machines: make([]machineSnapshot, 0, len(ms))}
 	lines := make([]grouprecord.Machine, 0, len(ms))
 	for _, m := range ms {
@@ -118,7 +121,7 @@
 	return v, s
 }
 
-// bumpWeight is how many times its size a machine counts whose token is to be
+// tokenRaiseWeight is how many times its size a machine counts whose token is to be
 // raised: it starts nothing until then, and the leases of its tasks run on.
 const tokenRaiseWeight = 4
 
@@ -126,7 +129,7 @@
 // may start, here or elsewhere, once the record says so, and of machines that
 // can be used, or offered, only after it.
 func (c *Controller) cpusWaiting(groups ...*machineGroup) float64 {
-	var sum Amount
+	var sum cluster.Amount
 	for _, g := range groups {
 		for _, m := range g.machines {
 			size := c.machineTypes[m.machineType].Capacity.CPU
@@ -153,7 +156,7 @@
 type groupWrite struct {
 	controller    *Controller
 	shard         *shard
-	claimRevision Revision
+	claimRevision cluster.Revision
 	group         *machineGroup
 	priority      int
 	snapshot      *groupSnapshot // of the last record built
@@ -192,12 +195,12 @@
 // endWrite notes that no write of the record is under way any more.
 func (g *machineGroup) endWrite() { g.writePending, g.writeInFlight = false, false }
 
-// current tells whether the group is still held under the claim of the write.
+// isCurrent tells whether the group is still held under the claim of the write.
 func (w *groupWrite) isCurrent() bool {
 	return w.controller.machineGroups[w.group.id] == w.group && w.shard.isOwnedUnder(w.claimRevision)
 }
 
-func (w *groupWrite) build(nonce string) ([]TxnOp, []ModRevision) {
+func (w *groupWrite) build(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 	c, g := w.controller, w.group
 	g.queuedWrite = nil
 	if c.machineGroups[g.id] != g {
@@ -208,20 +211,20 @@
 	var v []byte
 	v, w.snapshot = c.buildGroupRecord(g.shardID, g.sortedMachines(), nonce)
 	g.recordSize = w.snapshot.size
-	return []TxnOp{{g.key(), v}}, []ModRevision{g.modRevision}
+	return []messages.TxnOp{{Key: g.key(), Value: v}}, []cluster.ModRevision{g.modRevision}
 }
 
-func (w *groupWrite) handleStored(e Revision) {
+func (w *groupWrite) handleStored(e cluster.Revision) {
 	w.group.endWrite()
 	if !w.isCurrent() {
 		return
 	}
-	w.group.modRevision = ModRevision(e)
+	w.group.modRevision = cluster.ModRevision(e)
 	w.controller.handleGroupStored(w.group, w.snapshot, e)
 	w.controller.queueNextWrite(w.group)
 }
 
-// refused follows a conflict with another writer.
+// handleConflict follows a conflict with another writer.
 func (w *groupWrite) handleConflict() {
 	w.group.endWrite()
 	if w.controller.machineGroups[w.group.id] == w.group {
@@ -229,7 +232,7 @@
 	}
 }
 
-// tooLarge follows the store's refusal of a record by its length: the group is
+// handleTooLarge follows the store's refusal of a record by its length: the group is
 // split, or tried again where it has one machine.
 func (w *groupWrite) handleTooLarge() {
 	c, g := w.controller, w.group
@@ -247,16 +250,16 @@
 	c.after(second, func() { c.queueNextWrite(g) })
 }
 
-// writeAgain queues the write that was wanted while one was on its way.
+// queueNextWrite queues the write that was wanted while one was on its way.
 func (c *Controller) queueNextWrite(g *machineGroup) {
 	if g.nextWritePriority < priorityCount && c.machineGroups[g.id] == g {
 		c.writeGroup(g, g.nextWritePriority)
 	}
 }
 
-// groupStored follows a stored record: what it lists may be started, what it
+// handleGroupStored follows a stored record: what it lists may be started, what it
 // no longer lists may be started elsewhere.
-func (c *Controller) handleGroupStored(g *machineGroup, s *groupSnapshot, e Revision) {
+func (c *Controller) handleGroupStored(g *machineGroup, s *groupSnapshot, e cluster.Revision) {
 	for i := range s.machines {
 		x := &s.machines[i]
 		m := x.machine
@@ -288,7 +291,7 @@
 		}
 		if x.raisesToken {
 			m.raisingToken = false
-			m.token, m.tokenAcknowledged, m.unacknowledgedSince = FencingToken(e), false, c.now
+			m.token, m.tokenAcknowledged, m.unacknowledgedSince = cluster.FencingToken(e), false, c.now
 		}
 		if x.releases && !m.releaseConfirmed {
 			m.releaseConfirmed = true
@@ -303,13 +306,13 @@
 	}
 }
 
-func (c *Controller) newGroup(p *shard, id string, mark ModRevision) *machineGroup {
-	g := &machineGroup{id: id, shardID: p.id, modRevision: mark, machines: map[MachineID]*machine{}, nextWritePriority: priorityCount}
+func (c *Controller) newGroup(p *shard, id string, mark cluster.ModRevision) *machineGroup {
+	g := &machineGroup{id: id, shardID: p.id, modRevision: mark, machines: map[cluster.MachineID]*machine{}, nextWritePriority: priorityCount}
 	c.machineGroups[id] = g
 	return g
 }
 
-// tidyGroups keeps records well under the value limit, and few: every group
+// splitAndMergeGroups keeps records well under the value limit, and few: every group
 // with a change costs a put.
 func (c *Controller) splitAndMergeGroups(p *shard) {
 	limit := c.valueLimit()
@@ -351,16 +354,16 @@
 		return
 	}
 	g.recordCheckPending = true
-	c.readKey(g.key(), func(r GetReply) {
+	c.readKey(g.key(), func(r messages.GetReply) {
 		g.recordCheckPending = false
 		if c.machineGroups[g.id] != g {
 			return
 		}
 		defer c.queueNextWrite(g)
-		to := NoShard
+		to := cluster.NoShard
 		switch r.Outcome {
-		case NotFound:
-		case OK:
+		case messages.NotFound:
+		case messages.OK:
 			rec, err := grouprecord.Decode(r.KV.Value)
 			if err != nil {
 				c.giveUpCorruptShard(c.shards[g.shardID], g.key(), err.Error())
@@ -404,10 +407,10 @@
 	})
 }
 
-// groupMoved forgets a group that another part has taken. Its record listed no
+// dropTransferredGroup forgets a group that another part has taken. Its record listed no
 // task, so what was planned for it was never sent.
-func (c *Controller) dropTransferredGroup(g *machineGroup, to ShardID) {
-	c.log(LogDebug, "group moved away", "group", g.id, "machines", len(g.machines), "to", int(to))
+func (c *Controller) dropTransferredGroup(g *machineGroup, to cluster.ShardID) {
+	c.log(messages.LogDebug, "group moved away", "group", g.id, "machines", len(g.machines), "to", int(to))
 	delete(c.machineGroups, g.id)
 	for _, m := range g.sortedMachines() {
 		c.dropMachine(m)
@@ -420,8 +423,8 @@
 	}
 }
 
-// learnGroup takes a group's record over from an earlier holder.
-func (c *Controller) applyGroupRecord(kv KV, p *shard) {
+// applyGroupRecord takes a group's record over from an earlier holder.
+func (c *Controller) applyGroupRecord(kv messages.KV, p *shard) {
 	id := strings.TrimPrefix(kv.Key, "groups/")
 	rec, err := grouprecord.Decode(kv.Value)
 	part, ms := rec.ShardID, rec.Machines
@@ -465,7 +468,7 @@
 		// The claim is later than every move of a machine of the part.
 		m := c.machines[l.ID]
 		if m == nil { // else listed twice: whatever either lists counts
-			m = c.addMachine(g, l, FencingToken(p.claimRevision))
+			m = c.addMachine(g, l, cluster.FencingToken(p.claimRevision))
 		}
 		m.releasing, m.releaseConfirmed = m.releasing || l.Releasing, m.releaseConfirmed || l.Releasing
 		for _, t := range l.Tasks {
@@ -477,53 +480,55 @@
 	}
 }
 
-// dropEmpty removes an emptied group that an earlier claim left behind. The
+// deleteEmptyGroup removes an emptied group that an earlier claim left behind. The
 // claim that made it may be another part's and still in force, since groups
 // move: a late copy of its creation would then be carried out once the key is
 // absent. So the key goes only while no part's claim is the one in its name, on
 // condition of all their marks; else it stays until the next claim.
-func (c *Controller) deleteEmptyGroup(p *shard, kv KV) {
+func (c *Controller) deleteEmptyGroup(p *shard, kv messages.KV) {
 	made, ok := claimRevisionFromKey(kv.Key)
 	if !ok {
 		return
 	}
-	x := &queuedWrite{shardID: p.id, keys: []string{kv.Key}, maxExtraCompares: len(c.shards), onApplied: func(Revision) {}, onConflict: func() {}}
-	x.build = func(string) ([]TxnOp, []ModRevision) {
+	x := &queuedWrite{shardID: p.id, keys: []string{kv.Key}, maxExtraCompares: len(c.shards), onApplied: func(cluster.Revision) {}, onConflict: func() {}}
+	x.build = func(string) ([]messages.TxnOp, []cluster.ModRevision) {
 		x.extraCompares = nil
 		for _, q := range c.shards {
-			if q.modRevision == ModRevision(made) {
+			if q.modRevision == cluster.ModRevision(made) {
 				return nil, nil
 			}
 			if q != p {
-				x.extraCompares = append(x.extraCompares, Compare{q.key(), q.modRevision})
+				x.extraCompares = append(x.extraCompares, messages.Compare{Key: q.key(), ModRevision: q.modRevision})
 			}
 		}
-		return []TxnOp{{kv.Key, nil}}, []ModRevision{kv.ModRevision}
+		return []messages.TxnOp{{Key: kv.Key, Value: nil}}, []cluster.ModRevision{kv.ModRevision}
 	}
 	c.writeQueue.enqueue(priorityBackground, x)
 }
 
-// claimOf reads from a group's key the claim under which it was made.
-func claimRevisionFromKey(key string) (Revision, bool) {
+// claimRevisionFromKey reads from a group's key the claim under which it was made.
+func claimRevisionFromKey(key string) (cluster.Revision, bool) {
 	f := strings.Split(key, "-")
 	if len(f) < 3 {
 		return 0, false
 	}
 	n, err := strconv.ParseUint(f[len(f)-2], 10, 64)
-	return Revision(n), err == nil
+	return cluster.Revision(n), err == nil
 }
 
-// dropKey removes a part's key when there is time.
-func (c *Controller) deleteKeyInBackground(p *shard, key string, mark ModRevision) {
+// deleteKeyInBackground removes a part's key when there is time.
+func (c *Controller) deleteKeyInBackground(p *shard, key string, mark cluster.ModRevision) {
 	c.writeQueue.enqueue(priorityBackground, &queuedWrite{
 		shardID: p.id, keys: []string{key},
-		build:      func(string) ([]TxnOp, []ModRevision) { return []TxnOp{{key, nil}}, []ModRevision{mark} },
-		onApplied:  func(Revision) {},
+		build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+			return []messages.TxnOp{{Key: key, Value: nil}}, []cluster.ModRevision{mark}
+		},
+		onApplied:  func(cluster.Revision) {},
 		onConflict: func() {},
 	})
 }
 
-// learnTask takes in a task that an earlier holder's record lists. It returns
+// applyRecordedTask takes in a task that an earlier holder's record lists. It returns
 // what makes no sense about it.
 func (c *Controller) applyRecordedTask(m *machine, t grouprecord.Task, p *shard) string {
 	m.recordedTaskCount++
@@ -534,9 +539,9 @@
 		switch {
 		case k == nil:
 			return "lists a task of no known job"
-		case k.finalStatus == JobCancelled:
-			j = newJob(JobSpec{ID: jid, Team: k.team, ResourceRequest: k.resourceRequest, Tasks: k.tasks}, p.id, 0, c.now)
-			j.finalStatus, j.cancelling = JobCancelled, true
+		case k.finalStatus == cluster.JobCancelled:
+			j = newJob(cluster.JobSpec{ID: jid, Team: k.team, ResourceRequest: k.resourceRequest, Tasks: k.tasks}, p.id, 0, c.now)
+			j.finalStatus, j.cancelling = cluster.JobCancelled, true
 			c.addOwnedJob(j)
 		default:
 			return "" // done: what the worker still shows is reaped
@@ -556,7 +561,7 @@
 	return ""
 }
 
-func (c *Controller) recordOwners(part ShardID, ms []grouprecord.Machine) {
+func (c *Controller) recordOwners(part cluster.ShardID, ms []grouprecord.Machine) {
 	for i := range ms {
 		c.machineOwners.record(ms[i].ID, part, c.now)
 	}
--- a/internal/core/machineowners.go
+++ b/internal/controller/machineowners.go
@@ -1,8 +1,11 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
@@ -11,42 +14,42 @@
 //
 // A machine leaves it when it becomes held here. A note may be out of date, so
 // it only says whom to ask.
-type machineOwners map[MachineID]machineOwner
+type machineOwners map[cluster.MachineID]machineOwner
 
 type machineOwner struct {
-	shardID ShardID
-	seenAt  Time
+	shardID cluster.ShardID
+	seenAt  cluster.Time
 }
 
-func (o machineOwners) record(id MachineID, part ShardID, now Time) {
+func (o machineOwners) record(id cluster.MachineID, part cluster.ShardID, now cluster.Time) {
 	o[id] = machineOwner{part, now}
 }
 
 // recent returns a machine's part if a record listed it less than a time ago.
-func (o machineOwners) recent(id MachineID, now, within Time) (ShardID, bool) {
+func (o machineOwners) recent(id cluster.MachineID, now, within cluster.Time) (cluster.ShardID, bool) {
 	owner, ok := o[id]
 	return owner.shardID, ok && now-owner.seenAt < within
 }
 
 // recordedMachines is what the rentals' and groups' records list.
 type recordedMachines struct {
-	requestedKinds map[grouprecord.Kind]bool // kinds of the open rentals
-	listed         map[MachineID]bool        // by a group of any part
+	requestedKinds map[grouprecord.Kind]bool  // kinds of the open rentals
+	listed         map[cluster.MachineID]bool // by a group of any part
 }
 
-// readRecorded calls fn with what the records list; nil: the store doesn't
+// readRecordedMachines calls fn with what the records list; nil: the store doesn't
 // answer, or a record can't be read and nothing can be concluded.
 //
 // The rentals are read first: a machine whose rental is not settled yet is in
 // no group, but will be. So a machine that is in none, and of whose kind none of
 // the rentals read before was open, is nobody's.
 func (c *Controller) readRecordedMachines(fn func(*recordedMachines)) {
-	c.listPrefix("rentals/", func(r ListReply) {
-		if r.Outcome != OK {
+	c.listPrefix("rentals/", func(r messages.ListReply) {
+		if r.Outcome != messages.OK {
 			fn(nil)
 			return
 		}
-		rec := &recordedMachines{requestedKinds: map[grouprecord.Kind]bool{}, listed: map[MachineID]bool{}}
+		rec := &recordedMachines{requestedKinds: map[grouprecord.Kind]bool{}, listed: map[cluster.MachineID]bool{}}
 		for _, kv := range r.Items {
 			var rental provisioningRecord
 			if json.Unmarshal(kv.Value, &rental) != nil {
@@ -59,10 +62,10 @@
 	})
 }
 
-// readGrouped adds the machines that groups list.
+// readGroupedMachines adds the machines that groups list.
 func (c *Controller) readGroupedMachines(rec *recordedMachines, fn func(*recordedMachines)) {
-	c.listPrefix("groups/", func(r ListReply) {
-		if r.Outcome != OK || !c.applyListedMachines(r.Items, rec.listed) {
+	c.listPrefix("groups/", func(r messages.ListReply) {
+		if r.Outcome != messages.OK || !c.applyListedMachines(r.Items, rec.listed) {
 			fn(nil)
 			return
 		}
@@ -72,8 +75,8 @@
 		}
 		// A machine that changed groups between two pages may be on neither. The
 		// record that lists it now was written after the first page was read.
-		c.readPrefixSince("groups/", r.Revision, func(r WatchReply) {
-			if r.Outcome != OK || !c.applyListedMachines(r.Items, rec.listed) {
+		c.readPrefixSince("groups/", r.Revision, func(r messages.WatchReply) {
+			if r.Outcome != messages.OK || !c.applyListedMachines(r.Items, rec.listed) {
 				fn(nil)
 				return
 			}
@@ -82,9 +85,9 @@
 	})
 }
 
-// noteListed adds the machines that groups' records list, and notes whose they
+// applyListedMachines adds the machines that groups' records list, and notes whose they
 // are. It returns false when a record can't be read.
-func (c *Controller) applyListedMachines(items []KV, listed map[MachineID]bool) bool {
+func (c *Controller) applyListedMachines(items []messages.KV, listed map[cluster.MachineID]bool) bool {
 	for _, kv := range items {
 		if kv.Value == nil {
 			continue
--- a/internal/core/machines.go
+++ b/internal/controller/machines.go
@@ -1,9 +1,12 @@
-package core
+package controller
 
 import (
 	"slices"
 	"sort"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
@@ -20,40 +23,42 @@
 	phaseUnverified                          // listed by an earlier holder's record, not compared yet
 )
 
-// assign is a task that is, or may be, on a machine.
+// assignment is a task that is, or may be, on a machine.
 type assignment struct {
-	task                 TaskID
-	machineID            MachineID
+	task                 cluster.TaskID
+	machineID            cluster.MachineID
 	job                  *job
-	attempt              Attempt
+	attempt              cluster.Attempt
 	phase                assignmentPhase
-	cause                Cause
-	resourceRequest      Resources
+	cause                cluster.Cause
+	resourceRequest      cluster.Resources
 	confirmedAbsent      bool // proven not to be on the machine; waits for the record to say so
 	countedInUsage       bool // in its machine's use
 	removedFromRecord    bool // completed, and the stored record does not list it any more
 	pushed               bool
-	dispatchedAtSequence SequenceNumber
-	state                TaskState
+	dispatchedAtSequence cluster.SequenceNumber
+	state                cluster.TaskState
 	stopRequested        bool // is to be stopped
 	gracePeriod          float64
-	stopSentAt           Time
-	stopRequestedAt      Time // when its stop was decided
-	runningSince         Time
+	stopSentAt           cluster.Time
+	stopRequestedAt      cluster.Time // when its stop was decided
+	runningSince         cluster.Time
 	startUnobserved      bool // its start was not seen
 }
 
-// start is one start of a task. A worker may hold two at once: it refuses a
+// taskAttempt is one start of a task. A worker may hold two at once: it refuses a
 // second attempt as busy and reports both.
 type taskAttempt struct {
-	task    TaskID
-	attempt Attempt
+	task    cluster.TaskID
+	attempt cluster.Attempt
 }
 
 func (a *assignment) taskAttempt() taskAttempt { return taskAttempt{a.task, a.attempt} }
 
-// completed tells whether a report has shown that the task has run to its end.
-func (a *assignment) isCompleted() bool { return a.phase == phaseEnded && a.cause == CauseCompleted }
+// isCompleted tells whether a report has shown that the task has run to its end.
+func (a *assignment) isCompleted() bool {
+	return a.phase == phaseEnded && a.cause == cluster.CauseCompleted
+}
 
 func (a *assignment) isLive() bool { return a.phase != phaseEnded && !a.confirmedAbsent }
 
@@ -64,26 +69,26 @@
 
 // machine of a part held here.
 type machine struct {
-	id                           MachineID
-	shardID                      ShardID
+	id                           cluster.MachineID
+	shardID                      cluster.ShardID
 	group                        *machineGroup
 	address                      string
 	machineType                  string
 	zone                         string
 	spot                         bool
-	token                        FencingToken
-	tokenAcknowledged            bool         // the worker's highest token is ours
-	awaitingFirstAcknowledgement bool         // taken over with its part, and not so since
-	unacknowledgedSince          Time         // since when it is not
-	fencedOff                    bool         // its worker has seen a higher token
-	initialToken                 FencingToken // of a machine that only this claim has ever owned: its token; else 0
-	ownedSince                   Time         // when this node began to own it
+	token                        cluster.FencingToken
+	tokenAcknowledged            bool                 // the worker's highest token is ours
+	awaitingFirstAcknowledgement bool                 // taken over with its part, and not so since
+	unacknowledgedSince          cluster.Time         // since when it is not
+	fencedOff                    bool                 // its worker has seen a higher token
+	initialToken                 cluster.FencingToken // of a machine that only this claim has ever owned: its token; else 0
+	ownedSince                   cluster.Time         // when this node began to own it
 	booting                      bool
 
-	incarnation        Incarnation
-	sequenceNumber     SequenceNumber
-	lastHeartbeat      Time
-	assignments        map[TaskID]*assignment
+	incarnation        cluster.Incarnation
+	sequenceNumber     cluster.SequenceNumber
+	lastHeartbeat      cluster.Time
+	assignments        map[cluster.TaskID]*assignment
 	usage              machineUsage
 	endedToAcknowledge map[taskAttempt]bool // ended, the record no longer lists it
 	unrecordedToStop   map[taskAttempt]bool // running without being listed
@@ -98,23 +103,23 @@
 	releaseConfirmed    bool // the record says so, the cloud may be called
 	scaleInCallInFlight bool
 	draining            bool
-	preemptionDeadline  Time
-	noStartsBefore      Time // no new starts before
+	preemptionDeadline  cluster.Time
+	noStartsBefore      cluster.Time // no new starts before
 	taskErrors          int
-	failedJobs          map[JobID]bool
+	failedJobs          map[cluster.JobID]bool
 	cachedImages        []cachedImage
 	paceSamples         int     // tasks whose pace was compared with their job's others
 	relativePace        float64 // smoothed run time over theirs
 	lateChecks          int
 
-	pendingHeartbeat      RequestID
+	pendingHeartbeat      messages.RequestID
 	heartbeatHeld         bool // among the reports that wait for the next look at all
-	pendingSequenceNumber SequenceNumber
-	replyDeadline         Time
+	pendingSequenceNumber cluster.SequenceNumber
+	replyDeadline         cluster.Time
 	pushInFlight          bool
-	lastPushAt            Time
+	lastPushAt            cluster.Time
 	pushQueued            bool // to be called for its commands
-	idleSince             Time
+	idleSince             cluster.Time
 	cordoned              bool // gets nothing new: another part needs it more
 	scaleInCandidate      bool // as before, but only because it costs more than others
 }
@@ -124,13 +129,13 @@
 	return grouprecord.Kind{Type: m.machineType, Zone: m.zone, Spot: m.spot}
 }
 
-// tasks is how many tasks the machine's record lists.
+// taskCount is how many tasks the machine's record lists.
 func (m *machine) taskCount() int { return len(m.assignments) }
 
-func (c *Controller) addMachine(g *machineGroup, l grouprecord.Machine, token FencingToken) *machine {
+func (c *Controller) addMachine(g *machineGroup, l grouprecord.Machine, token cluster.FencingToken) *machine {
 	m := &machine{id: l.ID, shardID: g.shardID, group: g, address: l.Address, machineType: l.Kind.Type, zone: l.Kind.Zone, spot: l.Kind.Spot, token: token,
 		ownedSince: c.now, lastHeartbeat: c.now, idleSince: c.now, unacknowledgedSince: c.now, booting: l.Booting,
-		assignments: map[TaskID]*assignment{}, endedToAcknowledge: map[taskAttempt]bool{}, unrecordedToStop: map[taskAttempt]bool{}, failedJobs: map[JobID]bool{}}
+		assignments: map[cluster.TaskID]*assignment{}, endedToAcknowledge: map[taskAttempt]bool{}, unrecordedToStop: map[taskAttempt]bool{}, failedJobs: map[cluster.JobID]bool{}}
 	if old := c.machines[m.id]; old != nil { // never two pictures of one machine
 		c.removeMachine(old)
 		m.assignments = old.assignments
@@ -180,11 +185,11 @@
 	}
 }
 
-func (c *Controller) redirectWorker(req RequestID, to NodeID) {
+func (c *Controller) redirectWorker(req messages.RequestID, to cluster.NodeID) {
 	if to == c.config.Self {
 		to = ""
 	}
-	c.emit(Respond{Request: req, Status: ReplyMisdirected, Heartbeat: &HeartbeatResponse{RedirectTo: to}})
+	c.emit(messages.Respond{Request: req, Status: messages.ReplyMisdirected, Heartbeat: &messages.HeartbeatResponse{RedirectTo: to}})
 }
 
 func (m *machine) sortedAssignments() []*assignment {
@@ -199,7 +204,7 @@
 	return l
 }
 
-// busy tells whether a report has shown a task that is still running.
+// hasRunningTask tells whether a report has shown a task that is still running.
 func (m *machine) hasRunningTask() bool {
 	for _, a := range m.assignments {
 		if a.phase == phaseAcknowledged && !a.confirmedAbsent {
@@ -209,7 +214,7 @@
 	return false
 }
 
-// removeAssign follows a stored record that no longer lists the task: from
+// removeAssignment follows a stored record that no longer lists the task: from
 // here on it may be started elsewhere.
 func (c *Controller) removeAssignment(m *machine, a *assignment) {
 	if m.assignments[a.task] != a {
@@ -255,7 +260,7 @@
 	c.checkGroup(m.group)
 }
 
-// bump raises a machine's token. Whatever was sent under the lower one can't
+// raiseToken raises a machine's token. Whatever was sent under the lower one can't
 // be executed any more once the worker has acknowledged the new one.
 func (c *Controller) raiseToken(m *machine) {
 	if m.raisingToken || m.releasing {
--- a/internal/core/machinetypecache.go
+++ b/internal/controller/machinetypecache.go
@@ -1,8 +1,11 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // The machine types come from the cloud. Without them no submission can be
@@ -10,39 +13,39 @@
 // outage takes them from the store, where the first of the controllers keeps
 // them. Prices in there may be old; the cloud's next answer sets them right.
 
-// typesKey holds the last catalogue.
+// machineTypesKey holds the last catalogue.
 const machineTypesKey = "types"
 
 type machineTypesRecord struct {
-	Types   []MachineType `json:"t"`
-	WriteID string        `json:"w"`
+	Types   []cluster.MachineType `json:"t"`
+	WriteID string                `json:"w"`
 }
 
-// storedCatalogue is the catalogue in the store as this controller last saw it.
+// machineTypeCache is the catalogue in the store as this controller last saw it.
 //
 // It is written only after it was read, and one write of it is under way at most.
 type machineTypeCache struct {
-	types       []MachineType // by name
-	modRevision ModRevision
+	types       []cluster.MachineType // by name
+	modRevision cluster.ModRevision
 	loaded      bool
 	writing     bool
 }
 
-// describes tells whether the stored catalogue differs in prices alone.
-func (s *machineTypeCache) equalExceptPrices(types []MachineType) bool {
-	return slices.EqualFunc(types, s.types, func(a, b MachineType) bool {
+// equalExceptPrices tells whether the stored catalogue differs in prices alone.
+func (s *machineTypeCache) equalExceptPrices(types []cluster.MachineType) bool {
+	return slices.EqualFunc(types, s.types, func(a, b cluster.MachineType) bool {
 		return a.Name == b.Name && a.Capacity == b.Capacity && a.CacheGB == b.CacheGB && a.FetchGBPerSecond == b.FetchGBPerSecond &&
 			a.BootSeconds == b.BootSeconds && slices.Equal(a.Zones, b.Zones)
 	})
 }
 
-// fetchTypes asks the cloud for its machine types, and then once a minute, as
+// fetchMachineTypes asks the cloud for its machine types, and then once a minute, as
 // prices move.
 func (c *Controller) fetchMachineTypes() {
 	c.forceCloudCall()
-	c.emit(CloudMachineTypes{Call: c.registerCall(func(b any) {
-		r := b.(MachineTypesReply)
-		if r.Outcome != OK || len(r.Types) == 0 {
+	c.emit(messages.CloudMachineTypes{Call: c.registerCall(func(b any) {
+		r := b.(messages.MachineTypesReply)
+		if r.Outcome != messages.OK || len(r.Types) == 0 {
 			c.after(2*second, c.fetchMachineTypes)
 			return
 		}
@@ -52,21 +55,21 @@
 	})})
 }
 
-// learnTypes takes in machine types as the cloud or the store gives them.
-func (c *Controller) applyMachineTypes(types []MachineType) {
+// applyMachineTypes takes in machine types as the cloud or the store gives them.
+func (c *Controller) applyMachineTypes(types []cluster.MachineType) {
 	for _, t := range types {
 		c.machineTypes[t.Name] = t
 	}
 	c.schedulingTrigger.request()
 }
 
-// readTypes takes the catalogue from the store if the cloud has not given one.
+// loadMachineTypeCache takes the catalogue from the store if the cloud has not given one.
 func (c *Controller) loadMachineTypeCache() {
-	c.readKey(machineTypesKey, func(r GetReply) {
+	c.readKey(machineTypesKey, func(r messages.GetReply) {
 		switch r.Outcome {
-		case OK:
+		case messages.OK:
 			c.applyMachineTypeCache(r.KV)
-		case NotFound:
+		case messages.NotFound:
 			c.machineTypeCache.loaded = true
 		default:
 			c.after(second, c.loadMachineTypeCache)
@@ -76,22 +79,22 @@
 	})
 }
 
-// learnCatalogue takes in what the store holds.
-func (c *Controller) applyMachineTypeCache(kv KV) {
+// applyMachineTypeCache takes in what the store holds.
+func (c *Controller) applyMachineTypeCache(kv messages.KV) {
 	c.machineTypeCache.loaded, c.machineTypeCache.modRevision = true, kv.ModRevision
 	var rec machineTypesRecord
 	if json.Unmarshal(kv.Value, &rec) != nil {
-		c.log(LogError, "unreadable record", "key", kv.Key)
+		c.log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	c.machineTypeCache.types = rec.Types
 	if len(c.machineTypes) == 0 && len(rec.Types) > 0 {
-		c.log(LogInfo, "machine types from the store", "types", len(rec.Types))
+		c.log(messages.LogInfo, "machine types from the store", "types", len(rec.Types))
 		c.applyMachineTypes(rec.Types)
 	}
 }
 
-// firstAlive tells whether no controller listed before this one is alive.
+// isFirstAlive tells whether no controller listed before this one is alive.
 func (c *Controller) isFirstAlive() bool {
 	for _, id := range c.config.Nodes {
 		if id == c.config.Self {
@@ -104,14 +107,14 @@
 	return true
 }
 
-// storeTypes stores the catalogue where it differs from the one kept in more
+// writeMachineTypeCache stores the catalogue where it differs from the one kept in more
 // than prices. The first live controller does, so that one put is spent.
 func (c *Controller) writeMachineTypeCache() {
 	s := &c.machineTypeCache
 	if !c.isFirstAlive() || !s.loaded || s.writing || len(c.machineTypes) == 0 {
 		return
 	}
-	var types []MachineType
+	var types []cluster.MachineType
 	for _, name := range sortedKeys(c.machineTypes) {
 		types = append(types, c.machineTypes[name])
 	}
@@ -120,16 +123,16 @@
 	}
 	s.writing = true
 	c.writeQueue.enqueue(priorityBackground, &queuedWrite{
-		shardID: NoShard,
+		shardID: cluster.NoShard,
 		keys:    []string{machineTypesKey},
-		build: func(nonce string) ([]TxnOp, []ModRevision) {
+		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(machineTypesRecord{types, nonce})
 			if len(v) > c.config.MaxValueBytes { // does without
 				return nil, nil
 			}
-			return []TxnOp{{machineTypesKey, v}}, []ModRevision{s.modRevision}
+			return []messages.TxnOp{{Key: machineTypesKey, Value: v}}, []cluster.ModRevision{s.modRevision}
 		},
-		onApplied: func(e Revision) { s.writing, s.types, s.modRevision = false, types, ModRevision(e) },
+		onApplied: func(e cluster.Revision) { s.writing, s.types, s.modRevision = false, types, cluster.ModRevision(e) },
 		onConflict: func() { // another has stored it
 			s.writing = false
 			c.loadMachineTypeCache()
--- a/internal/core/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -1,14 +1,16 @@
-package core
+package controller
 
 import (
-	"stairrelay/internal/sharing"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/fairshare"
+	"stairrelay/internal/messages"
 )
 
 // Maintenance of the machines held here: tokens are raised, silent and idle ones
 // returned.
 
 func (c *Controller) handleMachineBooted(m *machine) {
-	c.log(LogDebug, "machine up", "machine", string(m.id), "type", m.machineType, "after_s", int((c.now-m.ownedSince)/second))
+	c.log(messages.LogDebug, "machine up", "machine", string(m.id), "type", m.machineType, "after_s", int((c.now-m.ownedSince)/second))
 	m.idleSince = c.now // it has not been idle while it booted
 	c.schedulingTrigger.request()
 }
@@ -20,7 +22,7 @@
 // processor: the others get theirs in the answers to their reports.
 const maxTokenCalls = 40
 
-// machineSweep looks after the machines: raises tokens, gives up the silent,
+// maintainMachines looks after the machines: raises tokens, gives up the silent,
 // returns the idle and replaces slow boots.
 func (c *Controller) maintainMachines() {
 	reporting := c.workerReachability.hasOwnedHeartbeatWithin(c.now, c.config.HeartbeatInterval)
@@ -38,14 +40,14 @@
 	}
 }
 
-// machineSweeping is one look at the machines held here.
+// machineMaintenance is one look at the machines held here.
 type machineMaintenance struct {
 	controller       *Controller
 	workersReporting bool                // reports of some machines come in
 	isSurplus        func(*machine) bool // an idle machine is of no use to any part
 }
 
-// sweep looks after one machine.
+// maintain looks after one machine.
 func (s *machineMaintenance) maintain(m *machine) {
 	c := s.controller
 	if m.spot && !m.booting {
@@ -87,11 +89,11 @@
 func (s *machineMaintenance) isBootTimedOut(m *machine) bool {
 	c := s.controller
 	t := c.machineTypes[m.machineType]
-	patience := Time((t.BootSeconds*c.config.Tuning.BootTimeoutFactor + 5) * float64(second))
+	patience := cluster.Time((t.BootSeconds*c.config.Tuning.BootTimeoutFactor + 5) * float64(second))
 	return t.BootSeconds > 0 && c.now-m.ownedSince > patience
 }
 
-// stuckWithCancelled says why a machine can't be relied on to stop tasks, or "".
+// stopFailureReason says why a machine can't be relied on to stop tasks, or "".
 // One that hangs with a cancelled job's tasks must be gone before its
 // cancellation's time is up.
 func (s *machineMaintenance) stopFailureReason(m *machine) string {
@@ -106,7 +108,7 @@
 	return ""
 }
 
-// ignoresToken tells whether a machine's reports come, but nothing that is sent
+// isUnreachableForCommands tells whether a machine's reports come, but nothing that is sent
 // to it has an effect.
 func (s *machineMaintenance) isUnreachableForCommands(m *machine) bool {
 	c := s.controller
@@ -117,7 +119,7 @@
 	return unacked > c.config.WorkerLease+5*second && c.heartbeatAge(m) < 3*c.config.WorkerLease && c.now-m.ownedSince > c.config.WorkerLease
 }
 
-// silence says how a machine counts as lost that is not heard any more, or "".
+// silenceReason says how a machine counts as lost that is not heard any more, or "".
 func (s *machineMaintenance) silenceReason(m *machine) string {
 	c := s.controller
 	silent, lease := c.heartbeatAge(m), c.config.WorkerLease
@@ -130,7 +132,7 @@
 	return ""
 }
 
-// unneeded says why a machine without tasks is to be given back, or "".
+// scaleInReason says why a machine without tasks is to be given back, or "".
 func (s *machineMaintenance) scaleInReason(m *machine) string {
 	c := s.controller
 	idleFor := c.now - m.idleSince
@@ -149,7 +151,7 @@
 	return ""
 }
 
-// callMachines calls those that have not acknowledged their token, and those
+// pushMaintenanceCommands calls those that have not acknowledged their token, and those
 // that run cancelled tasks and are silent: they may be unable to report and
 // still be reached. Machines with cancelled tasks come first: after a take-over
 // in an outage nothing but these calls may reach them.
@@ -171,14 +173,14 @@
 	}
 }
 
-// takenPatience is how long a machine taken over with cancelled tasks may take
+// firstAcknowledgementTimeout is how long a machine taken over with cancelled tasks may take
 // to acknowledge its token. That a report of it came says nothing by itself: it
 // may be a copy that was held up until now, while the machine hangs.
-func (c *Controller) firstAcknowledgementTimeout() Time {
+func (c *Controller) firstAcknowledgementTimeout() cluster.Time {
 	return max(5*second, 2*c.config.HeartbeatInterval)
 }
 
-// hangsWithCancelled tells whether a machine that may run tasks of a cancelled
+// hangsWithCancelledTasks tells whether a machine that may run tasks of a cancelled
 // job seems to hang, so that it has to be returned before the cancellation's time
 // is up.
 func (c *Controller) hangsWithCancelledTasks(m *machine) bool {
@@ -197,24 +199,24 @@
 	return c.hasLongCancelledTask(m) && m.pushInFlight && c.now-max(m.lastPushAt, c.processHealth.resumedAt) > slowPushThreshold
 }
 
-// slowCall is well above what a call takes to a machine that runs.
+// slowPushThreshold is well above what a call takes to a machine that runs.
 const slowPushThreshold = 1500 * millisecond
 
-// holdsLongCancelled tells whether half of the time for a cancellation has passed
+// hasLongCancelledTask tells whether half of the time for a cancellation has passed
 // since this process learnt of one whose tasks may be on a machine. Where each
 // holder of the part ended sooner than takenPatience, the rest may not be enough
 // for that either.
 func (c *Controller) hasLongCancelledTask(m *machine) bool {
 	for _, a := range m.assignments {
 		known := c.jobs.finalJob(a.task.Job)
-		if a.isLive() && known != nil && known.finalStatus == JobCancelled && c.now-known.finalSince > c.config.CancelDeadline/2 {
+		if a.isLive() && known != nil && known.finalStatus == cluster.JobCancelled && c.now-known.finalSince > c.config.CancelDeadline/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// lostSpot notes a spot machine that went without notice.
+// countSpotLoss notes a spot machine that went without notice.
 func (c *Controller) countSpotLoss(m *machine) {
 	if m.spot && !m.draining {
 		c.spotInterruptions.interruptionCount++
@@ -241,12 +243,12 @@
 	return false
 }
 
-// idleJudge returns a function that tells whether an idle machine is of no use
+// surplusPredicate returns a function that tells whether an idle machine is of no use
 // to any part. Another part with too few machines is better offered it than
 // left to rent one. What all machines share is worked out at most once.
 func (c *Controller) surplusPredicate() func(*machine) bool {
-	var loads sharing.Snapshot
-	work := map[ShardID][]pendingWork{}
+	var loads fairshare.Snapshot
+	work := map[cluster.ShardID][]pendingWork{}
 	return func(m *machine) bool {
 		if loads == nil {
 			loads = c.allShardLoads()
@@ -268,7 +270,7 @@
 	}
 }
 
-// checkpointGroups clears what records list though it is over, and keeps the
+// cleanUpGroups clears what records list though it is over, and keeps the
 // records' sizes in hand.
 func (c *Controller) cleanUpGroups() {
 	for _, id := range sortedKeys(c.machineGroups) {
--- a/internal/core/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -1,28 +1,31 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// TestCloudRateByNeed: where one of seven controllers has all the work it gets
+// TestCloudRateSharedByDemand: where one of seven controllers has all the work it gets
 // most of the cloud's rate, the idle ones keep enough to begin with, and
 // together they stay within the limit.
 func TestCloudRateSharedByDemand(t *testing.T) {
-	view := func(self NodeID, demand map[NodeID]float64) float64 {
+	view := func(self cluster.NodeID, demand map[cluster.NodeID]float64) float64 {
 		cfg := newSevenNodeController().config
 		cfg.Self = self
 		c := New(cfg)
-		c.Step(0, 0, Tick{})
+		c.Step(0, 0, messages.Tick{})
 		for id, p := range c.peers {
-			p.hasAnswered, p.lastPingAt, p.lastPing = true, c.now, Ping{CloudDemand: demand[id]}
+			p.hasAnswered, p.lastPingAt, p.lastPing = true, c.now, messages.Ping{CloudDemand: demand[id]}
 		}
 		c.cloudRate.demand = demand[self]
 		c.updateCloudRate()
 		return c.cloudRate.bucket.Rate()
 	}
-	demand := map[NodeID]float64{"n0": 4}
+	demand := map[cluster.NodeID]float64{"n0": 4}
 	busy := view("n0", demand)
 	if busy < 0.75*3.6 {
 		t.Errorf("the one with work may call the cloud %.2f times a second of 3.6", busy)
@@ -50,21 +53,21 @@
 	}
 }
 
-// sevenCores is a cluster's first controller whose one team has no limit.
+// newSevenNodeController is a cluster's first controller whose one team has no limit.
 func newSevenNodeController() *Controller {
-	return New(Config{Self: "n0", Nodes: []NodeID{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}, Teams: []Team{{Name: "red", QuotaLimit: Resources{CPU: NoLimit, GPU: NoLimit}}},
+	return New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: cluster.NoLimit, GPU: cluster.NoLimit}}},
 		CloudRPS: 4, StoreRPS: 100, WriteRPS: 25, MaxTxnOps: 20, MaxValueBytes: 16384, WorkerLease: 14 * second, HeartbeatInterval: 5 * second / 2, Tuning: DefaultTuning()})
 }
 
-// TestNoDebtAfterCut: what is sent again and again while the store is out of
+// TestNoRateDebtAfterStorePartition: what is sent again and again while the store is out of
 // reach does not keep the controller from writing when it is back.
 func TestNoRateDebtAfterStorePartition(t *testing.T) {
 	c := newSevenNodeController()
-	x := &transaction{operations: make([]TxnOp, 20), shardID: NoShard}
+	x := &transaction{operations: make([]messages.TxnOp, 20), shardID: cluster.NoShard}
 	before := c.writeQueue.putBudget.Level()
 	c.writeQueue.send(x)
-	for i, out := range []Outcome{UnknownOutcome, NotApplied, UnknownOutcome, Throttled, UnknownOutcome} {
-		c.writeQueue.handleReply(x, TxnReply{Outcome: out})
+	for i, out := range []messages.Outcome{messages.UnknownOutcome, messages.NotApplied, messages.UnknownOutcome, messages.Throttled, messages.UnknownOutcome} {
+		c.writeQueue.handleReply(x, messages.TxnReply{Outcome: out})
 		c.writeQueue.inFlight--
 		c.writeQueue.send(x)
 		if c.writeQueue.putBudget.Level() < before-21 {
@@ -73,12 +76,12 @@
 	}
 }
 
-// TestHandBackRelieves: a part goes back to its home only where that takes work
+// TestFailbackOnlyRelievesLoad: a part goes back to its home only where that takes work
 // off a controller that has other work too; with all the work in one part it
 // would only change hands.
 func TestFailbackOnlyRelievesLoad(t *testing.T) {
 	c := newSevenNodeController()
-	c.Step(20*second, 0, Tick{})
+	c.Step(20*second, 0, messages.Tick{})
 	mine, theirs, home := c.shards[0], c.shards[1], c.peers["n1"]
 	for _, p := range []*shard{mine, theirs} {
 		p.owned, p.ready, p.owner = true, true, "n0"
@@ -87,23 +90,23 @@
 	if len(c.makePing(home).FailbackOffers) != 1 {
 		t.Error("a part without work is not offered to its home")
 	}
-	c.addOwnedJob(newJob(JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.id, 0, 0))
+	c.addOwnedJob(newJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.id, 0, 0))
 	if len(c.makePing(home).FailbackOffers) != 0 {
 		t.Error("the only part with work is offered to its home")
 	}
-	c.addOwnedJob(newJob(JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.id, 0, 0))
+	c.addOwnedJob(newJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.id, 0, 0))
 	if len(c.makePing(home).FailbackOffers) != 1 {
 		t.Error("one of two parts with work is not offered to its home")
 	}
 }
 
-// TestReturnedIsNoStray: a machine that was another part's until it was
+// TestReleasedMachineNotAdopted: a machine that was another part's until it was
 // returned is listed for a while longer; it is not taken in as nobody's because
 // it was first seen long ago.
 func TestReleasedMachineNotAdopted(t *testing.T) {
 	c := newSevenNodeController()
 	c.config.CloudListLag = 8 * second
-	c.Step(0, 0, Tick{})
+	c.Step(0, 0, messages.Tick{})
 	p := c.shardForMachine("m-000007")
 	p.owned, p.ready = true, true
 	owned, enlisted, reads := true, false, 0
@@ -112,21 +115,21 @@
 			owned = false // returned; the list shows it for 16 s more
 		}
 		if c.now < 86*second && c.now%(8*second) == 0 {
-			c.applyCloudListItem(ListedMachine{ID: "m-000007", Type: "small", Zone: "a", AgeSeconds: 500})
+			c.applyCloudListItem(cluster.ListedMachine{ID: "m-000007", Type: "small", Zone: "a", AgeSeconds: 500})
 		}
-		queue := c.Step(c.now+second/2, 0, Tick{})
+		queue := c.Step(c.now+second/2, 0, messages.Tick{})
 		for len(queue) > 0 {
 			f := queue[0]
 			queue = queue[1:]
 			switch f := f.(type) {
-			case StoreList:
+			case messages.StoreList:
 				reads++
-				r := ListReply{Outcome: OK}
+				r := messages.ListReply{Outcome: messages.OK}
 				if f.Prefix == "groups/" && owned {
-					r.Items = []KV{{Key: "groups/x", Value: grouprecord.Encode(grouprecord.Record{ShardID: 3, Machines: []grouprecord.Machine{{ID: "m-000007", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}}, WriteID: "n"})}}
+					r.Items = []messages.KV{{Key: "groups/x", Value: grouprecord.Encode(grouprecord.Record{ShardID: 3, Machines: []grouprecord.Machine{{ID: "m-000007", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}}, WriteID: "n"})}}
 				}
-				queue = append(queue, c.Step(c.now, 0, Reply{Call: f.Call, Body: r})...)
-			case Log:
+				queue = append(queue, c.Step(c.now, 0, messages.Reply{Call: f.Call, Body: r})...)
+			case messages.Log:
 				enlisted = enlisted || f.Message == "adopted stray machine"
 			}
 		}
@@ -139,17 +142,17 @@
 	}
 }
 
-// TestWorkersLostToOwner: the controller with all machines loses its workers.
+// TestOwnerWithoutHeartbeatsFailsOver: the controller with all machines loses its workers.
 // It says so when a few seconds have passed without any report, and another,
 // which has no machines but hears the workers look for their owner, takes over.
 func TestOwnerWithoutHeartbeatsFailsOver(t *testing.T) {
 	c := newSevenNodeController()
-	c.Step(30*second, 0, Tick{})
+	c.Step(30*second, 0, messages.Tick{})
 	p := c.shards[0]
 	p.owned, p.ready = true, true
 	g := c.newGroup(p, "g", 1)
 	for i := range largeFleetSize {
-		m := c.addMachine(g, grouprecord.Machine{ID: MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
+		m := c.addMachine(g, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		m.ownedSince = 0
 	}
 	c.processHealth.resumedAt = 0 // the step to 30 s was no standstill
@@ -163,13 +166,13 @@
 	}
 
 	o := newSevenNodeController()
-	o.Step(30*second, 0, Tick{})
+	o.Step(30*second, 0, messages.Tick{})
 	owner := o.peers["n1"]
-	owner.hasAnswered, owner.lastPingAt, owner.lastPing = true, o.now, Ping{StoreReachable: true, WorkersReachable: false}
+	owner.hasAnswered, owner.lastPingAt, owner.lastPing = true, o.now, messages.Ping{StoreReachable: true, WorkersReachable: false}
 	if o.isFailed("n1") {
 		t.Error("an owner without workers is lost to one that hears no worker either")
 	}
-	o.Step(o.now, 0, Heartbeat{Request: 1, Status: HeartbeatStatus{Machine: "m-1", Incarnation: 1, SequenceNumber: 1}})
+	o.Step(o.now, 0, messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: "m-1", Incarnation: 1, SequenceNumber: 1}})
 	if !o.isFailed("n1") {
 		t.Error("an owner without workers is kept though its workers report here")
 	}
--- a/internal/core/nodeliveness.go
+++ b/internal/controller/nodeliveness.go
@@ -1,19 +1,24 @@
-package core
+package controller
 
-import "encoding/json"
+import (
+	"encoding/json"
 
-// heartbeat is this node's own sign of life in the store, nodes/<id>.
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// nodeLiveness is this node's own sign of life in the store, nodes/<id>.
 //
 // At most one write of it is under way.
 type nodeLiveness struct {
 	writing     bool
-	modRevision ModRevision // of the record as last seen
+	modRevision cluster.ModRevision // of the record as last seen
 }
 
-// nodeKey is the key of a node's sign of life.
-func nodeLivenessKey(id NodeID) string { return "nodes/" + string(id) }
+// nodeLivenessKey is the key of a node's sign of life.
+func nodeLivenessKey(id cluster.NodeID) string { return "nodes/" + string(id) }
 
-// beat shows signs of life through the store while a peer seems to have
+// refreshNodeLiveness shows signs of life through the store while a peer seems to have
 // failed: where only the links between controllers are cut, both sides see the
 // other's and leave its part alone. In ordinary times nothing is written.
 func (c *Controller) refreshNodeLiveness() {
@@ -30,10 +35,10 @@
 	c.writeNodeLiveness()
 }
 
-// readHeartbeat looks for a sign of life of a peer that seems to have failed.
+// readPeerLiveness looks for a sign of life of a peer that seems to have failed.
 func (c *Controller) readPeerLiveness(p *peer) {
-	c.readKey(nodeLivenessKey(p.id), func(r GetReply) {
-		if r.Outcome != OK && r.Outcome != NotFound {
+	c.readKey(nodeLivenessKey(p.id), func(r messages.GetReply) {
+		if r.Outcome != messages.OK && r.Outcome != messages.NotFound {
 			return
 		}
 		// The first reading only shows what was written before it failed.
@@ -49,19 +54,19 @@
 	key := nodeLivenessKey(c.config.Self)
 	h.writing = true
 	c.writeQueue.enqueue(priorityOutcome, &queuedWrite{
-		shardID: NoShard,
+		shardID: cluster.NoShard,
 		keys:    []string{key},
-		build: func(nonce string) ([]TxnOp, []ModRevision) {
+		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(struct {
 				W string `json:"w"`
 			}{nonce})
-			return []TxnOp{{key, v}}, []ModRevision{h.modRevision}
+			return []messages.TxnOp{{Key: key, Value: v}}, []cluster.ModRevision{h.modRevision}
 		},
-		onApplied: func(e Revision) { h.writing, h.modRevision = false, ModRevision(e) },
+		onApplied: func(e cluster.Revision) { h.writing, h.modRevision = false, cluster.ModRevision(e) },
 		onConflict: func() { // an earlier life's, or a late one
-			c.readKey(key, func(r GetReply) {
+			c.readKey(key, func(r messages.GetReply) {
 				h.writing = false
-				if r.Outcome == OK {
+				if r.Outcome == messages.OK {
 					h.modRevision = r.KV.ModRevision
 				}
 			})
--- a/internal/core/one_task_jobs_test.go
+++ b/internal/controller/one_task_jobs_test.go
@@ -1,12 +1,13 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/simulation"
 )
 
 // TestManyOneTaskJobs: one-task jobs come four a second for 40 s and a quarter
@@ -18,8 +19,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			cfg := testConfig()
-			var w *standin.Simulator
-			w = standin.NewSimulator(seed, cfg, testCloud(func() *standin.Simulator { return w }))
+			var w *simulation.Simulator
+			w = simulation.NewSimulator(seed, cfg, testCloud(func() *simulation.Simulator { return w }))
 			w.LateDelivery, w.HeartbeatDuplicateChance, w.SlowPeerChance = true, 0.03, 0.03
 			for _, z := range []string{"a", "b", "c"} {
 				w.AddMachine("small", z, false)
@@ -28,10 +29,10 @@
 			cancelled := 0
 			for i := range 160 {
 				run := w.RandomBetween(second, 8*second)
-				s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: cfg.Teams[i%3].Name, Priority: core.Priority(w.Rand.IntN(4)),
-					Tasks: 1, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, Spot: true}
-				j := &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: 1, Image: "img"}}
-				at := 10*second + core.Time(i)*second/4
+				s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: cfg.Teams[i%3].Name, Priority: cluster.Priority(w.Rand.IntN(4)),
+					Tasks: 1, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, Spot: true}
+				j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: 1, Image: "img"}}
+				at := 10*second + cluster.Time(i)*second/4
 				w.After(at, func() { w.Submit(j) })
 				if i%4 == 0 {
 					j.CancelPlanned = true
@@ -51,7 +52,7 @@
 				t.Error(b)
 			}
 			for _, j := range w.Jobs {
-				if j.ReportedStatus == core.JobCancelled {
+				if j.ReportedStatus == cluster.JobCancelled {
 					cancelled++
 				}
 			}
--- a/internal/core/orphans.go
+++ b/internal/controller/orphans.go
@@ -1,40 +1,43 @@
-package core
+package controller
 
 import (
 	"slices"
 	"strconv"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// orphans holds the machines that no record known here lists: somebody else's,
+// orphanedMachines holds the machines that no record known here lists: somebody else's,
 // a late rental's, or one whose record a crash prevented.
 //
 // At most one search for owners runs at a time, and serves all reports that
 // came in before it began. A machine in enlisting is being inspected or
 // written into a record here, and is not taken up a second time meanwhile.
 type orphanedMachines struct {
-	unrecordedSince map[MachineID]Time // shown by the cloud's list and by no record, since when
-	candidates      []ListedMachine    // shown by the list, to be looked for in the records
-	heartbeats      []Heartbeat        // from machines whose owner is to be looked for
+	unrecordedSince map[cluster.MachineID]cluster.Time // shown by the cloud's list and by no record, since when
+	candidates      []cluster.ListedMachine            // shown by the list, to be looked for in the records
+	heartbeats      []messages.Heartbeat               // from machines whose owner is to be looked for
 	searching       bool
-	lastSearchAt    Time
-	registering     map[MachineID]bool
+	lastSearchAt    cluster.Time
+	registering     map[cluster.MachineID]bool
 }
 
 const (
-	// ownerNoteFresh is how long a note of a machine's owner answers its reports.
+	// ownerHintFresh is how long a note of a machine's owner answers its reports.
 	ownerHintFresh = 15 * second
-	// ownerNoteKept is how long such a note shows that it is somebody's.
+	// ownerHintRetention is how long such a note shows that it is somebody's.
 	ownerHintRetention = 60 * second
-	// searchDelay is how long reports are gathered for one search.
+	// ownerSearchDelay is how long reports are gathered for one search.
 	ownerSearchDelay = 50 * millisecond
-	// searchPause is the least time between two searches.
+	// ownerSearchInterval is the least time between two searches.
 	ownerSearchInterval = 500 * millisecond
 )
 
 func newOrphanedMachines() orphanedMachines {
-	return orphanedMachines{unrecordedSince: map[MachineID]Time{}, registering: map[MachineID]bool{}}
+	return orphanedMachines{unrecordedSince: map[cluster.MachineID]cluster.Time{}, registering: map[cluster.MachineID]bool{}}
 }
 
 // startSearch tells whether a search has to begin now, and notes that it does.
@@ -46,65 +49,65 @@
 	return true
 }
 
-// delay is how long the next search has to wait.
-func (o *orphanedMachines) nextSearchDelay(now Time) Time {
+// nextSearchDelay is how long the next search has to wait.
+func (o *orphanedMachines) nextSearchDelay(now cluster.Time) cluster.Time {
 	return max(ownerSearchDelay, o.lastSearchAt+ownerSearchInterval-now)
 }
 
-// takeReports takes the reports that the search which begins now serves.
-func (o *orphanedMachines) takeHeartbeats(now Time) []Heartbeat {
+// takeHeartbeats takes the reports that the search which begins now serves.
+func (o *orphanedMachines) takeHeartbeats(now cluster.Time) []messages.Heartbeat {
 	batch := o.heartbeats
 	o.heartbeats, o.lastSearchAt = nil, now
 	return batch
 }
 
 // endSearch notes that no search runs any more.
-func (o *orphanedMachines) endSearch(now Time) { o.searching, o.lastSearchAt = false, now }
+func (o *orphanedMachines) endSearch(now cluster.Time) { o.searching, o.lastSearchAt = false, now }
 
-// addFound notes a machine that the cloud's list shows; true: it is the first.
-func (o *orphanedMachines) addCandidate(l ListedMachine) bool {
+// addCandidate notes a machine that the cloud's list shows; true: it is the first.
+func (o *orphanedMachines) addCandidate(l cluster.ListedMachine) bool {
 	o.registering[l.ID] = true
 	o.candidates = append(o.candidates, l)
 	return len(o.candidates) == 1
 }
 
-// takeFound takes the machines found so far.
-func (o *orphanedMachines) takeCandidates() []ListedMachine {
+// takeCandidates takes the machines found so far.
+func (o *orphanedMachines) takeCandidates() []cluster.ListedMachine {
 	found := o.candidates
 	o.candidates = nil
 	return found
 }
 
-// tooNew tells whether a machine was first listed without a record less than a
+// isTooNew tells whether a machine was first listed without a record less than a
 // time ago.
-func (o *orphanedMachines) isTooNew(id MachineID, now, patience Time) bool {
+func (o *orphanedMachines) isTooNew(id cluster.MachineID, now, patience cluster.Time) bool {
 	first, ok := o.unrecordedSince[id]
 	return ok && now-first < patience
 }
 
-// onUnknownReport answers a worker that this node doesn't own. Who does is known
+// handleUnknownHeartbeat answers a worker that this node doesn't own. Who does is known
 // from the records; one reading of them serves all that ask meanwhile.
-func (c *Controller) handleUnknownHeartbeat(e Heartbeat) {
+func (c *Controller) handleUnknownHeartbeat(e messages.Heartbeat) {
 	if part, ok := c.machineOwners.recent(e.Status.Machine, c.now, ownerHintFresh); ok {
 		c.redirectToOwner(e.Request, part)
 		return
 	}
 	if c.isStoreUnavailableFor(500 * millisecond) {
-		c.respondError(e.Request, ReplyUnavailable, 0, "")
+		c.respondError(e.Request, messages.ReplyUnavailable, 0, "")
 		return
 	}
 	c.orphanedMachines.heartbeats = append(c.orphanedMachines.heartbeats, e)
 	c.findOwners()
 }
 
-// redirectToPart sends a worker to the holder of a part. While that is this
+// redirectToOwner sends a worker to the holder of a part. While that is this
 // node, its machine is about to be learned here.
-func (c *Controller) redirectToOwner(req RequestID, part ShardID) {
+func (c *Controller) redirectToOwner(req messages.RequestID, part cluster.ShardID) {
 	if p := c.shards[part]; !p.owned {
 		c.redirectWorker(req, p.owner)
 		return
 	}
-	c.respondError(req, ReplyUnavailable, 0, "")
+	c.respondError(req, messages.ReplyUnavailable, 0, "")
 }
 
 // findOwners reads which machines the records list. Only the holder of the part
@@ -127,14 +130,14 @@
 	})
 }
 
-// answerUnknown answers a worker whose machine was looked for in the records.
-func (c *Controller) answerUnknownHeartbeat(e Heartbeat, rec *recordedMachines) {
+// answerUnknownHeartbeat answers a worker whose machine was looked for in the records.
+func (c *Controller) answerUnknownHeartbeat(e messages.Heartbeat, rec *recordedMachines) {
 	id := e.Status.Machine
 	switch {
 	case c.machines[id] != nil: // learned meanwhile
 		c.handleHeartbeat(e)
 	case rec == nil:
-		c.respondError(e.Request, ReplyUnavailable, 0, "")
+		c.respondError(e.Request, messages.ReplyUnavailable, 0, "")
 	case rec.listed[id]:
 		c.redirectToOwner(e.Request, c.machineOwners[id].shardID)
 	default:
@@ -146,17 +149,17 @@
 	}
 }
 
-// inspectOrphan asks a machine that is nobody's for its state, and enlists it
+// queryOrphanStatus asks a machine that is nobody's for its state, and enlists it
 // when it answers: a report may be an old copy from one that is long gone.
-func (c *Controller) queryOrphanStatus(p *shard, r *HeartbeatStatus, rec *recordedMachines) {
+func (c *Controller) queryOrphanStatus(p *shard, r *cluster.HeartbeatStatus, rec *recordedMachines) {
 	id, kind := r.Machine, grouprecord.Kind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	if !p.ready || rec.requestedKinds[kind] || c.orphanedMachines.registering[id] || r.Addr == "" {
 		return
 	}
 	c.orphanedMachines.registering[id] = true
-	c.emit(QueryWorkerStatus{Addr: r.Addr, Call: c.registerCall(func(b any) {
-		reply := b.(PushCommandsReply)
-		if reply.Outcome != OK || reply.Status.Machine != id || !p.owned || !p.ready {
+	c.emit(messages.QueryWorkerStatus{Addr: r.Addr, Call: c.registerCall(func(b any) {
+		reply := b.(messages.PushCommandsReply)
+		if reply.Outcome != messages.OK || reply.Status.Machine != id || !p.owned || !p.ready {
 			delete(c.orphanedMachines.registering, id)
 			return
 		}
@@ -164,13 +167,13 @@
 	})})
 }
 
-// orphanAfter is how long a machine must have been in the list and in no record:
+// minOrphanAge is how long a machine must have been in the list and in no record:
 // the list still shows for a while what has been returned or has died.
-func (c *Controller) minOrphanAge() Time { return 3*c.config.CloudListLag + 45*second }
+func (c *Controller) minOrphanAge() cluster.Time { return 3*c.config.CloudListLag + 45*second }
 
-// seenUnrecorded follows a machine in the cloud's list that is not held here.
+// handleUnrecordedMachine follows a machine in the cloud's list that is not held here.
 // The lag must be over, or a record that is being written would be missed.
-func (c *Controller) handleUnrecordedMachine(l ListedMachine) {
+func (c *Controller) handleUnrecordedMachine(l cluster.ListedMachine) {
 	if l.AgeSeconds < 3*float64(c.config.CloudListLag)/float64(second)+20 {
 		return
 	}
@@ -189,7 +192,7 @@
 	}
 }
 
-// enlistFound looks whether records list the machines that the cloud shows, and
+// adoptCandidates looks whether records list the machines that the cloud shows, and
 // takes those that have been nobody's for long enough. That they were listed
 // long ago says nothing: they may have been somebody's until now, and then a
 // machine just returned would be taken in though it is gone.
@@ -202,8 +205,8 @@
 	})
 }
 
-// adopt enlists a machine from the cloud's list if no record lists it still.
-func (c *Controller) adoptOrphan(l ListedMachine, rec *recordedMachines) {
+// adoptOrphan enlists a machine from the cloud's list if no record lists it still.
+func (c *Controller) adoptOrphan(l cluster.ListedMachine, rec *recordedMachines) {
 	o := &c.orphanedMachines
 	delete(o.registering, l.ID)
 	p := c.shardForMachine(l.ID)
@@ -219,11 +222,11 @@
 	if o.isTooNew(l.ID, c.now, c.minOrphanAge()) {
 		return
 	}
-	c.log(LogInfo, "adopted stray machine", "machine", string(l.ID))
+	c.log(messages.LogInfo, "adopted stray machine", "machine", string(l.ID))
 	c.queueRegistration(p, grouprecord.Machine{ID: l.ID, Kind: kind, Address: l.Addr})
 }
 
-// enlistSoon gathers what is to be enlisted within a moment. Until that is
+// queueRegistration gathers what is to be enlisted within a moment. Until that is
 // stored or has failed, the machine is not enlisted a second time.
 func (c *Controller) queueRegistration(p *shard, l grouprecord.Machine) {
 	c.orphanedMachines.registering[l.ID] = true
@@ -253,8 +256,8 @@
 	})
 }
 
-// partFor spreads unknown machines over the parts by their number.
-func (c *Controller) shardForMachine(id MachineID) *shard {
+// shardForMachine spreads unknown machines over the parts by their number.
+func (c *Controller) shardForMachine(id cluster.MachineID) *shard {
 	n := 0
 	for i := len(id) - 1; i >= 0 && id[i] >= '0' && id[i] <= '9'; i-- {
 		v, _ := strconv.Atoi(string(id[i:]))
@@ -266,7 +269,7 @@
 	return c.shards[n%len(c.shards)]
 }
 
-// enlist writes machines that no record lists into a new group of a part. done
+// registerMachines writes machines that no record lists into a new group of a part. done
 // is called when that is stored, or has failed.
 func (c *Controller) registerMachines(p *shard, ms []grouprecord.Machine, done func()) {
 	claim := p.claimRevision
@@ -274,7 +277,7 @@
 	size := 0
 	c.writeQueue.enqueue(priorityScaleOut, &queuedWrite{
 		shardID: p.id, keys: []string{"groups/" + id},
-		build: func(nonce string) ([]TxnOp, []ModRevision) {
+		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			ms = slices.DeleteFunc(ms, func(l grouprecord.Machine) bool { return c.machines[l.ID] != nil })
 			if len(ms) == 0 {
 				done()
@@ -282,9 +285,9 @@
 			}
 			v := grouprecord.Encode(grouprecord.Record{ShardID: p.id, Machines: ms, WriteID: nonce})
 			size = len(v)
-			return []TxnOp{{"groups/" + id, v}}, []ModRevision{0}
+			return []messages.TxnOp{{Key: "groups/" + id, Value: v}}, []cluster.ModRevision{0}
 		},
-		onApplied: func(e Revision) {
+		onApplied: func(e cluster.Revision) {
 			if p.isOwnedUnder(claim) {
 				c.addRegisteredGroup(p, id, ms, size, e)
 			}
@@ -295,13 +298,13 @@
 	})
 }
 
-// addGroup follows the first record of machines that only this claim has owned.
-func (c *Controller) addRegisteredGroup(p *shard, id string, ms []grouprecord.Machine, size int, e Revision) {
-	g := c.newGroup(p, id, ModRevision(e))
+// addRegisteredGroup follows the first record of machines that only this claim has owned.
+func (c *Controller) addRegisteredGroup(p *shard, id string, ms []grouprecord.Machine, size int, e cluster.Revision) {
+	g := c.newGroup(p, id, cluster.ModRevision(e))
 	g.recordSize = size
 	for _, l := range ms {
 		if c.machines[l.ID] == nil {
-			m := c.addMachine(g, l, FencingToken(e))
+			m := c.addMachine(g, l, cluster.FencingToken(e))
 			m.initialToken = m.token
 		}
 	}
--- /dev/null
+++ b/internal/controller/overload_test.go
@@ -0,0 +1,63 @@
+package controller
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/grouprecord"
+)
+
+// TestOverloadedController: a process near its share of the processor decides less often,
+// refuses what it can't take in time, and sends starts by calls only to
+// machines that would else not report for a while.
+func TestOverloadedController(t *testing.T) {
+	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
+		Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
+	p := c.shards[0]
+	j := newJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
+	c.addOwnedJob(j)
+	g := c.newGroup(p, "g", 1)
+	put := func(m *machine, i int, ph assignmentPhase) {
+		a := &assignment{task: cluster.TaskID{Job: "j-1", Index: i}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, phase: ph}
+		m.addAssignment(a)
+		j.setAssigned(i, a)
+	}
+	var ms []*machine
+	for i, id := range []cluster.MachineID{"busy", "idle"} {
+		m := c.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 5)
+		m.tokenAcknowledged = true
+		put(m, i, phaseReady)
+		ms = append(ms, m)
+	}
+	put(ms[0], 2, phaseAcknowledged)
+	called := func(l messages.ProcessLoad) (to []string) {
+		for _, m := range ms {
+			m.pushInFlight = false
+			m.assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(ms, m)}].phase = phaseReady
+			c.queueCommandPush(m)
+		}
+		c.effects, c.processHealth.load = nil, l
+		c.pushQueuedCommands()
+		for _, f := range c.effects {
+			to = append(to, f.(messages.PushCommands).Addr)
+		}
+		return to
+	}
+	if to := called(messages.ProcessLoad{CPUUsage: 0.4}); len(to) != 2 {
+		t.Errorf("at ease, starts are called to %v", to)
+	}
+	if to := called(messages.ProcessLoad{CPUUsage: 0.9}); len(to) != 1 || to[0] != "idle" {
+		t.Errorf("strained, starts are called to %v", to)
+	}
+	if d := c.processHealth.stretchDelay(schedulingInterval); d <= schedulingInterval || d > second {
+		t.Errorf("strained, placements are %v apart", time.Duration(d))
+	}
+	c.processHealth.load = messages.ProcessLoad{EventDelay: 2 * second}
+	if c.overloadRetryAfter(cluster.BestEffort) == 0 || c.overloadRetryAfter(cluster.Normal) == 0 || c.overloadRetryAfter(cluster.Production) != 0 {
+		t.Errorf("2 s behind: refused for %d, %d, %d s", c.overloadRetryAfter(cluster.BestEffort), c.overloadRetryAfter(cluster.Normal), c.overloadRetryAfter(cluster.Production))
+	}
+}
--- a/internal/core/ownerqueries.go
+++ b/internal/controller/ownerqueries.go
@@ -1,26 +1,31 @@
-package core
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
 
 // ownerQueries gathers the questions about jobs whose parts other controllers
 // hold, so that those of some milliseconds share one message.
 //
 // A controller with questions waiting has a message scheduled.
 type ownerQueries struct {
-	waiting   map[NodeID][]ownerQuery
-	scheduled map[NodeID]bool
+	waiting   map[cluster.NodeID][]ownerQuery
+	scheduled map[cluster.NodeID]bool
 }
 
 // ownerQuery is a question that waits for the answer of a job's owner.
 type ownerQuery struct {
-	id     JobID
-	answer func(status ReplyStatus, v JobView)
+	id     cluster.JobID
+	answer func(status messages.ReplyStatus, v cluster.JobView)
 }
 
 func newOwnerQueries() ownerQueries {
-	return ownerQueries{waiting: map[NodeID][]ownerQuery{}, scheduled: map[NodeID]bool{}}
+	return ownerQueries{waiting: map[cluster.NodeID][]ownerQuery{}, scheduled: map[cluster.NodeID]bool{}}
 }
 
-// add queues a question to a controller; true: a message has yet to be scheduled.
-func (s *ownerQueries) enqueue(to NodeID, q ownerQuery) bool {
+// enqueue queues a question to a controller; true: a message has yet to be scheduled.
+func (s *ownerQueries) enqueue(to cluster.NodeID, q ownerQuery) bool {
 	s.waiting[to] = append(s.waiting[to], q)
 	if s.scheduled[to] {
 		return false
@@ -29,12 +34,12 @@
 	return true
 }
 
-// maxQueries is how many jobs a message asks about.
+// maxQueriesPerMessage is how many jobs a message asks about.
 const maxQueriesPerMessage = 1000
 
-// take returns the questions for the message that is sent now; more: others
+// takeBatch returns the questions for the message that is sent now; more: others
 // wait for another, which has been scheduled.
-func (s *ownerQueries) takeBatch(to NodeID) (batch []ownerQuery, more bool) {
+func (s *ownerQueries) takeBatch(to cluster.NodeID) (batch []ownerQuery, more bool) {
 	waiting := s.waiting[to]
 	n := min(len(waiting), maxQueriesPerMessage)
 	if n < len(waiting) {
@@ -53,8 +58,8 @@
 	queryTimeout    = 800 * millisecond
 )
 
-// askOwner asks another controller, which holds a job's part, for its state.
-func (c *Controller) queryOwner(p *peer, id JobID, answer func(ReplyStatus, JobView)) {
+// queryOwner asks another controller, which holds a job's part, for its state.
+func (c *Controller) queryOwner(p *peer, id cluster.JobID, answer func(messages.ReplyStatus, cluster.JobView)) {
 	if c.ownerQueries.enqueue(p.id, ownerQuery{id, answer}) {
 		c.after(queryBatchDelay, func() { c.sendOwnerQueries(p) })
 	}
@@ -65,20 +70,20 @@
 	if more {
 		c.after(queryBatchDelay, func() { c.sendOwnerQueries(p) })
 	}
-	ids := make([]JobID, len(batch))
+	ids := make([]cluster.JobID, len(batch))
 	for i, q := range batch {
 		ids[i] = q.id
 	}
-	c.callPeer(p.id, queryTimeout, PeerMessage{Query: &JobQuery{IDs: ids}}, func(r PeerReply) {
+	c.callPeer(p.id, queryTimeout, messages.PeerMessage{Query: &messages.JobQuery{IDs: ids}}, func(r messages.PeerReply) {
 		c.answerOwnerQueries(batch, r)
 	})
 }
 
 // answerOwnerQueries passes the owner's answers on. What it could not vouch for
 // is looked up in the store.
-func (c *Controller) answerOwnerQueries(batch []ownerQuery, r PeerReply) {
-	views := map[JobID]JobView{}
-	if r.Outcome == OK {
+func (c *Controller) answerOwnerQueries(batch []ownerQuery, r messages.PeerReply) {
+	views := map[cluster.JobID]cluster.JobView{}
+	if r.Outcome == messages.OK {
 		for _, v := range r.Message.Views {
 			views[v.ID] = v
 		}
@@ -92,6 +97,6 @@
 		if k := c.jobs.known[q.id]; k != nil && v.Status.IsFinal() {
 			c.applyFinalStatus(q.id, k, v.Status)
 		}
-		q.answer(ReplyOK, v)
+		q.answer(messages.ReplyOK, v)
 	}
 }
--- /dev/null
+++ b/internal/controller/ownership.go
@@ -0,0 +1,85 @@
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/ownership"
+)
+
+// How long a holder may act on what it last knew for certain: package
+// entitlement says why and reckons; here is what is known and what follows.
+
+// recordConfirmation notes that the store has shown a part's claim in force, by an exchange
+// that began at a time.
+func (c *Controller) recordConfirmation(p *shard, mark cluster.ModRevision, begun cluster.Time) {
+	if p.owned && p.modRevision == mark {
+		p.confirmedAt = max(p.confirmedAt, begun)
+	}
+}
+
+// ownershipClaim is what this controller knows of its claim of the part.
+func (p *shard) ownershipClaim() ownership.Claim {
+	return ownership.Claim{ShardID: p.id, Term: p.term, ConfirmedAt: p.confirmedAt}
+}
+
+// acknowledgement is what the peer has last answered.
+func (q *peer) acknowledgement() ownership.Acknowledgement {
+	return ownership.Acknowledgement{SentAt: q.acknowledgedCallAt, InstanceSeenAt: q.instanceSeenAt, Terms: q.acknowledgedTerms}
+}
+
+// typicalPeerCount is how many words are gathered without an allocation: every
+// worker's report asks for them.
+const typicalPeerCount = 8
+
+// ownershipConfirmedAt is the last moment at which it is certain that nobody had claimed
+// a part after this controller.
+func (c *Controller) ownershipConfirmedAt(p *shard) cluster.Time {
+	words := make([]ownership.Acknowledgement, 0, typicalPeerCount)
+	for _, q := range c.peers {
+		words = append(words, q.acknowledgement())
+	}
+	return p.ownershipClaim().LastConfirmedAt(c.now, words)
+}
+
+// confirmationAge is how long ago that was.
+func (c *Controller) confirmationAge(p *shard) cluster.Time { return c.now - c.ownershipConfirmedAt(p) }
+
+// canAnswerWorkers tells whether this controller may still answer a part's workers.
+func (c *Controller) canAnswerWorkers(p *shard) bool {
+	return ownership.CanAnswer(c.confirmationAge(p), c.config.CancelDeadline, c.config.WorkerLease)
+}
+
+// canStartTasks tells whether tasks of a part may be sent to its machines.
+func (c *Controller) canStartTasks(p *shard) bool { return ownership.CanStart(c.confirmationAge(p)) }
+
+// renewOwnership reads the marks of parts of which some controller has not given
+// its word lately, while the store serves: as when one is down or was restarted.
+func (c *Controller) renewOwnership() {
+	if c.isStoreUnavailableFor(second) {
+		return
+	}
+	for _, p := range c.shards {
+		if p.owned && ownership.NeedsRenewal(c.confirmationAge(p)) {
+			c.rereadShard(p)
+		}
+	}
+}
+
+// applyTerms takes in what another controller knows of the parts' terms. A later
+// one is enough to give a part up: while the store is out of reach here, nothing
+// else would tell, and the workers would be held by answers that mean nothing.
+func (c *Controller) applyTerms(terms []cluster.Term) {
+	for i, t := range terms {
+		if i < len(c.shards) && c.shards[i].owned && t > c.shards[i].term {
+			c.handleDeposed(c.shards[i].id)
+		}
+	}
+}
+
+// knownTerms lists the latest terms known here, by part.
+func (c *Controller) knownTerms() []cluster.Term {
+	out := make([]cluster.Term, len(c.shards))
+	for i, p := range c.shards {
+		out[i] = p.term
+	}
+	return out
+}
--- a/internal/core/ownership_gap_test.go
+++ b/internal/controller/ownership_gap_test.go
@@ -1,13 +1,13 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
 	"testing"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/messages"
 )
 
-// TestGap: the leader alone is refused by the state service; its successor
+// TestDeposedOwnerStopsAnsweringInOutage: the leader alone is refused by the state service; its successor
 // claims the part, confirms a cancellation and ends before it could tell
 // anybody or reach a machine; then the service is out for longer than cancel_s,
 // while the workers report to the former leader all along. It can't know, and
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestOutageWithEverybodysWord: while every controller gives its word, an
+// TestOutageWithAllPeerAcknowledgements: while every controller gives its word, an
 // outage of the state service that is longer than cancel_s costs no running task.
 func TestOutageWithAllPeerAcknowledgements(t *testing.T) {
 	m := newTestCluster(t, 2)
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestGapByThirdWord: the former leader is cut from its successor but not from
+// TestDeposedOwnerLearnsFromThirdController: the former leader is cut from its successor but not from
 // the third controller, whose word is enough for it to give the part up.
 func TestDeposedOwnerLearnsFromThirdController(t *testing.T) {
 	m := newTestCluster(t, 2)
@@ -63,14 +63,14 @@
 	m.RunUntil(m.Now + 2*second) // the third hears of the claim
 	m.KillNode(next)
 	m.StoreDownUntil = m.Now + 60*second
-	status := core.ReplyNone
+	status := messages.ReplyNone
 	m.RunUntil(m.Now + 2*second)
 	for id, l := range m.Workers {
 		if len(l.Tasks) == 0 {
 			continue
 		}
 		r := l.NextStatus()
-		m.SendRequest(leader, func(req core.RequestID) core.Event { return core.Heartbeat{Request: req, Status: r} }, func(a core.Respond) { status = a.Status })
+		m.SendRequest(leader, func(req messages.RequestID) messages.Event { return messages.Heartbeat{Request: req, Status: r} }, func(a messages.Respond) { status = a.Status })
 		m.RunUntil(m.Now + second)
 		if status == 200 {
 			t.Errorf("the former leader still answers %s", id)
--- a/internal/core/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -1,52 +1,57 @@
-package core
+package controller
 
 import (
 	"testing"
 
-	"stairrelay/internal/entitlement"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/ownership"
 )
 
-// TestWord: what another controller's word that it knows of no later claim of a
+// TestOwnershipLeaseByPeerAcknowledgement: what another controller's word that it knows of no later claim of a
 // part is worth, and how long a holder may answer and start by it.
 func TestOwnershipLeaseByPeerAcknowledgement(t *testing.T) {
 	const heard = 130 * second // the part was proven at 100 s
 	for _, x := range []struct {
 		name          string
 		play          func(b *controllerHarness, q *peer)
-		certain       Time
+		certain       cluster.Time
 		held          bool
 		entitled, may bool // 8 s later
 	}{
 		{"every word", func(*controllerHarness, *peer) {}, heard, true, true, false},
 		{"none of one", func(_ *controllerHarness, q *peer) { q.acknowledgedCallAt, q.acknowledgedTerms = 0, nil }, 100 * second, true, false, false},
 		{"a new run", func(b *controllerHarness, q *peer) {
-			b.applyPingReply(q, Ping{InstanceID: "other", KnownTerms: []Term{1, 1, 1}}, heard)
+			b.applyPingReply(q, messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
 		}, 100 * second, true, false, false},
 		{"a new run, the store read since", func(b *controllerHarness, q *peer) {
-			b.applyPingReply(q, Ping{InstanceID: "other", KnownTerms: []Term{1, 1, 1}}, heard)
+			b.applyPingReply(q, messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
 			b.recordConfirmation(b.shards[0], 30, heard)
 		}, heard, true, true, false},
 		{"a new run, another's mark read", func(b *controllerHarness, q *peer) {
-			b.applyPingReply(q, Ping{InstanceID: "other", KnownTerms: []Term{1, 1, 1}}, heard)
+			b.applyPingReply(q, messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
 			b.recordConfirmation(b.shards[0], 31, heard)
 		}, 100 * second, true, false, false},
-		{"an older release", func(b *controllerHarness, q *peer) { b.applyPingReply(q, Ping{InstanceID: "b-" + string(q.id)}, heard) }, 100 * second, true, false, false},
+		{"an older release", func(b *controllerHarness, q *peer) {
+			b.applyPingReply(q, messages.Ping{InstanceID: "b-" + string(q.id)}, heard)
+		}, 100 * second, true, false, false},
 		{"a later term", func(b *controllerHarness, q *peer) {
-			b.applyPingReply(q, Ping{InstanceID: "b-" + string(q.id), KnownTerms: []Term{2, 1, 1}}, heard)
+			b.applyPingReply(q, messages.Ping{InstanceID: "b-" + string(q.id), KnownTerms: []cluster.Term{2, 1, 1}}, heard)
 		}, 0, false, false, false},
 		{"its own call only", func(b *controllerHarness, q *peer) {
 			q.acknowledgedCallAt = 100 * second
-			b.applyPing(q, Ping{InstanceID: "b-" + string(q.id), KnownTerms: []Term{1, 1, 1}})
+			b.applyPing(q, messages.Ping{InstanceID: "b-" + string(q.id), KnownTerms: []cluster.Term{1, 1, 1}})
 		}, 100 * second, true, false, false},
 	} {
 		b := newControllerHarness()
 		p := b.shards[0]
 		p.confirmedAt = 100 * second
 		b.now = heard
-		for _, id := range []NodeID{"n1", "n2"} {
+		for _, id := range []cluster.NodeID{"n1", "n2"} {
 			q := b.peers[id]
 			q.instanceID, q.instanceSeenAt = "b-"+string(id), 50*second
-			b.applyPingReply(q, Ping{InstanceID: q.instanceID, KnownTerms: []Term{1, 1, 1}}, heard)
+			b.applyPingReply(q, messages.Ping{InstanceID: q.instanceID, KnownTerms: []cluster.Term{1, 1, 1}}, heard)
 		}
 		x.play(b, b.peers["n2"])
 		if p.owned != x.held {
@@ -69,10 +74,10 @@
 	}
 }
 
-// TestNoStartUncertain: a holder that has not been certain of its part for a
+// TestNoStartWithoutConfirmedLease: a holder that has not been certain of its part for a
 // while sends no start, but stops all the same.
 func TestNoStartWithoutConfirmedLease(t *testing.T) {
-	for d, want := range map[Time]int{second: 1, entitlement.StartWindow + second: 0} {
+	for d, want := range map[cluster.Time]int{second: 1, ownership.StartWindow + second: 0} {
 		b := newControllerHarness()
 		j := b.addTestJob("j-1", 1)
 		m, a := b.addRunningMachine(j)
@@ -84,7 +89,7 @@
 	}
 }
 
-// TestClaimProven: while one controller gives no word and the store serves, the
+// TestOwnershipConfirmedByStoreReads: while one controller gives no word and the store serves, the
 // mark is read again and again, and the holder stays entitled.
 func TestOwnershipConfirmedByStoreReads(t *testing.T) {
 	b := newControllerHarness()
--- a/internal/core/ownershipcheck.go
+++ b/internal/controller/ownershipcheck.go
@@ -1,14 +1,19 @@
-package core
+package controller
 
-// confirmations gathers those who wait until the store has shown that a part is
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// ownershipChecks gathers those who wait until the store has shown that a part is
 // still held.
 //
 // A reading serves only those who asked before it began. While any wait, one is
 // scheduled or under way; those that come during one are asked about anew.
 type ownershipChecks struct {
 	waiting    []func(held bool)
-	scheduled  bool // a reading is under way, or is about to be
-	lastReadAt Time // of the last reading
+	scheduled  bool         // a reading is under way, or is about to be
+	lastReadAt cluster.Time // of the last reading
 }
 
 // take returns those who wait.
@@ -18,7 +23,7 @@
 	return batch
 }
 
-// confirm calls fn after the store has shown that the part is still held,
+// confirmOwnership calls fn after the store has shown that the part is still held,
 // with a read begun after this call. Without it a holder that lost its claim
 // unawares could answer with an older state than its successor.
 func (c *Controller) confirmOwnership(p *shard, fn func(held bool)) {
@@ -35,7 +40,7 @@
 	c.after(max(0, s.lastReadAt+jobReadInterval-c.now), func() { c.readOwnership(p) })
 }
 
-// readConfirmation reads a part's claim for those who wait now.
+// readOwnership reads a part's claim for those who wait now.
 func (c *Controller) readOwnership(p *shard) {
 	s := &p.ownershipChecks
 	batch, mark := s.take(), p.modRevision
@@ -45,13 +50,13 @@
 		return
 	}
 	begun := c.now
-	c.readKey(p.key(), func(r GetReply) {
+	c.readKey(p.key(), func(r messages.GetReply) {
 		s.scheduled = false
-		if r.Outcome == OK {
+		if r.Outcome == messages.OK {
 			c.applyShardRecord(r.KV)
 			c.recordConfirmation(p, r.KV.ModRevision, begun)
 		}
-		held := r.Outcome == OK && p.owned && r.KV.ModRevision == mark && p.modRevision == mark
+		held := r.Outcome == messages.OK && p.owned && r.KV.ModRevision == mark && p.modRevision == mark
 		for _, fn := range batch {
 			fn(held)
 		}
--- a/internal/core/peers.go
+++ b/internal/controller/peers.go
@@ -1,40 +1,43 @@
-package core
+package controller
 
 import (
 	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
-// peerVersion guards against frames of another release.
+// peerProtocolVersion guards against frames of another release.
 const peerProtocolVersion = 2
 
 // peer is another controller as seen from here.
 type peer struct {
-	id                  NodeID
+	id                  cluster.NodeID
 	instanceID          string
-	instanceSeenAt      Time   // when its present run was first heard of
-	acknowledgedCallAt  Time   // when the last call was sent that it has answered
-	acknowledgedTerms   []Term // the latest terms that it knew then, by part
-	lastAnswerAt        Time   // when it last answered a call
+	instanceSeenAt      cluster.Time   // when its present run was first heard of
+	acknowledgedCallAt  cluster.Time   // when the last call was sent that it has answered
+	acknowledgedTerms   []cluster.Term // the latest terms that it knew then, by part
+	lastAnswerAt        cluster.Time   // when it last answered a call
 	hasAnswered         bool
 	suspected           bool // marked failure-prone, being probed
 	failed              bool
-	lastPing            Ping
-	lastPingAt          Time
-	healthySince        Time                   // since when it has answered and had its store
-	jobNotices          jobNoticeQueue         // of stored jobs, for it
-	attemptedTransfers  map[string]ModRevision // groups of its that we have tried to take, at which mark
-	failedAt            Time
-	lastWriteSeenAt     Time        // when a record it wrote was last seen
-	livenessModRevision ModRevision // of its nodes/<id>
-	livenessRead        bool        // since it failed
-	recoverySeenAt      Time        // when a new sign of life of it came after it had failed
-	lastPingError       string      // what was wrong with its last call that made no sense
+	lastPing            messages.Ping
+	lastPingAt          cluster.Time
+	healthySince        cluster.Time                   // since when it has answered and had its store
+	jobNotices          jobNoticeQueue                 // of stored jobs, for it
+	attemptedTransfers  map[string]cluster.ModRevision // groups of its that we have tried to take, at which mark
+	failedAt            cluster.Time
+	lastWriteSeenAt     cluster.Time        // when a record it wrote was last seen
+	livenessModRevision cluster.ModRevision // of its nodes/<id>
+	livenessRead        bool                // since it failed
+	recoverySeenAt      cluster.Time        // when a new sign of life of it came after it had failed
+	lastPingError       string              // what was wrong with its last call that made no sense
 }
 
-func (c *Controller) callPeer(to NodeID, timeout Time, m PeerMessage, fn func(PeerReply)) {
+func (c *Controller) callPeer(to cluster.NodeID, timeout cluster.Time, m messages.PeerMessage, fn func(messages.PeerReply)) {
 	m.Version, m.From = peerProtocolVersion, c.config.Self
 	c.counters.PeerCalls++
-	c.emit(PeerCall{Call: c.registerCall(func(b any) { fn(b.(PeerReply)) }), To: to, Timeout: timeout, Message: m})
+	c.emit(messages.PeerCall{Call: c.registerCall(func(b any) { fn(b.(messages.PeerReply)) }), To: to, Timeout: timeout, Message: m})
 }
 
 func (c *Controller) handleLivenessChange() {
@@ -48,13 +51,13 @@
 	c.updateCloudRate()
 }
 
-func (c *Controller) makePing(to *peer) *Ping {
-	g := &Ping{InstanceID: c.config.InstanceID, StoreReachable: !c.isStoreUnavailableFor(2500*millisecond) && (c.storeHealth.lastSuccess > 0 || c.now < startupGrace), WorkersReachable: c.canReachWorkers(), MillisSinceContact: map[NodeID]int64{}, StoreFailing: c.storeHealth.failing}
+func (c *Controller) makePing(to *peer) *messages.Ping {
+	g := &messages.Ping{InstanceID: c.config.InstanceID, StoreReachable: !c.isStoreUnavailableFor(2500*millisecond) && (c.storeHealth.lastSuccess > 0 || c.now < startupGrace), WorkersReachable: c.canReachWorkers(), MillisSinceContact: map[cluster.NodeID]int64{}, StoreFailing: c.storeHealth.failing}
 	for _, p := range c.shards {
 		if !p.owned {
 			continue
 		}
-		g.Shards = append(g.Shards, ShardTerm{p.id, p.term})
+		g.Shards = append(g.Shards, messages.ShardTerm{Shard: p.id, Term: p.term})
 		if to != nil && p.preferredOwner == to.id && p.ready && !to.failed && to.healthySince > 0 &&
 			c.now-to.healthySince > c.config.Tuning.FailbackDelay && c.now-p.ownershipChangedAt > c.config.Tuning.FailbackDelay && c.failbackRelievesLoad(p) {
 			g.FailbackOffers = append(g.FailbackOffers, p.id)
@@ -72,7 +75,7 @@
 	return g
 }
 
-// relieves tells whether handing a part back would take work off this
+// failbackRelievesLoad tells whether handing a part back would take work off this
 // controller that it does beside other work. A part that has all the work would
 // only change hands: its machines and users would wait for that for nothing.
 func (c *Controller) failbackRelievesLoad(p *shard) bool {
@@ -87,25 +90,25 @@
 	return false
 }
 
-// startGrace is how long a new process may take to reach the store before it
+// startupGrace is how long a new process may take to reach the store before it
 // counts as unable to: one that is back within a fraction of a second should
 // claim its own part again, not lose it to a neighbour that it tells so.
 const startupGrace = 3 * second
 
-// heardPing takes in the answer to a call sent at a time. Only answers give a
+// applyPingReply takes in the answer to a call sent at a time. Only answers give a
 // controller's word: its own calls may have been held up for minutes.
-func (c *Controller) applyPingReply(p *peer, g Ping, sent Time) {
+func (c *Controller) applyPingReply(p *peer, g messages.Ping, sent cluster.Time) {
 	p.hasAnswered, p.lastAnswerAt, p.suspected = true, c.now, false
 	if p.failed {
 		p.failed = false
-		c.log(LogInfo, "peer is back", "peer", string(p.id))
+		c.log(messages.LogInfo, "peer is back", "peer", string(p.id))
 		c.handleLivenessChange()
 	}
 	c.applyPing(p, g)
 	p.acknowledgedCallAt, p.acknowledgedTerms = sent, g.KnownTerms
 }
 
-func (c *Controller) applyPing(p *peer, g Ping) {
+func (c *Controller) applyPing(p *peer, g messages.Ping) {
 	if p.instanceID != g.InstanceID {
 		p.instanceID, p.healthySince = g.InstanceID, 0
 		p.instanceSeenAt, p.acknowledgedCallAt, p.acknowledgedTerms = c.now, 0, nil
@@ -123,7 +126,7 @@
 		c.storeHealth.probeUntil = c.now + 3*second
 	}
 	for key := range p.attemptedTransfers {
-		if !slices.ContainsFunc(g.TransferOffers, func(o TransferOffer) bool { return o.Key == key }) {
+		if !slices.ContainsFunc(g.TransferOffers, func(o messages.TransferOffer) bool { return o.Key == key }) {
 			delete(p.attemptedTransfers, key)
 		}
 	}
@@ -163,9 +166,9 @@
 	}
 }
 
-// lost tells whether a node can't hold its parts: detected as failed and not
+// isFailed tells whether a node can't hold its parts: detected as failed and not
 // heard by a third node either, or by its own word unable to serve.
-func (c *Controller) isFailed(id NodeID) bool {
+func (c *Controller) isFailed(id cluster.NodeID) bool {
 	p := c.peers[id]
 	if p == nil {
 		return false
@@ -203,72 +206,72 @@
 		!p.lastPing.WorkersReachable && c.canReachWorkers() && c.workerReachability.hasHeartbeatWithin(c.now, 2*c.config.HeartbeatInterval)
 }
 
-func (c *Controller) handlePeerRequest(e PeerRequest) {
+func (c *Controller) handlePeerRequest(e messages.PeerRequest) {
 	m := e.Message
 	p := c.peers[m.From]
 	if p == nil || m.Version != peerProtocolVersion {
-		c.respondError(e.Request, ReplyBadRequest, 0, "unknown sender or version")
+		c.respondError(e.Request, messages.ReplyBadRequest, 0, "unknown sender or version")
 		return
 	}
-	reply := func(r PeerMessage) {
+	reply := func(r messages.PeerMessage) {
 		r.Version, r.From = peerProtocolVersion, c.config.Self
-		c.emit(Respond{Request: e.Request, Status: ReplyOK, Peer: &r})
+		c.emit(messages.Respond{Request: e.Request, Status: messages.ReplyOK, Peer: &r})
 	}
 	switch {
 	case m.Ping != nil:
 		if !c.isValidPing(p, m.Ping) {
-			c.respondError(e.Request, ReplyBadRequest, 0, p.lastPingError)
+			c.respondError(e.Request, messages.ReplyBadRequest, 0, p.lastPingError)
 			return
 		}
 		c.applyPing(p, *m.Ping)
-		reply(PeerMessage{Ping: c.makePing(p)})
+		reply(messages.PeerMessage{Ping: c.makePing(p)})
 	case m.Notice != nil:
 		for _, kv := range m.Notice.Keys {
 			c.applyJobRecord(kv, nil)
 		}
-		reply(PeerMessage{Status: ReplyOK})
+		reply(messages.PeerMessage{Status: messages.ReplyOK})
 	case m.Query != nil:
-		c.answerJobQuery(m.Query.IDs, func(v []JobView) { reply(PeerMessage{Views: v}) })
+		c.answerJobQuery(m.Query.IDs, func(v []cluster.JobView) { reply(messages.PeerMessage{Views: v}) })
 	case m.Submission != nil:
 		spec := m.Submission.Spec
 		spec.ID = m.Submission.ID
 		if spec.ID == "" || spec.Tasks < 1 {
-			c.respondError(e.Request, ReplyBadRequest, 0, "no job")
+			c.respondError(e.Request, messages.ReplyBadRequest, 0, "no job")
 			return
 		}
-		c.submit(spec, 0, "", func(r Respond) {
-			a := PeerMessage{Status: r.Status, RetryAfter: r.RetryAfter, Reason: r.Error}
+		c.submit(spec, 0, "", func(r messages.Respond) {
+			a := messages.PeerMessage{Status: r.Status, RetryAfter: r.RetryAfter, Reason: r.Error}
 			if r.View != nil {
-				a.Views = []JobView{*r.View}
+				a.Views = []cluster.JobView{*r.View}
 			}
 			reply(a)
 		})
 	case m.Cancel != "":
-		c.cancelOwnedJob(m.Cancel, func(status ReplyStatus, v *JobView) {
-			r := PeerMessage{Status: status}
+		c.cancelOwnedJob(m.Cancel, func(status messages.ReplyStatus, v *cluster.JobView) {
+			r := messages.PeerMessage{Status: status}
 			if v != nil {
-				r.Views = []JobView{*v}
+				r.Views = []cluster.JobView{*v}
 			}
 			reply(r)
 		})
 	default:
-		c.respondError(e.Request, ReplyBadRequest, 0, "empty message")
+		c.respondError(e.Request, messages.ReplyBadRequest, 0, "empty message")
 	}
 }
 
-// onHealth tells whether this node can take requests.
-func (c *Controller) handleHealth(e Health) {
+// handleHealth tells whether this node can take requests.
+func (c *Controller) handleHealth(e messages.Health) {
 	if c.storeHealth.lastSuccess == 0 || len(c.machineTypes) == 0 && c.now < 10*second {
-		c.respondError(e.Request, ReplyUnavailable, 0, "starting")
+		c.respondError(e.Request, messages.ReplyUnavailable, 0, "starting")
 		return
 	}
 	if c.isStoreUnavailableFor(2500 * millisecond) {
 		for _, p := range c.peers {
 			if !p.failed && p.lastPing.StoreReachable && c.now-p.lastPingAt < 3*second {
-				c.respondError(e.Request, ReplyUnavailable, 0, "store out of reach")
+				c.respondError(e.Request, messages.ReplyUnavailable, 0, "store out of reach")
 				return
 			}
 		}
 	}
-	c.emit(Respond{Request: e.Request, Status: ReplyOK})
+	c.emit(messages.Respond{Request: e.Request, Status: messages.ReplyOK})
 }
--- a/internal/core/pingvalidation.go
+++ b/internal/controller/pingvalidation.go
@@ -1,6 +1,10 @@
-package core
+package controller
 
-import "fmt"
+import (
+	"fmt"
+
+	"stairrelay/internal/messages"
+)
 
 // PingError is what makes no sense in another controller's call or answer.
 type PingError struct {
@@ -18,10 +22,10 @@
 // taken or have lapsed.
 const maxOffers = 256
 
-// checkPing refuses a call that lists more than there can be. What it lists is
+// validatePing refuses a call that lists more than there can be. What it lists is
 // gone through, and a count in it is gone through one by one, so that an absurd
 // one would hold up everything else.
-func (c *Controller) validatePing(g *Ping) error {
+func (c *Controller) validatePing(g *messages.Ping) error {
 	parts, nodes := len(c.shards), len(c.config.Nodes)
 	for _, list := range []PingError{
 		{"Parts", len(g.Shards), parts},
@@ -43,22 +47,22 @@
 	return nil
 }
 
-// makesSense tells whether a peer's call or answer can be taken in. What is wrong
+// isValidPing tells whether a peer's call or answer can be taken in. What is wrong
 // with it is logged once.
-func (c *Controller) isValidPing(p *peer, g *Ping) bool {
+func (c *Controller) isValidPing(p *peer, g *messages.Ping) bool {
 	err := c.validatePing(g)
 	if err == nil {
 		return true
 	}
 	if why := err.Error(); p.lastPingError != why {
 		p.lastPingError = why
-		c.log(LogInfo, "call makes no sense", "peer", string(p.id), "why", why)
+		c.log(messages.LogInfo, "call makes no sense", "peer", string(p.id), "why", why)
 	}
 	return false
 }
 
-// checkOffer refuses a group with more machines than a record can list.
-func (c *Controller) validateOffer(o *TransferOffer) error {
+// validateOffer refuses a group with more machines than a record can list.
+func (c *Controller) validateOffer(o *messages.TransferOffer) error {
 	machines := 0
 	for _, kind := range o.Kinds {
 		if kind.Count < 0 || kind.Count > c.config.MaxValueBytes || machines > c.config.MaxValueBytes {
--- a/internal/core/preempt.go
+++ b/internal/controller/preempt.go
@@ -1,12 +1,16 @@
-package core
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+)
 
 // Preemption: less important work is stopped to make room.
 
-// preemptPause is how long a job waits for the room that was made for it before
+// preemptionBackoff is how long a job waits for the room that was made for it before
 // more is made.
 const preemptionBackoff = 8 * second
 
-// likeJobs are decided alike.
+// equivalenceClass are decided alike.
 type equivalenceClass struct {
 	class, team string
 	guaranteed  bool // within the team's guarantee
@@ -32,7 +36,7 @@
 	}
 	for _, j := range jobs {
 		like := equivalenceClass{j.spec.Class, j.spec.Team, owed[j]}
-		if j.pendingCount() == 0 || j.effectivePriority < Urgent && !owed[j] || c.now < j.nextPreemptionAt || e.failedClasses[like] {
+		if j.pendingCount() == 0 || j.effectivePriority < cluster.Urgent && !owed[j] || c.now < j.nextPreemptionAt || e.failedClasses[like] {
 			continue
 		}
 		if !e.preemptFor(j, like) {
@@ -41,7 +45,7 @@
 	}
 }
 
-// preemptible lists a part's machines with work that could give way.
+// preemptibleMachines lists a part's machines with work that could give way.
 func (c *Controller) preemptibleMachines(p *shard) []*machine {
 	var machines []*machine
 	c.counters.addMachineScans(p.machines)
@@ -53,7 +57,7 @@
 	return machines
 }
 
-// runsSavable tells whether a task that can save is running on the machine.
+// hasCheckpointableTask tells whether a task that can save is running on the machine.
 func (m *machine) hasCheckpointableTask() bool {
 	for _, a := range m.assignments {
 		if a.isCheckpointable() {
@@ -63,7 +67,7 @@
 	return false
 }
 
-// savable tells whether a report has shown the task running, and it can save.
+// isCheckpointable tells whether a report has shown the task running, and it can save.
 func (a *assignment) isCheckpointable() bool {
 	return a.phase == phaseAcknowledged && !a.confirmedAbsent && a.job.spec.CheckpointSeconds > 0
 }
@@ -74,7 +78,7 @@
 	c := e.controller
 	room := c.teams[j.spec.Team].QuotaLimit.Minus(e.teamUsage[j.spec.Team])
 	if room.CPU < j.spec.ResourceRequest.CPU || room.GPU < j.spec.ResourceRequest.GPU {
-		if j.effectivePriority >= Urgent {
+		if j.effectivePriority >= cluster.Urgent {
 			e.preemptWithinTeam(j, room)
 		}
 		return true
@@ -109,9 +113,9 @@
 	return true
 }
 
-// victims picks the tasks on a machine that have to stop so that a job's task
+// selectVictims picks the tasks on a machine that have to stop so that a job's task
 // fits, and returns what is free then.
-func (e *preemption) selectVictims(j *job, m *machine) (stop []*assignment, free Resources) {
+func (e *preemption) selectVictims(j *job, m *machine) (stop []*assignment, free cluster.Resources) {
 	free = e.controller.machineTypes[m.machineType].Capacity.Minus(m.usedResources())
 	for _, a := range m.sortedAssignments() {
 		if j.spec.ResourceRequest.FitsIn(free) {
@@ -128,27 +132,27 @@
 	return stop, free
 }
 
-// givesWay tells whether a job's task may be stopped for another job: for a
+// isPreemptibleFor tells whether a job's task may be stopped for another job: for a
 // more important urgent one, or, if it is beyond its own team's guarantee, for
 // one within its team's.
 func (e *preemption) isPreemptibleFor(victim, j *job) bool {
 	if e.controller.isPreemptionExempt(victim) {
 		return false
 	}
-	if j.effectivePriority >= Urgent && victim.effectivePriority < j.effectivePriority {
+	if j.effectivePriority >= cluster.Urgent && victim.effectivePriority < j.effectivePriority {
 		return true
 	}
 	t := e.controller.teams[victim.spec.Team]
 	return e.guaranteed[j] && !e.guaranteed[victim] && victim.spec.Team != j.spec.Team &&
-		(victim.effectivePriority < Urgent || victim.effectivePriority <= j.effectivePriority) &&
+		(victim.effectivePriority < cluster.Urgent || victim.effectivePriority <= j.effectivePriority) &&
 		e.teamUsage[t.Name].CPU > t.GuaranteedQuota.CPU
 }
 
-// preemptOwn makes room under a team's limit: its own less important work that
+// preemptWithinTeam makes room under a team's limit: its own less important work that
 // can save gives way.
-func (e *preemption) preemptWithinTeam(j *job, room Resources) {
+func (e *preemption) preemptWithinTeam(j *job, room cluster.Resources) {
 	c := e.controller
-	need := Resources{CPU: j.spec.ResourceRequest.CPU * Amount(j.pendingCount()), GPU: j.spec.ResourceRequest.GPU * Amount(j.pendingCount())}
+	need := cluster.Resources{CPU: j.spec.ResourceRequest.CPU * cluster.Amount(j.pendingCount()), GPU: j.spec.ResourceRequest.GPU * cluster.Amount(j.pendingCount())}
 	for _, m := range e.candidateMachines {
 		if !c.isAllowedOn(j, m) {
 			continue
--- a/internal/core/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -1,23 +1,26 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// TestStoodStill: a controller that stood still for longer than a lease has
+// TestProcessPauseReleasesNoMachines: a controller that stood still for longer than a lease has
 // heard no machine meanwhile. The first report after that must not make it
 // return all the others as silent; that they stay silent from then on does.
 func TestProcessPauseReleasesNoMachines(t *testing.T) {
-	c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
+	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
-	c.Step(0, 0, Tick{})
+	c.Step(0, 0, messages.Tick{})
 	p := c.shards[0]
 	p.owned, p.ready = true, true
 	g := c.newGroup(p, "g", 1)
 	var ms []*machine
-	for _, id := range []MachineID{"m-1", "m-2", "m-3"} {
+	for _, id := range []cluster.MachineID{"m-1", "m-2", "m-3"} {
 		m := c.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "x"}, 5)
 		m.idleSince = 1000 * second // not what this is about
 		ms = append(ms, m)
@@ -30,20 +33,20 @@
 		}
 		return n
 	}
-	report := func(at Time, stamp SequenceNumber) {
-		c.Step(at, 0, Heartbeat{Request: 1, Status: HeartbeatStatus{Machine: "m-1", Addr: "x", Incarnation: 1, SequenceNumber: stamp, FencingToken: 5, PreemptionNotice: -1}})
+	report := func(at cluster.Time, stamp cluster.SequenceNumber) {
+		c.Step(at, 0, messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: "m-1", Addr: "x", Incarnation: 1, SequenceNumber: stamp, FencingToken: 5, PreemptionNotice: -1}})
 	}
 	report(second, 1)
 	at := 41 * second
 	report(at, 2)
-	for i := range SequenceNumber(4) {
+	for i := range cluster.SequenceNumber(4) {
 		at += second
 		report(at, 3+i)
 	}
 	if n := returned(); n > 0 {
 		t.Errorf("%d machines returned after a standstill", n)
 	}
-	for i := range SequenceNumber(60) {
+	for i := range cluster.SequenceNumber(60) {
 		at += second
 		report(at, 10+i)
 	}
--- a/internal/core/processhealth.go
+++ b/internal/controller/processhealth.go
@@ -1,13 +1,18 @@
-package core
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
 
 // processHealth tells how the process itself is served by its machine.
 type processHealth struct {
-	load      ProcessLoad // as last told
-	resumedAt Time        // when the process last went on after standing still
+	load      messages.ProcessLoad // as last told
+	resumedAt cluster.Time         // when the process last went on after standing still
 }
 
 const (
-	// standstill: timers are due several times a second, so a gap between events
+	// processPauseThreshold: timers are due several times a second, so a gap between events
 	// as long as this means that the process stood still while its clocks ran on.
 	processPauseThreshold = 3 * second
 	// busyLimit is the part of the allowed processor time, and lagLimit the delay
@@ -16,28 +21,28 @@
 	lagLimit  = 150 * millisecond
 )
 
-// strained tells whether the process is about to use more than its share of
+// isOverloaded tells whether the process is about to use more than its share of
 // the processor. What comes in late then are leases, acceptances and calls of
 // other controllers; placing and renting less often leaves time for those.
 func (h *processHealth) isOverloaded() bool {
 	return h.load.CPUUsage > busyLimit || h.load.EventDelay > lagLimit
 }
 
-// pause stretches the time between two decisions that can wait while the
+// stretchDelay stretches the time between two decisions that can wait while the
 // process is strained.
-func (h *processHealth) stretchDelay(d Time) Time {
+func (h *processHealth) stretchDelay(d cluster.Time) cluster.Time {
 	if !h.isOverloaded() {
 		return d
 	}
 	return min(5*d+h.load.EventDelay/2, second)
 }
 
-// resume is called when the process has stood still. What it knows is as old as
+// handleProcessPause is called when the process has stood still. What it knows is as old as
 // that: another may hold its parts, and that no machine was heard in the gap
 // says nothing about the machines.
 func (c *Controller) handleProcessPause() {
 	c.processHealth.resumedAt = c.now
-	c.log(LogInfo, "stood still")
+	c.log(messages.LogInfo, "stood still")
 	for _, p := range c.shards {
 		if p.owned {
 			c.rereadShard(p)
@@ -45,7 +50,7 @@
 	}
 }
 
-// silentFor is how long a machine could have been heard and was not.
-func (c *Controller) heartbeatAge(m *machine) Time {
+// heartbeatAge is how long a machine could have been heard and was not.
+func (c *Controller) heartbeatAge(m *machine) cluster.Time {
 	return c.now - max(m.lastHeartbeat, c.processHealth.resumedAt)
 }
--- a/internal/core/production_test.go
+++ b/internal/controller/production_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"bytes"
@@ -9,6 +9,9 @@
 	"strings"
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
@@ -42,7 +45,7 @@
 	b := newControllerHarness()
 	b.timers = timerQueue{}
 	for _, k := range sortedKeys(recs) {
-		kv := KV{k, []byte(recs[k]), 31}
+		kv := messages.KV{Key: k, Value: []byte(recs[k]), ModRevision: 31}
 		b.store.keys[k] = kv
 		switch {
 		case strings.HasPrefix(k, "jobs/"):
@@ -52,17 +55,17 @@
 		}
 	}
 	b.runFor(second)
-	for id, done := range map[JobID]int{"j-000412": 4, "j-000413": 0, "j-000414": 5462 + 100, "j-000417": 0, "j-000418": 0} {
+	for id, done := range map[cluster.JobID]int{"j-000412": 4, "j-000413": 0, "j-000414": 5462 + 100, "j-000417": 0, "j-000418": 0} {
 		if j := b.jobs.owned[id]; j == nil || j.completedCount != done || len(j.spec.Dependencies) > 0 || j.blocked || !j.isActive() || j.chunksLoading > 0 {
 			t.Errorf("%s: %+v, want %d done", id, j, done)
 		}
 	}
-	want := JobSpec{ID: "j-000412", Class: "train", Team: "red", Priority: Urgent, Tasks: 16, ResourceRequest: Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}, MachineTypes: []string{"g8"}, Zone: "a",
+	want := cluster.JobSpec{ID: "j-000412", Class: "train", Team: "red", Priority: cluster.Urgent, Tasks: 16, ResourceRequest: cluster.Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}, MachineTypes: []string{"g8"}, Zone: "a",
 		Colocate: true, Spread: true, Spot: true, Image: "img-07", ImageGB: 6.2, RuntimeSeconds: 240, CheckpointSeconds: 30, SaveSeconds: 4, DeadlineSeconds: 900, SubmittedAt: 1_700_000_000_000}
 	if j := b.jobs.owned["j-000412"]; !reflect.DeepEqual(j.spec, want) {
 		t.Errorf("read %+v", j.spec)
 	}
-	for id, end := range map[JobID]JobStatus{"j-000415": JobDone, "j-000416": JobCancelled} {
+	for id, end := range map[cluster.JobID]cluster.JobStatus{"j-000415": cluster.JobDone, "j-000416": cluster.JobCancelled} {
 		if k := b.jobs.known[id]; k == nil || k.finalStatus != end || k.tasks != 4 || !k.finalRecorded {
 			t.Errorf("%s: %+v, want %s", id, k, end)
 		}
@@ -71,12 +74,12 @@
 		t.Error("a cancelled job's need is lost")
 	}
 	for _, k := range []string{"groups/b1-30-1", "groups/b1-30-2"} {
-		b.applyGroupRecord(KV{k, recs[k], 31}, b.shards[0])
+		b.applyGroupRecord(messages.KV{Key: k, Value: recs[k], ModRevision: 31}, b.shards[0])
 	}
 	m1, m2, m3 := b.machines["m-000001"], b.machines["m-000002"], b.machines["m-000003"]
 	if m1 == nil || m2 == nil || m3 == nil || len(m1.assignments) != 3 || m1.address != "10.1.0.232:9000" || !m1.spot || m1.zone != "a" || !m2.booting || !m3.releaseConfirmed || len(m3.assignments) != 1 {
 		t.Errorf("machines %+v, %+v, %+v", m1, m2, m3)
-	} else if a := m1.assignments[TaskID{Job: "j-000412", Index: 4}]; a == nil || a.attempt != 30<<20|2 {
+	} else if a := m1.assignments[cluster.TaskID{Job: "j-000412", Index: 4}]; a == nil || a.attempt != 30<<20|2 {
 		t.Errorf("task 4 is listed as %+v", a)
 	}
 	var r provisioningRecord
@@ -98,7 +101,7 @@
 	}
 }
 
-// TestNothingNewWritten: what this version writes of jobs that await nothing is
+// TestRecordsMatchProductionEncoding: what this version writes of jobs that await nothing is
 // byte for byte what the version in production writes.
 // Of the two forms of outcomes that version reads, ranges and a bitmap, this one
 // writes the shorter, so a few outcomes may come as a bitmap.
@@ -150,7 +153,7 @@
 	if len(forms) != 2 {
 		t.Error("the records don't show both forms of outcomes")
 	}
-	v, _ := json.Marshal(jobRecord{Spec: &JobSpec{Dependencies: []JobID{}}})
+	v, _ := json.Marshal(jobRecord{Spec: &cluster.JobSpec{Dependencies: []cluster.JobID{}}})
 	if strings.Contains(string(v), `"aw"`) {
 		t.Errorf("an empty list is written: %s", v)
 	}
--- a/internal/core/progress.go
+++ b/internal/controller/progress.go
@@ -1,16 +1,18 @@
-package core
+package controller
 
 import (
 	"slices"
 
-	"stairrelay/internal/placement"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/scheduling"
 )
 
-// stallCheckpoints is how many checkpoints in a row a part may go without
+// stallThreshold is how many checkpoints in a row a part may go without
 // progress before operators are told, and again after as many more.
 const stallThreshold = 15
 
-// partProgress counts for how long a part has not been served, so that operators
+// shardProgress counts for how long a part has not been served, so that operators
 // learn of a state that no failure detector sees: every controller is alive, yet
 // nobody holds the part, or its holder gets nowhere with it.
 type shardProgress struct {
@@ -19,7 +21,7 @@
 	storedTransactions uint64 // transactions stored, as of then
 }
 
-// stall says in what way a part is not served.
+// stallReason says in what way a part is not served.
 type stallReason string
 
 const (
@@ -29,14 +31,14 @@
 	stallNoWrites stallReason = "its writes are not stored"
 )
 
-// watchProgress notes at each checkpoint which parts are served.
+// checkShardProgress notes at each checkpoint which parts are served.
 func (c *Controller) checkShardProgress() {
 	for _, p := range c.shards {
 		c.recordShardProgress(p, c.shardStallReason(p))
 	}
 }
 
-// noteProgress counts the checkpoints without progress, and logs each time that
+// recordShardProgress counts the checkpoints without progress, and logs each time that
 // there were too many.
 func (c *Controller) recordShardProgress(p *shard, why stallReason) {
 	state := &p.progress
@@ -48,7 +50,7 @@
 	if state.stalledCheckpoints++; state.stalledCheckpoints%stallThreshold != 0 {
 		return
 	}
-	c.log(LogInfo, "part makes no progress",
+	c.log(messages.LogInfo, "part makes no progress",
 		"part", int(p.id),
 		"why", string(why),
 		"checkpoints", state.stalledCheckpoints,
@@ -56,7 +58,7 @@
 		"claiming", p.acquiring)
 }
 
-// stallOf says whether a part is served, as far as this controller knows.
+// shardStallReason says whether a part is served, as far as this controller knows.
 func (c *Controller) shardStallReason(p *shard) stallReason {
 	switch {
 	case c.isStoreUnavailableFor(second): // nobody can get on with anything
@@ -76,7 +78,7 @@
 	return stallNone
 }
 
-// servedElsewhere tells whether the part's holder says that it holds it, or is
+// isServedByPeer tells whether the part's holder says that it holds it, or is
 // alive though its word does not come through.
 func (c *Controller) isServedByPeer(p *shard) bool {
 	holder := c.peers[p.owner]
@@ -86,10 +88,10 @@
 	if c.now-holder.lastPingAt > 3*second {
 		return !c.isFailed(p.owner)
 	}
-	return slices.ContainsFunc(holder.lastPing.Shards, func(held ShardTerm) bool { return held.Shard == p.id })
+	return slices.ContainsFunc(holder.lastPing.Shards, func(held messages.ShardTerm) bool { return held.Shard == p.id })
 }
 
-// writesStalled tells whether records of the part's machines wait to be stored,
+// hasStalledWrites tells whether records of the part's machines wait to be stored,
 // and nothing of the part was stored since the last checkpoint.
 func (c *Controller) hasStalledWrites(p *shard) bool {
 	if p.storedTransactions != p.progress.storedTransactions {
@@ -103,7 +105,7 @@
 	return false
 }
 
-// startsStalled tells whether waiting tasks fit on the part's machines, and none
+// hasStalledStarts tells whether waiting tasks fit on the part's machines, and none
 // was given one since the last checkpoint.
 func (c *Controller) hasStalledStarts(p *shard) bool {
 	if p.plannedStarts != p.progress.plannedStarts || !slices.ContainsFunc(p.jobs, c.hasSchedulableTasks) {
@@ -114,7 +116,7 @@
 	for i := range slots {
 		s := &slots[i]
 		fits := func(j *job) bool {
-			return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) && c.hasRoom(s.machine.group, j) && s.imageState(j) != placement.ImageBlocked &&
+			return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) && c.hasRoom(s.machine.group, j) && s.imageState(j) != scheduling.ImageBlocked &&
 				isZoneAllowed(&j.spec, c.countTasksByZone(j), s.machine.zone)
 		}
 		if c.packWork(work, s.available, fits) > 0 {
@@ -124,7 +126,7 @@
 	return false
 }
 
-// stalledParts counts the parts that have not been served for so long that
+// stalledShardCount counts the parts that have not been served for so long that
 // operators were told.
 func (c *Controller) stalledShardCount() int {
 	stalled := 0
--- a/internal/core/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -1,29 +1,32 @@
-package core
+package controller
 
 import (
 	"slices"
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// stallsLogged lists what the log says of parts without progress.
-func loggedStalls(effects []Effect) []string {
+// loggedStalls lists what the log says of parts without progress.
+func loggedStalls(effects []messages.Effect) []string {
 	var whys []string
 	for _, effect := range effects {
-		if line, ok := effect.(Log); ok && line.Message == "part makes no progress" {
+		if line, ok := effect.(messages.Log); ok && line.Message == "part makes no progress" {
 			whys = append(whys, line.Args[3].(string))
 		}
 	}
 	return whys
 }
 
-// checkpoints lets so many checkpoints pass with nothing else happening.
+// runStallChecks lets so many checkpoints pass with nothing else happening.
 func (b *controllerHarness) runStallChecks(n int) []string {
 	b.effects = nil
 	for range n {
 		b.now += 2 * second
-		for _, id := range []NodeID{"n1", "n2"} {
+		for _, id := range []cluster.NodeID{"n1", "n2"} {
 			b.peers[id].lastPingAt = b.now
 		}
 		b.checkShardProgress()
@@ -31,7 +34,7 @@
 	return loggedStalls(b.effects)
 }
 
-// TestStalledPartIsLogged: operators are told of a part that nobody serves, and
+// TestStalledShardIsLogged: operators are told of a part that nobody serves, and
 // of one whose holder gets nowhere with it, and of no other.
 func TestStalledShardIsLogged(t *testing.T) {
 	for _, test := range []struct {
@@ -45,7 +48,7 @@
 		}, "nobody serves it"},
 		{"another holds it", func(b *controllerHarness) {
 			b.shards[0].owned, b.shards[0].owner = false, "n1"
-			b.peers["n1"].lastPing.Shards = []ShardTerm{{Shard: 0, Term: 2}}
+			b.peers["n1"].lastPing.Shards = []messages.ShardTerm{{Shard: 0, Term: 2}}
 		}, ""},
 		{"idle machines beside waiting tasks", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
@@ -61,7 +64,7 @@
 			far := b.addMachine(b.newGroup(b.shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
 			j := b.addTestJob("j-2", 2)
 			j.spec.Colocate = true
-			j.setAssigned(0, &assignment{task: TaskID{Job: "j-2", Index: 0}, job: j, machineID: far.id, phase: phaseAcknowledged})
+			j.setAssigned(0, &assignment{task: cluster.TaskID{Job: "j-2", Index: 0}, job: j, machineID: far.id, phase: phaseAcknowledged})
 		}, ""},
 		{"a record that is never stored", func(b *controllerHarness) {
 			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
--- a/internal/core/provisioning_late_write_test.go
+++ b/internal/controller/provisioning_late_write_test.go
@@ -1,23 +1,26 @@
-package core
+package controller
 
 import (
 	"slices"
 	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
-// TestLateCopyOfRental: a late copy of the transaction that recorded a rental
+// TestLateProvisioningWriteRejected: a late copy of the transaction that recorded a rental
 // must not bring the record back after its machines are in a group: the next
 // holder would repeat it and list them twice (seed 175, a task ran twice).
 func TestLateProvisioningWriteRejected(t *testing.T) {
-	c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
+	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
 	p := c.shards[0]
 	p.owned, p.ready, p.modRevision = true, true, 3
-	p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]Time{}
-	keys := map[string]ModRevision{p.key(): 3}
-	carryOut := func(f StoreTxn) TxnReply {
+	p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]cluster.Time{}
+	keys := map[string]cluster.ModRevision{p.key(): 3}
+	carryOut := func(f messages.StoreTxn) messages.TxnReply {
 		for _, w := range f.If {
 			if keys[w.Key] != w.ModRevision {
-				return TxnReply{Outcome: Conflict, FailedKeys: []string{w.Key}}
+				return messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{w.Key}}
 			}
 		}
 		for _, o := range f.Then {
@@ -26,9 +29,9 @@
 				delete(keys, o.Key)
 			}
 		}
-		return TxnReply{Outcome: OK, Revision: 7}
+		return messages.TxnReply{Outcome: messages.OK, Revision: 7}
 	}
-	var first *StoreTxn
+	var first *messages.StoreTxn
 	rented := false
 	c.createProvisioningRequest(p, provisioningOption{"small", "a", true}, 2)
 	for range 3 {
@@ -37,40 +40,40 @@
 		c.effects = nil
 		for _, f := range out {
 			switch f := f.(type) {
-			case StoreTxn:
+			case messages.StoreTxn:
 				if first == nil {
 					first = &f
 				}
 				c.pendingCalls[f.Call](carryOut(f))
-			case CloudScaleOut:
+			case messages.CloudScaleOut:
 				rented = true
-				c.pendingCalls[f.Call](ScaleOutReply{Outcome: OK, IDs: []MachineID{"m-1", "m-2"}})
+				c.pendingCalls[f.Call](messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1", "m-2"}})
 			}
 		}
 	}
 	if !rented || len(c.machineGroups) != 1 || len(p.provisioningRequests) != 0 {
 		t.Fatalf("rented %v, %d groups, %d open rentals", rented, len(c.machineGroups), len(p.provisioningRequests))
 	}
-	if r := carryOut(*first); r.Outcome != Conflict {
+	if r := carryOut(*first); r.Outcome != messages.Conflict {
 		t.Errorf("a late copy of the rental's record was carried out: %v", keys)
 	}
 }
 
-// TestLateCopyOfRefusedRental: the creation of a rental was carried out twice,
+// TestLateWriteOfRefusedProvisioningRejected: the creation of a rental was carried out twice,
 // as far as its writer knows, and the cloud refused it. A late copy must not
 // bring the request back (seven controllers, seed 1030).
 func TestLateWriteOfRefusedProvisioningRejected(t *testing.T) {
 	b := newControllerHarness()
 	p := b.shards[0]
 	n := 0
-	b.losesReply = func(StoreTxn) bool { n++; return n == 1 }
+	b.losesReply = func(messages.StoreTxn) bool { n++; return n == 1 }
 	b.createProvisioningRequest(p, provisioningOption{"small", "a", true}, 2)
-	var rent *CloudScaleOut
+	var rent *messages.CloudScaleOut
 	for range 100 {
 		b.runTimers()
 		b.writeQueue.dispatch()
-		if i := slices.IndexFunc(b.effects, func(f Effect) bool { _, ok := f.(CloudScaleOut); return ok }); i >= 0 {
-			f := b.effects[i].(CloudScaleOut)
+		if i := slices.IndexFunc(b.effects, func(f messages.Effect) bool { _, ok := f.(messages.CloudScaleOut); return ok }); i >= 0 {
+			f := b.effects[i].(messages.CloudScaleOut)
 			rent = &f
 			break
 		}
@@ -79,12 +82,12 @@
 	if rent == nil {
 		t.Fatal("nothing was asked of the cloud")
 	}
-	b.pendingCalls[rent.Call](ScaleOutReply{Outcome: NotFound})
+	b.pendingCalls[rent.Call](messages.ScaleOutReply{Outcome: messages.NotFound})
 	b.runFor(second)
-	if len(p.provisioningRequests) != 0 || b.store.get("rentals/"+rent.Name).Outcome != NotFound {
+	if len(p.provisioningRequests) != 0 || b.store.get("rentals/"+rent.Name).Outcome != messages.NotFound {
 		t.Fatalf("the refused request is still there: %v", p.provisioningRequests)
 	}
-	if r := b.store.commit(b.sentTransactions[0]); r.Outcome != Conflict {
+	if r := b.store.commit(b.sentTransactions[0]); r.Outcome != messages.Conflict {
 		t.Error("a late copy of the refused request was carried out")
 	}
 }
--- a/internal/core/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -1,8 +1,13 @@
-package core
+package controller
 
-import "testing"
+import (
+	"testing"
 
-// TestAwaitsNotHandedToOld: a controller that has lost the store never hands a
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// TestDependentJobNotProxiedToOldVersion: a controller that has lost the store never hands a
 // job that awaits others on to one of an earlier release, which would store it
 // without them and start it at once.
 func TestDependentJobNotProxiedToOldVersion(t *testing.T) {
@@ -14,10 +19,10 @@
 		}
 		b.storeHealth.failing, b.storeHealth.failingSince = true, b.now-10*second
 		b.jobs.known["j-1"] = &knownJob{shard: 0, tasks: 1, team: "red"}
-		b.handleSubmit(Submit{Request: 1, Spec: JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000}, Dependencies: []JobID{"j-1"}}})
+		b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
 		handed := false
 		for _, f := range b.effects {
-			if c, ok := f.(PeerCall); ok && c.Message.Submission != nil {
+			if c, ok := f.(messages.PeerCall); ok && c.Message.Submission != nil {
 				handed = true
 			}
 		}
--- a/internal/core/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -1,8 +1,11 @@
-package core
+package controller
 
 import (
 	"slices"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
@@ -11,27 +14,27 @@
 // the cloud, after which nothing that they held can still run, and the record
 // is dropped. Until then users are answered from the store.
 
-// setAside notes a group's record that makes no sense.
-func (c *Controller) quarantineRecord(p *shard, kv KV, why string) {
-	c.log(LogInfo, "impossible record", "key", kv.Key, "why", why)
+// quarantineRecord notes a group's record that makes no sense.
+func (c *Controller) quarantineRecord(p *shard, kv messages.KV, why string) {
+	c.log(messages.LogInfo, "impossible record", "key", kv.Key, "why", why)
 	if p.quarantined == nil {
-		p.quarantined = map[string]ModRevision{}
+		p.quarantined = map[string]cluster.ModRevision{}
 	}
 	p.quarantined[kv.Key] = kv.ModRevision
 	for _, g := range sortedKeys(c.machineGroups) {
 		if c.machineGroups[g].key() == kv.Key {
-			c.dropTransferredGroup(c.machineGroups[g], NoShard)
+			c.dropTransferredGroup(c.machineGroups[g], cluster.NoShard)
 		}
 	}
 }
 
-// clearAside returns every machine that the cloud lists and no readable record
+// repairQuarantined returns every machine that the cloud lists and no readable record
 // does, then drops the records set aside and reads the part again. The list may
 // be as old as twice its lag: only one that must show all that existed at the
 // claim will do.
 func (c *Controller) repairQuarantined(p *shard) {
 	claim := p.claimRevision
-	again := func(d Time) {
+	again := func(d cluster.Time) {
 		c.after(d, func() {
 			if p.owned && p.claimRevision == claim && !p.ready {
 				c.repairQuarantined(p)
@@ -43,17 +46,17 @@
 		return
 	}
 	c.forceCloudCall()
-	c.readCloudList(func(listedByCloud []ListedMachine, ok bool) {
+	c.readCloudList(func(listedByCloud []cluster.ListedMachine, ok bool) {
 		if !ok {
 			again(2 * second)
 			return
 		}
-		c.listPrefix("groups/", func(l ListReply) {
-			if l.Outcome != OK {
+		c.listPrefix("groups/", func(l messages.ListReply) {
+			if l.Outcome != messages.OK {
 				again(second)
 				return
 			}
-			listed := map[MachineID]bool{}
+			listed := map[cluster.MachineID]bool{}
 			for _, kv := range l.Items {
 				if _, bad := p.quarantined[kv.Key]; bad {
 					continue
@@ -64,7 +67,7 @@
 					}
 				}
 			}
-			var lost []MachineID
+			var lost []cluster.MachineID
 			for _, x := range listedByCloud {
 				if !listed[x.ID] {
 					lost = append(lost, x.ID)
@@ -75,7 +78,7 @@
 	})
 }
 
-func (c *Controller) releaseUnlistedMachines(p *shard, claim Revision, lost []MachineID, again func(Time)) {
+func (c *Controller) releaseUnlistedMachines(p *shard, claim cluster.Revision, lost []cluster.MachineID, again func(cluster.Time)) {
 	if !p.owned || p.claimRevision != claim {
 		return
 	}
@@ -85,8 +88,8 @@
 	}
 	n := min(len(lost), maxScaleInMachines)
 	c.forceCloudCall()
-	c.emit(CloudScaleIn{IDs: lost[:n], Call: c.registerCall(func(b any) {
-		if b.(ScaleInReply).Outcome != OK {
+	c.emit(messages.CloudScaleIn{IDs: lost[:n], Call: c.registerCall(func(b any) {
+		if b.(messages.ScaleInReply).Outcome != messages.OK {
 			again(2 * second)
 			return
 		}
@@ -94,22 +97,22 @@
 	})})
 }
 
-func (c *Controller) deleteQuarantinedRecords(p *shard, claim Revision) {
+func (c *Controller) deleteQuarantinedRecords(p *shard, claim cluster.Revision) {
 	keys := sortedKeys(p.quarantined)
 	keys = keys[:min(len(keys), c.config.MaxTxnOps)]
 	c.writeQueue.enqueue(priorityScaleOut, &queuedWrite{
 		shardID: p.id, keys: keys,
-		build: func(string) ([]TxnOp, []ModRevision) {
-			var ops []TxnOp
-			var marks []ModRevision
+		build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+			var ops []messages.TxnOp
+			var marks []cluster.ModRevision
 			for _, k := range keys {
-				ops, marks = append(ops, TxnOp{k, nil}), append(marks, p.quarantined[k])
+				ops, marks = append(ops, messages.TxnOp{Key: k, Value: nil}), append(marks, p.quarantined[k])
 			}
 			return ops, marks
 		},
-		onApplied: func(Revision) {
+		onApplied: func(cluster.Revision) {
 			if p.owned && p.claimRevision == claim {
-				c.log(LogInfo, "impossible records dropped", "part", int(p.id), "records", len(keys))
+				c.log(messages.LogInfo, "impossible records dropped", "part", int(p.id), "records", len(keys))
 				c.reloadShard(p)
 			}
 		},
@@ -121,7 +124,7 @@
 	})
 }
 
-// reload reads a part's records anew.
+// reloadShard reads a part's records anew.
 func (c *Controller) reloadShard(p *shard) {
 	p.quarantined = nil
 	for _, m := range slices.Clone(p.machines) {
@@ -139,8 +142,8 @@
 	c.loadShard(p)
 }
 
-// groupPart reads at least whose a record is that makes no sense otherwise.
-func groupRecordShard(v []byte, parts int) (ShardID, bool) {
+// groupRecordShard reads at least whose a record is that makes no sense otherwise.
+func groupRecordShard(v []byte, parts int) (cluster.ShardID, bool) {
 	part, ok := grouprecord.ShardOf(v)
 	if !ok || part < 0 || int(part) >= parts {
 		return 0, false
--- a/internal/core/queueorder.go
+++ b/internal/controller/queueorder.go
@@ -1,10 +1,12 @@
-package core
+package controller
 
 import (
 	"cmp"
 	"slices"
 
-	"stairrelay/internal/placement"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/scheduling"
 )
 
 // The order in which a part's jobs are served: package placement ranks a job by
@@ -15,7 +17,7 @@
 // deadline, or what the objectives say of its class.
 func (c *Controller) latestStart(j *job) float64 {
 	at, run := float64(j.readySince), c.expectedRunSeconds(j)*1000
-	best, known := float64(placement.Never), false
+	best, known := float64(scheduling.Never), false
 	consider := func(start float64) {
 		known = true
 		if start >= float64(c.wallTime)-500 {
@@ -46,7 +48,7 @@
 	return best
 }
 
-// horizon is the longest time, in milliseconds, that the aims give a job; it
+// sloHorizon is the longest time, in milliseconds, that the aims give a job; it
 // bounds how far waiting jobs can be pushed back.
 func (c *Controller) sloHorizon(j *job) float64 {
 	h := 0.0
@@ -65,7 +67,7 @@
 	return h
 }
 
-// unbegun tells whether a job waits for its first task for so long already that
+// isFirstStartOverdue tells whether a job waits for its first task for so long already that
 // this goes before everything else: else small and urgent work that keeps
 // coming would starve the large.
 func (c *Controller) isFirstStartOverdue(j *job) bool {
@@ -73,7 +75,7 @@
 		float64(c.wallTime)-float64(j.readySince) > float64(c.config.Tuning.FirstTaskTarget/millisecond)/2
 }
 
-// spared tells whether a job's only task must not give way to others: it began
+// isPreemptionExempt tells whether a job's only task must not give way to others: it began
 // because the job had waited too long, and stopped at once it would put the job
 // back to waiting as one that has begun (seed 1362: 110 s more).
 func (c *Controller) isPreemptionExempt(j *job) bool {
@@ -81,14 +83,14 @@
 		float64(c.wallTime)-float64(j.readySince) > float64(c.config.Tuning.FirstTaskTarget/millisecond)/2
 }
 
-// starving tells whether a job has waited too long without anything of it
+// isStarving tells whether a job has waited too long without anything of it
 // running: its first task, or, when it is older than twice its horizon, its
 // next.
 func (c *Controller) isStarving(j *job) bool {
 	return c.isFirstStartOverdue(j) || j.assignedCount == 0 && float64(c.wallTime) > float64(j.readySince)+2*c.sloHorizon(j)
 }
 
-// queued lists a part's jobs with waiting tasks in the order in which they are
+// queuedJobs lists a part's jobs with waiting tasks in the order in which they are
 // served, and those that are within their team's guarantee: urgent ones first,
 // then by their latest start, so that less important work gets its turn before
 // its time is up. What is late for good waits behind what can still be in
@@ -108,11 +110,11 @@
 	return out, p.guaranteedJobs
 }
 
-// orderPause is how long the order of a part's jobs stands unless jobs come or
+// queueOrderInterval is how long the order of a part's jobs stands unless jobs come or
 // go: it hangs on times of seconds and more, and hundreds of jobs are ranked.
 const queueOrderInterval = 200 * millisecond
 
-// waits tells whether a job has tasks that could be placed now.
+// hasSchedulableTasks tells whether a job has tasks that could be placed now.
 func (c *Controller) hasSchedulableTasks(j *job) bool {
 	return j.isActive() && !j.blocked && j.chunksLoading == 0 && j.pendingCount() > 0 && c.now >= j.backoffUntil
 }
@@ -121,9 +123,9 @@
 func (c *Controller) rankJobs(p *shard) {
 	type ranked struct {
 		j    *job
-		rank placement.JobRank
+		rank scheduling.JobRank
 	}
-	room := Amount(1_000_000)
+	room := cluster.Amount(1_000_000)
 	c.counters.addMachineScans(p.machines)
 	for _, m := range p.machines {
 		room += c.machineTypes[m.machineType].Capacity.CPU
@@ -140,7 +142,7 @@
 		if !j.guaranteeChecked && c.hasSchedulableTasks(j) {
 			j.guaranteeChecked, j.initiallyGuaranteed = true, facts.WithinGuarantee
 		}
-		queue = append(queue, ranked{j, placement.RankJob(facts, c.config.Tuning.ShortJobWeight)})
+		queue = append(queue, ranked{j, scheduling.RankJob(facts, c.config.Tuning.ShortJobWeight)})
 	}
 	slices.SortStableFunc(queue, func(a, b ranked) int { return a.rank.Compare(b.rank) })
 	p.queueOrder, p.queueOrderAt = make([]*job, len(queue)), c.now
@@ -150,8 +152,8 @@
 }
 
 // rankFacts gathers what a job's rank follows from. room is the part's CPUs.
-func (c *Controller) rankFacts(j *job, owed bool, room Amount) placement.JobFacts {
-	return placement.JobFacts{
+func (c *Controller) rankFacts(j *job, owed bool, room cluster.Amount) scheduling.JobFacts {
+	return scheduling.JobFacts{
 		Priority:         j.effectivePriority,
 		WithinGuarantee:  owed,
 		Now:              float64(c.wallTime),
@@ -162,7 +164,7 @@
 	}
 }
 
-// withinGuarantee tells which jobs fit into their team's guarantee along with
+// jobsWithinGuarantee tells which jobs fit into their team's guarantee along with
 // the team's earlier unfinished ones: they need not wait for other teams.
 func (c *Controller) jobsWithinGuarantee(p *shard) map[*job]bool {
 	var js []*job
@@ -172,11 +174,11 @@
 		}
 	}
 	slices.SortStableFunc(js, func(a, b *job) int { return cmp.Compare(a.readySince, b.readySince) })
-	sum := map[string]Resources{}
+	sum := map[string]cluster.Resources{}
 	out := make(map[*job]bool, len(js))
 	for _, j := range js {
-		left := Amount(j.spec.Tasks - j.completedCount)
-		u := sum[j.spec.Team].Plus(Resources{CPU: j.spec.ResourceRequest.CPU * left, GPU: j.spec.ResourceRequest.GPU * left})
+		left := cluster.Amount(j.spec.Tasks - j.completedCount)
+		u := sum[j.spec.Team].Plus(cluster.Resources{CPU: j.spec.ResourceRequest.CPU * left, GPU: j.spec.ResourceRequest.GPU * left})
 		sum[j.spec.Team] = u
 		g := c.teams[j.spec.Team].GuaranteedQuota
 		out[j] = u.CPU <= g.CPU && u.GPU <= g.GPU
--- a/internal/core/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
@@ -8,53 +8,55 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/controller"
+	"stairrelay/internal/simulation"
 )
 
 const (
-	second = core.Time(time.Second)
-	cpu    = core.Amount(1_000_000)
+	second = cluster.Time(time.Second)
+	cpu    = cluster.Amount(1_000_000)
 )
 
-func testConfig() core.Config {
-	return core.Config{
-		Nodes: []core.NodeID{"n0", "n1", "n2"},
-		Teams: []core.Team{
-			{Name: "red", GuaranteedQuota: core.Resources{CPU: 8 * cpu}, QuotaLimit: core.Resources{CPU: 14 * cpu}},
-			{Name: "green", GuaranteedQuota: core.Resources{CPU: 8 * cpu}, QuotaLimit: core.Resources{CPU: 16 * cpu}},
-			{Name: "blue", GuaranteedQuota: core.Resources{CPU: 6 * cpu}, QuotaLimit: core.Resources{CPU: 10 * cpu}},
+func testConfig() controller.Config {
+	return controller.Config{
+		Nodes: []cluster.NodeID{"n0", "n1", "n2"},
+		Teams: []cluster.Team{
+			{Name: "red", GuaranteedQuota: cluster.Resources{CPU: 8 * cpu}, QuotaLimit: cluster.Resources{CPU: 14 * cpu}},
+			{Name: "green", GuaranteedQuota: cluster.Resources{CPU: 8 * cpu}, QuotaLimit: cluster.Resources{CPU: 16 * cpu}},
+			{Name: "blue", GuaranteedQuota: cluster.Resources{CPU: 6 * cpu}, QuotaLimit: cluster.Resources{CPU: 10 * cpu}},
 		},
 		HeartbeatInterval: 2 * second, WorkerLease: 12 * second, CancelDeadline: 37 * second,
 		StoreRPS: 150, WriteRPS: 40, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 6, CloudListLag: 3 * second,
-		Tuning: core.DefaultTuning(),
+		Tuning: controller.DefaultTuning(),
 	}
 }
 
-// sevenConfig is a place with more controllers than teams: one team without
+// sevenNodeConfig is a place with more controllers than teams: one team without
 // guarantee or limit, a short lease, and a slow cloud list.
-func sevenNodeConfig() core.Config {
+func sevenNodeConfig() controller.Config {
 	c := testConfig()
-	c.Nodes = []core.NodeID{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}
-	c.Teams = []core.Team{{Name: "red", QuotaLimit: core.Resources{CPU: core.NoLimit, GPU: core.NoLimit}}}
+	c.Nodes = []cluster.NodeID{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}
+	c.Teams = []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: cluster.NoLimit, GPU: cluster.NoLimit}}}
 	c.HeartbeatInterval, c.WorkerLease, c.CancelDeadline = 5*second/2, 14*second, 34*second
 	c.StoreRPS, c.WriteRPS, c.MaxValueBytes, c.MaxTxnOps, c.CloudRPS, c.CloudListLag = 100, 25, 16384, 20, 4, 8*second
 	return c
 }
 
-func testCloud(w func() *standin.Simulator) *standin.FakeCloud {
-	types := []core.MachineType{
-		{Name: "small", Capacity: core.Resources{CPU: 4 * cpu, Memory: 16 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.2, SpotPrice: 0.07, BootSeconds: 15, Zones: []string{"a", "b", "c"}},
-		{Name: "big", Capacity: core.Resources{CPU: 16 * cpu, Memory: 64 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.9, SpotPrice: 0.3, BootSeconds: 25, Zones: []string{"a", "b"}},
+func testCloud(w func() *simulation.Simulator) *simulation.FakeCloud {
+	types := []cluster.MachineType{
+		{Name: "small", Capacity: cluster.Resources{CPU: 4 * cpu, Memory: 16 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.2, SpotPrice: 0.07, BootSeconds: 15, Zones: []string{"a", "b", "c"}},
+		{Name: "big", Capacity: cluster.Resources{CPU: 16 * cpu, Memory: 64 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.9, SpotPrice: 0.3, BootSeconds: 25, Zones: []string{"a", "b"}},
 	}
 	capacity := map[string]int{}
 	for _, z := range []string{"a", "b", "c"} {
-		capacity[standin.CapacityKey("small", z, true)] = 3
-		capacity[standin.CapacityKey("small", z, false)] = 2
+		capacity[simulation.CapacityKey("small", z, true)] = 3
+		capacity[simulation.CapacityKey("small", z, false)] = 2
 	}
-	capacity[standin.CapacityKey("big", "a", true)] = 1
-	capacity[standin.CapacityKey("big", "b", false)] = 1
-	return standin.NewFakeCloud(types, capacity, func() core.Time {
+	capacity[simulation.CapacityKey("big", "a", true)] = 1
+	capacity[simulation.CapacityKey("big", "b", false)] = 1
+	return simulation.NewFakeCloud(types, capacity, func() cluster.Time {
 		if w().HasFastBoots() {
 			return w().RandomBetween(second, 2*second)
 		}
@@ -65,7 +67,7 @@
 	})
 }
 
-// TestRandomClusters plays seeded days with crashes, cuts, hangs, outages and
+// TestRandomFaults plays seeded days with crashes, cuts, hangs, outages and
 // late messages, and checks the protocol's rules all along and that the work
 // gets done once the troubles are over.
 func TestRandomFaults(t *testing.T) {
@@ -127,13 +129,13 @@
 	return from, to
 }
 
-func simulateDay(t *testing.T, seed uint64, cfg core.Config, options ...standin.Option) map[string]int {
-	var w *standin.Simulator
-	w = standin.NewSimulator(seed, cfg, testCloud(func() *standin.Simulator { return w }), options...)
+func simulateDay(t *testing.T, seed uint64, cfg controller.Config, options ...simulation.Option) map[string]int {
+	var w *simulation.Simulator
+	w = simulation.NewSimulator(seed, cfg, testCloud(func() *simulation.Simulator { return w }), options...)
 	if len(cfg.Nodes) == 3 { // else no machine is up at the start
 		addMachinePerZone(w)
 	}
-	runWithFaults(t, w, cfg, func(teams []string, until core.Time) {
+	runWithFaults(t, w, cfg, func(teams []string, until cluster.Time) {
 		planJobsAndFaults(w, teams, until)
 		planCombinedFaults(w, until, cfg.CancelDeadline)
 		planPipelines(w, teams, until)
@@ -149,17 +151,17 @@
 	return w.FaultCounts
 }
 
-// addMachines puts a small machine into each zone, up at once.
-func addMachinePerZone(w *standin.Simulator) {
+// addMachinePerZone puts a small machine into each zone, up at once.
+func addMachinePerZone(w *simulation.Simulator) {
 	for _, zone := range []string{"a", "b", "c"} {
 		w.AddMachine("small", zone, false)
 	}
 }
 
-// runTroubles plays a day with late messages and the troubles that are planned
+// runWithFaults plays a day with late messages and the troubles that are planned
 // for it, and then until the work should be done. No rule may be broken and no
 // job left.
-func runWithFaults(t *testing.T, w *standin.Simulator, cfg core.Config, plans func(teams []string, until core.Time)) {
+func runWithFaults(t *testing.T, w *simulation.Simulator, cfg controller.Config, plans func(teams []string, until cluster.Time)) {
 	t.Helper()
 	w.LateDelivery, w.HeartbeatDuplicateChance, w.SlowPeerChance = true, 0.03, 0.03
 	if os.Getenv("STAIRRELAY_LOG") != "" {
@@ -189,9 +191,9 @@
 	}
 }
 
-// checkSums looks each second of a day whether the sums that the controllers keep
+// checkUsageSums looks each second of a day whether the sums that the controllers keep
 // of their tasks are those of the tasks themselves.
-func checkUsageSums(t *testing.T, w *standin.Simulator) {
+func checkUsageSums(t *testing.T, w *simulation.Simulator) {
 	var check func()
 	check = func() {
 		for _, c := range w.Controllers() {
@@ -205,14 +207,14 @@
 	w.After(second, check)
 }
 
-// largest lists each class's largest job, by what its tasks need in all.
-func largestJobs(w *standin.Simulator) map[string]*standin.Job {
-	out := map[string]*standin.Job{}
+// largestJobs lists each class's largest job, by what its tasks need in all.
+func largestJobs(w *simulation.Simulator) map[string]*simulation.Job {
+	out := map[string]*simulation.Job{}
 	for _, j := range w.Jobs {
 		if len(j.Spec.Dependencies) > 0 { // its time counts from another moment
 			continue
 		}
-		size := func(j *standin.Job) float64 {
+		size := func(j *simulation.Job) float64 {
 			return float64(j.Spec.ResourceRequest.CPU) * float64(j.Spec.Tasks) * j.Spec.RuntimeSeconds
 		}
 		if o := out[j.Spec.Class]; o == nil || size(j) > size(o) {
--- a/internal/core/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -1,15 +1,16 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
 	"strconv"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/simulation"
 )
 
-// plan hands in jobs of all kinds and brings troubles about, one at a time.
-func planJobsAndFaults(w *standin.Simulator, teams []string, until core.Time) {
+// planJobsAndFaults hands in jobs of all kinds and brings troubles about, one at a time.
+func planJobsAndFaults(w *simulation.Simulator, teams []string, until cluster.Time) {
 	planJobs(w, teams, until)
 	planSingleFaults(w, until)
 }
@@ -23,7 +24,7 @@
 )
 
 // planJobs hands in jobs of all kinds, some of which are cancelled.
-func planJobs(w *standin.Simulator, teams []string, until core.Time) {
+func planJobs(w *simulation.Simulator, teams []string, until cluster.Time) {
 	for i := range plannedJobCount {
 		at := w.RandomBetween(0, until)
 		if i < initialJobCount {
@@ -34,10 +35,10 @@
 		if i%longJobInterval == 4 { // longer than a cancellation may take: what is not stopped then shows
 			run, tasks = w.RandomBetween(50*second, 90*second), 1+w.Rand.IntN(3)
 		}
-		s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%06d", i)), Class: "c" + strconv.Itoa(i%3), Team: teams[w.Rand.IntN(len(teams))],
-			Priority: core.Priority(w.Rand.IntN(4)), Tasks: tasks, ResourceRequest: core.Resources{CPU: cpu + core.Amount(w.Rand.IntN(2_000_000)), Memory: 2 * cpu},
+		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c" + strconv.Itoa(i%3), Team: teams[w.Rand.IntN(len(teams))],
+			Priority: cluster.Priority(w.Rand.IntN(4)), Tasks: tasks, ResourceRequest: cluster.Resources{CPU: cpu + cluster.Amount(w.Rand.IntN(2_000_000)), Memory: 2 * cpu},
 			Image: "img-" + strconv.Itoa(w.Rand.IntN(3)), ImageGB: 1, RuntimeSeconds: float64(run) / 1e9 * 0.8, Spot: w.Chance(0.6)}
-		info := standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: s.Tasks, Image: s.Image}
+		info := simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: s.Tasks, Image: s.Image}
 		if w.Chance(0.3) {
 			s.CheckpointSeconds, s.SaveSeconds, info.CanCheckpoint, info.SaveDuration = 10, 2, true, 2*second
 		}
@@ -51,33 +52,33 @@
 		case 3:
 			s.MachineTypes = []string{"small"}
 		}
-		j := &standin.Job{Spec: s, Info: info}
+		j := &simulation.Job{Spec: s, Info: info}
 		w.After(at, func() { w.Submit(j) })
 		if w.Chance(0.2) {
 			j.CancelPlanned = true
 			w.After(at+w.RandomBetween(0, 30*second), func() { w.Cancel(j) })
 		}
-		w.After(w.RandomBetween(0, until), func() { w.QueryUnknownJob(core.JobID(fmt.Sprintf("j-9%05d", w.Rand.IntN(1000)))) })
+		w.After(w.RandomBetween(0, until), func() { w.QueryUnknownJob(cluster.JobID(fmt.Sprintf("j-9%05d", w.Rand.IntN(1000)))) })
 	}
 }
 
 // planPipelines plans chains and fans over the teams: some are cancelled at one
 // of their jobs, some have their last job handed in only when the others are over.
-func planPipelines(w *standin.Simulator, teams []string, until core.Time) {
+func planPipelines(w *simulation.Simulator, teams []string, until cluster.Time) {
 	n := 0
-	job := func(awaits ...core.JobID) *standin.Job {
+	job := func(awaits ...cluster.JobID) *simulation.Job {
 		n++
 		run := w.RandomBetween(2*second, 12*second)
-		s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-5%05d", n)), Class: "p" + strconv.Itoa(n%2), Team: teams[w.Rand.IntN(len(teams))],
-			Priority: core.Priority(w.Rand.IntN(4)), Tasks: 1 + w.Rand.IntN(4), ResourceRequest: core.Resources{CPU: cpu, Memory: 2 * cpu}, Dependencies: awaits,
+		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-5%05d", n)), Class: "p" + strconv.Itoa(n%2), Team: teams[w.Rand.IntN(len(teams))],
+			Priority: cluster.Priority(w.Rand.IntN(4)), Tasks: 1 + w.Rand.IntN(4), ResourceRequest: cluster.Resources{CPU: cpu, Memory: 2 * cpu}, Dependencies: awaits,
 			Image: "img-" + strconv.Itoa(w.Rand.IntN(3)), ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, DeadlineSeconds: 120, Spot: w.Chance(0.6)}
-		return &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: s.Tasks, Image: s.Image}}
+		return &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: s.Tasks, Image: s.Image}}
 	}
 	for range 6 {
 		at := w.RandomBetween(0, until-60*second)
 		first := job()
-		line := []*standin.Job{first}
-		var fan []core.JobID
+		line := []*simulation.Job{first}
+		var fan []cluster.JobID
 		for range 1 + w.Rand.IntN(3) {
 			j := job(first.Spec.ID)
 			line, fan = append(line, j), append(fan, j.Spec.ID)
--- a/internal/core/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -1,31 +1,17 @@
-package core
+package controller
 
 import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
-	"stairrelay/internal/sharing"
+	"stairrelay/internal/messages"
 )
 
 // Idle machines move between parts by groups: one part offers, the other takes.
 
-// GroupOffer tells a part of a group of idle machines that it may take.
-type TransferOffer struct {
-	Key         string             `cbor:"Key"`
-	ModRevision ModRevision        `cbor:"Mark"`
-	Recipient   ShardID            `cbor:"To"`
-	Kinds       []MachineKindCount `cbor:"Kinds"`
-}
-
-// KindCount counts like machines.
-type MachineKindCount struct {
-	Type  string `cbor:"Type"`
-	Zone  string `cbor:"Zone"`
-	Spot  bool   `cbor:"Spot"`
-	Count int    `cbor:"N"`
-}
-
-// offers lists the groups that the parts held here offer to others.
-func (c *Controller) transferOffers() []TransferOffer {
-	var out []TransferOffer
+// transferOffers lists the groups that the parts held here offer to others.
+func (c *Controller) transferOffers() []messages.TransferOffer {
+	var out []messages.TransferOffer
 	for _, id := range sortedKeys(c.machineGroups) {
 		g := c.machineGroups[id]
 		if g.offer == nil || g.writePending {
@@ -43,16 +29,16 @@
 			}
 			n[k]++
 		}
-		o := TransferOffer{Key: g.key(), ModRevision: g.modRevision, Recipient: g.offer.toShard}
+		o := messages.TransferOffer{Key: g.key(), ModRevision: g.modRevision, Recipient: g.offer.toShard}
 		for _, k := range kinds {
-			o.Kinds = append(o.Kinds, MachineKindCount{k.Type, k.Zone, k.Spot, n[k]})
+			o.Kinds = append(o.Kinds, messages.MachineKindCount{Type: k.Type, Zone: k.Zone, Spot: k.Spot, Count: n[k]})
 		}
 		out = append(out, o)
 	}
 	return out
 }
 
-// endOffers takes back what nobody took in time, whether or not anybody still
+// expireOffers takes back what nobody took in time, whether or not anybody still
 // lacks machines: an offered group gets no work.
 func (c *Controller) expireOffers() {
 	for _, g := range c.machineGroups {
@@ -63,9 +49,9 @@
 	}
 }
 
-// offerIdle offers a part's idle machines to those that lack some. They are
+// offerIdleMachines offers a part's idle machines to those that lack some. They are
 // gathered into groups of their own, so that one write moves many.
-func (c *Controller) offerIdleMachines(p *shard, plan *sharing.Plan) {
+func (c *Controller) offerIdleMachines(p *shard, plan *fairshare.Plan) {
 	if c.now < p.nextOfferAt {
 		return
 	}
@@ -80,7 +66,7 @@
 			spare = append(spare, m)
 		}
 	}
-	offered := map[ShardID]Amount{}
+	offered := map[cluster.ShardID]cluster.Amount{}
 	for _, g := range c.machineGroups {
 		if g.shardID == p.id && g.offer != nil {
 			offered[g.offer.toShard] += c.groupCPU(g)
@@ -124,18 +110,18 @@
 	}
 }
 
-// cpus is what a group's machines have in all.
-func (c *Controller) groupCPU(g *machineGroup) Amount {
-	var sum Amount
+// groupCPU is what a group's machines have in all.
+func (c *Controller) groupCPU(g *machineGroup) cluster.Amount {
+	var sum cluster.Amount
 	for _, m := range g.machines {
 		sum += c.machineTypes[m.machineType].Capacity.CPU
 	}
 	return sum
 }
 
-// takeOffered takes groups that others offer to a part, if it has a use for them.
+// acceptOffers takes groups that others offer to a part, if it has a use for them.
 func (c *Controller) acceptOffers(p *shard, work []pendingWork) {
-	use := func(o TransferOffer) bool {
+	use := func(o messages.TransferOffer) bool {
 		took := 0
 		for _, k := range o.Kinds {
 			for range k.Count {
@@ -154,7 +140,7 @@
 				continue
 			}
 			if q.attemptedTransfers == nil {
-				q.attemptedTransfers = map[string]ModRevision{}
+				q.attemptedTransfers = map[string]cluster.ModRevision{}
 			}
 			q.attemptedTransfers[o.Key] = o.ModRevision
 			c.acquireGroup(p, o.Key, o.ModRevision)
--- a/internal/core/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -1,13 +1,16 @@
-package core
+package controller
 
 import (
 	"slices"
 	"sort"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // What workers report, and what they are answered.
 
-func (c *Controller) handleHeartbeat(e Heartbeat) {
+func (c *Controller) handleHeartbeat(e messages.Heartbeat) {
 	r := &e.Status
 	c.workerReachability.lastHeartbeat = c.now
 	if c.isIsolated() {
@@ -23,7 +26,7 @@
 	p := c.shards[m.shardID]
 	switch {
 	case !p.owned || !p.ready:
-		c.respondError(e.Request, ReplyUnavailable, 0, "")
+		c.respondError(e.Request, messages.ReplyUnavailable, 0, "")
 		return
 	case !c.canAnswerWorkers(p):
 		// Another may have claimed the part unnoticed, and cancelled jobs of it.
@@ -50,7 +53,7 @@
 	c.heldHeartbeats.toCheck = append(c.heldHeartbeats.toCheck, m)
 }
 
-// heldReports lists the machines whose reports have no answer yet, in the order
+// heldHeartbeats lists the machines whose reports have no answer yet, in the order
 // in which they came in. One whose report was answered otherwise has no pending
 // request, and is left out with the next release.
 //
@@ -62,14 +65,14 @@
 	checkScheduled bool       // the next look at all
 }
 
-// releasePause is the time between two looks at all reports that are held.
+// heldHeartbeatInterval is the time between two looks at all reports that are held.
 const heldHeartbeatInterval = 100 * millisecond
 
-// reportHold is how long a report's answer waits for the record that lists its
+// maxHeartbeatHold is how long a report's answer waits for the record that lists its
 // starts. The worker waits 4 s for it, and its lease counts from the sending.
 const maxHeartbeatHold = 600 * millisecond
 
-// isolated tells whether this node has had neither the store nor any other
+// isIsolated tells whether this node has had neither the store nor any other
 // controller for so long that a successor may hold its parts.
 func (c *Controller) isIsolated() bool {
 	if len(c.peers) == 0 || !c.isStoreUnavailableFor(max(c.config.WorkerLease, 10*second)) {
@@ -83,7 +86,7 @@
 	return true
 }
 
-// releaseReports answers the reports whose machine has no start on its way to
+// answerHeldHeartbeats answers the reports whose machine has no start on its way to
 // the record; the others wait for it a moment, so that the answer carries it.
 func (c *Controller) answerHeldHeartbeats() {
 	held := &c.heldHeartbeats
@@ -102,7 +105,7 @@
 	c.scheduleHeldHeartbeats()
 }
 
-// scheduleRelease has all reports that are held looked at after a pause.
+// scheduleHeldHeartbeats has all reports that are held looked at after a pause.
 func (c *Controller) scheduleHeldHeartbeats() {
 	held := &c.heldHeartbeats
 	if len(held.machines) == 0 || held.checkScheduled {
@@ -120,7 +123,7 @@
 	})
 }
 
-// awaitsRecord tells whether a machine's answer waits for a start's record.
+// awaitsGroupRecord tells whether a machine's answer waits for a start's record.
 func (c *Controller) awaitsGroupRecord(m *machine) bool {
 	if c.now >= m.replyDeadline || c.isStoreUnavailableFor(500*millisecond) {
 		return false
@@ -133,28 +136,28 @@
 	return false
 }
 
-// answerReport answers a machine's report with what it is to do.
+// answerHeartbeat answers a machine's report with what it is to do.
 func (c *Controller) answerHeartbeat(m *machine) {
 	req := m.pendingHeartbeat
 	m.pendingHeartbeat = 0
-	w := &HeartbeatResponse{FencingToken: m.token, Commands: c.commandsFor(m, false)}
+	w := &messages.HeartbeatResponse{FencingToken: m.token, Commands: c.commandsFor(m, false)}
 	if m.raisingToken {
 		w.Commands = onlyStops(w.Commands)
 	}
 	for _, cmd := range w.Commands {
-		if cmd.Kind == Start {
+		if cmd.Kind == cluster.Start {
 			a := m.assignments[cmd.Task]
 			a.phase, a.pushed, a.dispatchedAtSequence = phaseDispatched, false, m.pendingSequenceNumber
 		}
 	}
 	m.pushQueued = false
-	c.emit(Respond{Request: req, Status: ReplyOK, Heartbeat: w})
+	c.emit(messages.Respond{Request: req, Status: messages.ReplyOK, Heartbeat: w})
 }
 
-// commands lists what the machine is to do now.
-func (c *Controller) commandsFor(m *machine, urgentOnly bool) []Command {
-	var out []Command
-	var starts []Command
+// commandsFor lists what the machine is to do now.
+func (c *Controller) commandsFor(m *machine, urgentOnly bool) []cluster.Command {
+	var out []cluster.Command
+	var starts []cluster.Command
 	mayStart := c.canStartTasks(c.shards[m.shardID])
 	for _, a := range m.sortedAssignments() {
 		switch {
@@ -163,7 +166,7 @@
 			if urgentOnly && a.stopSentAt > 0 {
 				continue
 			}
-			if a.state == Checkpointing && a.gracePeriod > 0 && !a.isGraceExpired(c.now) {
+			if a.state == cluster.Checkpointing && a.gracePeriod > 0 && !a.isGraceExpired(c.now) {
 				continue
 			}
 			g := a.gracePeriod
@@ -173,23 +176,23 @@
 			if a.stopSentAt == 0 {
 				a.stopSentAt = c.now
 			}
-			out = append(out, Command{Kind: Stop, Task: a.task, Attempt: a.attempt, GraceSeconds: g})
+			out = append(out, cluster.Command{Kind: cluster.Stop, Task: a.task, Attempt: a.attempt, GraceSeconds: g})
 		case a.phase == phaseReady && !m.startInDoubt && !m.releasing && c.now >= m.noStartsBefore && a.job.isActive():
 			if !mayStart || m.hasUnclearedAttempt(a.task) {
 				continue
 			}
-			starts = append(starts, Command{Kind: Start, Task: a.task, Attempt: a.attempt})
+			starts = append(starts, cluster.Command{Kind: cluster.Start, Task: a.task, Attempt: a.attempt})
 		case a.isCompleted() && !m.startInDoubt && !urgentOnly && c.isOutcomeStored(a):
-			out = append(out, Command{Kind: Acknowledge, Task: a.task, Attempt: a.attempt})
+			out = append(out, cluster.Command{Kind: cluster.Acknowledge, Task: a.task, Attempt: a.attempt})
 		}
 	}
 	if !urgentOnly {
 		for _, t := range sortedAttempts(m.unrecordedToStop) {
-			out = append(out, Command{Kind: Stop, Task: t.task, Attempt: t.attempt})
+			out = append(out, cluster.Command{Kind: cluster.Stop, Task: t.task, Attempt: t.attempt})
 		}
 		if !m.startInDoubt {
 			for _, t := range sortedAttempts(m.endedToAcknowledge) {
-				out = append(out, Command{Kind: Acknowledge, Task: t.task, Attempt: t.attempt})
+				out = append(out, cluster.Command{Kind: cluster.Acknowledge, Task: t.task, Attempt: t.attempt})
 			}
 		}
 	}
@@ -199,11 +202,11 @@
 // onlyStops leaves what may be sent under any token that the worker takes: a
 // task that is to be stopped must not go on until a higher token is stored,
 // which in an outage takes longer than a cancellation may.
-func onlyStops(cmds []Command) []Command {
-	return slices.DeleteFunc(cmds, func(x Command) bool { return x.Kind != Stop })
+func onlyStops(cmds []cluster.Command) []cluster.Command {
+	return slices.DeleteFunc(cmds, func(x cluster.Command) bool { return x.Kind != cluster.Stop })
 }
 
-func (a *assignment) isGraceExpired(now Time) bool {
+func (a *assignment) isGraceExpired(now cluster.Time) bool {
 	return a.stopSentAt > 0 && float64(now-a.stopSentAt)/float64(second) > a.gracePeriod+2
 }
 
@@ -211,8 +214,8 @@
 	return a.job.finalStatus != "" || a.job.taskStates[a.task.Index] == taskCompletionStored
 }
 
-// holds tells whether an earlier start of a task is still being cleared away.
-func (m *machine) hasUnclearedAttempt(t TaskID) bool {
+// hasUnclearedAttempt tells whether an earlier start of a task is still being cleared away.
+func (m *machine) hasUnclearedAttempt(t cluster.TaskID) bool {
 	for s := range m.endedToAcknowledge {
 		if s.task == t {
 			return true
@@ -243,7 +246,7 @@
 
 // reconcile compares a worker's account with what is believed of it. It
 // returns false for an account older than one already taken in.
-func (c *Controller) reconcile(m *machine, r *HeartbeatStatus, viaOrders bool) bool {
+func (c *Controller) reconcile(m *machine, r *cluster.HeartbeatStatus, viaOrders bool) bool {
 	fresh := r.Incarnation > m.incarnation
 	if r.Incarnation < m.incarnation || !fresh && r.SequenceNumber <= m.sequenceNumber {
 		return false
@@ -282,7 +285,7 @@
 }
 
 // reconcileToken takes in which token a worker has seen.
-func (c *Controller) reconcileToken(m *machine, r *HeartbeatStatus) {
+func (c *Controller) reconcileToken(m *machine, r *cluster.HeartbeatStatus) {
 	// A worker that has seen no token at all, on a machine that nobody but this
 	// claim has ever owned, can have no older command on its way to it.
 	acked := r.FencingToken == m.token || r.FencingToken == 0 && m.token == m.initialToken && !m.startInDoubt && !m.raisingToken
@@ -304,7 +307,7 @@
 // reconcilePresent takes in the tasks that a report shows, and returns them. It
 // goes by start, not by task: an old report may show an earlier attempt of a
 // task that runs here now, and must not make that one look gone.
-func (c *Controller) reconcilePresent(m *machine, r *HeartbeatStatus) map[taskAttempt]bool {
+func (c *Controller) reconcilePresent(m *machine, r *cluster.HeartbeatStatus) map[taskAttempt]bool {
 	present := make(map[taskAttempt]bool, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
@@ -321,7 +324,7 @@
 
 // reconcileAbsent takes in that a report under our token does not show the other
 // tasks. It tells whether a start was lost that an answer carried.
-func (c *Controller) reconcileAbsent(m *machine, r *HeartbeatStatus, present map[taskAttempt]bool, fresh, viaOrders bool) bool {
+func (c *Controller) reconcileAbsent(m *machine, r *cluster.HeartbeatStatus, present map[taskAttempt]bool, fresh, viaOrders bool) bool {
 	lostInAnswer := false
 	for _, a := range m.sortedAssignments() {
 		if present[a.taskAttempt()] || a.confirmedAbsent {
@@ -341,7 +344,7 @@
 				c.confirmAbsent(m, a)
 			}
 		case phaseEnded:
-			if a.cause != CauseCompleted || c.isOutcomeStored(a) {
+			if a.cause != cluster.CauseCompleted || c.isOutcomeStored(a) {
 				c.confirmAbsent(m, a)
 			}
 		}
@@ -363,7 +366,7 @@
 	}
 }
 
-// setGone notes that a task is proven to be off the machine. The record must
+// confirmAbsent notes that a task is proven to be off the machine. The record must
 // say so before it may start elsewhere; when nobody waits for that, it can
 // share a later write.
 func (c *Controller) confirmAbsent(m *machine, a *assignment) {
@@ -378,29 +381,29 @@
 	// Nobody waits for it: the next checkpoint takes it along.
 }
 
-// unlistedTask is a task that the machine's record does not list.
-func (c *Controller) handleUnrecordedTask(m *machine, t *TaskStatus) {
+// handleUnrecordedTask is a task that the machine's record does not list.
+func (c *Controller) handleUnrecordedTask(m *machine, t *cluster.TaskStatus) {
 	s := taskAttempt{t.Task, t.Attempt}
 	if c.applyUnrecordedCompletion(m, t) {
 		return
 	}
-	if t.State == Ended {
+	if t.State == cluster.Ended {
 		delete(m.unrecordedToStop, s)
 		m.endedToAcknowledge[s] = true
 		return
 	}
 	if !m.unrecordedToStop[s] {
-		c.log(LogInfo, "stray task", "machine", string(m.id), "task", t.Task.String(), "attempt", uint64(t.Attempt))
+		c.log(messages.LogInfo, "stray task", "machine", string(m.id), "task", t.Task.String(), "attempt", uint64(t.Attempt))
 	}
 	m.unrecordedToStop[s] = true
 }
 
-// completedUnlisted takes in that a task has run to its end under an earlier
+// applyUnrecordedCompletion takes in that a task has run to its end under an earlier
 // holder of its part, who had not stored that yet. The worker shows it until it
 // is stored. It returns false where that is of no use here.
-func (c *Controller) applyUnrecordedCompletion(m *machine, t *TaskStatus) bool {
+func (c *Controller) applyUnrecordedCompletion(m *machine, t *cluster.TaskStatus) bool {
 	j := c.jobs.owned[t.Task.Job]
-	if t.State != Ended || t.Cause != CauseCompleted || j == nil || !j.isActive() || t.Task.Index >= len(j.taskStates) || m.assignments[t.Task] != nil {
+	if t.State != cluster.Ended || t.Cause != cluster.CauseCompleted || j == nil || !j.isActive() || t.Task.Index >= len(j.taskStates) || m.assignments[t.Task] != nil {
 		return false
 	}
 	if j.chunksLoading > 0 { // perhaps it is stored already
@@ -409,13 +412,13 @@
 	if j.taskStates[t.Task.Index] != taskPending {
 		return false
 	}
-	a := &assignment{task: t.Task, machineID: m.id, job: j, attempt: t.Attempt, phase: phaseEnded, cause: CauseCompleted, resourceRequest: j.spec.ResourceRequest, startUnobserved: true, removedFromRecord: true}
+	a := &assignment{task: t.Task, machineID: m.id, job: j, attempt: t.Attempt, phase: phaseEnded, cause: cluster.CauseCompleted, resourceRequest: j.spec.ResourceRequest, startUnobserved: true, removedFromRecord: true}
 	m.addAssignment(a)
 	c.recordTaskDone(j, t.Task.Index)
 	return true
 }
 
-// taskDone notes that a task has run to its end; with the last of its job that
+// recordTaskDone notes that a task has run to its end; with the last of its job that
 // is stored at once.
 func (c *Controller) recordTaskDone(j *job, index int) {
 	j.setCompleted(index)
@@ -424,8 +427,8 @@
 	}
 }
 
-// seen takes in one listed task's state.
-func (c *Controller) applyTaskStatus(m *machine, a *assignment, t *TaskStatus) {
+// applyTaskStatus takes in one listed task's state.
+func (c *Controller) applyTaskStatus(m *machine, a *assignment, t *cluster.TaskStatus) {
 	if a.phase == phaseEnded {
 		return
 	}
@@ -433,7 +436,7 @@
 	a.phase = phaseAcknowledged
 	a.state = t.State
 	switch t.State {
-	case Running:
+	case cluster.Running:
 		if a.runningSince == 0 {
 			a.runningSince = c.now
 			if a.job.firstRunAt == 0 {
@@ -442,7 +445,7 @@
 			a.job.lastRunAt = c.now
 			m.addCachedImage(a.job, c.machineTypes[m.machineType].CacheGB)
 		}
-	case Ended:
+	case cluster.Ended:
 		c.handleTaskEnded(m, a, t)
 	}
 }
@@ -474,20 +477,20 @@
 	return false
 }
 
-func (c *Controller) handleTaskEnded(m *machine, a *assignment, t *TaskStatus) {
+func (c *Controller) handleTaskEnded(m *machine, a *assignment, t *cluster.TaskStatus) {
 	j := a.job
 	m.markEnded(a, t.Cause)
-	if t.Cause == CauseCompleted {
+	if t.Cause == cluster.CauseCompleted {
 		c.recordRuntime(m, a)
 		c.recordTaskDone(j, a.task.Index)
 		return
 	}
 	switch t.Cause {
-	case CauseFailed:
+	case cluster.CauseFailed:
 		c.handleTaskError(m, a)
-	case CauseNoCapacity, CauseDuplicateAttempt:
+	case cluster.CauseNoCapacity, cluster.CauseDuplicateAttempt:
 		m.noStartsBefore = c.now + 3*second
-	case CauseUnknownTask:
+	case cluster.CauseUnknownTask:
 		j.backoffUntil = c.now + 3*second
 	}
 	c.confirmAbsent(m, a)
@@ -496,7 +499,7 @@
 	}
 }
 
-// onTaskError tells a faulty machine from a faulty job: several jobs failing
+// handleTaskError tells a faulty machine from a faulty job: several jobs failing
 // on one machine speak against the machine, one job failing on several
 // machines against the job, which is then retried ever more slowly.
 func (c *Controller) handleTaskError(m *machine, a *assignment) {
@@ -509,7 +512,7 @@
 		j.backoffUntil = c.now + min(second<<min(len(j.failedMachines)+j.taskErrors/2, 6), 60*second)
 	}
 	if len(m.failedJobs) >= 2 && !m.draining {
-		c.log(LogInfo, "machine fails tasks", "machine", string(m.id), "errors", m.taskErrors)
+		c.log(messages.LogInfo, "machine fails tasks", "machine", string(m.id), "errors", m.taskErrors)
 		c.drainMachine(m)
 	}
 }
--- a/internal/core/recordnames.go
+++ b/internal/controller/recordnames.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import "strconv"
 
@@ -10,13 +10,13 @@
 	provisioningRequests int
 }
 
-// groupName names a new group of a part.
+// nextMachineGroupName names a new group of a part.
 func (c *Controller) nextMachineGroupName(p *shard) string {
 	c.recordNames.machineGroups++
 	return c.formatRecordName(p, c.recordNames.machineGroups)
 }
 
-// rentalName names a new rental of a part.
+// nextProvisioningRequestName names a new rental of a part.
 func (c *Controller) nextProvisioningRequestName(p *shard) string {
 	c.recordNames.provisioningRequests++
 	return "r-" + c.formatRecordName(p, c.recordNames.provisioningRequests)
--- a/internal/core/regroup.go
+++ b/internal/controller/regroup.go
@@ -1,8 +1,11 @@
-package core
+package controller
 
 import (
 	"slices"
 	"sort"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // regrouping moves machines of a part into one group by one transaction on all
@@ -13,7 +16,7 @@
 type regrouping struct {
 	controller    *Controller
 	shard         *shard
-	claimRevision Revision
+	claimRevision cluster.Revision
 	machines      []*machine // that are to be moved
 	sources       []*machineGroup
 	target        *machineGroup   // nil: a new one
@@ -51,7 +54,7 @@
 	})
 }
 
-// groupsToLeave lists the groups that machines are in; false: one of them is in
+// sourceGroups lists the groups that machines are in; false: one of them is in
 // the target already, or its record is on its way to the store.
 func sourceGroups(ms []*machine, to *machineGroup) ([]*machineGroup, bool) {
 	var from []*machineGroup
@@ -91,21 +94,21 @@
 }
 
 // build makes the records of the groups that are left and of the one they go to.
-func (r *regrouping) build(nonce string) ([]TxnOp, []ModRevision) {
+func (r *regrouping) build(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 	c := r.controller
 	r.snapshots = nil
 	r.moving = r.stillToMove()
-	var ops []TxnOp
-	var marks []ModRevision
+	var ops []messages.TxnOp
+	var marks []cluster.ModRevision
 	for _, g := range r.sources {
 		rest := slices.DeleteFunc(g.sortedMachines(), func(m *machine) bool { return slices.Contains(r.moving, m) })
 		g.nextWritePriority, g.addedBytes = priorityCount, 0
 		v, s := c.buildGroupRecord(r.shard.id, rest, nonce)
-		ops = append(ops, TxnOp{g.key(), v})
+		ops = append(ops, messages.TxnOp{Key: g.key(), Value: v})
 		marks = append(marks, g.modRevision)
 		r.snapshots = append(r.snapshots, s)
 	}
-	mark, into := ModRevision(0), slices.Clone(r.moving)
+	mark, into := cluster.ModRevision(0), slices.Clone(r.moving)
 	if r.target != nil {
 		mark = r.target.modRevision
 		r.target.nextWritePriority, r.target.addedBytes = priorityCount, 0
@@ -118,7 +121,7 @@
 		r.abandon()
 		return nil, nil
 	}
-	return append(ops, TxnOp{"groups/" + r.targetID, v}), append(marks, mark)
+	return append(ops, messages.TxnOp{Key: "groups/" + r.targetID, Value: v}), append(marks, mark)
 }
 
 // stillToMove lists the machines that are where they were.
@@ -132,7 +135,7 @@
 	return moving
 }
 
-// giveUp leaves the groups as they are. Their own writes may have been taken
+// abandon leaves the groups as they are. Their own writes may have been taken
 // back for this one.
 func (r *regrouping) abandon() {
 	r.unlock()
@@ -142,8 +145,8 @@
 	r.done(nil)
 }
 
-// stored moves the machines as the records now say.
-func (r *regrouping) handleStored(e Revision) {
+// handleStored moves the machines as the records now say.
+func (r *regrouping) handleStored(e cluster.Revision) {
 	c := r.controller
 	r.unlock()
 	if !r.shard.isOwnedUnder(r.claimRevision) {
@@ -162,7 +165,7 @@
 		again = min(again, g.nextWritePriority)
 	}
 	for i, g := range append(slices.Clone(r.sources), r.target) {
-		g.modRevision, g.recordSize = ModRevision(e), r.snapshots[i].size
+		g.modRevision, g.recordSize = cluster.ModRevision(e), r.snapshots[i].size
 		c.handleGroupStored(g, r.snapshots[i], e)
 		if g.nextWritePriority = again; len(g.machines) > 0 { // what was asked of one may now concern the other
 			c.queueNextWrite(g)
@@ -171,7 +174,7 @@
 	r.done(r.target)
 }
 
-// refused follows a conflict with another writer.
+// handleConflict follows a conflict with another writer.
 func (r *regrouping) handleConflict() {
 	r.unlock()
 	for _, g := range r.affected {
@@ -182,13 +185,13 @@
 	r.done(nil)
 }
 
-// lost follows the loss of the part.
+// handleShardLost follows the loss of the part.
 func (r *regrouping) handleShardLost() {
 	r.unlock()
 	r.done(nil)
 }
 
-// take moves a machine here from the group that it is in.
+// moveIn moves a machine here from the group that it is in.
 func (g *machineGroup) moveIn(m *machine) {
 	delete(m.group.machines, m.id)
 	m.group = g
--- a/internal/core/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -1,11 +1,13 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"testing"
+
+	"stairrelay/internal/messages"
 )
 
-// TestOutcomesRefused: the store calls the record of a job's outcomes malformed,
+// TestRejectedOutcomesNotResentUnchanged: the store calls the record of a job's outcomes malformed,
 // as the limit in force is below the one known. No part is given up for it, and
 // it isn't sent again unchanged.
 func TestRejectedOutcomesNotResentUnchanged(t *testing.T) {
@@ -14,7 +16,7 @@
 	b.rejectLongerValues(2000)
 	j := b.addTestJob("j-1", 16_000)
 	v, _ := json.Marshal(jobRecord{Spec: &j.spec, WriteID: "x"})
-	b.store.keys["jobs/j-1"] = KV{"jobs/j-1", v, 20}
+	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: v, ModRevision: 20}
 	j.modRevisions[0] = 20
 	for i := 0; i < 16_000; i += 3 {
 		j.setCompleted(i)
--- a/internal/core/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -1,8 +1,12 @@
-package core
+package controller
 
-import "testing"
+import (
+	"testing"
 
-// TestSplitRefused: the limit in force is far below the one known, so that the
+	"stairrelay/internal/cluster"
+)
+
+// TestRejectedSplitIsSplitFurther: the limit in force is far below the one known, so that the
 // two halves of a record are refused as well. It is split further, and what it
 // was to be written for is stored in the end.
 func TestRejectedSplitIsSplitFurther(t *testing.T) {
@@ -16,7 +20,7 @@
 	for _, x := range g.sortedMachines() {
 		m = x
 	}
-	a := &assignment{task: TaskID{Job: "j-1", Index: 15_000}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 15_000, phase: phaseRecording}
+	a := &assignment{task: cluster.TaskID{Job: "j-1", Index: 15_000}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 15_000, phase: phaseRecording}
 	m.addAssignment(a)
 	j.setAssigned(15_000, a)
 	b.writeMachine(m, priorityStart)
