--- a/internal/core/requests.go
+++ b/internal/controller/requests.go
@@ -1,33 +1,36 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // What users ask of accepted jobs: questions and cancellations.
 
-func (c *Controller) respondView(req RequestID, status ReplyStatus, v JobView) {
-	c.emit(Respond{Request: req, Status: status, View: &v})
+func (c *Controller) respondView(req messages.RequestID, status messages.ReplyStatus, v cluster.JobView) {
+	c.emit(messages.Respond{Request: req, Status: status, View: &v})
 }
 
-func finalView(id JobID, k *knownJob) JobView {
-	v := JobView{ID: id, Status: k.finalStatus}
-	if k.finalStatus == JobDone {
+func finalView(id cluster.JobID, k *knownJob) cluster.JobView {
+	v := cluster.JobView{ID: id, Status: k.finalStatus}
+	if k.finalStatus == cluster.JobDone {
 		v.Done = k.tasks
 	}
 	return v
 }
 
-func viewFromRecord(kv KV, id JobID) (JobView, bool) {
+func viewFromRecord(kv messages.KV, id cluster.JobID) (cluster.JobView, bool) {
 	var rec jobRecord
 	if json.Unmarshal(kv.Value, &rec) != nil {
-		return JobView{}, false
+		return cluster.JobView{}, false
 	}
-	v := JobView{ID: id, Status: JobPending}
+	v := cluster.JobView{ID: id, Status: cluster.JobPending}
 	if rec.FinalStatus.IsFinal() {
 		v.Status = rec.FinalStatus
-		if rec.FinalStatus == JobDone {
+		if rec.FinalStatus == cluster.JobDone {
 			v.Done = rec.Tasks
 		}
 		return v, true
@@ -37,40 +40,40 @@
 	}
 	decodeCompleted(rec.CompletedIndexes, min(rec.Spec.Tasks, tasksPerChunk), func(int) { v.Done++ })
 	if v.Done > 0 {
-		v.Status = JobRunning
+		v.Status = cluster.JobRunning
 	}
 	return v, true
 }
 
-// retrySoon is how many seconds a user waits who is to come again at once.
+// shortRetryAfterSeconds is how many seconds a user waits who is to come again at once.
 const shortRetryAfterSeconds = 1
 
-func (c *Controller) handleQuery(e Query) {
-	c.lookUpJob(e.ID, func(status ReplyStatus, v JobView) {
-		if status == ReplyOK {
-			c.respondView(e.Request, ReplyOK, v)
+func (c *Controller) handleQuery(e messages.Query) {
+	c.lookUpJob(e.ID, func(status messages.ReplyStatus, v cluster.JobView) {
+		if status == messages.ReplyOK {
+			c.respondView(e.Request, messages.ReplyOK, v)
 			return
 		}
 		after := 0
-		if status == ReplyUnavailable {
+		if status == messages.ReplyUnavailable {
 			after = shortRetryAfterSeconds
 		}
 		c.respondError(e.Request, status, after, "")
 	})
 }
 
-// lookUp finds a job's state: a final one from memory, else from its owner,
+// lookUpJob finds a job's state: a final one from memory, else from its owner,
 // else from the store, which alone can say that there is no such job.
-func (c *Controller) lookUpJob(id JobID, fn func(ReplyStatus, JobView)) {
+func (c *Controller) lookUpJob(id cluster.JobID, fn func(messages.ReplyStatus, cluster.JobView)) {
 	k := c.jobs.known[id]
 	if k != nil && k.finalStatus != "" {
-		fn(ReplyOK, finalView(id, k))
+		fn(messages.ReplyOK, finalView(id, k))
 		return
 	}
 	if j := c.jobs.owned[id]; j != nil {
 		c.confirmOwnership(c.shards[j.shard], func(good bool) {
 			if k := c.jobs.finalJob(id); k != nil {
-				fn(ReplyOK, finalView(id, k))
+				fn(messages.ReplyOK, finalView(id, k))
 			} else if j := c.jobs.owned[id]; good && j != nil && !j.endInFlight {
 				c.answerUnfinished(id, j.view(), fn)
 			} else { // another may have read and told an end that is on its way here
@@ -88,57 +91,57 @@
 	c.lookUpJobInStore(id, fn)
 }
 
-func (c *Controller) lookUpJobInStore(id JobID, fn func(ReplyStatus, JobView)) {
+func (c *Controller) lookUpJobInStore(id cluster.JobID, fn func(messages.ReplyStatus, cluster.JobView)) {
 	if c.isStoreUnavailableFor(second) || c.writeQueue.requestBudget.Level() < -c.writeQueue.requestBudget.Capacity() {
-		fn(ReplyUnavailable, JobView{})
+		fn(messages.ReplyUnavailable, cluster.JobView{})
 		return
 	}
-	c.readKey(jobKey(id), func(r GetReply) {
+	c.readKey(jobKey(id), func(r messages.GetReply) {
 		switch r.Outcome {
-		case OK:
+		case messages.OK:
 			c.applyJobRecord(r.KV, nil)
 			v, ok := viewFromRecord(r.KV, id)
 			switch {
 			case !ok:
-				fn(ReplyUnavailable, JobView{})
+				fn(messages.ReplyUnavailable, cluster.JobView{})
 			case v.Status.IsFinal():
-				fn(ReplyOK, v)
+				fn(messages.ReplyOK, v)
 			default:
 				c.answerUnfinished(id, v, fn)
 			}
-		case NotFound:
+		case messages.NotFound:
 			c.lookUpAdmission(id, func(known, ok bool) {
 				switch {
 				case !ok:
-					fn(ReplyUnavailable, JobView{})
+					fn(messages.ReplyUnavailable, cluster.JobView{})
 				case known:
-					c.answerUnfinished(id, JobView{ID: id, Status: JobPending}, fn)
+					c.answerUnfinished(id, cluster.JobView{ID: id, Status: cluster.JobPending}, fn)
 				default:
-					fn(ReplyJobNotFound, JobView{})
+					fn(messages.ReplyJobNotFound, cluster.JobView{})
 				}
 			})
 		default:
-			fn(ReplyUnavailable, JobView{})
+			fn(messages.ReplyUnavailable, cluster.JobView{})
 		}
 	})
 }
 
-// answerAsk answers what this node can vouch for and leaves out the rest.
-func (c *Controller) answerJobQuery(ids []JobID, fn func([]JobView)) {
-	byPart := map[ShardID]bool{}
+// answerJobQuery answers what this node can vouch for and leaves out the rest.
+func (c *Controller) answerJobQuery(ids []cluster.JobID, fn func([]cluster.JobView)) {
+	byPart := map[cluster.ShardID]bool{}
 	for _, id := range ids {
 		if j := c.jobs.owned[id]; j != nil {
 			byPart[j.shard] = true
 		}
 	}
 	left := 1
-	good := map[ShardID]bool{}
+	good := map[cluster.ShardID]bool{}
 	fresh := false
 	finish := func() {
 		if left--; left > 0 {
 			return
 		}
-		var out []JobView
+		var out []cluster.JobView
 		for _, id := range ids {
 			if k := c.jobs.finalJob(id); k != nil {
 				out = append(out, finalView(id, k))
@@ -148,7 +151,7 @@
 		}
 		fn(out)
 	}
-	if slices.ContainsFunc(ids, func(id JobID) bool { return c.jobs.owned[id] != nil && c.jobs.isBlocked(id) }) {
+	if slices.ContainsFunc(ids, func(id cluster.JobID) bool { return c.jobs.owned[id] != nil && c.jobs.isBlocked(id) }) {
 		left++
 		c.linearizableJobRead(func(ok bool) {
 			fresh = ok
@@ -167,21 +170,21 @@
 	finish()
 }
 
-func (c *Controller) handleCancel(req RequestID, id JobID, first bool) {
-	answer := func(s JobStatus) {
+func (c *Controller) handleCancel(req messages.RequestID, id cluster.JobID, first bool) {
+	answer := func(s cluster.JobStatus) {
 		if s == "" {
-			c.respondError(req, ReplyUnavailable, shortRetryAfterSeconds, "")
+			c.respondError(req, messages.ReplyUnavailable, shortRetryAfterSeconds, "")
 			return
 		}
-		v := JobView{ID: id, Status: s}
-		c.respondView(req, ReplyOK, v)
+		v := cluster.JobView{ID: id, Status: s}
+		c.respondView(req, messages.ReplyOK, v)
 	}
 	k := c.jobs.known[id]
 	switch {
 	case k != nil && k.finalStatus != "":
 		answer(k.finalStatus)
 	case k != nil && c.shards[k.shard].owned:
-		c.cancelOwnedJob(id, func(status ReplyStatus, v *JobView) {
+		c.cancelOwnedJob(id, func(status messages.ReplyStatus, v *cluster.JobView) {
 			if v == nil {
 				answer("")
 				return
@@ -194,8 +197,8 @@
 			answer("")
 			return
 		}
-		c.callPeer(p.id, 3*second, PeerMessage{Cancel: id}, func(r PeerReply) {
-			if r.Outcome == OK && len(r.Message.Views) == 1 {
+		c.callPeer(p.id, 3*second, messages.PeerMessage{Cancel: id}, func(r messages.PeerReply) {
+			if r.Outcome == messages.OK && len(r.Message.Views) == 1 {
 				if s := r.Message.Views[0].Status; s.IsFinal() {
 					c.applyFinalStatus(id, k, s)
 					answer(s)
@@ -205,14 +208,14 @@
 			answer("")
 		})
 	default:
-		c.lookUpJobInStore(id, func(status ReplyStatus, v JobView) {
+		c.lookUpJobInStore(id, func(status messages.ReplyStatus, v cluster.JobView) {
 			switch {
-			case status == ReplyOK && v.Status.IsFinal():
+			case status == messages.ReplyOK && v.Status.IsFinal():
 				answer(v.Status)
-			case status == ReplyOK && first:
+			case status == messages.ReplyOK && first:
 				c.handleCancel(req, id, false)
-			case status == ReplyJobNotFound:
-				c.respondError(req, ReplyJobNotFound, 0, "")
+			case status == messages.ReplyJobNotFound:
+				c.respondError(req, messages.ReplyJobNotFound, 0, "")
 			default:
 				answer("")
 			}
@@ -220,28 +223,28 @@
 	}
 }
 
-// cancelHere cancels a job of a part held here; told only after it is stored.
-func (c *Controller) cancelOwnedJob(id JobID, fn func(ReplyStatus, *JobView)) {
+// cancelOwnedJob cancels a job of a part held here; told only after it is stored.
+func (c *Controller) cancelOwnedJob(id cluster.JobID, fn func(messages.ReplyStatus, *cluster.JobView)) {
 	if k := c.jobs.finalJob(id); k != nil {
-		fn(ReplyOK, &JobView{ID: id, Status: k.finalStatus})
+		fn(messages.ReplyOK, &cluster.JobView{ID: id, Status: k.finalStatus})
 		return
 	}
 	j := c.jobs.owned[id]
 	if j == nil || !c.shards[j.shard].ready {
-		fn(ReplyUnavailable, nil)
+		fn(messages.ReplyUnavailable, nil)
 		return
 	}
 	over := false
-	done := func(s JobStatus) {
+	done := func(s cluster.JobStatus) {
 		if over {
 			return
 		}
 		over = true
 		if s == "" {
-			fn(ReplyUnavailable, nil)
+			fn(messages.ReplyUnavailable, nil)
 			return
 		}
-		fn(ReplyOK, &JobView{ID: id, Status: s})
+		fn(messages.ReplyOK, &cluster.JobView{ID: id, Status: s})
 	}
 	c.after(2800*millisecond, func() { done("") })
 	j.waiters = append(j.waiters, done)
--- a/internal/core/resourceusage.go
+++ b/internal/controller/resourceusage.go
@@ -1,6 +1,10 @@
-package core
+package controller
 
-import "maps"
+import (
+	"maps"
+
+	"stairrelay/internal/cluster"
+)
 
 // Sums of what tasks take, kept up to date as tasks come and go: placement asks
 // for them many times a second, and there may be thousands of tasks.
@@ -8,17 +12,17 @@
 // A task counts while it is live on a machine held here: from when it is listed
 // there until a report shows that it has ended or that it is gone.
 
-// teamUse sums what each team's live tasks take on the machines of a part.
-type teamUsage map[string]Resources
+// teamUsage sums what each team's live tasks take on the machines of a part.
+type teamUsage map[string]cluster.Resources
 
-// machineUse sums what the live tasks of a machine take.
+// machineUsage sums what the live tasks of a machine take.
 type machineUsage struct {
 	taskCount int
-	resources Resources
+	resources cluster.Resources
 	byTeam    teamUsage // of the machine's part
 }
 
-// count takes in a task that has become live.
+// add takes in a task that has become live.
 func (u *machineUsage) add(a *assignment) {
 	if a.countedInUsage || !a.isLive() {
 		return
@@ -29,7 +33,7 @@
 	u.byTeam[a.job.spec.Team] = u.byTeam[a.job.spec.Team].Plus(a.resourceRequest)
 }
 
-// uncount leaves out a task that is not live any more, or whose machine goes.
+// remove leaves out a task that is not live any more, or whose machine goes.
 func (u *machineUsage) remove(a *assignment) {
 	if !a.countedInUsage {
 		return
@@ -40,24 +44,24 @@
 	u.byTeam[a.job.spec.Team] = u.byTeam[a.job.spec.Team].Minus(a.resourceRequest)
 }
 
-// markGone notes that a task is proven not to be on the machine.
+// markConfirmedAbsent notes that a task is proven not to be on the machine.
 func (m *machine) markConfirmedAbsent(a *assignment) {
 	a.confirmedAbsent = true
 	m.usage.remove(a)
 }
 
 // markEnded notes that a task has ended on the machine.
-func (m *machine) markEnded(a *assignment, cause Cause) {
+func (m *machine) markEnded(a *assignment, cause cluster.Cause) {
 	a.phase, a.cause = phaseEnded, cause
 	m.usage.remove(a)
 }
 
-// used is what the machine's live tasks take.
-func (m *machine) usedResources() Resources { return m.usage.resources }
+// usedResources is what the machine's live tasks take.
+func (m *machine) usedResources() cluster.Resources { return m.usage.resources }
 
-// liveTasks counts them.
+// liveTaskCount counts them.
 func (m *machine) liveTaskCount() int { return m.usage.taskCount }
 
-// teamUse sums what each team's tasks take, wherever they are or may be. The sum
+// teamUsageOf sums what each team's tasks take, wherever they are or may be. The sum
 // is the caller's own.
 func (c *Controller) teamUsageOf(p *shard) teamUsage { return maps.Clone(p.usage) }
--- a/internal/core/runtimes.go
+++ b/internal/controller/runtimes.go
@@ -1,6 +1,11 @@
-package core
+package controller
 
-import "time"
+import (
+	"time"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
 
 // How long tasks run, as learned from those that have run, and the machines and
 // tasks that take too long by that measure.
@@ -43,11 +48,11 @@
 	s.runtimeRatio += w * (min(took/a.job.spec.RuntimeSeconds, 5) - s.runtimeRatio)
 }
 
-// slowPace is how many times slower than its like a machine may be. Machines
+// slowMachineRatio is how many times slower than its like a machine may be. Machines
 // of a type differ by a tenth; faulty ones by factors.
 const slowMachineRatio = 2.2
 
-// checkPace drains a machine that is much slower than its like, and starts
+// handleSlowMachine drains a machine that is much slower than its like, and starts
 // anew elsewhere what has already taken far longer than the job's other tasks.
 func (c *Controller) handleSlowMachine(m *machine) {
 	if m.draining || m.releasing {
@@ -69,7 +74,7 @@
 			return
 		}
 	}
-	c.log(LogInfo, "machine is slow", "machine", string(m.id), "pace", m.relativePace, "late_tasks", len(late))
+	c.log(messages.LogInfo, "machine is slow", "machine", string(m.id), "pace", m.relativePace, "late_tasks", len(late))
 	c.drainMachine(m)
 	for _, a := range m.sortedAssignments() {
 		if a.phase == phaseAcknowledged && !a.confirmedAbsent && a.job.spec.CheckpointSeconds > 0 {
@@ -81,16 +86,16 @@
 	}
 }
 
-// takesTooLong tells whether a task has run far longer than its job's others.
+// isStraggler tells whether a task has run far longer than its job's others.
 func (c *Controller) isStraggler(a *assignment) bool {
-	if a.phase != phaseAcknowledged || a.confirmedAbsent || a.runningSince == 0 || a.state != Running || a.job.completedRuns < 3 || a.job.restartedTasks[a.task.Index] {
+	if a.phase != phaseAcknowledged || a.confirmedAbsent || a.runningSince == 0 || a.state != cluster.Running || a.job.completedRuns < 3 || a.job.restartedTasks[a.task.Index] {
 		return false
 	}
 	like := a.job.totalRunSeconds / float64(a.job.completedRuns)
 	return time.Duration(c.now-a.runningSince).Seconds() > 2.5*like+5
 }
 
-// anyLate tells whether any task of a machine takes too long.
+// hasStraggler tells whether any task of a machine takes too long.
 func (c *Controller) hasStraggler(m *machine) bool {
 	for _, a := range m.assignments {
 		if c.isStraggler(a) {
@@ -100,7 +105,7 @@
 	return false
 }
 
-// expectedRun is a job's run time per task as far as is known.
+// expectedRunSeconds is a job's run time per task as far as is known.
 func (c *Controller) expectedRunSeconds(j *job) float64 {
 	return j.spec.RuntimeSeconds * c.statsOfClass(j.spec.Class).runtimeRatio
 }
--- a/internal/core/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -1,8 +1,8 @@
-package core
+package controller
 
 import "testing"
 
-// TestRentalInZoneOfJob: machines for a job that is bound to a zone are asked for
+// TestScaleOutInZoneOfJob: machines for a job that is bound to a zone are asked for
 // in that zone alone, also where the cloud has refused them there. Placement
 // would not use any of another zone; they would be paid for, and counted as
 // coming, for nothing.
--- a/internal/core/scalein.go
+++ b/internal/controller/scalein.go
@@ -1,8 +1,13 @@
-package core
+package controller
 
-import "strings"
+import (
+	"strings"
 
-// machineReturns gathers the machines that are given back, so that many share
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// scaleInBatch gathers the machines that are given back, so that many share
 // one call of the cloud and one log line.
 //
 // While a return is counted in byCause, a log line is scheduled that will tell
@@ -24,7 +29,7 @@
 	return first
 }
 
-// takeLog returns the arguments of the log line that is due.
+// takeLogArgs returns the arguments of the log line that is due.
 func (s *scaleInBatch) takeLogArgs() []any {
 	args := make([]any, 0, 2*len(s.machinesByCause)+2)
 	for _, cause := range sortedKeys(s.machinesByCause) {
@@ -35,19 +40,19 @@
 	return args
 }
 
-// returnMachine gives a machine back: the record says so first, so that no
+// scaleInMachine gives a machine back: the record says so first, so that no
 // part can take it while the cloud is called.
 func (c *Controller) scaleInMachine(m *machine, why string) {
 	if m.releasing {
 		return
 	}
-	c.log(LogDebug, "returning machine", "machine", string(m.id), "why", why, "tasks", m.liveTaskCount())
+	c.log(messages.LogDebug, "returning machine", "machine", string(m.id), "why", why, "tasks", m.liveTaskCount())
 	c.recordScaleIn(why, m.liveTaskCount())
 	m.releasing = true
 	c.writeMachine(m, priorityOutcome)
 }
 
-// returnUnrecorded gives a machine back before its record says so: it holds
+// scaleInBeforeRecorded gives a machine back before its record says so: it holds
 // cancelled tasks, and an outage of the store may outlast their time. A machine
 // whose record lists tasks can't be taken by another part. One that has been claimed with its part meanwhile may be lost to its new
 // holder, as if it had died: the return itself frees nothing, the record does.
@@ -58,15 +63,15 @@
 	}
 }
 
-// noteReturn gathers what is returned within a second into one line: hundreds
+// recordScaleIn gathers what is returned within a second into one line: hundreds
 // of machines may fall together.
 func (c *Controller) recordScaleIn(cause string, tasks int) {
 	if c.machineReleases.add(cause, tasks) {
-		c.after(second, func() { c.log(LogInfo, "returning machines", c.machineReleases.takeLogArgs()...) })
+		c.after(second, func() { c.log(messages.LogInfo, "returning machines", c.machineReleases.takeLogArgs()...) })
 	}
 }
 
-// returnSoon gathers the machines whose return is recorded into few calls.
+// scheduleScaleIn gathers the machines whose return is recorded into few calls.
 func (c *Controller) scheduleScaleIn() {
 	if c.machineReleases.callScheduled {
 		return
@@ -78,12 +83,12 @@
 	})
 }
 
-// maxReturn is how many machines the protocol lets one call return.
+// maxScaleInMachines is how many machines the protocol lets one call return.
 const maxScaleInMachines = 100
 
 func (c *Controller) callScaleIn() {
 	var ms []*machine
-	var ids []MachineID
+	var ids []cluster.MachineID
 	for _, p := range c.shards {
 		for _, m := range p.machines {
 			if p.owned && m.releaseConfirmed && !m.scaleInCallInFlight && !m.terminated && len(ms) < maxScaleInMachines {
@@ -97,8 +102,8 @@
 	for _, m := range ms {
 		m.scaleInCallInFlight = true
 	}
-	c.emit(CloudScaleIn{IDs: ids, Call: c.registerCall(func(b any) {
-		if b.(ScaleInReply).Outcome != OK {
+	c.emit(messages.CloudScaleIn{IDs: ids, Call: c.registerCall(func(b any) {
+		if b.(messages.ScaleInReply).Outcome != messages.OK {
 			c.after(2*second, func() {
 				for _, m := range ms {
 					m.scaleInCallInFlight = false
@@ -114,7 +119,7 @@
 	})})
 }
 
-// machineGone follows the cloud's word that a machine and all on it are gone.
+// handleMachineTerminated follows the cloud's word that a machine and all on it are gone.
 // What ran there may start elsewhere once the record says so.
 func (c *Controller) handleMachineTerminated(m *machine) {
 	m.terminated = true
@@ -124,7 +129,7 @@
 	c.writeMachine(m, priorityStart)
 }
 
-// forgetMachine drops a machine whose record no longer lists it, and frees its
+// removeMachineAndFreeTasks drops a machine whose record no longer lists it, and frees its
 // tasks.
 func (c *Controller) removeMachineAndFreeTasks(m *machine) {
 	if c.machines[m.id] != m {
--- a/internal/core/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -1,26 +1,29 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"sort"
 	"strings"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// rentOption is something that the cloud may have.
+// provisioningOption is something that the cloud may have.
 type provisioningOption struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// rental is a recorded request; it is repeated under its name until its
+// provisioningRequest is a recorded request; it is repeated under its name until its
 // answer is known.
 type provisioningRequest struct {
 	name          string
 	option        provisioningOption
 	count         int
-	modRevision   ModRevision
+	modRevision   cluster.ModRevision
 	answered      bool
 	grantedCount  int // machines of an answer that is not recorded yet
 	attempts      int
@@ -29,17 +32,17 @@
 }
 
 type provisioningRecord struct {
-	Shard   ShardID `json:"p"`
-	Type    string  `json:"f"`
-	Zone    string  `json:"y"`
-	Spot    bool    `json:"s,omitempty"`
-	Count   int     `json:"n"`
-	WriteID string  `json:"w"`
+	Shard   cluster.ShardID `json:"p"`
+	Type    string          `json:"f"`
+	Zone    string          `json:"y"`
+	Spot    bool            `json:"s,omitempty"`
+	Count   int             `json:"n"`
+	WriteID string          `json:"w"`
 }
 
 func provisioningKey(name string) string { return "rentals/" + name }
 
-func (c *Controller) applyProvisioningRecord(kv KV, p *shard) {
+func (c *Controller) applyProvisioningRecord(kv messages.KV, p *shard) {
 	var rec provisioningRecord
 	if json.Unmarshal(kv.Value, &rec) != nil {
 		c.giveUpCorruptShard(p, kv.Key, "rental record")
@@ -54,14 +57,14 @@
 	c.callScaleOut(p, r)
 }
 
-// waitingWork is what a part's waiting tasks need beyond what it has.
+// pendingWork is what a part's waiting tasks need beyond what it has.
 type pendingWork struct {
 	job      *job
 	tasks    int
 	starving bool // a starving job's next task
 }
 
-// unplaced lists the waiting tasks that team limits would let run at once.
+// listPendingWork lists the waiting tasks that team limits would let run at once.
 func (c *Controller) listPendingWork(p *shard) []pendingWork {
 	use := c.teamUsageOf(p)
 	var l []pendingWork
@@ -78,7 +81,7 @@
 	}
 	for _, j := range jobs {
 		need := j.spec.ResourceRequest
-		n := min(j.pendingCount()-first[j], c.teams[j.spec.Team].QuotaLimit.Minus(use[j.spec.Team]).FitCount(Resources{CPU: need.CPU, GPU: need.GPU}))
+		n := min(j.pendingCount()-first[j], c.teams[j.spec.Team].QuotaLimit.Minus(use[j.spec.Team]).FitCount(cluster.Resources{CPU: need.CPU, GPU: need.GPU}))
 		if n <= 0 {
 			continue
 		}
@@ -88,8 +91,8 @@
 	return l
 }
 
-// fill takes from the waiting work what would fit into room.
-func (c *Controller) packWork(work []pendingWork, room Resources, ok func(*job) bool) int {
+// packWork takes from the waiting work what would fit into room.
+func (c *Controller) packWork(work []pendingWork, room cluster.Resources, ok func(*job) bool) int {
 	took := 0
 	for i := range work {
 		w := &work[i]
@@ -104,7 +107,7 @@
 	return took
 }
 
-// rentSoon looks for machines before the next regular sweep: boots take long,
+// scheduleScaleOut looks for machines before the next regular sweep: boots take long,
 // and every second that a request waits is added to them.
 func (c *Controller) scheduleScaleOut() {
 	if c.scaleOutScheduled {
@@ -117,7 +120,7 @@
 	})
 }
 
-// rentSweep finds machines for work that has none: first what is coming
+// runScaleOut finds machines for work that has none: first what is coming
 // already, then other parts' idle machines, then the cloud's.
 func (c *Controller) runScaleOut() {
 	c.pollCloudList()
@@ -179,7 +182,7 @@
 	return (j.spec.Spot || !o.Spot) && c.isTypeAllowed(&j.spec, c.machineTypes[o.Type], o.Zone)
 }
 
-// idleOf lists the machines of a part that another may take.
+// idleMachines lists the machines of a part that another may take.
 func (c *Controller) idleMachines(p *shard) []*machine {
 	var l []*machine
 	if !p.owned || !p.ready {
@@ -195,7 +198,7 @@
 	return l
 }
 
-// rentMore asks the cloud, cheapest per task first.
+// requestMachines asks the cloud, cheapest per task first.
 func (c *Controller) requestMachines(p *shard, work []pendingWork) {
 	flying := 0
 	for _, r := range p.provisioningRequests {
@@ -245,7 +248,7 @@
 	}
 }
 
-// worthOrdinary tells whether work that may use spot machines, of which there
+// isOnDemandWorthwhile tells whether work that may use spot machines, of which there
 // are none now, should have an ordinary one at several times the price: only
 // if what is there and coming would not be through with it by the time that
 // the machine is up.
@@ -255,7 +258,7 @@
 		return true
 	}
 	// A part with few machines gets its share of the others' as they empty.
-	var mine, all Amount
+	var mine, all cluster.Amount
 	loads := c.allShardLoads()
 	for q, l := range loads {
 		all += l.Available + l.Booting
@@ -263,7 +266,7 @@
 			mine = l.Available + l.Booting
 		}
 	}
-	have := float64(max(mine, all/Amount(max(len(loads), 1)))) / 1e6
+	have := float64(max(mine, all/cluster.Amount(max(len(loads), 1)))) / 1e6
 	rest := 0.0
 	for _, w := range work {
 		rest += float64(w.tasks) * float64(w.job.spec.ResourceRequest.CPU) / 1e6 * c.expectedRunSeconds(w.job)
@@ -285,7 +288,7 @@
 				if !c.isOptionAllowed(j, o) || c.now < p.outOfCapacityUntil[o] {
 					continue
 				}
-				l = append(l, priced{o, t.hourlyPrice(spot) / float64(tasksPerMachine(t.Capacity, j.spec.ResourceRequest))})
+				l = append(l, priced{o, t.HourlyPrice(spot) / float64(tasksPerMachine(t.Capacity, j.spec.ResourceRequest))})
 			}
 		}
 	}
@@ -297,11 +300,11 @@
 	return out
 }
 
-// slotsFor counts how many tasks of a need an empty machine takes; at least
+// tasksPerMachine counts how many tasks of a need an empty machine takes; at least
 // one, as it divides prices.
-func tasksPerMachine(room, need Resources) int { return max(room.FitCount(need), 1) }
+func tasksPerMachine(room, need cluster.Resources) int { return max(room.FitCount(need), 1) }
 
-// mostRefusals bounds how often the pause after a refusal doubles: each request
+// maxCapacityBackoffDoublings bounds how often the pause after a refusal doubles: each request
 // costs two puts, a whole second's worth where the write rate is low.
 const maxCapacityBackoffDoublings = 2
 
@@ -310,18 +313,18 @@
 	p.provisioningRequests[r.name] = r
 	x := &queuedWrite{
 		shardID: p.id, keys: []string{provisioningKey(r.name)},
-		build: func(nonce string) ([]TxnOp, []ModRevision) {
+		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(provisioningRecord{p.id, o.Type, o.Zone, o.Spot, n, nonce})
-			return []TxnOp{{provisioningKey(r.name), v}}, []ModRevision{0}
+			return []messages.TxnOp{{Key: provisioningKey(r.name), Value: v}}, []cluster.ModRevision{0}
 		},
 		// Once it is settled its key is absent again, and a late copy of this would
 		// bring it back; a successor would then record its machines a second time.
 		// The key of its machines' group stays until the next claim fences the copy.
-		extraCompares: []Compare{{"groups/" + r.groupID, 0}},
+		extraCompares: []messages.Compare{{Key: "groups/" + r.groupID, ModRevision: 0}},
 		onConflict:    func() { c.handleForeignWrite(p, provisioningKey(r.name), "name in use") },
 	}
-	x.onApplied = func(e Revision) {
-		r.modRevision, r.createInDoubt = ModRevision(e), x.inDoubt
+	x.onApplied = func(e cluster.Revision) {
+		r.modRevision, r.createInDoubt = cluster.ModRevision(e), x.inDoubt
 		c.callScaleOut(p, r)
 	}
 	c.writeQueue.enqueue(priorityScaleOut, x)
@@ -338,14 +341,14 @@
 	if r.attempts++; r.attempts > 1 { // the first was counted when it was decided
 		c.forceCloudCall()
 	}
-	c.emit(CloudScaleOut{Name: r.name, Type: r.option.Type, Zone: r.option.Zone, Spot: r.option.Spot, Count: r.count, Call: c.registerCall(func(b any) {
-		a := b.(ScaleOutReply)
+	c.emit(messages.CloudScaleOut{Name: r.name, Type: r.option.Type, Zone: r.option.Zone, Spot: r.option.Spot, Count: r.count, Call: c.registerCall(func(b any) {
+		a := b.(messages.ScaleOutReply)
 		if !c.isProvisioningCurrent(p, r) {
 			return
 		}
 		switch a.Outcome {
-		case OK:
-			c.log(LogDebug, "rented", "part", int(p.id), "type", r.option.Type, "zone", r.option.Zone, "spot", r.option.Spot, "asked", r.count, "got", len(a.IDs))
+		case messages.OK:
+			c.log(messages.LogDebug, "rented", "part", int(p.id), "type", r.option.Type, "zone", r.option.Zone, "spot", r.option.Spot, "asked", r.count, "got", len(a.IDs))
 			if len(a.IDs) < r.count {
 				p.outOfCapacityUntil[r.option] = c.now + c.config.Tuning.OutOfCapacityBackoff
 			}
@@ -353,17 +356,17 @@
 			r.answered, r.grantedCount = true, len(a.IDs)
 			c.completeProvisioning(p, r, a.IDs)
 			c.scheduleScaleOut()
-		case NotFound:
+		case messages.NotFound:
 			p.outOfCapacityUntil[r.option] = c.now + c.config.Tuning.OutOfCapacityBackoff<<p.outOfCapacityCount[r.option]
 			p.outOfCapacityCount[r.option] = min(p.outOfCapacityCount[r.option]+1, maxCapacityBackoffDoublings)
 			r.answered = true
 			c.completeProvisioning(p, r, nil)
 			c.scheduleScaleOut()
-		case Invalid:
+		case messages.Invalid:
 			p.outOfCapacityUntil[r.option] = c.now + 300*second
 			r.answered = true
 			c.completeProvisioning(p, r, nil)
-		case Throttled:
+		case messages.Throttled:
 			c.handleCloudThrottled()
 			c.after(second/2, func() { c.callScaleOut(p, r) })
 		default:
@@ -372,9 +375,9 @@
 	})})
 }
 
-// settleRental records the machines and forgets the request in one
+// completeProvisioning records the machines and forgets the request in one
 // transaction, so that no crash between the two can lose a machine.
-func (c *Controller) completeProvisioning(p *shard, r *provisioningRequest, ids []MachineID) {
+func (c *Controller) completeProvisioning(p *shard, r *provisioningRequest, ids []cluster.MachineID) {
 	claim := p.claimRevision
 	id, size := r.groupID, 0
 	if id == "" { // of an earlier claim, whose copies this one has fenced
@@ -397,16 +400,16 @@
 	}
 	c.writeQueue.enqueue(prio, &queuedWrite{
 		shardID: p.id, keys: keys,
-		build: func(nonce string) ([]TxnOp, []ModRevision) {
-			ops, marks := []TxnOp{{provisioningKey(r.name), nil}}, []ModRevision{r.modRevision}
+		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
+			ops, marks := []messages.TxnOp{{Key: provisioningKey(r.name), Value: nil}}, []cluster.ModRevision{r.modRevision}
 			if made {
 				v := grouprecord.Encode(grouprecord.Record{ShardID: p.id, Machines: ms, WriteID: nonce})
 				size = len(v)
-				ops, marks = append(ops, TxnOp{"groups/" + id, v}), append(marks, 0)
+				ops, marks = append(ops, messages.TxnOp{Key: "groups/" + id, Value: v}), append(marks, 0)
 			}
 			return ops, marks
 		},
-		onApplied: func(e Revision) {
+		onApplied: func(e cluster.Revision) {
 			if !p.owned || p.claimRevision != claim {
 				return
 			}
@@ -418,12 +421,12 @@
 		onConflict: func() {
 			// Where only the request is dropped no nonce tells whether an earlier
 			// sending was carried out; that the key is gone does.
-			c.readKey(provisioningKey(r.name), func(g GetReply) {
+			c.readKey(provisioningKey(r.name), func(g messages.GetReply) {
 				switch {
 				case !p.owned || p.claimRevision != claim:
-				case g.Outcome == NotFound && len(ms) == 0:
+				case g.Outcome == messages.NotFound && len(ms) == 0:
 					delete(p.provisioningRequests, r.name)
-				case g.Outcome == OK || g.Outcome == NotFound:
+				case g.Outcome == messages.OK || g.Outcome == messages.NotFound:
 					c.handleForeignWrite(p, provisioningKey(r.name), "settled by another writer")
 				default:
 					c.after(second, func() {
--- a/internal/core/schedule.go
+++ b/internal/controller/schedule.go
@@ -1,30 +1,32 @@
-package core
+package controller
 
 import (
 	"slices"
 
+	"stairrelay/internal/cluster"
+
 	"stairrelay/internal/grouprecord"
-	"stairrelay/internal/placement"
+	"stairrelay/internal/scheduling"
 )
 
-// usable tells whether new starts may go to a machine.
+// isSchedulable tells whether new starts may go to a machine.
 func (c *Controller) isSchedulable(m *machine) bool {
 	return m.tokenAcknowledged && !m.booting && !m.draining && !m.releasing && !m.startInDoubt && !m.raisingToken && c.now >= m.noStartsBefore &&
 		c.now-m.lastHeartbeat < 2*c.config.HeartbeatInterval+second
 }
 
-// slot is a machine with room.
+// freeCapacity is a machine with room.
 type freeCapacity struct {
 	machine      *machine
-	available    Resources
+	available    cluster.Resources
 	kindIndex    int // its index among the kinds of the slots
-	imageFetches placement.ImageFetches
-	machineCPU   Amount // CPUs of the whole machine
+	imageFetches scheduling.ImageFetches
+	machineCPU   cluster.Amount // CPUs of the whole machine
 }
 
-// slots lists the machines with room, and their kinds: what a job may use is
+// listFreeCapacity lists the machines with room, and their kinds: what a job may use is
 // decided once for all machines of a kind.
-func (c *Controller) listFreeCapacity(p *shard, least Amount) ([]freeCapacity, []grouprecord.Kind) {
+func (c *Controller) listFreeCapacity(p *shard, least cluster.Amount) ([]freeCapacity, []grouprecord.Kind) {
 	var l []freeCapacity
 	var kinds []grouprecord.Kind
 	c.counters.addMachineScans(p.machines)
@@ -60,24 +62,24 @@
 	return l, kinds
 }
 
-// fetching notes that a task of a job waits for its image there.
+// addFetch notes that a task of a job waits for its image there.
 func (s *freeCapacity) addFetch(j *job) {
 	s.imageFetches.Add(j.spec.Image, j.effectivePriority, j.spec.ResourceRequest.CPU)
 }
 
-// image says how soon the machine can start a job for its image.
-func (s *freeCapacity) imageState(j *job) placement.ImageState {
+// imageState says how soon the machine can start a job for its image.
+func (s *freeCapacity) imageState(j *job) scheduling.ImageState {
 	if s.machine.hasCachedImage(j.spec.Image) {
-		return placement.ImageCached
+		return scheduling.ImageCached
 	}
 	return s.imageFetches.State(j.spec.Image, j.effectivePriority, j.spec.ResourceRequest.CPU, s.machineCPU)
 }
 
-// placePause is the least time between two placements: what happens within it
+// schedulingInterval is the least time between two placements: what happens within it
 // is decided together.
 const schedulingInterval = 40 * millisecond
 
-// place starts waiting tasks of every part held here.
+// scheduleOwnedShards starts waiting tasks of every part held here.
 func (c *Controller) scheduleOwnedShards() {
 	for _, p := range c.shards {
 		if p.owned && p.ready {
@@ -103,13 +105,13 @@
 	// What has waited too long goes first, with one task. Where that does not
 	// fit yet, smaller work must not take again and again what it waits for: a
 	// part of its team's limit and a machine are kept free for it.
-	kept := map[string]Resources{}
+	kept := map[string]cluster.Resources{}
 	for _, j := range jobs {
 		if !c.isStarving(j) {
 			continue
 		}
 		before := j.assignedCount
-		if c.scheduleJob(p, j, slots, kinds, use, Resources{}, 1); j.assignedCount > before {
+		if c.scheduleJob(p, j, slots, kinds, use, cluster.Resources{}, 1); j.assignedCount > before {
 			continue
 		}
 		kept[j.spec.Team] = kept[j.spec.Team].Plus(j.spec.ResourceRequest)
@@ -128,20 +130,20 @@
 	}
 }
 
-// jobPlacement starts tasks of one job on the machines that suit it.
+// jobScheduling starts tasks of one job on the machines that suit it.
 type jobScheduling struct {
 	controller  *Controller
 	shard       *shard
 	job         *job
-	teamUsage   teamUsage      // of the job's team, kept up to date
-	quotaLimit  Resources      // of the team, less what is kept for starving jobs
-	tasksByZone map[string]int // the job's tasks by zone
-	remaining   int            // how many tasks may still be started
+	teamUsage   teamUsage         // of the job's team, kept up to date
+	quotaLimit  cluster.Resources // of the team, less what is kept for starving jobs
+	tasksByZone map[string]int    // the job's tasks by zone
+	remaining   int               // how many tasks may still be started
 }
 
-// placeJob starts up to n tasks of a job: on machines that have its image,
+// scheduleJob starts up to n tasks of a job: on machines that have its image,
 // else are getting it, else have most free room.
-func (c *Controller) scheduleJob(p *shard, j *job, slots []freeCapacity, kinds []grouprecord.Kind, use teamUsage, kept Resources, n int) {
+func (c *Controller) scheduleJob(p *shard, j *job, slots []freeCapacity, kinds []grouprecord.Kind, use teamUsage, kept cluster.Resources, n int) {
 	allowed := make([]bool, len(kinds))
 	any := false
 	for i, k := range kinds {
@@ -162,17 +164,17 @@
 	}
 }
 
-// withinLimit tells whether the team may have one more of the job's tasks.
+// isWithinQuota tells whether the team may have one more of the job's tasks.
 func (l *jobScheduling) isWithinQuota() bool {
 	with := l.teamUsage[l.job.spec.Team].Plus(l.job.spec.ResourceRequest)
 	return with.CPU <= l.quotaLimit.CPU && with.GPU <= l.quotaLimit.GPU
 }
 
-// fill starts tasks on a machine as long as there is room; false: the job can
+// fillMachine starts tasks on a machine as long as there is room; false: the job can
 // have no more anywhere.
 func (l *jobScheduling) fillMachine(f candidate) bool {
 	c, j, m := l.controller, l.job, f.capacity.machine
-	last := TaskID{}
+	last := cluster.TaskID{}
 	for l.remaining > 0 && j.pendingCount() > 0 && j.spec.ResourceRequest.FitsIn(f.capacity.available) && c.hasRoom(m.group, j) {
 		if !l.isWithinQuota() {
 			return false
@@ -181,7 +183,7 @@
 		if index < 0 {
 			return false
 		}
-		task := TaskID{Job: j.spec.ID, Index: index}
+		task := cluster.TaskID{Job: j.spec.ID, Index: index}
 		// An earlier attempt may still be being cleared away there.
 		if !isZoneAllowed(&j.spec, l.tasksByZone, m.zone) || m.assignments[task] != nil {
 			return true
@@ -192,18 +194,18 @@
 	return true
 }
 
-// zoneAllowed tells whether a job's rules let one more of its tasks into a zone,
+// isZoneAllowed tells whether a job's rules let one more of its tasks into a zone,
 // given its tasks by zone.
-func isZoneAllowed(spec *JobSpec, zones map[string]int, zone string) bool {
+func isZoneAllowed(spec *cluster.JobSpec, zones map[string]int, zone string) bool {
 	if spec.Colocate && !isOnlyZone(zones, zone) {
 		return false
 	}
 	return !spec.Spread || zones[zone] < (spec.Tasks+1)/2
 }
 
-// start plans the start of a task on a machine; last is the task that was placed
+// assignTask plans the start of a task on a machine; last is the task that was placed
 // there just before.
-func (l *jobScheduling) assignTask(f candidate, task, last TaskID) {
+func (l *jobScheduling) assignTask(f candidate, task, last cluster.TaskID) {
 	c, j, m := l.controller, l.job, f.capacity.machine
 	a := &assignment{task: task, job: j, attempt: l.shard.nextAttempt(), resourceRequest: j.spec.ResourceRequest, machineID: m.id}
 	m.addAssignment(a)
@@ -212,7 +214,7 @@
 	l.tasksByZone[m.zone]++
 	l.teamUsage[j.spec.Team] = l.teamUsage[j.spec.Team].Plus(j.spec.ResourceRequest)
 	f.capacity.available = f.capacity.available.Minus(j.spec.ResourceRequest)
-	if f.Image == placement.ImageAbsent {
+	if f.Image == scheduling.ImageAbsent {
 		f.capacity.addFetch(j)
 	}
 	l.remaining--
@@ -221,11 +223,11 @@
 
 // candidate is a slot that a job's tasks may go to.
 type candidate struct {
-	placement.Candidate
+	scheduling.Candidate
 	capacity *freeCapacity
 }
 
-// candidates lists the slots that a job's tasks may go to, the best first.
+// rankCandidates lists the slots that a job's tasks may go to, the best first.
 // allowed tells it by their kinds.
 func (c *Controller) rankCandidates(p *shard, j *job, slots []freeCapacity, allowed []bool) []candidate {
 	var fit []candidate
@@ -234,8 +236,8 @@
 		if !allowed[s.kindIndex] || !j.spec.ResourceRequest.FitsIn(s.available) || !c.hasRoom(s.machine.group, j) || c.shouldAvoid(j, s.machine) || !c.canUseMachine(j, s.machine) {
 			continue
 		}
-		if image := s.imageState(j); image != placement.ImageBlocked {
-			fit = append(fit, candidate{placement.Candidate{Image: image, Spot: s.machine.spot, FreeCPU: s.available.CPU}, s})
+		if image := s.imageState(j); image != scheduling.ImageBlocked {
+			fit = append(fit, candidate{scheduling.Candidate{Image: image, Spot: s.machine.spot, FreeCPU: s.available.CPU}, s})
 		}
 	}
 	spotSuits, ordinarySuits := c.isMarketSuited(p, j, true), c.isMarketSuited(p, j, false)
@@ -249,9 +251,9 @@
 	return fit
 }
 
-// listedBytes is about how much longer a record gets by a task: one that follows
+// addedRecordBytes is about how much longer a record gets by a task: one that follows
 // on the task placed before on the same machine only widens its range.
-func addedRecordBytes(j *job, m *machine, t, last TaskID) int {
+func addedRecordBytes(j *job, m *machine, t, last cluster.TaskID) int {
 	continues := last.Job == t.Job && last.Index+1 == t.Index
 	jobListed := false
 	if !continues {
@@ -265,11 +267,11 @@
 	return grouprecord.AddedBytes(t.Job, continues, jobListed)
 }
 
-// keepMachine picks the machine that is kept free for a starving job: the one
+// reserveMachine picks the machine that is kept free for a starving job: the one
 // that it has been kept already, else the one with most room.
 func (c *Controller) reserveMachine(p *shard, j *job) *machine {
 	var best *machine
-	var most Amount
+	var most cluster.Amount
 	c.counters.addMachineScans(p.machines)
 	for _, m := range p.machines {
 		if !c.isSchedulable(m) || m.cordoned || m.group.offer != nil || !c.isAllowedOn(j, m) {
@@ -288,12 +290,12 @@
 	return best
 }
 
-// avoids tells whether a job has failed on a machine and may try others.
+// shouldAvoid tells whether a job has failed on a machine and may try others.
 func (c *Controller) shouldAvoid(j *job, m *machine) bool {
 	return len(j.failedMachines) > 0 && len(j.failedMachines) < 3 && j.failedMachines[m.id]
 }
 
-// zonesOf counts a job's tasks by zone, where its rules ask for that. Those
+// countTasksByZone counts a job's tasks by zone, where its rules ask for that. Those
 // proven gone don't count, though their records still have to say so.
 func (c *Controller) countTasksByZone(j *job) map[string]int {
 	zones := map[string]int{}
--- a/internal/core/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -1,31 +1,33 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"stairrelay/internal/cluster"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// TestFirstTaskSpared: the first task of a job that had waited too long is not
+// TestPreemptionSparesFirstTask: the first task of a job that had waited too long is not
 // stopped for an urgent job; one of a job that has not waited is.
 func TestPreemptionSparesFirstTask(t *testing.T) {
 	for _, waited := range []bool{true, false} {
-		c := New(Config{Self: "n0", Nodes: []NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
-			Teams: []Team{{Name: "red", QuotaLimit: Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
-		c.machineTypes["small"] = MachineType{Name: "small", Capacity: Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
+		c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
+			Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
+		c.machineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
 		p := c.shards[0]
 		m := c.addMachine(c.newGroup(p, "g", 1), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		m.tokenAcknowledged = true
 		c.wallTime = 1_000_000
 		at := c.wallTime - 1000
 		if waited {
-			at = c.wallTime - WallTime(c.config.Tuning.FirstTaskTarget/millisecond)*3/4
+			at = c.wallTime - cluster.WallTime(c.config.Tuning.FirstTaskTarget/millisecond)*3/4
 		}
-		old := newJob(JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: Resources{CPU: 4_000_000}, CheckpointSeconds: 10, SubmittedAt: at}, 0, 0, 0)
-		urgent := newJob(JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 4_000_000}, Priority: Urgent, SubmittedAt: c.wallTime}, 0, 0, 0)
+		old := newJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 4_000_000}, CheckpointSeconds: 10, SubmittedAt: at}, 0, 0, 0)
+		urgent := newJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 4_000_000}, Priority: cluster.Urgent, SubmittedAt: c.wallTime}, 0, 0, 0)
 		c.addOwnedJob(old)
 		c.addOwnedJob(urgent)
-		a := &assignment{task: TaskID{Job: "j-1", Index: 0}, job: old, resourceRequest: old.spec.ResourceRequest, machineID: "m-1", phase: phaseAcknowledged, state: Running}
+		a := &assignment{task: cluster.TaskID{Job: "j-1", Index: 0}, job: old, resourceRequest: old.spec.ResourceRequest, machineID: "m-1", phase: phaseAcknowledged, state: cluster.Running}
 		m.addAssignment(a)
 		old.setAssigned(0, a)
 		c.preempt(p, []*job{urgent}, map[*job]bool{}, c.teamUsageOf(p))
@@ -35,16 +37,16 @@
 	}
 }
 
-// TestSuits: of two machines that are equal otherwise, work that would lose much
+// TestSpotPreference: of two machines that are equal otherwise, work that would lose much
 // on a spot machine gets the ordinary one and work that saves leaves it that;
 // where no great loss is to be expected the kind does not matter.
 func TestSpotPreference(t *testing.T) {
 	c := newSevenNodeController()
 	c.spotInterruptions.interruptionCount, c.spotInterruptions.servedSeconds = 10, 20_000 // two an hour
-	c.machineTypes["small"] = MachineType{Name: "small", FetchGBPerSecond: 0.25}
+	c.machineTypes["small"] = cluster.MachineType{Name: "small", FetchGBPerSecond: 0.25}
 	p, spot, own := c.shards[0], true, false
 	like := func(run, checkpoint float64) *job {
-		return &job{spec: JobSpec{Spot: true, RuntimeSeconds: run, CheckpointSeconds: checkpoint, ImageGB: 1.5, Class: "c"}}
+		return &job{spec: cluster.JobSpec{Spot: true, RuntimeSeconds: run, CheckpointSeconds: checkpoint, ImageGB: 1.5, Class: "c"}}
 	}
 	short, long, saves := like(15, 0), like(60, 0), like(60, 30)
 	if !c.isMarketSuited(p, long, own) || c.isMarketSuited(p, long, spot) {
@@ -53,7 +55,7 @@
 	if c.isMarketSuited(p, short, own) != c.isMarketSuited(p, short, spot) || c.isMarketSuited(p, saves, own) != c.isMarketSuited(p, saves, spot) {
 		t.Error("the kind of machine matters where no loss is to be expected")
 	}
-	c.config.SLOs = []SLO{{Kind: "deadline", Class: "tight", DeadlineFactor: 1}, {Kind: "finished", Class: "c", WithinSeconds: 80}}
+	c.config.SLOs = []cluster.SLO{{Kind: "deadline", Class: "tight", DeadlineFactor: 1}, {Kind: "finished", Class: "c", WithinSeconds: 80}}
 	due := like(15, 0)
 	due.spec.Tasks = 20
 	few := like(15, 0)
--- a/internal/core/schedulingtrigger.go
+++ b/internal/controller/schedulingtrigger.go
@@ -1,16 +1,20 @@
-package core
+package controller
 
-// placementTrigger says when tasks are placed: once per step at most, and not
+import (
+	"stairrelay/internal/cluster"
+)
+
+// schedulingTrigger says when tasks are placed: once per step at most, and not
 // more often than the pause after the last time allows.
 //
 // While a request waits for that pause, a timer is scheduled for its end.
 type schedulingTrigger struct {
 	requested  bool
-	notBefore  Time
+	notBefore  cluster.Time
 	timerArmed bool
 }
 
-// placementTime says what follows from the requests so far.
+// schedulingDecision says what follows from the requests so far.
 type schedulingDecision int
 
 const (
@@ -22,7 +26,7 @@
 // request asks for placement, as something has changed that it depends on.
 func (t *schedulingTrigger) request() { t.requested = true }
 
-func (t *schedulingTrigger) check(now Time) schedulingDecision {
+func (t *schedulingTrigger) check(now cluster.Time) schedulingDecision {
 	switch {
 	case !t.requested:
 		return scheduleNone
@@ -36,10 +40,12 @@
 }
 
 // begin notes that tasks are placed now, and when that may be done again.
-func (t *schedulingTrigger) begin(notBefore Time) { t.requested, t.notBefore = false, notBefore }
+func (t *schedulingTrigger) begin(notBefore cluster.Time) {
+	t.requested, t.notBefore = false, notBefore
+}
 
-// schedule notes that a timer is scheduled, and returns how long it takes.
-func (t *schedulingTrigger) armTimer(now Time) Time {
+// armTimer notes that a timer is scheduled, and returns how long it takes.
+func (t *schedulingTrigger) armTimer(now cluster.Time) cluster.Time {
 	t.timerArmed = true
 	return t.notBefore - now
 }
--- a/internal/core/shardload.go
+++ b/internal/controller/shardload.go
@@ -1,20 +1,25 @@
-package core
+package controller
 
-// partLoading is the reading of the checkpoint of a part just claimed: the
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// shardLoad is the reading of the checkpoint of a part just claimed: the
 // records come first, what the workers say is compared with them afterwards.
 //
 // It ends with its claim. Nothing is taken in before all records were read.
 type shardLoad struct {
 	controller           *Controller
 	shard                *shard
-	claimRevision        Revision
-	groups               *ListReply
-	provisioningRequests *ListReply
-	admissions           *ListReply
-	jobs                 *ListReply
+	claimRevision        cluster.Revision
+	groups               *messages.ListReply
+	provisioningRequests *messages.ListReply
+	admissions           *messages.ListReply
+	jobs                 *messages.ListReply
 }
 
-// loadPart reads the checkpoint of a part.
+// loadShard reads the checkpoint of a part.
 func (c *Controller) loadShard(p *shard) {
 	l := &shardLoad{controller: c, shard: p, claimRevision: p.claimRevision}
 	l.read("groups/", &l.groups)
@@ -25,12 +30,12 @@
 }
 
 // read lists the records with a prefix until that works.
-func (l *shardLoad) read(prefix string, to **ListReply) {
-	l.controller.listPrefix(prefix, func(r ListReply) {
+func (l *shardLoad) read(prefix string, to **messages.ListReply) {
+	l.controller.listPrefix(prefix, func(r messages.ListReply) {
 		if !l.shard.isOwnedUnder(l.claimRevision) {
 			return
 		}
-		if r.Outcome != OK {
+		if r.Outcome != messages.OK {
 			l.controller.after(second/3, func() { l.read(prefix, to) })
 			return
 		}
@@ -65,7 +70,7 @@
 	if len(p.machines)+len(p.provisioningRequests) > 0 {
 		c.cloudListing.nextReadAt = 0 // the cloud's list shows what the records may lack
 	}
-	c.log(LogInfo, "part ready",
+	c.log(messages.LogInfo, "part ready",
 		"part", int(p.id),
 		"machines", len(p.machines),
 		"jobs", len(p.jobs),
@@ -89,7 +94,7 @@
 	}
 }
 
-// awaitMachines notes which machines have yet to acknowledge this claim's token,
+// awaitAcknowledgements notes which machines have yet to acknowledge this claim's token,
 // and logs after a lease how many did.
 func (l *shardLoad) awaitAcknowledgements() {
 	c, p := l.controller, l.shard
@@ -105,7 +110,7 @@
 	}
 	c.after(c.config.WorkerLease, func() {
 		if p.isOwnedUnder(l.claimRevision) {
-			c.log(LogInfo, "machines answered",
+			c.log(messages.LogInfo, "machines answered",
 				"part", int(p.id),
 				"machines", taken,
 				"silent", p.awaitingFirstAcknowledgement,
--- a/internal/core/shards.go
+++ b/internal/controller/shards.go
@@ -1,57 +1,59 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"strconv"
 	"strings"
 
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/cluster"
 	"stairrelay/internal/grouprecord"
-	"stairrelay/internal/model"
 )
 
-// part is a set of teams and some machines with one owner at a time.
+// shard is a set of teams and some machines with one owner at a time.
 type shard struct {
-	id             ShardID
-	preferredOwner NodeID
-	owner          NodeID
-	term           Term
-	modRevision    ModRevision // of parts/<n> as last seen; the claim's mark while held
-	recordRead     bool        // read from the store at least once
+	id             cluster.ShardID
+	preferredOwner cluster.NodeID
+	owner          cluster.NodeID
+	term           cluster.Term
+	modRevision    cluster.ModRevision // of parts/<n> as last seen; the claim's mark while held
+	recordRead     bool                // read from the store at least once
 
 	owned              bool
 	ready              bool // the checkpoint has been read
 	acquiring          bool
-	corruptRecordCount int                    // how often its records made no sense
-	acquireNotBefore   Time                   // not claimed again before
-	quarantined        map[string]ModRevision // group records that make no sense, being cleared
-	earlyJobs          []KV                   // jobs heard of while it was being read
-	failbackOffered    bool                   // the holder is willing to hand it back to us
-	ownershipChangedAt Time
-	ownerChanges       []Time // when it changed hands, the last minute's
-	claimRevision      Revision
-	confirmedAt        Time   // when the last exchange with the store began that showed the claim in force
-	attemptCount       uint64 // starts numbered under attemptBase
+	corruptRecordCount int                            // how often its records made no sense
+	acquireNotBefore   cluster.Time                   // not claimed again before
+	quarantined        map[string]cluster.ModRevision // group records that make no sense, being cleared
+	earlyJobs          []messages.KV                  // jobs heard of while it was being read
+	failbackOffered    bool                           // the holder is willing to hand it back to us
+	ownershipChangedAt cluster.Time
+	ownerChanges       []cluster.Time // when it changed hands, the last minute's
+	claimRevision      cluster.Revision
+	confirmedAt        cluster.Time // when the last exchange with the store began that showed the claim in force
+	attemptCount       uint64       // starts numbered under attemptBase
 	// attemptBase is a store change of this holder's that no other numbers starts
 	// by: its claim, or a later one once the claim's numbers are used up.
-	attemptBase                  Revision
-	lastStoredRevision           Revision // change of the last transaction of the part under the claim
-	plannedStarts                uint64   // starts numbered since the claim
+	attemptBase                  cluster.Revision
+	lastStoredRevision           cluster.Revision // change of the last transaction of the part under the claim
+	plannedStarts                uint64           // starts numbered since the claim
 	provisioningRequests         map[string]*provisioningRequest
 	machines                     []*machine // held here, by id
 	usage                        teamUsage  // of their tasks
 	jobs                         []*job
 	queueOrder                   []*job        // js as they are served, as of orderAt; nil: to be worked out
 	guaranteedJobs               map[*job]bool // those within their team's guarantee, as of then
-	queueOrderAt                 Time
+	queueOrderAt                 cluster.Time
 	toRegister                   []grouprecord.Machine
-	nextOfferAt                  Time
-	nextPreemptionAt             Time
-	awaitingFirstAcknowledgement int  // machines taken over that have not acknowledged this claim's token
-	lastAcknowledgedAt           Time // when the last one did
-	avoidSpot                    bool // a job of it would lose much on spot machines
-	outOfCapacityUntil           map[provisioningOption]Time
+	nextOfferAt                  cluster.Time
+	nextPreemptionAt             cluster.Time
+	awaitingFirstAcknowledgement int          // machines taken over that have not acknowledged this claim's token
+	lastAcknowledgedAt           cluster.Time // when the last one did
+	avoidSpot                    bool         // a job of it would lose much on spot machines
+	outOfCapacityUntil           map[provisioningOption]cluster.Time
 	outOfCapacityCount           map[provisioningOption]int // in a row
-	lastScaleOutAt               Time
+	lastScaleOutAt               cluster.Time
 
 	ownershipChecks    ownershipChecks
 	progress           shardProgress
@@ -59,21 +61,21 @@
 }
 
 type shardRecord struct {
-	Owner   NodeID `json:"holder"`
-	Term    Term   `json:"term"`
-	WriteID string `json:"w"`
+	Owner   cluster.NodeID `json:"holder"`
+	Term    cluster.Term   `json:"term"`
+	WriteID string         `json:"w"`
 	// Upgraded lists the controllers known to run a release that understands
 	// jobs that await others. Absent in releases before pipelines.
-	Upgraded []NodeID `json:"up,omitempty"`
+	Upgraded []cluster.NodeID `json:"up,omitempty"`
 }
 
 func (p *shard) key() string { return "parts/" + strconv.Itoa(int(p.id)) }
 
-// heldUnder tells whether the part is still held under a claim.
-func (p *shard) isOwnedUnder(claim Revision) bool { return p.owned && p.claimRevision == claim }
+// isOwnedUnder tells whether the part is still held under a claim.
+func (p *shard) isOwnedUnder(claim cluster.Revision) bool { return p.owned && p.claimRevision == claim }
 
-// changed notes that the part has a new holder.
-func (p *shard) recordOwnerChange(now Time) {
+// recordOwnerChange notes that the part has a new holder.
+func (p *shard) recordOwnerChange(now cluster.Time) {
 	p.ownershipChangedAt = now
 	keep := p.ownerChanges[:0]
 	for _, t := range p.ownerChanges {
@@ -84,10 +86,10 @@
 	p.ownerChanges = append(keep, now)
 }
 
-// settled damps quarrels: nodes that each believe the other to be lost would
+// isBackoffOver damps quarrels: nodes that each believe the other to be lost would
 // else claim a part from one another several times a second. Every change of
 // hands within a minute doubles the pause before the next.
-func (p *shard) isBackoffOver(now Time) bool {
+func (p *shard) isBackoffOver(now cluster.Time) bool {
 	n := 0
 	for _, t := range p.ownerChanges {
 		if now-t < 60*second {
@@ -102,19 +104,19 @@
 
 // nextAttempt numbers a start. A number is never given twice: an attempt that a
 // worker still remembers would not be started again.
-func (p *shard) nextAttempt() Attempt {
-	if p.attemptCount == model.MaxAttemptCount && p.lastStoredRevision > p.attemptBase {
+func (p *shard) nextAttempt() cluster.Attempt {
+	if p.attemptCount == cluster.MaxAttemptCount && p.lastStoredRevision > p.attemptBase {
 		p.attemptBase, p.attemptCount = p.lastStoredRevision, 0
 	}
 	p.attemptCount++
 	p.plannedStarts++
-	return model.NewAttempt(uint64(p.attemptBase), p.attemptCount)
+	return cluster.NewAttempt(uint64(p.attemptBase), p.attemptCount)
 }
 
-// loadParts reads who holds what and then follows the changes.
+// loadShards reads who holds what and then follows the changes.
 func (c *Controller) loadShards() {
-	c.listPrefix("parts/", func(r ListReply) {
-		if r.Outcome != OK {
+	c.listPrefix("parts/", func(r messages.ListReply) {
+		if r.Outcome != messages.OK {
 			c.after(second/2, c.loadShards)
 			return
 		}
@@ -136,21 +138,21 @@
 	c.watchPrefix("parts/", &c.shardsRevision, second/10, c.applyShardRecord, c.loadShards)
 }
 
-// follow watches the keys with a prefix from a revision on, at a pace that
+// watchPrefix watches the keys with a prefix from a revision on, at a pace that
 // gathers changes; reload is called when the revision is too old.
-func (c *Controller) watchPrefix(prefix string, since *Revision, pace Time, learn func(KV), reload func()) {
-	c.emit(StoreWatch{Call: c.registerCall(func(b any) {
-		r := b.(WatchReply)
+func (c *Controller) watchPrefix(prefix string, since *cluster.Revision, pace cluster.Time, learn func(messages.KV), reload func()) {
+	c.emit(messages.StoreWatch{Call: c.registerCall(func(b any) {
+		r := b.(messages.WatchReply)
 		again := func() { c.watchPrefix(prefix, since, pace, learn, reload) }
 		switch r.Outcome {
-		case OK:
+		case messages.OK:
 			for _, kv := range r.Items {
 				learn(kv)
 			}
 			*since = max(*since, r.Revision)
 			c.after(pace, again)
-		case Compacted:
-			c.log(LogInfo, "changes missed, reading all keys again", "prefix", prefix, "since", uint64(*since))
+		case messages.Compacted:
+			c.log(messages.LogInfo, "changes missed, reading all keys again", "prefix", prefix, "since", uint64(*since))
 			c.after(pace, reload)
 		default:
 			c.after(second, again)
@@ -158,7 +160,7 @@
 	}), Prefix: prefix, SinceRevision: *since, Timeout: 20 * second})
 }
 
-func (c *Controller) applyShardRecord(kv KV) {
+func (c *Controller) applyShardRecord(kv messages.KV) {
 	n, err := strconv.Atoi(strings.TrimPrefix(kv.Key, "parts/"))
 	if err != nil || n < 0 || n >= len(c.shards) || kv.Value == nil {
 		return
@@ -169,7 +171,7 @@
 	}
 	var rec shardRecord
 	if json.Unmarshal(kv.Value, &rec) != nil || rec.Owner == "" {
-		c.log(LogError, "unreadable record", "key", kv.Key)
+		c.log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	c.versionRegistry.recordUpgraded(rec.Upgraded...)
@@ -195,15 +197,15 @@
 
 func (c *Controller) rereadShard(p *shard) {
 	begun := c.now
-	c.readKey(p.key(), func(r GetReply) {
-		if r.Outcome == OK {
+	c.readKey(p.key(), func(r messages.GetReply) {
+		if r.Outcome == messages.OK {
 			c.applyShardRecord(r.KV)
 			c.recordConfirmation(p, r.KV.ModRevision, begun)
 		}
 	})
 }
 
-// considerClaim decides whether this node should claim a part. Nothing here
+// considerAcquire decides whether this node should claim a part. Nothing here
 // is needed for safety: a wrong claim costs a pause, never a rule.
 func (c *Controller) considerAcquire(p *shard) {
 	if p.owned || p.acquiring || c.now < p.acquireNotBefore || !p.recordRead || c.isStoreUnavailableFor(second) {
@@ -226,8 +228,8 @@
 	c.acquireShard(p)
 }
 
-// successor tells whether this node is the first after the lost one that could serve.
-func (c *Controller) isSuccessor(lost NodeID) bool {
+// isSuccessor tells whether this node is the first after the lost one that could serve.
+func (c *Controller) isSuccessor(lost cluster.NodeID) bool {
 	n := len(c.config.Nodes)
 	at := 0
 	for i, id := range c.config.Nodes {
@@ -252,22 +254,22 @@
 	prev, term := p.owner, p.term+1
 	c.writeQueue.enqueue(priorityAcquire, &queuedWrite{
 		shardID: p.id, keys: []string{p.key()},
-		build: func(nonce string) ([]TxnOp, []ModRevision) {
+		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(shardRecord{Owner: c.config.Self, Term: term, WriteID: nonce, Upgraded: c.versionRegistry.upgradedNodes()})
-			return []TxnOp{{p.key(), v}}, []ModRevision{p.modRevision}
+			return []messages.TxnOp{{Key: p.key(), Value: v}}, []cluster.ModRevision{p.modRevision}
 		},
-		onApplied: func(e Revision) {
+		onApplied: func(e cluster.Revision) {
 			p.acquiring = false
-			if ModRevision(e) < p.modRevision {
+			if cluster.ModRevision(e) < p.modRevision {
 				return // overtaken already
 			}
 			p.owned, p.ready, p.failbackOffered = true, false, false
-			p.owner, p.term, p.modRevision, p.claimRevision, p.ownershipChangedAt = c.config.Self, term, ModRevision(e), e, c.now
+			p.owner, p.term, p.modRevision, p.claimRevision, p.ownershipChangedAt = c.config.Self, term, cluster.ModRevision(e), e, c.now
 			p.recordOwnerChange(c.now)
 			p.attemptCount, p.attemptBase, p.lastStoredRevision = 0, e, e
 			p.provisioningRequests = map[string]*provisioningRequest{}
-			p.outOfCapacityUntil, p.outOfCapacityCount = map[provisioningOption]Time{}, map[provisioningOption]int{}
-			c.log(LogInfo, "claimed part", "part", int(p.id), "term", uint64(term), "from", string(prev))
+			p.outOfCapacityUntil, p.outOfCapacityCount = map[provisioningOption]cluster.Time{}, map[provisioningOption]int{}
+			c.log(messages.LogInfo, "claimed part", "part", int(p.id), "term", uint64(term), "from", string(prev))
 			c.loadShard(p)
 		},
 		onConflict: func() {
@@ -277,14 +279,14 @@
 	})
 }
 
-// fenced is called when another claim of the part is known: all that this node
+// handleDeposed is called when another claim of the part is known: all that this node
 // believed of the part is worth nothing from now on.
-func (c *Controller) handleDeposed(id ShardID) {
+func (c *Controller) handleDeposed(id cluster.ShardID) {
 	p := c.shards[id]
 	if !p.owned {
 		return
 	}
-	c.log(LogInfo, "lost part", "part", int(id), "term", uint64(p.term))
+	c.log(messages.LogInfo, "lost part", "part", int(id), "term", uint64(p.term))
 	p.quarantined, p.earlyJobs = nil, nil
 	p.owned, p.ready, p.ownershipChangedAt = false, false, c.now
 	c.ownedShardChanges++
@@ -307,27 +309,27 @@
 	c.rereadShard(p)
 }
 
-// broken gives up a part whose records were changed in a way that this process
+// giveUpCorruptShard gives up a part whose records were changed in a way that this process
 // can't account for: nothing is guessed, it is claimed again after a pause and
 // read anew. Meanwhile every controller answers from the store. The pauses are
 // bounded, so that no job goes unanswered or its part unserved for long.
 func (c *Controller) giveUpCorruptShard(p *shard, key, why string) {
-	c.log(LogError, "impossible record", "key", key, "why", why)
+	c.log(messages.LogError, "impossible record", "key", key, "why", why)
 	p.acquireNotBefore = c.now + min(2*second<<min(p.corruptRecordCount, 4), 20*second)
 	p.corruptRecordCount++
 	c.handleDeposed(p.id)
 }
 
-// suspect follows a record that another writer changed. Mostly the part has a
+// handleForeignWrite follows a record that another writer changed. Mostly the part has a
 // new holder of whom this one has not heard; only if it still is ours does the
 // record make no sense.
 func (c *Controller) handleForeignWrite(p *shard, key, why string) {
 	claim := p.claimRevision
-	c.readKey(p.key(), func(r GetReply) {
+	c.readKey(p.key(), func(r messages.GetReply) {
 		if !p.isOwnedUnder(claim) {
 			return
 		}
-		if r.Outcome != OK {
+		if r.Outcome != messages.OK {
 			c.after(second/2, func() { c.handleForeignWrite(p, key, why) })
 			return
 		}
--- a/internal/core/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
@@ -6,17 +6,19 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/simulation"
 )
 
 // TestSlowStore measures the design's second weak spot: a slow state service
 // delays every capped write and so answers and starts. Rules are kept, work is
 // done, and a submission waits about one round trip, not the sum of many.
 func TestSlowStore(t *testing.T) {
-	for _, slow := range []core.Time{0, 200 * second / 1000, 600 * second / 1000} {
-		var w *standin.Simulator
-		w = standin.NewSimulator(3, testConfig(), testCloud(func() *standin.Simulator { return w }))
+	for _, slow := range []cluster.Time{0, 200 * second / 1000, 600 * second / 1000} {
+		var w *simulation.Simulator
+		w = simulation.NewSimulator(3, testConfig(), testCloud(func() *simulation.Simulator { return w }))
 		w.NoRandomFaults, w.StoreDelay = true, slow
 		for _, z := range []string{"a", "b", "c"} {
 			w.AddMachine("small", z, false)
@@ -25,13 +27,13 @@
 		w.RunUntil(10 * second)
 		var waits []time.Duration
 		for i := range 30 {
-			s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: []string{"red", "green", "blue"}[i%3], Priority: core.Normal,
-				Tasks: 4, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 5, Spot: true}
-			j := &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 5 * second, TaskCount: s.Tasks, Image: s.Image}}
+			s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: []string{"red", "green", "blue"}[i%3], Priority: cluster.Normal,
+				Tasks: 4, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 5, Spot: true}
+			j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 5 * second, TaskCount: s.Tasks, Image: s.Image}}
 			w.Jobs[s.ID] = j
-			w.After(core.Time(i)*second, func() {
+			w.After(cluster.Time(i)*second, func() {
 				at := w.Now
-				w.SendRequest(w.Nodes[i%3], func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: s} }, func(r core.Respond) {
+				w.SendRequest(w.Nodes[i%3], func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(r messages.Respond) {
 					waits = append(waits, time.Duration(w.Now-at))
 					if r.Status == 201 {
 						j.Accepted = true
@@ -52,8 +54,8 @@
 		}
 		left := 0
 		for id := range w.Jobs {
-			w.SendRequest(w.Nodes[0], func(r core.RequestID) core.Event { return core.Query{Request: r, ID: id} }, func(r core.Respond) {
-				if r.View == nil || r.View.Status != core.JobDone {
+			w.SendRequest(w.Nodes[0], func(r messages.RequestID) messages.Event { return messages.Query{Request: r, ID: id} }, func(r messages.Respond) {
+				if r.View == nil || r.View.Status != cluster.JobDone {
 					left++
 				}
 			})
--- a/internal/core/spotinterruptions.go
+++ b/internal/controller/spotinterruptions.go
@@ -1,13 +1,17 @@
-package core
+package controller
 
-// spotLosses counts how spot machines have fared here.
+import (
+	"stairrelay/internal/cluster"
+)
+
+// spotInterruptions counts how spot machines have fared here.
 type spotInterruptions struct {
 	interruptionCount float64 // machines taken back or lost
 	servedSeconds     float64 // what all of them have served
 }
 
-// served notes that a spot machine has served for a time.
-func (s *spotInterruptions) addServed(d Time) { s.servedSeconds += d.Seconds() }
+// addServed notes that a spot machine has served for a time.
+func (s *spotInterruptions) addServed(d cluster.Time) { s.servedSeconds += d.Seconds() }
 
 // rate is how often a spot machine goes in a second, as far as seen here;
 // before anything was seen, once in an hour.
--- a/internal/core/spotpreference.go
+++ b/internal/controller/spotpreference.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 // Which jobs should have ordinary machines rather than spot ones.
 
@@ -17,11 +17,11 @@
 // ordinary machines, however much time its aims give it.
 const spotLossLimit = 2
 
-// likelyTasksLost is how many of its tasks a job must expect to lose on spot
+// taskLossThreshold is how many of its tasks a job must expect to lose on spot
 // machines for its deadline to be at risk: a few small tasks are hardly ever hit.
 const taskLossThreshold = 0.1
 
-// prefersOrdinary tells whether a job should rather have ordinary machines: much loss
+// prefersOnDemand tells whether a job should rather have ordinary machines: much loss
 // is to be expected, or it is likely to lose a task and its first aim gives it so
 // little time that a task begun anew would miss it. For others the choice would
 // only scatter their tasks over machines with little room, each of which has to
@@ -47,7 +47,7 @@
 	return aim > 0 && aim < 3*c.expectedRunSeconds(j)
 }
 
-// ordinaryWorthFetch tells whether so much loss is to be expected that an ordinary
+// isOnDemandWorthFetching tells whether so much loss is to be expected that an ordinary
 // machine is worth fetching the image anew.
 func (c *Controller) isOnDemandWorthFetching(j *job) bool {
 	fetch := 0.0
@@ -59,13 +59,13 @@
 	return c.expectedSpotLoss(j) > max(fetch, spotLossLimit)
 }
 
-// mayUse tells whether a job may go to a machine that is to run empty because
+// canUseMachine tells whether a job may go to a machine that is to run empty because
 // it is dear: only one to which the cheaper ones are a risk.
 func (c *Controller) canUseMachine(j *job, m *machine) bool {
 	return !m.scaleInCandidate || !m.spot && c.isOnDemandWorthFetching(j)
 }
 
-// suits tells whether a job should have a spot machine, or an ordinary one,
+// isMarketSuited tells whether a job should have a spot machine, or an ordinary one,
 // rather than another that is equal otherwise: a job that spares its time should
 // have an ordinary one; where there are such, what saves makes room for them and
 // goes to spot machines. Else neither matters.
--- a/internal/core/stale_heartbeat_test.go
+++ b/internal/controller/stale_heartbeat_test.go
@@ -1,26 +1,30 @@
-package core
+package controller
 
-import "testing"
+import (
+	"testing"
+
+	"stairrelay/internal/cluster"
+)
 
 const (
-	earlierAttempt = Attempt(7)
-	presentAttempt = Attempt(8)
+	earlierAttempt = cluster.Attempt(7)
+	presentAttempt = cluster.Attempt(8)
 )
 
-// reportUnderToken is a report of the machine's present session under its
+// statusUnderToken is a report of the machine's present session under its
 // present token, which is proof of what it does not show.
-func statusUnderToken(m *machine, stamp SequenceNumber, tasks ...TaskStatus) *HeartbeatStatus {
-	return &HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: stamp, FencingToken: m.token, PreemptionNotice: -1, Tasks: tasks}
+func statusUnderToken(m *machine, stamp cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
+	return &cluster.HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: stamp, FencingToken: m.token, PreemptionNotice: -1, Tasks: tasks}
 }
 
-// runningPresentAttempt is a machine on which the present attempt of a task runs.
+// addMachineRunningPresentAttempt is a machine on which the present attempt of a task runs.
 func addMachineRunningPresentAttempt(b *controllerHarness) (*machine, *assignment) {
 	m, present := b.addRunningMachine(b.addTestJob("j-1", 1))
 	present.attempt = presentAttempt
 	return m, present
 }
 
-// TestEarlierAttemptEnded: a worker still shows the end of an earlier attempt of
+// TestEarlierAttemptEndIgnored: a worker still shows the end of an earlier attempt of
 // a task beside the present one. Taken for the present attempt's, that end would
 // free the task, and it would start elsewhere while it runs here.
 func TestEarlierAttemptEndIgnored(t *testing.T) {
@@ -28,8 +32,8 @@
 	m, present := addMachineRunningPresentAttempt(b)
 	task := present.task
 	b.reconcile(m, statusUnderToken(m, m.sequenceNumber+1,
-		TaskStatus{Task: task, Attempt: earlierAttempt, State: Ended, Cause: CauseStopped},
-		TaskStatus{Task: task, Attempt: presentAttempt, State: Running}), false)
+		cluster.TaskStatus{Task: task, Attempt: earlierAttempt, State: cluster.Ended, Cause: cluster.CauseStopped},
+		cluster.TaskStatus{Task: task, Attempt: presentAttempt, State: cluster.Running}), false)
 	if present.confirmedAbsent || present.phase != phaseAcknowledged {
 		t.Errorf("the present attempt: gone %v, phase %d; want it running", present.confirmedAbsent, present.phase)
 	}
@@ -38,7 +42,7 @@
 	}
 }
 
-// TestEarlierAttemptRuns: a worker shows that an earlier attempt runs, and
+// TestRunningEarlierAttemptStopped: a worker shows that an earlier attempt runs, and
 // nothing of the present one, whose start was sent. Taken for the present
 // attempt, it could not be stopped: commands name the attempt that they mean.
 func TestRunningEarlierAttemptStopped(t *testing.T) {
@@ -46,7 +50,7 @@
 	m, present := addMachineRunningPresentAttempt(b)
 	present.phase, present.dispatchedAtSequence = phaseDispatched, m.sequenceNumber
 	b.reconcile(m, statusUnderToken(m, m.sequenceNumber+1,
-		TaskStatus{Task: present.task, Attempt: earlierAttempt, State: Running}), false)
+		cluster.TaskStatus{Task: present.task, Attempt: earlierAttempt, State: cluster.Running}), false)
 	if !m.unrecordedToStop[taskAttempt{present.task, earlierAttempt}] {
 		t.Error("the earlier attempt is not stopped")
 	}
@@ -55,18 +59,18 @@
 	}
 }
 
-// TestAbsenceInOlderReport: a report that lacks a task proves it gone only if it
+// TestAbsenceInStaleHeartbeatIgnored: a report that lacks a task proves it gone only if it
 // is newer than the last one taken in. One of an earlier session proves nothing
 // whatever its stamp, as stamps begin anew with each session.
 func TestAbsenceInStaleHeartbeatIgnored(t *testing.T) {
 	const (
-		lastSession = Incarnation(2)
-		lastStamp   = SequenceNumber(5)
+		lastSession = cluster.Incarnation(2)
+		lastStamp   = cluster.SequenceNumber(5)
 	)
 	for _, test := range []struct {
 		name    string
-		session Incarnation
-		stamp   SequenceNumber
+		session cluster.Incarnation
+		stamp   cluster.SequenceNumber
 		proof   bool
 	}{
 		{"newer", lastSession, lastStamp + 1, true},
--- a/internal/core/stats.go
+++ b/internal/controller/stats.go
@@ -1,4 +1,9 @@
-package core
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
 
 // Counters count what happened since the last periodic log line.
 type Counters struct {
@@ -14,29 +19,29 @@
 	Gets           int
 	PeerCalls      int
 	CloudCalls     int
-	// Visits counts the machines that were looked at one by one, whatever for.
+	// MachineScans counts the machines that were looked at one by one, whatever for.
 	MachineScans int
 }
 
-// visiting counts a look at each of so many machines.
+// addMachineScans counts a look at each of so many machines.
 func (n *Counters) addMachineScans(machines []*machine) { n.MachineScans += len(machines) }
 
-// capacityUse sums up what the machines of all parts have and what is done with
+// capacityUsage sums up what the machines of all parts have and what is done with
 // it, in processors.
 type capacityUsage struct {
-	total     Amount // of machines that are up
-	spot      Amount
-	idle      Amount
-	booting   Amount
-	recording Amount // of tasks, by their phase
-	ready     Amount
-	fetching  Amount
-	running   Amount
-	ended     Amount
-	pending   Amount // of tasks without a machine
+	total     cluster.Amount // of machines that are up
+	spot      cluster.Amount
+	idle      cluster.Amount
+	booting   cluster.Amount
+	recording cluster.Amount // of tasks, by their phase
+	ready     cluster.Amount
+	fetching  cluster.Amount
+	running   cluster.Amount
+	ended     cluster.Amount
+	pending   cluster.Amount // of tasks without a machine
 }
 
-func (u *capacityUsage) addMachine(m *machine, cpu Amount) {
+func (u *capacityUsage) addMachine(m *machine, cpu cluster.Amount) {
 	if m.booting {
 		u.booting += cpu
 		return
@@ -68,7 +73,7 @@
 	}
 }
 
-// capacityUse sums up the parts held here.
+// capacityUsage sums up the parts held here.
 func (c *Controller) capacityUsage() capacityUsage {
 	var use capacityUsage
 	for _, p := range c.shards {
@@ -79,7 +84,7 @@
 			continue
 		}
 		for _, w := range c.listPendingWork(p) {
-			use.pending += w.job.spec.ResourceRequest.CPU * Amount(w.tasks)
+			use.pending += w.job.spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
 		}
 	}
 	return use
@@ -94,8 +99,8 @@
 	for _, g := range c.machineGroups {
 		groupBytes += g.recordSize
 	}
-	cpus := func(a Amount) int { return int(a / 1_000_000) }
-	c.log(LogInfo, "load",
+	cpus := func(a cluster.Amount) int { return int(a / 1_000_000) }
+	c.log(messages.LogInfo, "load",
 		"cpus", cpus(use.total),
 		"spot", cpus(use.spot),
 		"idle", cpus(use.idle),
@@ -109,7 +114,7 @@
 		"groups", len(c.machineGroups),
 		"group_bytes", groupBytes/max(len(c.machineGroups), 1),
 		"puts_share", int(c.writeQueue.putBudget.Rate()*10)/10)
-	c.log(LogInfo, "stats",
+	c.log(messages.LogInfo, "stats",
 		"reports", counts.Heartbeats,
 		"submits", counts.Submissions,
 		"queries", counts.Queries,
@@ -136,7 +141,7 @@
 		"inflight", c.writeQueue.inFlight)
 }
 
-// heldParts counts the parts held here.
+// ownedShardCount counts the parts held here.
 func (c *Controller) ownedShardCount() int {
 	held := 0
 	for _, p := range c.shards {
--- a/internal/core/stops.go
+++ b/internal/controller/stops.go
@@ -1,18 +1,23 @@
-package core
+package controller
 
-import "sort"
+import (
+	"sort"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
 
 // Tasks that are stopped: on a notice of the cloud, or as their job is cancelled.
 
-// onNotice: the cloud will take the machine. What can save does so in time,
+// handlePreemptionNotice: the cloud will take the machine. What can save does so in time,
 // what can't finish starts anew elsewhere, what can finish is left alone.
 func (c *Controller) handlePreemptionNotice(m *machine, left float64) {
 	if !m.draining {
 		c.spotInterruptions.interruptionCount++
-		c.log(LogDebug, "spot notice", "machine", string(m.id), "left_s", left)
+		c.log(messages.LogDebug, "spot notice", "machine", string(m.id), "left_s", left)
 		m.draining = true
 	}
-	m.preemptionDeadline = c.now + Time(left*float64(second))
+	m.preemptionDeadline = c.now + cluster.Time(left*float64(second))
 	for _, a := range m.sortedAssignments() {
 		if !a.isLive() || a.stopRequested {
 			continue
@@ -49,7 +54,7 @@
 	c.queueCommandPush(m)
 }
 
-// held lists a job's tasks that are, or may be, on machines.
+// sortedAssignments lists a job's tasks that are, or may be, on machines.
 func (j *job) sortedAssignments() []*assignment {
 	l := make([]*assignment, 0, len(j.listedAssignments))
 	for a := range j.listedAssignments {
@@ -62,7 +67,7 @@
 	return l
 }
 
-// unplan withdraws the starts that have not been sent.
+// withdrawUnsentStarts withdraws the starts that have not been sent.
 func (c *Controller) withdrawUnsentStarts(j *job) {
 	for _, a := range j.sortedAssignments() {
 		if m := c.machines[a.machineID]; m != nil && a.phase == phaseReady {
@@ -71,7 +76,7 @@
 	}
 }
 
-// stopAll stops every task of a job that is cancelled.
+// stopAllTasks stops every task of a job that is cancelled.
 func (c *Controller) stopAllTasks(j *job) {
 	for _, a := range j.sortedAssignments() {
 		if m := c.machines[a.machineID]; m != nil && a.isLive() && a.phase != phaseRecording {
--- a/internal/core/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/json"
@@ -8,12 +8,15 @@
 	"strconv"
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
 // Limits of the store that are lower than those under which a record grew.
 
-// TestOutcomesUnderLimit: what is listed under a limit keeps to it, is never
+// TestOutcomesWithinSizeLimit: what is listed under a limit keeps to it, is never
 // wrong, and is all there is wherever the function says so.
 func TestOutcomesWithinSizeLimit(t *testing.T) {
 	r := rand.New(rand.NewPCG(18, 1))
@@ -56,7 +59,7 @@
 	b.config.MaxTxnOps = 4
 	j := b.addTestJob("j-1", 100_000)
 	v, _ := json.Marshal(jobRecord{Spec: &j.spec, WriteID: "x"})
-	b.store.keys["jobs/j-1"] = KV{"jobs/j-1", v, 31}
+	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: v, ModRevision: 31}
 	j.modRevisions[0] = 31
 	for i := 0; i < 100_000; i += 3 {
 		j.setCompleted(i)
@@ -84,12 +87,12 @@
 	b.writeJob(j, priorityAdmit)
 	b.runFor(20 * second)
 	for k := 1; k < chunkCount(100_000); k++ {
-		if b.store.get(j.chunkKey(k)).Outcome != NotFound {
+		if b.store.get(j.chunkKey(k)).Outcome != messages.NotFound {
 			t.Errorf("%s is left", j.chunkKey(k))
 		}
 	}
 	var rec jobRecord
-	if json.Unmarshal(b.store.keys["jobs/j-1"].Value, &rec) != nil || rec.FinalStatus != JobDone || rec.Tasks != 100_000 {
+	if json.Unmarshal(b.store.keys["jobs/j-1"].Value, &rec) != nil || rec.FinalStatus != cluster.JobDone || rec.Tasks != 100_000 {
 		t.Errorf("stored at the end: %s", b.store.keys["jobs/j-1"].Value)
 	}
 	for _, x := range b.sentTransactions {
@@ -104,32 +107,32 @@
 	}
 }
 
-// filled is a group of machines with tasks of a job on each, none of which
+// addGroupWithTasks is a group of machines with tasks of a job on each, none of which
 // follows on another, so that none shares a range.
 func (b *controllerHarness) addGroupWithTasks(name string, j *job, machines, tasks, from int) *machineGroup {
 	g := b.newGroup(b.shards[0], name, 0)
 	for i := range machines {
-		id := MachineID(fmt.Sprintf("m-%s-%04d", name, i))
+		id := cluster.MachineID(fmt.Sprintf("m-%s-%04d", name, i))
 		m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 31)
 		m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.now
 		for k := range tasks {
 			n := from + (k*machines+i)*2
-			a := &assignment{task: TaskID{Job: j.spec.ID, Index: n}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: id, attempt: Attempt(n + 1), phase: phaseAcknowledged, state: Running}
+			a := &assignment{task: cluster.TaskID{Job: j.spec.ID, Index: n}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: id, attempt: cluster.Attempt(n + 1), phase: phaseAcknowledged, state: cluster.Running}
 			m.addAssignment(a)
 			j.setAssigned(n, a)
 		}
 	}
 	v, s := b.buildGroupRecord(0, g.sortedMachines(), "x")
 	g.recordSize, g.modRevision = s.size, 20
-	b.store.keys[g.key()] = KV{g.key(), v, 20}
+	b.store.keys[g.key()] = messages.KV{Key: g.key(), Value: v, ModRevision: 20}
 	return g
 }
 
-// listed tells how often each machine is listed in the store, and the length of
+// countStoredMachines tells how often each machine is listed in the store, and the length of
 // the longest record.
-func (b *controllerHarness) countStoredMachines(t *testing.T) (map[MachineID]int, int) {
+func (b *controllerHarness) countStoredMachines(t *testing.T) (map[cluster.MachineID]int, int) {
 	t.Helper()
-	n, longest := map[MachineID]int{}, 0
+	n, longest := map[cluster.MachineID]int{}, 0
 	for _, kv := range b.store.list("groups/", 0) {
 		rec, err := grouprecord.Decode(kv.Value)
 		part, ms := rec.ShardID, rec.Machines
@@ -144,7 +147,7 @@
 	return n, longest
 }
 
-// TestSplitFarTooLarge: a record that was written under far higher limits is
+// TestOversizedRecordSplitInOneTransaction: a record that was written under far higher limits is
 // split by one transaction into as many as that may write. Each machine is in
 // exactly one, and none is above the limit where that can be.
 func TestOversizedRecordSplitInOneTransaction(t *testing.T) {
@@ -191,7 +194,7 @@
 	}
 }
 
-// TestMalformedTransaction: the store calls a transaction of several writes
+// TestRejectedTransactionRetriedSeparately: the store calls a transaction of several writes
 // malformed, as one of its records is above a limit that has come into force.
 // Each is tried by itself, only the too large one is split, and no part is lost.
 func TestRejectedTransactionRetriedSeparately(t *testing.T) {
@@ -205,7 +208,7 @@
 	if large.recordSize <= limit || large.recordSize > b.config.MaxValueBytes {
 		t.Fatalf("%d bytes: the test shows nothing", large.recordSize)
 	}
-	marks := map[string]ModRevision{small.key(): small.modRevision, other.key(): other.modRevision}
+	marks := map[string]cluster.ModRevision{small.key(): small.modRevision, other.key(): other.modRevision}
 	for _, g := range []*machineGroup{large, small, other} {
 		b.writeGroup(g, priorityStart)
 	}
@@ -249,34 +252,34 @@
 	}
 }
 
-// TestConditionsCounted: with many parts, or many jobs in one record, a
+// TestComparesWithinLimit: with many parts, or many jobs in one record, a
 // transaction has no more conditions than the protocol allows.
 func TestComparesWithinLimit(t *testing.T) {
 	cfg := newControllerHarness().config
 	cfg.MaxTxnOps, cfg.Nodes = 4, nil
 	for i := range 9 {
-		cfg.Nodes = append(cfg.Nodes, NodeID("n"+strconv.Itoa(i)))
+		cfg.Nodes = append(cfg.Nodes, cluster.NodeID("n"+strconv.Itoa(i)))
 	}
 	c := New(cfg)
 	b := newControllerHarness()
 	b.Controller = c
-	c.machineTypes["small"] = MachineType{Name: "small", Capacity: Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
+	c.machineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
 	c.now, c.admissions.loaded = 100*second, true
 	c.timers = timerQueue{}
 	for _, p := range c.shards {
 		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.now
-		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]Time{}
-		b.store.keys[p.key()] = KV{p.key(), []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), 30}
+		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]cluster.Time{}
+		b.store.keys[p.key()] = messages.KV{Key: p.key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 	}
 	for i := range 6 {
-		kv := KV{fmt.Sprintf("groups/b9-7-%d", i), grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: nil, WriteID: "x"}), ModRevision(10 + i)}
+		kv := messages.KV{Key: fmt.Sprintf("groups/b9-7-%d", i), Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: nil, WriteID: "x"}), ModRevision: cluster.ModRevision(10 + i)}
 		b.store.keys[kv.Key] = kv
 		b.deleteEmptyGroup(b.shards[0], kv)
 	}
 	told := 0
 	for i := range 20 {
-		s := JobSpec{ID: JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000}, RuntimeSeconds: 5}
-		b.submit(s, 0, "", func(r Respond) {
+		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, RuntimeSeconds: 5}
+		b.submit(s, 0, "", func(r messages.Respond) {
 			if told++; r.Status != 201 {
 				t.Errorf("%s gets %d", s.ID, r.Status)
 			}
@@ -295,9 +298,9 @@
 	}
 }
 
-// refuseLonger has the store call transactions with a longer value malformed.
+// rejectLongerValues has the store call transactions with a longer value malformed.
 func (b *controllerHarness) rejectLongerValues(limit int) {
-	b.rejectsAsMalformed = func(x StoreTxn) bool {
-		return slices.ContainsFunc(x.Then, func(o TxnOp) bool { return len(o.Value) > limit })
+	b.rejectsAsMalformed = func(x messages.StoreTxn) bool {
+		return slices.ContainsFunc(x.Then, func(o messages.TxnOp) bool { return len(o.Value) > limit })
 	}
 }
--- a/internal/core/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -1,13 +1,16 @@
-package core
+package controller
 
 import (
 	"fmt"
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// TestLateCopyAfterDrop: a group that one part made and another took and
+// TestLateGroupWriteAfterDropRejected: a group that one part made and another took and
 // emptied is dropped by the other's next claim, which fences no copy of its
 // creation: that one is guarded by the claim of the part that made it.
 func TestLateGroupWriteAfterDropRejected(t *testing.T) {
@@ -30,28 +33,28 @@
 	}
 	b.handleMachineTerminated(m)
 	b.runFor(200 * millisecond)
-	if kv := b.store.get(key); kv.Outcome != OK || b.machines["m-1"] != nil {
+	if kv := b.store.get(key); kv.Outcome != messages.OK || b.machines["m-1"] != nil {
 		t.Fatalf("the emptied group: %v", kv)
 	}
 	// The other part's next claim.
 	b.store.revision++
-	q.claimRevision, q.modRevision = b.store.revision, ModRevision(b.store.revision)
-	b.store.keys[q.key()] = KV{q.key(), []byte(`{"holder":"n0","term":2,"w":"b0-9"}`), q.modRevision}
+	q.claimRevision, q.modRevision = b.store.revision, cluster.ModRevision(b.store.revision)
+	b.store.keys[q.key()] = messages.KV{Key: q.key(), Value: []byte(`{"holder":"n0","term":2,"w":"b0-9"}`), ModRevision: q.modRevision}
 	b.applyGroupRecord(b.store.get(key).KV, q)
 	b.runFor(second)
-	if r := b.store.commit(first); r.Outcome != Conflict {
+	if r := b.store.commit(first); r.Outcome != messages.Conflict {
 		t.Errorf("a late copy of the group's creation is carried out: %s is there again", key)
 	}
 }
 
-// TestAcceptanceBesideConflict: a transaction is refused because of another
+// TestAdmissionResentAfterBatchConflict: a transaction is refused because of another
 // write in it. The submissions that it took along are stored by the next.
 func TestAdmissionResentAfterBatchConflict(t *testing.T) {
 	b := newControllerHarness()
 	m, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
 	m.group.modRevision = 77 // another writer was there
 	b.writeMachine(m, priorityStart)
-	b.handleSubmit(Submit{Request: 1, Spec: JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.runFor(5 * second)
 	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
 		t.Fatal("the two writes did not share a transaction")
@@ -65,14 +68,14 @@
 	}
 }
 
-// TestAcceptsUnread: whether another controller accepted the job before can't
+// TestAdmissionWithUnreadableRecords: whether another controller accepted the job before can't
 // be read. Then it is not called new.
 func TestAdmissionWithUnreadableRecords(t *testing.T) {
 	b := newControllerHarness()
 	b.store.revision = 40
-	b.store.keys["accepts/b1-1"] = KV{"accepts/b1-1", []byte(`{"j":[{"id":"j-1","s":{"Team":"red","Tasks":1}}],"w":"b1-1"}`), 40}
+	b.store.keys["accepts/b1-1"] = messages.KV{Key: "accepts/b1-1", Value: []byte(`{"j":[{"id":"j-1","s":{"Team":"red","Tasks":1}}],"w":"b1-1"}`), ModRevision: 40}
 	b.failsReads = true
-	b.handleSubmit(Submit{Request: 1, Spec: JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.runFor(4 * second)
 	for _, r := range b.sentResponses {
 		if r.Status == 201 {
@@ -81,15 +84,15 @@
 	}
 }
 
-// TestSameIDInOneRecord: the same submission comes in twice before either is
+// TestDuplicateSubmissionInOneRecord: the same submission comes in twice before either is
 // written. It is stored once, and one of the two is answered as a repeat.
 func TestDuplicateSubmissionInOneRecord(t *testing.T) {
 	b := newControllerHarness()
-	for i := range RequestID(2) {
-		b.handleSubmit(Submit{Request: 1 + i, Spec: JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	for i := range messages.RequestID(2) {
+		b.handleSubmit(messages.Submit{Request: 1 + i, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	}
 	b.runFor(second)
-	n := map[ReplyStatus]int{}
+	n := map[messages.ReplyStatus]int{}
 	for _, r := range b.sentResponses {
 		n[r.Status]++
 	}
@@ -107,7 +110,7 @@
 	}
 }
 
-// TestConditionsOfBurst: submissions that pile up while the store is slow go out
+// TestComparesOfBurstWithinLimit: submissions that pile up while the store is slow go out
 // in transactions that the store takes: conditions are limited to four times
 // the puts.
 func TestComparesOfBurstWithinLimit(t *testing.T) {
@@ -115,8 +118,8 @@
 	b.runFor(second)
 	inflight := b.writeQueue.inFlight
 	b.writeQueue.inFlight = maxTransactionsInFlight // the store is slow
-	for i := range RequestID(60) {
-		b.handleSubmit(Submit{Request: 1 + i, Spec: JobSpec{ID: JobID(fmt.Sprintf("j-%03d", i)), Team: "red", Tasks: 1, ResourceRequest: Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	for i := range messages.RequestID(60) {
+		b.handleSubmit(messages.Submit{Request: 1 + i, Spec: cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%03d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	}
 	b.writeQueue.inFlight = inflight
 	b.runFor(second)
--- a/internal/core/submissions.go
+++ b/internal/controller/submissions.go
@@ -1,16 +1,19 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // What users submit: whether a job can be taken, and by which controller.
 
-func (c *Controller) handleSubmit(e Submit) {
-	answer := func(r Respond) {
+func (c *Controller) handleSubmit(e messages.Submit) {
+	answer := func(r messages.Respond) {
 		if r.View == nil {
-			c.log(LogDebug, "submission refused", "job", string(e.Spec.ID), "status", r.Status, "why", r.Error)
+			c.log(messages.LogDebug, "submission refused", "job", string(e.Spec.ID), "status", r.Status, "why", r.Error)
 		}
 		r.Request = e.Request
 		c.emit(r)
@@ -21,12 +24,12 @@
 	c.submit(e.Spec, e.Rejection, e.Reason, answer)
 }
 
-// forward passes a submission to another controller, where this one has lost
+// proxySubmission passes a submission to another controller, where this one has lost
 // the store or does not know the machine types yet: any of them may store it,
 // and its user would else come back to this one until the load balancer has
 // noticed. It is answered as that controller says; a doubled one finds the job
 // known. False: nobody can.
-func (c *Controller) proxySubmission(spec JobSpec, answer func(Respond)) bool {
+func (c *Controller) proxySubmission(spec cluster.JobSpec, answer func(messages.Respond)) bool {
 	n := len(c.config.Nodes)
 	self := slices.Index(c.config.Nodes, c.config.Self)
 	for i := 1; i < n; i++ {
@@ -34,7 +37,7 @@
 		if p == nil || !c.canProxyTo(p, &spec) {
 			continue
 		}
-		c.callPeer(p.id, proxyTimeout, PeerMessage{Submission: &ProxiedSubmission{spec.ID, spec}}, func(r PeerReply) {
+		c.callPeer(p.id, proxyTimeout, messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: spec.ID, Spec: spec}}, func(r messages.PeerReply) {
 			c.answerProxied(&spec, r, answer)
 		})
 		return true
@@ -42,29 +45,29 @@
 	return false
 }
 
-// handOnTimeout is how long another controller may take to store a submission.
+// proxyTimeout is how long another controller may take to store a submission.
 const proxyTimeout = 2500 * millisecond
 
-// canStore tells whether a peer can take a submission, as far as it has told.
-func (c *Controller) canProxyTo(p *peer, spec *JobSpec) bool {
+// canProxyTo tells whether a peer can take a submission, as far as it has told.
+func (c *Controller) canProxyTo(p *peer, spec *cluster.JobSpec) bool {
 	if p.failed || p.suspected || !p.hasAnswered || c.now-p.lastPingAt > 2*second || !p.lastPing.StoreReachable {
 		return false
 	}
 	return len(spec.Dependencies) == 0 || p.lastPing.FeatureLevel >= dependencyFeatureLevel // else it would start it at once
 }
 
-// answerHandedOn answers a submission as the controller says that it went to.
-func (c *Controller) answerProxied(spec *JobSpec, r PeerReply, answer func(Respond)) {
+// answerProxied answers a submission as the controller says that it went to.
+func (c *Controller) answerProxied(spec *cluster.JobSpec, r messages.PeerReply, answer func(messages.Respond)) {
 	switch {
-	case r.Outcome != OK:
-		answer(Respond{Status: ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "store out of reach"})
+	case r.Outcome != messages.OK:
+		answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "store out of reach"})
 	case len(r.Message.Views) == 1:
 		if t := c.teams[spec.Team]; t != nil {
 			c.jobs.register(spec.ID, t.shard, spec.Team, spec.Tasks)
 		}
-		answer(Respond{Status: r.Message.Status, View: &r.Message.Views[0]})
+		answer(messages.Respond{Status: r.Message.Status, View: &r.Message.Views[0]})
 	default:
-		answer(Respond{Status: r.Message.Status, RetryAfter: r.Message.RetryAfter, Error: r.Message.Reason})
+		answer(messages.Respond{Status: r.Message.Status, RetryAfter: r.Message.RetryAfter, Error: r.Message.Reason})
 	}
 }
 
@@ -72,27 +75,27 @@
 // status and a reason.
 type submission struct {
 	controller    *Controller
-	spec          JobSpec
-	invalidStatus ReplyStatus // 400 or 422 where no repeat could be accepted, else 0
-	invalidReason string      // it is invalid
-	answer        func(Respond)
+	spec          cluster.JobSpec
+	invalidStatus messages.ReplyStatus // 400 or 422 where no repeat could be accepted, else 0
+	invalidReason string               // it is invalid
+	answer        func(messages.Respond)
 }
 
 // submit takes a job, or says why not; what is accepted is stored first.
-func (c *Controller) submit(spec JobSpec, bad ReplyStatus, why string, answer func(Respond)) {
+func (c *Controller) submit(spec cluster.JobSpec, bad messages.ReplyStatus, why string, answer func(messages.Respond)) {
 	s := &submission{controller: c, spec: spec, invalidStatus: bad, invalidReason: why, answer: answer}
 	s.evaluate(false)
 }
 
-func (s *submission) reject(status ReplyStatus, after int, why string) {
-	s.answer(Respond{Status: status, RetryAfter: after, Error: why})
+func (s *submission) reject(status messages.ReplyStatus, after int, why string) {
+	s.answer(messages.Respond{Status: status, RetryAfter: after, Error: why})
 }
 
-// retryStore is how many seconds a user waits for what this node lacks: its
+// storeRetryAfterSeconds is how many seconds a user waits for what this node lacks: its
 // store, or the machine types.
 const storeRetryAfterSeconds = 2
 
-// judge decides on the submission; checked: what the job awaits was looked up.
+// evaluate decides on the submission; checked: what the job awaits was looked up.
 func (s *submission) evaluate(checked bool) {
 	c := s.controller
 	if c.jobs.known[s.spec.ID] != nil {
@@ -100,12 +103,12 @@
 		return
 	}
 	if c.isStoreUnavailableFor(second) {
-		s.reject(ReplyUnavailable, storeRetryAfterSeconds, "store out of reach")
+		s.reject(messages.ReplyUnavailable, storeRetryAfterSeconds, "store out of reach")
 		return
 	}
 	if s.invalidStatus == 0 {
 		if len(c.machineTypes) == 0 {
-			s.reject(ReplyUnavailable, storeRetryAfterSeconds, "machine types not known yet")
+			s.reject(messages.ReplyUnavailable, storeRetryAfterSeconds, "machine types not known yet")
 			return
 		}
 		s.invalidStatus = c.checkSchedulable(&s.spec)
@@ -120,33 +123,33 @@
 	}
 }
 
-// refuseInvalid refuses a submission that can't be accepted, unless its id was:
+// rejectInvalid refuses a submission that can't be accepted, unless its id was:
 // an accepted id never gets 400 or 422 later, whatever the repeat says.
 func (s *submission) rejectInvalid() {
-	s.controller.lookUpJobInStore(s.spec.ID, func(status ReplyStatus, v JobView) {
+	s.controller.lookUpJobInStore(s.spec.ID, func(status messages.ReplyStatus, v cluster.JobView) {
 		switch status {
-		case ReplyOK:
-			s.answer(Respond{Status: ReplyOK, View: &v})
-		case ReplyJobNotFound:
+		case messages.ReplyOK:
+			s.answer(messages.Respond{Status: messages.ReplyOK, View: &v})
+		case messages.ReplyJobNotFound:
 			s.reject(s.invalidStatus, 0, s.invalidReason)
 		default:
-			s.reject(ReplyUnavailable, storeRetryAfterSeconds, "store out of reach")
+			s.reject(messages.ReplyUnavailable, storeRetryAfterSeconds, "store out of reach")
 		}
 	})
 }
 
-// checkAwaits looks up what the job awaits and goes on.
+// checkDependencies looks up what the job awaits and goes on.
 func (s *submission) checkDependencies() {
-	s.controller.checkDependencies(&s.spec, func(status ReplyStatus) {
+	s.controller.checkDependencies(&s.spec, func(status messages.ReplyStatus) {
 		switch status {
 		case 0:
 			s.invalidStatus, s.invalidReason = 0, ""
 			s.evaluate(true)
-		case ReplyUnschedulable: // unless its id was accepted before
-			s.invalidStatus, s.invalidReason = ReplyUnschedulable, "awaits a job that was never accepted"
+		case messages.ReplyUnschedulable: // unless its id was accepted before
+			s.invalidStatus, s.invalidReason = messages.ReplyUnschedulable, "awaits a job that was never accepted"
 			s.evaluate(true)
 		default:
-			s.reject(ReplyUnavailable, storeRetryAfterSeconds, "what it awaits can't be looked up now")
+			s.reject(messages.ReplyUnavailable, storeRetryAfterSeconds, "what it awaits can't be looked up now")
 		}
 	})
 }
@@ -156,60 +159,60 @@
 func (s *submission) admit() {
 	c := s.controller
 	if after := c.overloadRetryAfter(s.spec.Priority); after > 0 {
-		s.reject(ReplyTooManyRequests, after, "too many submissions of this priority")
+		s.reject(messages.ReplyTooManyRequests, after, "too many submissions of this priority")
 		return
 	}
 	c.pruneDependencies(&s.spec)
 	if v, _ := json.Marshal(jobRecord{Spec: &s.spec}); len(v) > c.config.MaxValueBytes*4/5 {
-		s.reject(ReplyUnavailable, 30, "awaits more unfinished jobs than fit into a record")
+		s.reject(messages.ReplyUnavailable, 30, "awaits more unfinished jobs than fit into a record")
 		return
 	}
 	s.spec.SubmittedAt = c.wallTime
 	c.enqueueAdmission(s.spec, s.answer)
 }
 
-// overloaded decides for all jobs of a priority alike whether submissions can
+// overloadRetryAfter decides for all jobs of a priority alike whether submissions can
 // be taken: the longer those accepted wait for the write budget, the more
 // priorities are refused, least important first. It returns when to come back.
-func (c *Controller) overloadRetryAfter(prio Priority) int {
+func (c *Controller) overloadRetryAfter(prio cluster.Priority) int {
 	// A put takes several when many wait.
 	wait := (float64(len(c.writeQueue.queues[priorityAdmit])) + c.admissions.putsNeeded(c.config.MaxTxnOps)) / max(c.writeQueue.putBudget.Rate(), 1)
 	wait = max(wait, float64(c.processHealth.load.EventDelay)/float64(second)) // a process that falls behind takes on no more
-	limit := [...]float64{BestEffort: 1, Normal: 1.5, Urgent: 2.5, Production: 3}[prio]
+	limit := [...]float64{cluster.BestEffort: 1, cluster.Normal: 1.5, cluster.Urgent: 2.5, cluster.Production: 3}[prio]
 	if wait <= limit {
 		return 0
 	}
 	return min(30, 1+int(2*wait))
 }
 
-// repeat answers a submission of a job that is known already.
-func (c *Controller) answerIdempotentRetry(answer func(Respond), id JobID) {
-	c.lookUpJob(id, func(status ReplyStatus, v JobView) {
-		if status == ReplyOK {
-			answer(Respond{Status: ReplyOK, View: &v})
+// answerIdempotentRetry answers a submission of a job that is known already.
+func (c *Controller) answerIdempotentRetry(answer func(messages.Respond), id cluster.JobID) {
+	c.lookUpJob(id, func(status messages.ReplyStatus, v cluster.JobView) {
+		if status == messages.ReplyOK {
+			answer(messages.Respond{Status: messages.ReplyOK, View: &v})
 			return
 		}
-		answer(Respond{Status: ReplyUnavailable, RetryAfter: shortRetryAfterSeconds})
+		answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds})
 	})
 }
 
-// neverRuns returns 422 for a job that no machine or quota could ever take.
-func (c *Controller) checkSchedulable(s *JobSpec) ReplyStatus {
+// checkSchedulable returns 422 for a job that no machine or quota could ever take.
+func (c *Controller) checkSchedulable(s *cluster.JobSpec) messages.ReplyStatus {
 	t := c.teams[s.Team]
 	if t == nil || s.ResourceRequest.CPU > t.QuotaLimit.CPU || s.ResourceRequest.GPU > t.QuotaLimit.GPU {
-		return ReplyUnschedulable
+		return messages.ReplyUnschedulable
 	}
 	for _, name := range sortedKeys(c.machineTypes) {
 		if c.isTypeAllowed(s, c.machineTypes[name], "") {
 			return 0
 		}
 	}
-	return ReplyUnschedulable
+	return messages.ReplyUnschedulable
 }
 
-// allows tells whether a type, and with it one of its zones, is allowed for a
+// isTypeAllowed tells whether a type, and with it one of its zones, is allowed for a
 // job's tasks and large enough for one.
-func (c *Controller) isTypeAllowed(s *JobSpec, t MachineType, zone string) bool {
+func (c *Controller) isTypeAllowed(s *cluster.JobSpec, t cluster.MachineType, zone string) bool {
 	if !s.ResourceRequest.FitsIn(t.Capacity) {
 		return false
 	}
--- a/internal/core/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -1,10 +1,13 @@
-package core
+package controller
 
 import (
 	"fmt"
 	"slices"
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
@@ -12,13 +15,13 @@
 
 const successiveOwners = 10
 
-// succeeded lets another controller claim part 0, which the one under test
+// deposeOwner lets another controller claim part 0, which the one under test
 // learns of by its watch.
 func deposeOwner(t *testing.T, b *controllerHarness) {
 	t.Helper()
 	part := b.shards[0]
 	b.store.revision++
-	claim := KV{part.key(), fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, part.term+1, b.store.revision), ModRevision(b.store.revision)}
+	claim := messages.KV{Key: part.key(), Value: fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, part.term+1, b.store.revision), ModRevision: cluster.ModRevision(b.store.revision)}
 	b.store.keys[part.key()] = claim
 	b.applyShardRecord(claim)
 	if part.owned {
@@ -26,7 +29,7 @@
 	}
 }
 
-// claimed lets the controller under test claim part 0 and read its records.
+// acquireAndLoadShard lets the controller under test claim part 0 and read its records.
 func acquireAndLoadShard(t *testing.T, b *controllerHarness) {
 	t.Helper()
 	part := b.shards[0]
@@ -37,23 +40,23 @@
 	}
 }
 
-// loseNextWrite sends the write that is queued and lets it be held up on its way:
+// loseNextWriteReply sends the write that is queued and lets it be held up on its way:
 // its sender gets no answer.
-func loseNextWriteReply(t *testing.T, b *controllerHarness) StoreTxn {
+func loseNextWriteReply(t *testing.T, b *controllerHarness) messages.StoreTxn {
 	t.Helper()
 	b.writeQueue.dispatch()
 	for i, effect := range b.effects {
-		if write, ok := effect.(StoreTxn); ok {
+		if write, ok := effect.(messages.StoreTxn); ok {
 			b.effects = slices.Delete(b.effects, i, i+1)
-			b.pendingCalls[write.Call](TxnReply{Outcome: UnknownOutcome})
+			b.pendingCalls[write.Call](messages.TxnReply{Outcome: messages.UnknownOutcome})
 			return write
 		}
 	}
 	t.Fatal("nothing was written")
-	return StoreTxn{}
+	return messages.StoreTxn{}
 }
 
-// TestTokenOfEachHolder: ten holders follow one another, and none changes the
+// TestEachOwnerRaisesToken: ten holders follow one another, and none changes the
 // record of a machine that lists a task of a cancelled job. Each has a higher
 // term and token than all before it, so reports under an earlier holder's token,
 // which lack the task, never prove it gone: an earlier holder's start of it may
@@ -61,12 +64,12 @@
 func TestEachOwnerRaisesToken(t *testing.T) {
 	b := newControllerHarness()
 	part := b.shards[0]
-	const need = Amount(3_000_000)
-	b.store.keys["jobs/j-1"] = KV{"jobs/j-1", fmt.Appendf(nil, `{"st":"cancelled","tm":"red","n":1,"r":{"CPU":%d,"GPU":0,"Mem":1},"w":"b9-1"}`, need), 20}
-	listed := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: TaskID{Job: "j-1", Index: 0}, Attempt: 7}}}
-	b.store.keys["groups/g"] = KV{"groups/g", grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{listed}, WriteID: "b9-2"}), 25}
+	const need = cluster.Amount(3_000_000)
+	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: fmt.Appendf(nil, `{"st":"cancelled","tm":"red","n":1,"r":{"CPU":%d,"GPU":0,"Mem":1},"w":"b9-1"}`, need), ModRevision: 20}
+	listed := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7}}}
+	b.store.keys["groups/g"] = messages.KV{Key: "groups/g", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{listed}, WriteID: "b9-2"}), ModRevision: 25}
 
-	earlierToken := FencingToken(25)
+	earlierToken := cluster.FencingToken(25)
 	for range successiveOwners {
 		deposeOwner(t, b)
 		earlierTerm := part.term
@@ -91,16 +94,16 @@
 	}
 }
 
-// TestLateWritesOfEarlierHolders: ten holders follow one another, and each sends
+// TestLateWritesOfDeposedOwnersRejected: ten holders follow one another, and each sends
 // a write that is held up on its way and repeats it, not knowing that it has been
 // succeeded. Neither is carried out: the claim that both are conditional on is
 // not in force any more.
 func TestLateWritesOfDeposedOwnersRejected(t *testing.T) {
 	b := newControllerHarness()
 	part := b.shards[0]
-	var heldUp []StoreTxn
+	var heldUp []messages.StoreTxn
 	for holder := range successiveOwners {
-		id := MachineID(fmt.Sprintf("m-%d", 3*holder)) // numbers of part 0
+		id := cluster.MachineID(fmt.Sprintf("m-%d", 3*holder)) // numbers of part 0
 		b.registerMachines(part, []grouprecord.Machine{{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}}, func() {})
 		heldUp = append(heldUp, loseNextWriteReply(t, b))
 		deposeOwner(t, b)
@@ -108,15 +111,15 @@
 	}
 	for i, write := range heldUp {
 		key := write.Then[0].Key
-		if b.store.get(key).Outcome != NotFound {
+		if b.store.get(key).Outcome != messages.NotFound {
 			t.Errorf("holder %d repeated its write under a later claim: %s", i, key)
-		} else if b.store.commit(write).Outcome != Conflict {
+		} else if b.store.commit(write).Outcome != messages.Conflict {
 			t.Errorf("the late write of holder %d was carried out: %s", i, key)
 		}
 	}
 }
 
-// TestClaimsOfQuarrelDamped: two controllers each believe the other to be lost,
+// TestMutualAcquiresBackOff: two controllers each believe the other to be lost,
 // and take a part from one another. The pauses grow with the changes of hands,
 // so that in between a holder has time to serve the part.
 func TestMutualAcquiresBackOff(t *testing.T) {
@@ -128,7 +131,7 @@
 	part := &shard{}
 	now := 100 * second
 	part.recordOwnerChange(now)
-	changes, last := 0, Time(0)
+	changes, last := 0, cluster.Time(0)
 	for end := now + quarrel; now < end; now += second / 10 {
 		if part.isBackoffOver(now) {
 			last = now - part.ownershipChangedAt
@@ -142,7 +145,7 @@
 	}
 }
 
-// TestNoClaimInOutage: the holder of a part is lost, and so is the state service:
+// TestNoAcquireDuringOutage: the holder of a part is lost, and so is the state service:
 // nothing is claimed. A claim that waited for the end of the outage would then
 // take the part from a holder that is back.
 func TestNoAcquireDuringOutage(t *testing.T) {
--- a/internal/core/teams.go
+++ b/internal/controller/teams.go
@@ -1,19 +1,21 @@
-package core
+package controller
 
 import (
 	"slices"
 	"sort"
+
+	"stairrelay/internal/cluster"
 )
 
 // team is a team with the part that serves it.
 type team struct {
-	Team
-	shard ShardID
+	cluster.Team
+	shard cluster.ShardID
 }
 
-// assignTeams spreads the teams over the parts by guarantee, largest first.
+// assignTeamsToShards spreads the teams over the parts by guarantee, largest first.
 // It depends on the settings alone, so that every node finds the same.
-func assignTeamsToShards(teams []Team, parts int) map[string]ShardID {
+func assignTeamsToShards(teams []cluster.Team, parts int) map[string]cluster.ShardID {
 	sorted := slices.Clone(teams)
 	sort.SliceStable(sorted, func(i, j int) bool {
 		a, b := quotaWeight(sorted[i]), quotaWeight(sorted[j])
@@ -22,8 +24,8 @@
 		}
 		return sorted[i].Name < sorted[j].Name
 	})
-	load := make([]Amount, parts)
-	partOf := map[string]ShardID{}
+	load := make([]cluster.Amount, parts)
+	partOf := map[string]cluster.ShardID{}
 	for _, t := range sorted {
 		least := 0
 		for p := range load {
@@ -32,10 +34,12 @@
 			}
 		}
 		load[least] += quotaWeight(t) + 1
-		partOf[t.Name] = ShardID(least)
+		partOf[t.Name] = cluster.ShardID(least)
 	}
 	return partOf
 }
 
-// guaranteeWeight compares guarantees: a GPU counts like eight processors.
-func quotaWeight(t Team) Amount { return t.GuaranteedQuota.CPU + t.GuaranteedQuota.GPU*8 }
+// quotaWeight compares guarantees: a GPU counts like eight processors.
+func quotaWeight(t cluster.Team) cluster.Amount {
+	return t.GuaranteedQuota.CPU + t.GuaranteedQuota.GPU*8
+}
--- a/internal/core/timers.go
+++ b/internal/controller/timers.go
@@ -1,6 +1,10 @@
-package core
+package controller
 
-import "container/heap"
+import (
+	"container/heap"
+
+	"stairrelay/internal/cluster"
+)
 
 // timerQueue holds what is to be done at a time, in the order of the times, and
 // of one time in the order in which it was asked for.
@@ -10,7 +14,7 @@
 }
 
 type timer struct {
-	due      Time
+	due      cluster.Time
 	sequence uint64
 	callback func()
 }
@@ -33,13 +37,13 @@
 func (q *timerQueue) len() int { return len(q.heap) }
 
 // add runs a function at a time.
-func (q *timerQueue) add(at Time, run func()) {
+func (q *timerQueue) add(at cluster.Time, run func()) {
 	q.lastSequence++
 	heap.Push(&q.heap, timer{at, q.lastSequence, run})
 }
 
 // next is when the next timer is due; false: there is none.
-func (q *timerQueue) next() (Time, bool) {
+func (q *timerQueue) next() (cluster.Time, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
@@ -47,7 +51,7 @@
 }
 
 // runDue runs what is due, also what that adds if it is due at once.
-func (q *timerQueue) runDue(now Time) {
+func (q *timerQueue) runDue(now cluster.Time) {
 	for len(q.heap) > 0 && q.heap[0].due <= now {
 		due := heap.Pop(&q.heap).(timer)
 		due.callback()
@@ -55,10 +59,10 @@
 }
 
 // after runs fn when a time has passed.
-func (c *Controller) after(d Time, fn func()) { c.timers.add(c.now+d, fn) }
+func (c *Controller) after(d cluster.Time, fn func()) { c.timers.add(c.now+d, fn) }
 
 // every runs fn at once, and again each time that a pause has passed.
-func (c *Controller) every(pause func() Time, fn func()) {
+func (c *Controller) every(pause func() cluster.Time, fn func()) {
 	var loop func()
 	loop = func() {
 		fn()
@@ -67,9 +71,9 @@
 	loop()
 }
 
-func fixedInterval(d Time) func() Time { return func() Time { return d } }
+func fixedInterval(d cluster.Time) func() cluster.Time { return func() cluster.Time { return d } }
 
 // NextWake says when the next Tick is due.
-func (c *Controller) NextWake() (Time, bool) { return c.timers.next() }
+func (c *Controller) NextWake() (cluster.Time, bool) { return c.timers.next() }
 
 func (c *Controller) runTimers() { c.timers.runDue(c.now) }
--- a/internal/core/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controller_test
 
 import (
 	"flag"
@@ -10,13 +10,15 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/simulation"
 )
 
 var updateGolden = flag.Bool("update", false, "write the traces of testdata/stories anew")
 
-// TestStories replays the kept traces. A story is a text file: lines that
+// TestTraces replays the kept traces. A story is a text file: lines that
 // begin with # tell it, lines that begin with > are what happens, the others
 // are what the controllers and workers did about it. With -update the last are
 // written anew: read the difference before it is committed.
@@ -51,17 +53,17 @@
 	}
 }
 
-// tell plays a story's script and returns the story with what came of it.
-func replayTrace(t *testing.T, text string, options ...standin.Option) string {
+// replayTrace plays a story's script and returns the story with what came of it.
+func replayTrace(t *testing.T, text string, options ...simulation.Option) string {
 	t.Helper()
 	var out strings.Builder
-	var w *standin.Simulator
-	var before *standin.StoreLimits
-	jobs := map[string]*standin.Job{}
+	var w *simulation.Simulator
+	var before *simulation.StoreLimits
+	jobs := map[string]*simulation.Job{}
 	cfg := testConfig()
-	cloud := testCloud(func() *standin.Simulator { return w })
+	cloud := testCloud(func() *simulation.Simulator { return w })
 	cloud.AvailableCapacity = map[string]int{}
-	cloud.BootDuration = func() core.Time { return 10 * second }
+	cloud.BootDuration = func() cluster.Time { return 10 * second }
 	say := func(s string) { fmt.Fprintf(&out, "%8.3f %s\n", time.Duration(w.Now).Seconds(), s) }
 	for i, line := range strings.Split(text, "\n") {
 		if strings.HasPrefix(line, "#") {
@@ -72,17 +74,17 @@
 		}
 		out.WriteString(line + "\n")
 		if strings.HasPrefix(line, "> teams one-part") { // two teams that share a part
-			cfg.Teams = []core.Team{
-				{Name: "red", GuaranteedQuota: core.Resources{CPU: 8 * cpu}, QuotaLimit: core.Resources{CPU: 16 * cpu}},
-				{Name: "green", GuaranteedQuota: core.Resources{CPU: 40 * cpu}, QuotaLimit: core.Resources{CPU: 48 * cpu}},
-				{Name: "blue", GuaranteedQuota: core.Resources{CPU: 40 * cpu}, QuotaLimit: core.Resources{CPU: 48 * cpu}},
-				{Name: "gold", GuaranteedQuota: core.Resources{CPU: 8 * cpu}, QuotaLimit: core.Resources{CPU: 16 * cpu}},
+			cfg.Teams = []cluster.Team{
+				{Name: "red", GuaranteedQuota: cluster.Resources{CPU: 8 * cpu}, QuotaLimit: cluster.Resources{CPU: 16 * cpu}},
+				{Name: "green", GuaranteedQuota: cluster.Resources{CPU: 40 * cpu}, QuotaLimit: cluster.Resources{CPU: 48 * cpu}},
+				{Name: "blue", GuaranteedQuota: cluster.Resources{CPU: 40 * cpu}, QuotaLimit: cluster.Resources{CPU: 48 * cpu}},
+				{Name: "gold", GuaranteedQuota: cluster.Resources{CPU: 8 * cpu}, QuotaLimit: cluster.Resources{CPU: 16 * cpu}},
 			}
 			continue
 		}
 		if f := strings.Fields(line); len(f) == 4 && f[1] == "aim" { // done within so many seconds
 			within, _ := strconv.ParseFloat(f[3], 64)
-			cfg.SLOs = append(cfg.SLOs, core.SLO{Kind: "finished", Class: f[2], WithinSeconds: within})
+			cfg.SLOs = append(cfg.SLOs, cluster.SLO{Kind: "finished", Class: f[2], WithinSeconds: within})
 			continue
 		}
 		if f := strings.Fields(line); len(f) == 5 && f[1] == "production" { // the old release under these limits; the settings name those of upgradeConfig
@@ -95,9 +97,9 @@
 		if w == nil {
 			if before != nil {
 				cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = upgradeConfig().WriteRPS, upgradeConfig().MaxValueBytes, upgradeConfig().MaxTxnOps
-				w = standin.NewUpgradeSimulator(1, cfg, *before, cloud, options...)
+				w = simulation.NewUpgradeSimulator(1, cfg, *before, cloud, options...)
 			} else {
-				w = standin.NewSimulator(1, cfg, cloud, options...)
+				w = simulation.NewSimulator(1, cfg, cloud, options...)
 			}
 			w.NoRandomFaults = true
 			w.Log = say
@@ -116,7 +118,7 @@
 }
 
 // parseLimits reads value bytes, changes a transaction and changes a second.
-func parseLimits(f []string) (*standin.StoreLimits, error) {
+func parseLimits(f []string) (*simulation.StoreLimits, error) {
 	valueBytes, err := strconv.Atoi(f[0])
 	if err != nil {
 		return nil, err
@@ -129,10 +131,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &standin.StoreLimits{WriteRPS: rate, ValueBytes: valueBytes, TxnOps: changes}, nil
+	return &simulation.StoreLimits{WriteRPS: rate, ValueBytes: valueBytes, TxnOps: changes}, nil
 }
 
-func runTraceCommand(w *standin.Simulator, cloud *standin.FakeCloud, jobs map[string]*standin.Job, f []string, say func(string)) error {
+func runTraceCommand(w *simulation.Simulator, cloud *simulation.FakeCloud, jobs map[string]*simulation.Job, f []string, say func(string)) error {
 	opt := map[string]string{}
 	var arg []string
 	for _, x := range f[1:] {
@@ -148,14 +150,14 @@
 		}
 		return or
 	}
-	dur := func(s string) core.Time {
+	dur := func(s string) cluster.Time {
 		d, err := time.ParseDuration(s)
 		if err != nil {
 			panic(err)
 		}
-		return core.Time(d)
+		return cluster.Time(d)
 	}
-	node := func(id string) *standin.Node {
+	node := func(id string) *simulation.Node {
 		for _, n := range w.Nodes {
 			if string(n.ID) == id {
 				return n
@@ -163,8 +165,8 @@
 		}
 		panic("no node " + id)
 	}
-	answered := func(what, id string) func(core.Respond) {
-		return func(r core.Respond) {
+	answered := func(what, id string) func(messages.Respond) {
+		return func(r messages.Respond) {
 			switch {
 			case r.View != nil:
 				say(fmt.Sprintf("user %s %s: %d %s done %d running %d", what, id, r.Status, r.View.Status, r.View.Done, r.View.Running))
@@ -187,42 +189,46 @@
 		}
 	case "capacity": // capacity small a 2 [spot=1]
 		n, _ := strconv.Atoi(arg[2])
-		cloud.AvailableCapacity[standin.CapacityKey(arg[0], arg[1], opt["spot"] != "")] = n
+		cloud.AvailableCapacity[simulation.CapacityKey(arg[0], arg[1], opt["spot"] != "")] = n
 	case "submit": // submit j-000001 red via n0 tasks=3 run=10 cpu=1
 		run := num("run", 10)
-		s := core.JobSpec{ID: core.JobID(arg[0]), Class: "c", Team: arg[1], Priority: core.Priority(num("priority", 1)), Tasks: int(num("tasks", 1)),
-			ResourceRequest: core.Resources{CPU: core.Amount(num("cpu", 1) * 1e6), Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: run, Spot: opt["spot"] != "", SubmittedAt: core.WallTime(w.Now / 1e6)}
+		s := cluster.JobSpec{ID: cluster.JobID(arg[0]), Class: "c", Team: arg[1], Priority: cluster.Priority(num("priority", 1)), Tasks: int(num("tasks", 1)),
+			ResourceRequest: cluster.Resources{CPU: cluster.Amount(num("cpu", 1) * 1e6), Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: run, Spot: opt["spot"] != "", SubmittedAt: cluster.WallTime(w.Now / 1e6)}
 		if opt["awaits"] != "" {
-			s.Dependencies = []core.JobID{core.JobID(opt["awaits"])}
+			s.Dependencies = []cluster.JobID{cluster.JobID(opt["awaits"])}
 		}
-		info := standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: core.Time(run * 1e9), TaskCount: s.Tasks, Image: s.Image}
+		info := simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: cluster.Time(run * 1e9), TaskCount: s.Tasks, Image: s.Image}
 		if v := num("save", 0); v > 0 {
-			s.CheckpointSeconds, s.SaveSeconds, info.CanCheckpoint, info.SaveDuration = 5, v, true, core.Time(v*1e9)
+			s.CheckpointSeconds, s.SaveSeconds, info.CanCheckpoint, info.SaveDuration = 5, v, true, cluster.Time(v*1e9)
 		}
 		if w.Jobs[s.ID] == nil {
-			jobs[arg[0]] = &standin.Job{Spec: s, Info: info}
+			jobs[arg[0]] = &simulation.Job{Spec: s, Info: info}
 			w.Jobs[s.ID] = jobs[arg[0]]
 		}
-		w.SendRequest(node(arg[3]), func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: s} }, answered("submits", arg[0]))
+		w.SendRequest(node(arg[3]), func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, answered("submits", arg[0]))
 	case "flood": // flood 50 red via n0 priority=1
 		n, _ := strconv.Atoi(arg[0])
 		count := map[string]int{}
 		for i := range n {
-			s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-%v%05d", num("priority", 1), i)), Class: "c", Team: arg[1], Priority: core.Priority(num("priority", 1)),
-				Tasks: 1, ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 500}
-			w.Jobs[s.ID] = &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 500 * second, TaskCount: 1, Image: "img"}}
-			w.SendRequest(node(arg[3]), func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: s} }, func(r core.Respond) {
+			s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%v%05d", num("priority", 1), i)), Class: "c", Team: arg[1], Priority: cluster.Priority(num("priority", 1)),
+				Tasks: 1, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 500}
+			w.Jobs[s.ID] = &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 500 * second, TaskCount: 1, Image: "img"}}
+			w.SendRequest(node(arg[3]), func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(r messages.Respond) {
 				count[fmt.Sprint(r.Status)]++
 			})
 		}
 		w.After(3500*second/1000, func() { say(fmt.Sprintf("users of priority %v: %v", num("priority", 1), count)) })
 	case "query":
-		w.SendRequest(node(arg[2]), func(id core.RequestID) core.Event { return core.Query{Request: id, ID: core.JobID(arg[0])} }, answered("asks for", arg[0]))
+		w.SendRequest(node(arg[2]), func(id messages.RequestID) messages.Event {
+			return messages.Query{Request: id, ID: cluster.JobID(arg[0])}
+		}, answered("asks for", arg[0]))
 	case "cancel":
 		if j := jobs[arg[0]]; j != nil {
 			j.CancelRequested = true
 		}
-		w.SendRequest(node(arg[2]), func(id core.RequestID) core.Event { return core.Cancel{Request: id, ID: core.JobID(arg[0])} }, answered("cancels", arg[0]))
+		w.SendRequest(node(arg[2]), func(id messages.RequestID) messages.Event {
+			return messages.Cancel{Request: id, ID: cluster.JobID(arg[0])}
+		}, answered("cancels", arg[0]))
 	case "upgrade": // upgrade n0 6s: it ends and is back after that, new
 		w.UpgradeNode(node(arg[0]), dur(arg[1]))
 	case "limits": // the lower limits come into force
@@ -258,44 +264,44 @@
 	case "cloud": // cloud 30s: its interface is down
 		w.CloudDownUntil = w.Now + dur(arg[0])
 	case "hang":
-		w.HangMachine(core.MachineID(arg[0]), dur(arg[1]))
+		w.HangMachine(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "corrupt": // the record that lists a machine makes no sense any more
 		for _, kv := range w.StateService.List("groups/").Items {
 			if strings.Contains(string(kv.Value), arg[0]) {
-				w.StateService.Commit(nil, []core.TxnOp{{Key: kv.Key, Value: []byte(`{"p":1,"m":["?"]}`)}})
+				w.StateService.Commit(nil, []messages.TxnOp{{Key: kv.Key, Value: []byte(`{"p":1,"m":["?"]}`)}})
 			}
 		}
 	case "deaf": // reports arrive, nothing reaches it
-		w.MakeUnreachable(core.MachineID(arg[0]), dur(arg[1]))
+		w.MakeUnreachable(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "copy": // its present report is delivered again later
-		w.DuplicateHeartbeat(core.MachineID(arg[0]), dur(arg[1]))
+		w.DuplicateHeartbeat(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "refuse": // refuse n0 10s: by the state service, that controller alone
 		node(arg[0]).StoreRefusesUntil = w.Now + dur(arg[1])
 	case "mute": // it reaches no controller, direct commands reach it
-		w.BlockHeartbeats(core.MachineID(arg[0]), dur(arg[1]))
+		w.BlockHeartbeats(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "lose": // lose n0 answers 3s: its transactions are carried out, their answers lost
 		node(arg[0]).StoreRepliesLostUntil = w.Now + dur(arg[2])
 	case "slow": // slow 500ms 30s: the state service answers that much later
 		w.SlowStore(dur(arg[0]), dur(arg[1]))
 	case "reboot": // the worker is back at once, in its next session
-		w.RebootWorker(core.MachineID(arg[0]))
+		w.RebootWorker(cluster.MachineID(arg[0]))
 	case "stream": // stream red via n0 every=4s for=60s tasks=1 run=10: small jobs that keep coming
 		every, left, n := dur(opt["every"]), dur(opt["for"]), 0
 		run := num("run", 10)
 		var next func()
 		next = func() {
 			n++
-			s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-8%05d", n)), Class: "small", Team: arg[0], Priority: core.Priority(num("priority", 1)), Tasks: int(num("tasks", 1)),
-				ResourceRequest: core.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: run, SubmittedAt: core.WallTime(w.Now / 1e6)}
-			w.Jobs[s.ID] = &standin.Job{Spec: s, Info: standin.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: core.Time(run * 1e9), TaskCount: s.Tasks, Image: s.Image}}
-			w.SendRequest(node(arg[2]), func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: s} }, func(core.Respond) {})
+			s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-8%05d", n)), Class: "small", Team: arg[0], Priority: cluster.Priority(num("priority", 1)), Tasks: int(num("tasks", 1)),
+				ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: run, SubmittedAt: cluster.WallTime(w.Now / 1e6)}
+			w.Jobs[s.ID] = &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: cluster.Time(run * 1e9), TaskCount: s.Tasks, Image: s.Image}}
+			w.SendRequest(node(arg[2]), func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(messages.Respond) {})
 			if left -= every; left > 0 {
 				w.After(every, next)
 			}
 		}
 		next()
 	case "notice":
-		w.PreemptSpotMachine(core.MachineID(arg[0]), dur(arg[1]))
+		w.PreemptSpotMachine(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "run":
 		w.RunUntil(w.Now + dur(arg[0]))
 	default:
--- a/internal/core/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -1,12 +1,15 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 )
 
-// TestTakeLostWithItsPart: this controller holds two parts, and one takes idle
+// TestTransferAbortedWhenShardIsLost: this controller holds two parts, and one takes idle
 // machines of the other. Before the store has answered, the taking part is
 // claimed by another controller. The machines stay with the part that offered
 // them: forgotten at the taking, they were listed by a record of a part held
@@ -21,7 +24,7 @@
 	g := b.machineGroups[sortedKeys(b.machineGroups)[0]]
 	g.offer = &groupOffer{toShard: taker.id, until: b.now + 5*second}
 	b.store.revision++
-	b.store.keys[taker.key()] = KV{taker.key(), []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision(b.store.revision)}
+	b.store.keys[taker.key()] = messages.KV{Key: taker.key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: cluster.ModRevision(b.store.revision)}
 	b.acquireGroup(taker, g.key(), g.modRevision)
 	b.runFor(200 * millisecond)
 
--- a/internal/core/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -1,14 +1,16 @@
-package core
+package controller
 
 import (
 	"fmt"
 	"testing"
 
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
-	"stairrelay/internal/sharing"
 )
 
-// TestOfferWithinTransaction: idle machines are spread over many groups with long
+// TestTransferOfferWithinTransaction: idle machines are spread over many groups with long
 // records. All records that an offer's write rewrites have to fit into one
 // transaction, which the protocol limits to 64 KiB; one that is larger is refused
 // each time, and no machine ever moves.
@@ -21,15 +23,15 @@
 		g := b.newGroup(p, fmt.Sprintf("g%02d", i), 31)
 		g.recordSize = length
 		for k := range 2 {
-			id := MachineID(fmt.Sprintf("m-%02d-%d", i, k))
+			id := cluster.MachineID(fmt.Sprintf("m-%02d-%d", i, k))
 			m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
 			m.tokenAcknowledged, m.incarnation, m.idleSince = true, 1, b.now-second
 			m.lastHeartbeat = b.now
 		}
 	}
-	b.offerIdleMachines(p, sharing.NewPlan(sharing.Snapshot{
+	b.offerIdleMachines(p, fairshare.NewPlan(fairshare.Snapshot{
 		0: {Shard: 0, Available: 96_000_000},
-		1: {Shard: 1, Demand: [4]Amount{0, 96_000_000}},
+		1: {Shard: 1, Demand: [4]cluster.Amount{0, 96_000_000}},
 	}))
 	queue := b.writeQueue.queues[priorityStart]
 	if len(queue) != 1 {
--- a/internal/core/unanswered_call_test.go
+++ b/internal/controller/unanswered_call_test.go
@@ -1,8 +1,12 @@
-package core
+package controller
 
-import "testing"
+import (
+	"testing"
 
-// TestUnansweredCallOfCancelled: a machine that was just taken over with a task of
+	"stairrelay/internal/cluster"
+)
+
+// TestUnansweredCallWithCancelledTasks: a machine that was just taken over with a task of
 // a cancelled job, and leaves its first call unanswered, is returned at once only
 // if half of the cancellation's time has passed since this controller learnt of
 // it. Else it gets the time that any machine gets which was taken over.
@@ -10,8 +14,8 @@
 	half := newControllerHarness().config.CancelDeadline / 2
 	for _, test := range []struct {
 		name       string
-		known      Time // since when the cancellation is known
-		unanswered Time // since when a call has no answer; 0: none is under way
+		known      cluster.Time // since when the cancellation is known
+		unanswered cluster.Time // since when a call has no answer; 0: none is under way
 		returned   bool
 	}{
 		{"known for long, no answer", half + second, slowPushThreshold + 100*millisecond, true},
@@ -26,7 +30,7 @@
 			m.awaitingFirstAcknowledgement, m.tokenAcknowledged, listed.phase = true, false, phaseUnverified
 			job.cancelling, listed.stopRequested = true, true
 			known := b.jobs.known["j-1"]
-			known.finalStatus, known.finalSince = JobCancelled, b.now-test.known
+			known.finalStatus, known.finalSince = cluster.JobCancelled, b.now-test.known
 			m.ownedSince = b.now - 2*second // when the part was claimed
 			if test.unanswered > 0 {
 				m.pushInFlight, m.lastPushAt = true, b.now-test.unanswered
--- a/internal/core/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -1,25 +1,27 @@
-package core_test
+package controller_test
 
 import (
 	"strconv"
 	"sync"
 	"testing"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/controller"
+	"stairrelay/internal/simulation"
 )
 
 // limitsBeforeUpgrade are those that the store has until some moment after the
 // upgrade; upgradeConfig holds the lower ones.
-var limitsBeforeUpgrade = standin.StoreLimits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
+var limitsBeforeUpgrade = simulation.StoreLimits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
 
-func upgradeConfig() core.Config {
+func upgradeConfig() controller.Config {
 	cfg := testConfig()
 	cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = 25, 2048, 8
 	return cfg
 }
 
-// TestUpgradeDays plays seeded days that begin with the production release
+// TestRollingUpgrade plays seeded days that begin with the production release
 // everywhere. The controllers are replaced while jobs run, troubles come and
 // users already ask the new ones for pipelines; some old processes end and come
 // back old before their turn, in mid-take-over and several at once; the store's
@@ -59,12 +61,12 @@
 	}
 }
 
-func simulateUpgrade(t *testing.T, seed uint64, options ...standin.Option) map[string]int {
+func simulateUpgrade(t *testing.T, seed uint64, options ...simulation.Option) map[string]int {
 	cfg := upgradeConfig()
-	var w *standin.Simulator
-	w = standin.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, testCloud(func() *standin.Simulator { return w }), options...)
+	var w *simulation.Simulator
+	w = simulation.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, testCloud(func() *simulation.Simulator { return w }), options...)
 	addMachinePerZone(w)
-	runWithFaults(t, w, cfg, func(teams []string, until core.Time) {
+	runWithFaults(t, w, cfg, func(teams []string, until cluster.Time) {
 		planJobsAndFaults(w, teams, until)
 		planPipelines(w, teams, until)
 		planUpgrade(w)
@@ -81,7 +83,7 @@
 
 // planUpgrade replaces the controllers in two turns, one and then two at once,
 // in a random order, with old ones ending before theirs.
-func planUpgrade(w *standin.Simulator) {
+func planUpgrade(w *simulation.Simulator) {
 	order := w.Rand.Perm(len(w.Nodes))
 	first, rest := w.Nodes[order[0]], order[1:]
 	begin := w.RandomBetween(20*second, 60*second)
@@ -92,10 +94,10 @@
 		w.FaultCounts["old controllers ended and back old"]++
 		restart(w, back, w.RandomBetween(second/10, 8*second))
 	})
-	w.OnShardAcquired(begin+60*second, func(core.NodeID) {
+	w.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
 		ended := w.Nodes[rest[w.Rand.IntN(len(rest))]]
 		w.After(w.RandomBetween(0, second), func() {
-			if ended.Version == standin.ProductionVersion {
+			if ended.Version == simulation.ProductionVersion {
 				w.FaultCounts["an old controller ended within a second of a claim"]++
 				crash(w, ended)
 			}
--- a/internal/core/versionregistry.go
+++ b/internal/controller/versionregistry.go
@@ -1,4 +1,8 @@
-package core
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+)
 
 // Rolling upgrades. A controller of the release before pipelines would start a
 // job at once that awaits others, as it ignores that field of the job's record.
@@ -10,24 +14,24 @@
 // that the holder knew to be upgraded. An upgraded controller is not replaced by
 // an earlier release again, so the knowledge stays true and only grows.
 type versionRegistry struct {
-	upgraded map[NodeID]bool
+	upgraded map[cluster.NodeID]bool
 }
 
-func newVersionRegistry(self NodeID) versionRegistry {
-	return versionRegistry{upgraded: map[NodeID]bool{self: true}}
+func newVersionRegistry(self cluster.NodeID) versionRegistry {
+	return versionRegistry{upgraded: map[cluster.NodeID]bool{self: true}}
 }
 
-// learn adds controllers that are known to be upgraded.
-func (r *versionRegistry) recordUpgraded(ids ...NodeID) {
+// recordUpgraded adds controllers that are known to be upgraded.
+func (r *versionRegistry) recordUpgraded(ids ...cluster.NodeID) {
 	for _, id := range ids {
 		r.upgraded[id] = true
 	}
 }
 
-// list names the controllers that are known to be upgraded, sorted.
-func (r *versionRegistry) upgradedNodes() []NodeID { return sortedKeys(r.upgraded) }
+// upgradedNodes names the controllers that are known to be upgraded, sorted.
+func (r *versionRegistry) upgradedNodes() []cluster.NodeID { return sortedKeys(r.upgraded) }
 
-// understandsAwaits tells whether a controller certainly runs a release that
+// supportsDependencies tells whether a controller certainly runs a release that
 // knows what awaiting means. What it said last in its present run counts most.
 func (c *Controller) supportsDependencies(p *peer) bool {
 	if p.lastPingAt > 0 {
@@ -36,7 +40,7 @@
 	return c.versionRegistry.upgraded[p.id]
 }
 
-// everybodyUnderstandsAwaits tells whether a job that awaits others may be
+// allSupportDependencies tells whether a job that awaits others may be
 // stored: no controller that could take its part would ignore the field.
 func (c *Controller) allSupportDependencies() bool {
 	for _, p := range c.peers {
--- a/internal/core/workerreachability.go
+++ b/internal/controller/workerreachability.go
@@ -1,31 +1,36 @@
-package core
+package controller
 
-// workerContact tells whether workers reach this node.
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// workerReachability tells whether workers reach this node.
 //
 // lost is set only while this node holds machines that should report, and is
 // cleared only by a report or by a worker that could be called.
 type workerReachability struct {
-	lastOwnedHeartbeat Time // of a machine held here
-	lastHeartbeat      Time // also of another's
+	lastOwnedHeartbeat cluster.Time // of a machine held here
+	lastHeartbeat      cluster.Time // also of another's
 	unreachable        bool
 	probeAddress       string // of a silent worker, to find out whether it can be reached
 }
 
-// heardAny tells whether any worker has reported here within a time.
-func (s *workerReachability) hasHeartbeatWithin(now, within Time) bool {
+// hasHeartbeatWithin tells whether any worker has reported here within a time.
+func (s *workerReachability) hasHeartbeatWithin(now, within cluster.Time) bool {
 	return s.lastHeartbeat > 0 && now-s.lastHeartbeat < within
 }
 
-// reporting tells whether a machine held here has reported within a time.
-func (s *workerReachability) hasOwnedHeartbeatWithin(now, within Time) bool {
+// hasOwnedHeartbeatWithin tells whether a machine held here has reported within a time.
+func (s *workerReachability) hasOwnedHeartbeatWithin(now, within cluster.Time) bool {
 	return s.lastOwnedHeartbeat > 0 && now-s.lastOwnedHeartbeat < within
 }
 
-// manyMachines report so often between them that half the patience is enough:
+// largeFleetSize report so often between them that half the patience is enough:
 // a short lease leaves a successor little time to answer them.
 const largeFleetSize = 20
 
-// workersOK is false when this node has machines but no worker has reported
+// canReachWorkers is false when this node has machines but no worker has reported
 // for several intervals, as when it is cut from the workers. It stays false
 // until a worker has been reached again, also after the parts are given up.
 func (c *Controller) canReachWorkers() bool {
@@ -54,14 +59,14 @@
 	return !s.unreachable
 }
 
-// inspectWorker asks a worker for its state while the workers seem lost.
+// probeWorker asks a worker for its state while the workers seem lost.
 func (c *Controller) probeWorker() {
 	s := &c.workerReachability
 	if !s.unreachable || s.probeAddress == "" {
 		return
 	}
-	c.emit(QueryWorkerStatus{Addr: s.probeAddress, Call: c.registerCall(func(b any) {
-		if b.(PushCommandsReply).Outcome == OK {
+	c.emit(messages.QueryWorkerStatus{Addr: s.probeAddress, Call: c.registerCall(func(b any) {
+		if b.(messages.PushCommandsReply).Outcome == messages.OK {
 			s.unreachable = false
 			s.lastOwnedHeartbeat = c.now
 		}
--- a/internal/core/write_id_test.go
+++ b/internal/controller/write_id_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"stairrelay/internal/grouprecord"
 )
 
-// TestNonceOfGroup: readBack finds a group's record by the nonce of the
+// TestWriteIDOfGroup: readBack finds a group's record by the nonce of the
 // transaction that wrote it.
 func TestWriteIDOfGroup(t *testing.T) {
 	v := grouprecord.Encode(grouprecord.Record{ShardID: 2, WriteID: "n-1"})
--- a/internal/core/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -1,8 +1,8 @@
-package core
+package controller
 
 import "testing"
 
-// recordingTasks makes the first tasks of a group's machines wait for its record.
+// markTasksRecording makes the first tasks of a group's machines wait for its record.
 func markTasksRecording(g *machineGroup, n int) {
 	for _, m := range g.sortedMachines() {
 		for _, a := range m.sortedAssignments() {
@@ -13,7 +13,7 @@
 	}
 }
 
-// writesOf is how many of the transactions so far write a key.
+// countWrites is how many of the transactions so far write a key.
 func (b *controllerHarness) countWrites(key string) int {
 	n := 0
 	for _, x := range b.sentTransactions {
@@ -26,7 +26,7 @@
 	return n
 }
 
-// scarcePuts leaves the given number of puts a second and no more at once.
+// limitPutRate leaves the given number of puts a second and no more at once.
 func (b *controllerHarness) limitPutRate(rate float64) {
 	b.timers = timerQueue{} // no new division of the rate
 	b.writeQueue.putBudget.SetRate(rate, 1)
--- a/internal/core/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -1,14 +1,16 @@
-package core
+package controller
 
 import (
 	"fmt"
 	"testing"
 
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/ratelimit"
 )
 
-// rateLimit has the store refuse changes beyond a rate, as a bucket of one
+// enforceWriteRate has the store refuse changes beyond a rate, as a bucket of one
 // second's worth, and returns how many transactions it has refused.
 func (b *controllerHarness) enforceWriteRate(rate float64) *int {
 	refused := 0
@@ -16,7 +18,7 @@
 	allowed.SetRate(rate, rate)
 	allowed.Refill(b.now)
 	allowed.Fill()
-	b.throttles = func(x StoreTxn) bool {
+	b.throttles = func(x messages.StoreTxn) bool {
 		ok := allowed.Take(b.now, float64(len(x.Then)))
 		if !ok {
 			refused++
@@ -26,7 +28,7 @@
 	return &refused
 }
 
-// withRates is a bench whose settings name a lower write rate for later.
+// newHarnessWithRates is a bench whose settings name a lower write rate for later.
 func newHarnessWithRates(present, later float64) *controllerHarness {
 	b := newControllerHarness()
 	b.config.CurrentWriteRPS, b.config.WriteRPS, b.config.MaxTxnOps = present, later, 4
@@ -35,7 +37,7 @@
 	return b
 }
 
-// heldStarts makes groups of which each has starts that wait for its record.
+// addGroupsAwaitingRecord makes groups of which each has starts that wait for its record.
 func (b *controllerHarness) addGroupsAwaitingRecord(name string, j *job, groups, from int) []*machineGroup {
 	var all []*machineGroup
 	for i := range groups {
@@ -47,7 +49,7 @@
 	return all
 }
 
-// checkStarted fails unless every group was stored with its tasks, which may
+// checkGroupsReady fails unless every group was stored with its tasks, which may
 // start now, and no part was given up.
 func (b *controllerHarness) checkGroupsReady(t *testing.T, groups []*machineGroup) {
 	t.Helper()
@@ -85,7 +87,7 @@
 	b.checkGroupsReady(t, groups)
 }
 
-// checkRate fails unless the controllers share the given rate.
+// checkSharedRate fails unless the controllers share the given rate.
 func (b *controllerHarness) checkSharedRate(t *testing.T, rate float64) {
 	t.Helper()
 	if b.writeQueue.writeRPS != rate {
@@ -96,7 +98,7 @@
 	}
 }
 
-// TestWriteRateRefused: once the store refuses the present rate the lower one
+// TestThrottledWriteRateLowered: once the store refuses the present rate the lower one
 // that the settings name is kept to. The refused writes are sent again, every
 // held start is recorded, and no part is lost.
 func TestThrottledWriteRateLowered(t *testing.T) {
@@ -114,7 +116,7 @@
 	// After that a store that refuses all for a while costs nothing either.
 	limited := b.throttles
 	refusedAll := 0
-	b.throttles = func(StoreTxn) bool { refusedAll++; return true }
+	b.throttles = func(messages.StoreTxn) bool { refusedAll++; return true }
 	more := b.addGroupsAwaitingRecord("h", j, 5, 500)
 	b.runFor(3 * second)
 	if refusedAll == 0 {
--- a/internal/core/writebatch.go
+++ b/internal/controller/writebatch.go
@@ -1,20 +1,25 @@
-package core
+package controller
 
-import "strconv"
+import (
+	"strconv"
 
-// condsPerOp is how many conditions the protocol allows per change that a
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// comparesPerOperation is how many conditions the protocol allows per change that a
 // transaction may make.
 const comparesPerOperation = 4
 
 const (
-	// maxGatheredBytes is how much a transaction may hold before nothing is added.
+	// maxBatchBytes is how much a transaction may hold before nothing is added.
 	// The protocol takes 64 KiB.
 	maxBatchBytes = 40_000
-	// opOverhead is what a change takes beside its key and value, roughly.
+	// operationOverhead is what a change takes beside its key and value, roughly.
 	operationOverhead = 80
 )
 
-// gathering is a transaction while writes are added to it, most urgent first.
+// writeBatch is a transaction while writes are added to it, most urgent first.
 //
 // It writes no key twice and none that another transaction in flight writes,
 // holds writes of one part at most, and stays within the limits of the protocol
@@ -27,7 +32,7 @@
 	keys        map[string]bool
 }
 
-// gather makes a transaction of the writes whose turn has come, or returns nil.
+// nextTransaction makes a transaction of the writes whose turn has come, or returns nil.
 func (w *writeQueue) nextTransaction() *transaction {
 	now := w.controller.now
 	w.putBudget.Refill(now)
@@ -58,7 +63,7 @@
 	return g.finish()
 }
 
-// advanceLazy puts a checkpoint write before the starts when its turn has come.
+// advanceBackground puts a checkpoint write before the starts when its turn has come.
 func (w *writeQueue) advanceBackground() {
 	lazy := w.queues[priorityBackground]
 	if w.backgroundDeficit < 1 || len(lazy) == 0 {
@@ -74,7 +79,7 @@
 	nonce := w.controller.config.InstanceID + "-" + strconv.Itoa(w.lastWriteNumber)
 	return &writeBatch{
 		queue:       w,
-		transaction: &transaction{writeID: nonce, shardID: NoShard, priority: priorityCount},
+		transaction: &transaction{writeID: nonce, shardID: cluster.NoShard, priority: priorityCount},
 		budget:      w.putBudget.Level(),
 		keys:        map[string]bool{},
 	}
@@ -100,7 +105,7 @@
 	return rest
 }
 
-// closedTo tells whether nothing of a priority may be added any more: the
+// isClosedTo tells whether nothing of a priority may be added any more: the
 // transaction is full, or what it holds is so much more urgent that it goes
 // without.
 func (g *writeBatch) isClosedTo(prio int) bool {
@@ -110,12 +115,12 @@
 	return g.transaction.priority != priorityCount && prio > max(g.transaction.priority, priorityAdmit)+1
 }
 
-// clashes tells whether a write can't be in the same transaction as those that
+// conflictsWith tells whether a write can't be in the same transaction as those that
 // it has already, or not yet.
 func (g *writeBatch) conflictsWith(x *queuedWrite) bool {
 	t, ops := g.transaction, g.queue.controller.config.MaxTxnOps
 	switch {
-	case x.shardID != NoShard && t.shardID != NoShard && x.shardID != t.shardID:
+	case x.shardID != cluster.NoShard && t.shardID != cluster.NoShard && x.shardID != t.shardID:
 		return true
 	case len(t.operations)+len(x.keys) > ops:
 		return true
@@ -138,7 +143,7 @@
 	t := g.transaction
 	// Without the claim there is no mark of ours to make the write
 	// conditional on: the one in the books is the new holder's.
-	if x.shardID != NoShard && prio != priorityAcquire && !g.queue.controller.shards[x.shardID].owned {
+	if x.shardID != cluster.NoShard && prio != priorityAcquire && !g.queue.controller.shards[x.shardID].owned {
 		if x.onOwnershipLost != nil {
 			x.onOwnershipLost()
 		}
@@ -149,7 +154,7 @@
 		return
 	}
 	for i, op := range ops {
-		t.compares = append(t.compares, Compare{op.Key, marks[i]})
+		t.compares = append(t.compares, messages.Compare{Key: op.Key, ModRevision: marks[i]})
 		g.keys[op.Key] = true
 		g.bytes += len(op.Value) + len(op.Key) + operationOverhead
 	}
@@ -158,7 +163,7 @@
 	t.putsByPriority[prio] += len(ops)
 	t.writes = append(t.writes, x)
 	g.budget -= float64(len(ops))
-	if x.shardID != NoShard {
+	if x.shardID != cluster.NoShard {
 		t.shardID = x.shardID
 	}
 	t.priority = min(t.priority, prio)
@@ -171,10 +176,10 @@
 	if len(t.writes) == 0 {
 		return nil
 	}
-	if t.shardID != NoShard && t.priority != priorityAcquire {
+	if t.shardID != cluster.NoShard && t.priority != priorityAcquire {
 		p := g.queue.controller.shards[t.shardID]
 		t.ownerModRevision = p.modRevision
-		t.compares = append(t.compares, Compare{p.key(), p.modRevision})
+		t.compares = append(t.compares, messages.Compare{Key: p.key(), ModRevision: p.modRevision})
 	}
 	for key := range g.keys {
 		g.queue.inFlightKeys[key] = true
--- a/internal/core/writequeue.go
+++ b/internal/controller/writequeue.go
@@ -1,10 +1,13 @@
-package core
+package controller
 
 import (
 	"cmp"
 	"encoding/json"
 	"slices"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/ratelimit"
 )
 
@@ -20,31 +23,31 @@
 	priorityCount
 )
 
-// write is a change that is built when its turn comes, so that everything that
+// queuedWrite is a change that is built when its turn comes, so that everything that
 // happens to a record while it waits shares one put.
 type queuedWrite struct {
-	shardID ShardID // its claim guards the write, or NoPart
+	shardID cluster.ShardID // its claim guards the write, or NoPart
 	keys    []string
 	// build returns the changes and the marks their keys must have; nil: no longer wanted.
-	build func(nonce string) ([]TxnOp, []ModRevision)
-	// also holds further conditions, which build may set.
-	extraCompares []Compare
-	// mostAlso is how many of them build may come to set.
+	build func(nonce string) ([]messages.TxnOp, []cluster.ModRevision)
+	// extraCompares holds further conditions, which build may set.
+	extraCompares []messages.Compare
+	// maxExtraCompares is how many of them build may come to set.
 	maxExtraCompares int
 	priority         int // of the queue that it was last added to
-	queuedAt         Time
+	queuedAt         cluster.Time
 	// cpusWaiting counts the CPUs that stand idle until the write is done; nil: none.
 	cpusWaiting func() float64
-	onApplied   func(Revision)
-	// unsure is set before ok when a late copy may yet come.
+	onApplied   func(cluster.Revision)
+	// inDoubt is set before ok when a late copy may yet come.
 	inDoubt bool
-	// alone: the store called a transaction with it malformed.
+	// sendAlone: the store called a transaction with it malformed.
 	sendAlone bool
-	// tooLarge is called when the store refuses the write by itself as malformed.
+	// onTooLarge is called when the store refuses the write by itself as malformed.
 	onTooLarge func()
-	// conflict is called when another writer changed one of the keys.
+	// onConflict is called when another writer changed one of the keys.
 	onConflict func()
-	// lost is called when the part's claim was lost.
+	// onOwnershipLost is called when the part's claim was lost.
 	onOwnershipLost func()
 }
 
@@ -52,17 +55,17 @@
 	writes           []*queuedWrite
 	priority         int
 	writeID          string
-	compares         []Compare
-	operations       []TxnOp
+	compares         []messages.Compare
+	operations       []messages.TxnOp
 	inDoubt          bool // an earlier sending may have been, or may yet be, carried out
 	sendCount        int
-	firstSentAt      Time               // when it was first sent
+	firstSentAt      cluster.Time       // when it was first sent
 	putsByPriority   [priorityCount]int // puts by priority
-	shardID          ShardID
-	ownerModRevision ModRevision // the claim that guards it
+	shardID          cluster.ShardID
+	ownerModRevision cluster.ModRevision // the claim that guards it
 }
 
-// writer spends the store's write budget. A transaction whose outcome is
+// writeQueue spends the store's write budget. A transaction whose outcome is
 // unknown is sent again unchanged: its conditions on the marks of the keys it
 // sets make a late copy harmless, and its nonce shows whether it was applied.
 type writeQueue struct {
@@ -81,7 +84,7 @@
 	backgroundDeficit float64 // of the checkpoint's writes against the more urgent
 }
 
-// lazyShare is how many checkpoint writes go out per more urgent put even when
+// backgroundShare is how many checkpoint writes go out per more urgent put even when
 // those would take the whole rate: what has ended is reaped only after them,
 // and reports and records grow until then.
 const backgroundShare = 0.25
@@ -95,7 +98,7 @@
 	w.requestBudget.Fill()
 }
 
-// setShare divides the store's limits among the controllers that are alive.
+// setLiveControllers divides the store's limits among the controllers that are alive.
 func (w *writeQueue) setLiveControllers(live int) {
 	w.liveControllers = max(live, 1)
 	requests := w.controller.config.StoreRPS * (w.controller.config.Tuning.RateBudgetShare / float64(w.liveControllers))
@@ -103,7 +106,7 @@
 	w.divideWriteRate()
 }
 
-// measure works out once a second how many puts this controller could use.
+// measureDemand works out once a second how many puts this controller could use.
 func (w *writeQueue) measureDemand() {
 	want := float64(w.putsSent) + float64(w.depth())/2
 	w.putsSent = 0
@@ -111,13 +114,13 @@
 	w.divideWriteRate()
 }
 
-// divide gives each controller its part of the write rate by what it could
+// divideWriteRate gives each controller its part of the write rate by what it could
 // use: teams, and so work, are spread unevenly, and an even division would let
 // most of the rate lie idle while one part's starts wait. All know each other's
 // demand from their calls; where they differ for a moment the store refuses.
 func (w *writeQueue) divideWriteRate() {
 	c := w.controller
-	rate := c.shareByDemand(w.writeRPS*c.config.Tuning.RateBudgetShare, w.demand, func(g *Ping) float64 { return g.WriteDemand })
+	rate := c.shareByDemand(w.writeRPS*c.config.Tuning.RateBudgetShare, w.demand, func(g *messages.Ping) float64 { return g.WriteDemand })
 	w.putBudget.SetRate(rate, max(rate, float64(c.config.MaxTxnOps)))
 }
 
@@ -146,7 +149,7 @@
 	w.enqueue(min(x.priority+1, priorityBackground), x)
 }
 
-// orderStarts puts those writes of starts first for which most CPUs have waited
+// sortStarts puts those writes of starts first for which most CPUs have waited
 // longest, by put: a record with little to start waits until more can share its
 // put. Each ages, so none waits for ever.
 func (w *writeQueue) sortStarts() {
@@ -177,8 +180,8 @@
 
 const maxTransactionsInFlight = 6
 
-// dropPart forgets the queued writes of a claim that was lost.
-func (w *writeQueue) dropShard(p ShardID) {
+// dropShard forgets the queued writes of a claim that was lost.
+func (w *writeQueue) dropShard(p cluster.ShardID) {
 	var lost []*queuedWrite
 	for i, q := range w.queues {
 		var rest []*queuedWrite
@@ -196,7 +199,7 @@
 	}
 }
 
-// pump sends what the budget and the keys in flight allow.
+// dispatch sends what the budget and the keys in flight allow.
 func (w *writeQueue) dispatch() {
 	for w.inFlight < maxTransactionsInFlight {
 		t := w.nextTransaction()
@@ -207,8 +210,8 @@
 	}
 }
 
-// wakeIn has the queues looked at again after a time.
-func (w *writeQueue) wakeAfter(d Time) {
+// wakeAfter has the queues looked at again after a time.
+func (w *writeQueue) wakeAfter(d cluster.Time) {
 	if w.wakeScheduled {
 		return
 	}
@@ -232,7 +235,7 @@
 		c.counters.PutsByPriority[i] += n
 	}
 	c.storeHealth.recordRequest(c.now)
-	c.emit(StoreTxn{Call: c.registerCall(func(b any) { w.handleReply(t, b.(TxnReply)) }), If: t.compares, Then: t.operations})
+	c.emit(messages.StoreTxn{Call: c.registerCall(func(b any) { w.handleReply(t, b.(messages.TxnReply)) }), If: t.compares, Then: t.operations})
 }
 
 func (w *writeQueue) finish(t *transaction) {
@@ -255,14 +258,14 @@
 	})
 }
 
-func (w *writeQueue) handleReply(t *transaction, r TxnReply) {
+func (w *writeQueue) handleReply(t *transaction, r messages.TxnReply) {
 	c := w.controller
 	c.recordStoreOutcome(r.Outcome)
 	switch r.Outcome {
-	case OK:
+	case messages.OK:
 		w.finish(t)
 		w.handleApplied(t, r.Revision)
-	case Conflict:
+	case messages.Conflict:
 		c.counters.Conflicts++
 		if t.inDoubt {
 			w.resolveInDoubt(t, r.FailedKeys)
@@ -270,17 +273,17 @@
 		}
 		w.finish(t)
 		w.handleConflict(t, r.FailedKeys)
-	case Throttled, NotApplied:
-		if r.Outcome == Throttled {
+	case messages.Throttled, messages.NotApplied:
+		if r.Outcome == messages.Throttled {
 			w.lowerWriteRate()
 		}
 		w.refund(t) // not carried out: it cost nothing
 		w.retry(t)
-	case Invalid:
+	case messages.Invalid:
 		// Perhaps the store's limits were lowered and one of its records is too
 		// large. Each is built anew, by itself, so that this one shows.
 		w.finish(t)
-		c.log(LogInfo, "store refuses our transaction as malformed", "keys", len(t.operations), "first", t.operations[0].Key, "writes", len(t.writes))
+		c.log(messages.LogInfo, "store refuses our transaction as malformed", "keys", len(t.operations), "first", t.operations[0].Key, "writes", len(t.writes))
 		for _, x := range t.writes {
 			switch {
 			case len(t.writes) > 1:
@@ -299,34 +302,34 @@
 	}
 }
 
-// rateRefused keeps to the lower of the limits that the settings name, once the
+// lowerWriteRate keeps to the lower of the limits that the settings name, once the
 // store has refused more than that.
 func (w *writeQueue) lowerWriteRate() {
 	if w.writeRPS > w.controller.config.WriteRPS {
-		w.controller.log(LogInfo, "store refuses the present write rate", "per_second", w.writeRPS, "from_now", w.controller.config.WriteRPS)
+		w.controller.log(messages.LogInfo, "store refuses the present write rate", "per_second", w.writeRPS, "from_now", w.controller.config.WriteRPS)
 		w.writeRPS = w.controller.config.WriteRPS
 		w.divideWriteRate()
 	}
 }
 
-func (w *writeQueue) handleApplied(t *transaction, e Revision) {
+func (w *writeQueue) handleApplied(t *transaction, e cluster.Revision) {
 	for _, x := range t.writes {
 		x.inDoubt = t.inDoubt
 		x.onApplied(e)
 	}
-	if t.shardID != NoShard { // a claim, or a write on condition of one
+	if t.shardID != cluster.NoShard { // a claim, or a write on condition of one
 		p := w.controller.shards[t.shardID]
 		p.storedTransactions++
 		p.lastStoredRevision = max(p.lastStoredRevision, e)
 		if t.priority == priorityAcquire {
-			w.controller.recordConfirmation(p, ModRevision(e), t.firstSentAt)
+			w.controller.recordConfirmation(p, cluster.ModRevision(e), t.firstSentAt)
 		} else {
 			w.controller.recordConfirmation(p, t.ownerModRevision, t.firstSentAt)
 		}
 	}
 }
 
-// failed sorts the writes of a refused transaction into those whose own keys
+// handleConflict sorts the writes of a refused transaction into those whose own keys
 // were changed by another, those whose part is lost, and the innocent.
 func (w *writeQueue) handleConflict(t *transaction, keys []string) {
 	c := w.controller
@@ -361,7 +364,7 @@
 	}
 }
 
-// readBack finds out whether a transaction that failed on its repetition had
+// resolveInDoubt finds out whether a transaction that failed on its repetition had
 // been applied the first time. It is atomic, so any key that still shows its
 // nonce tells; one alone may have been changed since, as a new job's record is
 // by the job's owner.
@@ -380,12 +383,12 @@
 			w.handleConflict(t, failed)
 			return
 		}
-		c.readKey(keys[i], func(r GetReply) {
+		c.readKey(keys[i], func(r messages.GetReply) {
 			switch {
-			case r.Outcome == OK && writeIDOf(r.KV.Value) == t.writeID:
+			case r.Outcome == messages.OK && writeIDOf(r.KV.Value) == t.writeID:
 				w.finish(t)
-				w.handleApplied(t, Revision(r.KV.ModRevision))
-			case r.Outcome == OK || r.Outcome == NotFound:
+				w.handleApplied(t, cluster.Revision(r.KV.ModRevision))
+			case r.Outcome == messages.OK || r.Outcome == messages.NotFound:
 				next(i + 1)
 			default:
 				c.after(300*millisecond, func() { next(i) })
--- a/internal/core/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -1,31 +1,34 @@
-package core
+package controller
 
 import (
 	"testing"
 
-	"stairrelay/internal/entitlement"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/ownership"
 )
 
 // The guards of a zone that is cut off with machines and controllers in it:
 // inside, a controller lets go of its machines; outside, what they may run is
 // not started again.
 
-// reportStatus is the status with which a report of a machine is answered.
-func heartbeatReplyStatus(b *controllerHarness, m *machine) ReplyStatus {
+// heartbeatReplyStatus is the status with which a report of a machine is answered.
+func heartbeatReplyStatus(b *controllerHarness, m *machine) messages.ReplyStatus {
 	b.effects = nil
-	b.handleHeartbeat(Heartbeat{Request: 1, Status: HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: m.sequenceNumber + 1, FencingToken: m.token, PreemptionNotice: -1}})
+	b.handleHeartbeat(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: m.sequenceNumber + 1, FencingToken: m.token, PreemptionNotice: -1}})
 	b.now += maxHeartbeatHold
 	b.flush()
 	for _, effect := range b.effects {
-		if answer, ok := effect.(Respond); ok {
+		if answer, ok := effect.(messages.Respond); ok {
 			return answer.Status
 		}
 	}
 	return 0
 }
 
-// TestCutOffHolderLetsMachinesGo: a holder inside the zone has lost the state
+// TestPartitionedOwnerStopsAnsweringMachines: a holder inside the zone has lost the state
 // service and at least one other controller, which may have claimed its part. It
 // answers its machines for a lease where it hears nobody, so that they have a
 // lease left to find their new holder in, and in any case only as long as the
@@ -40,15 +43,15 @@
 		return b
 	}
 	config := newHolder().config
-	bound := entitlement.AnswerWindow(config.CancelDeadline, config.WorkerLease)
+	bound := ownership.AnswerWindow(config.CancelDeadline, config.WorkerLease)
 	if bound < config.WorkerLease+2*second {
 		t.Fatalf("entitled for %d s: no later than isolated", bound/second)
 	}
 	for _, test := range []struct {
 		name   string
-		after  Time
+		after  cluster.Time
 		hears  bool // the other controller in the zone
-		status ReplyStatus
+		status messages.ReplyStatus
 	}{
 		{"hears nobody, within the lease", config.WorkerLease - 2*second, false, 200},
 		{"hears nobody, after the lease", config.WorkerLease + second, false, 421},
@@ -69,7 +72,7 @@
 	}
 }
 
-// TestTaskOfCutZoneNotStartedAgain: a controller outside has claimed the part. A
+// TestTaskOfPartitionedZoneNotRestarted: a controller outside has claimed the part. A
 // task that the record lists on a silent machine of the zone is not started on a
 // free machine outside, until the cloud has taken the silent one back and the
 // record says so.
@@ -77,13 +80,13 @@
 	b := newControllerHarness()
 	part := b.shards[0]
 	job := b.addTestJob("j-1", 1)
-	task := TaskID{Job: "j-1", Index: 0}
+	task := cluster.TaskID{Job: "j-1", Index: 0}
 	cut := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: task, Attempt: 7}}}
-	record := KV{"groups/cut", grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{cut}, WriteID: "b9-1"}), 25}
+	record := messages.KV{Key: "groups/cut", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{cut}, WriteID: "b9-1"}), ModRevision: 25}
 	b.store.keys[record.Key] = record
 	b.applyGroupRecord(record, part)
 	outside := b.addMachine(b.newGroup(part, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
-	b.store.keys["groups/outside"] = KV{"groups/outside", grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), 26}
+	b.store.keys["groups/outside"] = messages.KV{Key: "groups/outside", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), ModRevision: 26}
 	outside.tokenAcknowledged, outside.incarnation, outside.sequenceNumber = true, 1, 1
 
 	startedOutside := func() bool {
--- a/internal/core/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -1,15 +1,15 @@
-package core_test
+package controller_test
 
 import (
 	"testing"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
 )
 
-// cutZone cuts a zone with all the machines and one controller off from the other
+// partitionZone cuts a zone with all the machines and one controller off from the other
 // controllers and from the state service, until a time. The machines go on
 // reporting to the controller inside.
-func (m *testCluster) partitionZone(inside core.NodeID, until core.Time) {
+func (m *testCluster) partitionZone(inside cluster.NodeID, until cluster.Time) {
 	for _, node := range m.Nodes {
 		if node.ID == inside {
 			node.StoreCutUntil, node.PeersCutUntil = until, until
@@ -19,7 +19,7 @@
 	}
 }
 
-// TestZoneCutWhileCloudIsOut: a zone with all the machines and the controller
+// TestZonePartitionDuringCloudOutage: a zone with all the machines and the controller
 // that holds their part is cut off for longer than a lease, and the cloud is out,
 // so that the controller outside which claims the part and confirms a
 // cancellation can neither reach the machines nor return them. Only the
@@ -39,7 +39,7 @@
 	m.runAndCheck(2*m.config.CancelDeadline + 30*second)
 }
 
-// TestZoneCutLongerThanLease: a zone with all the workers and one controller is
+// TestZonePartitionLongerThanLease: a zone with all the workers and one controller is
 // cut off for longer than a lease; the controller there goes on answering them.
 // Another claims its part and confirms a cancellation, and can't reach a machine.
 func TestZonePartitionLongerThanLease(t *testing.T) {
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -15,24 +15,25 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/simulation"
 )
 
 const (
-	// nodes is the number of controllers.
+	// nodeCount is the number of controllers.
 	nodeCount = 3
-	// reportEvery and lease are those of the settings below.
+	// heartbeatInterval and lease are those of the settings below.
 	heartbeatInterval = 500 * time.Millisecond
 	leaseDuration     = 6 * time.Second
 	// callTimeout bounds a user's call.
 	callTimeout = 5 * time.Second
-	// patience bounds how long a test waits for anything.
+	// waitTimeout bounds how long a test waits for anything.
 	waitTimeout      = 25 * time.Second
 	waitPollInterval = 50 * time.Millisecond
 )
 
-// clusterSettings is the part of the settings that all controllers share,
+// sharedSettings is the part of the settings that all controllers share,
 // after the addresses of the cloud and the state service.
 const sharedSettings = `[external]
 cloud = %q
@@ -65,13 +66,13 @@
 list_lag_s = 1.0
 `
 
-// teams are those of the settings.
+// teamNames are those of the settings.
 var teamNames = []string{"red", "green", "blue"}
 
-// smallType is the one machine type of the region.
-var smallMachineType = core.MachineType{
+// smallMachineType is the one machine type of the region.
+var smallMachineType = cluster.MachineType{
 	Name:             "small",
-	Capacity:         core.Resources{CPU: 4_000_000, Memory: 16_000_000},
+	Capacity:         cluster.Resources{CPU: 4_000_000, Memory: 16_000_000},
 	CacheGB:          10,
 	FetchGBPerSecond: 1,
 	OnDemandPrice:    0.2,
@@ -80,7 +81,7 @@
 	Zones:            []string{"a"},
 }
 
-// program is the path of the program under test, built once for all tests.
+// programPath is the path of the program under test, built once for all tests.
 var programPath string
 
 func TestMain(m *testing.M) {
@@ -103,10 +104,10 @@
 	return m.Run()
 }
 
-// cluster is a region with the processes of its controllers.
+// processCluster is a region with the processes of its controllers.
 type processCluster struct {
 	t              *testing.T
-	services       *standin.FakeServices
+	services       *simulation.FakeServices
 	frontAddresses []string // the controllers' addresses for users and workers
 	peerAddresses  []string // and those for one another
 	settingsPaths  []string // the paths of their settings
@@ -142,10 +143,10 @@
 	return c
 }
 
-func newFakeServices(t *testing.T) *standin.FakeServices {
+func newFakeServices(t *testing.T) *simulation.FakeServices {
 	t.Helper()
-	capacity := map[string]int{standin.CapacityKey(smallMachineType.Name, "a", true): 3}
-	region := standin.NewFakeServices([]core.MachineType{smallMachineType}, capacity, heartbeatInterval, leaseDuration)
+	capacity := map[string]int{simulation.CapacityKey(smallMachineType.Name, "a", true): 3}
+	region := simulation.NewFakeServices([]cluster.MachineType{smallMachineType}, capacity, heartbeatInterval, leaseDuration)
 	t.Cleanup(region.Close)
 	region.AddMachine(smallMachineType.Name, "a", false)
 	region.AddMachine(smallMachineType.Name, "a", false)
@@ -154,7 +155,7 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// freePorts finds addresses on loopback that nothing listens on.
+// freeAddresses finds addresses on loopback that nothing listens on.
 func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	var addresses []string
@@ -207,7 +208,7 @@
 	return text.String()
 }
 
-// run starts a controller and waits until it is healthy.
+// startNode starts a controller and waits until it is healthy.
 func (c *processCluster) startNode(node int) {
 	c.t.Helper()
 	log := &bytes.Buffer{}
@@ -230,7 +231,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// kill ends a controller's process at once, if it runs.
+// killNode ends a controller's process at once, if it runs.
 func (c *processCluster) killNode(node int) {
 	process := c.processes[node]
 	if process == nil {
@@ -241,7 +242,7 @@
 	c.processes[node] = nil
 }
 
-// stop ends all controllers and checks that no task ran twice at once. Only
+// stopAll ends all controllers and checks that no task ran twice at once. Only
 // then are the logs whole; a failed test shows them.
 func (c *processCluster) stopAll() {
 	for node := range nodeCount {
@@ -260,7 +261,7 @@
 	}
 }
 
-// wait fails the test unless a condition holds in time.
+// waitFor fails the test unless a condition holds in time.
 func (c *processCluster) waitFor(what string, holds func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
@@ -276,14 +277,14 @@
 // submit hands a job to a controller and returns the answer's status.
 func (c *processCluster) submit(node int, id, team string, tasks int, run time.Duration) int {
 	c.t.Helper()
-	info := standin.JobInfo{
-		ResourceRequest: core.Resources{CPU: 1_000_000, Memory: 1_000_000},
-		RunDuration:     core.Time(run),
+	info := simulation.JobInfo{
+		ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000},
+		RunDuration:     cluster.Time(run),
 		TaskCount:       tasks,
 		Image:           "img",
 	}
-	c.services.WithLock(func() { c.services.Jobs[core.JobID(id)] = info })
-	code, _ := c.callUserAPI(http.MethodPost, node, "/v2/runs", standin.Submission(id, team, tasks))
+	c.services.WithLock(func() { c.services.Jobs[cluster.JobID(id)] = info })
+	code, _ := c.callUserAPI(http.MethodPost, node, "/v2/runs", simulation.Submission(id, team, tasks))
 	return code
 }
 
@@ -295,7 +296,7 @@
 	}
 }
 
-// call makes a user's call and returns the answer's status and the job's state;
+// callUserAPI makes a user's call and returns the answer's status and the job's state;
 // status 0: there was no answer.
 func (c *processCluster) callUserAPI(method string, node int, path, body string) (int, string) {
 	c.t.Helper()
@@ -315,7 +316,7 @@
 	return response.StatusCode, view.Status
 }
 
-// status is a job's state, or the answer's status if it is not 200.
+// jobStatus is a job's state, or the answer's status if it is not 200.
 func (c *processCluster) jobStatus(node int, id string) string {
 	code, status := c.callUserAPI(http.MethodGet, node, "/v2/runs/"+id, "")
 	if code != http.StatusOK {
--- a/internal/e2e/connections_test.go
+++ b/internal/e2e/connections_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// manyWorkers is how many workers report to one controller.
+	// fleetWorkers is how many workers report to one controller.
 	fleetWorkers = 4000
-	// workerPatience is how long a worker waits for an answer.
+	// workerAnswerTimeout is how long a worker waits for an answer.
 	workerAnswerTimeout = 4 * time.Second
-	// spareFiles are left to the test's other files.
+	// reservedFiles are left to the test's other files.
 	reservedFiles = 200
 )
 
-// workersWithin is how many workers' connections the box permits, both ends of
+// workersWithinFileLimit is how many workers' connections the box permits, both ends of
 // which are this process's.
 func workersWithinFileLimit(t *testing.T) int {
 	t.Helper()
@@ -29,7 +29,7 @@
 	return min(fleetWorkers, (int(files.Cur)-reservedFiles)/ends)
 }
 
-// TestManyConnections: all workers of a large fleet report to one controller at
+// TestFleetHeartbeatsWithinConnectionLimit: all workers of a large fleet report to one controller at
 // once, round after round. It has a connection for each, or room for a quarter of
 // them. Each report is answered before its worker gives up and turns to another
 // controller.
@@ -59,7 +59,7 @@
 	}
 }
 
-// reportAll has all workers report, at the same time as many as there are
+// sendAllHeartbeats has all workers report, at the same time as many as there are
 // connections for, and returns how long the slowest answer took. Those without a
 // connection make one; those whose answer says so close theirs.
 func sendAllHeartbeats(t *testing.T, addr string, senders []*heartbeatSender, limit int) time.Duration {
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -10,11 +10,12 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/simulation"
 )
 
-// TestUsersInterface: every node takes jobs of every team and knows them all.
+// TestUserAPIOnEveryNode: every node takes jobs of every team and knows them all.
 func TestUserAPIOnEveryNode(t *testing.T) {
 	c := startCluster(t)
 	for i, team := range teamNames {
@@ -26,13 +27,13 @@
 		}
 	}
 	for body, want := range map[string]int{
-		`{`:                                    http.StatusBadRequest,
-		`[]`:                                   http.StatusBadRequest,
-		`{"id":"j-5"}`:                         http.StatusBadRequest,
-		`{"id":"j-000000"}`:                    http.StatusOK, // known: never 400 again
-		standin.Submission("j-7", "nobody", 1): http.StatusUnprocessableEntity,
-		standin.Submission("j-000001", "nobody", 100): http.StatusOK,
-		strings.Repeat("x", 70<<10):                   http.StatusBadRequest,
+		`{`:                 http.StatusBadRequest,
+		`[]`:                http.StatusBadRequest,
+		`{"id":"j-5"}`:      http.StatusBadRequest,
+		`{"id":"j-000000"}`: http.StatusOK, // known: never 400 again
+		simulation.Submission("j-7", "nobody", 1):        http.StatusUnprocessableEntity,
+		simulation.Submission("j-000001", "nobody", 100): http.StatusOK,
+		strings.Repeat("x", 70<<10):                      http.StatusBadRequest,
 	} {
 		if code, _ := c.callUserAPI(http.MethodPost, 0, "/v2/runs", body); code != want {
 			t.Errorf("%.40s: %d, want %d", body, code, want)
@@ -46,7 +47,7 @@
 	}
 }
 
-// TestKillsAndOutage: controllers die, one and then all, and the state service
+// TestNodeKillsAndStoreOutage: controllers die, one and then all, and the state service
 // goes away for a while; accepted work is done all the same, once.
 func TestNodeKillsAndStoreOutage(t *testing.T) {
 	c := startCluster(t)
@@ -82,13 +83,13 @@
 	}
 }
 
-// TestOneWayMachine: a machine's reports arrive, but nothing reaches it. Its
+// TestUnreachableMachineReplaced: a machine's reports arrive, but nothing reaches it. Its
 // tasks run elsewhere only after they can't run there any more, and it is
 // returned.
 func TestUnreachableMachineReplaced(t *testing.T) {
 	c := startCluster(t)
 	c.mustSubmit(0, "j-000031", "red", 3, 8*time.Second)
-	var unreachable core.MachineID
+	var unreachable cluster.MachineID
 	c.waitFor("running", func() bool {
 		if ids := c.services.BusyMachines(); len(ids) > 0 {
 			unreachable = ids[0]
@@ -100,7 +101,7 @@
 	c.waitFor("done elsewhere", func() bool { return c.jobStatus(1, "j-000031") == "done" })
 }
 
-// TestQuickRestarts: processes that are back at once, one of them twice, lose
+// TestQuickRestartsLoseNoTask: processes that are back at once, one of them twice, lose
 // no task and start none again.
 func TestQuickRestartsLoseNoTask(t *testing.T) {
 	c := startCluster(t)
@@ -117,7 +118,7 @@
 		c.waitFor("done", func() bool { return c.jobStatus(i, id) == "done" })
 		c.services.WithLock(func() {
 			for k := range 2 {
-				if n := c.services.StartCounts[core.TaskID{Job: core.JobID(id), Index: k}]; n != 1 {
+				if n := c.services.StartCounts[cluster.TaskID{Job: cluster.JobID(id), Index: k}]; n != 1 {
 					t.Errorf("%s/%d was started %d times", id, k, n)
 				}
 			}
--- a/internal/e2e/heartbeat_bench_test.go
+++ b/internal/e2e/heartbeat_bench_test.go
@@ -14,7 +14,10 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/controller"
 	"stairrelay/internal/engine"
 	"stairrelay/internal/sockets"
 	"stairrelay/internal/users"
@@ -24,12 +27,12 @@
 const (
 	// benchConnections is the number of workers that report in turn.
 	benchConnections = 200
-	// benchReport is a report with three tasks, as most are.
+	// benchHeartbeat is a report with three tasks, as most are.
 	benchHeartbeat = `{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,"shift":1,"stamp":88,"baton":41,"recallS":null,"legs":[` +
 		`{"leg":"j-000412/3","boarding":2097153,"status":"running"},{"leg":"j-000412/4","boarding":2097154,"status":"fetching"},{"leg":"j-000398/0","boarding":2097100,"status":"ended","cause":"done"}]}`
 )
 
-// BenchmarkReport measures the whole path of a worker's report on loopback:
+// BenchmarkHeartbeat measures the whole path of a worker's report on loopback:
 // HTTP, JSON, the engine and the core and back, on kept connections. The
 // sender's part is in it too, made as small as possible. The core knows none
 // of the machines: what it does with those it knows is BenchmarkFleet's.
@@ -47,40 +50,40 @@
 	}
 }
 
-// serveReports starts a controller whose state service refuses everything:
+// startHeartbeatServer starts a controller whose state service refuses everything:
 // after half a second reports get their 503 at once. It has so many connections
 // for workers and users. It returns its address, and counts what is open.
 func startHeartbeatServer(b testing.TB, connections int) (string, *sockets.ConnectionLimiter) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	config := core.Config{
+	config := controller.Config{
 		Self:              "n0",
-		Nodes:             []core.NodeID{"n0"},
-		Teams:             []core.Team{{Name: "t"}},
-		HeartbeatInterval: core.Time(5 * time.Second),
-		WorkerLease:       core.Time(26 * time.Second),
+		Nodes:             []cluster.NodeID{"n0"},
+		Teams:             []cluster.Team{{Name: "t"}},
+		HeartbeatInterval: cluster.Time(5 * time.Second),
+		WorkerLease:       cluster.Time(26 * time.Second),
 		StoreRPS:          100,
 		WriteRPS:          100,
 		MaxValueBytes:     8192,
 		MaxTxnOps:         16,
 		CloudRPS:          5,
 		InstanceID:        "b",
-		Tuning:            core.DefaultTuning(),
+		Tuning:            controller.DefaultTuning(),
 	}
 	eng := engine.New(config, 0, log)
-	nothing := func(core.Effect) {}
-	refuse := func(effect core.Effect) {
+	nothing := func(messages.Effect) {}
+	refuse := func(effect messages.Effect) {
 		switch effect := effect.(type) {
-		case core.StoreList:
-			go eng.DeliverReply(effect.Call, core.ListReply{Outcome: core.NotApplied})
-		case core.StoreGet:
-			go eng.DeliverReply(effect.Call, core.GetReply{Outcome: core.NotApplied})
-		case core.StoreTxn:
-			go eng.DeliverReply(effect.Call, core.TxnReply{Outcome: core.NotApplied})
+		case messages.StoreList:
+			go eng.DeliverReply(effect.Call, messages.ListReply{Outcome: messages.NotApplied})
+		case messages.StoreGet:
+			go eng.DeliverReply(effect.Call, messages.GetReply{Outcome: messages.NotApplied})
+		case messages.StoreTxn:
+			go eng.DeliverReply(effect.Call, messages.TxnReply{Outcome: messages.NotApplied})
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	go eng.Run(ctx, engine.Executors{Store: refuse, Cloud: nothing, Workers: nothing, Peers: func(core.PeerCall) {}})
+	go eng.Run(ctx, engine.Executors{Store: refuse, Cloud: nothing, Workers: nothing, Peers: func(messages.PeerCall) {}})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -92,7 +95,7 @@
 	return listener.Addr().String(), front
 }
 
-// reportSender sends the same report again and again on one connection.
+// heartbeatSender sends the same report again and again on one connection.
 type heartbeatSender struct {
 	connection     net.Conn
 	reader         *bufio.Reader
@@ -123,7 +126,7 @@
 	}
 }
 
-// report sends the report and reads the answer.
+// sendHeartbeat sends the report and reads the answer.
 func (s *heartbeatSender) sendHeartbeat() error {
 	if _, err := s.connection.Write(s.request); err != nil {
 		return err
@@ -141,7 +144,7 @@
 	return err
 }
 
-// closedByServer tells whether the server has closed the connection while it was
+// isClosedByServer tells whether the server has closed the connection while it was
 // idle, as any client looks before it uses one again.
 func (s *heartbeatSender) isClosedByServer() bool {
 	_ = s.connection.SetReadDeadline(time.Now().Add(time.Millisecond))
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -6,38 +6,39 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/standin"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/simulation"
 )
 
-// submitAfter hands in a job of one task that awaits others, until it is taken:
+// submitWithDependencies hands in a job of one task that awaits others, until it is taken:
 // in the first second after its start a controller may not know yet that all
 // the others run a release that understands pipelines.
 func (c *processCluster) submitWithDependencies(node int, id, team string, run time.Duration, awaits ...string) {
 	c.t.Helper()
 	c.services.WithLock(func() {
-		c.services.Jobs[core.JobID(id)] = standin.JobInfo{ResourceRequest: core.Resources{CPU: 1_000_000, Memory: 1_000_000}, RunDuration: core.Time(run), TaskCount: 1, Image: "img"}
+		c.services.Jobs[cluster.JobID(id)] = simulation.JobInfo{ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}, RunDuration: cluster.Time(run), TaskCount: 1, Image: "img"}
 	})
-	body := addDependencies(standin.Submission(id, team, 1), fmt.Sprintf(`["%s"]`, strings.Join(awaits, `","`)))
+	body := addDependencies(simulation.Submission(id, team, 1), fmt.Sprintf(`["%s"]`, strings.Join(awaits, `","`)))
 	c.waitFor(id+" accepted", func() bool {
 		status, _ := c.callUserAPI("POST", node, "/v2/runs", body)
 		return status == 200 || status == 201
 	})
 }
 
-// withAwaits adds the field awaits to a submission.
+// addDependencies adds the field awaits to a submission.
 func addDependencies(submission, list string) string {
 	return strings.TrimSuffix(strings.TrimSpace(submission), "}") + `,"awaits":` + list + "}"
 }
 
-// starts tells how often a job's only task was started.
+// startCount tells how often a job's only task was started.
 func (c *processCluster) startCount(id string) int {
 	n := 0
-	c.services.WithLock(func() { n = c.services.StartCounts[core.TaskID{Job: core.JobID(id), Index: 0}] })
+	c.services.WithLock(func() { n = c.services.StartCounts[cluster.TaskID{Job: cluster.JobID(id), Index: 0}] })
 	return n
 }
 
-// TestPipeline: three real processes take a pipeline over three teams, run its
+// TestDependencyPipeline: three real processes take a pipeline over three teams, run its
 // jobs one after the other, and cancel what needs a cancelled job.
 func TestDependencyPipeline(t *testing.T) {
 	c := startCluster(t)
@@ -80,7 +81,7 @@
 		`"j-000051"`:   400,
 		`["j-777777"]`: 422, // never accepted
 	} {
-		if status, _ := c.callUserAPI("POST", 1, "/v2/runs", addDependencies(standin.Submission("j-000064", "red", 1), list)); status != want {
+		if status, _ := c.callUserAPI("POST", 1, "/v2/runs", addDependencies(simulation.Submission("j-000064", "red", 1), list)); status != want {
 			t.Errorf("awaits %s: %d, want %d", list, status, want)
 		}
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -7,82 +7,85 @@
 	"log/slog"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/controller"
 )
 
 // inboxSize is the number of events that may wait before their senders do.
 const inboxSize = 256
 
-// Asker hands a request to the core and waits for its answer; false when the
+// Requester hands a request to the core and waits for its answer; false when the
 // context ended first.
 type Requester interface {
-	Request(ctx context.Context, event func(core.RequestID) core.Event) (core.Respond, bool)
+	Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool)
 }
 
 // ReplyFunc hands an outgoing call's reply to the core.
-type ReplyFunc func(call core.CallID, body any)
+type ReplyFunc func(call messages.CallID, body any)
 
-// Actors carry out effects. They must not block.
+// Executors carry out effects. They must not block.
 type Executors struct {
-	Store   func(core.Effect)
-	Cloud   func(core.Effect)
-	Workers func(core.Effect)
-	Peers   func(core.PeerCall)
+	Store   func(messages.Effect)
+	Cloud   func(messages.Effect)
+	Workers func(messages.Effect)
+	Peers   func(messages.PeerCall)
 }
 
 // Engine runs a core.
 type Engine struct {
-	controller      *core.Controller
+	controller      *controller.Controller
 	inbox           chan queuedEvent
 	log             *slog.Logger
 	executors       Executors
 	startTime       time.Time
-	pendingRequests map[core.RequestID]chan core.Respond
-	lastRequestID   core.RequestID
+	pendingRequests map[messages.RequestID]chan messages.Respond
+	lastRequestID   messages.RequestID
 	load            loadMeter
 	usage           usageMeter
 }
 
-// message is an event on its way to the core.
+// queuedEvent is an event on its way to the core.
 type queuedEvent struct {
-	makeEvent  func(core.RequestID) core.Event
-	response   chan core.Respond // nil: nobody waits
+	makeEvent  func(messages.RequestID) messages.Event
+	response   chan messages.Respond // nil: nobody waits
 	enqueuedAt time.Time
 }
 
 // New makes an engine for a process that may use a share of a core; 0: not
 // limited. Run starts it.
-func New(config core.Config, coreShare float64, log *slog.Logger) *Engine {
+func New(config controller.Config, coreShare float64, log *slog.Logger) *Engine {
 	return &Engine{
-		controller:      core.New(config),
+		controller:      controller.New(config),
 		inbox:           make(chan queuedEvent, inboxSize),
 		log:             log,
 		startTime:       time.Now(),
-		pendingRequests: map[core.RequestID]chan core.Respond{},
+		pendingRequests: map[messages.RequestID]chan messages.Respond{},
 		load:            loadMeter{cpuShare: coreShare},
 	}
 }
 
-// Ask hands a request to the core and waits for its answer; false when ctx
+// Request hands a request to the core and waits for its answer; false when ctx
 // ended first.
-func (e *Engine) Request(ctx context.Context, event func(core.RequestID) core.Event) (core.Respond, bool) {
-	answer := make(chan core.Respond, 1)
+func (e *Engine) Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
+	answer := make(chan messages.Respond, 1)
 	select {
 	case e.inbox <- queuedEvent{makeEvent: event, response: answer, enqueuedAt: time.Now()}:
 	case <-ctx.Done():
-		return core.Respond{}, false
+		return messages.Respond{}, false
 	}
 	select {
 	case respond := <-answer:
 		return respond, true
 	case <-ctx.Done():
-		return core.Respond{}, false
+		return messages.Respond{}, false
 	}
 }
 
-// Answer hands an outgoing call's reply to the core.
-func (e *Engine) DeliverReply(call core.CallID, body any) {
-	reply := func(core.RequestID) core.Event { return core.Reply{Call: call, Body: body} }
+// DeliverReply hands an outgoing call's reply to the core.
+func (e *Engine) DeliverReply(call messages.CallID, body any) {
+	reply := func(messages.RequestID) messages.Event { return messages.Reply{Call: call, Body: body} }
 	e.inbox <- queuedEvent{makeEvent: reply, enqueuedAt: time.Now()}
 }
 
@@ -99,7 +102,7 @@
 			return
 		case <-timer.C:
 			e.load.recordLag(time.Duration(e.now() - due))
-			e.step(core.Tick{})
+			e.step(messages.Tick{})
 		case m := <-e.inbox:
 			e.load.recordLag(time.Since(m.enqueuedAt))
 			e.step(e.assignRequestID(m))
@@ -114,8 +117,8 @@
 	}
 }
 
-// receive numbers a message and notes who waits for its answer.
-func (e *Engine) assignRequestID(m queuedEvent) core.Event {
+// assignRequestID numbers a message and notes who waits for its answer.
+func (e *Engine) assignRequestID(m queuedEvent) messages.Event {
 	e.lastRequestID++
 	if m.response != nil {
 		e.pendingRequests[e.lastRequestID] = m.response
@@ -124,35 +127,35 @@
 }
 
 // step takes an event to the core and has its effects carried out.
-func (e *Engine) step(event core.Event) {
+func (e *Engine) step(event messages.Event) {
 	e.usage.steps++
-	wall := core.WallTime(time.Now().UnixMilli())
+	wall := cluster.WallTime(time.Now().UnixMilli())
 	for _, effect := range e.controller.Step(e.now(), wall, event) {
 		e.executeEffect(effect)
 	}
 }
 
-func (e *Engine) now() core.Time { return core.Time(time.Since(e.startTime)) }
+func (e *Engine) now() cluster.Time { return cluster.Time(time.Since(e.startTime)) }
 
-func (e *Engine) executeEffect(effect core.Effect) {
+func (e *Engine) executeEffect(effect messages.Effect) {
 	switch effect := effect.(type) {
-	case core.Respond:
+	case messages.Respond:
 		e.respond(effect)
-	case core.StoreTxn, core.StoreGet, core.StoreList, core.StoreWatch:
+	case messages.StoreTxn, messages.StoreGet, messages.StoreList, messages.StoreWatch:
 		e.executors.Store(effect)
-	case core.CloudMachineTypes, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
+	case messages.CloudMachineTypes, messages.CloudScaleOut, messages.CloudScaleIn, messages.CloudList:
 		e.executors.Cloud(effect)
-	case core.PushCommands, core.QueryWorkerStatus:
+	case messages.PushCommands, messages.QueryWorkerStatus:
 		e.executors.Workers(effect)
-	case core.PeerCall:
+	case messages.PeerCall:
 		e.executors.Peers(effect)
-	case core.Log:
+	case messages.Log:
 		e.writeLog(effect)
 	}
 }
 
 // respond answers a request, unless its sender has been answered.
-func (e *Engine) respond(respond core.Respond) {
+func (e *Engine) respond(respond messages.Respond) {
 	if answer := e.pendingRequests[respond.Request]; answer != nil {
 		answer <- respond
 		delete(e.pendingRequests, respond.Request)
@@ -162,8 +165,8 @@
 // statsLine is the log line that the engine adds the process's usage to.
 const statsLine = "stats"
 
-// write writes a line of the core's to the log.
-func (e *Engine) writeLog(line core.Log) {
+// writeLog writes a line of the core's to the log.
+func (e *Engine) writeLog(line messages.Log) {
 	arguments := line.Args
 	if line.Message == statsLine {
 		arguments = append(arguments, e.usage.sample(&e.load)...)
@@ -171,11 +174,11 @@
 	e.log.Log(context.Background(), slogLevel(line), line.Message, arguments...)
 }
 
-func slogLevel(line core.Log) slog.Level {
+func slogLevel(line messages.Log) slog.Level {
 	switch line.Level {
-	case core.LogDebug:
+	case messages.LogDebug:
 		return slog.LevelDebug
-	case core.LogError:
+	case messages.LogError:
 		return slog.LevelError
 	}
 	return slog.LevelInfo
