--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -6,14 +6,17 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/controller"
 )
 
 // The core must hear that the process is near its share, and that it no longer
 // is; in between and at ease it is not bothered.
 func TestLoadReported(t *testing.T) {
-	e := New(core.Config{Self: "n0", Nodes: []core.NodeID{"n0"}, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: core.DefaultTuning()}, 0.1, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	look := func(used, lag time.Duration) (core.ProcessLoad, bool) {
+	e := New(controller.Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: controller.DefaultTuning()}, 0.1, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	look := func(used, lag time.Duration) (messages.ProcessLoad, bool) {
 		e.load.windowStart = time.Now().Add(-2 * time.Second)
 		e.load.windowStartCPU, _ = processCPUTime()
 		e.load.windowStartCPU -= used
@@ -32,7 +35,7 @@
 	if l, ok := look(0, 0); !ok || l.CPUUsage > 0.5 {
 		t.Errorf("at ease again: %+v, told %v", l, ok)
 	}
-	if l, ok := look(0, time.Second); !ok || l.EventDelay != core.Time(time.Second) {
+	if l, ok := look(0, time.Second); !ok || l.EventDelay != cluster.Time(time.Second) {
 		t.Errorf("a second behind: %+v, told %v", l, ok)
 	}
 }
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -3,13 +3,14 @@
 import (
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 const (
-	// measureEvery is the time over which the process's load is measured.
+	// measureInterval is the time over which the process's load is measured.
 	measureInterval = time.Second
-	// busyShare and longLag are from when on the core is told of the load.
+	// busyThreshold and longLag are from when on the core is told of the load.
 	busyThreshold = 0.5
 	lagThreshold  = 100 * time.Millisecond
 )
@@ -25,22 +26,22 @@
 	peakLag        time.Duration // likewise
 }
 
-// noteLag notes how late an event was taken up.
+// recordLag notes how late an event was taken up.
 func (m *loadMeter) recordLag(lag time.Duration) { m.worstLag = max(m.worstLag, lag) }
 
 // measure looks once a second how busy the process is. It is worth telling
 // while it is busy, and once when it no longer is.
-func (m *loadMeter) measure() (core.ProcessLoad, bool) {
+func (m *loadMeter) measure() (messages.ProcessLoad, bool) {
 	now := time.Now()
 	elapsed := now.Sub(m.windowStart)
 	if elapsed < measureInterval {
-		return core.ProcessLoad{}, false
+		return messages.ProcessLoad{}, false
 	}
 	cpu, known := processCPUTime()
 	if !known {
-		return core.ProcessLoad{}, false
+		return messages.ProcessLoad{}, false
 	}
-	load := core.ProcessLoad{EventDelay: core.Time(m.worstLag)}
+	load := messages.ProcessLoad{EventDelay: cluster.Time(m.worstLag)}
 	if m.cpuShare > 0 {
 		used := cpu - m.windowStartCPU
 		load.CPUUsage = used.Seconds() / elapsed.Seconds() / m.cpuShare
@@ -51,7 +52,7 @@
 	m.windowStartCPU = cpu
 	m.worstLag = 0
 	wasTold := m.reportedBusy
-	m.reportedBusy = load.CPUUsage > busyThreshold || load.EventDelay > core.Time(lagThreshold)
+	m.reportedBusy = load.CPUUsage > busyThreshold || load.EventDelay > cluster.Time(lagThreshold)
 	return load, wasTold || m.reportedBusy
 }
 
--- a/internal/engine/usage.go
+++ b/internal/engine/usage.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// processorTime is what the process has taken so far; false when the system
+// processCPUTime is what the process has taken so far; false when the system
 // does not tell.
 func processCPUTime() (time.Duration, bool) {
 	var usage syscall.Rusage
--- a/internal/sharing/sharing_test.go
+++ b/internal/fairshare/sharing_test.go
@@ -1,14 +1,14 @@
-package sharing
+package fairshare
 
 import (
 	"reflect"
 	"testing"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
 // load is a part's with CPUs in use or free, and demand by priority.
-func load(have, coming model.Amount, demand ...model.Amount) ShardLoad {
+func load(have, coming cluster.Amount, demand ...cluster.Amount) ShardLoad {
 	l := ShardLoad{Available: have * cpu, Booting: coming * cpu}
 	for priority, amount := range demand {
 		l.Demand[priority] = amount * cpu
@@ -17,8 +17,8 @@
 }
 
 // cpus turns a map of CPUs into one of Amounts.
-func cpus(of map[model.ShardID]model.Amount) map[model.ShardID]model.Amount {
-	out := map[model.ShardID]model.Amount{}
+func cpus(of map[cluster.ShardID]cluster.Amount) map[cluster.ShardID]cluster.Amount {
+	out := map[cluster.ShardID]cluster.Amount{}
 	for part, amount := range of {
 		out[part] = amount * cpu
 	}
@@ -28,7 +28,7 @@
 // TestTargets: more important work is served first, and within a priority the
 // part that needs least, evenly where there is too little.
 func TestTargets(t *testing.T) {
-	type amounts = map[model.ShardID]model.Amount
+	type amounts = map[cluster.ShardID]cluster.Amount
 	for _, x := range []struct {
 		name  string
 		loads Snapshot
@@ -51,7 +51,7 @@
 // millionth that can't be divided evenly.
 func TestTargetsAgree(t *testing.T) {
 	const third = 100 * cpu / 3
-	want := map[model.ShardID]model.Amount{0: third, 1: third, 2: third + 1}
+	want := map[cluster.ShardID]cluster.Amount{0: third, 1: third, 2: third + 1}
 	for range 100 { // a map's order differs each time
 		plan := NewPlan(Snapshot{0: load(100, 0, 0, 80), 1: load(0, 0, 0, 80), 2: load(0, 0, 0, 80)})
 		if !reflect.DeepEqual(plan.Targets, want) {
@@ -66,7 +66,7 @@
 	for _, x := range []struct {
 		name  string
 		loads Snapshot
-		want  model.Amount // of part 0
+		want  cluster.Amount // of part 0
 	}{
 		{"nobody lacks any", Snapshot{0: load(100, 0, 0, 10), 1: load(50, 0, 0, 50)}, 0},
 		{"nobody lacks any, and this part has no more than its target", Snapshot{0: load(10, 0, 0, 10), 1: load(5, 0, 0, 5)}, 0},
@@ -106,13 +106,13 @@
 	for _, x := range []struct {
 		name  string
 		loads Snapshot
-		want  model.Priority // that part 0 would give machines up for
+		want  cluster.Priority // that part 0 would give machines up for
 	}{
-		{"no work", Snapshot{0: load(100, 0), 1: load(0, 0)}, model.BestEffort},
-		{"normal", Snapshot{0: load(100, 0), 1: load(0, 0, 5, 5)}, model.Normal},
-		{"the highest of two parts'", Snapshot{0: load(100, 0), 1: load(0, 0, 0, 0, 5), 2: load(0, 0, 0, 0, 0, 5)}, model.Production},
-		{"own work doesn't count", Snapshot{0: load(0, 0, 0, 0, 0, 50), 1: load(0, 0, 0, 5), 2: load(90, 0)}, model.Normal},
-		{"one that has enough doesn't count", Snapshot{0: load(100, 0), 1: load(50, 0, 0, 0, 0, 50), 2: load(0, 0, 5)}, model.BestEffort},
+		{"no work", Snapshot{0: load(100, 0), 1: load(0, 0)}, cluster.BestEffort},
+		{"normal", Snapshot{0: load(100, 0), 1: load(0, 0, 5, 5)}, cluster.Normal},
+		{"the highest of two parts'", Snapshot{0: load(100, 0), 1: load(0, 0, 0, 0, 5), 2: load(0, 0, 0, 0, 0, 5)}, cluster.Production},
+		{"own work doesn't count", Snapshot{0: load(0, 0, 0, 0, 0, 50), 1: load(0, 0, 0, 5), 2: load(90, 0)}, cluster.Normal},
+		{"one that has enough doesn't count", Snapshot{0: load(100, 0), 1: load(50, 0, 0, 0, 0, 50), 2: load(0, 0, 5)}, cluster.BestEffort},
 	} {
 		if got := NewPlan(x.loads).ShortfallPriority(0); got != x.want {
 			t.Errorf("%s: %d, want %d", x.name, got, x.want)
@@ -158,8 +158,8 @@
 
 // TestPickWithin: in order, what fits into what is left; nothing of no size.
 func TestPickWithin(t *testing.T) {
-	sizes := []model.Amount{8, 16, 0, 8, 4, 4}
-	for budget, want := range map[model.Amount][]int{-4: nil, 0: nil, 7: {4}, 8: {0}, 16: {0, 3}, 21: {0, 3, 4}, 24: {0, 1}, 1000: {0, 1, 3, 4, 5}} {
+	sizes := []cluster.Amount{8, 16, 0, 8, 4, 4}
+	for budget, want := range map[cluster.Amount][]int{-4: nil, 0: nil, 7: {4}, 8: {0}, 16: {0, 3}, 21: {0, 3, 4}, 24: {0, 1}, 1000: {0, 1, 3, 4, 5}} {
 		if got := PickWithin(sizes, budget); !reflect.DeepEqual(got, want) {
 			t.Errorf("budget %d: picked %v, want %v", budget, got, want)
 		}
--- a/internal/grouprecord/address.go
+++ b/internal/grouprecord/address.go
@@ -25,10 +25,10 @@
 	return plainPrefix + address
 }
 
-// longestIPv4 is the longest text of an IPv4 address with its port.
+// maxIPv4Length is the longest text of an IPv4 address with its port.
 const maxIPv4Length = len("255.255.255.255:65535")
 
-// comesBack tells whether an IPv4 address is written as it was stated.
+// roundTrips tells whether an IPv4 address is written as it was stated.
 func roundTrips(ap netip.AddrPort, stated string) bool {
 	var buffer [maxIPv4Length]byte // spares an allocation for each machine
 	return string(ap.AppendTo(buffer[:0])) == stated
--- a/internal/grouprecord/decode.go
+++ b/internal/grouprecord/decode.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
 // Errors of records that make no sense. MachineError says in which line.
@@ -40,7 +40,7 @@
 // Error quotes the range.
 func (e *RangeError) Error() string { return fmt.Sprintf("tasks %q", e.Text) }
 
-// minFields of a machine's line: id, kind and address.
+// minLineFields of a machine's line: id, kind and address.
 const minLineFields = 3
 
 // maxTaskIndex is beyond every task of a job. A range up to a larger number
@@ -68,11 +68,11 @@
 	return Record{ShardID: form.ShardID, Machines: machines, WriteID: form.WriteID}, nil
 }
 
-// PartOf reads only whose the record is, which may be legible in one that
+// ShardOf reads only whose the record is, which may be legible in one that
 // Decode refuses.
-func ShardOf(value []byte) (model.ShardID, bool) {
+func ShardOf(value []byte) (cluster.ShardID, bool) {
 	var form struct {
-		Part *model.ShardID `json:"p"`
+		Part *cluster.ShardID `json:"p"`
 	}
 	if json.Unmarshal(value, &form) != nil || form.Part == nil {
 		return 0, false
@@ -85,7 +85,7 @@
 	if len(fields) < minLineFields || fields[0] == "" {
 		return Machine{}, &MachineError{Line: line}
 	}
-	m := Machine{ID: model.MachineID(fields[0])}
+	m := Machine{ID: cluster.MachineID(fields[0])}
 	if err := f.parseKind(&m, fields[1]); err != nil {
 		return Machine{}, &MachineError{line, err}
 	}
@@ -101,7 +101,7 @@
 	return m, nil
 }
 
-// kind reads a machine's kind and flags.
+// parseKind reads a machine's kind and flags.
 func (f *storedForm) parseKind(m *Machine, text string) error {
 	m.Releasing = strings.ContainsRune(text, releasingFlag)
 	m.Booting = strings.ContainsRune(text, bootingFlag)
@@ -132,8 +132,8 @@
 		return nil, &RangeError{text}
 	}
 	for i := first; i <= last; i++ {
-		id := model.TaskID{Job: f.Jobs[job], Index: i}
-		tasks = append(tasks, Task{id, start + model.Attempt(i-first)})
+		id := cluster.TaskID{Job: f.Jobs[job], Index: i}
+		tasks = append(tasks, Task{id, start + cluster.Attempt(i-first)})
 	}
 	return tasks, nil
 }
@@ -152,8 +152,8 @@
 	return first, last, err
 }
 
-// attempt reads claim.count, or only the count where the claim is the first.
-func (f *storedForm) parseAttempt(text string) (model.Attempt, error) {
+// parseAttempt reads claim.count, or only the count where the claim is the first.
+func (f *storedForm) parseAttempt(text string) (cluster.Attempt, error) {
 	claim, count := 0, text
 	if before, after, found := strings.Cut(text, "."); found {
 		var err error
@@ -162,12 +162,12 @@
 		}
 		count = after
 	}
-	n, err := strconv.ParseUint(count, attemptBase, model.AttemptCountBits)
+	n, err := strconv.ParseUint(count, attemptBase, cluster.AttemptCountBits)
 	if err != nil {
 		return 0, err
 	}
 	if claim < 0 || claim >= len(f.Claims) {
 		return 0, strconv.ErrRange
 	}
-	return model.NewAttempt(f.Claims[claim], n), nil
+	return cluster.NewAttempt(f.Claims[claim], n), nil
 }
--- a/internal/grouprecord/encode.go
+++ b/internal/grouprecord/encode.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"strconv"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
 // storedForm is the JSON form. Kinds, jobs and claims are listed once and named
@@ -12,12 +12,12 @@
 // address, then its tasks as job:first-last@attempt, where attempts count up
 // along the range and belong to a claim of the table.
 type storedForm struct {
-	ShardID  model.ShardID `json:"p"`
-	Claims   []uint64      `json:"c,omitempty"`
-	Kinds    []Kind        `json:"k,omitempty"`
-	Jobs     []model.JobID `json:"j,omitempty"`
-	Machines []string      `json:"m"`
-	WriteID  string        `json:"w"`
+	ShardID  cluster.ShardID `json:"p"`
+	Claims   []uint64        `json:"c,omitempty"`
+	Kinds    []Kind          `json:"k,omitempty"`
+	Jobs     []cluster.JobID `json:"j,omitempty"`
+	Machines []string        `json:"m"`
+	WriteID  string          `json:"w"`
 }
 
 // The flags that follow a machine's kind.
@@ -32,14 +32,14 @@
 // encoder builds the stored form machine by machine.
 type encoder struct {
 	form storedForm
-	jobs map[model.JobID]int // the positions in the form's table
+	jobs map[cluster.JobID]int // the positions in the form's table
 }
 
 // Encode returns the record's JSON form.
 func Encode(r Record) []byte {
 	e := encoder{
 		form: storedForm{ShardID: r.ShardID, WriteID: r.WriteID, Machines: make([]string, 0, len(r.Machines))},
-		jobs: map[model.JobID]int{},
+		jobs: map[cluster.JobID]int{},
 	}
 	var line []byte // reused for each machine
 	for i := range r.Machines {
@@ -102,7 +102,7 @@
 
 func appendInt(line []byte, n int) []byte { return strconv.AppendInt(line, int64(n), 10) }
 
-// position returns where a short table lists a value, and appends it if it
+// tableIndex returns where a short table lists a value, and appends it if it
 // doesn't. A record has a handful of kinds and claims.
 func tableIndex[T comparable](table *[]T, value T) int {
 	for i := range *table {
@@ -114,8 +114,8 @@
 	return len(*table) - 1
 }
 
-// jobPosition does the same for jobs, of which there may be many.
-func (e *encoder) jobIndex(job model.JobID) int {
+// jobIndex does the same for jobs, of which there may be many.
+func (e *encoder) jobIndex(job cluster.JobID) int {
 	i, known := e.jobs[job]
 	if !known {
 		i = len(e.form.Jobs)
--- a/internal/grouprecord/record.go
+++ b/internal/grouprecord/record.go
@@ -3,19 +3,19 @@
 // service stores, and how many machines and tasks go into one.
 package grouprecord
 
-import "stairrelay/internal/model"
+import "stairrelay/internal/cluster"
 
 // Record is what groups/<id> says.
 type Record struct {
-	ShardID  model.ShardID
+	ShardID  cluster.ShardID
 	Machines []Machine
-	// Nonce is that of the transaction that wrote the record.
+	// WriteID is that of the transaction that wrote the record.
 	WriteID string
 }
 
 // Machine is a machine as a record lists it.
 type Machine struct {
-	ID        model.MachineID
+	ID        cluster.MachineID
 	Kind      Kind
 	Address   string
 	Releasing bool // the cloud has been or will be told to take it back
@@ -33,8 +33,8 @@
 
 // Task is one start of a task that may be on a machine.
 type Task struct {
-	ID      model.TaskID
-	Attempt model.Attempt
+	ID      cluster.TaskID
+	Attempt cluster.Attempt
 }
 
 // follows tells whether a task can share the range that ends with another.
--- a/internal/grouprecord/record_test.go
+++ b/internal/grouprecord/record_test.go
@@ -6,16 +6,16 @@
 	"reflect"
 	"testing"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
-func start(job model.JobID, index int, claim, count uint64) Task {
-	return Task{ID: model.TaskID{Job: job, Index: index}, Attempt: model.NewAttempt(claim, count)}
+func start(job cluster.JobID, index int, claim, count uint64) Task {
+	return Task{ID: cluster.TaskID{Job: job, Index: index}, Attempt: cluster.NewAttempt(claim, count)}
 }
 
 // sample has ranges, attempts of two claims, all flags and forms of addresses.
 func sample() Record {
-	const lastCount = 1<<model.AttemptCountBits - 1
+	const lastCount = 1<<cluster.AttemptCountBits - 1
 	return Record{ShardID: 2, WriteID: "n-1", Machines: []Machine{
 		{ID: "m-000001", Kind: Kind{"small", "a", true}, Address: "10.1.0.232:9000", Tasks: []Task{
 			start("j-1", 0, 41, 7), start("j-1", 1, 41, 8), start("j-1", 2, 41, 9), // one range
@@ -86,7 +86,7 @@
 
 // TestPartOf: whose a record is can be read where the rest makes no sense.
 func TestPartOf(t *testing.T) {
-	for rec, want := range map[string]model.ShardID{`{"p":3}`: 3, `{"p":0,"m":["?"]}`: 0} {
+	for rec, want := range map[string]cluster.ShardID{`{"p":3}`: 3, `{"p":0,"m":["?"]}`: 0} {
 		if part, ok := ShardOf([]byte(rec)); !ok || part != want {
 			t.Errorf("%s: part %d, %v", rec, part, ok)
 		}
--- a/internal/grouprecord/size.go
+++ b/internal/grouprecord/size.go
@@ -1,43 +1,43 @@
 package grouprecord
 
-import "stairrelay/internal/model"
+import "stairrelay/internal/cluster"
 
 // ValueLimit is how many bytes the state service takes as a value. What a
 // record may grow to follows from it: between the sizes at which records are
 // joined, split and full there is room for what comes before they are tidied.
 type ValueLimit int
 
-// machineBytes is what a machine with a handful of tasks takes of a limit that
+// targetMachineBytes is what a machine with a handful of tasks takes of a limit that
 // is to be about half used.
 const targetMachineBytes = 80
 
 // minMachines is what a record is made for under the smallest limits.
 const minMachines = 4
 
-// Machines is how many machines a record is made for: with a handful of tasks
+// TargetMachines is how many machines a record is made for: with a handful of tasks
 // each they take about half of the limit.
 func (l ValueLimit) TargetMachines() int { return max(int(l)/targetMachineBytes, minMachines) }
 
-// newTaskBytes is the most that a task takes beside its job's id: its range,
+// maxTaskBytes is the most that a task takes beside its job's id: its range,
 // with the claim, and the job's quotes and comma.
 const maxTaskBytes = 28
 
 // HasRoom tells whether a record of a size can list one more task of a job.
-func (l ValueLimit) HasRoom(size int, job model.JobID) bool {
+func (l ValueLimit) HasRoom(size int, job cluster.JobID) bool {
 	return l.WithinSoftLimit(size + len(job) + maxTaskBytes)
 }
 
-// Within tells whether a record of a size may be written of one's own accord.
+// WithinSoftLimit tells whether a record of a size may be written of one's own accord.
 // The rest of the limit is kept for what has to be listed in any case.
 func (l ValueLimit) WithinSoftLimit(size int) bool { return size <= int(l)*17/20 }
 
-// TooLong tells whether a record should be split in time.
+// ShouldSplit tells whether a record should be split in time.
 func (l ValueLimit) ShouldSplit(size int) bool { return size > int(l)*4/5 }
 
-// Short tells whether a record should be joined with others.
+// ShouldMerge tells whether a record should be joined with others.
 func (l ValueLimit) ShouldMerge(size int) bool { return size < int(l)*3/5 }
 
-// Pieces is how many records of half the limit a record is split into.
+// SplitCount is how many records of half the limit a record is split into.
 func (l ValueLimit) SplitCount(size int) int { return max(size/(int(l)/2), 2) }
 
 // Size is what counts about a record when it is to be joined with others.
@@ -46,7 +46,7 @@
 	Machines int
 }
 
-// Joinable returns how many records from the first on fit into one, which must
+// MergeableCount returns how many records from the first on fit into one, which must
 // stay well below what is split again. A transaction may write so many.
 func (l ValueLimit) MergeableCount(records []Size, mostWrites int) int {
 	var sum Size
@@ -70,7 +70,7 @@
 // AddedBytes is about how much longer a record gets by a task: one that
 // continues the range of the task placed before only widens it. Else it takes
 // a range, and its job's id if the machine has no task of the job yet.
-func AddedBytes(job model.JobID, continues, jobListed bool) int {
+func AddedBytes(job cluster.JobID, continues, jobListed bool) int {
 	switch {
 	case continues:
 		return rangeGrowthBytes
--- a/internal/grouprecord/size_test.go
+++ b/internal/grouprecord/size_test.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"testing"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
 // fullRecord lists as many machines as a record is made for, with three tasks
@@ -13,9 +13,9 @@
 func fullRecord(limit ValueLimit) Record {
 	rec := Record{ShardID: 1, WriteID: "0123456789ab-1234"}
 	for i := range limit.TargetMachines() {
-		m := Machine{ID: model.MachineID(fmt.Sprintf("m-%06d", i)), Kind: Kind{"depot-small", "haverhill-yard", true}, Address: "10.1.0.232:9000"}
+		m := Machine{ID: cluster.MachineID(fmt.Sprintf("m-%06d", i)), Kind: Kind{"depot-small", "haverhill-yard", true}, Address: "10.1.0.232:9000"}
 		for k := range 3 {
-			job := model.JobID(fmt.Sprintf("j-%06d", (i+k)%30))
+			job := cluster.JobID(fmt.Sprintf("j-%06d", (i+k)%30))
 			m.Tasks = append(m.Tasks, start(job, 100+i*3+k, 40+uint64(k%2), uint64(20_000+i*7+k)))
 		}
 		rec.Machines = append(rec.Machines, m)
@@ -72,8 +72,8 @@
 	const limit ValueLimit = 4096
 	rec := fullRecord(limit)
 	before := len(Encode(rec))
-	job := model.JobID("a-job-of-its-own")
-	rec.Machines[0].Tasks = append(rec.Machines[0].Tasks, start(job, 99_999, 41, 1<<model.AttemptCountBits-1))
+	job := cluster.JobID("a-job-of-its-own")
+	rec.Machines[0].Tasks = append(rec.Machines[0].Tasks, start(job, 99_999, 41, 1<<cluster.AttemptCountBits-1))
 	if grown := len(Encode(rec)) - before; grown > len(job)+maxTaskBytes {
 		t.Errorf("a task took %d bytes, %d were reckoned", grown, len(job)+maxTaskBytes)
 	}
--- a/internal/core/replystatus.go
+++ b/internal/messages/status.go
@@ -1,4 +1,4 @@
-package core
+package messages
 
 // ReplyStatus says what became of a request. The values are those of the
 // protocol's HTTP statuses.
--- a/internal/entitlement/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -1,20 +1,20 @@
-package entitlement
+package ownership
 
 import (
 	"testing"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
-const second = model.Second
+const second = cluster.Second
 
 // TestBound: the last answer's lease is over within cancelWithin, whatever the
 // clocks do within the protocol's drift.
 func TestBound(t *testing.T) {
-	for _, x := range []struct{ cancelWithin, lease, want model.Time }{
-		{37 * second, 22 * second, 13*second - 59*model.Millisecond},
-		{18 * second, 12 * second, 4*second - 30*model.Millisecond},
-		{20 * second, 20 * second, -2*second - 40*model.Millisecond},
+	for _, x := range []struct{ cancelWithin, lease, want cluster.Time }{
+		{37 * second, 22 * second, 13*second - 59*cluster.Millisecond},
+		{18 * second, 12 * second, 4*second - 30*cluster.Millisecond},
+		{20 * second, 20 * second, -2*second - 40*cluster.Millisecond},
 	} {
 		got := AnswerWindow(x.cancelWithin, x.lease)
 		if got != x.want {
@@ -22,7 +22,7 @@
 				x.cancelWithin.Seconds(), x.lease.Seconds(), got.Seconds(), x.want.Seconds())
 		}
 		const protocolDrift = 0.0005
-		slowest := model.Time(float64(got+x.lease) * (1 + 2*protocolDrift))
+		slowest := cluster.Time(float64(got+x.lease) * (1 + 2*protocolDrift))
 		if end := slowest + stopMargin; end > x.cancelWithin {
 			t.Errorf("a task may live until %.3f s of %.0f", end.Seconds(), x.cancelWithin.Seconds())
 		}
@@ -53,12 +53,12 @@
 func TestCertainAt(t *testing.T) {
 	const now, proven = 200 * second, 100 * second
 	claim := Claim{ShardID: 1, Term: 5, ConfirmedAt: proven}
-	terms := func(ofPart model.Term) []model.Term { return []model.Term{9, ofPart, 9} }
+	terms := func(ofPart cluster.Term) []cluster.Term { return []cluster.Term{9, ofPart, 9} }
 	good := Acknowledgement{SentAt: 190 * second, InstanceSeenAt: 50 * second, Terms: terms(5)}
 	for _, x := range []struct {
 		name  string
 		words []Acknowledgement
-		want  model.Time
+		want  cluster.Time
 	}{
 		{"alone", nil, now},
 		{"both of two", []Acknowledgement{good, {SentAt: 180 * second, Terms: terms(5)}}, 180 * second},
@@ -69,7 +69,7 @@
 		{"a later term known", []Acknowledgement{good, {SentAt: 180 * second, Terms: terms(6)}}, proven},
 		{"the first of two doesn't cover it", []Acknowledgement{{SentAt: 180 * second, Terms: terms(6)}, good}, proven},
 		{"an older release", []Acknowledgement{good, {SentAt: 180 * second}}, proven},
-		{"knows fewer parts", []Acknowledgement{good, {SentAt: 180 * second, Terms: []model.Term{5}}}, proven},
+		{"knows fewer parts", []Acknowledgement{good, {SentAt: 180 * second, Terms: []cluster.Term{5}}}, proven},
 		{"a run as old as the proof", []Acknowledgement{good, {SentAt: 180 * second, InstanceSeenAt: proven, Terms: terms(5)}}, 180 * second},
 		{"a later run", []Acknowledgement{good, {SentAt: 180 * second, InstanceSeenAt: proven + 1, Terms: terms(5)}}, proven},
 	} {
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -5,12 +5,12 @@
 	"errors"
 	"fmt"
 
-	"github.com/fxamacker/cbor/v2"
+	"stairrelay/internal/messages"
 
-	"stairrelay/internal/core"
+	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxFrame bounds a message.
+// MaxMessageSize bounds a message.
 const MaxMessageSize = 1 << 20
 
 // The bounds of a message's contents, against malformed ones.
@@ -41,7 +41,7 @@
 }
 
 // Encode writes a message.
-func Encode(message core.PeerMessage) ([]byte, error) {
+func Encode(message messages.PeerMessage) ([]byte, error) {
 	frame, err := cbor.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("encoding message: %w", err)
@@ -53,8 +53,8 @@
 }
 
 // Decode reads a message.
-func Decode(frame []byte) (core.PeerMessage, error) {
-	var message core.PeerMessage
+func Decode(frame []byte) (messages.PeerMessage, error) {
+	var message messages.PeerMessage
 	// A decoder, unlike Unmarshal, allows bytes after the message.
 	if err := decodeMode.NewDecoder(bytes.NewReader(frame)).Decode(&message); err != nil {
 		return message, fmt.Errorf("decoding message: %w", err)
--- a/internal/peers/handler.go
+++ b/internal/peers/handler.go
@@ -6,7 +6,8 @@
 	"net/http"
 	"sync"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/engine"
 )
 
@@ -36,7 +37,7 @@
 		http.Error(w, "malformed", http.StatusBadRequest)
 		return
 	}
-	ask := func(id core.RequestID) core.Event { return core.PeerRequest{Request: id, Message: message} }
+	ask := func(id messages.RequestID) messages.Event { return messages.PeerRequest{Request: id, Message: message} }
 	answer, answered := h.requester.Request(r.Context(), ask)
 	if !answered || answer.Peer == nil {
 		http.Error(w, answer.Error, http.StatusBadRequest)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -6,29 +6,31 @@
 	"net/http"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/engine"
 	"stairrelay/internal/wire"
 )
 
-// path is the one resource that controllers serve to one another.
+// messagePath is the one resource that controllers serve to one another.
 const messagePath = "/peer"
 
 const (
 	dialTimeout = time.Second
-	// idlePerPeer is the number of idle connections that are kept to each controller.
+	// maxIdlePerPeer is the number of idle connections that are kept to each controller.
 	maxIdlePerPeer = 4
 )
 
-// Peers carries out the core's PeerCall effects.
+// Client carries out the core's PeerCall effects.
 type Client struct {
-	addresses map[core.NodeID]string
+	addresses map[cluster.NodeID]string
 	client    *wire.Client
 	reply     engine.ReplyFunc
 }
 
 // New makes Peers for the controllers at the given addresses.
-func New(addresses map[core.NodeID]string, reply engine.ReplyFunc) *Client {
+func New(addresses map[cluster.NodeID]string, reply engine.ReplyFunc) *Client {
 	return &Client{
 		addresses: addresses,
 		client:    wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdlePerPeer}),
@@ -37,14 +39,14 @@
 }
 
 // Do sends a message; the reply follows.
-func (p *Client) Do(call core.PeerCall) {
+func (p *Client) Do(call messages.PeerCall) {
 	go func() { p.reply(call.Call, p.send(call)) }()
 }
 
-func (p *Client) send(call core.PeerCall) core.PeerReply {
+func (p *Client) send(call messages.PeerCall) messages.PeerReply {
 	frame, err := Encode(call.Message)
 	if err != nil {
-		return core.PeerReply{Outcome: core.NotApplied}
+		return messages.PeerReply{Outcome: messages.NotApplied}
 	}
 	response, err := p.client.Do(wire.Request{
 		Method:      http.MethodPost,
@@ -54,11 +56,11 @@
 		Timeout:     time.Duration(call.Timeout),
 	})
 	if err != nil || response.Status != http.StatusOK {
-		return core.PeerReply{Outcome: core.UnknownOutcome}
+		return messages.PeerReply{Outcome: messages.UnknownOutcome}
 	}
 	message, err := Decode(response.Body)
 	if err != nil {
-		return core.PeerReply{Outcome: core.UnknownOutcome}
+		return messages.PeerReply{Outcome: messages.UnknownOutcome}
 	}
-	return core.PeerReply{Outcome: core.OK, Message: message}
+	return messages.PeerReply{Outcome: messages.OK, Message: message}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -10,14 +10,15 @@
 	"strings"
 	"testing"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 type echoRequester struct{}
 
-func (echoRequester) Request(_ context.Context, event func(core.RequestID) core.Event) (core.Respond, bool) {
-	m := event(1).(core.PeerRequest).Message
-	return core.Respond{Status: 200, Peer: &m}, true
+func (echoRequester) Request(_ context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
+	m := event(1).(messages.PeerRequest).Message
+	return messages.Respond{Status: 200, Peer: &m}, true
 }
 
 func TestFrames(t *testing.T) {
@@ -27,15 +28,15 @@
 		h.ServeHTTP(w, httptest.NewRequest("POST", messagePath, bytes.NewReader(body)))
 		return w.Code, w.Body.Bytes()
 	}
-	offer := core.TransferOffer{Key: "groups/g", ModRevision: 9, Recipient: 1, Kinds: []core.MachineKindCount{{Type: "x", Count: 3}}}
-	ping := &core.Ping{
+	offer := messages.TransferOffer{Key: "groups/g", ModRevision: 9, Recipient: 1, Kinds: []messages.MachineKindCount{{Type: "x", Count: 3}}}
+	ping := &messages.Ping{
 		InstanceID:         "b",
 		StoreReachable:     true,
-		Shards:             []core.ShardTerm{{Shard: 2, Term: 7}},
-		MillisSinceContact: map[core.NodeID]int64{"n2": 40},
-		TransferOffers:     []core.TransferOffer{offer},
+		Shards:             []messages.ShardTerm{{Shard: 2, Term: 7}},
+		MillisSinceContact: map[cluster.NodeID]int64{"n2": 40},
+		TransferOffers:     []messages.TransferOffer{offer},
 	}
-	m := core.PeerMessage{Version: 1, From: "n1", Ping: ping}
+	m := messages.PeerMessage{Version: 1, From: "n1", Ping: ping}
 	b, err := Encode(m)
 	if err != nil {
 		t.Fatal(err)
@@ -63,8 +64,8 @@
 
 // TestMessageTooLarge: a message that no controller would take is not sent.
 func TestMessageTooLarge(t *testing.T) {
-	tell := &core.JobNotice{Keys: []core.KV{{Key: "jobs/j", Value: make([]byte, MaxMessageSize)}}}
-	if _, err := Encode(core.PeerMessage{Version: 1, From: "n1", Notice: tell}); !errors.Is(err, ErrTooLarge) {
+	tell := &messages.JobNotice{Keys: []messages.KV{{Key: "jobs/j", Value: make([]byte, MaxMessageSize)}}}
+	if _, err := Encode(messages.PeerMessage{Version: 1, From: "n1", Notice: tell}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/peers/production_test.go
+++ b/internal/peers/production_test.go
@@ -5,9 +5,11 @@
 	"reflect"
 	"testing"
 
-	"github.com/fxamacker/cbor/v2"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/fairshare"
+	"stairrelay/internal/messages"
 
-	"stairrelay/internal/core"
+	"github.com/fxamacker/cbor/v2"
 )
 
 // TestProductionPing: a call as the version in production encodes it is read,
@@ -21,20 +23,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	load := core.ShardLoad{Shard: 0, Available: 8_000_000, Booting: 4_000_000, Demand: [4]core.Amount{1, 2, 3, 4}}
-	ping := &core.Ping{
+	load := fairshare.ShardLoad{Shard: 0, Available: 8_000_000, Booting: 4_000_000, Demand: [4]cluster.Amount{1, 2, 3, 4}}
+	ping := &messages.Ping{
 		InstanceID:         "b1",
-		Shards:             []core.ShardTerm{{Shard: 0, Term: 7}},
+		Shards:             []messages.ShardTerm{{Shard: 0, Term: 7}},
 		StoreReachable:     true,
 		WorkersReachable:   true,
-		MillisSinceContact: map[core.NodeID]int64{"n2": 120},
-		FailbackOffers:     []core.ShardID{2},
+		MillisSinceContact: map[cluster.NodeID]int64{"n2": 120},
+		FailbackOffers:     []cluster.ShardID{2},
 		WriteDemand:        3.5,
 		CloudDemand:        1,
-		ShardLoads:         []core.ShardLoad{load},
-		KnownTerms:         []core.Term{7, 3, 9},
+		ShardLoads:         []fairshare.ShardLoad{load},
+		KnownTerms:         []cluster.Term{7, 3, 9},
 	}
-	want := core.PeerMessage{Version: 2, From: "n1", Ping: ping}
+	want := messages.PeerMessage{Version: 2, From: "n1", Ping: ping}
 	if !reflect.DeepEqual(m, want) {
 		t.Errorf("read %+v with %+v", m, m.Ping)
 	}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -3,7 +3,7 @@
 // controllers by what each could use.
 package ratelimit
 
-import "stairrelay/internal/model"
+import "stairrelay/internal/cluster"
 
 // TokenBucket gains tokens at a rate up to a capacity. What has to be done at
 // once may be spent without having been earned: the level is below zero then,
@@ -14,7 +14,7 @@
 	rate       float64 // tokens a second
 	capacity   float64
 	level      float64
-	refilledAt model.Time // up to when the level accounts for the rate
+	refilledAt cluster.Time // up to when the level accounts for the rate
 }
 
 // SetRate changes the tokens gained a second and the most that the bucket
@@ -35,14 +35,14 @@
 func (b *TokenBucket) Fill() { b.level = b.capacity }
 
 // Refill adds what was gained since the last refill.
-func (b *TokenBucket) Refill(now model.Time) {
-	b.level += b.rate * float64(now-b.refilledAt) / float64(model.Second)
+func (b *TokenBucket) Refill(now cluster.Time) {
+	b.level += b.rate * float64(now-b.refilledAt) / float64(cluster.Second)
 	b.level = min(b.level, b.capacity)
 	b.refilledAt = now
 }
 
 // Take spends tokens if the bucket holds as many, and tells whether it did.
-func (b *TokenBucket) Take(now model.Time, tokens float64) bool {
+func (b *TokenBucket) Take(now cluster.Time, tokens float64) bool {
 	b.Refill(now)
 	if b.level < tokens {
 		return false
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
@@ -17,13 +17,13 @@
 	if b.Take(0, 1) {
 		t.Error("an empty bucket gave a token")
 	}
-	if !b.Take(model.Second/2, 2) || b.Take(model.Second/2, 0.1) {
+	if !b.Take(cluster.Second/2, 2) || b.Take(cluster.Second/2, 0.1) {
 		t.Errorf("half a second at 4 tokens a second was not 2 tokens: %v are left", b.Level())
 	}
-	if b.Refill(100 * model.Second); b.Level() != 10 {
+	if b.Refill(100 * cluster.Second); b.Level() != 10 {
 		t.Errorf("a full bucket of 10 holds %v", b.Level())
 	}
-	if b.Take(100*model.Second, 11) || b.Level() != 10 {
+	if b.Take(100*cluster.Second, 11) || b.Level() != 10 {
 		t.Errorf("more than the capacity was given, or a refusal cost: %v", b.Level())
 	}
 }
@@ -36,10 +36,10 @@
 	if b.Spend(7); b.Level() != -2 {
 		t.Errorf("5 less 7 left %v", b.Level())
 	}
-	if b.Take(2*model.Second, 1) {
+	if b.Take(2*cluster.Second, 1) {
 		t.Error("a token was given out of debt")
 	}
-	if !b.Take(3*model.Second, 1) {
+	if !b.Take(3*cluster.Second, 1) {
 		t.Error("no token after the debt was paid")
 	}
 }
@@ -79,7 +79,7 @@
 	if b.Rate() != 3 || b.Capacity() != 2 || b.Level() != 5 {
 		t.Errorf("rate %v, capacity %v, level %v", b.Rate(), b.Capacity(), b.Level())
 	}
-	if b.Refill(model.Second); b.Level() != 2 {
+	if b.Refill(cluster.Second); b.Level() != 2 {
 		t.Errorf("a bucket cut to 2 holds %v", b.Level())
 	}
 }
--- a/internal/placement/jobs.go
+++ b/internal/scheduling/jobs.go
@@ -1,11 +1,11 @@
-// Package placement orders the jobs of a part that wait, and the machines that
-// a job's tasks may go to.
-package placement
+// Package scheduling orders the pending jobs of a shard, and the machines that a
+// job's tasks may be assigned to.
+package scheduling
 
 import (
 	"cmp"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
 // Never is the latest start of a job that can't meet any aim any more.
@@ -25,7 +25,7 @@
 // JobFacts is what a job's rank follows from. Times are milliseconds of the time
 // of day.
 type JobFacts struct {
-	Priority         model.Priority
+	Priority         cluster.Priority
 	WithinGuarantee  bool    // within its team's guarantee, as are its earlier unfinished jobs
 	Now              float64 // the time of day
 	ReadySince       float64 // when the job could first start
@@ -36,7 +36,7 @@
 
 // JobRank says when a job is served among the others of its part.
 type JobRank struct {
-	tier            model.Priority // urgent work goes before all other
+	tier            cluster.Priority // urgent work goes before all other
 	withinGuarantee bool
 	missedSLO       bool // for good, but not overdue
 	latestStart     float64
@@ -47,7 +47,7 @@
 // many times what its work takes a job moves back behind others.
 func RankJob(f JobFacts, smallFirst float64) JobRank {
 	r := JobRank{withinGuarantee: f.WithinGuarantee, latestStart: f.LatestStart}
-	if f.Priority >= model.Urgent {
+	if f.Priority >= cluster.Urgent {
 		r.tier = f.Priority
 	}
 	if f.LatestStart != Never {
@@ -57,7 +57,7 @@
 	r.latestStart = f.ReadySince
 	r.missedSLO = f.Now < f.ReadySince+overdueHorizons*f.Horizon
 	if !r.missedSLO {
-		r.tier = max(r.tier, model.Urgent)
+		r.tier = max(r.tier, cluster.Urgent)
 	}
 	return r
 }
--- a/internal/placement/machines.go
+++ b/internal/scheduling/machines.go
@@ -1,9 +1,9 @@
-package placement
+package scheduling
 
 import (
 	"cmp"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
 // ImageState says how soon a machine can start a job for its image. It is small
@@ -29,19 +29,19 @@
 	manyTasks = 16
 )
 
-// Fetches are the images that a machine is getting.
+// ImageFetches are the images that a machine is getting.
 type ImageFetches struct {
 	images     []imageFetch
-	waitingCPU model.Amount // CPUs of the tasks that wait for them
+	waitingCPU cluster.Amount // CPUs of the tasks that wait for them
 }
 
 type imageFetch struct {
 	image    string
-	priority model.Priority // the highest of those that wait for it
+	priority cluster.Priority // the highest of those that wait for it
 }
 
 // Add notes that a task waits for an image.
-func (f *ImageFetches) Add(image string, priority model.Priority, cpu model.Amount) {
+func (f *ImageFetches) Add(image string, priority cluster.Priority, cpu cluster.Amount) {
 	f.waitingCPU += cpu
 	for i := range f.images {
 		if f.images[i].image == image {
@@ -54,13 +54,13 @@
 
 // State returns how soon a machine of a size that doesn't have the image could
 // start a task of a job.
-func (f *ImageFetches) State(image string, priority model.Priority, cpu, size model.Amount) ImageState {
+func (f *ImageFetches) State(image string, priority cluster.Priority, cpu, size cluster.Amount) ImageState {
 	important := false // something that waits is as important, or urgent
 	for _, other := range f.images {
 		if other.image == image {
 			return ImageFetching
 		}
-		important = important || other.priority >= min(priority, model.Urgent)
+		important = important || other.priority >= min(priority, cluster.Urgent)
 	}
 	takesMany := size >= manyTasks*cpu
 	nearlyIdle := f.waitingCPU*busyFraction < size
@@ -75,7 +75,7 @@
 	Image    ImageState
 	Spot     bool
 	Suitable bool // its kind suits the job
-	FreeCPU  model.Amount
+	FreeCPU  cluster.Amount
 }
 
 // Compare is negative when c should get tasks before another candidate: the one
--- a/internal/placement/placement_test.go
+++ b/internal/scheduling/placement_test.go
@@ -1,16 +1,16 @@
-package placement
+package scheduling
 
 import (
 	"testing"
 
-	"stairrelay/internal/model"
+	"stairrelay/internal/cluster"
 )
 
 // TestJobOrder lists jobs in the order in which they are served.
 func TestJobOrder(t *testing.T) {
 	const now, horizon = 1_000_000, 100_000
 	facts := func(change func(*JobFacts)) JobFacts {
-		f := JobFacts{Priority: model.Normal, Now: now, ReadySince: now - 10_000, LatestStart: now + 50_000, Horizon: horizon}
+		f := JobFacts{Priority: cluster.Normal, Now: now, ReadySince: now - 10_000, LatestStart: now + 50_000, Horizon: horizon}
 		change(&f)
 		return f
 	}
@@ -19,11 +19,11 @@
 		name  string
 		facts JobFacts
 	}{
-		{"production", facts(func(f *JobFacts) { f.Priority = model.Production })},
-		{"urgent and owed", facts(func(f *JobFacts) { f.Priority, f.WithinGuarantee = model.Urgent, true })},
+		{"production", facts(func(f *JobFacts) { f.Priority = cluster.Production })},
+		{"urgent and owed", facts(func(f *JobFacts) { f.Priority, f.WithinGuarantee = cluster.Urgent, true })},
 		{"overdue, so as urgent since it came", facts(overdue)},
-		{"urgent", facts(func(f *JobFacts) { f.Priority = model.Urgent })},
-		{"urgent, a little later", facts(func(f *JobFacts) { f.Priority = model.Urgent; f.LatestStart++ })},
+		{"urgent", facts(func(f *JobFacts) { f.Priority = cluster.Urgent })},
+		{"urgent, a little later", facts(func(f *JobFacts) { f.Priority = cluster.Urgent; f.LatestStart++ })},
 		{"owed", facts(func(f *JobFacts) { f.WithinGuarantee = true })},
 		{"owed and late", facts(func(f *JobFacts) { f.WithinGuarantee = true; f.LatestStart = Never })},
 		{"small", facts(func(f *JobFacts) { f.ExclusiveSeconds = 1 })},
@@ -47,17 +47,17 @@
 // TestOverdue: what is late for good is served as urgent from four horizons on.
 func TestOverdue(t *testing.T) {
 	const horizon = 100_000
-	f := JobFacts{Priority: model.BestEffort, LatestStart: Never, ReadySince: 5000, Horizon: horizon}
+	f := JobFacts{Priority: cluster.BestEffort, LatestStart: Never, ReadySince: 5000, Horizon: horizon}
 	f.Now = f.ReadySince + 4*horizon - 1
-	if r := RankJob(f, 32); !r.missedSLO || r.tier >= model.Urgent {
+	if r := RankJob(f, 32); !r.missedSLO || r.tier >= cluster.Urgent {
 		t.Errorf("just before: %+v", r)
 	}
 	f.Now++
-	if r := RankJob(f, 32); r.missedSLO || r.tier != model.Urgent || r.latestStart != f.ReadySince {
+	if r := RankJob(f, 32); r.missedSLO || r.tier != cluster.Urgent || r.latestStart != f.ReadySince {
 		t.Errorf("then: %+v", r)
 	}
-	f.Priority = model.Production
-	if r := RankJob(f, 32); r.tier != model.Production {
+	f.Priority = cluster.Production
+	if r := RankJob(f, 32); r.tier != cluster.Production {
 		t.Errorf("production work: %+v", r)
 	}
 }
@@ -65,21 +65,21 @@
 // TestFetches: a second image is fetched beside another only for more important
 // work, or where the machine would stand nearly idle.
 func TestFetches(t *testing.T) {
-	const cpu = model.AmountsPerUnit
+	const cpu = cluster.AmountsPerUnit
 	for _, x := range []struct {
 		name      string
-		getting   model.Priority // of those that wait for another image
-		waiting   model.Amount   // their CPUs
-		priority  model.Priority
-		cpu, size model.Amount
+		getting   cluster.Priority // of those that wait for another image
+		waiting   cluster.Amount   // their CPUs
+		priority  cluster.Priority
+		cpu, size cluster.Amount
 		want      ImageState
 	}{
-		{"as important", model.Normal, 4, model.Normal, 1, 8, ImageBlocked},
-		{"more important", model.Normal, 4, model.Urgent, 1, 8, ImageAbsent},
-		{"urgent ones wait for it", model.Urgent, 4, model.Production, 1, 8, ImageBlocked},
-		{"a large machine nearly idle", model.Normal, 1, model.Normal, 1, 16, ImageAbsent},
-		{"a large machine, an eighth waits", model.Normal, 2, model.Normal, 1, 16, ImageBlocked},
-		{"it takes too few of the tasks", model.Normal, 1, model.Normal, 2, 31, ImageBlocked},
+		{"as important", cluster.Normal, 4, cluster.Normal, 1, 8, ImageBlocked},
+		{"more important", cluster.Normal, 4, cluster.Urgent, 1, 8, ImageAbsent},
+		{"urgent ones wait for it", cluster.Urgent, 4, cluster.Production, 1, 8, ImageBlocked},
+		{"a large machine nearly idle", cluster.Normal, 1, cluster.Normal, 1, 16, ImageAbsent},
+		{"a large machine, an eighth waits", cluster.Normal, 2, cluster.Normal, 1, 16, ImageBlocked},
+		{"it takes too few of the tasks", cluster.Normal, 1, cluster.Normal, 2, 31, ImageBlocked},
 	} {
 		var f ImageFetches
 		if got := f.State("new", x.priority, x.cpu*cpu, x.size*cpu); got != ImageAbsent {
@@ -95,20 +95,20 @@
 	}
 	// The highest priority of those that wait for an image counts, and all their CPUs.
 	var f ImageFetches
-	f.Add("other", model.Urgent, cpu)
-	f.Add("other", model.BestEffort, cpu)
-	if got := f.State("new", model.Urgent, cpu, 16*cpu); got != ImageBlocked {
+	f.Add("other", cluster.Urgent, cpu)
+	f.Add("other", cluster.BestEffort, cpu)
+	if got := f.State("new", cluster.Urgent, cpu, 16*cpu); got != ImageBlocked {
 		t.Errorf("two wait: %d", got)
 	}
-	if got := f.State("new", model.Urgent, cpu, 17*cpu); got != ImageAbsent {
+	if got := f.State("new", cluster.Urgent, cpu, 17*cpu); got != ImageAbsent {
 		t.Errorf("two wait on a larger machine: %d", got)
 	}
-	if got := f.State("new", model.Normal, cpu, 16*cpu); got != ImageBlocked {
+	if got := f.State("new", cluster.Normal, cpu, 16*cpu); got != ImageBlocked {
 		t.Errorf("less important than one that waits: %d", got)
 	}
 	// Any of several images that are fetched holds a less important one back.
-	f.Add("third", model.BestEffort, 0)
-	if got := f.State("new", model.Normal, cpu, 16*cpu); got != ImageBlocked {
+	f.Add("third", cluster.BestEffort, 0)
+	if got := f.State("new", cluster.Normal, cpu, 16*cpu); got != ImageBlocked {
 		t.Errorf("less important than the first of two images: %d", got)
 	}
 }
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -13,25 +13,25 @@
 	maxCount     = 1e9
 )
 
-// checkSane refuses figures that are negative, no number or absurdly large.
+// checkBounds refuses figures that are negative, no number or absurdly large.
 func checkBounds(file *platformFile) error {
-	cluster := &file.Cluster
-	limits := &cluster.Limits
+	table := &file.Cluster
+	limits := &table.Limits
 	for _, figure := range []struct {
 		field string
 		value float64
 		most  float64
 	}{
-		{"cluster.count", float64(cluster.Count), maxCount},
-		{"cluster.workers.report_s", cluster.Workers.HeartbeatSeconds, maxSeconds},
-		{"cluster.workers.lease_s", cluster.Workers.LeaseSeconds, maxSeconds},
-		{"cluster.workers.cancel_s", cluster.Workers.CancelSeconds, maxSeconds},
-		{"cluster.state.rps", cluster.State.RPS, maxRate},
-		{"cluster.state.write_rps", cluster.State.WriteRPS, maxRate},
-		{"cluster.state.value_kb", cluster.State.ValueKB, maxMegabytes},
-		{"cluster.state.txn_ops", float64(cluster.State.TxnOps), maxCount},
-		{"cluster.cloud.rps", cluster.Cloud.RPS, maxRate},
-		{"cluster.cloud.list_lag_s", cluster.Cloud.ListLagSeconds, maxSeconds},
+		{"cluster.count", float64(table.Count), maxCount},
+		{"cluster.workers.report_s", table.Workers.HeartbeatSeconds, maxSeconds},
+		{"cluster.workers.lease_s", table.Workers.LeaseSeconds, maxSeconds},
+		{"cluster.workers.cancel_s", table.Workers.CancelSeconds, maxSeconds},
+		{"cluster.state.rps", table.State.RPS, maxRate},
+		{"cluster.state.write_rps", table.State.WriteRPS, maxRate},
+		{"cluster.state.value_kb", table.State.ValueKB, maxMegabytes},
+		{"cluster.state.txn_ops", float64(table.State.TxnOps), maxCount},
+		{"cluster.cloud.rps", table.Cloud.RPS, maxRate},
+		{"cluster.cloud.list_lag_s", table.Cloud.ListLagSeconds, maxSeconds},
 		{"cluster.machine_limits.mem_mb", limits.MemoryMB, maxMegabytes},
 		{"cluster.machine_limits.max_connections", float64(limits.MaxConnections), maxCount},
 		{"cluster.machine_limits.core_share", limits.CPUShare, maxCPUShare},
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// checkFigure refuses a figure outside 0 to most; NaN is outside too.
+// checkRange refuses a figure outside 0 to most; NaN is outside too.
 func checkRange(field string, value, most float64) error {
 	switch {
 	case value < 0:
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -8,9 +8,11 @@
 	"fmt"
 	"strings"
 
+	"stairrelay/internal/cluster"
+
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/controller"
 )
 
 // schemaName is the schema's file and the name it is compiled under.
@@ -42,7 +44,7 @@
 }
 
 // applyOperators checks the operators' file and sets what it names in tuning.
-func applyOperators(tuning *core.Tuning, text []byte) error {
+func applyOperators(tuning *controller.Tuning, text []byte) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		return fmt.Errorf("not JSON: %w", err)
@@ -90,7 +92,7 @@
 	}
 }
 
-func (f *operatorsFile) apply(tuning *core.Tuning) {
+func (f *operatorsFile) apply(tuning *controller.Tuning) {
 	setSeconds(&tuning.CheckpointInterval, f.CheckpointSeconds)
 	setSeconds(&tuning.PingInterval, f.PingSeconds)
 	setSeconds(&tuning.PingTimeout, f.PingTimeoutSeconds)
@@ -114,7 +116,7 @@
 	}
 }
 
-func setSeconds(target *core.Time, value *float64) {
+func setSeconds(target *cluster.Time, value *float64) {
 	if value != nil {
 		*target = seconds(*value)
 	}
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -6,22 +6,23 @@
 	"net"
 	"slices"
 
-	"stairrelay/internal/core"
-	"stairrelay/internal/entitlement"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/ownership"
 	"stairrelay/internal/sockets"
 )
 
 const (
-	// leastTxnOps and leastValueKB are the smallest limits of the state service
+	// minTxnOps and leastValueKB are the smallest limits of the state service
 	// that the records can be cut to.
 	minTxnOps  = 4
 	minValueKB = 2
 	bytesPerKB = 1024
-	// mostValueKB is the largest value that fits into a transaction beside its key
+	// maxValueKB is the largest value that fits into a transaction beside its key
 	// and conditions: the protocol takes 64 KiB overall. A larger limit of the
 	// state service is of no use.
 	maxValueKB = 60
-	// fewConnections is the number of sockets below which a controller serves
+	// connectionWarningThreshold is the number of sockets below which a controller serves
 	// so few workers and users that its operators should know.
 	connectionWarningThreshold = 256
 )
@@ -67,12 +68,12 @@
 	if file.HostName == "" {
 		return fieldErrorf("host_name", "missing")
 	}
-	s.Controller.Self = core.NodeID(file.HostName)
+	s.Controller.Self = cluster.NodeID(file.HostName)
 	s.Controller.Zone = file.Domain
-	s.Controller.Nodes = []core.NodeID{s.Controller.Self}
-	s.PeerAddresses = map[core.NodeID]string{}
+	s.Controller.Nodes = []cluster.NodeID{s.Controller.Self}
+	s.PeerAddresses = map[cluster.NodeID]string{}
 	for _, peer := range file.Peers {
-		node := core.NodeID(peer.HostName)
+		node := cluster.NodeID(peer.HostName)
 		if node == "" || slices.Contains(s.Controller.Nodes, node) {
 			return fieldErrorf("peers.host_name", "%q is missing, repeated or this controller's own", peer.HostName)
 		}
@@ -104,19 +105,19 @@
 
 // checkRequiredAmounts checks the figures that have no default.
 func checkRequiredAmounts(file *platformFile) error {
-	cluster := &file.Cluster
+	table := &file.Cluster
 	for _, required := range []struct {
 		field string
 		value float64
 	}{
-		{"cluster.workers.report_s", cluster.Workers.HeartbeatSeconds},
-		{"cluster.workers.lease_s", cluster.Workers.LeaseSeconds},
-		{"cluster.workers.cancel_s", cluster.Workers.CancelSeconds},
-		{"cluster.state.rps", cluster.State.RPS},
-		{"cluster.state.write_rps", cluster.State.WriteRPS},
-		{"cluster.state.value_kb", cluster.State.ValueKB},
-		{"cluster.state.txn_ops", float64(cluster.State.TxnOps)},
-		{"cluster.cloud.rps", cluster.Cloud.RPS},
+		{"cluster.workers.report_s", table.Workers.HeartbeatSeconds},
+		{"cluster.workers.lease_s", table.Workers.LeaseSeconds},
+		{"cluster.workers.cancel_s", table.Workers.CancelSeconds},
+		{"cluster.state.rps", table.State.RPS},
+		{"cluster.state.write_rps", table.State.WriteRPS},
+		{"cluster.state.value_kb", table.State.ValueKB},
+		{"cluster.state.txn_ops", float64(table.State.TxnOps)},
+		{"cluster.cloud.rps", table.Cloud.RPS},
 	} {
 		if !isPositive(required.value) {
 			return fieldErrorf(required.field, "missing or not above 0")
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// positive tells whether x is a finite number above 0; NaN is not.
+// isPositive tells whether x is a finite number above 0; NaN is not.
 func isPositive(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
 
 // readStateLimits takes in the limits of the state service. Those to come hold
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// lower is the lower of a present limit and one to come, if there is one.
+// lowerLimit is the lower of a present limit and one to come, if there is one.
 func lowerLimit[T int | float64](now T, next *T) T {
 	if next == nil {
 		return now
@@ -217,26 +218,26 @@
 	return nil
 }
 
-func newTeam(table teamTable) core.Team {
-	return core.Team{
+func newTeam(table teamTable) cluster.Team {
+	return cluster.Team{
 		Name:            table.Name,
-		GuaranteedQuota: core.Resources{CPU: core.FloorAmount(table.CPUs), GPU: core.FloorAmount(table.GPUs)},
-		QuotaLimit:      core.Resources{CPU: quotaLimit(table.CPUsMax), GPU: quotaLimit(table.GPUsMax)},
+		GuaranteedQuota: cluster.Resources{CPU: cluster.FloorAmount(table.CPUs), GPU: cluster.FloorAmount(table.GPUs)},
+		QuotaLimit:      cluster.Resources{CPU: quotaLimit(table.CPUsMax), GPU: quotaLimit(table.GPUsMax)},
 	}
 }
 
-// limitOf reads a team's limit, where 0 means none: the team may use all there
+// quotaLimit reads a team's limit, where 0 means none: the team may use all there
 // is. Read as nothing at all, every job of such a team would get 422.
-func quotaLimit(most float64) core.Amount {
+func quotaLimit(most float64) cluster.Amount {
 	if most == 0 {
-		return core.NoLimit
+		return cluster.NoLimit
 	}
-	return core.FloorAmount(most)
+	return cluster.FloorAmount(most)
 }
 
 func (s *Settings) readSLOs(file *platformFile) error {
 	for _, table := range file.Cluster.SLOs {
-		s.Controller.SLOs = append(s.Controller.SLOs, core.SLO(table))
+		s.Controller.SLOs = append(s.Controller.SLOs, cluster.SLO(table))
 	}
 	return nil
 }
@@ -246,18 +247,18 @@
 	s.Controller.HeartbeatInterval = seconds(workers.HeartbeatSeconds)
 	s.Controller.WorkerLease = seconds(workers.LeaseSeconds)
 	s.Controller.CancelDeadline = seconds(workers.CancelSeconds)
-	bound := entitlement.AnswerWindow(s.Controller.CancelDeadline, s.Controller.WorkerLease)
-	if bound >= entitlement.MinAnswerWindow {
+	bound := ownership.AnswerWindow(s.Controller.CancelDeadline, s.Controller.WorkerLease)
+	if bound >= ownership.MinAnswerWindow {
 		return nil
 	}
 	// The entitlement grows by a little less than a second for each second of
 	// cancel_s, so somewhat more than what is missing is needed.
 	const margin = 1.01
-	missing := float64(entitlement.MinAnswerWindow-bound) / nanosPerSecond
+	missing := float64(ownership.MinAnswerWindow-bound) / nanosPerSecond
 	enough := math.Ceil(workers.CancelSeconds + missing*margin)
 	s.warnf("cluster.workers: with lease_s %g a cancel_s of %g leaves a cut-off controller %.2f s to notice that it was succeeded, of %g that it needs; "+
 		"in an outage of the state service a cancelled task may run on past cancel_s. A cancel_s of %g would do",
-		workers.LeaseSeconds, workers.CancelSeconds, float64(bound)/nanosPerSecond, float64(entitlement.MinAnswerWindow)/nanosPerSecond, enough)
+		workers.LeaseSeconds, workers.CancelSeconds, float64(bound)/nanosPerSecond, float64(ownership.MinAnswerWindow)/nanosPerSecond, enough)
 	return nil
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -6,25 +6,27 @@
 	"fmt"
 	"os"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/controller"
 )
 
 // Settings is all that the program is started with.
 type Settings struct {
-	// Listen is the address for users and workers, Back the one for the other controllers.
+	// ListenAddress is the address for users and workers, Back the one for the other controllers.
 	ListenAddress, PeerListenAddress string
-	// Cloud and State are the addresses of the cloud's interface and of the state service.
+	// CloudAddress and State are the addresses of the cloud's interface and of the state service.
 	CloudAddress, StoreAddress string
-	// Peers holds the address of every other controller.
-	PeerAddresses map[core.NodeID]string
+	// PeerAddresses holds the address of every other controller.
+	PeerAddresses map[cluster.NodeID]string
 	// MemoryMB is the memory that the process may use; 0: not limited.
 	MemoryMB float64
-	// Connections is the number of sockets that the process may have; 0: not limited.
+	// MaxConnections is the number of sockets that the process may have; 0: not limited.
 	MaxConnections int
-	// CoreShare is the share of a processor core that the process may use; 0: not limited.
+	// CPUShare is the share of a processor core that the process may use; 0: not limited.
 	CPUShare float64
-	// Core configures the scheduler's core.
-	Controller core.Config
+	// Controller configures the scheduler's core.
+	Controller controller.Config
 	// Warnings describes settings that are served although they look wrong.
 	Warnings []string
 }
@@ -54,7 +56,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings %s: %w", platformPath, err)
 	}
-	settings.Controller.Tuning = core.DefaultTuning()
+	settings.Controller.Tuning = controller.DefaultTuning()
 	if operatorsPath == "" {
 		return settings, nil
 	}
@@ -71,4 +73,4 @@
 // nanosPerSecond converts the files' seconds to core.Time.
 const nanosPerSecond = 1e9
 
-func seconds(s float64) core.Time { return core.Time(s * nanosPerSecond) }
+func seconds(s float64) cluster.Time { return cluster.Time(s * nanosPerSecond) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,9 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+
+	"stairrelay/internal/controller"
 )
 
 const validPlatformText = `
@@ -51,7 +53,7 @@
 	return p
 }
 
-// load reads settings that have to be accepted.
+// mustLoad reads settings that have to be accepted.
 func mustLoad(t *testing.T, text string) *Settings {
 	t.Helper()
 	s, err := Load(writeFile(t, "s.toml", text), "")
@@ -66,13 +68,13 @@
 	if s.Controller.Self != "n0" || len(s.Controller.Nodes) != 2 || s.PeerAddresses["n1"] != "127.0.0.1:3" || s.Controller.MaxValueBytes != 4096 {
 		t.Errorf("read %+v", s)
 	}
-	if s.Controller.Teams[0].QuotaLimit.CPU != 8_500_000 || s.Controller.WorkerLease != core.Time(12*time.Second) {
+	if s.Controller.Teams[0].QuotaLimit.CPU != 8_500_000 || s.Controller.WorkerLease != cluster.Time(12*time.Second) {
 		t.Errorf("read %+v", s.Controller)
 	}
 	if len(s.Warnings) != 0 {
 		t.Errorf("called odd: %v", s.Warnings)
 	}
-	if s.Controller.Tuning != core.DefaultTuning() {
+	if s.Controller.Tuning != controller.DefaultTuning() {
 		t.Errorf("defaults changed: %+v", s.Controller.Tuning)
 	}
 }
@@ -84,13 +86,13 @@
 	}
 }
 
-// TestTeamWithoutFigures: a team that states neither figure is guaranteed
+// TestTeamWithoutAmounts: a team that states neither figure is guaranteed
 // nothing and limited by nothing; nor is that odd. Taken for a limit of 0, all
 // its jobs got 422.
 func TestTeamWithoutAmounts(t *testing.T) {
 	s := mustLoad(t, strings.Replace(validPlatformText, "cpus = 4.0\ncpus_max = 8.5\n", "", 1))
 	team := s.Controller.Teams[0]
-	if len(s.Warnings) != 0 || team.GuaranteedQuota.CPU != 0 || team.QuotaLimit.CPU != core.NoLimit || team.QuotaLimit.GPU != core.NoLimit {
+	if len(s.Warnings) != 0 || team.GuaranteedQuota.CPU != 0 || team.QuotaLimit.CPU != cluster.NoLimit || team.QuotaLimit.GPU != cluster.NoLimit {
 		t.Errorf("read %+v with warnings %v", team, s.Warnings)
 	}
 }
@@ -162,8 +164,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Controller.Tuning.CheckpointInterval != core.Time(3*time.Second) || s.Controller.Tuning.ProbeCount != 7 || s.Controller.Tuning.SpareCapacityShare != 0 ||
-		s.Controller.Tuning.FirstTaskTarget != core.Time(90*time.Second) {
+	if s.Controller.Tuning.CheckpointInterval != cluster.Time(3*time.Second) || s.Controller.Tuning.ProbeCount != 7 || s.Controller.Tuning.SpareCapacityShare != 0 ||
+		s.Controller.Tuning.FirstTaskTarget != cluster.Time(90*time.Second) {
 		t.Errorf("read %+v", s.Controller.Tuning)
 	}
 	for text, want := range map[string]string{
@@ -183,7 +185,7 @@
 	}
 }
 
-// TestLimitsToCome: values and transactions keep under the lower of the present
+// TestNextStateLimits: values and transactions keep under the lower of the present
 // limits and those of state.next, which come into force without notice; of the
 // write rate both are known.
 func TestNextStateLimits(t *testing.T) {
--- a/internal/standin/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -1,13 +1,15 @@
-package standin
+package simulation
 
-import "stairrelay/internal/core"
+import (
+	"stairrelay/internal/cluster"
+)
 
 // Pipelines: jobs that await others, and the two rules about them.
 
-// awaitPause is how often a user looks whether the jobs that another awaits are there.
+// dependencyPollInterval is how often a user looks whether the jobs that another awaits are there.
 const dependencyPollInterval = 100 * millisecond
 
-// SubmitAfter hands in a job as soon as those that it awaits are accepted or,
+// SubmitAfterDependencies hands in a job as soon as those that it awaits are accepted or,
 // when late, once they are over.
 func (w *Simulator) SubmitAfterDependencies(job *Job, late bool) {
 	for _, id := range job.Spec.Dependencies {
@@ -21,10 +23,10 @@
 	w.Submit(job)
 }
 
-// awaited lists all jobs that a job needs, directly or through others.
+// transitiveDependencies lists all jobs that a job needs, directly or through others.
 func (w *Simulator) transitiveDependencies(job *Job) []*Job {
 	var found []*Job
-	seen := map[core.JobID]bool{}
+	seen := map[cluster.JobID]bool{}
 	var visit func(*Job)
 	visit = func(job *Job) {
 		for _, id := range job.Spec.Dependencies {
@@ -53,7 +55,7 @@
 	return false
 }
 
-// checkEarly: no task starts before all jobs that its job needs are done.
+// checkDependenciesDone: no task starts before all jobs that its job needs are done.
 func (w *Simulator) checkDependenciesDone(job *Job) {
 	for _, awaited := range w.transitiveDependencies(job) {
 		if _, found := w.findUndoneTask(awaited); found {
@@ -66,14 +68,14 @@
 	}
 }
 
-// checkOrphan: cancel_s after its user was told that a job before it is
+// checkDependentCancelled: cancel_s after its user was told that a job before it is
 // cancelled, a job is not called unfinished by anybody.
-func (w *Simulator) checkDependentCancelled(job *Job, status core.JobStatus, asked core.Time) {
+func (w *Simulator) checkDependentCancelled(job *Job, status cluster.JobStatus, asked cluster.Time) {
 	for _, awaited := range w.transitiveDependencies(job) {
 		if awaited.CancelConfirmedAt == 0 {
 			continue
 		}
-		if status == core.JobCancelled {
+		if status == cluster.JobCancelled {
 			w.FaultCounts["jobs cancelled with one that they need"]++
 		} else if asked-awaited.CancelConfirmedAt > w.config.CancelDeadline {
 			w.reportViolation("orphaned: %s is called %s, %s was cancelled long before", job.Spec.ID, status, awaited.Spec.ID)
--- a/internal/standin/effects.go
+++ b/internal/simulation/effects.go
@@ -1,9 +1,10 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // What the controllers ask of the world around them.
@@ -15,22 +16,22 @@
 	stallLogGracePeriod = 60 * second
 )
 
-func (w *Simulator) executeEffect(n *Node, f core.Effect) {
+func (w *Simulator) executeEffect(n *Node, f messages.Effect) {
 	gen := n.generation
 	switch f := f.(type) {
-	case core.Respond:
+	case messages.Respond:
 		if fn := n.pendingRequests[f.Request]; fn != nil {
 			delete(n.pendingRequests, f.Request)
 			w.After(w.networkDelay(), func() { fn(f) })
 		}
-	case core.StoreTxn:
-		w.callStore(n, f.Call, true, core.TxnReply{Outcome: core.NotApplied}, core.TxnReply{Outcome: core.UnknownOutcome}, func() any {
-			if out := w.StateService.Admit(w.Now, f.Then, f.If); out != core.OK {
-				return core.TxnReply{Outcome: out}
+	case messages.StoreTxn:
+		w.callStore(n, f.Call, true, messages.TxnReply{Outcome: messages.NotApplied}, messages.TxnReply{Outcome: messages.UnknownOutcome}, func() any {
+			if out := w.StateService.Admit(w.Now, f.Then, f.If); out != messages.OK {
+				return messages.TxnReply{Outcome: out}
 			}
 			r := w.StateService.Commit(f.If, f.Then)
 			what := "writes"
-			if r.Outcome != core.OK {
+			if r.Outcome != messages.OK {
 				what = "may not write"
 			}
 			for _, o := range f.Then {
@@ -40,70 +41,70 @@
 				}
 				w.Log(fmt.Sprintf("%s %s %s@%d %s", n.ID, what, o.Key, r.Revision, v))
 			}
-			if r.Outcome == core.OK {
+			if r.Outcome == messages.OK {
 				w.recordShardOwners(f.Then)
 			}
 			return r
 		})
-	case core.StoreGet:
-		w.callStore(n, f.Call, false, core.GetReply{Outcome: core.NotApplied}, core.GetReply{Outcome: core.UnknownOutcome}, func() any { return w.StateService.Get(f.Key) })
-	case core.StoreList:
-		w.callStore(n, f.Call, false, core.ListReply{Outcome: core.NotApplied}, core.ListReply{Outcome: core.UnknownOutcome}, func() any { return w.StateService.List(f.Prefix) })
-	case core.StoreWatch:
+	case messages.StoreGet:
+		w.callStore(n, f.Call, false, messages.GetReply{Outcome: messages.NotApplied}, messages.GetReply{Outcome: messages.UnknownOutcome}, func() any { return w.StateService.Get(f.Key) })
+	case messages.StoreList:
+		w.callStore(n, f.Call, false, messages.ListReply{Outcome: messages.NotApplied}, messages.ListReply{Outcome: messages.UnknownOutcome}, func() any { return w.StateService.List(f.Prefix) })
+	case messages.StoreWatch:
 		if f.Timeout == 0 { // a reading, answered at once like any other
-			w.callStore(n, f.Call, false, core.WatchReply{Outcome: core.NotApplied}, core.WatchReply{Outcome: core.UnknownOutcome}, func() any { return w.StateService.Changes(f.Prefix, f.SinceRevision) })
+			w.callStore(n, f.Call, false, messages.WatchReply{Outcome: messages.NotApplied}, messages.WatchReply{Outcome: messages.UnknownOutcome}, func() any { return w.StateService.Changes(f.Prefix, f.SinceRevision) })
 			return
 		}
 		w.pollWatch(n, gen, f, w.Now+f.Timeout)
-	case core.CloudMachineTypes:
+	case messages.CloudMachineTypes:
 		if w.Now < w.CloudDownUntil {
-			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.MachineTypesReply{Outcome: core.NotApplied})
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), messages.MachineTypesReply{Outcome: messages.NotApplied})
 			return
 		}
-		w.deliverReply(n, gen, f.Call, w.networkDelay(), core.MachineTypesReply{Outcome: core.OK, Types: w.Cloud.MachineTypes})
-	case core.CloudScaleOut:
+		w.deliverReply(n, gen, f.Call, w.networkDelay(), messages.MachineTypesReply{Outcome: messages.OK, Types: w.Cloud.MachineTypes})
+	case messages.CloudScaleOut:
 		if w.Now < w.CloudDownUntil {
-			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.ScaleOutReply{Outcome: core.NotApplied})
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), messages.ScaleOutReply{Outcome: messages.NotApplied})
 			return
 		}
 		if w.Chance(0.05) { // carried out late, the answer lost
 			w.After(w.RandomBetween(second, 30*second), func() { w.Cloud.ScaleOut(w.Now, f) })
-			w.deliverReply(n, gen, f.Call, 4*second, core.ScaleOutReply{Outcome: core.UnknownOutcome})
+			w.deliverReply(n, gen, f.Call, 4*second, messages.ScaleOutReply{Outcome: messages.UnknownOutcome})
 			return
 		}
 		w.deliverReply(n, gen, f.Call, w.networkDelay(), w.Cloud.ScaleOut(w.Now, f))
-	case core.CloudScaleIn:
+	case messages.CloudScaleIn:
 		if w.Now < w.CloudDownUntil {
-			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.ScaleInReply{Outcome: core.UnknownOutcome})
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), messages.ScaleInReply{Outcome: messages.UnknownOutcome})
 			return
 		}
 		for _, id := range f.IDs {
 			w.RemoveMachine(id)
 		}
-		w.deliverReply(n, gen, f.Call, w.networkDelay(), core.ScaleInReply{Outcome: core.OK})
-	case core.CloudList:
+		w.deliverReply(n, gen, f.Call, w.networkDelay(), messages.ScaleInReply{Outcome: messages.OK})
+	case messages.CloudList:
 		if w.Now < w.CloudDownUntil {
-			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.CloudListReply{Outcome: core.NotApplied})
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), messages.CloudListReply{Outcome: messages.NotApplied})
 			return
 		}
 		items, more := w.Cloud.ListPage(w.Now, f.After)
-		w.deliverReply(n, gen, f.Call, w.config.CloudListLag/2, core.CloudListReply{Outcome: core.OK, Items: items, More: more})
-	case core.PushCommands:
+		w.deliverReply(n, gen, f.Call, w.config.CloudListLag/2, messages.CloudListReply{Outcome: messages.OK, Items: items, More: more})
+	case messages.PushCommands:
 		w.pushCommands(n, f)
-	case core.QueryWorkerStatus:
-		l := w.Workers[core.MachineID(f.Addr)]
+	case messages.QueryWorkerStatus:
+		l := w.Workers[cluster.MachineID(f.Addr)]
 		if l == nil || l.removed || w.Now < max(n.WorkersCutUntil, l.cutUntil, l.hungUntil, l.unreachableUntil) {
-			w.deliverReply(n, gen, f.Call, 2500*millisecond, core.PushCommandsReply{Outcome: core.UnknownOutcome})
+			w.deliverReply(n, gen, f.Call, 2500*millisecond, messages.PushCommandsReply{Outcome: messages.UnknownOutcome})
 			return
 		}
-		w.deliverReply(n, gen, f.Call, w.networkDelay(), core.PushCommandsReply{Outcome: core.OK, Status: l.NextStatus()})
-	case core.PeerCall:
+		w.deliverReply(n, gen, f.Call, w.networkDelay(), messages.PushCommandsReply{Outcome: messages.OK, Status: l.NextStatus()})
+	case messages.PeerCall:
 		w.callPeer(n, f)
-	case core.Log:
+	case messages.Log:
 		if f.Message != "stats" && f.Message != "load" {
 			w.Log(fmt.Sprintf("%s logs %s: %s %v", n.ID, f.Level, f.Message, f.Args))
 		}
-		if f.Level == core.LogError {
+		if f.Level == messages.LogError {
 			w.reportViolation("%s logs an error: %s %v", n.ID, f.Message, f.Args)
 		}
 		if f.Message == stallLogText && w.FaultsOverAt > 0 && w.Now > w.FaultsOverAt+stallLogGracePeriod {
@@ -112,7 +113,7 @@
 	}
 }
 
-func (w *Simulator) callStore(n *Node, id core.CallID, txn bool, refused, unknown any, do func() any) {
+func (w *Simulator) callStore(n *Node, id messages.CallID, txn bool, refused, unknown any, do func() any) {
 	gen := n.generation
 	switch {
 	case w.Now < w.StoreDownUntil || w.Now < n.StoreRefusesUntil:
@@ -141,7 +142,7 @@
 	}
 }
 
-func (w *Simulator) pollWatch(n *Node, gen int, f core.StoreWatch, until core.Time) {
+func (w *Simulator) pollWatch(n *Node, gen int, f messages.StoreWatch, until cluster.Time) {
 	w.After(w.RandomBetween(10*millisecond, 200*millisecond), func() {
 		if !n.running || n.generation != gen {
 			return
@@ -156,9 +157,9 @@
 	})
 }
 
-func (w *Simulator) callPeer(n *Node, f core.PeerCall) {
+func (w *Simulator) callPeer(n *Node, f messages.PeerCall) {
 	to, gen := w.nodeByID(f.To), n.generation
-	lost := core.PeerReply{Outcome: core.UnknownOutcome}
+	lost := messages.PeerReply{Outcome: messages.UnknownOutcome}
 	if !to.running || w.Now < n.PeersRefuseUntil || w.Now < to.PeersRefuseUntil {
 		w.deliverReply(n, gen, f.Call, w.networkDelay(), lost) // refused
 		return
@@ -169,7 +170,9 @@
 	}
 	answered := false
 	send := func() {
-		w.SendRequest(to, func(id core.RequestID) core.Event { return core.PeerRequest{Request: id, Message: f.Message} }, func(r core.Respond) {
+		w.SendRequest(to, func(id messages.RequestID) messages.Event {
+			return messages.PeerRequest{Request: id, Message: f.Message}
+		}, func(r messages.Respond) {
 			if answered {
 				return
 			}
@@ -178,7 +181,7 @@
 				w.deliverReply(n, gen, f.Call, 0, lost)
 				return
 			}
-			w.deliverReply(n, gen, f.Call, w.networkDelay(), core.PeerReply{Outcome: core.OK, Message: *r.Peer})
+			w.deliverReply(n, gen, f.Call, w.networkDelay(), messages.PeerReply{Outcome: messages.OK, Message: *r.Peer})
 		})
 	}
 	if w.SlowPeerChance > 0 && w.Chance(w.SlowPeerChance) { // else what one controller tells another would always be there before its user asks there
@@ -191,13 +194,13 @@
 		if !answered {
 			answered = true
 			if n.running && n.generation == gen {
-				w.stepNode(n, core.Reply{Call: f.Call, Body: lost})
+				w.stepNode(n, messages.Reply{Call: f.Call, Body: lost})
 			}
 		}
 	})
 }
 
-func (w *Simulator) nodeByID(id core.NodeID) *Node {
+func (w *Simulator) nodeByID(id cluster.NodeID) *Node {
 	for _, n := range w.Nodes {
 		if n.ID == id {
 			return n
@@ -206,11 +209,11 @@
 	return nil
 }
 
-func (w *Simulator) pushCommands(n *Node, f core.PushCommands) {
+func (w *Simulator) pushCommands(n *Node, f messages.PushCommands) {
 	gen := n.generation
-	l := w.Workers[core.MachineID(f.Addr)]
+	l := w.Workers[cluster.MachineID(f.Addr)]
 	if l == nil || l.removed {
-		w.deliverReply(n, gen, f.Call, 1500*millisecond, core.PushCommandsReply{Outcome: core.NotApplied})
+		w.deliverReply(n, gen, f.Call, 1500*millisecond, messages.PushCommandsReply{Outcome: messages.NotApplied})
 		return
 	}
 	cut := max(n.WorkersCutUntil, l.cutUntil, l.hungUntil, l.unreachableUntil)
@@ -224,26 +227,26 @@
 		if d, ok := w.lateArrival(cut); ok {
 			w.After(d, func() { w.deliverLateCommands(l, f) })
 		}
-		w.deliverReply(n, gen, f.Call, 2500*millisecond, core.PushCommandsReply{Outcome: core.UnknownOutcome})
+		w.deliverReply(n, gen, f.Call, 2500*millisecond, messages.PushCommandsReply{Outcome: messages.UnknownOutcome})
 		return
 	}
 	w.After(w.networkDelay(), func() {
 		if l.removed {
-			w.deliverReply(n, gen, f.Call, 2*second, core.PushCommandsReply{Outcome: core.UnknownOutcome})
+			w.deliverReply(n, gen, f.Call, 2*second, messages.PushCommandsReply{Outcome: messages.UnknownOutcome})
 			return
 		}
 		r := l.HandleCommands(f)
 		w.logCommands(n, l, f.FencingToken, f.Commands)
 		w.scheduleHeartbeat(l)
 		if w.Chance(0.01) {
-			w.deliverReply(n, gen, f.Call, 2*second, core.PushCommandsReply{Outcome: core.UnknownOutcome})
+			w.deliverReply(n, gen, f.Call, 2*second, messages.PushCommandsReply{Outcome: messages.UnknownOutcome})
 			return
 		}
 		w.deliverReply(n, gen, f.Call, w.networkDelay(), r)
 	})
 }
 
-func (w *Simulator) deliverLateCommands(l *SimulatedWorker, f core.PushCommands) {
+func (w *Simulator) deliverLateCommands(l *SimulatedWorker, f messages.PushCommands) {
 	if l.removed {
 		return
 	}
@@ -257,7 +260,7 @@
 	l.HandleCommands(f)
 }
 
-func (w *Simulator) logCommands(n *Node, l *SimulatedWorker, token core.FencingToken, cmds []core.Command) {
+func (w *Simulator) logCommands(n *Node, l *SimulatedWorker, token cluster.FencingToken, cmds []cluster.Command) {
 	for _, c := range cmds {
 		verb := [...]string{"start", "stop", "forget"}[c.Kind]
 		w.Log(fmt.Sprintf("%s -> %s token %d: %s %s attempt %d", n.ID, l.ID, token, verb, c.Task, c.Attempt))
--- a/internal/standin/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -1,15 +1,15 @@
-package standin
+package simulation
 
 import (
 	"container/heap"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
 )
 
 // The queue of what happens in simulated time.
 
 type event struct {
-	dueAt    core.Time
+	dueAt    cluster.Time
 	sequence uint64
 	action   func()
 }
@@ -34,17 +34,17 @@
 }
 
 // After runs fn later.
-func (w *Simulator) After(d core.Time, fn func()) {
+func (w *Simulator) After(d cluster.Time, fn func()) {
 	w.eventSequence++
 	heap.Push(&w.eventQueue, event{w.Now + max(d, 0), w.eventSequence, fn})
 }
 
-func (w *Simulator) repeatEvery(d core.Time, fn func()) {
+func (w *Simulator) repeatEvery(d cluster.Time, fn func()) {
 	w.After(d, func() { fn(); w.repeatEvery(d, fn) })
 }
 
-// Run plays until a time.
-func (w *Simulator) RunUntil(until core.Time) {
+// RunUntil plays until a time.
+func (w *Simulator) RunUntil(until cluster.Time) {
 	for len(w.eventQueue) > 0 && w.eventQueue[0].dueAt <= until && len(w.Violations) == 0 {
 		e := heap.Pop(&w.eventQueue).(event)
 		w.Now = e.dueAt
--- /dev/null
+++ b/internal/simulation/fake_cloud.go
@@ -0,0 +1,129 @@
+package simulation
+
+import (
+	"fmt"
+	"sort"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// The states of a machine in the cloud's list.
+const (
+	machineBooting = "booting"
+	machineRunning = "running"
+)
+
+// FakeCloud is a model of the cloud.
+type FakeCloud struct {
+	MachineTypes      []cluster.MachineType
+	AvailableCapacity map[string]int                 // machines that may yet be rented, by Slot
+	BootDuration      func() cluster.Time            // how long the next machine takes to boot
+	machinesByRequest map[string][]cluster.MachineID // what each rental's name got
+	machines          map[cluster.MachineID]*cloudMachine
+	lastMachineNumber int // the number of the last machine
+}
+
+type cloudMachine struct {
+	cluster.ListedMachine
+	provisionedAt cluster.Time // when it was rented
+	bootedAt      cluster.Time // when it has booted
+}
+
+// NewFakeCloud makes a cloud without machines.
+func NewFakeCloud(types []cluster.MachineType, capacity map[string]int, boot func() cluster.Time) *FakeCloud {
+	return &FakeCloud{
+		MachineTypes:      types,
+		AvailableCapacity: capacity,
+		BootDuration:      boot,
+		machinesByRequest: map[string][]cluster.MachineID{},
+		machines:          map[cluster.MachineID]*cloudMachine{},
+	}
+}
+
+// CapacityKey names a kind of machine.
+func CapacityKey(machineType, zone string, spot bool) string {
+	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
+}
+
+// ScaleOut rents, or repeats the answer that the name got before.
+func (c *FakeCloud) ScaleOut(now cluster.Time, request messages.CloudScaleOut) messages.ScaleOutReply {
+	if ids, known := c.machinesByRequest[request.Name]; known {
+		return messages.ScaleOutReply{Outcome: messages.OK, IDs: ids}
+	}
+	slot := CapacityKey(request.Type, request.Zone, request.Spot)
+	count := min(request.Count, c.AvailableCapacity[slot])
+	if count <= 0 {
+		return messages.ScaleOutReply{Outcome: messages.NotFound}
+	}
+	c.AvailableCapacity[slot] -= count
+	ids := []cluster.MachineID{}
+	for range count {
+		ids = append(ids, c.addMachine(now, request))
+	}
+	c.machinesByRequest[request.Name] = ids
+	return messages.ScaleOutReply{Outcome: messages.OK, IDs: ids}
+}
+
+func (c *FakeCloud) addMachine(now cluster.Time, request messages.CloudScaleOut) cluster.MachineID {
+	c.lastMachineNumber++
+	id := cluster.MachineID(fmt.Sprintf("m-%06d", c.lastMachineNumber))
+	listed := cluster.ListedMachine{
+		ID:     id,
+		Addr:   string(id),
+		Type:   request.Type,
+		Zone:   request.Zone,
+		Spot:   request.Spot,
+		Status: machineBooting,
+	}
+	c.machines[id] = &cloudMachine{ListedMachine: listed, provisionedAt: now, bootedAt: now + c.BootDuration()}
+	return id
+}
+
+// RemoveMachine removes a machine; false when there is none of that name.
+func (c *FakeCloud) RemoveMachine(id cluster.MachineID) bool {
+	machine := c.machines[id]
+	if machine == nil {
+		return false
+	}
+	delete(c.machines, id)
+	c.AvailableCapacity[CapacityKey(machine.Type, machine.Zone, machine.Spot)]++
+	return true
+}
+
+// CompleteBoots lists the booting machines that are due, and marks them running.
+func (c *FakeCloud) CompleteBoots(now cluster.Time) []cluster.ListedMachine {
+	var booted []cluster.ListedMachine
+	for _, listed := range c.List(now) {
+		machine := c.machines[listed.ID]
+		if machine.Status == machineBooting && machine.bootedAt <= now {
+			machine.Status = machineRunning
+			booted = append(booted, machine.ListedMachine)
+		}
+	}
+	return booted
+}
+
+// List is the machine list as it is now.
+func (c *FakeCloud) List(now cluster.Time) []cluster.ListedMachine {
+	var list []cluster.ListedMachine
+	for _, machine := range c.machines {
+		listed := machine.ListedMachine
+		listed.AgeSeconds = float64(now-machine.provisionedAt) / float64(second)
+		list = append(list, listed)
+	}
+	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
+	return list
+}
+
+// listPageSize is the most machines that a page of the list holds.
+const listPageSize = 500
+
+// ListPage is the page of the list that follows a machine, and whether another does.
+func (c *FakeCloud) ListPage(now cluster.Time, since cluster.MachineID) (page []cluster.ListedMachine, more bool) {
+	list := c.List(now)
+	first := sort.Search(len(list), func(i int) bool { return list[i].ID > since })
+	list = list[first:]
+	more = len(list) > listPageSize
+	return list[:min(len(list), listPageSize)], more
+}
--- a/internal/standin/fake_services.go
+++ b/internal/simulation/fake_services.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"context"
@@ -9,63 +9,64 @@
 	"sync"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 const (
-	// regionBoot is how long the region's machines take to boot, regionFetch how
+	// fakeBootDuration is how long the region's machines take to boot, regionFetch how
 	// long their workers take to fetch an image.
-	fakeBootDuration  = core.Time(200 * time.Millisecond)
-	fakeFetchDuration = core.Time(100 * time.Millisecond)
+	fakeBootDuration  = cluster.Time(200 * time.Millisecond)
+	fakeFetchDuration = cluster.Time(100 * time.Millisecond)
 	// headerTimeout bounds how long the region's servers wait for a request's header.
 	headerTimeout = 5 * time.Second
 )
 
-// Region serves the models over HTTP on loopback, for tests of the real
+// FakeServices serves the models over HTTP on loopback, for tests of the real
 // program: a state service, a cloud and the workers of its machines.
 type FakeServices struct {
 	mu           sync.Mutex // guards all that follows up to the blank line
 	StateService *FakeStateService
 	Cloud        *FakeCloud
 	// Jobs is what workers fetch of each job on their own.
-	Jobs map[core.JobID]JobInfo
-	// Nodes holds the controllers' addresses for workers, by name.
+	Jobs map[cluster.JobID]JobInfo
+	// NodeAddresses holds the controllers' addresses for workers, by name.
 	NodeAddresses map[string]string
-	// StateDown makes the state service answer 503.
+	// StateServiceDown makes the state service answer 503.
 	StateServiceDown bool
-	// Unreachable holds machines whose reports arrive, but which nothing reaches.
-	UnreachableMachines map[core.MachineID]bool
-	// Starts counts the starts of each task.
-	StartCounts map[core.TaskID]int
-	// RanTwice lists tasks that started while they ran on another machine.
+	// UnreachableMachines holds machines whose reports arrive, but which nothing reaches.
+	UnreachableMachines map[cluster.MachineID]bool
+	// StartCounts counts the starts of each task.
+	StartCounts map[cluster.TaskID]int
+	// DuplicateRuns lists tasks that started while they ran on another machine.
 	DuplicateRuns []string
-	doneTasks     map[core.TaskID]bool
-	workers       map[core.MachineID]*httpWorker
+	doneTasks     map[cluster.TaskID]bool
+	workers       map[cluster.MachineID]*httpWorker
 	closers       []func()
 
 	startedAt         time.Time
-	leaseDuration     core.Time
+	leaseDuration     cluster.Time
 	heartbeatInterval time.Duration
 	ctx               context.Context // ends with Close
 }
 
-// NewRegion makes a region whose workers report at an interval and live by a
+// NewFakeServices makes a region whose workers report at an interval and live by a
 // lease; Close ends all that it started.
-func NewFakeServices(types []core.MachineType, capacity map[string]int, reportEvery, lease time.Duration) *FakeServices {
+func NewFakeServices(types []cluster.MachineType, capacity map[string]int, reportEvery, lease time.Duration) *FakeServices {
 	ctx, cancel := context.WithCancel(context.Background())
-	boot := func() core.Time { return fakeBootDuration }
+	boot := func() cluster.Time { return fakeBootDuration }
 	return &FakeServices{
 		StateService:        NewFakeStateService(),
 		Cloud:               NewFakeCloud(types, capacity, boot),
-		Jobs:                map[core.JobID]JobInfo{},
+		Jobs:                map[cluster.JobID]JobInfo{},
 		NodeAddresses:       map[string]string{},
-		UnreachableMachines: map[core.MachineID]bool{},
-		StartCounts:         map[core.TaskID]int{},
-		doneTasks:           map[core.TaskID]bool{},
-		workers:             map[core.MachineID]*httpWorker{},
+		UnreachableMachines: map[cluster.MachineID]bool{},
+		StartCounts:         map[cluster.TaskID]int{},
+		doneTasks:           map[cluster.TaskID]bool{},
+		workers:             map[cluster.MachineID]*httpWorker{},
 		closers:             []func(){cancel},
 		startedAt:           time.Now(),
-		leaseDuration:       core.Time(lease),
+		leaseDuration:       cluster.Time(lease),
 		heartbeatInterval:   reportEvery,
 		ctx:                 ctx,
 	}
@@ -80,19 +81,19 @@
 	}
 }
 
-// Locked runs fn while nothing else of the region moves.
+// WithLock runs fn while nothing else of the region moves.
 func (r *FakeServices) WithLock(fn func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fn()
 }
 
-// Add puts a running machine into the region.
+// AddMachine puts a running machine into the region.
 func (r *FakeServices) AddMachine(machineType, zone string, spot bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Cloud.AvailableCapacity[CapacityKey(machineType, zone, spot)]++
-	r.Cloud.ScaleOut(r.now(), core.CloudScaleOut{
+	r.Cloud.ScaleOut(r.now(), messages.CloudScaleOut{
 		Name:  "initial-" + strconv.Itoa(r.Cloud.lastMachineNumber),
 		Type:  machineType,
 		Zone:  zone,
@@ -101,11 +102,11 @@
 	})
 }
 
-// Running lists the machines that run something.
-func (r *FakeServices) BusyMachines() []core.MachineID {
+// BusyMachines lists the machines that run something.
+func (r *FakeServices) BusyMachines() []cluster.MachineID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var ids []core.MachineID
+	var ids []cluster.MachineID
 	for id, worker := range r.workers {
 		if worker.hasRunningTask() {
 			ids = append(ids, id)
@@ -114,14 +115,14 @@
 	return ids
 }
 
-// Gone tells whether a machine has been returned.
-func (r *FakeServices) IsReleased(id core.MachineID) bool {
+// IsReleased tells whether a machine has been returned.
+func (r *FakeServices) IsReleased(id cluster.MachineID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.workers[id] == nil || r.workers[id].released
 }
 
-func (r *FakeServices) now() core.Time { return core.Time(time.Since(r.startedAt)) }
+func (r *FakeServices) now() cluster.Time { return cluster.Time(time.Since(r.startedAt)) }
 
 // serve starts a server on loopback and returns its address.
 func (r *FakeServices) serve(handler http.Handler) (string, error) {
--- a/internal/standin/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -1,73 +1,74 @@
-package standin
+package simulation
 
 import (
 	"sort"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
-// noNotice is the Notice of a machine that the cloud has not called back.
+// noPreemptionNotice is the Notice of a machine that the cloud has not called back.
 const noPreemptionNotice = -1
 
 // Task is one task on a Worker.
 type Task struct {
-	ID        core.TaskID
-	Attempt   core.Attempt
-	State     core.TaskState
-	Cause     core.Cause
+	ID        cluster.TaskID
+	Attempt   cluster.Attempt
+	State     cluster.TaskState
+	Cause     cluster.Cause
 	Saved     bool
-	Remaining core.Time // of the fetch, the run or the saving
+	Remaining cluster.Time // of the fetch, the run or the saving
 }
 
 // JobInfo is what a worker fetches of a job on its own.
 type JobInfo struct {
-	ResourceRequest core.Resources
-	RunDuration     core.Time // how long a task runs
-	CanCheckpoint   bool      // tasks can be saved
-	SaveDuration    core.Time // how long that takes
+	ResourceRequest cluster.Resources
+	RunDuration     cluster.Time // how long a task runs
+	CanCheckpoint   bool         // tasks can be saved
+	SaveDuration    cluster.Time // how long that takes
 	TaskCount       int
 	Image           string
 	AlwaysFails     bool // every task ends with an error
 }
 
-// Worker is a model of one machine's worker.
+// FakeWorker is a model of one machine's worker.
 type FakeWorker struct {
-	ID            core.MachineID
+	ID            cluster.MachineID
 	Type          string
 	Zone          string
 	Spot          bool
-	Capacity      core.Resources
-	FetchDuration core.Time // how long it fetches an image
-	LeaseDuration core.Time
-	LookupJob     func(core.JobID) (JobInfo, bool)
-	DoneTasks     map[core.TaskID]bool // results are kept outside the machine
+	Capacity      cluster.Resources
+	FetchDuration cluster.Time // how long it fetches an image
+	LeaseDuration cluster.Time
+	LookupJob     func(cluster.JobID) (JobInfo, bool)
+	DoneTasks     map[cluster.TaskID]bool // results are kept outside the machine
 	OnStart       func(w *FakeWorker, t *Task)
-	OnDone        func(t core.TaskID) // may be nil
-	FaultyUntil   core.Time           // fails every task until then
+	OnDone        func(t cluster.TaskID) // may be nil
+	FaultyUntil   cluster.Time           // fails every task until then
 
-	Incarnation      core.Incarnation
-	SequenceNumber   core.SequenceNumber
-	FencingToken     core.FencingToken
+	Incarnation      cluster.Incarnation
+	SequenceNumber   cluster.SequenceNumber
+	FencingToken     cluster.FencingToken
 	PreemptionNotice float64 // seconds until the cloud takes the machine; negative: it does not
-	Tasks            map[core.TaskID]*Task
+	Tasks            map[cluster.TaskID]*Task
 	fetchedImages    map[string]bool // those that have been fetched
-	leaseRenewedAt   core.Time       // when the lease was last renewed
-	lastAdvanceAt    core.Time       // of the last Advance
+	leaseRenewedAt   cluster.Time    // when the lease was last renewed
+	lastAdvanceAt    cluster.Time    // of the last Advance
 }
 
 // Start makes the worker run from now on.
-func (w *FakeWorker) Start(now core.Time) {
+func (w *FakeWorker) Start(now cluster.Time) {
 	w.Incarnation = 1
 	w.PreemptionNotice = noPreemptionNotice
 	w.leaseRenewedAt = now
 	w.lastAdvanceAt = now
-	w.Tasks = map[core.TaskID]*Task{}
+	w.Tasks = map[cluster.TaskID]*Task{}
 	w.fetchedImages = map[string]bool{}
 }
 
 // Advance lets time pass; it returns true when something changed. While the
 // machine hangs it is not called, so that its tasks stand still.
-func (w *FakeWorker) Advance(now core.Time) bool {
+func (w *FakeWorker) Advance(now cluster.Time) bool {
 	elapsed := now - w.lastAdvanceAt
 	w.lastAdvanceAt = now
 	if now-w.leaseRenewedAt > w.LeaseDuration {
@@ -76,7 +77,7 @@
 	}
 	changed := false
 	for _, task := range w.sortedTasks() {
-		if task.State == core.Ended {
+		if task.State == cluster.Ended {
 			continue
 		}
 		task.Remaining -= elapsed
@@ -88,46 +89,46 @@
 	return changed
 }
 
-// beginSession drops all tasks, since the lease has run out.
-func (w *FakeWorker) beginIncarnation(now core.Time) {
+// beginIncarnation drops all tasks, since the lease has run out.
+func (w *FakeWorker) beginIncarnation(now cluster.Time) {
 	w.Incarnation++
 	w.SequenceNumber = 0
-	w.Tasks = map[core.TaskID]*Task{}
+	w.Tasks = map[cluster.TaskID]*Task{}
 	w.leaseRenewedAt = now
 }
 
-// complete ends a task's present state.
-func (w *FakeWorker) completeTaskState(task *Task, now core.Time) {
+// completeTaskState ends a task's present state.
+func (w *FakeWorker) completeTaskState(task *Task, now cluster.Time) {
 	info, _ := w.LookupJob(task.ID.Job)
 	switch task.State {
-	case core.Fetching:
+	case cluster.Fetching:
 		w.fetchedImages[info.Image] = true
 		w.runTask(task, info)
-	case core.Running:
+	case cluster.Running:
 		if info.AlwaysFails || now < w.FaultyUntil {
-			task.finish(core.CauseFailed)
+			task.finish(cluster.CauseFailed)
 			return
 		}
-		task.finish(core.CauseCompleted)
+		task.finish(cluster.CauseCompleted)
 		w.DoneTasks[task.ID] = true
 		if w.OnDone != nil {
 			w.OnDone(task.ID)
 		}
-	case core.Checkpointing:
-		task.finish(core.CauseStopped)
+	case cluster.Checkpointing:
+		task.finish(cluster.CauseStopped)
 		task.Saved = true
 	}
 }
 
-func (t *Task) finish(cause core.Cause) {
-	t.State = core.Ended
+func (t *Task) finish(cause cluster.Cause) {
+	t.State = cluster.Ended
 	t.Cause = cause
 }
 
-// run starts a task whose image is there. One that is done already ends at
+// runTask starts a task whose image is there. One that is done already ends at
 // once, and so does any on a sick machine.
 func (w *FakeWorker) runTask(task *Task, info JobInfo) {
-	task.State = core.Running
+	task.State = cluster.Running
 	task.Remaining = info.RunDuration
 	if w.DoneTasks[task.ID] || w.lastAdvanceAt < w.FaultyUntil {
 		task.Remaining = 0
@@ -135,7 +136,7 @@
 	w.OnStart(w, task)
 }
 
-// sorted lists the tasks by their names.
+// sortedTasks lists the tasks by their names.
 func (w *FakeWorker) sortedTasks() []*Task {
 	tasks := make([]*Task, 0, len(w.Tasks))
 	for _, task := range w.Tasks {
@@ -145,11 +146,11 @@
 	return tasks
 }
 
-// Used sums what the tasks take.
-func (w *FakeWorker) UsedResources() core.Resources {
-	var used core.Resources
+// UsedResources sums what the tasks take.
+func (w *FakeWorker) UsedResources() cluster.Resources {
+	var used cluster.Resources
 	for _, task := range w.Tasks {
-		if task.State == core.Ended {
+		if task.State == cluster.Ended {
 			continue
 		}
 		info, _ := w.LookupJob(task.ID.Job)
@@ -160,10 +161,10 @@
 	return used
 }
 
-// Report is the next report.
-func (w *FakeWorker) NextStatus() core.HeartbeatStatus {
+// NextStatus is the next report.
+func (w *FakeWorker) NextStatus() cluster.HeartbeatStatus {
 	w.SequenceNumber++
-	report := core.HeartbeatStatus{
+	report := cluster.HeartbeatStatus{
 		Machine:          w.ID,
 		Addr:             string(w.ID),
 		Type:             w.Type,
@@ -175,7 +176,7 @@
 		PreemptionNotice: w.PreemptionNotice,
 	}
 	for _, task := range w.sortedTasks() {
-		report.Tasks = append(report.Tasks, core.TaskStatus{
+		report.Tasks = append(report.Tasks, cluster.TaskStatus{
 			Task:         task.ID,
 			Attempt:      task.Attempt,
 			State:        task.State,
@@ -186,8 +187,8 @@
 	return report
 }
 
-// Answered takes in the answer to the report of a session sent at a time.
-func (w *FakeWorker) HandleHeartbeatAnswer(session core.Incarnation, sent core.Time, answer core.HeartbeatResponse) {
+// HandleHeartbeatAnswer takes in the answer to the report of a session sent at a time.
+func (w *FakeWorker) HandleHeartbeatAnswer(session cluster.Incarnation, sent cluster.Time, answer messages.HeartbeatResponse) {
 	if session != w.Incarnation || answer.FencingToken < w.FencingToken || answer.FencingToken == 0 {
 		return
 	}
@@ -196,81 +197,81 @@
 	w.executeCommands(answer.Commands)
 }
 
-// Orders carries out direct commands.
-func (w *FakeWorker) HandleCommands(orders core.PushCommands) core.PushCommandsReply {
+// HandleCommands carries out direct commands.
+func (w *FakeWorker) HandleCommands(orders messages.PushCommands) messages.PushCommandsReply {
 	if orders.FencingToken < w.FencingToken || orders.Incarnation != w.Incarnation {
-		return core.PushCommandsReply{Outcome: core.Conflict, Status: w.NextStatus()}
+		return messages.PushCommandsReply{Outcome: messages.Conflict, Status: w.NextStatus()}
 	}
 	w.FencingToken = orders.FencingToken
 	w.executeCommands(orders.Commands)
-	return core.PushCommandsReply{Outcome: core.OK, Status: w.NextStatus()}
+	return messages.PushCommandsReply{Outcome: messages.OK, Status: w.NextStatus()}
 }
 
-func (w *FakeWorker) executeCommands(commands []core.Command) {
+func (w *FakeWorker) executeCommands(commands []cluster.Command) {
 	for _, command := range commands {
 		switch command.Kind {
-		case core.Start:
+		case cluster.Start:
 			w.startTask(command)
-		case core.Stop:
+		case cluster.Stop:
 			w.stopTask(command)
-		case core.Acknowledge:
+		case cluster.Acknowledge:
 			w.acknowledgeTask(command)
 		}
 	}
 }
 
-// start begins a task. This model has one slot for each task: while an attempt
+// startTask begins a task. This model has one slot for each task: while an attempt
 // is there, another is not even refused.
-func (w *FakeWorker) startTask(command core.Command) {
+func (w *FakeWorker) startTask(command cluster.Command) {
 	if w.Tasks[command.Task] != nil {
 		return
 	}
 	// Until it has got its room it does not count as using any.
-	task := &Task{ID: command.Task, Attempt: command.Attempt, State: core.Ended}
+	task := &Task{ID: command.Task, Attempt: command.Attempt, State: cluster.Ended}
 	w.Tasks[command.Task] = task
 	info, known := w.LookupJob(command.Task.Job)
 	switch {
 	case !known || command.Task.Index >= info.TaskCount:
-		task.finish(core.CauseUnknownTask)
+		task.finish(cluster.CauseUnknownTask)
 	case !w.hasCapacityFor(info.ResourceRequest):
-		task.finish(core.CauseNoCapacity)
+		task.finish(cluster.CauseNoCapacity)
 	case w.fetchedImages[info.Image]:
 		w.runTask(task, info)
 	default:
-		task.State = core.Fetching
+		task.State = cluster.Fetching
 		task.Remaining = w.FetchDuration
 	}
 }
 
-func (w *FakeWorker) hasCapacityFor(need core.Resources) bool {
+func (w *FakeWorker) hasCapacityFor(need cluster.Resources) bool {
 	used := w.UsedResources()
 	return used.CPU+need.CPU <= w.Capacity.CPU && used.Memory+need.Memory <= w.Capacity.Memory && used.GPU+need.GPU <= w.Capacity.GPU
 }
 
-// stop ends a task. One that can be saved within the grace is saved first; one
+// stopTask ends a task. One that can be saved within the grace is saved first; one
 // that is being saved goes on if there is any grace.
-func (w *FakeWorker) stopTask(command core.Command) {
+func (w *FakeWorker) stopTask(command cluster.Command) {
 	task := w.Tasks[command.Task]
-	if task == nil || task.Attempt != command.Attempt || task.State == core.Ended {
+	if task == nil || task.Attempt != command.Attempt || task.State == cluster.Ended {
 		return
 	}
 	info, _ := w.LookupJob(task.ID.Job)
-	grace := core.Time(command.GraceSeconds * float64(second))
+	grace := cluster.Time(command.GraceSeconds * float64(second))
 	canSave := info.CanCheckpoint && info.SaveDuration > 0 && grace >= info.SaveDuration
 	switch {
-	case task.State == core.Running && canSave:
-		task.State = core.Checkpointing
+	case task.State == cluster.Running && canSave:
+		task.State = cluster.Checkpointing
 		task.Remaining = info.SaveDuration
-	case task.State == core.Checkpointing && command.GraceSeconds > 0:
+	case task.State == cluster.Checkpointing && command.GraceSeconds > 0:
 	default:
-		task.finish(core.CauseStopped)
+		task.finish(cluster.CauseStopped)
 	}
 }
 
-// forget drops the account of a task that has ended.
-func (w *FakeWorker) acknowledgeTask(command core.Command) {
+// acknowledgeTask drops the account of a task that has ended.
+func (w *FakeWorker) acknowledgeTask(command cluster.Command) {
 	task := w.Tasks[command.Task]
-	if task != nil && task.Attempt == command.Attempt && task.State == core.Ended {
+	if task != nil && task.Attempt == command.Attempt && task.State == cluster.Ended {
 		delete(w.Tasks, command.Task)
 	}
 }
--- a/internal/standin/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -8,7 +8,8 @@
 	"strings"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // Troubles that come from two things that meet: each is off unless a test asks
@@ -16,43 +17,43 @@
 
 type faultState struct {
 	writeReplyLossChance      float64 // share of transactions without an answer
-	writeReplyLossUntil       core.Time
+	writeReplyLossUntil       cluster.Time
 	applyLostWritesAtOnce     bool
-	storeDelay                core.Time // added to the answers of the state service
-	storeDelayUntil           core.Time
+	storeDelay                cluster.Time // added to the answers of the state service
+	storeDelayUntil           cluster.Time
 	heartbeatCaptureChance    float64 // share of reports whose copies are kept for the next holder
-	heartbeatCaptureUntil     core.Time
-	capturedHeartbeats        []core.HeartbeatStatus
+	heartbeatCaptureUntil     cluster.Time
+	capturedHeartbeats        []cluster.HeartbeatStatus
 	shardOwners               map[string]string // of the parts, as the state service has them
 	acquireHooks              []acquireHook
 	cancelAtEndChance         float64 // share of jobs cancelled as they end
-	cancelAtEndUntil          core.Time
-	readAfterWriteChecksUntil core.Time
-	fastBootsUntil            core.Time
+	cancelAtEndUntil          cluster.Time
+	readAfterWriteChecksUntil cluster.Time
+	fastBootsUntil            cluster.Time
 	oddRequestCount           int
-	starvationCheckedAt       core.Time
+	starvationCheckedAt       cluster.Time
 }
 
 type acquireHook struct {
-	expiresAt core.Time
-	action    func(holder core.NodeID)
+	expiresAt cluster.Time
+	action    func(holder cluster.NodeID)
 }
 
-func (t *faultState) currentStoreDelay(now core.Time) core.Time {
+func (t *faultState) currentStoreDelay(now cluster.Time) cluster.Time {
 	if now < t.storeDelayUntil {
 		return t.storeDelay
 	}
 	return 0
 }
 
-// LateWrites lets a share of transactions get no answer for a while. They are
+// LoseWriteReplies lets a share of transactions get no answer for a while. They are
 // carried out 2 to 12 s later, after newer ones of the same controller; with
 // atOnce they are carried out at once and only the answer is lost.
-func (w *Simulator) LoseWriteReplies(share float64, d core.Time, atOnce bool) {
+func (w *Simulator) LoseWriteReplies(share float64, d cluster.Time, atOnce bool) {
 	w.faults.writeReplyLossChance, w.faults.writeReplyLossUntil, w.faults.applyLostWritesAtOnce = share, w.Now+d, atOnce
 }
 
-// lateWrite tells whether a transaction gets no answer, and sees to it that it
+// loseWriteReply tells whether a transaction gets no answer, and sees to it that it
 // is carried out all the same.
 func (w *Simulator) loseWriteReply(n *Node, do func() any) bool {
 	atOnce := w.Now < n.StoreRepliesLostUntil
@@ -64,7 +65,7 @@
 	}
 	if atOnce {
 		w.After(w.networkDelay(), func() {
-			if do().(core.TxnReply).Outcome == core.OK {
+			if do().(messages.TxnReply).Outcome == messages.OK {
 				w.FaultCounts["answers lost though carried out"]++
 			}
 		})
@@ -77,7 +78,7 @@
 			return
 		}
 		w.FaultCounts["late writes"]++
-		if do().(core.TxnReply).Outcome == core.OK {
+		if do().(messages.TxnReply).Outcome == messages.OK {
 			w.FaultCounts["late writes carried out"]++
 		}
 	}
@@ -86,14 +87,14 @@
 }
 
 // SlowStore makes the state service answer slowly for a while.
-func (w *Simulator) SlowStore(by, d core.Time) {
+func (w *Simulator) SlowStore(by, d cluster.Time) {
 	w.faults.storeDelay, w.faults.storeDelayUntil = by, w.Now+d
 }
 
-// QuickBoots brings new machines up within 1 to 2 s for a while.
-func (w *Simulator) EnableFastBoots(d core.Time) { w.faults.fastBootsUntil = w.Now + d }
+// EnableFastBoots brings new machines up within 1 to 2 s for a while.
+func (w *Simulator) EnableFastBoots(d cluster.Time) { w.faults.fastBootsUntil = w.Now + d }
 
-// BootsQuickly tells whether machines rented now are up within 1 to 2 s.
+// HasFastBoots tells whether machines rented now are up within 1 to 2 s.
 func (w *Simulator) HasFastBoots() bool {
 	if w.Now >= w.faults.fastBootsUntil {
 		return false
@@ -102,32 +103,32 @@
 	return true
 }
 
-// Mute takes a machine's way to the controllers, not theirs to it.
-func (w *Simulator) BlockHeartbeats(id core.MachineID, d core.Time) {
+// BlockHeartbeats takes a machine's way to the controllers, not theirs to it.
+func (w *Simulator) BlockHeartbeats(id cluster.MachineID, d cluster.Time) {
 	if l := w.Workers[id]; l != nil {
 		l.heartbeatsBlockedUntil = w.Now + d
 	}
 }
 
-// KeepForNext keeps copies of a share of the reports for a while. They arrive
+// CaptureHeartbeats keeps copies of a share of the reports for a while. They arrive
 // at every controller right after a part changes hands.
-func (w *Simulator) CaptureHeartbeats(share float64, d core.Time) {
+func (w *Simulator) CaptureHeartbeats(share float64, d cluster.Time) {
 	w.faults.heartbeatCaptureChance, w.faults.heartbeatCaptureUntil = share, w.Now+d
 }
 
-func (w *Simulator) captureHeartbeat(r core.HeartbeatStatus) {
+func (w *Simulator) captureHeartbeat(r cluster.HeartbeatStatus) {
 	if w.Now < w.faults.heartbeatCaptureUntil && len(w.faults.capturedHeartbeats) < 60 && w.Chance(w.faults.heartbeatCaptureChance) {
 		w.faults.capturedHeartbeats = append(w.faults.capturedHeartbeats, r)
 	}
 }
 
-// OnClaim calls fn once, when a part next changes hands within a time.
-func (w *Simulator) OnShardAcquired(within core.Time, fn func(holder core.NodeID)) {
+// OnShardAcquired calls fn once, when a part next changes hands within a time.
+func (w *Simulator) OnShardAcquired(within cluster.Time, fn func(holder cluster.NodeID)) {
 	w.faults.acquireHooks = append(w.faults.acquireHooks, acquireHook{w.Now + within, fn})
 }
 
-// claimed notes who holds which part after a transaction.
-func (w *Simulator) recordShardOwners(ops []core.TxnOp) {
+// recordShardOwners notes who holds which part after a transaction.
+func (w *Simulator) recordShardOwners(ops []messages.TxnOp) {
 	for _, o := range ops {
 		if !strings.HasPrefix(o.Key, "parts/") || o.Value == nil {
 			continue
@@ -151,7 +152,7 @@
 		for _, r := range kept {
 			for _, n := range w.Nodes {
 				w.After(w.RandomBetween(millisecond, 300*millisecond), func() {
-					w.SendRequest(n, func(id core.RequestID) core.Event { return core.Heartbeat{Request: id, Status: r} }, func(a core.Respond) {
+					w.SendRequest(n, func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: r} }, func(a messages.Respond) {
 						if a.Status != 0 {
 							w.FaultCounts["old reports at every controller as a part changes hands"]++
 						}
@@ -161,15 +162,15 @@
 		}
 		for _, h := range hooks {
 			if w.Now < h.expiresAt {
-				h.action(core.NodeID(rec.Holder))
+				h.action(cluster.NodeID(rec.Holder))
 			}
 		}
 	}
 }
 
-// jobIDs lists the jobs in order, so that draws don't depend on the map's.
-func (w *Simulator) sortedJobIDs() []core.JobID {
-	l := make([]core.JobID, 0, len(w.Jobs))
+// sortedJobIDs lists the jobs in order, so that draws don't depend on the map's.
+func (w *Simulator) sortedJobIDs() []cluster.JobID {
+	l := make([]cluster.JobID, 0, len(w.Jobs))
 	for id := range w.Jobs {
 		l = append(l, id)
 	}
@@ -177,24 +178,24 @@
 	return l
 }
 
-// CancelNow lets the users of up to n jobs that run and have long to go cancel
+// CancelRunningJobs lets the users of up to n jobs that run and have long to go cancel
 // them within a fifth of a second, while up to eight machines of them hang for
 // a while; hang 0: none does. It returns how many jobs there were.
-func (w *Simulator) CancelRunningJobs(n int, hang core.Time) int {
-	on := map[core.JobID][]*SimulatedWorker{}
+func (w *Simulator) CancelRunningJobs(n int, hang cluster.Time) int {
+	on := map[cluster.JobID][]*SimulatedWorker{}
 	for _, id := range w.liveMachineIDs() {
 		l := w.Workers[id]
 		for _, t := range l.sortedTasks() {
-			if t.State == core.Running && t.Remaining > 5*second {
+			if t.State == cluster.Running && t.Remaining > 5*second {
 				on[t.ID.Job] = append(on[t.ID.Job], l)
 			}
 		}
 	}
-	left := map[core.JobID]core.Time{}
+	left := map[cluster.JobID]cluster.Time{}
 	for id, ls := range on {
 		for _, l := range ls {
 			for _, t := range l.Tasks {
-				if t.ID.Job == id && t.State == core.Running {
+				if t.ID.Job == id && t.State == cluster.Running {
 					left[id] = max(left[id], t.Remaining)
 				}
 			}
@@ -224,7 +225,7 @@
 	return count
 }
 
-// CancelSome lets the user of some job that goes on cancel it.
+// CancelRandomJob lets the user of some job that goes on cancel it.
 func (w *Simulator) CancelRandomJob() {
 	var l []*Job
 	for _, id := range w.sortedJobIDs() {
@@ -238,17 +239,17 @@
 }
 
 // CancelAtEnd cancels a share of the jobs at the moment their last task ends.
-func (w *Simulator) CancelAtEnd(share float64, d core.Time) {
+func (w *Simulator) CancelAtEnd(share float64, d cluster.Time) {
 	w.faults.cancelAtEndChance, w.faults.cancelAtEndUntil = share, w.Now+d
 }
 
-func (w *Simulator) handleTaskDone(t core.TaskID) {
+func (w *Simulator) handleTaskDone(t cluster.TaskID) {
 	if w.Now >= w.faults.cancelAtEndUntil {
 		return
 	}
 	j := w.Jobs[t.Job]
 	for i := range j.Spec.Tasks {
-		if !w.doneTasks[core.TaskID{Job: t.Job, Index: i}] {
+		if !w.doneTasks[cluster.TaskID{Job: t.Job, Index: i}] {
 			return
 		}
 	}
@@ -258,9 +259,9 @@
 	}
 }
 
-// CloseLooks lets users ask at all nodes, again and again, right after they
+// EnableReadAfterWriteChecks lets users ask at all nodes, again and again, right after they
 // were told that a job is accepted, done or cancelled.
-func (w *Simulator) EnableReadAfterWriteChecks(d core.Time) {
+func (w *Simulator) EnableReadAfterWriteChecks(d cluster.Time) {
 	w.faults.readAfterWriteChecksUntil = w.Now + d
 }
 
@@ -276,19 +277,19 @@
 	}
 }
 
-// look asks one controller about a job that it may not forget any more.
+// checkReadAt asks one controller about a job that it may not forget any more.
 func (w *Simulator) checkReadAt(n *Node, j *Job, kind int) {
 	asked, accepted, id := w.Now, j.Accepted, j.Spec.ID
-	ev := func(r core.RequestID) core.Event { return core.Query{Request: r, ID: id} }
+	ev := func(r messages.RequestID) messages.Event { return messages.Query{Request: r, ID: id} }
 	what := "questions"
 	switch {
 	case kind < 2:
-		ev, what = func(r core.RequestID) core.Event { return core.Submit{Request: r, Spec: j.Spec} }, "repeats"
+		ev, what = func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: j.Spec} }, "repeats"
 	case kind == 2 && j.CancelPlanned:
 		j.CancelRequested = true
-		ev, what = func(r core.RequestID) core.Event { return core.Cancel{Request: r, ID: id} }, "cancellations"
+		ev, what = func(r messages.RequestID) messages.Event { return messages.Cancel{Request: r, ID: id} }, "cancellations"
 	}
-	w.SendRequest(n, ev, func(r core.Respond) {
+	w.SendRequest(n, ev, func(r messages.Respond) {
 		switch {
 		case r.Status == 0 || what == "questions" && w.Now-asked > 2*second || w.Now-asked > 5*second: // nobody hears it
 			return
@@ -307,8 +308,8 @@
 	})
 }
 
-// OddRequests lets users ask for odd things for a while.
-func (w *Simulator) SendOddRequests(d core.Time) {
+// SendOddRequests lets users ask for odd things for a while.
+func (w *Simulator) SendOddRequests(d cluster.Time) {
 	until := w.Now + d
 	var next func()
 	next = func() {
@@ -326,7 +327,7 @@
 	case 0, 1:
 		var l []*Job
 		for _, id := range w.sortedJobIDs() {
-			if j := w.Jobs[id]; j.Accepted && (kind == 0 && !j.ReportedStatus.IsFinal() || kind == 1 && j.ReportedStatus == core.JobDone) {
+			if j := w.Jobs[id]; j.Accepted && (kind == 0 && !j.ReportedStatus.IsFinal() || kind == 1 && j.ReportedStatus == cluster.JobDone) {
 				l = append(l, j)
 			}
 		}
@@ -335,12 +336,12 @@
 		}
 		j, asked := l[w.Rand.IntN(len(l))], w.Now
 		what := "repeats of unfinished jobs"
-		ev := func(r core.RequestID) core.Event { return core.Submit{Request: r, Spec: j.Spec} }
+		ev := func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: j.Spec} }
 		if kind == 1 {
 			what = "cancellations of done jobs"
-			ev = func(r core.RequestID) core.Event { return core.Cancel{Request: r, ID: j.Spec.ID} }
+			ev = func(r messages.RequestID) messages.Event { return messages.Cancel{Request: r, ID: j.Spec.ID} }
 		}
-		w.SendRequest(w.randomNode(), ev, func(r core.Respond) {
+		w.SendRequest(w.randomNode(), ev, func(r messages.Respond) {
 			switch r.Status {
 			case 0, 503:
 			case 200:
@@ -358,13 +359,13 @@
 		})
 	default:
 		w.faults.oddRequestCount++
-		s := core.JobSpec{ID: core.JobID(fmt.Sprintf("j-7%05d", w.faults.oddRequestCount)), Class: "odd", Team: w.config.Teams[0].Name, Priority: core.Normal,
-			Tasks: 1, ResourceRequest: core.Resources{CPU: 1_000_000_000, Memory: 1_000_000}, Image: "img", ImageGB: 1, RuntimeSeconds: 5}
-		bad, want, what := core.ReplyNone, core.ReplyUnschedulable, "jobs that fit no machine"
+		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-7%05d", w.faults.oddRequestCount)), Class: "odd", Team: w.config.Teams[0].Name, Priority: cluster.Normal,
+			Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000_000, Memory: 1_000_000}, Image: "img", ImageGB: 1, RuntimeSeconds: 5}
+		bad, want, what := messages.ReplyNone, messages.ReplyUnschedulable, "jobs that fit no machine"
 		if kind == 3 {
-			s.ResourceRequest.CPU, bad, want, what = 1_000_000, core.ReplyBadRequest, core.ReplyBadRequest, "malformed jobs"
+			s.ResourceRequest.CPU, bad, want, what = 1_000_000, messages.ReplyBadRequest, messages.ReplyBadRequest, "malformed jobs"
 		}
-		w.SendRequest(w.randomNode(), func(r core.RequestID) core.Event { return core.Submit{Request: r, Spec: s, Rejection: bad} }, func(r core.Respond) {
+		w.SendRequest(w.randomNode(), func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: s, Rejection: bad} }, func(r messages.Respond) {
 			if r.Status != 0 && r.Status != 503 && r.Status != want && (r.Status != 429 || bad != 0) {
 				w.reportViolation("%s get %d: %s", what, r.Status, s.ID)
 			}
@@ -374,7 +375,7 @@
 		})
 		for range 3 {
 			w.After(w.RandomBetween(millisecond, 20*second), func() {
-				w.SendRequest(w.randomNode(), func(r core.RequestID) core.Event { return core.Query{Request: r, ID: s.ID} }, func(r core.Respond) {
+				w.SendRequest(w.randomNode(), func(r messages.RequestID) messages.Event { return messages.Query{Request: r, ID: s.ID} }, func(r messages.Respond) {
 					if r.Status != 0 && r.Status != 503 && r.Status != 404 {
 						w.reportViolation("invented: questions about %s, one of the %s, get %d", s.ID, what, r.Status)
 					}
@@ -386,13 +387,13 @@
 
 // --- the rules ---
 
-// lostWhileHung tells whether a machine hangs on past its lease. What is on it
+// isLeaseExpiredWhileHung tells whether a machine hangs on past its lease. What is on it
 // can't run any more: it is ended as the first thing when the machine goes on.
-func (l *SimulatedWorker) isLeaseExpiredWhileHung(now core.Time) bool {
+func (l *SimulatedWorker) isLeaseExpiredWhileHung(now cluster.Time) bool {
 	return now < l.hungUntil && now-l.leaseRenewedAt > l.LeaseDuration
 }
 
-// leaseAlone tells whether nothing but its lease can end a cancelled job's task
+// canOnlyLeaseStop tells whether nothing but its lease can end a cancelled job's task
 // on a machine: it hangs on past that, and since the cancellation was confirmed
 // either the cloud takes no returns, or a controller ended (at most 6 s before) and the store, which
 // alone knows which machines that one had, is out.
@@ -400,7 +401,7 @@
 	return l.isLeaseExpiredWhileHung(w.Now) && (w.CloudDownUntil > j.CancelConfirmedAt || w.StoreDownUntil > j.CancelConfirmedAt && w.lastNodeKillAt+6*second > j.CancelConfirmedAt)
 }
 
-// checkLeftWaiting: once all troubles are over, no job waits for 90 s, with
+// checkStarvation: once all troubles are over, no job waits for 90 s, with
 // none of its tasks started meanwhile, while a machine that fits has room and
 // its team is under its limit. It judges by what is on the machines alone.
 func (w *Simulator) checkStarvation() {
@@ -408,10 +409,10 @@
 		return
 	}
 	w.faults.starvationCheckedAt = w.Now
-	on, use := map[core.TaskID]bool{}, map[string]core.Resources{}
+	on, use := map[cluster.TaskID]bool{}, map[string]cluster.Resources{}
 	for _, id := range w.liveMachineIDs() {
 		for _, t := range w.Workers[id].Tasks {
-			if t.State != core.Ended {
+			if t.State != cluster.Ended {
 				s := w.Jobs[t.ID.Job].Spec
 				on[t.ID] = true
 				use[s.Team] = use[s.Team].Plus(s.ResourceRequest)
@@ -434,19 +435,19 @@
 	}
 }
 
-func (w *Simulator) canStart(j *Job, on map[core.TaskID]bool, use map[string]core.Resources) bool {
+func (w *Simulator) canStart(j *Job, on map[cluster.TaskID]bool, use map[string]cluster.Resources) bool {
 	s := j.Spec
 	if !j.Accepted || w.mayBeCancelled(j) || j.ReportedStatus.IsFinal() || s.Colocate || s.Spread {
 		return false
 	}
 	for _, a := range w.transitiveDependencies(j) {
-		if a.ReportedStatus != core.JobDone {
+		if a.ReportedStatus != cluster.JobDone {
 			return false
 		}
 	}
 	pending := false
 	for i := 0; i < s.Tasks && !pending; i++ {
-		id := core.TaskID{Job: s.ID, Index: i}
+		id := cluster.TaskID{Job: s.ID, Index: i}
 		pending = !w.doneTasks[id] && !on[id]
 	}
 	if !pending {
@@ -472,7 +473,7 @@
 	return false
 }
 
-// within compares what a team uses with its limit; memory has none.
-func isWithinQuotaLimit(use, limit core.Resources) bool {
+// isWithinQuotaLimit compares what a team uses with its limit; memory has none.
+func isWithinQuotaLimit(use, limit cluster.Resources) bool {
 	return use.CPU <= limit.CPU && use.GPU <= limit.GPU
 }
--- a/internal/standin/faults.go
+++ b/internal/simulation/faults.go
@@ -1,25 +1,27 @@
-package standin
+package simulation
 
-import "stairrelay/internal/core"
+import (
+	"stairrelay/internal/cluster"
+)
 
 // Troubles that a test may bring about.
 
-// Hang stops a machine for a while.
-func (w *Simulator) HangMachine(id core.MachineID, duration core.Time) {
+// HangMachine stops a machine for a while.
+func (w *Simulator) HangMachine(id cluster.MachineID, duration cluster.Time) {
 	if worker := w.Workers[id]; worker != nil {
 		worker.hungUntil = w.Now + duration
 	}
 }
 
-// Cut takes a machine's network away for a while.
-func (w *Simulator) CutMachine(id core.MachineID, duration core.Time) {
+// CutMachine takes a machine's network away for a while.
+func (w *Simulator) CutMachine(id cluster.MachineID, duration cluster.Time) {
 	if worker := w.Workers[id]; worker != nil {
 		worker.cutUntil = w.Now + duration
 	}
 }
 
 // CutZone takes the network away from all machines of a zone.
-func (w *Simulator) CutZone(zone string, duration core.Time) {
+func (w *Simulator) CutZone(zone string, duration cluster.Time) {
 	for _, id := range w.liveMachineIDs() {
 		if w.Workers[id].Zone == zone {
 			w.CutMachine(id, duration)
@@ -27,7 +29,7 @@
 	}
 }
 
-// Die ends every n-th machine, with all that is on it.
+// RemoveEveryNthMachine ends every n-th machine, with all that is on it.
 func (w *Simulator) RemoveEveryNthMachine(n int) {
 	for i, id := range w.liveMachineIDs() {
 		if i%n == 0 {
@@ -36,7 +38,7 @@
 	}
 }
 
-// Busiest is the controller to which most workers report; nil: none is up.
+// BusiestNode is the controller to which most workers report; nil: none is up.
 func (w *Simulator) BusiestNode() *Node {
 	workers := make([]int, len(w.Nodes))
 	for _, id := range w.liveMachineIDs() {
@@ -53,8 +55,8 @@
 	return busiest
 }
 
-// Sicken makes some machines fail every task that they start.
-func (w *Simulator) MakeMachinesFaulty(machines int, duration core.Time) {
+// MakeMachinesFaulty makes some machines fail every task that they start.
+func (w *Simulator) MakeMachinesFaulty(machines int, duration cluster.Time) {
 	for range machines {
 		if worker := w.Workers[w.RandomMachine()]; worker != nil {
 			worker.FaultyUntil = w.Now + duration
@@ -62,9 +64,9 @@
 	}
 }
 
-// Reboot ends a worker that is back at once: its tasks are gone, its next
+// RebootWorker ends a worker that is back at once: its tasks are gone, its next
 // session begins.
-func (w *Simulator) RebootWorker(id core.MachineID) {
+func (w *Simulator) RebootWorker(id cluster.MachineID) {
 	worker := w.Workers[id]
 	if worker == nil || worker.removed {
 		return
@@ -74,8 +76,8 @@
 	w.scheduleHeartbeat(worker)
 }
 
-// SpotNotice warns a spot machine, then takes it.
-func (w *Simulator) PreemptSpotMachine(id core.MachineID, notice core.Time) {
+// PreemptSpotMachine warns a spot machine, then takes it.
+func (w *Simulator) PreemptSpotMachine(id cluster.MachineID, notice cluster.Time) {
 	worker := w.Workers[id]
 	if worker == nil || worker.removed || !worker.Spot {
 		return
--- a/internal/standin/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -1,41 +1,42 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"sort"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // Machines in the simulated cluster and their reports to the controllers.
 
-// Live is a running worker with its habits.
+// SimulatedWorker is a running worker with its habits.
 type SimulatedWorker struct {
 	*FakeWorker
 	nodeIndex              int
-	hungUntil              core.Time
-	cutUntil               core.Time
-	unreachableUntil       core.Time // its reports arrive, nothing reaches it until then
-	heartbeatsBlockedUntil core.Time // its connections to controllers fail until then, direct commands reach it
+	hungUntil              cluster.Time
+	cutUntil               cluster.Time
+	unreachableUntil       cluster.Time // its reports arrive, nothing reaches it until then
+	heartbeatsBlockedUntil cluster.Time // its connections to controllers fail until then, direct commands reach it
 	removed                bool
 	exchangePending        bool
 	heartbeatQueued        bool
-	lastHeartbeatAt        core.Time
+	lastHeartbeatAt        cluster.Time
 }
 
 // AddMachine puts a machine into the world that is up at once.
 func (w *Simulator) AddMachine(typ, zone string, spot bool) {
 	w.Cloud.AvailableCapacity[CapacityKey(typ, zone, spot)]++
-	r := w.Cloud.ScaleOut(w.Now, core.CloudScaleOut{Name: fmt.Sprint("initial-", w.eventSequence), Type: typ, Zone: zone, Spot: spot, Count: 1})
+	r := w.Cloud.ScaleOut(w.Now, messages.CloudScaleOut{Name: fmt.Sprint("initial-", w.eventSequence), Type: typ, Zone: zone, Spot: spot, Count: 1})
 	w.eventSequence++
 	w.Cloud.machines[r.IDs[0]].bootedAt = w.Now
 }
 
-// LiveWorkers counts the machines that are up.
+// LiveWorkerCount counts the machines that are up.
 func (w *Simulator) LiveWorkerCount() int { return len(w.liveMachineIDs()) }
 
-func (w *Simulator) liveMachineIDs() []core.MachineID {
+func (w *Simulator) liveMachineIDs() []cluster.MachineID {
 	if w.sortedLiveIDs == nil {
 		for id, l := range w.Workers {
 			if !l.removed {
@@ -47,15 +48,15 @@
 	return w.sortedLiveIDs
 }
 
-func (w *Simulator) startWorker(m core.ListedMachine) {
-	var cap core.Resources
+func (w *Simulator) startWorker(m cluster.ListedMachine) {
+	var cap cluster.Resources
 	for _, t := range w.Cloud.MachineTypes {
 		if t.Name == m.Type {
 			cap = t.Capacity
 		}
 	}
 	l := &SimulatedWorker{FakeWorker: &FakeWorker{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: cap, FetchDuration: 3 * second, LeaseDuration: w.config.WorkerLease,
-		DoneTasks: w.doneTasks, OnStart: w.handleTaskStart, OnDone: w.handleTaskDone, LookupJob: func(id core.JobID) (JobInfo, bool) {
+		DoneTasks: w.doneTasks, OnStart: w.handleTaskStart, OnDone: w.handleTaskDone, LookupJob: func(id cluster.JobID) (JobInfo, bool) {
 			j := w.Jobs[id]
 			if j == nil {
 				return JobInfo{}, false
@@ -67,8 +68,8 @@
 	w.heartbeatLoop(l)
 }
 
-// Remove ends a machine and all on it.
-func (w *Simulator) RemoveMachine(id core.MachineID) {
+// RemoveMachine ends a machine and all on it.
+func (w *Simulator) RemoveMachine(id cluster.MachineID) {
 	w.Cloud.RemoveMachine(id)
 	if l := w.Workers[id]; l != nil {
 		l.removed, w.sortedLiveIDs = true, nil
@@ -76,7 +77,7 @@
 	}
 }
 
-// reportLoop has a worker report at its usual pace.
+// heartbeatLoop has a worker report at its usual pace.
 func (w *Simulator) heartbeatLoop(l *SimulatedWorker) {
 	if l.removed {
 		return
@@ -85,29 +86,29 @@
 	w.sendHeartbeat(l)
 }
 
-// minReportPause is the least time between two reports of a worker.
+// minHeartbeatPause is the least time between two reports of a worker.
 const minHeartbeatPause = second / 2
 
-// answerTimeout is how long a worker waits for the answer to a report.
+// heartbeatAnswerTimeout is how long a worker waits for the answer to a report.
 const heartbeatAnswerTimeout = 4 * second
 
-// changed has a worker report soon, as something on it has changed.
+// scheduleHeartbeat has a worker report soon, as something on it has changed.
 func (w *Simulator) scheduleHeartbeat(l *SimulatedWorker) {
 	pause := max(l.lastHeartbeatAt+minHeartbeatPause-w.Now, 0)
 	w.After(pause, func() { w.sendHeartbeat(l) })
 }
 
-// exchange is one report with its answer.
+// heartbeatExchange is one report with its answer.
 type heartbeatExchange struct {
 	simulator *Simulator
 	worker    *SimulatedWorker
 	node      *Node
-	status    core.HeartbeatStatus
-	sentAt    core.Time
+	status    cluster.HeartbeatStatus
+	sentAt    cluster.Time
 	finished  bool
 }
 
-// report sends a worker's report, unless one is under way.
+// sendHeartbeat sends a worker's report, unless one is under way.
 func (w *Simulator) sendHeartbeat(l *SimulatedWorker) {
 	if l.removed || l.exchangePending || w.Now < l.hungUntil {
 		l.heartbeatQueued = l.exchangePending
@@ -137,20 +138,20 @@
 	w.SendRequest(x.node, x.heartbeatEvent, x.handleAnswer)
 }
 
-func (x *heartbeatExchange) heartbeatEvent(id core.RequestID) core.Event {
-	return core.Heartbeat{Request: id, Status: x.status}
+func (x *heartbeatExchange) heartbeatEvent(id messages.RequestID) messages.Event {
+	return messages.Heartbeat{Request: id, Status: x.status}
 }
 
 // deliverLate delivers a report that was held back by a cut; nobody reads its
 // answer.
-func (x *heartbeatExchange) deliverLate(cut core.Time) {
+func (x *heartbeatExchange) deliverLate(cut cluster.Time) {
 	if pause, ok := x.simulator.lateArrival(cut); ok {
-		x.simulator.After(pause, func() { x.simulator.SendRequest(x.node, x.heartbeatEvent, func(core.Respond) {}) })
+		x.simulator.After(pause, func() { x.simulator.SendRequest(x.node, x.heartbeatEvent, func(messages.Respond) {}) })
 	}
 }
 
 // finish ends the exchange; the next report may go out after a pause.
-func (x *heartbeatExchange) finish(pause core.Time) {
+func (x *heartbeatExchange) finish(pause cluster.Time) {
 	x.finished = true
 	x.simulator.After(pause, func() {
 		x.worker.exchangePending = false
@@ -168,8 +169,8 @@
 	x.finish(second)
 }
 
-// answered takes in a controller's answer to the report.
-func (x *heartbeatExchange) handleAnswer(a core.Respond) {
+// handleAnswer takes in a controller's answer to the report.
+func (x *heartbeatExchange) handleAnswer(a messages.Respond) {
 	w, l := x.simulator, x.worker
 	if x.finished || l.removed {
 		return
@@ -202,11 +203,11 @@
 	}
 }
 
-// copyReport delivers a report again after a while, to any controller.
-func (w *Simulator) deliverDuplicateHeartbeat(r core.HeartbeatStatus, d core.Time) {
+// deliverDuplicateHeartbeat delivers a report again after a while, to any controller.
+func (w *Simulator) deliverDuplicateHeartbeat(r cluster.HeartbeatStatus, d cluster.Time) {
 	n := w.randomNode()
 	w.After(d, func() {
-		w.SendRequest(n, func(id core.RequestID) core.Event { return core.Heartbeat{Request: id, Status: r} }, func(core.Respond) {
+		w.SendRequest(n, func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: r} }, func(messages.Respond) {
 			w.FaultCounts["late copies of reports"]++
 			if w.Workers[r.Machine].removed {
 				w.FaultCounts["late copies from machines that are gone"]++
@@ -215,22 +216,22 @@
 	})
 }
 
-// CopyReport delivers a copy of a machine's present report later.
-func (w *Simulator) DuplicateHeartbeat(id core.MachineID, d core.Time) {
+// DuplicateHeartbeat delivers a copy of a machine's present report later.
+func (w *Simulator) DuplicateHeartbeat(id cluster.MachineID, d cluster.Time) {
 	if l := w.Workers[id]; l != nil && !l.removed {
 		w.deliverDuplicateHeartbeat(l.NextStatus(), d)
 	}
 }
 
-// Deafen makes a machine one whose reports arrive while nothing reaches it.
-func (w *Simulator) MakeUnreachable(id core.MachineID, d core.Time) {
+// MakeUnreachable makes a machine one whose reports arrive while nothing reaches it.
+func (w *Simulator) MakeUnreachable(id cluster.MachineID, d cluster.Time) {
 	if l := w.Workers[id]; l != nil {
 		l.unreachableUntil = w.Now + d
 	}
 }
 
-// AnyMachine draws a running machine, or none.
-func (w *Simulator) RandomMachine() core.MachineID {
+// RandomMachine draws a running machine, or none.
+func (w *Simulator) RandomMachine() cluster.MachineID {
 	ids := w.liveMachineIDs()
 	if len(ids) == 0 {
 		return ""
--- a/internal/standin/http_cloud.go
+++ b/internal/simulation/http_cloud.go
@@ -1,16 +1,17 @@
-package standin
+package simulation
 
 import (
 	"net/http"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 const (
-	// maxRental is the largest number of machines that one request may ask for.
+	// maxScaleOutCount is the largest number of machines that one request may ask for.
 	maxScaleOutCount = 50
-	// bootPoll is how often the region looks for machines that have booted.
+	// bootPollInterval is how often the region looks for machines that have booted.
 	bootPollInterval = 50 * time.Millisecond
 	// amountsPerUnit: core.Amount counts millionths.
 	amountsPerUnit = 1e6
@@ -28,7 +29,7 @@
 	return r.serve(mux)
 }
 
-// typeForm is a machine type.
+// machineTypeForm is a machine type.
 type machineTypeForm struct {
 	Name             string   `json:"name"`
 	CPU              float64  `json:"vcpus"`
@@ -62,7 +63,7 @@
 	}{forms})
 }
 
-// rentalForm is a rental request.
+// scaleOutForm is a rental request.
 type scaleOutForm struct {
 	Name  string `json:"charter"`
 	Type  string `json:"fleet"`
@@ -71,9 +72,9 @@
 	Count int    `json:"count"`
 }
 
-// idsForm is a list of machines' ids.
+// machineIDsForm is a list of machines' ids.
 type machineIDsForm struct {
-	IDs []core.MachineID `json:"coaches"`
+	IDs []cluster.MachineID `json:"coaches"`
 }
 
 func (r *FakeServices) serveScaleOut(w http.ResponseWriter, request *http.Request) {
@@ -85,10 +86,10 @@
 		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	rent := core.CloudScaleOut{Name: form.Name, Type: form.Type, Zone: form.Zone, Spot: form.Spot, Count: form.Count}
-	var reply core.ScaleOutReply
+	rent := messages.CloudScaleOut{Name: form.Name, Type: form.Type, Zone: form.Zone, Spot: form.Spot, Count: form.Count}
+	var reply messages.ScaleOutReply
 	r.WithLock(func() { reply = r.Cloud.ScaleOut(r.now(), rent) })
-	if reply.Outcome != core.OK {
+	if reply.Outcome != messages.OK {
 		writeJSON(w, http.StatusServiceUnavailable, errorForm{Error: "no capacity"})
 		return
 	}
@@ -113,21 +114,21 @@
 
 // machineForm is a line of the machine list.
 type machineForm struct {
-	ID         core.MachineID `json:"id"`
-	Address    string         `json:"addr"`
-	Type       string         `json:"fleet"`
-	Zone       string         `json:"yard"`
-	Spot       bool           `json:"standby"`
-	Status     string         `json:"status"`
-	AgeSeconds float64        `json:"ageS"`
+	ID         cluster.MachineID `json:"id"`
+	Address    string            `json:"addr"`
+	Type       string            `json:"fleet"`
+	Zone       string            `json:"yard"`
+	Spot       bool              `json:"standby"`
+	Status     string            `json:"status"`
+	AgeSeconds float64           `json:"ageS"`
 }
 
 func (r *FakeServices) serveMachines(w http.ResponseWriter, request *http.Request) {
 	forms := []machineForm{}
 	truncated := false
 	r.WithLock(func() {
-		var page []core.ListedMachine
-		page, truncated = r.Cloud.ListPage(r.now(), core.MachineID(request.URL.Query().Get("since")))
+		var page []cluster.ListedMachine
+		page, truncated = r.Cloud.ListPage(r.now(), cluster.MachineID(request.URL.Query().Get("since")))
 		for _, machine := range page {
 			forms = append(forms, r.encodeMachine(machine))
 		}
@@ -138,7 +139,7 @@
 	}{Machines: forms, Truncated: truncated})
 }
 
-func (r *FakeServices) encodeMachine(machine core.ListedMachine) machineForm {
+func (r *FakeServices) encodeMachine(machine cluster.ListedMachine) machineForm {
 	form := machineForm{
 		ID:         machine.ID,
 		Type:       machine.Type,
@@ -153,10 +154,10 @@
 	return form
 }
 
-// bootMachines starts the workers of machines that have booted.
+// startBootedWorkers starts the workers of machines that have booted.
 func (r *FakeServices) startBootedWorkers() {
 	for r.ctx.Err() == nil {
-		var booted []core.ListedMachine
+		var booted []cluster.ListedMachine
 		r.WithLock(func() { booted = r.Cloud.CompleteBoots(r.now()) })
 		for _, machine := range booted {
 			r.startWorker(machine)
--- a/internal/standin/http_forms.go
+++ b/internal/simulation/http_forms.go
@@ -1,9 +1,9 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
 )
 
 // commandForm is a command to a worker.
@@ -14,66 +14,66 @@
 	GraceSeconds float64 `json:"layoverS"`
 }
 
-var commandKinds = map[string]core.CommandKind{
-	"start": core.Start,
-	"halt":  core.Stop,
-	"reap":  core.Acknowledge,
+var commandKinds = map[string]cluster.CommandKind{
+	"start": cluster.Start,
+	"halt":  cluster.Stop,
+	"reap":  cluster.Acknowledge,
 }
 
-func decodeCommands(forms []commandForm) []core.Command {
-	var commands []core.Command
+func decodeCommands(forms []commandForm) []cluster.Command {
+	var commands []cluster.Command
 	for _, form := range forms {
-		task, _ := core.ParseTaskID(form.Task)
-		commands = append(commands, core.Command{
+		task, _ := cluster.ParseTaskID(form.Task)
+		commands = append(commands, cluster.Command{
 			Kind:         commandKinds[form.Kind],
 			Task:         task,
-			Attempt:      core.Attempt(form.Attempt),
+			Attempt:      cluster.Attempt(form.Attempt),
 			GraceSeconds: form.GraceSeconds,
 		})
 	}
 	return commands
 }
 
-// reportForm is a worker's report.
+// heartbeatForm is a worker's report.
 type heartbeatForm struct {
-	Machine          core.MachineID      `json:"coach"`
-	Address          string              `json:"addr"`
-	Type             string              `json:"fleet"`
-	Zone             string              `json:"yard"`
-	Spot             bool                `json:"standby"`
-	Incarnation      core.Incarnation    `json:"shift"`
-	SequenceNumber   core.SequenceNumber `json:"stamp"`
-	FencingToken     core.FencingToken   `json:"baton"`
-	PreemptionNotice *float64            `json:"recallS"`
-	Tasks            []taskForm          `json:"legs"`
+	Machine          cluster.MachineID      `json:"coach"`
+	Address          string                 `json:"addr"`
+	Type             string                 `json:"fleet"`
+	Zone             string                 `json:"yard"`
+	Spot             bool                   `json:"standby"`
+	Incarnation      cluster.Incarnation    `json:"shift"`
+	SequenceNumber   cluster.SequenceNumber `json:"stamp"`
+	FencingToken     cluster.FencingToken   `json:"baton"`
+	PreemptionNotice *float64               `json:"recallS"`
+	Tasks            []taskForm             `json:"legs"`
 }
 
 // taskForm is a task in a worker's report; only one that has ended has a cause.
 type taskForm struct {
-	Task    string       `json:"leg"`
-	Attempt core.Attempt `json:"boarding"`
-	State   string       `json:"status"`
-	Cause   string       `json:"cause,omitempty"`
-	Saved   bool         `json:"stored,omitempty"`
+	Task    string          `json:"leg"`
+	Attempt cluster.Attempt `json:"boarding"`
+	State   string          `json:"status"`
+	Cause   string          `json:"cause,omitempty"`
+	Saved   bool            `json:"stored,omitempty"`
 }
 
-var taskStateNames = map[core.TaskState]string{
-	core.Fetching:      "fetching",
-	core.Running:       "running",
-	core.Checkpointing: "flushing",
-	core.Ended:         "ended",
+var taskStateNames = map[cluster.TaskState]string{
+	cluster.Fetching:      "fetching",
+	cluster.Running:       "running",
+	cluster.Checkpointing: "flushing",
+	cluster.Ended:         "ended",
 }
 
-var causeNames = map[core.Cause]string{
-	core.CauseCompleted:        "done",
-	core.CauseStopped:          "stopped",
-	core.CauseFailed:           "error",
-	core.CauseNoCapacity:       "full",
-	core.CauseDuplicateAttempt: "busy",
-	core.CauseUnknownTask:      "no_such",
+var causeNames = map[cluster.Cause]string{
+	cluster.CauseCompleted:        "done",
+	cluster.CauseStopped:          "stopped",
+	cluster.CauseFailed:           "error",
+	cluster.CauseNoCapacity:       "full",
+	cluster.CauseDuplicateAttempt: "busy",
+	cluster.CauseUnknownTask:      "no_such",
 }
 
-func encodeHeartbeat(report core.HeartbeatStatus, addr string) heartbeatForm {
+func encodeHeartbeat(report cluster.HeartbeatStatus, addr string) heartbeatForm {
 	form := heartbeatForm{
 		Machine:        report.Machine,
 		Address:        addr,
@@ -91,13 +91,13 @@
 	return form
 }
 
-func encodeTask(task core.TaskStatus) taskForm {
+func encodeTask(task cluster.TaskStatus) taskForm {
 	form := taskForm{
 		Task:    task.Task.String(),
 		Attempt: task.Attempt,
 		State:   taskStateNames[task.State],
 	}
-	if task.State == core.Ended {
+	if task.State == cluster.Ended {
 		form.Cause = causeNames[task.Cause]
 		form.Saved = task.Checkpointed
 	}
--- a/internal/standin/http_state_service.go
+++ b/internal/simulation/http_state_service.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -6,10 +6,11 @@
 	"strconv"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
-// watchPoll is how often a watch looks for changes.
+// watchPollInterval is how often a watch looks for changes.
 const watchPollInterval = 20 * time.Millisecond
 
 // itemForm is a key of a list, with Key, or a change, with Set or Drop.
@@ -21,21 +22,21 @@
 	ModRevision uint64          `json:"mark"`
 }
 
-func encodeKey(kv core.KV) itemForm {
+func encodeKey(kv messages.KV) itemForm {
 	return itemForm{Key: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
 }
 
-func encodeChange(kv core.KV) itemForm {
+func encodeChange(kv messages.KV) itemForm {
 	if kv.Value == nil {
 		return itemForm{Drop: kv.Key, ModRevision: uint64(kv.ModRevision)}
 	}
 	return itemForm{Set: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
 }
 
-// epochForm is the body of an answer without keys.
+// revisionForm is the body of an answer without keys.
 type revisionForm struct {
-	Revision core.Revision `json:"epoch"`
-	Failed   []string      `json:"failed,omitempty"`
+	Revision cluster.Revision `json:"epoch"`
+	Failed   []string         `json:"failed,omitempty"`
 }
 
 // ServeState starts the state service and returns its address.
@@ -56,7 +57,7 @@
 	}))
 }
 
-// txnForm is a transaction.
+// transactionForm is a transaction.
 type transactionForm struct {
 	When []struct {
 		Key         string `json:"key"`
@@ -65,21 +66,21 @@
 	Then []itemForm `json:"then"`
 }
 
-func (f *transactionForm) compares() []core.Compare {
-	var conditions []core.Compare
+func (f *transactionForm) compares() []messages.Compare {
+	var conditions []messages.Compare
 	for _, c := range f.When {
-		conditions = append(conditions, core.Compare{Key: c.Key, ModRevision: core.ModRevision(c.ModRevision)})
+		conditions = append(conditions, messages.Compare{Key: c.Key, ModRevision: cluster.ModRevision(c.ModRevision)})
 	}
 	return conditions
 }
 
-func (f *transactionForm) operations() []core.TxnOp {
-	var operations []core.TxnOp
+func (f *transactionForm) operations() []messages.TxnOp {
+	var operations []messages.TxnOp
 	for _, o := range f.Then {
 		if o.Drop != "" {
-			operations = append(operations, core.TxnOp{Key: o.Drop})
+			operations = append(operations, messages.TxnOp{Key: o.Drop})
 		} else {
-			operations = append(operations, core.TxnOp{Key: o.Set, Value: o.Value})
+			operations = append(operations, messages.TxnOp{Key: o.Set, Value: o.Value})
 		}
 	}
 	return operations
@@ -90,23 +91,23 @@
 	if !readJSON(w, request, &form) {
 		return
 	}
-	var reply core.TxnReply
+	var reply messages.TxnReply
 	r.WithLock(func() { reply = r.StateService.Commit(form.compares(), form.operations()) })
 	status := http.StatusOK
-	if reply.Outcome == core.Conflict {
+	if reply.Outcome == messages.Conflict {
 		status = http.StatusConflict
 	}
 	writeJSON(w, status, revisionForm{Revision: reply.Revision, Failed: reply.FailedKeys})
 }
 
 func (r *FakeServices) serveKey(w http.ResponseWriter, request *http.Request) {
-	var reply core.GetReply
-	var epoch core.Revision
+	var reply messages.GetReply
+	var epoch cluster.Revision
 	r.WithLock(func() {
 		reply = r.StateService.Get(request.PathValue("key"))
 		epoch = r.StateService.Revision
 	})
-	if reply.Outcome == core.NotFound {
+	if reply.Outcome == messages.NotFound {
 		writeJSON(w, http.StatusNotFound, revisionForm{Revision: epoch})
 		return
 	}
@@ -115,20 +116,20 @@
 
 func (r *FakeServices) serveKeys(w http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
-	var list core.ListReply
+	var list messages.ListReply
 	r.WithLock(func() { list = r.StateService.List(query.Get("prefix")) })
 	pageSize, _ := strconv.Atoi(query.Get("page"))
 	items, truncated := keyPage(list.Items, query.Get("since"), pageSize)
 	writeJSON(w, http.StatusOK, struct {
-		Items     []itemForm    `json:"items"`
-		Truncated bool          `json:"truncated"`
-		Epoch     core.Revision `json:"epoch"`
+		Items     []itemForm       `json:"items"`
+		Truncated bool             `json:"truncated"`
+		Epoch     cluster.Revision `json:"epoch"`
 	}{items, truncated, list.Revision})
 }
 
-// pageOf cuts the page that follows a key out of a sorted list; true when
+// keyPage cuts the page that follows a key out of a sorted list; true when
 // there are more keys.
-func keyPage(list []core.KV, since string, size int) ([]itemForm, bool) {
+func keyPage(list []messages.KV, since string, size int) ([]itemForm, bool) {
 	items := []itemForm{}
 	for _, kv := range list {
 		if kv.Key <= since {
@@ -150,8 +151,8 @@
 	block, _ := strconv.Atoi(query.Get("blockMs"))
 	until := time.Now().Add(time.Duration(block) * time.Millisecond)
 	for {
-		var changes core.WatchReply
-		r.WithLock(func() { changes = r.StateService.Changes(query.Get("prefix"), core.Revision(since)) })
+		var changes messages.WatchReply
+		r.WithLock(func() { changes = r.StateService.Changes(query.Get("prefix"), cluster.Revision(since)) })
 		if len(changes.Items) > 0 || time.Now().After(until) {
 			writeChanges(w, changes)
 			return
@@ -166,13 +167,13 @@
 	}
 }
 
-func writeChanges(w http.ResponseWriter, changes core.WatchReply) {
+func writeChanges(w http.ResponseWriter, changes messages.WatchReply) {
 	events := []itemForm{}
 	for _, kv := range changes.Items {
 		events = append(events, encodeChange(kv))
 	}
 	writeJSON(w, http.StatusOK, struct {
-		Epoch  core.Revision `json:"epoch"`
-		Events []itemForm    `json:"events"`
+		Epoch  cluster.Revision `json:"epoch"`
+		Events []itemForm       `json:"events"`
 	}{changes.Revision, events})
 }
--- a/internal/standin/http_worker.go
+++ b/internal/simulation/http_worker.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"bytes"
@@ -7,18 +7,19 @@
 	"net/http"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 const (
-	// checkinTimeout bounds a report's call, checkinRetry is the pause after one
+	// heartbeatTimeout bounds a report's call, checkinRetry is the pause after one
 	// that failed, and redirectPause the one after a redirection.
 	heartbeatTimeout    = 4 * time.Second
 	heartbeatRetryPause = time.Second
 	redirectPause       = 10 * time.Millisecond
 )
 
-// regionWorker is a worker that is served over HTTP. The region's lock guards it.
+// httpWorker is a worker that is served over HTTP. The region's lock guards it.
 type httpWorker struct {
 	*FakeWorker
 	services *FakeServices
@@ -28,7 +29,7 @@
 }
 
 // startWorker serves a machine's worker and lets it report.
-func (r *FakeServices) startWorker(machine core.ListedMachine) {
+func (r *FakeServices) startWorker(machine cluster.ListedMachine) {
 	ctx, cancel := context.WithCancel(r.ctx)
 	worker := &httpWorker{FakeWorker: r.newFakeWorker(machine), services: r, cancel: cancel}
 	mux := http.NewServeMux()
@@ -47,8 +48,8 @@
 	go worker.runHeartbeats(ctx)
 }
 
-// newModel makes the model of a machine's worker.
-func (r *FakeServices) newFakeWorker(machine core.ListedMachine) *FakeWorker {
+// newFakeWorker makes the model of a machine's worker.
+func (r *FakeServices) newFakeWorker(machine cluster.ListedMachine) *FakeWorker {
 	model := &FakeWorker{
 		ID:            machine.ID,
 		Type:          machine.Type,
@@ -59,7 +60,7 @@
 		DoneTasks:     r.doneTasks,
 		OnStart:       r.recordTaskStart,
 	}
-	model.LookupJob = func(id core.JobID) (JobInfo, bool) {
+	model.LookupJob = func(id cluster.JobID) (JobInfo, bool) {
 		info, known := r.Jobs[id]
 		return info, known
 	}
@@ -71,7 +72,7 @@
 	return model
 }
 
-// noteStart counts a task's start, and notes when it runs elsewhere.
+// recordTaskStart counts a task's start, and notes when it runs elsewhere.
 func (r *FakeServices) recordTaskStart(on *FakeWorker, started *Task) {
 	r.StartCounts[started.ID]++
 	for _, other := range r.workers {
@@ -79,13 +80,13 @@
 		if other.ID == on.ID || task == nil {
 			continue
 		}
-		if task.State == core.Running || task.State == core.Checkpointing {
+		if task.State == cluster.Running || task.State == cluster.Checkpointing {
 			r.DuplicateRuns = append(r.DuplicateRuns, started.ID.String())
 		}
 	}
 }
 
-// end takes the worker's machine away.
+// terminate takes the worker's machine away.
 func (w *httpWorker) terminate() {
 	if w.released {
 		return
@@ -100,14 +101,14 @@
 		return false
 	}
 	for _, task := range w.Tasks {
-		if task.State == core.Running {
+		if task.State == cluster.Running {
 			return true
 		}
 	}
 	return false
 }
 
-// ordersForm is a request with commands.
+// commandPushForm is a request with commands.
 type commandPushForm struct {
 	FencingToken *uint64       `json:"baton"`
 	Incarnation  *uint64       `json:"shift"`
@@ -124,9 +125,9 @@
 		return
 	}
 	w.abortIfUnreachable(request)
-	orders := core.PushCommands{
-		FencingToken: core.FencingToken(*form.FencingToken),
-		Incarnation:  core.Incarnation(*form.Incarnation),
+	orders := messages.PushCommands{
+		FencingToken: cluster.FencingToken(*form.FencingToken),
+		Incarnation:  cluster.Incarnation(*form.Incarnation),
 		Commands:     decodeCommands(form.Commands),
 	}
 	w.services.mu.Lock()
@@ -134,7 +135,7 @@
 	w.Advance(w.services.now())
 	reply := w.HandleCommands(orders)
 	status := http.StatusOK
-	if reply.Outcome == core.Conflict {
+	if reply.Outcome == messages.Conflict {
 		status = http.StatusConflict
 	}
 	writeJSON(response, status, encodeHeartbeat(reply.Status, w.address))
@@ -166,7 +167,7 @@
 	return w.services.UnreachableMachines[w.ID]
 }
 
-// reportUntil reports to one controller after the other until one answers, and
+// runHeartbeats reports to one controller after the other until one answers, and
 // to that one from then on.
 func (w *httpWorker) runHeartbeats(ctx context.Context) {
 	nodes := w.services.nodeNames()
@@ -202,7 +203,7 @@
 	return names
 }
 
-// indexOfOther is a controller's index unless it is the current one.
+// otherNodeIndex is a controller's index unless it is the current one.
 func otherNodeIndex(nodes []string, name string, current int) (int, bool) {
 	for i, node := range nodes {
 		if node == name && i != current {
@@ -212,24 +213,24 @@
 	return 0, false
 }
 
-// checkinResult is what became of a report.
+// heartbeatResult is what became of a report.
 type heartbeatResult struct {
 	accepted bool
 	redirect string // the controller that the worker should report to, if named
 }
 
-// checkinForm is the answer to a report: commands, or a redirection.
+// heartbeatAnswerForm is the answer to a report: commands, or a redirection.
 type heartbeatAnswerForm struct {
 	FencingToken uint64        `json:"baton"`
 	Commands     []commandForm `json:"dispatches"`
 	Redirect     string        `json:"dispatcher"`
 }
 
-// checkin sends a report to a controller and carries out the answer's commands.
+// sendHeartbeat sends a report to a controller and carries out the answer's commands.
 func (w *httpWorker) sendHeartbeat(client *http.Client, node string) heartbeatResult {
 	region := w.services
-	var report core.HeartbeatStatus
-	var sent core.Time
+	var report cluster.HeartbeatStatus
+	var sent cluster.Time
 	var nodeAddr string
 	var answerLost bool
 	region.WithLock(func() {
@@ -255,7 +256,7 @@
 	case response.StatusCode != http.StatusOK:
 		return heartbeatResult{}
 	}
-	answer := core.HeartbeatResponse{FencingToken: core.FencingToken(form.FencingToken), Commands: decodeCommands(form.Commands)}
+	answer := messages.HeartbeatResponse{FencingToken: cluster.FencingToken(form.FencingToken), Commands: decodeCommands(form.Commands)}
 	region.WithLock(func() { w.HandleHeartbeatAnswer(report.Incarnation, sent, answer) })
 	return heartbeatResult{accepted: true}
 }
--- a/internal/standin/invariants.go
+++ b/internal/simulation/invariants.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,34 +6,34 @@
 	"strings"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
 )
 
 // The protocol's rules, checked as the simulated cluster runs.
 
 // Job is a submitted job with all that its user was told.
 type Job struct {
-	Spec              core.JobSpec
+	Spec              cluster.JobSpec
 	Info              JobInfo
 	Accepted          bool
-	ReportedStatus    core.JobStatus
+	ReportedStatus    cluster.JobStatus
 	CancelRequested   bool
-	CancelConfirmedAt core.Time
-	SubmittedAt       core.Time
-	FirstStartAt      core.Time // when its first task started; 0: not yet
-	finalReportedAt   core.Time
-	lastAnswerAt      core.Time // when a question about it was last answered
-	CancelPlanned     bool      // its user has a cancellation in mind
-	lastStartAt       core.Time // when a task of it last started
-	starvingSince     core.Time // since when it waits with room for it; 0: it doesn't
+	CancelConfirmedAt cluster.Time
+	SubmittedAt       cluster.Time
+	FirstStartAt      cluster.Time // when its first task started; 0: not yet
+	finalReportedAt   cluster.Time
+	lastAnswerAt      cluster.Time // when a question about it was last answered
+	CancelPlanned     bool         // its user has a cancellation in mind
+	lastStartAt       cluster.Time // when a task of it last started
+	starvingSince     cluster.Time // since when it waits with room for it; 0: it doesn't
 }
 
-// broke notes a broken rule; the day ends there.
+// reportViolation notes a broken rule; the day ends there.
 func (w *Simulator) reportViolation(format string, args ...any) {
 	w.Violations = append(w.Violations, fmt.Sprintf("%v: ", time.Duration(w.Now))+fmt.Sprintf(format, args...))
 }
 
-// sweep starts the workers of machines that came up, ends tasks whose time has
+// runPeriodicChecks starts the workers of machines that came up, ends tasks whose time has
 // come and checks the rules that hold at every moment.
 func (w *Simulator) runPeriodicChecks() {
 	for _, l := range w.Cloud.CompleteBoots(w.Now) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// onStart checks the rules that a task's start may break.
+// handleTaskStart checks the rules that a task's start may break.
 func (w *Simulator) handleTaskStart(on *FakeWorker, task *Task) {
 	w.Log(fmt.Sprintf("%s runs %s attempt %d", on.ID, task.ID, task.Attempt))
 	job := w.Jobs[task.ID.Job]
@@ -98,13 +98,13 @@
 			continue
 		}
 		other := live.Tasks[task.ID]
-		if live.ID != on.ID && other != nil && other.State != core.Ended && other.State != core.Fetching {
+		if live.ID != on.ID && other != nil && other.State != cluster.Ended && other.State != cluster.Fetching {
 			w.reportViolation("ran_twice: %s starts on %s (attempt %d) while on %s (attempt %d)", task.ID, on.ID, task.Attempt, live.ID, other.Attempt)
 		}
 	}
 }
 
-// checkPlace: a task starts where its job allows, given the job's other tasks.
+// checkPlacement: a task starts where its job allows, given the job's other tasks.
 func (w *Simulator) checkPlacement(on *FakeWorker, task *Task, job *Job) {
 	s := job.Spec
 	if s.Zone != "" && s.Zone != on.Zone || on.Spot && !s.Spot || len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, on.Type) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// tasksByZone counts the tasks of a job that are on machines.
-func (w *Simulator) countTasksByZone(job core.JobID) map[string]int {
+// countTasksByZone counts the tasks of a job that are on machines.
+func (w *Simulator) countTasksByZone(job cluster.JobID) map[string]int {
 	zones := map[string]int{}
 	for _, id := range w.liveMachineIDs() {
 		live := w.Workers[id]
@@ -148,13 +148,15 @@
 	}
 }
 
-// onMachine tells whether the task uses its machine as the rules count it.
-func (t *Task) isOnMachine() bool { return t.State == core.Running || t.State == core.Checkpointing }
+// isOnMachine tells whether the task uses its machine as the rules count it.
+func (t *Task) isOnMachine() bool {
+	return t.State == cluster.Running || t.State == cluster.Checkpointing
+}
 
-// checkMachines checks what is on all machines now against the limits of the
+// checkQuotasAndCancellations checks what is on all machines now against the limits of the
 // teams and the cancellations that users were told of.
 func (w *Simulator) checkQuotasAndCancellations() {
-	use := map[string]core.Amount{}
+	use := map[string]cluster.Amount{}
 	for _, id := range w.liveMachineIDs() {
 		for _, task := range w.Workers[id].Tasks {
 			if !task.isOnMachine() {
@@ -174,7 +176,7 @@
 	}
 }
 
-// tasksOfTeam lists a team's tasks on machines, to tell what broke its limit.
+// describeTeamTasks lists a team's tasks on machines, to tell what broke its limit.
 func (w *Simulator) describeTeamTasks(team string) string {
 	var list strings.Builder
 	for _, id := range w.liveMachineIDs() {
--- a/internal/standin/users.go
+++ b/internal/simulation/users.go
@@ -1,9 +1,10 @@
-package standin
+package simulation
 
 import (
 	"net/http"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // Users, and what they are told.
@@ -20,9 +21,9 @@
 	retryPause = second
 )
 
-// Told checks an answer that a user got.
-func (w *Simulator) CheckReportedStatus(job *Job, status core.JobStatus) {
-	if status == core.JobDone {
+// CheckReportedStatus checks an answer that a user got.
+func (w *Simulator) CheckReportedStatus(job *Job, status cluster.JobStatus) {
+	if status == cluster.JobDone {
 		if index, found := w.findUndoneTask(job); found {
 			w.reportViolation("not_done: %s is called done before task %d is", job.Spec.ID, index)
 			return
@@ -32,7 +33,7 @@
 	if job.ReportedStatus.IsFinal() && status != job.ReportedStatus {
 		w.reportViolation("went_back: %s was %s, now %s", job.Spec.ID, job.ReportedStatus, status)
 	}
-	if status == core.JobCancelled {
+	if status == cluster.JobCancelled {
 		w.recordCancelConfirmed(job)
 	}
 	ended := status.IsFinal() && !job.ReportedStatus.IsFinal()
@@ -43,10 +44,10 @@
 	}
 }
 
-// undoneTask finds a task of a job that is not done.
+// findUndoneTask finds a task of a job that is not done.
 func (w *Simulator) findUndoneTask(job *Job) (int, bool) {
 	for index := range job.Spec.Tasks {
-		if !w.doneTasks[core.TaskID{Job: job.Spec.ID, Index: index}] {
+		if !w.doneTasks[cluster.TaskID{Job: job.Spec.ID, Index: index}] {
 			return index, true
 		}
 	}
@@ -76,8 +77,8 @@
 		w.After(retryPause, func() { w.trySubmit(job) })
 		return
 	}
-	submit := func(id core.RequestID) core.Event { return core.Submit{Request: id, Spec: job.Spec} }
-	w.SendRequest(to, submit, func(answer core.Respond) {
+	submit := func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: job.Spec} }
+	w.SendRequest(to, submit, func(answer messages.Respond) {
 		switch answer.Status {
 		case http.StatusOK, http.StatusCreated:
 			w.handleAccepted(job, asked, answer.View.Status)
@@ -87,14 +88,14 @@
 			if len(job.Spec.Dependencies) > 0 && !w.IsUpgraded() {
 				w.FaultCounts["jobs that await others refused in the upgrade"]++
 			}
-			pause := max(retryPause, core.Time(answer.RetryAfter)*second)
+			pause := max(retryPause, cluster.Time(answer.RetryAfter)*second)
 			w.After(pause, func() { w.trySubmit(job) })
 		}
 	})
 }
 
-// accepted takes in the answer to a submission that was made at a time.
-func (w *Simulator) handleAccepted(job *Job, asked core.Time, status core.JobStatus) {
+// handleAccepted takes in the answer to a submission that was made at a time.
+func (w *Simulator) handleAccepted(job *Job, asked cluster.Time, status cluster.JobStatus) {
 	first := !job.Accepted
 	job.Accepted = true
 	job.lastAnswerAt = w.Now
@@ -107,10 +108,10 @@
 	w.pollJob(job)
 }
 
-// any draws a controller.
+// randomNode draws a controller.
 func (w *Simulator) randomNode() *Node { return w.Nodes[w.Rand.IntN(len(w.Nodes))] }
 
-// poll asks for a job's state again and again.
+// pollJob asks for a job's state again and again.
 func (w *Simulator) pollJob(job *Job) {
 	pause := w.RandomBetween(minPollPause, maxPollPause)
 	if job.ReportedStatus.IsFinal() {
@@ -118,17 +119,17 @@
 	}
 	w.After(pause, func() {
 		asked := w.Now
-		query := func(id core.RequestID) core.Event { return core.Query{Request: id, ID: job.Spec.ID} }
-		w.SendRequest(w.randomNode(), query, func(answer core.Respond) {
+		query := func(id messages.RequestID) messages.Event { return messages.Query{Request: id, ID: job.Spec.ID} }
+		w.SendRequest(w.randomNode(), query, func(answer messages.Respond) {
 			w.handlePollAnswer(job, asked, answer)
 			w.pollJob(job)
 		})
 	})
 }
 
-// polled takes in the answer to a question that was asked at a time, unless
+// handlePollAnswer takes in the answer to a question that was asked at a time, unless
 // its user has given up.
-func (w *Simulator) handlePollAnswer(job *Job, asked core.Time, answer core.Respond) {
+func (w *Simulator) handlePollAnswer(job *Job, asked cluster.Time, answer messages.Respond) {
 	if w.Now-asked > userTimeout {
 		return
 	}
@@ -148,8 +149,8 @@
 func (w *Simulator) Cancel(job *Job) {
 	job.CancelRequested = true
 	accepted := job.Accepted
-	cancel := func(id core.RequestID) core.Event { return core.Cancel{Request: id, ID: job.Spec.ID} }
-	w.SendRequest(w.randomNode(), cancel, func(answer core.Respond) {
+	cancel := func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: job.Spec.ID} }
+	w.SendRequest(w.randomNode(), cancel, func(answer messages.Respond) {
 		switch {
 		case answer.Status == http.StatusOK:
 			w.CheckReportedStatus(job, answer.View.Status)
@@ -161,17 +162,17 @@
 	})
 }
 
-// Unknown polls for a job that nobody has submitted.
-func (w *Simulator) QueryUnknownJob(id core.JobID) {
-	query := func(request core.RequestID) core.Event { return core.Query{Request: request, ID: id} }
-	w.SendRequest(w.randomNode(), query, func(answer core.Respond) {
+// QueryUnknownJob polls for a job that nobody has submitted.
+func (w *Simulator) QueryUnknownJob(id cluster.JobID) {
+	query := func(request messages.RequestID) messages.Event { return messages.Query{Request: request, ID: id} }
+	w.SendRequest(w.randomNode(), query, func(answer messages.Respond) {
 		if answer.Status == http.StatusOK {
 			w.reportViolation("invented: %s", id)
 		}
 	})
 }
 
-// Unfinished counts the jobs whose users wait.
+// UnfinishedJobCount counts the jobs whose users wait.
 func (w *Simulator) UnfinishedJobCount() int {
 	unfinished := 0
 	for _, job := range w.Jobs {
--- a/internal/standin/versions.go
+++ b/internal/simulation/versions.go
@@ -1,20 +1,23 @@
-package standin
+package simulation
 
 import (
 	"bytes"
 	"encoding/json"
 	"strings"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
+	"stairrelay/internal/controller"
 )
 
-// Release is the version of the program that a controller runs.
+// Version is the version of the program that a controller runs.
 type Version int
 
 const (
-	// CurrentRelease is the version under test.
+	// CurrentVersion is the version under test.
 	CurrentVersion Version = iota
-	// ProductionRelease is the version that deploy/service.toml names as
+	// ProductionVersion is the version that deploy/service.toml names as
 	// production. It is modelled by the current core behind a filter that drops,
 	// in both directions, what that version does not know. The filter follows the
 	// table of its reading rules in docs/design.md ("Pipelines and the upgrade"):
@@ -22,55 +25,55 @@
 	ProductionVersion
 )
 
-// Limits are those of the state service that change with the upgrade.
+// StoreLimits are those of the state service that change with the upgrade.
 type StoreLimits struct {
 	WriteRPS   float64
 	ValueBytes int
 	TxnOps     int
 }
 
-// awaitsField marks, in the JSON of a job's description, the jobs that it
+// dependenciesField marks, in the JSON of a job's description, the jobs that it
 // awaits. The production release does not know it.
 const dependenciesField = "aw"
 
-// releaseEvent is what a controller of a release makes of an event.
-func filterEvent(r Version, ev core.Event) core.Event {
+// filterEvent is what a controller of a release makes of an event.
+func filterEvent(r Version, ev messages.Event) messages.Event {
 	if r == CurrentVersion {
 		return ev
 	}
 	switch e := ev.(type) {
-	case core.Submit:
+	case messages.Submit:
 		e.Spec.Dependencies = nil
 		return e
-	case core.PeerRequest:
+	case messages.PeerRequest:
 		e.Message = filterProductionMessage(e.Message)
 		return e
-	case core.Reply:
+	case messages.Reply:
 		e.Body = filterProductionReply(e.Body)
 		return e
 	}
 	return ev
 }
 
-// releaseEffect is what a controller of a release sends of an effect.
-func filterEffect(r Version, f core.Effect) core.Effect {
+// filterEffect is what a controller of a release sends of an effect.
+func filterEffect(r Version, f messages.Effect) messages.Effect {
 	if r == CurrentVersion {
 		return f
 	}
 	switch f := f.(type) {
-	case core.PeerCall:
+	case messages.PeerCall:
 		f.Message = filterProductionMessage(f.Message)
 		return f
-	case core.Respond:
+	case messages.Respond:
 		if f.Peer != nil {
 			m := filterProductionMessage(*f.Peer)
 			f.Peer = &m
 		}
 		return f
-	case core.StoreTxn:
-		then := make([]core.TxnOp, len(f.Then))
+	case messages.StoreTxn:
+		then := make([]messages.TxnOp, len(f.Then))
 		for i, op := range f.Then {
-			then[i] = core.TxnOp{Key: op.Key, Value: FilterProductionRecord(op.Key, op.Value)}
+			then[i] = messages.TxnOp{Key: op.Key, Value: FilterProductionRecord(op.Key, op.Value)}
 		}
 		f.Then = then
 		return f
@@ -80,33 +83,33 @@
 
 func filterProductionReply(body any) any {
 	switch r := body.(type) {
-	case core.GetReply:
+	case messages.GetReply:
 		r.KV.Value = FilterProductionRecord(r.KV.Key, r.KV.Value)
 		return r
-	case core.ListReply:
+	case messages.ListReply:
 		r.Items = filterProductionItems(r.Items)
 		return r
-	case core.WatchReply:
+	case messages.WatchReply:
 		r.Items = filterProductionItems(r.Items)
 		return r
-	case core.PeerReply:
+	case messages.PeerReply:
 		r.Message = filterProductionMessage(r.Message)
 		return r
 	}
 	return body
 }
 
-func filterProductionItems(items []core.KV) []core.KV {
-	out := make([]core.KV, len(items))
+func filterProductionItems(items []messages.KV) []messages.KV {
+	out := make([]messages.KV, len(items))
 	for i, kv := range items {
-		out[i] = core.KV{Key: kv.Key, Value: FilterProductionRecord(kv.Key, kv.Value), ModRevision: kv.ModRevision}
+		out[i] = messages.KV{Key: kv.Key, Value: FilterProductionRecord(kv.Key, kv.Value), ModRevision: kv.ModRevision}
 	}
 	return out
 }
 
-// productionMessage is a message between controllers without the fields that
+// filterProductionMessage is a message between controllers without the fields that
 // the production release does not know.
-func filterProductionMessage(m core.PeerMessage) core.PeerMessage {
+func filterProductionMessage(m messages.PeerMessage) messages.PeerMessage {
 	if m.Ping != nil {
 		ping := *m.Ping
 		ping.FeatureLevel = 0
@@ -118,12 +121,12 @@
 		m.Submission = &handedOn
 	}
 	if m.Notice != nil {
-		m.Notice = &core.JobNotice{Keys: filterProductionItems(m.Notice.Keys)}
+		m.Notice = &messages.JobNotice{Keys: filterProductionItems(m.Notice.Keys)}
 	}
 	return m
 }
 
-// ProductionRecord is a stored record without the fields that the production
+// FilterProductionRecord is a stored record without the fields that the production
 // release does not know. A record that has none of them stays as it is.
 func FilterProductionRecord(key string, value []byte) []byte {
 	switch {
@@ -141,7 +144,7 @@
 	return value
 }
 
-// upgradedField lists, in a claim, the controllers known to be upgraded.
+// upgradedNodesField lists, in a claim, the controllers known to be upgraded.
 const upgradedNodesField = "up"
 
 func filterProductionAdmissions(list json.RawMessage) json.RawMessage {
@@ -191,10 +194,10 @@
 	return out
 }
 
-// NewUpgradeWorld makes a cluster whose controllers all run the production
+// NewUpgradeSimulator makes a cluster whose controllers all run the production
 // release, under the limits that the state service has at first. cfg holds the
 // lower limits to come, which only the current release knows of.
-func NewUpgradeSimulator(seed uint64, cfg core.Config, before StoreLimits, cloud *FakeCloud, options ...Option) *Simulator {
+func NewUpgradeSimulator(seed uint64, cfg controller.Config, before StoreLimits, cloud *FakeCloud, options ...Option) *Simulator {
 	w := newStoppedSimulator(seed, cfg, cloud, options)
 	w.limitsBeforeUpgrade = before
 	for _, n := range w.Nodes {
@@ -205,16 +208,16 @@
 	return w
 }
 
-// LowerLimits brings the limits to come into force: from now on the state
+// LowerStoreLimits brings the limits to come into force: from now on the state
 // service refuses what is above them.
 func (w *Simulator) LowerStoreLimits() {
 	w.StateService.Limits = StoreLimits{WriteRPS: w.config.WriteRPS, ValueBytes: w.config.MaxValueBytes, TxnOps: w.config.MaxTxnOps}
 	w.FaultCounts["limits of the store lowered"]++
 }
 
-// Upgrade ends a controller's process; the one that is started in its place
+// UpgradeNode ends a controller's process; the one that is started in its place
 // after a while runs the current release.
-func (w *Simulator) UpgradeNode(n *Node, gap core.Time) {
+func (w *Simulator) UpgradeNode(n *Node, gap cluster.Time) {
 	if n.running {
 		w.KillNode(n)
 	}
@@ -223,7 +226,7 @@
 	w.After(gap, func() { w.StartNode(n) })
 }
 
-// Upgraded tells whether every controller's next or present process is of the
+// IsUpgraded tells whether every controller's next or present process is of the
 // current release.
 func (w *Simulator) IsUpgraded() bool {
 	for _, n := range w.Nodes {
@@ -234,10 +237,10 @@
 	return true
 }
 
-// configOf is the configuration that a controller's release makes of the
+// nodeConfig is the configuration that a controller's release makes of the
 // settings: the production release ignores the limits to come, the current one
 // uses the present write rate until it is refused.
-func (w *Simulator) nodeConfig(n *Node) core.Config {
+func (w *Simulator) nodeConfig(n *Node) controller.Config {
 	cfg := w.config
 	cfg.CurrentWriteRPS = w.limitsBeforeUpgrade.WriteRPS
 	if n.Version == ProductionVersion {
@@ -246,7 +249,7 @@
 	return cfg
 }
 
-// anyCurrent draws a controller of the current release, or none: users ask
+// randomCurrentNode draws a controller of the current release, or none: users ask
 // nothing new of the production release.
 func (w *Simulator) randomCurrentNode() *Node {
 	var current []*Node
@@ -261,7 +264,7 @@
 	return current[w.Rand.IntN(len(current))]
 }
 
-// submitTo draws the controller that a submission goes to; nil: nobody can take
+// submissionTarget draws the controller that a submission goes to; nil: nobody can take
 // it yet.
 func (w *Simulator) submissionTarget(j *Job) *Node {
 	if len(j.Spec.Dependencies) > 0 && !w.IsUpgraded() {
--- a/internal/standin/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"bytes"
@@ -6,13 +6,14 @@
 	"os"
 	"testing"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // TestProductionRecordsPassUnchanged: the filter that models the production
 // release changes nothing in records which that release wrote itself.
 func TestProductionRecordsPassUnchanged(t *testing.T) {
-	text, err := os.ReadFile("../core/testdata/production/records.json")
+	text, err := os.ReadFile("../controller/testdata/production/records.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +31,7 @@
 	}
 }
 
-// TestProductionReleaseIgnoresNewFields: what that release does not know is
+// TestProductionVersionIgnoresNewFields: what that release does not know is
 // gone when it has read a record or a message, and all else is still there.
 func TestProductionVersionIgnoresNewFields(t *testing.T) {
 	for key, c := range map[string]struct{ value, want string }{
@@ -42,20 +43,20 @@
 			t.Errorf("%s: read as %s, want %s", key, got, c.want)
 		}
 	}
-	ping := core.PeerCall{Message: core.PeerMessage{Ping: &core.Ping{InstanceID: "b1", FeatureLevel: 1}}}
-	sent := filterEffect(ProductionVersion, ping).(core.PeerCall).Message.Ping
+	ping := messages.PeerCall{Message: messages.PeerMessage{Ping: &messages.Ping{InstanceID: "b1", FeatureLevel: 1}}}
+	sent := filterEffect(ProductionVersion, ping).(messages.PeerCall).Message.Ping
 	if sent.FeatureLevel != 0 || sent.InstanceID != "b1" {
 		t.Errorf("sent %+v", sent)
 	}
 	if ping.Message.Ping.FeatureLevel != 1 {
 		t.Error("the filter changed the message itself")
 	}
-	handedOn := core.PeerRequest{Message: core.PeerMessage{Submission: &core.ProxiedSubmission{ID: "j-1", Spec: core.JobSpec{Team: "red", Dependencies: []core.JobID{"j-0"}}}}}
-	read := filterEvent(ProductionVersion, handedOn).(core.PeerRequest).Message.Submission
+	handedOn := messages.PeerRequest{Message: messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: "j-1", Spec: cluster.JobSpec{Team: "red", Dependencies: []cluster.JobID{"j-0"}}}}}
+	read := filterEvent(ProductionVersion, handedOn).(messages.PeerRequest).Message.Submission
 	if len(read.Spec.Dependencies) != 0 || read.Spec.Team != "red" {
 		t.Errorf("read %+v", read)
 	}
-	if same := filterEvent(CurrentVersion, handedOn).(core.PeerRequest).Message.Submission; len(same.Spec.Dependencies) != 1 {
+	if same := filterEvent(CurrentVersion, handedOn).(messages.PeerRequest).Message.Submission; len(same.Spec.Dependencies) != 1 {
 		t.Error("the current release is filtered")
 	}
 }
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -5,11 +5,11 @@
 package sockets
 
 const (
-	// ownSockets is what the state service, the cloud and the listeners may need at once.
+	// reservedSockets is what the state service, the cloud and the listeners may need at once.
 	reservedSockets = 16
 	// socketsPerPeer is what each other controller may need at once.
 	socketsPerPeer = 8
-	// leastShared is what a plan divides even of too few sockets.
+	// minSharedSockets is what a plan divides even of too few sockets.
 	minSharedSockets = 8
 	// callDivisor is the part of the shared sockets that calls to workers get
 	// twice, in use and idle. An eighth left 900 workers of 1,200 sockets no room.
@@ -17,13 +17,13 @@
 	minCalls    = 2
 )
 
-// Plan says how many sockets each use gets; 0: no limit is known.
+// Budget says how many sockets each use gets; 0: no limit is known.
 type Budget struct {
 	Calls   int // to workers at once; as many idle connections are kept for them
 	Inbound int // connections of workers and users
 }
 
-// MakePlan divides the sockets that a process may have; 0: no limit is known.
+// NewBudget divides the sockets that a process may have; 0: no limit is known.
 func NewBudget(sockets, peers int) Budget {
 	if sockets <= 0 {
 		return Budget{}
--- a/internal/sockets/calllimiter.go
+++ b/internal/sockets/calllimiter.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// silentDivisor is the part of the slots that silent places get.
+	// unresponsiveDivisor is the part of the slots that silent places get.
 	unresponsiveDivisor = 4
-	// maxSilent bounds the places that are remembered as silent. Most of so many
+	// maxUnresponsive bounds the places that are remembered as silent. Most of so many
 	// are machines that are long gone.
 	maxUnresponsive = 1 << 14
 )
 
-// Slots bounds calls that run at once. Those to places that did not answer
+// CallLimiter bounds calls that run at once. Those to places that did not answer
 // last time have a quarter of their own, so that many silent machines never
 // hold up calls to the others.
 type CallLimiter struct {
@@ -23,10 +23,10 @@
 	unresponsiveAddresses map[string]bool
 }
 
-// slotPool holds an element for each slot that is taken; nil: without limit.
+// semaphore holds an element for each slot that is taken; nil: without limit.
 type semaphore chan struct{}
 
-// NewSlots makes slots for so many calls at once; 0: without limit.
+// NewCallLimiter makes slots for so many calls at once; 0: without limit.
 func NewCallLimiter(calls int) *CallLimiter {
 	s := &CallLimiter{unresponsiveAddresses: map[string]bool{}}
 	if calls > 0 {
@@ -37,7 +37,7 @@
 	return s
 }
 
-// Take waits for a slot for a call to a place, at most so long. The function
+// Acquire waits for a slot for a call to a place, at most so long. The function
 // it returns gives the slot back and says whether the place answered.
 func (s *CallLimiter) Acquire(addr string, wait time.Duration) (release func(answered bool), taken bool) {
 	pool := s.semaphoreFor(addr)
@@ -60,7 +60,7 @@
 	return s.responsive
 }
 
-// note remembers whether a place answered. When too many are silent all are
+// recordResult remembers whether a place answered. When too many are silent all are
 // forgotten; those that still are will be found again.
 func (s *CallLimiter) recordResult(addr string, answered bool) {
 	s.mu.Lock()
@@ -75,7 +75,7 @@
 	s.unresponsiveAddresses[addr] = true
 }
 
-// take waits for a slot, at most so long.
+// acquire waits for a slot, at most so long.
 func (p semaphore) acquire(wait time.Duration) bool {
 	if p == nil {
 		return true
--- a/internal/sockets/connectionlimiter.go
+++ b/internal/sockets/connectionlimiter.go
@@ -23,14 +23,14 @@
 	closeWorkersAbove = 15
 )
 
-// sharedFor is how long workers go on being told to close after a new connection
+// closeWorkersDuration is how long workers go on being told to close after a new connection
 // found no room but a worker's. With so many more workers than connections each
 // has one for the length of a report; kept again as soon as there is room, they
 // would fill it up within a report's interval. Short of that only those above
 // the share are closed: a connection for each report costs processor time.
 const closeWorkersDuration = time.Minute
 
-// Front counts the connections of workers and users, and has them closed when
+// ConnectionLimiter counts the connections of workers and users, and has them closed when
 // there are too many: after an answer, or idle ones to make room for a new one.
 type ConnectionLimiter struct {
 	limit       int // 0: none
@@ -38,7 +38,7 @@
 	connections map[net.Conn]*connection
 	// The idle connections, the longest idle first.
 	idleUsers, idleWorkers *list.List
-	// sharedUntil is when workers may keep their connections again.
+	// closeWorkersUntil is when workers may keep their connections again.
 	closeWorkersUntil time.Time
 }
 
@@ -60,7 +60,7 @@
 // connectionKey is the key of a request's connection in its context.
 type connectionKey struct{}
 
-// NewFront makes a Front for at most so many connections; 0: no limit.
+// NewConnectionLimiter makes a Front for at most so many connections; 0: no limit.
 func NewConnectionLimiter(limit int) *ConnectionLimiter {
 	return &ConnectionLimiter{
 		limit:       limit,
@@ -70,7 +70,7 @@
 	}
 }
 
-// Server makes a server whose connections are counted. A connection that says
+// NewServer makes a server whose connections are counted. A connection that says
 // nothing for idleTimeout is closed: that of a machine without power never ends
 // by itself.
 func (f *ConnectionLimiter) NewServer(handler http.Handler, idleTimeout time.Duration) *http.Server {
@@ -92,7 +92,7 @@
 	return context.WithValue(ctx, connectionKey{}, f.ensureConnection(conn))
 }
 
-// entry is a connection's entry, made if need be.
+// ensureConnection is a connection's entry, made if need be.
 func (f *ConnectionLimiter) ensureConnection(conn net.Conn) *connection {
 	entry := f.connections[conn]
 	if entry == nil {
@@ -120,7 +120,7 @@
 	}
 }
 
-// idleOf is the list of idle connections of an entry's role; nil: none is kept.
+// idleList is the list of idle connections of an entry's role; nil: none is kept.
 func (f *ConnectionLimiter) idleList(entry *connection) *list.List {
 	switch entry.role {
 	case userRole:
@@ -139,7 +139,7 @@
 	}
 }
 
-// makeRoom closes an idle connection if there are too many: the user's that has
+// evictIdle closes an idle connection if there are too many: the user's that has
 // been idle the longest, else the worker's that has been idle the shortest, whose
 // next report is farthest off. The server reports the close by connState; until
 // then the next new connection must not count on the same one, so it leaves the
@@ -161,19 +161,19 @@
 	_ = entry.Close()
 }
 
-// Users marks the connections of those that handler serves as users'. While
+// UserMiddleware marks the connections of those that handler serves as users'. While
 // most of the connections are taken they are told to close.
 func (f *ConnectionLimiter) UserMiddleware(handler http.Handler) http.Handler {
 	return f.middleware(handler, f.markUser)
 }
 
-// Workers marks the connections of those that handler serves as workers'. While
+// WorkerMiddleware marks the connections of those that handler serves as workers'. While
 // nearly all connections are taken, and for a while after there were too few, they are told to close.
 func (f *ConnectionLimiter) WorkerMiddleware(handler http.Handler) http.Handler {
 	return f.middleware(handler, f.markWorker)
 }
 
-// marked passes on the requests that handler serves, whose connections mark says
+// middleware passes on the requests that handler serves, whose connections mark says
 // to close or not.
 func (f *ConnectionLimiter) middleware(handler http.Handler, mark func(*connection) (closes bool)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -204,12 +204,12 @@
 	return f.isAboveShare(closeWorkersAbove) || time.Now().Before(f.closeWorkersUntil)
 }
 
-// above tells whether more than a share of the connections is taken.
+// isAboveShare tells whether more than a share of the connections is taken.
 func (f *ConnectionLimiter) isAboveShare(share int) bool {
 	return f.limit > 0 && len(f.connections) > f.limit*share/shareDenominator
 }
 
-// Open is how many connections there are.
+// OpenConnections is how many connections there are.
 func (f *ConnectionLimiter) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/sockets/connectionlimiter_test.go
+++ b/internal/sockets/connectionlimiter_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestWorkerIdleShortestMakesRoom: without idle users a new connection gets the
+// TestShortestIdleWorkerEvicted: without idle users a new connection gets the
 // room of a worker that has just had its answer. That of the one idle the longest
 // is about to be used: closed under its next report, it would cost the worker a
 // round through all controllers.
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// ask makes a request on a connection and returns the answer's headers.
+// sendRequest makes a request on a connection and returns the answer's headers.
 func sendRequest(t *testing.T, c net.Conn, path string) (*http.Response, error) {
 	t.Helper()
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -8,7 +8,8 @@
 	"strconv"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/engine"
 	"stairrelay/internal/wire"
 )
@@ -16,9 +17,9 @@
 const (
 	dialTimeout = time.Second
 	callTimeout = 1200 * time.Millisecond
-	// watchMargin is how much longer than its own wait a watch may take.
+	// watchTimeoutMargin is how much longer than its own wait a watch may take.
 	watchTimeoutMargin = 3 * time.Second
-	// throttledPause is the wait before a page of a list is asked for again.
+	// throttleBackoff is the wait before a page of a list is asked for again.
 	throttleBackoff = 200 * time.Millisecond
 	// pageSize is the number of keys that is asked for in a page of a list.
 	pageSize = 1000
@@ -26,7 +27,7 @@
 	maxIdleCalls, maxIdleWatches = 8, 4
 )
 
-// Store carries out the core's store effects.
+// Client carries out the core's store effects.
 type Client struct {
 	service     *wire.JSONService
 	watchClient *wire.Client // apart, since a watch takes as long as it asks for
@@ -47,86 +48,86 @@
 }
 
 // Do starts a call; its reply follows.
-func (s *Client) Do(effect core.Effect) {
+func (s *Client) Do(effect messages.Effect) {
 	switch effect := effect.(type) {
-	case core.StoreTxn:
+	case messages.StoreTxn:
 		go func() { s.reply(effect.Call, s.transaction(effect)) }()
-	case core.StoreGet:
+	case messages.StoreGet:
 		go func() { s.reply(effect.Call, s.get(effect)) }()
-	case core.StoreList:
+	case messages.StoreList:
 		go func() { s.reply(effect.Call, s.list(effect)) }()
-	case core.StoreWatch:
+	case messages.StoreWatch:
 		go func() { s.reply(effect.Call, s.watch(effect)) }()
 	}
 }
 
-// outcomeOf maps the statuses that all calls share.
-func outcomeFromStatus(status int) core.Outcome {
+// outcomeFromStatus maps the statuses that all calls share.
+func outcomeFromStatus(status int) messages.Outcome {
 	switch status {
 	case http.StatusOK:
-		return core.OK
+		return messages.OK
 	case http.StatusTooManyRequests:
-		return core.Throttled
+		return messages.Throttled
 	case http.StatusServiceUnavailable:
-		return core.NotApplied
+		return messages.NotApplied
 	case http.StatusBadRequest:
-		return core.Invalid
+		return messages.Invalid
 	}
-	return core.UnknownOutcome
+	return messages.UnknownOutcome
 }
 
-func (s *Client) transaction(txn core.StoreTxn) core.TxnReply {
+func (s *Client) transaction(txn messages.StoreTxn) messages.TxnReply {
 	response, err := s.service.Call(http.MethodPost, "/multi", wire.EncodeTxn(txn))
 	if err != nil {
-		return core.TxnReply{Outcome: core.UnknownOutcome}
+		return messages.TxnReply{Outcome: messages.UnknownOutcome}
 	}
 	if response.Status != http.StatusOK && response.Status != http.StatusConflict {
-		return core.TxnReply{Outcome: outcomeFromStatus(response.Status)}
+		return messages.TxnReply{Outcome: outcomeFromStatus(response.Status)}
 	}
 	answer, err := wire.DecodeTxn(response.Body)
 	switch {
 	case err != nil:
-		return core.TxnReply{Outcome: core.UnknownOutcome}
+		return messages.TxnReply{Outcome: messages.UnknownOutcome}
 	case response.Status == http.StatusOK:
-		return core.TxnReply{Outcome: core.OK, Revision: answer.Revision}
+		return messages.TxnReply{Outcome: messages.OK, Revision: answer.Revision}
 	case len(answer.FailedKeys) == 0: // a conflict that names no key makes no sense
-		return core.TxnReply{Outcome: core.UnknownOutcome}
+		return messages.TxnReply{Outcome: messages.UnknownOutcome}
 	}
-	return core.TxnReply{Outcome: core.Conflict, Revision: answer.Revision, FailedKeys: answer.FailedKeys}
+	return messages.TxnReply{Outcome: messages.Conflict, Revision: answer.Revision, FailedKeys: answer.FailedKeys}
 }
 
-func (s *Client) get(get core.StoreGet) core.GetReply {
+func (s *Client) get(get messages.StoreGet) messages.GetReply {
 	response, err := s.service.Call(http.MethodGet, "/keys/"+get.Key, nil)
 	if err != nil {
-		return core.GetReply{Outcome: core.UnknownOutcome}
+		return messages.GetReply{Outcome: messages.UnknownOutcome}
 	}
 	if response.Status == http.StatusNotFound {
-		return core.GetReply{Outcome: core.NotFound}
+		return messages.GetReply{Outcome: messages.NotFound}
 	}
-	if outcome := outcomeFromStatus(response.Status); outcome != core.OK {
-		return core.GetReply{Outcome: outcome}
+	if outcome := outcomeFromStatus(response.Status); outcome != messages.OK {
+		return messages.GetReply{Outcome: outcome}
 	}
 	kv, err := wire.DecodeGet(response.Body)
 	if err != nil {
-		return core.GetReply{Outcome: core.UnknownOutcome}
+		return messages.GetReply{Outcome: messages.UnknownOutcome}
 	}
 	kv.Key = get.Key
-	return core.GetReply{Outcome: core.OK, KV: kv}
+	return messages.GetReply{Outcome: messages.OK, KV: kv}
 }
 
 // list reads all pages. The epoch is the first page's: whatever changes while
 // the others are read is shown again by a watch from there.
-func (s *Client) list(list core.StoreList) core.ListReply {
+func (s *Client) list(list messages.StoreList) messages.ListReply {
 	first, outcome := s.readPage(list.Prefix, "")
-	if outcome != core.OK {
-		return core.ListReply{Outcome: outcome}
+	if outcome != messages.OK {
+		return messages.ListReply{Outcome: outcome}
 	}
-	reply := core.ListReply{Outcome: core.OK, Items: first.Items, Revision: first.Revision}
+	reply := messages.ListReply{Outcome: messages.OK, Items: first.Items, Revision: first.Revision}
 	for page := first; page.More && len(page.Items) > 0; {
 		lastKey := page.Items[len(page.Items)-1].Key
 		page, outcome = s.readNextPage(list.Prefix, lastKey)
-		if outcome != core.OK {
-			return core.ListReply{Outcome: outcome}
+		if outcome != messages.OK {
+			return messages.ListReply{Outcome: outcome}
 		}
 		reply.Items = append(reply.Items, page.Items...)
 		reply.Paginated = true
@@ -134,20 +135,20 @@
 	return reply
 }
 
-// nextPage reads a page after the first. A list that is half read is not given
+// readNextPage reads a page after the first. A list that is half read is not given
 // up because of the request limit.
-func (s *Client) readNextPage(prefix, lastKey string) (wire.ItemPage, core.Outcome) {
+func (s *Client) readNextPage(prefix, lastKey string) (wire.ItemPage, messages.Outcome) {
 	for {
 		page, outcome := s.readPage(prefix, lastKey)
-		if outcome != core.Throttled {
+		if outcome != messages.Throttled {
 			return page, outcome
 		}
 		time.Sleep(throttleBackoff)
 	}
 }
 
-// page reads the page of a list that follows a key; the first has no such key.
-func (s *Client) readPage(prefix, lastKey string) (wire.ItemPage, core.Outcome) {
+// readPage reads the page of a list that follows a key; the first has no such key.
+func (s *Client) readPage(prefix, lastKey string) (wire.ItemPage, messages.Outcome) {
 	query := url.Values{
 		"prefix": {prefix},
 		"page":   {strconv.Itoa(pageSize)},
@@ -159,21 +160,21 @@
 	return decodePage(response, err)
 }
 
-func decodePage(response wire.Response, err error) (wire.ItemPage, core.Outcome) {
+func decodePage(response wire.Response, err error) (wire.ItemPage, messages.Outcome) {
 	if err != nil {
-		return wire.ItemPage{}, core.UnknownOutcome
+		return wire.ItemPage{}, messages.UnknownOutcome
 	}
-	if outcome := outcomeFromStatus(response.Status); outcome != core.OK {
+	if outcome := outcomeFromStatus(response.Status); outcome != messages.OK {
 		return wire.ItemPage{}, outcome
 	}
 	page, err := wire.DecodeItems(response.Body)
 	if err != nil {
-		return wire.ItemPage{}, core.UnknownOutcome
+		return wire.ItemPage{}, messages.UnknownOutcome
 	}
-	return page, core.OK
+	return page, messages.OK
 }
 
-func (s *Client) watch(watch core.StoreWatch) core.WatchReply {
+func (s *Client) watch(watch messages.StoreWatch) messages.WatchReply {
 	wait := time.Duration(watch.Timeout)
 	query := url.Values{
 		"prefix":  {watch.Prefix},
@@ -188,11 +189,11 @@
 	// The answer holds all changes and may be of any size. One that is too large
 	// is as good as none: the keys are read again by pages.
 	if errors.Is(err, wire.ErrResponseTooLarge) || err == nil && response.Status == http.StatusGone {
-		return core.WatchReply{Outcome: core.Compacted}
+		return messages.WatchReply{Outcome: messages.Compacted}
 	}
 	page, outcome := decodePage(response, err)
-	if outcome != core.OK {
-		return core.WatchReply{Outcome: outcome}
+	if outcome != messages.OK {
+		return messages.WatchReply{Outcome: outcome}
 	}
-	return core.WatchReply{Outcome: core.OK, Items: page.Items, Revision: page.Revision}
+	return messages.WatchReply{Outcome: messages.OK, Items: page.Items, Revision: page.Revision}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -9,17 +9,18 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/wire"
 )
 
-// ask carries out an effect against a server and returns its reply.
-func execute(t *testing.T, handler http.HandlerFunc, effect core.Effect) any {
+// execute carries out an effect against a server and returns its reply.
+func execute(t *testing.T, handler http.HandlerFunc, effect messages.Effect) any {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	replies := make(chan any, 1)
-	store := New(strings.TrimPrefix(server.URL, "http://"), func(_ core.CallID, body any) { replies <- body })
+	store := New(strings.TrimPrefix(server.URL, "http://"), func(_ messages.CallID, body any) { replies <- body })
 	store.Do(effect)
 	select {
 	case reply := <-replies:
@@ -30,7 +31,7 @@
 	}
 }
 
-// pages serves a list in three pages, the second of which is throttled once.
+// servePages serves a list in three pages, the second of which is throttled once.
 func servePages(t *testing.T) http.HandlerFunc {
 	throttled := false
 	next := map[string]struct {
@@ -64,12 +65,12 @@
 // TestListPages: a list holds all pages as of the first one's epoch, also when
 // the request limit is met on the way.
 func TestListPages(t *testing.T) {
-	reply := execute(t, servePages(t), core.StoreList{Prefix: "jobs/"}).(core.ListReply)
+	reply := execute(t, servePages(t), messages.StoreList{Prefix: "jobs/"}).(messages.ListReply)
 	var keys []string
 	for _, item := range reply.Items {
 		keys = append(keys, item.Key)
 	}
-	if reply.Outcome != core.OK || strings.Join(keys, "") != "abc" || reply.Revision != 7 || !reply.Paginated {
+	if reply.Outcome != messages.OK || strings.Join(keys, "") != "abc" || reply.Revision != 7 || !reply.Paginated {
 		t.Errorf("read %+v", reply)
 	}
 }
@@ -77,27 +78,27 @@
 // TestOutcomes: what each status means; nothing is taken for done that may not be.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		effect core.Effect
+		effect messages.Effect
 		status int
 		body   string
 		want   string
 	}{
-		{core.StoreTxn{}, 200, `{"epoch":4}`, fmt.Sprint(core.TxnReply{Outcome: core.OK, Revision: 4})},
-		{core.StoreTxn{}, 200, `{}`, fmt.Sprint(core.TxnReply{Outcome: core.UnknownOutcome})},
-		{core.StoreTxn{}, 409, `{"epoch":4,"failed":["k"]}`, fmt.Sprint(core.TxnReply{Outcome: core.Conflict, Revision: 4, FailedKeys: []string{"k"}})},
-		{core.StoreTxn{}, 409, `{"epoch":4}`, fmt.Sprint(core.TxnReply{Outcome: core.UnknownOutcome})},
-		{core.StoreTxn{}, 400, ``, fmt.Sprint(core.TxnReply{Outcome: core.Invalid})},
-		{core.StoreTxn{}, 429, ``, fmt.Sprint(core.TxnReply{Outcome: core.Throttled})},
-		{core.StoreTxn{}, 503, ``, fmt.Sprint(core.TxnReply{Outcome: core.NotApplied})},
-		{core.StoreTxn{}, 500, ``, fmt.Sprint(core.TxnReply{Outcome: core.UnknownOutcome})},
-		{core.StoreGet{Key: "k"}, 404, `{"epoch":4}`, fmt.Sprint(core.GetReply{Outcome: core.NotFound})},
-		{core.StoreGet{Key: "k"}, 503, ``, fmt.Sprint(core.GetReply{Outcome: core.NotApplied})},
-		{core.StoreGet{Key: "k"}, 200, `{"key":"k"}`, fmt.Sprint(core.GetReply{Outcome: core.UnknownOutcome})},
-		{core.StoreList{}, 429, ``, fmt.Sprint(core.ListReply{Outcome: core.Throttled})},
-		{core.StoreList{}, 200, `{"items":[]}`, fmt.Sprint(core.ListReply{Outcome: core.UnknownOutcome})},
-		{core.StoreWatch{}, 410, `{"epoch":4}`, fmt.Sprint(core.WatchReply{Outcome: core.Compacted})},
-		{core.StoreWatch{}, 200, `{"epoch":4,"events":[]}`, fmt.Sprint(core.WatchReply{Outcome: core.OK, Revision: 4})},
-		{core.StoreWatch{}, 200, `{"events":[]}`, fmt.Sprint(core.WatchReply{Outcome: core.UnknownOutcome})},
+		{messages.StoreTxn{}, 200, `{"epoch":4}`, fmt.Sprint(messages.TxnReply{Outcome: messages.OK, Revision: 4})},
+		{messages.StoreTxn{}, 200, `{}`, fmt.Sprint(messages.TxnReply{Outcome: messages.UnknownOutcome})},
+		{messages.StoreTxn{}, 409, `{"epoch":4,"failed":["k"]}`, fmt.Sprint(messages.TxnReply{Outcome: messages.Conflict, Revision: 4, FailedKeys: []string{"k"}})},
+		{messages.StoreTxn{}, 409, `{"epoch":4}`, fmt.Sprint(messages.TxnReply{Outcome: messages.UnknownOutcome})},
+		{messages.StoreTxn{}, 400, ``, fmt.Sprint(messages.TxnReply{Outcome: messages.Invalid})},
+		{messages.StoreTxn{}, 429, ``, fmt.Sprint(messages.TxnReply{Outcome: messages.Throttled})},
+		{messages.StoreTxn{}, 503, ``, fmt.Sprint(messages.TxnReply{Outcome: messages.NotApplied})},
+		{messages.StoreTxn{}, 500, ``, fmt.Sprint(messages.TxnReply{Outcome: messages.UnknownOutcome})},
+		{messages.StoreGet{Key: "k"}, 404, `{"epoch":4}`, fmt.Sprint(messages.GetReply{Outcome: messages.NotFound})},
+		{messages.StoreGet{Key: "k"}, 503, ``, fmt.Sprint(messages.GetReply{Outcome: messages.NotApplied})},
+		{messages.StoreGet{Key: "k"}, 200, `{"key":"k"}`, fmt.Sprint(messages.GetReply{Outcome: messages.UnknownOutcome})},
+		{messages.StoreList{}, 429, ``, fmt.Sprint(messages.ListReply{Outcome: messages.Throttled})},
+		{messages.StoreList{}, 200, `{"items":[]}`, fmt.Sprint(messages.ListReply{Outcome: messages.UnknownOutcome})},
+		{messages.StoreWatch{}, 410, `{"epoch":4}`, fmt.Sprint(messages.WatchReply{Outcome: messages.Compacted})},
+		{messages.StoreWatch{}, 200, `{"epoch":4,"events":[]}`, fmt.Sprint(messages.WatchReply{Outcome: messages.OK, Revision: 4})},
+		{messages.StoreWatch{}, 200, `{"events":[]}`, fmt.Sprint(messages.WatchReply{Outcome: messages.UnknownOutcome})},
 	} {
 		answer := func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
@@ -117,10 +118,10 @@
 		_, _ = w.Write([]byte(`{"epoch":4,"events":[`))
 		_, _ = w.Write(make([]byte, wire.MaxResponseSize))
 	}
-	if reply := execute(t, answer, core.StoreWatch{}).(core.WatchReply); reply.Outcome != core.Compacted {
+	if reply := execute(t, answer, messages.StoreWatch{}).(messages.WatchReply); reply.Outcome != messages.Compacted {
 		t.Errorf("read as %+v", reply)
 	}
-	if reply := execute(t, answer, core.StoreList{}).(core.ListReply); reply.Outcome != core.UnknownOutcome {
+	if reply := execute(t, answer, messages.StoreList{}).(messages.ListReply); reply.Outcome != messages.UnknownOutcome {
 		t.Errorf("a list of that size was read as %+v", reply.Outcome)
 	}
 }
--- a/internal/users/users.go
+++ b/internal/users/users.go
@@ -6,7 +6,9 @@
 	"net/http"
 	"strconv"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/engine"
 	"stairrelay/internal/wire"
 )
@@ -15,7 +17,7 @@
 // answered in time.
 const retryAfterSeconds = 1
 
-// checkinPath is where workers send their reports.
+// heartbeatPath is where workers send their reports.
 const heartbeatPath = "/checkin"
 
 // Handler serves users, the health check and, through checkin, workers. What
@@ -43,7 +45,7 @@
 }
 
 func (h *handler) health(w http.ResponseWriter, r *http.Request) {
-	h.serve(w, r, func(id core.RequestID) core.Event { return core.Health{Request: id} })
+	h.serve(w, r, func(id messages.RequestID) messages.Event { return messages.Health{Request: id} })
 }
 
 func (h *handler) submit(w http.ResponseWriter, r *http.Request) {
@@ -53,17 +55,17 @@
 		return
 	}
 	spec, err := wire.DecodeSubmission(body)
-	submit := core.Submit{Spec: spec}
+	submit := messages.Submit{Spec: spec}
 	if err != nil {
 		if spec.ID == "" {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		// The id may be that of a known job, which only the core can tell.
-		submit.Rejection = core.ReplyBadRequest
+		submit.Rejection = messages.ReplyBadRequest
 		submit.Reason = err.Error()
 	}
-	h.serve(w, r, func(id core.RequestID) core.Event {
+	h.serve(w, r, func(id messages.RequestID) messages.Event {
 		submit.Request = id
 		return submit
 	})
@@ -75,7 +77,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	h.serve(w, r, func(id core.RequestID) core.Event { return core.Query{Request: id, ID: job} })
+	h.serve(w, r, func(id messages.RequestID) messages.Event { return messages.Query{Request: id, ID: job} })
 }
 
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request) {
@@ -86,21 +88,21 @@
 	}
 	// A body has no meaning here; read, it does not cost the connection.
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, wire.MaxBodySize))
-	h.serve(w, r, func(id core.RequestID) core.Event { return core.Cancel{Request: id, ID: job} })
+	h.serve(w, r, func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: job} })
 }
 
-// jobOf is the job that a request's path names. One whose id is malformed was
+// jobIDFromPath is the job that a request's path names. One whose id is malformed was
 // never accepted.
-func jobIDFromPath(r *http.Request) (core.JobID, bool) {
+func jobIDFromPath(r *http.Request) (cluster.JobID, bool) {
 	id := r.PathValue("id")
-	return core.JobID(id), wire.IsValidJobID(id)
+	return cluster.JobID(id), wire.IsValidJobID(id)
 }
 
-// ask hands a request to the core and writes its answer.
-func (h *handler) serve(w http.ResponseWriter, r *http.Request, event func(core.RequestID) core.Event) {
+// serve hands a request to the core and writes its answer.
+func (h *handler) serve(w http.ResponseWriter, r *http.Request, event func(messages.RequestID) messages.Event) {
 	answer, answered := h.requester.Request(r.Context(), event)
 	if !answered {
-		answer = core.Respond{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterSeconds}
+		answer = messages.Respond{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterSeconds}
 	}
 	if answer.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(answer.RetryAfter))
@@ -110,7 +112,7 @@
 		w.Header().Set("Content-Type", wire.ContentTypeJSON)
 		w.WriteHeader(int(answer.Status))
 		_, _ = w.Write(wire.EncodeJobView(*answer.View))
-	case answer.Status == core.ReplyOK:
+	case answer.Status == messages.ReplyOK:
 		w.WriteHeader(http.StatusOK)
 	default:
 		http.Error(w, answer.Error, int(answer.Status))
