--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// MaxAnswer bounds what is read of any answer.
+	// MaxResponseSize bounds what is read of any answer.
 	MaxResponseSize = 16 << 20
 	// idleTimeout is how long a connection is kept without a call.
 	idleTimeout = 60 * time.Second
@@ -29,7 +29,7 @@
 // ErrNotSent marks a call that certainly never reached the other side.
 var ErrNotSent = errors.New("not sent")
 
-// ErrAnswerTooLarge marks an answer longer than MaxAnswer, none of which is used.
+// ErrResponseTooLarge marks an answer longer than MaxAnswer, none of which is used.
 var ErrResponseTooLarge = errors.New("answer too large")
 
 // ClientOptions bound a client's connections.
@@ -111,7 +111,7 @@
 	return outgoing, nil
 }
 
-// callError tells a connection that was never made from a call that may have
+// classifyCallError tells a connection that was never made from a call that may have
 // been carried out.
 func classifyCallError(err error) error {
 	var operation *net.OpError
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -5,13 +5,14 @@
 	"errors"
 	"fmt"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 // ErrNoMachines is the error of a rental's answer without a list of machines.
 var ErrNoMachines = errors.New("rental answer names no machines")
 
-// BadMachineTypeError is the error of a machine type that can't run anything.
+// InvalidMachineTypeError is the error of a machine type that can't run anything.
 type InvalidMachineTypeError struct{ Name string }
 
 // Error names the type.
@@ -33,14 +34,14 @@
 }
 
 // DecodeTypes reads the cloud's machine types.
-func DecodeTypes(body []byte) ([]core.MachineType, error) {
+func DecodeTypes(body []byte) ([]cluster.MachineType, error) {
 	var form struct {
 		Types []machineType `json:"fleets"`
 	}
 	if err := json.Unmarshal(body, &form); err != nil {
 		return nil, fmt.Errorf("reading machine types: %w", err)
 	}
-	var types []core.MachineType
+	var types []cluster.MachineType
 	for _, t := range form.Types {
 		if t.Name == "" || t.CPU <= 0 {
 			return nil, &InvalidMachineTypeError{Name: t.Name}
@@ -50,13 +51,13 @@
 	return types, nil
 }
 
-func (t *machineType) decode() core.MachineType {
-	return core.MachineType{
+func (t *machineType) decode() cluster.MachineType {
+	return cluster.MachineType{
 		Name: t.Name,
-		Capacity: core.Resources{
-			CPU:    core.FloorAmount(t.CPU),
-			GPU:    core.FloorAmount(t.GPU),
-			Memory: core.FloorAmount(t.Memory),
+		Capacity: cluster.Resources{
+			CPU:    cluster.FloorAmount(t.CPU),
+			GPU:    cluster.FloorAmount(t.GPU),
+			Memory: cluster.FloorAmount(t.Memory),
 		},
 		CacheGB:          t.Cache,
 		FetchGBPerSecond: t.FetchRate,
@@ -76,22 +77,22 @@
 	Zone  string `json:"yard"`
 }
 
-// EncodeRental writes a rental request.
-func EncodeScaleOut(r core.CloudScaleOut) []byte {
+// EncodeScaleOut writes a rental request.
+func EncodeScaleOut(r messages.CloudScaleOut) []byte {
 	return marshal(scaleOutRequest{Name: r.Name, Count: r.Count, Type: r.Type, Spot: r.Spot, Zone: r.Zone})
 }
 
 type scaleInRequest struct {
-	IDs []core.MachineID `json:"coaches"`
+	IDs []cluster.MachineID `json:"coaches"`
 }
 
-// EncodeReturn writes a return request.
-func EncodeScaleIn(ids []core.MachineID) []byte { return marshal(scaleInRequest{IDs: ids}) }
+// EncodeScaleIn writes a return request.
+func EncodeScaleIn(ids []cluster.MachineID) []byte { return marshal(scaleInRequest{IDs: ids}) }
 
-// DecodeRental reads which machines a request got.
-func DecodeScaleOut(body []byte) ([]core.MachineID, error) {
+// DecodeScaleOut reads which machines a request got.
+func DecodeScaleOut(body []byte) ([]cluster.MachineID, error) {
 	var form struct {
-		IDs *[]core.MachineID `json:"coaches"`
+		IDs *[]cluster.MachineID `json:"coaches"`
 	}
 	if err := json.Unmarshal(body, &form); err != nil {
 		return nil, fmt.Errorf("reading rental: %w", err)
@@ -114,7 +115,7 @@
 
 // MachinePage is a page of the cloud's machine list.
 type MachinePage struct {
-	Machines []core.ListedMachine
+	Machines []cluster.ListedMachine
 	More     bool // there is another page
 }
 
@@ -129,8 +130,8 @@
 	}
 	page := MachinePage{More: form.More}
 	for _, m := range form.Machines {
-		page.Machines = append(page.Machines, core.ListedMachine{
-			ID:         core.MachineID(m.ID),
+		page.Machines = append(page.Machines, cluster.ListedMachine{
+			ID:         cluster.MachineID(m.ID),
 			Addr:       m.Address,
 			Type:       m.Type,
 			Zone:       m.Zone,
@@ -142,10 +143,10 @@
 	return page, nil
 }
 
-// noCapacity is the error text of a cloud that has no machine of the kind.
+// outOfCapacityText is the error text of a cloud that has no machine of the kind.
 const outOfCapacityText = "no capacity"
 
-// SaysNoCapacity tells whether an answer's body says that the cloud has no
+// IsOutOfCapacity tells whether an answer's body says that the cloud has no
 // machine of the kind. The status alone does not tell that from trouble.
 func IsOutOfCapacity(body []byte) bool {
 	var form struct {
--- a/internal/wire/forms_test.go
+++ b/internal/wire/forms_test.go
@@ -3,33 +3,34 @@
 import (
 	"testing"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
-// TestForms: what is sent stays byte for byte the same from release to release.
+// TestEncodedForms: what is sent stays byte for byte the same from release to release.
 func TestEncodedForms(t *testing.T) {
-	rental := core.CloudScaleOut{Name: "n0-b-1", Type: "g8", Zone: "a<b", Spot: true, Count: 3}
-	txn := core.StoreTxn{
-		If:   []core.Compare{{Key: "jobs/j-1", ModRevision: 0}, {Key: "parts/0", ModRevision: 7}},
-		Then: []core.TxnOp{{Key: "jobs/j-1", Value: []byte(`{"a": 1}`)}, {Key: "groups/g"}},
+	rental := messages.CloudScaleOut{Name: "n0-b-1", Type: "g8", Zone: "a<b", Spot: true, Count: 3}
+	txn := messages.StoreTxn{
+		If:   []messages.Compare{{Key: "jobs/j-1", ModRevision: 0}, {Key: "parts/0", ModRevision: 7}},
+		Then: []messages.TxnOp{{Key: "jobs/j-1", Value: []byte(`{"a": 1}`)}, {Key: "groups/g"}},
 	}
-	orders := core.PushCommands{
+	orders := messages.PushCommands{
 		FencingToken: 41,
 		Incarnation:  2,
-		Commands:     []core.Command{{Kind: core.Stop, Task: core.TaskID{Job: "j-1", Index: 3}, Attempt: 9}},
+		Commands:     []cluster.Command{{Kind: cluster.Stop, Task: cluster.TaskID{Job: "j-1", Index: 3}, Attempt: 9}},
 	}
 	for name, form := range map[string]struct {
 		sent []byte
 		want string
 	}{
 		"rental":             {EncodeScaleOut(rental), `{"charter":"n0-b-1","count":3,"fleet":"g8","standby":true,"yard":"a\u003cb"}`},
-		"return":             {EncodeScaleIn([]core.MachineID{"m-1", "m-2"}), `{"coaches":["m-1","m-2"]}`},
+		"return":             {EncodeScaleIn([]cluster.MachineID{"m-1", "m-2"}), `{"coaches":["m-1","m-2"]}`},
 		"return of nothing":  {EncodeScaleIn(nil), `{"coaches":null}`},
 		"transaction":        {EncodeTxn(txn), `{"then":[{"set":"jobs/j-1","value":{"a":1}},{"drop":"groups/g"}],"when":[{"key":"jobs/j-1","mark":0},{"key":"parts/0","mark":7}]}`},
-		"empty transaction":  {EncodeTxn(core.StoreTxn{}), `{"then":[],"when":[]}`},
+		"empty transaction":  {EncodeTxn(messages.StoreTxn{}), `{"then":[],"when":[]}`},
 		"orders":             {EncodePushCommands(orders), `{"baton":41,"shift":2,"dispatches":[{"verb":"halt","leg":"j-1/3","boarding":9,"layoverS":0}]}`},
-		"view":               {EncodeJobView(core.JobView{ID: "j-1", Status: core.JobRunning, Done: 1, Running: 2}), `{"id":"j-1","status":"running","done":1,"running":2}`},
-		"answer, no command": {EncodeHeartbeatResponse(200, core.HeartbeatResponse{FencingToken: 5}), `{"baton":5,"dispatches":[]}`},
+		"view":               {EncodeJobView(cluster.JobView{ID: "j-1", Status: cluster.JobRunning, Done: 1, Running: 2}), `{"id":"j-1","status":"running","done":1,"running":2}`},
+		"answer, no command": {EncodeHeartbeatResponse(200, messages.HeartbeatResponse{FencingToken: 5}), `{"baton":5,"dispatches":[]}`},
 	} {
 		if got := string(form.sent); got != form.want {
 			t.Errorf("%s: sent %s, want %s", name, got, form.want)
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -5,11 +5,12 @@
 	"errors"
 	"fmt"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 var (
-	// ErrNoEpoch is the error of a state service's answer without its epoch.
+	// ErrNoRevision is the error of a state service's answer without its epoch.
 	ErrNoRevision = errors.New("answer has no epoch")
 	// ErrNoValue is the error of a key's answer without value or mark.
 	ErrNoValue = errors.New("key's answer has no value or mark")
@@ -33,7 +34,7 @@
 }
 
 // EncodeTxn writes a transaction.
-func EncodeTxn(txn core.StoreTxn) []byte {
+func EncodeTxn(txn messages.StoreTxn) []byte {
 	form := transaction{
 		Then: make([]operation, 0, len(txn.Then)),
 		When: make([]compare, 0, len(txn.If)),
@@ -51,9 +52,9 @@
 	return marshal(form)
 }
 
-// TxnAnswer is the answer to a transaction.
+// TxnResponse is the answer to a transaction.
 type TxnResponse struct {
-	Revision   core.Revision
+	Revision   cluster.Revision
 	FailedKeys []string // keys whose conditions did not hold
 }
 
@@ -69,7 +70,7 @@
 	if form.Epoch == nil {
 		return TxnResponse{}, fmt.Errorf("transaction: %w", ErrNoRevision)
 	}
-	return TxnResponse{Revision: core.Revision(*form.Epoch), FailedKeys: form.Failed}, nil
+	return TxnResponse{Revision: cluster.Revision(*form.Epoch), FailedKeys: form.Failed}, nil
 }
 
 // item is a key of a list, with Key, or a change of a watch, with Set or Drop.
@@ -81,8 +82,8 @@
 	ModRevision uint64          `json:"mark"`
 }
 
-func (i *item) decode() core.KV {
-	kv := core.KV{Key: i.Key, Value: i.Value, ModRevision: core.ModRevision(i.ModRevision)}
+func (i *item) decode() messages.KV {
+	kv := messages.KV{Key: i.Key, Value: i.Value, ModRevision: cluster.ModRevision(i.ModRevision)}
 	switch {
 	case i.Drop != "":
 		kv.Key = i.Drop
@@ -94,22 +95,22 @@
 }
 
 // DecodeGet reads a key.
-func DecodeGet(body []byte) (core.KV, error) {
+func DecodeGet(body []byte) (messages.KV, error) {
 	var form item
 	if err := json.Unmarshal(body, &form); err != nil {
-		return core.KV{}, fmt.Errorf("reading key: %w", err)
+		return messages.KV{}, fmt.Errorf("reading key: %w", err)
 	}
 	if form.ModRevision == 0 || len(form.Value) == 0 {
-		return core.KV{}, ErrNoValue
+		return messages.KV{}, ErrNoValue
 	}
-	return core.KV{Key: form.Key, Value: form.Value, ModRevision: core.ModRevision(form.ModRevision)}, nil
+	return messages.KV{Key: form.Key, Value: form.Value, ModRevision: cluster.ModRevision(form.ModRevision)}, nil
 }
 
 // ItemPage is a page of keys, or of changes. A dropped key has no value.
 type ItemPage struct {
-	Items    []core.KV
+	Items    []messages.KV
 	More     bool // there is another page
-	Revision core.Revision
+	Revision cluster.Revision
 }
 
 // DecodeItems reads a page of keys, or of changes.
@@ -126,7 +127,7 @@
 	if form.Epoch == nil {
 		return ItemPage{}, ErrNoRevision
 	}
-	page := ItemPage{More: form.More, Revision: core.Revision(*form.Epoch)}
+	page := ItemPage{More: form.More, Revision: cluster.Revision(*form.Epoch)}
 	for _, i := range append(form.Items, form.Events...) {
 		page.Items = append(page.Items, i.decode())
 	}
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -7,7 +7,7 @@
 	"regexp"
 	"slices"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
 )
 
 // The limits of a submission. Those of lengths keep its record under the state
@@ -25,20 +25,20 @@
 // sweepShape is the only shape of jobs that the protocol has.
 const sweepShape = "sweep"
 
-// noType stands for an empty list of machine types, which allows none; a
+// noMachineType stands for an empty list of machine types, which allows none; a
 // missing list allows all.
 const noMachineType = "-"
 
 var jobIDPattern = regexp.MustCompile(`^j-[0-9]{1,40}$`)
 
-var priorities = map[string]core.Priority{
-	"best_effort": core.BestEffort,
-	"normal":      core.Normal,
-	"urgent":      core.Urgent,
-	"production":  core.Production,
+var priorities = map[string]cluster.Priority{
+	"best_effort": cluster.BestEffort,
+	"normal":      cluster.Normal,
+	"urgent":      cluster.Urgent,
+	"production":  cluster.Production,
 }
 
-// ValidJobID tells whether an id has the form that all ids have.
+// IsValidJobID tells whether an id has the form that all ids have.
 func IsValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // InvalidFieldError says what is wrong with a field of a submission.
@@ -87,8 +87,8 @@
 
 // DecodeSubmission reads a submission. With an error, the spec's ID is still
 // set when the body names a well-formed one: such an id may be known already.
-func DecodeSubmission(body []byte) (core.JobSpec, error) {
-	spec := core.JobSpec{ID: decodeID(body)}
+func DecodeSubmission(body []byte) (cluster.JobSpec, error) {
+	spec := cluster.JobSpec{ID: decodeID(body)}
 	var form submission
 	if err := json.Unmarshal(body, &form); err != nil {
 		return spec, fmt.Errorf("reading submission: %w", err)
@@ -110,14 +110,14 @@
 
 // decodeID reads the id of a body whose other fields may be malformed; empty
 // when there is none.
-func decodeID(body []byte) core.JobID {
+func decodeID(body []byte) cluster.JobID {
 	var form struct {
 		ID *string `json:"id"`
 	}
 	if json.Unmarshal(body, &form) != nil || form.ID == nil || !IsValidJobID(*form.ID) {
 		return ""
 	}
-	return core.JobID(*form.ID)
+	return cluster.JobID(*form.ID)
 }
 
 func (s *submission) check() error {
@@ -220,11 +220,11 @@
 	return nil
 }
 
-// awaited lists each job once that the job has to wait for.
-func (s *submission) decodeDependencies(self core.JobID) ([]core.JobID, error) {
-	var awaits []core.JobID
+// decodeDependencies lists each job once that the job has to wait for.
+func (s *submission) decodeDependencies(self cluster.JobID) ([]cluster.JobID, error) {
+	var awaits []cluster.JobID
 	for _, text := range s.Dependencies {
-		id := core.JobID(text)
+		id := cluster.JobID(text)
 		if !IsValidJobID(text) || id == self {
 			return nil, &InvalidFieldError{"awaits", "names no job that it could wait for"}
 		}
@@ -235,13 +235,13 @@
 	return awaits, nil
 }
 
-// fill sets the spec's fields from a checked submission.
-func (s *submission) fillSpec(spec *core.JobSpec) {
+// fillSpec sets the spec's fields from a checked submission.
+func (s *submission) fillSpec(spec *cluster.JobSpec) {
 	spec.Class = *s.Class
 	spec.Team = *s.Team
 	spec.Priority = priorities[*s.Priority]
 	spec.Tasks = int(*s.Tasks)
-	spec.ResourceRequest = core.Resources{
+	spec.ResourceRequest = cluster.Resources{
 		CPU:    ceilAmount(*s.CPU),
 		GPU:    ceilAmount(*s.GPU),
 		Memory: ceilAmount(*s.Memory),
@@ -267,17 +267,17 @@
 }
 
 // ceilAmount turns a stated need, which must be met in full, into an Amount.
-func ceilAmount(quantity float64) core.Amount {
-	return core.Amount(math.Ceil(quantity*amountsPerUnit - amountRoundingError))
+func ceilAmount(quantity float64) cluster.Amount {
+	return cluster.Amount(math.Ceil(quantity*amountsPerUnit - amountRoundingError))
 }
 
 // jobView is a job's state as users get it.
 type jobView struct {
-	ID      core.JobID     `json:"id"`
-	Status  core.JobStatus `json:"status"`
-	Done    int            `json:"done"`
-	Running int            `json:"running"`
+	ID      cluster.JobID     `json:"id"`
+	Status  cluster.JobStatus `json:"status"`
+	Done    int               `json:"done"`
+	Running int               `json:"running"`
 }
 
-// EncodeView writes a job's state.
-func EncodeJobView(view core.JobView) []byte { return marshal(jobView(view)) }
+// EncodeJobView writes a job's state.
+func EncodeJobView(view cluster.JobView) []byte { return marshal(jobView(view)) }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -5,7 +5,7 @@
 
 import "encoding/json"
 
-// MaxBody is the protocol's limit for a request body.
+// MaxBodySize is the protocol's limit for a request body.
 const MaxBodySize = 64 << 10
 
 // marshal writes one of this package's forms, all of which have a JSON form.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -4,7 +4,8 @@
 	"strings"
 	"testing"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 const validSubmission = `{"id":"j-000412","route":"train","crew":"vision","shape":"sweep","urgency":"urgent","legs":16,
@@ -16,8 +17,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := core.Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}
-	if s.ID != "j-000412" || s.Team != "vision" || s.Priority != core.Urgent || s.Tasks != 16 || s.ResourceRequest != want ||
+	want := cluster.Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}
+	if s.ID != "j-000412" || s.Team != "vision" || s.Priority != cluster.Urgent || s.Tasks != 16 || s.ResourceRequest != want ||
 		!s.Colocate || s.Spread || !s.Spot || s.Zone != "" || s.DeadlineSeconds != 900 || s.MachineTypes[0] != "g8" {
 		t.Errorf("read %+v", s)
 	}
@@ -61,7 +62,7 @@
 	}
 }
 
-// TestAwaits: missing, null and empty mean none; each job is listed once; a
+// TestDependencies: missing, null and empty mean none; each job is listed once; a
 // malformed id, or the job's own, is refused, and the job's id is still given.
 func TestDependencies(t *testing.T) {
 	for list, want := range map[string]string{
@@ -112,7 +113,7 @@
 		t.Fatal(err)
 	}
 	if r.Machine != "m-000231" || r.PreemptionNotice != 12.5 || r.FencingToken != 41 || len(r.Tasks) != 3 ||
-		r.Tasks[0].Task != (core.TaskID{Job: "j-000412", Index: 3}) || !r.Tasks[1].Checkpointed || r.Tasks[2].Cause != core.CauseFailed {
+		r.Tasks[0].Task != (cluster.TaskID{Job: "j-000412", Index: 3}) || !r.Tasks[1].Checkpointed || r.Tasks[2].Cause != cluster.CauseFailed {
 		t.Errorf("read %+v", r)
 	}
 	for _, bad := range []string{`{}`, `[]`, `{"coach":"m-1","shift":0}`, `{"coach":"m/1","shift":1}`,
@@ -122,24 +123,24 @@
 			t.Errorf("%s: accepted", bad)
 		}
 	}
-	a := core.HeartbeatResponse{FencingToken: 41, Commands: []core.Command{
-		{Kind: core.Start, Task: core.TaskID{Job: "j-000412", Index: 4}, Attempt: 2},
-		{Kind: core.Stop, Task: core.TaskID{Job: "j-000377", Index: 1}, Attempt: 1, GraceSeconds: 10},
-		{Kind: core.Acknowledge, Task: core.TaskID{Job: "j-000398"}, Attempt: 1}}}
+	a := messages.HeartbeatResponse{FencingToken: 41, Commands: []cluster.Command{
+		{Kind: cluster.Start, Task: cluster.TaskID{Job: "j-000412", Index: 4}, Attempt: 2},
+		{Kind: cluster.Stop, Task: cluster.TaskID{Job: "j-000377", Index: 1}, Attempt: 1, GraceSeconds: 10},
+		{Kind: cluster.Acknowledge, Task: cluster.TaskID{Job: "j-000398"}, Attempt: 1}}}
 	want := `{"baton":41,"dispatches":[{"verb":"start","leg":"j-000412/4","boarding":2},` +
 		`{"verb":"halt","leg":"j-000377/1","boarding":1,"layoverS":10},{"verb":"reap","leg":"j-000398/0","boarding":1}]}`
 	if got := string(EncodeHeartbeatResponse(200, a)); got != want {
 		t.Errorf("wrote %s", got)
 	}
-	if got := string(EncodeHeartbeatResponse(421, core.HeartbeatResponse{RedirectTo: "landing-2"})); got != `{"dispatcher":"landing-2"}` {
+	if got := string(EncodeHeartbeatResponse(421, messages.HeartbeatResponse{RedirectTo: "landing-2"})); got != `{"dispatcher":"landing-2"}` {
 		t.Errorf("wrote %s", got)
 	}
-	if got := string(EncodeHeartbeatResponse(421, core.HeartbeatResponse{})); got != `{}` {
+	if got := string(EncodeHeartbeatResponse(421, messages.HeartbeatResponse{})); got != `{}` {
 		t.Errorf("wrote %s", got)
 	}
 }
 
-// TestTruncatedAnswers: a cloud's or store's answer that makes no sense is an
+// TestTruncatedResponses: a cloud's or store's answer that makes no sense is an
 // error, never an empty success.
 func TestTruncatedResponses(t *testing.T) {
 	if _, err := DecodeScaleOut([]byte(`{}`)); err == nil {
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -6,16 +6,17 @@
 	"fmt"
 	"strings"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 )
 
 const (
 	// maxMachineIDLength keeps a machine's records under the state service's limits.
 	maxMachineIDLength = 150
-	// unsafeInPaths are the characters that a machine's id must not have, since
+	// unsafePathCharacters are the characters that a machine's id must not have, since
 	// it becomes part of a key's path.
 	unsafePathCharacters = " /?#%"
-	// noNotice is the Notice of a machine that the cloud has not called back.
+	// noPreemptionNotice is the Notice of a machine that the cloud has not called back.
 	noPreemptionNotice = -1
 )
 
@@ -55,40 +56,40 @@
 	Saved   bool   `json:"stored"`
 }
 
-var taskStates = map[string]core.TaskState{
-	"fetching": core.Fetching,
-	"running":  core.Running,
-	"flushing": core.Checkpointing,
-	"ended":    core.Ended,
+var taskStates = map[string]cluster.TaskState{
+	"fetching": cluster.Fetching,
+	"running":  cluster.Running,
+	"flushing": cluster.Checkpointing,
+	"ended":    cluster.Ended,
 }
 
-var endCauses = map[string]core.Cause{
-	"done":    core.CauseCompleted,
-	"stopped": core.CauseStopped,
-	"error":   core.CauseFailed,
-	"full":    core.CauseNoCapacity,
-	"busy":    core.CauseDuplicateAttempt,
-	"no_such": core.CauseUnknownTask,
+var endCauses = map[string]cluster.Cause{
+	"done":    cluster.CauseCompleted,
+	"stopped": cluster.CauseStopped,
+	"error":   cluster.CauseFailed,
+	"full":    cluster.CauseNoCapacity,
+	"busy":    cluster.CauseDuplicateAttempt,
+	"no_such": cluster.CauseUnknownTask,
 }
 
-// DecodeReport reads a worker's report.
-func DecodeHeartbeatStatus(body []byte) (core.HeartbeatStatus, error) {
+// DecodeHeartbeatStatus reads a worker's report.
+func DecodeHeartbeatStatus(body []byte) (cluster.HeartbeatStatus, error) {
 	var form heartbeatStatus
 	if err := json.Unmarshal(body, &form); err != nil {
-		return core.HeartbeatStatus{}, fmt.Errorf("reading report: %w", err)
+		return cluster.HeartbeatStatus{}, fmt.Errorf("reading report: %w", err)
 	}
 	if !isValidMachineID(form.Machine) || form.Incarnation == 0 {
-		return core.HeartbeatStatus{}, ErrNoIdentity
+		return cluster.HeartbeatStatus{}, ErrNoIdentity
 	}
-	decoded := core.HeartbeatStatus{
-		Machine:          core.MachineID(form.Machine),
+	decoded := cluster.HeartbeatStatus{
+		Machine:          cluster.MachineID(form.Machine),
 		Addr:             form.Address,
 		Type:             form.Type,
 		Zone:             form.Zone,
 		Spot:             form.Spot,
-		Incarnation:      core.Incarnation(form.Incarnation),
-		SequenceNumber:   core.SequenceNumber(form.SequenceNumber),
-		FencingToken:     core.FencingToken(form.FencingToken),
+		Incarnation:      cluster.Incarnation(form.Incarnation),
+		SequenceNumber:   cluster.SequenceNumber(form.SequenceNumber),
+		FencingToken:     cluster.FencingToken(form.FencingToken),
 		PreemptionNotice: noPreemptionNotice,
 	}
 	if form.PreemptionNotice != nil {
@@ -97,7 +98,7 @@
 	for _, t := range form.Tasks {
 		task, err := t.decode()
 		if err != nil {
-			return core.HeartbeatStatus{}, err
+			return cluster.HeartbeatStatus{}, err
 		}
 		decoded.Tasks = append(decoded.Tasks, task)
 	}
@@ -108,30 +109,30 @@
 	return id != "" && len(id) <= maxMachineIDLength && !strings.ContainsAny(id, unsafePathCharacters)
 }
 
-func (t *taskStatus) decode() (core.TaskStatus, error) {
-	task, wellFormed := core.ParseTaskID(t.Task)
+func (t *taskStatus) decode() (cluster.TaskStatus, error) {
+	task, wellFormed := cluster.ParseTaskID(t.Task)
 	state, known := taskStates[t.State]
 	if !wellFormed || !known {
-		return core.TaskStatus{}, &UnknownTaskError{Task: t.Task, State: t.State}
+		return cluster.TaskStatus{}, &UnknownTaskError{Task: t.Task, State: t.State}
 	}
-	decoded := core.TaskStatus{
+	decoded := cluster.TaskStatus{
 		Task:         task,
-		Attempt:      core.Attempt(t.Attempt),
+		Attempt:      cluster.Attempt(t.Attempt),
 		State:        state,
 		Checkpointed: t.Saved,
 	}
-	if state == core.Ended {
+	if state == cluster.Ended {
 		decoded.Cause = decodeCause(t.Cause)
 	}
 	return decoded, nil
 }
 
 // decodeCause takes a cause that is not known for an error, never for success.
-func decodeCause(text string) core.Cause {
+func decodeCause(text string) cluster.Cause {
 	if cause, known := endCauses[text]; known {
 		return cause
 	}
-	return core.CauseFailed
+	return cluster.CauseFailed
 }
 
 type command struct {
@@ -141,13 +142,13 @@
 	Grace   *float64 `json:"layoverS,omitempty"`
 }
 
-var commandNames = map[core.CommandKind]string{
-	core.Start:       "start",
-	core.Stop:        "halt",
-	core.Acknowledge: "reap",
+var commandNames = map[cluster.CommandKind]string{
+	cluster.Start:       "start",
+	cluster.Stop:        "halt",
+	cluster.Acknowledge: "reap",
 }
 
-func encodeCommands(commands []core.Command) []command {
+func encodeCommands(commands []cluster.Command) []command {
 	forms := make([]command, 0, len(commands))
 	for _, c := range commands {
 		form := command{
@@ -155,7 +156,7 @@
 			Task:    c.Task.String(),
 			Attempt: uint64(c.Attempt),
 		}
-		if c.Kind == core.Stop {
+		if c.Kind == cluster.Stop {
 			form.Grace = &c.GraceSeconds
 		}
 		forms = append(forms, form)
@@ -164,7 +165,7 @@
 }
 
 type redirection struct {
-	Node core.NodeID `json:"dispatcher,omitempty"`
+	Node cluster.NodeID `json:"dispatcher,omitempty"`
 }
 
 type heartbeatResponse struct {
@@ -172,10 +173,10 @@
 	Commands     []command `json:"dispatches"`
 }
 
-// EncodeWorkerAnswer writes the body of an answer to a report: a redirection
+// EncodeHeartbeatResponse writes the body of an answer to a report: a redirection
 // with status 421, otherwise commands.
-func EncodeHeartbeatResponse(status core.ReplyStatus, answer core.HeartbeatResponse) []byte {
-	if status == core.ReplyMisdirected {
+func EncodeHeartbeatResponse(status messages.ReplyStatus, answer messages.HeartbeatResponse) []byte {
+	if status == messages.ReplyMisdirected {
 		return marshal(redirection{Node: answer.RedirectTo})
 	}
 	return marshal(heartbeatResponse{
@@ -190,8 +191,8 @@
 	Commands     []command `json:"dispatches"`
 }
 
-// EncodeOrders writes commands that are sent straight to a worker.
-func EncodePushCommands(o core.PushCommands) []byte {
+// EncodePushCommands writes commands that are sent straight to a worker.
+func EncodePushCommands(o messages.PushCommands) []byte {
 	return marshal(pushCommands{
 		FencingToken: uint64(o.FencingToken),
 		Incarnation:  uint64(o.Incarnation),
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -7,7 +7,8 @@
 	"net/http"
 	"sync"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/engine"
 	"stairrelay/internal/wire"
 )
@@ -37,7 +38,7 @@
 		http.Error(w, "malformed report", http.StatusBadRequest)
 		return
 	}
-	checkin := func(id core.RequestID) core.Event { return core.Heartbeat{Request: id, Status: report} }
+	checkin := func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: report} }
 	answer, answered := h.requester.Request(r.Context(), checkin)
 	if !answered {
 		http.Error(w, "given up", http.StatusServiceUnavailable)
@@ -62,10 +63,10 @@
 	}
 }
 
-// maxLogged bounds the malformed reports that are logged.
+// maxLoggedErrors bounds the malformed reports that are logged.
 const maxLoggedErrors = 1000
 
-// onceSet remembers what has been logged, so that a sender that repeats itself
+// logDeduplicator remembers what has been logged, so that a sender that repeats itself
 // fills no log.
 type logDeduplicator struct {
 	mu   sync.Mutex
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -6,7 +6,8 @@
 	"net/http"
 	"time"
 
-	"stairrelay/internal/core"
+	"stairrelay/internal/messages"
+
 	"stairrelay/internal/engine"
 	"stairrelay/internal/sockets"
 	"stairrelay/internal/wire"
@@ -15,12 +16,12 @@
 const (
 	dialTimeout = 1500 * time.Millisecond
 	callTimeout = 2500 * time.Millisecond
-	// slotWait is how long a call waits for others to end before it is given up
+	// acquireTimeout is how long a call waits for others to end before it is given up
 	// as certainly not made.
 	acquireTimeout = time.Second
 )
 
-// Workers carries out the core's Orders and Inspect effects.
+// Client carries out the core's Orders and Inspect effects.
 type Client struct {
 	client  *wire.Client
 	limiter *sockets.CallLimiter
@@ -37,16 +38,16 @@
 }
 
 // Do sends commands, or asks for a report; the reply follows.
-func (w *Client) Do(effect core.Effect) {
+func (w *Client) Do(effect messages.Effect) {
 	switch effect := effect.(type) {
-	case core.PushCommands:
+	case messages.PushCommands:
 		go func() { w.reply(effect.Call, w.pushCommands(effect)) }()
-	case core.QueryWorkerStatus:
+	case messages.QueryWorkerStatus:
 		go func() { w.reply(effect.Call, w.queryStatus(effect)) }()
 	}
 }
 
-func (w *Client) pushCommands(orders core.PushCommands) core.PushCommandsReply {
+func (w *Client) pushCommands(orders messages.PushCommands) messages.PushCommandsReply {
 	return w.send(orders.Addr, wire.Request{
 		Method:      http.MethodPost,
 		URL:         wire.BaseURL(orders.Addr) + "/orders",
@@ -56,7 +57,7 @@
 	})
 }
 
-func (w *Client) queryStatus(inspect core.QueryWorkerStatus) core.PushCommandsReply {
+func (w *Client) queryStatus(inspect messages.QueryWorkerStatus) messages.PushCommandsReply {
 	return w.send(inspect.Addr, wire.Request{
 		Method:  http.MethodGet,
 		URL:     wire.BaseURL(inspect.Addr) + "/inspect",
@@ -65,37 +66,37 @@
 }
 
 // send makes a call as soon as there is a slot for it.
-func (w *Client) send(addr string, request wire.Request) core.PushCommandsReply {
+func (w *Client) send(addr string, request wire.Request) messages.PushCommandsReply {
 	release, taken := w.limiter.Acquire(addr, acquireTimeout)
 	if !taken {
-		return core.PushCommandsReply{Outcome: core.NotApplied}
+		return messages.PushCommandsReply{Outcome: messages.NotApplied}
 	}
 	reply := w.call(request)
-	answered := reply.Outcome == core.OK || reply.Outcome == core.Conflict
+	answered := reply.Outcome == messages.OK || reply.Outcome == messages.Conflict
 	release(answered)
 	return reply
 }
 
-func (w *Client) call(request wire.Request) core.PushCommandsReply {
+func (w *Client) call(request wire.Request) messages.PushCommandsReply {
 	response, err := w.client.Do(request)
 	if errors.Is(err, wire.ErrNotSent) {
-		return core.PushCommandsReply{Outcome: core.NotApplied}
+		return messages.PushCommandsReply{Outcome: messages.NotApplied}
 	}
 	if err != nil {
-		return core.PushCommandsReply{Outcome: core.UnknownOutcome}
+		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
 	}
-	var outcome core.Outcome
+	var outcome messages.Outcome
 	switch response.Status {
 	case http.StatusOK:
-		outcome = core.OK
+		outcome = messages.OK
 	case http.StatusConflict:
-		outcome = core.Conflict
+		outcome = messages.Conflict
 	default:
-		return core.PushCommandsReply{Outcome: core.UnknownOutcome}
+		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
 	}
 	report, err := wire.DecodeHeartbeatStatus(response.Body)
 	if err != nil {
-		return core.PushCommandsReply{Outcome: core.UnknownOutcome}
+		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
 	}
-	return core.PushCommandsReply{Outcome: outcome, Status: report}
+	return messages.PushCommandsReply{Outcome: outcome, Status: report}
 }
