--- a/internal/controller/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -17,19 +17,19 @@
 	for i := range tune.PingRetries {
 		detect += tune.InitialRetryTimeout << i
 	}
-	c.now = 100 * second
+	setTime(c, 100*second)
 	for range 50 {
-		p.recordOwnerChange(c.now)
+		p.recordOwnerChange(c.loop.Now())
 	}
 	damped := cluster.Time(0)
-	for !p.isBackoffOver(c.now + damped) {
+	for !p.isBackoffOver(c.loop.Now() + damped) {
 		damped += second
 	}
 	var rest cluster.Time
 	for range 20 {
 		p.owned = true
 		c.giveUpCorruptShard(p, "k", "test")
-		rest = max(rest, p.acquireNotBefore-c.now)
+		rest = max(rest, p.acquireNotBefore-c.loop.Now())
 	}
 	const alone = 8 * second // lost: a node that hears nobody waits this long after its own cut
 	if sum := detect + damped + rest + alone; damped == 0 || rest == 0 || sum >= 75*second {
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -118,12 +118,12 @@
 // enqueueAdmission has a job stored and answers its submission then, or says that this
 // took too long.
 func (c *Controller) enqueueAdmission(spec cluster.JobSpec, answer func(messages.Respond)) {
-	a := &pendingAdmission{spec: spec, respond: answer, deadline: c.now + admissionTimeout}
-	c.after(admissionTimeout, func() {
+	a := &pendingAdmission{spec: spec, respond: answer, deadline: c.loop.Now() + admissionTimeout}
+	c.loop.After(admissionTimeout, func() {
 		a.answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "not stored in time"})
 	})
-	c.after(storeSlowThreshold+50*millisecond, func() {
-		if !a.answered && c.storeHealth.isUnresponsive(c.now) {
+	c.loop.After(storeSlowThreshold+50*millisecond, func() {
+		if !a.answered && c.storeHealth.isUnresponsive(c.loop.Now()) {
 			c.proxySubmission(a.spec, a.answer)
 		}
 	})
@@ -143,7 +143,7 @@
 	if len(s.unchecked) > 1 {
 		return
 	}
-	c.after(5*millisecond, func() {
+	c.loop.After(5*millisecond, func() {
 		batch := s.unchecked
 		s.unchecked = nil
 		c.readAdmissionChanges(func(ok bool) {
@@ -163,7 +163,7 @@
 	size := 0
 	for len(s.waiting) > 0 {
 		a := s.waiting[0]
-		if !a.answered && c.now <= a.deadline && !c.joinIdempotentRetry(a, batch) {
+		if !a.answered && c.loop.Now() <= a.deadline && !c.joinIdempotentRetry(a, batch) {
 			v, _ := json.Marshal(a.spec)
 			size += len(v) + len(a.spec.ID) + 20
 			if len(batch) > 0 && size > c.config.MaxValueBytes*4/5 || len(batch) == c.config.MaxTxnOps {
@@ -338,7 +338,7 @@
 	c.recordPeerWrite(kv)
 	var rec admissionRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
-		c.log(messages.LogError, "unreadable record", "key", kv.Key)
+		c.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	for i := range rec.Jobs {
@@ -354,7 +354,7 @@
 	s := &c.admissions
 	c.listPrefix(admissionKeyPrefix, func(r messages.ListReply) {
 		if r.Outcome != messages.OK {
-			c.after(second, c.loadAdmissions)
+			c.loop.After(second, c.loadAdmissions)
 			return
 		}
 		for _, kv := range r.Items {
--- a/internal/controller/cloud_pages_test.go
+++ b/internal/controller/cloud_pages_test.go
@@ -31,13 +31,12 @@
 	b.cloudRate.bucket.Fill()
 	calls, throttled := 0, false
 	listed := 0
-	begin := b.now
+	begin := b.loop.Now()
 	b.pollCloudList()
 	b.cloudListing.nextReadAt = 1 << 62
-	for b.now = begin; b.now < begin+30*second && listed == 0; b.now += 50 * millisecond {
-		b.runTimers()
-		out := b.effects
-		b.effects = nil
+	for setTime(b.Controller, begin); b.loop.Now() < begin+30*second && listed == 0; setTime(b.Controller, b.loop.Now()+50*millisecond) {
+		b.loop.RunTimers()
+		out := takeEffects(b.Controller)
 		for _, f := range out {
 			ask, isList := f.(messages.CloudList)
 			if !isList {
@@ -46,10 +45,10 @@
 			calls++
 			if calls == 3 && !throttled { // refused once: the page is asked for again
 				throttled = true
-				b.pendingCalls[ask.Call](messages.CloudListReply{Outcome: messages.Throttled})
+				b.loop.Deliver(messages.Reply{Call: ask.Call, Body: messages.CloudListReply{Outcome: messages.Throttled}})
 				continue
 			}
-			b.pendingCalls[ask.Call](page(ask.After))
+			b.loop.Deliver(messages.Reply{Call: ask.Call, Body: page(ask.After)})
 			if !b.cloudListing.inProgress {
 				listed = machines
 			}
@@ -63,7 +62,7 @@
 		t.Fatalf("%d pages read", b.cloudListing.lastPageCount)
 	}
 	share := b.config.CloudRPS * b.config.Tuning.RateBudgetShare / 3
-	took := (b.now - begin).Seconds()
+	took := (b.loop.Now() - begin).Seconds()
 	if allowed := 2*share + share*took + 1; float64(calls) > allowed {
 		t.Errorf("%d calls within %.1f s, %.1f are allowed", calls, took, allowed)
 	}
--- a/internal/controller/cloudlist.go
+++ b/internal/controller/cloudlist.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 )
 
@@ -46,13 +47,13 @@
 // readPage asks for the page that follows a machine.
 func (l *cloudListRead) readPage(since cluster.MachineID) {
 	c := l.controller
-	c.emit(messages.CloudList{After: since, Call: c.registerCall(func(b any) { l.handlePage(since, b.(messages.CloudListReply)) })})
+	c.loop.Emit(messages.CloudList{After: since, Call: eventloop.Call(c.loop, func(reply messages.CloudListReply) { l.handlePage(since, reply) })})
 }
 
 // readPageWhenAllowed asks for a page as soon as the share of calls allows it.
 func (l *cloudListRead) readPageWhenAllowed(since cluster.MachineID) {
 	if !l.controller.tryCloudCall() {
-		l.controller.after(listRetryDelay, func() { l.readPageWhenAllowed(since) })
+		l.controller.loop.After(listRetryDelay, func() { l.readPageWhenAllowed(since) })
 		return
 	}
 	l.readPage(since)
@@ -64,7 +65,7 @@
 	switch {
 	case page.Outcome == messages.Throttled:
 		c.handleCloudThrottled()
-		c.after(listThrottledDelay, func() { l.readPageWhenAllowed(since) })
+		c.loop.After(listThrottledDelay, func() { l.readPageWhenAllowed(since) })
 		return
 	case page.Outcome != messages.OK:
 		l.done(nil, false)
@@ -103,10 +104,10 @@
 // pollCloudList reads the machine list now and then: it shows machines that died
 // and orphans that no record lists.
 func (c *Controller) pollCloudList() {
-	if c.cloudListing.inProgress || c.now < c.cloudListing.nextReadAt || !c.tryCloudCall() {
+	if c.cloudListing.inProgress || c.loop.Now() < c.cloudListing.nextReadAt || !c.tryCloudCall() {
 		return
 	}
-	c.cloudListing.nextReadAt = c.now + c.cloudListInterval()
+	c.cloudListing.nextReadAt = c.loop.Now() + c.cloudListInterval()
 	c.cloudListing.inProgress = true
 	c.readCloudList(func(items []cluster.ListedMachine, ok bool) {
 		c.cloudListing.inProgress = false
@@ -146,7 +147,7 @@
 	if m.address == "" {
 		m.address = l.Addr
 	}
-	if l.Status == "failed" && !m.releasing && c.shards[m.shardID].ready && c.now-m.lastHeartbeat > 2*c.config.HeartbeatInterval {
+	if l.Status == "failed" && !m.releasing && c.shards[m.shardID].ready && c.loop.Now()-m.lastHeartbeat > 2*c.config.HeartbeatInterval {
 		c.scaleInMachine(m, "failed")
 	}
 }
--- a/internal/controller/cloudrate.go
+++ b/internal/controller/cloudrate.go
@@ -28,7 +28,7 @@
 	others := make([]ratelimit.Demand, 0, len(c.peers))
 	for _, id := range c.config.Nodes {
 		if p := c.peers[id]; p != nil && !p.failed {
-			known := p.hasAnswered && c.now-p.lastPingAt < demandFreshness
+			known := p.hasAnswered && c.loop.Now()-p.lastPingAt < demandFreshness
 			others = append(others, ratelimit.Demand{Rate: told(&p.lastPing), Known: known})
 		}
 	}
@@ -53,14 +53,14 @@
 
 func (c *Controller) updateCloudRate() {
 	s := &c.cloudRate
-	s.bucket.Refill(c.now)
+	s.bucket.Refill(c.loop.Now())
 	rate := c.shareByDemand(c.config.CloudRPS*c.config.Tuning.RateBudgetShare, s.demand, func(g *messages.Ping) float64 { return g.CloudDemand })
 	s.bucket.SetRate(rate, max(cloudBurstSeconds*rate, 1))
 }
 
 // tryCloudCall takes a call out of the share, or notes that one had to wait.
 func (c *Controller) tryCloudCall() bool {
-	if !c.cloudRate.bucket.Take(c.now, 1) {
+	if !c.cloudRate.bucket.Take(c.loop.Now(), 1) {
 		c.cloudRate.wasDenied = true
 		return false
 	}
@@ -71,7 +71,7 @@
 // forceCloudCall counts a call that waits for nothing: without the machine types
 // nothing runs, and a request that is repeated was paid for once.
 func (c *Controller) forceCloudCall() {
-	c.cloudRate.bucket.Refill(c.now)
+	c.cloudRate.bucket.Refill(c.loop.Now())
 	c.cloudRate.bucket.Spend(1)
 	c.countCloudCall()
 }
--- a/internal/controller/commandpush.go
+++ b/internal/controller/commandpush.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 )
 
@@ -23,7 +24,7 @@
 	c.urgentPushes = nil
 	for _, m := range queue {
 		m.pushQueued = false
-		if c.machines[m.id] != m || m.pendingHeartbeat != 0 || m.pushInFlight || m.address == "" || c.now-m.lastHeartbeat > 2*c.config.HeartbeatInterval {
+		if c.machines[m.id] != m || m.pendingHeartbeat != 0 || m.pushInFlight || m.address == "" || c.loop.Now()-m.lastHeartbeat > 2*c.config.HeartbeatInterval {
 			continue
 		}
 		cmds := c.commandsFor(m, true)
@@ -42,7 +43,7 @@
 }
 
 func (c *Controller) pushCommands(m *machine, cmds []cluster.Command) {
-	m.pushInFlight, m.lastPushAt = true, c.now
+	m.pushInFlight, m.lastPushAt = true, c.loop.Now()
 	c.counters.CommandPushes++
 	var starts []*assignment
 	for _, cmd := range cmds {
@@ -53,8 +54,7 @@
 		}
 	}
 	token := m.token
-	c.emit(messages.PushCommands{Addr: m.address, FencingToken: token, Incarnation: m.incarnation, Commands: cmds, Call: c.registerCall(func(b any) {
-		r := b.(messages.PushCommandsReply)
+	c.loop.Emit(messages.PushCommands{Addr: m.address, FencingToken: token, Incarnation: m.incarnation, Commands: cmds, Call: eventloop.Call(c.loop, func(r messages.PushCommandsReply) {
 		m.pushInFlight = false
 		if c.machines[m.id] != m {
 			return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,10 +8,10 @@
 package controller
 
 import (
-	"sort"
 	"time"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 )
 
@@ -23,18 +23,13 @@
 // Controller is a controller's whole state, by owner: each type says what always
 // holds of its fields, in the file that it is named for.
 type Controller struct {
-	config   Config
-	now      cluster.Time
-	wallTime cluster.WallTime
+	config Config
+	loop   *eventloop.Loop
 
 	// What it wants done, and what it waits for.
-	effects      []messages.Effect
-	lastCallID   messages.CallID
-	pendingCalls map[messages.CallID]func(any)
-	timers       timerQueue
-	writeQueue   writeQueue
-	cloudRate    cloudRateShare
-	counters     Counters
+	writeQueue writeQueue
+	cloudRate  cloudRateShare
+	counters   Counters
 
 	// How this node fares.
 	storeHealth        storeHealth
@@ -79,7 +74,7 @@
 func New(cfg Config) *Controller {
 	c := &Controller{
 		config:           cfg,
-		pendingCalls:     map[messages.CallID]func(any){},
+		loop:             eventloop.New(),
 		jobs:             newJobRegistry(),
 		machines:         map[cluster.MachineID]*machine{},
 		machineGroups:    map[string]*machineGroup{},
@@ -107,19 +102,15 @@
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
 	c.cloudListing.nextReadAt = c.firstCloudListAt()
-	c.after(0, c.startLoops)
+	c.loop.After(0, c.startLoops)
 	return c
 }
 
 // Step takes one event and returns what is to be done about it.
 func (c *Controller) Step(now cluster.Time, wall cluster.WallTime, ev messages.Event) []messages.Effect {
-	stood := now-c.now > processPauseThreshold
-	if now > c.now {
-		c.now = now
-	}
-	c.wallTime = wall
-	c.effects = nil
-	if stood && c.timers.len() > 0 {
+	paused := now-c.loop.Now() > processPauseThreshold
+	c.loop.Begin(now, wall)
+	if _, started := c.loop.NextWake(); paused && started {
 		c.handleProcessPause()
 	}
 	switch e := ev.(type) {
@@ -143,45 +134,33 @@
 	case messages.ProcessLoad:
 		c.processHealth.load = e
 	case messages.Reply:
-		if fn := c.pendingCalls[e.Call]; fn != nil {
-			delete(c.pendingCalls, e.Call)
-			fn(e.Body)
-		}
+		c.loop.Deliver(e)
 	}
-	c.runTimers()
+	c.loop.RunTimers()
 	c.flush()
-	return c.effects
+	return c.loop.Effects()
 }
 
+// NextWake is when the next Tick is due; false: no timer is set.
+func (c *Controller) NextWake() (cluster.Time, bool) { return c.loop.NextWake() }
+
 // flush decides once per step on all that the step has changed.
 func (c *Controller) flush() {
-	switch c.schedulingTrigger.check(c.now) {
+	switch c.schedulingTrigger.check(c.loop.Now()) {
 	case scheduleNow:
-		c.schedulingTrigger.begin(c.now + c.processHealth.stretchDelay(schedulingInterval))
+		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.stretchDelay(schedulingInterval))
 		c.scheduleOwnedShards()
 	case scheduleLater:
-		c.after(c.schedulingTrigger.armTimer(c.now), func() { c.schedulingTrigger.timerArmed = false })
+		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
 	}
 	c.pushQueuedCommands()
 	c.writeQueue.dispatch()
 	c.answerHeldHeartbeats()
 }
 
-func (c *Controller) emit(e messages.Effect) { c.effects = append(c.effects, e) }
-
-func (c *Controller) registerCall(fn func(any)) messages.CallID {
-	c.lastCallID++
-	c.pendingCalls[c.lastCallID] = fn
-	return c.lastCallID
-}
-
-func (c *Controller) log(level messages.LogLevel, text string, args ...any) {
-	c.emit(messages.Log{Level: level, Message: text, Args: args})
-}
-
 // respondError answers at once that the request can't be taken now.
 func (c *Controller) respondError(req messages.RequestID, status messages.ReplyStatus, after int, why string) {
-	c.emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
+	c.loop.Emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
 }
 
 // startLoops starts everything that runs on its own.
@@ -197,24 +176,15 @@
 	c.loadAdmissions()
 	c.fetchMachineTypes()
 	c.loadMachineTypeCache()
-	c.every(fixedInterval(t.CheckpointInterval), c.writeBackgroundState)
-	c.every(fixedInterval(second), c.writeQueue.measureDemand)
-	c.every(fixedInterval(second), c.measureCloudDemand)
-	c.every(fixedInterval(maintenanceInterval), c.maintainMachines)
-	c.every(fixedInterval(second), c.runScaleOut)
-	c.every(fixedInterval(2*second), c.probeWorker)
-	c.every(fixedInterval(2*second), c.refreshNodeLiveness)
-	c.every(fixedInterval(second/2), c.probeStore)
-	c.every(fixedInterval(second), c.renewOwnership)
-	c.every(fixedInterval(second/4), func() { c.schedulingTrigger.request() })
-	c.every(fixedInterval(30*second), c.logStats)
-}
-
-func sortedKeys[K ~string, V any](m map[K]V) []K {
-	ks := make([]K, 0, len(m))
-	for k := range m {
-		ks = append(ks, k)
-	}
-	sort.Slice(ks, func(i, j int) bool { return ks[i] < ks[j] })
-	return ks
+	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
+	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.measureDemand)
+	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
+	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
+	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.probeWorker)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.refreshNodeLiveness)
+	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
+	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
+	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
+	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"maps"
+	"slices"
 	"strings"
 
 	"stairrelay/internal/cluster"
@@ -39,7 +41,7 @@
 
 func (s *testStore) list(prefix string, since cluster.Revision) []messages.KV {
 	var l []messages.KV
-	for _, k := range sortedKeys(s.keys) {
+	for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 		if kv := s.keys[k]; strings.HasPrefix(k, prefix) && kv.ModRevision > cluster.ModRevision(since) {
 			l = append(l, kv)
 		}
@@ -64,10 +66,11 @@
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, InstanceID: "b0", HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 1000, WriteRPS: 1000, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
 	c.machineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
-	c.now, c.admissions.loaded = 100*second, true
+	setTime(c, 100*second)
+	c.admissions.loaded = true
 	b := &controllerHarness{Controller: c, store: &testStore{keys: map[string]messages.KV{}, revision: 30}, losesReply: func(messages.StoreTxn) bool { return false }}
 	for _, p := range c.shards {
-		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.now
+		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
 		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]cluster.Time{}
 		b.store.keys[p.key()] = messages.KV{Key: p.key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 	}
@@ -76,37 +79,36 @@
 
 // runFor lets time pass and the store answer; what it was asked for is kept.
 func (b *controllerHarness) runFor(d cluster.Time) {
-	for end := b.now + d; b.now <= end; b.now += 20 * millisecond {
-		b.runTimers()
+	for end := b.loop.Now() + d; b.loop.Now() <= end; setTime(b.Controller, b.loop.Now()+20*millisecond) {
+		b.loop.RunTimers()
 		b.writeQueue.dispatch()
-		out := b.effects
-		b.effects = nil
+		out := takeEffects(b.Controller)
 		for _, f := range out {
 			switch f := f.(type) {
 			case messages.StoreTxn:
 				b.sentTransactions = append(b.sentTransactions, f)
 				if b.rejectsAsMalformed != nil && b.rejectsAsMalformed(f) {
-					b.pendingCalls[f.Call](messages.TxnReply{Outcome: messages.Invalid})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.TxnReply{Outcome: messages.Invalid}})
 				} else if b.throttles != nil && b.throttles(f) {
-					b.pendingCalls[f.Call](messages.TxnReply{Outcome: messages.Throttled})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.TxnReply{Outcome: messages.Throttled}})
 				} else if r := b.store.commit(f); b.losesReply(f) {
-					b.pendingCalls[f.Call](messages.TxnReply{Outcome: messages.UnknownOutcome})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.TxnReply{Outcome: messages.UnknownOutcome}})
 				} else {
-					b.pendingCalls[f.Call](r)
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: r})
 				}
 			case messages.StoreGet:
-				b.pendingCalls[f.Call](b.store.get(f.Key))
+				b.loop.Deliver(messages.Reply{Call: f.Call, Body: b.store.get(f.Key)})
 			case messages.StoreList:
 				if b.failsReads {
-					b.pendingCalls[f.Call](messages.ListReply{Outcome: messages.UnknownOutcome})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.ListReply{Outcome: messages.UnknownOutcome}})
 					continue
 				}
-				b.pendingCalls[f.Call](messages.ListReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, 0), Revision: b.store.revision})
+				b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.ListReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, 0), Revision: b.store.revision}})
 			case messages.StoreWatch:
 				if f.Timeout == 0 && b.failsReads {
-					b.pendingCalls[f.Call](messages.WatchReply{Outcome: messages.UnknownOutcome})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.WatchReply{Outcome: messages.UnknownOutcome}})
 				} else if f.Timeout == 0 {
-					b.pendingCalls[f.Call](messages.WatchReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, f.SinceRevision), Revision: b.store.revision})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.WatchReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, f.SinceRevision), Revision: b.store.revision}})
 				}
 			case messages.Respond:
 				b.sentResponses = append(b.sentResponses, f)
@@ -117,7 +119,7 @@
 
 func (b *controllerHarness) addTestJob(id cluster.JobID, tasks int) *job {
 	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}}
-	j := newJob(spec, 0, 0, b.now)
+	j := newJob(spec, 0, 0, b.loop.Now())
 	b.addOwnedJob(j)
 	b.jobs.known[id] = &knownJob{shard: 0, tasks: tasks, team: "red"}
 	return j
@@ -126,7 +128,7 @@
 // addRunningMachine is a machine that runs the first task of a job.
 func (b *controllerHarness) addRunningMachine(j *job) (*machine, *assignment) {
 	m := b.addMachine(b.newGroup(b.shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
-	m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.now
+	m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.loop.Now()
 	a := &assignment{task: cluster.TaskID{Job: j.spec.ID, Index: 0}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 7, phase: phaseAcknowledged, state: cluster.Running}
 	m.addAssignment(a)
 	j.setAssigned(0, a)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -95,7 +95,7 @@
 	if k.finalStatus != "" {
 		return
 	}
-	k.finalStatus, k.finalSince, k.spec = end, c.jobs.observedAt(c.now), nil
+	k.finalStatus, k.finalSince, k.spec = end, c.jobs.observedAt(c.loop.Now()), nil
 	j := c.jobs.owned[id]
 	if j != nil && j.finalStatus == "" && end == cluster.JobCancelled && !j.cancelling && len(k.dependencies) > 0 {
 		c.cancelWithDependency(j)
@@ -132,8 +132,8 @@
 	if waiting {
 		return
 	}
-	j.readySince = c.wallTime
-	c.log(messages.LogDebug, "job released", "job", string(j.spec.ID), "awaited", len(k.dependencies))
+	j.readySince = c.loop.WallTime()
+	c.loop.Log(messages.LogDebug, "job released", "job", string(j.spec.ID), "awaited", len(k.dependencies))
 	c.shards[j.shard].queueOrder = nil
 	c.schedulingTrigger.request()
 	c.scheduleScaleOut()
--- a/internal/controller/failuredetector.go
+++ b/internal/controller/failuredetector.go
@@ -25,22 +25,22 @@
 
 func (d *failureDetector) probe() {
 	c, p := d.controller, d.peer
-	timeout, begun := d.timeout(), c.now
+	timeout, begun := d.timeout(), c.loop.Now()
 	c.callPeer(p.id, timeout, messages.PeerMessage{Ping: c.makePing(p)}, func(r messages.PeerReply) {
 		if r.Outcome == messages.OK && r.Message.Ping != nil && c.isValidPing(p, r.Message.Ping) {
 			d.missedProbes = 0
 			c.applyPingReply(p, *r.Message.Ping, begun)
-			c.after(c.config.Tuning.PingInterval, d.probe)
+			c.loop.After(c.config.Tuning.PingInterval, d.probe)
 			return
 		}
 		d.handleMissedProbe()
 		// A refused connection comes back at once and proves nothing: it
 		// must not shorten the detection, so the full interval passes.
-		wait := begun + timeout - c.now
+		wait := begun + timeout - c.loop.Now()
 		if d.isExhausted() {
 			wait = max(wait, c.config.Tuning.ProbeInterval)
 		}
-		c.after(max(wait, 5*millisecond), d.probe)
+		c.loop.After(max(wait, 5*millisecond), d.probe)
 	})
 }
 
@@ -68,11 +68,11 @@
 	d.missedProbes++
 	if d.missedProbes > c.config.Tuning.PingRetries && !p.suspected {
 		p.suspected = true
-		c.log(messages.LogDebug, "peer failure-prone", "peer", string(p.id))
+		c.loop.Log(messages.LogDebug, "peer failure-prone", "peer", string(p.id))
 	}
 	if d.isExhausted() && !p.failed {
-		p.failed, p.failedAt, p.livenessRead = true, c.now, false
-		c.log(messages.LogInfo, "peer failed", "peer", string(p.id))
+		p.failed, p.failedAt, p.livenessRead = true, c.loop.Now(), false
+		c.loop.Log(messages.LogInfo, "peer failed", "peer", string(p.id))
 		c.handleLivenessChange()
 	}
 	if p.failed {
--- a/internal/controller/fairshare.go
+++ b/internal/controller/fairshare.go
@@ -30,10 +30,10 @@
 
 // ownedShardLoads describes the parts held here.
 func (c *Controller) ownedShardLoads() []fairshare.ShardLoad {
-	if c.loadCache.isValid(c.now, c.ownedShardChanges) {
+	if c.loadCache.isValid(c.loop.Now(), c.ownedShardChanges) {
 		return c.loadCache.loads
 	}
-	c.loadCache.computedAt, c.loadCache.ownershipChanges = c.now, c.ownedShardChanges
+	c.loadCache.computedAt, c.loadCache.ownershipChanges = c.loop.Now(), c.ownedShardChanges
 	var out []fairshare.ShardLoad
 	for _, p := range c.shards {
 		if p.owned && p.ready {
@@ -76,7 +76,7 @@
 func (c *Controller) allShardLoads() fairshare.Snapshot {
 	out := fairshare.Snapshot{}
 	for _, id := range c.config.Nodes {
-		if p := c.peers[id]; p != nil && !p.failed && c.now-p.lastPingAt < 3*second {
+		if p := c.peers[id]; p != nil && !p.failed && c.loop.Now()-p.lastPingAt < 3*second {
 			for _, l := range p.lastPing.ShardLoads {
 				if int(l.Shard) >= 0 && int(l.Shard) < len(c.shards) && c.shards[l.Shard].owner == id {
 					out[l.Shard] = l
@@ -222,9 +222,9 @@
 	if c.allShardLoads().CanScaleOutFirst(p.id) {
 		return true
 	}
-	if c.now-p.lastScaleOutAt < 4*second {
+	if c.loop.Now()-p.lastScaleOutAt < 4*second {
 		return false
 	}
-	p.lastScaleOutAt = c.now
+	p.lastScaleOutAt = c.loop.Now()
 	return true
 }
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -37,9 +37,9 @@
 
 // flushEffects decides on what has changed and returns what is to be done about it.
 func flushEffects(b *controllerHarness) []messages.Effect {
-	b.effects = nil
+	takeEffects(b.Controller)
 	b.flush()
-	return b.effects
+	return b.loop.Effects()
 }
 
 // firstHeartbeat is what a machine that has just come up sends.
@@ -51,9 +51,9 @@
 // brought about.
 func effectsDuring(b *controllerHarness, d cluster.Time) []messages.Effect {
 	var effects []messages.Effect
-	for end := b.now + d; b.now < end; {
+	for end := b.loop.Now() + d; b.loop.Now() < end; {
 		b.runFor(0)
-		effects = append(effects, b.effects...)
+		effects = append(effects, b.loop.Effects()...)
 	}
 	return effects
 }
@@ -88,13 +88,13 @@
 				t.Fatal("the machine got no task, or its record is not written")
 			}
 			for range 10 { // the answer to the report does not wait that long
-				b.now += maxHeartbeatHold / 4
+				setTime(b.Controller, b.loop.Now()+maxHeartbeatHold/4)
 				effects = append(effects, flushEffects(b)...)
 			}
 			if n := countStarts(effects); n != 0 {
 				t.Errorf("%d starts before the record is stored", n)
 			}
-			b.pendingCalls[record.Call](test.answer)
+			b.loop.Deliver(messages.Reply{Call: record.Call, Body: test.answer})
 			if n := countStarts(flushEffects(b)); n != test.starts {
 				t.Errorf("%d starts after the answer, want %d", n, test.starts)
 			}
@@ -130,7 +130,7 @@
 	b.createProvisioningRequest(part, provisioningOption{"small", "a", false}, 1)
 	for _, effect := range effectsDuring(b, second) {
 		if rent, ok := effect.(messages.CloudScaleOut); ok {
-			b.pendingCalls[rent.Call](messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}})
+			b.loop.Deliver(messages.Reply{Call: rent.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}}})
 		}
 	}
 	b.runFor(second)
--- a/internal/controller/groupsplit.go
+++ b/internal/controller/groupsplit.go
@@ -120,7 +120,7 @@
 	g := s.group
 	g.endWrite()
 	g.minPieces = 2 * len(s.keys)
-	s.controller.after(second, func() {
+	s.controller.loop.After(second, func() {
 		if s.isCurrent() {
 			s.controller.writeGroup(g, priorityStart)
 		}
--- a/internal/controller/grouptransfer.go
+++ b/internal/controller/grouptransfer.go
@@ -114,7 +114,7 @@
 			c.addMachine(g, line, cluster.FencingToken(e))
 		}
 	}
-	c.log(messages.LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(p.id), "from", int(t.fromShard))
+	c.loop.Log(messages.LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(p.id), "from", int(t.fromShard))
 	c.schedulingTrigger.request()
 	c.maintainMachines()
 }
--- a/internal/controller/jobnotices.go
+++ b/internal/controller/jobnotices.go
@@ -47,7 +47,7 @@
 	p.jobNotices.waiting = append(p.jobNotices.waiting, kv)
 	if !p.jobNotices.scheduled {
 		p.jobNotices.scheduled = true
-		c.after(jobNoticeDelay, func() { c.sendJobNotices(p, 0) })
+		c.loop.After(jobNoticeDelay, func() { c.sendJobNotices(p, 0) })
 	}
 }
 
--- a/internal/controller/jobreads.go
+++ b/internal/controller/jobreads.go
@@ -55,13 +55,13 @@
 		return
 	}
 	if c.jobReads.enqueue(fn) {
-		c.after(c.jobReads.delay(c.now), c.readJobChanges)
+		c.loop.After(c.jobReads.delay(c.loop.Now()), c.readJobChanges)
 	}
 }
 
 // readJobChanges reads the jobs' own records and those of several.
 func (c *Controller) readJobChanges() {
-	served := c.jobReads.takeBatch(c.now)
+	served := c.jobReads.takeBatch(c.loop.Now())
 	left, good := 2, true
 	done := func(ok bool) {
 		good = good && ok
@@ -72,7 +72,7 @@
 			fn(good)
 		}
 		if c.jobReads.finish() {
-			c.after(c.jobReads.delay(c.now), c.readJobChanges)
+			c.loop.After(c.jobReads.delay(c.loop.Now()), c.readJobChanges)
 		}
 	}
 	c.readAdmissionChanges(done)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -176,7 +176,7 @@
 	}
 	var rec jobRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
-		c.log(messages.LogError, "unreadable record", "key", kv.Key)
+		c.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	name, tasks := rec.Team, rec.Tasks
@@ -185,7 +185,7 @@
 	}
 	t := c.teams[name]
 	if t == nil || tasks < 1 {
-		c.log(messages.LogError, "job record of no known team", "key", kv.Key)
+		c.loop.Log(messages.LogError, "job record of no known team", "key", kv.Key)
 		return
 	}
 	k := c.jobs.register(id, t.shard, name, tasks)
@@ -217,7 +217,7 @@
 
 // jobFromRecord makes a job of its own record.
 func (c *Controller) jobFromRecord(kv messages.KV, rec *jobRecord, part cluster.ShardID) *job {
-	j := newJob(*rec.Spec, part, kv.ModRevision, c.now)
+	j := newJob(*rec.Spec, part, kv.ModRevision, c.loop.Now())
 	ok := decodeCompleted(rec.CompletedIndexes, len(j.chunkStates(0)), func(i int) {
 		j.taskStates[i] = taskCompletionStored
 		j.completedCount++
@@ -227,8 +227,8 @@
 	}
 	// A task that is started again after it was done ends at once, so to
 	// take all of them for not done is safe.
-	c.log(messages.LogInfo, "impossible record", "key", kv.Key, "why", "done ranges")
-	return newJob(*rec.Spec, part, kv.ModRevision, c.now)
+	c.loop.Log(messages.LogInfo, "impossible record", "key", kv.Key, "why", "done ranges")
+	return newJob(*rec.Spec, part, kv.ModRevision, c.loop.Now())
 }
 
 // serveJob begins to serve a job of a part held here. Where its cancellation is
@@ -268,12 +268,12 @@
 					j.completedCount++
 				}
 			}) {
-				c.log(messages.LogInfo, "impossible record", "key", r.KV.Key, "why", "done ranges")
+				c.loop.Log(messages.LogInfo, "impossible record", "key", r.KV.Key, "why", "done ranges")
 			}
 			j.modRevisions[n] = r.KV.ModRevision
 		case messages.NotFound:
 		default:
-			c.after(second/2, func() {
+			c.loop.After(second/2, func() {
 				if c.jobs.owns(j) {
 					c.loadJobChunk(j, n)
 				}
@@ -293,7 +293,7 @@
 func (c *Controller) loadJobs() {
 	c.listPrefix(jobKeyPrefix, func(r messages.ListReply) {
 		if r.Outcome != messages.OK {
-			c.after(second, c.loadJobs)
+			c.loop.After(second, c.loadJobs)
 			return
 		}
 		for _, kv := range r.Items {
@@ -319,7 +319,7 @@
 	boot := writeIDInstance(writeIDOf(kv.Value))
 	for _, p := range c.peers {
 		if p.instanceID == boot {
-			p.lastWriteSeenAt = c.now
+			p.lastWriteSeenAt = c.loop.Now()
 		}
 	}
 }
@@ -395,9 +395,9 @@
 	if !c.jobs.owns(j) {
 		return
 	}
-	c.log(messages.LogDebug, "job over", "job", string(j.spec.ID), "status", string(end), "class", j.spec.Class, "team", j.spec.Team,
+	c.loop.Log(messages.LogDebug, "job over", "job", string(j.spec.ID), "status", string(end), "class", j.spec.Class, "team", j.spec.Team,
 		"tasks", j.spec.Tasks, "first_run_s", int((j.firstRunAt-j.arrivedAt)/second), "all_run_s", int((j.lastRunAt-j.arrivedAt)/second),
-		"took_s", int((c.now-j.arrivedAt)/second), "run_s", int(j.spec.RuntimeSeconds), "due_s", int(j.spec.DeadlineSeconds), "cpu", float64(j.spec.ResourceRequest.CPU)/1e6, "guaranteed", j.initiallyGuaranteed)
+		"took_s", int((c.loop.Now()-j.arrivedAt)/second), "run_s", int(j.spec.RuntimeSeconds), "due_s", int(j.spec.DeadlineSeconds), "cpu", float64(j.spec.ResourceRequest.CPU)/1e6, "guaranteed", j.initiallyGuaranteed)
 	if end == cluster.JobCancelled {
 		c.stopAllTasks(j)
 	}
@@ -411,12 +411,12 @@
 // machine records that list more than they need to.
 func (c *Controller) writeBackgroundState() {
 	for _, j := range c.ownedJobs() {
-		if j.writeQueued || j.finalStatus != "" || j.recordTooLarge || c.now < j.nextCheckpointAt && len(c.writeQueue.queues[priorityStart]) > 0 {
+		if j.writeQueued || j.finalStatus != "" || j.recordTooLarge || c.loop.Now() < j.nextCheckpointAt && len(c.writeQueue.queues[priorityStart]) > 0 {
 			continue
 		}
 		for _, d := range j.dirtyChunks {
 			if d {
-				j.nextCheckpointAt = c.now + 4*c.config.Tuning.CheckpointInterval
+				j.nextCheckpointAt = c.loop.Now() + 4*c.config.Tuning.CheckpointInterval
 				c.writeJob(j, priorityBackground)
 				break
 			}
--- a/internal/controller/jobwrite.go
+++ b/internal/controller/jobwrite.go
@@ -233,7 +233,7 @@
 		var rec jobRecord
 		switch {
 		case r.Outcome != messages.OK:
-			c.after(second/2, func() { c.resolveFirstRecordConflict(j, prio) })
+			c.loop.After(second/2, func() { c.resolveFirstRecordConflict(j, prio) })
 		case json.Unmarshal(r.KV.Value, &rec) != nil || rec.Spec == nil || rec.CompletedIndexes != "" || rec.FinalStatus != "":
 			c.giveUpCorruptShard(c.shards[j.shard], j.chunkKey(0), "changed by another writer")
 		default:
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -12,7 +12,7 @@
 func answerProbe(b *controllerHarness, id cluster.NodeID, term cluster.Term) {
 	peer := b.peers[id]
 	peer.instanceID, peer.instanceSeenAt = "boot-"+string(id), 50*second
-	b.applyPingReply(peer, messages.Ping{InstanceID: peer.instanceID, KnownTerms: []cluster.Term{term, 1, 1}}, b.now)
+	b.applyPingReply(peer, messages.Ping{InstanceID: peer.instanceID, KnownTerms: []cluster.Term{term, 1, 1}}, b.loop.Now())
 }
 
 // sendAcquire makes the controller claim part 0 and returns the transaction, which
@@ -23,7 +23,7 @@
 	part.owned, part.ready, part.confirmedAt = false, false, 0
 	b.acquireShard(part)
 	b.writeQueue.dispatch()
-	for _, effect := range b.effects {
+	for _, effect := range b.loop.Effects() {
 		if claim, ok := effect.(messages.StoreTxn); ok {
 			return claim
 		}
@@ -52,15 +52,15 @@
 			b := newControllerHarness()
 			part := b.shards[0]
 			claim := sendAcquire(t, b)
-			sent := b.now
+			sent := b.loop.Now()
 
-			b.now += 3 * second
-			heard := b.now
+			setTime(b.Controller, b.loop.Now()+3*second)
+			heard := b.loop.Now()
 			answerProbe(b, "n1", test.heard)
 			answerProbe(b, "n2", ownTerm)
 
-			b.now += second
-			b.pendingCalls[claim.Call](messages.TxnReply{Outcome: messages.OK, Revision: 40})
+			setTime(b.Controller, b.loop.Now()+second)
+			b.loop.Deliver(messages.Reply{Call: claim.Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 40}})
 			if !part.owned || part.term != ownTerm {
 				t.Fatalf("held %v, term %d; want the part held with term %d", part.owned, part.term, ownTerm)
 			}
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -35,10 +35,10 @@
 				want = x.answer
 				m.pendingHeartbeat = 9
 				b.answerHeartbeat(m)
-				cmds = b.effects[len(b.effects)-1].(messages.Respond).Heartbeat.Commands
+				cmds = b.loop.Effects()[len(b.loop.Effects())-1].(messages.Respond).Heartbeat.Commands
 			} else {
 				b.pushQueuedCommands()
-				for _, f := range b.effects {
+				for _, f := range b.loop.Effects() {
 					if o, ok := f.(messages.PushCommands); ok {
 						cmds = o.Commands
 					}
@@ -63,14 +63,14 @@
 		m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
 		b.cancelOwnedJob("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
 		b.pushQueuedCommands()
-		o := b.effects[len(b.effects)-1].(messages.PushCommands)
-		b.effects = nil
+		o := b.loop.Effects()[len(b.loop.Effects())-1].(messages.PushCommands)
+		takeEffects(b.Controller)
 		r := cluster.HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: 1, SequenceNumber: 2, FencingToken: m.token, PreemptionNotice: -1, Tasks: []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}}}
-		b.pendingCalls[o.Call](messages.PushCommandsReply{Outcome: out, Status: r})
+		b.loop.Deliver(messages.Reply{Call: o.Call, Body: messages.PushCommandsReply{Outcome: out, Status: r}})
 		b.queueCommandPush(m)
-		b.effects = nil
+		takeEffects(b.Controller)
 		b.pushQueuedCommands()
-		if sent := len(b.effects) > 0; sent != again {
+		if sent := len(b.loop.Effects()) > 0; sent != again {
 			t.Errorf("after %v the stop is sent again: %v", out, sent)
 		}
 	}
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -23,18 +23,18 @@
 		p.owned, p.ready = true, true
 		g := c.newGroup(p, "g", 1)
 		m := c.addMachine(g, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
-		for c.now < 8*second {
-			c.workerReachability.lastOwnedHeartbeat = c.now
+		for c.loop.Now() < 8*second {
+			c.workerReachability.lastOwnedHeartbeat = c.loop.Now()
 			if !x.silent {
-				m.lastHeartbeat = c.now
+				m.lastHeartbeat = c.loop.Now()
 			}
-			for _, f := range c.Step(c.now+second/4, 0, messages.Tick{}) {
+			for _, f := range c.Step(c.loop.Now()+second/4, 0, messages.Tick{}) {
 				if f, ok := f.(messages.CloudList); ok {
 					r := messages.CloudListReply{Outcome: messages.OK}
 					if x.listed {
 						r.Items = []cluster.ListedMachine{{ID: "m-1", Status: "running", AgeSeconds: 100}}
 					}
-					c.pendingCalls[f.Call](r)
+					c.loop.Deliver(messages.Reply{Call: f.Call, Body: r})
 				}
 			}
 		}
@@ -56,13 +56,13 @@
 		if j.cancelling = x.cancelled; x.cancelled {
 			a.stopRequested = true
 		}
-		b.now += second
+		setTime(b.Controller, b.loop.Now()+second)
 		r := cluster.HeartbeatStatus{Machine: "m-1", Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1, Tasks: []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}}}
 		if x.acks {
 			r.FencingToken = m.token
 		}
 		b.reconcile(m, &r, false)
-		b.now += b.firstAcknowledgementTimeout() + second
+		setTime(b.Controller, b.loop.Now()+b.firstAcknowledgementTimeout()+second)
 		b.maintainMachines()
 		if m.releasing != x.returned {
 			t.Errorf("cancelled %v, acknowledged %v: returned %v", x.cancelled, x.acks, m.releasing)
@@ -79,14 +79,14 @@
 		m, a := b.addRunningMachine(b.addTestJob("j-1", 1))
 		a.stopRequested = true
 		a.job.cancelling = true
-		if m.lastHeartbeat = b.now; silent {
+		if m.lastHeartbeat = b.loop.Now(); silent {
 			m.lastHeartbeat -= 2*b.config.HeartbeatInterval + second
 		} else {
 			m.raisingToken, m.tokenAcknowledged = true, false
 		}
 		b.pushMaintenanceCommands(b.shards[0].machines)
 		var got []cluster.Command
-		for _, f := range b.effects {
+		for _, f := range b.loop.Effects() {
 			if o, ok := f.(messages.PushCommands); ok && o.Addr == m.address {
 				got = append(got, o.Commands...)
 			}
--- a/internal/controller/machine_owners_test.go
+++ b/internal/controller/machine_owners_test.go
@@ -30,19 +30,19 @@
 				got = rec.listed
 			}
 		})
-		for i := 0; i < len(c.effects); i++ {
-			switch f := c.effects[i].(type) {
+		for i := 0; i < len(c.loop.Effects()); i++ {
+			switch f := c.loop.Effects()[i].(type) {
 			case messages.StoreList:
 				r := messages.ListReply{Outcome: messages.OK, Revision: 5}
 				if f.Prefix == "groups/" {
 					r.Items, r.Paginated = []messages.KV{record("b", "m-1")}, true
 				}
-				c.pendingCalls[f.Call](r)
+				c.loop.Deliver(messages.Reply{Call: f.Call, Body: r})
 			case messages.StoreWatch:
 				if asked = true; f.SinceRevision != 5 || f.Prefix != "groups/" {
 					t.Errorf("asked for changes of %s since %d", f.Prefix, f.SinceRevision)
 				}
-				c.pendingCalls[f.Call](messages.WatchReply{Outcome: watched, Items: []messages.KV{record("a", "m-2"), {Key: "groups/x"}}, Revision: 9})
+				c.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.WatchReply{Outcome: watched, Items: []messages.KV{record("a", "m-2"), {Key: "groups/x"}}, Revision: 9}})
 			}
 		}
 		if !asked || !ended {
--- a/internal/controller/machinegroups.go
+++ b/internal/controller/machinegroups.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"sort"
 	"strconv"
 	"strings"
@@ -247,7 +249,7 @@
 		g.nextWritePriority = again
 		return
 	}
-	c.after(second, func() { c.queueNextWrite(g) })
+	c.loop.After(second, func() { c.queueNextWrite(g) })
 }
 
 // queueNextWrite queues the write that was wanted while one was on its way.
@@ -291,7 +293,7 @@
 		}
 		if x.raisesToken {
 			m.raisingToken = false
-			m.token, m.tokenAcknowledged, m.unacknowledgedSince = cluster.FencingToken(e), false, c.now
+			m.token, m.tokenAcknowledged, m.unacknowledgedSince = cluster.FencingToken(e), false, c.loop.Now()
 		}
 		if x.releases && !m.releaseConfirmed {
 			m.releaseConfirmed = true
@@ -317,7 +319,7 @@
 func (c *Controller) splitAndMergeGroups(p *shard) {
 	limit := c.valueLimit()
 	var small []*machineGroup
-	for _, id := range sortedKeys(c.machineGroups) {
+	for _, id := range slices.Sorted(maps.Keys(c.machineGroups)) {
 		g := c.machineGroups[id]
 		if g.shardID != p.id || g.writeInFlight || g.offer != nil || len(g.machines) == 0 {
 			continue
@@ -388,7 +390,7 @@
 			}
 			to = rec.ShardID
 		default:
-			c.after(second, func() {
+			c.loop.After(second, func() {
 				if c.machineGroups[g.id] == g {
 					c.checkGroup(g)
 				}
@@ -410,7 +412,7 @@
 // dropTransferredGroup forgets a group that another part has taken. Its record listed no
 // task, so what was planned for it was never sent.
 func (c *Controller) dropTransferredGroup(g *machineGroup, to cluster.ShardID) {
-	c.log(messages.LogDebug, "group moved away", "group", g.id, "machines", len(g.machines), "to", int(to))
+	c.loop.Log(messages.LogDebug, "group moved away", "group", g.id, "machines", len(g.machines), "to", int(to))
 	delete(c.machineGroups, g.id)
 	for _, m := range g.sortedMachines() {
 		c.dropMachine(m)
@@ -418,7 +420,7 @@
 			c.unassignTask(a)
 		}
 		if to >= 0 && int(to) < len(c.shards) {
-			c.machineOwners.record(m.id, to, c.now)
+			c.machineOwners.record(m.id, to, c.loop.Now())
 		}
 	}
 }
@@ -540,7 +542,7 @@
 		case k == nil:
 			return "lists a task of no known job"
 		case k.finalStatus == cluster.JobCancelled:
-			j = newJob(cluster.JobSpec{ID: jid, Team: k.team, ResourceRequest: k.resourceRequest, Tasks: k.tasks}, p.id, 0, c.now)
+			j = newJob(cluster.JobSpec{ID: jid, Team: k.team, ResourceRequest: k.resourceRequest, Tasks: k.tasks}, p.id, 0, c.loop.Now())
 			j.finalStatus, j.cancelling = cluster.JobCancelled, true
 			c.addOwnedJob(j)
 		default:
@@ -563,6 +565,6 @@
 
 func (c *Controller) recordOwners(part cluster.ShardID, ms []grouprecord.Machine) {
 	for i := range ms {
-		c.machineOwners.record(ms[i].ID, part, c.now)
+		c.machineOwners.record(ms[i].ID, part, c.loop.Now())
 	}
 }
--- a/internal/controller/machineowners.go
+++ b/internal/controller/machineowners.go
@@ -100,7 +100,7 @@
 			id := record.Machines[i].ID
 			listed[id] = true
 			if c.machines[id] == nil {
-				c.machineOwners.record(id, record.ShardID, c.now)
+				c.machineOwners.record(id, record.ShardID, c.loop.Now())
 			}
 		}
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -134,7 +134,7 @@
 
 func (c *Controller) addMachine(g *machineGroup, l grouprecord.Machine, token cluster.FencingToken) *machine {
 	m := &machine{id: l.ID, shardID: g.shardID, group: g, address: l.Address, machineType: l.Kind.Type, zone: l.Kind.Zone, spot: l.Kind.Spot, token: token,
-		ownedSince: c.now, lastHeartbeat: c.now, idleSince: c.now, unacknowledgedSince: c.now, booting: l.Booting,
+		ownedSince: c.loop.Now(), lastHeartbeat: c.loop.Now(), idleSince: c.loop.Now(), unacknowledgedSince: c.loop.Now(), booting: l.Booting,
 		assignments: map[cluster.TaskID]*assignment{}, endedToAcknowledge: map[taskAttempt]bool{}, unrecordedToStop: map[taskAttempt]bool{}, failedJobs: map[cluster.JobID]bool{}}
 	if old := c.machines[m.id]; old != nil { // never two pictures of one machine
 		c.removeMachine(old)
@@ -189,7 +189,7 @@
 	if to == c.config.Self {
 		to = ""
 	}
-	c.emit(messages.Respond{Request: req, Status: messages.ReplyMisdirected, Heartbeat: &messages.HeartbeatResponse{RedirectTo: to}})
+	c.loop.Emit(messages.Respond{Request: req, Status: messages.ReplyMisdirected, Heartbeat: &messages.HeartbeatResponse{RedirectTo: to}})
 }
 
 func (m *machine) sortedAssignments() []*assignment {
@@ -227,7 +227,7 @@
 	}
 	c.unassignTask(a)
 	if len(m.assignments) == 0 {
-		m.idleSince = c.now
+		m.idleSince = c.loop.Now()
 	}
 }
 
--- a/internal/controller/machinetypecache.go
+++ b/internal/controller/machinetypecache.go
@@ -2,9 +2,11 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 )
 
@@ -43,15 +45,14 @@
 // prices move.
 func (c *Controller) fetchMachineTypes() {
 	c.forceCloudCall()
-	c.emit(messages.CloudMachineTypes{Call: c.registerCall(func(b any) {
-		r := b.(messages.MachineTypesReply)
+	c.loop.Emit(messages.CloudMachineTypes{Call: eventloop.Call(c.loop, func(r messages.MachineTypesReply) {
 		if r.Outcome != messages.OK || len(r.Types) == 0 {
-			c.after(2*second, c.fetchMachineTypes)
+			c.loop.After(2*second, c.fetchMachineTypes)
 			return
 		}
 		c.applyMachineTypes(r.Types)
-		c.after(3*second, c.writeMachineTypeCache) // the start has more urgent writes
-		c.after(60*second, c.fetchMachineTypes)
+		c.loop.After(3*second, c.writeMachineTypeCache) // the start has more urgent writes
+		c.loop.After(60*second, c.fetchMachineTypes)
 	})})
 }
 
@@ -72,7 +73,7 @@
 		case messages.NotFound:
 			c.machineTypeCache.loaded = true
 		default:
-			c.after(second, c.loadMachineTypeCache)
+			c.loop.After(second, c.loadMachineTypeCache)
 			return
 		}
 		c.writeMachineTypeCache()
@@ -84,12 +85,12 @@
 	c.machineTypeCache.loaded, c.machineTypeCache.modRevision = true, kv.ModRevision
 	var rec machineTypesRecord
 	if json.Unmarshal(kv.Value, &rec) != nil {
-		c.log(messages.LogError, "unreadable record", "key", kv.Key)
+		c.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	c.machineTypeCache.types = rec.Types
 	if len(c.machineTypes) == 0 && len(rec.Types) > 0 {
-		c.log(messages.LogInfo, "machine types from the store", "types", len(rec.Types))
+		c.loop.Log(messages.LogInfo, "machine types from the store", "types", len(rec.Types))
 		c.applyMachineTypes(rec.Types)
 	}
 }
@@ -115,7 +116,7 @@
 		return
 	}
 	var types []cluster.MachineType
-	for _, name := range sortedKeys(c.machineTypes) {
+	for _, name := range slices.Sorted(maps.Keys(c.machineTypes)) {
 		types = append(types, c.machineTypes[name])
 	}
 	if s.equalExceptPrices(types) {
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -1,6 +1,9 @@
 package controller
 
 import (
+	"maps"
+	"slices"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/messages"
@@ -10,8 +13,8 @@
 // returned.
 
 func (c *Controller) handleMachineBooted(m *machine) {
-	c.log(messages.LogDebug, "machine up", "machine", string(m.id), "type", m.machineType, "after_s", int((c.now-m.ownedSince)/second))
-	m.idleSince = c.now // it has not been idle while it booted
+	c.loop.Log(messages.LogDebug, "machine up", "machine", string(m.id), "type", m.machineType, "after_s", int((c.loop.Now()-m.ownedSince)/second))
+	m.idleSince = c.loop.Now() // it has not been idle while it booted
 	c.schedulingTrigger.request()
 }
 
@@ -25,7 +28,7 @@
 // maintainMachines looks after the machines: raises tokens, gives up the silent,
 // returns the idle and replaces slow boots.
 func (c *Controller) maintainMachines() {
-	reporting := c.workerReachability.hasOwnedHeartbeatWithin(c.now, c.config.HeartbeatInterval)
+	reporting := c.workerReachability.hasOwnedHeartbeatWithin(c.loop.Now(), c.config.HeartbeatInterval)
 	var ms []*machine
 	for _, p := range c.shards {
 		if p.owned && p.ready {
@@ -90,7 +93,7 @@
 	c := s.controller
 	t := c.machineTypes[m.machineType]
 	patience := cluster.Time((t.BootSeconds*c.config.Tuning.BootTimeoutFactor + 5) * float64(second))
-	return t.BootSeconds > 0 && c.now-m.ownedSince > patience
+	return t.BootSeconds > 0 && c.loop.Now()-m.ownedSince > patience
 }
 
 // stopFailureReason says why a machine can't be relied on to stop tasks, or "".
@@ -115,8 +118,8 @@
 	if m.tokenAcknowledged || m.raisingToken || m.incarnation == 0 {
 		return false
 	}
-	unacked := c.now - max(m.unacknowledgedSince, c.processHealth.resumedAt)
-	return unacked > c.config.WorkerLease+5*second && c.heartbeatAge(m) < 3*c.config.WorkerLease && c.now-m.ownedSince > c.config.WorkerLease
+	unacked := c.loop.Now() - max(m.unacknowledgedSince, c.processHealth.resumedAt)
+	return unacked > c.config.WorkerLease+5*second && c.heartbeatAge(m) < 3*c.config.WorkerLease && c.loop.Now()-m.ownedSince > c.config.WorkerLease
 }
 
 // silenceReason says how a machine counts as lost that is not heard any more, or "".
@@ -126,7 +129,7 @@
 	switch {
 	case m.missingFromCloudList && silent > 5*c.config.HeartbeatInterval/2 && s.workersReporting:
 		return "silent and not listed"
-	case silent > lease+5*second && (s.workersReporting || silent > 3*lease) && c.now-m.ownedSince > lease:
+	case silent > lease+5*second && (s.workersReporting || silent > 3*lease) && c.loop.Now()-m.ownedSince > lease:
 		return "silent"
 	}
 	return ""
@@ -135,9 +138,9 @@
 // scaleInReason says why a machine without tasks is to be given back, or "".
 func (s *machineMaintenance) scaleInReason(m *machine) string {
 	c := s.controller
-	idleFor := c.now - m.idleSince
+	idleFor := c.loop.Now() - m.idleSince
 	switch {
-	case m.draining && len(m.assignments) == 0 && c.now > m.preemptionDeadline:
+	case m.draining && len(m.assignments) == 0 && c.loop.Now() > m.preemptionDeadline:
 		return "drained"
 	case m.liveTaskCount() > 0:
 		return ""
@@ -159,7 +162,7 @@
 	asked := 0
 	for _, cancelled := range []bool{true, false} {
 		for _, m := range ms {
-			if m.releaseConfirmed || m.pushInFlight || m.address == "" || m.booting || c.now-m.lastPushAt <= 1500*millisecond || asked >= maxTokenCalls {
+			if m.releaseConfirmed || m.pushInFlight || m.address == "" || m.booting || c.loop.Now()-m.lastPushAt <= 1500*millisecond || asked >= maxTokenCalls {
 				continue
 			}
 			if cancelled && c.hasCancelledTask(m) && (!m.tokenAcknowledged || c.heartbeatAge(m) > 2*c.config.HeartbeatInterval) {
@@ -193,10 +196,10 @@
 	if !m.awaitingFirstAcknowledgement {
 		return false
 	}
-	if c.now-max(m.ownedSince, c.processHealth.resumedAt) > c.firstAcknowledgementTimeout() {
+	if c.loop.Now()-max(m.ownedSince, c.processHealth.resumedAt) > c.firstAcknowledgementTimeout() {
 		return true
 	}
-	return c.hasLongCancelledTask(m) && m.pushInFlight && c.now-max(m.lastPushAt, c.processHealth.resumedAt) > slowPushThreshold
+	return c.hasLongCancelledTask(m) && m.pushInFlight && c.loop.Now()-max(m.lastPushAt, c.processHealth.resumedAt) > slowPushThreshold
 }
 
 // slowPushThreshold is well above what a call takes to a machine that runs.
@@ -209,7 +212,7 @@
 func (c *Controller) hasLongCancelledTask(m *machine) bool {
 	for _, a := range m.assignments {
 		known := c.jobs.finalJob(a.task.Job)
-		if a.isLive() && known != nil && known.finalStatus == cluster.JobCancelled && c.now-known.finalSince > c.config.CancelDeadline/2 {
+		if a.isLive() && known != nil && known.finalStatus == cluster.JobCancelled && c.loop.Now()-known.finalSince > c.config.CancelDeadline/2 {
 			return true
 		}
 	}
@@ -236,7 +239,7 @@
 // perhaps they don't reach the machine.
 func (c *Controller) ignoresStop(m *machine) bool {
 	for _, a := range m.assignments {
-		if a.isLive() && a.stopRequestedAt > 0 && a.job.cancelling && c.now-a.stopRequestedAt > min(c.config.WorkerLease+2*second, c.config.CancelDeadline/2) {
+		if a.isLive() && a.stopRequestedAt > 0 && a.job.cancelling && c.loop.Now()-a.stopRequestedAt > min(c.config.WorkerLease+2*second, c.config.CancelDeadline/2) {
 			return true
 		}
 	}
@@ -273,7 +276,7 @@
 // cleanUpGroups clears what records list though it is over, and keeps the
 // records' sizes in hand.
 func (c *Controller) cleanUpGroups() {
-	for _, id := range sortedKeys(c.machineGroups) {
+	for _, id := range slices.Sorted(maps.Keys(c.machineGroups)) {
 		g := c.machineGroups[id]
 		if g.writePending {
 			continue
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -19,7 +19,7 @@
 		c := New(cfg)
 		c.Step(0, 0, messages.Tick{})
 		for id, p := range c.peers {
-			p.hasAnswered, p.lastPingAt, p.lastPing = true, c.now, messages.Ping{CloudDemand: demand[id]}
+			p.hasAnswered, p.lastPingAt, p.lastPing = true, c.loop.Now(), messages.Ping{CloudDemand: demand[id]}
 		}
 		c.cloudRate.demand = demand[self]
 		c.updateCloudRate()
@@ -86,7 +86,7 @@
 	for _, p := range []*shard{mine, theirs} {
 		p.owned, p.ready, p.owner = true, true, "n0"
 	}
-	home.hasAnswered, home.lastPingAt, home.healthySince = true, c.now, second
+	home.hasAnswered, home.lastPingAt, home.healthySince = true, c.loop.Now(), second
 	if len(c.makePing(home).FailbackOffers) != 1 {
 		t.Error("a part without work is not offered to its home")
 	}
@@ -110,14 +110,14 @@
 	p := c.shardForMachine("m-000007")
 	p.owned, p.ready = true, true
 	owned, enlisted, reads := true, false, 0
-	for c.now < 300*second {
-		if c.now > 70*second {
+	for c.loop.Now() < 300*second {
+		if c.loop.Now() > 70*second {
 			owned = false // returned; the list shows it for 16 s more
 		}
-		if c.now < 86*second && c.now%(8*second) == 0 {
+		if c.loop.Now() < 86*second && c.loop.Now()%(8*second) == 0 {
 			c.applyCloudListItem(cluster.ListedMachine{ID: "m-000007", Type: "small", Zone: "a", AgeSeconds: 500})
 		}
-		queue := c.Step(c.now+second/2, 0, messages.Tick{})
+		queue := c.Step(c.loop.Now()+second/2, 0, messages.Tick{})
 		for len(queue) > 0 {
 			f := queue[0]
 			queue = queue[1:]
@@ -128,7 +128,7 @@
 				if f.Prefix == "groups/" && owned {
 					r.Items = []messages.KV{{Key: "groups/x", Value: grouprecord.Encode(grouprecord.Record{ShardID: 3, Machines: []grouprecord.Machine{{ID: "m-000007", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}}, WriteID: "n"})}}
 				}
-				queue = append(queue, c.Step(c.now, 0, messages.Reply{Call: f.Call, Body: r})...)
+				queue = append(queue, c.Step(c.loop.Now(), 0, messages.Reply{Call: f.Call, Body: r})...)
 			case messages.Log:
 				enlisted = enlisted || f.Message == "adopted stray machine"
 			}
@@ -156,11 +156,11 @@
 		m.ownedSince = 0
 	}
 	c.processHealth.resumedAt = 0 // the step to 30 s was no standstill
-	c.workerReachability.lastOwnedHeartbeat = c.now - 3*second
+	c.workerReachability.lastOwnedHeartbeat = c.loop.Now() - 3*second
 	if !c.canReachWorkers() {
 		t.Error("workers count as lost while reports may still be on their way")
 	}
-	c.workerReachability.lastOwnedHeartbeat = c.now - 4*second
+	c.workerReachability.lastOwnedHeartbeat = c.loop.Now() - 4*second
 	if c.canReachWorkers() {
 		t.Error("20 machines silent for 4 s, reports each 2.5 s: the workers count as in reach")
 	}
@@ -168,11 +168,11 @@
 	o := newSevenNodeController()
 	o.Step(30*second, 0, messages.Tick{})
 	owner := o.peers["n1"]
-	owner.hasAnswered, owner.lastPingAt, owner.lastPing = true, o.now, messages.Ping{StoreReachable: true, WorkersReachable: false}
+	owner.hasAnswered, owner.lastPingAt, owner.lastPing = true, o.loop.Now(), messages.Ping{StoreReachable: true, WorkersReachable: false}
 	if o.isFailed("n1") {
 		t.Error("an owner without workers is lost to one that hears no worker either")
 	}
-	o.Step(o.now, 0, messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: "m-1", Incarnation: 1, SequenceNumber: 1}})
+	o.Step(o.loop.Now(), 0, messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: "m-1", Incarnation: 1, SequenceNumber: 1}})
 	if !o.isFailed("n1") {
 		t.Error("an owner without workers is kept though its workers report here")
 	}
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -26,9 +26,9 @@
 			b := newControllerHarness()
 			lines := 0
 			for req := range 2 {
-				b.effects = nil
+				takeEffects(b.Controller)
 				b.handlePeerRequest(messages.PeerRequest{Request: messages.RequestID(req + 1), Message: messages.PeerMessage{Version: peerProtocolVersion, From: "n1", Ping: &ping}})
-				for _, effect := range b.effects {
+				for _, effect := range b.loop.Effects() {
 					switch effect := effect.(type) {
 					case messages.Respond:
 						if effect.Status != 400 || !strings.HasPrefix(effect.Error, name) {
@@ -87,10 +87,10 @@
 		b.queryOwner(b.peers["n1"], "j-1", func(messages.ReplyStatus, cluster.JobView) { answered++ })
 	}
 	sentMessages := 0
-	for end := b.now + second; b.now < end; b.now += 10 * millisecond {
-		b.effects = nil
-		b.runTimers()
-		for _, effect := range b.effects {
+	for end := b.loop.Now() + second; b.loop.Now() < end; setTime(b.Controller, b.loop.Now()+10*millisecond) {
+		takeEffects(b.Controller)
+		b.loop.RunTimers()
+		for _, effect := range b.loop.Effects() {
 			call, ok := effect.(messages.PeerCall)
 			if !ok || call.Message.Query == nil {
 				continue
@@ -99,7 +99,7 @@
 			if len(call.Message.Query.IDs) > maxQueriesPerMessage {
 				t.Errorf("a message asks %d questions", len(call.Message.Query.IDs))
 			}
-			b.pendingCalls[call.Call](messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Views: []cluster.JobView{{ID: "j-1", Status: cluster.JobRunning}}}})
+			b.loop.Deliver(messages.Reply{Call: call.Call, Body: messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Views: []cluster.JobView{{ID: "j-1", Status: cluster.JobRunning}}}}})
 		}
 	}
 	if sentMessages != 3 || answered != questions {
--- a/internal/controller/nodeliveness.go
+++ b/internal/controller/nodeliveness.go
@@ -43,7 +43,7 @@
 		}
 		// The first reading only shows what was written before it failed.
 		if p.livenessRead && r.KV.ModRevision != p.livenessModRevision {
-			p.lastWriteSeenAt, p.recoverySeenAt = c.now, c.now
+			p.lastWriteSeenAt, p.recoverySeenAt = c.loop.Now(), c.loop.Now()
 		}
 		p.livenessRead, p.livenessModRevision = true, r.KV.ModRevision
 	})
--- a/internal/controller/orphans.go
+++ b/internal/controller/orphans.go
@@ -5,6 +5,7 @@
 	"strconv"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/grouprecord"
@@ -88,7 +89,7 @@
 // handleUnknownHeartbeat answers a worker that this node doesn't own. Who does is known
 // from the records; one reading of them serves all that ask meanwhile.
 func (c *Controller) handleUnknownHeartbeat(e messages.Heartbeat) {
-	if part, ok := c.machineOwners.recent(e.Status.Machine, c.now, ownerHintFresh); ok {
+	if part, ok := c.machineOwners.recent(e.Status.Machine, c.loop.Now(), ownerHintFresh); ok {
 		c.redirectToOwner(e.Request, part)
 		return
 	}
@@ -118,10 +119,10 @@
 	if !o.startSearch() {
 		return
 	}
-	c.after(o.nextSearchDelay(c.now), func() {
-		reports := o.takeHeartbeats(c.now)
+	c.loop.After(o.nextSearchDelay(c.loop.Now()), func() {
+		reports := o.takeHeartbeats(c.loop.Now())
 		c.readRecordedMachines(func(rec *recordedMachines) {
-			o.endSearch(c.now)
+			o.endSearch(c.loop.Now())
 			for _, e := range reports {
 				c.answerUnknownHeartbeat(e, rec)
 			}
@@ -157,8 +158,7 @@
 		return
 	}
 	c.orphanedMachines.registering[id] = true
-	c.emit(messages.QueryWorkerStatus{Addr: r.Addr, Call: c.registerCall(func(b any) {
-		reply := b.(messages.PushCommandsReply)
+	c.loop.Emit(messages.QueryWorkerStatus{Addr: r.Addr, Call: eventloop.Call(c.loop, func(reply messages.PushCommandsReply) {
 		if reply.Outcome != messages.OK || reply.Status.Machine != id || !p.owned || !p.ready {
 			delete(c.orphanedMachines.registering, id)
 			return
@@ -177,18 +177,18 @@
 	if l.AgeSeconds < 3*float64(c.config.CloudListLag)/float64(second)+20 {
 		return
 	}
-	if _, ok := c.machineOwners.recent(l.ID, c.now, ownerHintRetention); ok {
+	if _, ok := c.machineOwners.recent(l.ID, c.loop.Now(), ownerHintRetention); ok {
 		return
 	}
 	p := c.shardForMachine(l.ID)
 	if !p.owned || !p.ready || c.isStoreUnavailableFor(second) {
 		return
 	}
-	if c.orphanedMachines.isTooNew(l.ID, c.now, c.minOrphanAge()) || c.orphanedMachines.registering[l.ID] {
+	if c.orphanedMachines.isTooNew(l.ID, c.loop.Now(), c.minOrphanAge()) || c.orphanedMachines.registering[l.ID] {
 		return
 	}
 	if c.orphanedMachines.addCandidate(l) {
-		c.after(0, c.adoptCandidates)
+		c.loop.After(0, c.adoptCandidates)
 	}
 }
 
@@ -216,13 +216,13 @@
 		return
 	}
 	if _, ok := o.unrecordedSince[l.ID]; !ok {
-		o.unrecordedSince[l.ID] = c.now
+		o.unrecordedSince[l.ID] = c.loop.Now()
 		return
 	}
-	if o.isTooNew(l.ID, c.now, c.minOrphanAge()) {
+	if o.isTooNew(l.ID, c.loop.Now(), c.minOrphanAge()) {
 		return
 	}
-	c.log(messages.LogInfo, "adopted stray machine", "machine", string(l.ID))
+	c.loop.Log(messages.LogInfo, "adopted stray machine", "machine", string(l.ID))
 	c.queueRegistration(p, grouprecord.Machine{ID: l.ID, Kind: kind, Address: l.Addr})
 }
 
@@ -235,7 +235,7 @@
 		return
 	}
 	claim := p.claimRevision
-	c.after(100*millisecond, func() {
+	c.loop.After(100*millisecond, func() {
 		all := p.toRegister
 		p.toRegister = nil
 		for n := c.groupMachines(); len(all) > 0; {
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -40,9 +40,10 @@
 			m.assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(ms, m)}].phase = phaseReady
 			c.queueCommandPush(m)
 		}
-		c.effects, c.processHealth.load = nil, l
+		takeEffects(c)
+		c.processHealth.load = l
 		c.pushQueuedCommands()
-		for _, f := range c.effects {
+		for _, f := range c.loop.Effects() {
 			to = append(to, f.(messages.PushCommands).Addr)
 		}
 		return to
--- a/internal/controller/ownerqueries.go
+++ b/internal/controller/ownerqueries.go
@@ -61,14 +61,14 @@
 // queryOwner asks another controller, which holds a job's part, for its state.
 func (c *Controller) queryOwner(p *peer, id cluster.JobID, answer func(messages.ReplyStatus, cluster.JobView)) {
 	if c.ownerQueries.enqueue(p.id, ownerQuery{id, answer}) {
-		c.after(queryBatchDelay, func() { c.sendOwnerQueries(p) })
+		c.loop.After(queryBatchDelay, func() { c.sendOwnerQueries(p) })
 	}
 }
 
 func (c *Controller) sendOwnerQueries(p *peer) {
 	batch, more := c.ownerQueries.takeBatch(p.id)
 	if more {
-		c.after(queryBatchDelay, func() { c.sendOwnerQueries(p) })
+		c.loop.After(queryBatchDelay, func() { c.sendOwnerQueries(p) })
 	}
 	ids := make([]cluster.JobID, len(batch))
 	for i, q := range batch {
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -37,11 +37,13 @@
 	for _, q := range c.peers {
 		words = append(words, q.acknowledgement())
 	}
-	return p.ownershipClaim().LastConfirmedAt(c.now, words)
+	return p.ownershipClaim().LastConfirmedAt(c.loop.Now(), words)
 }
 
 // confirmationAge is how long ago that was.
-func (c *Controller) confirmationAge(p *shard) cluster.Time { return c.now - c.ownershipConfirmedAt(p) }
+func (c *Controller) confirmationAge(p *shard) cluster.Time {
+	return c.loop.Now() - c.ownershipConfirmedAt(p)
+}
 
 // canAnswerWorkers tells whether this controller may still answer a part's workers.
 func (c *Controller) canAnswerWorkers(p *shard) bool {
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -47,7 +47,7 @@
 		b := newControllerHarness()
 		p := b.shards[0]
 		p.confirmedAt = 100 * second
-		b.now = heard
+		setTime(b.Controller, heard)
 		for _, id := range []cluster.NodeID{"n1", "n2"} {
 			q := b.peers[id]
 			q.instanceID, q.instanceSeenAt = "b-"+string(id), 50*second
@@ -64,10 +64,10 @@
 		if at := b.ownershipConfirmedAt(p); at != x.certain {
 			t.Errorf("%s: certain as of %d s, want %d s", x.name, at/second, x.certain/second)
 		}
-		if b.now == heard && x.certain == heard && !b.canStartTasks(p) {
+		if b.loop.Now() == heard && x.certain == heard && !b.canStartTasks(p) {
 			t.Errorf("%s: may not start", x.name)
 		}
-		b.now += 8 * second
+		setTime(b.Controller, b.loop.Now()+8*second)
 		if b.canAnswerWorkers(p) != x.entitled || b.canStartTasks(p) != x.may {
 			t.Errorf("%s, 8 s later: entitled %v, may start %v", x.name, b.canAnswerWorkers(p), b.canStartTasks(p))
 		}
@@ -82,7 +82,7 @@
 		j := b.addTestJob("j-1", 1)
 		m, a := b.addRunningMachine(j)
 		a.phase = phaseReady
-		b.now += d
+		setTime(b.Controller, b.loop.Now()+d)
 		if n := len(b.commandsFor(m, false)); n != want {
 			t.Errorf("%d s after the last proof: %d starts", d/second, n)
 		}
@@ -95,7 +95,7 @@
 	b := newControllerHarness()
 	p := b.shards[0]
 	b.runFor(b.config.CancelDeadline)
-	if d := b.now - p.confirmedAt; d > 4*second || !b.canAnswerWorkers(p) || !b.canStartTasks(p) {
+	if d := b.loop.Now() - p.confirmedAt; d > 4*second || !b.canAnswerWorkers(p) || !b.canStartTasks(p) {
 		t.Errorf("last proven %d s ago: entitled %v, may start %v", d/second, b.canAnswerWorkers(p), b.canStartTasks(p))
 	}
 }
--- a/internal/controller/ownershipcheck.go
+++ b/internal/controller/ownershipcheck.go
@@ -37,19 +37,19 @@
 		return
 	}
 	s.scheduled = true
-	c.after(max(0, s.lastReadAt+jobReadInterval-c.now), func() { c.readOwnership(p) })
+	c.loop.After(max(0, s.lastReadAt+jobReadInterval-c.loop.Now()), func() { c.readOwnership(p) })
 }
 
 // readOwnership reads a part's claim for those who wait now.
 func (c *Controller) readOwnership(p *shard) {
 	s := &p.ownershipChecks
 	batch, mark := s.take(), p.modRevision
-	s.lastReadAt = c.now
+	s.lastReadAt = c.loop.Now()
 	if len(batch) == 0 { // the part was lost meanwhile
 		s.scheduled = false
 		return
 	}
-	begun := c.now
+	begun := c.loop.Now()
 	c.readKey(p.key(), func(r messages.GetReply) {
 		s.scheduled = false
 		if r.Outcome == messages.OK {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 )
 
@@ -37,7 +38,7 @@
 func (c *Controller) callPeer(to cluster.NodeID, timeout cluster.Time, m messages.PeerMessage, fn func(messages.PeerReply)) {
 	m.Version, m.From = peerProtocolVersion, c.config.Self
 	c.counters.PeerCalls++
-	c.emit(messages.PeerCall{Call: c.registerCall(func(b any) { fn(b.(messages.PeerReply)) }), To: to, Timeout: timeout, Message: m})
+	c.loop.Emit(messages.PeerCall{Call: eventloop.Call(c.loop, fn), To: to, Timeout: timeout, Message: m})
 }
 
 func (c *Controller) handleLivenessChange() {
@@ -52,20 +53,20 @@
 }
 
 func (c *Controller) makePing(to *peer) *messages.Ping {
-	g := &messages.Ping{InstanceID: c.config.InstanceID, StoreReachable: !c.isStoreUnavailableFor(2500*millisecond) && (c.storeHealth.lastSuccess > 0 || c.now < startupGrace), WorkersReachable: c.canReachWorkers(), MillisSinceContact: map[cluster.NodeID]int64{}, StoreFailing: c.storeHealth.failing}
+	g := &messages.Ping{InstanceID: c.config.InstanceID, StoreReachable: !c.isStoreUnavailableFor(2500*millisecond) && (c.storeHealth.lastSuccess > 0 || c.loop.Now() < startupGrace), WorkersReachable: c.canReachWorkers(), MillisSinceContact: map[cluster.NodeID]int64{}, StoreFailing: c.storeHealth.failing}
 	for _, p := range c.shards {
 		if !p.owned {
 			continue
 		}
 		g.Shards = append(g.Shards, messages.ShardTerm{Shard: p.id, Term: p.term})
 		if to != nil && p.preferredOwner == to.id && p.ready && !to.failed && to.healthySince > 0 &&
-			c.now-to.healthySince > c.config.Tuning.FailbackDelay && c.now-p.ownershipChangedAt > c.config.Tuning.FailbackDelay && c.failbackRelievesLoad(p) {
+			c.loop.Now()-to.healthySince > c.config.Tuning.FailbackDelay && c.loop.Now()-p.ownershipChangedAt > c.config.Tuning.FailbackDelay && c.failbackRelievesLoad(p) {
 			g.FailbackOffers = append(g.FailbackOffers, p.id)
 		}
 	}
 	for _, id := range c.config.Nodes {
 		if p := c.peers[id]; p != nil && p.hasAnswered {
-			g.MillisSinceContact[id] = int64((c.now - p.lastAnswerAt) / millisecond)
+			g.MillisSinceContact[id] = int64((c.loop.Now() - p.lastAnswerAt) / millisecond)
 		}
 	}
 	g.TransferOffers = c.transferOffers()
@@ -98,10 +99,10 @@
 // applyPingReply takes in the answer to a call sent at a time. Only answers give a
 // controller's word: its own calls may have been held up for minutes.
 func (c *Controller) applyPingReply(p *peer, g messages.Ping, sent cluster.Time) {
-	p.hasAnswered, p.lastAnswerAt, p.suspected = true, c.now, false
+	p.hasAnswered, p.lastAnswerAt, p.suspected = true, c.loop.Now(), false
 	if p.failed {
 		p.failed = false
-		c.log(messages.LogInfo, "peer is back", "peer", string(p.id))
+		c.loop.Log(messages.LogInfo, "peer is back", "peer", string(p.id))
 		c.handleLivenessChange()
 	}
 	c.applyPing(p, g)
@@ -111,19 +112,19 @@
 func (c *Controller) applyPing(p *peer, g messages.Ping) {
 	if p.instanceID != g.InstanceID {
 		p.instanceID, p.healthySince = g.InstanceID, 0
-		p.instanceSeenAt, p.acknowledgedCallAt, p.acknowledgedTerms = c.now, 0, nil
+		p.instanceSeenAt, p.acknowledgedCallAt, p.acknowledgedTerms = c.loop.Now(), 0, nil
 	}
-	p.lastPing, p.lastPingAt = g, c.now
+	p.lastPing, p.lastPingAt = g, c.loop.Now()
 	if g.FeatureLevel >= dependencyFeatureLevel {
 		c.versionRegistry.recordUpgraded(p.id)
 	}
 	if !g.StoreReachable || !g.WorkersReachable {
 		p.healthySince = 0
 	} else if p.healthySince == 0 {
-		p.healthySince = c.now
+		p.healthySince = c.loop.Now()
 	}
 	if g.StoreFailing || !g.StoreReachable {
-		c.storeHealth.probeUntil = c.now + 3*second
+		c.storeHealth.probeUntil = c.loop.Now() + 3*second
 	}
 	for key := range p.attemptedTransfers {
 		if !slices.ContainsFunc(g.TransferOffers, func(o messages.TransferOffer) bool { return o.Key == key }) {
@@ -177,13 +178,13 @@
 		// It serves, though calls don't reach it. Where all links between
 		// controllers were refused, the first to be heard again would else take
 		// the parts of those that are not heard yet.
-		if p.recoverySeenAt > 0 && c.now-p.recoverySeenAt < 6*second {
+		if p.recoverySeenAt > 0 && c.loop.Now()-p.recoverySeenAt < 6*second {
 			return false
 		}
 		alone := len(c.peers) > 1
 		for _, o := range c.config.Nodes {
 			q := c.peers[o]
-			if q == nil || q == p || q.failed || c.now-q.lastPingAt > 3*second {
+			if q == nil || q == p || q.failed || c.loop.Now()-q.lastPingAt > 3*second {
 				continue
 			}
 			alone = false
@@ -194,16 +195,16 @@
 		// A node that hears nobody is more likely cut off than alone in the
 		// world: it waits longer and takes records being written as a sign of life.
 		// After its own cut it must have had the store for a while to see those.
-		return !alone || c.now-p.failedAt > 6*second && c.now-p.lastWriteSeenAt > 6*second && c.now-c.storeHealth.healthySince > 8*second
+		return !alone || c.loop.Now()-p.failedAt > 6*second && c.loop.Now()-p.lastWriteSeenAt > 6*second && c.loop.Now()-c.storeHealth.healthySince > 8*second
 	}
-	if !p.hasAnswered || c.now-p.lastPingAt > 3*second {
+	if !p.hasAnswered || c.loop.Now()-p.lastPingAt > 3*second {
 		return false
 	}
 	// Its store counts as lost to it alone only if ours has served us all along:
 	// after an outage the first to be served would else take all the parts.
 	// What an idle controller heard of the store long ago says nothing.
-	return !p.lastPing.StoreReachable && c.storeHealth.isStable(c.now) ||
-		!p.lastPing.WorkersReachable && c.canReachWorkers() && c.workerReachability.hasHeartbeatWithin(c.now, 2*c.config.HeartbeatInterval)
+	return !p.lastPing.StoreReachable && c.storeHealth.isStable(c.loop.Now()) ||
+		!p.lastPing.WorkersReachable && c.canReachWorkers() && c.workerReachability.hasHeartbeatWithin(c.loop.Now(), 2*c.config.HeartbeatInterval)
 }
 
 func (c *Controller) handlePeerRequest(e messages.PeerRequest) {
@@ -215,7 +216,7 @@
 	}
 	reply := func(r messages.PeerMessage) {
 		r.Version, r.From = peerProtocolVersion, c.config.Self
-		c.emit(messages.Respond{Request: e.Request, Status: messages.ReplyOK, Peer: &r})
+		c.loop.Emit(messages.Respond{Request: e.Request, Status: messages.ReplyOK, Peer: &r})
 	}
 	switch {
 	case m.Ping != nil:
@@ -261,17 +262,17 @@
 
 // handleHealth tells whether this node can take requests.
 func (c *Controller) handleHealth(e messages.Health) {
-	if c.storeHealth.lastSuccess == 0 || len(c.machineTypes) == 0 && c.now < 10*second {
+	if c.storeHealth.lastSuccess == 0 || len(c.machineTypes) == 0 && c.loop.Now() < 10*second {
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "starting")
 		return
 	}
 	if c.isStoreUnavailableFor(2500 * millisecond) {
 		for _, p := range c.peers {
-			if !p.failed && p.lastPing.StoreReachable && c.now-p.lastPingAt < 3*second {
+			if !p.failed && p.lastPing.StoreReachable && c.loop.Now()-p.lastPingAt < 3*second {
 				c.respondError(e.Request, messages.ReplyUnavailable, 0, "store out of reach")
 				return
 			}
 		}
 	}
-	c.emit(messages.Respond{Request: e.Request, Status: messages.ReplyOK})
+	c.loop.Emit(messages.Respond{Request: e.Request, Status: messages.ReplyOK})
 }
--- a/internal/controller/pingvalidation.go
+++ b/internal/controller/pingvalidation.go
@@ -56,7 +56,7 @@
 	}
 	if why := err.Error(); p.lastPingError != why {
 		p.lastPingError = why
-		c.log(messages.LogInfo, "call makes no sense", "peer", string(p.id), "why", why)
+		c.loop.Log(messages.LogInfo, "call makes no sense", "peer", string(p.id), "why", why)
 	}
 	return false
 }
--- a/internal/controller/preempt.go
+++ b/internal/controller/preempt.go
@@ -36,7 +36,7 @@
 	}
 	for _, j := range jobs {
 		like := equivalenceClass{j.spec.Class, j.spec.Team, owed[j]}
-		if j.pendingCount() == 0 || j.effectivePriority < cluster.Urgent && !owed[j] || c.now < j.nextPreemptionAt || e.failedClasses[like] {
+		if j.pendingCount() == 0 || j.effectivePriority < cluster.Urgent && !owed[j] || c.loop.Now() < j.nextPreemptionAt || e.failedClasses[like] {
 			continue
 		}
 		if !e.preemptFor(j, like) {
@@ -108,7 +108,7 @@
 		}
 	}
 	if e.failedClasses[like] = made == 0; made > 0 {
-		j.nextPreemptionAt = c.now + preemptionBackoff
+		j.nextPreemptionAt = c.loop.Now() + preemptionBackoff
 	}
 	return true
 }
@@ -167,7 +167,7 @@
 			room = room.Plus(a.resourceRequest)
 			if !a.stopRequested {
 				c.stopTask(m, a, a.job.spec.SaveSeconds+1)
-				j.nextPreemptionAt = c.now + preemptionBackoff
+				j.nextPreemptionAt = c.loop.Now() + preemptionBackoff
 			}
 		}
 	}
--- a/internal/controller/processhealth.go
+++ b/internal/controller/processhealth.go
@@ -41,8 +41,8 @@
 // that: another may hold its parts, and that no machine was heard in the gap
 // says nothing about the machines.
 func (c *Controller) handleProcessPause() {
-	c.processHealth.resumedAt = c.now
-	c.log(messages.LogInfo, "stood still")
+	c.processHealth.resumedAt = c.loop.Now()
+	c.loop.Log(messages.LogInfo, "stood still")
 	for _, p := range c.shards {
 		if p.owned {
 			c.rereadShard(p)
@@ -52,5 +52,5 @@
 
 // heartbeatAge is how long a machine could have been heard and was not.
 func (c *Controller) heartbeatAge(m *machine) cluster.Time {
-	return c.now - max(m.lastHeartbeat, c.processHealth.resumedAt)
+	return c.loop.Now() - max(m.lastHeartbeat, c.processHealth.resumedAt)
 }
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -3,9 +3,11 @@
 import (
 	"bytes"
 	"encoding/json"
+	"maps"
 	"os"
 	"reflect"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 
@@ -43,8 +45,8 @@
 func TestProductionRecordsRead(t *testing.T) {
 	recs := loadProductionRecords(t)
 	b := newControllerHarness()
-	b.timers = timerQueue{}
-	for _, k := range sortedKeys(recs) {
+	dropTimers(b.Controller)
+	for _, k := range slices.Sorted(maps.Keys(recs)) {
 		kv := messages.KV{Key: k, Value: []byte(recs[k]), ModRevision: 31}
 		b.store.keys[k] = kv
 		switch {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -50,7 +50,7 @@
 	if state.stalledCheckpoints++; state.stalledCheckpoints%stallThreshold != 0 {
 		return
 	}
-	c.log(messages.LogInfo, "part makes no progress",
+	c.loop.Log(messages.LogInfo, "part makes no progress",
 		"part", int(p.id),
 		"why", string(why),
 		"checkpoints", state.stalledCheckpoints,
@@ -85,7 +85,7 @@
 	if holder == nil {
 		return false
 	}
-	if c.now-holder.lastPingAt > 3*second {
+	if c.loop.Now()-holder.lastPingAt > 3*second {
 		return !c.isFailed(p.owner)
 	}
 	return slices.ContainsFunc(holder.lastPing.Shards, func(held messages.ShardTerm) bool { return held.Shard == p.id })
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -23,15 +23,15 @@
 
 // runStallChecks lets so many checkpoints pass with nothing else happening.
 func (b *controllerHarness) runStallChecks(n int) []string {
-	b.effects = nil
+	takeEffects(b.Controller)
 	for range n {
-		b.now += 2 * second
+		setTime(b.Controller, b.loop.Now()+2*second)
 		for _, id := range []cluster.NodeID{"n1", "n2"} {
-			b.peers[id].lastPingAt = b.now
+			b.peers[id].lastPingAt = b.loop.Now()
 		}
 		b.checkShardProgress()
 	}
-	return loggedStalls(b.effects)
+	return loggedStalls(b.loop.Effects())
 }
 
 // TestStalledShardIsLogged: operators are told of a part that nobody serves, and
@@ -76,7 +76,7 @@
 			test.prepare(b)
 			beat := func() { // the machine goes on reporting
 				for _, m := range b.machines {
-					m.lastHeartbeat = b.now + 2*second
+					m.lastHeartbeat = b.loop.Now() + 2*second
 				}
 			}
 			var logged []string
--- a/internal/controller/provisioning_late_write_test.go
+++ b/internal/controller/provisioning_late_write_test.go
@@ -36,18 +36,17 @@
 	c.createProvisioningRequest(p, provisioningOption{"small", "a", true}, 2)
 	for range 3 {
 		c.writeQueue.dispatch()
-		out := c.effects
-		c.effects = nil
+		out := takeEffects(c)
 		for _, f := range out {
 			switch f := f.(type) {
 			case messages.StoreTxn:
 				if first == nil {
 					first = &f
 				}
-				c.pendingCalls[f.Call](carryOut(f))
+				c.loop.Deliver(messages.Reply{Call: f.Call, Body: carryOut(f)})
 			case messages.CloudScaleOut:
 				rented = true
-				c.pendingCalls[f.Call](messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1", "m-2"}})
+				c.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1", "m-2"}}})
 			}
 		}
 	}
@@ -70,10 +69,10 @@
 	b.createProvisioningRequest(p, provisioningOption{"small", "a", true}, 2)
 	var rent *messages.CloudScaleOut
 	for range 100 {
-		b.runTimers()
+		b.loop.RunTimers()
 		b.writeQueue.dispatch()
-		if i := slices.IndexFunc(b.effects, func(f messages.Effect) bool { _, ok := f.(messages.CloudScaleOut); return ok }); i >= 0 {
-			f := b.effects[i].(messages.CloudScaleOut)
+		if i := slices.IndexFunc(b.loop.Effects(), func(f messages.Effect) bool { _, ok := f.(messages.CloudScaleOut); return ok }); i >= 0 {
+			f := b.loop.Effects()[i].(messages.CloudScaleOut)
 			rent = &f
 			break
 		}
@@ -82,7 +81,7 @@
 	if rent == nil {
 		t.Fatal("nothing was asked of the cloud")
 	}
-	b.pendingCalls[rent.Call](messages.ScaleOutReply{Outcome: messages.NotFound})
+	b.loop.Deliver(messages.Reply{Call: rent.Call, Body: messages.ScaleOutReply{Outcome: messages.NotFound}})
 	b.runFor(second)
 	if len(p.provisioningRequests) != 0 || b.store.get("rentals/"+rent.Name).Outcome != messages.NotFound {
 		t.Fatalf("the refused request is still there: %v", p.provisioningRequests)
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -13,15 +13,16 @@
 func TestDependentJobNotProxiedToOldVersion(t *testing.T) {
 	for level, want := range map[int]bool{0: false, dependencyFeatureLevel: true} {
 		b := newControllerHarness()
-		b.timers, b.effects = timerQueue{}, nil
+		dropTimers(b.Controller)
+		takeEffects(b.Controller)
 		for _, p := range b.peers {
-			p.hasAnswered, p.lastPingAt, p.lastPing.StoreReachable, p.lastPing.FeatureLevel = true, b.now, true, level
+			p.hasAnswered, p.lastPingAt, p.lastPing.StoreReachable, p.lastPing.FeatureLevel = true, b.loop.Now(), true, level
 		}
-		b.storeHealth.failing, b.storeHealth.failingSince = true, b.now-10*second
+		b.storeHealth.failing, b.storeHealth.failingSince = true, b.loop.Now()-10*second
 		b.jobs.known["j-1"] = &knownJob{shard: 0, tasks: 1, team: "red"}
 		b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
 		handed := false
-		for _, f := range b.effects {
+		for _, f := range b.loop.Effects() {
 			if c, ok := f.(messages.PeerCall); ok && c.Message.Submission != nil {
 				handed = true
 			}
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -1,9 +1,11 @@
 package controller
 
 import (
+	"maps"
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/grouprecord"
@@ -16,12 +18,12 @@
 
 // quarantineRecord notes a group's record that makes no sense.
 func (c *Controller) quarantineRecord(p *shard, kv messages.KV, why string) {
-	c.log(messages.LogInfo, "impossible record", "key", kv.Key, "why", why)
+	c.loop.Log(messages.LogInfo, "impossible record", "key", kv.Key, "why", why)
 	if p.quarantined == nil {
 		p.quarantined = map[string]cluster.ModRevision{}
 	}
 	p.quarantined[kv.Key] = kv.ModRevision
-	for _, g := range sortedKeys(c.machineGroups) {
+	for _, g := range slices.Sorted(maps.Keys(c.machineGroups)) {
 		if c.machineGroups[g].key() == kv.Key {
 			c.dropTransferredGroup(c.machineGroups[g], cluster.NoShard)
 		}
@@ -35,13 +37,13 @@
 func (c *Controller) repairQuarantined(p *shard) {
 	claim := p.claimRevision
 	again := func(d cluster.Time) {
-		c.after(d, func() {
+		c.loop.After(d, func() {
 			if p.owned && p.claimRevision == claim && !p.ready {
 				c.repairQuarantined(p)
 			}
 		})
 	}
-	if wait := p.ownershipChangedAt + 2*c.config.CloudListLag + 3*second - c.now; wait > 0 {
+	if wait := p.ownershipChangedAt + 2*c.config.CloudListLag + 3*second - c.loop.Now(); wait > 0 {
 		again(wait)
 		return
 	}
@@ -88,8 +90,8 @@
 	}
 	n := min(len(lost), maxScaleInMachines)
 	c.forceCloudCall()
-	c.emit(messages.CloudScaleIn{IDs: lost[:n], Call: c.registerCall(func(b any) {
-		if b.(messages.ScaleInReply).Outcome != messages.OK {
+	c.loop.Emit(messages.CloudScaleIn{IDs: lost[:n], Call: eventloop.Call(c.loop, func(reply messages.ScaleInReply) {
+		if reply.Outcome != messages.OK {
 			again(2 * second)
 			return
 		}
@@ -98,7 +100,7 @@
 }
 
 func (c *Controller) deleteQuarantinedRecords(p *shard, claim cluster.Revision) {
-	keys := sortedKeys(p.quarantined)
+	keys := slices.Sorted(maps.Keys(p.quarantined))
 	keys = keys[:min(len(keys), c.config.MaxTxnOps)]
 	c.writeQueue.enqueue(priorityScaleOut, &queuedWrite{
 		shardID: p.id, keys: keys,
@@ -112,7 +114,7 @@
 		},
 		onApplied: func(cluster.Revision) {
 			if p.owned && p.claimRevision == claim {
-				c.log(messages.LogInfo, "impossible records dropped", "part", int(p.id), "records", len(keys))
+				c.loop.Log(messages.LogInfo, "impossible records dropped", "part", int(p.id), "records", len(keys))
 				c.reloadShard(p)
 			}
 		},
@@ -133,7 +135,7 @@
 	for _, j := range slices.Clone(p.jobs) {
 		c.abandonJob(j)
 	}
-	for _, id := range sortedKeys(c.machineGroups) {
+	for _, id := range slices.Sorted(maps.Keys(c.machineGroups)) {
 		if c.machineGroups[id].shardID == p.id {
 			delete(c.machineGroups, id)
 		}
--- a/internal/controller/queueorder.go
+++ b/internal/controller/queueorder.go
@@ -20,7 +20,7 @@
 	best, known := float64(scheduling.Never), false
 	consider := func(start float64) {
 		known = true
-		if start >= float64(c.wallTime)-500 {
+		if start >= float64(c.loop.WallTime())-500 {
 			best = min(best, start)
 		}
 	}
@@ -72,7 +72,7 @@
 // coming would starve the large.
 func (c *Controller) isFirstStartOverdue(j *job) bool {
 	return j.firstRunAt == 0 && j.completedCount == 0 && j.assignedCount == 0 &&
-		float64(c.wallTime)-float64(j.readySince) > float64(c.config.Tuning.FirstTaskTarget/millisecond)/2
+		float64(c.loop.WallTime())-float64(j.readySince) > float64(c.config.Tuning.FirstTaskTarget/millisecond)/2
 }
 
 // isPreemptionExempt tells whether a job's only task must not give way to others: it began
@@ -80,14 +80,14 @@
 // back to waiting as one that has begun (seed 1362: 110 s more).
 func (c *Controller) isPreemptionExempt(j *job) bool {
 	return j.completedCount == 0 && j.assignedCount == 1 &&
-		float64(c.wallTime)-float64(j.readySince) > float64(c.config.Tuning.FirstTaskTarget/millisecond)/2
+		float64(c.loop.WallTime())-float64(j.readySince) > float64(c.config.Tuning.FirstTaskTarget/millisecond)/2
 }
 
 // isStarving tells whether a job has waited too long without anything of it
 // running: its first task, or, when it is older than twice its horizon, its
 // next.
 func (c *Controller) isStarving(j *job) bool {
-	return c.isFirstStartOverdue(j) || j.assignedCount == 0 && float64(c.wallTime) > float64(j.readySince)+2*c.sloHorizon(j)
+	return c.isFirstStartOverdue(j) || j.assignedCount == 0 && float64(c.loop.WallTime()) > float64(j.readySince)+2*c.sloHorizon(j)
 }
 
 // queuedJobs lists a part's jobs with waiting tasks in the order in which they are
@@ -98,7 +98,7 @@
 // work, so that the large and the less important are served even if small and
 // urgent work keeps coming.
 func (c *Controller) queuedJobs(p *shard) ([]*job, map[*job]bool) {
-	if p.queueOrder == nil || c.now >= p.queueOrderAt+queueOrderInterval {
+	if p.queueOrder == nil || c.loop.Now() >= p.queueOrderAt+queueOrderInterval {
 		c.rankJobs(p)
 	}
 	out := make([]*job, 0, len(p.queueOrder))
@@ -116,7 +116,7 @@
 
 // hasSchedulableTasks tells whether a job has tasks that could be placed now.
 func (c *Controller) hasSchedulableTasks(j *job) bool {
-	return j.isActive() && !j.blocked && j.chunksLoading == 0 && j.pendingCount() > 0 && c.now >= j.backoffUntil
+	return j.isActive() && !j.blocked && j.chunksLoading == 0 && j.pendingCount() > 0 && c.loop.Now() >= j.backoffUntil
 }
 
 // rankJobs works out the order in which a part's jobs are served.
@@ -145,7 +145,7 @@
 		queue = append(queue, ranked{j, scheduling.RankJob(facts, c.config.Tuning.ShortJobWeight)})
 	}
 	slices.SortStableFunc(queue, func(a, b ranked) int { return a.rank.Compare(b.rank) })
-	p.queueOrder, p.queueOrderAt = make([]*job, len(queue)), c.now
+	p.queueOrder, p.queueOrderAt = make([]*job, len(queue)), c.loop.Now()
 	for i := range queue {
 		p.queueOrder[i] = queue[i].j
 	}
@@ -156,7 +156,7 @@
 	return scheduling.JobFacts{
 		Priority:         j.effectivePriority,
 		WithinGuarantee:  owed,
-		Now:              float64(c.wallTime),
+		Now:              float64(c.loop.WallTime()),
 		ReadySince:       float64(j.readySince),
 		LatestStart:      c.latestStart(j),
 		Horizon:          c.sloHorizon(j),
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -1,6 +1,9 @@
 package controller
 
 import (
+	"maps"
+	"slices"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
@@ -12,7 +15,7 @@
 // transferOffers lists the groups that the parts held here offer to others.
 func (c *Controller) transferOffers() []messages.TransferOffer {
 	var out []messages.TransferOffer
-	for _, id := range sortedKeys(c.machineGroups) {
+	for _, id := range slices.Sorted(maps.Keys(c.machineGroups)) {
 		g := c.machineGroups[id]
 		if g.offer == nil || g.writePending {
 			continue
@@ -42,7 +45,7 @@
 // lacks machines: an offered group gets no work.
 func (c *Controller) expireOffers() {
 	for _, g := range c.machineGroups {
-		if g.offer != nil && c.now > g.offer.until {
+		if g.offer != nil && c.loop.Now() > g.offer.until {
 			g.offer = nil
 			c.schedulingTrigger.request()
 		}
@@ -52,7 +55,7 @@
 // offerIdleMachines offers a part's idle machines to those that lack some. They are
 // gathered into groups of their own, so that one write moves many.
 func (c *Controller) offerIdleMachines(p *shard, plan *fairshare.Plan) {
-	if c.now < p.nextOfferAt {
+	if c.loop.Now() < p.nextOfferAt {
 		return
 	}
 	idle := c.idleMachines(p)
@@ -93,10 +96,10 @@
 		if len(ms) == 0 {
 			continue
 		}
-		p.nextOfferAt = c.now + second
+		p.nextOfferAt = c.loop.Now() + second
 		offer := func(g *machineGroup) {
 			if g != nil {
-				g.offer = &groupOffer{toShard: recipient.Shard, until: c.now + 5*second}
+				g.offer = &groupOffer{toShard: recipient.Shard, until: c.loop.Now() + 5*second}
 			}
 		}
 		if len(groups) == 1 && len(ms) == len(ms[0].group.machines) {
@@ -132,7 +135,7 @@
 	}
 	for _, id := range c.config.Nodes {
 		q := c.peers[id]
-		if q == nil || q.failed || c.now-q.lastPingAt > 3*second {
+		if q == nil || q.failed || c.loop.Now()-q.lastPingAt > 3*second {
 			continue
 		}
 		for _, o := range q.lastPing.TransferOffers {
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -12,7 +12,7 @@
 
 func (c *Controller) handleHeartbeat(e messages.Heartbeat) {
 	r := &e.Status
-	c.workerReachability.lastHeartbeat = c.now
+	c.workerReachability.lastHeartbeat = c.loop.Now()
 	if c.isIsolated() {
 		// A 200 would hold the worker here, though a successor may be entitled.
 		c.redirectWorker(e.Request, "")
@@ -45,9 +45,9 @@
 	if m.pendingHeartbeat != 0 {
 		c.redirectWorker(m.pendingHeartbeat, "")
 	}
-	m.pendingHeartbeat, m.pendingSequenceNumber, m.replyDeadline = e.Request, r.SequenceNumber, c.now+maxHeartbeatHold
+	m.pendingHeartbeat, m.pendingSequenceNumber, m.replyDeadline = e.Request, r.SequenceNumber, c.loop.Now()+maxHeartbeatHold
 	if c.reconcile(m, r, false) {
-		c.workerReachability.lastOwnedHeartbeat = c.now
+		c.workerReachability.lastOwnedHeartbeat = c.loop.Now()
 		c.schedulingTrigger.request()
 	}
 	c.heldHeartbeats.toCheck = append(c.heldHeartbeats.toCheck, m)
@@ -79,7 +79,7 @@
 		return false
 	}
 	for _, p := range c.peers {
-		if p.hasAnswered && c.now-p.lastAnswerAt < max(c.config.WorkerLease, 10*second) {
+		if p.hasAnswered && c.loop.Now()-p.lastAnswerAt < max(c.config.WorkerLease, 10*second) {
 			return false
 		}
 	}
@@ -112,7 +112,7 @@
 		return
 	}
 	held.checkScheduled = true
-	c.after(heldHeartbeatInterval, func() {
+	c.loop.After(heldHeartbeatInterval, func() {
 		held.checkScheduled = false
 		c.counters.addMachineScans(held.machines)
 		held.toCheck = append(held.toCheck, held.machines...)
@@ -125,7 +125,7 @@
 
 // awaitsGroupRecord tells whether a machine's answer waits for a start's record.
 func (c *Controller) awaitsGroupRecord(m *machine) bool {
-	if c.now >= m.replyDeadline || c.isStoreUnavailableFor(500*millisecond) {
+	if c.loop.Now() >= m.replyDeadline || c.isStoreUnavailableFor(500*millisecond) {
 		return false
 	}
 	for _, a := range m.assignments {
@@ -151,7 +151,7 @@
 		}
 	}
 	m.pushQueued = false
-	c.emit(messages.Respond{Request: req, Status: messages.ReplyOK, Heartbeat: w})
+	c.loop.Emit(messages.Respond{Request: req, Status: messages.ReplyOK, Heartbeat: w})
 }
 
 // commandsFor lists what the machine is to do now.
@@ -166,18 +166,18 @@
 			if urgentOnly && a.stopSentAt > 0 {
 				continue
 			}
-			if a.state == cluster.Checkpointing && a.gracePeriod > 0 && !a.isGraceExpired(c.now) {
+			if a.state == cluster.Checkpointing && a.gracePeriod > 0 && !a.isGraceExpired(c.loop.Now()) {
 				continue
 			}
 			g := a.gracePeriod
-			if a.isGraceExpired(c.now) {
+			if a.isGraceExpired(c.loop.Now()) {
 				g = 0
 			}
 			if a.stopSentAt == 0 {
-				a.stopSentAt = c.now
+				a.stopSentAt = c.loop.Now()
 			}
 			out = append(out, cluster.Command{Kind: cluster.Stop, Task: a.task, Attempt: a.attempt, GraceSeconds: g})
-		case a.phase == phaseReady && !m.startInDoubt && !m.releasing && c.now >= m.noStartsBefore && a.job.isActive():
+		case a.phase == phaseReady && !m.startInDoubt && !m.releasing && c.loop.Now() >= m.noStartsBefore && a.job.isActive():
 			if !mayStart || m.hasUnclearedAttempt(a.task) {
 				continue
 			}
@@ -256,7 +256,7 @@
 	// come. A higher token, once acknowledged, proves that it does; until then
 	// the machine gets no new work, and in the end it is returned.
 	deaf := fresh && m.incarnation > 0
-	m.incarnation, m.sequenceNumber, m.lastHeartbeat = r.Incarnation, r.SequenceNumber, c.now
+	m.incarnation, m.sequenceNumber, m.lastHeartbeat = r.Incarnation, r.SequenceNumber, c.loop.Now()
 	if m.booting {
 		m.booting = false
 		c.handleMachineBooted(m)
@@ -290,14 +290,14 @@
 	// claim has ever owned, can have no older command on its way to it.
 	acked := r.FencingToken == m.token || r.FencingToken == 0 && m.token == m.initialToken && !m.startInDoubt && !m.raisingToken
 	if m.tokenAcknowledged && !acked {
-		m.unacknowledgedSince = c.now
+		m.unacknowledgedSince = c.loop.Now()
 	}
 	m.tokenAcknowledged = acked
 	if acked && m.awaitingFirstAcknowledgement {
 		p := c.shards[m.shardID]
 		m.awaitingFirstAcknowledgement = false
 		p.awaitingFirstAcknowledgement--
-		p.lastAcknowledgedAt = c.now
+		p.lastAcknowledgedAt = c.loop.Now()
 	}
 	if m.tokenAcknowledged && !m.raisingToken {
 		m.startInDoubt = false
@@ -393,7 +393,7 @@
 		return
 	}
 	if !m.unrecordedToStop[s] {
-		c.log(messages.LogInfo, "stray task", "machine", string(m.id), "task", t.Task.String(), "attempt", uint64(t.Attempt))
+		c.loop.Log(messages.LogInfo, "stray task", "machine", string(m.id), "task", t.Task.String(), "attempt", uint64(t.Attempt))
 	}
 	m.unrecordedToStop[s] = true
 }
@@ -438,11 +438,11 @@
 	switch t.State {
 	case cluster.Running:
 		if a.runningSince == 0 {
-			a.runningSince = c.now
+			a.runningSince = c.loop.Now()
 			if a.job.firstRunAt == 0 {
-				a.job.firstRunAt = c.now
+				a.job.firstRunAt = c.loop.Now()
 			}
-			a.job.lastRunAt = c.now
+			a.job.lastRunAt = c.loop.Now()
 			m.addCachedImage(a.job, c.machineTypes[m.machineType].CacheGB)
 		}
 	case cluster.Ended:
@@ -489,9 +489,9 @@
 	case cluster.CauseFailed:
 		c.handleTaskError(m, a)
 	case cluster.CauseNoCapacity, cluster.CauseDuplicateAttempt:
-		m.noStartsBefore = c.now + 3*second
+		m.noStartsBefore = c.loop.Now() + 3*second
 	case cluster.CauseUnknownTask:
-		j.backoffUntil = c.now + 3*second
+		j.backoffUntil = c.loop.Now() + 3*second
 	}
 	c.confirmAbsent(m, a)
 	if !j.isActive() {
@@ -509,10 +509,10 @@
 	j.taskErrors++
 	j.failedMachines[m.id] = true
 	if len(j.failedMachines) >= 2 {
-		j.backoffUntil = c.now + min(second<<min(len(j.failedMachines)+j.taskErrors/2, 6), 60*second)
+		j.backoffUntil = c.loop.Now() + min(second<<min(len(j.failedMachines)+j.taskErrors/2, 6), 60*second)
 	}
 	if len(m.failedJobs) >= 2 && !m.draining {
-		c.log(messages.LogInfo, "machine fails tasks", "machine", string(m.id), "errors", m.taskErrors)
+		c.loop.Log(messages.LogInfo, "machine fails tasks", "machine", string(m.id), "errors", m.taskErrors)
 		c.drainMachine(m)
 	}
 }
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -12,7 +12,7 @@
 // it isn't sent again unchanged.
 func TestRejectedOutcomesNotResentUnchanged(t *testing.T) {
 	b := newControllerHarness()
-	b.timers = timerQueue{}
+	dropTimers(b.Controller)
 	b.rejectLongerValues(2000)
 	j := b.addTestJob("j-1", 16_000)
 	v, _ := json.Marshal(jobRecord{Spec: &j.spec, WriteID: "x"})
--- a/internal/controller/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -11,7 +11,7 @@
 // was to be written for is stored in the end.
 func TestRejectedSplitIsSplitFurther(t *testing.T) {
 	b := newControllerHarness()
-	b.timers = timerQueue{}
+	dropTimers(b.Controller)
 	const limit = 1000
 	b.rejectLongerValues(limit)
 	j := b.addTestJob("j-1", 20_000)
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -11,7 +11,7 @@
 // What users ask of accepted jobs: questions and cancellations.
 
 func (c *Controller) respondView(req messages.RequestID, status messages.ReplyStatus, v cluster.JobView) {
-	c.emit(messages.Respond{Request: req, Status: status, View: &v})
+	c.loop.Emit(messages.Respond{Request: req, Status: status, View: &v})
 }
 
 func finalView(id cluster.JobID, k *knownJob) cluster.JobView {
@@ -246,7 +246,7 @@
 		}
 		fn(messages.ReplyOK, &cluster.JobView{ID: id, Status: s})
 	}
-	c.after(2800*millisecond, func() { done("") })
+	c.loop.After(2800*millisecond, func() { done("") })
 	j.waiters = append(j.waiters, done)
 	if !j.cancelling {
 		// Its tasks are of no use from now on, and the store's answer may be lost
--- a/internal/controller/runtimes.go
+++ b/internal/controller/runtimes.go
@@ -32,7 +32,7 @@
 	if a.runningSince == 0 || a.job.spec.RuntimeSeconds <= 0 || a.startUnobserved || a.job.restartedTasks[a.task.Index] {
 		return
 	}
-	took := time.Duration(c.now - a.runningSince).Seconds()
+	took := time.Duration(c.loop.Now() - a.runningSince).Seconds()
 	j := a.job
 	if j.completedRuns >= 2 {
 		// Against its own job's other tasks a machine's speed shows best.
@@ -74,7 +74,7 @@
 			return
 		}
 	}
-	c.log(messages.LogInfo, "machine is slow", "machine", string(m.id), "pace", m.relativePace, "late_tasks", len(late))
+	c.loop.Log(messages.LogInfo, "machine is slow", "machine", string(m.id), "pace", m.relativePace, "late_tasks", len(late))
 	c.drainMachine(m)
 	for _, a := range m.sortedAssignments() {
 		if a.phase == phaseAcknowledged && !a.confirmedAbsent && a.job.spec.CheckpointSeconds > 0 {
@@ -92,7 +92,7 @@
 		return false
 	}
 	like := a.job.totalRunSeconds / float64(a.job.completedRuns)
-	return time.Duration(c.now-a.runningSince).Seconds() > 2.5*like+5
+	return time.Duration(c.loop.Now()-a.runningSince).Seconds() > 2.5*like+5
 }
 
 // hasStraggler tells whether any task of a machine takes too long.
@@ -115,5 +115,5 @@
 	if a.runningSince == 0 {
 		return run + 2
 	}
-	return max(run-time.Duration(c.now-a.runningSince).Seconds(), run*0.1)
+	return max(run-time.Duration(c.loop.Now()-a.runningSince).Seconds(), run*0.1)
 }
--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -1,6 +1,10 @@
 package controller
 
-import "testing"
+import (
+	"maps"
+	"slices"
+	"testing"
+)
 
 // TestScaleOutInZoneOfJob: machines for a job that is bound to a zone are asked for
 // in that zone alone, also where the cloud has refused them there. Placement
@@ -24,12 +28,12 @@
 			small.Zones = []string{"a", "b"}
 			b.machineTypes["small"] = small
 			for _, zone := range test.refused {
-				part.outOfCapacityUntil[provisioningOption{"small", zone, false}] = b.now + 60*second
+				part.outOfCapacityUntil[provisioningOption{"small", zone, false}] = b.loop.Now() + 60*second
 			}
 			b.addTestJob("j-1", 1).spec.Zone = test.zone
 			b.scaleOutShard(part)
 			var rented []string
-			for _, name := range sortedKeys(part.provisioningRequests) {
+			for _, name := range slices.Sorted(maps.Keys(part.provisioningRequests)) {
 				rented = append(rented, part.provisioningRequests[name].option.Zone)
 			}
 			if len(rented) != len(test.rented) || len(rented) > 0 && rented[0] != test.rented[0] {
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -1,9 +1,12 @@
 package controller
 
 import (
+	"maps"
+	"slices"
 	"strings"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 )
 
@@ -32,7 +35,7 @@
 // takeLogArgs returns the arguments of the log line that is due.
 func (s *scaleInBatch) takeLogArgs() []any {
 	args := make([]any, 0, 2*len(s.machinesByCause)+2)
-	for _, cause := range sortedKeys(s.machinesByCause) {
+	for _, cause := range slices.Sorted(maps.Keys(s.machinesByCause)) {
 		args = append(args, strings.ReplaceAll(cause, " ", "_"), s.machinesByCause[cause])
 	}
 	args = append(args, "tasks", s.taskCount)
@@ -46,7 +49,7 @@
 	if m.releasing {
 		return
 	}
-	c.log(messages.LogDebug, "returning machine", "machine", string(m.id), "why", why, "tasks", m.liveTaskCount())
+	c.loop.Log(messages.LogDebug, "returning machine", "machine", string(m.id), "why", why, "tasks", m.liveTaskCount())
 	c.recordScaleIn(why, m.liveTaskCount())
 	m.releasing = true
 	c.writeMachine(m, priorityOutcome)
@@ -67,7 +70,7 @@
 // of machines may fall together.
 func (c *Controller) recordScaleIn(cause string, tasks int) {
 	if c.machineReleases.add(cause, tasks) {
-		c.after(second, func() { c.log(messages.LogInfo, "returning machines", c.machineReleases.takeLogArgs()...) })
+		c.loop.After(second, func() { c.loop.Log(messages.LogInfo, "returning machines", c.machineReleases.takeLogArgs()...) })
 	}
 }
 
@@ -77,7 +80,7 @@
 		return
 	}
 	c.machineReleases.callScheduled = true
-	c.after(50*millisecond, func() {
+	c.loop.After(50*millisecond, func() {
 		c.machineReleases.callScheduled = false
 		c.callScaleIn()
 	})
@@ -102,9 +105,9 @@
 	for _, m := range ms {
 		m.scaleInCallInFlight = true
 	}
-	c.emit(messages.CloudScaleIn{IDs: ids, Call: c.registerCall(func(b any) {
-		if b.(messages.ScaleInReply).Outcome != messages.OK {
-			c.after(2*second, func() {
+	c.loop.Emit(messages.CloudScaleIn{IDs: ids, Call: eventloop.Call(c.loop, func(reply messages.ScaleInReply) {
+		if reply.Outcome != messages.OK {
+			c.loop.After(2*second, func() {
 				for _, m := range ms {
 					m.scaleInCallInFlight = false
 				}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -2,10 +2,13 @@
 
 import (
 	"encoding/json"
+	"maps"
+	"slices"
 	"sort"
 	"strings"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/grouprecord"
@@ -114,7 +117,7 @@
 		return
 	}
 	c.scaleOutScheduled = true
-	c.after(c.processHealth.stretchDelay(100*millisecond), func() {
+	c.loop.After(c.processHealth.stretchDelay(100*millisecond), func() {
 		c.scaleOutScheduled = false
 		c.runScaleOut()
 	})
@@ -145,7 +148,7 @@
 	}
 	c.counters.addMachineScans(p.machines)
 	for _, m := range p.machines {
-		if !m.booting && !m.tokenAcknowledged && !m.releasing && c.now-m.ownedSince < 5*second {
+		if !m.booting && !m.tokenAcknowledged && !m.releasing && c.loop.Now()-m.ownedSince < 5*second {
 			c.packWork(work, c.machineTypes[m.machineType].Capacity.Minus(m.usedResources()), func(j *job) bool { return c.isAllowedOn(j, m) })
 		}
 	}
@@ -160,7 +163,7 @@
 			c.packWork(work, c.machineTypes[m.machineType].Capacity.Minus(m.usedResources()), func(j *job) bool { return c.isAllowedOn(j, m) })
 		}
 	}
-	for _, name := range sortedKeys(p.provisioningRequests) {
+	for _, name := range slices.Sorted(maps.Keys(p.provisioningRequests)) {
 		r := p.provisioningRequests[name]
 		n := r.count
 		if r.answered {
@@ -191,7 +194,7 @@
 	c.counters.addMachineScans(p.machines)
 	for _, m := range p.machines {
 		if c.isSchedulable(m) && len(m.assignments) == 0 && m.recordedTaskCount == 0 && !m.group.writeInFlight && m.group.offer == nil && m.address != "" &&
-			len(m.unrecordedToStop) == 0 && c.now-m.idleSince > second/2 {
+			len(m.unrecordedToStop) == 0 && c.loop.Now()-m.idleSince > second/2 {
 			l = append(l, m)
 		}
 	}
@@ -280,12 +283,12 @@
 		cost float64
 	}
 	var l []priced
-	for _, name := range sortedKeys(c.machineTypes) {
+	for _, name := range slices.Sorted(maps.Keys(c.machineTypes)) {
 		t := c.machineTypes[name]
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				o := provisioningOption{name, z, spot}
-				if !c.isOptionAllowed(j, o) || c.now < p.outOfCapacityUntil[o] {
+				if !c.isOptionAllowed(j, o) || c.loop.Now() < p.outOfCapacityUntil[o] {
 					continue
 				}
 				l = append(l, priced{o, t.HourlyPrice(spot) / float64(tasksPerMachine(t.Capacity, j.spec.ResourceRequest))})
@@ -341,36 +344,35 @@
 	if r.attempts++; r.attempts > 1 { // the first was counted when it was decided
 		c.forceCloudCall()
 	}
-	c.emit(messages.CloudScaleOut{Name: r.name, Type: r.option.Type, Zone: r.option.Zone, Spot: r.option.Spot, Count: r.count, Call: c.registerCall(func(b any) {
-		a := b.(messages.ScaleOutReply)
+	c.loop.Emit(messages.CloudScaleOut{Name: r.name, Type: r.option.Type, Zone: r.option.Zone, Spot: r.option.Spot, Count: r.count, Call: eventloop.Call(c.loop, func(a messages.ScaleOutReply) {
 		if !c.isProvisioningCurrent(p, r) {
 			return
 		}
 		switch a.Outcome {
 		case messages.OK:
-			c.log(messages.LogDebug, "rented", "part", int(p.id), "type", r.option.Type, "zone", r.option.Zone, "spot", r.option.Spot, "asked", r.count, "got", len(a.IDs))
+			c.loop.Log(messages.LogDebug, "rented", "part", int(p.id), "type", r.option.Type, "zone", r.option.Zone, "spot", r.option.Spot, "asked", r.count, "got", len(a.IDs))
 			if len(a.IDs) < r.count {
-				p.outOfCapacityUntil[r.option] = c.now + c.config.Tuning.OutOfCapacityBackoff
+				p.outOfCapacityUntil[r.option] = c.loop.Now() + c.config.Tuning.OutOfCapacityBackoff
 			}
 			delete(p.outOfCapacityCount, r.option)
 			r.answered, r.grantedCount = true, len(a.IDs)
 			c.completeProvisioning(p, r, a.IDs)
 			c.scheduleScaleOut()
 		case messages.NotFound:
-			p.outOfCapacityUntil[r.option] = c.now + c.config.Tuning.OutOfCapacityBackoff<<p.outOfCapacityCount[r.option]
+			p.outOfCapacityUntil[r.option] = c.loop.Now() + c.config.Tuning.OutOfCapacityBackoff<<p.outOfCapacityCount[r.option]
 			p.outOfCapacityCount[r.option] = min(p.outOfCapacityCount[r.option]+1, maxCapacityBackoffDoublings)
 			r.answered = true
 			c.completeProvisioning(p, r, nil)
 			c.scheduleScaleOut()
 		case messages.Invalid:
-			p.outOfCapacityUntil[r.option] = c.now + 300*second
+			p.outOfCapacityUntil[r.option] = c.loop.Now() + 300*second
 			r.answered = true
 			c.completeProvisioning(p, r, nil)
 		case messages.Throttled:
 			c.handleCloudThrottled()
-			c.after(second/2, func() { c.callScaleOut(p, r) })
+			c.loop.After(second/2, func() { c.callScaleOut(p, r) })
 		default:
-			c.after(3*second, func() { c.callScaleOut(p, r) })
+			c.loop.After(3*second, func() { c.callScaleOut(p, r) })
 		}
 	})})
 }
@@ -429,7 +431,7 @@
 				case g.Outcome == messages.OK || g.Outcome == messages.NotFound:
 					c.handleForeignWrite(p, provisioningKey(r.name), "settled by another writer")
 				default:
-					c.after(second, func() {
+					c.loop.After(second, func() {
 						if c.isProvisioningCurrent(p, r) {
 							c.completeProvisioning(p, r, ids)
 						}
--- a/internal/controller/schedule.go
+++ b/internal/controller/schedule.go
@@ -11,8 +11,8 @@
 
 // isSchedulable tells whether new starts may go to a machine.
 func (c *Controller) isSchedulable(m *machine) bool {
-	return m.tokenAcknowledged && !m.booting && !m.draining && !m.releasing && !m.startInDoubt && !m.raisingToken && c.now >= m.noStartsBefore &&
-		c.now-m.lastHeartbeat < 2*c.config.HeartbeatInterval+second
+	return m.tokenAcknowledged && !m.booting && !m.draining && !m.releasing && !m.startInDoubt && !m.raisingToken && c.loop.Now() >= m.noStartsBefore &&
+		c.loop.Now()-m.lastHeartbeat < 2*c.config.HeartbeatInterval+second
 }
 
 // freeCapacity is a machine with room.
@@ -124,8 +124,8 @@
 			c.scheduleJob(p, j, slots, kinds, use, kept[j.spec.Team], j.pendingCount())
 		}
 	}
-	if c.now >= p.nextPreemptionAt {
-		p.nextPreemptionAt = c.now + second/2
+	if c.loop.Now() >= p.nextPreemptionAt {
+		p.nextPreemptionAt = c.loop.Now() + second/2
 		c.preempt(p, jobs, owed, use)
 	}
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -18,13 +18,13 @@
 		p := c.shards[0]
 		m := c.addMachine(c.newGroup(p, "g", 1), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		m.tokenAcknowledged = true
-		c.wallTime = 1_000_000
-		at := c.wallTime - 1000
+		c.loop.Begin(c.loop.Now(), 1_000_000)
+		at := c.loop.WallTime() - 1000
 		if waited {
-			at = c.wallTime - cluster.WallTime(c.config.Tuning.FirstTaskTarget/millisecond)*3/4
+			at = c.loop.WallTime() - cluster.WallTime(c.config.Tuning.FirstTaskTarget/millisecond)*3/4
 		}
 		old := newJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 4_000_000}, CheckpointSeconds: 10, SubmittedAt: at}, 0, 0, 0)
-		urgent := newJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 4_000_000}, Priority: cluster.Urgent, SubmittedAt: c.wallTime}, 0, 0, 0)
+		urgent := newJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 4_000_000}, Priority: cluster.Urgent, SubmittedAt: c.loop.WallTime()}, 0, 0, 0)
 		c.addOwnedJob(old)
 		c.addOwnedJob(urgent)
 		a := &assignment{task: cluster.TaskID{Job: "j-1", Index: 0}, job: old, resourceRequest: old.spec.ResourceRequest, machineID: "m-1", phase: phaseAcknowledged, state: cluster.Running}
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -36,7 +36,7 @@
 			return
 		}
 		if r.Outcome != messages.OK {
-			l.controller.after(second/3, func() { l.read(prefix, to) })
+			l.controller.loop.After(second/3, func() { l.read(prefix, to) })
 			return
 		}
 		*to = &r
@@ -70,11 +70,11 @@
 	if len(p.machines)+len(p.provisioningRequests) > 0 {
 		c.cloudListing.nextReadAt = 0 // the cloud's list shows what the records may lack
 	}
-	c.log(messages.LogInfo, "part ready",
+	c.loop.Log(messages.LogInfo, "part ready",
 		"part", int(p.id),
 		"machines", len(p.machines),
 		"jobs", len(p.jobs),
-		"took_ms", int((c.now-p.ownershipChangedAt)/millisecond))
+		"took_ms", int((c.loop.Now()-p.ownershipChangedAt)/millisecond))
 	c.maintainMachines()
 }
 
@@ -98,7 +98,7 @@
 // and logs after a lease how many did.
 func (l *shardLoad) awaitAcknowledgements() {
 	c, p := l.controller, l.shard
-	p.awaitingFirstAcknowledgement, p.lastAcknowledgedAt = 0, c.now
+	p.awaitingFirstAcknowledgement, p.lastAcknowledgedAt = 0, c.loop.Now()
 	for _, m := range p.machines {
 		if m.awaitingFirstAcknowledgement = !m.booting; m.awaitingFirstAcknowledgement {
 			p.awaitingFirstAcknowledgement++
@@ -108,9 +108,9 @@
 	if taken == 0 {
 		return
 	}
-	c.after(c.config.WorkerLease, func() {
+	c.loop.After(c.config.WorkerLease, func() {
 		if p.isOwnedUnder(l.claimRevision) {
-			c.log(messages.LogInfo, "machines answered",
+			c.loop.Log(messages.LogInfo, "machines answered",
 				"part", int(p.id),
 				"machines", taken,
 				"silent", p.awaitingFirstAcknowledgement,
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -2,9 +2,12 @@
 
 import (
 	"encoding/json"
+	"maps"
+	"slices"
 	"strconv"
 	"strings"
 
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/cluster"
@@ -117,7 +120,7 @@
 func (c *Controller) loadShards() {
 	c.listPrefix("parts/", func(r messages.ListReply) {
 		if r.Outcome != messages.OK {
-			c.after(second/2, c.loadShards)
+			c.loop.After(second/2, c.loadShards)
 			return
 		}
 		for _, p := range c.shards {
@@ -141,8 +144,7 @@
 // watchPrefix watches the keys with a prefix from a revision on, at a pace that
 // gathers changes; reload is called when the revision is too old.
 func (c *Controller) watchPrefix(prefix string, since *cluster.Revision, pace cluster.Time, learn func(messages.KV), reload func()) {
-	c.emit(messages.StoreWatch{Call: c.registerCall(func(b any) {
-		r := b.(messages.WatchReply)
+	c.loop.Emit(messages.StoreWatch{Call: eventloop.Call(c.loop, func(r messages.WatchReply) {
 		again := func() { c.watchPrefix(prefix, since, pace, learn, reload) }
 		switch r.Outcome {
 		case messages.OK:
@@ -150,12 +152,12 @@
 				learn(kv)
 			}
 			*since = max(*since, r.Revision)
-			c.after(pace, again)
+			c.loop.After(pace, again)
 		case messages.Compacted:
-			c.log(messages.LogInfo, "changes missed, reading all keys again", "prefix", prefix, "since", uint64(*since))
-			c.after(pace, reload)
+			c.loop.Log(messages.LogInfo, "changes missed, reading all keys again", "prefix", prefix, "since", uint64(*since))
+			c.loop.After(pace, reload)
 		default:
-			c.after(second, again)
+			c.loop.After(second, again)
 		}
 	}), Prefix: prefix, SinceRevision: *since, Timeout: 20 * second})
 }
@@ -171,7 +173,7 @@
 	}
 	var rec shardRecord
 	if json.Unmarshal(kv.Value, &rec) != nil || rec.Owner == "" {
-		c.log(messages.LogError, "unreadable record", "key", kv.Key)
+		c.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	c.versionRegistry.recordUpgraded(rec.Upgraded...)
@@ -185,7 +187,7 @@
 		return // our own claim, seen before its answer
 	}
 	p.modRevision, p.owner, p.term, p.failbackOffered = kv.ModRevision, rec.Owner, rec.Term, false
-	p.recordOwnerChange(c.now)
+	p.recordOwnerChange(c.loop.Now())
 }
 
 func writeIDInstance(w string) string {
@@ -196,7 +198,7 @@
 }
 
 func (c *Controller) rereadShard(p *shard) {
-	begun := c.now
+	begun := c.loop.Now()
 	c.readKey(p.key(), func(r messages.GetReply) {
 		if r.Outcome == messages.OK {
 			c.applyShardRecord(r.KV)
@@ -208,20 +210,20 @@
 // considerAcquire decides whether this node should claim a part. Nothing here
 // is needed for safety: a wrong claim costs a pause, never a rule.
 func (c *Controller) considerAcquire(p *shard) {
-	if p.owned || p.acquiring || c.now < p.acquireNotBefore || !p.recordRead || c.isStoreUnavailableFor(second) {
+	if p.owned || p.acquiring || c.loop.Now() < p.acquireNotBefore || !p.recordRead || c.isStoreUnavailableFor(second) {
 		return
 	}
 	self := c.config.Self
 	switch {
 	case p.owner == "" && p.preferredOwner == self:
 	case p.owner == self: // from an earlier life of this node
-	case p.preferredOwner == self && p.failbackOffered && p.isBackoffOver(c.now):
+	case p.preferredOwner == self && p.failbackOffered && p.isBackoffOver(c.loop.Now()):
 	case p.owner == "":
 		if !c.isFailed(p.preferredOwner) || !c.isSuccessor(p.preferredOwner) {
 			return
 		}
 	default:
-		if !p.isBackoffOver(c.now) || !c.isFailed(p.owner) || !c.isSuccessor(p.owner) {
+		if !p.isBackoffOver(c.loop.Now()) || !c.isFailed(p.owner) || !c.isSuccessor(p.owner) {
 			return
 		}
 	}
@@ -264,12 +266,12 @@
 				return // overtaken already
 			}
 			p.owned, p.ready, p.failbackOffered = true, false, false
-			p.owner, p.term, p.modRevision, p.claimRevision, p.ownershipChangedAt = c.config.Self, term, cluster.ModRevision(e), e, c.now
-			p.recordOwnerChange(c.now)
+			p.owner, p.term, p.modRevision, p.claimRevision, p.ownershipChangedAt = c.config.Self, term, cluster.ModRevision(e), e, c.loop.Now()
+			p.recordOwnerChange(c.loop.Now())
 			p.attemptCount, p.attemptBase, p.lastStoredRevision = 0, e, e
 			p.provisioningRequests = map[string]*provisioningRequest{}
 			p.outOfCapacityUntil, p.outOfCapacityCount = map[provisioningOption]cluster.Time{}, map[provisioningOption]int{}
-			c.log(messages.LogInfo, "claimed part", "part", int(p.id), "term", uint64(term), "from", string(prev))
+			c.loop.Log(messages.LogInfo, "claimed part", "part", int(p.id), "term", uint64(term), "from", string(prev))
 			c.loadShard(p)
 		},
 		onConflict: func() {
@@ -286,9 +288,9 @@
 	if !p.owned {
 		return
 	}
-	c.log(messages.LogInfo, "lost part", "part", int(id), "term", uint64(p.term))
+	c.loop.Log(messages.LogInfo, "lost part", "part", int(id), "term", uint64(p.term))
 	p.quarantined, p.earlyJobs = nil, nil
-	p.owned, p.ready, p.ownershipChangedAt = false, false, c.now
+	p.owned, p.ready, p.ownershipChangedAt = false, false, c.loop.Now()
 	c.ownedShardChanges++
 	for _, m := range p.machines {
 		c.dropMachine(m)
@@ -296,7 +298,7 @@
 	for _, j := range p.jobs {
 		c.abandonJob(j)
 	}
-	for _, gid := range sortedKeys(c.machineGroups) {
+	for _, gid := range slices.Sorted(maps.Keys(c.machineGroups)) {
 		if c.machineGroups[gid].shardID == id {
 			delete(c.machineGroups, gid)
 		}
@@ -314,8 +316,8 @@
 // read anew. Meanwhile every controller answers from the store. The pauses are
 // bounded, so that no job goes unanswered or its part unserved for long.
 func (c *Controller) giveUpCorruptShard(p *shard, key, why string) {
-	c.log(messages.LogError, "impossible record", "key", key, "why", why)
-	p.acquireNotBefore = c.now + min(2*second<<min(p.corruptRecordCount, 4), 20*second)
+	c.loop.Log(messages.LogError, "impossible record", "key", key, "why", why)
+	p.acquireNotBefore = c.loop.Now() + min(2*second<<min(p.corruptRecordCount, 4), 20*second)
 	p.corruptRecordCount++
 	c.handleDeposed(p.id)
 }
@@ -330,7 +332,7 @@
 			return
 		}
 		if r.Outcome != messages.OK {
-			c.after(second/2, func() { c.handleForeignWrite(p, key, why) })
+			c.loop.After(second/2, func() { c.handleForeignWrite(p, key, why) })
 			return
 		}
 		c.applyShardRecord(r.KV)
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -100,7 +100,7 @@
 		groupBytes += g.recordSize
 	}
 	cpus := func(a cluster.Amount) int { return int(a / 1_000_000) }
-	c.log(messages.LogInfo, "load",
+	c.loop.Log(messages.LogInfo, "load",
 		"cpus", cpus(use.total),
 		"spot", cpus(use.spot),
 		"idle", cpus(use.idle),
@@ -114,7 +114,7 @@
 		"groups", len(c.machineGroups),
 		"group_bytes", groupBytes/max(len(c.machineGroups), 1),
 		"puts_share", int(c.writeQueue.putBudget.Rate()*10)/10)
-	c.log(messages.LogInfo, "stats",
+	c.loop.Log(messages.LogInfo, "stats",
 		"reports", counts.Heartbeats,
 		"submits", counts.Submissions,
 		"queries", counts.Queries,
--- a/internal/controller/stops.go
+++ b/internal/controller/stops.go
@@ -14,10 +14,10 @@
 func (c *Controller) handlePreemptionNotice(m *machine, left float64) {
 	if !m.draining {
 		c.spotInterruptions.interruptionCount++
-		c.log(messages.LogDebug, "spot notice", "machine", string(m.id), "left_s", left)
+		c.loop.Log(messages.LogDebug, "spot notice", "machine", string(m.id), "left_s", left)
 		m.draining = true
 	}
-	m.preemptionDeadline = c.now + cluster.Time(left*float64(second))
+	m.preemptionDeadline = c.loop.Now() + cluster.Time(left*float64(second))
 	for _, a := range m.sortedAssignments() {
 		if !a.isLive() || a.stopRequested {
 			continue
@@ -49,7 +49,7 @@
 		return
 	}
 	if a.stopRequestedAt == 0 {
-		a.stopRequestedAt = c.now
+		a.stopRequestedAt = c.loop.Now()
 	}
 	c.queueCommandPush(m)
 }
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -114,7 +114,7 @@
 	for i := range machines {
 		id := cluster.MachineID(fmt.Sprintf("m-%s-%04d", name, i))
 		m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 31)
-		m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.now
+		m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.loop.Now()
 		for k := range tasks {
 			n := from + (k*machines+i)*2
 			a := &assignment{task: cluster.TaskID{Job: j.spec.ID, Index: n}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: id, attempt: cluster.Attempt(n + 1), phase: phaseAcknowledged, state: cluster.Running}
@@ -199,7 +199,7 @@
 // Each is tried by itself, only the too large one is split, and no part is lost.
 func TestRejectedTransactionRetriedSeparately(t *testing.T) {
 	b := newControllerHarness()
-	b.timers = timerQueue{} // no tidying up, which would split or join them first
+	dropTimers(b.Controller) // no tidying up, which would split or join them first
 	limit := 2048
 	b.rejectLongerValues(limit)
 	j := b.addTestJob("j-1", 20_000)
@@ -264,10 +264,11 @@
 	b := newControllerHarness()
 	b.Controller = c
 	c.machineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
-	c.now, c.admissions.loaded = 100*second, true
-	c.timers = timerQueue{}
+	setTime(c, 100*second)
+	c.admissions.loaded = true
+	dropTimers(c)
 	for _, p := range c.shards {
-		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.now
+		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
 		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]cluster.Time{}
 		b.store.keys[p.key()] = messages.KV{Key: p.key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 	}
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"testing"
 
 	"stairrelay/internal/cluster"
@@ -23,8 +25,8 @@
 	}
 	first := b.sentTransactions[0]
 	key := first.Then[0].Key
-	g := b.machineGroups[sortedKeys(b.machineGroups)[0]]
-	g.offer = &groupOffer{toShard: q.id, until: b.now + 5*second}
+	g := b.machineGroups[slices.Sorted(maps.Keys(b.machineGroups))[0]]
+	g.offer = &groupOffer{toShard: q.id, until: b.loop.Now() + 5*second}
 	b.acquireGroup(q, key, g.modRevision)
 	b.runFor(100 * millisecond)
 	m := b.machines["m-1"]
--- a/internal/controller/storehealth.go
+++ b/internal/controller/storehealth.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 )
 
@@ -77,14 +78,14 @@
 // another says that it has lost it, to tell a cut of that one from an outage.
 // Of an idle controller nothing else would ask for minutes.
 func (c *Controller) probeStore() {
-	if c.storeHealth.shouldProbe(c.now) {
+	if c.storeHealth.shouldProbe(c.loop.Now()) {
 		c.rereadShard(c.shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
 	}
 }
 
 // recordStoreOutcome notes the outcome of a request to the store.
 func (c *Controller) recordStoreOutcome(o messages.Outcome) {
-	c.storeHealth.recordOutcome(c.now, o)
+	c.storeHealth.recordOutcome(c.loop.Now(), o)
 	if o == messages.Throttled {
 		c.writeQueue.requestBudget.Lower(-1)
 	}
@@ -92,17 +93,16 @@
 
 // isStoreUnavailableFor tells whether the store has not served this node for a while.
 func (c *Controller) isStoreUnavailableFor(d cluster.Time) bool {
-	return c.storeHealth.isUnavailableFor(c.now, d)
+	return c.storeHealth.isUnavailableFor(c.loop.Now(), d)
 }
 
 // readKey reads a key through the request budget's books.
 func (c *Controller) readKey(key string, fn func(messages.GetReply)) {
-	c.writeQueue.requestBudget.Refill(c.now)
+	c.writeQueue.requestBudget.Refill(c.loop.Now())
 	c.writeQueue.requestBudget.Spend(1)
 	c.counters.Gets++
-	c.storeHealth.recordRequest(c.now)
-	c.emit(messages.StoreGet{Call: c.registerCall(func(b any) {
-		r := b.(messages.GetReply)
+	c.storeHealth.recordRequest(c.loop.Now())
+	c.loop.Emit(messages.StoreGet{Call: eventloop.Call(c.loop, func(r messages.GetReply) {
 		c.recordStoreOutcome(r.Outcome)
 		fn(r)
 	}), Key: key})
@@ -112,9 +112,8 @@
 func (c *Controller) listPrefix(prefix string, fn func(messages.ListReply)) {
 	c.writeQueue.requestBudget.Spend(1)
 	c.counters.Gets++
-	c.storeHealth.recordRequest(c.now)
-	c.emit(messages.StoreList{Call: c.registerCall(func(b any) {
-		r := b.(messages.ListReply)
+	c.storeHealth.recordRequest(c.loop.Now())
+	c.loop.Emit(messages.StoreList{Call: eventloop.Call(c.loop, func(r messages.ListReply) {
 		c.recordStoreOutcome(r.Outcome)
 		fn(r)
 	}), Prefix: prefix})
@@ -124,5 +123,5 @@
 func (c *Controller) readPrefixSince(prefix string, since cluster.Revision, fn func(messages.WatchReply)) {
 	c.writeQueue.requestBudget.Spend(1)
 	c.counters.Gets++
-	c.emit(messages.StoreWatch{Call: c.registerCall(func(b any) { fn(b.(messages.WatchReply)) }), Prefix: prefix, SinceRevision: since})
+	c.loop.Emit(messages.StoreWatch{Call: eventloop.Call(c.loop, fn), Prefix: prefix, SinceRevision: since})
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"slices"
 
 	"stairrelay/internal/cluster"
@@ -13,12 +14,12 @@
 func (c *Controller) handleSubmit(e messages.Submit) {
 	answer := func(r messages.Respond) {
 		if r.View == nil {
-			c.log(messages.LogDebug, "submission refused", "job", string(e.Spec.ID), "status", r.Status, "why", r.Error)
+			c.loop.Log(messages.LogDebug, "submission refused", "job", string(e.Spec.ID), "status", r.Status, "why", r.Error)
 		}
 		r.Request = e.Request
-		c.emit(r)
+		c.loop.Emit(r)
 	}
-	if c.jobs.known[e.Spec.ID] == nil && e.Rejection == 0 && (c.storeHealth.isUnresponsive(c.now) || len(c.machineTypes) == 0) && c.proxySubmission(e.Spec, answer) {
+	if c.jobs.known[e.Spec.ID] == nil && e.Rejection == 0 && (c.storeHealth.isUnresponsive(c.loop.Now()) || len(c.machineTypes) == 0) && c.proxySubmission(e.Spec, answer) {
 		return
 	}
 	c.submit(e.Spec, e.Rejection, e.Reason, answer)
@@ -50,7 +51,7 @@
 
 // canProxyTo tells whether a peer can take a submission, as far as it has told.
 func (c *Controller) canProxyTo(p *peer, spec *cluster.JobSpec) bool {
-	if p.failed || p.suspected || !p.hasAnswered || c.now-p.lastPingAt > 2*second || !p.lastPing.StoreReachable {
+	if p.failed || p.suspected || !p.hasAnswered || c.loop.Now()-p.lastPingAt > 2*second || !p.lastPing.StoreReachable {
 		return false
 	}
 	return len(spec.Dependencies) == 0 || p.lastPing.FeatureLevel >= dependencyFeatureLevel // else it would start it at once
@@ -167,7 +168,7 @@
 		s.reject(messages.ReplyUnavailable, 30, "awaits more unfinished jobs than fit into a record")
 		return
 	}
-	s.spec.SubmittedAt = c.wallTime
+	s.spec.SubmittedAt = c.loop.WallTime()
 	c.enqueueAdmission(s.spec, s.answer)
 }
 
@@ -202,7 +203,7 @@
 	if t == nil || s.ResourceRequest.CPU > t.QuotaLimit.CPU || s.ResourceRequest.GPU > t.QuotaLimit.GPU {
 		return messages.ReplyUnschedulable
 	}
-	for _, name := range sortedKeys(c.machineTypes) {
+	for _, name := range slices.Sorted(maps.Keys(c.machineTypes)) {
 		if c.isTypeAllowed(s, c.machineTypes[name], "") {
 			return 0
 		}
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -45,10 +45,13 @@
 func loseNextWriteReply(t *testing.T, b *controllerHarness) messages.StoreTxn {
 	t.Helper()
 	b.writeQueue.dispatch()
-	for i, effect := range b.effects {
+	effects := takeEffects(b.Controller)
+	for i, effect := range effects {
 		if write, ok := effect.(messages.StoreTxn); ok {
-			b.effects = slices.Delete(b.effects, i, i+1)
-			b.pendingCalls[write.Call](messages.TxnReply{Outcome: messages.UnknownOutcome})
+			for _, other := range slices.Delete(effects, i, i+1) {
+				b.loop.Emit(other)
+			}
+			b.loop.Deliver(messages.Reply{Call: write.Call, Body: messages.TxnReply{Outcome: messages.UnknownOutcome}})
 			return write
 		}
 	}
@@ -154,13 +157,13 @@
 		part := b.shards[1]
 		part.owned, part.ready, part.recordRead, part.owner, part.preferredOwner = false, false, true, "n2", "n2"
 		for _, peer := range b.peers {
-			peer.hasAnswered, peer.lastAnswerAt, peer.lastPingAt = true, b.now, b.now
+			peer.hasAnswered, peer.lastAnswerAt, peer.lastPingAt = true, b.loop.Now(), b.loop.Now()
 		}
 		lost := b.peers["n2"]
-		lost.failed, lost.failedAt, lost.lastPingAt = true, b.now-second, b.now-10*second
-		b.storeHealth.lastSuccess, b.storeHealth.healthySince = b.now, second
+		lost.failed, lost.failedAt, lost.lastPingAt = true, b.loop.Now()-second, b.loop.Now()-10*second
+		b.storeHealth.lastSuccess, b.storeHealth.healthySince = b.loop.Now(), second
 		if outage {
-			b.storeHealth.failing, b.storeHealth.failingSince = true, b.now-2*second
+			b.storeHealth.failing, b.storeHealth.failingSince = true, b.loop.Now()-2*second
 		}
 		b.considerAcquire(part)
 		if part.acquiring == outage {
--- a/internal/controller/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"maps"
+	"slices"
 	"testing"
 
 	"stairrelay/internal/cluster"
@@ -21,8 +23,8 @@
 	kind := grouprecord.Kind{Type: "small", Zone: "a"}
 	b.registerMachines(giver, []grouprecord.Machine{{ID: "m-1", Kind: kind, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
-	g := b.machineGroups[sortedKeys(b.machineGroups)[0]]
-	g.offer = &groupOffer{toShard: taker.id, until: b.now + 5*second}
+	g := b.machineGroups[slices.Sorted(maps.Keys(b.machineGroups))[0]]
+	g.offer = &groupOffer{toShard: taker.id, until: b.loop.Now() + 5*second}
 	b.store.revision++
 	b.store.keys[taker.key()] = messages.KV{Key: taker.key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: cluster.ModRevision(b.store.revision)}
 	b.acquireGroup(taker, g.key(), g.modRevision)
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -25,8 +25,8 @@
 		for k := range 2 {
 			id := cluster.MachineID(fmt.Sprintf("m-%02d-%d", i, k))
 			m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
-			m.tokenAcknowledged, m.incarnation, m.idleSince = true, 1, b.now-second
-			m.lastHeartbeat = b.now
+			m.tokenAcknowledged, m.incarnation, m.idleSince = true, 1, b.loop.Now()-second
+			m.lastHeartbeat = b.loop.Now()
 		}
 	}
 	b.offerIdleMachines(p, fairshare.NewPlan(fairshare.Snapshot{
--- a/internal/controller/unanswered_call_test.go
+++ b/internal/controller/unanswered_call_test.go
@@ -30,10 +30,10 @@
 			m.awaitingFirstAcknowledgement, m.tokenAcknowledged, listed.phase = true, false, phaseUnverified
 			job.cancelling, listed.stopRequested = true, true
 			known := b.jobs.known["j-1"]
-			known.finalStatus, known.finalSince = cluster.JobCancelled, b.now-test.known
-			m.ownedSince = b.now - 2*second // when the part was claimed
+			known.finalStatus, known.finalSince = cluster.JobCancelled, b.loop.Now()-test.known
+			m.ownedSince = b.loop.Now() - 2*second // when the part was claimed
 			if test.unanswered > 0 {
-				m.pushInFlight, m.lastPushAt = true, b.now-test.unanswered
+				m.pushInFlight, m.lastPushAt = true, b.loop.Now()-test.unanswered
 			}
 			b.maintainMachines()
 			if m.releasing != test.returned {
--- a/internal/controller/versionregistry.go
+++ b/internal/controller/versionregistry.go
@@ -1,6 +1,9 @@
 package controller
 
 import (
+	"maps"
+	"slices"
+
 	"stairrelay/internal/cluster"
 )
 
@@ -29,7 +32,9 @@
 }
 
 // upgradedNodes names the controllers that are known to be upgraded, sorted.
-func (r *versionRegistry) upgradedNodes() []cluster.NodeID { return sortedKeys(r.upgraded) }
+func (r *versionRegistry) upgradedNodes() []cluster.NodeID {
+	return slices.Sorted(maps.Keys(r.upgraded))
+}
 
 // supportsDependencies tells whether a controller certainly runs a release that
 // knows what awaiting means. What it said last in its present run counts most.
--- a/internal/controller/workerreachability.go
+++ b/internal/controller/workerreachability.go
@@ -2,6 +2,7 @@
 
 import (
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 )
 
@@ -39,7 +40,7 @@
 	if len(c.machines) >= largeFleetSize {
 		patience /= 2
 	}
-	if c.now-s.lastOwnedHeartbeat < patience {
+	if c.loop.Now()-s.lastOwnedHeartbeat < patience {
 		s.unreachable = false
 		return true
 	}
@@ -47,7 +48,7 @@
 	addr := ""
 	for _, p := range c.shards {
 		for _, m := range p.machines {
-			if !m.booting && c.now-max(m.ownedSince, c.processHealth.resumedAt) > patience {
+			if !m.booting && c.loop.Now()-max(m.ownedSince, c.processHealth.resumedAt) > patience {
 				silent++
 				addr = m.address
 			}
@@ -65,10 +66,10 @@
 	if !s.unreachable || s.probeAddress == "" {
 		return
 	}
-	c.emit(messages.QueryWorkerStatus{Addr: s.probeAddress, Call: c.registerCall(func(b any) {
-		if b.(messages.PushCommandsReply).Outcome == messages.OK {
+	c.loop.Emit(messages.QueryWorkerStatus{Addr: s.probeAddress, Call: eventloop.Call(c.loop, func(reply messages.PushCommandsReply) {
+		if reply.Outcome == messages.OK {
 			s.unreachable = false
-			s.lastOwnedHeartbeat = c.now
+			s.lastOwnedHeartbeat = c.loop.Now()
 		}
 	})})
 }
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -28,9 +28,9 @@
 
 // limitPutRate leaves the given number of puts a second and no more at once.
 func (b *controllerHarness) limitPutRate(rate float64) {
-	b.timers = timerQueue{} // no new division of the rate
+	dropTimers(b.Controller) // no new division of the rate
 	b.writeQueue.putBudget.SetRate(rate, 1)
-	b.writeQueue.putBudget.Refill(b.now)
+	b.writeQueue.putBudget.Refill(b.loop.Now())
 	b.writeQueue.putBudget.Lower(0)
 }
 
@@ -44,7 +44,7 @@
 	markTasksRecording(many, 6)
 	b.limitPutRate(0.5)
 	b.writeGroup(few, priorityStart)
-	b.now += second / 2
+	setTime(b.Controller, b.loop.Now()+second/2)
 	b.writeGroup(many, priorityStart)
 	b.runFor(second * 5 / 2)
 	if f, m := b.countWrites(few.key()), b.countWrites(many.key()); f != 0 || m != 1 {
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -16,10 +16,10 @@
 	refused := 0
 	var allowed ratelimit.TokenBucket
 	allowed.SetRate(rate, rate)
-	allowed.Refill(b.now)
+	allowed.Refill(b.loop.Now())
 	allowed.Fill()
 	b.throttles = func(x messages.StoreTxn) bool {
-		ok := allowed.Take(b.now, float64(len(x.Then)))
+		ok := allowed.Take(b.loop.Now(), float64(len(x.Then)))
 		if !ok {
 			refused++
 		}
@@ -32,7 +32,7 @@
 func newHarnessWithRates(present, later float64) *controllerHarness {
 	b := newControllerHarness()
 	b.config.CurrentWriteRPS, b.config.WriteRPS, b.config.MaxTxnOps = present, later, 4
-	b.timers = timerQueue{} // no tidying up, which would join the groups
+	dropTimers(b.Controller) // no tidying up, which would join the groups
 	b.writeQueue.init(b.Controller)
 	return b
 }
--- a/internal/controller/writebatch.go
+++ b/internal/controller/writebatch.go
@@ -34,7 +34,7 @@
 
 // nextTransaction makes a transaction of the writes whose turn has come, or returns nil.
 func (w *writeQueue) nextTransaction() *transaction {
-	now := w.controller.now
+	now := w.controller.loop.Now()
 	w.putBudget.Refill(now)
 	w.requestBudget.Refill(now)
 	if w.depth() == 0 {
--- a/internal/controller/writequeue.go
+++ b/internal/controller/writequeue.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/ratelimit"
@@ -133,7 +134,7 @@
 }
 
 func (w *writeQueue) enqueue(prio int, x *queuedWrite) {
-	x.priority, x.queuedAt = prio, w.controller.now
+	x.priority, x.queuedAt = prio, w.controller.loop.Now()
 	w.queues[prio] = append(w.queues[prio], x)
 }
 
@@ -163,7 +164,7 @@
 		if x.cpusWaiting != nil {
 			cpus += x.cpusWaiting()
 		}
-		rank[x] = cpus * (w.controller.now - x.queuedAt).Seconds() / float64(len(x.keys))
+		rank[x] = cpus * (w.controller.loop.Now() - x.queuedAt).Seconds() / float64(len(x.keys))
 	}
 	slices.SortStableFunc(queue, func(a, b *queuedWrite) int { return cmp.Compare(rank[b], rank[a]) })
 }
@@ -216,7 +217,7 @@
 		return
 	}
 	w.wakeScheduled = true
-	w.controller.after(d, func() { w.wakeScheduled = false })
+	w.controller.loop.After(d, func() { w.wakeScheduled = false })
 }
 
 func (w *writeQueue) send(t *transaction) {
@@ -227,15 +228,15 @@
 	w.backgroundDeficit = min(w.backgroundDeficit+backgroundShare*float64(len(t.operations)), 2)
 	w.requestBudget.Spend(1)
 	if t.sendCount++; t.sendCount == 1 {
-		t.firstSentAt = c.now
+		t.firstSentAt = c.loop.Now()
 	}
 	c.counters.Transactions++
 	c.counters.Puts += len(t.operations)
 	for i, n := range t.putsByPriority {
 		c.counters.PutsByPriority[i] += n
 	}
-	c.storeHealth.recordRequest(c.now)
-	c.emit(messages.StoreTxn{Call: c.registerCall(func(b any) { w.handleReply(t, b.(messages.TxnReply)) }), If: t.compares, Then: t.operations})
+	c.storeHealth.recordRequest(c.loop.Now())
+	c.loop.Emit(messages.StoreTxn{Call: eventloop.Call(c.loop, func(reply messages.TxnReply) { w.handleReply(t, reply) }), If: t.compares, Then: t.operations})
 }
 
 func (w *writeQueue) finish(t *transaction) {
@@ -252,7 +253,7 @@
 
 func (w *writeQueue) retry(t *transaction) {
 	d := 100 * millisecond << min(t.sendCount, 4)
-	w.controller.after(d, func() {
+	w.controller.loop.After(d, func() {
 		w.inFlight--
 		w.send(t)
 	})
@@ -283,7 +284,7 @@
 		// Perhaps the store's limits were lowered and one of its records is too
 		// large. Each is built anew, by itself, so that this one shows.
 		w.finish(t)
-		c.log(messages.LogInfo, "store refuses our transaction as malformed", "keys", len(t.operations), "first", t.operations[0].Key, "writes", len(t.writes))
+		c.loop.Log(messages.LogInfo, "store refuses our transaction as malformed", "keys", len(t.operations), "first", t.operations[0].Key, "writes", len(t.writes))
 		for _, x := range t.writes {
 			switch {
 			case len(t.writes) > 1:
@@ -306,7 +307,7 @@
 // store has refused more than that.
 func (w *writeQueue) lowerWriteRate() {
 	if w.writeRPS > w.controller.config.WriteRPS {
-		w.controller.log(messages.LogInfo, "store refuses the present write rate", "per_second", w.writeRPS, "from_now", w.controller.config.WriteRPS)
+		w.controller.loop.Log(messages.LogInfo, "store refuses the present write rate", "per_second", w.writeRPS, "from_now", w.controller.config.WriteRPS)
 		w.writeRPS = w.controller.config.WriteRPS
 		w.divideWriteRate()
 	}
@@ -391,7 +392,7 @@
 			case r.Outcome == messages.OK || r.Outcome == messages.NotFound:
 				next(i + 1)
 			default:
-				c.after(300*millisecond, func() { next(i) })
+				c.loop.After(300*millisecond, func() { next(i) })
 			}
 		})
 	}
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -16,11 +16,11 @@
 
 // heartbeatReplyStatus is the status with which a report of a machine is answered.
 func heartbeatReplyStatus(b *controllerHarness, m *machine) messages.ReplyStatus {
-	b.effects = nil
+	takeEffects(b.Controller)
 	b.handleHeartbeat(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: m.sequenceNumber + 1, FencingToken: m.token, PreemptionNotice: -1}})
-	b.now += maxHeartbeatHold
+	setTime(b.Controller, b.loop.Now()+maxHeartbeatHold)
 	b.flush()
-	for _, effect := range b.effects {
+	for _, effect := range b.loop.Effects() {
 		if answer, ok := effect.(messages.Respond); ok {
 			return answer.Status
 		}
@@ -36,7 +36,7 @@
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newHolder := func() *controllerHarness {
 		b := newControllerHarness()
-		b.storeHealth.failing, b.storeHealth.failingSince = true, b.now
+		b.storeHealth.failing, b.storeHealth.failingSince = true, b.loop.Now()
 		for _, peer := range b.peers {
 			answerProbe(b, peer.id, 1)
 		}
@@ -61,7 +61,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newHolder()
 			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			b.now += test.after
+			setTime(b.Controller, b.loop.Now()+test.after)
 			if test.hears {
 				answerProbe(b, "n1", 1)
 			}
@@ -101,7 +101,7 @@
 		t.Error("started outside before the record shows that the machine is gone")
 	}
 	b.runFor(second)
-	outside.lastHeartbeat = b.now
+	outside.lastHeartbeat = b.loop.Now()
 	if !startedOutside() || job.pendingCount() != 0 {
 		t.Error("not started outside though the machine is gone and the record says so")
 	}
