--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -7,6 +7,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // A submission is accepted by a record in the store. Those that come in
@@ -122,8 +123,8 @@
 	c.loop.After(admissionTimeout, func() {
 		a.answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "not stored in time"})
 	})
-	c.loop.After(storeSlowThreshold+50*millisecond, func() {
-		if !a.answered && c.storeHealth.isUnresponsive(c.loop.Now()) {
+	c.loop.After(writequeue.SlowThreshold+50*millisecond, func() {
+		if !a.answered && c.writeQueue.Health.IsUnresponsive(c.loop.Now()) {
 			c.proxySubmission(a.spec, a.answer)
 		}
 	})
@@ -203,7 +204,7 @@
 // condition that none of them is known.
 type admissionWrite struct {
 	controller *Controller
-	write      *queuedWrite
+	write      *writequeue.Write
 	batchKey   string // of the record of several
 	built      bool   // it has been built at least once
 	batch      []*pendingAdmission
@@ -215,15 +216,15 @@
 	c.admissions.queuedWrites++
 	key := c.admissions.nextKey(c.config.InstanceID)
 	w := &admissionWrite{controller: c, batchKey: key}
-	w.write = &queuedWrite{
-		shardID:          cluster.NoShard,
-		keys:             []string{key},
-		maxExtraCompares: c.config.MaxTxnOps,
-		build:            w.build,
-		onApplied:        w.handleStored,
-		onConflict:       w.handleConflict,
+	w.write = &writequeue.Write{
+		ShardID:          cluster.NoShard,
+		Keys:             []string{key},
+		MaxExtraCompares: c.config.MaxTxnOps,
+		Build:            w.build,
+		OnApplied:        w.handleStored,
+		OnConflict:       w.handleConflict,
 	}
-	c.writeQueue.enqueue(priorityAdmit, w.write)
+	c.writeQueue.Enqueue(writequeue.Admit, w.write)
 }
 
 // build makes the record. It is called again where another write of its
@@ -236,7 +237,7 @@
 	}
 	s.waiting = append(w.batch, s.waiting...)
 	w.batch, w.jobRecords = w.controller.takeAdmissionBatch(), nil
-	w.write.extraCompares, w.write.keys[0] = nil, w.batchKey
+	w.write.ExtraCompares, w.write.Keys[0] = nil, w.batchKey
 	if len(s.waiting) > s.queuedWrites {
 		w.controller.queueAdmissionWrite()
 	}
@@ -250,12 +251,12 @@
 		rec.Jobs = append(rec.Jobs, admittedJob{a.spec.ID, a.spec})
 	}
 	if len(w.batch) == 1 {
-		w.write.keys[0] = jobKey(w.batch[0].spec.ID)
-		return []messages.TxnOp{{Key: w.write.keys[0], Value: w.jobRecords[0]}}, []cluster.ModRevision{0}
+		w.write.Keys[0] = jobKey(w.batch[0].spec.ID)
+		return []messages.TxnOp{{Key: w.write.Keys[0], Value: w.jobRecords[0]}}, []cluster.ModRevision{0}
 	}
 	rec.WriteID = nonce
 	for _, a := range w.batch {
-		w.write.extraCompares = append(w.write.extraCompares, messages.Compare{Key: jobKey(a.spec.ID), ModRevision: 0})
+		w.write.ExtraCompares = append(w.write.ExtraCompares, messages.Compare{Key: jobKey(a.spec.ID), ModRevision: 0})
 	}
 	v, _ := json.Marshal(rec)
 	return []messages.TxnOp{{Key: w.batchKey, Value: v}}, []cluster.ModRevision{0}
@@ -276,13 +277,13 @@
 		w.controller.applyJobRecord(kv, nil)
 		w.controller.notifyOwner(w.controller.teams[a.spec.Team].shard, kv)
 		w.controller.notifyDependencyOwners(&a.spec, kv)
-		if w.write.inDoubt {
+		if w.write.InDoubt {
 			// It may have been carried out long before this answer, and others may
 			// have told more of it since.
 			w.controller.answerIdempotentRetry(a.answer, a.spec.ID)
 		}
 	}
-	if w.write.inDoubt {
+	if w.write.InDoubt {
 		return
 	}
 	for _, a := range w.batch {
@@ -352,7 +353,7 @@
 // loadAdmissions learns of the jobs that were accepted together, then follows.
 func (c *Controller) loadAdmissions() {
 	s := &c.admissions
-	c.listPrefix(admissionKeyPrefix, func(r messages.ListReply) {
+	c.writeQueue.ListPrefix(admissionKeyPrefix, func(r messages.ListReply) {
 		if r.Outcome != messages.OK {
 			c.loop.After(second, c.loadAdmissions)
 			return
@@ -383,7 +384,7 @@
 // readAdmissionChanges reads the records of several that were stored since the last
 // reading; fn gets whether that worked.
 func (c *Controller) readAdmissionChanges(fn func(bool)) {
-	c.readPrefixSince(admissionKeyPrefix, c.admissions.appliedRevision, func(r messages.WatchReply) {
+	c.writeQueue.ReadChanges(admissionKeyPrefix, c.admissions.appliedRevision, func(r messages.WatchReply) {
 		for _, kv := range r.Items {
 			c.applyAdmissionRecord(kv, nil)
 		}
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/writequeue"
 )
 
 // TestAttemptNumbersBeyondOneRevision: a part that one controller holds for days numbers
@@ -19,7 +20,7 @@
 	m, _ := b.addRunningMachine(b.jobs.owned["j-1"])
 	b.store.revision = 50
 	m.group.modRevision = 0
-	b.writeMachine(m, priorityStart)
+	b.writeMachine(m, writequeue.Start)
 	b.runFor(100 * millisecond)
 
 	p.attemptCount = cluster.MaxAttemptCount - 1
--- a/internal/controller/cloudlist.go
+++ b/internal/controller/cloudlist.go
@@ -85,7 +85,7 @@
 // it has and the more controllers read it, the longer. A controller without
 // machines has only orphans to look for, which takes a minute anyway.
 func (c *Controller) cloudListInterval() cluster.Time {
-	calls := float64(c.cloudListing.lastPageCount * c.writeQueue.liveControllers)
+	calls := float64(c.cloudListing.lastPageCount * c.writeQueue.LiveControllers())
 	spread := cluster.Time(calls / (c.config.CloudRPS * listRateShare) * float64(second))
 	d := max(c.config.CloudListLag, 8*second, spread)
 	if len(c.machines) == 0 {
--- a/internal/controller/cloudrate.go
+++ b/internal/controller/cloudrate.go
@@ -24,7 +24,7 @@
 
 // shareByDemand returns this controller's part of a limit that all live ones
 // share. told picks the demand on it from what another one has told.
-func (c *Controller) shareByDemand(limit, demand float64, told func(*messages.Ping) float64) float64 {
+func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, told func(*messages.Ping) float64) float64 {
 	others := make([]ratelimit.Demand, 0, len(c.peers))
 	for _, id := range c.config.Nodes {
 		if p := c.peers[id]; p != nil && !p.failed {
@@ -32,7 +32,7 @@
 			others = append(others, ratelimit.Demand{Rate: told(&p.lastPing), Known: known})
 		}
 	}
-	return ratelimit.Divide(limit, demand, c.writeQueue.liveControllers, others)
+	return ratelimit.Divide(limit, demand, liveControllers, others)
 }
 
 // measureCloudDemand works out once a second what this controller could use. A need
@@ -54,7 +54,7 @@
 func (c *Controller) updateCloudRate() {
 	s := &c.cloudRate
 	s.bucket.Refill(c.loop.Now())
-	rate := c.shareByDemand(c.config.CloudRPS*c.config.Tuning.RateBudgetShare, s.demand, func(g *messages.Ping) float64 { return g.CloudDemand })
+	rate := c.shareByDemand(c.config.CloudRPS*c.config.Tuning.RateBudgetShare, s.demand, c.writeQueue.LiveControllers(), func(g *messages.Ping) float64 { return g.CloudDemand })
 	s.bucket.SetRate(rate, max(cloudBurstSeconds*rate, 1))
 }
 
--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/writequeue"
 )
 
 // deliverStatus is a machine's next account of itself.
@@ -24,7 +25,7 @@
 	j.recordTooLarge = true // no checkpoint stores its outcomes
 	m.group.modRevision = 0
 	b.deliverStatus(m, cluster.TaskStatus{Task: a.task, Attempt: a.attempt, State: cluster.Ended, Cause: cluster.CauseCompleted})
-	b.writeMachine(m, priorityStart)
+	b.writeMachine(m, writequeue.Start)
 	b.runFor(100 * millisecond)
 
 	record := string(b.store.get(m.group.key()).KV.Value)
@@ -35,7 +36,7 @@
 		t.Fatalf("kept %v, unlisted %v, reaped %v before its outcome is stored", m.assignments[a.task] == a, a.removedFromRecord, m.endedToAcknowledge)
 	}
 	written := m.group.modRevision
-	b.writeJob(j, priorityOutcome)
+	b.writeJob(j, writequeue.Outcome)
 	b.runFor(100 * millisecond)
 	if m.assignments[a.task] != nil || !m.endedToAcknowledge[a.taskAttempt()] {
 		t.Error("its outcome is stored, and the worker is not told to forget it")
@@ -80,7 +81,7 @@
 			if len(m.endedToAcknowledge) > 0 {
 				t.Error("the worker may forget it before it is stored")
 			}
-			b.writeJob(j, priorityOutcome)
+			b.writeJob(j, writequeue.Outcome)
 			b.runFor(100 * millisecond)
 			if kv := b.store.get(j.chunkKey(0)).KV; !strings.Contains(string(kv.Value), `"d":"1"`) {
 				t.Errorf("stored %s", kv.Value)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,6 +13,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 const (
@@ -27,12 +28,11 @@
 	loop   *eventloop.Loop
 
 	// What it wants done, and what it waits for.
-	writeQueue writeQueue
+	writeQueue *writequeue.Queue
 	cloudRate  cloudRateShare
 	counters   Counters
 
 	// How this node fares.
-	storeHealth        storeHealth
 	processHealth      processHealth
 	livenessKey        nodeLiveness
 	workerReachability workerReachability
@@ -88,7 +88,7 @@
 		classStats:       map[string]*classStats{},
 	}
 	c.versionRegistry = newVersionRegistry(cfg.Self)
-	c.writeQueue.init(c)
+	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardOwnership{c})
 	for i := range cfg.Nodes {
 		c.shards = append(c.shards, &shard{id: cluster.ShardID(i), preferredOwner: cfg.Nodes[i], outOfCapacityCount: map[provisioningOption]int{}, usage: teamUsage{}})
 		if n := cfg.Nodes[i]; n != cfg.Self {
@@ -154,7 +154,7 @@
 		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
 	}
 	c.pushQueuedCommands()
-	c.writeQueue.dispatch()
+	c.writeQueue.Dispatch()
 	c.answerHeldHeartbeats()
 }
 
@@ -177,7 +177,7 @@
 	c.fetchMachineTypes()
 	c.loadMachineTypeCache()
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
-	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.measureDemand)
+	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
 	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
 	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -81,7 +81,7 @@
 func (b *controllerHarness) runFor(d cluster.Time) {
 	for end := b.loop.Now() + d; b.loop.Now() <= end; setTime(b.Controller, b.loop.Now()+20*millisecond) {
 		b.loop.RunTimers()
-		b.writeQueue.dispatch()
+		b.writeQueue.Dispatch()
 		out := takeEffects(b.Controller)
 		for _, f := range out {
 			switch f := f.(type) {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -6,6 +6,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // Pipelines: jobs that await others. What a job awaits is part of its record;
@@ -118,7 +119,7 @@
 	j.cancelling = true
 	c.withdrawUnsentStarts(j)
 	c.stopAllTasks(j)
-	c.writeJob(j, priorityOutcome)
+	c.writeJob(j, writequeue.Outcome)
 }
 
 // updateReadiness lets a job's tasks start when nothing is left that it awaits.
--- a/internal/controller/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -5,6 +5,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -53,23 +54,23 @@
 	v, s := c.buildGroupRecord(0, nil, "n-1")
 	rec, err := grouprecord.Decode(v)
 	part, ms := rec.ShardID, rec.Machines
-	if v == nil || err != nil || part != 0 || len(ms) != 0 || writeIDOf(v) != "n-1" || len(s.machines) != 0 {
+	if v == nil || err != nil || part != 0 || len(ms) != 0 || writequeue.WriteIDOf(v) != "n-1" || len(s.machines) != 0 {
 		t.Fatalf("an emptied group is written as %q: %v", v, err)
 	}
 	p.owned, p.claimRevision, p.modRevision = true, 30, 30
 	c.applyGroupRecord(messages.KV{Key: "groups/b1-12-1", Value: v, ModRevision: 20}, p)
-	q := c.writeQueue.queues[priorityBackground]
-	if len(q) != 1 || q[0].keys[0] != "groups/b1-12-1" || len(c.machineGroups) != 0 {
+	q := c.writeQueue.Queued(writequeue.Background)
+	if len(q) != 1 || q[0].Keys[0] != "groups/b1-12-1" || len(c.machineGroups) != 0 {
 		t.Fatalf("the next claim queues %d writes and knows %d groups", len(q), len(c.machineGroups))
 	}
-	if ops, _ := q[0].build("n-2"); len(ops) != 1 || ops[0].Value != nil {
+	if ops, _ := q[0].Build("n-2"); len(ops) != 1 || ops[0].Value != nil {
 		t.Errorf("the next claim writes %v", ops)
 	}
 	// The claim that made it is in force, or the key doesn't say which that was.
 	c.applyGroupRecord(messages.KV{Key: "groups/b1-30-1", Value: v, ModRevision: 20}, p)
 	c.applyGroupRecord(messages.KV{Key: "groups/g", Value: v, ModRevision: 20}, p)
-	for _, x := range c.writeQueue.queues[priorityBackground][1:] {
-		if ops, _ := x.build("n-3"); ops != nil {
+	for _, x := range c.writeQueue.Queued(writequeue.Background)[1:] {
+		if ops, _ := x.Build("n-3"); ops != nil {
 			t.Errorf("%v is dropped though a copy of its creation may come", ops)
 		}
 	}
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -57,5 +57,18 @@
 // StalledShards counts the parts without progress.
 func (c *Controller) StalledShards() int { return c.stalledShardCount() }
 
-// Counts returns what was counted since the last periodic log line.
-func (c *Controller) Counts() Counters { return c.counters }
+// Work is what a controller has counted since the last periodic log line.
+type Work struct {
+	MachineScans int
+	Puts         int
+	PeerCalls    int
+}
+
+// Work returns it.
+func (c *Controller) Work() Work {
+	return Work{
+		MachineScans: c.counters.MachineScans,
+		Puts:         c.writeQueue.Counters().Puts,
+		PeerCalls:    c.counters.PeerCalls,
+	}
+}
--- a/internal/controller/group_check_test.go
+++ b/internal/controller/group_check_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/writequeue"
 )
 
 // TestGroupRecordCheckTerminates: another writer has changed a group's record, and tasks
@@ -17,7 +18,7 @@
 	m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
 	part := b.shards[0]
 	key := m.group.key()
-	b.writeMachine(m, priorityStart)
+	b.writeMachine(m, writequeue.Start)
 	m.group.modRevision = 0 // as the store has none yet
 	b.runFor(100 * millisecond)
 	kv := b.store.get(key).KV
@@ -27,7 +28,7 @@
 
 	sent := len(b.sentTransactions)
 	for range 50 {
-		b.writeMachine(m, priorityStart)
+		b.writeMachine(m, writequeue.Start)
 		b.runFor(0) // one round of answers
 	}
 	if part.corruptRecordCount == 0 {
--- a/internal/controller/group_writes_test.go
+++ b/internal/controller/group_writes_test.go
@@ -5,6 +5,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -14,16 +15,16 @@
 func TestWriteQueuedWhileBatchIsBuilt(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
 	built := 0
-	second := &queuedWrite{shardID: cluster.NoShard, keys: []string{"b"}, build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+	second := &writequeue.Write{ShardID: cluster.NoShard, Keys: []string{"b"}, Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
 		built++
 		return []messages.TxnOp{{Key: "b", Value: []byte(`{}`)}}, []cluster.ModRevision{0}
 	}}
-	c.writeQueue.enqueue(priorityStart, &queuedWrite{shardID: cluster.NoShard, keys: []string{"a"}, build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
-		c.writeQueue.enqueue(priorityStart, second)
+	c.writeQueue.Enqueue(writequeue.Start, &writequeue.Write{ShardID: cluster.NoShard, Keys: []string{"a"}, Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+		c.writeQueue.Enqueue(writequeue.Start, second)
 		return nil, nil // no longer wanted
 	}})
-	c.writeQueue.dispatch()
-	c.writeQueue.dispatch()
+	c.writeQueue.Dispatch()
+	c.writeQueue.Dispatch()
 	if built != 1 {
 		t.Errorf("the write queued meanwhile was built %d times", built)
 	}
--- a/internal/controller/groupsplit.go
+++ b/internal/controller/groupsplit.go
@@ -4,6 +4,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // groupSplit moves machines of a group into new ones by one transaction on all
@@ -31,25 +32,25 @@
 	}
 	n := min(max(c.valueLimit().SplitCount(g.estimatedSize()), g.minPieces), c.config.MaxTxnOps, len(g.machines))
 	if g.queuedWrite != nil {
-		c.writeQueue.cancel(g.queuedWrite)
+		c.writeQueue.Cancel(g.queuedWrite)
 		g.queuedWrite = nil
 	}
-	g.writePending, g.writeInFlight, g.nextWritePriority = true, true, priorityCount
+	g.writePending, g.writeInFlight, g.nextWritePriority = true, true, writequeue.PriorityCount
 	s := &groupSplit{controller: c, shard: p, claimRevision: p.claimRevision, group: g, keys: []string{g.key()}}
 	for range n - 1 {
 		id := c.nextMachineGroupName(p)
 		s.newIDs = append(s.newIDs, id)
 		s.keys = append(s.keys, "groups/"+id)
 	}
-	c.writeQueue.enqueue(priorityStart, &queuedWrite{
-		shardID:         p.id,
-		keys:            s.keys,
-		cpusWaiting:     func() float64 { return c.cpusWaiting(g) },
-		build:           s.build,
-		onApplied:       s.handleStored,
-		onConflict:      s.handleConflict,
-		onTooLarge:      s.handleTooLarge,
-		onOwnershipLost: g.endWrite,
+	c.writeQueue.Enqueue(writequeue.Start, &writequeue.Write{
+		ShardID:         p.id,
+		Keys:            s.keys,
+		CPUsWaiting:     func() float64 { return c.cpusWaiting(g) },
+		Build:           s.build,
+		OnApplied:       s.handleStored,
+		OnConflict:      s.handleConflict,
+		OnTooLarge:      s.handleTooLarge,
+		OnOwnershipLost: g.endWrite,
 	})
 }
 
@@ -64,7 +65,7 @@
 		g.endWrite()
 		return nil, nil
 	}
-	g.nextWritePriority, g.addedBytes = priorityCount, 0
+	g.nextWritePriority, g.addedBytes = writequeue.PriorityCount, 0
 	s.pieces, s.snapshots = grouprecord.Split(g.sortedMachines(), len(s.keys), (*machine).taskCount), nil
 	var ops []messages.TxnOp
 	var marks []cluster.ModRevision
@@ -122,7 +123,7 @@
 	g.minPieces = 2 * len(s.keys)
 	s.controller.loop.After(second, func() {
 		if s.isCurrent() {
-			s.controller.writeGroup(g, priorityStart)
+			s.controller.writeGroup(g, writequeue.Start)
 		}
 	})
 }
--- a/internal/controller/grouptransfer.go
+++ b/internal/controller/grouptransfer.go
@@ -6,6 +6,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -31,7 +32,7 @@
 // acquireGroup takes a group that was offered to a part at a revision of its record.
 func (c *Controller) acquireGroup(p *shard, key string, mark cluster.ModRevision) {
 	take := &groupTransfer{controller: c, shard: p, claimRevision: p.claimRevision, groupID: strings.TrimPrefix(key, "groups/"), offeredRevision: mark}
-	c.readKey(key, func(r messages.GetReply) {
+	c.writeQueue.ReadKey(key, func(r messages.GetReply) {
 		if r.Outcome == messages.OK && r.KV.ModRevision == mark && p.isOwnedUnder(take.claimRevision) {
 			take.begin(r.KV.Value)
 		}
@@ -51,13 +52,13 @@
 	if slices.ContainsFunc(t.machines, isMachineInUse) || !t.lock() {
 		return
 	}
-	c.writeQueue.enqueue(priorityScaleOut, &queuedWrite{
-		shardID:         t.shard.id,
-		keys:            []string{t.key()},
-		build:           t.build,
-		onApplied:       t.handleStored,
-		onConflict:      t.handleConflict,
-		onOwnershipLost: t.unlock,
+	c.writeQueue.Enqueue(writequeue.ScaleOut, &writequeue.Write{
+		ShardID:         t.shard.id,
+		Keys:            []string{t.key()},
+		Build:           t.build,
+		OnApplied:       t.handleStored,
+		OnConflict:      t.handleConflict,
+		OnOwnershipLost: t.unlock,
 	})
 }
 
@@ -80,7 +81,7 @@
 		}
 	}
 	t.localGroup = g
-	g.writePending, g.writeInFlight, g.nextWritePriority = true, true, priorityCount
+	g.writePending, g.writeInFlight, g.nextWritePriority = true, true, writequeue.PriorityCount
 	return true
 }
 
--- a/internal/controller/growth_test.go
+++ b/internal/controller/growth_test.go
@@ -46,10 +46,10 @@
 }
 
 // sumCounters adds up what all controllers have counted.
-func (f *fleet) sumCounters() controller.Counters {
-	var sum controller.Counters
+func (f *fleet) sumCounters() controller.Work {
+	var sum controller.Work
 	for _, c := range f.Controllers() {
-		n := c.Counts()
+		n := c.Work()
 		sum.MachineScans += n.MachineScans
 		sum.Puts += n.Puts
 		sum.PeerCalls += n.PeerCalls
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -5,6 +5,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // TestJobEndInDoubtConfirmedBeforeAnswer: the write of a job's end is carried out and its answer is
@@ -15,7 +16,7 @@
 	j := b.addTestJob("j-1", 1)
 	j.setCompleted(0)
 	b.losesReply = func(messages.StoreTxn) bool { return true }
-	b.writeJob(j, priorityAdmit)
+	b.writeJob(j, writequeue.Admit)
 	b.runFor(60 * millisecond)
 	if b.store.get("jobs/j-1").Outcome != messages.OK || j.finalStatus != "" {
 		t.Fatal("the end is not stored, or its answer is not lost")
--- a/internal/controller/jobreads.go
+++ b/internal/controller/jobreads.go
@@ -50,7 +50,7 @@
 // linearizableJobRead calls fn after everything has been learned that was stored about jobs
 // before this call, with readings begun after it; false: that could not be read.
 func (c *Controller) linearizableJobRead(fn func(bool)) {
-	if c.isStoreUnavailableFor(second) || c.jobs.appliedRevision == 0 || !c.admissions.loaded {
+	if c.writeQueue.IsUnavailableFor(second) || c.jobs.appliedRevision == 0 || !c.admissions.loaded {
 		fn(false)
 		return
 	}
@@ -76,7 +76,7 @@
 		}
 	}
 	c.readAdmissionChanges(done)
-	c.readPrefixSince(jobKeyPrefix, c.jobs.appliedRevision, func(r messages.WatchReply) {
+	c.writeQueue.ReadChanges(jobKeyPrefix, c.jobs.appliedRevision, func(r messages.WatchReply) {
 		for _, kv := range r.Items {
 			c.applyJobRecord(kv, nil)
 		}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -9,6 +9,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // Task states inside a job.
@@ -248,13 +249,13 @@
 		c.loadJobChunk(j, n)
 	}
 	if j.chunksLoading == 0 && j.completedCount == j.spec.Tasks {
-		c.writeJob(j, priorityAdmit)
+		c.writeJob(j, writequeue.Admit)
 	}
 }
 
 // loadJobChunk reads a further chunk; the job is held back until it is known.
 func (c *Controller) loadJobChunk(j *job, n int) {
-	c.readKey(j.chunkKey(n), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(j.chunkKey(n), func(r messages.GetReply) {
 		if !c.jobs.owns(j) {
 			return
 		}
@@ -283,7 +284,7 @@
 		j.chunksLoading--
 		c.schedulingTrigger.request()
 		if j.chunksLoading == 0 && j.completedCount == j.spec.Tasks {
-			c.writeJob(j, priorityAdmit)
+			c.writeJob(j, writequeue.Admit)
 		}
 	})
 }
@@ -291,7 +292,7 @@
 // loadJobs learns of all jobs and then follows the changes at an easy pace;
 // it is the safety net under the messages between controllers.
 func (c *Controller) loadJobs() {
-	c.listPrefix(jobKeyPrefix, func(r messages.ListReply) {
+	c.writeQueue.ListPrefix(jobKeyPrefix, func(r messages.ListReply) {
 		if r.Outcome != messages.OK {
 			c.loop.After(second, c.loadJobs)
 			return
@@ -316,7 +317,7 @@
 	if kv.Value == nil {
 		return
 	}
-	boot := writeIDInstance(writeIDOf(kv.Value))
+	boot := writeIDInstance(writequeue.WriteIDOf(kv.Value))
 	for _, p := range c.peers {
 		if p.instanceID == boot {
 			p.lastWriteSeenAt = c.loop.Now()
@@ -368,19 +369,6 @@
 	}
 }
 
-// raisePriority moves a queued write to a more urgent class.
-func (w *writeQueue) raisePriority(key string, prio int) {
-	for q := prio + 1; q < priorityCount; q++ {
-		for i, x := range w.queues[q] {
-			if x.keys[0] == key {
-				w.queues[q] = append(w.queues[q][:i:i], w.queues[q][i+1:]...)
-				w.enqueue(prio, x)
-				return
-			}
-		}
-	}
-}
-
 func (c *Controller) handleJobEnd(j *job, end cluster.JobStatus) {
 	j.finalStatus = end
 	if k := c.jobs.known[j.spec.ID]; k != nil {
@@ -411,13 +399,13 @@
 // machine records that list more than they need to.
 func (c *Controller) writeBackgroundState() {
 	for _, j := range c.ownedJobs() {
-		if j.writeQueued || j.finalStatus != "" || j.recordTooLarge || c.loop.Now() < j.nextCheckpointAt && len(c.writeQueue.queues[priorityStart]) > 0 {
+		if j.writeQueued || j.finalStatus != "" || j.recordTooLarge || c.loop.Now() < j.nextCheckpointAt && len(c.writeQueue.Queued(writequeue.Start)) > 0 {
 			continue
 		}
 		for _, d := range j.dirtyChunks {
 			if d {
 				j.nextCheckpointAt = c.loop.Now() + 4*c.config.Tuning.CheckpointInterval
-				c.writeJob(j, priorityBackground)
+				c.writeJob(j, writequeue.Background)
 				break
 			}
 		}
--- a/internal/controller/jobwrite.go
+++ b/internal/controller/jobwrite.go
@@ -6,6 +6,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // jobWrite is a write of what has become of a job: of its tasks, or its end.
@@ -16,7 +17,7 @@
 type jobWrite struct {
 	controller     *Controller
 	job            *job
-	priority       int
+	priority       writequeue.Priority
 	eligibleChunks []int             // that it may set
 	writtenChunks  []int             // chunks that it sets
 	writtenTasks   []int             // tasks whose end it tells
@@ -24,28 +25,28 @@
 }
 
 // writeJob stores what has become of a job's tasks, or its end.
-func (c *Controller) writeJob(j *job, prio int) {
+func (c *Controller) writeJob(j *job, prio writequeue.Priority) {
 	if j.finalStatus != "" {
 		return
 	}
 	if j.writeQueued {
 		j.rewriteNeeded = true
-		if prio < priorityBackground {
-			c.writeQueue.raisePriority(j.chunkKey(0), prio)
+		if prio < writequeue.Background {
+			c.writeQueue.RaisePriority(j.chunkKey(0), prio)
 		}
 		return
 	}
 	j.writeQueued, j.rewriteNeeded = true, false
 	keys, chunks := j.selectWriteKeys(c.config.MaxTxnOps)
 	w := &jobWrite{controller: c, job: j, priority: prio, eligibleChunks: chunks}
-	c.writeQueue.enqueue(prio, &queuedWrite{
-		shardID:         j.shard,
-		keys:            keys,
-		build:           w.build,
-		onApplied:       w.handleStored,
-		onConflict:      w.handleConflict,
-		onTooLarge:      w.handleTooLarge,
-		onOwnershipLost: w.finish,
+	c.writeQueue.Enqueue(prio, &writequeue.Write{
+		ShardID:         j.shard,
+		Keys:            keys,
+		Build:           w.build,
+		OnApplied:       w.handleStored,
+		OnConflict:      w.handleConflict,
+		OnTooLarge:      w.handleTooLarge,
+		OnOwnershipLost: w.finish,
 	})
 }
 
@@ -156,7 +157,7 @@
 		w.controller.deleteLeftoverChunks(j, w.writtenChunks)
 		w.controller.handleJobEnd(j, w.finalStatus)
 	} else if j.rewriteNeeded {
-		w.controller.writeJob(j, priorityOutcome)
+		w.controller.writeJob(j, writequeue.Outcome)
 	}
 }
 
@@ -225,8 +226,8 @@
 // resolveFirstRecordConflict follows the conflict of a job's first own record: the job came in
 // twice at once, and its other acceptance has written one. That says no more
 // than the acceptance here.
-func (c *Controller) resolveFirstRecordConflict(j *job, prio int) {
-	c.readKey(j.chunkKey(0), func(r messages.GetReply) {
+func (c *Controller) resolveFirstRecordConflict(j *job, prio writequeue.Priority) {
+	c.writeQueue.ReadKey(j.chunkKey(0), func(r messages.GetReply) {
 		if !c.jobs.owns(j) || j.writeQueued || j.modRevisions[0] != 0 {
 			return
 		}
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -22,7 +22,7 @@
 	part := b.shards[0]
 	part.owned, part.ready, part.confirmedAt = false, false, 0
 	b.acquireShard(part)
-	b.writeQueue.dispatch()
+	b.writeQueue.Dispatch()
 	for _, effect := range b.loop.Effects() {
 		if claim, ok := effect.(messages.StoreTxn); ok {
 			return claim
--- a/internal/controller/machinegroups.go
+++ b/internal/controller/machinegroups.go
@@ -10,6 +10,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -27,10 +28,10 @@
 	modRevision cluster.ModRevision
 	machines    map[cluster.MachineID]*machine
 
-	writePending       bool         // a write is queued or on its way
-	writeInFlight      bool         // it is on its way: what it lists is settled until it is answered
-	queuedWrite        *queuedWrite // it is queued
-	nextWritePriority  int          // the priority of the next write that is wanted, or prios
+	writePending       bool                // a write is queued or on its way
+	writeInFlight      bool                // it is on its way: what it lists is settled until it is answered
+	queuedWrite        *writequeue.Write   // it is queued
+	nextWritePriority  writequeue.Priority // the priority of the next write that is wanted, or prios
 	recordCheckPending bool
 	recordSize         int // of the record as last built
 	addedBytes         int // bytes that may have come on top since
@@ -152,7 +153,7 @@
 
 // writeMachine stores which tasks may be on a machine, with the rest of its
 // group. All that changes while the write waits its turn goes into the same put.
-func (c *Controller) writeMachine(m *machine, prio int) { c.writeGroup(m.group, prio) }
+func (c *Controller) writeMachine(m *machine, prio writequeue.Priority) { c.writeGroup(m.group, prio) }
 
 // groupWrite is the write of one group's record.
 type groupWrite struct {
@@ -160,7 +161,7 @@
 	shard         *shard
 	claimRevision cluster.Revision
 	group         *machineGroup
-	priority      int
+	priority      writequeue.Priority
 	snapshot      *groupSnapshot // of the last record built
 }
 
@@ -168,30 +169,30 @@
 // by another. While its record is being read after a conflict nothing is written:
 // a write at a revision that is known to be wrong would conflict again, and that
 // one's check would be told nothing for the next, without end.
-func (c *Controller) writeGroup(g *machineGroup, prio int) {
+func (c *Controller) writeGroup(g *machineGroup, prio writequeue.Priority) {
 	if g.recordCheckPending {
 		g.nextWritePriority = min(g.nextWritePriority, prio)
 		return
 	}
 	if g.writePending {
 		g.nextWritePriority = min(g.nextWritePriority, prio)
-		c.writeQueue.raisePriority(g.key(), prio)
+		c.writeQueue.RaisePriority(g.key(), prio)
 		return
 	}
-	g.writePending, g.nextWritePriority = true, priorityCount
+	g.writePending, g.nextWritePriority = true, writequeue.PriorityCount
 	p := c.shards[g.shardID]
 	w := &groupWrite{controller: c, shard: p, claimRevision: p.claimRevision, group: g, priority: prio}
-	g.queuedWrite = &queuedWrite{
-		shardID:         g.shardID,
-		keys:            []string{g.key()},
-		cpusWaiting:     func() float64 { return c.cpusWaiting(g) },
-		build:           w.build,
-		onApplied:       w.handleStored,
-		onConflict:      w.handleConflict,
-		onTooLarge:      w.handleTooLarge,
-		onOwnershipLost: g.endWrite,
-	}
-	c.writeQueue.enqueue(prio, g.queuedWrite)
+	g.queuedWrite = &writequeue.Write{
+		ShardID:         g.shardID,
+		Keys:            []string{g.key()},
+		CPUsWaiting:     func() float64 { return c.cpusWaiting(g) },
+		Build:           w.build,
+		OnApplied:       w.handleStored,
+		OnConflict:      w.handleConflict,
+		OnTooLarge:      w.handleTooLarge,
+		OnOwnershipLost: g.endWrite,
+	}
+	c.writeQueue.Enqueue(prio, g.queuedWrite)
 }
 
 // endWrite notes that no write of the record is under way any more.
@@ -209,7 +210,7 @@
 		g.writePending = false
 		return nil, nil
 	}
-	g.writeInFlight, g.nextWritePriority, g.addedBytes = true, priorityCount, 0
+	g.writeInFlight, g.nextWritePriority, g.addedBytes = true, writequeue.PriorityCount, 0
 	var v []byte
 	v, w.snapshot = c.buildGroupRecord(g.shardID, g.sortedMachines(), nonce)
 	g.recordSize = w.snapshot.size
@@ -254,7 +255,7 @@
 
 // queueNextWrite queues the write that was wanted while one was on its way.
 func (c *Controller) queueNextWrite(g *machineGroup) {
-	if g.nextWritePriority < priorityCount && c.machineGroups[g.id] == g {
+	if g.nextWritePriority < writequeue.PriorityCount && c.machineGroups[g.id] == g {
 		c.writeGroup(g, g.nextWritePriority)
 	}
 }
@@ -309,7 +310,7 @@
 }
 
 func (c *Controller) newGroup(p *shard, id string, mark cluster.ModRevision) *machineGroup {
-	g := &machineGroup{id: id, shardID: p.id, modRevision: mark, machines: map[cluster.MachineID]*machine{}, nextWritePriority: priorityCount}
+	g := &machineGroup{id: id, shardID: p.id, modRevision: mark, machines: map[cluster.MachineID]*machine{}, nextWritePriority: writequeue.PriorityCount}
 	c.machineGroups[id] = g
 	return g
 }
@@ -346,7 +347,7 @@
 	}
 	// With the starts: most of these groups have a write waiting, which this
 	// one makes needless, and each less saves a put per wave from now on.
-	c.regroup(p, move, into, priorityStart, func(*machineGroup) {})
+	c.regroup(p, move, into, writequeue.Start, func(*machineGroup) {})
 }
 
 // checkGroup follows a conflict on a group's record, or a worker that has seen
@@ -356,7 +357,7 @@
 		return
 	}
 	g.recordCheckPending = true
-	c.readKey(g.key(), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(g.key(), func(r messages.GetReply) {
 		g.recordCheckPending = false
 		if c.machineGroups[g.id] != g {
 			return
@@ -385,7 +386,7 @@
 						c.raiseToken(m)
 					}
 				}
-				c.writeGroup(g, priorityStart)
+				c.writeGroup(g, writequeue.Start)
 				return
 			}
 			to = rec.ShardID
@@ -492,20 +493,20 @@
 	if !ok {
 		return
 	}
-	x := &queuedWrite{shardID: p.id, keys: []string{kv.Key}, maxExtraCompares: len(c.shards), onApplied: func(cluster.Revision) {}, onConflict: func() {}}
-	x.build = func(string) ([]messages.TxnOp, []cluster.ModRevision) {
-		x.extraCompares = nil
+	x := &writequeue.Write{ShardID: p.id, Keys: []string{kv.Key}, MaxExtraCompares: len(c.shards), OnApplied: func(cluster.Revision) {}, OnConflict: func() {}}
+	x.Build = func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+		x.ExtraCompares = nil
 		for _, q := range c.shards {
 			if q.modRevision == cluster.ModRevision(made) {
 				return nil, nil
 			}
 			if q != p {
-				x.extraCompares = append(x.extraCompares, messages.Compare{Key: q.key(), ModRevision: q.modRevision})
+				x.ExtraCompares = append(x.ExtraCompares, messages.Compare{Key: q.key(), ModRevision: q.modRevision})
 			}
 		}
 		return []messages.TxnOp{{Key: kv.Key, Value: nil}}, []cluster.ModRevision{kv.ModRevision}
 	}
-	c.writeQueue.enqueue(priorityBackground, x)
+	c.writeQueue.Enqueue(writequeue.Background, x)
 }
 
 // claimRevisionFromKey reads from a group's key the claim under which it was made.
@@ -520,13 +521,13 @@
 
 // deleteKeyInBackground removes a part's key when there is time.
 func (c *Controller) deleteKeyInBackground(p *shard, key string, mark cluster.ModRevision) {
-	c.writeQueue.enqueue(priorityBackground, &queuedWrite{
-		shardID: p.id, keys: []string{key},
-		build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+	c.writeQueue.Enqueue(writequeue.Background, &writequeue.Write{
+		ShardID: p.id, Keys: []string{key},
+		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
 			return []messages.TxnOp{{Key: key, Value: nil}}, []cluster.ModRevision{mark}
 		},
-		onApplied:  func(cluster.Revision) {},
-		onConflict: func() {},
+		OnApplied:  func(cluster.Revision) {},
+		OnConflict: func() {},
 	})
 }
 
--- a/internal/controller/machineowners.go
+++ b/internal/controller/machineowners.go
@@ -44,7 +44,7 @@
 // no group, but will be. So a machine that is in none, and of whose kind none of
 // the rentals read before was open, is nobody's.
 func (c *Controller) readRecordedMachines(fn func(*recordedMachines)) {
-	c.listPrefix("rentals/", func(r messages.ListReply) {
+	c.writeQueue.ListPrefix("rentals/", func(r messages.ListReply) {
 		if r.Outcome != messages.OK {
 			fn(nil)
 			return
@@ -64,7 +64,7 @@
 
 // readGroupedMachines adds the machines that groups list.
 func (c *Controller) readGroupedMachines(rec *recordedMachines, fn func(*recordedMachines)) {
-	c.listPrefix("groups/", func(r messages.ListReply) {
+	c.writeQueue.ListPrefix("groups/", func(r messages.ListReply) {
 		if r.Outcome != messages.OK || !c.applyListedMachines(r.Items, rec.listed) {
 			fn(nil)
 			return
@@ -75,7 +75,7 @@
 		}
 		// A machine that changed groups between two pages may be on neither. The
 		// record that lists it now was written after the first page was read.
-		c.readPrefixSince("groups/", r.Revision, func(r messages.WatchReply) {
+		c.writeQueue.ReadChanges("groups/", r.Revision, func(r messages.WatchReply) {
 			if r.Outcome != messages.OK || !c.applyListedMachines(r.Items, rec.listed) {
 				fn(nil)
 				return
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -6,6 +6,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -267,5 +268,5 @@
 		return
 	}
 	m.raisingToken = true
-	c.writeMachine(m, priorityStart)
+	c.writeMachine(m, writequeue.Start)
 }
--- a/internal/controller/machinetypecache.go
+++ b/internal/controller/machinetypecache.go
@@ -8,6 +8,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // The machine types come from the cloud. Without them no submission can be
@@ -66,7 +67,7 @@
 
 // loadMachineTypeCache takes the catalogue from the store if the cloud has not given one.
 func (c *Controller) loadMachineTypeCache() {
-	c.readKey(machineTypesKey, func(r messages.GetReply) {
+	c.writeQueue.ReadKey(machineTypesKey, func(r messages.GetReply) {
 		switch r.Outcome {
 		case messages.OK:
 			c.applyMachineTypeCache(r.KV)
@@ -123,18 +124,18 @@
 		return
 	}
 	s.writing = true
-	c.writeQueue.enqueue(priorityBackground, &queuedWrite{
-		shardID: cluster.NoShard,
-		keys:    []string{machineTypesKey},
-		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
+	c.writeQueue.Enqueue(writequeue.Background, &writequeue.Write{
+		ShardID: cluster.NoShard,
+		Keys:    []string{machineTypesKey},
+		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(machineTypesRecord{types, nonce})
 			if len(v) > c.config.MaxValueBytes { // does without
 				return nil, nil
 			}
 			return []messages.TxnOp{{Key: machineTypesKey, Value: v}}, []cluster.ModRevision{s.modRevision}
 		},
-		onApplied: func(e cluster.Revision) { s.writing, s.types, s.modRevision = false, types, cluster.ModRevision(e) },
-		onConflict: func() { // another has stored it
+		OnApplied: func(e cluster.Revision) { s.writing, s.types, s.modRevision = false, types, cluster.ModRevision(e) },
+		OnConflict: func() { // another has stored it
 			s.writing = false
 			c.loadMachineTypeCache()
 		},
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -7,6 +7,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // Maintenance of the machines held here: tokens are raised, silent and idle ones
@@ -56,7 +57,7 @@
 	if m.spot && !m.booting {
 		c.spotInterruptions.addServed(maintenanceInterval)
 	}
-	if c.isStoreUnavailableFor(second) && !m.releaseConfirmed && (c.hangsWithCancelledTasks(m) || c.ignoresStop(m)) {
+	if c.writeQueue.IsUnavailableFor(second) && !m.releaseConfirmed && (c.hangsWithCancelledTasks(m) || c.ignoresStop(m)) {
 		c.scaleInBeforeRecorded(m)
 	}
 	if m.releasing {
@@ -65,7 +66,7 @@
 		}
 		return
 	}
-	if c.isStoreUnavailableFor(second) {
+	if c.writeQueue.IsUnavailableFor(second) {
 		return
 	}
 	c.handleSlowMachine(m)
@@ -285,7 +286,7 @@
 		for _, m := range g.sortedMachines() {
 			for _, a := range m.assignments {
 				if a.confirmedAbsent {
-					c.writeGroup(g, priorityBackground)
+					c.writeGroup(g, writequeue.Background)
 					break machines
 				}
 			}
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -59,23 +59,6 @@
 		CloudRPS: 4, StoreRPS: 100, WriteRPS: 25, MaxTxnOps: 20, MaxValueBytes: 16384, WorkerLease: 14 * second, HeartbeatInterval: 5 * second / 2, Tuning: DefaultTuning()})
 }
 
-// TestNoRateDebtAfterStorePartition: what is sent again and again while the store is out of
-// reach does not keep the controller from writing when it is back.
-func TestNoRateDebtAfterStorePartition(t *testing.T) {
-	c := newSevenNodeController()
-	x := &transaction{operations: make([]messages.TxnOp, 20), shardID: cluster.NoShard}
-	before := c.writeQueue.putBudget.Level()
-	c.writeQueue.send(x)
-	for i, out := range []messages.Outcome{messages.UnknownOutcome, messages.NotApplied, messages.UnknownOutcome, messages.Throttled, messages.UnknownOutcome} {
-		c.writeQueue.handleReply(x, messages.TxnReply{Outcome: out})
-		c.writeQueue.inFlight--
-		c.writeQueue.send(x)
-		if c.writeQueue.putBudget.Level() < before-21 {
-			t.Fatalf("after %d tries %.0f puts in debt", i+2, -c.writeQueue.putBudget.Level())
-		}
-	}
-}
-
 // TestFailbackOnlyRelievesLoad: a part goes back to its home only where that takes work
 // off a controller that has other work too; with all the work in one part it
 // would only change hands.
--- a/internal/controller/nodeliveness.go
+++ b/internal/controller/nodeliveness.go
@@ -5,6 +5,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // nodeLiveness is this node's own sign of life in the store, nodes/<id>.
@@ -29,7 +30,7 @@
 			c.readPeerLiveness(p)
 		}
 	}
-	if !anyFailed || c.livenessKey.writing || c.isStoreUnavailableFor(second) || !c.canReachWorkers() { // without workers it serves nobody
+	if !anyFailed || c.livenessKey.writing || c.writeQueue.IsUnavailableFor(second) || !c.canReachWorkers() { // without workers it serves nobody
 		return
 	}
 	c.writeNodeLiveness()
@@ -37,7 +38,7 @@
 
 // readPeerLiveness looks for a sign of life of a peer that seems to have failed.
 func (c *Controller) readPeerLiveness(p *peer) {
-	c.readKey(nodeLivenessKey(p.id), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(nodeLivenessKey(p.id), func(r messages.GetReply) {
 		if r.Outcome != messages.OK && r.Outcome != messages.NotFound {
 			return
 		}
@@ -53,18 +54,18 @@
 	h := &c.livenessKey
 	key := nodeLivenessKey(c.config.Self)
 	h.writing = true
-	c.writeQueue.enqueue(priorityOutcome, &queuedWrite{
-		shardID: cluster.NoShard,
-		keys:    []string{key},
-		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
+	c.writeQueue.Enqueue(writequeue.Outcome, &writequeue.Write{
+		ShardID: cluster.NoShard,
+		Keys:    []string{key},
+		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(struct {
 				W string `json:"w"`
 			}{nonce})
 			return []messages.TxnOp{{Key: key, Value: v}}, []cluster.ModRevision{h.modRevision}
 		},
-		onApplied: func(e cluster.Revision) { h.writing, h.modRevision = false, cluster.ModRevision(e) },
-		onConflict: func() { // an earlier life's, or a late one
-			c.readKey(key, func(r messages.GetReply) {
+		OnApplied: func(e cluster.Revision) { h.writing, h.modRevision = false, cluster.ModRevision(e) },
+		OnConflict: func() { // an earlier life's, or a late one
+			c.writeQueue.ReadKey(key, func(r messages.GetReply) {
 				h.writing = false
 				if r.Outcome == messages.OK {
 					h.modRevision = r.KV.ModRevision
--- a/internal/controller/orphans.go
+++ b/internal/controller/orphans.go
@@ -7,6 +7,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -93,7 +94,7 @@
 		c.redirectToOwner(e.Request, part)
 		return
 	}
-	if c.isStoreUnavailableFor(500 * millisecond) {
+	if c.writeQueue.IsUnavailableFor(500 * millisecond) {
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "")
 		return
 	}
@@ -181,7 +182,7 @@
 		return
 	}
 	p := c.shardForMachine(l.ID)
-	if !p.owned || !p.ready || c.isStoreUnavailableFor(second) {
+	if !p.owned || !p.ready || c.writeQueue.IsUnavailableFor(second) {
 		return
 	}
 	if c.orphanedMachines.isTooNew(l.ID, c.loop.Now(), c.minOrphanAge()) || c.orphanedMachines.registering[l.ID] {
@@ -275,9 +276,9 @@
 	claim := p.claimRevision
 	id := c.nextMachineGroupName(p)
 	size := 0
-	c.writeQueue.enqueue(priorityScaleOut, &queuedWrite{
-		shardID: p.id, keys: []string{"groups/" + id},
-		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
+	c.writeQueue.Enqueue(writequeue.ScaleOut, &writequeue.Write{
+		ShardID: p.id, Keys: []string{"groups/" + id},
+		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			ms = slices.DeleteFunc(ms, func(l grouprecord.Machine) bool { return c.machines[l.ID] != nil })
 			if len(ms) == 0 {
 				done()
@@ -287,14 +288,14 @@
 			size = len(v)
 			return []messages.TxnOp{{Key: "groups/" + id, Value: v}}, []cluster.ModRevision{0}
 		},
-		onApplied: func(e cluster.Revision) {
+		OnApplied: func(e cluster.Revision) {
 			if p.isOwnedUnder(claim) {
 				c.addRegisteredGroup(p, id, ms, size, e)
 			}
 			done()
 		},
-		onConflict:      done,
-		onOwnershipLost: done,
+		OnConflict:      done,
+		OnOwnershipLost: done,
 	})
 }
 
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -56,7 +56,7 @@
 // renewOwnership reads the marks of parts of which some controller has not given
 // its word lately, while the store serves: as when one is down or was restarted.
 func (c *Controller) renewOwnership() {
-	if c.isStoreUnavailableFor(second) {
+	if c.writeQueue.IsUnavailableFor(second) {
 		return
 	}
 	for _, p := range c.shards {
--- a/internal/controller/ownershipcheck.go
+++ b/internal/controller/ownershipcheck.go
@@ -27,7 +27,7 @@
 // with a read begun after this call. Without it a holder that lost its claim
 // unawares could answer with an older state than its successor.
 func (c *Controller) confirmOwnership(p *shard, fn func(held bool)) {
-	if c.isStoreUnavailableFor(second) {
+	if c.writeQueue.IsUnavailableFor(second) {
 		fn(false)
 		return
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	begun := c.loop.Now()
-	c.readKey(p.key(), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(p.key(), func(r messages.GetReply) {
 		s.scheduled = false
 		if r.Outcome == messages.OK {
 			c.applyShardRecord(r.KV)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -48,12 +48,12 @@
 			n++
 		}
 	}
-	c.writeQueue.setLiveControllers(n)
+	c.writeQueue.SetLiveControllers(n)
 	c.updateCloudRate()
 }
 
 func (c *Controller) makePing(to *peer) *messages.Ping {
-	g := &messages.Ping{InstanceID: c.config.InstanceID, StoreReachable: !c.isStoreUnavailableFor(2500*millisecond) && (c.storeHealth.lastSuccess > 0 || c.loop.Now() < startupGrace), WorkersReachable: c.canReachWorkers(), MillisSinceContact: map[cluster.NodeID]int64{}, StoreFailing: c.storeHealth.failing}
+	g := &messages.Ping{InstanceID: c.config.InstanceID, StoreReachable: !c.writeQueue.IsUnavailableFor(2500*millisecond) && (c.writeQueue.Health.LastSuccess > 0 || c.loop.Now() < startupGrace), WorkersReachable: c.canReachWorkers(), MillisSinceContact: map[cluster.NodeID]int64{}, StoreFailing: c.writeQueue.Health.IsFailing()}
 	for _, p := range c.shards {
 		if !p.owned {
 			continue
@@ -70,7 +70,7 @@
 		}
 	}
 	g.TransferOffers = c.transferOffers()
-	g.WriteDemand, g.CloudDemand = c.writeQueue.demand, c.cloudRate.demand
+	g.WriteDemand, g.CloudDemand = c.writeQueue.Demand(), c.cloudRate.demand
 	g.ShardLoads = c.ownedShardLoads()
 	g.KnownTerms, g.FeatureLevel = c.knownTerms(), dependencyFeatureLevel
 	return g
@@ -124,7 +124,7 @@
 		p.healthySince = c.loop.Now()
 	}
 	if g.StoreFailing || !g.StoreReachable {
-		c.storeHealth.probeUntil = c.loop.Now() + 3*second
+		c.writeQueue.Health.ProbeUntil = c.loop.Now() + 3*second
 	}
 	for key := range p.attemptedTransfers {
 		if !slices.ContainsFunc(g.TransferOffers, func(o messages.TransferOffer) bool { return o.Key == key }) {
@@ -195,7 +195,7 @@
 		// A node that hears nobody is more likely cut off than alone in the
 		// world: it waits longer and takes records being written as a sign of life.
 		// After its own cut it must have had the store for a while to see those.
-		return !alone || c.loop.Now()-p.failedAt > 6*second && c.loop.Now()-p.lastWriteSeenAt > 6*second && c.loop.Now()-c.storeHealth.healthySince > 8*second
+		return !alone || c.loop.Now()-p.failedAt > 6*second && c.loop.Now()-p.lastWriteSeenAt > 6*second && c.loop.Now()-c.writeQueue.Health.HealthySince > 8*second
 	}
 	if !p.hasAnswered || c.loop.Now()-p.lastPingAt > 3*second {
 		return false
@@ -203,7 +203,7 @@
 	// Its store counts as lost to it alone only if ours has served us all along:
 	// after an outage the first to be served would else take all the parts.
 	// What an idle controller heard of the store long ago says nothing.
-	return !p.lastPing.StoreReachable && c.storeHealth.isStable(c.loop.Now()) ||
+	return !p.lastPing.StoreReachable && c.writeQueue.Health.IsStable(c.loop.Now()) ||
 		!p.lastPing.WorkersReachable && c.canReachWorkers() && c.workerReachability.hasHeartbeatWithin(c.loop.Now(), 2*c.config.HeartbeatInterval)
 }
 
@@ -262,11 +262,11 @@
 
 // handleHealth tells whether this node can take requests.
 func (c *Controller) handleHealth(e messages.Health) {
-	if c.storeHealth.lastSuccess == 0 || len(c.machineTypes) == 0 && c.loop.Now() < 10*second {
+	if c.writeQueue.Health.LastSuccess == 0 || len(c.machineTypes) == 0 && c.loop.Now() < 10*second {
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "starting")
 		return
 	}
-	if c.isStoreUnavailableFor(2500 * millisecond) {
+	if c.writeQueue.IsUnavailableFor(2500 * millisecond) {
 		for _, p := range c.peers {
 			if !p.failed && p.lastPing.StoreReachable && c.loop.Now()-p.lastPingAt < 3*second {
 				c.respondError(e.Request, messages.ReplyUnavailable, 0, "store out of reach")
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -61,7 +61,7 @@
 // shardStallReason says whether a part is served, as far as this controller knows.
 func (c *Controller) shardStallReason(p *shard) stallReason {
 	switch {
-	case c.isStoreUnavailableFor(second): // nobody can get on with anything
+	case c.writeQueue.IsUnavailableFor(second): // nobody can get on with anything
 		return stallNone
 	case !p.owned:
 		if c.isServedByPeer(p) {
--- a/internal/controller/provisioning_late_write_test.go
+++ b/internal/controller/provisioning_late_write_test.go
@@ -35,7 +35,7 @@
 	rented := false
 	c.createProvisioningRequest(p, provisioningOption{"small", "a", true}, 2)
 	for range 3 {
-		c.writeQueue.dispatch()
+		c.writeQueue.Dispatch()
 		out := takeEffects(c)
 		for _, f := range out {
 			switch f := f.(type) {
@@ -70,7 +70,7 @@
 	var rent *messages.CloudScaleOut
 	for range 100 {
 		b.loop.RunTimers()
-		b.writeQueue.dispatch()
+		b.writeQueue.Dispatch()
 		if i := slices.IndexFunc(b.loop.Effects(), func(f messages.Effect) bool { _, ok := f.(messages.CloudScaleOut); return ok }); i >= 0 {
 			f := b.loop.Effects()[i].(messages.CloudScaleOut)
 			rent = &f
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -18,7 +18,7 @@
 		for _, p := range b.peers {
 			p.hasAnswered, p.lastPingAt, p.lastPing.StoreReachable, p.lastPing.FeatureLevel = true, b.loop.Now(), true, level
 		}
-		b.storeHealth.failing, b.storeHealth.failingSince = true, b.loop.Now()-10*second
+		b.writeQueue.Health.MarkFailing(b.loop.Now() - 10*second)
 		b.jobs.known["j-1"] = &knownJob{shard: 0, tasks: 1, team: "red"}
 		b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
 		handed := false
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -7,6 +7,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -53,7 +54,7 @@
 			again(2 * second)
 			return
 		}
-		c.listPrefix("groups/", func(l messages.ListReply) {
+		c.writeQueue.ListPrefix("groups/", func(l messages.ListReply) {
 			if l.Outcome != messages.OK {
 				again(second)
 				return
@@ -102,9 +103,9 @@
 func (c *Controller) deleteQuarantinedRecords(p *shard, claim cluster.Revision) {
 	keys := slices.Sorted(maps.Keys(p.quarantined))
 	keys = keys[:min(len(keys), c.config.MaxTxnOps)]
-	c.writeQueue.enqueue(priorityScaleOut, &queuedWrite{
-		shardID: p.id, keys: keys,
-		build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+	c.writeQueue.Enqueue(writequeue.ScaleOut, &writequeue.Write{
+		ShardID: p.id, Keys: keys,
+		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
 			var ops []messages.TxnOp
 			var marks []cluster.ModRevision
 			for _, k := range keys {
@@ -112,13 +113,13 @@
 			}
 			return ops, marks
 		},
-		onApplied: func(cluster.Revision) {
+		OnApplied: func(cluster.Revision) {
 			if p.owned && p.claimRevision == claim {
 				c.loop.Log(messages.LogInfo, "impossible records dropped", "part", int(p.id), "records", len(keys))
 				c.reloadShard(p)
 			}
 		},
-		onConflict: func() { // another part's holder was faster, or an earlier sending was carried out
+		OnConflict: func() { // another part's holder was faster, or an earlier sending was carried out
 			if p.owned && p.claimRevision == claim {
 				c.reloadShard(p)
 			}
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -8,6 +8,7 @@
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // Idle machines move between parts by groups: one part offers, the other takes.
@@ -83,7 +84,7 @@
 			m := spare[0]
 			if !groups[m.group] {
 				// All their records are rewritten in one transaction.
-				if len(groups) == c.config.MaxTxnOps-1 || bytes+m.group.estimatedSize() > maxBatchBytes && len(groups) > 0 {
+				if len(groups) == c.config.MaxTxnOps-1 || bytes+m.group.estimatedSize() > writequeue.MaxBatchBytes && len(groups) > 0 {
 					break
 				}
 				groups[m.group] = true
@@ -109,7 +110,7 @@
 		for _, m := range ms {
 			m.cordoned = true
 		}
-		c.regroup(p, ms, nil, priorityStart, offer)
+		c.regroup(p, ms, nil, writequeue.Start, offer)
 	}
 }
 
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -6,6 +6,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // What workers report, and what they are answered.
@@ -75,7 +76,7 @@
 // isIsolated tells whether this node has had neither the store nor any other
 // controller for so long that a successor may hold its parts.
 func (c *Controller) isIsolated() bool {
-	if len(c.peers) == 0 || !c.isStoreUnavailableFor(max(c.config.WorkerLease, 10*second)) {
+	if len(c.peers) == 0 || !c.writeQueue.IsUnavailableFor(max(c.config.WorkerLease, 10*second)) {
 		return false
 	}
 	for _, p := range c.peers {
@@ -125,7 +126,7 @@
 
 // awaitsGroupRecord tells whether a machine's answer waits for a start's record.
 func (c *Controller) awaitsGroupRecord(m *machine) bool {
-	if c.loop.Now() >= m.replyDeadline || c.isStoreUnavailableFor(500*millisecond) {
+	if c.loop.Now() >= m.replyDeadline || c.writeQueue.IsUnavailableFor(500*millisecond) {
 		return false
 	}
 	for _, a := range m.assignments {
@@ -375,7 +376,7 @@
 	}
 	m.markConfirmedAbsent(a)
 	if a.job.assignments[a.task.Index] == a && a.job.isActive() {
-		c.writeMachine(m, priorityStart)
+		c.writeMachine(m, writequeue.Start)
 		return
 	}
 	// Nobody waits for it: the next checkpoint takes it along.
@@ -423,7 +424,7 @@
 func (c *Controller) recordTaskDone(j *job, index int) {
 	j.setCompleted(index)
 	if j.finalStatus == "" && j.chunksLoading == 0 && j.completedCount == j.spec.Tasks {
-		c.writeJob(j, priorityAdmit)
+		c.writeJob(j, writequeue.Admit)
 	}
 }
 
--- a/internal/controller/regroup.go
+++ b/internal/controller/regroup.go
@@ -6,6 +6,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // regrouping moves machines of a part into one group by one transaction on all
@@ -30,7 +31,7 @@
 
 // regroup moves machines of a part into one group, a new one if to is nil. done
 // gets the group, or nil.
-func (c *Controller) regroup(p *shard, ms []*machine, to *machineGroup, prio int, done func(*machineGroup)) {
+func (c *Controller) regroup(p *shard, ms []*machine, to *machineGroup, prio writequeue.Priority, done func(*machineGroup)) {
 	from, ok := sourceGroups(ms, to)
 	if !ok || len(from) == 0 || len(from)+1 > c.config.MaxTxnOps || to != nil && to.writeInFlight {
 		done(nil)
@@ -43,14 +44,14 @@
 		r.targetID = to.id
 		r.affected = append(r.affected, to)
 	}
-	c.writeQueue.enqueue(prio, &queuedWrite{
-		shardID:         p.id,
-		keys:            r.lock(),
-		cpusWaiting:     func() float64 { return c.cpusWaiting(r.affected...) },
-		build:           r.build,
-		onApplied:       r.handleStored,
-		onConflict:      r.handleConflict,
-		onOwnershipLost: r.handleShardLost,
+	c.writeQueue.Enqueue(prio, &writequeue.Write{
+		ShardID:         p.id,
+		Keys:            r.lock(),
+		CPUsWaiting:     func() float64 { return c.cpusWaiting(r.affected...) },
+		Build:           r.build,
+		OnApplied:       r.handleStored,
+		OnConflict:      r.handleConflict,
+		OnOwnershipLost: r.handleShardLost,
 	})
 }
 
@@ -75,10 +76,10 @@
 	for _, g := range r.affected {
 		// A write that still waits its turn says nothing that this one won't.
 		if g.queuedWrite != nil {
-			r.controller.writeQueue.cancel(g.queuedWrite)
+			r.controller.writeQueue.Cancel(g.queuedWrite)
 			g.queuedWrite = nil
 		}
-		g.writePending, g.writeInFlight, g.nextWritePriority = true, true, priorityCount
+		g.writePending, g.writeInFlight, g.nextWritePriority = true, true, writequeue.PriorityCount
 		keys = append(keys, g.key())
 	}
 	if r.target == nil {
@@ -102,7 +103,7 @@
 	var marks []cluster.ModRevision
 	for _, g := range r.sources {
 		rest := slices.DeleteFunc(g.sortedMachines(), func(m *machine) bool { return slices.Contains(r.moving, m) })
-		g.nextWritePriority, g.addedBytes = priorityCount, 0
+		g.nextWritePriority, g.addedBytes = writequeue.PriorityCount, 0
 		v, s := c.buildGroupRecord(r.shard.id, rest, nonce)
 		ops = append(ops, messages.TxnOp{Key: g.key(), Value: v})
 		marks = append(marks, g.modRevision)
@@ -111,7 +112,7 @@
 	mark, into := cluster.ModRevision(0), slices.Clone(r.moving)
 	if r.target != nil {
 		mark = r.target.modRevision
-		r.target.nextWritePriority, r.target.addedBytes = priorityCount, 0
+		r.target.nextWritePriority, r.target.addedBytes = writequeue.PriorityCount, 0
 		into = append(into, r.target.sortedMachines()...)
 	}
 	sort.Slice(into, func(i, k int) bool { return into[i].id < into[k].id })
@@ -140,7 +141,7 @@
 func (r *regrouping) abandon() {
 	r.unlock()
 	for _, g := range r.affected {
-		r.controller.writeGroup(g, priorityStart)
+		r.controller.writeGroup(g, writequeue.Start)
 	}
 	r.done(nil)
 }
@@ -160,7 +161,7 @@
 	for _, m := range r.moving {
 		r.target.moveIn(m)
 	}
-	again := priorityCount
+	again := writequeue.PriorityCount
 	for _, g := range r.affected {
 		again = min(again, g.nextWritePriority)
 	}
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // TestRejectedOutcomesNotResentUnchanged: the store calls the record of a job's outcomes malformed,
@@ -21,7 +22,7 @@
 	for i := 0; i < 16_000; i += 3 {
 		j.setCompleted(i)
 	}
-	b.writeJob(j, priorityBackground)
+	b.writeJob(j, writequeue.Background)
 	b.runFor(10 * second)
 	for _, p := range b.shards {
 		if !p.owned {
--- a/internal/controller/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/writequeue"
 )
 
 // TestRejectedSplitIsSplitFurther: the limit in force is far below the one known, so that the
@@ -23,7 +24,7 @@
 	a := &assignment{task: cluster.TaskID{Job: "j-1", Index: 15_000}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 15_000, phase: phaseRecording}
 	m.addAssignment(a)
 	j.setAssigned(15_000, a)
-	b.writeMachine(m, priorityStart)
+	b.writeMachine(m, writequeue.Start)
 	b.runFor(30 * second)
 	n, longest := b.countStoredMachines(t)
 	if len(n) != 45 || longest > limit || a.phase == phaseRecording {
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -6,6 +6,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // What users ask of accepted jobs: questions and cancellations.
@@ -92,11 +93,11 @@
 }
 
 func (c *Controller) lookUpJobInStore(id cluster.JobID, fn func(messages.ReplyStatus, cluster.JobView)) {
-	if c.isStoreUnavailableFor(second) || c.writeQueue.requestBudget.Level() < -c.writeQueue.requestBudget.Capacity() {
+	if c.writeQueue.IsUnavailableFor(second) || c.writeQueue.IsOverdrawn() {
 		fn(messages.ReplyUnavailable, cluster.JobView{})
 		return
 	}
-	c.readKey(jobKey(id), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(jobKey(id), func(r messages.GetReply) {
 		switch r.Outcome {
 		case messages.OK:
 			c.applyJobRecord(r.KV, nil)
@@ -255,5 +256,5 @@
 		c.withdrawUnsentStarts(j)
 		c.stopAllTasks(j)
 	}
-	c.writeJob(j, priorityAdmit)
+	c.writeJob(j, writequeue.Admit)
 }
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -8,6 +8,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // scaleInBatch gathers the machines that are given back, so that many share
@@ -52,7 +53,7 @@
 	c.loop.Log(messages.LogDebug, "returning machine", "machine", string(m.id), "why", why, "tasks", m.liveTaskCount())
 	c.recordScaleIn(why, m.liveTaskCount())
 	m.releasing = true
-	c.writeMachine(m, priorityOutcome)
+	c.writeMachine(m, writequeue.Outcome)
 }
 
 // scaleInBeforeRecorded gives a machine back before its record says so: it holds
@@ -129,7 +130,7 @@
 	for _, a := range m.assignments {
 		m.markConfirmedAbsent(a)
 	}
-	c.writeMachine(m, priorityStart)
+	c.writeMachine(m, writequeue.Start)
 }
 
 // removeMachineAndFreeTasks drops a machine whose record no longer lists it, and frees its
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -10,6 +10,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -129,7 +130,7 @@
 	c.pollCloudList()
 	c.cordonSurplusMachines()
 	for _, p := range c.shards {
-		if p.owned && p.ready && len(c.machineTypes) > 0 && !c.isStoreUnavailableFor(second) {
+		if p.owned && p.ready && len(c.machineTypes) > 0 && !c.writeQueue.IsUnavailableFor(second) {
 			c.scaleOutShard(p)
 		}
 	}
@@ -314,23 +315,23 @@
 func (c *Controller) createProvisioningRequest(p *shard, o provisioningOption, n int) {
 	r := &provisioningRequest{name: c.nextProvisioningRequestName(p), option: o, count: n, groupID: c.nextMachineGroupName(p)}
 	p.provisioningRequests[r.name] = r
-	x := &queuedWrite{
-		shardID: p.id, keys: []string{provisioningKey(r.name)},
-		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
+	x := &writequeue.Write{
+		ShardID: p.id, Keys: []string{provisioningKey(r.name)},
+		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(provisioningRecord{p.id, o.Type, o.Zone, o.Spot, n, nonce})
 			return []messages.TxnOp{{Key: provisioningKey(r.name), Value: v}}, []cluster.ModRevision{0}
 		},
 		// Once it is settled its key is absent again, and a late copy of this would
 		// bring it back; a successor would then record its machines a second time.
 		// The key of its machines' group stays until the next claim fences the copy.
-		extraCompares: []messages.Compare{{Key: "groups/" + r.groupID, ModRevision: 0}},
-		onConflict:    func() { c.handleForeignWrite(p, provisioningKey(r.name), "name in use") },
+		ExtraCompares: []messages.Compare{{Key: "groups/" + r.groupID, ModRevision: 0}},
+		OnConflict:    func() { c.handleForeignWrite(p, provisioningKey(r.name), "name in use") },
 	}
-	x.onApplied = func(e cluster.Revision) {
-		r.modRevision, r.createInDoubt = cluster.ModRevision(e), x.inDoubt
+	x.OnApplied = func(e cluster.Revision) {
+		r.modRevision, r.createInDoubt = cluster.ModRevision(e), x.InDoubt
 		c.callScaleOut(p, r)
 	}
-	c.writeQueue.enqueue(priorityScaleOut, x)
+	c.writeQueue.Enqueue(writequeue.ScaleOut, x)
 }
 
 func (c *Controller) isProvisioningCurrent(p *shard, r *provisioningRequest) bool {
@@ -390,7 +391,7 @@
 	for _, m := range ids {
 		ms = append(ms, grouprecord.Machine{ID: m, Kind: kind, Booting: true})
 	}
-	keys, prio := []string{provisioningKey(r.name)}, priorityBackground
+	keys, prio := []string{provisioningKey(r.name)}, writequeue.Background
 	// A refused one gets no machines, but where a copy of its creation may come
 	// late its group's key has to be there all the same, with nothing listed.
 	made := len(ids) > 0 || r.createInDoubt
@@ -398,11 +399,11 @@
 		keys = append(keys, "groups/"+id)
 	}
 	if len(ids) > 0 {
-		prio = priorityScaleOut
+		prio = writequeue.ScaleOut
 	}
-	c.writeQueue.enqueue(prio, &queuedWrite{
-		shardID: p.id, keys: keys,
-		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
+	c.writeQueue.Enqueue(prio, &writequeue.Write{
+		ShardID: p.id, Keys: keys,
+		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			ops, marks := []messages.TxnOp{{Key: provisioningKey(r.name), Value: nil}}, []cluster.ModRevision{r.modRevision}
 			if made {
 				v := grouprecord.Encode(grouprecord.Record{ShardID: p.id, Machines: ms, WriteID: nonce})
@@ -411,7 +412,7 @@
 			}
 			return ops, marks
 		},
-		onApplied: func(e cluster.Revision) {
+		OnApplied: func(e cluster.Revision) {
 			if !p.owned || p.claimRevision != claim {
 				return
 			}
@@ -420,10 +421,10 @@
 				c.addRegisteredGroup(p, id, ms, size, e)
 			}
 		},
-		onConflict: func() {
+		OnConflict: func() {
 			// Where only the request is dropped no nonce tells whether an earlier
 			// sending was carried out; that the key is gone does.
-			c.readKey(provisioningKey(r.name), func(g messages.GetReply) {
+			c.writeQueue.ReadKey(provisioningKey(r.name), func(g messages.GetReply) {
 				switch {
 				case !p.owned || p.claimRevision != claim:
 				case g.Outcome == messages.NotFound && len(ms) == 0:
--- a/internal/controller/schedule.go
+++ b/internal/controller/schedule.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/scheduling"
@@ -89,7 +90,7 @@
 }
 
 func (c *Controller) scheduleShard(p *shard) {
-	if c.isStoreUnavailableFor(second) {
+	if c.writeQueue.IsUnavailableFor(second) {
 		return
 	}
 	jobs, owed := c.queuedJobs(p)
@@ -218,7 +219,7 @@
 		f.capacity.addFetch(j)
 	}
 	l.remaining--
-	c.writeMachine(m, priorityStart)
+	c.writeMachine(m, writequeue.Start)
 }
 
 // candidate is a slot that a job's tasks may go to.
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -31,7 +31,7 @@
 
 // read lists the records with a prefix until that works.
 func (l *shardLoad) read(prefix string, to **messages.ListReply) {
-	l.controller.listPrefix(prefix, func(r messages.ListReply) {
+	l.controller.writeQueue.ListPrefix(prefix, func(r messages.ListReply) {
 		if !l.shard.isOwnedUnder(l.claimRevision) {
 			return
 		}
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -9,6 +9,7 @@
 
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/grouprecord"
@@ -118,7 +119,7 @@
 
 // loadShards reads who holds what and then follows the changes.
 func (c *Controller) loadShards() {
-	c.listPrefix("parts/", func(r messages.ListReply) {
+	c.writeQueue.ListPrefix("parts/", func(r messages.ListReply) {
 		if r.Outcome != messages.OK {
 			c.loop.After(second/2, c.loadShards)
 			return
@@ -199,7 +200,7 @@
 
 func (c *Controller) rereadShard(p *shard) {
 	begun := c.loop.Now()
-	c.readKey(p.key(), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(p.key(), func(r messages.GetReply) {
 		if r.Outcome == messages.OK {
 			c.applyShardRecord(r.KV)
 			c.recordConfirmation(p, r.KV.ModRevision, begun)
@@ -210,7 +211,7 @@
 // considerAcquire decides whether this node should claim a part. Nothing here
 // is needed for safety: a wrong claim costs a pause, never a rule.
 func (c *Controller) considerAcquire(p *shard) {
-	if p.owned || p.acquiring || c.loop.Now() < p.acquireNotBefore || !p.recordRead || c.isStoreUnavailableFor(second) {
+	if p.owned || p.acquiring || c.loop.Now() < p.acquireNotBefore || !p.recordRead || c.writeQueue.IsUnavailableFor(second) {
 		return
 	}
 	self := c.config.Self
@@ -254,13 +255,13 @@
 func (c *Controller) acquireShard(p *shard) {
 	p.acquiring = true
 	prev, term := p.owner, p.term+1
-	c.writeQueue.enqueue(priorityAcquire, &queuedWrite{
-		shardID: p.id, keys: []string{p.key()},
-		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
+	c.writeQueue.Enqueue(writequeue.Acquire, &writequeue.Write{
+		ShardID: p.id, Keys: []string{p.key()},
+		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(shardRecord{Owner: c.config.Self, Term: term, WriteID: nonce, Upgraded: c.versionRegistry.upgradedNodes()})
 			return []messages.TxnOp{{Key: p.key(), Value: v}}, []cluster.ModRevision{p.modRevision}
 		},
-		onApplied: func(e cluster.Revision) {
+		OnApplied: func(e cluster.Revision) {
 			p.acquiring = false
 			if cluster.ModRevision(e) < p.modRevision {
 				return // overtaken already
@@ -274,7 +275,7 @@
 			c.loop.Log(messages.LogInfo, "claimed part", "part", int(p.id), "term", uint64(term), "from", string(prev))
 			c.loadShard(p)
 		},
-		onConflict: func() {
+		OnConflict: func() {
 			p.acquiring = false
 			c.rereadShard(p)
 		},
@@ -307,7 +308,7 @@
 		fn(false)
 	}
 	p.ownershipChecks.waiting = nil
-	c.writeQueue.dropShard(id)
+	c.writeQueue.DropShard(id)
 	c.rereadShard(p)
 }
 
@@ -327,7 +328,7 @@
 // record make no sense.
 func (c *Controller) handleForeignWrite(p *shard, key, why string) {
 	claim := p.claimRevision
-	c.readKey(p.key(), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(p.key(), func(r messages.GetReply) {
 		if !p.isOwnedUnder(claim) {
 			return
 		}
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -3,22 +3,18 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // Counters count what happened since the last periodic log line.
 type Counters struct {
-	PutsByPriority [priorityCount]int // puts by priority of their writes
-	Heartbeats     int
-	Submissions    int
-	Queries        int
-	Cancellations  int
-	CommandPushes  int
-	Transactions   int
-	Puts           int
-	Conflicts      int
-	Gets           int
-	PeerCalls      int
-	CloudCalls     int
+	Heartbeats    int
+	Submissions   int
+	Queries       int
+	Cancellations int
+	CommandPushes int
+	PeerCalls     int
+	CloudCalls    int
 	// MachineScans counts the machines that were looked at one by one, whatever for.
 	MachineScans int
 }
@@ -94,6 +90,7 @@
 func (c *Controller) logStats() {
 	counts := c.counters
 	c.counters = Counters{}
+	writes := c.writeQueue.TakeCounters()
 	use := c.capacityUsage()
 	groupBytes := 0
 	for _, g := range c.machineGroups {
@@ -113,23 +110,23 @@
 		"booting", cpus(use.booting),
 		"groups", len(c.machineGroups),
 		"group_bytes", groupBytes/max(len(c.machineGroups), 1),
-		"puts_share", int(c.writeQueue.putBudget.Rate()*10)/10)
+		"puts_share", int(c.writeQueue.PutBudget().Rate()*10)/10)
 	c.loop.Log(messages.LogInfo, "stats",
 		"reports", counts.Heartbeats,
 		"submits", counts.Submissions,
 		"queries", counts.Queries,
 		"cancels", counts.Cancellations,
 		"orders", counts.CommandPushes,
-		"txns", counts.Transactions,
-		"puts", counts.Puts,
-		"claims", counts.PutsByPriority[priorityAcquire],
-		"rentals", counts.PutsByPriority[priorityScaleOut],
-		"accepts", counts.PutsByPriority[priorityAdmit],
-		"starts", counts.PutsByPriority[priorityStart],
-		"outcomes", counts.PutsByPriority[priorityOutcome],
-		"lazy", counts.PutsByPriority[priorityBackground],
-		"conflicts", counts.Conflicts,
-		"gets", counts.Gets,
+		"txns", writes.Transactions,
+		"puts", writes.Puts,
+		"claims", writes.PutsByPriority[writequeue.Acquire],
+		"rentals", writes.PutsByPriority[writequeue.ScaleOut],
+		"accepts", writes.PutsByPriority[writequeue.Admit],
+		"starts", writes.PutsByPriority[writequeue.Start],
+		"outcomes", writes.PutsByPriority[writequeue.Outcome],
+		"lazy", writes.PutsByPriority[writequeue.Background],
+		"conflicts", writes.Conflicts,
+		"gets", writes.Reads,
 		"peer_calls", counts.PeerCalls,
 		"cloud_calls", counts.CloudCalls,
 		"visits", counts.MachineScans,
@@ -137,8 +134,8 @@
 		"stalled_parts", c.stalledShardCount(),
 		"jobs", len(c.jobs.owned),
 		"machines", len(c.machines),
-		"queue", c.writeQueue.depth(),
-		"inflight", c.writeQueue.inFlight)
+		"queue", c.writeQueue.Depth(),
+		"inflight", c.writeQueue.InFlight())
 }
 
 // ownedShardCount counts the parts held here.
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -10,6 +10,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -57,6 +58,7 @@
 func TestLargestJobInSmallTransactions(t *testing.T) {
 	b := newControllerHarness()
 	b.config.MaxTxnOps = 4
+	b.writeQueue.Configure(b.writeQueueConfig())
 	j := b.addTestJob("j-1", 100_000)
 	v, _ := json.Marshal(jobRecord{Spec: &j.spec, WriteID: "x"})
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: v, ModRevision: 31}
@@ -75,7 +77,7 @@
 		return n
 	}
 	for range 5 {
-		b.writeJob(j, priorityBackground)
+		b.writeJob(j, writequeue.Background)
 		b.runFor(2 * second)
 	}
 	if n := stored(); n != 33_334 {
@@ -84,7 +86,7 @@
 	for i := range 100_000 {
 		j.setCompleted(i)
 	}
-	b.writeJob(j, priorityAdmit)
+	b.writeJob(j, writequeue.Admit)
 	b.runFor(20 * second)
 	for k := 1; k < chunkCount(100_000); k++ {
 		if b.store.get(j.chunkKey(k)).Outcome != messages.NotFound {
@@ -96,7 +98,7 @@
 		t.Errorf("stored at the end: %s", b.store.keys["jobs/j-1"].Value)
 	}
 	for _, x := range b.sentTransactions {
-		if len(x.Then) > 4 || len(x.If) > comparesPerOperation*4 {
+		if len(x.Then) > 4 || len(x.If) > writequeue.ComparesPerOperation*4 {
 			t.Errorf("a transaction of %d changes on %d conditions", len(x.Then), len(x.If))
 		}
 		for _, o := range x.Then {
@@ -157,6 +159,7 @@
 	}{{60, 4, true}, {200, 12, true}, {400, 4, false}} {
 		b := newControllerHarness()
 		b.config.MaxTxnOps = c.ops
+		b.writeQueue.Configure(b.writeQueueConfig())
 		j := b.addTestJob("j-1", 20_000)
 		g := b.addGroupWithTasks("g", j, c.machines, 3, 0)
 		before := g.recordSize
@@ -210,7 +213,7 @@
 	}
 	marks := map[string]cluster.ModRevision{small.key(): small.modRevision, other.key(): other.modRevision}
 	for _, g := range []*machineGroup{large, small, other} {
-		b.writeGroup(g, priorityStart)
+		b.writeGroup(g, writequeue.Start)
 	}
 	b.runFor(3 * second)
 	if len(b.sentTransactions) < 4 || len(b.sentTransactions[0].Then) != 3 {
@@ -289,7 +292,7 @@
 	b.runFor(3 * second)
 	several := false
 	for _, x := range b.sentTransactions {
-		if len(x.Then) > 4 || len(x.If) > comparesPerOperation*4 {
+		if len(x.Then) > 4 || len(x.If) > writequeue.ComparesPerOperation*4 {
 			t.Errorf("%d changes on %d conditions", len(x.Then), len(x.If))
 		}
 		several = several || len(x.If) > 8
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -8,6 +8,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -55,7 +56,7 @@
 	b := newControllerHarness()
 	m, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
 	m.group.modRevision = 77 // another writer was there
-	b.writeMachine(m, priorityStart)
+	b.writeMachine(m, writequeue.Start)
 	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.runFor(5 * second)
 	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
@@ -65,7 +66,7 @@
 		t.Errorf("answered %+v, want 201", b.sentResponses)
 	}
 	b.runFor(5 * second)
-	if n := len(b.writeQueue.queues[priorityAdmit]); n != 0 || b.admissions.keysIssued > 3 {
+	if n := len(b.writeQueue.Queued(writequeue.Admit)); n != 0 || b.admissions.keysIssued > 3 {
 		t.Errorf("nothing waits to be accepted, but %d writes are queued, after %d", n, b.admissions.keysIssued)
 	}
 }
@@ -118,12 +119,10 @@
 func TestComparesOfBurstWithinLimit(t *testing.T) {
 	b := newControllerHarness()
 	b.runFor(second)
-	inflight := b.writeQueue.inFlight
-	b.writeQueue.inFlight = maxTransactionsInFlight // the store is slow
+	// Nothing is dispatched meanwhile, as while the store is slow.
 	for i := range messages.RequestID(60) {
 		b.handleSubmit(messages.Submit{Request: 1 + i, Spec: cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%03d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	}
-	b.writeQueue.inFlight = inflight
 	b.runFor(second)
 	for _, f := range b.sentTransactions {
 		if len(f.If) > 4*b.config.MaxTxnOps {
--- /dev/null
+++ b/internal/controller/storeaccess.go
@@ -0,0 +1,55 @@
+package controller
+
+import (
+	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
+)
+
+// writeQueueConfig is what the write queue needs of the settings.
+func (c *Controller) writeQueueConfig() writequeue.Config {
+	return writequeue.Config{
+		InstanceID:      c.config.InstanceID,
+		RequestRPS:      c.config.StoreRPS,
+		WriteRPS:        c.config.WriteRPS,
+		CurrentWriteRPS: c.config.CurrentWriteRPS,
+		BudgetShare:     c.config.Tuning.RateBudgetShare,
+		MaxTxnOps:       c.config.MaxTxnOps,
+		Controllers:     len(c.config.Nodes),
+		ShareByDemand: func(limit, demand float64, liveControllers int) float64 {
+			return c.shareByDemand(limit, demand, liveControllers, func(ping *messages.Ping) float64 { return ping.WriteDemand })
+		},
+	}
+}
+
+// shardOwnership shows the write queue who owns the shards.
+type shardOwnership struct{ controller *Controller }
+
+// ClaimOf implements writequeue.ShardOwnership.
+func (o shardOwnership) ClaimOf(id cluster.ShardID) writequeue.Claim {
+	shard := o.controller.shards[id]
+	return writequeue.Claim{Key: shard.key(), ModRevision: shard.modRevision, Owned: shard.owned}
+}
+
+// HandleDeposed implements writequeue.ShardOwnership.
+func (o shardOwnership) HandleDeposed(id cluster.ShardID) { o.controller.handleDeposed(id) }
+
+// HandleStored implements writequeue.ShardOwnership.
+func (o shardOwnership) HandleStored(stored writequeue.StoredTransaction) {
+	shard := o.controller.shards[stored.ShardID]
+	shard.storedTransactions++
+	shard.lastStoredRevision = max(shard.lastStoredRevision, stored.Revision)
+	o.controller.recordConfirmation(shard, stored.Claim, stored.SentAt)
+}
+
+// probeStore keeps in touch with the state service while it matters whether it
+// serves this controller: while it does not, to know when it does again, and while
+// another controller says that it has lost it, to tell a partition of that one from
+// an outage. On an idle controller nothing else would ask for minutes.
+func (c *Controller) probeStore() {
+	if c.writeQueue.Health.ShouldProbe(c.loop.Now()) {
+		c.rereadShard(c.shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
+	}
+}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -7,6 +7,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // What users submit: whether a job can be taken, and by which controller.
@@ -19,7 +20,7 @@
 		r.Request = e.Request
 		c.loop.Emit(r)
 	}
-	if c.jobs.known[e.Spec.ID] == nil && e.Rejection == 0 && (c.storeHealth.isUnresponsive(c.loop.Now()) || len(c.machineTypes) == 0) && c.proxySubmission(e.Spec, answer) {
+	if c.jobs.known[e.Spec.ID] == nil && e.Rejection == 0 && (c.writeQueue.Health.IsUnresponsive(c.loop.Now()) || len(c.machineTypes) == 0) && c.proxySubmission(e.Spec, answer) {
 		return
 	}
 	c.submit(e.Spec, e.Rejection, e.Reason, answer)
@@ -103,7 +104,7 @@
 		c.answerIdempotentRetry(s.answer, s.spec.ID)
 		return
 	}
-	if c.isStoreUnavailableFor(second) {
+	if c.writeQueue.IsUnavailableFor(second) {
 		s.reject(messages.ReplyUnavailable, storeRetryAfterSeconds, "store out of reach")
 		return
 	}
@@ -177,7 +178,7 @@
 // priorities are refused, least important first. It returns when to come back.
 func (c *Controller) overloadRetryAfter(prio cluster.Priority) int {
 	// A put takes several when many wait.
-	wait := (float64(len(c.writeQueue.queues[priorityAdmit])) + c.admissions.putsNeeded(c.config.MaxTxnOps)) / max(c.writeQueue.putBudget.Rate(), 1)
+	wait := (float64(len(c.writeQueue.Queued(writequeue.Admit))) + c.admissions.putsNeeded(c.config.MaxTxnOps)) / max(c.writeQueue.PutBudget().Rate(), 1)
 	wait = max(wait, float64(c.processHealth.load.EventDelay)/float64(second)) // a process that falls behind takes on no more
 	limit := [...]float64{cluster.BestEffort: 1, cluster.Normal: 1.5, cluster.Urgent: 2.5, cluster.Production: 3}[prio]
 	if wait <= limit {
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -44,7 +44,7 @@
 // its sender gets no answer.
 func loseNextWriteReply(t *testing.T, b *controllerHarness) messages.StoreTxn {
 	t.Helper()
-	b.writeQueue.dispatch()
+	b.writeQueue.Dispatch()
 	effects := takeEffects(b.Controller)
 	for i, effect := range effects {
 		if write, ok := effect.(messages.StoreTxn); ok {
@@ -161,9 +161,9 @@
 		}
 		lost := b.peers["n2"]
 		lost.failed, lost.failedAt, lost.lastPingAt = true, b.loop.Now()-second, b.loop.Now()-10*second
-		b.storeHealth.lastSuccess, b.storeHealth.healthySince = b.loop.Now(), second
+		b.writeQueue.Health.LastSuccess, b.writeQueue.Health.HealthySince = b.loop.Now(), second
 		if outage {
-			b.storeHealth.failing, b.storeHealth.failingSince = true, b.loop.Now()-2*second
+			b.writeQueue.Health.MarkFailing(b.loop.Now() - 2*second)
 		}
 		b.considerAcquire(part)
 		if part.acquiring == outage {
--- a/internal/controller/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -7,6 +7,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -40,7 +41,7 @@
 	if g.writePending || g.writeInFlight {
 		t.Error("the group still counts as being written")
 	}
-	b.writeMachine(m, priorityStart)
+	b.writeMachine(m, writequeue.Start)
 	b.runFor(200 * millisecond)
 	if kv := b.store.get(g.key()).KV; g.modRevision != kv.ModRevision || g.modRevision <= 31 {
 		t.Errorf("its record can't be written any more: mark %d, stored %d", g.modRevision, kv.ModRevision)
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
@@ -18,6 +19,7 @@
 	const groups, length, protocolLimit = 12, 12_000, 64 << 10
 	b := newControllerHarness()
 	b.config.MaxValueBytes, b.config.MaxTxnOps = 16_384, 20
+	b.writeQueue.Configure(b.writeQueueConfig())
 	p := b.shards[0]
 	for i := range groups {
 		g := b.newGroup(p, fmt.Sprintf("g%02d", i), 31)
@@ -33,11 +35,11 @@
 		0: {Shard: 0, Available: 96_000_000},
 		1: {Shard: 1, Demand: [4]cluster.Amount{0, 96_000_000}},
 	}))
-	queue := b.writeQueue.queues[priorityStart]
+	queue := b.writeQueue.Queued(writequeue.Start)
 	if len(queue) != 1 {
 		t.Fatalf("%d writes queued", len(queue))
 	}
-	rewritten := len(queue[0].keys) - 1 // beside the new group
+	rewritten := len(queue[0].Keys) - 1 // beside the new group
 	if rewritten < 2 || rewritten*length > protocolLimit {
 		t.Errorf("%d records of %d bytes in one transaction", rewritten, length)
 	}
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -1,6 +1,10 @@
 package controller
 
-import "testing"
+import (
+	"testing"
+
+	"stairrelay/internal/writequeue"
+)
 
 // markTasksRecording makes the first tasks of a group's machines wait for its record.
 func markTasksRecording(g *machineGroup, n int) {
@@ -29,9 +33,9 @@
 // limitPutRate leaves the given number of puts a second and no more at once.
 func (b *controllerHarness) limitPutRate(rate float64) {
 	dropTimers(b.Controller) // no new division of the rate
-	b.writeQueue.putBudget.SetRate(rate, 1)
-	b.writeQueue.putBudget.Refill(b.loop.Now())
-	b.writeQueue.putBudget.Lower(0)
+	b.writeQueue.PutBudget().SetRate(rate, 1)
+	b.writeQueue.PutBudget().Refill(b.loop.Now())
+	b.writeQueue.PutBudget().Lower(0)
 }
 
 // TestMostWaitingCPUsAreRecordedFirst: of two records of which the one with
@@ -43,9 +47,9 @@
 	markTasksRecording(few, 1)
 	markTasksRecording(many, 6)
 	b.limitPutRate(0.5)
-	b.writeGroup(few, priorityStart)
+	b.writeGroup(few, writequeue.Start)
 	setTime(b.Controller, b.loop.Now()+second/2)
-	b.writeGroup(many, priorityStart)
+	b.writeGroup(many, writequeue.Start)
 	b.runFor(second * 5 / 2)
 	if f, m := b.countWrites(few.key()), b.countWrites(many.key()); f != 0 || m != 1 {
 		t.Fatalf("after the first put the record with one start was written %d times, that with six %d times", f, m)
@@ -64,7 +68,7 @@
 	starts, bumped := b.addGroupWithTasks("starts", j, 4, 2, 0), b.addGroupWithTasks("bumped", j, 1, 2, 100)
 	markTasksRecording(starts, 8)
 	b.limitPutRate(0.5)
-	b.writeGroup(starts, priorityStart)
+	b.writeGroup(starts, writequeue.Start)
 	b.raiseToken(bumped.sortedMachines()[0])
 	b.runFor(second * 5 / 2)
 	if s, r := b.countWrites(starts.key()), b.countWrites(bumped.key()); s != 0 || r != 1 {
@@ -80,10 +84,10 @@
 	few, many := b.addGroupWithTasks("few", j, 3, 2, 0), b.addGroupWithTasks("many", j, 3, 2, 100)
 	markTasksRecording(few, 1)
 	b.limitPutRate(1)
-	b.writeGroup(few, priorityStart)
+	b.writeGroup(few, writequeue.Start)
 	for range 8 {
 		markTasksRecording(many, 6)
-		b.writeGroup(many, priorityStart)
+		b.writeGroup(many, writequeue.Start)
 		b.runFor(second)
 	}
 	if f, m := b.countWrites(few.key()), b.countWrites(many.key()); f != 1 || m < 5 {
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/ratelimit"
@@ -33,7 +34,7 @@
 	b := newControllerHarness()
 	b.config.CurrentWriteRPS, b.config.WriteRPS, b.config.MaxTxnOps = present, later, 4
 	dropTimers(b.Controller) // no tidying up, which would join the groups
-	b.writeQueue.init(b.Controller)
+	b.writeQueue.Configure(b.writeQueueConfig())
 	return b
 }
 
@@ -43,7 +44,7 @@
 	for i := range groups {
 		g := b.addGroupWithTasks(fmt.Sprintf("%s-%02d", name, i), j, 2, 2, from+10*i)
 		markTasksRecording(g, 4)
-		b.writeGroup(g, priorityStart)
+		b.writeGroup(g, writequeue.Start)
 		all = append(all, g)
 	}
 	return all
@@ -90,11 +91,11 @@
 // checkSharedRate fails unless the controllers share the given rate.
 func (b *controllerHarness) checkSharedRate(t *testing.T, rate float64) {
 	t.Helper()
-	if b.writeQueue.writeRPS != rate {
-		t.Errorf("the controllers share %v changes a second, not %v", b.writeQueue.writeRPS, rate)
+	if b.writeQueue.SharedWriteRPS() != rate {
+		t.Errorf("the controllers share %v changes a second, not %v", b.writeQueue.SharedWriteRPS(), rate)
 	}
-	if most := rate * b.config.Tuning.RateBudgetShare; b.writeQueue.putBudget.Rate() > most {
-		t.Errorf("%v of %v changes a second are this controller's", b.writeQueue.putBudget.Rate(), most)
+	if most := rate * b.config.Tuning.RateBudgetShare; b.writeQueue.PutBudget().Rate() > most {
+		t.Errorf("%v of %v changes a second are this controller's", b.writeQueue.PutBudget().Rate(), most)
 	}
 }
 
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -36,7 +36,7 @@
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newHolder := func() *controllerHarness {
 		b := newControllerHarness()
-		b.storeHealth.failing, b.storeHealth.failingSince = true, b.loop.Now()
+		b.writeQueue.Health.MarkFailing(b.loop.Now())
 		for _, peer := range b.peers {
 			answerProbe(b, peer.id, 1)
 		}
--- /dev/null
+++ b/internal/writequeue/queue_test.go
@@ -0,0 +1,60 @@
+package writequeue
+
+import (
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
+	"stairrelay/internal/messages"
+)
+
+// fakeOwnership owns every shard under the same claim, and notes what it is told.
+type fakeOwnership struct {
+	claim   Claim
+	deposed []cluster.ShardID
+	stored  []StoredTransaction
+}
+
+func (f *fakeOwnership) ClaimOf(cluster.ShardID) Claim { return f.claim }
+
+func (f *fakeOwnership) HandleDeposed(shard cluster.ShardID) {
+	f.deposed = append(f.deposed, shard)
+	f.claim.Owned = false
+}
+
+func (f *fakeOwnership) HandleStored(stored StoredTransaction) { f.stored = append(f.stored, stored) }
+
+// newTestQueue is the queue of one of seven controllers.
+func newTestQueue() (*eventloop.Loop, *Queue, *fakeOwnership) {
+	loop := eventloop.New()
+	ownership := &fakeOwnership{claim: Claim{Key: "parts/0", ModRevision: 7, Owned: true}}
+	config := Config{
+		InstanceID:  "b1",
+		RequestRPS:  100,
+		WriteRPS:    25,
+		BudgetShare: 0.9,
+		MaxTxnOps:   20,
+		Controllers: 7,
+		ShareByDemand: func(limit, _ float64, liveControllers int) float64 {
+			return limit / float64(liveControllers)
+		},
+	}
+	return loop, New(loop, config, ownership), ownership
+}
+
+// TestNoRateDebtAfterStorePartition: what is sent again and again while the store is out of
+// reach does not keep the controller from writing when it is back.
+func TestNoRateDebtAfterStorePartition(t *testing.T) {
+	_, q, _ := newTestQueue()
+	pending := &transaction{operations: make([]messages.TxnOp, 20), shardID: cluster.NoShard}
+	before := q.putBudget.Level()
+	q.send(pending)
+	for i, out := range []messages.Outcome{messages.UnknownOutcome, messages.NotApplied, messages.UnknownOutcome, messages.Throttled, messages.UnknownOutcome} {
+		q.handleReply(pending, messages.TxnReply{Outcome: out})
+		q.inFlight--
+		q.send(pending)
+		if q.putBudget.Level() < before-21 {
+			t.Fatalf("after %d tries %.0f puts in debt", i+2, -q.putBudget.Level())
+		}
+	}
+}
