--- a/internal/controller/commandpush.go
+++ b/internal/controller/commandpush.go
@@ -93,13 +93,6 @@
 	})})
 }
 
-// resetSentStops notes that the stops sent may not have arrived.
-func (m *machine) resetSentStops() {
-	for _, a := range m.assignments {
-		a.stopSentAt = 0
-	}
-}
-
 func (c *Controller) applyPushReply(m *machine, r *cluster.HeartbeatStatus) {
 	if r.Machine != m.id {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,9 +88,9 @@
 		classStats:       map[string]*classStats{},
 	}
 	c.versionRegistry = newVersionRegistry(cfg.Self)
-	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardOwnership{c})
+	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	for i := range cfg.Nodes {
-		c.shards = append(c.shards, &shard{id: cluster.ShardID(i), preferredOwner: cfg.Nodes[i], outOfCapacityCount: map[provisioningOption]int{}, usage: teamUsage{}})
+		c.shards = append(c.shards, newShard(cluster.ShardID(i), cfg.Nodes[i]))
 		if n := cfg.Nodes[i]; n != cfg.Self {
 			c.peers[n] = &peer{id: n}
 		}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"slices"
 	"sort"
-	"strconv"
 	"strings"
 
 	"stairrelay/internal/cluster"
@@ -12,60 +11,6 @@
 	"stairrelay/internal/writequeue"
 )
 
-// Task states inside a job.
-const (
-	taskPending          uint8 = iota
-	taskAssigned               // on, or on its way to, or perhaps still on, a machine
-	taskCompleted              // completed, not stored yet
-	taskCompletionStored       // completed and stored
-)
-
-// tasksPerChunk is how many tasks' outcomes one key holds. Chunk 0 lives in the
-// job's own record, the others beside it, so that 100,000 tasks fit under any
-// value limit from 4 KiB on.
-const tasksPerChunk = 16384
-
-// job of a part held here.
-type job struct {
-	spec              cluster.JobSpec
-	shard             cluster.ShardID
-	modRevisions      []cluster.ModRevision // per chunk
-	dirtyChunks       []bool
-	taskStates        []uint8
-	assignedCount     int
-	completedCount    int
-	firstPendingHint  int // no pending task lies below
-	assignments       map[int]*assignment
-	listedAssignments map[*assignment]bool // all that machines list of it, ended and doubly listed tasks too
-
-	finalStatus   cluster.JobStatus // stored
-	cancelling    bool              // its user has asked for that, or it is stored
-	endInFlight   bool              // a write of its end is under way: it may be carried out already
-	writeQueued   bool              // a write is queued
-	rewriteNeeded bool
-	waiters       []func(cluster.JobStatus)
-
-	chunksLoading       int // chunks still to be read; nothing is placed before
-	taskErrors          int
-	recordTooLarge      bool         // its record with what it asks for is more than the store takes now
-	nextCheckpointAt    cluster.Time // not written before, while starts wait for their records: each interval's would take their puts
-	failedMachines      map[cluster.MachineID]bool
-	effectivePriority   cluster.Priority // its own, or that of a job that needs it
-	backoffUntil        cluster.Time
-	nextPreemptionAt    cluster.Time      // not before then again
-	reservedMachine     cluster.MachineID // kept free for it while it starves
-	guaranteeChecked    bool
-	initiallyGuaranteed bool // it fitted into its team's guarantee when it came; for the log
-	arrivedAt           cluster.Time
-	blocked             bool             // for jobs that it awaits
-	readySince          cluster.WallTime // its aims' times count from then: its submission, or its release
-	restartedTasks      map[int]bool     // tasks that did not end at their first start
-	completedRuns       int              // tasks that ran to their end here, and their time in all
-	totalRunSeconds     float64
-	firstRunAt          cluster.Time
-	lastRunAt           cluster.Time
-}
-
 type jobRecord struct {
 	Spec             *cluster.JobSpec   `json:"s,omitempty"`
 	CompletedIndexes string             `json:"d,omitempty"`
@@ -76,98 +21,6 @@
 	WriteID          string             `json:"w"`
 }
 
-// jobKeyPrefix is where the jobs' own records are stored.
-const jobKeyPrefix = "jobs/"
-
-// jobKey is the key of a job's own record.
-func jobKey(id cluster.JobID) string { return jobKeyPrefix + string(id) }
-
-func (j *job) chunkKey(chunk int) string {
-	if chunk == 0 {
-		return jobKey(j.spec.ID)
-	}
-	return "done/" + string(j.spec.ID) + "/" + strconv.Itoa(chunk)
-}
-
-func chunkCount(tasks int) int { return (tasks + tasksPerChunk - 1) / tasksPerChunk }
-
-func newJob(spec cluster.JobSpec, part cluster.ShardID, mark cluster.ModRevision, now cluster.Time) *job {
-	n := chunkCount(spec.Tasks)
-	j := &job{spec: spec, shard: part, modRevisions: make([]cluster.ModRevision, n), dirtyChunks: make([]bool, n), taskStates: make([]uint8, spec.Tasks),
-		assignments: map[int]*assignment{}, listedAssignments: map[*assignment]bool{}, failedMachines: map[cluster.MachineID]bool{}, restartedTasks: map[int]bool{}, arrivedAt: now, readySince: spec.SubmittedAt, effectivePriority: spec.Priority}
-	j.modRevisions[0] = mark
-	return j
-}
-
-func (j *job) pendingCount() int { return j.spec.Tasks - j.assignedCount - j.completedCount }
-
-func (j *job) isActive() bool { return j.finalStatus == "" && !j.cancelling }
-
-func (j *job) nextPendingTask() int {
-	for j.firstPendingHint < len(j.taskStates) && j.taskStates[j.firstPendingHint] != taskPending {
-		j.firstPendingHint++
-	}
-	if j.firstPendingHint == len(j.taskStates) {
-		return -1
-	}
-	return j.firstPendingHint
-}
-
-func (j *job) setAssigned(i int, a *assignment) {
-	j.taskStates[i] = taskAssigned
-	j.assignedCount++
-	j.assignments[i] = a
-}
-
-// setPending makes a task that is on no machine any more wait again.
-func (j *job) setPending(i int) {
-	if j.taskStates[i] != taskAssigned {
-		return
-	}
-	j.taskStates[i] = taskPending
-	j.restartedTasks[i] = true
-	j.assignedCount--
-	delete(j.assignments, i)
-	j.firstPendingHint = min(j.firstPendingHint, i)
-}
-
-func (j *job) setCompleted(i int) {
-	switch j.taskStates[i] {
-	case taskAssigned:
-		j.assignedCount--
-		delete(j.assignments, i)
-	case taskPending:
-	default:
-		return
-	}
-	j.taskStates[i] = taskCompleted
-	j.completedCount++
-	j.dirtyChunks[i/tasksPerChunk] = true
-}
-
-func (j *job) view() cluster.JobView {
-	v := cluster.JobView{ID: j.spec.ID, Status: cluster.JobPending, Done: j.completedCount}
-	switch {
-	case j.finalStatus != "":
-		v.Status = j.finalStatus
-		return v
-	default:
-		for _, a := range j.assignments {
-			if a.phase == phaseAcknowledged {
-				v.Running++
-			}
-		}
-		if v.Running > 0 || j.completedCount > 0 {
-			v.Status = cluster.JobRunning
-		}
-	}
-	return v
-}
-
-func (j *job) chunkStates(k int) []uint8 {
-	return j.taskStates[k*tasksPerChunk : min((k+1)*tasksPerChunk, len(j.taskStates))]
-}
-
 // applyJobRecord takes in a job's record from the store, a peer or the watch. With
 // loading set, the part is being taken over and its record is the truth.
 func (c *Controller) applyJobRecord(kv messages.KV, loading *shard) {
@@ -359,7 +212,7 @@
 			continue
 		}
 		switch {
-		case !a.isCompleted() || a.confirmedAbsent || !c.isOutcomeStored(a):
+		case !a.isCompleted() || a.confirmedAbsent || !a.isOutcomeStored():
 		case a.removedFromRecord:
 			c.removeAssignment(m, a)
 		default:
--- a/internal/controller/jobwrite.go
+++ b/internal/controller/jobwrite.go
@@ -74,17 +74,6 @@
 	return ops, marks
 }
 
-// currentFinalStatus is the final state that a job is in by what is known here, or "".
-func (j *job) currentFinalStatus() cluster.JobStatus {
-	switch {
-	case j.completedCount == j.spec.Tasks:
-		return cluster.JobDone
-	case j.cancelling:
-		return cluster.JobCancelled
-	}
-	return ""
-}
-
 // isChunkUnchanged tells whether a chunk needs no write: of a job that goes on one
 // without new outcomes, of one that ends one that was never stored.
 func (w *jobWrite) isChunkUnchanged(chunk int) bool {
@@ -161,18 +150,6 @@
 	}
 }
 
-// recomputeDirtyChunks works out which chunks have outcomes that are not stored.
-func (j *job) recomputeDirtyChunks() {
-	for chunk := range j.dirtyChunks {
-		j.dirtyChunks[chunk] = false
-	}
-	for i, state := range j.taskStates {
-		if state == taskCompleted {
-			j.dirtyChunks[i/tasksPerChunk] = true
-		}
-	}
-}
-
 // handleConflict follows a conflict with another writer.
 func (w *jobWrite) handleConflict() {
 	j := w.job
@@ -198,21 +175,6 @@
 // finish notes that the write is no longer under way.
 func (w *jobWrite) finish() { w.job.writeQueued, w.job.endInFlight = false, false }
 
-// selectWriteKeys picks the keys that a write of a job may set, within the changes that
-// a transaction may have: its own record, and further chunks that have changed or
-// exist. What does not fit has its turn in the next write.
-func (j *job) selectWriteKeys(ops int) ([]string, []int) {
-	keys, chunks := []string{j.chunkKey(0)}, []int{0}
-	for _, changed := range []bool{true, false} {
-		for k := 1; k < len(j.modRevisions) && len(keys) < ops; k++ {
-			if j.dirtyChunks[k] == changed && (changed || j.modRevisions[k] != 0) {
-				keys, chunks = append(keys, j.chunkKey(k)), append(chunks, k)
-			}
-		}
-	}
-	return keys, chunks
-}
-
 // deleteLeftoverChunks removes the outcomes of a job that is over which its last write had
 // no room to remove.
 func (c *Controller) deleteLeftoverChunks(j *job, wrote []int) {
--- a/internal/controller/machinegroups.go
+++ b/internal/controller/machinegroups.go
@@ -15,48 +15,6 @@
 	"stairrelay/internal/grouprecord"
 )
 
-// A record of its own per machine would cost a put per wave of starts on each;
-// with hundreds of machines that is many times the store's write rate. So one
-// record covers a group of a part's machines. A machine is listed in exactly
-// one group; it changes groups only by a transaction that writes both, and
-// changes parts only with its whole group, by a conditional write on the
-// group's record at a mark at which that lists no task.
-
-type machineGroup struct {
-	id          string
-	shardID     cluster.ShardID
-	modRevision cluster.ModRevision
-	machines    map[cluster.MachineID]*machine
-
-	writePending       bool                // a write is queued or on its way
-	writeInFlight      bool                // it is on its way: what it lists is settled until it is answered
-	queuedWrite        *writequeue.Write   // it is queued
-	nextWritePriority  writequeue.Priority // the priority of the next write that is wanted, or prios
-	recordCheckPending bool
-	recordSize         int // of the record as last built
-	addedBytes         int // bytes that may have come on top since
-	minPieces          int // into how many it is to be split at least, after a refusal
-	offer              *groupOffer
-}
-
-// groupOffer says that a part may take the group. Until then nothing is
-// started on its machines; a write of ours after that makes a late take fail.
-type groupOffer struct {
-	toShard cluster.ShardID
-	until   cluster.Time
-}
-
-func (g *machineGroup) key() string { return "groups/" + g.id }
-
-func (g *machineGroup) sortedMachines() []*machine {
-	l := make([]*machine, 0, len(g.machines))
-	for _, m := range g.machines {
-		l = append(l, m)
-	}
-	sort.Slice(l, func(i, k int) bool { return l[i].id < l[k].id })
-	return l
-}
-
 // valueLimit decides how large the groups' records get.
 func (c *Controller) valueLimit() grouprecord.ValueLimit {
 	return grouprecord.ValueLimit(c.config.MaxValueBytes)
@@ -65,9 +23,6 @@
 // groupMachines is how many machines a record is made for.
 func (c *Controller) groupMachines() int { return c.valueLimit().TargetMachines() }
 
-// estimatedSize is how long the group's record may be by now.
-func (g *machineGroup) estimatedSize() int { return g.recordSize + g.addedBytes }
-
 // hasRoom tells whether the record can list one more task of a job.
 func (c *Controller) hasRoom(g *machineGroup, j *job) bool {
 	return c.valueLimit().HasRoom(g.estimatedSize(), j.spec.ID)
@@ -195,9 +150,6 @@
 	c.writeQueue.Enqueue(prio, g.queuedWrite)
 }
 
-// endWrite notes that no write of the record is under way any more.
-func (g *machineGroup) endWrite() { g.writePending, g.writeInFlight = false, false }
-
 // isCurrent tells whether the group is still held under the claim of the write.
 func (w *groupWrite) isCurrent() bool {
 	return w.controller.machineGroups[w.group.id] == w.group && w.shard.isOwnedUnder(w.claimRevision)
@@ -288,7 +240,7 @@
 			c.removeAssignment(m, a)
 		}
 		for _, a := range x.completed {
-			if a.removedFromRecord = true; c.isOutcomeStored(a) {
+			if a.removedFromRecord = true; a.isOutcomeStored() {
 				c.removeAssignment(m, a)
 			}
 		}
--- a/internal/controller/preempt.go
+++ b/internal/controller/preempt.go
@@ -57,21 +57,6 @@
 	return machines
 }
 
-// hasCheckpointableTask tells whether a task that can save is running on the machine.
-func (m *machine) hasCheckpointableTask() bool {
-	for _, a := range m.assignments {
-		if a.isCheckpointable() {
-			return true
-		}
-	}
-	return false
-}
-
-// isCheckpointable tells whether a report has shown the task running, and it can save.
-func (a *assignment) isCheckpointable() bool {
-	return a.phase == phaseAcknowledged && !a.confirmedAbsent && a.job.spec.CheckpointSeconds > 0
-}
-
 // preemptFor makes room for a job; false: its team's limit is reached, and
 // nothing more is made now.
 func (e *preemption) preemptFor(j *job, like equivalenceClass) bool {
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"sort"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
@@ -183,7 +182,7 @@
 				continue
 			}
 			starts = append(starts, cluster.Command{Kind: cluster.Start, Task: a.task, Attempt: a.attempt})
-		case a.isCompleted() && !m.startInDoubt && !urgentOnly && c.isOutcomeStored(a):
+		case a.isCompleted() && !m.startInDoubt && !urgentOnly && a.isOutcomeStored():
 			out = append(out, cluster.Command{Kind: cluster.Acknowledge, Task: a.task, Attempt: a.attempt})
 		}
 	}
@@ -207,44 +206,6 @@
 	return slices.DeleteFunc(cmds, func(x cluster.Command) bool { return x.Kind != cluster.Stop })
 }
 
-func (a *assignment) isGraceExpired(now cluster.Time) bool {
-	return a.stopSentAt > 0 && float64(now-a.stopSentAt)/float64(second) > a.gracePeriod+2
-}
-
-func (c *Controller) isOutcomeStored(a *assignment) bool {
-	return a.job.finalStatus != "" || a.job.taskStates[a.task.Index] == taskCompletionStored
-}
-
-// hasUnclearedAttempt tells whether an earlier start of a task is still being cleared away.
-func (m *machine) hasUnclearedAttempt(t cluster.TaskID) bool {
-	for s := range m.endedToAcknowledge {
-		if s.task == t {
-			return true
-		}
-	}
-	for s := range m.unrecordedToStop {
-		if s.task == t {
-			return true
-		}
-	}
-	return false
-}
-
-func sortedAttempts(m map[taskAttempt]bool) []taskAttempt {
-	l := make([]taskAttempt, 0, len(m))
-	for t := range m {
-		l = append(l, t)
-	}
-	sort.Slice(l, func(i, k int) bool {
-		a, b := l[i], l[k]
-		if a.task != b.task {
-			return a.task.Job < b.task.Job || a.task.Job == b.task.Job && a.task.Index < b.task.Index
-		}
-		return a.attempt < b.attempt
-	})
-	return l
-}
-
 // reconcile compares a worker's account with what is believed of it. It
 // returns false for an account older than one already taken in.
 func (c *Controller) reconcile(m *machine, r *cluster.HeartbeatStatus, viaOrders bool) bool {
@@ -297,7 +258,7 @@
 	if acked && m.awaitingFirstAcknowledgement {
 		p := c.shards[m.shardID]
 		m.awaitingFirstAcknowledgement = false
-		p.awaitingFirstAcknowledgement--
+		p.awaitingFirstAcknowledgementCount--
 		p.lastAcknowledgedAt = c.loop.Now()
 	}
 	if m.tokenAcknowledged && !m.raisingToken {
@@ -345,7 +306,7 @@
 				c.confirmAbsent(m, a)
 			}
 		case phaseEnded:
-			if a.cause != cluster.CauseCompleted || c.isOutcomeStored(a) {
+			if a.cause != cluster.CauseCompleted || a.isOutcomeStored() {
 				c.confirmAbsent(m, a)
 			}
 		}
@@ -353,20 +314,6 @@
 	return lostInAnswer
 }
 
-// forgetCleared forgets the starts to be cleared away that a report shows no more.
-func (m *machine) forgetCleared(present map[taskAttempt]bool) {
-	for s := range m.endedToAcknowledge {
-		if !present[s] {
-			delete(m.endedToAcknowledge, s)
-		}
-	}
-	for s := range m.unrecordedToStop {
-		if !present[s] {
-			delete(m.unrecordedToStop, s)
-		}
-	}
-}
-
 // confirmAbsent notes that a task is proven to be off the machine. The record must
 // say so before it may start elsewhere; when nobody waits for that, it can
 // share a later write.
@@ -451,33 +398,6 @@
 	}
 }
 
-func (m *machine) addCachedImage(j *job, cache float64) {
-	for i, im := range m.cachedImages {
-		if im.name == j.spec.Image {
-			m.cachedImages = append(append(m.cachedImages[:i:i], m.cachedImages[i+1:]...), im)
-			return
-		}
-	}
-	m.cachedImages = append(m.cachedImages, cachedImage{j.spec.Image, j.spec.ImageGB})
-	sum := 0.0
-	for _, im := range m.cachedImages {
-		sum += im.sizeGB
-	}
-	for len(m.cachedImages) > 1 && sum > cache {
-		sum -= m.cachedImages[0].sizeGB
-		m.cachedImages = m.cachedImages[1:]
-	}
-}
-
-func (m *machine) hasCachedImage(name string) bool {
-	for _, im := range m.cachedImages {
-		if im.name == name {
-			return true
-		}
-	}
-	return false
-}
-
 func (c *Controller) handleTaskEnded(m *machine, a *assignment, t *cluster.TaskStatus) {
 	j := a.job
 	m.markEnded(a, t.Cause)
--- a/internal/controller/regroup.go
+++ b/internal/controller/regroup.go
@@ -191,10 +191,3 @@
 	r.unlock()
 	r.done(nil)
 }
-
-// moveIn moves a machine here from the group that it is in.
-func (g *machineGroup) moveIn(m *machine) {
-	delete(m.group.machines, m.id)
-	m.group = g
-	g.machines[m.id] = m
-}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -15,26 +15,6 @@
 	"stairrelay/internal/grouprecord"
 )
 
-// provisioningOption is something that the cloud may have.
-type provisioningOption struct {
-	Type, Zone string
-	Spot       bool
-}
-
-// provisioningRequest is a recorded request; it is repeated under its name until its
-// answer is known.
-type provisioningRequest struct {
-	name          string
-	option        provisioningOption
-	count         int
-	modRevision   cluster.ModRevision
-	answered      bool
-	grantedCount  int // machines of an answer that is not recorded yet
-	attempts      int
-	groupID       string // that its machines go into, when this claim has made it
-	createInDoubt bool   // a late copy of its creation may yet be carried out
-}
-
 type provisioningRecord struct {
 	Shard   cluster.ShardID `json:"p"`
 	Type    string          `json:"f"`
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -98,13 +98,13 @@
 // and logs after a lease how many did.
 func (l *shardLoad) awaitAcknowledgements() {
 	c, p := l.controller, l.shard
-	p.awaitingFirstAcknowledgement, p.lastAcknowledgedAt = 0, c.loop.Now()
+	p.awaitingFirstAcknowledgementCount, p.lastAcknowledgedAt = 0, c.loop.Now()
 	for _, m := range p.machines {
 		if m.awaitingFirstAcknowledgement = !m.booting; m.awaitingFirstAcknowledgement {
-			p.awaitingFirstAcknowledgement++
+			p.awaitingFirstAcknowledgementCount++
 		}
 	}
-	taken := p.awaitingFirstAcknowledgement
+	taken := p.awaitingFirstAcknowledgementCount
 	if taken == 0 {
 		return
 	}
@@ -113,7 +113,7 @@
 			c.loop.Log(messages.LogInfo, "machines answered",
 				"part", int(p.id),
 				"machines", taken,
-				"silent", p.awaitingFirstAcknowledgement,
+				"silent", p.awaitingFirstAcknowledgementCount,
 				"took_ms", int((p.lastAcknowledgedAt-p.ownershipChangedAt)/millisecond))
 		}
 	})
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -12,58 +12,8 @@
 	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/grouprecord"
 )
 
-// shard is a set of teams and some machines with one owner at a time.
-type shard struct {
-	id             cluster.ShardID
-	preferredOwner cluster.NodeID
-	owner          cluster.NodeID
-	term           cluster.Term
-	modRevision    cluster.ModRevision // of parts/<n> as last seen; the claim's mark while held
-	recordRead     bool                // read from the store at least once
-
-	owned              bool
-	ready              bool // the checkpoint has been read
-	acquiring          bool
-	corruptRecordCount int                            // how often its records made no sense
-	acquireNotBefore   cluster.Time                   // not claimed again before
-	quarantined        map[string]cluster.ModRevision // group records that make no sense, being cleared
-	earlyJobs          []messages.KV                  // jobs heard of while it was being read
-	failbackOffered    bool                           // the holder is willing to hand it back to us
-	ownershipChangedAt cluster.Time
-	ownerChanges       []cluster.Time // when it changed hands, the last minute's
-	claimRevision      cluster.Revision
-	confirmedAt        cluster.Time // when the last exchange with the store began that showed the claim in force
-	attemptCount       uint64       // starts numbered under attemptBase
-	// attemptBase is a store change of this holder's that no other numbers starts
-	// by: its claim, or a later one once the claim's numbers are used up.
-	attemptBase                  cluster.Revision
-	lastStoredRevision           cluster.Revision // change of the last transaction of the part under the claim
-	plannedStarts                uint64           // starts numbered since the claim
-	provisioningRequests         map[string]*provisioningRequest
-	machines                     []*machine // held here, by id
-	usage                        teamUsage  // of their tasks
-	jobs                         []*job
-	queueOrder                   []*job        // js as they are served, as of orderAt; nil: to be worked out
-	guaranteedJobs               map[*job]bool // those within their team's guarantee, as of then
-	queueOrderAt                 cluster.Time
-	toRegister                   []grouprecord.Machine
-	nextOfferAt                  cluster.Time
-	nextPreemptionAt             cluster.Time
-	awaitingFirstAcknowledgement int          // machines taken over that have not acknowledged this claim's token
-	lastAcknowledgedAt           cluster.Time // when the last one did
-	avoidSpot                    bool         // a job of it would lose much on spot machines
-	outOfCapacityUntil           map[provisioningOption]cluster.Time
-	outOfCapacityCount           map[provisioningOption]int // in a row
-	lastScaleOutAt               cluster.Time
-
-	ownershipChecks    ownershipChecks
-	progress           shardProgress
-	storedTransactions uint64 // transactions of the part that were stored
-}
-
 type shardRecord struct {
 	Owner   cluster.NodeID `json:"holder"`
 	Term    cluster.Term   `json:"term"`
@@ -73,50 +23,6 @@
 	Upgraded []cluster.NodeID `json:"up,omitempty"`
 }
 
-func (p *shard) key() string { return "parts/" + strconv.Itoa(int(p.id)) }
-
-// isOwnedUnder tells whether the part is still held under a claim.
-func (p *shard) isOwnedUnder(claim cluster.Revision) bool { return p.owned && p.claimRevision == claim }
-
-// recordOwnerChange notes that the part has a new holder.
-func (p *shard) recordOwnerChange(now cluster.Time) {
-	p.ownershipChangedAt = now
-	keep := p.ownerChanges[:0]
-	for _, t := range p.ownerChanges {
-		if now-t < 60*second {
-			keep = append(keep, t)
-		}
-	}
-	p.ownerChanges = append(keep, now)
-}
-
-// isBackoffOver damps quarrels: nodes that each believe the other to be lost would
-// else claim a part from one another several times a second. Every change of
-// hands within a minute doubles the pause before the next.
-func (p *shard) isBackoffOver(now cluster.Time) bool {
-	n := 0
-	for _, t := range p.ownerChanges {
-		if now-t < 60*second {
-			n++
-		}
-	}
-	if n <= 1 {
-		return now-p.ownershipChangedAt > 2*second || n == 0
-	}
-	return now-p.ownershipChangedAt > min(second<<n, 30*second)
-}
-
-// nextAttempt numbers a start. A number is never given twice: an attempt that a
-// worker still remembers would not be started again.
-func (p *shard) nextAttempt() cluster.Attempt {
-	if p.attemptCount == cluster.MaxAttemptCount && p.lastStoredRevision > p.attemptBase {
-		p.attemptBase, p.attemptCount = p.lastStoredRevision, 0
-	}
-	p.attemptCount++
-	p.plannedStarts++
-	return cluster.NewAttempt(uint64(p.attemptBase), p.attemptCount)
-}
-
 // loadShards reads who holds what and then follows the changes.
 func (c *Controller) loadShards() {
 	c.writeQueue.ListPrefix("parts/", func(r messages.ListReply) {
--- a/internal/controller/stops.go
+++ b/internal/controller/stops.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"sort"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
@@ -54,19 +52,6 @@
 	c.queueCommandPush(m)
 }
 
-// sortedAssignments lists a job's tasks that are, or may be, on machines.
-func (j *job) sortedAssignments() []*assignment {
-	l := make([]*assignment, 0, len(j.listedAssignments))
-	for a := range j.listedAssignments {
-		l = append(l, a)
-	}
-	sort.Slice(l, func(i, k int) bool {
-		a, b := l[i], l[k]
-		return a.task.Index < b.task.Index || a.task.Index == b.task.Index && a.machineID < b.machineID
-	})
-	return l
-}
-
 // withdrawUnsentStarts withdraws the starts that have not been sent.
 func (c *Controller) withdrawUnsentStarts(j *job) {
 	for _, a := range j.sortedAssignments() {
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -24,20 +24,20 @@
 	}
 }
 
-// shardOwnership shows the write queue who owns the shards.
-type shardOwnership struct{ controller *Controller }
+// shardClaims shows the write queue who owns the shards.
+type shardClaims struct{ controller *Controller }
 
 // ClaimOf implements writequeue.ShardOwnership.
-func (o shardOwnership) ClaimOf(id cluster.ShardID) writequeue.Claim {
+func (o shardClaims) ClaimOf(id cluster.ShardID) writequeue.Claim {
 	shard := o.controller.shards[id]
 	return writequeue.Claim{Key: shard.key(), ModRevision: shard.modRevision, Owned: shard.owned}
 }
 
 // HandleDeposed implements writequeue.ShardOwnership.
-func (o shardOwnership) HandleDeposed(id cluster.ShardID) { o.controller.handleDeposed(id) }
+func (o shardClaims) HandleDeposed(id cluster.ShardID) { o.controller.handleDeposed(id) }
 
 // HandleStored implements writequeue.ShardOwnership.
-func (o shardOwnership) HandleStored(stored writequeue.StoredTransaction) {
+func (o shardClaims) HandleStored(stored writequeue.StoredTransaction) {
 	shard := o.controller.shards[stored.ShardID]
 	shard.storedTransactions++
 	shard.lastStoredRevision = max(shard.lastStoredRevision, stored.Revision)
