--- a/internal/controller/acquire_conflict_test.go
+++ b/internal/controller/acquire_conflict_test.go
@@ -15,8 +15,8 @@
 // and the others saw that holder alive.
 func TestAcquireResentAfterBatchConflict(t *testing.T) {
 	b := newControllerHarness()
-	part := b.shards[1]
-	part.owned, part.ready = false, false
+	part := b.state.Shards[1]
+	part.Owned, part.Ready = false, false
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: []byte(`{"s":{"tm":"red","n":1},"w":"b1-1"}`), ModRevision: 31}
 	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.acquireShard(part)
@@ -25,7 +25,7 @@
 	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
 		t.Fatal("the claim and the acceptance did not share a transaction")
 	}
-	if !part.owned || part.acquiring {
-		t.Errorf("held %v, claiming %v; want the part held", part.owned, part.acquiring)
+	if !part.Owned || part.Acquiring {
+		t.Errorf("held %v, claiming %v; want the part held", part.Owned, part.Acquiring)
 	}
 }
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strconv"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -181,7 +183,7 @@
 // answered with the same id's submission of a batch; false: it is neither.
 func (c *Controller) joinIdempotentRetry(a *pendingAdmission, batch []*pendingAdmission) bool {
 	id := a.spec.ID
-	if c.jobs.known[id] != nil { // the same id came in twice at once
+	if c.state.Jobs.Known[id] != nil { // the same id came in twice at once
 		c.answerIdempotentRetry(a.answer, id)
 		return true
 	}
@@ -251,12 +253,12 @@
 		rec.Jobs = append(rec.Jobs, admittedJob{a.spec.ID, a.spec})
 	}
 	if len(w.batch) == 1 {
-		w.write.Keys[0] = jobKey(w.batch[0].spec.ID)
+		w.write.Keys[0] = state.JobKey(w.batch[0].spec.ID)
 		return []messages.TxnOp{{Key: w.write.Keys[0], Value: w.jobRecords[0]}}, []cluster.ModRevision{0}
 	}
 	rec.WriteID = nonce
 	for _, a := range w.batch {
-		w.write.ExtraCompares = append(w.write.ExtraCompares, messages.Compare{Key: jobKey(a.spec.ID), ModRevision: 0})
+		w.write.ExtraCompares = append(w.write.ExtraCompares, messages.Compare{Key: state.JobKey(a.spec.ID), ModRevision: 0})
 	}
 	v, _ := json.Marshal(rec)
 	return []messages.TxnOp{{Key: w.batchKey, Value: v}}, []cluster.ModRevision{0}
@@ -273,9 +275,9 @@
 		if len(w.batch) > 1 {
 			w.controller.admissions.recordAdmission(a.spec.ID, revision)
 		}
-		kv := messages.KV{Key: jobKey(a.spec.ID), Value: w.jobRecords[i], ModRevision: own}
+		kv := messages.KV{Key: state.JobKey(a.spec.ID), Value: w.jobRecords[i], ModRevision: own}
 		w.controller.applyJobRecord(kv, nil)
-		w.controller.notifyOwner(w.controller.teams[a.spec.Team].shard, kv)
+		w.controller.notifyOwner(w.controller.state.Teams[a.spec.Team].ShardID, kv)
 		w.controller.notifyDependencyOwners(&a.spec, kv)
 		if w.write.InDoubt {
 			// It may have been carried out long before this answer, and others may
@@ -301,7 +303,7 @@
 		return
 	}
 	v := cluster.JobView{ID: id, Status: cluster.JobPending}
-	if k := c.jobs.finalJob(id); k != nil {
+	if k := c.state.Jobs.FinalJob(id); k != nil {
 		v = finalView(id, k)
 	}
 	a.answer(messages.Respond{Status: messages.ReplyCreated, View: &v})
@@ -332,7 +334,7 @@
 }
 
 // applyAdmissionRecord takes in a record of jobs that were accepted together.
-func (c *Controller) applyAdmissionRecord(kv messages.KV, loading *shard) {
+func (c *Controller) applyAdmissionRecord(kv messages.KV, loading *state.Shard) {
 	if kv.Value == nil {
 		return
 	}
@@ -346,7 +348,7 @@
 		j := &rec.Jobs[i]
 		c.admissions.recordAdmission(j.ID, kv.ModRevision)
 		v, _ := json.Marshal(jobRecord{Spec: &j.Spec})
-		c.applyJobRecord(messages.KV{Key: jobKey(j.ID), Value: v}, loading)
+		c.applyJobRecord(messages.KV{Key: state.JobKey(j.ID), Value: v}, loading)
 	}
 }
 
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -13,18 +13,18 @@
 // into the claim's bits: the numbers of an odd claim came again.
 func TestAttemptNumbersBeyondOneRevision(t *testing.T) {
 	b := newControllerHarness()
-	p := b.shards[0]
-	p.claimRevision, p.attemptBase, p.lastStoredRevision = 31, 31, 31
-	first := p.nextAttempt()
+	p := b.state.Shards[0]
+	p.ClaimRevision, p.AttemptBase, p.LastStoredRevision = 31, 31, 31
+	first := p.NextAttempt()
 	b.addTestJob("j-1", 1)
-	m, _ := b.addRunningMachine(b.jobs.owned["j-1"])
+	m, _ := b.addRunningMachine(b.state.Jobs.Owned["j-1"])
 	b.store.revision = 50
-	m.group.modRevision = 0
+	m.Group.ModRevision = 0
 	b.writeMachine(m, writequeue.Start)
 	b.runFor(100 * millisecond)
 
-	p.attemptCount = cluster.MaxAttemptCount - 1
-	last, next := p.nextAttempt(), p.nextAttempt()
+	p.AttemptCount = cluster.MaxAttemptCount - 1
+	last, next := p.NextAttempt(), p.NextAttempt()
 	if last.Claim() != 31 || last.Count() != cluster.MaxAttemptCount {
 		t.Errorf("the last of the claim is %d of %d", last.Count(), last.Claim())
 	}
--- a/internal/controller/cloudlist.go
+++ b/internal/controller/cloudlist.go
@@ -88,7 +88,7 @@
 	calls := float64(c.cloudListing.lastPageCount * c.writeQueue.LiveControllers())
 	spread := cluster.Time(calls / (c.config.CloudRPS * listRateShare) * float64(second))
 	d := max(c.config.CloudListLag, 8*second, spread)
-	if len(c.machines) == 0 {
+	if len(c.state.Machines) == 0 {
 		d *= 4
 	}
 	return d
@@ -127,11 +127,11 @@
 	// Once listed, a machine stays listed until it is gone. A list may be old
 	// or the machine new, so this is no proof; but one that is silent too is
 	// not worth waiting for, and its return will be the proof.
-	for id, m := range c.machines {
-		m.missingFromCloudList = !listed[id] && !m.booting
+	for id, m := range c.state.Machines {
+		m.MissingFromCloudList = !listed[id] && !m.Booting
 	}
 	for id := range c.orphanedMachines.unrecordedSince {
-		if !listed[id] || c.machines[id] != nil {
+		if !listed[id] || c.state.Machines[id] != nil {
 			delete(c.orphanedMachines.unrecordedSince, id)
 		}
 	}
@@ -139,15 +139,15 @@
 
 // applyCloudListItem takes in one machine of the cloud's list.
 func (c *Controller) applyCloudListItem(l cluster.ListedMachine) {
-	m := c.machines[l.ID]
+	m := c.state.Machines[l.ID]
 	if m == nil {
 		c.handleUnrecordedMachine(l)
 		return
 	}
-	if m.address == "" {
-		m.address = l.Addr
+	if m.Address == "" {
+		m.Address = l.Addr
 	}
-	if l.Status == "failed" && !m.releasing && c.shards[m.shardID].ready && c.loop.Now()-m.lastHeartbeat > 2*c.config.HeartbeatInterval {
+	if l.Status == "failed" && !m.Releasing && c.state.Shards[m.ShardID].Ready && c.loop.Now()-m.LastHeartbeat > 2*c.config.HeartbeatInterval {
 		c.scaleInMachine(m, "failed")
 	}
 }
--- a/internal/controller/commandpush.go
+++ b/internal/controller/commandpush.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
@@ -11,9 +13,9 @@
 // Commands that are sent to a machine at once.
 
 // queueCommandPush notes a machine whose commands can't wait for its next report.
-func (c *Controller) queueCommandPush(m *machine) {
-	if !m.pushQueued {
-		m.pushQueued = true
+func (c *Controller) queueCommandPush(m *state.Machine) {
+	if !m.PushQueued {
+		m.PushQueued = true
 		c.urgentPushes = append(c.urgentPushes, m)
 	}
 }
@@ -23,15 +25,15 @@
 	queue := c.urgentPushes
 	c.urgentPushes = nil
 	for _, m := range queue {
-		m.pushQueued = false
-		if c.machines[m.id] != m || m.pendingHeartbeat != 0 || m.pushInFlight || m.address == "" || c.loop.Now()-m.lastHeartbeat > 2*c.config.HeartbeatInterval {
+		m.PushQueued = false
+		if c.state.Machines[m.ID] != m || m.PendingHeartbeat != 0 || m.PushInFlight || m.Address == "" || c.loop.Now()-m.LastHeartbeat > 2*c.config.HeartbeatInterval {
 			continue
 		}
 		cmds := c.commandsFor(m, true)
-		if !m.tokenAcknowledged || m.raisingToken {
+		if !m.TokenAcknowledged || m.RaisingToken {
 			cmds = onlyStops(cmds)
 		}
-		if c.processHealth.isOverloaded() && m.hasRunningTask() {
+		if c.processHealth.isOverloaded() && m.HasRunningTask() {
 			// A call costs more than an answer. Where tasks run, reports come with
 			// every change and at least each interval: starts go with their answers.
 			cmds = slices.DeleteFunc(cmds, func(x cluster.Command) bool { return x.Kind == cluster.Start })
@@ -42,28 +44,28 @@
 	}
 }
 
-func (c *Controller) pushCommands(m *machine, cmds []cluster.Command) {
-	m.pushInFlight, m.lastPushAt = true, c.loop.Now()
+func (c *Controller) pushCommands(m *state.Machine, cmds []cluster.Command) {
+	m.PushInFlight, m.LastPushAt = true, c.loop.Now()
 	c.counters.CommandPushes++
-	var starts []*assignment
+	var starts []*state.Assignment
 	for _, cmd := range cmds {
 		if cmd.Kind == cluster.Start {
-			a := m.assignments[cmd.Task]
-			a.phase, a.pushed = phaseDispatched, true
+			a := m.Assignments[cmd.Task]
+			a.Phase, a.Pushed = state.PhaseDispatched, true
 			starts = append(starts, a)
 		}
 	}
-	token := m.token
-	c.loop.Emit(messages.PushCommands{Addr: m.address, FencingToken: token, Incarnation: m.incarnation, Commands: cmds, Call: eventloop.Call(c.loop, func(r messages.PushCommandsReply) {
-		m.pushInFlight = false
-		if c.machines[m.id] != m {
+	token := m.Token
+	c.loop.Emit(messages.PushCommands{Addr: m.Address, FencingToken: token, Incarnation: m.Incarnation, Commands: cmds, Call: eventloop.Call(c.loop, func(r messages.PushCommandsReply) {
+		m.PushInFlight = false
+		if c.state.Machines[m.ID] != m {
 			return
 		}
 		unsent := func() {
 			for _, a := range starts {
-				if a.phase == phaseDispatched {
-					a.phase = phaseReady
-					if !a.job.isActive() {
+				if a.Phase == state.PhaseDispatched {
+					a.Phase = state.PhaseReady
+					if !a.Job.IsActive() {
 						c.confirmAbsent(m, a)
 					}
 				}
@@ -74,27 +76,27 @@
 			c.applyPushReply(m, &r.Status)
 		case messages.Conflict:
 			unsent()
-			if r.Status.FencingToken > m.token {
+			if r.Status.FencingToken > m.Token {
 				c.checkOwner(m)
 				return
 			}
 			c.applyPushReply(m, &r.Status)
 		case messages.NotApplied:
-			m.resetSentStops()
+			m.ResetSentStops()
 			unsent()
 		default:
-			m.resetSentStops()
+			m.ResetSentStops()
 			if len(starts) > 0 {
 				// The command may arrive minutes late; a higher token ends that.
-				m.startInDoubt = true
+				m.StartInDoubt = true
 				c.raiseToken(m)
 			}
 		}
 	})})
 }
 
-func (c *Controller) applyPushReply(m *machine, r *cluster.HeartbeatStatus) {
-	if r.Machine != m.id {
+func (c *Controller) applyPushReply(m *state.Machine, r *cluster.HeartbeatStatus) {
+	if r.Machine != m.ID {
 		return
 	}
 	if c.reconcile(m, r, true) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,8 @@
 import (
 	"time"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
@@ -26,6 +28,7 @@
 type Controller struct {
 	config Config
 	loop   *eventloop.Loop
+	state  *state.State
 
 	// What it wants done, and what it waits for.
 	writeQueue *writequeue.Queue
@@ -43,11 +46,10 @@
 	ownerQueries    ownerQueries
 
 	// Parts, teams and jobs.
-	shards            []*shard         // by number
-	shardsRevision    cluster.Revision // who holds which part is known up to this revision
-	ownedShardChanges int              // of the parts held here
-	teams             map[string]*team
-	jobs              jobRegistry
+	ownershipChecks   []ownershipChecks // by shard
+	progress          []shardProgress   // by shard
+	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
+	ownedShardChanges int               // of the parts held here
 	jobReads          linearizableJobReads
 	admissions        admissionQueue
 	classStats        map[string]*classStats
@@ -55,19 +57,16 @@
 	schedulingTrigger schedulingTrigger
 
 	// Machines.
-	machines          map[cluster.MachineID]*machine // of parts held here
-	machineGroups     map[string]*machineGroup       // of parts held here
 	recordNames       recordNames
 	machineOwners     machineOwners
 	orphanedMachines  orphanedMachines
-	machineTypes      map[string]cluster.MachineType
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
 	scaleOutScheduled bool // a look for machines before the next regular one
 	machineReleases   scaleInBatch
 	spotInterruptions spotInterruptions
 	heldHeartbeats    heldHeartbeats
-	urgentPushes      []*machine // whose commands can't wait for their reports
+	urgentPushes      []*state.Machine // whose commands can't wait for their reports
 }
 
 // New makes a Core. Nothing happens before the first Step.
@@ -75,30 +74,23 @@
 	c := &Controller{
 		config:           cfg,
 		loop:             eventloop.New(),
-		jobs:             newJobRegistry(),
-		machines:         map[cluster.MachineID]*machine{},
-		machineGroups:    map[string]*machineGroup{},
+		state:            state.New(cfg.Nodes, cfg.Teams),
 		admissions:       admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
 		machineOwners:    machineOwners{},
 		orphanedMachines: newOrphanedMachines(),
 		peers:            map[cluster.NodeID]*peer{},
 		ownerQueries:     newOwnerQueries(),
-		teams:            map[string]*team{},
-		machineTypes:     map[string]cluster.MachineType{},
 		classStats:       map[string]*classStats{},
 	}
 	c.versionRegistry = newVersionRegistry(cfg.Self)
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
+	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
+	c.progress = make([]shardProgress, len(cfg.Nodes))
 	for i := range cfg.Nodes {
-		c.shards = append(c.shards, newShard(cluster.ShardID(i), cfg.Nodes[i]))
 		if n := cfg.Nodes[i]; n != cfg.Self {
 			c.peers[n] = &peer{id: n}
 		}
 	}
-	partOf := assignTeamsToShards(cfg.Teams, len(cfg.Nodes))
-	for _, t := range cfg.Teams {
-		c.teams[t.Name] = &team{Team: t, shard: partOf[t.Name]}
-	}
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
 	c.cloudListing.nextReadAt = c.firstCloudListAt()
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strings"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -65,14 +67,14 @@
 func newControllerHarness() *controllerHarness {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, InstanceID: "b0", HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 1000, WriteRPS: 1000, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
-	c.machineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
+	c.state.MachineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
 	setTime(c, 100*second)
 	c.admissions.loaded = true
 	b := &controllerHarness{Controller: c, store: &testStore{keys: map[string]messages.KV{}, revision: 30}, losesReply: func(messages.StoreTxn) bool { return false }}
-	for _, p := range c.shards {
-		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
-		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]cluster.Time{}
-		b.store.keys[p.key()] = messages.KV{Key: p.key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
+	for _, p := range c.state.Shards {
+		p.Owned, p.Ready, p.Owner, p.ClaimRevision, p.ModRevision, p.Term, p.ConfirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
+		p.ProvisioningRequests, p.OutOfCapacityUntil = map[string]*state.ProvisioningRequest{}, map[state.ProvisioningOption]cluster.Time{}
+		b.store.keys[p.Key()] = messages.KV{Key: p.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 	}
 	return b
 }
@@ -117,20 +119,20 @@
 	}
 }
 
-func (b *controllerHarness) addTestJob(id cluster.JobID, tasks int) *job {
+func (b *controllerHarness) addTestJob(id cluster.JobID, tasks int) *state.Job {
 	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}}
-	j := newJob(spec, 0, 0, b.loop.Now())
+	j := state.NewJob(spec, 0, 0, b.loop.Now())
 	b.addOwnedJob(j)
-	b.jobs.known[id] = &knownJob{shard: 0, tasks: tasks, team: "red"}
+	b.state.Jobs.Known[id] = &state.KnownJob{ShardID: 0, Tasks: tasks, Team: "red"}
 	return j
 }
 
 // addRunningMachine is a machine that runs the first task of a job.
-func (b *controllerHarness) addRunningMachine(j *job) (*machine, *assignment) {
-	m := b.addMachine(b.newGroup(b.shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
-	m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.loop.Now()
-	a := &assignment{task: cluster.TaskID{Job: j.spec.ID, Index: 0}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 7, phase: phaseAcknowledged, state: cluster.Running}
-	m.addAssignment(a)
-	j.setAssigned(0, a)
+func (b *controllerHarness) addRunningMachine(j *state.Job) (*state.Machine, *state.Assignment) {
+	m := b.addMachine(b.newGroup(b.state.Shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
+	m.TokenAcknowledged, m.Incarnation, m.SequenceNumber, m.LastHeartbeat = true, 1, 1, b.loop.Now()
+	a := &state.Assignment{Task: cluster.TaskID{Job: j.Spec.ID, Index: 0}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: 7, Phase: state.PhaseAcknowledged, State: cluster.Running}
+	m.AddAssignment(a)
+	j.SetAssigned(0, a)
 	return m, a
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -25,29 +27,29 @@
 const dependencyFeatureLevel = 1
 
 // applyDependencies takes in what a job awaits, when its record is first seen.
-func (c *Controller) applyDependencies(id cluster.JobID, k *knownJob, spec *cluster.JobSpec) {
-	if k.spec != nil {
+func (c *Controller) applyDependencies(id cluster.JobID, k *state.KnownJob, spec *cluster.JobSpec) {
+	if k.Spec != nil {
 		return
 	}
-	k.spec = spec
-	k.inheritUrgency(spec.Priority, jobDeadline(spec))
-	for _, d := range c.jobs.dependents[id] { // learned before it
+	k.Spec = spec
+	k.InheritUrgency(spec.Priority, jobDeadline(spec))
+	for _, d := range c.state.Jobs.Dependents[id] { // learned before it
 		c.propagateUrgency(d)
 	}
 	if len(spec.Dependencies) == 0 {
 		return
 	}
-	k.dependencies = spec.Dependencies
-	for _, a := range k.dependencies {
-		c.jobs.addDependent(a, id)
+	k.Dependencies = spec.Dependencies
+	for _, a := range k.Dependencies {
+		c.state.Jobs.AddDependent(a, id)
 		// Its owner may have learned of the end before it knew that this one waits.
-		if o := c.jobs.known[a]; o != nil && o.finalStatus != "" && c.shards[o.shard].owned && o.shard != k.shard {
-			c.notifyOwner(k.shard, finalStatusRecord(a, o))
+		if o := c.state.Jobs.Known[a]; o != nil && o.FinalStatus != "" && c.state.Shards[o.ShardID].Owned && o.ShardID != k.ShardID {
+			c.notifyOwner(k.ShardID, finalStatusRecord(a, o))
 		}
 	}
 	c.propagateUrgency(id)
-	for _, a := range k.dependencies {
-		if o := c.jobs.known[a]; o != nil && o.finalStatus == cluster.JobCancelled {
+	for _, a := range k.Dependencies {
+		if o := c.state.Jobs.Known[a]; o != nil && o.FinalStatus == cluster.JobCancelled {
 			c.applyFinalStatus(id, k, cluster.JobCancelled)
 			return
 		}
@@ -69,22 +71,22 @@
 // propagateUrgency gives a job's priority and deadline, less its estimated run time, to
 // those that it awaits, and on to those that they await.
 func (c *Controller) propagateUrgency(id cluster.JobID) {
-	k := c.jobs.known[id]
-	if k == nil || k.spec == nil {
+	k := c.state.Jobs.Known[id]
+	if k == nil || k.Spec == nil {
 		return
 	}
 	by := 0.0
-	if k.effectiveDeadline > 0 {
-		by = k.effectiveDeadline - c.statsOfClass(k.spec.Class).runtimeRatio*k.spec.RuntimeSeconds*1000 - stageDelayMillis
+	if k.EffectiveDeadline > 0 {
+		by = k.EffectiveDeadline - c.statsOfClass(k.Spec.Class).runtimeRatio*k.Spec.RuntimeSeconds*1000 - stageDelayMillis
 	}
-	for _, a := range k.dependencies {
-		o := c.jobs.known[a]
-		if o == nil || o.finalStatus != "" || !o.inheritUrgency(k.effectivePriority, by) {
+	for _, a := range k.Dependencies {
+		o := c.state.Jobs.Known[a]
+		if o == nil || o.FinalStatus != "" || !o.InheritUrgency(k.EffectivePriority, by) {
 			continue
 		}
-		if j := c.jobs.owned[a]; j != nil {
-			j.effectivePriority = max(j.effectivePriority, o.effectivePriority)
-			c.shards[j.shard].queueOrder = nil
+		if j := c.state.Jobs.Owned[a]; j != nil {
+			j.EffectivePriority = max(j.EffectivePriority, o.EffectivePriority)
+			c.state.Shards[j.ShardID].QueueOrder = nil
 		}
 		c.propagateUrgency(a)
 	}
@@ -92,80 +94,80 @@
 
 // applyFinalStatus notes a job's stored end, or the one that follows from the stored end
 // of a job that it needs, and what follows from it.
-func (c *Controller) applyFinalStatus(id cluster.JobID, k *knownJob, end cluster.JobStatus) {
-	if k.finalStatus != "" {
+func (c *Controller) applyFinalStatus(id cluster.JobID, k *state.KnownJob, end cluster.JobStatus) {
+	if k.FinalStatus != "" {
 		return
 	}
-	k.finalStatus, k.finalSince, k.spec = end, c.jobs.observedAt(c.loop.Now()), nil
-	j := c.jobs.owned[id]
-	if j != nil && j.finalStatus == "" && end == cluster.JobCancelled && !j.cancelling && len(k.dependencies) > 0 {
+	k.FinalStatus, k.FinalSince, k.Spec = end, c.state.Jobs.ObservedAt(c.loop.Now()), nil
+	j := c.state.Jobs.Owned[id]
+	if j != nil && j.FinalStatus == "" && end == cluster.JobCancelled && !j.Cancelling && len(k.Dependencies) > 0 {
 		c.cancelWithDependency(j)
 	}
-	for _, d := range c.jobs.dependents[id] {
-		o := c.jobs.known[d]
-		if o == nil || o.finalStatus != "" {
+	for _, d := range c.state.Jobs.Dependents[id] {
+		o := c.state.Jobs.Known[d]
+		if o == nil || o.FinalStatus != "" {
 			continue
 		}
 		if end == cluster.JobCancelled {
 			c.applyFinalStatus(d, o, cluster.JobCancelled)
-		} else if j := c.jobs.owned[d]; j != nil {
+		} else if j := c.state.Jobs.Owned[d]; j != nil {
 			c.updateReadiness(j)
 		}
 	}
 }
 
 // cancelWithDependency stores that a job is cancelled with one that it needs.
-func (c *Controller) cancelWithDependency(j *job) {
-	j.cancelling = true
+func (c *Controller) cancelWithDependency(j *state.Job) {
+	j.Cancelling = true
 	c.withdrawUnsentStarts(j)
 	c.stopAllTasks(j)
 	c.writeJob(j, writequeue.Outcome)
 }
 
 // updateReadiness lets a job's tasks start when nothing is left that it awaits.
-func (c *Controller) updateReadiness(j *job) {
-	k := c.jobs.known[j.spec.ID]
-	waiting := k != nil && len(c.jobs.unmetDependencies(k)) > 0
-	if waiting == j.blocked {
+func (c *Controller) updateReadiness(j *state.Job) {
+	k := c.state.Jobs.Known[j.Spec.ID]
+	waiting := k != nil && len(c.state.Jobs.UnmetDependencies(k)) > 0
+	if waiting == j.Blocked {
 		return
 	}
-	j.blocked = waiting
+	j.Blocked = waiting
 	if waiting {
 		return
 	}
-	j.readySince = c.loop.WallTime()
-	c.loop.Log(messages.LogDebug, "job released", "job", string(j.spec.ID), "awaited", len(k.dependencies))
-	c.shards[j.shard].queueOrder = nil
+	j.ReadySince = c.loop.WallTime()
+	c.loop.Log(messages.LogDebug, "job released", "job", string(j.Spec.ID), "awaited", len(k.Dependencies))
+	c.state.Shards[j.ShardID].QueueOrder = nil
 	c.schedulingTrigger.request()
 	c.scheduleScaleOut()
 }
 
 // finalStatusRecord is a job's final state as another controller learns it.
-func finalStatusRecord(id cluster.JobID, k *knownJob) messages.KV {
-	rec := jobRecord{FinalStatus: k.finalStatus, Team: k.team, Tasks: k.tasks}
-	if k.finalStatus == cluster.JobCancelled {
-		rec.ResourceRequest = &k.resourceRequest
+func finalStatusRecord(id cluster.JobID, k *state.KnownJob) messages.KV {
+	rec := jobRecord{FinalStatus: k.FinalStatus, Team: k.Team, Tasks: k.Tasks}
+	if k.FinalStatus == cluster.JobCancelled {
+		rec.ResourceRequest = &k.ResourceRequest
 	}
 	v, _ := json.Marshal(rec)
-	return messages.KV{Key: jobKey(id), Value: v}
+	return messages.KV{Key: state.JobKey(id), Value: v}
 }
 
 // notifyDependentOwners passes a job's stored end on to the owners of all that needs
 // it; their watches are the safety net.
-func (c *Controller) notifyDependentOwners(id cluster.JobID, k *knownJob) {
+func (c *Controller) notifyDependentOwners(id cluster.JobID, k *state.KnownJob) {
 	told := map[cluster.ShardID]bool{}
 	var visit func(cluster.JobID)
 	visit = func(at cluster.JobID) {
-		for _, d := range c.jobs.dependents[at] {
-			o := c.jobs.known[d]
+		for _, d := range c.state.Jobs.Dependents[at] {
+			o := c.state.Jobs.Known[d]
 			if o == nil {
 				continue
 			}
-			if p := c.shards[o.shard]; !p.owned && !told[o.shard] {
-				told[o.shard] = true
-				c.notifyOwner(o.shard, finalStatusRecord(id, k))
+			if p := c.state.Shards[o.ShardID]; !p.Owned && !told[o.ShardID] {
+				told[o.ShardID] = true
+				c.notifyOwner(o.ShardID, finalStatusRecord(id, k))
 			}
-			if k.finalStatus == cluster.JobCancelled {
+			if k.FinalStatus == cluster.JobCancelled {
 				visit(d)
 			}
 		}
@@ -177,16 +179,16 @@
 // is told only after what was stored until now has been read: a job that it
 // needs may have been cancelled, and others may have told what follows.
 func (c *Controller) answerUnfinished(id cluster.JobID, v cluster.JobView, fn func(messages.ReplyStatus, cluster.JobView)) {
-	if k := c.jobs.finalJob(id); k != nil {
+	if k := c.state.Jobs.FinalJob(id); k != nil {
 		fn(messages.ReplyOK, finalView(id, k))
 		return
 	}
-	if !c.jobs.isBlocked(id) {
+	if !c.state.Jobs.IsBlocked(id) {
 		fn(messages.ReplyOK, v)
 		return
 	}
 	c.linearizableJobRead(func(ok bool) {
-		if k := c.jobs.known[id]; k.finalStatus != "" {
+		if k := c.state.Jobs.Known[id]; k.FinalStatus != "" {
 			fn(messages.ReplyOK, finalView(id, k))
 		} else if ok {
 			fn(messages.ReplyOK, v)
@@ -213,7 +215,7 @@
 		}
 	}
 	for _, id := range spec.Dependencies {
-		if c.jobs.known[id] != nil {
+		if c.state.Jobs.Known[id] != nil {
 			continue
 		}
 		left++
@@ -236,12 +238,12 @@
 func (c *Controller) pruneDependencies(spec *cluster.JobSpec) {
 	var open []cluster.JobID
 	for _, id := range spec.Dependencies {
-		k := c.jobs.known[id]
-		if k != nil && k.finalStatus == cluster.JobCancelled {
+		k := c.state.Jobs.Known[id]
+		if k != nil && k.FinalStatus == cluster.JobCancelled {
 			spec.Dependencies = []cluster.JobID{id}
 			return
 		}
-		if (k == nil || k.finalStatus != cluster.JobDone) && !slices.Contains(open, id) {
+		if (k == nil || k.FinalStatus != cluster.JobDone) && !slices.Contains(open, id) {
 			open = append(open, id)
 		}
 	}
@@ -251,11 +253,11 @@
 // notifyDependencyOwners lets the owners of the jobs that a job awaits know of it, so that
 // they tell its owner of their end.
 func (c *Controller) notifyDependencyOwners(spec *cluster.JobSpec, kv messages.KV) {
-	told := map[cluster.ShardID]bool{c.teams[spec.Team].shard: true}
+	told := map[cluster.ShardID]bool{c.state.Teams[spec.Team].ShardID: true}
 	for _, id := range spec.Dependencies {
-		if k := c.jobs.known[id]; k != nil && !told[k.shard] {
-			told[k.shard] = true
-			c.notifyOwner(k.shard, kv)
+		if k := c.state.Jobs.Known[id]; k != nil && !told[k.ShardID] {
+			told[k.ShardID] = true
+			c.notifyOwner(k.ShardID, kv)
 		}
 	}
 }
--- a/internal/controller/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -29,11 +29,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
-			part, other := b.shards[0], b.shards[1]
+			part, other := b.state.Shards[0], b.state.Shards[1]
 			b.store.revision = 60
-			other.owned, other.ready, other.modRevision = false, false, test.known
-			b.store.keys[other.key()] = messages.KV{Key: other.key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.stored}
-			emptied := messages.KV{Key: "groups/b1-40-1", Value: grouprecord.Encode(grouprecord.Record{ShardID: part.id, WriteID: "b0-5"}), ModRevision: 55}
+			other.Owned, other.Ready, other.ModRevision = false, false, test.known
+			b.store.keys[other.Key()] = messages.KV{Key: other.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.stored}
+			emptied := messages.KV{Key: "groups/b1-40-1", Value: grouprecord.Encode(grouprecord.Record{ShardID: part.ID, WriteID: "b0-5"}), ModRevision: 55}
 			b.store.keys[emptied.Key] = emptied
 			b.applyGroupRecord(emptied, part)
 			b.runFor(second)
@@ -50,18 +50,18 @@
 // 1083: a task ran twice). The next claim, which fences such copies, drops it.
 func TestEmptiedGroupRecordKept(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
-	p := c.shards[0]
+	p := c.state.Shards[0]
 	v, s := c.buildGroupRecord(0, nil, "n-1")
 	rec, err := grouprecord.Decode(v)
 	part, ms := rec.ShardID, rec.Machines
 	if v == nil || err != nil || part != 0 || len(ms) != 0 || writequeue.WriteIDOf(v) != "n-1" || len(s.machines) != 0 {
 		t.Fatalf("an emptied group is written as %q: %v", v, err)
 	}
-	p.owned, p.claimRevision, p.modRevision = true, 30, 30
+	p.Owned, p.ClaimRevision, p.ModRevision = true, 30, 30
 	c.applyGroupRecord(messages.KV{Key: "groups/b1-12-1", Value: v, ModRevision: 20}, p)
 	q := c.writeQueue.Queued(writequeue.Background)
-	if len(q) != 1 || q[0].Keys[0] != "groups/b1-12-1" || len(c.machineGroups) != 0 {
-		t.Fatalf("the next claim queues %d writes and knows %d groups", len(q), len(c.machineGroups))
+	if len(q) != 1 || q[0].Keys[0] != "groups/b1-12-1" || len(c.state.Groups) != 0 {
+		t.Fatalf("the next claim queues %d writes and knows %d groups", len(q), len(c.state.Groups))
 	}
 	if ops, _ := q[0].Build("n-2"); len(ops) != 1 || ops[0].Value != nil {
 		t.Errorf("the next claim writes %v", ops)
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -3,36 +3,38 @@
 import (
 	"fmt"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 )
 
 // UsageMismatch says where the kept sums of tasks differ from the tasks
 // themselves, or returns "".
 func (c *Controller) UsageMismatch() string {
-	for _, p := range c.shards {
-		teams := teamUsage{}
-		for _, m := range p.machines {
+	for _, p := range c.state.Shards {
+		teams := state.TeamUsage{}
+		for _, m := range p.Machines {
 			var sum cluster.Resources
 			n := 0
-			for _, a := range m.assignments {
-				if a.isLive() {
+			for _, a := range m.Assignments {
+				if a.IsLive() {
 					n++
-					sum = sum.Plus(a.resourceRequest)
-					teams[a.job.spec.Team] = teams[a.job.spec.Team].Plus(a.resourceRequest)
+					sum = sum.Plus(a.ResourceRequest)
+					teams[a.Job.Spec.Team] = teams[a.Job.Spec.Team].Plus(a.ResourceRequest)
 				}
 			}
-			if sum != m.usedResources() || n != m.liveTaskCount() {
-				return fmt.Sprintf("%s: %d tasks take %v, counted are %d with %v", m.id, n, sum, m.liveTaskCount(), m.usedResources())
+			if sum != m.UsedResources() || n != m.LiveTaskCount() {
+				return fmt.Sprintf("%s: %d tasks take %v, counted are %d with %v", m.ID, n, sum, m.LiveTaskCount(), m.UsedResources())
 			}
 		}
-		for team, kept := range p.usage {
+		for team, kept := range p.Usage {
 			if kept != teams[team] {
-				return fmt.Sprintf("part %d: %s takes %v, counted is %v", p.id, team, teams[team], kept)
+				return fmt.Sprintf("part %d: %s takes %v, counted is %v", p.ID, team, teams[team], kept)
 			}
 		}
 		for team, sum := range teams {
-			if sum != p.usage[team] {
-				return fmt.Sprintf("part %d: %s takes %v, counted is %v", p.id, team, sum, p.usage[team])
+			if sum != p.Usage[team] {
+				return fmt.Sprintf("part %d: %s takes %v, counted is %v", p.ID, team, sum, p.Usage[team])
 			}
 		}
 	}
@@ -42,12 +44,12 @@
 // OwnedMachines counts the machines that are up of the parts held here, and those
 // of them whose workers have acknowledged their tokens.
 func (c *Controller) OwnedMachines() (acknowledged, up int) {
-	for _, m := range c.machines {
-		if m.booting {
+	for _, m := range c.state.Machines {
+		if m.Booting {
 			continue
 		}
 		up++
-		if m.tokenAcknowledged {
+		if m.TokenAcknowledged {
 			acknowledged++
 		}
 	}
--- a/internal/controller/fairshare.go
+++ b/internal/controller/fairshare.go
@@ -3,6 +3,8 @@
 import (
 	"sort"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 
 	"stairrelay/internal/fairshare"
@@ -35,8 +37,8 @@
 	}
 	c.loadCache.computedAt, c.loadCache.ownershipChanges = c.loop.Now(), c.ownedShardChanges
 	var out []fairshare.ShardLoad
-	for _, p := range c.shards {
-		if p.owned && p.ready {
+	for _, p := range c.state.Shards {
+		if p.Owned && p.Ready {
 			out = append(out, c.computeShardLoad(p))
 		}
 	}
@@ -44,30 +46,30 @@
 	return out
 }
 
-func (c *Controller) computeShardLoad(p *shard) fairshare.ShardLoad {
-	l := fairshare.ShardLoad{Shard: p.id}
-	c.counters.addMachineScans(p.machines)
-	for _, m := range p.machines {
-		if m.releasing || m.draining {
+func (c *Controller) computeShardLoad(p *state.Shard) fairshare.ShardLoad {
+	l := fairshare.ShardLoad{Shard: p.ID}
+	c.counters.addMachineScans(p.Machines)
+	for _, m := range p.Machines {
+		if m.Releasing || m.Draining {
 			continue
 		}
-		if m.booting {
-			l.Booting += c.machineTypes[m.machineType].Capacity.CPU
+		if m.Booting {
+			l.Booting += c.state.MachineTypes[m.MachineType].Capacity.CPU
 			continue
 		}
-		l.Available += c.machineTypes[m.machineType].Capacity.CPU
-		for _, a := range m.assignments {
-			if a.isLive() && a.job.isActive() {
-				l.Demand[a.job.effectivePriority] += a.resourceRequest.CPU
+		l.Available += c.state.MachineTypes[m.MachineType].Capacity.CPU
+		for _, a := range m.Assignments {
+			if a.IsLive() && a.Job.IsActive() {
+				l.Demand[a.Job.EffectivePriority] += a.ResourceRequest.CPU
 			}
 		}
 	}
 	for _, w := range c.listPendingWork(p) {
-		prio := w.job.effectivePriority
+		prio := w.job.EffectivePriority
 		if w.starving {
 			prio = max(prio, cluster.Urgent) // it goes before all else
 		}
-		l.Demand[prio] += w.job.spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
+		l.Demand[prio] += w.job.Spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
 	}
 	return l
 }
@@ -78,7 +80,7 @@
 	for _, id := range c.config.Nodes {
 		if p := c.peers[id]; p != nil && !p.failed && c.loop.Now()-p.lastPingAt < 3*second {
 			for _, l := range p.lastPing.ShardLoads {
-				if int(l.Shard) >= 0 && int(l.Shard) < len(c.shards) && c.shards[l.Shard].owner == id {
+				if int(l.Shard) >= 0 && int(l.Shard) < len(c.state.Shards) && c.state.Shards[l.Shard].Owner == id {
 					out[l.Shard] = l
 				}
 			}
@@ -95,21 +97,21 @@
 func (c *Controller) cordonSurplusMachines() {
 	c.expireOffers()
 	plan := fairshare.NewPlan(c.allShardLoads())
-	for _, p := range c.shards {
-		if load, known := plan.Loads[p.id]; known && p.owned && p.ready {
+	for _, p := range c.state.Shards {
+		if load, known := plan.Loads[p.ID]; known && p.Owned && p.Ready {
 			c.cordonSurplusOf(p, load, plan)
 		}
 	}
 }
 
 // cordonSurplusOf picks the machines that one part gives up.
-func (c *Controller) cordonSurplusOf(p *shard, load fairshare.ShardLoad, plan *fairshare.Plan) {
-	spare := plan.Spare(p.id)
+func (c *Controller) cordonSurplusOf(p *state.Shard, load fairshare.ShardLoad, plan *fairshare.Plan) {
+	spare := plan.Spare(p.ID)
 	ms := c.uncordonMachines(p, spare)
 	c.sortByRemainingTime(ms)
-	top := plan.ShortfallPriority(p.id)
+	top := plan.ShortfallPriority(p.ID)
 	for _, i := range fairshare.PickWithin(c.machineCPUs(ms), spare) {
-		ms[i].cordoned = true
+		ms[i].Cordoned = true
 		c.evictForPriority(ms[i], top)
 	}
 	if plan.TotalShortfall <= 0 {
@@ -121,14 +123,14 @@
 
 // uncordonMachines takes back what was picked before, and returns the machines to
 // pick from.
-func (c *Controller) uncordonMachines(p *shard, spare cluster.Amount) []*machine {
-	var ms []*machine
-	c.counters.addMachineScans(p.machines)
-	for _, m := range p.machines {
-		if m.cordoned && spare <= 0 {
+func (c *Controller) uncordonMachines(p *state.Shard, spare cluster.Amount) []*state.Machine {
+	var ms []*state.Machine
+	c.counters.addMachineScans(p.Machines)
+	for _, m := range p.Machines {
+		if m.Cordoned && spare <= 0 {
 			c.schedulingTrigger.request()
 		}
-		m.cordoned, m.scaleInCandidate = false, false
+		m.Cordoned, m.ScaleInCandidate = false, false
 		if c.isSchedulable(m) {
 			ms = append(ms, m)
 		}
@@ -137,11 +139,11 @@
 }
 
 // sortByRemainingTime puts the machines first that will be free soonest.
-func (c *Controller) sortByRemainingTime(ms []*machine) {
-	rest := map[*machine]float64{}
+func (c *Controller) sortByRemainingTime(ms []*state.Machine) {
+	rest := map[*state.Machine]float64{}
 	for _, m := range ms {
-		for _, a := range m.assignments {
-			if a.isLive() {
+		for _, a := range m.Assignments {
+			if a.IsLive() {
 				rest[m] = max(rest[m], c.expectedRemainingSeconds(a))
 			}
 		}
@@ -150,32 +152,32 @@
 }
 
 // machineCPUs lists the machines' CPUs.
-func (c *Controller) machineCPUs(ms []*machine) []cluster.Amount {
+func (c *Controller) machineCPUs(ms []*state.Machine) []cluster.Amount {
 	out := make([]cluster.Amount, len(ms))
 	for i, m := range ms {
-		out[i] = c.machineTypes[m.machineType].Capacity.CPU
+		out[i] = c.state.MachineTypes[m.MachineType].Capacity.CPU
 	}
 	return out
 }
 
 // selectScaleInCandidates picks the machines that a part can do without, dearest first. They
 // run empty and are returned, so that the work gathers on the cheaper ones.
-func (c *Controller) selectScaleInCandidates(p *shard, ms []*machine, load fairshare.ShardLoad) {
+func (c *Controller) selectScaleInCandidates(p *state.Shard, ms []*state.Machine, load fairshare.ShardLoad) {
 	typical := c.typicalRequest(p)
 	sort.SliceStable(ms, func(i, j int) bool { return c.costPerUsefulCPU(ms[i], typical) > c.costPerUsefulCPU(ms[j], typical) })
 	for _, i := range fairshare.PickWithin(c.machineCPUs(ms), load.Surplus(c.config.Tuning.SpareCapacityShare)) {
-		ms[i].cordoned, ms[i].scaleInCandidate = true, true
+		ms[i].Cordoned, ms[i].ScaleInCandidate = true, true
 	}
 }
 
 // costPerUsefulCPU is a machine's price per CPU that work of the present kind can use:
 // a small machine wastes what is left beside tasks that don't divide it.
-func (c *Controller) costPerUsefulCPU(m *machine, need cluster.Resources) float64 {
-	t := c.machineTypes[m.machineType]
+func (c *Controller) costPerUsefulCPU(m *state.Machine, need cluster.Resources) float64 {
+	t := c.state.MachineTypes[m.MachineType]
 	if t.Capacity.CPU == 0 {
 		return 0
 	}
-	price := t.HourlyPrice(m.spot)
+	price := t.HourlyPrice(m.Spot)
 	if need.CPU == 0 {
 		return price / float64(t.Capacity.CPU)
 	}
@@ -183,12 +185,12 @@
 }
 
 // typicalRequest is what a somewhat larger than average task of a part takes.
-func (c *Controller) typicalRequest(p *shard) cluster.Resources {
+func (c *Controller) typicalRequest(p *state.Shard) cluster.Resources {
 	var sum cluster.Resources
 	var n cluster.Amount
-	for _, j := range p.jobs {
-		if k := cluster.Amount(j.pendingCount() + j.assignedCount); j.isActive() && !j.blocked && k > 0 {
-			sum = sum.Plus(j.spec.ResourceRequest.Times(int(k)))
+	for _, j := range p.Jobs {
+		if k := cluster.Amount(j.PendingCount() + j.AssignedCount); j.IsActive() && !j.Blocked && k > 0 {
+			sum = sum.Plus(j.Spec.ResourceRequest.Times(int(k)))
 			n += k
 		}
 	}
@@ -200,31 +202,31 @@
 
 // evictForPriority empties a yielded machine of work that can save, when the work that
 // other parts lack it for is more important.
-func (c *Controller) evictForPriority(m *machine, top cluster.Priority) {
+func (c *Controller) evictForPriority(m *state.Machine, top cluster.Priority) {
 	if top < cluster.Urgent {
 		return
 	}
-	for _, a := range m.assignments {
-		if a.isLive() && (a.job.effectivePriority >= top || a.job.spec.CheckpointSeconds == 0 || c.isPreemptionExempt(a.job)) {
+	for _, a := range m.Assignments {
+		if a.IsLive() && (a.Job.EffectivePriority >= top || a.Job.Spec.CheckpointSeconds == 0 || c.isPreemptionExempt(a.Job)) {
 			return
 		}
 	}
-	for _, a := range m.sortedAssignments() {
-		if a.isLive() && a.phase == phaseAcknowledged {
-			c.stopTask(m, a, a.job.spec.SaveSeconds+1)
+	for _, a := range m.SortedAssignments() {
+		if a.IsLive() && a.Phase == state.PhaseAcknowledged {
+			c.stopTask(m, a, a.Job.Spec.SaveSeconds+1)
 		}
 	}
 }
 
 // canScaleOut holds back a part that has its share already while others lack
 // theirs: what the cloud still has should go to them first.
-func (c *Controller) canScaleOut(p *shard) bool {
-	if c.allShardLoads().CanScaleOutFirst(p.id) {
+func (c *Controller) canScaleOut(p *state.Shard) bool {
+	if c.allShardLoads().CanScaleOutFirst(p.ID) {
 		return true
 	}
-	if c.loop.Now()-p.lastScaleOutAt < 4*second {
+	if c.loop.Now()-p.LastScaleOutAt < 4*second {
 		return false
 	}
-	p.lastScaleOutAt = c.loop.Now()
+	p.LastScaleOutAt = c.loop.Now()
 	return true
 }
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -75,7 +77,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			b.addTestJob("j-1", 1)
-			b.addRegisteredGroup(b.shards[0], "g", []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}, 100, 31)
+			b.addRegisteredGroup(b.state.Shards[0], "g", []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}, 100, 31)
 			b.handleHeartbeat(firstHeartbeat(fastBootMachine))
 			effects := flushEffects(b)
 			var record *messages.StoreTxn
@@ -84,7 +86,7 @@
 					record = &transaction
 				}
 			}
-			if record == nil || len(b.machines[fastBootMachine].assignments) != 1 {
+			if record == nil || len(b.state.Machines[fastBootMachine].Assignments) != 1 {
 				t.Fatal("the machine got no task, or its record is not written")
 			}
 			for range 10 { // the answer to the report does not wait that long
@@ -107,7 +109,7 @@
 // holder which follows at any moment repeats the request or has the machine.
 func TestProvisionedMachineAlwaysRecorded(t *testing.T) {
 	b := newControllerHarness()
-	part := b.shards[0]
+	part := b.state.Shards[0]
 	recorded := func() bool {
 		for _, kv := range b.store.list("groups/", 0) {
 			record, err := grouprecord.Decode(kv.Value)
@@ -127,15 +129,15 @@
 		}
 		return false
 	}
-	b.createProvisioningRequest(part, provisioningOption{"small", "a", false}, 1)
+	b.createProvisioningRequest(part, state.ProvisioningOption{Type: "small", Zone: "a", Spot: false}, 1)
 	for _, effect := range effectsDuring(b, second) {
 		if rent, ok := effect.(messages.CloudScaleOut); ok {
 			b.loop.Deliver(messages.Reply{Call: rent.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}}})
 		}
 	}
 	b.runFor(second)
-	if len(part.provisioningRequests) != 0 || b.machines[fastBootMachine] == nil || states < 2 {
-		t.Errorf("%d rentals are open after %d transactions, the machine is %v", len(part.provisioningRequests), states, b.machines[fastBootMachine])
+	if len(part.ProvisioningRequests) != 0 || b.state.Machines[fastBootMachine] == nil || states < 2 {
+		t.Errorf("%d rentals are open after %d transactions, the machine is %v", len(part.ProvisioningRequests), states, b.state.Machines[fastBootMachine])
 	}
 }
 
--- a/internal/controller/group_check_test.go
+++ b/internal/controller/group_check_test.go
@@ -16,10 +16,10 @@
 func TestGroupRecordCheckTerminates(t *testing.T) {
 	b := newControllerHarness()
 	m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-	part := b.shards[0]
-	key := m.group.key()
+	part := b.state.Shards[0]
+	key := m.Group.Key()
 	b.writeMachine(m, writequeue.Start)
-	m.group.modRevision = 0 // as the store has none yet
+	m.Group.ModRevision = 0 // as the store has none yet
 	b.runFor(100 * millisecond)
 	kv := b.store.get(key).KV
 	kv.ModRevision++
@@ -31,7 +31,7 @@
 		b.writeMachine(m, writequeue.Start)
 		b.runFor(0) // one round of answers
 	}
-	if part.corruptRecordCount == 0 {
+	if part.CorruptRecordCount == 0 {
 		t.Errorf("no conclusion after %d refused writes", len(b.sentTransactions)-sent)
 	}
 }
--- a/internal/controller/group_writes_test.go
+++ b/internal/controller/group_writes_test.go
@@ -36,15 +36,15 @@
 func TestStaleGroupReadIgnored(t *testing.T) {
 	for mark, want := range map[cluster.ModRevision]cluster.ShardID{40: 0, 60: 1} {
 		c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1"}, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
-		for _, p := range c.shards {
-			p.owned, p.claimRevision = true, 30
+		for _, p := range c.state.Shards {
+			p.Owned, p.ClaimRevision = true, 30
 		}
 		l := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "s", Zone: "a"}}
-		c.addMachine(c.newGroup(c.shards[0], "joined", 50), l, 50) // taken at revision 50
-		c.applyGroupRecord(messages.KV{Key: "groups/old", Value: grouprecord.Encode(grouprecord.Record{ShardID: 1, Machines: []grouprecord.Machine{l}, WriteID: "n"}), ModRevision: mark}, c.shards[1])
-		m := c.machines["m-1"]
-		if m == nil || m.shardID != want || len(c.shards[0].machines)+len(c.shards[1].machines) != 1 {
-			t.Errorf("read at %d: the parts hold %d and %d machines, want one in part %d", mark, len(c.shards[0].machines), len(c.shards[1].machines), want)
+		c.addMachine(c.newGroup(c.state.Shards[0], "joined", 50), l, 50) // taken at revision 50
+		c.applyGroupRecord(messages.KV{Key: "groups/old", Value: grouprecord.Encode(grouprecord.Record{ShardID: 1, Machines: []grouprecord.Machine{l}, WriteID: "n"}), ModRevision: mark}, c.state.Shards[1])
+		m := c.state.Machines["m-1"]
+		if m == nil || m.ShardID != want || len(c.state.Shards[0].Machines)+len(c.state.Shards[1].Machines) != 1 {
+			t.Errorf("read at %d: the parts hold %d and %d machines, want one in part %d", mark, len(c.state.Shards[0].Machines), len(c.state.Shards[1].Machines), want)
 		}
 	}
 }
--- a/internal/controller/grouptransfer.go
+++ b/internal/controller/grouptransfer.go
@@ -4,6 +4,8 @@
 	"slices"
 	"strings"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -19,21 +21,21 @@
 // books until the write is done, and counts as being written until then.
 type groupTransfer struct {
 	controller      *Controller
-	shard           *shard
+	shard           *state.Shard
 	claimRevision   cluster.Revision
 	groupID         string
 	offeredRevision cluster.ModRevision // of the record when it was offered
 	fromShard       cluster.ShardID
 	machines        []grouprecord.Machine
-	localGroup      *machineGroup // of a part held here; nil: another controller's
-	recordSize      int           // of the record as last built
+	localGroup      *state.MachineGroup // of a part held here; nil: another controller's
+	recordSize      int                 // of the record as last built
 }
 
 // acquireGroup takes a group that was offered to a part at a revision of its record.
-func (c *Controller) acquireGroup(p *shard, key string, mark cluster.ModRevision) {
-	take := &groupTransfer{controller: c, shard: p, claimRevision: p.claimRevision, groupID: strings.TrimPrefix(key, "groups/"), offeredRevision: mark}
+func (c *Controller) acquireGroup(p *state.Shard, key string, mark cluster.ModRevision) {
+	take := &groupTransfer{controller: c, shard: p, claimRevision: p.ClaimRevision, groupID: strings.TrimPrefix(key, "groups/"), offeredRevision: mark}
 	c.writeQueue.ReadKey(key, func(r messages.GetReply) {
-		if r.Outcome == messages.OK && r.KV.ModRevision == mark && p.isOwnedUnder(take.claimRevision) {
+		if r.Outcome == messages.OK && r.KV.ModRevision == mark && p.IsOwnedUnder(take.claimRevision) {
 			take.begin(r.KV.Value)
 		}
 	})
@@ -45,7 +47,7 @@
 func (t *groupTransfer) begin(value []byte) {
 	c := t.controller
 	record, err := grouprecord.Decode(value)
-	if err != nil || record.ShardID == t.shard.id || len(record.Machines) == 0 {
+	if err != nil || record.ShardID == t.shard.ID || len(record.Machines) == 0 {
 		return
 	}
 	t.fromShard, t.machines = record.ShardID, record.Machines
@@ -53,7 +55,7 @@
 		return
 	}
 	c.writeQueue.Enqueue(writequeue.ScaleOut, &writequeue.Write{
-		ShardID:         t.shard.id,
+		ShardID:         t.shard.ID,
 		Keys:            []string{t.key()},
 		Build:           t.build,
 		OnApplied:       t.handleStored,
@@ -68,33 +70,33 @@
 // lock marks a group that is held here as being written; false: it can't be
 // taken any more.
 func (t *groupTransfer) lock() bool {
-	g := t.controller.machineGroups[t.groupID]
+	g := t.controller.state.Groups[t.groupID]
 	if g == nil {
 		return true
 	}
-	if g.writePending || g.modRevision != t.offeredRevision || g.offer == nil {
+	if g.WritePending || g.ModRevision != t.offeredRevision || g.Offer == nil {
 		return false
 	}
-	for _, m := range g.machines {
-		if len(m.assignments) > 0 {
+	for _, m := range g.Machines {
+		if len(m.Assignments) > 0 {
 			return false
 		}
 	}
 	t.localGroup = g
-	g.writePending, g.writeInFlight, g.nextWritePriority = true, true, writequeue.PriorityCount
+	g.WritePending, g.WriteInFlight, g.NextWritePriority = true, true, writequeue.PriorityCount
 	return true
 }
 
 // unlock leaves the group with the part that offered it.
 func (t *groupTransfer) unlock() {
 	if t.localGroup != nil {
-		t.localGroup.endWrite()
+		t.localGroup.EndWrite()
 		t.controller.queueNextWrite(t.localGroup)
 	}
 }
 
 func (t *groupTransfer) build(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
-	value := grouprecord.Encode(grouprecord.Record{ShardID: t.shard.id, Machines: t.machines, WriteID: nonce})
+	value := grouprecord.Encode(grouprecord.Record{ShardID: t.shard.ID, Machines: t.machines, WriteID: nonce})
 	t.recordSize = len(value)
 	return []messages.TxnOp{{Key: t.key(), Value: value}}, []cluster.ModRevision{t.offeredRevision}
 }
@@ -102,20 +104,20 @@
 // handleStored follows the write: the machines are the part's now.
 func (t *groupTransfer) handleStored(e cluster.Revision) {
 	c, p := t.controller, t.shard
-	if g := t.localGroup; g != nil && c.machineGroups[t.groupID] == g {
-		c.dropTransferredGroup(g, p.id)
+	if g := t.localGroup; g != nil && c.state.Groups[t.groupID] == g {
+		c.dropTransferredGroup(g, p.ID)
 	}
-	if !p.isOwnedUnder(t.claimRevision) || c.machineGroups[t.groupID] != nil {
+	if !p.IsOwnedUnder(t.claimRevision) || c.state.Groups[t.groupID] != nil {
 		return
 	}
 	g := c.newGroup(p, t.groupID, cluster.ModRevision(e))
-	g.recordSize = t.recordSize
+	g.RecordSize = t.recordSize
 	for _, line := range t.machines {
-		if c.machines[line.ID] == nil {
+		if c.state.Machines[line.ID] == nil {
 			c.addMachine(g, line, cluster.FencingToken(e))
 		}
 	}
-	c.loop.Log(messages.LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(p.id), "from", int(t.fromShard))
+	c.loop.Log(messages.LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(p.ID), "from", int(t.fromShard))
 	c.schedulingTrigger.request()
 	c.maintainMachines()
 }
@@ -126,8 +128,8 @@
 	if g == nil {
 		return
 	}
-	g.endWrite()
-	if t.controller.machineGroups[t.groupID] == g {
+	g.EndWrite()
+	if t.controller.state.Groups[t.groupID] == g {
 		t.controller.checkGroup(g)
 	}
 }
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -14,14 +14,14 @@
 func TestJobEndInDoubtConfirmedBeforeAnswer(t *testing.T) {
 	b := newControllerHarness()
 	j := b.addTestJob("j-1", 1)
-	j.setCompleted(0)
+	j.SetCompleted(0)
 	b.losesReply = func(messages.StoreTxn) bool { return true }
 	b.writeJob(j, writequeue.Admit)
 	b.runFor(60 * millisecond)
-	if b.store.get("jobs/j-1").Outcome != messages.OK || j.finalStatus != "" {
+	if b.store.get("jobs/j-1").Outcome != messages.OK || j.FinalStatus != "" {
 		t.Fatal("the end is not stored, or its answer is not lost")
 	}
-	b.jobs.known["j-1"].finalStatus = "" // nothing has told this controller
+	b.state.Jobs.Known["j-1"].FinalStatus = "" // nothing has told this controller
 	b.handleQuery(messages.Query{Request: 5, ID: "j-1"})
 	var views []cluster.JobView
 	b.answerJobQuery([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
--- a/internal/controller/jobnotices.go
+++ b/internal/controller/jobnotices.go
@@ -40,7 +40,7 @@
 
 // notifyOwner passes a stored job to its owner.
 func (c *Controller) notifyOwner(part cluster.ShardID, kv messages.KV) {
-	p := c.peers[c.shards[part].owner]
+	p := c.peers[c.state.Shards[part].Owner]
 	if p == nil || p.failed {
 		return
 	}
--- a/internal/controller/jobreads.go
+++ b/internal/controller/jobreads.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // jobReadInterval is the least time between the beginnings of two readings of the
@@ -50,7 +51,7 @@
 // linearizableJobRead calls fn after everything has been learned that was stored about jobs
 // before this call, with readings begun after it; false: that could not be read.
 func (c *Controller) linearizableJobRead(fn func(bool)) {
-	if c.writeQueue.IsUnavailableFor(second) || c.jobs.appliedRevision == 0 || !c.admissions.loaded {
+	if c.writeQueue.IsUnavailableFor(second) || c.state.Jobs.AppliedRevision == 0 || !c.admissions.loaded {
 		fn(false)
 		return
 	}
@@ -76,7 +77,7 @@
 		}
 	}
 	c.readAdmissionChanges(done)
-	c.writeQueue.ReadChanges(jobKeyPrefix, c.jobs.appliedRevision, func(r messages.WatchReply) {
+	c.writeQueue.ReadChanges(state.JobKeyPrefix, c.state.Jobs.AppliedRevision, func(r messages.WatchReply) {
 		for _, kv := range r.Items {
 			c.applyJobRecord(kv, nil)
 		}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -6,6 +6,8 @@
 	"sort"
 	"strings"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -23,8 +25,8 @@
 
 // applyJobRecord takes in a job's record from the store, a peer or the watch. With
 // loading set, the part is being taken over and its record is the truth.
-func (c *Controller) applyJobRecord(kv messages.KV, loading *shard) {
-	id := cluster.JobID(strings.TrimPrefix(kv.Key, jobKeyPrefix))
+func (c *Controller) applyJobRecord(kv messages.KV, loading *state.Shard) {
+	id := cluster.JobID(strings.TrimPrefix(kv.Key, state.JobKeyPrefix))
 	if kv.Value == nil {
 		return
 	}
@@ -37,44 +39,44 @@
 	if rec.Spec != nil {
 		name, tasks = rec.Spec.Team, rec.Spec.Tasks
 	}
-	t := c.teams[name]
+	t := c.state.Teams[name]
 	if t == nil || tasks < 1 {
 		c.loop.Log(messages.LogError, "job record of no known team", "key", kv.Key)
 		return
 	}
-	k := c.jobs.register(id, t.shard, name, tasks)
+	k := c.state.Jobs.Register(id, t.ShardID, name, tasks)
 	if rec.ResourceRequest != nil {
-		k.resourceRequest = *rec.ResourceRequest
+		k.ResourceRequest = *rec.ResourceRequest
 	}
 	if rec.FinalStatus.IsFinal() {
-		k.finalRecorded = true
+		k.FinalRecorded = true
 		c.applyFinalStatus(id, k, rec.FinalStatus)
 		return
 	}
-	if rec.Spec != nil && k.finalStatus == "" {
+	if rec.Spec != nil && k.FinalStatus == "" {
 		c.applyDependencies(id, k, rec.Spec)
 	}
-	p := c.shards[t.shard]
-	implied := k.finalStatus == cluster.JobCancelled && !k.finalRecorded && len(k.dependencies) > 0 // its own record has to follow
-	if k.finalStatus != "" && !implied || !p.owned || c.jobs.owned[id] != nil || rec.Spec == nil {
+	p := c.state.Shards[t.ShardID]
+	implied := k.FinalStatus == cluster.JobCancelled && !k.FinalRecorded && len(k.Dependencies) > 0 // its own record has to follow
+	if k.FinalStatus != "" && !implied || !p.Owned || c.state.Jobs.Owned[id] != nil || rec.Spec == nil {
 		return
 	}
-	if !p.ready && p != loading {
+	if !p.Ready && p != loading {
 		// The part is being read, but perhaps its jobs were read before this
 		// one was stored: it is looked at again when the part is ready.
-		p.earlyJobs = append(p.earlyJobs, kv)
+		p.EarlyJobs = append(p.EarlyJobs, kv)
 		return
 	}
 	rec.Spec.ID = id
-	c.serveJob(c.jobFromRecord(kv, &rec, t.shard), k, implied)
+	c.serveJob(c.jobFromRecord(kv, &rec, t.ShardID), k, implied)
 }
 
 // jobFromRecord makes a job of its own record.
-func (c *Controller) jobFromRecord(kv messages.KV, rec *jobRecord, part cluster.ShardID) *job {
-	j := newJob(*rec.Spec, part, kv.ModRevision, c.loop.Now())
-	ok := decodeCompleted(rec.CompletedIndexes, len(j.chunkStates(0)), func(i int) {
-		j.taskStates[i] = taskCompletionStored
-		j.completedCount++
+func (c *Controller) jobFromRecord(kv messages.KV, rec *jobRecord, part cluster.ShardID) *state.Job {
+	j := state.NewJob(*rec.Spec, part, kv.ModRevision, c.loop.Now())
+	ok := state.DecodeCompleted(rec.CompletedIndexes, len(j.ChunkStates(0)), func(i int) {
+		j.TaskStates[i] = state.TaskCompletionStored
+		j.CompletedCount++
 	})
 	if ok {
 		return j
@@ -82,13 +84,13 @@
 	// A task that is started again after it was done ends at once, so to
 	// take all of them for not done is safe.
 	c.loop.Log(messages.LogInfo, "impossible record", "key", kv.Key, "why", "done ranges")
-	return newJob(*rec.Spec, part, kv.ModRevision, c.loop.Now())
+	return state.NewJob(*rec.Spec, part, kv.ModRevision, c.loop.Now())
 }
 
 // serveJob begins to serve a job of a part held here. Where its cancellation is
 // implied by that of one that it needs, only its own record has to follow.
-func (c *Controller) serveJob(j *job, k *knownJob, implied bool) {
-	j.effectivePriority = max(j.effectivePriority, k.effectivePriority)
+func (c *Controller) serveJob(j *state.Job, k *state.KnownJob, implied bool) {
+	j.EffectivePriority = max(j.EffectivePriority, k.EffectivePriority)
 	c.addOwnedJob(j)
 	if implied {
 		c.cancelWithDependency(j)
@@ -97,46 +99,46 @@
 	c.updateReadiness(j)
 	c.schedulingTrigger.request()
 	c.scheduleScaleOut()
-	for n := 1; n < len(j.modRevisions); n++ {
-		j.chunksLoading++
+	for n := 1; n < len(j.ModRevisions); n++ {
+		j.ChunksLoading++
 		c.loadJobChunk(j, n)
 	}
-	if j.chunksLoading == 0 && j.completedCount == j.spec.Tasks {
+	if j.ChunksLoading == 0 && j.CompletedCount == j.Spec.Tasks {
 		c.writeJob(j, writequeue.Admit)
 	}
 }
 
 // loadJobChunk reads a further chunk; the job is held back until it is known.
-func (c *Controller) loadJobChunk(j *job, n int) {
-	c.writeQueue.ReadKey(j.chunkKey(n), func(r messages.GetReply) {
-		if !c.jobs.owns(j) {
+func (c *Controller) loadJobChunk(j *state.Job, n int) {
+	c.writeQueue.ReadKey(j.ChunkKey(n), func(r messages.GetReply) {
+		if !c.state.Jobs.Owns(j) {
 			return
 		}
 		switch r.Outcome {
 		case messages.OK:
 			var rec jobRecord
-			base := n * tasksPerChunk
-			if json.Unmarshal(r.KV.Value, &rec) != nil || !decodeCompleted(rec.CompletedIndexes, len(j.chunkStates(n)), func(i int) {
-				if j.taskStates[base+i] == taskPending {
-					j.taskStates[base+i] = taskCompletionStored
-					j.completedCount++
+			base := n * state.TasksPerChunk
+			if json.Unmarshal(r.KV.Value, &rec) != nil || !state.DecodeCompleted(rec.CompletedIndexes, len(j.ChunkStates(n)), func(i int) {
+				if j.TaskStates[base+i] == state.TaskPending {
+					j.TaskStates[base+i] = state.TaskCompletionStored
+					j.CompletedCount++
 				}
 			}) {
 				c.loop.Log(messages.LogInfo, "impossible record", "key", r.KV.Key, "why", "done ranges")
 			}
-			j.modRevisions[n] = r.KV.ModRevision
+			j.ModRevisions[n] = r.KV.ModRevision
 		case messages.NotFound:
 		default:
 			c.loop.After(second/2, func() {
-				if c.jobs.owns(j) {
+				if c.state.Jobs.Owns(j) {
 					c.loadJobChunk(j, n)
 				}
 			})
 			return
 		}
-		j.chunksLoading--
+		j.ChunksLoading--
 		c.schedulingTrigger.request()
-		if j.chunksLoading == 0 && j.completedCount == j.spec.Tasks {
+		if j.ChunksLoading == 0 && j.CompletedCount == j.Spec.Tasks {
 			c.writeJob(j, writequeue.Admit)
 		}
 	})
@@ -145,7 +147,7 @@
 // loadJobs learns of all jobs and then follows the changes at an easy pace;
 // it is the safety net under the messages between controllers.
 func (c *Controller) loadJobs() {
-	c.writeQueue.ListPrefix(jobKeyPrefix, func(r messages.ListReply) {
+	c.writeQueue.ListPrefix(state.JobKeyPrefix, func(r messages.ListReply) {
 		if r.Outcome != messages.OK {
 			c.loop.After(second, c.loadJobs)
 			return
@@ -153,13 +155,13 @@
 		for _, kv := range r.Items {
 			c.applyJobRecord(kv, nil)
 		}
-		c.jobs.appliedRevision = r.Revision
+		c.state.Jobs.AppliedRevision = r.Revision
 		c.watchJobs()
 	})
 }
 
 func (c *Controller) watchJobs() {
-	c.watchPrefix(jobKeyPrefix, &c.jobs.appliedRevision, 2*second, func(kv messages.KV) {
+	c.watchPrefix(state.JobKeyPrefix, &c.state.Jobs.AppliedRevision, 2*second, func(kv messages.KV) {
 		c.recordPeerWrite(kv)
 		c.applyJobRecord(kv, nil)
 	}, c.loadJobs)
@@ -178,72 +180,72 @@
 	}
 }
 
-func (c *Controller) addOwnedJob(j *job) {
-	c.jobs.owned[j.spec.ID] = j
-	p := c.shards[j.shard]
-	i := sort.Search(len(p.jobs), func(i int) bool { return p.jobs[i].spec.ID >= j.spec.ID })
-	p.jobs = slices.Insert(p.jobs, i, j)
-	p.queueOrder = nil
+func (c *Controller) addOwnedJob(j *state.Job) {
+	c.state.Jobs.Owned[j.Spec.ID] = j
+	p := c.state.Shards[j.ShardID]
+	i := sort.Search(len(p.Jobs), func(i int) bool { return p.Jobs[i].Spec.ID >= j.Spec.ID })
+	p.Jobs = slices.Insert(p.Jobs, i, j)
+	p.QueueOrder = nil
 }
 
-func (c *Controller) removeOwnedJob(j *job) {
-	delete(c.jobs.owned, j.spec.ID)
-	p := c.shards[j.shard]
-	if i := slices.Index(p.jobs, j); i >= 0 {
-		p.jobs = slices.Delete(slices.Clone(p.jobs), i, i+1) // somebody may be walking the old list
-		p.queueOrder = slices.DeleteFunc(slices.Clone(p.queueOrder), func(x *job) bool { return x == j })
+func (c *Controller) removeOwnedJob(j *state.Job) {
+	delete(c.state.Jobs.Owned, j.Spec.ID)
+	p := c.state.Shards[j.ShardID]
+	if i := slices.Index(p.Jobs, j); i >= 0 {
+		p.Jobs = slices.Delete(slices.Clone(p.Jobs), i, i+1) // somebody may be walking the old list
+		p.QueueOrder = slices.DeleteFunc(slices.Clone(p.QueueOrder), func(x *state.Job) bool { return x == j })
 	}
 }
 
-func (c *Controller) abandonJob(j *job) {
+func (c *Controller) abandonJob(j *state.Job) {
 	c.removeOwnedJob(j)
-	for _, fn := range j.waiters {
+	for _, fn := range j.Waiters {
 		fn("")
 	}
-	j.waiters = nil
+	j.Waiters = nil
 }
 
 // acknowledgeStoredTasks lets machine records forget the tasks whose outcome is stored:
 // they have exited, whoever owns the machine may reap them.
-func (c *Controller) acknowledgeStoredTasks(j *job) {
-	for a := range j.listedAssignments {
-		m := c.machines[a.machineID]
-		if m == nil || m.assignments[a.task] != a || m.startInDoubt {
+func (c *Controller) acknowledgeStoredTasks(j *state.Job) {
+	for a := range j.ListedAssignments {
+		m := c.state.Machines[a.MachineID]
+		if m == nil || m.Assignments[a.Task] != a || m.StartInDoubt {
 			continue
 		}
 		switch {
-		case !a.isCompleted() || a.confirmedAbsent || !a.isOutcomeStored():
-		case a.removedFromRecord:
+		case !a.IsCompleted() || a.ConfirmedAbsent || !a.IsOutcomeStored():
+		case a.RemovedFromRecord:
 			c.removeAssignment(m, a)
 		default:
-			m.markConfirmedAbsent(a)
-			m.endedToAcknowledge[a.taskAttempt()] = true
+			m.MarkConfirmedAbsent(a)
+			m.EndedToAcknowledge[a.TaskAttempt()] = true
 		}
 	}
 }
 
-func (c *Controller) handleJobEnd(j *job, end cluster.JobStatus) {
-	j.finalStatus = end
-	if k := c.jobs.known[j.spec.ID]; k != nil {
-		k.finalRecorded = true
-		c.applyFinalStatus(j.spec.ID, k, end)
-		c.notifyDependentOwners(j.spec.ID, k)
+func (c *Controller) handleJobEnd(j *state.Job, end cluster.JobStatus) {
+	j.FinalStatus = end
+	if k := c.state.Jobs.Known[j.Spec.ID]; k != nil {
+		k.FinalRecorded = true
+		c.applyFinalStatus(j.Spec.ID, k, end)
+		c.notifyDependentOwners(j.Spec.ID, k)
 	}
-	for _, fn := range j.waiters {
+	for _, fn := range j.Waiters {
 		fn(end)
 	}
-	j.waiters = nil
-	if !c.jobs.owns(j) {
+	j.Waiters = nil
+	if !c.state.Jobs.Owns(j) {
 		return
 	}
-	c.loop.Log(messages.LogDebug, "job over", "job", string(j.spec.ID), "status", string(end), "class", j.spec.Class, "team", j.spec.Team,
-		"tasks", j.spec.Tasks, "first_run_s", int((j.firstRunAt-j.arrivedAt)/second), "all_run_s", int((j.lastRunAt-j.arrivedAt)/second),
-		"took_s", int((c.loop.Now()-j.arrivedAt)/second), "run_s", int(j.spec.RuntimeSeconds), "due_s", int(j.spec.DeadlineSeconds), "cpu", float64(j.spec.ResourceRequest.CPU)/1e6, "guaranteed", j.initiallyGuaranteed)
+	c.loop.Log(messages.LogDebug, "job over", "job", string(j.Spec.ID), "status", string(end), "class", j.Spec.Class, "team", j.Spec.Team,
+		"tasks", j.Spec.Tasks, "first_run_s", int((j.FirstRunAt-j.ArrivedAt)/second), "all_run_s", int((j.LastRunAt-j.ArrivedAt)/second),
+		"took_s", int((c.loop.Now()-j.ArrivedAt)/second), "run_s", int(j.Spec.RuntimeSeconds), "due_s", int(j.Spec.DeadlineSeconds), "cpu", float64(j.Spec.ResourceRequest.CPU)/1e6, "guaranteed", j.InitiallyGuaranteed)
 	if end == cluster.JobCancelled {
 		c.stopAllTasks(j)
 	}
 	c.schedulingTrigger.request()
-	if len(j.assignments) == 0 {
+	if len(j.Assignments) == 0 {
 		c.removeOwnedJob(j)
 	}
 }
@@ -252,12 +254,12 @@
 // machine records that list more than they need to.
 func (c *Controller) writeBackgroundState() {
 	for _, j := range c.ownedJobs() {
-		if j.writeQueued || j.finalStatus != "" || j.recordTooLarge || c.loop.Now() < j.nextCheckpointAt && len(c.writeQueue.Queued(writequeue.Start)) > 0 {
+		if j.WriteQueued || j.FinalStatus != "" || j.RecordTooLarge || c.loop.Now() < j.NextCheckpointAt && len(c.writeQueue.Queued(writequeue.Start)) > 0 {
 			continue
 		}
-		for _, d := range j.dirtyChunks {
+		for _, d := range j.DirtyChunks {
 			if d {
-				j.nextCheckpointAt = c.loop.Now() + 4*c.config.Tuning.CheckpointInterval
+				j.NextCheckpointAt = c.loop.Now() + 4*c.config.Tuning.CheckpointInterval
 				c.writeJob(j, writequeue.Background)
 				break
 			}
@@ -267,10 +269,10 @@
 	c.checkShardProgress()
 }
 
-func (c *Controller) ownedJobs() []*job {
-	var l []*job
-	for _, p := range c.shards {
-		l = append(l, p.jobs...)
+func (c *Controller) ownedJobs() []*state.Job {
+	var l []*state.Job
+	for _, p := range c.state.Shards {
+		l = append(l, p.Jobs...)
 	}
 	return l
 }
--- a/internal/controller/jobwrite.go
+++ b/internal/controller/jobwrite.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -16,7 +18,7 @@
 // record built holds. A job has one write at a time.
 type jobWrite struct {
 	controller     *Controller
-	job            *job
+	job            *state.Job
 	priority       writequeue.Priority
 	eligibleChunks []int             // that it may set
 	writtenChunks  []int             // chunks that it sets
@@ -25,22 +27,22 @@
 }
 
 // writeJob stores what has become of a job's tasks, or its end.
-func (c *Controller) writeJob(j *job, prio writequeue.Priority) {
-	if j.finalStatus != "" {
+func (c *Controller) writeJob(j *state.Job, prio writequeue.Priority) {
+	if j.FinalStatus != "" {
 		return
 	}
-	if j.writeQueued {
-		j.rewriteNeeded = true
+	if j.WriteQueued {
+		j.RewriteNeeded = true
 		if prio < writequeue.Background {
-			c.writeQueue.RaisePriority(j.chunkKey(0), prio)
+			c.writeQueue.RaisePriority(j.ChunkKey(0), prio)
 		}
 		return
 	}
-	j.writeQueued, j.rewriteNeeded = true, false
-	keys, chunks := j.selectWriteKeys(c.config.MaxTxnOps)
+	j.WriteQueued, j.RewriteNeeded = true, false
+	keys, chunks := j.SelectWriteKeys(c.config.MaxTxnOps)
 	w := &jobWrite{controller: c, job: j, priority: prio, eligibleChunks: chunks}
 	c.writeQueue.Enqueue(prio, &writequeue.Write{
-		ShardID:         j.shard,
+		ShardID:         j.ShardID,
 		Keys:            keys,
 		Build:           w.build,
 		OnApplied:       w.handleStored,
@@ -54,21 +56,21 @@
 // its own record and the removal of all others.
 func (w *jobWrite) build(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 	j := w.job
-	j.rewriteNeeded = false
-	w.writtenChunks, w.writtenTasks, w.finalStatus = nil, nil, j.currentFinalStatus()
-	j.endInFlight = w.finalStatus != ""
+	j.RewriteNeeded = false
+	w.writtenChunks, w.writtenTasks, w.finalStatus = nil, nil, j.CurrentFinalStatus()
+	j.EndInFlight = w.finalStatus != ""
 	var ops []messages.TxnOp
 	var marks []cluster.ModRevision
 	for _, chunk := range w.eligibleChunks {
 		if w.isChunkUnchanged(chunk) {
 			continue
 		}
-		ops = append(ops, messages.TxnOp{Key: j.chunkKey(chunk), Value: w.chunkRecord(chunk, nonce)})
-		marks = append(marks, j.modRevisions[chunk])
+		ops = append(ops, messages.TxnOp{Key: j.ChunkKey(chunk), Value: w.chunkRecord(chunk, nonce)})
+		marks = append(marks, j.ModRevisions[chunk])
 		w.writtenChunks = append(w.writtenChunks, chunk)
 	}
 	if len(ops) == 0 {
-		j.writeQueued = false
+		j.WriteQueued = false
 		return nil, nil
 	}
 	return ops, marks
@@ -78,24 +80,24 @@
 // without new outcomes, of one that ends one that was never stored.
 func (w *jobWrite) isChunkUnchanged(chunk int) bool {
 	if w.finalStatus == "" {
-		return !w.job.dirtyChunks[chunk]
+		return !w.job.DirtyChunks[chunk]
 	}
-	return chunk > 0 && w.job.modRevisions[chunk] == 0
+	return chunk > 0 && w.job.ModRevisions[chunk] == 0
 }
 
 // chunkRecord is what a chunk's key is set to; nil: it is removed. It notes the
 // outcomes that the record tells.
 func (w *jobWrite) chunkRecord(chunk int, nonce string) []byte {
 	rec := jobRecord{WriteID: nonce}
-	fits := tasksPerChunk
+	fits := state.TasksPerChunk
 	if w.finalStatus != "" {
 		w.fillFinalStatus(&rec)
 	} else {
 		fits = w.fillCompletedIndexes(&rec, chunk)
 	}
-	for i, state := range w.job.chunkStates(chunk) {
-		if state == taskCompleted && i < fits {
-			w.writtenTasks = append(w.writtenTasks, chunk*tasksPerChunk+i)
+	for i, taskState := range w.job.ChunkStates(chunk) {
+		if taskState == state.TaskCompleted && i < fits {
+			w.writtenTasks = append(w.writtenTasks, chunk*state.TasksPerChunk+i)
 		}
 	}
 	if chunk > 0 && w.finalStatus != "" {
@@ -106,7 +108,7 @@
 }
 
 func (w *jobWrite) fillFinalStatus(rec *jobRecord) {
-	spec := &w.job.spec
+	spec := &w.job.Spec
 	rec.FinalStatus, rec.Team, rec.Tasks = w.finalStatus, spec.Team, spec.Tasks
 	if w.finalStatus == cluster.JobCancelled {
 		rec.ResourceRequest = &spec.ResourceRequest
@@ -118,12 +120,12 @@
 func (w *jobWrite) fillCompletedIndexes(rec *jobRecord, chunk int) int {
 	room := w.controller.config.MaxValueBytes * 9 / 10
 	if chunk == 0 {
-		rec.Spec = &w.job.spec
+		rec.Spec = &w.job.Spec
 		v, _ := json.Marshal(rec)
 		room -= len(v)
 	}
 	fits := 0
-	rec.CompletedIndexes, fits = encodeCompleted(w.job.chunkStates(chunk), room)
+	rec.CompletedIndexes, fits = state.EncodeCompleted(w.job.ChunkStates(chunk), room)
 	return fits
 }
 
@@ -132,20 +134,20 @@
 	j := w.job
 	w.finish()
 	for _, chunk := range w.writtenChunks {
-		j.modRevisions[chunk] = cluster.ModRevision(e)
+		j.ModRevisions[chunk] = cluster.ModRevision(e)
 	}
 	for _, i := range w.writtenTasks {
-		j.taskStates[i] = taskCompletionStored
+		j.TaskStates[i] = state.TaskCompletionStored
 	}
 	// Only now: a build whose transaction failed must be built again.
-	j.recomputeDirtyChunks()
-	if w.controller.jobs.owns(j) {
+	j.RecomputeDirtyChunks()
+	if w.controller.state.Jobs.Owns(j) {
 		w.controller.acknowledgeStoredTasks(j)
 	}
 	if w.finalStatus != "" {
 		w.controller.deleteLeftoverChunks(j, w.writtenChunks)
 		w.controller.handleJobEnd(j, w.finalStatus)
-	} else if j.rewriteNeeded {
+	} else if j.RewriteNeeded {
 		w.controller.writeJob(j, writequeue.Outcome)
 	}
 }
@@ -154,14 +156,14 @@
 func (w *jobWrite) handleConflict() {
 	j := w.job
 	w.finish()
-	if !w.controller.jobs.owns(j) {
+	if !w.controller.state.Jobs.Owns(j) {
 		return
 	}
-	if j.modRevisions[0] == 0 {
+	if j.ModRevisions[0] == 0 {
 		w.controller.resolveFirstRecordConflict(j, w.priority)
 		return
 	}
-	w.controller.giveUpCorruptShard(w.controller.shards[j.shard], j.chunkKey(0), "changed by another writer")
+	w.controller.giveUpCorruptShard(w.controller.state.Shards[j.ShardID], j.ChunkKey(0), "changed by another writer")
 }
 
 // handleTooLarge follows the store's refusal of a record by its length. The job was
@@ -169,18 +171,18 @@
 // short.
 func (w *jobWrite) handleTooLarge() {
 	w.finish()
-	w.job.recordTooLarge = true
+	w.job.RecordTooLarge = true
 }
 
 // finish notes that the write is no longer under way.
-func (w *jobWrite) finish() { w.job.writeQueued, w.job.endInFlight = false, false }
+func (w *jobWrite) finish() { w.job.WriteQueued, w.job.EndInFlight = false, false }
 
 // deleteLeftoverChunks removes the outcomes of a job that is over which its last write had
 // no room to remove.
-func (c *Controller) deleteLeftoverChunks(j *job, wrote []int) {
-	for k := 1; k < len(j.modRevisions); k++ {
-		if j.modRevisions[k] != 0 && !slices.Contains(wrote, k) {
-			c.deleteKeyInBackground(c.shards[j.shard], j.chunkKey(k), j.modRevisions[k])
+func (c *Controller) deleteLeftoverChunks(j *state.Job, wrote []int) {
+	for k := 1; k < len(j.ModRevisions); k++ {
+		if j.ModRevisions[k] != 0 && !slices.Contains(wrote, k) {
+			c.deleteKeyInBackground(c.state.Shards[j.ShardID], j.ChunkKey(k), j.ModRevisions[k])
 		}
 	}
 }
@@ -188,9 +190,9 @@
 // resolveFirstRecordConflict follows the conflict of a job's first own record: the job came in
 // twice at once, and its other acceptance has written one. That says no more
 // than the acceptance here.
-func (c *Controller) resolveFirstRecordConflict(j *job, prio writequeue.Priority) {
-	c.writeQueue.ReadKey(j.chunkKey(0), func(r messages.GetReply) {
-		if !c.jobs.owns(j) || j.writeQueued || j.modRevisions[0] != 0 {
+func (c *Controller) resolveFirstRecordConflict(j *state.Job, prio writequeue.Priority) {
+	c.writeQueue.ReadKey(j.ChunkKey(0), func(r messages.GetReply) {
+		if !c.state.Jobs.Owns(j) || j.WriteQueued || j.ModRevisions[0] != 0 {
 			return
 		}
 		var rec jobRecord
@@ -198,9 +200,9 @@
 		case r.Outcome != messages.OK:
 			c.loop.After(second/2, func() { c.resolveFirstRecordConflict(j, prio) })
 		case json.Unmarshal(r.KV.Value, &rec) != nil || rec.Spec == nil || rec.CompletedIndexes != "" || rec.FinalStatus != "":
-			c.giveUpCorruptShard(c.shards[j.shard], j.chunkKey(0), "changed by another writer")
+			c.giveUpCorruptShard(c.state.Shards[j.ShardID], j.ChunkKey(0), "changed by another writer")
 		default:
-			j.modRevisions[0] = r.KV.ModRevision
+			j.ModRevisions[0] = r.KV.ModRevision
 			c.writeJob(j, prio)
 		}
 	})
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -19,8 +19,8 @@
 // has no answer yet.
 func sendAcquire(t *testing.T, b *controllerHarness) messages.StoreTxn {
 	t.Helper()
-	part := b.shards[0]
-	part.owned, part.ready, part.confirmedAt = false, false, 0
+	part := b.state.Shards[0]
+	part.Owned, part.Ready, part.ConfirmedAt = false, false, 0
 	b.acquireShard(part)
 	b.writeQueue.Dispatch()
 	for _, effect := range b.loop.Effects() {
@@ -50,7 +50,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
-			part := b.shards[0]
+			part := b.state.Shards[0]
 			claim := sendAcquire(t, b)
 			sent := b.loop.Now()
 
@@ -61,8 +61,8 @@
 
 			setTime(b.Controller, b.loop.Now()+second)
 			b.loop.Deliver(messages.Reply{Call: claim.Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 40}})
-			if !part.owned || part.term != ownTerm {
-				t.Fatalf("held %v, term %d; want the part held with term %d", part.owned, part.term, ownTerm)
+			if !part.Owned || part.Term != ownTerm {
+				t.Fatalf("held %v, term %d; want the part held with term %d", part.Owned, part.Term, ownTerm)
 			}
 			want := sent
 			if test.wordHeld {
--- a/internal/controller/machine_bytes_test.go
+++ b/internal/controller/machine_bytes_test.go
@@ -5,6 +5,8 @@
 	"runtime"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 
 	"stairrelay/internal/grouprecord"
@@ -37,8 +39,8 @@
 func controllerWithMachines(machines int) *controllerHarness {
 	const groupSize, tasks = 51, 3
 	b := newControllerHarness()
-	p := b.shards[0]
-	var g *machineGroup
+	p := b.state.Shards[0]
+	var g *state.MachineGroup
 	for i := range machines {
 		if i%groupSize == 0 {
 			g = b.newGroup(p, fmt.Sprintf("g%05d", i), 31)
@@ -47,9 +49,9 @@
 		m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "10.1.0.232:9000"}, 31)
 		j := b.addTestJob(cluster.JobID(fmt.Sprintf("j-%06d", i)), tasks)
 		for k := range tasks {
-			a := &assignment{task: cluster.TaskID{Job: j.spec.ID, Index: k}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: p.nextAttempt(), phase: phaseAcknowledged, state: cluster.Running}
-			m.addAssignment(a)
-			j.setAssigned(k, a)
+			a := &state.Assignment{Task: cluster.TaskID{Job: j.Spec.ID, Index: k}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: p.NextAttempt(), Phase: state.PhaseAcknowledged, State: cluster.Running}
+			m.AddAssignment(a)
+			j.SetAssigned(k, a)
 		}
 	}
 	return b
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
@@ -24,16 +26,16 @@
 			b := newControllerHarness()
 			m, a := b.addRunningMachine(b.addTestJob("j-1", 2))
 			other := b.addTestJob("j-2", 1)
-			ready := &assignment{task: cluster.TaskID{Job: "j-2", Index: 0}, job: other, machineID: m.id, attempt: 8, phase: phaseReady}
-			m.addAssignment(ready)
-			other.setAssigned(0, ready)
+			ready := &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: other, MachineID: m.ID, Attempt: 8, Phase: state.PhaseReady}
+			m.AddAssignment(ready)
+			other.SetAssigned(0, ready)
 			b.cancelOwnedJob("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
-			m.raisingToken, m.tokenAcknowledged = x.bumping, x.acked
+			m.RaisingToken, m.TokenAcknowledged = x.bumping, x.acked
 			var cmds []cluster.Command
 			want := x.ordered
 			if byAnswer {
 				want = x.answer
-				m.pendingHeartbeat = 9
+				m.PendingHeartbeat = 9
 				b.answerHeartbeat(m)
 				cmds = b.loop.Effects()[len(b.loop.Effects())-1].(messages.Respond).Heartbeat.Commands
 			} else {
@@ -48,7 +50,7 @@
 			for _, c := range cmds {
 				got = append(got, c.Kind)
 			}
-			if !slices.Equal(got, want) || !a.stopRequested {
+			if !slices.Equal(got, want) || !a.StopRequested {
 				t.Errorf("%s, in an answer %v: sent %v, want %v", x.name, byAnswer, got, want)
 			}
 		}
@@ -65,7 +67,7 @@
 		b.pushQueuedCommands()
 		o := b.loop.Effects()[len(b.loop.Effects())-1].(messages.PushCommands)
 		takeEffects(b.Controller)
-		r := cluster.HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: 1, SequenceNumber: 2, FencingToken: m.token, PreemptionNotice: -1, Tasks: []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}}}
+		r := cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: 1, SequenceNumber: 2, FencingToken: m.Token, PreemptionNotice: -1, Tasks: []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}}}
 		b.loop.Deliver(messages.Reply{Call: o.Call, Body: messages.PushCommandsReply{Outcome: out, Status: r}})
 		b.queueCommandPush(m)
 		takeEffects(b.Controller)
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -19,14 +21,14 @@
 		c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 2 * second, WorkerLease: 14 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
 			CloudRPS: 4, CloudListLag: 8 * second, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: cluster.NoLimit}}}, Tuning: DefaultTuning()})
 		c.Step(0, 0, messages.Tick{})
-		p := c.shards[0]
-		p.owned, p.ready = true, true
+		p := c.state.Shards[0]
+		p.Owned, p.Ready = true, true
 		g := c.newGroup(p, "g", 1)
 		m := c.addMachine(g, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		for c.loop.Now() < 8*second {
 			c.workerReachability.lastOwnedHeartbeat = c.loop.Now()
 			if !x.silent {
-				m.lastHeartbeat = c.loop.Now()
+				m.LastHeartbeat = c.loop.Now()
 			}
 			for _, f := range c.Step(c.loop.Now()+second/4, 0, messages.Tick{}) {
 				if f, ok := f.(messages.CloudList); ok {
@@ -38,8 +40,8 @@
 				}
 			}
 		}
-		if m.releasing != x.returned {
-			t.Errorf("listed %v, silent %v: returned %v", x.listed, x.silent, m.releasing)
+		if m.Releasing != x.returned {
+			t.Errorf("listed %v, silent %v: returned %v", x.listed, x.silent, m.Releasing)
 		}
 	}
 }
@@ -52,20 +54,20 @@
 		b := newControllerHarness()
 		j := b.addTestJob("j-1", 1)
 		m, a := b.addRunningMachine(j)
-		m.incarnation, m.sequenceNumber, m.tokenAcknowledged, m.awaitingFirstAcknowledgement, a.phase = 0, 0, false, true, phaseUnverified
-		if j.cancelling = x.cancelled; x.cancelled {
-			a.stopRequested = true
+		m.Incarnation, m.SequenceNumber, m.TokenAcknowledged, m.AwaitingFirstAcknowledgement, a.Phase = 0, 0, false, true, state.PhaseUnverified
+		if j.Cancelling = x.cancelled; x.cancelled {
+			a.StopRequested = true
 		}
 		setTime(b.Controller, b.loop.Now()+second)
 		r := cluster.HeartbeatStatus{Machine: "m-1", Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1, Tasks: []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}}}
 		if x.acks {
-			r.FencingToken = m.token
+			r.FencingToken = m.Token
 		}
 		b.reconcile(m, &r, false)
 		setTime(b.Controller, b.loop.Now()+b.firstAcknowledgementTimeout()+second)
 		b.maintainMachines()
-		if m.releasing != x.returned {
-			t.Errorf("cancelled %v, acknowledged %v: returned %v", x.cancelled, x.acks, m.releasing)
+		if m.Releasing != x.returned {
+			t.Errorf("cancelled %v, acknowledged %v: returned %v", x.cancelled, x.acks, m.Releasing)
 		}
 	}
 }
@@ -77,17 +79,17 @@
 	for name, silent := range map[string]bool{"silent": true, "bumping": false} {
 		b := newControllerHarness()
 		m, a := b.addRunningMachine(b.addTestJob("j-1", 1))
-		a.stopRequested = true
-		a.job.cancelling = true
-		if m.lastHeartbeat = b.loop.Now(); silent {
-			m.lastHeartbeat -= 2*b.config.HeartbeatInterval + second
+		a.StopRequested = true
+		a.Job.Cancelling = true
+		if m.LastHeartbeat = b.loop.Now(); silent {
+			m.LastHeartbeat -= 2*b.config.HeartbeatInterval + second
 		} else {
-			m.raisingToken, m.tokenAcknowledged = true, false
+			m.RaisingToken, m.TokenAcknowledged = true, false
 		}
-		b.pushMaintenanceCommands(b.shards[0].machines)
+		b.pushMaintenanceCommands(b.state.Shards[0].Machines)
 		var got []cluster.Command
 		for _, f := range b.loop.Effects() {
-			if o, ok := f.(messages.PushCommands); ok && o.Addr == m.address {
+			if o, ok := f.(messages.PushCommands); ok && o.Addr == m.Address {
 				got = append(got, o.Commands...)
 			}
 		}
--- a/internal/controller/machinegroups.go
+++ b/internal/controller/machinegroups.go
@@ -8,6 +8,8 @@
 	"strconv"
 	"strings"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -24,49 +26,49 @@
 func (c *Controller) groupMachines() int { return c.valueLimit().TargetMachines() }
 
 // hasRoom tells whether the record can list one more task of a job.
-func (c *Controller) hasRoom(g *machineGroup, j *job) bool {
-	return c.valueLimit().HasRoom(g.estimatedSize(), j.spec.ID)
+func (c *Controller) hasRoom(g *state.MachineGroup, j *state.Job) bool {
+	return c.valueLimit().HasRoom(g.EstimatedSize(), j.Spec.ID)
 }
 
 // groupSnapshot remembers what a built record says, for when it is stored.
 type groupSnapshot struct {
 	machines   []machineSnapshot
-	terminated []*machine // not listed any more: the cloud has taken them back
+	terminated []*state.Machine // not listed any more: the cloud has taken them back
 	size       int
 }
 
 type machineSnapshot struct {
-	machine               *machine
-	listed, removed       []*assignment
-	completed             []*assignment // not listed either, but kept until their outcomes are stored
+	machine               *state.Machine
+	listed, removed       []*state.Assignment
+	completed             []*state.Assignment // not listed either, but kept until their outcomes are stored
 	raisesToken, releases bool
 }
 
 // buildGroupRecord builds the record of a group that consists of the given machines. Nil:
 // there is nothing left to list.
-func (c *Controller) buildGroupRecord(part cluster.ShardID, ms []*machine, nonce string) ([]byte, *groupSnapshot) {
+func (c *Controller) buildGroupRecord(part cluster.ShardID, ms []*state.Machine, nonce string) ([]byte, *groupSnapshot) {
 	s := &groupSnapshot{machines: make([]machineSnapshot, 0, len(ms))}
 	lines := make([]grouprecord.Machine, 0, len(ms))
 	for _, m := range ms {
-		if m.terminated {
+		if m.Terminated {
 			s.terminated = append(s.terminated, m)
 			continue
 		}
-		x := machineSnapshot{machine: m, raisesToken: m.raisingToken, releases: m.releasing}
-		line := grouprecord.Machine{ID: m.id, Kind: m.kind(), Address: m.address, Releasing: m.releasing, Booting: m.booting}
-		for _, a := range m.sortedAssignments() {
+		x := machineSnapshot{machine: m, raisesToken: m.RaisingToken, releases: m.Releasing}
+		line := grouprecord.Machine{ID: m.ID, Kind: m.Kind(), Address: m.Address, Releasing: m.Releasing, Booting: m.Booting}
+		for _, a := range m.SortedAssignments() {
 			switch {
-			case a.confirmedAbsent:
+			case a.ConfirmedAbsent:
 				x.removed = append(x.removed, a)
 				continue
-			case a.isCompleted():
+			case a.IsCompleted():
 				// It is not on the machine any more, and the worker goes on showing
 				// it until its outcome is stored: a successor learns it from there.
 				x.completed = append(x.completed, a)
 				continue
 			}
 			x.listed = append(x.listed, a)
-			line.Tasks = append(line.Tasks, grouprecord.Task{ID: a.task, Attempt: a.attempt})
+			line.Tasks = append(line.Tasks, grouprecord.Task{ID: a.Task, Attempt: a.Attempt})
 		}
 		s.machines = append(s.machines, x)
 		lines = append(lines, line)
@@ -86,19 +88,19 @@
 // cpusWaiting counts the CPUs that wait for the groups' records: of tasks that
 // may start, here or elsewhere, once the record says so, and of machines that
 // can be used, or offered, only after it.
-func (c *Controller) cpusWaiting(groups ...*machineGroup) float64 {
+func (c *Controller) cpusWaiting(groups ...*state.MachineGroup) float64 {
 	var sum cluster.Amount
 	for _, g := range groups {
-		for _, m := range g.machines {
-			size := c.machineTypes[m.machineType].Capacity.CPU
-			if m.raisingToken {
+		for _, m := range g.Machines {
+			size := c.state.MachineTypes[m.MachineType].Capacity.CPU
+			if m.RaisingToken {
 				sum += tokenRaiseWeight * size
-			} else if m.cordoned {
+			} else if m.Cordoned {
 				sum += size
 			}
-			for _, a := range m.assignments {
-				if a.phase == phaseRecording || a.confirmedAbsent && a.job.isActive() {
-					sum += a.resourceRequest.CPU
+			for _, a := range m.Assignments {
+				if a.Phase == state.PhaseRecording || a.ConfirmedAbsent && a.Job.IsActive() {
+					sum += a.ResourceRequest.CPU
 				}
 			}
 		}
@@ -108,14 +110,16 @@
 
 // writeMachine stores which tasks may be on a machine, with the rest of its
 // group. All that changes while the write waits its turn goes into the same put.
-func (c *Controller) writeMachine(m *machine, prio writequeue.Priority) { c.writeGroup(m.group, prio) }
+func (c *Controller) writeMachine(m *state.Machine, prio writequeue.Priority) {
+	c.writeGroup(m.Group, prio)
+}
 
 // groupWrite is the write of one group's record.
 type groupWrite struct {
 	controller    *Controller
-	shard         *shard
+	shard         *state.Shard
 	claimRevision cluster.Revision
-	group         *machineGroup
+	group         *state.MachineGroup
 	priority      writequeue.Priority
 	snapshot      *groupSnapshot // of the last record built
 }
@@ -124,65 +128,65 @@
 // by another. While its record is being read after a conflict nothing is written:
 // a write at a revision that is known to be wrong would conflict again, and that
 // one's check would be told nothing for the next, without end.
-func (c *Controller) writeGroup(g *machineGroup, prio writequeue.Priority) {
-	if g.recordCheckPending {
-		g.nextWritePriority = min(g.nextWritePriority, prio)
+func (c *Controller) writeGroup(g *state.MachineGroup, prio writequeue.Priority) {
+	if g.RecordCheckPending {
+		g.NextWritePriority = min(g.NextWritePriority, prio)
 		return
 	}
-	if g.writePending {
-		g.nextWritePriority = min(g.nextWritePriority, prio)
-		c.writeQueue.RaisePriority(g.key(), prio)
+	if g.WritePending {
+		g.NextWritePriority = min(g.NextWritePriority, prio)
+		c.writeQueue.RaisePriority(g.Key(), prio)
 		return
 	}
-	g.writePending, g.nextWritePriority = true, writequeue.PriorityCount
-	p := c.shards[g.shardID]
-	w := &groupWrite{controller: c, shard: p, claimRevision: p.claimRevision, group: g, priority: prio}
-	g.queuedWrite = &writequeue.Write{
-		ShardID:         g.shardID,
-		Keys:            []string{g.key()},
+	g.WritePending, g.NextWritePriority = true, writequeue.PriorityCount
+	p := c.state.Shards[g.ShardID]
+	w := &groupWrite{controller: c, shard: p, claimRevision: p.ClaimRevision, group: g, priority: prio}
+	g.QueuedWrite = &writequeue.Write{
+		ShardID:         g.ShardID,
+		Keys:            []string{g.Key()},
 		CPUsWaiting:     func() float64 { return c.cpusWaiting(g) },
 		Build:           w.build,
 		OnApplied:       w.handleStored,
 		OnConflict:      w.handleConflict,
 		OnTooLarge:      w.handleTooLarge,
-		OnOwnershipLost: g.endWrite,
+		OnOwnershipLost: g.EndWrite,
 	}
-	c.writeQueue.Enqueue(prio, g.queuedWrite)
+	c.writeQueue.Enqueue(prio, g.QueuedWrite)
 }
 
 // isCurrent tells whether the group is still held under the claim of the write.
 func (w *groupWrite) isCurrent() bool {
-	return w.controller.machineGroups[w.group.id] == w.group && w.shard.isOwnedUnder(w.claimRevision)
+	return w.controller.state.Groups[w.group.ID] == w.group && w.shard.IsOwnedUnder(w.claimRevision)
 }
 
 func (w *groupWrite) build(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 	c, g := w.controller, w.group
-	g.queuedWrite = nil
-	if c.machineGroups[g.id] != g {
-		g.writePending = false
+	g.QueuedWrite = nil
+	if c.state.Groups[g.ID] != g {
+		g.WritePending = false
 		return nil, nil
 	}
-	g.writeInFlight, g.nextWritePriority, g.addedBytes = true, writequeue.PriorityCount, 0
+	g.WriteInFlight, g.NextWritePriority, g.AddedBytes = true, writequeue.PriorityCount, 0
 	var v []byte
-	v, w.snapshot = c.buildGroupRecord(g.shardID, g.sortedMachines(), nonce)
-	g.recordSize = w.snapshot.size
-	return []messages.TxnOp{{Key: g.key(), Value: v}}, []cluster.ModRevision{g.modRevision}
+	v, w.snapshot = c.buildGroupRecord(g.ShardID, g.SortedMachines(), nonce)
+	g.RecordSize = w.snapshot.size
+	return []messages.TxnOp{{Key: g.Key(), Value: v}}, []cluster.ModRevision{g.ModRevision}
 }
 
 func (w *groupWrite) handleStored(e cluster.Revision) {
-	w.group.endWrite()
+	w.group.EndWrite()
 	if !w.isCurrent() {
 		return
 	}
-	w.group.modRevision = cluster.ModRevision(e)
+	w.group.ModRevision = cluster.ModRevision(e)
 	w.controller.handleGroupStored(w.group, w.snapshot, e)
 	w.controller.queueNextWrite(w.group)
 }
 
 // handleConflict follows a conflict with another writer.
 func (w *groupWrite) handleConflict() {
-	w.group.endWrite()
-	if w.controller.machineGroups[w.group.id] == w.group {
+	w.group.EndWrite()
+	if w.controller.state.Groups[w.group.ID] == w.group {
 		w.controller.checkGroup(w.group)
 	}
 }
@@ -191,46 +195,46 @@
 // split, or tried again where it has one machine.
 func (w *groupWrite) handleTooLarge() {
 	c, g := w.controller, w.group
-	g.endWrite()
+	g.EndWrite()
 	if !w.isCurrent() {
 		return
 	}
-	g.nextWritePriority = min(g.nextWritePriority, w.priority)
-	if len(g.machines) > 1 {
-		again := g.nextWritePriority
+	g.NextWritePriority = min(g.NextWritePriority, w.priority)
+	if len(g.Machines) > 1 {
+		again := g.NextWritePriority
 		c.splitGroup(w.shard, g)
-		g.nextWritePriority = again
+		g.NextWritePriority = again
 		return
 	}
 	c.loop.After(second, func() { c.queueNextWrite(g) })
 }
 
 // queueNextWrite queues the write that was wanted while one was on its way.
-func (c *Controller) queueNextWrite(g *machineGroup) {
-	if g.nextWritePriority < writequeue.PriorityCount && c.machineGroups[g.id] == g {
-		c.writeGroup(g, g.nextWritePriority)
+func (c *Controller) queueNextWrite(g *state.MachineGroup) {
+	if g.NextWritePriority < writequeue.PriorityCount && c.state.Groups[g.ID] == g {
+		c.writeGroup(g, g.NextWritePriority)
 	}
 }
 
 // handleGroupStored follows a stored record: what it lists may be started, what it
 // no longer lists may be started elsewhere.
-func (c *Controller) handleGroupStored(g *machineGroup, s *groupSnapshot, e cluster.Revision) {
+func (c *Controller) handleGroupStored(g *state.MachineGroup, s *groupSnapshot, e cluster.Revision) {
 	for i := range s.machines {
 		x := &s.machines[i]
 		m := x.machine
-		if c.machines[m.id] != m {
+		if c.state.Machines[m.ID] != m {
 			continue
 		}
-		m.recordedTaskCount = len(x.listed)
-		if m.pendingHeartbeat != 0 {
+		m.RecordedTaskCount = len(x.listed)
+		if m.PendingHeartbeat != 0 {
 			c.heldHeartbeats.toCheck = append(c.heldHeartbeats.toCheck, m)
 		}
 		for _, a := range x.listed {
-			if a.phase != phaseRecording {
+			if a.Phase != state.PhaseRecording {
 				continue
 			}
-			a.phase = phaseReady
-			if !a.job.isActive() {
+			a.Phase = state.PhaseReady
+			if !a.Job.IsActive() {
 				c.confirmAbsent(m, a) // cancelled meanwhile, never sent
 			} else {
 				c.queueCommandPush(m)
@@ -240,78 +244,78 @@
 			c.removeAssignment(m, a)
 		}
 		for _, a := range x.completed {
-			if a.removedFromRecord = true; a.isOutcomeStored() {
+			if a.RemovedFromRecord = true; a.IsOutcomeStored() {
 				c.removeAssignment(m, a)
 			}
 		}
 		if x.raisesToken {
-			m.raisingToken = false
-			m.token, m.tokenAcknowledged, m.unacknowledgedSince = cluster.FencingToken(e), false, c.loop.Now()
+			m.RaisingToken = false
+			m.Token, m.TokenAcknowledged, m.UnacknowledgedSince = cluster.FencingToken(e), false, c.loop.Now()
 		}
-		if x.releases && !m.releaseConfirmed {
-			m.releaseConfirmed = true
+		if x.releases && !m.ReleaseConfirmed {
+			m.ReleaseConfirmed = true
 			c.scheduleScaleIn()
 		}
 	}
 	for _, m := range s.terminated {
 		c.removeMachineAndFreeTasks(m)
 	}
-	if len(g.machines) == 0 {
-		delete(c.machineGroups, g.id)
+	if len(g.Machines) == 0 {
+		delete(c.state.Groups, g.ID)
 	}
 }
 
-func (c *Controller) newGroup(p *shard, id string, mark cluster.ModRevision) *machineGroup {
-	g := &machineGroup{id: id, shardID: p.id, modRevision: mark, machines: map[cluster.MachineID]*machine{}, nextWritePriority: writequeue.PriorityCount}
-	c.machineGroups[id] = g
+func (c *Controller) newGroup(p *state.Shard, id string, mark cluster.ModRevision) *state.MachineGroup {
+	g := &state.MachineGroup{ID: id, ShardID: p.ID, ModRevision: mark, Machines: map[cluster.MachineID]*state.Machine{}, NextWritePriority: writequeue.PriorityCount}
+	c.state.Groups[id] = g
 	return g
 }
 
 // splitAndMergeGroups keeps records well under the value limit, and few: every group
 // with a change costs a put.
-func (c *Controller) splitAndMergeGroups(p *shard) {
+func (c *Controller) splitAndMergeGroups(p *state.Shard) {
 	limit := c.valueLimit()
-	var small []*machineGroup
-	for _, id := range slices.Sorted(maps.Keys(c.machineGroups)) {
-		g := c.machineGroups[id]
-		if g.shardID != p.id || g.writeInFlight || g.offer != nil || len(g.machines) == 0 {
+	var small []*state.MachineGroup
+	for _, id := range slices.Sorted(maps.Keys(c.state.Groups)) {
+		g := c.state.Groups[id]
+		if g.ShardID != p.ID || g.WriteInFlight || g.Offer != nil || len(g.Machines) == 0 {
 			continue
 		}
-		if size := g.estimatedSize(); limit.ShouldSplit(size) && len(g.machines) > 1 {
+		if size := g.EstimatedSize(); limit.ShouldSplit(size) && len(g.Machines) > 1 {
 			c.splitGroup(p, g)
 		} else if limit.ShouldMerge(size) {
 			small = append(small, g)
 		}
 	}
-	sort.SliceStable(small, func(i, k int) bool { return small[i].estimatedSize() < small[k].estimatedSize() })
+	sort.SliceStable(small, func(i, k int) bool { return small[i].EstimatedSize() < small[k].EstimatedSize() })
 	sizes := make([]grouprecord.Size, len(small))
 	for i, g := range small {
-		sizes[i] = grouprecord.Size{Bytes: g.estimatedSize(), Machines: len(g.machines)}
+		sizes[i] = grouprecord.Size{Bytes: g.EstimatedSize(), Machines: len(g.Machines)}
 	}
 	n := limit.MergeableCount(sizes, c.config.MaxTxnOps)
 	if n < 2 {
 		return
 	}
 	into := small[n-1] // the largest of them stays
-	var move []*machine
+	var move []*state.Machine
 	for _, g := range small[:n-1] {
-		move = append(move, g.sortedMachines()...)
+		move = append(move, g.SortedMachines()...)
 	}
 	// With the starts: most of these groups have a write waiting, which this
 	// one makes needless, and each less saves a put per wave from now on.
-	c.regroup(p, move, into, writequeue.Start, func(*machineGroup) {})
+	c.regroup(p, move, into, writequeue.Start, func(*state.MachineGroup) {})
 }
 
 // checkGroup follows a conflict on a group's record, or a worker that has seen
 // a higher token than its machine's.
-func (c *Controller) checkGroup(g *machineGroup) {
-	if g.recordCheckPending {
+func (c *Controller) checkGroup(g *state.MachineGroup) {
+	if g.RecordCheckPending {
 		return
 	}
-	g.recordCheckPending = true
-	c.writeQueue.ReadKey(g.key(), func(r messages.GetReply) {
-		g.recordCheckPending = false
-		if c.machineGroups[g.id] != g {
+	g.RecordCheckPending = true
+	c.writeQueue.ReadKey(g.Key(), func(r messages.GetReply) {
+		g.RecordCheckPending = false
+		if c.state.Groups[g.ID] != g {
 			return
 		}
 		defer c.queueNextWrite(g)
@@ -321,20 +325,20 @@
 		case messages.OK:
 			rec, err := grouprecord.Decode(r.KV.Value)
 			if err != nil {
-				c.giveUpCorruptShard(c.shards[g.shardID], g.key(), err.Error())
+				c.giveUpCorruptShard(c.state.Shards[g.ShardID], g.Key(), err.Error())
 				return
 			}
-			if rec.ShardID == g.shardID {
-				if r.KV.ModRevision > g.modRevision && !g.writePending {
-					c.handleForeignWrite(c.shards[g.shardID], g.key(), "changed by another writer")
+			if rec.ShardID == g.ShardID {
+				if r.KV.ModRevision > g.ModRevision && !g.WritePending {
+					c.handleForeignWrite(c.state.Shards[g.ShardID], g.Key(), "changed by another writer")
 					return
 				}
 				// Still ours, yet a worker may have seen a higher token: an owner
 				// that has since lost it had a later one. Ours must rise above it.
-				c.rereadShard(c.shards[g.shardID])
-				for _, m := range g.sortedMachines() {
-					if m.fencedOff {
-						m.fencedOff = false
+				c.rereadShard(c.state.Shards[g.ShardID])
+				for _, m := range g.SortedMachines() {
+					if m.FencedOff {
+						m.FencedOff = false
 						c.raiseToken(m)
 					}
 				}
@@ -344,16 +348,16 @@
 			to = rec.ShardID
 		default:
 			c.loop.After(second, func() {
-				if c.machineGroups[g.id] == g {
+				if c.state.Groups[g.ID] == g {
 					c.checkGroup(g)
 				}
 			})
 			return
 		}
-		for _, m := range g.sortedMachines() {
-			for _, a := range m.sortedAssignments() {
-				if a.phase != phaseRecording && !a.confirmedAbsent {
-					c.handleForeignWrite(c.shards[g.shardID], g.key(), "moved while it listed tasks")
+		for _, m := range g.SortedMachines() {
+			for _, a := range m.SortedAssignments() {
+				if a.Phase != state.PhaseRecording && !a.ConfirmedAbsent {
+					c.handleForeignWrite(c.state.Shards[g.ShardID], g.Key(), "moved while it listed tasks")
 					return
 				}
 			}
@@ -364,44 +368,44 @@
 
 // dropTransferredGroup forgets a group that another part has taken. Its record listed no
 // task, so what was planned for it was never sent.
-func (c *Controller) dropTransferredGroup(g *machineGroup, to cluster.ShardID) {
-	c.loop.Log(messages.LogDebug, "group moved away", "group", g.id, "machines", len(g.machines), "to", int(to))
-	delete(c.machineGroups, g.id)
-	for _, m := range g.sortedMachines() {
+func (c *Controller) dropTransferredGroup(g *state.MachineGroup, to cluster.ShardID) {
+	c.loop.Log(messages.LogDebug, "group moved away", "group", g.ID, "machines", len(g.Machines), "to", int(to))
+	delete(c.state.Groups, g.ID)
+	for _, m := range g.SortedMachines() {
 		c.dropMachine(m)
-		for _, a := range m.sortedAssignments() {
+		for _, a := range m.SortedAssignments() {
 			c.unassignTask(a)
 		}
-		if to >= 0 && int(to) < len(c.shards) {
-			c.machineOwners.record(m.id, to, c.loop.Now())
+		if to >= 0 && int(to) < len(c.state.Shards) {
+			c.machineOwners.record(m.ID, to, c.loop.Now())
 		}
 	}
 }
 
 // applyGroupRecord takes a group's record over from an earlier holder.
-func (c *Controller) applyGroupRecord(kv messages.KV, p *shard) {
+func (c *Controller) applyGroupRecord(kv messages.KV, p *state.Shard) {
 	id := strings.TrimPrefix(kv.Key, "groups/")
 	rec, err := grouprecord.Decode(kv.Value)
 	part, ms := rec.ShardID, rec.Machines
-	if err != nil || part < 0 || int(part) >= len(c.shards) {
+	if err != nil || part < 0 || int(part) >= len(c.state.Shards) {
 		// Whose it is may be unreadable too; then each part that is taken over
 		// clears it, and the first to do so is enough.
-		if of, ok := groupRecordShard(kv.Value, len(c.shards)); !ok || of == p.id {
+		if of, ok := groupRecordShard(kv.Value, len(c.state.Shards)); !ok || of == p.ID {
 			c.quarantineRecord(p, kv, fmt.Sprint(err))
 		}
 		return
 	}
-	if part != p.id {
+	if part != p.ID {
 		c.recordOwners(part, ms)
 		return
 	}
-	if old := c.machineGroups[id]; old != nil {
+	if old := c.state.Groups[id]; old != nil {
 		// Two parts are held here and the group moved between them: the
 		// reading may be older than the move.
-		if old.modRevision >= kv.ModRevision || old.shardID == p.id {
+		if old.ModRevision >= kv.ModRevision || old.ShardID == p.ID {
 			return
 		}
-		c.dropTransferredGroup(old, p.id)
+		c.dropTransferredGroup(old, p.ID)
 	}
 	if len(ms) == 0 {
 		c.deleteEmptyGroup(p, kv)
@@ -410,22 +414,22 @@
 	for i := range ms {
 		// The same by machine: another part held here may have taken the group
 		// and joined it with others since it was read. The later write counts.
-		if x := c.machines[ms[i].ID]; x != nil && x.shardID != p.id {
-			if uint64(x.token) > uint64(kv.ModRevision) {
+		if x := c.state.Machines[ms[i].ID]; x != nil && x.ShardID != p.ID {
+			if uint64(x.Token) > uint64(kv.ModRevision) {
 				return
 			}
-			c.dropTransferredGroup(x.group, p.id)
+			c.dropTransferredGroup(x.Group, p.ID)
 		}
 	}
 	g := c.newGroup(p, id, kv.ModRevision)
-	g.recordSize = len(kv.Value)
+	g.RecordSize = len(kv.Value)
 	for _, l := range ms {
 		// The claim is later than every move of a machine of the part.
-		m := c.machines[l.ID]
+		m := c.state.Machines[l.ID]
 		if m == nil { // else listed twice: whatever either lists counts
-			m = c.addMachine(g, l, cluster.FencingToken(p.claimRevision))
+			m = c.addMachine(g, l, cluster.FencingToken(p.ClaimRevision))
 		}
-		m.releasing, m.releaseConfirmed = m.releasing || l.Releasing, m.releaseConfirmed || l.Releasing
+		m.Releasing, m.ReleaseConfirmed = m.Releasing || l.Releasing, m.ReleaseConfirmed || l.Releasing
 		for _, t := range l.Tasks {
 			if why := c.applyRecordedTask(m, t, p); why != "" {
 				c.quarantineRecord(p, kv, why)
@@ -440,20 +444,20 @@
 // move: a late copy of its creation would then be carried out once the key is
 // absent. So the key goes only while no part's claim is the one in its name, on
 // condition of all their marks; else it stays until the next claim.
-func (c *Controller) deleteEmptyGroup(p *shard, kv messages.KV) {
+func (c *Controller) deleteEmptyGroup(p *state.Shard, kv messages.KV) {
 	made, ok := claimRevisionFromKey(kv.Key)
 	if !ok {
 		return
 	}
-	x := &writequeue.Write{ShardID: p.id, Keys: []string{kv.Key}, MaxExtraCompares: len(c.shards), OnApplied: func(cluster.Revision) {}, OnConflict: func() {}}
+	x := &writequeue.Write{ShardID: p.ID, Keys: []string{kv.Key}, MaxExtraCompares: len(c.state.Shards), OnApplied: func(cluster.Revision) {}, OnConflict: func() {}}
 	x.Build = func(string) ([]messages.TxnOp, []cluster.ModRevision) {
 		x.ExtraCompares = nil
-		for _, q := range c.shards {
-			if q.modRevision == cluster.ModRevision(made) {
+		for _, q := range c.state.Shards {
+			if q.ModRevision == cluster.ModRevision(made) {
 				return nil, nil
 			}
 			if q != p {
-				x.ExtraCompares = append(x.ExtraCompares, messages.Compare{Key: q.key(), ModRevision: q.modRevision})
+				x.ExtraCompares = append(x.ExtraCompares, messages.Compare{Key: q.Key(), ModRevision: q.ModRevision})
 			}
 		}
 		return []messages.TxnOp{{Key: kv.Key, Value: nil}}, []cluster.ModRevision{kv.ModRevision}
@@ -472,9 +476,9 @@
 }
 
 // deleteKeyInBackground removes a part's key when there is time.
-func (c *Controller) deleteKeyInBackground(p *shard, key string, mark cluster.ModRevision) {
+func (c *Controller) deleteKeyInBackground(p *state.Shard, key string, mark cluster.ModRevision) {
 	c.writeQueue.Enqueue(writequeue.Background, &writequeue.Write{
-		ShardID: p.id, Keys: []string{key},
+		ShardID: p.ID, Keys: []string{key},
 		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
 			return []messages.TxnOp{{Key: key, Value: nil}}, []cluster.ModRevision{mark}
 		},
@@ -485,33 +489,33 @@
 
 // applyRecordedTask takes in a task that an earlier holder's record lists. It returns
 // what makes no sense about it.
-func (c *Controller) applyRecordedTask(m *machine, t grouprecord.Task, p *shard) string {
-	m.recordedTaskCount++
+func (c *Controller) applyRecordedTask(m *state.Machine, t grouprecord.Task, p *state.Shard) string {
+	m.RecordedTaskCount++
 	jid := t.ID.Job
-	j := c.jobs.owned[jid]
+	j := c.state.Jobs.Owned[jid]
 	if j == nil {
-		k := c.jobs.known[jid]
+		k := c.state.Jobs.Known[jid]
 		switch {
 		case k == nil:
 			return "lists a task of no known job"
-		case k.finalStatus == cluster.JobCancelled:
-			j = newJob(cluster.JobSpec{ID: jid, Team: k.team, ResourceRequest: k.resourceRequest, Tasks: k.tasks}, p.id, 0, c.loop.Now())
-			j.finalStatus, j.cancelling = cluster.JobCancelled, true
+		case k.FinalStatus == cluster.JobCancelled:
+			j = state.NewJob(cluster.JobSpec{ID: jid, Team: k.Team, ResourceRequest: k.ResourceRequest, Tasks: k.Tasks}, p.ID, 0, c.loop.Now())
+			j.FinalStatus, j.Cancelling = cluster.JobCancelled, true
 			c.addOwnedJob(j)
 		default:
 			return "" // done: what the worker still shows is reaped
 		}
 	}
-	if t.ID.Index >= len(j.taskStates) {
+	if t.ID.Index >= len(j.TaskStates) {
 		return "lists a task beyond its job"
 	}
-	if j.taskStates[t.ID.Index] >= taskCompleted {
+	if j.TaskStates[t.ID.Index] >= state.TaskCompleted {
 		return ""
 	}
-	a := &assignment{task: t.ID, machineID: m.id, job: j, attempt: t.Attempt, phase: phaseUnverified, resourceRequest: j.spec.ResourceRequest, stopRequested: j.finalStatus != ""}
-	m.addAssignment(a)
-	if j.taskStates[t.ID.Index] == taskPending {
-		j.setAssigned(t.ID.Index, a)
+	a := &state.Assignment{Task: t.ID, MachineID: m.ID, Job: j, Attempt: t.Attempt, Phase: state.PhaseUnverified, ResourceRequest: j.Spec.ResourceRequest, StopRequested: j.FinalStatus != ""}
+	m.AddAssignment(a)
+	if j.TaskStates[t.ID.Index] == state.TaskPending {
+		j.SetAssigned(t.ID.Index, a)
 	}
 	return ""
 }
--- a/internal/controller/machineowners.go
+++ b/internal/controller/machineowners.go
@@ -93,13 +93,13 @@
 			continue
 		}
 		record, err := grouprecord.Decode(kv.Value)
-		if err != nil || record.ShardID < 0 || int(record.ShardID) >= len(c.shards) {
+		if err != nil || record.ShardID < 0 || int(record.ShardID) >= len(c.state.Shards) {
 			return false
 		}
 		for i := range record.Machines {
 			id := record.Machines[i].ID
 			listed[id] = true
-			if c.machines[id] == nil {
+			if c.state.Machines[id] == nil {
 				c.machineOwners.record(id, record.ShardID, c.loop.Now())
 			}
 		}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -4,6 +4,8 @@
 	"slices"
 	"sort"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -11,45 +13,45 @@
 	"stairrelay/internal/grouprecord"
 )
 
-func (c *Controller) addMachine(g *machineGroup, l grouprecord.Machine, token cluster.FencingToken) *machine {
-	m := newMachine(g, l, token, c.loop.Now())
-	if old := c.machines[m.id]; old != nil { // never two pictures of one machine
+func (c *Controller) addMachine(g *state.MachineGroup, l grouprecord.Machine, token cluster.FencingToken) *state.Machine {
+	m := state.NewMachine(g, l, token, c.loop.Now())
+	if old := c.state.Machines[m.ID]; old != nil { // never two pictures of one machine
 		c.removeMachine(old)
-		m.assignments = old.assignments
+		m.Assignments = old.Assignments
 	}
-	p := c.shards[m.shardID]
-	m.usage.byTeam = p.usage
-	for _, a := range m.assignments {
-		m.usage.add(a)
+	p := c.state.Shards[m.ShardID]
+	m.Usage.ByTeam = p.Usage
+	for _, a := range m.Assignments {
+		m.Usage.Add(a)
 	}
-	g.machines[m.id] = m
-	c.machines[m.id] = m
-	i := sort.Search(len(p.machines), func(i int) bool { return p.machines[i].id >= m.id })
-	p.machines = slices.Insert(p.machines, i, m)
-	delete(c.machineOwners, m.id)
+	g.Machines[m.ID] = m
+	c.state.Machines[m.ID] = m
+	i := sort.Search(len(p.Machines), func(i int) bool { return p.Machines[i].ID >= m.ID })
+	p.Machines = slices.Insert(p.Machines, i, m)
+	delete(c.machineOwners, m.ID)
 	return m
 }
 
-func (c *Controller) removeMachine(m *machine) {
-	if c.machines[m.id] == m {
-		delete(c.machines, m.id)
+func (c *Controller) removeMachine(m *state.Machine) {
+	if c.state.Machines[m.ID] == m {
+		delete(c.state.Machines, m.ID)
 	}
-	delete(m.group.machines, m.id)
-	for _, a := range m.assignments {
-		m.usage.remove(a)
+	delete(m.Group.Machines, m.ID)
+	for _, a := range m.Assignments {
+		m.Usage.Remove(a)
 	}
-	p := c.shards[m.shardID]
-	if i := slices.Index(p.machines, m); i >= 0 {
-		p.machines = slices.Delete(slices.Clone(p.machines), i, i+1) // somebody may be walking the old list
+	p := c.state.Shards[m.ShardID]
+	if i := slices.Index(p.Machines, m); i >= 0 {
+		p.Machines = slices.Delete(slices.Clone(p.Machines), i, i+1) // somebody may be walking the old list
 	}
 }
 
 // dropMachine forgets a machine that is no longer ours.
-func (c *Controller) dropMachine(m *machine) {
+func (c *Controller) dropMachine(m *state.Machine) {
 	c.removeMachine(m)
-	if m.pendingHeartbeat != 0 {
-		c.redirectWorker(m.pendingHeartbeat, c.shards[m.shardID].owner)
-		m.pendingHeartbeat = 0
+	if m.PendingHeartbeat != 0 {
+		c.redirectWorker(m.PendingHeartbeat, c.state.Shards[m.ShardID].Owner)
+		m.PendingHeartbeat = 0
 	}
 }
 
@@ -62,56 +64,56 @@
 
 // removeAssignment follows a stored record that no longer lists the task: from
 // here on it may be started elsewhere.
-func (c *Controller) removeAssignment(m *machine, a *assignment) {
-	if m.assignments[a.task] != a {
+func (c *Controller) removeAssignment(m *state.Machine, a *state.Assignment) {
+	if m.Assignments[a.Task] != a {
 		return
 	}
-	delete(m.assignments, a.task)
-	m.usage.remove(a)
-	if a.phase == phaseEnded {
-		m.endedToAcknowledge[a.taskAttempt()] = true
+	delete(m.Assignments, a.Task)
+	m.Usage.Remove(a)
+	if a.Phase == state.PhaseEnded {
+		m.EndedToAcknowledge[a.TaskAttempt()] = true
 	}
 	c.unassignTask(a)
-	if len(m.assignments) == 0 {
-		m.idleSince = c.loop.Now()
+	if len(m.Assignments) == 0 {
+		m.IdleSince = c.loop.Now()
 	}
 }
 
-func (c *Controller) unassignTask(a *assignment) {
-	j := a.job
-	delete(j.listedAssignments, a)
-	if j.assignments[a.task.Index] == a {
-		j.setPending(a.task.Index)
+func (c *Controller) unassignTask(a *state.Assignment) {
+	j := a.Job
+	delete(j.ListedAssignments, a)
+	if j.Assignments[a.Task.Index] == a {
+		j.SetPending(a.Task.Index)
 		// Two machines may be listed with one task after a take-over: it waits
 		// for the other too.
-		var other *assignment
-		for b := range j.listedAssignments {
-			if b != a && b.task == a.task && (other == nil || b.machineID < other.machineID) {
+		var other *state.Assignment
+		for b := range j.ListedAssignments {
+			if b != a && b.Task == a.Task && (other == nil || b.MachineID < other.MachineID) {
 				other = b
 			}
 		}
 		if other != nil {
-			j.setAssigned(a.task.Index, other)
+			j.SetAssigned(a.Task.Index, other)
 		}
 	}
-	if j.finalStatus != "" && len(j.assignments) == 0 && c.jobs.owns(j) {
+	if j.FinalStatus != "" && len(j.Assignments) == 0 && c.state.Jobs.Owns(j) {
 		c.removeOwnedJob(j)
 	}
 	c.schedulingTrigger.request()
 }
 
 // checkOwner finds out whether a machine was moved to another part.
-func (c *Controller) checkOwner(m *machine) {
-	m.fencedOff = true
-	c.checkGroup(m.group)
+func (c *Controller) checkOwner(m *state.Machine) {
+	m.FencedOff = true
+	c.checkGroup(m.Group)
 }
 
 // raiseToken raises a machine's token. Whatever was sent under the lower one can't
 // be executed any more once the worker has acknowledged the new one.
-func (c *Controller) raiseToken(m *machine) {
-	if m.raisingToken || m.releasing {
+func (c *Controller) raiseToken(m *state.Machine) {
+	if m.RaisingToken || m.Releasing {
 		return
 	}
-	m.raisingToken = true
+	m.RaisingToken = true
 	c.writeMachine(m, writequeue.Start)
 }
--- a/internal/controller/machinetypecache.go
+++ b/internal/controller/machinetypecache.go
@@ -60,7 +60,7 @@
 // applyMachineTypes takes in machine types as the cloud or the store gives them.
 func (c *Controller) applyMachineTypes(types []cluster.MachineType) {
 	for _, t := range types {
-		c.machineTypes[t.Name] = t
+		c.state.MachineTypes[t.Name] = t
 	}
 	c.schedulingTrigger.request()
 }
@@ -90,7 +90,7 @@
 		return
 	}
 	c.machineTypeCache.types = rec.Types
-	if len(c.machineTypes) == 0 && len(rec.Types) > 0 {
+	if len(c.state.MachineTypes) == 0 && len(rec.Types) > 0 {
 		c.loop.Log(messages.LogInfo, "machine types from the store", "types", len(rec.Types))
 		c.applyMachineTypes(rec.Types)
 	}
@@ -113,12 +113,12 @@
 // than prices. The first live controller does, so that one put is spent.
 func (c *Controller) writeMachineTypeCache() {
 	s := &c.machineTypeCache
-	if !c.isFirstAlive() || !s.loaded || s.writing || len(c.machineTypes) == 0 {
+	if !c.isFirstAlive() || !s.loaded || s.writing || len(c.state.MachineTypes) == 0 {
 		return
 	}
 	var types []cluster.MachineType
-	for _, name := range slices.Sorted(maps.Keys(c.machineTypes)) {
-		types = append(types, c.machineTypes[name])
+	for _, name := range slices.Sorted(maps.Keys(c.state.MachineTypes)) {
+		types = append(types, c.state.MachineTypes[name])
 	}
 	if s.equalExceptPrices(types) {
 		return
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/messages"
@@ -13,9 +15,9 @@
 // Maintenance of the machines held here: tokens are raised, silent and idle ones
 // returned.
 
-func (c *Controller) handleMachineBooted(m *machine) {
-	c.loop.Log(messages.LogDebug, "machine up", "machine", string(m.id), "type", m.machineType, "after_s", int((c.loop.Now()-m.ownedSince)/second))
-	m.idleSince = c.loop.Now() // it has not been idle while it booted
+func (c *Controller) handleMachineBooted(m *state.Machine) {
+	c.loop.Log(messages.LogDebug, "machine up", "machine", string(m.ID), "type", m.MachineType, "after_s", int((c.loop.Now()-m.OwnedSince)/second))
+	m.IdleSince = c.loop.Now() // it has not been idle while it booted
 	c.schedulingTrigger.request()
 }
 
@@ -30,10 +32,10 @@
 // returns the idle and replaces slow boots.
 func (c *Controller) maintainMachines() {
 	reporting := c.workerReachability.hasOwnedHeartbeatWithin(c.loop.Now(), c.config.HeartbeatInterval)
-	var ms []*machine
-	for _, p := range c.shards {
-		if p.owned && p.ready {
-			ms = append(ms, p.machines...)
+	var ms []*state.Machine
+	for _, p := range c.state.Shards {
+		if p.Owned && p.Ready {
+			ms = append(ms, p.Machines...)
 		}
 	}
 	c.counters.addMachineScans(ms)
@@ -47,21 +49,21 @@
 // machineMaintenance is one look at the machines held here.
 type machineMaintenance struct {
 	controller       *Controller
-	workersReporting bool                // reports of some machines come in
-	isSurplus        func(*machine) bool // an idle machine is of no use to any part
+	workersReporting bool                      // reports of some machines come in
+	isSurplus        func(*state.Machine) bool // an idle machine is of no use to any part
 }
 
 // maintain looks after one machine.
-func (s *machineMaintenance) maintain(m *machine) {
+func (s *machineMaintenance) maintain(m *state.Machine) {
 	c := s.controller
-	if m.spot && !m.booting {
+	if m.Spot && !m.Booting {
 		c.spotInterruptions.addServed(maintenanceInterval)
 	}
-	if c.writeQueue.IsUnavailableFor(second) && !m.releaseConfirmed && (c.hangsWithCancelledTasks(m) || c.ignoresStop(m)) {
+	if c.writeQueue.IsUnavailableFor(second) && !m.ReleaseConfirmed && (c.hangsWithCancelledTasks(m) || c.ignoresStop(m)) {
 		c.scaleInBeforeRecorded(m)
 	}
-	if m.releasing {
-		if m.releaseConfirmed && !m.scaleInCallInFlight {
+	if m.Releasing {
+		if m.ReleaseConfirmed && !m.ScaleInCallInFlight {
 			c.scheduleScaleIn()
 		}
 		return
@@ -70,7 +72,7 @@
 		return
 	}
 	c.handleSlowMachine(m)
-	if m.booting {
+	if m.Booting {
 		if s.isBootTimedOut(m) {
 			c.scaleInMachine(m, "never came up")
 		}
@@ -90,17 +92,17 @@
 	}
 }
 
-func (s *machineMaintenance) isBootTimedOut(m *machine) bool {
+func (s *machineMaintenance) isBootTimedOut(m *state.Machine) bool {
 	c := s.controller
-	t := c.machineTypes[m.machineType]
+	t := c.state.MachineTypes[m.MachineType]
 	patience := cluster.Time((t.BootSeconds*c.config.Tuning.BootTimeoutFactor + 5) * float64(second))
-	return t.BootSeconds > 0 && c.loop.Now()-m.ownedSince > patience
+	return t.BootSeconds > 0 && c.loop.Now()-m.OwnedSince > patience
 }
 
 // stopFailureReason says why a machine can't be relied on to stop tasks, or "".
 // One that hangs with a cancelled job's tasks must be gone before its
 // cancellation's time is up.
-func (s *machineMaintenance) stopFailureReason(m *machine) string {
+func (s *machineMaintenance) stopFailureReason(m *state.Machine) string {
 	switch {
 	case s.controller.hangsWithCancelledTasks(m):
 		return "silent with cancelled tasks"
@@ -114,40 +116,40 @@
 
 // isUnreachableForCommands tells whether a machine's reports come, but nothing that is sent
 // to it has an effect.
-func (s *machineMaintenance) isUnreachableForCommands(m *machine) bool {
+func (s *machineMaintenance) isUnreachableForCommands(m *state.Machine) bool {
 	c := s.controller
-	if m.tokenAcknowledged || m.raisingToken || m.incarnation == 0 {
+	if m.TokenAcknowledged || m.RaisingToken || m.Incarnation == 0 {
 		return false
 	}
-	unacked := c.loop.Now() - max(m.unacknowledgedSince, c.processHealth.resumedAt)
-	return unacked > c.config.WorkerLease+5*second && c.heartbeatAge(m) < 3*c.config.WorkerLease && c.loop.Now()-m.ownedSince > c.config.WorkerLease
+	unacked := c.loop.Now() - max(m.UnacknowledgedSince, c.processHealth.resumedAt)
+	return unacked > c.config.WorkerLease+5*second && c.heartbeatAge(m) < 3*c.config.WorkerLease && c.loop.Now()-m.OwnedSince > c.config.WorkerLease
 }
 
 // silenceReason says how a machine counts as lost that is not heard any more, or "".
-func (s *machineMaintenance) silenceReason(m *machine) string {
+func (s *machineMaintenance) silenceReason(m *state.Machine) string {
 	c := s.controller
 	silent, lease := c.heartbeatAge(m), c.config.WorkerLease
 	switch {
-	case m.missingFromCloudList && silent > 5*c.config.HeartbeatInterval/2 && s.workersReporting:
+	case m.MissingFromCloudList && silent > 5*c.config.HeartbeatInterval/2 && s.workersReporting:
 		return "silent and not listed"
-	case silent > lease+5*second && (s.workersReporting || silent > 3*lease) && c.loop.Now()-m.ownedSince > lease:
+	case silent > lease+5*second && (s.workersReporting || silent > 3*lease) && c.loop.Now()-m.OwnedSince > lease:
 		return "silent"
 	}
 	return ""
 }
 
 // scaleInReason says why a machine without tasks is to be given back, or "".
-func (s *machineMaintenance) scaleInReason(m *machine) string {
+func (s *machineMaintenance) scaleInReason(m *state.Machine) string {
 	c := s.controller
-	idleFor := c.loop.Now() - m.idleSince
+	idleFor := c.loop.Now() - m.IdleSince
 	switch {
-	case m.draining && len(m.assignments) == 0 && c.loop.Now() > m.preemptionDeadline:
+	case m.Draining && len(m.Assignments) == 0 && c.loop.Now() > m.PreemptionDeadline:
 		return "drained"
-	case m.liveTaskCount() > 0:
+	case m.LiveTaskCount() > 0:
 		return ""
-	case m.draining && m.preemptionDeadline > 0:
+	case m.Draining && m.PreemptionDeadline > 0:
 		return "notice"
-	case m.cordoned && idleFor > 4*second && s.isSurplus(m):
+	case m.Cordoned && idleFor > 4*second && s.isSurplus(m):
 		return "retired"
 	case idleFor > c.config.Tuning.ScaleInIdleTime && s.isSurplus(m) && c.heartbeatAge(m) < 3*c.config.HeartbeatInterval:
 		return "idle"
@@ -159,17 +161,17 @@
 // that run cancelled tasks and are silent: they may be unable to report and
 // still be reached. Machines with cancelled tasks come first: after a take-over
 // in an outage nothing but these calls may reach them.
-func (c *Controller) pushMaintenanceCommands(ms []*machine) {
+func (c *Controller) pushMaintenanceCommands(ms []*state.Machine) {
 	asked := 0
 	for _, cancelled := range []bool{true, false} {
 		for _, m := range ms {
-			if m.releaseConfirmed || m.pushInFlight || m.address == "" || m.booting || c.loop.Now()-m.lastPushAt <= 1500*millisecond || asked >= maxTokenCalls {
+			if m.ReleaseConfirmed || m.PushInFlight || m.Address == "" || m.Booting || c.loop.Now()-m.LastPushAt <= 1500*millisecond || asked >= maxTokenCalls {
 				continue
 			}
-			if cancelled && c.hasCancelledTask(m) && (!m.tokenAcknowledged || c.heartbeatAge(m) > 2*c.config.HeartbeatInterval) {
+			if cancelled && c.hasCancelledTask(m) && (!m.TokenAcknowledged || c.heartbeatAge(m) > 2*c.config.HeartbeatInterval) {
 				asked++
 				c.pushCommands(m, onlyStops(c.commandsFor(m, true)))
-			} else if !cancelled && !m.tokenAcknowledged && !m.raisingToken && !m.releasing {
+			} else if !cancelled && !m.TokenAcknowledged && !m.RaisingToken && !m.Releasing {
 				asked++
 				c.pushCommands(m, nil)
 			}
@@ -187,20 +189,20 @@
 // hangsWithCancelledTasks tells whether a machine that may run tasks of a cancelled
 // job seems to hang, so that it has to be returned before the cancellation's time
 // is up.
-func (c *Controller) hangsWithCancelledTasks(m *machine) bool {
+func (c *Controller) hangsWithCancelledTasks(m *state.Machine) bool {
 	if !c.hasCancelledTask(m) {
 		return false
 	}
 	if c.heartbeatAge(m) > c.config.WorkerLease+2*second {
 		return true
 	}
-	if !m.awaitingFirstAcknowledgement {
+	if !m.AwaitingFirstAcknowledgement {
 		return false
 	}
-	if c.loop.Now()-max(m.ownedSince, c.processHealth.resumedAt) > c.firstAcknowledgementTimeout() {
+	if c.loop.Now()-max(m.OwnedSince, c.processHealth.resumedAt) > c.firstAcknowledgementTimeout() {
 		return true
 	}
-	return c.hasLongCancelledTask(m) && m.pushInFlight && c.loop.Now()-max(m.lastPushAt, c.processHealth.resumedAt) > slowPushThreshold
+	return c.hasLongCancelledTask(m) && m.PushInFlight && c.loop.Now()-max(m.LastPushAt, c.processHealth.resumedAt) > slowPushThreshold
 }
 
 // slowPushThreshold is well above what a call takes to a machine that runs.
@@ -210,10 +212,10 @@
 // since this process learnt of one whose tasks may be on a machine. Where each
 // holder of the part ended sooner than takenPatience, the rest may not be enough
 // for that either.
-func (c *Controller) hasLongCancelledTask(m *machine) bool {
-	for _, a := range m.assignments {
-		known := c.jobs.finalJob(a.task.Job)
-		if a.isLive() && known != nil && known.finalStatus == cluster.JobCancelled && c.loop.Now()-known.finalSince > c.config.CancelDeadline/2 {
+func (c *Controller) hasLongCancelledTask(m *state.Machine) bool {
+	for _, a := range m.Assignments {
+		known := c.state.Jobs.FinalJob(a.Task.Job)
+		if a.IsLive() && known != nil && known.FinalStatus == cluster.JobCancelled && c.loop.Now()-known.FinalSince > c.config.CancelDeadline/2 {
 			return true
 		}
 	}
@@ -221,15 +223,15 @@
 }
 
 // countSpotLoss notes a spot machine that went without notice.
-func (c *Controller) countSpotLoss(m *machine) {
-	if m.spot && !m.draining {
+func (c *Controller) countSpotLoss(m *state.Machine) {
+	if m.Spot && !m.Draining {
 		c.spotInterruptions.interruptionCount++
 	}
 }
 
-func (c *Controller) hasCancelledTask(m *machine) bool {
-	for _, a := range m.assignments {
-		if a.isLive() && a.job.cancelling {
+func (c *Controller) hasCancelledTask(m *state.Machine) bool {
+	for _, a := range m.Assignments {
+		if a.IsLive() && a.Job.Cancelling {
 			return true
 		}
 	}
@@ -238,9 +240,9 @@
 
 // ignoresStop tells whether a cancelled task goes on in spite of stop commands:
 // perhaps they don't reach the machine.
-func (c *Controller) ignoresStop(m *machine) bool {
-	for _, a := range m.assignments {
-		if a.isLive() && a.stopRequestedAt > 0 && a.job.cancelling && c.loop.Now()-a.stopRequestedAt > min(c.config.WorkerLease+2*second, c.config.CancelDeadline/2) {
+func (c *Controller) ignoresStop(m *state.Machine) bool {
+	for _, a := range m.Assignments {
+		if a.IsLive() && a.StopRequestedAt > 0 && a.Job.Cancelling && c.loop.Now()-a.StopRequestedAt > min(c.config.WorkerLease+2*second, c.config.CancelDeadline/2) {
 			return true
 		}
 	}
@@ -250,20 +252,20 @@
 // surplusPredicate returns a function that tells whether an idle machine is of no use
 // to any part. Another part with too few machines is better offered it than
 // left to rent one. What all machines share is worked out at most once.
-func (c *Controller) surplusPredicate() func(*machine) bool {
+func (c *Controller) surplusPredicate() func(*state.Machine) bool {
 	var loads fairshare.Snapshot
 	work := map[cluster.ShardID][]pendingWork{}
-	return func(m *machine) bool {
+	return func(m *state.Machine) bool {
 		if loads == nil {
 			loads = c.allShardLoads()
 		}
-		if loads.OthersHaveShortfall(m.shardID) {
+		if loads.OthersHaveShortfall(m.ShardID) {
 			return false
 		}
-		w, ok := work[m.shardID]
+		w, ok := work[m.ShardID]
 		if !ok {
-			w = c.listPendingWork(c.shards[m.shardID])
-			work[m.shardID] = w
+			w = c.listPendingWork(c.state.Shards[m.ShardID])
+			work[m.ShardID] = w
 		}
 		for _, x := range w {
 			if c.isAllowedOn(x.job, m) {
@@ -277,23 +279,23 @@
 // cleanUpGroups clears what records list though it is over, and keeps the
 // records' sizes in hand.
 func (c *Controller) cleanUpGroups() {
-	for _, id := range slices.Sorted(maps.Keys(c.machineGroups)) {
-		g := c.machineGroups[id]
-		if g.writePending {
+	for _, id := range slices.Sorted(maps.Keys(c.state.Groups)) {
+		g := c.state.Groups[id]
+		if g.WritePending {
 			continue
 		}
 	machines:
-		for _, m := range g.sortedMachines() {
-			for _, a := range m.assignments {
-				if a.confirmedAbsent {
+		for _, m := range g.SortedMachines() {
+			for _, a := range m.Assignments {
+				if a.ConfirmedAbsent {
 					c.writeGroup(g, writequeue.Background)
 					break machines
 				}
 			}
 		}
 	}
-	for _, p := range c.shards {
-		if p.owned && p.ready {
+	for _, p := range c.state.Shards {
+		if p.Owned && p.Ready {
 			c.splitAndMergeGroups(p)
 		}
 	}
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -65,19 +67,19 @@
 func TestFailbackOnlyRelievesLoad(t *testing.T) {
 	c := newSevenNodeController()
 	c.Step(20*second, 0, messages.Tick{})
-	mine, theirs, home := c.shards[0], c.shards[1], c.peers["n1"]
-	for _, p := range []*shard{mine, theirs} {
-		p.owned, p.ready, p.owner = true, true, "n0"
+	mine, theirs, home := c.state.Shards[0], c.state.Shards[1], c.peers["n1"]
+	for _, p := range []*state.Shard{mine, theirs} {
+		p.Owned, p.Ready, p.Owner = true, true, "n0"
 	}
 	home.hasAnswered, home.lastPingAt, home.healthySince = true, c.loop.Now(), second
 	if len(c.makePing(home).FailbackOffers) != 1 {
 		t.Error("a part without work is not offered to its home")
 	}
-	c.addOwnedJob(newJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.id, 0, 0))
+	c.addOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.ID, 0, 0))
 	if len(c.makePing(home).FailbackOffers) != 0 {
 		t.Error("the only part with work is offered to its home")
 	}
-	c.addOwnedJob(newJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.id, 0, 0))
+	c.addOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.ID, 0, 0))
 	if len(c.makePing(home).FailbackOffers) != 1 {
 		t.Error("one of two parts with work is not offered to its home")
 	}
@@ -91,7 +93,7 @@
 	c.config.CloudListLag = 8 * second
 	c.Step(0, 0, messages.Tick{})
 	p := c.shardForMachine("m-000007")
-	p.owned, p.ready = true, true
+	p.Owned, p.Ready = true, true
 	owned, enlisted, reads := true, false, 0
 	for c.loop.Now() < 300*second {
 		if c.loop.Now() > 70*second {
@@ -120,7 +122,7 @@
 	if reads < 2 {
 		t.Error("nobody looked whose the machine is")
 	}
-	if enlisted || len(p.toRegister) > 0 {
+	if enlisted || len(p.ToRegister) > 0 {
 		t.Error("a returned machine was taken in as a stray")
 	}
 }
@@ -131,12 +133,12 @@
 func TestOwnerWithoutHeartbeatsFailsOver(t *testing.T) {
 	c := newSevenNodeController()
 	c.Step(30*second, 0, messages.Tick{})
-	p := c.shards[0]
-	p.owned, p.ready = true, true
+	p := c.state.Shards[0]
+	p.Owned, p.Ready = true, true
 	g := c.newGroup(p, "g", 1)
 	for i := range largeFleetSize {
 		m := c.addMachine(g, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
-		m.ownedSince = 0
+		m.OwnedSince = 0
 	}
 	c.processHealth.resumedAt = 0 // the step to 30 s was no standstill
 	c.workerReachability.lastOwnedHeartbeat = c.loop.Now() - 3*second
--- a/internal/controller/orphans.go
+++ b/internal/controller/orphans.go
@@ -4,6 +4,8 @@
 	"slices"
 	"strconv"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
@@ -105,8 +107,8 @@
 // redirectToOwner sends a worker to the holder of a part. While that is this
 // node, its machine is about to be learned here.
 func (c *Controller) redirectToOwner(req messages.RequestID, part cluster.ShardID) {
-	if p := c.shards[part]; !p.owned {
-		c.redirectWorker(req, p.owner)
+	if p := c.state.Shards[part]; !p.Owned {
+		c.redirectWorker(req, p.Owner)
 		return
 	}
 	c.respondError(req, messages.ReplyUnavailable, 0, "")
@@ -136,7 +138,7 @@
 func (c *Controller) answerUnknownHeartbeat(e messages.Heartbeat, rec *recordedMachines) {
 	id := e.Status.Machine
 	switch {
-	case c.machines[id] != nil: // learned meanwhile
+	case c.state.Machines[id] != nil: // learned meanwhile
 		c.handleHeartbeat(e)
 	case rec == nil:
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "")
@@ -144,8 +146,8 @@
 		c.redirectToOwner(e.Request, c.machineOwners[id].shardID)
 	default:
 		p := c.shardForMachine(id)
-		c.redirectToOwner(e.Request, p.id)
-		if p.owned {
+		c.redirectToOwner(e.Request, p.ID)
+		if p.Owned {
 			c.queryOrphanStatus(p, &e.Status, rec)
 		}
 	}
@@ -153,14 +155,14 @@
 
 // queryOrphanStatus asks a machine that is nobody's for its state, and enlists it
 // when it answers: a report may be an old copy from one that is long gone.
-func (c *Controller) queryOrphanStatus(p *shard, r *cluster.HeartbeatStatus, rec *recordedMachines) {
+func (c *Controller) queryOrphanStatus(p *state.Shard, r *cluster.HeartbeatStatus, rec *recordedMachines) {
 	id, kind := r.Machine, grouprecord.Kind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-	if !p.ready || rec.requestedKinds[kind] || c.orphanedMachines.registering[id] || r.Addr == "" {
+	if !p.Ready || rec.requestedKinds[kind] || c.orphanedMachines.registering[id] || r.Addr == "" {
 		return
 	}
 	c.orphanedMachines.registering[id] = true
 	c.loop.Emit(messages.QueryWorkerStatus{Addr: r.Addr, Call: eventloop.Call(c.loop, func(reply messages.PushCommandsReply) {
-		if reply.Outcome != messages.OK || reply.Status.Machine != id || !p.owned || !p.ready {
+		if reply.Outcome != messages.OK || reply.Status.Machine != id || !p.Owned || !p.Ready {
 			delete(c.orphanedMachines.registering, id)
 			return
 		}
@@ -182,7 +184,7 @@
 		return
 	}
 	p := c.shardForMachine(l.ID)
-	if !p.owned || !p.ready || c.writeQueue.IsUnavailableFor(second) {
+	if !p.Owned || !p.Ready || c.writeQueue.IsUnavailableFor(second) {
 		return
 	}
 	if c.orphanedMachines.isTooNew(l.ID, c.loop.Now(), c.minOrphanAge()) || c.orphanedMachines.registering[l.ID] {
@@ -212,7 +214,7 @@
 	delete(o.registering, l.ID)
 	p := c.shardForMachine(l.ID)
 	kind := grouprecord.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}
-	if rec == nil || rec.listed[l.ID] || rec.requestedKinds[kind] || c.machines[l.ID] != nil || !p.owned || !p.ready {
+	if rec == nil || rec.listed[l.ID] || rec.requestedKinds[kind] || c.state.Machines[l.ID] != nil || !p.Owned || !p.Ready {
 		delete(o.unrecordedSince, l.ID)
 		return
 	}
@@ -229,16 +231,16 @@
 
 // queueRegistration gathers what is to be enlisted within a moment. Until that is
 // stored or has failed, the machine is not enlisted a second time.
-func (c *Controller) queueRegistration(p *shard, l grouprecord.Machine) {
+func (c *Controller) queueRegistration(p *state.Shard, l grouprecord.Machine) {
 	c.orphanedMachines.registering[l.ID] = true
-	p.toRegister = append(p.toRegister, l)
-	if len(p.toRegister) > 1 {
+	p.ToRegister = append(p.ToRegister, l)
+	if len(p.ToRegister) > 1 {
 		return
 	}
-	claim := p.claimRevision
+	claim := p.ClaimRevision
 	c.loop.After(100*millisecond, func() {
-		all := p.toRegister
-		p.toRegister = nil
+		all := p.ToRegister
+		p.ToRegister = nil
 		for n := c.groupMachines(); len(all) > 0; {
 			ms := all[:min(n, len(all))]
 			all = all[len(ms):]
@@ -248,7 +250,7 @@
 				}
 				c.maintainMachines()
 			}
-			if !p.isOwnedUnder(claim) {
+			if !p.IsOwnedUnder(claim) {
 				done()
 				continue
 			}
@@ -258,7 +260,7 @@
 }
 
 // shardForMachine spreads unknown machines over the parts by their number.
-func (c *Controller) shardForMachine(id cluster.MachineID) *shard {
+func (c *Controller) shardForMachine(id cluster.MachineID) *state.Shard {
 	n := 0
 	for i := len(id) - 1; i >= 0 && id[i] >= '0' && id[i] <= '9'; i-- {
 		v, _ := strconv.Atoi(string(id[i:]))
@@ -267,29 +269,29 @@
 			break
 		}
 	}
-	return c.shards[n%len(c.shards)]
+	return c.state.Shards[n%len(c.state.Shards)]
 }
 
 // registerMachines writes machines that no record lists into a new group of a part. done
 // is called when that is stored, or has failed.
-func (c *Controller) registerMachines(p *shard, ms []grouprecord.Machine, done func()) {
-	claim := p.claimRevision
+func (c *Controller) registerMachines(p *state.Shard, ms []grouprecord.Machine, done func()) {
+	claim := p.ClaimRevision
 	id := c.nextMachineGroupName(p)
 	size := 0
 	c.writeQueue.Enqueue(writequeue.ScaleOut, &writequeue.Write{
-		ShardID: p.id, Keys: []string{"groups/" + id},
+		ShardID: p.ID, Keys: []string{"groups/" + id},
 		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
-			ms = slices.DeleteFunc(ms, func(l grouprecord.Machine) bool { return c.machines[l.ID] != nil })
+			ms = slices.DeleteFunc(ms, func(l grouprecord.Machine) bool { return c.state.Machines[l.ID] != nil })
 			if len(ms) == 0 {
 				done()
 				return nil, nil
 			}
-			v := grouprecord.Encode(grouprecord.Record{ShardID: p.id, Machines: ms, WriteID: nonce})
+			v := grouprecord.Encode(grouprecord.Record{ShardID: p.ID, Machines: ms, WriteID: nonce})
 			size = len(v)
 			return []messages.TxnOp{{Key: "groups/" + id, Value: v}}, []cluster.ModRevision{0}
 		},
 		OnApplied: func(e cluster.Revision) {
-			if p.isOwnedUnder(claim) {
+			if p.IsOwnedUnder(claim) {
 				c.addRegisteredGroup(p, id, ms, size, e)
 			}
 			done()
@@ -300,13 +302,13 @@
 }
 
 // addRegisteredGroup follows the first record of machines that only this claim has owned.
-func (c *Controller) addRegisteredGroup(p *shard, id string, ms []grouprecord.Machine, size int, e cluster.Revision) {
+func (c *Controller) addRegisteredGroup(p *state.Shard, id string, ms []grouprecord.Machine, size int, e cluster.Revision) {
 	g := c.newGroup(p, id, cluster.ModRevision(e))
-	g.recordSize = size
+	g.RecordSize = size
 	for _, l := range ms {
-		if c.machines[l.ID] == nil {
+		if c.state.Machines[l.ID] == nil {
 			m := c.addMachine(g, l, cluster.FencingToken(e))
-			m.initialToken = m.token
+			m.InitialToken = m.Token
 		}
 	}
 	c.schedulingTrigger.request()
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -17,27 +19,27 @@
 func TestOverloadedController(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
 		Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
-	p := c.shards[0]
-	j := newJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
+	p := c.state.Shards[0]
+	j := state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
 	c.addOwnedJob(j)
 	g := c.newGroup(p, "g", 1)
-	put := func(m *machine, i int, ph assignmentPhase) {
-		a := &assignment{task: cluster.TaskID{Job: "j-1", Index: i}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, phase: ph}
-		m.addAssignment(a)
-		j.setAssigned(i, a)
+	put := func(m *state.Machine, i int, ph state.AssignmentPhase) {
+		a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: i}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Phase: ph}
+		m.AddAssignment(a)
+		j.SetAssigned(i, a)
 	}
-	var ms []*machine
+	var ms []*state.Machine
 	for i, id := range []cluster.MachineID{"busy", "idle"} {
 		m := c.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 5)
-		m.tokenAcknowledged = true
-		put(m, i, phaseReady)
+		m.TokenAcknowledged = true
+		put(m, i, state.PhaseReady)
 		ms = append(ms, m)
 	}
-	put(ms[0], 2, phaseAcknowledged)
+	put(ms[0], 2, state.PhaseAcknowledged)
 	called := func(l messages.ProcessLoad) (to []string) {
 		for _, m := range ms {
-			m.pushInFlight = false
-			m.assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(ms, m)}].phase = phaseReady
+			m.PushInFlight = false
+			m.Assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(ms, m)}].Phase = state.PhaseReady
 			c.queueCommandPush(m)
 		}
 		takeEffects(c)
--- a/internal/controller/ownerqueries.go
+++ b/internal/controller/ownerqueries.go
@@ -94,7 +94,7 @@
 			c.lookUpJobInStore(q.id, q.answer)
 			continue
 		}
-		if k := c.jobs.known[q.id]; k != nil && v.Status.IsFinal() {
+		if k := c.state.Jobs.Known[q.id]; k != nil && v.Status.IsFinal() {
 			c.applyFinalStatus(q.id, k, v.Status)
 		}
 		q.answer(messages.ReplyOK, v)
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -27,11 +29,11 @@
 		}, 100 * second, true, false, false},
 		{"a new run, the store read since", func(b *controllerHarness, q *peer) {
 			b.applyPingReply(q, messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
-			b.recordConfirmation(b.shards[0], 30, heard)
+			b.recordConfirmation(b.state.Shards[0], 30, heard)
 		}, heard, true, true, false},
 		{"a new run, another's mark read", func(b *controllerHarness, q *peer) {
 			b.applyPingReply(q, messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
-			b.recordConfirmation(b.shards[0], 31, heard)
+			b.recordConfirmation(b.state.Shards[0], 31, heard)
 		}, 100 * second, true, false, false},
 		{"an older release", func(b *controllerHarness, q *peer) {
 			b.applyPingReply(q, messages.Ping{InstanceID: "b-" + string(q.id)}, heard)
@@ -45,8 +47,8 @@
 		}, 100 * second, true, false, false},
 	} {
 		b := newControllerHarness()
-		p := b.shards[0]
-		p.confirmedAt = 100 * second
+		p := b.state.Shards[0]
+		p.ConfirmedAt = 100 * second
 		setTime(b.Controller, heard)
 		for _, id := range []cluster.NodeID{"n1", "n2"} {
 			q := b.peers[id]
@@ -54,8 +56,8 @@
 			b.applyPingReply(q, messages.Ping{InstanceID: q.instanceID, KnownTerms: []cluster.Term{1, 1, 1}}, heard)
 		}
 		x.play(b, b.peers["n2"])
-		if p.owned != x.held {
-			t.Errorf("%s: held %v", x.name, p.owned)
+		if p.Owned != x.held {
+			t.Errorf("%s: held %v", x.name, p.Owned)
 			continue
 		}
 		if !x.held {
@@ -81,7 +83,7 @@
 		b := newControllerHarness()
 		j := b.addTestJob("j-1", 1)
 		m, a := b.addRunningMachine(j)
-		a.phase = phaseReady
+		a.Phase = state.PhaseReady
 		setTime(b.Controller, b.loop.Now()+d)
 		if n := len(b.commandsFor(m, false)); n != want {
 			t.Errorf("%d s after the last proof: %d starts", d/second, n)
@@ -93,9 +95,9 @@
 // mark is read again and again, and the holder stays entitled.
 func TestOwnershipConfirmedByStoreReads(t *testing.T) {
 	b := newControllerHarness()
-	p := b.shards[0]
+	p := b.state.Shards[0]
 	b.runFor(b.config.CancelDeadline)
-	if d := b.loop.Now() - p.confirmedAt; d > 4*second || !b.canAnswerWorkers(p) || !b.canStartTasks(p) {
+	if d := b.loop.Now() - p.ConfirmedAt; d > 4*second || !b.canAnswerWorkers(p) || !b.canStartTasks(p) {
 		t.Errorf("last proven %d s ago: entitled %v, may start %v", d/second, b.canAnswerWorkers(p), b.canStartTasks(p))
 	}
 }
--- a/internal/controller/ownershipcheck.go
+++ b/internal/controller/ownershipcheck.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // ownershipChecks gathers those who wait until the store has shown that a part is
@@ -26,12 +27,12 @@
 // confirmOwnership calls fn after the store has shown that the part is still held,
 // with a read begun after this call. Without it a holder that lost its claim
 // unawares could answer with an older state than its successor.
-func (c *Controller) confirmOwnership(p *shard, fn func(held bool)) {
+func (c *Controller) confirmOwnership(p *state.Shard, fn func(held bool)) {
 	if c.writeQueue.IsUnavailableFor(second) {
 		fn(false)
 		return
 	}
-	s := &p.ownershipChecks
+	s := &c.ownershipChecks[p.ID]
 	s.waiting = append(s.waiting, fn)
 	if s.scheduled {
 		return
@@ -41,22 +42,22 @@
 }
 
 // readOwnership reads a part's claim for those who wait now.
-func (c *Controller) readOwnership(p *shard) {
-	s := &p.ownershipChecks
-	batch, mark := s.take(), p.modRevision
+func (c *Controller) readOwnership(p *state.Shard) {
+	s := &c.ownershipChecks[p.ID]
+	batch, mark := s.take(), p.ModRevision
 	s.lastReadAt = c.loop.Now()
 	if len(batch) == 0 { // the part was lost meanwhile
 		s.scheduled = false
 		return
 	}
 	begun := c.loop.Now()
-	c.writeQueue.ReadKey(p.key(), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(p.Key(), func(r messages.GetReply) {
 		s.scheduled = false
 		if r.Outcome == messages.OK {
 			c.applyShardRecord(r.KV)
 			c.recordConfirmation(p, r.KV.ModRevision, begun)
 		}
-		held := r.Outcome == messages.OK && p.owned && r.KV.ModRevision == mark && p.modRevision == mark
+		held := r.Outcome == messages.OK && p.Owned && r.KV.ModRevision == mark && p.ModRevision == mark
 		for _, fn := range batch {
 			fn(held)
 		}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
@@ -54,14 +56,14 @@
 
 func (c *Controller) makePing(to *peer) *messages.Ping {
 	g := &messages.Ping{InstanceID: c.config.InstanceID, StoreReachable: !c.writeQueue.IsUnavailableFor(2500*millisecond) && (c.writeQueue.Health.LastSuccess > 0 || c.loop.Now() < startupGrace), WorkersReachable: c.canReachWorkers(), MillisSinceContact: map[cluster.NodeID]int64{}, StoreFailing: c.writeQueue.Health.IsFailing()}
-	for _, p := range c.shards {
-		if !p.owned {
+	for _, p := range c.state.Shards {
+		if !p.Owned {
 			continue
 		}
-		g.Shards = append(g.Shards, messages.ShardTerm{Shard: p.id, Term: p.term})
-		if to != nil && p.preferredOwner == to.id && p.ready && !to.failed && to.healthySince > 0 &&
-			c.loop.Now()-to.healthySince > c.config.Tuning.FailbackDelay && c.loop.Now()-p.ownershipChangedAt > c.config.Tuning.FailbackDelay && c.failbackRelievesLoad(p) {
-			g.FailbackOffers = append(g.FailbackOffers, p.id)
+		g.Shards = append(g.Shards, messages.ShardTerm{Shard: p.ID, Term: p.Term})
+		if to != nil && p.PreferredOwner == to.id && p.Ready && !to.failed && to.healthySince > 0 &&
+			c.loop.Now()-to.healthySince > c.config.Tuning.FailbackDelay && c.loop.Now()-p.OwnershipChangedAt > c.config.Tuning.FailbackDelay && c.failbackRelievesLoad(p) {
+			g.FailbackOffers = append(g.FailbackOffers, p.ID)
 		}
 	}
 	for _, id := range c.config.Nodes {
@@ -79,12 +81,12 @@
 // failbackRelievesLoad tells whether handing a part back would take work off this
 // controller that it does beside other work. A part that has all the work would
 // only change hands: its machines and users would wait for that for nothing.
-func (c *Controller) failbackRelievesLoad(p *shard) bool {
-	if len(p.jobs)+len(p.machines) == 0 {
+func (c *Controller) failbackRelievesLoad(p *state.Shard) bool {
+	if len(p.Jobs)+len(p.Machines) == 0 {
 		return true
 	}
-	for _, q := range c.shards {
-		if q != p && q.owned && len(q.jobs)+len(q.machines) > 0 {
+	for _, q := range c.state.Shards {
+		if q != p && q.Owned && len(q.Jobs)+len(q.Machines) > 0 {
 			return true
 		}
 	}
@@ -135,26 +137,26 @@
 		c.scheduleScaleOut()
 	}
 	for _, pt := range g.Shards {
-		if int(pt.Shard) < 0 || int(pt.Shard) >= len(c.shards) {
+		if int(pt.Shard) < 0 || int(pt.Shard) >= len(c.state.Shards) {
 			continue
 		}
-		q := c.shards[pt.Shard]
-		if pt.Term > q.term && q.owned {
-			c.handleDeposed(q.id)
+		q := c.state.Shards[pt.Shard]
+		if pt.Term > q.Term && q.Owned {
+			c.handleDeposed(q.ID)
 		}
-		if pt.Term > q.term && !q.owned && !q.acquiring {
+		if pt.Term > q.Term && !q.Owned && !q.Acquiring {
 			// The mark is not told, so a claim from here needs a read first.
-			q.owner, q.term = p.id, pt.Term
+			q.Owner, q.Term = p.id, pt.Term
 			c.rereadShard(q)
 		}
-		q.failbackOffered = q.failbackOffered && q.owner != p.id
+		q.FailbackOffered = q.FailbackOffered && q.Owner != p.id
 	}
 	for _, id := range g.FailbackOffers {
-		if int(id) < 0 || int(id) >= len(c.shards) {
+		if int(id) < 0 || int(id) >= len(c.state.Shards) {
 			continue
 		}
-		if q := c.shards[id]; q.preferredOwner == c.config.Self && q.owner == p.id {
-			q.failbackOffered = true
+		if q := c.state.Shards[id]; q.PreferredOwner == c.config.Self && q.Owner == p.id {
+			q.FailbackOffered = true
 		}
 	}
 	c.applyTerms(g.KnownTerms)
@@ -162,7 +164,7 @@
 }
 
 func (c *Controller) reviewShards() {
-	for _, p := range c.shards {
+	for _, p := range c.state.Shards {
 		c.considerAcquire(p)
 	}
 }
@@ -262,7 +264,7 @@
 
 // handleHealth tells whether this node can take requests.
 func (c *Controller) handleHealth(e messages.Health) {
-	if c.writeQueue.Health.LastSuccess == 0 || len(c.machineTypes) == 0 && c.loop.Now() < 10*second {
+	if c.writeQueue.Health.LastSuccess == 0 || len(c.state.MachineTypes) == 0 && c.loop.Now() < 10*second {
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "starting")
 		return
 	}
--- a/internal/controller/pingvalidation.go
+++ b/internal/controller/pingvalidation.go
@@ -26,7 +26,7 @@
 // gone through, and a count in it is gone through one by one, so that an absurd
 // one would hold up everything else.
 func (c *Controller) validatePing(g *messages.Ping) error {
-	parts, nodes := len(c.shards), len(c.config.Nodes)
+	parts, nodes := len(c.state.Shards), len(c.config.Nodes)
 	for _, list := range []PingError{
 		{"Parts", len(g.Shards), parts},
 		{"Offer", len(g.FailbackOffers), parts},
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -16,18 +18,18 @@
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
 	c.Step(0, 0, messages.Tick{})
-	p := c.shards[0]
-	p.owned, p.ready = true, true
+	p := c.state.Shards[0]
+	p.Owned, p.Ready = true, true
 	g := c.newGroup(p, "g", 1)
-	var ms []*machine
+	var ms []*state.Machine
 	for _, id := range []cluster.MachineID{"m-1", "m-2", "m-3"} {
 		m := c.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "x"}, 5)
-		m.idleSince = 1000 * second // not what this is about
+		m.IdleSince = 1000 * second // not what this is about
 		ms = append(ms, m)
 	}
 	returned := func() (n int) {
 		for _, m := range ms {
-			if m.releasing {
+			if m.Releasing {
 				n++
 			}
 		}
--- a/internal/controller/processhealth.go
+++ b/internal/controller/processhealth.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // processHealth tells how the process itself is served by its machine.
@@ -43,14 +44,14 @@
 func (c *Controller) handleProcessPause() {
 	c.processHealth.resumedAt = c.loop.Now()
 	c.loop.Log(messages.LogInfo, "stood still")
-	for _, p := range c.shards {
-		if p.owned {
+	for _, p := range c.state.Shards {
+		if p.Owned {
 			c.rereadShard(p)
 		}
 	}
 }
 
 // heartbeatAge is how long a machine could have been heard and was not.
-func (c *Controller) heartbeatAge(m *machine) cluster.Time {
-	return c.loop.Now() - max(m.lastHeartbeat, c.processHealth.resumedAt)
+func (c *Controller) heartbeatAge(m *state.Machine) cluster.Time {
+	return c.loop.Now() - max(m.LastHeartbeat, c.processHealth.resumedAt)
 }
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -58,30 +60,30 @@
 	}
 	b.runFor(second)
 	for id, done := range map[cluster.JobID]int{"j-000412": 4, "j-000413": 0, "j-000414": 5462 + 100, "j-000417": 0, "j-000418": 0} {
-		if j := b.jobs.owned[id]; j == nil || j.completedCount != done || len(j.spec.Dependencies) > 0 || j.blocked || !j.isActive() || j.chunksLoading > 0 {
+		if j := b.state.Jobs.Owned[id]; j == nil || j.CompletedCount != done || len(j.Spec.Dependencies) > 0 || j.Blocked || !j.IsActive() || j.ChunksLoading > 0 {
 			t.Errorf("%s: %+v, want %d done", id, j, done)
 		}
 	}
 	want := cluster.JobSpec{ID: "j-000412", Class: "train", Team: "red", Priority: cluster.Urgent, Tasks: 16, ResourceRequest: cluster.Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}, MachineTypes: []string{"g8"}, Zone: "a",
 		Colocate: true, Spread: true, Spot: true, Image: "img-07", ImageGB: 6.2, RuntimeSeconds: 240, CheckpointSeconds: 30, SaveSeconds: 4, DeadlineSeconds: 900, SubmittedAt: 1_700_000_000_000}
-	if j := b.jobs.owned["j-000412"]; !reflect.DeepEqual(j.spec, want) {
-		t.Errorf("read %+v", j.spec)
+	if j := b.state.Jobs.Owned["j-000412"]; !reflect.DeepEqual(j.Spec, want) {
+		t.Errorf("read %+v", j.Spec)
 	}
 	for id, end := range map[cluster.JobID]cluster.JobStatus{"j-000415": cluster.JobDone, "j-000416": cluster.JobCancelled} {
-		if k := b.jobs.known[id]; k == nil || k.finalStatus != end || k.tasks != 4 || !k.finalRecorded {
+		if k := b.state.Jobs.Known[id]; k == nil || k.FinalStatus != end || k.Tasks != 4 || !k.FinalRecorded {
 			t.Errorf("%s: %+v, want %s", id, k, end)
 		}
 	}
-	if b.jobs.known["j-000416"].resourceRequest.CPU != 2_000_000 {
+	if b.state.Jobs.Known["j-000416"].ResourceRequest.CPU != 2_000_000 {
 		t.Error("a cancelled job's need is lost")
 	}
 	for _, k := range []string{"groups/b1-30-1", "groups/b1-30-2"} {
-		b.applyGroupRecord(messages.KV{Key: k, Value: recs[k], ModRevision: 31}, b.shards[0])
+		b.applyGroupRecord(messages.KV{Key: k, Value: recs[k], ModRevision: 31}, b.state.Shards[0])
 	}
-	m1, m2, m3 := b.machines["m-000001"], b.machines["m-000002"], b.machines["m-000003"]
-	if m1 == nil || m2 == nil || m3 == nil || len(m1.assignments) != 3 || m1.address != "10.1.0.232:9000" || !m1.spot || m1.zone != "a" || !m2.booting || !m3.releaseConfirmed || len(m3.assignments) != 1 {
+	m1, m2, m3 := b.state.Machines["m-000001"], b.state.Machines["m-000002"], b.state.Machines["m-000003"]
+	if m1 == nil || m2 == nil || m3 == nil || len(m1.Assignments) != 3 || m1.Address != "10.1.0.232:9000" || !m1.Spot || m1.Zone != "a" || !m2.Booting || !m3.ReleaseConfirmed || len(m3.Assignments) != 1 {
 		t.Errorf("machines %+v, %+v, %+v", m1, m2, m3)
-	} else if a := m1.assignments[cluster.TaskID{Job: "j-000412", Index: 4}]; a == nil || a.attempt != 30<<20|2 {
+	} else if a := m1.Assignments[cluster.TaskID{Job: "j-000412", Index: 4}]; a == nil || a.Attempt != 30<<20|2 {
 		t.Errorf("task 4 is listed as %+v", a)
 	}
 	var r provisioningRecord
@@ -96,9 +98,9 @@
 	if json.Unmarshal(recs["types"], &c) != nil || len(c.Types) != 1 || c.Types[0].SpotPrice != 0.07 || len(c.Types[0].Zones) != 2 || c.WriteID != "b1-14" {
 		t.Errorf("types %+v", c)
 	}
-	for _, p := range b.shards {
-		if !p.owned {
-			t.Errorf("part %d was given up", p.id)
+	for _, p := range b.state.Shards {
+		if !p.Owned {
+			t.Errorf("part %d was given up", p.ID)
 		}
 	}
 }
@@ -142,11 +144,11 @@
 			t.Errorf("%s: wrote %.300s, was %.300s", key, v, old)
 		}
 		if j, ok := rec.(*jobRecord); ok && j.Spec != nil && strings.HasPrefix(key, "jobs/") {
-			state := make([]uint8, min(j.Spec.Tasks, tasksPerChunk))
-			decodeCompleted(j.CompletedIndexes, len(state), func(i int) { state[i] = taskCompletionStored })
-			out, fits := encodeCompleted(state, 1<<20)
-			again := make([]uint8, len(state))
-			if fits != len(state) || !productionForm.MatchString(out) || !decodeCompleted(out, len(state), func(i int) { again[i] = taskCompletionStored }) || !bytes.Equal(again, state) {
+			taskStates := make([]uint8, min(j.Spec.Tasks, state.TasksPerChunk))
+			state.DecodeCompleted(j.CompletedIndexes, len(taskStates), func(i int) { taskStates[i] = state.TaskCompletionStored })
+			out, fits := state.EncodeCompleted(taskStates, 1<<20)
+			again := make([]uint8, len(taskStates))
+			if fits != len(taskStates) || !productionForm.MatchString(out) || !state.DecodeCompleted(out, len(taskStates), func(i int) { again[i] = state.TaskCompletionStored }) || !bytes.Equal(again, taskStates) {
 				t.Errorf("%s: outcomes %.80s, were %.80s", key, out, j.CompletedIndexes)
 			}
 			forms[strings.HasPrefix(j.CompletedIndexes, "b")] = true
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/scheduling"
@@ -33,16 +35,16 @@
 
 // checkShardProgress notes at each checkpoint which parts are served.
 func (c *Controller) checkShardProgress() {
-	for _, p := range c.shards {
+	for _, p := range c.state.Shards {
 		c.recordShardProgress(p, c.shardStallReason(p))
 	}
 }
 
 // recordShardProgress counts the checkpoints without progress, and logs each time that
 // there were too many.
-func (c *Controller) recordShardProgress(p *shard, why stallReason) {
-	state := &p.progress
-	state.plannedStarts, state.storedTransactions = p.plannedStarts, p.storedTransactions
+func (c *Controller) recordShardProgress(p *state.Shard, why stallReason) {
+	state := &c.progress[p.ID]
+	state.plannedStarts, state.storedTransactions = p.PlannedStarts, p.StoredTransactions
 	if why == stallNone {
 		state.stalledCheckpoints = 0
 		return
@@ -51,24 +53,24 @@
 		return
 	}
 	c.loop.Log(messages.LogInfo, "part makes no progress",
-		"part", int(p.id),
+		"part", int(p.ID),
 		"why", string(why),
 		"checkpoints", state.stalledCheckpoints,
-		"holder", string(p.owner),
-		"claiming", p.acquiring)
+		"holder", string(p.Owner),
+		"claiming", p.Acquiring)
 }
 
 // shardStallReason says whether a part is served, as far as this controller knows.
-func (c *Controller) shardStallReason(p *shard) stallReason {
+func (c *Controller) shardStallReason(p *state.Shard) stallReason {
 	switch {
 	case c.writeQueue.IsUnavailableFor(second): // nobody can get on with anything
 		return stallNone
-	case !p.owned:
+	case !p.Owned:
 		if c.isServedByPeer(p) {
 			return stallNone
 		}
 		return stallNoOwner
-	case !p.ready:
+	case !p.Ready:
 		return stallNoOwner
 	case c.hasStalledWrites(p):
 		return stallNoWrites
@@ -80,25 +82,25 @@
 
 // isServedByPeer tells whether the part's holder says that it holds it, or is
 // alive though its word does not come through.
-func (c *Controller) isServedByPeer(p *shard) bool {
-	holder := c.peers[p.owner]
+func (c *Controller) isServedByPeer(p *state.Shard) bool {
+	holder := c.peers[p.Owner]
 	if holder == nil {
 		return false
 	}
 	if c.loop.Now()-holder.lastPingAt > 3*second {
-		return !c.isFailed(p.owner)
+		return !c.isFailed(p.Owner)
 	}
-	return slices.ContainsFunc(holder.lastPing.Shards, func(held messages.ShardTerm) bool { return held.Shard == p.id })
+	return slices.ContainsFunc(holder.lastPing.Shards, func(held messages.ShardTerm) bool { return held.Shard == p.ID })
 }
 
 // hasStalledWrites tells whether records of the part's machines wait to be stored,
 // and nothing of the part was stored since the last checkpoint.
-func (c *Controller) hasStalledWrites(p *shard) bool {
-	if p.storedTransactions != p.progress.storedTransactions {
+func (c *Controller) hasStalledWrites(p *state.Shard) bool {
+	if p.StoredTransactions != c.progress[p.ID].storedTransactions {
 		return false
 	}
-	for _, g := range c.machineGroups {
-		if g.shardID == p.id && g.writePending {
+	for _, g := range c.state.Groups {
+		if g.ShardID == p.ID && g.WritePending {
 			return true
 		}
 	}
@@ -107,17 +109,17 @@
 
 // hasStalledStarts tells whether waiting tasks fit on the part's machines, and none
 // was given one since the last checkpoint.
-func (c *Controller) hasStalledStarts(p *shard) bool {
-	if p.plannedStarts != p.progress.plannedStarts || !slices.ContainsFunc(p.jobs, c.hasSchedulableTasks) {
+func (c *Controller) hasStalledStarts(p *state.Shard) bool {
+	if p.PlannedStarts != c.progress[p.ID].plannedStarts || !slices.ContainsFunc(p.Jobs, c.hasSchedulableTasks) {
 		return false
 	}
 	work := c.listPendingWork(p)
 	slots, _ := c.listFreeCapacity(p, 1)
 	for i := range slots {
 		s := &slots[i]
-		fits := func(j *job) bool {
-			return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) && c.hasRoom(s.machine.group, j) && s.imageState(j) != scheduling.ImageBlocked &&
-				isZoneAllowed(&j.spec, c.countTasksByZone(j), s.machine.zone)
+		fits := func(j *state.Job) bool {
+			return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) && c.hasRoom(s.machine.Group, j) && s.imageState(j) != scheduling.ImageBlocked &&
+				isZoneAllowed(&j.Spec, c.countTasksByZone(j), s.machine.Zone)
 		}
 		if c.packWork(work, s.available, fits) > 0 {
 			return true
@@ -130,8 +132,8 @@
 // operators were told.
 func (c *Controller) stalledShardCount() int {
 	stalled := 0
-	for _, p := range c.shards {
-		if p.progress.stalledCheckpoints >= stallThreshold {
+	for _, p := range c.state.Shards {
+		if c.progress[p.ID].stalledCheckpoints >= stallThreshold {
 			stalled++
 		}
 	}
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -44,10 +46,10 @@
 	}{
 		{"all parts idle", func(*controllerHarness) {}, ""},
 		{"nobody holds it", func(b *controllerHarness) {
-			b.shards[0].owned, b.shards[0].owner = false, "n1"
+			b.state.Shards[0].Owned, b.state.Shards[0].Owner = false, "n1"
 		}, "nobody serves it"},
 		{"another holds it", func(b *controllerHarness) {
-			b.shards[0].owned, b.shards[0].owner = false, "n1"
+			b.state.Shards[0].Owned, b.state.Shards[0].Owner = false, "n1"
 			b.peers["n1"].lastPing.Shards = []messages.ShardTerm{{Shard: 0, Term: 2}}
 		}, ""},
 		{"idle machines beside waiting tasks", func(b *controllerHarness) {
@@ -56,27 +58,27 @@
 		}, "waiting tasks fit on its machines and none is started"},
 		{"waiting tasks that fit nowhere", func(b *controllerHarness) {
 			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			m.draining = true
+			m.Draining = true
 			b.addTestJob("j-2", 2)
 		}, ""},
 		{"waiting tasks that may not go to the zone", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
-			far := b.addMachine(b.newGroup(b.shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
+			far := b.addMachine(b.newGroup(b.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
 			j := b.addTestJob("j-2", 2)
-			j.spec.Colocate = true
-			j.setAssigned(0, &assignment{task: cluster.TaskID{Job: "j-2", Index: 0}, job: j, machineID: far.id, phase: phaseAcknowledged})
+			j.Spec.Colocate = true
+			j.SetAssigned(0, &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: j, MachineID: far.ID, Phase: state.PhaseAcknowledged})
 		}, ""},
 		{"a record that is never stored", func(b *controllerHarness) {
 			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			m.group.writePending = true
+			m.Group.WritePending = true
 		}, "its writes are not stored"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			test.prepare(b)
 			beat := func() { // the machine goes on reporting
-				for _, m := range b.machines {
-					m.lastHeartbeat = b.loop.Now() + 2*second
+				for _, m := range b.state.Machines {
+					m.LastHeartbeat = b.loop.Now() + 2*second
 				}
 			}
 			var logged []string
@@ -102,12 +104,12 @@
 // progress.
 func TestProgressEndsStall(t *testing.T) {
 	b := newControllerHarness()
-	b.registerMachines(b.shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
+	b.registerMachines(b.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
-	m := b.machines["m-1"]
-	m.group.writePending = true
+	m := b.state.Machines["m-1"]
+	m.Group.WritePending = true
 	b.runStallChecks(stallThreshold - 1)
-	b.shards[0].storedTransactions++
+	b.state.Shards[0].StoredTransactions++
 	if logged := b.runStallChecks(stallThreshold - 1); len(logged) > 0 {
 		t.Errorf("logged %q beside progress", logged)
 	}
--- a/internal/controller/provisioning_late_write_test.go
+++ b/internal/controller/provisioning_late_write_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
@@ -13,10 +15,10 @@
 // holder would repeat it and list them twice (seed 175, a task ran twice).
 func TestLateProvisioningWriteRejected(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
-	p := c.shards[0]
-	p.owned, p.ready, p.modRevision = true, true, 3
-	p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]cluster.Time{}
-	keys := map[string]cluster.ModRevision{p.key(): 3}
+	p := c.state.Shards[0]
+	p.Owned, p.Ready, p.ModRevision = true, true, 3
+	p.ProvisioningRequests, p.OutOfCapacityUntil = map[string]*state.ProvisioningRequest{}, map[state.ProvisioningOption]cluster.Time{}
+	keys := map[string]cluster.ModRevision{p.Key(): 3}
 	carryOut := func(f messages.StoreTxn) messages.TxnReply {
 		for _, w := range f.If {
 			if keys[w.Key] != w.ModRevision {
@@ -33,7 +35,7 @@
 	}
 	var first *messages.StoreTxn
 	rented := false
-	c.createProvisioningRequest(p, provisioningOption{"small", "a", true}, 2)
+	c.createProvisioningRequest(p, state.ProvisioningOption{Type: "small", Zone: "a", Spot: true}, 2)
 	for range 3 {
 		c.writeQueue.Dispatch()
 		out := takeEffects(c)
@@ -50,8 +52,8 @@
 			}
 		}
 	}
-	if !rented || len(c.machineGroups) != 1 || len(p.provisioningRequests) != 0 {
-		t.Fatalf("rented %v, %d groups, %d open rentals", rented, len(c.machineGroups), len(p.provisioningRequests))
+	if !rented || len(c.state.Groups) != 1 || len(p.ProvisioningRequests) != 0 {
+		t.Fatalf("rented %v, %d groups, %d open rentals", rented, len(c.state.Groups), len(p.ProvisioningRequests))
 	}
 	if r := carryOut(*first); r.Outcome != messages.Conflict {
 		t.Errorf("a late copy of the rental's record was carried out: %v", keys)
@@ -63,10 +65,10 @@
 // bring the request back (seven controllers, seed 1030).
 func TestLateWriteOfRefusedProvisioningRejected(t *testing.T) {
 	b := newControllerHarness()
-	p := b.shards[0]
+	p := b.state.Shards[0]
 	n := 0
 	b.losesReply = func(messages.StoreTxn) bool { n++; return n == 1 }
-	b.createProvisioningRequest(p, provisioningOption{"small", "a", true}, 2)
+	b.createProvisioningRequest(p, state.ProvisioningOption{Type: "small", Zone: "a", Spot: true}, 2)
 	var rent *messages.CloudScaleOut
 	for range 100 {
 		b.loop.RunTimers()
@@ -83,8 +85,8 @@
 	}
 	b.loop.Deliver(messages.Reply{Call: rent.Call, Body: messages.ScaleOutReply{Outcome: messages.NotFound}})
 	b.runFor(second)
-	if len(p.provisioningRequests) != 0 || b.store.get("rentals/"+rent.Name).Outcome != messages.NotFound {
-		t.Fatalf("the refused request is still there: %v", p.provisioningRequests)
+	if len(p.ProvisioningRequests) != 0 || b.store.get("rentals/"+rent.Name).Outcome != messages.NotFound {
+		t.Fatalf("the refused request is still there: %v", p.ProvisioningRequests)
 	}
 	if r := b.store.commit(b.sentTransactions[0]); r.Outcome != messages.Conflict {
 		t.Error("a late copy of the refused request was carried out")
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
@@ -19,7 +21,7 @@
 			p.hasAnswered, p.lastPingAt, p.lastPing.StoreReachable, p.lastPing.FeatureLevel = true, b.loop.Now(), true, level
 		}
 		b.writeQueue.Health.MarkFailing(b.loop.Now() - 10*second)
-		b.jobs.known["j-1"] = &knownJob{shard: 0, tasks: 1, team: "red"}
+		b.state.Jobs.Known["j-1"] = &state.KnownJob{ShardID: 0, Tasks: 1, Team: "red"}
 		b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
 		handed := false
 		for _, f := range b.loop.Effects() {
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
@@ -18,15 +20,15 @@
 // is dropped. Until then users are answered from the store.
 
 // quarantineRecord notes a group's record that makes no sense.
-func (c *Controller) quarantineRecord(p *shard, kv messages.KV, why string) {
+func (c *Controller) quarantineRecord(p *state.Shard, kv messages.KV, why string) {
 	c.loop.Log(messages.LogInfo, "impossible record", "key", kv.Key, "why", why)
-	if p.quarantined == nil {
-		p.quarantined = map[string]cluster.ModRevision{}
+	if p.Quarantined == nil {
+		p.Quarantined = map[string]cluster.ModRevision{}
 	}
-	p.quarantined[kv.Key] = kv.ModRevision
-	for _, g := range slices.Sorted(maps.Keys(c.machineGroups)) {
-		if c.machineGroups[g].key() == kv.Key {
-			c.dropTransferredGroup(c.machineGroups[g], cluster.NoShard)
+	p.Quarantined[kv.Key] = kv.ModRevision
+	for _, g := range slices.Sorted(maps.Keys(c.state.Groups)) {
+		if c.state.Groups[g].Key() == kv.Key {
+			c.dropTransferredGroup(c.state.Groups[g], cluster.NoShard)
 		}
 	}
 }
@@ -35,16 +37,16 @@
 // does, then drops the records set aside and reads the part again. The list may
 // be as old as twice its lag: only one that must show all that existed at the
 // claim will do.
-func (c *Controller) repairQuarantined(p *shard) {
-	claim := p.claimRevision
+func (c *Controller) repairQuarantined(p *state.Shard) {
+	claim := p.ClaimRevision
 	again := func(d cluster.Time) {
 		c.loop.After(d, func() {
-			if p.owned && p.claimRevision == claim && !p.ready {
+			if p.Owned && p.ClaimRevision == claim && !p.Ready {
 				c.repairQuarantined(p)
 			}
 		})
 	}
-	if wait := p.ownershipChangedAt + 2*c.config.CloudListLag + 3*second - c.loop.Now(); wait > 0 {
+	if wait := p.OwnershipChangedAt + 2*c.config.CloudListLag + 3*second - c.loop.Now(); wait > 0 {
 		again(wait)
 		return
 	}
@@ -61,7 +63,7 @@
 			}
 			listed := map[cluster.MachineID]bool{}
 			for _, kv := range l.Items {
-				if _, bad := p.quarantined[kv.Key]; bad {
+				if _, bad := p.Quarantined[kv.Key]; bad {
 					continue
 				}
 				if rec, err := grouprecord.Decode(kv.Value); err == nil {
@@ -81,8 +83,8 @@
 	})
 }
 
-func (c *Controller) releaseUnlistedMachines(p *shard, claim cluster.Revision, lost []cluster.MachineID, again func(cluster.Time)) {
-	if !p.owned || p.claimRevision != claim {
+func (c *Controller) releaseUnlistedMachines(p *state.Shard, claim cluster.Revision, lost []cluster.MachineID, again func(cluster.Time)) {
+	if !p.Owned || p.ClaimRevision != claim {
 		return
 	}
 	if len(lost) == 0 {
@@ -100,27 +102,27 @@
 	})})
 }
 
-func (c *Controller) deleteQuarantinedRecords(p *shard, claim cluster.Revision) {
-	keys := slices.Sorted(maps.Keys(p.quarantined))
+func (c *Controller) deleteQuarantinedRecords(p *state.Shard, claim cluster.Revision) {
+	keys := slices.Sorted(maps.Keys(p.Quarantined))
 	keys = keys[:min(len(keys), c.config.MaxTxnOps)]
 	c.writeQueue.Enqueue(writequeue.ScaleOut, &writequeue.Write{
-		ShardID: p.id, Keys: keys,
+		ShardID: p.ID, Keys: keys,
 		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
 			var ops []messages.TxnOp
 			var marks []cluster.ModRevision
 			for _, k := range keys {
-				ops, marks = append(ops, messages.TxnOp{Key: k, Value: nil}), append(marks, p.quarantined[k])
+				ops, marks = append(ops, messages.TxnOp{Key: k, Value: nil}), append(marks, p.Quarantined[k])
 			}
 			return ops, marks
 		},
 		OnApplied: func(cluster.Revision) {
-			if p.owned && p.claimRevision == claim {
-				c.loop.Log(messages.LogInfo, "impossible records dropped", "part", int(p.id), "records", len(keys))
+			if p.Owned && p.ClaimRevision == claim {
+				c.loop.Log(messages.LogInfo, "impossible records dropped", "part", int(p.ID), "records", len(keys))
 				c.reloadShard(p)
 			}
 		},
 		OnConflict: func() { // another part's holder was faster, or an earlier sending was carried out
-			if p.owned && p.claimRevision == claim {
+			if p.Owned && p.ClaimRevision == claim {
 				c.reloadShard(p)
 			}
 		},
@@ -128,20 +130,20 @@
 }
 
 // reloadShard reads a part's records anew.
-func (c *Controller) reloadShard(p *shard) {
-	p.quarantined = nil
-	for _, m := range slices.Clone(p.machines) {
+func (c *Controller) reloadShard(p *state.Shard) {
+	p.Quarantined = nil
+	for _, m := range slices.Clone(p.Machines) {
 		c.dropMachine(m)
 	}
-	for _, j := range slices.Clone(p.jobs) {
+	for _, j := range slices.Clone(p.Jobs) {
 		c.abandonJob(j)
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.machineGroups)) {
-		if c.machineGroups[id].shardID == p.id {
-			delete(c.machineGroups, id)
+	for _, id := range slices.Sorted(maps.Keys(c.state.Groups)) {
+		if c.state.Groups[id].ShardID == p.ID {
+			delete(c.state.Groups, id)
 		}
 	}
-	p.provisioningRequests = map[string]*provisioningRequest{}
+	p.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
 	c.loadShard(p)
 }
 
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
@@ -16,9 +18,9 @@
 // transferOffers lists the groups that the parts held here offer to others.
 func (c *Controller) transferOffers() []messages.TransferOffer {
 	var out []messages.TransferOffer
-	for _, id := range slices.Sorted(maps.Keys(c.machineGroups)) {
-		g := c.machineGroups[id]
-		if g.offer == nil || g.writePending {
+	for _, id := range slices.Sorted(maps.Keys(c.state.Groups)) {
+		g := c.state.Groups[id]
+		if g.Offer == nil || g.WritePending {
 			continue
 		}
 		if len(out) == maxOffers {
@@ -26,14 +28,14 @@
 		}
 		n := map[grouprecord.Kind]int{}
 		var kinds []grouprecord.Kind
-		for _, m := range g.sortedMachines() {
-			k := m.kind()
+		for _, m := range g.SortedMachines() {
+			k := m.Kind()
 			if n[k] == 0 {
 				kinds = append(kinds, k)
 			}
 			n[k]++
 		}
-		o := messages.TransferOffer{Key: g.key(), ModRevision: g.modRevision, Recipient: g.offer.toShard}
+		o := messages.TransferOffer{Key: g.Key(), ModRevision: g.ModRevision, Recipient: g.Offer.ToShard}
 		for _, k := range kinds {
 			o.Kinds = append(o.Kinds, messages.MachineKindCount{Type: k.Type, Zone: k.Zone, Spot: k.Spot, Count: n[k]})
 		}
@@ -45,9 +47,9 @@
 // expireOffers takes back what nobody took in time, whether or not anybody still
 // lacks machines: an offered group gets no work.
 func (c *Controller) expireOffers() {
-	for _, g := range c.machineGroups {
-		if g.offer != nil && c.loop.Now() > g.offer.until {
-			g.offer = nil
+	for _, g := range c.state.Groups {
+		if g.Offer != nil && c.loop.Now() > g.Offer.Until {
+			g.Offer = nil
 			c.schedulingTrigger.request()
 		}
 	}
@@ -55,8 +57,8 @@
 
 // offerIdleMachines offers a part's idle machines to those that lack some. They are
 // gathered into groups of their own, so that one write moves many.
-func (c *Controller) offerIdleMachines(p *shard, plan *fairshare.Plan) {
-	if c.loop.Now() < p.nextOfferAt {
+func (c *Controller) offerIdleMachines(p *state.Shard, plan *fairshare.Plan) {
+	if c.loop.Now() < p.NextOfferAt {
 		return
 	}
 	idle := c.idleMachines(p)
@@ -64,72 +66,74 @@
 		return
 	}
 	work := c.listPendingWork(p)
-	var spare []*machine
+	var spare []*state.Machine
 	for _, m := range idle {
-		if m.cordoned || c.packWork(work, c.machineTypes[m.machineType].Capacity, func(j *job) bool { return c.isAllowedOn(j, m) }) == 0 {
+		if m.Cordoned || c.packWork(work, c.state.MachineTypes[m.MachineType].Capacity, func(j *state.Job) bool { return c.isAllowedOn(j, m) }) == 0 {
 			spare = append(spare, m)
 		}
 	}
 	offered := map[cluster.ShardID]cluster.Amount{}
-	for _, g := range c.machineGroups {
-		if g.shardID == p.id && g.offer != nil {
-			offered[g.offer.toShard] += c.groupCPU(g)
+	for _, g := range c.state.Groups {
+		if g.ShardID == p.ID && g.Offer != nil {
+			offered[g.Offer.ToShard] += c.groupCPU(g)
 		}
 	}
-	for _, recipient := range plan.Recipients(p.id) {
+	for _, recipient := range plan.Recipients(p.ID) {
 		lack := recipient.Amount - offered[recipient.Shard]
-		var ms []*machine
-		groups, bytes := map[*machineGroup]bool{}, 0
+		var ms []*state.Machine
+		groups, bytes := map[*state.MachineGroup]bool{}, 0
 		for len(spare) > 0 && lack > 0 && len(ms) < c.groupMachines() {
 			m := spare[0]
-			if !groups[m.group] {
+			if !groups[m.Group] {
 				// All their records are rewritten in one transaction.
-				if len(groups) == c.config.MaxTxnOps-1 || bytes+m.group.estimatedSize() > writequeue.MaxBatchBytes && len(groups) > 0 {
+				if len(groups) == c.config.MaxTxnOps-1 || bytes+m.Group.EstimatedSize() > writequeue.MaxBatchBytes && len(groups) > 0 {
 					break
 				}
-				groups[m.group] = true
-				bytes += m.group.estimatedSize()
+				groups[m.Group] = true
+				bytes += m.Group.EstimatedSize()
 			}
 			spare = spare[1:]
 			ms = append(ms, m)
-			lack -= c.machineTypes[m.machineType].Capacity.CPU
+			lack -= c.state.MachineTypes[m.MachineType].Capacity.CPU
 		}
 		if len(ms) == 0 {
 			continue
 		}
-		p.nextOfferAt = c.loop.Now() + second
-		offer := func(g *machineGroup) {
+		p.NextOfferAt = c.loop.Now() + second
+		offer := func(g *state.MachineGroup) {
 			if g != nil {
-				g.offer = &groupOffer{toShard: recipient.Shard, until: c.loop.Now() + 5*second}
+				g.Offer = &state.GroupOffer{ToShard: recipient.Shard, Until: c.loop.Now() + 5*second}
 			}
 		}
-		if len(groups) == 1 && len(ms) == len(ms[0].group.machines) {
-			offer(ms[0].group)
+		if len(groups) == 1 && len(ms) == len(ms[0].Group.Machines) {
+			offer(ms[0].Group)
 			continue
 		}
 		for _, m := range ms {
-			m.cordoned = true
+			m.Cordoned = true
 		}
 		c.regroup(p, ms, nil, writequeue.Start, offer)
 	}
 }
 
 // groupCPU is what a group's machines have in all.
-func (c *Controller) groupCPU(g *machineGroup) cluster.Amount {
+func (c *Controller) groupCPU(g *state.MachineGroup) cluster.Amount {
 	var sum cluster.Amount
-	for _, m := range g.machines {
-		sum += c.machineTypes[m.machineType].Capacity.CPU
+	for _, m := range g.Machines {
+		sum += c.state.MachineTypes[m.MachineType].Capacity.CPU
 	}
 	return sum
 }
 
 // acceptOffers takes groups that others offer to a part, if it has a use for them.
-func (c *Controller) acceptOffers(p *shard, work []pendingWork) {
+func (c *Controller) acceptOffers(p *state.Shard, work []pendingWork) {
 	use := func(o messages.TransferOffer) bool {
 		took := 0
 		for _, k := range o.Kinds {
 			for range k.Count {
-				took += c.packWork(work, c.machineTypes[k.Type].Capacity, func(j *job) bool { return c.isOptionAllowed(j, provisioningOption{k.Type, k.Zone, k.Spot}) })
+				took += c.packWork(work, c.state.MachineTypes[k.Type].Capacity, func(j *state.Job) bool {
+					return c.isOptionAllowed(j, state.ProvisioningOption{Type: k.Type, Zone: k.Zone, Spot: k.Spot})
+				})
 			}
 		}
 		return took > 0
@@ -140,7 +144,7 @@
 			continue
 		}
 		for _, o := range q.lastPing.TransferOffers {
-			if o.Recipient != p.id || q.attemptedTransfers[o.Key] == o.ModRevision || !use(o) {
+			if o.Recipient != p.ID || q.attemptedTransfers[o.Key] == o.ModRevision || !use(o) {
 				continue
 			}
 			if q.attemptedTransfers == nil {
@@ -151,7 +155,7 @@
 		}
 	}
 	for _, o := range c.transferOffers() { // parts held here have nobody to ask
-		if o.Recipient == p.id && use(o) {
+		if o.Recipient == p.ID && use(o) {
 			c.acquireGroup(p, o.Key, o.ModRevision)
 		}
 	}
