--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -18,34 +20,34 @@
 		c.redirectWorker(e.Request, "")
 		return
 	}
-	m := c.machines[r.Machine]
+	m := c.state.Machines[r.Machine]
 	if m == nil {
 		c.handleUnknownHeartbeat(e)
 		return
 	}
-	p := c.shards[m.shardID]
+	p := c.state.Shards[m.ShardID]
 	switch {
-	case !p.owned || !p.ready:
+	case !p.Owned || !p.Ready:
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "")
 		return
 	case !c.canAnswerWorkers(p):
 		// Another may have claimed the part unnoticed, and cancelled jobs of it.
 		c.redirectWorker(e.Request, "")
 		return
-	case r.FencingToken > m.token:
+	case r.FencingToken > m.Token:
 		// Somebody later is entitled: a 200 with our token would be dropped
 		// and hold the worker here while its lease runs out.
 		c.checkOwner(m)
-		c.redirectWorker(e.Request, c.shards[m.shardID].owner)
+		c.redirectWorker(e.Request, c.state.Shards[m.ShardID].Owner)
 		return
-	case r.Incarnation < m.incarnation:
+	case r.Incarnation < m.Incarnation:
 		c.redirectWorker(e.Request, "")
 		return
 	}
-	if m.pendingHeartbeat != 0 {
-		c.redirectWorker(m.pendingHeartbeat, "")
+	if m.PendingHeartbeat != 0 {
+		c.redirectWorker(m.PendingHeartbeat, "")
 	}
-	m.pendingHeartbeat, m.pendingSequenceNumber, m.replyDeadline = e.Request, r.SequenceNumber, c.loop.Now()+maxHeartbeatHold
+	m.PendingHeartbeat, m.PendingSequenceNumber, m.ReplyDeadline = e.Request, r.SequenceNumber, c.loop.Now()+maxHeartbeatHold
 	if c.reconcile(m, r, false) {
 		c.workerReachability.lastOwnedHeartbeat = c.loop.Now()
 		c.schedulingTrigger.request()
@@ -60,9 +62,9 @@
 // All that are held are looked at ten times a second; in between only those that
 // have come in or whose record was stored since the last look.
 type heldHeartbeats struct {
-	machines       []*machine // held back at the last look
-	toCheck        []*machine // to be looked at with this event
-	checkScheduled bool       // the next look at all
+	machines       []*state.Machine // held back at the last look
+	toCheck        []*state.Machine // to be looked at with this event
+	checkScheduled bool             // the next look at all
 }
 
 // heldHeartbeatInterval is the time between two looks at all reports that are held.
@@ -94,11 +96,11 @@
 	held.toCheck = nil
 	for _, m := range changed {
 		switch {
-		case m.pendingHeartbeat == 0:
+		case m.PendingHeartbeat == 0:
 		case !c.awaitsGroupRecord(m):
 			c.answerHeartbeat(m)
-		case !m.heartbeatHeld:
-			m.heartbeatHeld = true
+		case !m.HeartbeatHeld:
+			m.HeartbeatHeld = true
 			held.machines = append(held.machines, m)
 		}
 	}
@@ -117,19 +119,19 @@
 		c.counters.addMachineScans(held.machines)
 		held.toCheck = append(held.toCheck, held.machines...)
 		for _, m := range held.machines {
-			m.heartbeatHeld = false
+			m.HeartbeatHeld = false
 		}
 		held.machines = held.machines[:0]
 	})
 }
 
 // awaitsGroupRecord tells whether a machine's answer waits for a start's record.
-func (c *Controller) awaitsGroupRecord(m *machine) bool {
-	if c.loop.Now() >= m.replyDeadline || c.writeQueue.IsUnavailableFor(500*millisecond) {
+func (c *Controller) awaitsGroupRecord(m *state.Machine) bool {
+	if c.loop.Now() >= m.ReplyDeadline || c.writeQueue.IsUnavailableFor(500*millisecond) {
 		return false
 	}
-	for _, a := range m.assignments {
-		if a.phase == phaseRecording && !a.confirmedAbsent {
+	for _, a := range m.Assignments {
+		if a.Phase == state.PhaseRecording && !a.ConfirmedAbsent {
 			return true
 		}
 	}
@@ -137,62 +139,62 @@
 }
 
 // answerHeartbeat answers a machine's report with what it is to do.
-func (c *Controller) answerHeartbeat(m *machine) {
-	req := m.pendingHeartbeat
-	m.pendingHeartbeat = 0
-	w := &messages.HeartbeatResponse{FencingToken: m.token, Commands: c.commandsFor(m, false)}
-	if m.raisingToken {
+func (c *Controller) answerHeartbeat(m *state.Machine) {
+	req := m.PendingHeartbeat
+	m.PendingHeartbeat = 0
+	w := &messages.HeartbeatResponse{FencingToken: m.Token, Commands: c.commandsFor(m, false)}
+	if m.RaisingToken {
 		w.Commands = onlyStops(w.Commands)
 	}
 	for _, cmd := range w.Commands {
 		if cmd.Kind == cluster.Start {
-			a := m.assignments[cmd.Task]
-			a.phase, a.pushed, a.dispatchedAtSequence = phaseDispatched, false, m.pendingSequenceNumber
+			a := m.Assignments[cmd.Task]
+			a.Phase, a.Pushed, a.DispatchedAtSequence = state.PhaseDispatched, false, m.PendingSequenceNumber
 		}
 	}
-	m.pushQueued = false
+	m.PushQueued = false
 	c.loop.Emit(messages.Respond{Request: req, Status: messages.ReplyOK, Heartbeat: w})
 }
 
 // commandsFor lists what the machine is to do now.
-func (c *Controller) commandsFor(m *machine, urgentOnly bool) []cluster.Command {
+func (c *Controller) commandsFor(m *state.Machine, urgentOnly bool) []cluster.Command {
 	var out []cluster.Command
 	var starts []cluster.Command
-	mayStart := c.canStartTasks(c.shards[m.shardID])
-	for _, a := range m.sortedAssignments() {
+	mayStart := c.canStartTasks(c.state.Shards[m.ShardID])
+	for _, a := range m.SortedAssignments() {
 		switch {
-		case a.confirmedAbsent:
-		case a.stopRequested && a.phase != phaseEnded && a.phase != phaseReady && a.phase != phaseRecording:
-			if urgentOnly && a.stopSentAt > 0 {
+		case a.ConfirmedAbsent:
+		case a.StopRequested && a.Phase != state.PhaseEnded && a.Phase != state.PhaseReady && a.Phase != state.PhaseRecording:
+			if urgentOnly && a.StopSentAt > 0 {
 				continue
 			}
-			if a.state == cluster.Checkpointing && a.gracePeriod > 0 && !a.isGraceExpired(c.loop.Now()) {
+			if a.State == cluster.Checkpointing && a.GracePeriod > 0 && !a.IsGraceExpired(c.loop.Now()) {
 				continue
 			}
-			g := a.gracePeriod
-			if a.isGraceExpired(c.loop.Now()) {
+			g := a.GracePeriod
+			if a.IsGraceExpired(c.loop.Now()) {
 				g = 0
 			}
-			if a.stopSentAt == 0 {
-				a.stopSentAt = c.loop.Now()
+			if a.StopSentAt == 0 {
+				a.StopSentAt = c.loop.Now()
 			}
-			out = append(out, cluster.Command{Kind: cluster.Stop, Task: a.task, Attempt: a.attempt, GraceSeconds: g})
-		case a.phase == phaseReady && !m.startInDoubt && !m.releasing && c.loop.Now() >= m.noStartsBefore && a.job.isActive():
-			if !mayStart || m.hasUnclearedAttempt(a.task) {
+			out = append(out, cluster.Command{Kind: cluster.Stop, Task: a.Task, Attempt: a.Attempt, GraceSeconds: g})
+		case a.Phase == state.PhaseReady && !m.StartInDoubt && !m.Releasing && c.loop.Now() >= m.NoStartsBefore && a.Job.IsActive():
+			if !mayStart || m.HasUnclearedAttempt(a.Task) {
 				continue
 			}
-			starts = append(starts, cluster.Command{Kind: cluster.Start, Task: a.task, Attempt: a.attempt})
-		case a.isCompleted() && !m.startInDoubt && !urgentOnly && a.isOutcomeStored():
-			out = append(out, cluster.Command{Kind: cluster.Acknowledge, Task: a.task, Attempt: a.attempt})
+			starts = append(starts, cluster.Command{Kind: cluster.Start, Task: a.Task, Attempt: a.Attempt})
+		case a.IsCompleted() && !m.StartInDoubt && !urgentOnly && a.IsOutcomeStored():
+			out = append(out, cluster.Command{Kind: cluster.Acknowledge, Task: a.Task, Attempt: a.Attempt})
 		}
 	}
 	if !urgentOnly {
-		for _, t := range sortedAttempts(m.unrecordedToStop) {
-			out = append(out, cluster.Command{Kind: cluster.Stop, Task: t.task, Attempt: t.attempt})
+		for _, t := range state.SortedAttempts(m.UnrecordedToStop) {
+			out = append(out, cluster.Command{Kind: cluster.Stop, Task: t.Task, Attempt: t.Attempt})
 		}
-		if !m.startInDoubt {
-			for _, t := range sortedAttempts(m.endedToAcknowledge) {
-				out = append(out, cluster.Command{Kind: cluster.Acknowledge, Task: t.task, Attempt: t.attempt})
+		if !m.StartInDoubt {
+			for _, t := range state.SortedAttempts(m.EndedToAcknowledge) {
+				out = append(out, cluster.Command{Kind: cluster.Acknowledge, Task: t.Task, Attempt: t.Attempt})
 			}
 		}
 	}
@@ -208,74 +210,74 @@
 
 // reconcile compares a worker's account with what is believed of it. It
 // returns false for an account older than one already taken in.
-func (c *Controller) reconcile(m *machine, r *cluster.HeartbeatStatus, viaOrders bool) bool {
-	fresh := r.Incarnation > m.incarnation
-	if r.Incarnation < m.incarnation || !fresh && r.SequenceNumber <= m.sequenceNumber {
+func (c *Controller) reconcile(m *state.Machine, r *cluster.HeartbeatStatus, viaOrders bool) bool {
+	fresh := r.Incarnation > m.Incarnation
+	if r.Incarnation < m.Incarnation || !fresh && r.SequenceNumber <= m.SequenceNumber {
 		return false
 	}
 	// A lease that ran out, or a start in an answer without effect, may mean
 	// that what is sent to the machine does not reach it though its reports
 	// come. A higher token, once acknowledged, proves that it does; until then
 	// the machine gets no new work, and in the end it is returned.
-	deaf := fresh && m.incarnation > 0
-	m.incarnation, m.sequenceNumber, m.lastHeartbeat = r.Incarnation, r.SequenceNumber, c.loop.Now()
-	if m.booting {
-		m.booting = false
+	deaf := fresh && m.Incarnation > 0
+	m.Incarnation, m.SequenceNumber, m.LastHeartbeat = r.Incarnation, r.SequenceNumber, c.loop.Now()
+	if m.Booting {
+		m.Booting = false
 		c.handleMachineBooted(m)
 	}
-	if m.address != r.Addr && r.Addr != "" {
-		m.address = r.Addr
+	if m.Address != r.Addr && r.Addr != "" {
+		m.Address = r.Addr
 	}
 	c.reconcileToken(m, r)
 	if fresh {
-		m.cachedImages = nil
+		m.CachedImages = nil
 	}
 	if r.PreemptionNotice >= 0 {
 		c.handlePreemptionNotice(m, r.PreemptionNotice)
 	}
 	present := c.reconcilePresent(m, r)
-	if m.tokenAcknowledged {
+	if m.TokenAcknowledged {
 		// Only under our token is absence proof: the report may be minutes
 		// old, or an earlier holder's late start may still be executed.
 		deaf = c.reconcileAbsent(m, r, present, fresh, viaOrders) || deaf
 	}
-	if deaf && m.tokenAcknowledged {
+	if deaf && m.TokenAcknowledged {
 		c.raiseToken(m)
 	}
-	m.forgetCleared(present)
+	m.ForgetCleared(present)
 	return true
 }
 
 // reconcileToken takes in which token a worker has seen.
-func (c *Controller) reconcileToken(m *machine, r *cluster.HeartbeatStatus) {
+func (c *Controller) reconcileToken(m *state.Machine, r *cluster.HeartbeatStatus) {
 	// A worker that has seen no token at all, on a machine that nobody but this
 	// claim has ever owned, can have no older command on its way to it.
-	acked := r.FencingToken == m.token || r.FencingToken == 0 && m.token == m.initialToken && !m.startInDoubt && !m.raisingToken
-	if m.tokenAcknowledged && !acked {
-		m.unacknowledgedSince = c.loop.Now()
+	acked := r.FencingToken == m.Token || r.FencingToken == 0 && m.Token == m.InitialToken && !m.StartInDoubt && !m.RaisingToken
+	if m.TokenAcknowledged && !acked {
+		m.UnacknowledgedSince = c.loop.Now()
 	}
-	m.tokenAcknowledged = acked
-	if acked && m.awaitingFirstAcknowledgement {
-		p := c.shards[m.shardID]
-		m.awaitingFirstAcknowledgement = false
-		p.awaitingFirstAcknowledgementCount--
-		p.lastAcknowledgedAt = c.loop.Now()
+	m.TokenAcknowledged = acked
+	if acked && m.AwaitingFirstAcknowledgement {
+		p := c.state.Shards[m.ShardID]
+		m.AwaitingFirstAcknowledgement = false
+		p.AwaitingFirstAcknowledgementCount--
+		p.LastAcknowledgedAt = c.loop.Now()
 	}
-	if m.tokenAcknowledged && !m.raisingToken {
-		m.startInDoubt = false
+	if m.TokenAcknowledged && !m.RaisingToken {
+		m.StartInDoubt = false
 	}
 }
 
 // reconcilePresent takes in the tasks that a report shows, and returns them. It
 // goes by start, not by task: an old report may show an earlier attempt of a
 // task that runs here now, and must not make that one look gone.
-func (c *Controller) reconcilePresent(m *machine, r *cluster.HeartbeatStatus) map[taskAttempt]bool {
-	present := make(map[taskAttempt]bool, len(r.Tasks))
+func (c *Controller) reconcilePresent(m *state.Machine, r *cluster.HeartbeatStatus) map[state.TaskAttempt]bool {
+	present := make(map[state.TaskAttempt]bool, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		present[taskAttempt{t.Task, t.Attempt}] = true
-		a := m.assignments[t.Task]
-		if a == nil || a.attempt != t.Attempt {
+		present[state.TaskAttempt{Task: t.Task, Attempt: t.Attempt}] = true
+		a := m.Assignments[t.Task]
+		if a == nil || a.Attempt != t.Attempt {
 			c.handleUnrecordedTask(m, t)
 			continue
 		}
@@ -286,27 +288,27 @@
 
 // reconcileAbsent takes in that a report under our token does not show the other
 // tasks. It tells whether a start was lost that an answer carried.
-func (c *Controller) reconcileAbsent(m *machine, r *cluster.HeartbeatStatus, present map[taskAttempt]bool, fresh, viaOrders bool) bool {
+func (c *Controller) reconcileAbsent(m *state.Machine, r *cluster.HeartbeatStatus, present map[state.TaskAttempt]bool, fresh, viaOrders bool) bool {
 	lostInAnswer := false
-	for _, a := range m.sortedAssignments() {
-		if present[a.taskAttempt()] || a.confirmedAbsent {
+	for _, a := range m.SortedAssignments() {
+		if present[a.TaskAttempt()] || a.ConfirmedAbsent {
 			continue
 		}
-		switch a.phase {
-		case phaseUnverified, phaseAcknowledged:
+		switch a.Phase {
+		case state.PhaseUnverified, state.PhaseAcknowledged:
 			c.confirmAbsent(m, a)
-		case phaseDispatched:
-			arrived := !a.pushed && !viaOrders && r.SequenceNumber > a.dispatchedAtSequence // the answer that carried it
-			if !fresh && !arrived && !(a.pushed && !m.startInDoubt && !m.pushInFlight) {
+		case state.PhaseDispatched:
+			arrived := !a.Pushed && !viaOrders && r.SequenceNumber > a.DispatchedAtSequence // the answer that carried it
+			if !fresh && !arrived && !(a.Pushed && !m.StartInDoubt && !m.PushInFlight) {
 				continue
 			}
-			a.phase = phaseReady
-			lostInAnswer = lostInAnswer || !a.pushed
-			if !a.job.isActive() {
+			a.Phase = state.PhaseReady
+			lostInAnswer = lostInAnswer || !a.Pushed
+			if !a.Job.IsActive() {
 				c.confirmAbsent(m, a)
 			}
-		case phaseEnded:
-			if a.cause != cluster.CauseCompleted || a.isOutcomeStored() {
+		case state.PhaseEnded:
+			if a.Cause != cluster.CauseCompleted || a.IsOutcomeStored() {
 				c.confirmAbsent(m, a)
 			}
 		}
@@ -317,12 +319,12 @@
 // confirmAbsent notes that a task is proven to be off the machine. The record must
 // say so before it may start elsewhere; when nobody waits for that, it can
 // share a later write.
-func (c *Controller) confirmAbsent(m *machine, a *assignment) {
-	if a.confirmedAbsent {
+func (c *Controller) confirmAbsent(m *state.Machine, a *state.Assignment) {
+	if a.ConfirmedAbsent {
 		return
 	}
-	m.markConfirmedAbsent(a)
-	if a.job.assignments[a.task.Index] == a && a.job.isActive() {
+	m.MarkConfirmedAbsent(a)
+	if a.Job.Assignments[a.Task.Index] == a && a.Job.IsActive() {
 		c.writeMachine(m, writequeue.Start)
 		return
 	}
@@ -330,115 +332,115 @@
 }
 
 // handleUnrecordedTask is a task that the machine's record does not list.
-func (c *Controller) handleUnrecordedTask(m *machine, t *cluster.TaskStatus) {
-	s := taskAttempt{t.Task, t.Attempt}
+func (c *Controller) handleUnrecordedTask(m *state.Machine, t *cluster.TaskStatus) {
+	s := state.TaskAttempt{Task: t.Task, Attempt: t.Attempt}
 	if c.applyUnrecordedCompletion(m, t) {
 		return
 	}
 	if t.State == cluster.Ended {
-		delete(m.unrecordedToStop, s)
-		m.endedToAcknowledge[s] = true
+		delete(m.UnrecordedToStop, s)
+		m.EndedToAcknowledge[s] = true
 		return
 	}
-	if !m.unrecordedToStop[s] {
-		c.loop.Log(messages.LogInfo, "stray task", "machine", string(m.id), "task", t.Task.String(), "attempt", uint64(t.Attempt))
+	if !m.UnrecordedToStop[s] {
+		c.loop.Log(messages.LogInfo, "stray task", "machine", string(m.ID), "task", t.Task.String(), "attempt", uint64(t.Attempt))
 	}
-	m.unrecordedToStop[s] = true
+	m.UnrecordedToStop[s] = true
 }
 
 // applyUnrecordedCompletion takes in that a task has run to its end under an earlier
 // holder of its part, who had not stored that yet. The worker shows it until it
 // is stored. It returns false where that is of no use here.
-func (c *Controller) applyUnrecordedCompletion(m *machine, t *cluster.TaskStatus) bool {
-	j := c.jobs.owned[t.Task.Job]
-	if t.State != cluster.Ended || t.Cause != cluster.CauseCompleted || j == nil || !j.isActive() || t.Task.Index >= len(j.taskStates) || m.assignments[t.Task] != nil {
+func (c *Controller) applyUnrecordedCompletion(m *state.Machine, t *cluster.TaskStatus) bool {
+	j := c.state.Jobs.Owned[t.Task.Job]
+	if t.State != cluster.Ended || t.Cause != cluster.CauseCompleted || j == nil || !j.IsActive() || t.Task.Index >= len(j.TaskStates) || m.Assignments[t.Task] != nil {
 		return false
 	}
-	if j.chunksLoading > 0 { // perhaps it is stored already
+	if j.ChunksLoading > 0 { // perhaps it is stored already
 		return true
 	}
-	if j.taskStates[t.Task.Index] != taskPending {
+	if j.TaskStates[t.Task.Index] != state.TaskPending {
 		return false
 	}
-	a := &assignment{task: t.Task, machineID: m.id, job: j, attempt: t.Attempt, phase: phaseEnded, cause: cluster.CauseCompleted, resourceRequest: j.spec.ResourceRequest, startUnobserved: true, removedFromRecord: true}
-	m.addAssignment(a)
+	a := &state.Assignment{Task: t.Task, MachineID: m.ID, Job: j, Attempt: t.Attempt, Phase: state.PhaseEnded, Cause: cluster.CauseCompleted, ResourceRequest: j.Spec.ResourceRequest, StartUnobserved: true, RemovedFromRecord: true}
+	m.AddAssignment(a)
 	c.recordTaskDone(j, t.Task.Index)
 	return true
 }
 
 // recordTaskDone notes that a task has run to its end; with the last of its job that
 // is stored at once.
-func (c *Controller) recordTaskDone(j *job, index int) {
-	j.setCompleted(index)
-	if j.finalStatus == "" && j.chunksLoading == 0 && j.completedCount == j.spec.Tasks {
+func (c *Controller) recordTaskDone(j *state.Job, index int) {
+	j.SetCompleted(index)
+	if j.FinalStatus == "" && j.ChunksLoading == 0 && j.CompletedCount == j.Spec.Tasks {
 		c.writeJob(j, writequeue.Admit)
 	}
 }
 
 // applyTaskStatus takes in one listed task's state.
-func (c *Controller) applyTaskStatus(m *machine, a *assignment, t *cluster.TaskStatus) {
-	if a.phase == phaseEnded {
+func (c *Controller) applyTaskStatus(m *state.Machine, a *state.Assignment, t *cluster.TaskStatus) {
+	if a.Phase == state.PhaseEnded {
 		return
 	}
-	a.startUnobserved = a.startUnobserved || a.phase == phaseUnverified
-	a.phase = phaseAcknowledged
-	a.state = t.State
+	a.StartUnobserved = a.StartUnobserved || a.Phase == state.PhaseUnverified
+	a.Phase = state.PhaseAcknowledged
+	a.State = t.State
 	switch t.State {
 	case cluster.Running:
-		if a.runningSince == 0 {
-			a.runningSince = c.loop.Now()
-			if a.job.firstRunAt == 0 {
-				a.job.firstRunAt = c.loop.Now()
+		if a.RunningSince == 0 {
+			a.RunningSince = c.loop.Now()
+			if a.Job.FirstRunAt == 0 {
+				a.Job.FirstRunAt = c.loop.Now()
 			}
-			a.job.lastRunAt = c.loop.Now()
-			m.addCachedImage(a.job, c.machineTypes[m.machineType].CacheGB)
+			a.Job.LastRunAt = c.loop.Now()
+			m.AddCachedImage(a.Job, c.state.MachineTypes[m.MachineType].CacheGB)
 		}
 	case cluster.Ended:
 		c.handleTaskEnded(m, a, t)
 	}
 }
 
-func (c *Controller) handleTaskEnded(m *machine, a *assignment, t *cluster.TaskStatus) {
-	j := a.job
-	m.markEnded(a, t.Cause)
+func (c *Controller) handleTaskEnded(m *state.Machine, a *state.Assignment, t *cluster.TaskStatus) {
+	j := a.Job
+	m.MarkEnded(a, t.Cause)
 	if t.Cause == cluster.CauseCompleted {
 		c.recordRuntime(m, a)
-		c.recordTaskDone(j, a.task.Index)
+		c.recordTaskDone(j, a.Task.Index)
 		return
 	}
 	switch t.Cause {
 	case cluster.CauseFailed:
 		c.handleTaskError(m, a)
 	case cluster.CauseNoCapacity, cluster.CauseDuplicateAttempt:
-		m.noStartsBefore = c.loop.Now() + 3*second
+		m.NoStartsBefore = c.loop.Now() + 3*second
 	case cluster.CauseUnknownTask:
-		j.backoffUntil = c.loop.Now() + 3*second
+		j.BackoffUntil = c.loop.Now() + 3*second
 	}
 	c.confirmAbsent(m, a)
-	if !j.isActive() {
-		m.endedToAcknowledge[a.taskAttempt()] = true
+	if !j.IsActive() {
+		m.EndedToAcknowledge[a.TaskAttempt()] = true
 	}
 }
 
 // handleTaskError tells a faulty machine from a faulty job: several jobs failing
 // on one machine speak against the machine, one job failing on several
 // machines against the job, which is then retried ever more slowly.
-func (c *Controller) handleTaskError(m *machine, a *assignment) {
-	j := a.job
-	m.taskErrors++
-	m.failedJobs[j.spec.ID] = true
-	j.taskErrors++
-	j.failedMachines[m.id] = true
-	if len(j.failedMachines) >= 2 {
-		j.backoffUntil = c.loop.Now() + min(second<<min(len(j.failedMachines)+j.taskErrors/2, 6), 60*second)
-	}
-	if len(m.failedJobs) >= 2 && !m.draining {
-		c.loop.Log(messages.LogInfo, "machine fails tasks", "machine", string(m.id), "errors", m.taskErrors)
+func (c *Controller) handleTaskError(m *state.Machine, a *state.Assignment) {
+	j := a.Job
+	m.TaskErrors++
+	m.FailedJobs[j.Spec.ID] = true
+	j.TaskErrors++
+	j.FailedMachines[m.ID] = true
+	if len(j.FailedMachines) >= 2 {
+		j.BackoffUntil = c.loop.Now() + min(second<<min(len(j.FailedMachines)+j.TaskErrors/2, 6), 60*second)
+	}
+	if len(m.FailedJobs) >= 2 && !m.Draining {
+		c.loop.Log(messages.LogInfo, "machine fails tasks", "machine", string(m.ID), "errors", m.TaskErrors)
 		c.drainMachine(m)
 	}
 }
 
-func (c *Controller) drainMachine(m *machine) {
-	m.draining = true
+func (c *Controller) drainMachine(m *state.Machine) {
+	m.Draining = true
 	c.schedulingTrigger.request()
 }
--- a/internal/controller/regroup.go
+++ b/internal/controller/regroup.go
@@ -4,6 +4,8 @@
 	"slices"
 	"sort"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -16,36 +18,36 @@
 // nothing else changes their records.
 type regrouping struct {
 	controller    *Controller
-	shard         *shard
+	shard         *state.Shard
 	claimRevision cluster.Revision
-	machines      []*machine // that are to be moved
-	sources       []*machineGroup
-	target        *machineGroup   // nil: a new one
-	affected      []*machineGroup // from, and to if it exists already
-	targetID      string          // of to
-	done          func(*machineGroup)
+	machines      []*state.Machine // that are to be moved
+	sources       []*state.MachineGroup
+	target        *state.MachineGroup   // nil: a new one
+	affected      []*state.MachineGroup // from, and to if it exists already
+	targetID      string                // of to
+	done          func(*state.MachineGroup)
 
-	moving    []*machine       // by the last records built
+	moving    []*state.Machine // by the last records built
 	snapshots []*groupSnapshot // of from and to, in these records
 }
 
 // regroup moves machines of a part into one group, a new one if to is nil. done
 // gets the group, or nil.
-func (c *Controller) regroup(p *shard, ms []*machine, to *machineGroup, prio writequeue.Priority, done func(*machineGroup)) {
+func (c *Controller) regroup(p *state.Shard, ms []*state.Machine, to *state.MachineGroup, prio writequeue.Priority, done func(*state.MachineGroup)) {
 	from, ok := sourceGroups(ms, to)
-	if !ok || len(from) == 0 || len(from)+1 > c.config.MaxTxnOps || to != nil && to.writeInFlight {
+	if !ok || len(from) == 0 || len(from)+1 > c.config.MaxTxnOps || to != nil && to.WriteInFlight {
 		done(nil)
 		return
 	}
-	r := &regrouping{controller: c, shard: p, claimRevision: p.claimRevision, machines: ms, sources: from, target: to, done: done}
+	r := &regrouping{controller: c, shard: p, claimRevision: p.ClaimRevision, machines: ms, sources: from, target: to, done: done}
 	r.targetID = c.nextMachineGroupName(p)
 	r.affected = slices.Clone(from)
 	if to != nil {
-		r.targetID = to.id
+		r.targetID = to.ID
 		r.affected = append(r.affected, to)
 	}
 	c.writeQueue.Enqueue(prio, &writequeue.Write{
-		ShardID:         p.id,
+		ShardID:         p.ID,
 		Keys:            r.lock(),
 		CPUsWaiting:     func() float64 { return c.cpusWaiting(r.affected...) },
 		Build:           r.build,
@@ -57,14 +59,14 @@
 
 // sourceGroups lists the groups that machines are in; false: one of them is in
 // the target already, or its record is on its way to the store.
-func sourceGroups(ms []*machine, to *machineGroup) ([]*machineGroup, bool) {
-	var from []*machineGroup
+func sourceGroups(ms []*state.Machine, to *state.MachineGroup) ([]*state.MachineGroup, bool) {
+	var from []*state.MachineGroup
 	for _, m := range ms {
-		if m.group.writeInFlight || m.group == to {
+		if m.Group.WriteInFlight || m.Group == to {
 			return nil, false
 		}
-		if !slices.Contains(from, m.group) {
-			from = append(from, m.group)
+		if !slices.Contains(from, m.Group) {
+			from = append(from, m.Group)
 		}
 	}
 	return from, true
@@ -75,12 +77,12 @@
 	var keys []string
 	for _, g := range r.affected {
 		// A write that still waits its turn says nothing that this one won't.
-		if g.queuedWrite != nil {
-			r.controller.writeQueue.Cancel(g.queuedWrite)
-			g.queuedWrite = nil
+		if g.QueuedWrite != nil {
+			r.controller.writeQueue.Cancel(g.QueuedWrite)
+			g.QueuedWrite = nil
 		}
-		g.writePending, g.writeInFlight, g.nextWritePriority = true, true, writequeue.PriorityCount
-		keys = append(keys, g.key())
+		g.WritePending, g.WriteInFlight, g.NextWritePriority = true, true, writequeue.PriorityCount
+		keys = append(keys, g.Key())
 	}
 	if r.target == nil {
 		keys = append(keys, "groups/"+r.targetID)
@@ -90,7 +92,7 @@
 
 func (r *regrouping) unlock() {
 	for _, g := range r.affected {
-		g.endWrite()
+		g.EndWrite()
 	}
 }
 
@@ -102,21 +104,21 @@
 	var ops []messages.TxnOp
 	var marks []cluster.ModRevision
 	for _, g := range r.sources {
-		rest := slices.DeleteFunc(g.sortedMachines(), func(m *machine) bool { return slices.Contains(r.moving, m) })
-		g.nextWritePriority, g.addedBytes = writequeue.PriorityCount, 0
-		v, s := c.buildGroupRecord(r.shard.id, rest, nonce)
-		ops = append(ops, messages.TxnOp{Key: g.key(), Value: v})
-		marks = append(marks, g.modRevision)
+		rest := slices.DeleteFunc(g.SortedMachines(), func(m *state.Machine) bool { return slices.Contains(r.moving, m) })
+		g.NextWritePriority, g.AddedBytes = writequeue.PriorityCount, 0
+		v, s := c.buildGroupRecord(r.shard.ID, rest, nonce)
+		ops = append(ops, messages.TxnOp{Key: g.Key(), Value: v})
+		marks = append(marks, g.ModRevision)
 		r.snapshots = append(r.snapshots, s)
 	}
 	mark, into := cluster.ModRevision(0), slices.Clone(r.moving)
 	if r.target != nil {
-		mark = r.target.modRevision
-		r.target.nextWritePriority, r.target.addedBytes = writequeue.PriorityCount, 0
-		into = append(into, r.target.sortedMachines()...)
+		mark = r.target.ModRevision
+		r.target.NextWritePriority, r.target.AddedBytes = writequeue.PriorityCount, 0
+		into = append(into, r.target.SortedMachines()...)
 	}
-	sort.Slice(into, func(i, k int) bool { return into[i].id < into[k].id })
-	v, s := c.buildGroupRecord(r.shard.id, into, nonce)
+	sort.Slice(into, func(i, k int) bool { return into[i].ID < into[k].ID })
+	v, s := c.buildGroupRecord(r.shard.ID, into, nonce)
 	r.snapshots = append(r.snapshots, s)
 	if !c.valueLimit().WithinSoftLimit(len(v)) || len(r.moving) == 0 {
 		r.abandon()
@@ -126,10 +128,10 @@
 }
 
 // stillToMove lists the machines that are where they were.
-func (r *regrouping) stillToMove() []*machine {
-	var moving []*machine
+func (r *regrouping) stillToMove() []*state.Machine {
+	var moving []*state.Machine
 	for _, m := range r.machines {
-		if r.controller.machines[m.id] == m && m.group != r.target && slices.Contains(r.sources, m.group) {
+		if r.controller.state.Machines[m.ID] == m && m.Group != r.target && slices.Contains(r.sources, m.Group) {
 			moving = append(moving, m)
 		}
 	}
@@ -150,7 +152,7 @@
 func (r *regrouping) handleStored(e cluster.Revision) {
 	c := r.controller
 	r.unlock()
-	if !r.shard.isOwnedUnder(r.claimRevision) {
+	if !r.shard.IsOwnedUnder(r.claimRevision) {
 		r.done(nil)
 		return
 	}
@@ -159,16 +161,16 @@
 		r.affected = append(r.affected, r.target)
 	}
 	for _, m := range r.moving {
-		r.target.moveIn(m)
+		r.target.MoveIn(m)
 	}
 	again := writequeue.PriorityCount
 	for _, g := range r.affected {
-		again = min(again, g.nextWritePriority)
+		again = min(again, g.NextWritePriority)
 	}
 	for i, g := range append(slices.Clone(r.sources), r.target) {
-		g.modRevision, g.recordSize = cluster.ModRevision(e), r.snapshots[i].size
+		g.ModRevision, g.RecordSize = cluster.ModRevision(e), r.snapshots[i].size
 		c.handleGroupStored(g, r.snapshots[i], e)
-		if g.nextWritePriority = again; len(g.machines) > 0 { // what was asked of one may now concern the other
+		if g.NextWritePriority = again; len(g.Machines) > 0 { // what was asked of one may now concern the other
 			c.queueNextWrite(g)
 		}
 	}
@@ -179,7 +181,7 @@
 func (r *regrouping) handleConflict() {
 	r.unlock()
 	for _, g := range r.affected {
-		if r.controller.machineGroups[g.id] == g {
+		if r.controller.state.Groups[g.ID] == g {
 			r.controller.checkGroup(g)
 		}
 	}
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -16,17 +16,17 @@
 	dropTimers(b.Controller)
 	b.rejectLongerValues(2000)
 	j := b.addTestJob("j-1", 16_000)
-	v, _ := json.Marshal(jobRecord{Spec: &j.spec, WriteID: "x"})
+	v, _ := json.Marshal(jobRecord{Spec: &j.Spec, WriteID: "x"})
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: v, ModRevision: 20}
-	j.modRevisions[0] = 20
+	j.ModRevisions[0] = 20
 	for i := 0; i < 16_000; i += 3 {
-		j.setCompleted(i)
+		j.SetCompleted(i)
 	}
 	b.writeJob(j, writequeue.Background)
 	b.runFor(10 * second)
-	for _, p := range b.shards {
-		if !p.owned {
-			t.Errorf("part %d was given up", p.id)
+	for _, p := range b.state.Shards {
+		if !p.Owned {
+			t.Errorf("part %d was given up", p.ID)
 		}
 	}
 	sent := map[int]int{}
--- a/internal/controller/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/writequeue"
 )
@@ -17,18 +19,18 @@
 	b.rejectLongerValues(limit)
 	j := b.addTestJob("j-1", 20_000)
 	g := b.addGroupWithTasks("large", j, 45, 3, 0)
-	var m *machine
-	for _, x := range g.sortedMachines() {
+	var m *state.Machine
+	for _, x := range g.SortedMachines() {
 		m = x
 	}
-	a := &assignment{task: cluster.TaskID{Job: "j-1", Index: 15_000}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 15_000, phase: phaseRecording}
-	m.addAssignment(a)
-	j.setAssigned(15_000, a)
+	a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: 15_000}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: 15_000, Phase: state.PhaseRecording}
+	m.AddAssignment(a)
+	j.SetAssigned(15_000, a)
 	b.writeMachine(m, writequeue.Start)
 	b.runFor(30 * second)
 	n, longest := b.countStoredMachines(t)
-	if len(n) != 45 || longest > limit || a.phase == phaseRecording {
+	if len(n) != 45 || longest > limit || a.Phase == state.PhaseRecording {
 		t.Errorf("after %d transactions %d of 45 machines are listed, the longest record has %d bytes, the start waits for its record: %v",
-			len(b.sentTransactions), len(n), longest, a.phase == phaseRecording)
+			len(b.sentTransactions), len(n), longest, a.Phase == state.PhaseRecording)
 	}
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -15,10 +17,10 @@
 	c.loop.Emit(messages.Respond{Request: req, Status: status, View: &v})
 }
 
-func finalView(id cluster.JobID, k *knownJob) cluster.JobView {
-	v := cluster.JobView{ID: id, Status: k.finalStatus}
-	if k.finalStatus == cluster.JobDone {
-		v.Done = k.tasks
+func finalView(id cluster.JobID, k *state.KnownJob) cluster.JobView {
+	v := cluster.JobView{ID: id, Status: k.FinalStatus}
+	if k.FinalStatus == cluster.JobDone {
+		v.Done = k.Tasks
 	}
 	return v
 }
@@ -39,7 +41,7 @@
 	if rec.Spec == nil {
 		return v, false
 	}
-	decodeCompleted(rec.CompletedIndexes, min(rec.Spec.Tasks, tasksPerChunk), func(int) { v.Done++ })
+	state.DecodeCompleted(rec.CompletedIndexes, min(rec.Spec.Tasks, state.TasksPerChunk), func(int) { v.Done++ })
 	if v.Done > 0 {
 		v.Status = cluster.JobRunning
 	}
@@ -66,17 +68,17 @@
 // lookUpJob finds a job's state: a final one from memory, else from its owner,
 // else from the store, which alone can say that there is no such job.
 func (c *Controller) lookUpJob(id cluster.JobID, fn func(messages.ReplyStatus, cluster.JobView)) {
-	k := c.jobs.known[id]
-	if k != nil && k.finalStatus != "" {
+	k := c.state.Jobs.Known[id]
+	if k != nil && k.FinalStatus != "" {
 		fn(messages.ReplyOK, finalView(id, k))
 		return
 	}
-	if j := c.jobs.owned[id]; j != nil {
-		c.confirmOwnership(c.shards[j.shard], func(good bool) {
-			if k := c.jobs.finalJob(id); k != nil {
+	if j := c.state.Jobs.Owned[id]; j != nil {
+		c.confirmOwnership(c.state.Shards[j.ShardID], func(good bool) {
+			if k := c.state.Jobs.FinalJob(id); k != nil {
 				fn(messages.ReplyOK, finalView(id, k))
-			} else if j := c.jobs.owned[id]; good && j != nil && !j.endInFlight {
-				c.answerUnfinished(id, j.view(), fn)
+			} else if j := c.state.Jobs.Owned[id]; good && j != nil && !j.EndInFlight {
+				c.answerUnfinished(id, j.View(), fn)
 			} else { // another may have read and told an end that is on its way here
 				c.lookUpJobInStore(id, fn)
 			}
@@ -84,7 +86,7 @@
 		return
 	}
 	if k != nil {
-		if p := c.peers[c.shards[k.shard].owner]; p != nil && !p.failed && !p.suspected {
+		if p := c.peers[c.state.Shards[k.ShardID].Owner]; p != nil && !p.failed && !p.suspected {
 			c.queryOwner(p, id, fn)
 			return
 		}
@@ -97,7 +99,7 @@
 		fn(messages.ReplyUnavailable, cluster.JobView{})
 		return
 	}
-	c.writeQueue.ReadKey(jobKey(id), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(state.JobKey(id), func(r messages.GetReply) {
 		switch r.Outcome {
 		case messages.OK:
 			c.applyJobRecord(r.KV, nil)
@@ -131,8 +133,8 @@
 func (c *Controller) answerJobQuery(ids []cluster.JobID, fn func([]cluster.JobView)) {
 	byPart := map[cluster.ShardID]bool{}
 	for _, id := range ids {
-		if j := c.jobs.owned[id]; j != nil {
-			byPart[j.shard] = true
+		if j := c.state.Jobs.Owned[id]; j != nil {
+			byPart[j.ShardID] = true
 		}
 	}
 	left := 1
@@ -144,26 +146,26 @@
 		}
 		var out []cluster.JobView
 		for _, id := range ids {
-			if k := c.jobs.finalJob(id); k != nil {
+			if k := c.state.Jobs.FinalJob(id); k != nil {
 				out = append(out, finalView(id, k))
-			} else if j := c.jobs.owned[id]; j != nil && good[j.shard] && !j.endInFlight && (fresh || !c.jobs.isBlocked(id)) {
-				out = append(out, j.view())
+			} else if j := c.state.Jobs.Owned[id]; j != nil && good[j.ShardID] && !j.EndInFlight && (fresh || !c.state.Jobs.IsBlocked(id)) {
+				out = append(out, j.View())
 			}
 		}
 		fn(out)
 	}
-	if slices.ContainsFunc(ids, func(id cluster.JobID) bool { return c.jobs.owned[id] != nil && c.jobs.isBlocked(id) }) {
+	if slices.ContainsFunc(ids, func(id cluster.JobID) bool { return c.state.Jobs.Owned[id] != nil && c.state.Jobs.IsBlocked(id) }) {
 		left++
 		c.linearizableJobRead(func(ok bool) {
 			fresh = ok
 			finish()
 		})
 	}
-	for _, p := range c.shards {
-		if byPart[p.id] {
+	for _, p := range c.state.Shards {
+		if byPart[p.ID] {
 			left++
 			c.confirmOwnership(p, func(ok bool) {
-				good[p.id] = ok
+				good[p.ID] = ok
 				finish()
 			})
 		}
@@ -180,11 +182,11 @@
 		v := cluster.JobView{ID: id, Status: s}
 		c.respondView(req, messages.ReplyOK, v)
 	}
-	k := c.jobs.known[id]
+	k := c.state.Jobs.Known[id]
 	switch {
-	case k != nil && k.finalStatus != "":
-		answer(k.finalStatus)
-	case k != nil && c.shards[k.shard].owned:
+	case k != nil && k.FinalStatus != "":
+		answer(k.FinalStatus)
+	case k != nil && c.state.Shards[k.ShardID].Owned:
 		c.cancelOwnedJob(id, func(status messages.ReplyStatus, v *cluster.JobView) {
 			if v == nil {
 				answer("")
@@ -193,7 +195,7 @@
 			answer(v.Status)
 		})
 	case k != nil:
-		p := c.peers[c.shards[k.shard].owner]
+		p := c.peers[c.state.Shards[k.ShardID].Owner]
 		if p == nil || p.failed {
 			answer("")
 			return
@@ -226,12 +228,12 @@
 
 // cancelOwnedJob cancels a job of a part held here; told only after it is stored.
 func (c *Controller) cancelOwnedJob(id cluster.JobID, fn func(messages.ReplyStatus, *cluster.JobView)) {
-	if k := c.jobs.finalJob(id); k != nil {
-		fn(messages.ReplyOK, &cluster.JobView{ID: id, Status: k.finalStatus})
+	if k := c.state.Jobs.FinalJob(id); k != nil {
+		fn(messages.ReplyOK, &cluster.JobView{ID: id, Status: k.FinalStatus})
 		return
 	}
-	j := c.jobs.owned[id]
-	if j == nil || !c.shards[j.shard].ready {
+	j := c.state.Jobs.Owned[id]
+	if j == nil || !c.state.Shards[j.ShardID].Ready {
 		fn(messages.ReplyUnavailable, nil)
 		return
 	}
@@ -248,11 +250,11 @@
 		fn(messages.ReplyOK, &cluster.JobView{ID: id, Status: s})
 	}
 	c.loop.After(2800*millisecond, func() { done("") })
-	j.waiters = append(j.waiters, done)
-	if !j.cancelling {
+	j.Waiters = append(j.Waiters, done)
+	if !j.Cancelling {
 		// Its tasks are of no use from now on, and the store's answer may be lost
 		// though others read, and tell, that it is cancelled.
-		j.cancelling = true
+		j.Cancelling = true
 		c.withdrawUnsentStarts(j)
 		c.stopAllTasks(j)
 	}
--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 	"testing"
+
+	"stairrelay/internal/state"
 )
 
 // TestScaleOutInZoneOfJob: machines for a job that is bound to a zone are asked for
@@ -23,18 +25,18 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
-			part := b.shards[0]
-			small := b.machineTypes["small"]
+			part := b.state.Shards[0]
+			small := b.state.MachineTypes["small"]
 			small.Zones = []string{"a", "b"}
-			b.machineTypes["small"] = small
+			b.state.MachineTypes["small"] = small
 			for _, zone := range test.refused {
-				part.outOfCapacityUntil[provisioningOption{"small", zone, false}] = b.loop.Now() + 60*second
+				part.OutOfCapacityUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = b.loop.Now() + 60*second
 			}
-			b.addTestJob("j-1", 1).spec.Zone = test.zone
+			b.addTestJob("j-1", 1).Spec.Zone = test.zone
 			b.scaleOutShard(part)
 			var rented []string
-			for _, name := range slices.Sorted(maps.Keys(part.provisioningRequests)) {
-				rented = append(rented, part.provisioningRequests[name].option.Zone)
+			for _, name := range slices.Sorted(maps.Keys(part.ProvisioningRequests)) {
+				rented = append(rented, part.ProvisioningRequests[name].Option.Zone)
 			}
 			if len(rented) != len(test.rented) || len(rented) > 0 && rented[0] != test.rented[0] {
 				t.Errorf("rented in zones %v, want %v", rented, test.rented)
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strings"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
@@ -46,13 +48,13 @@
 
 // scaleInMachine gives a machine back: the record says so first, so that no
 // part can take it while the cloud is called.
-func (c *Controller) scaleInMachine(m *machine, why string) {
-	if m.releasing {
+func (c *Controller) scaleInMachine(m *state.Machine, why string) {
+	if m.Releasing {
 		return
 	}
-	c.loop.Log(messages.LogDebug, "returning machine", "machine", string(m.id), "why", why, "tasks", m.liveTaskCount())
-	c.recordScaleIn(why, m.liveTaskCount())
-	m.releasing = true
+	c.loop.Log(messages.LogDebug, "returning machine", "machine", string(m.ID), "why", why, "tasks", m.LiveTaskCount())
+	c.recordScaleIn(why, m.LiveTaskCount())
+	m.Releasing = true
 	c.writeMachine(m, writequeue.Outcome)
 }
 
@@ -60,10 +62,10 @@
 // cancelled tasks, and an outage of the store may outlast their time. A machine
 // whose record lists tasks can't be taken by another part. One that has been claimed with its part meanwhile may be lost to its new
 // holder, as if it had died: the return itself frees nothing, the record does.
-func (c *Controller) scaleInBeforeRecorded(m *machine) {
-	if c.canAnswerWorkers(c.shards[m.shardID]) {
+func (c *Controller) scaleInBeforeRecorded(m *state.Machine) {
+	if c.canAnswerWorkers(c.state.Shards[m.ShardID]) {
 		c.scaleInMachine(m, "cancelled tasks in an outage")
-		m.releaseConfirmed = true
+		m.ReleaseConfirmed = true
 	}
 }
 
@@ -91,12 +93,12 @@
 const maxScaleInMachines = 100
 
 func (c *Controller) callScaleIn() {
-	var ms []*machine
+	var ms []*state.Machine
 	var ids []cluster.MachineID
-	for _, p := range c.shards {
-		for _, m := range p.machines {
-			if p.owned && m.releaseConfirmed && !m.scaleInCallInFlight && !m.terminated && len(ms) < maxScaleInMachines {
-				ms, ids = append(ms, m), append(ids, m.id)
+	for _, p := range c.state.Shards {
+		for _, m := range p.Machines {
+			if p.Owned && m.ReleaseConfirmed && !m.ScaleInCallInFlight && !m.Terminated && len(ms) < maxScaleInMachines {
+				ms, ids = append(ms, m), append(ids, m.ID)
 			}
 		}
 	}
@@ -104,19 +106,19 @@
 		return
 	}
 	for _, m := range ms {
-		m.scaleInCallInFlight = true
+		m.ScaleInCallInFlight = true
 	}
 	c.loop.Emit(messages.CloudScaleIn{IDs: ids, Call: eventloop.Call(c.loop, func(reply messages.ScaleInReply) {
 		if reply.Outcome != messages.OK {
 			c.loop.After(2*second, func() {
 				for _, m := range ms {
-					m.scaleInCallInFlight = false
+					m.ScaleInCallInFlight = false
 				}
 			})
 			return
 		}
 		for _, m := range ms {
-			if c.machines[m.id] == m {
+			if c.state.Machines[m.ID] == m {
 				c.handleMachineTerminated(m)
 			}
 		}
@@ -125,27 +127,27 @@
 
 // handleMachineTerminated follows the cloud's word that a machine and all on it are gone.
 // What ran there may start elsewhere once the record says so.
-func (c *Controller) handleMachineTerminated(m *machine) {
-	m.terminated = true
-	for _, a := range m.assignments {
-		m.markConfirmedAbsent(a)
+func (c *Controller) handleMachineTerminated(m *state.Machine) {
+	m.Terminated = true
+	for _, a := range m.Assignments {
+		m.MarkConfirmedAbsent(a)
 	}
 	c.writeMachine(m, writequeue.Start)
 }
 
 // removeMachineAndFreeTasks drops a machine whose record no longer lists it, and frees its
 // tasks.
-func (c *Controller) removeMachineAndFreeTasks(m *machine) {
-	if c.machines[m.id] != m {
+func (c *Controller) removeMachineAndFreeTasks(m *state.Machine) {
+	if c.state.Machines[m.ID] != m {
 		return
 	}
 	c.removeMachine(m)
-	for _, a := range m.sortedAssignments() {
-		delete(m.assignments, a.task)
+	for _, a := range m.SortedAssignments() {
+		delete(m.Assignments, a.Task)
 		c.unassignTask(a)
 	}
-	if m.pendingHeartbeat != 0 {
-		c.redirectWorker(m.pendingHeartbeat, "")
-		m.pendingHeartbeat = 0
+	if m.PendingHeartbeat != 0 {
+		c.redirectWorker(m.PendingHeartbeat, "")
+		m.PendingHeartbeat = 0
 	}
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -7,6 +7,8 @@
 	"sort"
 	"strings"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
@@ -26,65 +28,65 @@
 
 func provisioningKey(name string) string { return "rentals/" + name }
 
-func (c *Controller) applyProvisioningRecord(kv messages.KV, p *shard) {
+func (c *Controller) applyProvisioningRecord(kv messages.KV, p *state.Shard) {
 	var rec provisioningRecord
 	if json.Unmarshal(kv.Value, &rec) != nil {
 		c.giveUpCorruptShard(p, kv.Key, "rental record")
 		return
 	}
-	if rec.Shard != p.id {
+	if rec.Shard != p.ID {
 		return
 	}
 	name := strings.TrimPrefix(kv.Key, "rentals/")
-	r := &provisioningRequest{name: name, option: provisioningOption{rec.Type, rec.Zone, rec.Spot}, count: rec.Count, modRevision: kv.ModRevision}
-	p.provisioningRequests[name] = r
+	r := &state.ProvisioningRequest{Name: name, Option: state.ProvisioningOption{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, Count: rec.Count, ModRevision: kv.ModRevision}
+	p.ProvisioningRequests[name] = r
 	c.callScaleOut(p, r)
 }
 
 // pendingWork is what a part's waiting tasks need beyond what it has.
 type pendingWork struct {
-	job      *job
+	job      *state.Job
 	tasks    int
 	starving bool // a starving job's next task
 }
 
 // listPendingWork lists the waiting tasks that team limits would let run at once.
-func (c *Controller) listPendingWork(p *shard) []pendingWork {
+func (c *Controller) listPendingWork(p *state.Shard) []pendingWork {
 	use := c.teamUsageOf(p)
 	var l []pendingWork
 	jobs, _ := c.queuedJobs(p)
 	// A starving job's next task comes first here as it does when tasks are
 	// placed: else no machine of the kind it needs would ever be rented.
-	first := map[*job]int{}
+	first := map[*state.Job]int{}
 	for _, j := range jobs {
 		if c.isStarving(j) {
 			first[j] = 1
-			use[j.spec.Team] = use[j.spec.Team].Plus(j.spec.ResourceRequest)
+			use[j.Spec.Team] = use[j.Spec.Team].Plus(j.Spec.ResourceRequest)
 			l = append(l, pendingWork{j, 1, true})
 		}
 	}
 	for _, j := range jobs {
-		need := j.spec.ResourceRequest
-		n := min(j.pendingCount()-first[j], c.teams[j.spec.Team].QuotaLimit.Minus(use[j.spec.Team]).FitCount(cluster.Resources{CPU: need.CPU, GPU: need.GPU}))
+		need := j.Spec.ResourceRequest
+		n := min(j.PendingCount()-first[j], c.state.Teams[j.Spec.Team].QuotaLimit.Minus(use[j.Spec.Team]).FitCount(cluster.Resources{CPU: need.CPU, GPU: need.GPU}))
 		if n <= 0 {
 			continue
 		}
-		use[j.spec.Team] = use[j.spec.Team].Plus(need.Times(n))
+		use[j.Spec.Team] = use[j.Spec.Team].Plus(need.Times(n))
 		l = append(l, pendingWork{job: j, tasks: n})
 	}
 	return l
 }
 
 // packWork takes from the waiting work what would fit into room.
-func (c *Controller) packWork(work []pendingWork, room cluster.Resources, ok func(*job) bool) int {
+func (c *Controller) packWork(work []pendingWork, room cluster.Resources, ok func(*state.Job) bool) int {
 	took := 0
 	for i := range work {
 		w := &work[i]
-		if w.tasks <= 0 || !w.job.spec.ResourceRequest.FitsIn(room) || !ok(w.job) {
+		if w.tasks <= 0 || !w.job.Spec.ResourceRequest.FitsIn(room) || !ok(w.job) {
 			continue
 		}
-		n := min(w.tasks, room.FitCount(w.job.spec.ResourceRequest))
-		room = room.Minus(w.job.spec.ResourceRequest.Times(n))
+		n := min(w.tasks, room.FitCount(w.job.Spec.ResourceRequest))
+		room = room.Minus(w.job.Spec.ResourceRequest.Times(n))
 		w.tasks -= n
 		took += n
 	}
@@ -109,14 +111,14 @@
 func (c *Controller) runScaleOut() {
 	c.pollCloudList()
 	c.cordonSurplusMachines()
-	for _, p := range c.shards {
-		if p.owned && p.ready && len(c.machineTypes) > 0 && !c.writeQueue.IsUnavailableFor(second) {
+	for _, p := range c.state.Shards {
+		if p.Owned && p.Ready && len(c.state.MachineTypes) > 0 && !c.writeQueue.IsUnavailableFor(second) {
 			c.scaleOutShard(p)
 		}
 	}
 }
 
-func (c *Controller) scaleOutShard(p *shard) {
+func (c *Controller) scaleOutShard(p *state.Shard) {
 	work := c.listPendingWork(p)
 	if len(work) == 0 {
 		return
@@ -125,33 +127,33 @@
 	slots, _ := c.listFreeCapacity(p, 1)
 	for i := range slots {
 		s := &slots[i]
-		c.packWork(work, s.available, func(j *job) bool { return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) })
+		c.packWork(work, s.available, func(j *state.Job) bool { return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) })
 	}
-	c.counters.addMachineScans(p.machines)
-	for _, m := range p.machines {
-		if !m.booting && !m.tokenAcknowledged && !m.releasing && c.loop.Now()-m.ownedSince < 5*second {
-			c.packWork(work, c.machineTypes[m.machineType].Capacity.Minus(m.usedResources()), func(j *job) bool { return c.isAllowedOn(j, m) })
+	c.counters.addMachineScans(p.Machines)
+	for _, m := range p.Machines {
+		if !m.Booting && !m.TokenAcknowledged && !m.Releasing && c.loop.Now()-m.OwnedSince < 5*second {
+			c.packWork(work, c.state.MachineTypes[m.MachineType].Capacity.Minus(m.UsedResources()), func(j *state.Job) bool { return c.isAllowedOn(j, m) })
 		}
 	}
 	// Another part's idle machine serves at once, a booting one much later.
 	c.acceptOffers(p, work)
-	c.counters.addMachineScans(p.machines)
-	for _, m := range p.machines {
-		if m.releasing || m.draining || c.isSchedulable(m) {
+	c.counters.addMachineScans(p.Machines)
+	for _, m := range p.Machines {
+		if m.Releasing || m.Draining || c.isSchedulable(m) {
 			continue
 		}
-		if m.booting {
-			c.packWork(work, c.machineTypes[m.machineType].Capacity.Minus(m.usedResources()), func(j *job) bool { return c.isAllowedOn(j, m) })
+		if m.Booting {
+			c.packWork(work, c.state.MachineTypes[m.MachineType].Capacity.Minus(m.UsedResources()), func(j *state.Job) bool { return c.isAllowedOn(j, m) })
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(p.provisioningRequests)) {
-		r := p.provisioningRequests[name]
-		n := r.count
-		if r.answered {
-			n = r.grantedCount
+	for _, name := range slices.Sorted(maps.Keys(p.ProvisioningRequests)) {
+		r := p.ProvisioningRequests[name]
+		n := r.Count
+		if r.Answered {
+			n = r.GrantedCount
 		}
 		for range n {
-			c.packWork(work, c.machineTypes[r.option.Type].Capacity, func(j *job) bool { return c.isOptionAllowed(j, r.option) })
+			c.packWork(work, c.state.MachineTypes[r.Option.Type].Capacity, func(j *state.Job) bool { return c.isOptionAllowed(j, r.Option) })
 		}
 	}
 	if c.canScaleOut(p) {
@@ -159,23 +161,23 @@
 	}
 }
 
-func (c *Controller) isOptionAllowed(j *job, o provisioningOption) bool {
-	if j.spec.Colocate && !isOnlyZone(c.countTasksByZone(j), o.Zone) {
+func (c *Controller) isOptionAllowed(j *state.Job, o state.ProvisioningOption) bool {
+	if j.Spec.Colocate && !isOnlyZone(c.countTasksByZone(j), o.Zone) {
 		return false
 	}
-	return (j.spec.Spot || !o.Spot) && c.isTypeAllowed(&j.spec, c.machineTypes[o.Type], o.Zone)
+	return (j.Spec.Spot || !o.Spot) && c.isTypeAllowed(&j.Spec, c.state.MachineTypes[o.Type], o.Zone)
 }
 
 // idleMachines lists the machines of a part that another may take.
-func (c *Controller) idleMachines(p *shard) []*machine {
-	var l []*machine
-	if !p.owned || !p.ready {
+func (c *Controller) idleMachines(p *state.Shard) []*state.Machine {
+	var l []*state.Machine
+	if !p.Owned || !p.Ready {
 		return nil
 	}
-	c.counters.addMachineScans(p.machines)
-	for _, m := range p.machines {
-		if c.isSchedulable(m) && len(m.assignments) == 0 && m.recordedTaskCount == 0 && !m.group.writeInFlight && m.group.offer == nil && m.address != "" &&
-			len(m.unrecordedToStop) == 0 && c.loop.Now()-m.idleSince > second/2 {
+	c.counters.addMachineScans(p.Machines)
+	for _, m := range p.Machines {
+		if c.isSchedulable(m) && len(m.Assignments) == 0 && m.RecordedTaskCount == 0 && !m.Group.WriteInFlight && m.Group.Offer == nil && m.Address != "" &&
+			len(m.UnrecordedToStop) == 0 && c.loop.Now()-m.IdleSince > second/2 {
 			l = append(l, m)
 		}
 	}
@@ -183,15 +185,15 @@
 }
 
 // requestMachines asks the cloud, cheapest per task first.
-func (c *Controller) requestMachines(p *shard, work []pendingWork) {
+func (c *Controller) requestMachines(p *state.Shard, work []pendingWork) {
 	flying := 0
-	for _, r := range p.provisioningRequests {
-		if !r.answered {
+	for _, r := range p.ProvisioningRequests {
+		if !r.Answered {
 			flying++
 		}
 	}
 	for flying < 4 {
-		var first *job
+		var first *state.Job
 		for _, w := range work {
 			if w.tasks > 0 {
 				first = w.job
@@ -202,7 +204,7 @@
 			return
 		}
 		opts := c.optionsByCost(p, first)
-		if len(opts) > 0 && first.spec.Spot && !opts[0].Spot && !c.isOnDemandWorthwhile(p, work, opts[0]) {
+		if len(opts) > 0 && first.Spec.Spot && !opts[0].Spot && !c.isOnDemandWorthwhile(p, work, opts[0]) {
 			opts = nil
 		}
 		if len(opts) == 0 {
@@ -216,7 +218,7 @@
 		o := opts[0]
 		n := 0
 		for n < min(50, c.groupMachines()) {
-			if c.packWork(work, c.machineTypes[o.Type].Capacity, func(j *job) bool { return c.isOptionAllowed(j, o) }) == 0 {
+			if c.packWork(work, c.state.MachineTypes[o.Type].Capacity, func(j *state.Job) bool { return c.isOptionAllowed(j, o) }) == 0 {
 				break
 			}
 			n++
@@ -236,8 +238,8 @@
 // are none now, should have an ordinary one at several times the price: only
 // if what is there and coming would not be through with it by the time that
 // the machine is up.
-func (c *Controller) isOnDemandWorthwhile(p *shard, work []pendingWork, o provisioningOption) bool {
-	t := c.machineTypes[o.Type]
+func (c *Controller) isOnDemandWorthwhile(p *state.Shard, work []pendingWork, o state.ProvisioningOption) bool {
+	t := c.state.MachineTypes[o.Type]
 	if t.OnDemandPrice < 1.5*t.SpotPrice {
 		return true
 	}
@@ -246,38 +248,38 @@
 	loads := c.allShardLoads()
 	for q, l := range loads {
 		all += l.Available + l.Booting
-		if q == p.id {
+		if q == p.ID {
 			mine = l.Available + l.Booting
 		}
 	}
 	have := float64(max(mine, all/cluster.Amount(max(len(loads), 1)))) / 1e6
 	rest := 0.0
 	for _, w := range work {
-		rest += float64(w.tasks) * float64(w.job.spec.ResourceRequest.CPU) / 1e6 * c.expectedRunSeconds(w.job)
+		rest += float64(w.tasks) * float64(w.job.Spec.ResourceRequest.CPU) / 1e6 * c.expectedRunSeconds(w.job)
 	}
 	return rest > have*t.BootSeconds
 }
 
-func (c *Controller) optionsByCost(p *shard, j *job) []provisioningOption {
+func (c *Controller) optionsByCost(p *state.Shard, j *state.Job) []state.ProvisioningOption {
 	type priced struct {
-		o    provisioningOption
+		o    state.ProvisioningOption
 		cost float64
 	}
 	var l []priced
-	for _, name := range slices.Sorted(maps.Keys(c.machineTypes)) {
-		t := c.machineTypes[name]
+	for _, name := range slices.Sorted(maps.Keys(c.state.MachineTypes)) {
+		t := c.state.MachineTypes[name]
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				o := provisioningOption{name, z, spot}
-				if !c.isOptionAllowed(j, o) || c.loop.Now() < p.outOfCapacityUntil[o] {
+				o := state.ProvisioningOption{Type: name, Zone: z, Spot: spot}
+				if !c.isOptionAllowed(j, o) || c.loop.Now() < p.OutOfCapacityUntil[o] {
 					continue
 				}
-				l = append(l, priced{o, t.HourlyPrice(spot) / float64(tasksPerMachine(t.Capacity, j.spec.ResourceRequest))})
+				l = append(l, priced{o, t.HourlyPrice(spot) / float64(tasksPerMachine(t.Capacity, j.Spec.ResourceRequest))})
 			}
 		}
 	}
 	sort.SliceStable(l, func(a, b int) bool { return l[a].cost < l[b].cost })
-	out := make([]provisioningOption, len(l))
+	out := make([]state.ProvisioningOption, len(l))
 	for i := range l {
 		out[i] = l[i].o
 	}
@@ -292,62 +294,62 @@
 // costs two puts, a whole second's worth where the write rate is low.
 const maxCapacityBackoffDoublings = 2
 
-func (c *Controller) createProvisioningRequest(p *shard, o provisioningOption, n int) {
-	r := &provisioningRequest{name: c.nextProvisioningRequestName(p), option: o, count: n, groupID: c.nextMachineGroupName(p)}
-	p.provisioningRequests[r.name] = r
+func (c *Controller) createProvisioningRequest(p *state.Shard, o state.ProvisioningOption, n int) {
+	r := &state.ProvisioningRequest{Name: c.nextProvisioningRequestName(p), Option: o, Count: n, GroupID: c.nextMachineGroupName(p)}
+	p.ProvisioningRequests[r.Name] = r
 	x := &writequeue.Write{
-		ShardID: p.id, Keys: []string{provisioningKey(r.name)},
+		ShardID: p.ID, Keys: []string{provisioningKey(r.Name)},
 		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
-			v, _ := json.Marshal(provisioningRecord{p.id, o.Type, o.Zone, o.Spot, n, nonce})
-			return []messages.TxnOp{{Key: provisioningKey(r.name), Value: v}}, []cluster.ModRevision{0}
+			v, _ := json.Marshal(provisioningRecord{p.ID, o.Type, o.Zone, o.Spot, n, nonce})
+			return []messages.TxnOp{{Key: provisioningKey(r.Name), Value: v}}, []cluster.ModRevision{0}
 		},
 		// Once it is settled its key is absent again, and a late copy of this would
 		// bring it back; a successor would then record its machines a second time.
 		// The key of its machines' group stays until the next claim fences the copy.
-		ExtraCompares: []messages.Compare{{Key: "groups/" + r.groupID, ModRevision: 0}},
-		OnConflict:    func() { c.handleForeignWrite(p, provisioningKey(r.name), "name in use") },
+		ExtraCompares: []messages.Compare{{Key: "groups/" + r.GroupID, ModRevision: 0}},
+		OnConflict:    func() { c.handleForeignWrite(p, provisioningKey(r.Name), "name in use") },
 	}
 	x.OnApplied = func(e cluster.Revision) {
-		r.modRevision, r.createInDoubt = cluster.ModRevision(e), x.InDoubt
+		r.ModRevision, r.CreateInDoubt = cluster.ModRevision(e), x.InDoubt
 		c.callScaleOut(p, r)
 	}
 	c.writeQueue.Enqueue(writequeue.ScaleOut, x)
 }
 
-func (c *Controller) isProvisioningCurrent(p *shard, r *provisioningRequest) bool {
-	return p.owned && p.provisioningRequests[r.name] == r
+func (c *Controller) isProvisioningCurrent(p *state.Shard, r *state.ProvisioningRequest) bool {
+	return p.Owned && p.ProvisioningRequests[r.Name] == r
 }
 
-func (c *Controller) callScaleOut(p *shard, r *provisioningRequest) {
-	if !c.isProvisioningCurrent(p, r) || r.answered {
+func (c *Controller) callScaleOut(p *state.Shard, r *state.ProvisioningRequest) {
+	if !c.isProvisioningCurrent(p, r) || r.Answered {
 		return
 	}
-	if r.attempts++; r.attempts > 1 { // the first was counted when it was decided
+	if r.Attempts++; r.Attempts > 1 { // the first was counted when it was decided
 		c.forceCloudCall()
 	}
-	c.loop.Emit(messages.CloudScaleOut{Name: r.name, Type: r.option.Type, Zone: r.option.Zone, Spot: r.option.Spot, Count: r.count, Call: eventloop.Call(c.loop, func(a messages.ScaleOutReply) {
+	c.loop.Emit(messages.CloudScaleOut{Name: r.Name, Type: r.Option.Type, Zone: r.Option.Zone, Spot: r.Option.Spot, Count: r.Count, Call: eventloop.Call(c.loop, func(a messages.ScaleOutReply) {
 		if !c.isProvisioningCurrent(p, r) {
 			return
 		}
 		switch a.Outcome {
 		case messages.OK:
-			c.loop.Log(messages.LogDebug, "rented", "part", int(p.id), "type", r.option.Type, "zone", r.option.Zone, "spot", r.option.Spot, "asked", r.count, "got", len(a.IDs))
-			if len(a.IDs) < r.count {
-				p.outOfCapacityUntil[r.option] = c.loop.Now() + c.config.Tuning.OutOfCapacityBackoff
+			c.loop.Log(messages.LogDebug, "rented", "part", int(p.ID), "type", r.Option.Type, "zone", r.Option.Zone, "spot", r.Option.Spot, "asked", r.Count, "got", len(a.IDs))
+			if len(a.IDs) < r.Count {
+				p.OutOfCapacityUntil[r.Option] = c.loop.Now() + c.config.Tuning.OutOfCapacityBackoff
 			}
-			delete(p.outOfCapacityCount, r.option)
-			r.answered, r.grantedCount = true, len(a.IDs)
+			delete(p.OutOfCapacityCount, r.Option)
+			r.Answered, r.GrantedCount = true, len(a.IDs)
 			c.completeProvisioning(p, r, a.IDs)
 			c.scheduleScaleOut()
 		case messages.NotFound:
-			p.outOfCapacityUntil[r.option] = c.loop.Now() + c.config.Tuning.OutOfCapacityBackoff<<p.outOfCapacityCount[r.option]
-			p.outOfCapacityCount[r.option] = min(p.outOfCapacityCount[r.option]+1, maxCapacityBackoffDoublings)
-			r.answered = true
+			p.OutOfCapacityUntil[r.Option] = c.loop.Now() + c.config.Tuning.OutOfCapacityBackoff<<p.OutOfCapacityCount[r.Option]
+			p.OutOfCapacityCount[r.Option] = min(p.OutOfCapacityCount[r.Option]+1, maxCapacityBackoffDoublings)
+			r.Answered = true
 			c.completeProvisioning(p, r, nil)
 			c.scheduleScaleOut()
 		case messages.Invalid:
-			p.outOfCapacityUntil[r.option] = c.loop.Now() + 300*second
-			r.answered = true
+			p.OutOfCapacityUntil[r.Option] = c.loop.Now() + 300*second
+			r.Answered = true
 			c.completeProvisioning(p, r, nil)
 		case messages.Throttled:
 			c.handleCloudThrottled()
@@ -360,21 +362,21 @@
 
 // completeProvisioning records the machines and forgets the request in one
 // transaction, so that no crash between the two can lose a machine.
-func (c *Controller) completeProvisioning(p *shard, r *provisioningRequest, ids []cluster.MachineID) {
-	claim := p.claimRevision
-	id, size := r.groupID, 0
+func (c *Controller) completeProvisioning(p *state.Shard, r *state.ProvisioningRequest, ids []cluster.MachineID) {
+	claim := p.ClaimRevision
+	id, size := r.GroupID, 0
 	if id == "" { // of an earlier claim, whose copies this one has fenced
 		id = c.nextMachineGroupName(p)
 	}
-	kind := grouprecord.Kind{Type: r.option.Type, Zone: r.option.Zone, Spot: r.option.Spot}
+	kind := grouprecord.Kind{Type: r.Option.Type, Zone: r.Option.Zone, Spot: r.Option.Spot}
 	ms := make([]grouprecord.Machine, 0, len(ids))
 	for _, m := range ids {
 		ms = append(ms, grouprecord.Machine{ID: m, Kind: kind, Booting: true})
 	}
-	keys, prio := []string{provisioningKey(r.name)}, writequeue.Background
+	keys, prio := []string{provisioningKey(r.Name)}, writequeue.Background
 	// A refused one gets no machines, but where a copy of its creation may come
 	// late its group's key has to be there all the same, with nothing listed.
-	made := len(ids) > 0 || r.createInDoubt
+	made := len(ids) > 0 || r.CreateInDoubt
 	if made {
 		keys = append(keys, "groups/"+id)
 	}
@@ -382,21 +384,21 @@
 		prio = writequeue.ScaleOut
 	}
 	c.writeQueue.Enqueue(prio, &writequeue.Write{
-		ShardID: p.id, Keys: keys,
+		ShardID: p.ID, Keys: keys,
 		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
-			ops, marks := []messages.TxnOp{{Key: provisioningKey(r.name), Value: nil}}, []cluster.ModRevision{r.modRevision}
+			ops, marks := []messages.TxnOp{{Key: provisioningKey(r.Name), Value: nil}}, []cluster.ModRevision{r.ModRevision}
 			if made {
-				v := grouprecord.Encode(grouprecord.Record{ShardID: p.id, Machines: ms, WriteID: nonce})
+				v := grouprecord.Encode(grouprecord.Record{ShardID: p.ID, Machines: ms, WriteID: nonce})
 				size = len(v)
 				ops, marks = append(ops, messages.TxnOp{Key: "groups/" + id, Value: v}), append(marks, 0)
 			}
 			return ops, marks
 		},
 		OnApplied: func(e cluster.Revision) {
-			if !p.owned || p.claimRevision != claim {
+			if !p.Owned || p.ClaimRevision != claim {
 				return
 			}
-			delete(p.provisioningRequests, r.name)
+			delete(p.ProvisioningRequests, r.Name)
 			if len(ms) > 0 {
 				c.addRegisteredGroup(p, id, ms, size, e)
 			}
@@ -404,13 +406,13 @@
 		OnConflict: func() {
 			// Where only the request is dropped no nonce tells whether an earlier
 			// sending was carried out; that the key is gone does.
-			c.writeQueue.ReadKey(provisioningKey(r.name), func(g messages.GetReply) {
+			c.writeQueue.ReadKey(provisioningKey(r.Name), func(g messages.GetReply) {
 				switch {
-				case !p.owned || p.claimRevision != claim:
+				case !p.Owned || p.ClaimRevision != claim:
 				case g.Outcome == messages.NotFound && len(ms) == 0:
-					delete(p.provisioningRequests, r.name)
+					delete(p.ProvisioningRequests, r.Name)
 				case g.Outcome == messages.OK || g.Outcome == messages.NotFound:
-					c.handleForeignWrite(p, provisioningKey(r.name), "settled by another writer")
+					c.handleForeignWrite(p, provisioningKey(r.Name), "settled by another writer")
 				default:
 					c.loop.After(second, func() {
 						if c.isProvisioningCurrent(p, r) {
--- a/internal/controller/schedule.go
+++ b/internal/controller/schedule.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/writequeue"
 
@@ -11,14 +13,14 @@
 )
 
 // isSchedulable tells whether new starts may go to a machine.
-func (c *Controller) isSchedulable(m *machine) bool {
-	return m.tokenAcknowledged && !m.booting && !m.draining && !m.releasing && !m.startInDoubt && !m.raisingToken && c.loop.Now() >= m.noStartsBefore &&
-		c.loop.Now()-m.lastHeartbeat < 2*c.config.HeartbeatInterval+second
+func (c *Controller) isSchedulable(m *state.Machine) bool {
+	return m.TokenAcknowledged && !m.Booting && !m.Draining && !m.Releasing && !m.StartInDoubt && !m.RaisingToken && c.loop.Now() >= m.NoStartsBefore &&
+		c.loop.Now()-m.LastHeartbeat < 2*c.config.HeartbeatInterval+second
 }
 
 // freeCapacity is a machine with room.
 type freeCapacity struct {
-	machine      *machine
+	machine      *state.Machine
 	available    cluster.Resources
 	kindIndex    int // its index among the kinds of the slots
 	imageFetches scheduling.ImageFetches
@@ -27,28 +29,28 @@
 
 // listFreeCapacity lists the machines with room, and their kinds: what a job may use is
 // decided once for all machines of a kind.
-func (c *Controller) listFreeCapacity(p *shard, least cluster.Amount) ([]freeCapacity, []grouprecord.Kind) {
+func (c *Controller) listFreeCapacity(p *state.Shard, least cluster.Amount) ([]freeCapacity, []grouprecord.Kind) {
 	var l []freeCapacity
 	var kinds []grouprecord.Kind
-	c.counters.addMachineScans(p.machines)
-	for _, m := range p.machines {
-		if m.cordoned && !m.scaleInCandidate || !c.isSchedulable(m) || m.group.offer != nil {
+	c.counters.addMachineScans(p.Machines)
+	for _, m := range p.Machines {
+		if m.Cordoned && !m.ScaleInCandidate || !c.isSchedulable(m) || m.Group.Offer != nil {
 			continue
 		}
-		t, ok := c.machineTypes[m.machineType]
+		t, ok := c.state.MachineTypes[m.MachineType]
 		if !ok {
 			continue
 		}
-		s := freeCapacity{machine: m, available: t.Capacity.Minus(m.usedResources()), machineCPU: t.Capacity.CPU, kindIndex: -1}
+		s := freeCapacity{machine: m, available: t.Capacity.Minus(m.UsedResources()), machineCPU: t.Capacity.CPU, kindIndex: -1}
 		if s.available.CPU < least {
 			continue
 		}
-		for _, a := range m.assignments {
-			if a.isLive() && a.runningSince == 0 && !m.hasCachedImage(a.job.spec.Image) {
-				s.addFetch(a.job)
+		for _, a := range m.Assignments {
+			if a.IsLive() && a.RunningSince == 0 && !m.HasCachedImage(a.Job.Spec.Image) {
+				s.addFetch(a.Job)
 			}
 		}
-		k := m.kind()
+		k := m.Kind()
 		for i := range kinds {
 			if kinds[i] == k {
 				s.kindIndex = i
@@ -64,16 +66,16 @@
 }
 
 // addFetch notes that a task of a job waits for its image there.
-func (s *freeCapacity) addFetch(j *job) {
-	s.imageFetches.Add(j.spec.Image, j.effectivePriority, j.spec.ResourceRequest.CPU)
+func (s *freeCapacity) addFetch(j *state.Job) {
+	s.imageFetches.Add(j.Spec.Image, j.EffectivePriority, j.Spec.ResourceRequest.CPU)
 }
 
 // imageState says how soon the machine can start a job for its image.
-func (s *freeCapacity) imageState(j *job) scheduling.ImageState {
-	if s.machine.hasCachedImage(j.spec.Image) {
+func (s *freeCapacity) imageState(j *state.Job) scheduling.ImageState {
+	if s.machine.HasCachedImage(j.Spec.Image) {
 		return scheduling.ImageCached
 	}
-	return s.imageFetches.State(j.spec.Image, j.effectivePriority, j.spec.ResourceRequest.CPU, s.machineCPU)
+	return s.imageFetches.State(j.Spec.Image, j.EffectivePriority, j.Spec.ResourceRequest.CPU, s.machineCPU)
 }
 
 // schedulingInterval is the least time between two placements: what happens within it
@@ -82,14 +84,14 @@
 
 // scheduleOwnedShards starts waiting tasks of every part held here.
 func (c *Controller) scheduleOwnedShards() {
-	for _, p := range c.shards {
-		if p.owned && p.ready {
+	for _, p := range c.state.Shards {
+		if p.Owned && p.Ready {
 			c.scheduleShard(p)
 		}
 	}
 }
 
-func (c *Controller) scheduleShard(p *shard) {
+func (c *Controller) scheduleShard(p *state.Shard) {
 	if c.writeQueue.IsUnavailableFor(second) {
 		return
 	}
@@ -97,9 +99,9 @@
 	if len(jobs) == 0 {
 		return
 	}
-	least := jobs[0].spec.ResourceRequest.CPU
+	least := jobs[0].Spec.ResourceRequest.CPU
 	for _, j := range jobs {
-		least = min(least, j.spec.ResourceRequest.CPU)
+		least = min(least, j.Spec.ResourceRequest.CPU)
 	}
 	slots, kinds := c.listFreeCapacity(p, least)
 	use := c.teamUsageOf(p)
@@ -111,22 +113,22 @@
 		if !c.isStarving(j) {
 			continue
 		}
-		before := j.assignedCount
-		if c.scheduleJob(p, j, slots, kinds, use, cluster.Resources{}, 1); j.assignedCount > before {
+		before := j.AssignedCount
+		if c.scheduleJob(p, j, slots, kinds, use, cluster.Resources{}, 1); j.AssignedCount > before {
 			continue
 		}
-		kept[j.spec.Team] = kept[j.spec.Team].Plus(j.spec.ResourceRequest)
+		kept[j.Spec.Team] = kept[j.Spec.Team].Plus(j.Spec.ResourceRequest)
 		if m := c.reserveMachine(p, j); m != nil {
 			slots = slices.DeleteFunc(slots, func(s freeCapacity) bool { return s.machine == m })
 		}
 	}
 	for _, j := range jobs {
 		if len(slots) > 0 {
-			c.scheduleJob(p, j, slots, kinds, use, kept[j.spec.Team], j.pendingCount())
+			c.scheduleJob(p, j, slots, kinds, use, kept[j.Spec.Team], j.PendingCount())
 		}
 	}
-	if c.loop.Now() >= p.nextPreemptionAt {
-		p.nextPreemptionAt = c.loop.Now() + second/2
+	if c.loop.Now() >= p.NextPreemptionAt {
+		p.NextPreemptionAt = c.loop.Now() + second/2
 		c.preempt(p, jobs, owed, use)
 	}
 }
@@ -134,9 +136,9 @@
 // jobScheduling starts tasks of one job on the machines that suit it.
 type jobScheduling struct {
 	controller  *Controller
-	shard       *shard
-	job         *job
-	teamUsage   teamUsage         // of the job's team, kept up to date
+	shard       *state.Shard
+	job         *state.Job
+	teamUsage   state.TeamUsage   // of the job's team, kept up to date
 	quotaLimit  cluster.Resources // of the team, less what is kept for starving jobs
 	tasksByZone map[string]int    // the job's tasks by zone
 	remaining   int               // how many tasks may still be started
@@ -144,14 +146,14 @@
 
 // scheduleJob starts up to n tasks of a job: on machines that have its image,
 // else are getting it, else have most free room.
-func (c *Controller) scheduleJob(p *shard, j *job, slots []freeCapacity, kinds []grouprecord.Kind, use teamUsage, kept cluster.Resources, n int) {
+func (c *Controller) scheduleJob(p *state.Shard, j *state.Job, slots []freeCapacity, kinds []grouprecord.Kind, use state.TeamUsage, kept cluster.Resources, n int) {
 	allowed := make([]bool, len(kinds))
 	any := false
 	for i, k := range kinds {
-		allowed[i] = (j.spec.Spot || !k.Spot) && c.isTypeAllowed(&j.spec, c.machineTypes[k.Type], k.Zone)
+		allowed[i] = (j.Spec.Spot || !k.Spot) && c.isTypeAllowed(&j.Spec, c.state.MachineTypes[k.Type], k.Zone)
 		any = any || allowed[i]
 	}
-	limit := c.teams[j.spec.Team].QuotaLimit.Minus(kept)
+	limit := c.state.Teams[j.Spec.Team].QuotaLimit.Minus(kept)
 	l := &jobScheduling{controller: c, shard: p, job: j, teamUsage: use, quotaLimit: limit, remaining: n}
 	if !any || !l.isWithinQuota() {
 		return
@@ -159,7 +161,7 @@
 	candidates := c.rankCandidates(p, j, slots, allowed)
 	l.tasksByZone = c.countTasksByZone(j)
 	for _, candidate := range candidates {
-		if !l.fillMachine(candidate) || l.remaining <= 0 || j.pendingCount() == 0 {
+		if !l.fillMachine(candidate) || l.remaining <= 0 || j.PendingCount() == 0 {
 			return
 		}
 	}
@@ -167,7 +169,7 @@
 
 // isWithinQuota tells whether the team may have one more of the job's tasks.
 func (l *jobScheduling) isWithinQuota() bool {
-	with := l.teamUsage[l.job.spec.Team].Plus(l.job.spec.ResourceRequest)
+	with := l.teamUsage[l.job.Spec.Team].Plus(l.job.Spec.ResourceRequest)
 	return with.CPU <= l.quotaLimit.CPU && with.GPU <= l.quotaLimit.GPU
 }
 
@@ -176,17 +178,17 @@
 func (l *jobScheduling) fillMachine(f candidate) bool {
 	c, j, m := l.controller, l.job, f.capacity.machine
 	last := cluster.TaskID{}
-	for l.remaining > 0 && j.pendingCount() > 0 && j.spec.ResourceRequest.FitsIn(f.capacity.available) && c.hasRoom(m.group, j) {
+	for l.remaining > 0 && j.PendingCount() > 0 && j.Spec.ResourceRequest.FitsIn(f.capacity.available) && c.hasRoom(m.Group, j) {
 		if !l.isWithinQuota() {
 			return false
 		}
-		index := j.nextPendingTask()
+		index := j.NextPendingTask()
 		if index < 0 {
 			return false
 		}
-		task := cluster.TaskID{Job: j.spec.ID, Index: index}
+		task := cluster.TaskID{Job: j.Spec.ID, Index: index}
 		// An earlier attempt may still be being cleared away there.
-		if !isZoneAllowed(&j.spec, l.tasksByZone, m.zone) || m.assignments[task] != nil {
+		if !isZoneAllowed(&j.Spec, l.tasksByZone, m.Zone) || m.Assignments[task] != nil {
 			return true
 		}
 		l.assignTask(f, task, last)
@@ -208,13 +210,13 @@
 // there just before.
 func (l *jobScheduling) assignTask(f candidate, task, last cluster.TaskID) {
 	c, j, m := l.controller, l.job, f.capacity.machine
-	a := &assignment{task: task, job: j, attempt: l.shard.nextAttempt(), resourceRequest: j.spec.ResourceRequest, machineID: m.id}
-	m.addAssignment(a)
-	m.group.addedBytes += addedRecordBytes(j, m, task, last)
-	j.setAssigned(task.Index, a)
-	l.tasksByZone[m.zone]++
-	l.teamUsage[j.spec.Team] = l.teamUsage[j.spec.Team].Plus(j.spec.ResourceRequest)
-	f.capacity.available = f.capacity.available.Minus(j.spec.ResourceRequest)
+	a := &state.Assignment{Task: task, Job: j, Attempt: l.shard.NextAttempt(), ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID}
+	m.AddAssignment(a)
+	m.Group.AddedBytes += addedRecordBytes(j, m, task, last)
+	j.SetAssigned(task.Index, a)
+	l.tasksByZone[m.Zone]++
+	l.teamUsage[j.Spec.Team] = l.teamUsage[j.Spec.Team].Plus(j.Spec.ResourceRequest)
+	f.capacity.available = f.capacity.available.Minus(j.Spec.ResourceRequest)
 	if f.Image == scheduling.ImageAbsent {
 		f.capacity.addFetch(j)
 	}
@@ -230,15 +232,15 @@
 
 // rankCandidates lists the slots that a job's tasks may go to, the best first.
 // allowed tells it by their kinds.
-func (c *Controller) rankCandidates(p *shard, j *job, slots []freeCapacity, allowed []bool) []candidate {
+func (c *Controller) rankCandidates(p *state.Shard, j *state.Job, slots []freeCapacity, allowed []bool) []candidate {
 	var fit []candidate
 	for i := range slots {
 		s := &slots[i]
-		if !allowed[s.kindIndex] || !j.spec.ResourceRequest.FitsIn(s.available) || !c.hasRoom(s.machine.group, j) || c.shouldAvoid(j, s.machine) || !c.canUseMachine(j, s.machine) {
+		if !allowed[s.kindIndex] || !j.Spec.ResourceRequest.FitsIn(s.available) || !c.hasRoom(s.machine.Group, j) || c.shouldAvoid(j, s.machine) || !c.canUseMachine(j, s.machine) {
 			continue
 		}
 		if image := s.imageState(j); image != scheduling.ImageBlocked {
-			fit = append(fit, candidate{scheduling.Candidate{Image: image, Spot: s.machine.spot, FreeCPU: s.available.CPU}, s})
+			fit = append(fit, candidate{scheduling.Candidate{Image: image, Spot: s.machine.Spot, FreeCPU: s.available.CPU}, s})
 		}
 	}
 	spotSuits, ordinarySuits := c.isMarketSuited(p, j, true), c.isMarketSuited(p, j, false)
@@ -254,12 +256,12 @@
 
 // addedRecordBytes is about how much longer a record gets by a task: one that follows
 // on the task placed before on the same machine only widens its range.
-func addedRecordBytes(j *job, m *machine, t, last cluster.TaskID) int {
+func addedRecordBytes(j *state.Job, m *state.Machine, t, last cluster.TaskID) int {
 	continues := last.Job == t.Job && last.Index+1 == t.Index
 	jobListed := false
 	if !continues {
-		for a := range j.listedAssignments {
-			if a.machineID == m.id && a.task != t {
+		for a := range j.ListedAssignments {
+			if a.MachineID == m.ID && a.Task != t {
 				jobListed = true
 				break
 			}
@@ -270,40 +272,40 @@
 
 // reserveMachine picks the machine that is kept free for a starving job: the one
 // that it has been kept already, else the one with most room.
-func (c *Controller) reserveMachine(p *shard, j *job) *machine {
-	var best *machine
+func (c *Controller) reserveMachine(p *state.Shard, j *state.Job) *state.Machine {
+	var best *state.Machine
 	var most cluster.Amount
-	c.counters.addMachineScans(p.machines)
-	for _, m := range p.machines {
-		if !c.isSchedulable(m) || m.cordoned || m.group.offer != nil || !c.isAllowedOn(j, m) {
+	c.counters.addMachineScans(p.Machines)
+	for _, m := range p.Machines {
+		if !c.isSchedulable(m) || m.Cordoned || m.Group.Offer != nil || !c.isAllowedOn(j, m) {
 			continue
 		}
-		if m.id == j.reservedMachine {
+		if m.ID == j.ReservedMachine {
 			return m
 		}
-		if free := c.machineTypes[m.machineType].Capacity.Minus(m.usedResources()).CPU; best == nil || free > most {
+		if free := c.state.MachineTypes[m.MachineType].Capacity.Minus(m.UsedResources()).CPU; best == nil || free > most {
 			best, most = m, free
 		}
 	}
 	if best != nil {
-		j.reservedMachine = best.id
+		j.ReservedMachine = best.ID
 	}
 	return best
 }
 
 // shouldAvoid tells whether a job has failed on a machine and may try others.
-func (c *Controller) shouldAvoid(j *job, m *machine) bool {
-	return len(j.failedMachines) > 0 && len(j.failedMachines) < 3 && j.failedMachines[m.id]
+func (c *Controller) shouldAvoid(j *state.Job, m *state.Machine) bool {
+	return len(j.FailedMachines) > 0 && len(j.FailedMachines) < 3 && j.FailedMachines[m.ID]
 }
 
 // countTasksByZone counts a job's tasks by zone, where its rules ask for that. Those
 // proven gone don't count, though their records still have to say so.
-func (c *Controller) countTasksByZone(j *job) map[string]int {
+func (c *Controller) countTasksByZone(j *state.Job) map[string]int {
 	zones := map[string]int{}
-	if j.spec.Colocate || j.spec.Spread {
-		for _, a := range j.assignments {
-			if m := c.machines[a.machineID]; m != nil && a.isLive() {
-				zones[m.zone]++
+	if j.Spec.Colocate || j.Spec.Spread {
+		for _, a := range j.Assignments {
+			if m := c.state.Machines[a.MachineID]; m != nil && a.IsLive() {
+				zones[m.Zone]++
 			}
 		}
 	}
@@ -319,7 +321,7 @@
 	return true
 }
 
-func (c *Controller) isAllowedOn(j *job, m *machine) bool {
-	s := &j.spec
-	return (s.Spot || !m.spot) && c.isTypeAllowed(s, c.machineTypes[m.machineType], m.zone) && !c.shouldAvoid(j, m)
+func (c *Controller) isAllowedOn(j *state.Job, m *state.Machine) bool {
+	s := &j.Spec
+	return (s.Spot || !m.Spot) && c.isTypeAllowed(s, c.state.MachineTypes[m.MachineType], m.Zone) && !c.shouldAvoid(j, m)
 }
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // shardLoad is the reading of the checkpoint of a part just claimed: the
@@ -11,7 +12,7 @@
 // It ends with its claim. Nothing is taken in before all records were read.
 type shardLoad struct {
 	controller           *Controller
-	shard                *shard
+	shard                *state.Shard
 	claimRevision        cluster.Revision
 	groups               *messages.ListReply
 	provisioningRequests *messages.ListReply
@@ -20,19 +21,19 @@
 }
 
 // loadShard reads the checkpoint of a part.
-func (c *Controller) loadShard(p *shard) {
-	l := &shardLoad{controller: c, shard: p, claimRevision: p.claimRevision}
+func (c *Controller) loadShard(p *state.Shard) {
+	l := &shardLoad{controller: c, shard: p, claimRevision: p.ClaimRevision}
 	l.read("groups/", &l.groups)
 	l.read("rentals/", &l.provisioningRequests)
 	// The accepts first: what is accepted in between comes by the watch.
 	l.read(admissionKeyPrefix, &l.admissions)
-	l.read(jobKeyPrefix, &l.jobs)
+	l.read(state.JobKeyPrefix, &l.jobs)
 }
 
 // read lists the records with a prefix until that works.
 func (l *shardLoad) read(prefix string, to **messages.ListReply) {
 	l.controller.writeQueue.ListPrefix(prefix, func(r messages.ListReply) {
-		if !l.shard.isOwnedUnder(l.claimRevision) {
+		if !l.shard.IsOwnedUnder(l.claimRevision) {
 			return
 		}
 		if r.Outcome != messages.OK {
@@ -51,30 +52,30 @@
 func (l *shardLoad) finish() {
 	c, p := l.controller, l.shard
 	l.applyRecords()
-	if !p.owned {
+	if !p.Owned {
 		return
 	}
-	if len(p.quarantined) > 0 {
+	if len(p.Quarantined) > 0 {
 		c.repairQuarantined(p)
 		return
 	}
-	p.ready = true
+	p.Ready = true
 	c.ownedShardChanges++
-	early := p.earlyJobs
-	p.earlyJobs = nil
+	early := p.EarlyJobs
+	p.EarlyJobs = nil
 	for _, kv := range early {
 		c.applyJobRecord(kv, nil)
 	}
 	l.awaitAcknowledgements()
 	c.schedulingTrigger.request()
-	if len(p.machines)+len(p.provisioningRequests) > 0 {
+	if len(p.Machines)+len(p.ProvisioningRequests) > 0 {
 		c.cloudListing.nextReadAt = 0 // the cloud's list shows what the records may lack
 	}
 	c.loop.Log(messages.LogInfo, "part ready",
-		"part", int(p.id),
-		"machines", len(p.machines),
-		"jobs", len(p.jobs),
-		"took_ms", int((c.loop.Now()-p.ownershipChangedAt)/millisecond))
+		"part", int(p.ID),
+		"machines", len(p.Machines),
+		"jobs", len(p.Jobs),
+		"took_ms", int((c.loop.Now()-p.OwnershipChangedAt)/millisecond))
 	c.maintainMachines()
 }
 
@@ -98,23 +99,23 @@
 // and logs after a lease how many did.
 func (l *shardLoad) awaitAcknowledgements() {
 	c, p := l.controller, l.shard
-	p.awaitingFirstAcknowledgementCount, p.lastAcknowledgedAt = 0, c.loop.Now()
-	for _, m := range p.machines {
-		if m.awaitingFirstAcknowledgement = !m.booting; m.awaitingFirstAcknowledgement {
-			p.awaitingFirstAcknowledgementCount++
+	p.AwaitingFirstAcknowledgementCount, p.LastAcknowledgedAt = 0, c.loop.Now()
+	for _, m := range p.Machines {
+		if m.AwaitingFirstAcknowledgement = !m.Booting; m.AwaitingFirstAcknowledgement {
+			p.AwaitingFirstAcknowledgementCount++
 		}
 	}
-	taken := p.awaitingFirstAcknowledgementCount
+	taken := p.AwaitingFirstAcknowledgementCount
 	if taken == 0 {
 		return
 	}
 	c.loop.After(c.config.WorkerLease, func() {
-		if p.isOwnedUnder(l.claimRevision) {
+		if p.IsOwnedUnder(l.claimRevision) {
 			c.loop.Log(messages.LogInfo, "machines answered",
-				"part", int(p.id),
+				"part", int(p.ID),
 				"machines", taken,
-				"silent", p.awaitingFirstAcknowledgementCount,
-				"took_ms", int((p.lastAcknowledgedAt-p.ownershipChangedAt)/millisecond))
+				"silent", p.AwaitingFirstAcknowledgementCount,
+				"took_ms", int((p.LastAcknowledgedAt-p.OwnershipChangedAt)/millisecond))
 		}
 	})
 }
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"strings"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -30,14 +32,14 @@
 			c.loop.After(second/2, c.loadShards)
 			return
 		}
-		for _, p := range c.shards {
-			p.recordRead = true
+		for _, p := range c.state.Shards {
+			p.RecordRead = true
 		}
 		for _, kv := range r.Items {
 			c.applyShardRecord(kv)
 		}
 		c.shardsRevision = r.Revision
-		for _, p := range c.shards {
+		for _, p := range c.state.Shards {
 			c.considerAcquire(p)
 		}
 		c.watchShards()
@@ -71,11 +73,11 @@
 
 func (c *Controller) applyShardRecord(kv messages.KV) {
 	n, err := strconv.Atoi(strings.TrimPrefix(kv.Key, "parts/"))
-	if err != nil || n < 0 || n >= len(c.shards) || kv.Value == nil {
+	if err != nil || n < 0 || n >= len(c.state.Shards) || kv.Value == nil {
 		return
 	}
-	p := c.shards[n]
-	if kv.ModRevision > p.modRevision {
+	p := c.state.Shards[n]
+	if kv.ModRevision > p.ModRevision {
 		c.recordPeerWrite(kv)
 	}
 	var rec shardRecord
@@ -84,17 +86,17 @@
 		return
 	}
 	c.versionRegistry.recordUpgraded(rec.Upgraded...)
-	if kv.ModRevision <= p.modRevision {
+	if kv.ModRevision <= p.ModRevision {
 		return
 	}
-	if p.owned && writeIDInstance(rec.WriteID) != c.config.InstanceID {
-		c.handleDeposed(p.id)
+	if p.Owned && writeIDInstance(rec.WriteID) != c.config.InstanceID {
+		c.handleDeposed(p.ID)
 	}
-	if p.acquiring && writeIDInstance(rec.WriteID) == c.config.InstanceID {
+	if p.Acquiring && writeIDInstance(rec.WriteID) == c.config.InstanceID {
 		return // our own claim, seen before its answer
 	}
-	p.modRevision, p.owner, p.term, p.failbackOffered = kv.ModRevision, rec.Owner, rec.Term, false
-	p.recordOwnerChange(c.loop.Now())
+	p.ModRevision, p.Owner, p.Term, p.FailbackOffered = kv.ModRevision, rec.Owner, rec.Term, false
+	p.RecordOwnerChange(c.loop.Now())
 }
 
 func writeIDInstance(w string) string {
@@ -104,9 +106,9 @@
 	return w
 }
 
-func (c *Controller) rereadShard(p *shard) {
+func (c *Controller) rereadShard(p *state.Shard) {
 	begun := c.loop.Now()
-	c.writeQueue.ReadKey(p.key(), func(r messages.GetReply) {
+	c.writeQueue.ReadKey(p.Key(), func(r messages.GetReply) {
 		if r.Outcome == messages.OK {
 			c.applyShardRecord(r.KV)
 			c.recordConfirmation(p, r.KV.ModRevision, begun)
@@ -116,21 +118,21 @@
 
 // considerAcquire decides whether this node should claim a part. Nothing here
 // is needed for safety: a wrong claim costs a pause, never a rule.
-func (c *Controller) considerAcquire(p *shard) {
-	if p.owned || p.acquiring || c.loop.Now() < p.acquireNotBefore || !p.recordRead || c.writeQueue.IsUnavailableFor(second) {
+func (c *Controller) considerAcquire(p *state.Shard) {
+	if p.Owned || p.Acquiring || c.loop.Now() < p.AcquireNotBefore || !p.RecordRead || c.writeQueue.IsUnavailableFor(second) {
 		return
 	}
 	self := c.config.Self
 	switch {
-	case p.owner == "" && p.preferredOwner == self:
-	case p.owner == self: // from an earlier life of this node
-	case p.preferredOwner == self && p.failbackOffered && p.isBackoffOver(c.loop.Now()):
-	case p.owner == "":
-		if !c.isFailed(p.preferredOwner) || !c.isSuccessor(p.preferredOwner) {
+	case p.Owner == "" && p.PreferredOwner == self:
+	case p.Owner == self: // from an earlier life of this node
+	case p.PreferredOwner == self && p.FailbackOffered && p.IsBackoffOver(c.loop.Now()):
+	case p.Owner == "":
+		if !c.isFailed(p.PreferredOwner) || !c.isSuccessor(p.PreferredOwner) {
 			return
 		}
 	default:
-		if !p.isBackoffOver(c.loop.Now()) || !c.isFailed(p.owner) || !c.isSuccessor(p.owner) {
+		if !p.IsBackoffOver(c.loop.Now()) || !c.isFailed(p.Owner) || !c.isSuccessor(p.Owner) {
 			return
 		}
 	}
@@ -158,31 +160,31 @@
 	return false
 }
 
-func (c *Controller) acquireShard(p *shard) {
-	p.acquiring = true
-	prev, term := p.owner, p.term+1
+func (c *Controller) acquireShard(p *state.Shard) {
+	p.Acquiring = true
+	prev, term := p.Owner, p.Term+1
 	c.writeQueue.Enqueue(writequeue.Acquire, &writequeue.Write{
-		ShardID: p.id, Keys: []string{p.key()},
+		ShardID: p.ID, Keys: []string{p.Key()},
 		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(shardRecord{Owner: c.config.Self, Term: term, WriteID: nonce, Upgraded: c.versionRegistry.upgradedNodes()})
-			return []messages.TxnOp{{Key: p.key(), Value: v}}, []cluster.ModRevision{p.modRevision}
+			return []messages.TxnOp{{Key: p.Key(), Value: v}}, []cluster.ModRevision{p.ModRevision}
 		},
 		OnApplied: func(e cluster.Revision) {
-			p.acquiring = false
-			if cluster.ModRevision(e) < p.modRevision {
+			p.Acquiring = false
+			if cluster.ModRevision(e) < p.ModRevision {
 				return // overtaken already
 			}
-			p.owned, p.ready, p.failbackOffered = true, false, false
-			p.owner, p.term, p.modRevision, p.claimRevision, p.ownershipChangedAt = c.config.Self, term, cluster.ModRevision(e), e, c.loop.Now()
-			p.recordOwnerChange(c.loop.Now())
-			p.attemptCount, p.attemptBase, p.lastStoredRevision = 0, e, e
-			p.provisioningRequests = map[string]*provisioningRequest{}
-			p.outOfCapacityUntil, p.outOfCapacityCount = map[provisioningOption]cluster.Time{}, map[provisioningOption]int{}
-			c.loop.Log(messages.LogInfo, "claimed part", "part", int(p.id), "term", uint64(term), "from", string(prev))
+			p.Owned, p.Ready, p.FailbackOffered = true, false, false
+			p.Owner, p.Term, p.ModRevision, p.ClaimRevision, p.OwnershipChangedAt = c.config.Self, term, cluster.ModRevision(e), e, c.loop.Now()
+			p.RecordOwnerChange(c.loop.Now())
+			p.AttemptCount, p.AttemptBase, p.LastStoredRevision = 0, e, e
+			p.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
+			p.OutOfCapacityUntil, p.OutOfCapacityCount = map[state.ProvisioningOption]cluster.Time{}, map[state.ProvisioningOption]int{}
+			c.loop.Log(messages.LogInfo, "claimed part", "part", int(p.ID), "term", uint64(term), "from", string(prev))
 			c.loadShard(p)
 		},
 		OnConflict: func() {
-			p.acquiring = false
+			p.Acquiring = false
 			c.rereadShard(p)
 		},
 	})
@@ -191,29 +193,29 @@
 // handleDeposed is called when another claim of the part is known: all that this node
 // believed of the part is worth nothing from now on.
 func (c *Controller) handleDeposed(id cluster.ShardID) {
-	p := c.shards[id]
-	if !p.owned {
+	p := c.state.Shards[id]
+	if !p.Owned {
 		return
 	}
-	c.loop.Log(messages.LogInfo, "lost part", "part", int(id), "term", uint64(p.term))
-	p.quarantined, p.earlyJobs = nil, nil
-	p.owned, p.ready, p.ownershipChangedAt = false, false, c.loop.Now()
+	c.loop.Log(messages.LogInfo, "lost part", "part", int(id), "term", uint64(p.Term))
+	p.Quarantined, p.EarlyJobs = nil, nil
+	p.Owned, p.Ready, p.OwnershipChangedAt = false, false, c.loop.Now()
 	c.ownedShardChanges++
-	for _, m := range p.machines {
+	for _, m := range p.Machines {
 		c.dropMachine(m)
 	}
-	for _, j := range p.jobs {
+	for _, j := range p.Jobs {
 		c.abandonJob(j)
 	}
-	for _, gid := range slices.Sorted(maps.Keys(c.machineGroups)) {
-		if c.machineGroups[gid].shardID == id {
-			delete(c.machineGroups, gid)
+	for _, gid := range slices.Sorted(maps.Keys(c.state.Groups)) {
+		if c.state.Groups[gid].ShardID == id {
+			delete(c.state.Groups, gid)
 		}
 	}
-	for _, fn := range p.ownershipChecks.waiting {
+	for _, fn := range c.ownershipChecks[p.ID].waiting {
 		fn(false)
 	}
-	p.ownershipChecks.waiting = nil
+	c.ownershipChecks[p.ID].waiting = nil
 	c.writeQueue.DropShard(id)
 	c.rereadShard(p)
 }
@@ -222,20 +224,20 @@
 // can't account for: nothing is guessed, it is claimed again after a pause and
 // read anew. Meanwhile every controller answers from the store. The pauses are
 // bounded, so that no job goes unanswered or its part unserved for long.
-func (c *Controller) giveUpCorruptShard(p *shard, key, why string) {
+func (c *Controller) giveUpCorruptShard(p *state.Shard, key, why string) {
 	c.loop.Log(messages.LogError, "impossible record", "key", key, "why", why)
-	p.acquireNotBefore = c.loop.Now() + min(2*second<<min(p.corruptRecordCount, 4), 20*second)
-	p.corruptRecordCount++
-	c.handleDeposed(p.id)
+	p.AcquireNotBefore = c.loop.Now() + min(2*second<<min(p.CorruptRecordCount, 4), 20*second)
+	p.CorruptRecordCount++
+	c.handleDeposed(p.ID)
 }
 
 // handleForeignWrite follows a record that another writer changed. Mostly the part has a
 // new holder of whom this one has not heard; only if it still is ours does the
 // record make no sense.
-func (c *Controller) handleForeignWrite(p *shard, key, why string) {
-	claim := p.claimRevision
-	c.writeQueue.ReadKey(p.key(), func(r messages.GetReply) {
-		if !p.isOwnedUnder(claim) {
+func (c *Controller) handleForeignWrite(p *state.Shard, key, why string) {
+	claim := p.ClaimRevision
+	c.writeQueue.ReadKey(p.Key(), func(r messages.GetReply) {
+		if !p.IsOwnedUnder(claim) {
 			return
 		}
 		if r.Outcome != messages.OK {
@@ -243,7 +245,7 @@
 			return
 		}
 		c.applyShardRecord(r.KV)
-		if p.isOwnedUnder(claim) {
+		if p.IsOwnedUnder(claim) {
 			c.giveUpCorruptShard(p, key, why)
 		}
 	})
--- a/internal/controller/spotpreference.go
+++ b/internal/controller/spotpreference.go
@@ -1,12 +1,16 @@
 package controller
 
+import (
+	"stairrelay/internal/state"
+)
+
 // Which jobs should have ordinary machines rather than spot ones.
 
 // expectedSpotLoss is what a job's tasks must expect to lose on spot machines, in seconds:
 // those that can't save lose half a run in the mean when theirs is taken. That
 // counts four times, as a job of many tasks waits for its unluckiest.
-func (c *Controller) expectedSpotLoss(j *job) float64 {
-	if !j.spec.Spot || j.spec.CheckpointSeconds > 0 {
+func (c *Controller) expectedSpotLoss(j *state.Job) float64 {
+	if !j.Spec.Spot || j.Spec.CheckpointSeconds > 0 {
 		return 0
 	}
 	run := c.expectedRunSeconds(j)
@@ -26,21 +30,21 @@
 // little time that a task begun anew would miss it. For others the choice would
 // only scatter their tasks over machines with little room, each of which has to
 // fetch the image.
-func (c *Controller) prefersOnDemand(j *job) bool {
+func (c *Controller) prefersOnDemand(j *state.Job) bool {
 	loss := c.expectedSpotLoss(j)
 	if loss == 0 || loss > spotLossLimit {
 		return loss > 0
 	}
-	if c.spotInterruptions.rate()*c.expectedRunSeconds(j)*float64(j.spec.Tasks) < taskLossThreshold {
+	if c.spotInterruptions.rate()*c.expectedRunSeconds(j)*float64(j.Spec.Tasks) < taskLossThreshold {
 		return false
 	}
 	aim := 0.0
 	for _, o := range c.config.SLOs {
 		within := o.WithinSeconds
 		if o.Kind == "deadline" {
-			within = j.spec.DeadlineSeconds * max(o.DeadlineFactor, 0.1)
+			within = j.Spec.DeadlineSeconds * max(o.DeadlineFactor, 0.1)
 		}
-		if o.Class == j.spec.Class && o.Kind != "wait" && within > 0 && (aim == 0 || within < aim) {
+		if o.Class == j.Spec.Class && o.Kind != "wait" && within > 0 && (aim == 0 || within < aim) {
 			aim = within
 		}
 	}
@@ -49,11 +53,11 @@
 
 // isOnDemandWorthFetching tells whether so much loss is to be expected that an ordinary
 // machine is worth fetching the image anew.
-func (c *Controller) isOnDemandWorthFetching(j *job) bool {
+func (c *Controller) isOnDemandWorthFetching(j *state.Job) bool {
 	fetch := 0.0
-	for _, t := range c.machineTypes {
+	for _, t := range c.state.MachineTypes {
 		if t.FetchGBPerSecond > 0 {
-			fetch = max(fetch, j.spec.ImageGB/t.FetchGBPerSecond)
+			fetch = max(fetch, j.Spec.ImageGB/t.FetchGBPerSecond)
 		}
 	}
 	return c.expectedSpotLoss(j) > max(fetch, spotLossLimit)
@@ -61,17 +65,17 @@
 
 // canUseMachine tells whether a job may go to a machine that is to run empty because
 // it is dear: only one to which the cheaper ones are a risk.
-func (c *Controller) canUseMachine(j *job, m *machine) bool {
-	return !m.scaleInCandidate || !m.spot && c.isOnDemandWorthFetching(j)
+func (c *Controller) canUseMachine(j *state.Job, m *state.Machine) bool {
+	return !m.ScaleInCandidate || !m.Spot && c.isOnDemandWorthFetching(j)
 }
 
 // isMarketSuited tells whether a job should have a spot machine, or an ordinary one,
 // rather than another that is equal otherwise: a job that spares its time should
 // have an ordinary one; where there are such, what saves makes room for them and
 // goes to spot machines. Else neither matters.
-func (c *Controller) isMarketSuited(p *shard, j *job, spot bool) bool {
-	if j.spec.CheckpointSeconds > 0 {
-		return spot || !p.avoidSpot
+func (c *Controller) isMarketSuited(p *state.Shard, j *state.Job, spot bool) bool {
+	if j.Spec.CheckpointSeconds > 0 {
+		return spot || !p.AvoidSpot
 	}
 	return !spot || !c.prefersOnDemand(j)
 }
--- a/internal/controller/stale_heartbeat_test.go
+++ b/internal/controller/stale_heartbeat_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 )
 
@@ -13,14 +15,14 @@
 
 // statusUnderToken is a report of the machine's present session under its
 // present token, which is proof of what it does not show.
-func statusUnderToken(m *machine, stamp cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
-	return &cluster.HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: stamp, FencingToken: m.token, PreemptionNotice: -1, Tasks: tasks}
+func statusUnderToken(m *state.Machine, stamp cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
+	return &cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: m.Incarnation, SequenceNumber: stamp, FencingToken: m.Token, PreemptionNotice: -1, Tasks: tasks}
 }
 
 // addMachineRunningPresentAttempt is a machine on which the present attempt of a task runs.
-func addMachineRunningPresentAttempt(b *controllerHarness) (*machine, *assignment) {
+func addMachineRunningPresentAttempt(b *controllerHarness) (*state.Machine, *state.Assignment) {
 	m, present := b.addRunningMachine(b.addTestJob("j-1", 1))
-	present.attempt = presentAttempt
+	present.Attempt = presentAttempt
 	return m, present
 }
 
@@ -30,14 +32,14 @@
 func TestEarlierAttemptEndIgnored(t *testing.T) {
 	b := newControllerHarness()
 	m, present := addMachineRunningPresentAttempt(b)
-	task := present.task
-	b.reconcile(m, statusUnderToken(m, m.sequenceNumber+1,
+	task := present.Task
+	b.reconcile(m, statusUnderToken(m, m.SequenceNumber+1,
 		cluster.TaskStatus{Task: task, Attempt: earlierAttempt, State: cluster.Ended, Cause: cluster.CauseStopped},
 		cluster.TaskStatus{Task: task, Attempt: presentAttempt, State: cluster.Running}), false)
-	if present.confirmedAbsent || present.phase != phaseAcknowledged {
-		t.Errorf("the present attempt: gone %v, phase %d; want it running", present.confirmedAbsent, present.phase)
+	if present.ConfirmedAbsent || present.Phase != state.PhaseAcknowledged {
+		t.Errorf("the present attempt: gone %v, phase %d; want it running", present.ConfirmedAbsent, present.Phase)
 	}
-	if !m.endedToAcknowledge[taskAttempt{task, earlierAttempt}] {
+	if !m.EndedToAcknowledge[state.TaskAttempt{Task: task, Attempt: earlierAttempt}] {
 		t.Error("the worker is not told to forget the earlier attempt")
 	}
 }
@@ -48,14 +50,14 @@
 func TestRunningEarlierAttemptStopped(t *testing.T) {
 	b := newControllerHarness()
 	m, present := addMachineRunningPresentAttempt(b)
-	present.phase, present.dispatchedAtSequence = phaseDispatched, m.sequenceNumber
-	b.reconcile(m, statusUnderToken(m, m.sequenceNumber+1,
-		cluster.TaskStatus{Task: present.task, Attempt: earlierAttempt, State: cluster.Running}), false)
-	if !m.unrecordedToStop[taskAttempt{present.task, earlierAttempt}] {
+	present.Phase, present.DispatchedAtSequence = state.PhaseDispatched, m.SequenceNumber
+	b.reconcile(m, statusUnderToken(m, m.SequenceNumber+1,
+		cluster.TaskStatus{Task: present.Task, Attempt: earlierAttempt, State: cluster.Running}), false)
+	if !m.UnrecordedToStop[state.TaskAttempt{Task: present.Task, Attempt: earlierAttempt}] {
 		t.Error("the earlier attempt is not stopped")
 	}
-	if present.phase != phaseReady {
-		t.Errorf("the present attempt is in phase %d, want %d: its start did not arrive", present.phase, phaseReady)
+	if present.Phase != state.PhaseReady {
+		t.Errorf("the present attempt is in phase %d, want %d: its start did not arrive", present.Phase, state.PhaseReady)
 	}
 }
 
@@ -81,14 +83,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			m, present := addMachineRunningPresentAttempt(b)
-			m.incarnation, m.sequenceNumber = lastSession, lastStamp
+			m.Incarnation, m.SequenceNumber = lastSession, lastStamp
 			report := statusUnderToken(m, test.stamp)
 			report.Incarnation = test.session
 			if taken := b.reconcile(m, report, false); taken != test.proof {
 				t.Errorf("taken in %v, want %v", taken, test.proof)
 			}
-			if present.confirmedAbsent != test.proof {
-				t.Errorf("the task counts as gone: %v, want %v", present.confirmedAbsent, test.proof)
+			if present.ConfirmedAbsent != test.proof {
+				t.Errorf("the task counts as gone: %v, want %v", present.ConfirmedAbsent, test.proof)
 			}
 		})
 	}
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
 
@@ -20,7 +21,7 @@
 }
 
 // addMachineScans counts a look at each of so many machines.
-func (n *Counters) addMachineScans(machines []*machine) { n.MachineScans += len(machines) }
+func (n *Counters) addMachineScans(machines []*state.Machine) { n.MachineScans += len(machines) }
 
 // capacityUsage sums up what the machines of all parts have and what is done with
 // it, in processors.
@@ -37,50 +38,50 @@
 	pending   cluster.Amount // of tasks without a machine
 }
 
-func (u *capacityUsage) addMachine(m *machine, cpu cluster.Amount) {
-	if m.booting {
+func (u *capacityUsage) addMachine(m *state.Machine, cpu cluster.Amount) {
+	if m.Booting {
 		u.booting += cpu
 		return
 	}
 	u.total += cpu
-	if m.spot {
+	if m.Spot {
 		u.spot += cpu
 	}
-	if m.liveTaskCount() == 0 {
+	if m.LiveTaskCount() == 0 {
 		u.idle += cpu
 	}
-	for _, a := range m.assignments {
+	for _, a := range m.Assignments {
 		u.addTask(a)
 	}
 }
 
-func (u *capacityUsage) addTask(a *assignment) {
+func (u *capacityUsage) addTask(a *state.Assignment) {
 	switch {
-	case a.phase == phaseEnded:
-		u.ended += a.resourceRequest.CPU
-	case a.phase == phaseRecording:
-		u.recording += a.resourceRequest.CPU
-	case a.phase == phaseReady:
-		u.ready += a.resourceRequest.CPU
-	case a.runningSince == 0:
-		u.fetching += a.resourceRequest.CPU
+	case a.Phase == state.PhaseEnded:
+		u.ended += a.ResourceRequest.CPU
+	case a.Phase == state.PhaseRecording:
+		u.recording += a.ResourceRequest.CPU
+	case a.Phase == state.PhaseReady:
+		u.ready += a.ResourceRequest.CPU
+	case a.RunningSince == 0:
+		u.fetching += a.ResourceRequest.CPU
 	default:
-		u.running += a.resourceRequest.CPU
+		u.running += a.ResourceRequest.CPU
 	}
 }
 
 // capacityUsage sums up the parts held here.
 func (c *Controller) capacityUsage() capacityUsage {
 	var use capacityUsage
-	for _, p := range c.shards {
-		for _, m := range p.machines {
-			use.addMachine(m, c.machineTypes[m.machineType].Capacity.CPU)
+	for _, p := range c.state.Shards {
+		for _, m := range p.Machines {
+			use.addMachine(m, c.state.MachineTypes[m.MachineType].Capacity.CPU)
 		}
-		if !p.owned || !p.ready {
+		if !p.Owned || !p.Ready {
 			continue
 		}
 		for _, w := range c.listPendingWork(p) {
-			use.pending += w.job.spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
+			use.pending += w.job.Spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
 		}
 	}
 	return use
@@ -93,8 +94,8 @@
 	writes := c.writeQueue.TakeCounters()
 	use := c.capacityUsage()
 	groupBytes := 0
-	for _, g := range c.machineGroups {
-		groupBytes += g.recordSize
+	for _, g := range c.state.Groups {
+		groupBytes += g.RecordSize
 	}
 	cpus := func(a cluster.Amount) int { return int(a / 1_000_000) }
 	c.loop.Log(messages.LogInfo, "load",
@@ -108,8 +109,8 @@
 		"ended", cpus(use.ended),
 		"waiting", cpus(use.pending),
 		"booting", cpus(use.booting),
-		"groups", len(c.machineGroups),
-		"group_bytes", groupBytes/max(len(c.machineGroups), 1),
+		"groups", len(c.state.Groups),
+		"group_bytes", groupBytes/max(len(c.state.Groups), 1),
 		"puts_share", int(c.writeQueue.PutBudget().Rate()*10)/10)
 	c.loop.Log(messages.LogInfo, "stats",
 		"reports", counts.Heartbeats,
@@ -132,8 +133,8 @@
 		"visits", counts.MachineScans,
 		"parts", c.ownedShardCount(),
 		"stalled_parts", c.stalledShardCount(),
-		"jobs", len(c.jobs.owned),
-		"machines", len(c.machines),
+		"jobs", len(c.state.Jobs.Owned),
+		"machines", len(c.state.Machines),
 		"queue", c.writeQueue.Depth(),
 		"inflight", c.writeQueue.InFlight())
 }
@@ -141,8 +142,8 @@
 // ownedShardCount counts the parts held here.
 func (c *Controller) ownedShardCount() int {
 	held := 0
-	for _, p := range c.shards {
-		if p.owned {
+	for _, p := range c.state.Shards {
+		if p.Owned {
 			held++
 		}
 	}
--- a/internal/controller/stops.go
+++ b/internal/controller/stops.go
@@ -3,25 +3,26 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // Tasks that are stopped: on a notice of the cloud, or as their job is cancelled.
 
 // handlePreemptionNotice: the cloud will take the machine. What can save does so in time,
 // what can't finish starts anew elsewhere, what can finish is left alone.
-func (c *Controller) handlePreemptionNotice(m *machine, left float64) {
-	if !m.draining {
+func (c *Controller) handlePreemptionNotice(m *state.Machine, left float64) {
+	if !m.Draining {
 		c.spotInterruptions.interruptionCount++
-		c.loop.Log(messages.LogDebug, "spot notice", "machine", string(m.id), "left_s", left)
-		m.draining = true
+		c.loop.Log(messages.LogDebug, "spot notice", "machine", string(m.ID), "left_s", left)
+		m.Draining = true
 	}
-	m.preemptionDeadline = c.loop.Now() + cluster.Time(left*float64(second))
-	for _, a := range m.sortedAssignments() {
-		if !a.isLive() || a.stopRequested {
+	m.PreemptionDeadline = c.loop.Now() + cluster.Time(left*float64(second))
+	for _, a := range m.SortedAssignments() {
+		if !a.IsLive() || a.StopRequested {
 			continue
 		}
 		rest := c.expectedRemainingSeconds(a)
-		s := a.job.spec
+		s := a.Job.Spec
 		if s.CheckpointSeconds > 0 {
 			if rest > left-2 && left < s.SaveSeconds+10 {
 				c.stopTask(m, a, s.SaveSeconds+1)
@@ -32,42 +33,42 @@
 	}
 }
 
-func (c *Controller) stopTask(m *machine, a *assignment, grace float64) {
-	if a.stopRequested {
+func (c *Controller) stopTask(m *state.Machine, a *state.Assignment, grace float64) {
+	if a.StopRequested {
 		return
 	}
-	a.stopRequested, a.gracePeriod = true, grace
-	if a.phase == phaseReady || a.phase == phaseRecording {
+	a.StopRequested, a.GracePeriod = true, grace
+	if a.Phase == state.PhaseReady || a.Phase == state.PhaseRecording {
 		// Never sent: only the record has to forget it.
-		if a.phase == phaseReady {
+		if a.Phase == state.PhaseReady {
 			c.confirmAbsent(m, a)
 		} else {
-			a.stopRequested = false
+			a.StopRequested = false
 		}
 		return
 	}
-	if a.stopRequestedAt == 0 {
-		a.stopRequestedAt = c.loop.Now()
+	if a.StopRequestedAt == 0 {
+		a.StopRequestedAt = c.loop.Now()
 	}
 	c.queueCommandPush(m)
 }
 
 // withdrawUnsentStarts withdraws the starts that have not been sent.
-func (c *Controller) withdrawUnsentStarts(j *job) {
-	for _, a := range j.sortedAssignments() {
-		if m := c.machines[a.machineID]; m != nil && a.phase == phaseReady {
+func (c *Controller) withdrawUnsentStarts(j *state.Job) {
+	for _, a := range j.SortedAssignments() {
+		if m := c.state.Machines[a.MachineID]; m != nil && a.Phase == state.PhaseReady {
 			c.confirmAbsent(m, a)
 		}
 	}
 }
 
 // stopAllTasks stops every task of a job that is cancelled.
-func (c *Controller) stopAllTasks(j *job) {
-	for _, a := range j.sortedAssignments() {
-		if m := c.machines[a.machineID]; m != nil && a.isLive() && a.phase != phaseRecording {
-			a.stopRequested = false
+func (c *Controller) stopAllTasks(j *state.Job) {
+	for _, a := range j.SortedAssignments() {
+		if m := c.state.Machines[a.MachineID]; m != nil && a.IsLive() && a.Phase != state.PhaseRecording {
+			a.StopRequested = false
 			c.stopTask(m, a, 0)
-			a.gracePeriod, a.stopSentAt = 0, 0
+			a.GracePeriod, a.StopSentAt = 0, 0
 		}
 	}
 }
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -8,6 +8,8 @@
 	"strconv"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -22,32 +24,32 @@
 func TestOutcomesWithinSizeLimit(t *testing.T) {
 	r := rand.New(rand.NewPCG(18, 1))
 	for round := range 400 {
-		state := make([]uint8, 1+r.IntN(5000))
+		taskStates := make([]uint8, 1+r.IntN(5000))
 		density := r.Float64()
-		for i := range state {
-			if state[i] = taskPending; r.Float64() < density {
-				state[i] = taskCompleted + uint8(r.IntN(2))
+		for i := range taskStates {
+			if taskStates[i] = state.TaskPending; r.Float64() < density {
+				taskStates[i] = state.TaskCompleted + uint8(r.IntN(2))
 			} else if r.IntN(3) == 0 {
-				state[i] = taskAssigned
+				taskStates[i] = state.TaskAssigned
 			}
 		}
 		limit := r.IntN(1200) - 50
-		s, fits := encodeCompleted(state, limit)
+		s, fits := state.EncodeCompleted(taskStates, limit)
 		if len(s) > max(limit, 0) {
 			t.Fatalf("round %d: %d bytes, the limit is %d", round, len(s), limit)
 		}
-		listed := make([]bool, len(state))
-		if !decodeCompleted(s, len(state), func(i int) { listed[i] = true }) {
+		listed := make([]bool, len(taskStates))
+		if !state.DecodeCompleted(s, len(taskStates), func(i int) { listed[i] = true }) {
 			t.Fatalf("round %d: %q can't be read", round, s)
 		}
-		for i, is := range state {
-			if done := is >= taskCompleted; listed[i] != (done && i < fits) {
-				t.Fatalf("round %d: task %d of %d, done %v, is listed: %v; %d fit", round, i, len(state), done, listed[i], fits)
+		for i, is := range taskStates {
+			if done := is >= state.TaskCompleted; listed[i] != (done && i < fits) {
+				t.Fatalf("round %d: task %d of %d, done %v, is listed: %v; %d fit", round, i, len(taskStates), done, listed[i], fits)
 			}
 		}
 	}
 	// Without a limit that matters all is listed.
-	if s, fits := encodeCompleted(append([]uint8{taskCompleted, taskCompletionStored, taskPending, taskCompleted}, make([]uint8, 60)...), 3000); s != "0-1,3" || fits != 64 {
+	if s, fits := state.EncodeCompleted(append([]uint8{state.TaskCompleted, state.TaskCompletionStored, state.TaskPending, state.TaskCompleted}, make([]uint8, 60)...), 3000); s != "0-1,3" || fits != 64 {
 		t.Errorf("%q, %d fit", s, fits)
 	}
 }
@@ -60,18 +62,18 @@
 	b.config.MaxTxnOps = 4
 	b.writeQueue.Configure(b.writeQueueConfig())
 	j := b.addTestJob("j-1", 100_000)
-	v, _ := json.Marshal(jobRecord{Spec: &j.spec, WriteID: "x"})
+	v, _ := json.Marshal(jobRecord{Spec: &j.Spec, WriteID: "x"})
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: v, ModRevision: 31}
-	j.modRevisions[0] = 31
+	j.ModRevisions[0] = 31
 	for i := 0; i < 100_000; i += 3 {
-		j.setCompleted(i)
+		j.SetCompleted(i)
 	}
 	stored := func() int {
 		n := 0
-		for k := range j.modRevisions {
+		for k := range j.ModRevisions {
 			var rec jobRecord
-			if json.Unmarshal(b.store.keys[j.chunkKey(k)].Value, &rec) == nil {
-				decodeCompleted(rec.CompletedIndexes, len(j.chunkStates(k)), func(int) { n++ })
+			if json.Unmarshal(b.store.keys[j.ChunkKey(k)].Value, &rec) == nil {
+				state.DecodeCompleted(rec.CompletedIndexes, len(j.ChunkStates(k)), func(int) { n++ })
 			}
 		}
 		return n
@@ -84,13 +86,13 @@
 		t.Errorf("%d of 33,334 outcomes are stored", n)
 	}
 	for i := range 100_000 {
-		j.setCompleted(i)
+		j.SetCompleted(i)
 	}
 	b.writeJob(j, writequeue.Admit)
 	b.runFor(20 * second)
-	for k := 1; k < chunkCount(100_000); k++ {
-		if b.store.get(j.chunkKey(k)).Outcome != messages.NotFound {
-			t.Errorf("%s is left", j.chunkKey(k))
+	for k := 1; k < state.ChunkCount(100_000); k++ {
+		if b.store.get(j.ChunkKey(k)).Outcome != messages.NotFound {
+			t.Errorf("%s is left", j.ChunkKey(k))
 		}
 	}
 	var rec jobRecord
@@ -111,22 +113,22 @@
 
 // addGroupWithTasks is a group of machines with tasks of a job on each, none of which
 // follows on another, so that none shares a range.
-func (b *controllerHarness) addGroupWithTasks(name string, j *job, machines, tasks, from int) *machineGroup {
-	g := b.newGroup(b.shards[0], name, 0)
+func (b *controllerHarness) addGroupWithTasks(name string, j *state.Job, machines, tasks, from int) *state.MachineGroup {
+	g := b.newGroup(b.state.Shards[0], name, 0)
 	for i := range machines {
 		id := cluster.MachineID(fmt.Sprintf("m-%s-%04d", name, i))
 		m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 31)
-		m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.loop.Now()
+		m.TokenAcknowledged, m.Incarnation, m.SequenceNumber, m.LastHeartbeat = true, 1, 1, b.loop.Now()
 		for k := range tasks {
 			n := from + (k*machines+i)*2
-			a := &assignment{task: cluster.TaskID{Job: j.spec.ID, Index: n}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: id, attempt: cluster.Attempt(n + 1), phase: phaseAcknowledged, state: cluster.Running}
-			m.addAssignment(a)
-			j.setAssigned(n, a)
+			a := &state.Assignment{Task: cluster.TaskID{Job: j.Spec.ID, Index: n}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: id, Attempt: cluster.Attempt(n + 1), Phase: state.PhaseAcknowledged, State: cluster.Running}
+			m.AddAssignment(a)
+			j.SetAssigned(n, a)
 		}
 	}
-	v, s := b.buildGroupRecord(0, g.sortedMachines(), "x")
-	g.recordSize, g.modRevision = s.size, 20
-	b.store.keys[g.key()] = messages.KV{Key: g.key(), Value: v, ModRevision: 20}
+	v, s := b.buildGroupRecord(0, g.SortedMachines(), "x")
+	g.RecordSize, g.ModRevision = s.size, 20
+	b.store.keys[g.Key()] = messages.KV{Key: g.Key(), Value: v, ModRevision: 20}
 	return g
 }
 
@@ -162,8 +164,8 @@
 		b.writeQueue.Configure(b.writeQueueConfig())
 		j := b.addTestJob("j-1", 20_000)
 		g := b.addGroupWithTasks("g", j, c.machines, 3, 0)
-		before := g.recordSize
-		b.splitGroup(b.shards[0], g)
+		before := g.RecordSize
+		b.splitGroup(b.state.Shards[0], g)
 		b.runFor(200 * millisecond)
 		if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != min(c.ops, max(before/(b.config.MaxValueBytes/2), 2)) {
 			t.Fatalf("%d machines, %d bytes: first %d transactions", c.machines, before, len(b.sentTransactions))
@@ -175,8 +177,8 @@
 			}
 		}
 		tasks := 0
-		for _, m := range b.machines {
-			tasks += len(m.assignments)
+		for _, m := range b.state.Machines {
+			tasks += len(m.Assignments)
 		}
 		if len(n) != c.machines || tasks != 3*c.machines {
 			t.Errorf("%d of %d machines are listed, with %d tasks", len(n), c.machines, tasks)
@@ -185,13 +187,13 @@
 			t.Errorf("%d machines, %d bytes: the longest record has %d", c.machines, before, longest)
 		}
 		for range 4 { // what is still too large is split further
-			b.splitAndMergeGroups(b.shards[0])
+			b.splitAndMergeGroups(b.state.Shards[0])
 			b.runFor(second)
 		}
 		if n, longest = b.countStoredMachines(t); len(n) != c.machines || longest > b.config.MaxValueBytes {
 			t.Errorf("in the end %d of %d machines, the longest record has %d bytes", len(n), c.machines, longest)
 		}
-		if !b.shards[0].owned {
+		if !b.state.Shards[0].Owned {
 			t.Error("the part was given up")
 		}
 	}
@@ -208,11 +210,11 @@
 	j := b.addTestJob("j-1", 20_000)
 	large := b.addGroupWithTasks("large", j, 45, 3, 0)
 	small, other := b.addGroupWithTasks("small", j, 3, 3, 10_000), b.addGroupWithTasks("other", j, 3, 3, 12_000)
-	if large.recordSize <= limit || large.recordSize > b.config.MaxValueBytes {
-		t.Fatalf("%d bytes: the test shows nothing", large.recordSize)
+	if large.RecordSize <= limit || large.RecordSize > b.config.MaxValueBytes {
+		t.Fatalf("%d bytes: the test shows nothing", large.RecordSize)
 	}
-	marks := map[string]cluster.ModRevision{small.key(): small.modRevision, other.key(): other.modRevision}
-	for _, g := range []*machineGroup{large, small, other} {
+	marks := map[string]cluster.ModRevision{small.Key(): small.ModRevision, other.Key(): other.ModRevision}
+	for _, g := range []*state.MachineGroup{large, small, other} {
 		b.writeGroup(g, writequeue.Start)
 	}
 	b.runFor(3 * second)
@@ -245,12 +247,12 @@
 	if len(n) != 51 || longest > limit {
 		t.Errorf("%d of 51 machines are listed, the longest record has %d bytes", len(n), longest)
 	}
-	if len(small.machines) != 3 || len(other.machines) != 3 || len(large.machines) >= 45 {
-		t.Errorf("the groups have %d, %d and %d machines", len(large.machines), len(small.machines), len(other.machines))
+	if len(small.Machines) != 3 || len(other.Machines) != 3 || len(large.Machines) >= 45 {
+		t.Errorf("the groups have %d, %d and %d machines", len(large.Machines), len(small.Machines), len(other.Machines))
 	}
-	for _, p := range b.shards {
-		if !p.owned {
-			t.Errorf("part %d was given up", p.id)
+	for _, p := range b.state.Shards {
+		if !p.Owned {
+			t.Errorf("part %d was given up", p.ID)
 		}
 	}
 }
@@ -266,19 +268,19 @@
 	c := New(cfg)
 	b := newControllerHarness()
 	b.Controller = c
-	c.machineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
+	c.state.MachineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
 	setTime(c, 100*second)
 	c.admissions.loaded = true
 	dropTimers(c)
-	for _, p := range c.shards {
-		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
-		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]cluster.Time{}
-		b.store.keys[p.key()] = messages.KV{Key: p.key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
+	for _, p := range c.state.Shards {
+		p.Owned, p.Ready, p.Owner, p.ClaimRevision, p.ModRevision, p.Term, p.ConfirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
+		p.ProvisioningRequests, p.OutOfCapacityUntil = map[string]*state.ProvisioningRequest{}, map[state.ProvisioningOption]cluster.Time{}
+		b.store.keys[p.Key()] = messages.KV{Key: p.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 	}
 	for i := range 6 {
 		kv := messages.KV{Key: fmt.Sprintf("groups/b9-7-%d", i), Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: nil, WriteID: "x"}), ModRevision: cluster.ModRevision(10 + i)}
 		b.store.keys[kv.Key] = kv
-		b.deleteEmptyGroup(b.shards[0], kv)
+		b.deleteEmptyGroup(b.state.Shards[0], kv)
 	}
 	told := 0
 	for i := range 20 {
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -6,6 +6,8 @@
 	"slices"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -18,31 +20,31 @@
 // creation: that one is guarded by the claim of the part that made it.
 func TestLateGroupWriteAfterDropRejected(t *testing.T) {
 	b := newControllerHarness()
-	p, q := b.shards[0], b.shards[1]
+	p, q := b.state.Shards[0], b.state.Shards[1]
 	b.registerMachines(p, []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
-	if len(b.sentTransactions) == 0 || len(b.machineGroups) != 1 {
-		t.Fatalf("%d transactions, %d groups", len(b.sentTransactions), len(b.machineGroups))
+	if len(b.sentTransactions) == 0 || len(b.state.Groups) != 1 {
+		t.Fatalf("%d transactions, %d groups", len(b.sentTransactions), len(b.state.Groups))
 	}
 	first := b.sentTransactions[0]
 	key := first.Then[0].Key
-	g := b.machineGroups[slices.Sorted(maps.Keys(b.machineGroups))[0]]
-	g.offer = &groupOffer{toShard: q.id, until: b.loop.Now() + 5*second}
-	b.acquireGroup(q, key, g.modRevision)
+	g := b.state.Groups[slices.Sorted(maps.Keys(b.state.Groups))[0]]
+	g.Offer = &state.GroupOffer{ToShard: q.ID, Until: b.loop.Now() + 5*second}
+	b.acquireGroup(q, key, g.ModRevision)
 	b.runFor(100 * millisecond)
-	m := b.machines["m-1"]
-	if m == nil || m.shardID != q.id {
+	m := b.state.Machines["m-1"]
+	if m == nil || m.ShardID != q.ID {
 		t.Fatal("the group was not taken")
 	}
 	b.handleMachineTerminated(m)
 	b.runFor(200 * millisecond)
-	if kv := b.store.get(key); kv.Outcome != messages.OK || b.machines["m-1"] != nil {
+	if kv := b.store.get(key); kv.Outcome != messages.OK || b.state.Machines["m-1"] != nil {
 		t.Fatalf("the emptied group: %v", kv)
 	}
 	// The other part's next claim.
 	b.store.revision++
-	q.claimRevision, q.modRevision = b.store.revision, cluster.ModRevision(b.store.revision)
-	b.store.keys[q.key()] = messages.KV{Key: q.key(), Value: []byte(`{"holder":"n0","term":2,"w":"b0-9"}`), ModRevision: q.modRevision}
+	q.ClaimRevision, q.ModRevision = b.store.revision, cluster.ModRevision(b.store.revision)
+	b.store.keys[q.Key()] = messages.KV{Key: q.Key(), Value: []byte(`{"holder":"n0","term":2,"w":"b0-9"}`), ModRevision: q.ModRevision}
 	b.applyGroupRecord(b.store.get(key).KV, q)
 	b.runFor(second)
 	if r := b.store.commit(first); r.Outcome != messages.Conflict {
@@ -55,7 +57,7 @@
 func TestAdmissionResentAfterBatchConflict(t *testing.T) {
 	b := newControllerHarness()
 	m, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
-	m.group.modRevision = 77 // another writer was there
+	m.Group.ModRevision = 77 // another writer was there
 	b.writeMachine(m, writequeue.Start)
 	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.runFor(5 * second)
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -29,8 +29,8 @@
 
 // ClaimOf implements writequeue.ShardOwnership.
 func (o shardClaims) ClaimOf(id cluster.ShardID) writequeue.Claim {
-	shard := o.controller.shards[id]
-	return writequeue.Claim{Key: shard.key(), ModRevision: shard.modRevision, Owned: shard.owned}
+	shard := o.controller.state.Shards[id]
+	return writequeue.Claim{Key: shard.Key(), ModRevision: shard.ModRevision, Owned: shard.Owned}
 }
 
 // HandleDeposed implements writequeue.ShardOwnership.
@@ -38,9 +38,9 @@
 
 // HandleStored implements writequeue.ShardOwnership.
 func (o shardClaims) HandleStored(stored writequeue.StoredTransaction) {
-	shard := o.controller.shards[stored.ShardID]
-	shard.storedTransactions++
-	shard.lastStoredRevision = max(shard.lastStoredRevision, stored.Revision)
+	shard := o.controller.state.Shards[stored.ShardID]
+	shard.StoredTransactions++
+	shard.LastStoredRevision = max(shard.LastStoredRevision, stored.Revision)
 	o.controller.recordConfirmation(shard, stored.Claim, stored.SentAt)
 }
 
@@ -50,6 +50,6 @@
 // an outage. On an idle controller nothing else would ask for minutes.
 func (c *Controller) probeStore() {
 	if c.writeQueue.Health.ShouldProbe(c.loop.Now()) {
-		c.rereadShard(c.shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
+		c.rereadShard(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
 	}
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -20,7 +20,7 @@
 		r.Request = e.Request
 		c.loop.Emit(r)
 	}
-	if c.jobs.known[e.Spec.ID] == nil && e.Rejection == 0 && (c.writeQueue.Health.IsUnresponsive(c.loop.Now()) || len(c.machineTypes) == 0) && c.proxySubmission(e.Spec, answer) {
+	if c.state.Jobs.Known[e.Spec.ID] == nil && e.Rejection == 0 && (c.writeQueue.Health.IsUnresponsive(c.loop.Now()) || len(c.state.MachineTypes) == 0) && c.proxySubmission(e.Spec, answer) {
 		return
 	}
 	c.submit(e.Spec, e.Rejection, e.Reason, answer)
@@ -64,8 +64,8 @@
 	case r.Outcome != messages.OK:
 		answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "store out of reach"})
 	case len(r.Message.Views) == 1:
-		if t := c.teams[spec.Team]; t != nil {
-			c.jobs.register(spec.ID, t.shard, spec.Team, spec.Tasks)
+		if t := c.state.Teams[spec.Team]; t != nil {
+			c.state.Jobs.Register(spec.ID, t.ShardID, spec.Team, spec.Tasks)
 		}
 		answer(messages.Respond{Status: r.Message.Status, View: &r.Message.Views[0]})
 	default:
@@ -100,7 +100,7 @@
 // evaluate decides on the submission; checked: what the job awaits was looked up.
 func (s *submission) evaluate(checked bool) {
 	c := s.controller
-	if c.jobs.known[s.spec.ID] != nil {
+	if c.state.Jobs.Known[s.spec.ID] != nil {
 		c.answerIdempotentRetry(s.answer, s.spec.ID)
 		return
 	}
@@ -109,7 +109,7 @@
 		return
 	}
 	if s.invalidStatus == 0 {
-		if len(c.machineTypes) == 0 {
+		if len(c.state.MachineTypes) == 0 {
 			s.reject(messages.ReplyUnavailable, storeRetryAfterSeconds, "machine types not known yet")
 			return
 		}
@@ -200,12 +200,12 @@
 
 // checkSchedulable returns 422 for a job that no machine or quota could ever take.
 func (c *Controller) checkSchedulable(s *cluster.JobSpec) messages.ReplyStatus {
-	t := c.teams[s.Team]
+	t := c.state.Teams[s.Team]
 	if t == nil || s.ResourceRequest.CPU > t.QuotaLimit.CPU || s.ResourceRequest.GPU > t.QuotaLimit.GPU {
 		return messages.ReplyUnschedulable
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.machineTypes)) {
-		if c.isTypeAllowed(s, c.machineTypes[name], "") {
+	for _, name := range slices.Sorted(maps.Keys(c.state.MachineTypes)) {
+		if c.isTypeAllowed(s, c.state.MachineTypes[name], "") {
 			return 0
 		}
 	}
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -19,12 +21,12 @@
 // learns of by its watch.
 func deposeOwner(t *testing.T, b *controllerHarness) {
 	t.Helper()
-	part := b.shards[0]
+	part := b.state.Shards[0]
 	b.store.revision++
-	claim := messages.KV{Key: part.key(), Value: fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, part.term+1, b.store.revision), ModRevision: cluster.ModRevision(b.store.revision)}
-	b.store.keys[part.key()] = claim
+	claim := messages.KV{Key: part.Key(), Value: fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, part.Term+1, b.store.revision), ModRevision: cluster.ModRevision(b.store.revision)}
+	b.store.keys[part.Key()] = claim
 	b.applyShardRecord(claim)
-	if part.owned {
+	if part.Owned {
 		t.Fatal("the part is still held after another's claim")
 	}
 }
@@ -32,11 +34,11 @@
 // acquireAndLoadShard lets the controller under test claim part 0 and read its records.
 func acquireAndLoadShard(t *testing.T, b *controllerHarness) {
 	t.Helper()
-	part := b.shards[0]
+	part := b.state.Shards[0]
 	b.acquireShard(part)
 	b.runFor(200 * millisecond)
-	if !part.owned || !part.ready {
-		t.Fatalf("held %v, ready %v after the claim", part.owned, part.ready)
+	if !part.Owned || !part.Ready {
+		t.Fatalf("held %v, ready %v after the claim", part.Owned, part.Ready)
 	}
 }
 
@@ -66,7 +68,7 @@
 // still be on its way.
 func TestEachOwnerRaisesToken(t *testing.T) {
 	b := newControllerHarness()
-	part := b.shards[0]
+	part := b.state.Shards[0]
 	const need = cluster.Amount(3_000_000)
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: fmt.Appendf(nil, `{"st":"cancelled","tm":"red","n":1,"r":{"CPU":%d,"GPU":0,"Mem":1},"w":"b9-1"}`, need), ModRevision: 20}
 	listed := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7}}}
@@ -75,22 +77,22 @@
 	earlierToken := cluster.FencingToken(25)
 	for range successiveOwners {
 		deposeOwner(t, b)
-		earlierTerm := part.term
+		earlierTerm := part.Term
 		acquireAndLoadShard(t, b)
-		m := b.machines["m-1"]
-		if m.token <= earlierToken || part.term <= earlierTerm {
-			t.Errorf("token %d and term %d after %d and %d: not higher", m.token, part.term, earlierToken, earlierTerm)
+		m := b.state.Machines["m-1"]
+		if m.Token <= earlierToken || part.Term <= earlierTerm {
+			t.Errorf("token %d and term %d after %d and %d: not higher", m.Token, part.Term, earlierToken, earlierTerm)
 		}
-		m.incarnation = 1
+		m.Incarnation = 1
 		report := statusUnderToken(m, 1)
 		report.FencingToken = earlierToken
 		b.reconcile(m, report, false)
 		if use := b.teamUsageOf(part)["red"].CPU; use != need {
-			t.Errorf("after a report under token %d, with %d in force, the team uses %d, want %d", earlierToken, m.token, use, need)
+			t.Errorf("after a report under token %d, with %d in force, the team uses %d, want %d", earlierToken, m.Token, use, need)
 		}
-		earlierToken = m.token
+		earlierToken = m.Token
 	}
-	m := b.machines["m-1"]
+	m := b.state.Machines["m-1"]
 	b.reconcile(m, statusUnderToken(m, 2), false)
 	if use := b.teamUsageOf(part)["red"].CPU; use != 0 {
 		t.Errorf("after a report under the token in force the team uses %d, want 0", use)
@@ -103,7 +105,7 @@
 // not in force any more.
 func TestLateWritesOfDeposedOwnersRejected(t *testing.T) {
 	b := newControllerHarness()
-	part := b.shards[0]
+	part := b.state.Shards[0]
 	var heldUp []messages.StoreTxn
 	for holder := range successiveOwners {
 		id := cluster.MachineID(fmt.Sprintf("m-%d", 3*holder)) // numbers of part 0
@@ -131,14 +133,14 @@
 		most       = 12 // 2, 4, 8, 16 and then 30 s after the change before
 		leastAtEnd = 4 * second
 	)
-	part := &shard{}
+	part := &state.Shard{}
 	now := 100 * second
-	part.recordOwnerChange(now)
+	part.RecordOwnerChange(now)
 	changes, last := 0, cluster.Time(0)
 	for end := now + quarrel; now < end; now += second / 10 {
-		if part.isBackoffOver(now) {
-			last = now - part.ownershipChangedAt
-			part.recordOwnerChange(now)
+		if part.IsBackoffOver(now) {
+			last = now - part.OwnershipChangedAt
+			part.RecordOwnerChange(now)
 			changes++
 		}
 	}
@@ -154,8 +156,8 @@
 func TestNoAcquireDuringOutage(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		b := newControllerHarness()
-		part := b.shards[1]
-		part.owned, part.ready, part.recordRead, part.owner, part.preferredOwner = false, false, true, "n2", "n2"
+		part := b.state.Shards[1]
+		part.Owned, part.Ready, part.RecordRead, part.Owner, part.PreferredOwner = false, false, true, "n2", "n2"
 		for _, peer := range b.peers {
 			peer.hasAnswered, peer.lastAnswerAt, peer.lastPingAt = true, b.loop.Now(), b.loop.Now()
 		}
@@ -166,8 +168,8 @@
 			b.writeQueue.Health.MarkFailing(b.loop.Now() - 2*second)
 		}
 		b.considerAcquire(part)
-		if part.acquiring == outage {
-			t.Errorf("outage %v: claims %v", outage, part.acquiring)
+		if part.Acquiring == outage {
+			t.Errorf("outage %v: claims %v", outage, part.Acquiring)
 		}
 	}
 }
--- a/internal/controller/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
@@ -20,30 +22,30 @@
 // got no work until that part changed hands.
 func TestTransferAbortedWhenShardIsLost(t *testing.T) {
 	b := newControllerHarness()
-	giver, taker := b.shards[0], b.shards[1]
+	giver, taker := b.state.Shards[0], b.state.Shards[1]
 	kind := grouprecord.Kind{Type: "small", Zone: "a"}
 	b.registerMachines(giver, []grouprecord.Machine{{ID: "m-1", Kind: kind, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
-	g := b.machineGroups[slices.Sorted(maps.Keys(b.machineGroups))[0]]
-	g.offer = &groupOffer{toShard: taker.id, until: b.loop.Now() + 5*second}
+	g := b.state.Groups[slices.Sorted(maps.Keys(b.state.Groups))[0]]
+	g.Offer = &state.GroupOffer{ToShard: taker.ID, Until: b.loop.Now() + 5*second}
 	b.store.revision++
-	b.store.keys[taker.key()] = messages.KV{Key: taker.key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: cluster.ModRevision(b.store.revision)}
-	b.acquireGroup(taker, g.key(), g.modRevision)
+	b.store.keys[taker.Key()] = messages.KV{Key: taker.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: cluster.ModRevision(b.store.revision)}
+	b.acquireGroup(taker, g.Key(), g.ModRevision)
 	b.runFor(200 * millisecond)
 
-	if taker.owned {
+	if taker.Owned {
 		t.Fatal("the loss of the taking part went unnoticed")
 	}
-	m := b.machines["m-1"]
-	if m == nil || m.shardID != giver.id || b.machineGroups[g.id] != g {
+	m := b.state.Machines["m-1"]
+	if m == nil || m.ShardID != giver.ID || b.state.Groups[g.ID] != g {
 		t.Fatal("the machine is in no book though its record lists it for a part held here")
 	}
-	if g.writePending || g.writeInFlight {
+	if g.WritePending || g.WriteInFlight {
 		t.Error("the group still counts as being written")
 	}
 	b.writeMachine(m, writequeue.Start)
 	b.runFor(200 * millisecond)
-	if kv := b.store.get(g.key()).KV; g.modRevision != kv.ModRevision || g.modRevision <= 31 {
-		t.Errorf("its record can't be written any more: mark %d, stored %d", g.modRevision, kv.ModRevision)
+	if kv := b.store.get(g.Key()).KV; g.ModRevision != kv.ModRevision || g.ModRevision <= 31 {
+		t.Errorf("its record can't be written any more: mark %d, stored %d", g.ModRevision, kv.ModRevision)
 	}
 }
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -20,15 +20,15 @@
 	b := newControllerHarness()
 	b.config.MaxValueBytes, b.config.MaxTxnOps = 16_384, 20
 	b.writeQueue.Configure(b.writeQueueConfig())
-	p := b.shards[0]
+	p := b.state.Shards[0]
 	for i := range groups {
 		g := b.newGroup(p, fmt.Sprintf("g%02d", i), 31)
-		g.recordSize = length
+		g.RecordSize = length
 		for k := range 2 {
 			id := cluster.MachineID(fmt.Sprintf("m-%02d-%d", i, k))
 			m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
-			m.tokenAcknowledged, m.incarnation, m.idleSince = true, 1, b.loop.Now()-second
-			m.lastHeartbeat = b.loop.Now()
+			m.TokenAcknowledged, m.Incarnation, m.IdleSince = true, 1, b.loop.Now()-second
+			m.LastHeartbeat = b.loop.Now()
 		}
 	}
 	b.offerIdleMachines(p, fairshare.NewPlan(fairshare.Snapshot{
--- a/internal/controller/unanswered_call_test.go
+++ b/internal/controller/unanswered_call_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 )
 
@@ -27,17 +29,17 @@
 			b := newControllerHarness()
 			job := b.addTestJob("j-1", 1)
 			m, listed := b.addRunningMachine(job)
-			m.awaitingFirstAcknowledgement, m.tokenAcknowledged, listed.phase = true, false, phaseUnverified
-			job.cancelling, listed.stopRequested = true, true
-			known := b.jobs.known["j-1"]
-			known.finalStatus, known.finalSince = cluster.JobCancelled, b.loop.Now()-test.known
-			m.ownedSince = b.loop.Now() - 2*second // when the part was claimed
+			m.AwaitingFirstAcknowledgement, m.TokenAcknowledged, listed.Phase = true, false, state.PhaseUnverified
+			job.Cancelling, listed.StopRequested = true, true
+			known := b.state.Jobs.Known["j-1"]
+			known.FinalStatus, known.FinalSince = cluster.JobCancelled, b.loop.Now()-test.known
+			m.OwnedSince = b.loop.Now() - 2*second // when the part was claimed
 			if test.unanswered > 0 {
-				m.pushInFlight, m.lastPushAt = true, b.loop.Now()-test.unanswered
+				m.PushInFlight, m.LastPushAt = true, b.loop.Now()-test.unanswered
 			}
 			b.maintainMachines()
-			if m.releasing != test.returned {
-				t.Errorf("returned %v, want %v", m.releasing, test.returned)
+			if m.Releasing != test.returned {
+				t.Errorf("returned %v, want %v", m.Releasing, test.returned)
 			}
 		})
 	}
--- a/internal/controller/urgency_test.go
+++ b/internal/controller/urgency_test.go
@@ -6,6 +6,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // TestUrgencyPropagated: a job takes the highest priority and the tightest deadline of
@@ -22,10 +23,10 @@
 	for _, order := range orders {
 		b := newControllerHarness()
 		for _, name := range []string{"green", "blue"} {
-			b.teams[name] = &team{Team: cluster.Team{Name: name, QuotaLimit: cluster.Resources{CPU: 100_000_000}}, shard: map[string]cluster.ShardID{"green": 1, "blue": 2}[name]}
+			b.state.Teams[name] = &state.Team{Team: cluster.Team{Name: name, QuotaLimit: cluster.Resources{CPU: 100_000_000}}, ShardID: map[string]cluster.ShardID{"green": 1, "blue": 2}[name]}
 		}
-		b.teams["red"].shard = 0
-		b.shards[1].owned, b.shards[2].owned = false, false
+		b.state.Teams["red"].ShardID = 0
+		b.state.Shards[1].Owned, b.state.Shards[2].Owned = false, false
 		for _, i := range order {
 			v, _ := json.Marshal(jobRecord{Spec: &specs[i], WriteID: "x"})
 			b.applyJobRecord(messages.KV{Key: "jobs/" + string(specs[i].ID), Value: v, ModRevision: cluster.ModRevision(31 + i)}, nil)
@@ -41,33 +42,33 @@
 			"c": {cluster.Urgent, 0},
 			"e": {cluster.Production, 1_100_000}, // its own is the tighter
 		} {
-			if k := b.jobs.known[id]; k.effectivePriority != want.prio || k.effectiveDeadline != want.by {
-				t.Errorf("%v: %s has priority %d, due %v; want %d, %v", order, id, k.effectivePriority, k.effectiveDeadline, want.prio, want.by)
+			if k := b.state.Jobs.Known[id]; k.EffectivePriority != want.prio || k.EffectiveDeadline != want.by {
+				t.Errorf("%v: %s has priority %d, due %v; want %d, %v", order, id, k.EffectivePriority, k.EffectiveDeadline, want.prio, want.by)
 			}
-			if j := b.jobs.owned[id]; j != nil && j.effectivePriority != want.prio {
-				t.Errorf("%v: %s is served with priority %d, want %d", order, id, j.effectivePriority, want.prio)
+			if j := b.state.Jobs.Owned[id]; j != nil && j.EffectivePriority != want.prio {
+				t.Errorf("%v: %s is served with priority %d, want %d", order, id, j.EffectivePriority, want.prio)
 			}
 		}
-		if b.jobs.owned["a"] == nil || b.jobs.owned["b"] != nil {
+		if b.state.Jobs.Owned["a"] == nil || b.state.Jobs.Owned["b"] != nil {
 			t.Fatal("the wrong jobs are held")
 		}
-		if start := b.latestStart(b.jobs.owned["a"]); start != due-2*(20_000+stageDelayMillis)-20_000 {
+		if start := b.latestStart(b.state.Jobs.Owned["a"]); start != due-2*(20_000+stageDelayMillis)-20_000 {
 			t.Errorf("%v: a is to start at %v", order, start)
 		}
 		// One that comes later, and one after the end.
 		late := spec("f", "blue", cluster.Normal, 100, "b")
 		v, _ := json.Marshal(jobRecord{Spec: &late, WriteID: "x"})
 		b.applyJobRecord(messages.KV{Key: "jobs/f", Value: v, ModRevision: 40}, nil)
-		if k := b.jobs.known["a"]; k.effectiveDeadline != 1_100_000-2*(20_000+stageDelayMillis) {
-			t.Errorf("%v: a tighter deadline does not reach a: %v", order, k.effectiveDeadline)
+		if k := b.state.Jobs.Known["a"]; k.EffectiveDeadline != 1_100_000-2*(20_000+stageDelayMillis) {
+			t.Errorf("%v: a tighter deadline does not reach a: %v", order, k.EffectiveDeadline)
 		}
 		done, _ := json.Marshal(jobRecord{FinalStatus: cluster.JobDone, Team: "green", Tasks: 1, WriteID: "x"})
 		b.applyJobRecord(messages.KV{Key: "jobs/b", Value: done, ModRevision: 41}, nil)
 		later := spec("g", "blue", cluster.Production, 50, "b")
 		v, _ = json.Marshal(jobRecord{Spec: &later, WriteID: "x"})
 		b.applyJobRecord(messages.KV{Key: "jobs/g", Value: v, ModRevision: 42}, nil)
-		if k := b.jobs.known["a"]; k.effectiveDeadline != 1_100_000-2*(20_000+stageDelayMillis) {
-			t.Errorf("%v: what awaits a finished job changes a: %v", order, k.effectiveDeadline)
+		if k := b.state.Jobs.Known["a"]; k.EffectiveDeadline != 1_100_000-2*(20_000+stageDelayMillis) {
+			t.Errorf("%v: what awaits a finished job changes a: %v", order, k.EffectiveDeadline)
 		}
 	}
 }
--- a/internal/controller/workerreachability.go
+++ b/internal/controller/workerreachability.go
@@ -37,7 +37,7 @@
 func (c *Controller) canReachWorkers() bool {
 	s := &c.workerReachability
 	patience := 3 * c.config.HeartbeatInterval
-	if len(c.machines) >= largeFleetSize {
+	if len(c.state.Machines) >= largeFleetSize {
 		patience /= 2
 	}
 	if c.loop.Now()-s.lastOwnedHeartbeat < patience {
@@ -46,11 +46,11 @@
 	}
 	silent := 0
 	addr := ""
-	for _, p := range c.shards {
-		for _, m := range p.machines {
-			if !m.booting && c.loop.Now()-max(m.ownedSince, c.processHealth.resumedAt) > patience {
+	for _, p := range c.state.Shards {
+		for _, m := range p.Machines {
+			if !m.Booting && c.loop.Now()-max(m.OwnedSince, c.processHealth.resumedAt) > patience {
 				silent++
-				addr = m.address
+				addr = m.Address
 			}
 		}
 	}
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -3,15 +3,17 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/writequeue"
 )
 
 // markTasksRecording makes the first tasks of a group's machines wait for its record.
-func markTasksRecording(g *machineGroup, n int) {
-	for _, m := range g.sortedMachines() {
-		for _, a := range m.sortedAssignments() {
+func markTasksRecording(g *state.MachineGroup, n int) {
+	for _, m := range g.SortedMachines() {
+		for _, a := range m.SortedAssignments() {
 			if n > 0 {
-				a.phase, n = phaseRecording, n-1
+				a.Phase, n = state.PhaseRecording, n-1
 			}
 		}
 	}
@@ -51,11 +53,11 @@
 	setTime(b.Controller, b.loop.Now()+second/2)
 	b.writeGroup(many, writequeue.Start)
 	b.runFor(second * 5 / 2)
-	if f, m := b.countWrites(few.key()), b.countWrites(many.key()); f != 0 || m != 1 {
+	if f, m := b.countWrites(few.Key()), b.countWrites(many.Key()); f != 0 || m != 1 {
 		t.Fatalf("after the first put the record with one start was written %d times, that with six %d times", f, m)
 	}
 	b.runFor(2 * second)
-	if f := b.countWrites(few.key()); f != 1 {
+	if f := b.countWrites(few.Key()); f != 1 {
 		t.Errorf("the record with one start was written %d times", f)
 	}
 }
@@ -69,9 +71,9 @@
 	markTasksRecording(starts, 8)
 	b.limitPutRate(0.5)
 	b.writeGroup(starts, writequeue.Start)
-	b.raiseToken(bumped.sortedMachines()[0])
+	b.raiseToken(bumped.SortedMachines()[0])
 	b.runFor(second * 5 / 2)
-	if s, r := b.countWrites(starts.key()), b.countWrites(bumped.key()); s != 0 || r != 1 {
+	if s, r := b.countWrites(starts.Key()), b.countWrites(bumped.Key()); s != 0 || r != 1 {
 		t.Errorf("after the first put the record with eight starts was written %d times, that of the raised token %d times", s, r)
 	}
 }
@@ -90,7 +92,7 @@
 		b.writeGroup(many, writequeue.Start)
 		b.runFor(second)
 	}
-	if f, m := b.countWrites(few.key()), b.countWrites(many.key()); f != 1 || m < 5 {
+	if f, m := b.countWrites(few.Key()), b.countWrites(many.Key()); f != 1 || m < 5 {
 		t.Errorf("the record with one start was written %d times, that with more to start %d times", f, m)
 	}
 }
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
 
@@ -39,8 +41,8 @@
 }
 
 // addGroupsAwaitingRecord makes groups of which each has starts that wait for its record.
-func (b *controllerHarness) addGroupsAwaitingRecord(name string, j *job, groups, from int) []*machineGroup {
-	var all []*machineGroup
+func (b *controllerHarness) addGroupsAwaitingRecord(name string, j *state.Job, groups, from int) []*state.MachineGroup {
+	var all []*state.MachineGroup
 	for i := range groups {
 		g := b.addGroupWithTasks(fmt.Sprintf("%s-%02d", name, i), j, 2, 2, from+10*i)
 		markTasksRecording(g, 4)
@@ -52,24 +54,24 @@
 
 // checkGroupsReady fails unless every group was stored with its tasks, which may
 // start now, and no part was given up.
-func (b *controllerHarness) checkGroupsReady(t *testing.T, groups []*machineGroup) {
+func (b *controllerHarness) checkGroupsReady(t *testing.T, groups []*state.MachineGroup) {
 	t.Helper()
 	for _, g := range groups {
-		record, err := grouprecord.Decode(b.store.keys[g.key()].Value)
-		if err != nil || len(record.Machines) != 2 || b.countWrites(g.key()) == 0 {
-			t.Errorf("%s: %d machines listed, %d writes, %v", g.id, len(record.Machines), b.countWrites(g.key()), err)
+		record, err := grouprecord.Decode(b.store.keys[g.Key()].Value)
+		if err != nil || len(record.Machines) != 2 || b.countWrites(g.Key()) == 0 {
+			t.Errorf("%s: %d machines listed, %d writes, %v", g.ID, len(record.Machines), b.countWrites(g.Key()), err)
 		}
-		for _, m := range g.sortedMachines() {
-			for _, a := range m.sortedAssignments() {
-				if a.phase != phaseReady {
-					t.Errorf("%s: task %d still waits for its record", g.id, a.task.Index)
+		for _, m := range g.SortedMachines() {
+			for _, a := range m.SortedAssignments() {
+				if a.Phase != state.PhaseReady {
+					t.Errorf("%s: task %d still waits for its record", g.ID, a.Task.Index)
 				}
 			}
 		}
 	}
-	for _, p := range b.shards {
-		if !p.owned {
-			t.Errorf("part %d was given up", p.id)
+	for _, p := range b.state.Shards {
+		if !p.Owned {
+			t.Errorf("part %d was given up", p.ID)
 		}
 	}
 }
@@ -124,8 +126,8 @@
 		t.Fatal("nothing was refused the second time: the test shows nothing")
 	}
 	for _, g := range more {
-		if b.store.keys[g.key()].ModRevision != 20 {
-			t.Errorf("%s was stored though the store refused it", g.id)
+		if b.store.keys[g.Key()].ModRevision != 20 {
+			t.Errorf("%s was stored though the store refused it", g.ID)
 		}
 	}
 	b.throttles = limited
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -15,9 +17,9 @@
 // not started again.
 
 // heartbeatReplyStatus is the status with which a report of a machine is answered.
-func heartbeatReplyStatus(b *controllerHarness, m *machine) messages.ReplyStatus {
+func heartbeatReplyStatus(b *controllerHarness, m *state.Machine) messages.ReplyStatus {
 	takeEffects(b.Controller)
-	b.handleHeartbeat(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: m.sequenceNumber + 1, FencingToken: m.token, PreemptionNotice: -1}})
+	b.handleHeartbeat(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: m.Incarnation, SequenceNumber: m.SequenceNumber + 1, FencingToken: m.Token, PreemptionNotice: -1}})
 	setTime(b.Controller, b.loop.Now()+maxHeartbeatHold)
 	b.flush()
 	for _, effect := range b.loop.Effects() {
@@ -78,7 +80,7 @@
 // record says so.
 func TestTaskOfPartitionedZoneNotRestarted(t *testing.T) {
 	b := newControllerHarness()
-	part := b.shards[0]
+	part := b.state.Shards[0]
 	job := b.addTestJob("j-1", 1)
 	task := cluster.TaskID{Job: "j-1", Index: 0}
 	cut := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: task, Attempt: 7}}}
@@ -87,22 +89,22 @@
 	b.applyGroupRecord(record, part)
 	outside := b.addMachine(b.newGroup(part, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
 	b.store.keys["groups/outside"] = messages.KV{Key: "groups/outside", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), ModRevision: 26}
-	outside.tokenAcknowledged, outside.incarnation, outside.sequenceNumber = true, 1, 1
+	outside.TokenAcknowledged, outside.Incarnation, outside.SequenceNumber = true, 1, 1
 
 	startedOutside := func() bool {
 		b.scheduleShard(part)
-		return outside.assignments[task] != nil
+		return outside.Assignments[task] != nil
 	}
 	if startedOutside() {
 		t.Error("started outside while the record lists it on a machine of the zone")
 	}
-	b.handleMachineTerminated(b.machines["m-1"])
+	b.handleMachineTerminated(b.state.Machines["m-1"])
 	if startedOutside() {
 		t.Error("started outside before the record shows that the machine is gone")
 	}
 	b.runFor(second)
-	outside.lastHeartbeat = b.loop.Now()
-	if !startedOutside() || job.pendingCount() != 0 {
+	outside.LastHeartbeat = b.loop.Now()
+	if !startedOutside() || job.PendingCount() != 0 {
 		t.Error("not started outside though the machine is gone and the record says so")
 	}
 }
--- a/internal/controller/completedindexes.go
+++ b/internal/state/completedindexes.go
@@ -1,4 +1,4 @@
-package controller
+package state
 
 import (
 	"encoding/base64"
@@ -15,10 +15,10 @@
 // maxRangeBytes is what one more range may take at most.
 const maxRangeBytes = 12
 
-// encodeCompleted writes which of a chunk's tasks are done, in at most so many bytes:
+// EncodeCompleted writes which of a chunk's tasks are done, in at most so many bytes:
 // from the index it returns on, what is done did not fit. To list fewer is safe,
 // as a task that is started again after it was done ends at once.
-func encodeCompleted(state []uint8, limit int) (string, int) {
+func EncodeCompleted(state []uint8, limit int) (string, int) {
 	ranges, fits := encodeRanges(state, limit)
 	bitmap := base64.RawStdEncoding.EncodedLen((len(state)+7)/8) + len(bitmapPrefix)
 	if fits == len(state) && len(ranges) <= bitmap || bitmap > limit {
@@ -30,11 +30,11 @@
 func encodeRanges(state []uint8, limit int) (string, int) {
 	var b strings.Builder
 	for i := 0; i < len(state); i++ {
-		if state[i] < taskCompleted {
+		if state[i] < TaskCompleted {
 			continue
 		}
 		last := i
-		for last+1 < len(state) && state[last+1] >= taskCompleted {
+		for last+1 < len(state) && state[last+1] >= TaskCompleted {
 			last++
 		}
 		if b.Len()+maxRangeBytes > limit {
@@ -56,16 +56,16 @@
 func encodeBitmap(state []uint8) string {
 	bits := make([]byte, (len(state)+7)/8)
 	for i, s := range state {
-		if s >= taskCompleted {
+		if s >= TaskCompleted {
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
 	return bitmapPrefix + base64.RawStdEncoding.EncodeToString(bits)
 }
 
-// decodeCompleted calls set for each of n tasks that is done; false: the text makes
+// DecodeCompleted calls set for each of n tasks that is done; false: the text makes
 // no sense.
-func decodeCompleted(text string, n int, set func(int)) bool {
+func DecodeCompleted(text string, n int, set func(int)) bool {
 	if text == "" {
 		return true
 	}
--- /dev/null
+++ b/internal/state/team.go
@@ -0,0 +1,45 @@
+package state
+
+import (
+	"slices"
+	"sort"
+
+	"stairrelay/internal/cluster"
+)
+
+// Team is a team with the shard that serves it.
+type Team struct {
+	cluster.Team
+	ShardID cluster.ShardID
+}
+
+// AssignTeamsToShards spreads the teams over the shards by guaranteed quota, largest
+// first. It depends on the settings alone, so that every node finds the same.
+func AssignTeamsToShards(teams []cluster.Team, shards int) map[string]cluster.ShardID {
+	sorted := slices.Clone(teams)
+	sort.SliceStable(sorted, func(i, j int) bool {
+		a, b := quotaWeight(sorted[i]), quotaWeight(sorted[j])
+		if a != b {
+			return a > b
+		}
+		return sorted[i].Name < sorted[j].Name
+	})
+	load := make([]cluster.Amount, shards)
+	shardOf := map[string]cluster.ShardID{}
+	for _, t := range sorted {
+		least := 0
+		for shard := range load {
+			if load[shard] < load[least] {
+				least = shard
+			}
+		}
+		load[least] += quotaWeight(t) + 1
+		shardOf[t.Name] = cluster.ShardID(least)
+	}
+	return shardOf
+}
+
+// quotaWeight compares guaranteed quotas: a GPU counts like eight processors.
+func quotaWeight(t cluster.Team) cluster.Amount {
+	return t.GuaranteedQuota.CPU + t.GuaranteedQuota.GPU*8
+}
