--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -20,7 +20,7 @@
 	m, _ := b.addRunningMachine(b.state.Jobs.Owned["j-1"])
 	b.store.revision = 50
 	m.Group.ModRevision = 0
-	b.writeMachine(m, writequeue.Start)
+	b.inventory.WriteMachine(m, writequeue.Start)
 	b.runFor(100 * millisecond)
 
 	p.AttemptCount = cluster.MaxAttemptCount - 1
--- a/internal/controller/commandpush.go
+++ b/internal/controller/commandpush.go
@@ -77,7 +77,7 @@
 		case messages.Conflict:
 			unsent()
 			if r.Status.FencingToken > m.Token {
-				c.checkOwner(m)
+				c.inventory.CheckOwner(m)
 				return
 			}
 			c.applyPushReply(m, &r.Status)
@@ -89,7 +89,7 @@
 			if len(starts) > 0 {
 				// The command may arrive minutes late; a higher token ends that.
 				m.StartInDoubt = true
-				c.raiseToken(m)
+				c.inventory.RaiseToken(m)
 			}
 		}
 	})})
--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -27,7 +27,7 @@
 	j.RecordTooLarge = true // no checkpoint stores its outcomes
 	m.Group.ModRevision = 0
 	b.deliverStatus(m, cluster.TaskStatus{Task: a.Task, Attempt: a.Attempt, State: cluster.Ended, Cause: cluster.CauseCompleted})
-	b.writeMachine(m, writequeue.Start)
+	b.inventory.WriteMachine(m, writequeue.Start)
 	b.runFor(100 * millisecond)
 
 	record := string(b.store.get(m.Group.Key()).KV.Value)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 import (
 	"time"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -57,8 +58,8 @@
 	schedulingTrigger schedulingTrigger
 
 	// Machines.
-	recordNames       recordNames
-	machineOwners     machineOwners
+	recordNames       *inventory.RecordNames
+	inventory         *inventory.Inventory
 	orphanedMachines  orphanedMachines
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
@@ -76,7 +77,7 @@
 		loop:             eventloop.New(),
 		state:            state.New(cfg.Nodes, cfg.Teams),
 		admissions:       admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:    machineOwners{},
+		recordNames:      inventory.NewRecordNames(cfg.InstanceID),
 		orphanedMachines: newOrphanedMachines(),
 		peers:            map[cluster.NodeID]*peer{},
 		ownerQueries:     newOwnerQueries(),
@@ -84,6 +85,7 @@
 	}
 	c.versionRegistry = newVersionRegistry(cfg.Self)
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
+	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	for i := range cfg.Nodes {
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -129,7 +129,7 @@
 
 // addRunningMachine is a machine that runs the first task of a job.
 func (b *controllerHarness) addRunningMachine(j *state.Job) (*state.Machine, *state.Assignment) {
-	m := b.addMachine(b.newGroup(b.state.Shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
+	m := b.inventory.AddMachine(b.state.AddGroup(b.state.Shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
 	m.TokenAcknowledged, m.Incarnation, m.SequenceNumber, m.LastHeartbeat = true, 1, 1, b.loop.Now()
 	a := &state.Assignment{Task: cluster.TaskID{Job: j.Spec.ID, Index: 0}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: 7, Phase: state.PhaseAcknowledged, State: cluster.Running}
 	m.AddAssignment(a)
--- a/internal/controller/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -5,7 +5,6 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
-	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -35,7 +34,7 @@
 			b.store.keys[other.Key()] = messages.KV{Key: other.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.stored}
 			emptied := messages.KV{Key: "groups/b1-40-1", Value: grouprecord.Encode(grouprecord.Record{ShardID: part.ID, WriteID: "b0-5"}), ModRevision: 55}
 			b.store.keys[emptied.Key] = emptied
-			b.applyGroupRecord(emptied, part)
+			b.inventory.ApplyRecord(emptied, part)
 			b.runFor(second)
 			if dropped := b.store.get(emptied.Key).Outcome == messages.NotFound; dropped != test.dropped {
 				t.Errorf("dropped %v, want %v", dropped, test.dropped)
@@ -43,35 +42,3 @@
 		})
 	}
 }
-
-// TestEmptiedGroupRecordKept: the record of an emptied group is written, not
-// dropped. Were its key absent, a late copy of the transaction that created it
-// would be carried out again and list its machines a second time (random seed
-// 1083: a task ran twice). The next claim, which fences such copies, drops it.
-func TestEmptiedGroupRecordKept(t *testing.T) {
-	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
-	p := c.state.Shards[0]
-	v, s := c.buildGroupRecord(0, nil, "n-1")
-	rec, err := grouprecord.Decode(v)
-	part, ms := rec.ShardID, rec.Machines
-	if v == nil || err != nil || part != 0 || len(ms) != 0 || writequeue.WriteIDOf(v) != "n-1" || len(s.machines) != 0 {
-		t.Fatalf("an emptied group is written as %q: %v", v, err)
-	}
-	p.Owned, p.ClaimRevision, p.ModRevision = true, 30, 30
-	c.applyGroupRecord(messages.KV{Key: "groups/b1-12-1", Value: v, ModRevision: 20}, p)
-	q := c.writeQueue.Queued(writequeue.Background)
-	if len(q) != 1 || q[0].Keys[0] != "groups/b1-12-1" || len(c.state.Groups) != 0 {
-		t.Fatalf("the next claim queues %d writes and knows %d groups", len(q), len(c.state.Groups))
-	}
-	if ops, _ := q[0].Build("n-2"); len(ops) != 1 || ops[0].Value != nil {
-		t.Errorf("the next claim writes %v", ops)
-	}
-	// The claim that made it is in force, or the key doesn't say which that was.
-	c.applyGroupRecord(messages.KV{Key: "groups/b1-30-1", Value: v, ModRevision: 20}, p)
-	c.applyGroupRecord(messages.KV{Key: "groups/g", Value: v, ModRevision: 20}, p)
-	for _, x := range c.writeQueue.Queued(writequeue.Background)[1:] {
-		if ops, _ := x.Build("n-3"); ops != nil {
-			t.Errorf("%v is dropped though a copy of its creation may come", ops)
-		}
-	}
-}
--- a/internal/controller/group_check_test.go
+++ b/internal/controller/group_check_test.go
@@ -18,7 +18,7 @@
 	m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
 	part := b.state.Shards[0]
 	key := m.Group.Key()
-	b.writeMachine(m, writequeue.Start)
+	b.inventory.WriteMachine(m, writequeue.Start)
 	m.Group.ModRevision = 0 // as the store has none yet
 	b.runFor(100 * millisecond)
 	kv := b.store.get(key).KV
@@ -28,7 +28,7 @@
 
 	sent := len(b.sentTransactions)
 	for range 50 {
-		b.writeMachine(m, writequeue.Start)
+		b.inventory.WriteMachine(m, writequeue.Start)
 		b.runFor(0) // one round of answers
 	}
 	if part.CorruptRecordCount == 0 {
--- /dev/null
+++ b/internal/controller/inventory_adapter.go
@@ -0,0 +1,92 @@
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/inventory"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
+)
+
+// inventoryConfig is what the inventory needs of the settings.
+func (c *Controller) inventoryConfig() inventory.Config {
+	return inventory.Config{
+		ValueLimit:         grouprecord.ValueLimit(c.config.MaxValueBytes),
+		MaxTxnOps:          c.config.MaxTxnOps,
+		CloudListLag:       c.config.CloudListLag,
+		MaxScaleInMachines: maxScaleInMachines,
+	}
+}
+
+// inventoryDependencies are the controller's parts that the inventory calls.
+func (c *Controller) inventoryDependencies() inventory.Dependencies {
+	return inventory.Dependencies{
+		Shards:    inventoryShards{controller: c},
+		Jobs:      inventoryJobs{controller: c},
+		Workers:   inventoryWorkers{controller: c},
+		Scheduler: inventoryScheduler{controller: c},
+		Cloud:     inventoryCloud{controller: c},
+	}
+}
+
+// inventoryShards implements inventory.Shards.
+type inventoryShards struct{ controller *Controller }
+
+func (a inventoryShards) Reread(shard *state.Shard) { a.controller.rereadShard(shard) }
+
+func (a inventoryShards) Load(shard *state.Shard) { a.controller.loadShard(shard) }
+
+func (a inventoryShards) HandleForeignWrite(shard *state.Shard, key, reason string) {
+	a.controller.handleForeignWrite(shard, key, reason)
+}
+
+func (a inventoryShards) GiveUpCorrupt(shard *state.Shard, key, reason string) {
+	a.controller.giveUpCorruptShard(shard, key, reason)
+}
+
+// inventoryJobs implements inventory.Jobs.
+type inventoryJobs struct{ controller *Controller }
+
+func (a inventoryJobs) AddOwned(job *state.Job) { a.controller.addOwnedJob(job) }
+
+func (a inventoryJobs) RemoveOwned(job *state.Job) { a.controller.removeOwnedJob(job) }
+
+func (a inventoryJobs) Abandon(job *state.Job) { a.controller.abandonJob(job) }
+
+// inventoryWorkers implements inventory.Workers.
+type inventoryWorkers struct{ controller *Controller }
+
+func (a inventoryWorkers) ConfirmAbsent(machine *state.Machine, assignment *state.Assignment) {
+	a.controller.confirmAbsent(machine, assignment)
+}
+
+func (a inventoryWorkers) QueueCommandPush(machine *state.Machine) {
+	a.controller.queueCommandPush(machine)
+}
+
+func (a inventoryWorkers) RecheckHeldHeartbeat(machine *state.Machine) {
+	held := &a.controller.heldHeartbeats
+	held.toCheck = append(held.toCheck, machine)
+}
+
+func (a inventoryWorkers) RedirectWorker(request messages.RequestID, node cluster.NodeID) {
+	a.controller.redirectWorker(request, node)
+}
+
+// inventoryScheduler implements inventory.Scheduler.
+type inventoryScheduler struct{ controller *Controller }
+
+func (a inventoryScheduler) RequestScheduling() { a.controller.schedulingTrigger.request() }
+
+func (a inventoryScheduler) MaintainMachines() { a.controller.maintainMachines() }
+
+// inventoryCloud implements inventory.Cloud.
+type inventoryCloud struct{ controller *Controller }
+
+func (a inventoryCloud) ScheduleScaleIn() { a.controller.scheduleScaleIn() }
+
+func (a inventoryCloud) ForceCall() { a.controller.forceCloudCall() }
+
+func (a inventoryCloud) ReadList(handle func(machines []cluster.ListedMachine, ok bool)) {
+	a.controller.readCloudList(handle)
+}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -216,7 +216,7 @@
 		switch {
 		case !a.IsCompleted() || a.ConfirmedAbsent || !a.IsOutcomeStored():
 		case a.RemovedFromRecord:
-			c.removeAssignment(m, a)
+			c.inventory.RemoveAssignment(m, a)
 		default:
 			m.MarkConfirmedAbsent(a)
 			m.EndedToAcknowledge[a.TaskAttempt()] = true
--- a/internal/controller/jobwrite.go
+++ b/internal/controller/jobwrite.go
@@ -207,3 +207,15 @@
 		}
 	})
 }
+
+// deleteKeyInBackground removes a shard's key when there is time.
+func (c *Controller) deleteKeyInBackground(shard *state.Shard, key string, modRevision cluster.ModRevision) {
+	c.writeQueue.Enqueue(writequeue.Background, &writequeue.Write{
+		ShardID: shard.ID, Keys: []string{key},
+		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+			return []messages.TxnOp{{Key: key, Value: nil}}, []cluster.ModRevision{modRevision}
+		},
+		OnApplied:  func(cluster.Revision) {},
+		OnConflict: func() {},
+	})
+}
--- a/internal/controller/machine_bytes_test.go
+++ b/internal/controller/machine_bytes_test.go
@@ -43,10 +43,10 @@
 	var g *state.MachineGroup
 	for i := range machines {
 		if i%groupSize == 0 {
-			g = b.newGroup(p, fmt.Sprintf("g%05d", i), 31)
+			g = b.state.AddGroup(p, fmt.Sprintf("g%05d", i), 31)
 		}
 		id := cluster.MachineID(fmt.Sprintf("m-%06d", i))
-		m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "10.1.0.232:9000"}, 31)
+		m := b.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "10.1.0.232:9000"}, 31)
 		j := b.addTestJob(cluster.JobID(fmt.Sprintf("j-%06d", i)), tasks)
 		for k := range tasks {
 			a := &state.Assignment{Task: cluster.TaskID{Job: j.Spec.ID, Index: k}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: p.NextAttempt(), Phase: state.PhaseAcknowledged, State: cluster.Running}
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -23,8 +23,8 @@
 		c.Step(0, 0, messages.Tick{})
 		p := c.state.Shards[0]
 		p.Owned, p.Ready = true, true
-		g := c.newGroup(p, "g", 1)
-		m := c.addMachine(g, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
+		g := c.state.AddGroup(p, "g", 1)
+		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		for c.loop.Now() < 8*second {
 			c.workerReachability.lastOwnedHeartbeat = c.loop.Now()
 			if !x.silent {
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -288,7 +288,7 @@
 		for _, m := range g.SortedMachines() {
 			for _, a := range m.Assignments {
 				if a.ConfirmedAbsent {
-					c.writeGroup(g, writequeue.Background)
+					c.inventory.WriteGroup(g, writequeue.Background)
 					break machines
 				}
 			}
@@ -296,7 +296,7 @@
 	}
 	for _, p := range c.state.Shards {
 		if p.Owned && p.Ready {
-			c.splitAndMergeGroups(p)
+			c.inventory.SplitAndMerge(p)
 		}
 	}
 }
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -135,9 +135,9 @@
 	c.Step(30*second, 0, messages.Tick{})
 	p := c.state.Shards[0]
 	p.Owned, p.Ready = true, true
-	g := c.newGroup(p, "g", 1)
+	g := c.state.AddGroup(p, "g", 1)
 	for i := range largeFleetSize {
-		m := c.addMachine(g, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
+		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		m.OwnedSince = 0
 	}
 	c.processHealth.resumedAt = 0 // the step to 30 s was no standstill
--- a/internal/controller/orphans.go
+++ b/internal/controller/orphans.go
@@ -4,6 +4,7 @@
 	"slices"
 	"strconv"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -92,7 +93,7 @@
 // handleUnknownHeartbeat answers a worker that this node doesn't own. Who does is known
 // from the records; one reading of them serves all that ask meanwhile.
 func (c *Controller) handleUnknownHeartbeat(e messages.Heartbeat) {
-	if part, ok := c.machineOwners.recent(e.Status.Machine, c.loop.Now(), ownerHintFresh); ok {
+	if part, ok := c.inventory.RecentShardOf(e.Status.Machine, ownerHintFresh); ok {
 		c.redirectToOwner(e.Request, part)
 		return
 	}
@@ -124,7 +125,7 @@
 	}
 	c.loop.After(o.nextSearchDelay(c.loop.Now()), func() {
 		reports := o.takeHeartbeats(c.loop.Now())
-		c.readRecordedMachines(func(rec *recordedMachines) {
+		c.inventory.ReadRecordedMachines(func(rec *inventory.RecordedMachines) {
 			o.endSearch(c.loop.Now())
 			for _, e := range reports {
 				c.answerUnknownHeartbeat(e, rec)
@@ -135,15 +136,16 @@
 }
 
 // answerUnknownHeartbeat answers a worker whose machine was looked for in the records.
-func (c *Controller) answerUnknownHeartbeat(e messages.Heartbeat, rec *recordedMachines) {
+func (c *Controller) answerUnknownHeartbeat(e messages.Heartbeat, rec *inventory.RecordedMachines) {
 	id := e.Status.Machine
 	switch {
 	case c.state.Machines[id] != nil: // learned meanwhile
 		c.handleHeartbeat(e)
 	case rec == nil:
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "")
-	case rec.listed[id]:
-		c.redirectToOwner(e.Request, c.machineOwners[id].shardID)
+	case rec.Listed[id]:
+		shard, _ := c.inventory.LastShardOf(id)
+		c.redirectToOwner(e.Request, shard)
 	default:
 		p := c.shardForMachine(id)
 		c.redirectToOwner(e.Request, p.ID)
@@ -155,9 +157,9 @@
 
 // queryOrphanStatus asks a machine that is nobody's for its state, and enlists it
 // when it answers: a report may be an old copy from one that is long gone.
-func (c *Controller) queryOrphanStatus(p *state.Shard, r *cluster.HeartbeatStatus, rec *recordedMachines) {
+func (c *Controller) queryOrphanStatus(p *state.Shard, r *cluster.HeartbeatStatus, rec *inventory.RecordedMachines) {
 	id, kind := r.Machine, grouprecord.Kind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-	if !p.Ready || rec.requestedKinds[kind] || c.orphanedMachines.registering[id] || r.Addr == "" {
+	if !p.Ready || rec.RequestedKinds[kind] || c.orphanedMachines.registering[id] || r.Addr == "" {
 		return
 	}
 	c.orphanedMachines.registering[id] = true
@@ -180,7 +182,7 @@
 	if l.AgeSeconds < 3*float64(c.config.CloudListLag)/float64(second)+20 {
 		return
 	}
-	if _, ok := c.machineOwners.recent(l.ID, c.loop.Now(), ownerHintRetention); ok {
+	if _, ok := c.inventory.RecentShardOf(l.ID, ownerHintRetention); ok {
 		return
 	}
 	p := c.shardForMachine(l.ID)
@@ -201,7 +203,7 @@
 // machine just returned would be taken in though it is gone.
 func (c *Controller) adoptCandidates() {
 	found := c.orphanedMachines.takeCandidates()
-	c.readRecordedMachines(func(rec *recordedMachines) {
+	c.inventory.ReadRecordedMachines(func(rec *inventory.RecordedMachines) {
 		for _, l := range found {
 			c.adoptOrphan(l, rec)
 		}
@@ -209,12 +211,12 @@
 }
 
 // adoptOrphan enlists a machine from the cloud's list if no record lists it still.
-func (c *Controller) adoptOrphan(l cluster.ListedMachine, rec *recordedMachines) {
+func (c *Controller) adoptOrphan(l cluster.ListedMachine, rec *inventory.RecordedMachines) {
 	o := &c.orphanedMachines
 	delete(o.registering, l.ID)
 	p := c.shardForMachine(l.ID)
 	kind := grouprecord.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}
-	if rec == nil || rec.listed[l.ID] || rec.requestedKinds[kind] || c.state.Machines[l.ID] != nil || !p.Owned || !p.Ready {
+	if rec == nil || rec.Listed[l.ID] || rec.RequestedKinds[kind] || c.state.Machines[l.ID] != nil || !p.Owned || !p.Ready {
 		delete(o.unrecordedSince, l.ID)
 		return
 	}
@@ -241,7 +243,7 @@
 	c.loop.After(100*millisecond, func() {
 		all := p.ToRegister
 		p.ToRegister = nil
-		for n := c.groupMachines(); len(all) > 0; {
+		for n := c.inventory.TargetGroupSize(); len(all) > 0; {
 			ms := all[:min(n, len(all))]
 			all = all[len(ms):]
 			done := func() {
@@ -276,7 +278,7 @@
 // is called when that is stored, or has failed.
 func (c *Controller) registerMachines(p *state.Shard, ms []grouprecord.Machine, done func()) {
 	claim := p.ClaimRevision
-	id := c.nextMachineGroupName(p)
+	id := c.recordNames.NextGroup(p)
 	size := 0
 	c.writeQueue.Enqueue(writequeue.ScaleOut, &writequeue.Write{
 		ShardID: p.ID, Keys: []string{"groups/" + id},
@@ -303,11 +305,11 @@
 
 // addRegisteredGroup follows the first record of machines that only this claim has owned.
 func (c *Controller) addRegisteredGroup(p *state.Shard, id string, ms []grouprecord.Machine, size int, e cluster.Revision) {
-	g := c.newGroup(p, id, cluster.ModRevision(e))
+	g := c.state.AddGroup(p, id, cluster.ModRevision(e))
 	g.RecordSize = size
 	for _, l := range ms {
 		if c.state.Machines[l.ID] == nil {
-			m := c.addMachine(g, l, cluster.FencingToken(e))
+			m := c.inventory.AddMachine(g, l, cluster.FencingToken(e))
 			m.InitialToken = m.Token
 		}
 	}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -22,7 +22,7 @@
 	p := c.state.Shards[0]
 	j := state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
 	c.addOwnedJob(j)
-	g := c.newGroup(p, "g", 1)
+	g := c.state.AddGroup(p, "g", 1)
 	put := func(m *state.Machine, i int, ph state.AssignmentPhase) {
 		a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: i}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Phase: ph}
 		m.AddAssignment(a)
@@ -30,7 +30,7 @@
 	}
 	var ms []*state.Machine
 	for i, id := range []cluster.MachineID{"busy", "idle"} {
-		m := c.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 5)
+		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 5)
 		m.TokenAcknowledged = true
 		put(m, i, state.PhaseReady)
 		ms = append(ms, m)
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -20,10 +20,10 @@
 	c.Step(0, 0, messages.Tick{})
 	p := c.state.Shards[0]
 	p.Owned, p.Ready = true, true
-	g := c.newGroup(p, "g", 1)
+	g := c.state.AddGroup(p, "g", 1)
 	var ms []*state.Machine
 	for _, id := range []cluster.MachineID{"m-1", "m-2", "m-3"} {
-		m := c.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "x"}, 5)
+		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "x"}, 5)
 		m.IdleSince = 1000 * second // not what this is about
 		ms = append(ms, m)
 	}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -78,7 +78,7 @@
 		t.Error("a cancelled job's need is lost")
 	}
 	for _, k := range []string{"groups/b1-30-1", "groups/b1-30-2"} {
-		b.applyGroupRecord(messages.KV{Key: k, Value: recs[k], ModRevision: 31}, b.state.Shards[0])
+		b.inventory.ApplyRecord(messages.KV{Key: k, Value: recs[k], ModRevision: 31}, b.state.Shards[0])
 	}
 	m1, m2, m3 := b.state.Machines["m-000001"], b.state.Machines["m-000002"], b.state.Machines["m-000003"]
 	if m1 == nil || m2 == nil || m3 == nil || len(m1.Assignments) != 3 || m1.Address != "10.1.0.232:9000" || !m1.Spot || m1.Zone != "a" || !m2.Booting || !m3.ReleaseConfirmed || len(m3.Assignments) != 1 {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -118,7 +118,7 @@
 	for i := range slots {
 		s := &slots[i]
 		fits := func(j *state.Job) bool {
-			return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) && c.hasRoom(s.machine.Group, j) && s.imageState(j) != scheduling.ImageBlocked &&
+			return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) && c.inventory.HasRoom(s.machine.Group, j) && s.imageState(j) != scheduling.ImageBlocked &&
 				isZoneAllowed(&j.Spec, c.countTasksByZone(j), s.machine.Zone)
 		}
 		if c.packWork(work, s.available, fits) > 0 {
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -63,7 +63,7 @@
 		}, ""},
 		{"waiting tasks that may not go to the zone", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
-			far := b.addMachine(b.newGroup(b.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
+			far := b.inventory.AddMachine(b.state.AddGroup(b.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
 			j := b.addTestJob("j-2", 2)
 			j.Spec.Colocate = true
 			j.SetAssigned(0, &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: j, MachineID: far.ID, Phase: state.PhaseAcknowledged})
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -82,7 +82,7 @@
 		lack := recipient.Amount - offered[recipient.Shard]
 		var ms []*state.Machine
 		groups, bytes := map[*state.MachineGroup]bool{}, 0
-		for len(spare) > 0 && lack > 0 && len(ms) < c.groupMachines() {
+		for len(spare) > 0 && lack > 0 && len(ms) < c.inventory.TargetGroupSize() {
 			m := spare[0]
 			if !groups[m.Group] {
 				// All their records are rewritten in one transaction.
@@ -112,7 +112,7 @@
 		for _, m := range ms {
 			m.Cordoned = true
 		}
-		c.regroup(p, ms, nil, writequeue.Start, offer)
+		c.inventory.Regroup(p, ms, nil, writequeue.Start, offer)
 	}
 }
 
@@ -151,12 +151,12 @@
 				q.attemptedTransfers = map[string]cluster.ModRevision{}
 			}
 			q.attemptedTransfers[o.Key] = o.ModRevision
-			c.acquireGroup(p, o.Key, o.ModRevision)
+			c.inventory.AcquireGroup(p, o.Key, o.ModRevision)
 		}
 	}
 	for _, o := range c.transferOffers() { // parts held here have nobody to ask
 		if o.Recipient == p.ID && use(o) {
-			c.acquireGroup(p, o.Key, o.ModRevision)
+			c.inventory.AcquireGroup(p, o.Key, o.ModRevision)
 		}
 	}
 }
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -37,7 +37,7 @@
 	case r.FencingToken > m.Token:
 		// Somebody later is entitled: a 200 with our token would be dropped
 		// and hold the worker here while its lease runs out.
-		c.checkOwner(m)
+		c.inventory.CheckOwner(m)
 		c.redirectWorker(e.Request, c.state.Shards[m.ShardID].Owner)
 		return
 	case r.Incarnation < m.Incarnation:
@@ -242,7 +242,7 @@
 		deaf = c.reconcileAbsent(m, r, present, fresh, viaOrders) || deaf
 	}
 	if deaf && m.TokenAcknowledged {
-		c.raiseToken(m)
+		c.inventory.RaiseToken(m)
 	}
 	m.ForgetCleared(present)
 	return true
@@ -325,7 +325,7 @@
 	}
 	m.MarkConfirmedAbsent(a)
 	if a.Job.Assignments[a.Task.Index] == a && a.Job.IsActive() {
-		c.writeMachine(m, writequeue.Start)
+		c.inventory.WriteMachine(m, writequeue.Start)
 		return
 	}
 	// Nobody waits for it: the next checkpoint takes it along.
--- a/internal/controller/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -26,7 +26,7 @@
 	a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: 15_000}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: 15_000, Phase: state.PhaseRecording}
 	m.AddAssignment(a)
 	j.SetAssigned(15_000, a)
-	b.writeMachine(m, writequeue.Start)
+	b.inventory.WriteMachine(m, writequeue.Start)
 	b.runFor(30 * second)
 	n, longest := b.countStoredMachines(t)
 	if len(n) != 45 || longest > limit || a.Phase == state.PhaseRecording {
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -55,7 +55,7 @@
 	c.loop.Log(messages.LogDebug, "returning machine", "machine", string(m.ID), "why", why, "tasks", m.LiveTaskCount())
 	c.recordScaleIn(why, m.LiveTaskCount())
 	m.Releasing = true
-	c.writeMachine(m, writequeue.Outcome)
+	c.inventory.WriteMachine(m, writequeue.Outcome)
 }
 
 // scaleInBeforeRecorded gives a machine back before its record says so: it holds
@@ -132,22 +132,5 @@
 	for _, a := range m.Assignments {
 		m.MarkConfirmedAbsent(a)
 	}
-	c.writeMachine(m, writequeue.Start)
-}
-
-// removeMachineAndFreeTasks drops a machine whose record no longer lists it, and frees its
-// tasks.
-func (c *Controller) removeMachineAndFreeTasks(m *state.Machine) {
-	if c.state.Machines[m.ID] != m {
-		return
-	}
-	c.removeMachine(m)
-	for _, a := range m.SortedAssignments() {
-		delete(m.Assignments, a.Task)
-		c.unassignTask(a)
-	}
-	if m.PendingHeartbeat != 0 {
-		c.redirectWorker(m.PendingHeartbeat, "")
-		m.PendingHeartbeat = 0
-	}
+	c.inventory.WriteMachine(m, writequeue.Start)
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -52,7 +52,7 @@
 
 // listPendingWork lists the waiting tasks that team limits would let run at once.
 func (c *Controller) listPendingWork(p *state.Shard) []pendingWork {
-	use := c.teamUsageOf(p)
+	use := p.UsageByTeam()
 	var l []pendingWork
 	jobs, _ := c.queuedJobs(p)
 	// A starving job's next task comes first here as it does when tasks are
@@ -217,7 +217,7 @@
 		}
 		o := opts[0]
 		n := 0
-		for n < min(50, c.groupMachines()) {
+		for n < min(50, c.inventory.TargetGroupSize()) {
 			if c.packWork(work, c.state.MachineTypes[o.Type].Capacity, func(j *state.Job) bool { return c.isOptionAllowed(j, o) }) == 0 {
 				break
 			}
@@ -295,7 +295,7 @@
 const maxCapacityBackoffDoublings = 2
 
 func (c *Controller) createProvisioningRequest(p *state.Shard, o state.ProvisioningOption, n int) {
-	r := &state.ProvisioningRequest{Name: c.nextProvisioningRequestName(p), Option: o, Count: n, GroupID: c.nextMachineGroupName(p)}
+	r := &state.ProvisioningRequest{Name: c.recordNames.NextProvisioningRequest(p), Option: o, Count: n, GroupID: c.recordNames.NextGroup(p)}
 	p.ProvisioningRequests[r.Name] = r
 	x := &writequeue.Write{
 		ShardID: p.ID, Keys: []string{provisioningKey(r.Name)},
@@ -366,7 +366,7 @@
 	claim := p.ClaimRevision
 	id, size := r.GroupID, 0
 	if id == "" { // of an earlier claim, whose copies this one has fenced
-		id = c.nextMachineGroupName(p)
+		id = c.recordNames.NextGroup(p)
 	}
 	kind := grouprecord.Kind{Type: r.Option.Type, Zone: r.Option.Zone, Spot: r.Option.Spot}
 	ms := make([]grouprecord.Machine, 0, len(ids))
--- a/internal/controller/schedule.go
+++ b/internal/controller/schedule.go
@@ -104,7 +104,7 @@
 		least = min(least, j.Spec.ResourceRequest.CPU)
 	}
 	slots, kinds := c.listFreeCapacity(p, least)
-	use := c.teamUsageOf(p)
+	use := p.UsageByTeam()
 	// What has waited too long goes first, with one task. Where that does not
 	// fit yet, smaller work must not take again and again what it waits for: a
 	// part of its team's limit and a machine are kept free for it.
@@ -178,7 +178,7 @@
 func (l *jobScheduling) fillMachine(f candidate) bool {
 	c, j, m := l.controller, l.job, f.capacity.machine
 	last := cluster.TaskID{}
-	for l.remaining > 0 && j.PendingCount() > 0 && j.Spec.ResourceRequest.FitsIn(f.capacity.available) && c.hasRoom(m.Group, j) {
+	for l.remaining > 0 && j.PendingCount() > 0 && j.Spec.ResourceRequest.FitsIn(f.capacity.available) && c.inventory.HasRoom(m.Group, j) {
 		if !l.isWithinQuota() {
 			return false
 		}
@@ -221,7 +221,7 @@
 		f.capacity.addFetch(j)
 	}
 	l.remaining--
-	c.writeMachine(m, writequeue.Start)
+	c.inventory.WriteMachine(m, writequeue.Start)
 }
 
 // candidate is a slot that a job's tasks may go to.
@@ -236,7 +236,7 @@
 	var fit []candidate
 	for i := range slots {
 		s := &slots[i]
-		if !allowed[s.kindIndex] || !j.Spec.ResourceRequest.FitsIn(s.available) || !c.hasRoom(s.machine.Group, j) || c.shouldAvoid(j, s.machine) || !c.canUseMachine(j, s.machine) {
+		if !allowed[s.kindIndex] || !j.Spec.ResourceRequest.FitsIn(s.available) || !c.inventory.HasRoom(s.machine.Group, j) || c.shouldAvoid(j, s.machine) || !c.canUseMachine(j, s.machine) {
 			continue
 		}
 		if image := s.imageState(j); image != scheduling.ImageBlocked {
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -18,7 +18,7 @@
 			Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
 		c.state.MachineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
 		p := c.state.Shards[0]
-		m := c.addMachine(c.newGroup(p, "g", 1), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
+		m := c.inventory.AddMachine(c.state.AddGroup(p, "g", 1), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		m.TokenAcknowledged = true
 		c.loop.Begin(c.loop.Now(), 1_000_000)
 		at := c.loop.WallTime() - 1000
@@ -32,7 +32,7 @@
 		a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: 0}, Job: old, ResourceRequest: old.Spec.ResourceRequest, MachineID: "m-1", Phase: state.PhaseAcknowledged, State: cluster.Running}
 		m.AddAssignment(a)
 		old.SetAssigned(0, a)
-		c.preempt(p, []*state.Job{urgent}, map[*state.Job]bool{}, c.teamUsageOf(p))
+		c.preempt(p, []*state.Job{urgent}, map[*state.Job]bool{}, p.UsageByTeam())
 		if a.StopRequested == waited {
 			t.Errorf("waited %v: stopped %v", waited, a.StopRequested)
 		}
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if len(p.Quarantined) > 0 {
-		c.repairQuarantined(p)
+		c.inventory.RepairQuarantined(p)
 		return
 	}
 	p.Ready = true
@@ -88,7 +88,7 @@
 		c.applyAdmissionRecord(kv, p)
 	}
 	for _, kv := range l.groups.Items {
-		c.applyGroupRecord(kv, p)
+		c.inventory.ApplyRecord(kv, p)
 	}
 	for _, kv := range l.provisioningRequests.Items {
 		c.applyProvisioningRecord(kv, p)
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -202,7 +202,7 @@
 	p.Owned, p.Ready, p.OwnershipChangedAt = false, false, c.loop.Now()
 	c.ownedShardChanges++
 	for _, m := range p.Machines {
-		c.dropMachine(m)
+		c.inventory.DropMachine(m)
 	}
 	for _, j := range p.Jobs {
 		c.abandonJob(j)
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -8,6 +8,7 @@
 	"strconv"
 	"testing"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -61,6 +62,7 @@
 	b := newControllerHarness()
 	b.config.MaxTxnOps = 4
 	b.writeQueue.Configure(b.writeQueueConfig())
+	b.inventory.Configure(b.inventoryConfig())
 	j := b.addTestJob("j-1", 100_000)
 	v, _ := json.Marshal(jobRecord{Spec: &j.Spec, WriteID: "x"})
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: v, ModRevision: 31}
@@ -114,10 +116,10 @@
 // addGroupWithTasks is a group of machines with tasks of a job on each, none of which
 // follows on another, so that none shares a range.
 func (b *controllerHarness) addGroupWithTasks(name string, j *state.Job, machines, tasks, from int) *state.MachineGroup {
-	g := b.newGroup(b.state.Shards[0], name, 0)
+	g := b.state.AddGroup(b.state.Shards[0], name, 0)
 	for i := range machines {
 		id := cluster.MachineID(fmt.Sprintf("m-%s-%04d", name, i))
-		m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 31)
+		m := b.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 31)
 		m.TokenAcknowledged, m.Incarnation, m.SequenceNumber, m.LastHeartbeat = true, 1, 1, b.loop.Now()
 		for k := range tasks {
 			n := from + (k*machines+i)*2
@@ -126,8 +128,8 @@
 			j.SetAssigned(n, a)
 		}
 	}
-	v, s := b.buildGroupRecord(0, g.SortedMachines(), "x")
-	g.RecordSize, g.ModRevision = s.size, 20
+	v := inventory.EncodeRecord(0, g.SortedMachines(), "x")
+	g.RecordSize, g.ModRevision = len(v), 20
 	b.store.keys[g.Key()] = messages.KV{Key: g.Key(), Value: v, ModRevision: 20}
 	return g
 }
@@ -162,10 +164,11 @@
 		b := newControllerHarness()
 		b.config.MaxTxnOps = c.ops
 		b.writeQueue.Configure(b.writeQueueConfig())
+		b.inventory.Configure(b.inventoryConfig())
 		j := b.addTestJob("j-1", 20_000)
 		g := b.addGroupWithTasks("g", j, c.machines, 3, 0)
 		before := g.RecordSize
-		b.splitGroup(b.state.Shards[0], g)
+		b.inventory.Split(g)
 		b.runFor(200 * millisecond)
 		if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != min(c.ops, max(before/(b.config.MaxValueBytes/2), 2)) {
 			t.Fatalf("%d machines, %d bytes: first %d transactions", c.machines, before, len(b.sentTransactions))
@@ -187,7 +190,7 @@
 			t.Errorf("%d machines, %d bytes: the longest record has %d", c.machines, before, longest)
 		}
 		for range 4 { // what is still too large is split further
-			b.splitAndMergeGroups(b.state.Shards[0])
+			b.inventory.SplitAndMerge(b.state.Shards[0])
 			b.runFor(second)
 		}
 		if n, longest = b.countStoredMachines(t); len(n) != c.machines || longest > b.config.MaxValueBytes {
@@ -215,7 +218,7 @@
 	}
 	marks := map[string]cluster.ModRevision{small.Key(): small.ModRevision, other.Key(): other.ModRevision}
 	for _, g := range []*state.MachineGroup{large, small, other} {
-		b.writeGroup(g, writequeue.Start)
+		b.inventory.WriteGroup(g, writequeue.Start)
 	}
 	b.runFor(3 * second)
 	if len(b.sentTransactions) < 4 || len(b.sentTransactions[0].Then) != 3 {
@@ -280,7 +283,7 @@
 	for i := range 6 {
 		kv := messages.KV{Key: fmt.Sprintf("groups/b9-7-%d", i), Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: nil, WriteID: "x"}), ModRevision: cluster.ModRevision(10 + i)}
 		b.store.keys[kv.Key] = kv
-		b.deleteEmptyGroup(b.state.Shards[0], kv)
+		b.inventory.ApplyRecord(kv, b.state.Shards[0])
 	}
 	told := 0
 	for i := range 20 {
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -30,7 +30,7 @@
 	key := first.Then[0].Key
 	g := b.state.Groups[slices.Sorted(maps.Keys(b.state.Groups))[0]]
 	g.Offer = &state.GroupOffer{ToShard: q.ID, Until: b.loop.Now() + 5*second}
-	b.acquireGroup(q, key, g.ModRevision)
+	b.inventory.AcquireGroup(q, key, g.ModRevision)
 	b.runFor(100 * millisecond)
 	m := b.state.Machines["m-1"]
 	if m == nil || m.ShardID != q.ID {
@@ -45,7 +45,7 @@
 	b.store.revision++
 	q.ClaimRevision, q.ModRevision = b.store.revision, cluster.ModRevision(b.store.revision)
 	b.store.keys[q.Key()] = messages.KV{Key: q.Key(), Value: []byte(`{"holder":"n0","term":2,"w":"b0-9"}`), ModRevision: q.ModRevision}
-	b.applyGroupRecord(b.store.get(key).KV, q)
+	b.inventory.ApplyRecord(b.store.get(key).KV, q)
 	b.runFor(second)
 	if r := b.store.commit(first); r.Outcome != messages.Conflict {
 		t.Errorf("a late copy of the group's creation is carried out: %s is there again", key)
@@ -58,7 +58,7 @@
 	b := newControllerHarness()
 	m, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
 	m.Group.ModRevision = 77 // another writer was there
-	b.writeMachine(m, writequeue.Start)
+	b.inventory.WriteMachine(m, writequeue.Start)
 	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.runFor(5 * second)
 	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
--- a/internal/controller/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -30,7 +30,7 @@
 	g.Offer = &state.GroupOffer{ToShard: taker.ID, Until: b.loop.Now() + 5*second}
 	b.store.revision++
 	b.store.keys[taker.Key()] = messages.KV{Key: taker.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: cluster.ModRevision(b.store.revision)}
-	b.acquireGroup(taker, g.Key(), g.ModRevision)
+	b.inventory.AcquireGroup(taker, g.Key(), g.ModRevision)
 	b.runFor(200 * millisecond)
 
 	if taker.Owned {
@@ -43,7 +43,7 @@
 	if g.WritePending || g.WriteInFlight {
 		t.Error("the group still counts as being written")
 	}
-	b.writeMachine(m, writequeue.Start)
+	b.inventory.WriteMachine(m, writequeue.Start)
 	b.runFor(200 * millisecond)
 	if kv := b.store.get(g.Key()).KV; g.ModRevision != kv.ModRevision || g.ModRevision <= 31 {
 		t.Errorf("its record can't be written any more: mark %d, stored %d", g.ModRevision, kv.ModRevision)
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -20,13 +20,14 @@
 	b := newControllerHarness()
 	b.config.MaxValueBytes, b.config.MaxTxnOps = 16_384, 20
 	b.writeQueue.Configure(b.writeQueueConfig())
+	b.inventory.Configure(b.inventoryConfig())
 	p := b.state.Shards[0]
 	for i := range groups {
-		g := b.newGroup(p, fmt.Sprintf("g%02d", i), 31)
+		g := b.state.AddGroup(p, fmt.Sprintf("g%02d", i), 31)
 		g.RecordSize = length
 		for k := range 2 {
 			id := cluster.MachineID(fmt.Sprintf("m-%02d-%d", i, k))
-			m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
+			m := b.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
 			m.TokenAcknowledged, m.Incarnation, m.IdleSince = true, 1, b.loop.Now()-second
 			m.LastHeartbeat = b.loop.Now()
 		}
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -49,9 +49,9 @@
 	markTasksRecording(few, 1)
 	markTasksRecording(many, 6)
 	b.limitPutRate(0.5)
-	b.writeGroup(few, writequeue.Start)
+	b.inventory.WriteGroup(few, writequeue.Start)
 	setTime(b.Controller, b.loop.Now()+second/2)
-	b.writeGroup(many, writequeue.Start)
+	b.inventory.WriteGroup(many, writequeue.Start)
 	b.runFor(second * 5 / 2)
 	if f, m := b.countWrites(few.Key()), b.countWrites(many.Key()); f != 0 || m != 1 {
 		t.Fatalf("after the first put the record with one start was written %d times, that with six %d times", f, m)
@@ -70,8 +70,8 @@
 	starts, bumped := b.addGroupWithTasks("starts", j, 4, 2, 0), b.addGroupWithTasks("bumped", j, 1, 2, 100)
 	markTasksRecording(starts, 8)
 	b.limitPutRate(0.5)
-	b.writeGroup(starts, writequeue.Start)
-	b.raiseToken(bumped.SortedMachines()[0])
+	b.inventory.WriteGroup(starts, writequeue.Start)
+	b.inventory.RaiseToken(bumped.SortedMachines()[0])
 	b.runFor(second * 5 / 2)
 	if s, r := b.countWrites(starts.Key()), b.countWrites(bumped.Key()); s != 0 || r != 1 {
 		t.Errorf("after the first put the record with eight starts was written %d times, that of the raised token %d times", s, r)
@@ -86,10 +86,10 @@
 	few, many := b.addGroupWithTasks("few", j, 3, 2, 0), b.addGroupWithTasks("many", j, 3, 2, 100)
 	markTasksRecording(few, 1)
 	b.limitPutRate(1)
-	b.writeGroup(few, writequeue.Start)
+	b.inventory.WriteGroup(few, writequeue.Start)
 	for range 8 {
 		markTasksRecording(many, 6)
-		b.writeGroup(many, writequeue.Start)
+		b.inventory.WriteGroup(many, writequeue.Start)
 		b.runFor(second)
 	}
 	if f, m := b.countWrites(few.Key()), b.countWrites(many.Key()); f != 1 || m < 5 {
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -37,6 +37,7 @@
 	b.config.CurrentWriteRPS, b.config.WriteRPS, b.config.MaxTxnOps = present, later, 4
 	dropTimers(b.Controller) // no tidying up, which would join the groups
 	b.writeQueue.Configure(b.writeQueueConfig())
+	b.inventory.Configure(b.inventoryConfig())
 	return b
 }
 
@@ -46,7 +47,7 @@
 	for i := range groups {
 		g := b.addGroupWithTasks(fmt.Sprintf("%s-%02d", name, i), j, 2, 2, from+10*i)
 		markTasksRecording(g, 4)
-		b.writeGroup(g, writequeue.Start)
+		b.inventory.WriteGroup(g, writequeue.Start)
 		all = append(all, g)
 	}
 	return all
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -86,8 +86,8 @@
 	cut := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: task, Attempt: 7}}}
 	record := messages.KV{Key: "groups/cut", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{cut}, WriteID: "b9-1"}), ModRevision: 25}
 	b.store.keys[record.Key] = record
-	b.applyGroupRecord(record, part)
-	outside := b.addMachine(b.newGroup(part, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
+	b.inventory.ApplyRecord(record, part)
+	outside := b.inventory.AddMachine(b.state.AddGroup(part, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
 	b.store.keys["groups/outside"] = messages.KV{Key: "groups/outside", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), ModRevision: 26}
 	outside.TokenAcknowledged, outside.Incarnation, outside.SequenceNumber = true, 1, 1
 
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -86,6 +86,18 @@
 	return a.Job.FinalStatus != "" || a.Job.TaskStates[a.Task.Index] == TaskCompletionStored
 }
 
+// MarkRecorded notes that the stored record lists the task, and tells whether that was
+// waited for. Only from here on its start may be sent: an owner that takes the shard
+// over learns from the record alone what may be running, and would start a task again
+// that the record does not list.
+func (a *Assignment) MarkRecorded() bool {
+	if a.Phase != PhaseRecording {
+		return false
+	}
+	a.Phase = PhaseReady
+	return true
+}
+
 // SortedAttempts lists attempts by task and attempt.
 func SortedAttempts(m map[TaskAttempt]bool) []TaskAttempt {
 	l := make([]TaskAttempt, 0, len(m))
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -39,8 +39,14 @@
 	Until   cluster.Time
 }
 
+// GroupKeyPrefix is where the machine groups' records are stored.
+const GroupKeyPrefix = "groups/"
+
+// GroupKey is where the record of a group is stored.
+func GroupKey(id string) string { return GroupKeyPrefix + id }
+
 // Key is where the group's record is stored.
-func (g *MachineGroup) Key() string { return "groups/" + g.ID }
+func (g *MachineGroup) Key() string { return GroupKey(g.ID) }
 
 // SortedMachines lists the machines by id.
 func (g *MachineGroup) SortedMachines() []*Machine {
@@ -55,6 +61,19 @@
 // EstimatedSize is how long the group's record may be by now.
 func (g *MachineGroup) EstimatedSize() int { return g.RecordSize + g.AddedBytes }
 
+// Lock counts the group as being written until EndWrite, by a transaction that writes
+// other keys too. Until then nothing else writes its record and no machine joins or
+// leaves it.
+func (g *MachineGroup) Lock() {
+	g.WritePending, g.WriteInFlight, g.NextWritePriority = true, true, writequeue.PriorityCount
+}
+
+// MarkBuilt notes that the record now being built says all that is known: no further
+// write is wanted, and nothing comes on top of its size.
+func (g *MachineGroup) MarkBuilt() {
+	g.NextWritePriority, g.AddedBytes = writequeue.PriorityCount, 0
+}
+
 // EndWrite notes that no write of the record is under way any more.
 func (g *MachineGroup) EndWrite() { g.WritePending, g.WriteInFlight = false, false }
 
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -160,6 +160,25 @@
 	j.FirstPendingHint = min(j.FirstPendingHint, i)
 }
 
+// Unassign notes that a machine no longer lists a task of the job. Two machines may be
+// listed with one task after a failover: then it waits for the other one too.
+func (j *Job) Unassign(a *Assignment) {
+	delete(j.ListedAssignments, a)
+	if j.Assignments[a.Task.Index] != a {
+		return
+	}
+	j.SetPending(a.Task.Index)
+	var other *Assignment
+	for b := range j.ListedAssignments {
+		if b.Task == a.Task && (other == nil || b.MachineID < other.MachineID) {
+			other = b
+		}
+	}
+	if other != nil {
+		j.SetAssigned(a.Task.Index, other)
+	}
+}
+
 // SetCompleted records that a task has run to its end.
 func (j *Job) SetCompleted(i int) {
 	switch j.TaskStates[i] {
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -149,6 +149,33 @@
 	m.Usage.Add(a)
 }
 
+// RemoveAssignment takes a task off the machine after a stored record that no longer
+// lists it; false: it was off already. Before that record is stored the task must stay,
+// as it could be started elsewhere while an owner that takes the shard over still finds
+// it recorded here.
+func (m *Machine) RemoveAssignment(a *Assignment, now cluster.Time) bool {
+	if m.Assignments[a.Task] != a {
+		return false
+	}
+	delete(m.Assignments, a.Task)
+	m.Usage.Remove(a)
+	if a.Phase == PhaseEnded {
+		m.EndedToAcknowledge[a.TaskAttempt()] = true
+	}
+	if len(m.Assignments) == 0 {
+		m.IdleSince = now
+	}
+	return true
+}
+
+// MarkTokenRaised notes that a higher token is stored. Nothing but stops is sent until
+// the worker has acknowledged it: until then it would still execute commands of an
+// earlier owner.
+func (m *Machine) MarkTokenRaised(token cluster.FencingToken, now cluster.Time) {
+	m.RaisingToken = false
+	m.Token, m.TokenAcknowledged, m.UnacknowledgedSince = token, false, now
+}
+
 // SortedAssignments lists the machine's assignments by task.
 func (m *Machine) SortedAssignments() []*Assignment {
 	l := make([]*Assignment, 0, len(m.Assignments))
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,6 +1,13 @@
 package state
 
-import "stairrelay/internal/cluster"
+import (
+	"slices"
+	"sort"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/writequeue"
+)
 
 // State is all that a controller knows of the shards.
 type State struct {
@@ -36,3 +43,53 @@
 	}
 	return s
 }
+
+// AddGroup adds a group without machines to an owned shard.
+func (s *State) AddGroup(shard *Shard, id string, modRevision cluster.ModRevision) *MachineGroup {
+	g := &MachineGroup{
+		ID:                id,
+		ShardID:           shard.ID,
+		ModRevision:       modRevision,
+		Machines:          map[cluster.MachineID]*Machine{},
+		NextWritePriority: writequeue.PriorityCount,
+	}
+	s.Groups[id] = g
+	return g
+}
+
+// AddMachine adds the machine that a line of a group's record describes, owned from now
+// on under a token. It replaces an earlier entry for the same machine, whose
+// assignments it keeps.
+func (s *State) AddMachine(g *MachineGroup, line grouprecord.Machine, token cluster.FencingToken, now cluster.Time) *Machine {
+	m := NewMachine(g, line, token, now)
+	if old := s.Machines[m.ID]; old != nil {
+		s.RemoveMachine(old)
+		m.Assignments = old.Assignments
+	}
+	shard := s.Shards[m.ShardID]
+	m.Usage.ByTeam = shard.Usage
+	for _, a := range m.Assignments {
+		m.Usage.Add(a)
+	}
+	g.Machines[m.ID] = m
+	s.Machines[m.ID] = m
+	i := sort.Search(len(shard.Machines), func(i int) bool { return shard.Machines[i].ID >= m.ID })
+	shard.Machines = slices.Insert(shard.Machines, i, m)
+	return m
+}
+
+// RemoveMachine takes a machine out of its group and its shard. Its assignments stay
+// with it; they are not counted in any usage any more.
+func (s *State) RemoveMachine(m *Machine) {
+	if s.Machines[m.ID] == m {
+		delete(s.Machines, m.ID)
+	}
+	delete(m.Group.Machines, m.ID)
+	for _, a := range m.Assignments {
+		m.Usage.Remove(a)
+	}
+	shard := s.Shards[m.ShardID]
+	if i := slices.Index(shard.Machines, m); i >= 0 {
+		shard.Machines = slices.Delete(slices.Clone(shard.Machines), i, i+1) // a caller may be ranging over the old slice
+	}
+}
--- a/internal/state/usage.go
+++ b/internal/state/usage.go
@@ -1,6 +1,10 @@
 package state
 
-import "stairrelay/internal/cluster"
+import (
+	"maps"
+
+	"stairrelay/internal/cluster"
+)
 
 // Sums of what tasks take, kept up to date as tasks come and go: placement asks
 // for them many times a second, and there may be thousands of tasks.
@@ -11,6 +15,10 @@
 // TeamUsage sums what each team's live tasks take on the machines of a part.
 type TeamUsage map[string]cluster.Resources
 
+// UsageByTeam returns what each team's live tasks take on the machines of the shard. The
+// caller may change it.
+func (i *ShardInventory) UsageByTeam() TeamUsage { return maps.Clone(i.Usage) }
+
 // MachineUsage sums what the live tasks of a machine take.
 type MachineUsage struct {
 	TaskCount int
