--- a/internal/controller/cloudlist.go
+++ b/internal/controller/cloudlist.go
@@ -130,18 +130,14 @@
 	for id, m := range c.state.Machines {
 		m.MissingFromCloudList = !listed[id] && !m.Booting
 	}
-	for id := range c.orphanedMachines.unrecordedSince {
-		if !listed[id] || c.state.Machines[id] != nil {
-			delete(c.orphanedMachines.unrecordedSince, id)
-		}
-	}
+	c.reconciler.Orphans.ForgetUnlisted(listed)
 }
 
 // applyCloudListItem takes in one machine of the cloud's list.
 func (c *Controller) applyCloudListItem(l cluster.ListedMachine) {
 	m := c.state.Machines[l.ID]
 	if m == nil {
-		c.handleUnrecordedMachine(l)
+		c.reconciler.Orphans.HandleListed(l)
 		return
 	}
 	if m.Address == "" {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,6 +15,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/reconcile"
 	"stairrelay/internal/writequeue"
 )
 
@@ -59,7 +60,7 @@
 	// Machines.
 	recordNames       recordNames
 	machineOwners     machineOwners
-	orphanedMachines  orphanedMachines
+	reconciler        *reconcile.Reconciler
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
 	scaleOutScheduled bool // a look for machines before the next regular one
@@ -72,18 +73,18 @@
 // New makes a Core. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
-		config:           cfg,
-		loop:             eventloop.New(),
-		state:            state.New(cfg.Nodes, cfg.Teams),
-		admissions:       admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:    machineOwners{},
-		orphanedMachines: newOrphanedMachines(),
-		peers:            map[cluster.NodeID]*peer{},
-		ownerQueries:     newOwnerQueries(),
-		classStats:       map[string]*classStats{},
+		config:        cfg,
+		loop:          eventloop.New(),
+		state:         state.New(cfg.Nodes, cfg.Teams),
+		admissions:    admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
+		machineOwners: machineOwners{},
+		peers:         map[cluster.NodeID]*peer{},
+		ownerQueries:  newOwnerQueries(),
+		classStats:    map[string]*classStats{},
 	}
 	c.versionRegistry = newVersionRegistry(cfg.Self)
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
+	c.reconciler = c.newReconciler()
 	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	for i := range cfg.Nodes {
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -156,7 +156,7 @@
 			b := newControllerHarness()
 			record := `{"p":1,"f":"small","y":"` + test.zone + `","n":1,"w":"b1-1"}`
 			b.store.keys["rentals/r-1"] = messages.KV{Key: "rentals/r-1", Value: []byte(record), ModRevision: 29}
-			b.handleUnknownHeartbeat(firstHeartbeat(fastBootMachine))
+			b.reconciler.Orphans.HandleHeartbeat(firstHeartbeat(fastBootMachine))
 			inspected := false
 			for _, effect := range effectsDuring(b, second) {
 				_, ok := effect.(messages.QueryWorkerStatus)
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -91,8 +91,9 @@
 func TestReleasedMachineNotAdopted(t *testing.T) {
 	c := newSevenNodeController()
 	c.config.CloudListLag = 8 * second
+	c.reconciler.Configure(c.reconcileConfig())
 	c.Step(0, 0, messages.Tick{})
-	p := c.shardForMachine("m-000007")
+	p := c.reconciler.Orphans.ShardFor("m-000007")
 	p.Owned, p.Ready = true, true
 	owned, enlisted, reads := true, false, 0
 	for c.loop.Now() < 300*second {
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -22,7 +22,7 @@
 	}
 	m := c.state.Machines[r.Machine]
 	if m == nil {
-		c.handleUnknownHeartbeat(e)
+		c.reconciler.Orphans.HandleHeartbeat(e)
 		return
 	}
 	p := c.state.Shards[m.ShardID]
