--- a/internal/controller/cloudrate.go
+++ b/internal/controller/cloudrate.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/ratelimit"
 )
@@ -18,18 +19,18 @@
 	demand    float64 // calls a second that this controller could use
 }
 
-// demandFreshness is how long what another controller told of its demand counts:
-// calls come each second, so it has missed two by then.
-const demandFreshness = 3 * second
-
 // shareByDemand returns this controller's part of a limit that all live ones
 // share. told picks the demand on it from what another one has told.
 func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, told func(*messages.Ping) float64) float64 {
-	others := make([]ratelimit.Demand, 0, len(c.peers))
-	for _, id := range c.config.Nodes {
-		if p := c.peers[id]; p != nil && !p.failed {
-			known := p.hasAnswered && c.loop.Now()-p.lastPingAt < demandFreshness
-			others = append(others, ratelimit.Demand{Rate: told(&p.lastPing), Known: known})
+	if c.members == nil { // the write queue is made first, and asks at once
+		return ratelimit.Divide(limit, demand, liveControllers, nil)
+	}
+	peers := c.members.Peers()
+	others := make([]ratelimit.Demand, 0, len(peers))
+	for _, peer := range peers {
+		if !peer.IsUnreachable() {
+			known := peer.HasAnswered() && peer.PingAge() < membership.PingFreshness
+			others = append(others, ratelimit.Demand{Rate: told(peer.LastPing()), Known: known})
 		}
 	}
 	return ratelimit.Divide(limit, demand, liveControllers, others)
--- a/internal/controller/commandpush.go
+++ b/internal/controller/commandpush.go
@@ -31,7 +31,7 @@
 		if !m.tokenAcknowledged || m.raisingToken {
 			cmds = onlyStops(cmds)
 		}
-		if c.processHealth.isOverloaded() && m.hasRunningTask() {
+		if c.processHealth.IsOverloaded() && m.hasRunningTask() {
 			// A call costs more than an answer. Where tasks run, reports come with
 			// every change and at least each interval: starts go with their answers.
 			cmds = slices.DeleteFunc(cmds, func(x cluster.Command) bool { return x.Kind == cluster.Start })
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,6 +12,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
 )
@@ -33,14 +34,14 @@
 	counters   Counters
 
 	// How this node fares.
-	processHealth      processHealth
-	livenessKey        nodeLiveness
-	workerReachability workerReachability
+	processHealth      *membership.ProcessHealth
+	workerReachability *membership.WorkerReachability
 
 	// The other controllers.
-	peers           map[cluster.NodeID]*peer
-	versionRegistry versionRegistry
-	ownerQueries    ownerQueries
+	members            *membership.Members
+	ownerQueries       ownerQueries
+	jobNotices         jobNotices
+	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
 	shards            []*shard         // by number
@@ -73,27 +74,27 @@
 // New makes a Core. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
-		config:           cfg,
-		loop:             eventloop.New(),
-		jobs:             newJobRegistry(),
-		machines:         map[cluster.MachineID]*machine{},
-		machineGroups:    map[string]*machineGroup{},
-		admissions:       admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:    machineOwners{},
-		orphanedMachines: newOrphanedMachines(),
-		peers:            map[cluster.NodeID]*peer{},
-		ownerQueries:     newOwnerQueries(),
-		teams:            map[string]*team{},
-		machineTypes:     map[string]cluster.MachineType{},
-		classStats:       map[string]*classStats{},
+		config:             cfg,
+		loop:               eventloop.New(),
+		jobs:               newJobRegistry(),
+		machines:           map[cluster.MachineID]*machine{},
+		machineGroups:      map[string]*machineGroup{},
+		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
+		machineOwners:      machineOwners{},
+		orphanedMachines:   newOrphanedMachines(),
+		ownerQueries:       newOwnerQueries(),
+		jobNotices:         jobNotices{},
+		attemptedTransfers: attemptedTransfers{},
+		processHealth:      &membership.ProcessHealth{},
+		teams:              map[string]*team{},
+		machineTypes:       map[string]cluster.MachineType{},
+		classStats:         map[string]*classStats{},
 	}
-	c.versionRegistry = newVersionRegistry(cfg.Self)
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardOwnership{c})
+	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
+	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
 	for i := range cfg.Nodes {
 		c.shards = append(c.shards, &shard{id: cluster.ShardID(i), preferredOwner: cfg.Nodes[i], outOfCapacityCount: map[provisioningOption]int{}, usage: teamUsage{}})
-		if n := cfg.Nodes[i]; n != cfg.Self {
-			c.peers[n] = &peer{id: n}
-		}
 	}
 	partOf := assignTeamsToShards(cfg.Teams, len(cfg.Nodes))
 	for _, t := range cfg.Teams {
@@ -108,7 +109,7 @@
 
 // Step takes one event and returns what is to be done about it.
 func (c *Controller) Step(now cluster.Time, wall cluster.WallTime, ev messages.Event) []messages.Effect {
-	paused := now-c.loop.Now() > processPauseThreshold
+	paused := membership.IsPause(now - c.loop.Now())
 	c.loop.Begin(now, wall)
 	if _, started := c.loop.NextWake(); paused && started {
 		c.handleProcessPause()
@@ -132,7 +133,7 @@
 	case messages.PeerRequest:
 		c.handlePeerRequest(e)
 	case messages.ProcessLoad:
-		c.processHealth.load = e
+		c.processHealth.RecordLoad(e)
 	case messages.Reply:
 		c.loop.Deliver(e)
 	}
@@ -148,7 +149,7 @@
 func (c *Controller) flush() {
 	switch c.schedulingTrigger.check(c.loop.Now()) {
 	case scheduleNow:
-		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.stretchDelay(schedulingInterval))
+		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.StretchDelay(schedulingInterval))
 		c.scheduleOwnedShards()
 	case scheduleLater:
 		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
@@ -166,11 +167,7 @@
 // startLoops starts everything that runs on its own.
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
-	for _, n := range c.config.Nodes {
-		if p := c.peers[n]; p != nil {
-			c.startFailureDetector(p)
-		}
-	}
+	c.members.Start()
 	c.loadShards()
 	c.loadJobs()
 	c.loadAdmissions()
@@ -181,8 +178,8 @@
 	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
 	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
 	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
-	c.loop.Every(eventloop.FixedInterval(2*second), c.probeWorker)
-	c.loop.Every(eventloop.FixedInterval(2*second), c.refreshNodeLiveness)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
 	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
 	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -201,7 +201,7 @@
 // was. While a controller may be of an earlier release, which would start the job
 // at once, it can't be taken.
 func (c *Controller) checkDependencies(spec *cluster.JobSpec, fn func(messages.ReplyStatus)) {
-	if !c.allSupportDependencies() {
+	if !c.members.AllUpgraded() {
 		fn(messages.ReplyUnavailable)
 		return
 	}
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -69,6 +69,6 @@
 	return Work{
 		MachineScans: c.counters.MachineScans,
 		Puts:         c.writeQueue.Counters().Puts,
-		PeerCalls:    c.counters.PeerCalls,
+		PeerCalls:    c.members.CallCount(),
 	}
 }
--- a/internal/controller/fairshare.go
+++ b/internal/controller/fairshare.go
@@ -4,6 +4,7 @@
 	"sort"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 
 	"stairrelay/internal/fairshare"
 )
@@ -75,12 +76,13 @@
 // allShardLoads is every part's load as far as it is known, by number.
 func (c *Controller) allShardLoads() fairshare.Snapshot {
 	out := fairshare.Snapshot{}
-	for _, id := range c.config.Nodes {
-		if p := c.peers[id]; p != nil && !p.failed && c.loop.Now()-p.lastPingAt < 3*second {
-			for _, l := range p.lastPing.ShardLoads {
-				if int(l.Shard) >= 0 && int(l.Shard) < len(c.shards) && c.shards[l.Shard].owner == id {
-					out[l.Shard] = l
-				}
+	for _, peer := range c.members.Peers() {
+		if peer.IsUnreachable() || peer.PingAge() >= membership.PingFreshness {
+			continue
+		}
+		for _, l := range peer.LastPing().ShardLoads {
+			if int(l.Shard) >= 0 && int(l.Shard) < len(c.shards) && c.shards[l.Shard].owner == peer.ID() {
+				out[l.Shard] = l
 			}
 		}
 	}
--- a/internal/controller/jobnotices.go
+++ b/internal/controller/jobnotices.go
@@ -2,6 +2,7 @@
 
 import (
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 )
 
@@ -38,30 +39,42 @@
 	return s.waiting
 }
 
+// jobNotices are the queues of all other controllers.
+type jobNotices map[cluster.NodeID]*jobNoticeQueue
+
+// queueFor returns the queue of a controller.
+func (n jobNotices) queueFor(to cluster.NodeID) *jobNoticeQueue {
+	if n[to] == nil {
+		n[to] = &jobNoticeQueue{}
+	}
+	return n[to]
+}
+
 // notifyOwner passes a stored job to its owner.
 func (c *Controller) notifyOwner(part cluster.ShardID, kv messages.KV) {
-	p := c.peers[c.shards[part].owner]
-	if p == nil || p.failed {
+	owner := c.members.Peer(c.shards[part].owner)
+	if owner == nil || owner.IsUnreachable() {
 		return
 	}
-	p.jobNotices.waiting = append(p.jobNotices.waiting, kv)
-	if !p.jobNotices.scheduled {
-		p.jobNotices.scheduled = true
-		c.loop.After(jobNoticeDelay, func() { c.sendJobNotices(p, 0) })
+	queue := c.jobNotices.queueFor(owner.ID())
+	queue.waiting = append(queue.waiting, kv)
+	if !queue.scheduled {
+		queue.scheduled = true
+		c.loop.After(jobNoticeDelay, func() { c.sendJobNotices(owner, 0) })
 	}
 }
 
-func (c *Controller) sendJobNotices(p *peer, tries int) {
-	s := &p.jobNotices
+func (c *Controller) sendJobNotices(owner *membership.Peer, tries int) {
+	s := c.jobNotices.queueFor(owner.ID())
 	batch := s.nextBatch()
-	c.callPeer(p.id, jobNoticeTimeout, messages.PeerMessage{Notice: &messages.JobNotice{Keys: batch}}, func(r messages.PeerReply) {
-		if r.Outcome != messages.OK && tries < jobNoticeRetries && !p.failed {
-			c.sendJobNotices(p, tries+1)
+	c.members.Call(owner.ID(), jobNoticeTimeout, messages.PeerMessage{Notice: &messages.JobNotice{Keys: batch}}, func(r messages.PeerReply) {
+		if r.Outcome != messages.OK && tries < jobNoticeRetries && !owner.IsUnreachable() {
+			c.sendJobNotices(owner, tries+1)
 			return
 		}
 		s.waiting = append([]messages.KV(nil), s.waiting[len(batch):]...)
 		if len(s.waiting) > 0 {
-			c.sendJobNotices(p, 0)
+			c.sendJobNotices(owner, 0)
 			return
 		}
 		s.scheduled = false
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -317,12 +317,7 @@
 	if kv.Value == nil {
 		return
 	}
-	boot := writeIDInstance(writequeue.WriteIDOf(kv.Value))
-	for _, p := range c.peers {
-		if p.instanceID == boot {
-			p.lastWriteSeenAt = c.loop.Now()
-		}
-	}
+	c.members.RecordWrite(writeIDInstance(writequeue.WriteIDOf(kv.Value)))
 }
 
 func (c *Controller) addOwnedJob(j *job) {
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -7,12 +7,11 @@
 	"stairrelay/internal/messages"
 )
 
-// answerProbe lets a peer, whose present run has been known for long, answer a
-// call that was sent now with the latest term that it knows of part 0.
+// answerProbe lets a peer of newHarnessWithKnownPeers answer a ping that was sent now
+// with the latest term that it knows of shard 0.
 func answerProbe(b *controllerHarness, id cluster.NodeID, term cluster.Term) {
-	peer := b.peers[id]
-	peer.instanceID, peer.instanceSeenAt = "boot-"+string(id), 50*second
-	b.applyPingReply(peer, messages.Ping{InstanceID: peer.instanceID, KnownTerms: []cluster.Term{term, 1, 1}}, b.loop.Now())
+	ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{term, 1, 1}}
+	b.members.HandlePingReply(b.members.Peer(id), ping, b.loop.Now())
 }
 
 // sendAcquire makes the controller claim part 0 and returns the transaction, which
@@ -49,7 +48,7 @@
 		{"the peer has claimed the part since", ownTerm + 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
+			b := newHarnessWithKnownPeers()
 			part := b.shards[0]
 			claim := sendAcquire(t, b)
 			sent := b.loop.Now()
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -24,7 +24,7 @@
 		g := c.newGroup(p, "g", 1)
 		m := c.addMachine(g, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		for c.loop.Now() < 8*second {
-			c.workerReachability.lastOwnedHeartbeat = c.loop.Now()
+			c.workerReachability.RecordOwnedHeartbeat()
 			if !x.silent {
 				m.lastHeartbeat = c.loop.Now()
 			}
--- a/internal/controller/machinetypecache.go
+++ b/internal/controller/machinetypecache.go
@@ -96,24 +96,11 @@
 	}
 }
 
-// isFirstAlive tells whether no controller listed before this one is alive.
-func (c *Controller) isFirstAlive() bool {
-	for _, id := range c.config.Nodes {
-		if id == c.config.Self {
-			break
-		}
-		if !c.peers[id].failed {
-			return false
-		}
-	}
-	return true
-}
-
 // writeMachineTypeCache stores the catalogue where it differs from the one kept in more
 // than prices. The first live controller does, so that one put is spent.
 func (c *Controller) writeMachineTypeCache() {
 	s := &c.machineTypeCache
-	if !c.isFirstAlive() || !s.loaded || s.writing || len(c.machineTypes) == 0 {
+	if !c.members.IsFirstReachable() || !s.loaded || s.writing || len(c.machineTypes) == 0 {
 		return
 	}
 	var types []cluster.MachineType
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -29,7 +29,7 @@
 // maintainMachines looks after the machines: raises tokens, gives up the silent,
 // returns the idle and replaces slow boots.
 func (c *Controller) maintainMachines() {
-	reporting := c.workerReachability.hasOwnedHeartbeatWithin(c.loop.Now(), c.config.HeartbeatInterval)
+	reporting := c.workerReachability.HasOwnedHeartbeatWithin(c.config.HeartbeatInterval)
 	var ms []*machine
 	for _, p := range c.shards {
 		if p.owned && p.ready {
@@ -119,7 +119,7 @@
 	if m.tokenAcknowledged || m.raisingToken || m.incarnation == 0 {
 		return false
 	}
-	unacked := c.loop.Now() - max(m.unacknowledgedSince, c.processHealth.resumedAt)
+	unacked := c.loop.Now() - max(m.unacknowledgedSince, c.processHealth.ResumedAt())
 	return unacked > c.config.WorkerLease+5*second && c.heartbeatAge(m) < 3*c.config.WorkerLease && c.loop.Now()-m.ownedSince > c.config.WorkerLease
 }
 
@@ -197,10 +197,10 @@
 	if !m.awaitingFirstAcknowledgement {
 		return false
 	}
-	if c.loop.Now()-max(m.ownedSince, c.processHealth.resumedAt) > c.firstAcknowledgementTimeout() {
+	if c.loop.Now()-max(m.ownedSince, c.processHealth.ResumedAt()) > c.firstAcknowledgementTimeout() {
 		return true
 	}
-	return c.hasLongCancelledTask(m) && m.pushInFlight && c.loop.Now()-max(m.lastPushAt, c.processHealth.resumedAt) > slowPushThreshold
+	return c.hasLongCancelledTask(m) && m.pushInFlight && c.loop.Now()-max(m.lastPushAt, c.processHealth.ResumedAt()) > slowPushThreshold
 }
 
 // slowPushThreshold is well above what a call takes to a machine that runs.
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -18,8 +18,8 @@
 		cfg.Self = self
 		c := New(cfg)
 		c.Step(0, 0, messages.Tick{})
-		for id, p := range c.peers {
-			p.hasAnswered, p.lastPingAt, p.lastPing = true, c.loop.Now(), messages.Ping{CloudDemand: demand[id]}
+		for _, peer := range c.members.Peers() {
+			c.members.HandlePingReply(peer, &messages.Ping{CloudDemand: demand[peer.ID()]}, c.loop.Now())
 		}
 		c.cloudRate.demand = demand[self]
 		c.updateCloudRate()
@@ -64,21 +64,26 @@
 // would only change hands.
 func TestFailbackOnlyRelievesLoad(t *testing.T) {
 	c := newSevenNodeController()
+	c.Step(second, 0, messages.Tick{})
+	mine, theirs, home := c.shards[0], c.shards[1], c.members.Peer("n1")
+	answer := func() {
+		c.members.HandlePingReply(home, &messages.Ping{StoreReachable: true, WorkersReachable: true}, c.loop.Now())
+	}
+	answer()
 	c.Step(20*second, 0, messages.Tick{})
-	mine, theirs, home := c.shards[0], c.shards[1], c.peers["n1"]
+	answer()
 	for _, p := range []*shard{mine, theirs} {
 		p.owned, p.ready, p.owner = true, true, "n0"
 	}
-	home.hasAnswered, home.lastPingAt, home.healthySince = true, c.loop.Now(), second
-	if len(c.makePing(home).FailbackOffers) != 1 {
+	if len(c.members.MakePing(home).FailbackOffers) != 1 {
 		t.Error("a part without work is not offered to its home")
 	}
 	c.addOwnedJob(newJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.id, 0, 0))
-	if len(c.makePing(home).FailbackOffers) != 0 {
+	if len(c.members.MakePing(home).FailbackOffers) != 0 {
 		t.Error("the only part with work is offered to its home")
 	}
 	c.addOwnedJob(newJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.id, 0, 0))
-	if len(c.makePing(home).FailbackOffers) != 1 {
+	if len(c.members.MakePing(home).FailbackOffers) != 1 {
 		t.Error("one of two parts with work is not offered to its home")
 	}
 }
@@ -126,37 +131,39 @@
 }
 
 // TestOwnerWithoutHeartbeatsFailsOver: the controller with all machines loses its workers.
-// It says so when a few seconds have passed without any report, and another,
+// It says so when a few seconds have passed without any heartbeat, and another,
 // which has no machines but hears the workers look for their owner, takes over.
 func TestOwnerWithoutHeartbeatsFailsOver(t *testing.T) {
+	const machines = 20 // a large fleet
 	c := newSevenNodeController()
-	c.Step(30*second, 0, messages.Tick{})
+	for now := cluster.Time(0); now <= 30*second; now += second { // a single step would be a process pause
+		c.Step(now, 0, messages.Tick{})
+	}
 	p := c.shards[0]
 	p.owned, p.ready = true, true
 	g := c.newGroup(p, "g", 1)
-	for i := range largeFleetSize {
+	for i := range machines {
 		m := c.addMachine(g, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		m.ownedSince = 0
 	}
-	c.processHealth.resumedAt = 0 // the step to 30 s was no standstill
-	c.workerReachability.lastOwnedHeartbeat = c.loop.Now() - 3*second
-	if !c.canReachWorkers() {
-		t.Error("workers count as lost while reports may still be on their way")
+	c.workerReachability.RecordOwnedHeartbeat()
+	setTime(c, c.loop.Now()+3*second)
+	if !c.workerReachability.CanReachWorkers() {
+		t.Error("workers count as lost while heartbeats may still be on their way")
 	}
-	c.workerReachability.lastOwnedHeartbeat = c.loop.Now() - 4*second
-	if c.canReachWorkers() {
-		t.Error("20 machines silent for 4 s, reports each 2.5 s: the workers count as in reach")
+	setTime(c, c.loop.Now()+second)
+	if c.workerReachability.CanReachWorkers() {
+		t.Error("20 machines silent for 4 s, heartbeats each 2.5 s: the workers count as in reach")
 	}
 
 	o := newSevenNodeController()
 	o.Step(30*second, 0, messages.Tick{})
-	owner := o.peers["n1"]
-	owner.hasAnswered, owner.lastPingAt, owner.lastPing = true, o.loop.Now(), messages.Ping{StoreReachable: true, WorkersReachable: false}
-	if o.isFailed("n1") {
+	o.members.HandlePingReply(o.members.Peer("n1"), &messages.Ping{StoreReachable: true, WorkersReachable: false}, o.loop.Now())
+	if o.members.IsFailed("n1") {
 		t.Error("an owner without workers is lost to one that hears no worker either")
 	}
 	o.Step(o.loop.Now(), 0, messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: "m-1", Incarnation: 1, SequenceNumber: 1}})
-	if !o.isFailed("n1") {
+	if !o.members.IsFailed("n1") {
 		t.Error("an owner without workers is kept though its workers report here")
 	}
 }
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -7,6 +7,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 )
 
@@ -19,7 +20,7 @@
 		"Loads":          {ShardLoads: make([]fairshare.ShardLoad, 4)},
 		"Terms":          {KnownTerms: make([]cluster.Term, 4)},
 		"Offer":          {FailbackOffers: make([]cluster.ShardID, 4)},
-		"Groups":         {TransferOffers: make([]messages.TransferOffer, maxOffers+1)},
+		"Groups":         {TransferOffers: make([]messages.TransferOffer, membership.MaxTransferOffers+1)},
 		"Groups.Kinds.N": {TransferOffers: []messages.TransferOffer{{Key: "groups/g", Recipient: 0, Kinds: []messages.MachineKindCount{{Type: "small", Zone: "a", Count: 1 << 62}}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -27,7 +28,9 @@
 			lines := 0
 			for req := range 2 {
 				takeEffects(b.Controller)
-				b.handlePeerRequest(messages.PeerRequest{Request: messages.RequestID(req + 1), Message: messages.PeerMessage{Version: peerProtocolVersion, From: "n1", Ping: &ping}})
+				message := b.members.WithSender(messages.PeerMessage{Ping: &ping})
+				message.From = "n1"
+				b.handlePeerRequest(messages.PeerRequest{Request: messages.RequestID(req + 1), Message: message})
 				for _, effect := range b.loop.Effects() {
 					switch effect := effect.(type) {
 					case messages.Respond:
@@ -42,14 +45,15 @@
 			if lines != 1 {
 				t.Errorf("%d lines in the log, want 1", lines)
 			}
-			var wrong *PingError
-			if err := b.validatePing(&ping); !errors.As(err, &wrong) || wrong.Field != name {
+			var wrong *membership.PingError
+			if err := b.members.HandlePing(b.members.Peer("n1"), &ping); !errors.As(err, &wrong) || wrong.Field != name {
 				t.Errorf("error %v", err)
 			}
 		})
 	}
 	b := newControllerHarness()
-	if err := b.validatePing(b.makePing(b.peers["n1"])); err != nil {
+	peer := b.members.Peer("n1")
+	if err := b.members.HandlePing(peer, b.members.MakePing(peer)); err != nil {
 		t.Errorf("our own call: %v", err)
 	}
 }
@@ -84,7 +88,7 @@
 	b := newControllerHarness()
 	answered := 0
 	for range questions {
-		b.queryOwner(b.peers["n1"], "j-1", func(messages.ReplyStatus, cluster.JobView) { answered++ })
+		b.queryOwner("n1", "j-1", func(messages.ReplyStatus, cluster.JobView) { answered++ })
 	}
 	sentMessages := 0
 	for end := b.loop.Now() + second; b.loop.Now() < end; setTime(b.Controller, b.loop.Now()+10*millisecond) {
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -41,7 +41,7 @@
 			c.queueCommandPush(m)
 		}
 		takeEffects(c)
-		c.processHealth.load = l
+		c.processHealth.RecordLoad(l)
 		c.pushQueuedCommands()
 		for _, f := range c.loop.Effects() {
 			to = append(to, f.(messages.PushCommands).Addr)
@@ -54,10 +54,10 @@
 	if to := called(messages.ProcessLoad{CPUUsage: 0.9}); len(to) != 1 || to[0] != "idle" {
 		t.Errorf("strained, starts are called to %v", to)
 	}
-	if d := c.processHealth.stretchDelay(schedulingInterval); d <= schedulingInterval || d > second {
+	if d := c.processHealth.StretchDelay(schedulingInterval); d <= schedulingInterval || d > second {
 		t.Errorf("strained, placements are %v apart", time.Duration(d))
 	}
-	c.processHealth.load = messages.ProcessLoad{EventDelay: 2 * second}
+	c.processHealth.RecordLoad(messages.ProcessLoad{EventDelay: 2 * second})
 	if c.overloadRetryAfter(cluster.BestEffort) == 0 || c.overloadRetryAfter(cluster.Normal) == 0 || c.overloadRetryAfter(cluster.Production) != 0 {
 		t.Errorf("2 s behind: refused for %d, %d, %d s", c.overloadRetryAfter(cluster.BestEffort), c.overloadRetryAfter(cluster.Normal), c.overloadRetryAfter(cluster.Production))
 	}
--- a/internal/controller/ownerqueries.go
+++ b/internal/controller/ownerqueries.go
@@ -59,22 +59,22 @@
 )
 
 // queryOwner asks another controller, which holds a job's part, for its state.
-func (c *Controller) queryOwner(p *peer, id cluster.JobID, answer func(messages.ReplyStatus, cluster.JobView)) {
-	if c.ownerQueries.enqueue(p.id, ownerQuery{id, answer}) {
-		c.loop.After(queryBatchDelay, func() { c.sendOwnerQueries(p) })
+func (c *Controller) queryOwner(owner cluster.NodeID, id cluster.JobID, answer func(messages.ReplyStatus, cluster.JobView)) {
+	if c.ownerQueries.enqueue(owner, ownerQuery{id, answer}) {
+		c.loop.After(queryBatchDelay, func() { c.sendOwnerQueries(owner) })
 	}
 }
 
-func (c *Controller) sendOwnerQueries(p *peer) {
-	batch, more := c.ownerQueries.takeBatch(p.id)
+func (c *Controller) sendOwnerQueries(owner cluster.NodeID) {
+	batch, more := c.ownerQueries.takeBatch(owner)
 	if more {
-		c.loop.After(queryBatchDelay, func() { c.sendOwnerQueries(p) })
+		c.loop.After(queryBatchDelay, func() { c.sendOwnerQueries(owner) })
 	}
 	ids := make([]cluster.JobID, len(batch))
 	for i, q := range batch {
 		ids[i] = q.id
 	}
-	c.callPeer(p.id, queryTimeout, messages.PeerMessage{Query: &messages.JobQuery{IDs: ids}}, func(r messages.PeerReply) {
+	c.members.Call(owner, queryTimeout, messages.PeerMessage{Query: &messages.JobQuery{IDs: ids}}, func(r messages.PeerReply) {
 		c.answerOwnerQueries(batch, r)
 	})
 }
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -21,11 +21,6 @@
 	return ownership.Claim{ShardID: p.id, Term: p.term, ConfirmedAt: p.confirmedAt}
 }
 
-// acknowledgement is what the peer has last answered.
-func (q *peer) acknowledgement() ownership.Acknowledgement {
-	return ownership.Acknowledgement{SentAt: q.acknowledgedCallAt, InstanceSeenAt: q.instanceSeenAt, Terms: q.acknowledgedTerms}
-}
-
 // typicalPeerCount is how many words are gathered without an allocation: every
 // worker's report asks for them.
 const typicalPeerCount = 8
@@ -34,8 +29,8 @@
 // a part after this controller.
 func (c *Controller) ownershipConfirmedAt(p *shard) cluster.Time {
 	words := make([]ownership.Acknowledgement, 0, typicalPeerCount)
-	for _, q := range c.peers {
-		words = append(words, q.acknowledgement())
+	for _, peer := range c.members.Peers() {
+		words = append(words, ownership.Acknowledgement(peer.Acknowledgement()))
 	}
 	return p.ownershipClaim().LastConfirmedAt(c.loop.Now(), words)
 }
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/ownership"
@@ -15,45 +16,46 @@
 	const heard = 130 * second // the part was proven at 100 s
 	for _, x := range []struct {
 		name          string
-		play          func(b *controllerHarness, q *peer)
+		answered      cluster.Time // when the last ping was sent that n2 has answered; 0: none was
+		play          func(b *controllerHarness, n2 *membership.Peer)
 		certain       cluster.Time
 		held          bool
 		entitled, may bool // 8 s later
 	}{
-		{"every word", func(*controllerHarness, *peer) {}, heard, true, true, false},
-		{"none of one", func(_ *controllerHarness, q *peer) { q.acknowledgedCallAt, q.acknowledgedTerms = 0, nil }, 100 * second, true, false, false},
-		{"a new run", func(b *controllerHarness, q *peer) {
-			b.applyPingReply(q, messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
+		{"every word", heard, func(*controllerHarness, *membership.Peer) {}, heard, true, true, false},
+		{"none of one", 0, func(*controllerHarness, *membership.Peer) {}, 100 * second, true, false, false},
+		{"a new run", heard, func(b *controllerHarness, n2 *membership.Peer) {
+			b.members.HandlePingReply(n2, &messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
 		}, 100 * second, true, false, false},
-		{"a new run, the store read since", func(b *controllerHarness, q *peer) {
-			b.applyPingReply(q, messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
+		{"a new run, the store read since", heard, func(b *controllerHarness, n2 *membership.Peer) {
+			b.members.HandlePingReply(n2, &messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
 			b.recordConfirmation(b.shards[0], 30, heard)
 		}, heard, true, true, false},
-		{"a new run, another's mark read", func(b *controllerHarness, q *peer) {
-			b.applyPingReply(q, messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
+		{"a new run, another's mark read", heard, func(b *controllerHarness, n2 *membership.Peer) {
+			b.members.HandlePingReply(n2, &messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
 			b.recordConfirmation(b.shards[0], 31, heard)
 		}, 100 * second, true, false, false},
-		{"an older release", func(b *controllerHarness, q *peer) {
-			b.applyPingReply(q, messages.Ping{InstanceID: "b-" + string(q.id)}, heard)
+		{"an older release", heard, func(b *controllerHarness, n2 *membership.Peer) {
+			b.members.HandlePingReply(n2, &messages.Ping{InstanceID: knownInstance("n2")}, heard)
 		}, 100 * second, true, false, false},
-		{"a later term", func(b *controllerHarness, q *peer) {
-			b.applyPingReply(q, messages.Ping{InstanceID: "b-" + string(q.id), KnownTerms: []cluster.Term{2, 1, 1}}, heard)
+		{"a later term", heard, func(b *controllerHarness, n2 *membership.Peer) {
+			b.members.HandlePingReply(n2, &messages.Ping{InstanceID: knownInstance("n2"), KnownTerms: []cluster.Term{2, 1, 1}}, heard)
 		}, 0, false, false, false},
-		{"its own call only", func(b *controllerHarness, q *peer) {
-			q.acknowledgedCallAt = 100 * second
-			b.applyPing(q, messages.Ping{InstanceID: "b-" + string(q.id), KnownTerms: []cluster.Term{1, 1, 1}})
+		{"its own call only", 100 * second, func(b *controllerHarness, n2 *membership.Peer) {
+			b.receivePing(n2, &messages.Ping{InstanceID: knownInstance("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
 		}, 100 * second, true, false, false},
 	} {
-		b := newControllerHarness()
+		b := newHarnessWithKnownPeers()
 		p := b.shards[0]
 		p.confirmedAt = 100 * second
 		setTime(b.Controller, heard)
-		for _, id := range []cluster.NodeID{"n1", "n2"} {
-			q := b.peers[id]
-			q.instanceID, q.instanceSeenAt = "b-"+string(id), 50*second
-			b.applyPingReply(q, messages.Ping{InstanceID: q.instanceID, KnownTerms: []cluster.Term{1, 1, 1}}, heard)
+		for id, answered := range map[cluster.NodeID]cluster.Time{"n1": heard, "n2": x.answered} {
+			if answered > 0 {
+				ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{1, 1, 1}}
+				b.members.HandlePingReply(b.members.Peer(id), ping, answered)
+			}
 		}
-		x.play(b, b.peers["n2"])
+		x.play(b, b.members.Peer("n2"))
 		if p.owned != x.held {
 			t.Errorf("%s: held %v", x.name, p.owned)
 			continue
--- /dev/null
+++ b/internal/controller/peerrequests.go
@@ -0,0 +1,92 @@
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
+	"stairrelay/internal/messages"
+)
+
+// handlePeerRequest answers another controller's message.
+func (c *Controller) handlePeerRequest(e messages.PeerRequest) {
+	message := &e.Message
+	from := c.members.Sender(message)
+	if from == nil {
+		c.respondError(e.Request, messages.ReplyBadRequest, 0, "unknown sender or version")
+		return
+	}
+	switch {
+	case message.Ping != nil:
+		c.answerPing(e.Request, from, message.Ping)
+	case message.Notice != nil:
+		for _, record := range message.Notice.Keys {
+			c.applyJobRecord(record, nil)
+		}
+		c.replyToPeer(e.Request, messages.PeerMessage{Status: messages.ReplyOK})
+	case message.Query != nil:
+		c.answerJobQuery(message.Query.IDs, func(views []cluster.JobView) {
+			c.replyToPeer(e.Request, messages.PeerMessage{Views: views})
+		})
+	case message.Submission != nil:
+		c.answerSubmission(e.Request, message.Submission)
+	case message.Cancel != "":
+		c.cancelOwnedJob(message.Cancel, func(status messages.ReplyStatus, view *cluster.JobView) {
+			c.replyToPeer(e.Request, messages.PeerMessage{Status: status, Views: viewList(view)})
+		})
+	default:
+		c.respondError(e.Request, messages.ReplyBadRequest, 0, "empty message")
+	}
+}
+
+// replyToPeer answers a request of another controller.
+func (c *Controller) replyToPeer(request messages.RequestID, message messages.PeerMessage) {
+	reply := c.members.WithSender(message)
+	c.loop.Emit(messages.Respond{Request: request, Status: messages.ReplyOK, Peer: &reply})
+}
+
+// answerPing takes in another controller's ping and answers with one of its own.
+func (c *Controller) answerPing(request messages.RequestID, from *membership.Peer, ping *messages.Ping) {
+	if err := c.members.HandlePing(from, ping); err != nil {
+		c.respondError(request, messages.ReplyBadRequest, 0, err.Error())
+		return
+	}
+	c.replyToPeer(request, messages.PeerMessage{Ping: c.members.MakePing(from)})
+}
+
+// answerSubmission stores a submission for another controller that can't.
+func (c *Controller) answerSubmission(request messages.RequestID, submission *messages.ProxiedSubmission) {
+	spec := submission.Spec
+	spec.ID = submission.ID
+	if spec.ID == "" || spec.Tasks < 1 {
+		c.respondError(request, messages.ReplyBadRequest, 0, "no job")
+		return
+	}
+	c.submit(spec, 0, "", func(outcome messages.Respond) {
+		c.replyToPeer(request, messages.PeerMessage{
+			Status:     outcome.Status,
+			RetryAfter: outcome.RetryAfter,
+			Reason:     outcome.Error,
+			Views:      viewList(outcome.View),
+		})
+	})
+}
+
+// viewList lists a job's state; nil: there is none.
+func viewList(view *cluster.JobView) []cluster.JobView {
+	if view == nil {
+		return nil
+	}
+	return []cluster.JobView{*view}
+}
+
+// handleHealth tells whether this node can take requests.
+func (c *Controller) handleHealth(e messages.Health) {
+	if c.writeQueue.Health.LastSuccess == 0 || len(c.machineTypes) == 0 && c.loop.Now() < 10*second {
+		c.respondError(e.Request, messages.ReplyUnavailable, 0, "starting")
+		return
+	}
+	if c.members.HasLostStore() && c.members.IsStoreReachableElsewhere() {
+		c.respondError(e.Request, messages.ReplyUnavailable, 0, "store out of reach")
+		return
+	}
+	c.loop.Emit(messages.Respond{Request: e.Request, Status: messages.ReplyOK})
+}
--- /dev/null
+++ b/internal/controller/processpause.go
@@ -0,0 +1,24 @@
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// handleProcessPause is called when the process has gone on after a pause. What it
+// knows is as old as that: another controller may own its shards, and that no
+// machine was heard in the gap says nothing about the machines.
+func (c *Controller) handleProcessPause() {
+	c.processHealth.RecordPause(c.loop.Now())
+	c.loop.Log(messages.LogInfo, "stood still")
+	for _, shard := range c.shards {
+		if shard.owned {
+			c.rereadShard(shard)
+		}
+	}
+}
+
+// heartbeatAge is how long a machine could have been heard and was not.
+func (c *Controller) heartbeatAge(m *machine) cluster.Time {
+	return c.loop.Now() - max(m.lastHeartbeat, c.processHealth.ResumedAt())
+}
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/scheduling"
@@ -81,14 +82,14 @@
 // isServedByPeer tells whether the part's holder says that it holds it, or is
 // alive though its word does not come through.
 func (c *Controller) isServedByPeer(p *shard) bool {
-	holder := c.peers[p.owner]
-	if holder == nil {
+	owner := c.members.Peer(p.owner)
+	if owner == nil {
 		return false
 	}
-	if c.loop.Now()-holder.lastPingAt > 3*second {
-		return !c.isFailed(p.owner)
+	if owner.PingAge() > membership.PingFreshness {
+		return !c.members.IsFailed(p.owner)
 	}
-	return slices.ContainsFunc(holder.lastPing.Shards, func(held messages.ShardTerm) bool { return held.Shard == p.id })
+	return slices.ContainsFunc(owner.LastPing().Shards, func(held messages.ShardTerm) bool { return held.Shard == p.id })
 }
 
 // hasStalledWrites tells whether records of the part's machines wait to be stored,
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/grouprecord"
@@ -21,13 +22,20 @@
 	return whys
 }
 
+// receivePing takes in a peer's ping, which must be valid.
+func (b *controllerHarness) receivePing(from *membership.Peer, ping *messages.Ping) {
+	if err := b.members.HandlePing(from, ping); err != nil {
+		panic(err)
+	}
+}
+
 // runStallChecks lets so many checkpoints pass with nothing else happening.
 func (b *controllerHarness) runStallChecks(n int) []string {
 	takeEffects(b.Controller)
 	for range n {
 		setTime(b.Controller, b.loop.Now()+2*second)
-		for _, id := range []cluster.NodeID{"n1", "n2"} {
-			b.peers[id].lastPingAt = b.loop.Now()
+		for _, peer := range b.members.Peers() {
+			b.receivePing(peer, peer.LastPing())
 		}
 		b.checkShardProgress()
 	}
@@ -48,7 +56,7 @@
 		}, "nobody serves it"},
 		{"another holds it", func(b *controllerHarness) {
 			b.shards[0].owned, b.shards[0].owner = false, "n1"
-			b.peers["n1"].lastPing.Shards = []messages.ShardTerm{{Shard: 0, Term: 2}}
+			b.receivePing(b.members.Peer("n1"), &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 2}}})
 		}, ""},
 		{"idle machines beside waiting tasks", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -15,8 +15,8 @@
 		b := newControllerHarness()
 		dropTimers(b.Controller)
 		takeEffects(b.Controller)
-		for _, p := range b.peers {
-			p.hasAnswered, p.lastPingAt, p.lastPing.StoreReachable, p.lastPing.FeatureLevel = true, b.loop.Now(), true, level
+		for _, peer := range b.members.Peers() {
+			b.members.HandlePingReply(peer, &messages.Ping{StoreReachable: true, FeatureLevel: level}, b.loop.Now())
 		}
 		b.writeQueue.Health.MarkFailing(b.loop.Now() - 10*second)
 		b.jobs.known["j-1"] = &knownJob{shard: 0, tasks: 1, team: "red"}
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -7,6 +7,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
 )
@@ -21,7 +22,7 @@
 		if g.offer == nil || g.writePending {
 			continue
 		}
-		if len(out) == maxOffers {
+		if len(out) == membership.MaxTransferOffers {
 			break
 		}
 		n := map[grouprecord.Kind]int{}
@@ -134,19 +135,15 @@
 		}
 		return took > 0
 	}
-	for _, id := range c.config.Nodes {
-		q := c.peers[id]
-		if q == nil || q.failed || c.loop.Now()-q.lastPingAt > 3*second {
+	for _, peer := range c.members.Peers() {
+		if peer.IsUnreachable() || peer.PingAge() > membership.PingFreshness {
 			continue
 		}
-		for _, o := range q.lastPing.TransferOffers {
-			if o.Recipient != p.id || q.attemptedTransfers[o.Key] == o.ModRevision || !use(o) {
+		for _, o := range peer.LastPing().TransferOffers {
+			if o.Recipient != p.id || c.attemptedTransfers.contains(peer.ID(), o) || !use(o) {
 				continue
 			}
-			if q.attemptedTransfers == nil {
-				q.attemptedTransfers = map[string]cluster.ModRevision{}
-			}
-			q.attemptedTransfers[o.Key] = o.ModRevision
+			c.attemptedTransfers.record(peer.ID(), o)
 			c.acquireGroup(p, o.Key, o.ModRevision)
 		}
 	}
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -13,7 +13,7 @@
 
 func (c *Controller) handleHeartbeat(e messages.Heartbeat) {
 	r := &e.Status
-	c.workerReachability.lastHeartbeat = c.loop.Now()
+	c.workerReachability.RecordHeartbeat()
 	if c.isIsolated() {
 		// A 200 would hold the worker here, though a successor may be entitled.
 		c.redirectWorker(e.Request, "")
@@ -48,7 +48,7 @@
 	}
 	m.pendingHeartbeat, m.pendingSequenceNumber, m.replyDeadline = e.Request, r.SequenceNumber, c.loop.Now()+maxHeartbeatHold
 	if c.reconcile(m, r, false) {
-		c.workerReachability.lastOwnedHeartbeat = c.loop.Now()
+		c.workerReachability.RecordOwnedHeartbeat()
 		c.schedulingTrigger.request()
 	}
 	c.heldHeartbeats.toCheck = append(c.heldHeartbeats.toCheck, m)
@@ -76,15 +76,8 @@
 // isIsolated tells whether this node has had neither the store nor any other
 // controller for so long that a successor may hold its parts.
 func (c *Controller) isIsolated() bool {
-	if len(c.peers) == 0 || !c.writeQueue.IsUnavailableFor(max(c.config.WorkerLease, 10*second)) {
-		return false
-	}
-	for _, p := range c.peers {
-		if p.hasAnswered && c.loop.Now()-p.lastAnswerAt < max(c.config.WorkerLease, 10*second) {
-			return false
-		}
-	}
-	return true
+	patience := max(c.config.WorkerLease, 10*second)
+	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(patience) && !c.members.HasAnswerWithin(patience)
 }
 
 // answerHeldHeartbeats answers the reports whose machine has no start on its way to
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -84,8 +84,8 @@
 		return
 	}
 	if k != nil {
-		if p := c.peers[c.shards[k.shard].owner]; p != nil && !p.failed && !p.suspected {
-			c.queryOwner(p, id, fn)
+		if p := c.members.Peer(c.shards[k.shard].owner); p != nil && !p.IsUnreachable() && !p.IsSuspected() {
+			c.queryOwner(p.ID(), id, fn)
 			return
 		}
 	}
@@ -193,12 +193,12 @@
 			answer(v.Status)
 		})
 	case k != nil:
-		p := c.peers[c.shards[k.shard].owner]
-		if p == nil || p.failed {
+		p := c.members.Peer(c.shards[k.shard].owner)
+		if p == nil || p.IsUnreachable() {
 			answer("")
 			return
 		}
-		c.callPeer(p.id, 3*second, messages.PeerMessage{Cancel: id}, func(r messages.PeerReply) {
+		c.members.Call(p.ID(), 3*second, messages.PeerMessage{Cancel: id}, func(r messages.PeerReply) {
 			if r.Outcome == messages.OK && len(r.Message.Views) == 1 {
 				if s := r.Message.Views[0].Status; s.IsFinal() {
 					c.applyFinalStatus(id, k, s)
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -118,7 +118,7 @@
 		return
 	}
 	c.scaleOutScheduled = true
-	c.loop.After(c.processHealth.stretchDelay(100*millisecond), func() {
+	c.loop.After(c.processHealth.StretchDelay(100*millisecond), func() {
 		c.scaleOutScheduled = false
 		c.runScaleOut()
 	})
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -177,7 +177,7 @@
 		c.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
-	c.versionRegistry.recordUpgraded(rec.Upgraded...)
+	c.members.RecordUpgraded(rec.Upgraded...)
 	if kv.ModRevision <= p.modRevision {
 		return
 	}
@@ -220,11 +220,11 @@
 	case p.owner == self: // from an earlier life of this node
 	case p.preferredOwner == self && p.failbackOffered && p.isBackoffOver(c.loop.Now()):
 	case p.owner == "":
-		if !c.isFailed(p.preferredOwner) || !c.isSuccessor(p.preferredOwner) {
+		if !c.members.IsFailed(p.preferredOwner) || !c.isSuccessor(p.preferredOwner) {
 			return
 		}
 	default:
-		if !p.isBackoffOver(c.loop.Now()) || !c.isFailed(p.owner) || !c.isSuccessor(p.owner) {
+		if !p.isBackoffOver(c.loop.Now()) || !c.members.IsFailed(p.owner) || !c.isSuccessor(p.owner) {
 			return
 		}
 	}
@@ -245,7 +245,7 @@
 		if id == c.config.Self {
 			return true
 		}
-		if !c.isFailed(id) {
+		if !c.members.IsFailed(id) {
 			return false
 		}
 	}
@@ -258,7 +258,7 @@
 	c.writeQueue.Enqueue(writequeue.Acquire, &writequeue.Write{
 		ShardID: p.id, Keys: []string{p.key()},
 		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
-			v, _ := json.Marshal(shardRecord{Owner: c.config.Self, Term: term, WriteID: nonce, Upgraded: c.versionRegistry.upgradedNodes()})
+			v, _ := json.Marshal(shardRecord{Owner: c.config.Self, Term: term, WriteID: nonce, Upgraded: c.members.UpgradedNodes()})
 			return []messages.TxnOp{{Key: p.key(), Value: v}}, []cluster.ModRevision{p.modRevision}
 		},
 		OnApplied: func(e cluster.Revision) {
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -13,7 +13,6 @@
 	Queries       int
 	Cancellations int
 	CommandPushes int
-	PeerCalls     int
 	CloudCalls    int
 	// MachineScans counts the machines that were looked at one by one, whatever for.
 	MachineScans int
@@ -127,7 +126,7 @@
 		"lazy", writes.PutsByPriority[writequeue.Background],
 		"conflicts", writes.Conflicts,
 		"gets", writes.Reads,
-		"peer_calls", counts.PeerCalls,
+		"peer_calls", c.members.TakeCallCount(),
 		"cloud_calls", counts.CloudCalls,
 		"visits", counts.MachineScans,
 		"parts", c.ownedShardCount(),
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
 )
@@ -35,11 +36,11 @@
 	n := len(c.config.Nodes)
 	self := slices.Index(c.config.Nodes, c.config.Self)
 	for i := 1; i < n; i++ {
-		p := c.peers[c.config.Nodes[(self+i)%n]]
+		p := c.members.Peer(c.config.Nodes[(self+i)%n])
 		if p == nil || !c.canProxyTo(p, &spec) {
 			continue
 		}
-		c.callPeer(p.id, proxyTimeout, messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: spec.ID, Spec: spec}}, func(r messages.PeerReply) {
+		c.members.Call(p.ID(), proxyTimeout, messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: spec.ID, Spec: spec}}, func(r messages.PeerReply) {
 			c.answerProxied(&spec, r, answer)
 		})
 		return true
@@ -51,11 +52,11 @@
 const proxyTimeout = 2500 * millisecond
 
 // canProxyTo tells whether a peer can take a submission, as far as it has told.
-func (c *Controller) canProxyTo(p *peer, spec *cluster.JobSpec) bool {
-	if p.failed || p.suspected || !p.hasAnswered || c.loop.Now()-p.lastPingAt > 2*second || !p.lastPing.StoreReachable {
+func (c *Controller) canProxyTo(p *membership.Peer, spec *cluster.JobSpec) bool {
+	if p.IsUnreachable() || p.IsSuspected() || !p.HasAnswered() || p.PingAge() > 2*second || !p.LastPing().StoreReachable {
 		return false
 	}
-	return len(spec.Dependencies) == 0 || p.lastPing.FeatureLevel >= dependencyFeatureLevel // else it would start it at once
+	return len(spec.Dependencies) == 0 || p.LastPing().FeatureLevel >= dependencyFeatureLevel // else it would start it at once
 }
 
 // answerProxied answers a submission as the controller says that it went to.
@@ -179,7 +180,7 @@
 func (c *Controller) overloadRetryAfter(prio cluster.Priority) int {
 	// A put takes several when many wait.
 	wait := (float64(len(c.writeQueue.Queued(writequeue.Admit))) + c.admissions.putsNeeded(c.config.MaxTxnOps)) / max(c.writeQueue.PutBudget().Rate(), 1)
-	wait = max(wait, float64(c.processHealth.load.EventDelay)/float64(second)) // a process that falls behind takes on no more
+	wait = max(wait, float64(c.processHealth.EventDelay())/float64(second)) // a process that falls behind takes on no more
 	limit := [...]float64{cluster.BestEffort: 1, cluster.Normal: 1.5, cluster.Urgent: 2.5, cluster.Production: 3}[prio]
 	if wait <= limit {
 		return 0
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -148,19 +148,43 @@
 	}
 }
 
+// loseContact lets a peer answer one ping and no more until it is unreachable, while
+// the others answer all.
+func (b *controllerHarness) loseContact(t *testing.T, lost cluster.NodeID) {
+	t.Helper()
+	dropTimers(b.Controller) // only pings are sent
+	ping := &messages.Ping{StoreReachable: true, WorkersReachable: true}
+	b.members.HandlePingReply(b.members.Peer(lost), ping, b.loop.Now())
+	b.members.Start()
+	for end := b.loop.Now() + 20*second; !b.members.Peer(lost).IsUnreachable(); setTime(b.Controller, b.loop.Now()+100*millisecond) {
+		if b.loop.Now() > end {
+			t.Fatalf("%s is still reachable", lost)
+		}
+		b.loop.RunTimers()
+		for _, effect := range takeEffects(b.Controller) {
+			call, ok := effect.(messages.PeerCall)
+			if !ok {
+				continue
+			}
+			reply := messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Ping: ping}}
+			if call.To == lost {
+				reply = messages.PeerReply{Outcome: messages.NotApplied}
+			}
+			b.loop.Deliver(messages.Reply{Call: call.Call, Body: reply})
+		}
+	}
+}
+
 // TestNoAcquireDuringOutage: the holder of a part is lost, and so is the state service:
 // nothing is claimed. A claim that waited for the end of the outage would then
 // take the part from a holder that is back.
 func TestNoAcquireDuringOutage(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		b := newControllerHarness()
+		b.loseContact(t, "n2")
+		setTime(b.Controller, b.loop.Now()+second)
 		part := b.shards[1]
 		part.owned, part.ready, part.recordRead, part.owner, part.preferredOwner = false, false, true, "n2", "n2"
-		for _, peer := range b.peers {
-			peer.hasAnswered, peer.lastAnswerAt, peer.lastPingAt = true, b.loop.Now(), b.loop.Now()
-		}
-		lost := b.peers["n2"]
-		lost.failed, lost.failedAt, lost.lastPingAt = true, b.loop.Now()-second, b.loop.Now()-10*second
 		b.writeQueue.Health.LastSuccess, b.writeQueue.Health.HealthySince = b.loop.Now(), second
 		if outage {
 			b.writeQueue.Health.MarkFailing(b.loop.Now() - 2*second)
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -35,10 +35,10 @@
 // time for a cancellation allows.
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newHolder := func() *controllerHarness {
-		b := newControllerHarness()
+		b := newHarnessWithKnownPeers()
 		b.writeQueue.Health.MarkFailing(b.loop.Now())
-		for _, peer := range b.peers {
-			answerProbe(b, peer.id, 1)
+		for _, peer := range b.members.Peers() {
+			answerProbe(b, peer.ID(), 1)
 		}
 		return b
 	}
