--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,8 @@
 import (
 	"time"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/membership"
@@ -27,6 +29,7 @@
 type Controller struct {
 	config Config
 	loop   *eventloop.Loop
+	state  *state.State
 
 	// What it wants done, and what it waits for.
 	writeQueue *writequeue.Queue
@@ -44,11 +47,10 @@
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	shards            []*shard         // by number
-	shardsRevision    cluster.Revision // who holds which part is known up to this revision
-	ownedShardChanges int              // of the parts held here
-	teams             map[string]*team
-	jobs              jobRegistry
+	ownershipChecks   []ownershipChecks // by shard
+	progress          []shardProgress   // by shard
+	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
+	ownedShardChanges int               // of the parts held here
 	jobReads          linearizableJobReads
 	admissions        admissionQueue
 	classStats        map[string]*classStats
@@ -56,19 +58,16 @@
 	schedulingTrigger schedulingTrigger
 
 	// Machines.
-	machines          map[cluster.MachineID]*machine // of parts held here
-	machineGroups     map[string]*machineGroup       // of parts held here
 	recordNames       recordNames
 	machineOwners     machineOwners
 	orphanedMachines  orphanedMachines
-	machineTypes      map[string]cluster.MachineType
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
 	scaleOutScheduled bool // a look for machines before the next regular one
 	machineReleases   scaleInBatch
 	spotInterruptions spotInterruptions
 	heldHeartbeats    heldHeartbeats
-	urgentPushes      []*machine // whose commands can't wait for their reports
+	urgentPushes      []*state.Machine // whose commands can't wait for their reports
 }
 
 // New makes a Core. Nothing happens before the first Step.
@@ -76,9 +75,7 @@
 	c := &Controller{
 		config:             cfg,
 		loop:               eventloop.New(),
-		jobs:               newJobRegistry(),
-		machines:           map[cluster.MachineID]*machine{},
-		machineGroups:      map[string]*machineGroup{},
+		state:              state.New(cfg.Nodes, cfg.Teams),
 		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
 		machineOwners:      machineOwners{},
 		orphanedMachines:   newOrphanedMachines(),
@@ -86,20 +83,13 @@
 		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
 		processHealth:      &membership.ProcessHealth{},
-		teams:              map[string]*team{},
-		machineTypes:       map[string]cluster.MachineType{},
 		classStats:         map[string]*classStats{},
 	}
-	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardOwnership{c})
+	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
-	for i := range cfg.Nodes {
-		c.shards = append(c.shards, &shard{id: cluster.ShardID(i), preferredOwner: cfg.Nodes[i], outOfCapacityCount: map[provisioningOption]int{}, usage: teamUsage{}})
-	}
-	partOf := assignTeamsToShards(cfg.Teams, len(cfg.Nodes))
-	for _, t := range cfg.Teams {
-		c.teams[t.Name] = &team{Team: t, shard: partOf[t.Name]}
-	}
+	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
+	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
 	c.cloudListing.nextReadAt = c.firstCloudListAt()
--- a/internal/controller/jobnotices.go
+++ b/internal/controller/jobnotices.go
@@ -52,7 +52,7 @@
 
 // notifyOwner passes a stored job to its owner.
 func (c *Controller) notifyOwner(part cluster.ShardID, kv messages.KV) {
-	owner := c.members.Peer(c.shards[part].owner)
+	owner := c.members.Peer(c.state.Shards[part].Owner)
 	if owner == nil || owner.IsUnreachable() {
 		return
 	}
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -65,24 +67,24 @@
 func TestFailbackOnlyRelievesLoad(t *testing.T) {
 	c := newSevenNodeController()
 	c.Step(second, 0, messages.Tick{})
-	mine, theirs, home := c.shards[0], c.shards[1], c.members.Peer("n1")
+	mine, theirs, home := c.state.Shards[0], c.state.Shards[1], c.members.Peer("n1")
 	answer := func() {
 		c.members.HandlePingReply(home, &messages.Ping{StoreReachable: true, WorkersReachable: true}, c.loop.Now())
 	}
 	answer()
 	c.Step(20*second, 0, messages.Tick{})
 	answer()
-	for _, p := range []*shard{mine, theirs} {
-		p.owned, p.ready, p.owner = true, true, "n0"
+	for _, p := range []*state.Shard{mine, theirs} {
+		p.Owned, p.Ready, p.Owner = true, true, "n0"
 	}
 	if len(c.members.MakePing(home).FailbackOffers) != 1 {
 		t.Error("a part without work is not offered to its home")
 	}
-	c.addOwnedJob(newJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.id, 0, 0))
+	c.addOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.ID, 0, 0))
 	if len(c.members.MakePing(home).FailbackOffers) != 0 {
 		t.Error("the only part with work is offered to its home")
 	}
-	c.addOwnedJob(newJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.id, 0, 0))
+	c.addOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.ID, 0, 0))
 	if len(c.members.MakePing(home).FailbackOffers) != 1 {
 		t.Error("one of two parts with work is not offered to its home")
 	}
@@ -96,7 +98,7 @@
 	c.config.CloudListLag = 8 * second
 	c.Step(0, 0, messages.Tick{})
 	p := c.shardForMachine("m-000007")
-	p.owned, p.ready = true, true
+	p.Owned, p.Ready = true, true
 	owned, enlisted, reads := true, false, 0
 	for c.loop.Now() < 300*second {
 		if c.loop.Now() > 70*second {
@@ -125,7 +127,7 @@
 	if reads < 2 {
 		t.Error("nobody looked whose the machine is")
 	}
-	if enlisted || len(p.toRegister) > 0 {
+	if enlisted || len(p.ToRegister) > 0 {
 		t.Error("a returned machine was taken in as a stray")
 	}
 }
@@ -139,12 +141,12 @@
 	for now := cluster.Time(0); now <= 30*second; now += second { // a single step would be a process pause
 		c.Step(now, 0, messages.Tick{})
 	}
-	p := c.shards[0]
-	p.owned, p.ready = true, true
+	p := c.state.Shards[0]
+	p.Owned, p.Ready = true, true
 	g := c.newGroup(p, "g", 1)
 	for i := range machines {
 		m := c.addMachine(g, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
-		m.ownedSince = 0
+		m.OwnedSince = 0
 	}
 	c.workerReachability.RecordOwnedHeartbeat()
 	setTime(c, c.loop.Now()+3*second)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -4,6 +4,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // membershipConfig is what the view of the other controllers needs of the settings.
@@ -30,14 +31,14 @@
 type ownedFleet struct{ controller *Controller }
 
 // MachineCount implements membership.Fleet.
-func (f ownedFleet) MachineCount() int { return len(f.controller.machines) }
+func (f ownedFleet) MachineCount() int { return len(f.controller.state.Machines) }
 
 // VisitBooted implements membership.Fleet.
 func (f ownedFleet) VisitBooted(visit func(address string, ownedSince cluster.Time)) {
-	for _, shard := range f.controller.shards {
-		for _, machine := range shard.machines {
-			if !machine.booting {
-				visit(machine.address, machine.ownedSince)
+	for _, shard := range f.controller.state.Shards {
+		for _, machine := range shard.Machines {
+			if !machine.Booting {
+				visit(machine.Address, machine.OwnedSince)
 			}
 		}
 	}
@@ -49,13 +50,13 @@
 // DescribeShards implements membership.Host.
 func (h membershipHost) DescribeShards(to *membership.Peer, ping *messages.Ping) {
 	c := h.controller
-	for _, shard := range c.shards {
-		if !shard.owned {
+	for _, shard := range c.state.Shards {
+		if !shard.Owned {
 			continue
 		}
-		ping.Shards = append(ping.Shards, messages.ShardTerm{Shard: shard.id, Term: shard.term})
+		ping.Shards = append(ping.Shards, messages.ShardTerm{Shard: shard.ID, Term: shard.Term})
 		if c.offersFailback(shard, to) {
-			ping.FailbackOffers = append(ping.FailbackOffers, shard.id)
+			ping.FailbackOffers = append(ping.FailbackOffers, shard.ID)
 		}
 	}
 	ping.TransferOffers = c.transferOffers()
@@ -86,20 +87,20 @@
 // applyPeerShards takes in which shards a peer says that it owns.
 func (c *Controller) applyPeerShards(from cluster.NodeID, terms []messages.ShardTerm) {
 	for _, said := range terms {
-		if int(said.Shard) < 0 || int(said.Shard) >= len(c.shards) {
+		if int(said.Shard) < 0 || int(said.Shard) >= len(c.state.Shards) {
 			continue
 		}
-		shard := c.shards[said.Shard]
-		if said.Term > shard.term && shard.owned {
-			c.handleDeposed(shard.id)
+		shard := c.state.Shards[said.Shard]
+		if said.Term > shard.Term && shard.Owned {
+			c.handleDeposed(shard.ID)
 		}
-		if said.Term > shard.term && !shard.owned && !shard.acquiring {
+		if said.Term > shard.Term && !shard.Owned && !shard.Acquiring {
 			// The claim's mod revision is not in the ping, so it has to be read
 			// before an acquisition from here.
-			shard.owner, shard.term = from, said.Term
+			shard.Owner, shard.Term = from, said.Term
 			c.rereadShard(shard)
 		}
-		shard.failbackOffered = shard.failbackOffered && shard.owner != from
+		shard.FailbackOffered = shard.FailbackOffered && shard.Owner != from
 	}
 }
 
@@ -107,46 +108,46 @@
 // controller, their preferred owner.
 func (c *Controller) applyFailbackOffers(from cluster.NodeID, offers []cluster.ShardID) {
 	for _, id := range offers {
-		if int(id) < 0 || int(id) >= len(c.shards) {
+		if int(id) < 0 || int(id) >= len(c.state.Shards) {
 			continue
 		}
-		if shard := c.shards[id]; shard.preferredOwner == c.config.Self && shard.owner == from {
-			shard.failbackOffered = true
+		if shard := c.state.Shards[id]; shard.PreferredOwner == c.config.Self && shard.Owner == from {
+			shard.FailbackOffered = true
 		}
 	}
 }
 
 // offersFailback tells whether a peer may acquire a shard that it is the preferred
 // owner of: both have been settled for a while.
-func (c *Controller) offersFailback(shard *shard, to *membership.Peer) bool {
+func (c *Controller) offersFailback(shard *state.Shard, to *membership.Peer) bool {
 	delay := c.config.Tuning.FailbackDelay
-	return shard.preferredOwner == to.ID() && shard.ready &&
+	return shard.PreferredOwner == to.ID() && shard.Ready &&
 		!to.IsUnreachable() && to.IsHealthyFor(delay) &&
-		c.loop.Now()-shard.ownershipChangedAt > delay &&
+		c.loop.Now()-shard.OwnershipChangedAt > delay &&
 		c.failbackRelievesLoad(shard)
 }
 
 // failbackRelievesLoad tells whether handing a shard back would take work off this
 // controller that it does beside other work. A shard that has all the work would
 // only change owners: its machines and users would wait for that for nothing.
-func (c *Controller) failbackRelievesLoad(returned *shard) bool {
-	if returned.isIdle() {
+func (c *Controller) failbackRelievesLoad(returned *state.Shard) bool {
+	if isIdle(returned) {
 		return true
 	}
-	for _, other := range c.shards {
-		if other != returned && other.owned && !other.isIdle() {
+	for _, other := range c.state.Shards {
+		if other != returned && other.Owned && !isIdle(other) {
 			return true
 		}
 	}
 	return false
 }
 
-// isIdle tells whether the shard has neither jobs nor machines.
-func (p *shard) isIdle() bool { return len(p.jobs)+len(p.machines) == 0 }
+// isIdle tells whether a shard has neither jobs nor machines.
+func isIdle(shard *state.Shard) bool { return len(shard.Jobs)+len(shard.Machines) == 0 }
 
 // reviewShards considers for each shard whether this controller should acquire it.
 func (c *Controller) reviewShards() {
-	for _, shard := range c.shards {
+	for _, shard := range c.state.Shards {
 		c.considerAcquire(shard)
 	}
 }
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -80,7 +80,7 @@
 
 // handleHealth tells whether this node can take requests.
 func (c *Controller) handleHealth(e messages.Health) {
-	if c.writeQueue.Health.LastSuccess == 0 || len(c.machineTypes) == 0 && c.loop.Now() < 10*second {
+	if c.writeQueue.Health.LastSuccess == 0 || len(c.state.MachineTypes) == 0 && c.loop.Now() < 10*second {
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "starting")
 		return
 	}
--- a/internal/controller/processpause.go
+++ b/internal/controller/processpause.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // handleProcessPause is called when the process has gone on after a pause. What it
@@ -11,14 +12,14 @@
 func (c *Controller) handleProcessPause() {
 	c.processHealth.RecordPause(c.loop.Now())
 	c.loop.Log(messages.LogInfo, "stood still")
-	for _, shard := range c.shards {
-		if shard.owned {
+	for _, shard := range c.state.Shards {
+		if shard.Owned {
 			c.rereadShard(shard)
 		}
 	}
 }
 
 // heartbeatAge is how long a machine could have been heard and was not.
-func (c *Controller) heartbeatAge(m *machine) cluster.Time {
-	return c.loop.Now() - max(m.lastHeartbeat, c.processHealth.ResumedAt())
+func (c *Controller) heartbeatAge(m *state.Machine) cluster.Time {
+	return c.loop.Now() - max(m.LastHeartbeat, c.processHealth.ResumedAt())
 }
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -24,23 +24,23 @@
 	}
 }
 
-// shardOwnership shows the write queue who owns the shards.
-type shardOwnership struct{ controller *Controller }
+// shardClaims shows the write queue who owns the shards.
+type shardClaims struct{ controller *Controller }
 
 // ClaimOf implements writequeue.ShardOwnership.
-func (o shardOwnership) ClaimOf(id cluster.ShardID) writequeue.Claim {
-	shard := o.controller.shards[id]
-	return writequeue.Claim{Key: shard.key(), ModRevision: shard.modRevision, Owned: shard.owned}
+func (o shardClaims) ClaimOf(id cluster.ShardID) writequeue.Claim {
+	shard := o.controller.state.Shards[id]
+	return writequeue.Claim{Key: shard.Key(), ModRevision: shard.ModRevision, Owned: shard.Owned}
 }
 
 // HandleDeposed implements writequeue.ShardOwnership.
-func (o shardOwnership) HandleDeposed(id cluster.ShardID) { o.controller.handleDeposed(id) }
+func (o shardClaims) HandleDeposed(id cluster.ShardID) { o.controller.handleDeposed(id) }
 
 // HandleStored implements writequeue.ShardOwnership.
-func (o shardOwnership) HandleStored(stored writequeue.StoredTransaction) {
-	shard := o.controller.shards[stored.ShardID]
-	shard.storedTransactions++
-	shard.lastStoredRevision = max(shard.lastStoredRevision, stored.Revision)
+func (o shardClaims) HandleStored(stored writequeue.StoredTransaction) {
+	shard := o.controller.state.Shards[stored.ShardID]
+	shard.StoredTransactions++
+	shard.LastStoredRevision = max(shard.LastStoredRevision, stored.Revision)
 	o.controller.recordConfirmation(shard, stored.Claim, stored.SentAt)
 }
 
@@ -50,6 +50,6 @@
 // an outage. On an idle controller nothing else would ask for minutes.
 func (c *Controller) probeStore() {
 	if c.writeQueue.Health.ShouldProbe(c.loop.Now()) {
-		c.rereadShard(c.shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
+		c.rereadShard(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
 	}
 }
