--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"stairrelay/internal/state"
-
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 
 	"stairrelay/internal/scheduling"
 )
@@ -83,14 +83,14 @@
 // isServedByPeer tells whether the part's holder says that it holds it, or is
 // alive though its word does not come through.
 func (c *Controller) isServedByPeer(p *state.Shard) bool {
-	holder := c.peers[p.Owner]
-	if holder == nil {
+	owner := c.members.Peer(p.Owner)
+	if owner == nil {
 		return false
 	}
-	if c.loop.Now()-holder.lastPingAt > 3*second {
-		return !c.isFailed(p.Owner)
+	if owner.PingAge() > membership.PingFreshness {
+		return !c.members.IsFailed(p.Owner)
 	}
-	return slices.ContainsFunc(holder.lastPing.Shards, func(held messages.ShardTerm) bool { return held.Shard == p.ID })
+	return slices.ContainsFunc(owner.LastPing().Shards, func(held messages.ShardTerm) bool { return held.Shard == p.ID })
 }
 
 // hasStalledWrites tells whether records of the part's machines wait to be stored,
