--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -77,7 +78,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			b.addTestJob("j-1", 1)
-			b.addRegisteredGroup(b.state.Shards[0], "g", []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}, 100, 31)
+			machines := []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}
+			b.inventory.AddNewGroup(&inventory.NewGroup{ID: "g", Shard: b.state.Shards[0], Machines: machines}, 31)
+			b.state.Groups["g"].RecordSize = 100
 			b.handleHeartbeat(firstHeartbeat(fastBootMachine))
 			effects := flushEffects(b)
 			var record *messages.StoreTxn
@@ -156,7 +159,7 @@
 			b := newControllerHarness()
 			record := `{"p":1,"f":"small","y":"` + test.zone + `","n":1,"w":"b1-1"}`
 			b.store.keys["rentals/r-1"] = messages.KV{Key: "rentals/r-1", Value: []byte(record), ModRevision: 29}
-			b.handleUnknownHeartbeat(firstHeartbeat(fastBootMachine))
+			b.reconciler.Orphans.HandleHeartbeat(firstHeartbeat(fastBootMachine))
 			inspected := false
 			for _, effect := range effectsDuring(b, second) {
 				_, ok := effect.(messages.QueryWorkerStatus)
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -26,7 +26,7 @@
 		g := c.state.AddGroup(p, "g", 1)
 		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		for c.loop.Now() < 8*second {
-			c.workerReachability.lastOwnedHeartbeat = c.loop.Now()
+			c.workerReachability.RecordOwnedHeartbeat()
 			if !x.silent {
 				m.LastHeartbeat = c.loop.Now()
 			}
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -7,6 +7,7 @@
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/grouprecord"
@@ -23,13 +24,20 @@
 	return whys
 }
 
+// receivePing takes in a peer's ping, which must be valid.
+func (b *controllerHarness) receivePing(from *membership.Peer, ping *messages.Ping) {
+	if err := b.members.HandlePing(from, ping); err != nil {
+		panic(err)
+	}
+}
+
 // runStallChecks lets so many checkpoints pass with nothing else happening.
 func (b *controllerHarness) runStallChecks(n int) []string {
 	takeEffects(b.Controller)
 	for range n {
 		setTime(b.Controller, b.loop.Now()+2*second)
-		for _, id := range []cluster.NodeID{"n1", "n2"} {
-			b.peers[id].lastPingAt = b.loop.Now()
+		for _, peer := range b.members.Peers() {
+			b.receivePing(peer, peer.LastPing())
 		}
 		b.checkShardProgress()
 	}
@@ -50,7 +58,7 @@
 		}, "nobody serves it"},
 		{"another holds it", func(b *controllerHarness) {
 			b.state.Shards[0].Owned, b.state.Shards[0].Owner = false, "n1"
-			b.peers["n1"].lastPing.Shards = []messages.ShardTerm{{Shard: 0, Term: 2}}
+			b.receivePing(b.members.Peer("n1"), &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 2}}})
 		}, ""},
 		{"idle machines beside waiting tasks", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
@@ -104,7 +112,7 @@
 // progress.
 func TestProgressEndsStall(t *testing.T) {
 	b := newControllerHarness()
-	b.registerMachines(b.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
+	b.inventory.RegisterMachines(b.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
 	m := b.state.Machines["m-1"]
 	m.Group.WritePending = true
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -17,8 +17,8 @@
 		b := newControllerHarness()
 		dropTimers(b.Controller)
 		takeEffects(b.Controller)
-		for _, p := range b.peers {
-			p.hasAnswered, p.lastPingAt, p.lastPing.StoreReachable, p.lastPing.FeatureLevel = true, b.loop.Now(), true, level
+		for _, peer := range b.members.Peers() {
+			b.members.HandlePingReply(peer, &messages.Ping{StoreReachable: true, FeatureLevel: level}, b.loop.Now())
 		}
 		b.writeQueue.Health.MarkFailing(b.loop.Now() - 10*second)
 		b.state.Jobs.Known["j-1"] = &state.KnownJob{ShardID: 0, Tasks: 1, Team: "red"}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -7,6 +7,7 @@
 	"sort"
 	"strings"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -100,7 +101,7 @@
 		return
 	}
 	c.scaleOutScheduled = true
-	c.loop.After(c.processHealth.stretchDelay(100*millisecond), func() {
+	c.loop.After(c.processHealth.StretchDelay(100*millisecond), func() {
 		c.scaleOutScheduled = false
 		c.runScaleOut()
 	})
@@ -364,7 +365,7 @@
 // transaction, so that no crash between the two can lose a machine.
 func (c *Controller) completeProvisioning(p *state.Shard, r *state.ProvisioningRequest, ids []cluster.MachineID) {
 	claim := p.ClaimRevision
-	id, size := r.GroupID, 0
+	id := r.GroupID
 	if id == "" { // of an earlier claim, whose copies this one has fenced
 		id = c.recordNames.NextGroup(p)
 	}
@@ -373,12 +374,13 @@
 	for _, m := range ids {
 		ms = append(ms, grouprecord.Machine{ID: m, Kind: kind, Booting: true})
 	}
+	group := &inventory.NewGroup{ID: id, Shard: p, Machines: ms}
 	keys, prio := []string{provisioningKey(r.Name)}, writequeue.Background
 	// A refused one gets no machines, but where a copy of its creation may come
 	// late its group's key has to be there all the same, with nothing listed.
 	made := len(ids) > 0 || r.CreateInDoubt
 	if made {
-		keys = append(keys, "groups/"+id)
+		keys = append(keys, state.GroupKey(id))
 	}
 	if len(ids) > 0 {
 		prio = writequeue.ScaleOut
@@ -388,9 +390,8 @@
 		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			ops, marks := []messages.TxnOp{{Key: provisioningKey(r.Name), Value: nil}}, []cluster.ModRevision{r.ModRevision}
 			if made {
-				v := grouprecord.Encode(grouprecord.Record{ShardID: p.ID, Machines: ms, WriteID: nonce})
-				size = len(v)
-				ops, marks = append(ops, messages.TxnOp{Key: "groups/" + id, Value: v}), append(marks, 0)
+				operation, modRevision := group.Operation(nonce)
+				ops, marks = append(ops, operation), append(marks, modRevision)
 			}
 			return ops, marks
 		},
@@ -400,7 +401,7 @@
 			}
 			delete(p.ProvisioningRequests, r.Name)
 			if len(ms) > 0 {
-				c.addRegisteredGroup(p, id, ms, size, e)
+				c.inventory.AddNewGroup(group, e)
 			}
 		},
 		OnConflict: func() {
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -85,7 +85,7 @@
 		c.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
-	c.versionRegistry.recordUpgraded(rec.Upgraded...)
+	c.members.RecordUpgraded(rec.Upgraded...)
 	if kv.ModRevision <= p.ModRevision {
 		return
 	}
@@ -128,11 +128,11 @@
 	case p.Owner == self: // from an earlier life of this node
 	case p.PreferredOwner == self && p.FailbackOffered && p.IsBackoffOver(c.loop.Now()):
 	case p.Owner == "":
-		if !c.isFailed(p.PreferredOwner) || !c.isSuccessor(p.PreferredOwner) {
+		if !c.members.IsFailed(p.PreferredOwner) || !c.isSuccessor(p.PreferredOwner) {
 			return
 		}
 	default:
-		if !p.IsBackoffOver(c.loop.Now()) || !c.isFailed(p.Owner) || !c.isSuccessor(p.Owner) {
+		if !p.IsBackoffOver(c.loop.Now()) || !c.members.IsFailed(p.Owner) || !c.isSuccessor(p.Owner) {
 			return
 		}
 	}
@@ -153,7 +153,7 @@
 		if id == c.config.Self {
 			return true
 		}
-		if !c.isFailed(id) {
+		if !c.members.IsFailed(id) {
 			return false
 		}
 	}
@@ -166,7 +166,7 @@
 	c.writeQueue.Enqueue(writequeue.Acquire, &writequeue.Write{
 		ShardID: p.ID, Keys: []string{p.Key()},
 		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
-			v, _ := json.Marshal(shardRecord{Owner: c.config.Self, Term: term, WriteID: nonce, Upgraded: c.versionRegistry.upgradedNodes()})
+			v, _ := json.Marshal(shardRecord{Owner: c.config.Self, Term: term, WriteID: nonce, Upgraded: c.members.UpgradedNodes()})
 			return []messages.TxnOp{{Key: p.Key(), Value: v}}, []cluster.ModRevision{p.ModRevision}
 		},
 		OnApplied: func(e cluster.Revision) {
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -21,7 +21,7 @@
 func TestLateGroupWriteAfterDropRejected(t *testing.T) {
 	b := newControllerHarness()
 	p, q := b.state.Shards[0], b.state.Shards[1]
-	b.registerMachines(p, []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}}, func() {})
+	b.inventory.RegisterMachines(p, []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
 	if len(b.sentTransactions) == 0 || len(b.state.Groups) != 1 {
 		t.Fatalf("%d transactions, %d groups", len(b.sentTransactions), len(b.state.Groups))
--- a/internal/controller/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -24,7 +24,7 @@
 	b := newControllerHarness()
 	giver, taker := b.state.Shards[0], b.state.Shards[1]
 	kind := grouprecord.Kind{Type: "small", Zone: "a"}
-	b.registerMachines(giver, []grouprecord.Machine{{ID: "m-1", Kind: kind, Address: "m-1"}}, func() {})
+	b.inventory.RegisterMachines(giver, []grouprecord.Machine{{ID: "m-1", Kind: kind, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
 	g := b.state.Groups[slices.Sorted(maps.Keys(b.state.Groups))[0]]
 	g.Offer = &state.GroupOffer{ToShard: taker.ID, Until: b.loop.Now() + 5*second}
