--- a/internal/controller/processpause.go
+++ b/internal/controller/processpause.go
@@ -11,7 +11,7 @@
 // machine was heard in the gap says nothing about the machines.
 func (c *Controller) handleProcessPause() {
 	c.processHealth.RecordPause(c.loop.Now())
-	c.loop.Log(messages.LogInfo, "stood still")
+	c.loop.Log(messages.LogInfo, "process resumed after a pause")
 	for _, shard := range c.state.Shards {
 		if shard.Owned {
 			c.rereadShard(shard)
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -66,11 +66,11 @@
 	d.missedProbes++
 	if d.missedProbes > m.config.PingRetries && !peer.suspected {
 		peer.suspected = true
-		m.loop.Log(messages.LogDebug, "peer failure-prone", "peer", string(peer.id))
+		m.loop.Log(messages.LogDebug, "peer suspected", "node", string(peer.id))
 	}
 	if d.isExhausted() && !peer.unreachable {
 		peer.unreachable, peer.unreachableSince, peer.livenessRead = true, m.loop.Now(), false
-		m.loop.Log(messages.LogInfo, "peer failed", "peer", string(peer.id))
+		m.loop.Log(messages.LogInfo, "peer unreachable", "node", string(peer.id))
 		m.handleReachabilityChange()
 	}
 	if peer.unreachable {
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -17,7 +17,7 @@
 	instanceID      string
 	lastPing        messages.Ping
 	lastPingAt      cluster.Time
-	healthySince    cluster.Time // since when its pings say that it reaches the state service and its workers; 0: they do not
+	healthySince    cluster.Time // since when it has said that it reaches the state service and its workers; 0: it has not
 	lastPingError   string       // what was wrong with its last invalid ping
 	lastWriteSeenAt cluster.Time // when a record that it wrote was last seen
 
--- a/internal/membership/pings.go
+++ b/internal/membership/pings.go
@@ -59,7 +59,7 @@
 	from.hasAnswered, from.lastAnswerAt, from.suspected = true, m.loop.Now(), false
 	if from.unreachable {
 		from.unreachable = false
-		m.loop.Log(messages.LogInfo, "peer is back", "peer", string(from.id))
+		m.loop.Log(messages.LogInfo, "peer reachable again", "node", string(from.id))
 		m.handleReachabilityChange()
 	}
 	m.applyPing(from, ping)
--- /dev/null
+++ b/internal/membership/pings_test.go
@@ -0,0 +1,75 @@
+package membership
+
+import (
+	"errors"
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// TestAcknowledgementOfPresentProcess: only an answer acknowledges terms, and only
+// for the process that gave it.
+func TestAcknowledgementOfPresentProcess(t *testing.T) {
+	m := newTestMembers()
+	peer := m.Peer("n1")
+	ping := &messages.Ping{InstanceID: "b1", KnownTerms: []cluster.Term{4}}
+	if err := m.HandlePing(peer, ping); err != nil {
+		t.Fatal(err)
+	}
+	if got := peer.Acknowledgement(); got.SentAt != 0 || got.Terms != nil || got.InstanceSeenAt != 30*second {
+		t.Errorf("after its own ping: %+v", got)
+	}
+	m.advance(2 * second)
+	m.HandlePingReply(peer, ping, 31*second)
+	if got := peer.Acknowledgement(); got.SentAt != 31*second || len(got.Terms) != 1 || got.InstanceSeenAt != 30*second {
+		t.Errorf("after its answer: %+v", got)
+	}
+	if err := m.HandlePing(peer, &messages.Ping{InstanceID: "b2", KnownTerms: []cluster.Term{4}}); err != nil {
+		t.Fatal(err)
+	}
+	if got := peer.Acknowledgement(); got.SentAt != 0 || got.Terms != nil || got.InstanceSeenAt != 32*second {
+		t.Errorf("after its next process's ping: %+v", got)
+	}
+}
+
+// TestInvalidPingRefused: nothing of an invalid ping is taken in, and as an answer it
+// counts as a missed probe.
+func TestInvalidPingRefused(t *testing.T) {
+	m := newTestMembers()
+	invalid := &messages.Ping{InstanceID: "b1", KnownTerms: make([]cluster.Term, 8)}
+	var pingError *PingError
+	if err := m.HandlePing(m.Peer("n1"), invalid); !errors.As(err, &pingError) || pingError.Max != 7 {
+		t.Errorf("error %v", err)
+	}
+	if len(m.host.pingsFrom) > 0 || m.Peer("n1").instanceID != "" {
+		t.Error("an invalid ping was taken in")
+	}
+
+	m.Start()
+	call, ok := m.loop.Effects()[1].(messages.PeerCall) // after the log line
+	if !ok || call.To != "n1" {
+		t.Fatalf("effects %v", m.loop.Effects())
+	}
+	reply := messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Ping: invalid}}
+	m.loop.Deliver(messages.Reply{Call: call.Call, Body: reply})
+	if m.Peer("n1").HasAnswered() {
+		t.Error("an invalid ping counts as an answer")
+	}
+}
+
+// TestSenderOfOtherProtocolVersion: a message counts as a peer's only if it has this
+// release's protocol version and names a known node.
+func TestSenderOfOtherProtocolVersion(t *testing.T) {
+	m := newTestMembers()
+	for _, test := range []struct {
+		version int
+		from    cluster.NodeID
+		known   bool
+	}{{protocolVersion, "n1", true}, {protocolVersion - 1, "n1", false}, {protocolVersion, "n9", false}, {protocolVersion, "n0", false}} {
+		message := messages.PeerMessage{Version: test.version, From: test.from}
+		if got := m.Sender(&message) != nil; got != test.known {
+			t.Errorf("version %d from %s: known %v", test.version, test.from, got)
+		}
+	}
+}
--- a/internal/membership/pingvalidation.go
+++ b/internal/membership/pingvalidation.go
@@ -65,7 +65,7 @@
 	err := m.validatePing(ping)
 	if err != nil && from.lastPingError != err.Error() {
 		from.lastPingError = err.Error()
-		m.loop.Log(messages.LogInfo, "call makes no sense", "peer", string(from.id), "why", err.Error())
+		m.loop.Log(messages.LogInfo, "invalid ping", "node", string(from.id), "error", err.Error())
 	}
 	return err
 }
--- /dev/null
+++ b/internal/membership/process_test.go
@@ -0,0 +1,30 @@
+package membership
+
+import (
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// TestOverloadStretchesDelays: an overloaded process decides less often, but at least
+// each second.
+func TestOverloadStretchesDelays(t *testing.T) {
+	const delay = 100 * millisecond
+	for _, test := range []struct {
+		name string
+		load messages.ProcessLoad
+		want cluster.Time
+	}{
+		{"at the limits", messages.ProcessLoad{CPUUsage: 0.75, EventDelay: 150 * millisecond}, delay},
+		{"above that of the processor", messages.ProcessLoad{CPUUsage: 0.76}, 500 * millisecond},
+		{"above that of events", messages.ProcessLoad{EventDelay: 200 * millisecond}, 600 * millisecond},
+		{"far above", messages.ProcessLoad{EventDelay: 20 * second}, second},
+	} {
+		health := ProcessHealth{}
+		health.RecordLoad(test.load)
+		if got := health.StretchDelay(delay); got != test.want {
+			t.Errorf("%s: %d ms, want %d ms", test.name, got/millisecond, test.want/millisecond)
+		}
+	}
+}
