--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,6 +16,7 @@
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/reconcile"
 	"stairrelay/internal/writequeue"
 )
 
@@ -60,7 +61,7 @@
 	// Machines.
 	recordNames       recordNames
 	machineOwners     machineOwners
-	orphanedMachines  orphanedMachines
+	reconciler        *reconcile.Reconciler
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
 	scaleOutScheduled bool // a look for machines before the next regular one
@@ -78,7 +79,6 @@
 		state:              state.New(cfg.Nodes, cfg.Teams),
 		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
 		machineOwners:      machineOwners{},
-		orphanedMachines:   newOrphanedMachines(),
 		ownerQueries:       newOwnerQueries(),
 		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
@@ -88,6 +88,7 @@
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.reconciler = c.newReconciler()
 	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.updateCloudRate()
