--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -1,5 +1,7 @@
 package cluster
 
+import "slices"
+
 // JobSpec is what a user submitted, with the protocol's names gone. Its JSON
 // form is what jobs/<id> holds, hence the short names.
 type JobSpec struct {
@@ -59,3 +61,30 @@
 	WithinSeconds  float64
 	DeadlineFactor float64
 }
+
+// Deadline is when the job's user wants it done, in milliseconds of the time of
+// day; 0: there is no deadline.
+func (s *JobSpec) Deadline() float64 {
+	if s.DeadlineSeconds <= 0 {
+		return 0
+	}
+	return float64(s.SubmittedAt) + s.DeadlineSeconds*1000
+}
+
+// AllowsMachineType tells whether a machine of a type in a zone may run the job's
+// tasks and is large enough for one. Without a zone, any zone of the type counts.
+func (s *JobSpec) AllowsMachineType(t MachineType, zone string) bool {
+	if !s.ResourceRequest.FitsIn(t.Capacity) {
+		return false
+	}
+	if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, t.Name) {
+		return false
+	}
+	if s.Zone == "" {
+		return true
+	}
+	if zone == "" {
+		return slices.Contains(t.Zones, s.Zone)
+	}
+	return zone == s.Zone
+}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -364,7 +364,7 @@
 			c.applyAdmissionRecord(kv, nil)
 		}
 		s.appliedRevision, s.loaded = r.Revision, true
-		c.watchPrefix(admissionKeyPrefix, &s.appliedRevision, 2*second, func(kv messages.KV) { c.applyAdmissionRecord(kv, nil) }, c.loadAdmissions)
+		c.writeQueue.Watch(admissionKeyPrefix, &s.appliedRevision, 2*second, func(kv messages.KV) { c.applyAdmissionRecord(kv, nil) }, c.loadAdmissions)
 	})
 }
 
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -122,7 +122,7 @@
 func (b *controllerHarness) addTestJob(id cluster.JobID, tasks int) *state.Job {
 	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}}
 	j := state.NewJob(spec, 0, 0, b.loop.Now())
-	b.addOwnedJob(j)
+	b.state.AddOwnedJob(j)
 	b.state.Jobs.Known[id] = &state.KnownJob{ShardID: 0, Tasks: tasks, Team: "red"}
 	return j
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -32,7 +32,7 @@
 		return
 	}
 	k.Spec = spec
-	k.InheritUrgency(spec.Priority, jobDeadline(spec))
+	k.InheritUrgency(spec.Priority, spec.Deadline())
 	for _, d := range c.state.Jobs.Dependents[id] { // learned before it
 		c.propagateUrgency(d)
 	}
@@ -56,14 +56,6 @@
 	}
 }
 
-// jobDeadline is when a job's user wants it done, as time of day; 0: no deadline.
-func jobDeadline(s *cluster.JobSpec) float64 {
-	if s.DeadlineSeconds <= 0 {
-		return 0
-	}
-	return float64(s.SubmittedAt) + s.DeadlineSeconds*1000
-}
-
 // stageDelayMillis is what passes between the end of a job and the start of one
 // that awaits it, roughly, in milliseconds.
 const stageDelayMillis = 2000
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/json"
-	"slices"
-	"sort"
 	"strings"
 
 	"stairrelay/internal/state"
@@ -91,7 +89,7 @@
 // implied by that of one that it needs, only its own record has to follow.
 func (c *Controller) serveJob(j *state.Job, k *state.KnownJob, implied bool) {
 	j.EffectivePriority = max(j.EffectivePriority, k.EffectivePriority)
-	c.addOwnedJob(j)
+	c.state.AddOwnedJob(j)
 	if implied {
 		c.cancelWithDependency(j)
 		return
@@ -161,7 +159,7 @@
 }
 
 func (c *Controller) watchJobs() {
-	c.watchPrefix(state.JobKeyPrefix, &c.state.Jobs.AppliedRevision, 2*second, func(kv messages.KV) {
+	c.writeQueue.Watch(state.JobKeyPrefix, &c.state.Jobs.AppliedRevision, 2*second, func(kv messages.KV) {
 		c.recordPeerWrite(kv)
 		c.applyJobRecord(kv, nil)
 	}, c.loadJobs)
@@ -172,7 +170,7 @@
 	if kv.Value == nil {
 		return
 	}
-	boot := writeIDInstance(writequeue.WriteIDOf(kv.Value))
+	boot := writequeue.InstanceOf(writequeue.WriteIDOf(kv.Value))
 	for _, p := range c.peers {
 		if p.instanceID == boot {
 			p.lastWriteSeenAt = c.loop.Now()
@@ -180,25 +178,8 @@
 	}
 }
 
-func (c *Controller) addOwnedJob(j *state.Job) {
-	c.state.Jobs.Owned[j.Spec.ID] = j
-	p := c.state.Shards[j.ShardID]
-	i := sort.Search(len(p.Jobs), func(i int) bool { return p.Jobs[i].Spec.ID >= j.Spec.ID })
-	p.Jobs = slices.Insert(p.Jobs, i, j)
-	p.QueueOrder = nil
-}
-
-func (c *Controller) removeOwnedJob(j *state.Job) {
-	delete(c.state.Jobs.Owned, j.Spec.ID)
-	p := c.state.Shards[j.ShardID]
-	if i := slices.Index(p.Jobs, j); i >= 0 {
-		p.Jobs = slices.Delete(slices.Clone(p.Jobs), i, i+1) // somebody may be walking the old list
-		p.QueueOrder = slices.DeleteFunc(slices.Clone(p.QueueOrder), func(x *state.Job) bool { return x == j })
-	}
-}
-
 func (c *Controller) abandonJob(j *state.Job) {
-	c.removeOwnedJob(j)
+	c.state.RemoveOwnedJob(j)
 	for _, fn := range j.Waiters {
 		fn("")
 	}
@@ -246,14 +227,14 @@
 	}
 	c.schedulingTrigger.request()
 	if len(j.Assignments) == 0 {
-		c.removeOwnedJob(j)
+		c.state.RemoveOwnedJob(j)
 	}
 }
 
 // writeBackgroundState stores what can wait: outcomes of tasks whose job goes on, and
 // machine records that list more than they need to.
 func (c *Controller) writeBackgroundState() {
-	for _, j := range c.ownedJobs() {
+	for _, j := range c.state.OwnedJobs() {
 		if j.WriteQueued || j.FinalStatus != "" || j.RecordTooLarge || c.loop.Now() < j.NextCheckpointAt && len(c.writeQueue.Queued(writequeue.Start)) > 0 {
 			continue
 		}
@@ -268,11 +249,3 @@
 	c.cleanUpGroups()
 	c.checkShardProgress()
 }
-
-func (c *Controller) ownedJobs() []*state.Job {
-	var l []*state.Job
-	for _, p := range c.state.Shards {
-		l = append(l, p.Jobs...)
-	}
-	return l
-}
--- a/internal/controller/jobwrite.go
+++ b/internal/controller/jobwrite.go
@@ -182,7 +182,7 @@
 func (c *Controller) deleteLeftoverChunks(j *state.Job, wrote []int) {
 	for k := 1; k < len(j.ModRevisions); k++ {
 		if j.ModRevisions[k] != 0 && !slices.Contains(wrote, k) {
-			c.deleteKeyInBackground(c.state.Shards[j.ShardID], j.ChunkKey(k), j.ModRevisions[k])
+			c.writeQueue.DeleteInBackground(j.ShardID, j.ChunkKey(k), j.ModRevisions[k])
 		}
 	}
 }
--- a/internal/controller/machinegroups.go
+++ b/internal/controller/machinegroups.go
@@ -475,18 +475,6 @@
 	return cluster.Revision(n), err == nil
 }
 
-// deleteKeyInBackground removes a part's key when there is time.
-func (c *Controller) deleteKeyInBackground(p *state.Shard, key string, mark cluster.ModRevision) {
-	c.writeQueue.Enqueue(writequeue.Background, &writequeue.Write{
-		ShardID: p.ID, Keys: []string{key},
-		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
-			return []messages.TxnOp{{Key: key, Value: nil}}, []cluster.ModRevision{mark}
-		},
-		OnApplied:  func(cluster.Revision) {},
-		OnConflict: func() {},
-	})
-}
-
 // applyRecordedTask takes in a task that an earlier holder's record lists. It returns
 // what makes no sense about it.
 func (c *Controller) applyRecordedTask(m *state.Machine, t grouprecord.Task, p *state.Shard) string {
@@ -501,7 +489,7 @@
 		case k.FinalStatus == cluster.JobCancelled:
 			j = state.NewJob(cluster.JobSpec{ID: jid, Team: k.Team, ResourceRequest: k.ResourceRequest, Tasks: k.Tasks}, p.ID, 0, c.loop.Now())
 			j.FinalStatus, j.Cancelling = cluster.JobCancelled, true
-			c.addOwnedJob(j)
+			c.state.AddOwnedJob(j)
 		default:
 			return "" // done: what the worker still shows is reaped
 		}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -97,7 +97,7 @@
 		}
 	}
 	if j.FinalStatus != "" && len(j.Assignments) == 0 && c.state.Jobs.Owns(j) {
-		c.removeOwnedJob(j)
+		c.state.RemoveOwnedJob(j)
 	}
 	c.schedulingTrigger.request()
 }
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -75,11 +75,11 @@
 	if len(c.makePing(home).FailbackOffers) != 1 {
 		t.Error("a part without work is not offered to its home")
 	}
-	c.addOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.ID, 0, 0))
+	c.state.AddOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.ID, 0, 0))
 	if len(c.makePing(home).FailbackOffers) != 0 {
 		t.Error("the only part with work is offered to its home")
 	}
-	c.addOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.ID, 0, 0))
+	c.state.AddOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.ID, 0, 0))
 	if len(c.makePing(home).FailbackOffers) != 1 {
 		t.Error("one of two parts with work is not offered to its home")
 	}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -21,7 +21,7 @@
 		Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
 	p := c.state.Shards[0]
 	j := state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
-	c.addOwnedJob(j)
+	c.state.AddOwnedJob(j)
 	g := c.newGroup(p, "g", 1)
 	put := func(m *state.Machine, i int, ph state.AssignmentPhase) {
 		a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: i}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Phase: ph}
--- a/internal/controller/queueorder.go
+++ b/internal/controller/queueorder.go
@@ -41,7 +41,7 @@
 			consider(at + o.WithinSeconds*1000)
 		}
 	}
-	if k := c.state.Jobs.Known[j.Spec.ID]; k != nil && k.EffectiveDeadline > 0 && k.EffectiveDeadline != jobDeadline(&j.Spec) { // of a job that needs it
+	if k := c.state.Jobs.Known[j.Spec.ID]; k != nil && k.EffectiveDeadline > 0 && k.EffectiveDeadline != j.Spec.Deadline() { // of a job that needs it
 		consider(k.EffectiveDeadline - run)
 	}
 	if !known {
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -165,7 +165,7 @@
 	if j.Spec.Colocate && !isOnlyZone(c.countTasksByZone(j), o.Zone) {
 		return false
 	}
-	return (j.Spec.Spot || !o.Spot) && c.isTypeAllowed(&j.Spec, c.state.MachineTypes[o.Type], o.Zone)
+	return (j.Spec.Spot || !o.Spot) && j.Spec.AllowsMachineType(c.state.MachineTypes[o.Type], o.Zone)
 }
 
 // idleMachines lists the machines of a part that another may take.
--- a/internal/controller/schedule.go
+++ b/internal/controller/schedule.go
@@ -150,7 +150,7 @@
 	allowed := make([]bool, len(kinds))
 	any := false
 	for i, k := range kinds {
-		allowed[i] = (j.Spec.Spot || !k.Spot) && c.isTypeAllowed(&j.Spec, c.state.MachineTypes[k.Type], k.Zone)
+		allowed[i] = (j.Spec.Spot || !k.Spot) && j.Spec.AllowsMachineType(c.state.MachineTypes[k.Type], k.Zone)
 		any = any || allowed[i]
 	}
 	limit := c.state.Teams[j.Spec.Team].QuotaLimit.Minus(kept)
@@ -323,5 +323,5 @@
 
 func (c *Controller) isAllowedOn(j *state.Job, m *state.Machine) bool {
 	s := &j.Spec
-	return (s.Spot || !m.Spot) && c.isTypeAllowed(s, c.state.MachineTypes[m.MachineType], m.Zone) && !c.shouldAvoid(j, m)
+	return (s.Spot || !m.Spot) && s.AllowsMachineType(c.state.MachineTypes[m.MachineType], m.Zone) && !c.shouldAvoid(j, m)
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -27,8 +27,8 @@
 		}
 		old := state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 4_000_000}, CheckpointSeconds: 10, SubmittedAt: at}, 0, 0, 0)
 		urgent := state.NewJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 4_000_000}, Priority: cluster.Urgent, SubmittedAt: c.loop.WallTime()}, 0, 0, 0)
-		c.addOwnedJob(old)
-		c.addOwnedJob(urgent)
+		c.state.AddOwnedJob(old)
+		c.state.AddOwnedJob(urgent)
 		a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: 0}, Job: old, ResourceRequest: old.Spec.ResourceRequest, MachineID: "m-1", Phase: state.PhaseAcknowledged, State: cluster.Running}
 		m.AddAssignment(a)
 		old.SetAssigned(0, a)
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -9,7 +9,6 @@
 
 	"stairrelay/internal/state"
 
-	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
 
@@ -47,28 +46,7 @@
 }
 
 func (c *Controller) watchShards() {
-	c.watchPrefix("parts/", &c.shardsRevision, second/10, c.applyShardRecord, c.loadShards)
-}
-
-// watchPrefix watches the keys with a prefix from a revision on, at a pace that
-// gathers changes; reload is called when the revision is too old.
-func (c *Controller) watchPrefix(prefix string, since *cluster.Revision, pace cluster.Time, learn func(messages.KV), reload func()) {
-	c.loop.Emit(messages.StoreWatch{Call: eventloop.Call(c.loop, func(r messages.WatchReply) {
-		again := func() { c.watchPrefix(prefix, since, pace, learn, reload) }
-		switch r.Outcome {
-		case messages.OK:
-			for _, kv := range r.Items {
-				learn(kv)
-			}
-			*since = max(*since, r.Revision)
-			c.loop.After(pace, again)
-		case messages.Compacted:
-			c.loop.Log(messages.LogInfo, "changes missed, reading all keys again", "prefix", prefix, "since", uint64(*since))
-			c.loop.After(pace, reload)
-		default:
-			c.loop.After(second, again)
-		}
-	}), Prefix: prefix, SinceRevision: *since, Timeout: 20 * second})
+	c.writeQueue.Watch("parts/", &c.shardsRevision, second/10, c.applyShardRecord, c.loadShards)
 }
 
 func (c *Controller) applyShardRecord(kv messages.KV) {
@@ -89,23 +67,16 @@
 	if kv.ModRevision <= p.ModRevision {
 		return
 	}
-	if p.Owned && writeIDInstance(rec.WriteID) != c.config.InstanceID {
+	if p.Owned && writequeue.InstanceOf(rec.WriteID) != c.config.InstanceID {
 		c.handleDeposed(p.ID)
 	}
-	if p.Acquiring && writeIDInstance(rec.WriteID) == c.config.InstanceID {
+	if p.Acquiring && writequeue.InstanceOf(rec.WriteID) == c.config.InstanceID {
 		return // our own claim, seen before its answer
 	}
 	p.ModRevision, p.Owner, p.Term, p.FailbackOffered = kv.ModRevision, rec.Owner, rec.Term, false
 	p.RecordOwnerChange(c.loop.Now())
 }
 
-func writeIDInstance(w string) string {
-	if i := strings.LastIndexByte(w, '-'); i > 0 {
-		return w[:i]
-	}
-	return w
-}
-
 func (c *Controller) rereadShard(p *state.Shard) {
 	begun := c.loop.Now()
 	c.writeQueue.ReadKey(p.Key(), func(r messages.GetReply) {
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -205,36 +205,9 @@
 		return messages.ReplyUnschedulable
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.state.MachineTypes)) {
-		if c.isTypeAllowed(s, c.state.MachineTypes[name], "") {
+		if s.AllowsMachineType(c.state.MachineTypes[name], "") {
 			return 0
 		}
 	}
 	return messages.ReplyUnschedulable
 }
-
-// isTypeAllowed tells whether a type, and with it one of its zones, is allowed for a
-// job's tasks and large enough for one.
-func (c *Controller) isTypeAllowed(s *cluster.JobSpec, t cluster.MachineType, zone string) bool {
-	if !s.ResourceRequest.FitsIn(t.Capacity) {
-		return false
-	}
-	if len(s.MachineTypes) > 0 && !containsString(s.MachineTypes, t.Name) {
-		return false
-	}
-	if s.Zone == "" {
-		return true
-	}
-	if zone == "" {
-		return containsString(t.Zones, s.Zone)
-	}
-	return zone == s.Zone
-}
-
-func containsString(l []string, s string) bool {
-	for _, x := range l {
-		if x == s {
-			return true
-		}
-	}
-	return false
-}
--- /dev/null
+++ b/internal/state/ownedjobs.go
@@ -0,0 +1,37 @@
+package state
+
+import (
+	"slices"
+	"sort"
+)
+
+// AddOwnedJob adds a job to those of its owned shard, which are sorted by id.
+func (s *State) AddOwnedJob(job *Job) {
+	s.Jobs.Owned[job.Spec.ID] = job
+	shard := s.Shards[job.ShardID]
+	i := sort.Search(len(shard.Jobs), func(i int) bool { return shard.Jobs[i].Spec.ID >= job.Spec.ID })
+	shard.Jobs = slices.Insert(shard.Jobs, i, job)
+	shard.QueueOrder = nil
+}
+
+// RemoveOwnedJob removes a job from its shard. The shard's lists are copied first,
+// as a caller may be iterating over the old ones.
+func (s *State) RemoveOwnedJob(job *Job) {
+	delete(s.Jobs.Owned, job.Spec.ID)
+	shard := s.Shards[job.ShardID]
+	i := slices.Index(shard.Jobs, job)
+	if i < 0 {
+		return
+	}
+	shard.Jobs = slices.Delete(slices.Clone(shard.Jobs), i, i+1)
+	shard.QueueOrder = slices.DeleteFunc(slices.Clone(shard.QueueOrder), func(other *Job) bool { return other == job })
+}
+
+// OwnedJobs lists the jobs of all owned shards, by shard and id.
+func (s *State) OwnedJobs() []*Job {
+	var jobs []*Job
+	for _, shard := range s.Shards {
+		jobs = append(jobs, shard.Jobs...)
+	}
+	return jobs
+}
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -321,3 +321,17 @@
 	call := eventloop.Call(q.loop, func(reply messages.TxnReply) { q.handleReply(t, reply) })
 	q.loop.Emit(messages.StoreTxn{Call: call, If: t.compares, Then: t.operations})
 }
+
+// DeleteInBackground removes a key of a shard, unless it has changed since a mod
+// revision. Nothing follows from the outcome.
+func (q *Queue) DeleteInBackground(shard cluster.ShardID, key string, modRevision cluster.ModRevision) {
+	q.Enqueue(Background, &Write{
+		ShardID: shard,
+		Keys:    []string{key},
+		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+			return []messages.TxnOp{{Key: key, Value: nil}}, []cluster.ModRevision{modRevision}
+		},
+		OnApplied:  func(cluster.Revision) {},
+		OnConflict: func() {},
+	})
+}
--- a/internal/writequeue/write.go
+++ b/internal/writequeue/write.go
@@ -11,6 +11,7 @@
 
 import (
 	"encoding/json"
+	"strings"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
@@ -98,6 +99,14 @@
 	return record.WriteID
 }
 
+// InstanceOf is the instance of the controller process that made a write id.
+func InstanceOf(writeID string) string {
+	if i := strings.LastIndexByte(writeID, '-'); i > 0 {
+		return writeID[:i]
+	}
+	return writeID
+}
+
 // transaction is what is sent to the state service: writes with one outcome.
 type transaction struct {
 	writes         []*Write
