--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,6 +14,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
 )
@@ -36,14 +37,14 @@
 	counters   Counters
 
 	// How this node fares.
-	processHealth      processHealth
-	livenessKey        nodeLiveness
-	workerReachability workerReachability
+	processHealth      *membership.ProcessHealth
+	workerReachability *membership.WorkerReachability
 
 	// The other controllers.
-	peers           map[cluster.NodeID]*peer
-	versionRegistry versionRegistry
-	ownerQueries    ownerQueries
+	members            *membership.Members
+	ownerQueries       ownerQueries
+	jobNotices         jobNotices
+	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
 	ownershipChecks   []ownershipChecks // by shard
@@ -72,25 +73,23 @@
 // New makes a Core. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
-		config:           cfg,
-		loop:             eventloop.New(),
-		state:            state.New(cfg.Nodes, cfg.Teams),
-		admissions:       admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:    machineOwners{},
-		orphanedMachines: newOrphanedMachines(),
-		peers:            map[cluster.NodeID]*peer{},
-		ownerQueries:     newOwnerQueries(),
-		classStats:       map[string]*classStats{},
+		config:             cfg,
+		loop:               eventloop.New(),
+		state:              state.New(cfg.Nodes, cfg.Teams),
+		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
+		machineOwners:      machineOwners{},
+		orphanedMachines:   newOrphanedMachines(),
+		ownerQueries:       newOwnerQueries(),
+		jobNotices:         jobNotices{},
+		attemptedTransfers: attemptedTransfers{},
+		processHealth:      &membership.ProcessHealth{},
+		classStats:         map[string]*classStats{},
 	}
-	c.versionRegistry = newVersionRegistry(cfg.Self)
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
+	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
+	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
 	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
-	for i := range cfg.Nodes {
-		if n := cfg.Nodes[i]; n != cfg.Self {
-			c.peers[n] = &peer{id: n}
-		}
-	}
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
 	c.cloudListing.nextReadAt = c.firstCloudListAt()
@@ -100,7 +99,7 @@
 
 // Step takes one event and returns what is to be done about it.
 func (c *Controller) Step(now cluster.Time, wall cluster.WallTime, ev messages.Event) []messages.Effect {
-	paused := now-c.loop.Now() > processPauseThreshold
+	paused := membership.IsPause(now - c.loop.Now())
 	c.loop.Begin(now, wall)
 	if _, started := c.loop.NextWake(); paused && started {
 		c.handleProcessPause()
@@ -124,7 +123,7 @@
 	case messages.PeerRequest:
 		c.handlePeerRequest(e)
 	case messages.ProcessLoad:
-		c.processHealth.load = e
+		c.processHealth.RecordLoad(e)
 	case messages.Reply:
 		c.loop.Deliver(e)
 	}
@@ -140,7 +139,7 @@
 func (c *Controller) flush() {
 	switch c.schedulingTrigger.check(c.loop.Now()) {
 	case scheduleNow:
-		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.stretchDelay(schedulingInterval))
+		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.StretchDelay(schedulingInterval))
 		c.scheduleOwnedShards()
 	case scheduleLater:
 		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
@@ -158,11 +157,7 @@
 // startLoops starts everything that runs on its own.
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
-	for _, n := range c.config.Nodes {
-		if p := c.peers[n]; p != nil {
-			c.startFailureDetector(p)
-		}
-	}
+	c.members.Start()
 	c.loadShards()
 	c.loadJobs()
 	c.loadAdmissions()
@@ -173,8 +168,8 @@
 	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
 	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
 	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
-	c.loop.Every(eventloop.FixedInterval(2*second), c.probeWorker)
-	c.loop.Every(eventloop.FixedInterval(2*second), c.refreshNodeLiveness)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
 	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
 	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -170,12 +170,7 @@
 	if kv.Value == nil {
 		return
 	}
-	boot := writequeue.InstanceOf(writequeue.WriteIDOf(kv.Value))
-	for _, p := range c.peers {
-		if p.instanceID == boot {
-			p.lastWriteSeenAt = c.loop.Now()
-		}
-	}
+	c.members.RecordWrite(writequeue.InstanceOf(writequeue.WriteIDOf(kv.Value)))
 }
 
 func (c *Controller) abandonJob(j *state.Job) {
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -31,7 +31,7 @@
 // maintainMachines looks after the machines: raises tokens, gives up the silent,
 // returns the idle and replaces slow boots.
 func (c *Controller) maintainMachines() {
-	reporting := c.workerReachability.hasOwnedHeartbeatWithin(c.loop.Now(), c.config.HeartbeatInterval)
+	reporting := c.workerReachability.HasOwnedHeartbeatWithin(c.config.HeartbeatInterval)
 	var ms []*state.Machine
 	for _, p := range c.state.Shards {
 		if p.Owned && p.Ready {
@@ -121,7 +121,7 @@
 	if m.TokenAcknowledged || m.RaisingToken || m.Incarnation == 0 {
 		return false
 	}
-	unacked := c.loop.Now() - max(m.UnacknowledgedSince, c.processHealth.resumedAt)
+	unacked := c.loop.Now() - max(m.UnacknowledgedSince, c.processHealth.ResumedAt())
 	return unacked > c.config.WorkerLease+5*second && c.heartbeatAge(m) < 3*c.config.WorkerLease && c.loop.Now()-m.OwnedSince > c.config.WorkerLease
 }
 
@@ -199,10 +199,10 @@
 	if !m.AwaitingFirstAcknowledgement {
 		return false
 	}
-	if c.loop.Now()-max(m.OwnedSince, c.processHealth.resumedAt) > c.firstAcknowledgementTimeout() {
+	if c.loop.Now()-max(m.OwnedSince, c.processHealth.ResumedAt()) > c.firstAcknowledgementTimeout() {
 		return true
 	}
-	return c.hasLongCancelledTask(m) && m.PushInFlight && c.loop.Now()-max(m.LastPushAt, c.processHealth.resumedAt) > slowPushThreshold
+	return c.hasLongCancelledTask(m) && m.PushInFlight && c.loop.Now()-max(m.LastPushAt, c.processHealth.ResumedAt()) > slowPushThreshold
 }
 
 // slowPushThreshold is well above what a call takes to a machine that runs.
