--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -47,10 +47,6 @@
 // inventoryJobs implements inventory.Jobs.
 type inventoryJobs struct{ controller *Controller }
 
-func (a inventoryJobs) AddOwned(job *state.Job) { a.controller.addOwnedJob(job) }
-
-func (a inventoryJobs) RemoveOwned(job *state.Job) { a.controller.removeOwnedJob(job) }
-
 func (a inventoryJobs) Abandon(job *state.Job) { a.controller.abandonJob(job) }
 
 // inventoryWorkers implements inventory.Workers.
--- a/internal/controller/jobwrite.go
+++ b/internal/controller/jobwrite.go
@@ -182,7 +182,7 @@
 func (c *Controller) deleteLeftoverChunks(j *state.Job, wrote []int) {
 	for k := 1; k < len(j.ModRevisions); k++ {
 		if j.ModRevisions[k] != 0 && !slices.Contains(wrote, k) {
-			c.deleteKeyInBackground(c.state.Shards[j.ShardID], j.ChunkKey(k), j.ModRevisions[k])
+			c.writeQueue.DeleteInBackground(j.ShardID, j.ChunkKey(k), j.ModRevisions[k])
 		}
 	}
 }
@@ -207,15 +207,3 @@
 		}
 	})
 }
-
-// deleteKeyInBackground removes a shard's key when there is time.
-func (c *Controller) deleteKeyInBackground(shard *state.Shard, key string, modRevision cluster.ModRevision) {
-	c.writeQueue.Enqueue(writequeue.Background, &writequeue.Write{
-		ShardID: shard.ID, Keys: []string{key},
-		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
-			return []messages.TxnOp{{Key: key, Value: nil}}, []cluster.ModRevision{modRevision}
-		},
-		OnApplied:  func(cluster.Revision) {},
-		OnConflict: func() {},
-	})
-}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -51,10 +51,6 @@
 
 // Jobs is what the inventory needs of the jobs of the owned shards.
 type Jobs interface {
-	// AddOwned takes a job in.
-	AddOwned(*state.Job)
-	// RemoveOwned forgets a finished job none of whose tasks is on a machine.
-	RemoveOwned(*state.Job)
 	// Abandon forgets a job whose shard is not owned, or is loaded again.
 	Abandon(*state.Job)
 }
--- a/internal/inventory/load.go
+++ b/internal/inventory/load.go
@@ -144,7 +144,7 @@
 	spec := cluster.JobSpec{ID: id, Team: known.Team, ResourceRequest: known.ResourceRequest, Tasks: known.Tasks}
 	job := state.NewJob(spec, shard.ID, 0, inv.loop.Now())
 	job.FinalStatus, job.Cancelling = cluster.JobCancelled, true
-	inv.jobs.AddOwned(job)
+	inv.state.AddOwnedJob(job)
 	return job
 }
 
--- a/internal/inventory/machines.go
+++ b/internal/inventory/machines.go
@@ -58,7 +58,7 @@
 	job := assignment.Job
 	job.Unassign(assignment)
 	if job.FinalStatus != "" && len(job.Assignments) == 0 && inv.state.Jobs.Owns(job) {
-		inv.jobs.RemoveOwned(job)
+		inv.state.RemoveOwnedJob(job)
 	}
 	inv.scheduler.RequestScheduling()
 }
