--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster holds the values that all packages share: ids, times, amounts
-// and resources, and the descriptions of jobs, machines and workers. It imports
-// no other package of the module.
+// Package cluster defines the values that all packages share: identifiers, times,
+// amounts and resources, and the descriptions of jobs, machines and workers. It
+// imports no other package of the module.
 package cluster
 
 import (
@@ -10,39 +10,47 @@
 	"time"
 )
 
-// Small types of their own, so that a token can't be passed for an attempt.
+// The identifiers, counters and quantities are types of their own, so that the
+// compiler refuses, for example, a fencing token where an attempt is expected.
 type (
-	// JobID is the id that a job's user chose.
+	// JobID is the id that a user chose for a job.
 	JobID string
 	// MachineID is the cloud's name for a machine.
 	MachineID string
-	// NodeID names a controller.
+	// NodeID is the host name of a controller.
 	NodeID string
-	// ShardID numbers a part: a set of teams and some machines with one owner.
+	// ShardID is the number of a shard: a set of teams and machines that one
+	// controller owns at a time. Shards are numbered from 0.
 	ShardID int
-	// Revision is the state service's change counter.
+	// Revision is the state service's counter of changes.
 	Revision uint64
-	// ModRevision is the revision of a key's last change; 0 means the key is absent.
+	// ModRevision is the revision of a key's last change; 0 means that the key is
+	// absent.
 	ModRevision uint64
-	// FencingToken says to a worker who is entitled to command it.
+	// FencingToken tells a worker which controller may command it: a worker
+	// refuses commands with a lower token than the highest that it has seen.
 	FencingToken uint64
-	// Attempt distinguishes the starts of one task.
+	// Attempt identifies one start of a task. It consists of the shard claim under
+	// which the task was started and a count; see NewAttempt.
 	Attempt uint64
-	// Incarnation counts a worker's lives; it rises when its lease runs out.
+	// Incarnation distinguishes the lives of a worker: it rises when the worker's
+	// lease runs out.
 	Incarnation uint64
-	// SequenceNumber orders a worker's messages within a session.
+	// SequenceNumber orders the heartbeats of one incarnation of a worker.
 	SequenceNumber uint64
-	// Term counts the claims of a part.
+	// Term counts the claims of a shard; a later owner has a higher term.
 	Term uint64
-	// Time is the steady clock, counted from the process's start.
+	// Time is the process's steady clock: nanoseconds since the process started.
 	Time time.Duration
-	// WallTime is time of day in milliseconds; used for display and ordering only.
+	// WallTime is the time of day in milliseconds since 1970. It is used for
+	// display and ordering only, as the clocks of controllers may differ.
 	WallTime int64
-	// Amount is a resource quantity in millionths, so that sums are exact.
+	// Amount is a resource quantity in millionths of a CPU, GPU or GB. Whole
+	// numbers keep sums exact.
 	Amount int64
 )
 
-// Units of Time.
+// Millisecond and Second are units of Time.
 const (
 	Millisecond = Time(time.Millisecond)
 	Second      = Time(time.Second)
@@ -51,43 +59,50 @@
 // Seconds returns the time in seconds.
 func (t Time) Seconds() float64 { return time.Duration(t).Seconds() }
 
-// AttemptCountBits is how many bits of an attempt count the starts under one
-// claim of a part. The bits above them are the claim, or a later store change of
-// the same holder once the claim's numbers are used up.
+// AttemptCountBits is the number of low bits of an Attempt that count the starts
+// under one shard claim. The bits above them hold the revision at which the shard
+// was acquired, or that of a later change by the same owner once the counts of the
+// claim are used up.
 const AttemptCountBits = 20
 
-// MaxAttemptCount is the largest count of an attempt.
+// MaxAttemptCount is the largest count that an Attempt can hold.
 const MaxAttemptCount = 1<<AttemptCountBits - 1
 
-// NewAttempt numbers a start under the claim that a store change made.
+// NewAttempt returns the attempt with a count, from 0 to MaxAttemptCount, under the
+// shard claim that was made at a revision of the store.
 func NewAttempt(claim, count uint64) Attempt { return Attempt(claim<<AttemptCountBits | count) }
 
-// Claim returns the claim under which the attempt was numbered.
+// Claim returns the revision of the shard claim under which the attempt was counted.
 func (a Attempt) Claim() uint64 { return uint64(a) >> AttemptCountBits }
 
-// Count returns the attempt's number among those of its claim.
-func (a Attempt) Count() uint64 { return uint64(a) & (1<<AttemptCountBits - 1) }
+// Count returns the attempt's count among those of its claim.
+func (a Attempt) Count() uint64 { return uint64(a) & MaxAttemptCount }
 
-// NoShard is for writes that no claim guards.
+// NoShard stands for a write that belongs to no shard, so that no shard claim
+// guards it.
 const NoShard ShardID = -1
 
-// AmountsPerUnit is how many Amounts make one CPU, GPU or GB.
+// AmountsPerUnit is the number of Amounts in one CPU, GPU or GB.
 const AmountsPerUnit = 1_000_000
 
-// floorTolerance makes up for binary fractions: 0.3 of a CPU is 300,000
-// millionths though 0.3*1e6 may come out a little below that.
+// floorTolerance, in millionths, compensates for binary fractions: 0.3 CPUs are
+// 300,000 millionths although the product 0.3*1e6 may be a little less.
 const floorTolerance = 1e-4
 
-// FloorAmount turns a stated quantity that must not be exceeded into an Amount.
-func FloorAmount(x float64) Amount { return Amount(math.Floor(x*AmountsPerUnit + floorTolerance)) }
+// FloorAmount converts a quantity in CPUs, GPUs or GB to an Amount and rounds down,
+// so that a stated limit is never exceeded.
+func FloorAmount(quantity float64) Amount {
+	return Amount(math.Floor(quantity*AmountsPerUnit + floorTolerance))
+}
 
-// NoLimit is the limit of a team that has none. Sums with it don't overflow.
+// NoLimit is the quota limit of a team that has none. It is far enough below the
+// largest Amount that sums of a few limits do not overflow.
 const NoLimit Amount = math.MaxInt64 / 4
 
-// Priority of a job, higher is more important.
+// Priority is the importance of a job; a higher one is served first.
 type Priority int
 
-// The priorities, least first.
+// The priorities, the least important first.
 const (
 	BestEffort Priority = iota
 	Normal
@@ -95,24 +110,25 @@
 	Production
 )
 
-// TaskID is one task of a job.
+// TaskID identifies one task of a job. Index counts from 0.
 type TaskID struct {
 	Job   JobID
 	Index int
 }
 
-// String returns the task's id as job/index.
+// String returns the id in the form job/index.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads the form that String writes.
-func ParseTaskID(s string) (TaskID, bool) {
-	i := strings.LastIndexByte(s, '/')
-	if i <= 0 {
+// ParseTaskID parses the form that String returns; it reports false for any other
+// text. A job's id may contain slashes, so the last one separates the index.
+func ParseTaskID(text string) (TaskID, bool) {
+	separator := strings.LastIndexByte(text, '/')
+	if separator <= 0 {
 		return TaskID{}, false
 	}
-	n, err := strconv.Atoi(s[i+1:])
-	if err != nil || n < 0 {
+	index, err := strconv.Atoi(text[separator+1:])
+	if err != nil || index < 0 {
 		return TaskID{}, false
 	}
-	return TaskID{JobID(s[:i]), n}, true
+	return TaskID{Job: JobID(text[:separator]), Index: index}, true
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -2,48 +2,60 @@
 
 import "testing"
 
-// TestParseTask: what String writes is read back, job ids with slashes too.
-func TestParseTask(t *testing.T) {
+// TestParseTaskID checks that what String returns is parsed to the same id, also
+// where the job's id contains slashes, and that other texts are refused.
+func TestParseTaskID(t *testing.T) {
 	for _, want := range []TaskID{{"j-1", 0}, {"a/b", 17}, {"/", 3}} {
 		if got, ok := ParseTaskID(want.String()); !ok || got != want {
-			t.Errorf("%q came back as %v, %v", want.String(), got, ok)
+			t.Errorf("%q was parsed as %v, %v", want.String(), got, ok)
 		}
 	}
-	for _, bad := range []string{"", "j-1", "/3", "j-1/", "j-1/x", "j-1/-1"} {
-		if got, ok := ParseTaskID(bad); ok {
-			t.Errorf("%q was read as %v", bad, got)
+	for _, malformed := range []string{"", "j-1", "/3", "j-1/", "j-1/x", "j-1/-1"} {
+		if got, ok := ParseTaskID(malformed); ok {
+			t.Errorf("%q was parsed as %v", malformed, got)
 		}
 	}
 }
 
-// TestFloorAmount: decimal fractions keep their value, and nothing is rounded up.
+// TestFloorAmount checks that decimal fractions keep their value and that nothing
+// is rounded up.
 func TestFloorAmount(t *testing.T) {
-	for stated, want := range map[float64]Amount{0: 0, 0.3: 300_000, 1.1: 1_100_000, 2.0000009: 2_000_000, 64: 64_000_000, 4.35: 4_350_000} {
-		if got := FloorAmount(stated); got != want {
-			t.Errorf("%v gave %d, want %d", stated, got, want)
+	for quantity, want := range map[float64]Amount{
+		0:         0,
+		0.3:       300_000,
+		1.1:       1_100_000,
+		4.35:      4_350_000,
+		2.0000009: 2_000_000,
+		64:        64_000_000,
+	} {
+		if got := FloorAmount(quantity); got != want {
+			t.Errorf("FloorAmount(%v) = %d, want %d", quantity, got, want)
 		}
 	}
 	if NoLimit+NoLimit+NoLimit < NoLimit {
-		t.Error("sums with NoLimit overflow")
+		t.Error("a sum of three NoLimit overflows")
 	}
 }
 
-// TestSeconds: Time counts nanoseconds.
+// TestSeconds checks that Time counts nanoseconds.
 func TestSeconds(t *testing.T) {
-	if s := (3*Second + 250*Millisecond).Seconds(); s != 3.25 {
-		t.Errorf("3.25 s came out as %v", s)
+	if got := (3*Second + 250*Millisecond).Seconds(); got != 3.25 {
+		t.Errorf("Seconds() = %v, want 3.25", got)
 	}
 }
 
-// TestAttempt: an attempt shows its claim and its number, and a later claim's
-// are higher than all of an earlier one.
+// TestAttempt checks that an attempt contains its claim and its count, and that the
+// attempts of a later claim are higher than all of an earlier one.
 func TestAttempt(t *testing.T) {
-	const most = 1<<AttemptCountBits - 1
-	a, b := NewAttempt(41, most), NewAttempt(42, 0)
-	if a.Claim() != 41 || a.Count() != most || b.Claim() != 42 || b.Count() != 0 {
-		t.Errorf("%d is claim %d, count %d; %d is claim %d, count %d", a, a.Claim(), a.Count(), b, b.Claim(), b.Count())
+	const maxCount = 1<<AttemptCountBits - 1
+	last, next := NewAttempt(41, maxCount), NewAttempt(42, 0)
+	if last.Claim() != 41 || last.Count() != maxCount {
+		t.Errorf("%d is count %d of claim %d, want %d of 41", last, last.Count(), last.Claim(), maxCount)
 	}
-	if b != a+1 {
-		t.Errorf("%d doesn't follow %d", b, a)
+	if next.Claim() != 42 || next.Count() != 0 {
+		t.Errorf("%d is count %d of claim %d, want 0 of 42", next, next.Count(), next.Claim())
+	}
+	if next != last+1 {
+		t.Errorf("the first attempt of the next claim is %d, want %d", next, last+1)
 	}
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -1,30 +1,31 @@
 package cluster
 
-// JobSpec is what a user submitted, with the protocol's names gone. Its JSON
-// form is what jobs/<id> holds, hence the short names.
+// JobSpec describes a job as its user submitted it. Its JSON form is stored under
+// jobs/<id>: the short field names keep the record small and must not change.
 type JobSpec struct {
-	ID                JobID     `json:"-"`
-	Class             string    `json:"c"`
+	ID                JobID     `json:"-"` // part of the key, not of the record
+	Class             string    `json:"c"` // service-level objectives apply to a class
 	Team              string    `json:"tm"`
 	Priority          Priority  `json:"pr"`
-	Tasks             int       `json:"n"`
-	ResourceRequest   Resources `json:"r"`
-	MachineTypes      []string  `json:"ty,omitempty"`
+	Tasks             int       `json:"n"`            // number of tasks, all alike
+	ResourceRequest   Resources `json:"r"`            // of each task
+	MachineTypes      []string  `json:"ty,omitempty"` // names of those that suit; none: all
 	Zone              string    `json:"z,omitempty"`
-	Colocate          bool      `json:"sp,omitempty"`
-	Spread            bool      `json:"sc,omitempty"`
-	Spot              bool      `json:"so,omitempty"`
+	Colocate          bool      `json:"sp,omitempty"` // affinity: all tasks in the same zone
+	Spread            bool      `json:"sc,omitempty"` // anti-affinity: at most half of the tasks in one zone
+	Spot              bool      `json:"so,omitempty"` // may run on spot machines
 	Image             string    `json:"im"`
 	ImageGB           float64   `json:"gb"`
-	RuntimeSeconds    float64   `json:"rt"`
-	CheckpointSeconds float64   `json:"ck,omitempty"`
-	SaveSeconds       float64   `json:"sv,omitempty"`
-	DeadlineSeconds   float64   `json:"dl,omitempty"`
+	RuntimeSeconds    float64   `json:"rt"`           // of one task, as its user expects it
+	CheckpointSeconds float64   `json:"ck,omitempty"` // interval of task checkpoints; 0: none
+	SaveSeconds       float64   `json:"sv,omitempty"` // that writing a checkpoint takes
+	DeadlineSeconds   float64   `json:"dl,omitempty"` // after the submission; 0: none
 	SubmittedAt       WallTime  `json:"at"`
-	Dependencies      []JobID   `json:"aw,omitempty"` // have to be done before any task of this one starts
+	Dependencies      []JobID   `json:"aw,omitempty"` // jobs that must be done before a task of this one starts
 }
 
-// JobStatus is a job's state as users see it.
+// JobStatus is the state of a job as users see it. Its values are part of the
+// protocol.
 type JobStatus string
 
 // The states of a job.
@@ -35,10 +36,11 @@
 	JobCancelled JobStatus = "cancelled"
 )
 
-// IsFinal tells whether the status can never change again.
+// IsFinal reports whether the status can never change again.
 func (s JobStatus) IsFinal() bool { return s == JobDone || s == JobCancelled }
 
-// JobView answers a question about a job.
+// JobView is the answer to a query of a job: its status and how many of its tasks
+// are done and running. Controllers send it to each other as CBOR.
 type JobView struct {
 	ID      JobID     `cbor:"ID"`
 	Status  JobStatus `cbor:"Status"`
@@ -46,16 +48,25 @@
 	Running int       `cbor:"Running"`
 }
 
-// Team has a guarantee and a limit.
+// Team is a tenant of the cluster. Jobs within its guaranteed quota are served
+// before those of teams beyond theirs; together they never use more than its quota
+// limit, which may be NoLimit.
 type Team struct {
 	Name            string
 	GuaranteedQuota Resources
 	QuotaLimit      Resources
 }
 
-// SLO is an aim for a class.
+// SLO is a service-level objective for the jobs of a class, as the platform states
+// it.
 type SLO struct {
-	Kind, Class    string
-	WithinSeconds  float64
+	// Kind is "wait" (until the first start), "finished" or "deadline".
+	Kind string
+	// Class is the class of jobs to which the objective applies.
+	Class string
+	// WithinSeconds is the time allowed for the kinds "wait" and "finished".
+	WithinSeconds float64
+	// DeadlineFactor, for the kind "deadline", is the multiple of a job's own
+	// deadline within which the job has to be done.
 	DeadlineFactor float64
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -1,6 +1,6 @@
 package cluster
 
-// MachineType is one kind of machine that the cloud rents.
+// MachineType is a type of machine that the cloud offers. Its JSON form is stored.
 type MachineType struct {
 	Name             string    `json:"Name"`
 	Capacity         Resources `json:"Cap"`
@@ -12,7 +12,8 @@
 	Zones            []string  `json:"Zones"`
 }
 
-// HourlyPrice is what a machine of the type costs an hour.
+// HourlyPrice returns the price per hour of a spot or an on-demand machine of the
+// type, in the cloud's currency.
 func (t MachineType) HourlyPrice(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -20,13 +21,13 @@
 	return t.OnDemandPrice
 }
 
-// ListedMachine is one line of the cloud's machine list.
+// ListedMachine is an entry of the cloud's list of machines.
 type ListedMachine struct {
 	ID         MachineID
-	Addr       string
+	Addr       string // host and port of its worker
 	Type       string
 	Zone       string
 	Spot       bool
-	Status     string
-	AgeSeconds float64
+	Status     string  // in the cloud's words
+	AgeSeconds float64 // since the cloud created the machine
 }
--- a/internal/cluster/resources.go
+++ b/internal/cluster/resources.go
@@ -1,48 +1,49 @@
 package cluster
 
-// Resources is what a task takes or a machine has. Its field names are part of the
-// stored form of a job.
+// Resources is what a task requests or a machine has. Its JSON form is part of the
+// stored record of a job.
 type Resources struct {
 	CPU    Amount `json:"CPU"`
 	GPU    Amount `json:"GPU"`
 	Memory Amount `json:"Mem"`
 }
 
-// Plus adds up both.
-func (r Resources) Plus(o Resources) Resources {
-	return Resources{r.CPU + o.CPU, r.GPU + o.GPU, r.Memory + o.Memory}
+// Plus returns the sum of r and other.
+func (r Resources) Plus(other Resources) Resources {
+	return Resources{CPU: r.CPU + other.CPU, GPU: r.GPU + other.GPU, Memory: r.Memory + other.Memory}
 }
 
-// Minus is what is left of r without o, which may be below zero.
-func (r Resources) Minus(o Resources) Resources {
-	return Resources{r.CPU - o.CPU, r.GPU - o.GPU, r.Memory - o.Memory}
+// Minus returns r less other; its amounts may be negative.
+func (r Resources) Minus(other Resources) Resources {
+	return Resources{CPU: r.CPU - other.CPU, GPU: r.GPU - other.GPU, Memory: r.Memory - other.Memory}
 }
 
-// Times is n times as much.
-func (r Resources) Times(n int) Resources {
-	k := Amount(n)
-	return Resources{r.CPU * k, r.GPU * k, r.Memory * k}
+// Times returns r multiplied by count.
+func (r Resources) Times(count int) Resources {
+	factor := Amount(count)
+	return Resources{CPU: r.CPU * factor, GPU: r.GPU * factor, Memory: r.Memory * factor}
 }
 
-// FitsIn tells whether r finds room in another.
-func (r Resources) FitsIn(in Resources) bool {
-	return r.CPU <= in.CPU && r.GPU <= in.GPU && r.Memory <= in.Memory
+// FitsIn reports whether no amount of r exceeds that of available.
+func (r Resources) FitsIn(available Resources) bool {
+	return r.CPU <= available.CPU && r.GPU <= available.GPU && r.Memory <= available.Memory
 }
 
-// maxFitCount is what Holds counts at most, as of a need of nothing.
+// maxFitCount is the largest result of FitCount, as for a request of nothing.
 const maxFitCount = 1 << 20
 
-// FitCount counts how many times a need finds room in r.
-func (r Resources) FitCount(need Resources) int {
-	n := Amount(maxFitCount)
-	if need.CPU > 0 {
-		n = min(n, r.CPU/need.CPU)
+// FitCount returns how many times a request fits into r, at most 1<<20; 0 when an
+// amount that it asks for is negative in r.
+func (r Resources) FitCount(request Resources) int {
+	count := Amount(maxFitCount)
+	if request.CPU > 0 {
+		count = min(count, r.CPU/request.CPU)
 	}
-	if need.GPU > 0 {
-		n = min(n, r.GPU/need.GPU)
+	if request.GPU > 0 {
+		count = min(count, r.GPU/request.GPU)
 	}
-	if need.Memory > 0 {
-		n = min(n, r.Memory/need.Memory)
+	if request.Memory > 0 {
+		count = min(count, r.Memory/request.Memory)
 	}
-	return int(max(n, 0))
+	return int(max(count, 0))
 }
--- a/internal/cluster/resources_test.go
+++ b/internal/cluster/resources_test.go
@@ -2,27 +2,38 @@
 
 import "testing"
 
-// TestHolds: the scarcest resource counts; what is overdrawn holds nothing, and a
-// need of nothing has a bound.
-func TestHolds(t *testing.T) {
-	room := Resources{CPU: 8, GPU: 2, Memory: 100}
+// TestFitCount checks that the scarcest resource decides, and that a request of
+// nothing has a bound.
+func TestFitCount(t *testing.T) {
+	available := Resources{CPU: 8, GPU: 2, Memory: 100}
 	for _, test := range []struct {
-		need Resources
-		want int
+		name    string
+		in      Resources
+		request Resources
+		want    int
 	}{
-		{Resources{CPU: 2, Memory: 10}, 4},
-		{Resources{CPU: 2, GPU: 1, Memory: 10}, 2},
-		{Resources{CPU: 9}, 0},
-		{Resources{}, maxFitCount},
+		{"CPUs are scarcest", available, Resources{CPU: 2, Memory: 10}, 4},
+		{"GPUs are scarcest", available, Resources{CPU: 2, GPU: 1, Memory: 10}, 2},
+		{"too large", available, Resources{CPU: 9}, 0},
+		{"nothing requested", available, Resources{}, maxFitCount},
+		{"overcommitted", available.Minus(Resources{CPU: 20}), Resources{CPU: 1}, 0},
 	} {
-		if got := room.FitCount(test.need); got != test.want {
-			t.Errorf("%+v holds %+v %d times, want %d", room, test.need, got, test.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := test.in.FitCount(test.request); got != test.want {
+				t.Errorf("%+v fits %d times into %+v, want %d", test.request, got, test.in, test.want)
+			}
+		})
 	}
-	if got := room.Minus(Resources{CPU: 20}).FitCount(Resources{CPU: 1}); got != 0 {
-		t.Errorf("overdrawn room holds %d", got)
+}
+
+// TestFitsIn checks that multiples fit as long as no resource is exceeded.
+func TestFitsIn(t *testing.T) {
+	available := Resources{CPU: 8, GPU: 2, Memory: 100}
+	request := Resources{CPU: 4, GPU: 1, Memory: 50}
+	if !request.Times(2).FitsIn(available) {
+		t.Errorf("two times %+v does not fit into %+v", request, available)
 	}
-	if need := (Resources{CPU: 4, GPU: 1, Memory: 50}); !need.Times(2).FitsIn(room) || need.Times(3).FitsIn(room) {
-		t.Error("two fit, three don't")
+	if request.Times(3).FitsIn(available) {
+		t.Errorf("three times %+v fits into %+v", request, available)
 	}
 }
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -1,13 +1,13 @@
 package cluster
 
-// TaskState is a task's state in a worker's report.
+// TaskState is the state of a task in a worker's heartbeat.
 type TaskState int
 
-// The states of a task, in the order in which it goes through them.
+// The states of a task, in the order in which it passes through them.
 const (
 	Fetching TaskState = iota // its image is being fetched
 	Running
-	Checkpointing // a checkpoint is being written, since it is to be stopped
+	Checkpointing // it writes a checkpoint because it is to be stopped
 	Ended
 )
 
@@ -17,48 +17,49 @@
 // The causes of a task's end.
 const (
 	CauseNone             Cause = iota // it has not ended
-	CauseCompleted                     // it ran to its end
-	CauseStopped                       // by a command
-	CauseFailed                        // it failed
-	CauseNoCapacity                    // the machine has no room for it
+	CauseCompleted                     // it ran to completion
+	CauseStopped                       // a command stopped it
+	CauseFailed                        // it ended with an error
+	CauseNoCapacity                    // the machine has not enough free resources
 	CauseDuplicateAttempt              // another attempt of it is on the machine
 	CauseUnknownTask                   // the worker knows no such task
 )
 
-// TaskStatus is one task in a worker's report.
+// TaskStatus is the account of one task in a worker's heartbeat.
 type TaskStatus struct {
 	Task         TaskID
 	Attempt      Attempt
 	State        TaskState
-	Cause        Cause
-	Checkpointed bool
+	Cause        Cause // CauseNone until it has ended
+	Checkpointed bool  // a checkpoint was written before it ended
 }
 
-// HeartbeatStatus is a worker's account of itself.
+// HeartbeatStatus is what a worker reports of itself in a heartbeat: identity, the
+// highest fencing token that it has seen, and every task that it knows.
 type HeartbeatStatus struct {
 	Machine          MachineID
-	Addr             string
+	Addr             string // host and port at which it takes commands
 	Type             string
 	Zone             string
 	Spot             bool
 	Incarnation      Incarnation
 	SequenceNumber   SequenceNumber
 	FencingToken     FencingToken
-	PreemptionNotice float64 // seconds until the cloud takes it; negative: none
+	PreemptionNotice float64 // seconds until the cloud takes the machine; negative: no notice
 	Tasks            []TaskStatus
 }
 
-// CommandKind is what a command tells a worker to do.
+// CommandKind says what a command tells a worker to do.
 type CommandKind int
 
-// The verbs of commands.
+// The kinds of commands.
 const (
 	Start       CommandKind = iota // start an attempt of a task
-	Stop                           // stop it, after a grace for saving
-	Acknowledge                    // drop the account of one that has ended
+	Stop                           // stop an attempt, after a grace period for a checkpoint
+	Acknowledge                    // stop reporting an attempt that has ended
 )
 
-// Command is sent to a worker.
+// Command is one instruction to a worker. GraceSeconds applies to Stop only.
 type Command struct {
 	Kind         CommandKind
 	Task         TaskID
