--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,12 +1,12 @@
 // Package ownership bounds how long the owner of a shard may act on what it last
 // knew for certain: its ownership lease.
 //
-// An owner that the store does not serve can't see that another controller has
-// acquired its shard. That one may have confirmed cancellations of jobs whose
+// While the store does not answer, an owner can't see that another controller has
+// acquired its shard. The new owner may have confirmed cancellations of jobs whose
 // tasks run on machines which still send heartbeats to the former owner, and each
-// of its answers would renew the lease of those machines. So an owner counts from
-// the last moment at which it was certain that nobody had acquired the shard
-// after it, and stops answering the shard's workers early enough that their
+// answer of the former owner would renew the lease of those machines. So an owner
+// counts from the last moment at which it was certain that nobody had acquired the
+// shard after it, and stops answering the shard's workers early enough that their
 // leases expire in time (docs/safety.md, "Gap").
 //
 // Two things confirm ownership. Every exchange with the store that shows the
@@ -22,81 +22,93 @@
 
 import "stairrelay/internal/cluster"
 
-// clockDrift bounds how far the steady clocks of two machines drift apart:
-// twice the protocol's 0.05%.
+// clockDrift bounds how far the steady clocks of two machines drift apart, as a
+// fraction of the time that passes: twice the protocol's 0.05%.
 const clockDrift = 0.001
 
-// stopMargin is left for what a worker takes to notice that its lease is over.
+// stopMargin is the time in which a worker notices that its lease has expired and
+// stops its tasks.
 const stopMargin = 2 * cluster.Second
 
-// MinAnswerWindow is what calls each second need: with less, one lost call would cost
-// tasks. Where the settings leave less than that, the bound on cancellations
-// can't be kept in every outage.
+// MinAnswerWindow is what peer calls each second need: with a shorter window one
+// lost call would cost tasks. Where the settings leave less, this much is used all
+// the same, and the bound on cancellations does not hold in every outage.
 const MinAnswerWindow = 4 * cluster.Second
 
-// StartWindow is how old a certainty may be for starts: one that is sent by a
-// holder that was succeeded would only be stopped again.
+// StartWindow is the greatest age of the last confirmation at which tasks are
+// started. Starts by an owner that was succeeded would only be stopped again.
 const StartWindow = 5 * cluster.Second
 
-// renewalAge is how old a certainty gets before the store is asked: calls renew
-// it each second while all controllers answer.
+// renewalAge is the age of the last confirmation from which on the store is read.
+// While all controllers answer, peer calls confirm ownership each second.
 const renewalAge = 2 * cluster.Second
 
-// AnswerWindow is how long after a holder was last certain of its part it may answer
-// the part's workers: a cancellation that it can't know of was confirmed after
-// that moment, and the lease that its last answer renews, counted from the
-// sending of a report, must be over within cancelWithin of it.
+// AnswerWindow returns how long after its ownership was last confirmed an owner may
+// answer the shard's workers. A new owner, which this one does not know of yet, may
+// have confirmed a cancellation at any time after that. The worker lease that the
+// last answer renews is counted from the sending of the heartbeat and must expire
+// within cancelWithin of the confirmation. The result is negative for settings that
+// leave no time at all.
 func AnswerWindow(cancelWithin, lease cluster.Time) cluster.Time {
 	drift := cluster.Time(float64(cancelWithin+lease) * clockDrift)
 	return cancelWithin - lease - stopMargin - drift
 }
 
-// CanAnswer tells whether a holder may answer the part's workers at an age of
-// its certainty.
+// CanAnswer reports whether an owner whose last confirmation has the given age may
+// answer the shard's workers.
 func CanAnswer(age, cancelWithin, lease cluster.Time) bool {
 	return age <= max(AnswerWindow(cancelWithin, lease), MinAnswerWindow)
 }
 
-// CanStart tells whether tasks of the part may be sent to its machines at an age
-// of the certainty.
+// CanStart reports whether an owner whose last confirmation has the given age may
+// start tasks on the shard's machines.
 func CanStart(age cluster.Time) bool { return age <= StartWindow }
 
-// NeedsRenewal tells whether the store should be asked at an age of the certainty.
+// NeedsRenewal reports whether the store should be read to confirm ownership again,
+// given the age of the last confirmation.
 func NeedsRenewal(age cluster.Time) bool { return age > renewalAge }
 
-// Claim is a holder's own claim of a part.
+// Claim is an owner's own claim of a shard.
 type Claim struct {
 	ShardID cluster.ShardID
 	Term    cluster.Term
-	// ConfirmedAt is when the last exchange with the store began that showed the
-	// claim in force.
+	// ConfirmedAt is the beginning of the last exchange with the store that showed
+	// the claim in force.
 	ConfirmedAt cluster.Time
 }
 
-// Acknowledgement is what another controller has last answered to a call.
+// Acknowledgement is a peer's last answer to a call.
 type Acknowledgement struct {
-	// SentAt is when that call was sent; 0: none was answered in the present run.
+	// SentAt is when that call was sent; 0 if the peer's present process has
+	// answered none.
 	SentAt cluster.Time
-	// InstanceSeenAt is when the controller's present run was first heard of.
+	// InstanceSeenAt is when the peer's present process was first noticed.
 	InstanceSeenAt cluster.Time
-	// Terms are the latest that it knows, by part; none from an older release.
+	// Terms holds the latest term that the peer knows of each shard, by ShardID. It
+	// is empty for a peer of a release that does not send terms.
 	Terms []cluster.Term
 }
 
-// covers tells whether a word says that there is no later claim than the given.
-func (w *Acknowledgement) covers(c Claim) bool {
-	return int(c.ShardID) < len(w.Terms) && w.Terms[c.ShardID] <= c.Term && w.InstanceSeenAt <= c.ConfirmedAt
+// covers reports whether the acknowledgement excludes a later claim: the peer knows
+// none, and its present process was noticed before the store was last read, so that
+// whatever an earlier process acquired would have shown there.
+func (a *Acknowledgement) covers(claim Claim) bool {
+	return int(claim.ShardID) < len(a.Terms) &&
+		a.Terms[claim.ShardID] <= claim.Term &&
+		a.InstanceSeenAt <= claim.ConfirmedAt
 }
 
-// LastConfirmedAt is the last moment up to now at which it is certain that nobody had
-// claimed the part later, by the words of all other controllers and the store.
-func (c Claim) LastConfirmedAt(now cluster.Time, words []Acknowledgement) cluster.Time {
-	agreed := now
-	for i := range words {
-		if !words[i].covers(c) {
+// LastConfirmedAt returns the last moment, at most now, at which it is certain that
+// nobody had acquired the shard after the claim. It follows from the acknowledgements
+// of all other controllers and from the store; one that does not cover the claim
+// leaves only what the store has confirmed.
+func (c Claim) LastConfirmedAt(now cluster.Time, acknowledgements []Acknowledgement) cluster.Time {
+	confirmedAt := now
+	for i := range acknowledgements {
+		if !acknowledgements[i].covers(c) {
 			return c.ConfirmedAt
 		}
-		agreed = min(agreed, words[i].SentAt)
+		confirmedAt = min(confirmedAt, acknowledgements[i].SentAt)
 	}
-	return max(agreed, c.ConfirmedAt)
+	return max(confirmedAt, c.ConfirmedAt)
 }
