--- a/internal/fairshare/load.go
+++ b/internal/fairshare/load.go
@@ -9,24 +9,24 @@
 // cpu is one CPU as an Amount.
 const cpu = cluster.AmountsPerUnit
 
-// scaleInReserve is what a part keeps beyond its need before it returns machines
-// for their price: a job or two of usual size.
+// scaleInReserve is what a shard keeps beyond its demand and spare share before it
+// releases machines for their price: a job or two of usual size.
 const scaleInReserve = 8 * cpu
 
-// scaleOutLead is how much less than this part another one that lacks machines must
-// have to be let rent first: less of a difference is not worth a delay.
+// scaleOutLead is how much less capacity another shard with a shortfall must have to
+// scale out before this one. A smaller difference is not worth a delay.
 const scaleOutLead = 16 * cpu
 
-// ShardLoad is what a part has and what its jobs could use, by priority. All
+// ShardLoad is the capacity of a shard and what its jobs could use, by priority. All
 // amounts are CPUs. Controllers send it to each other.
 type ShardLoad struct {
 	Shard     cluster.ShardID                        `cbor:"Part"`
-	Available cluster.Amount                         `cbor:"Have"`   // usable now
-	Booting   cluster.Amount                         `cbor:"Coming"` // booting
-	Demand    [cluster.Production + 1]cluster.Amount `cbor:"Demand"`
+	Available cluster.Amount                         `cbor:"Have"`   // on machines that are up
+	Booting   cluster.Amount                         `cbor:"Coming"` // on machines that are booting
+	Demand    [cluster.Production + 1]cluster.Amount `cbor:"Demand"` // by cluster.Priority
 }
 
-// TotalDemand is what the part's jobs could use in all.
+// TotalDemand returns what the shard's jobs of all priorities could use.
 func (l ShardLoad) TotalDemand() cluster.Amount {
 	var sum cluster.Amount
 	for _, demand := range l.Demand {
@@ -35,38 +35,43 @@
 	return sum
 }
 
-// totalCapacity is what the part has and will have.
+// totalCapacity returns what the shard has, booting machines included.
 func (l ShardLoad) totalCapacity() cluster.Amount { return l.Available + l.Booting }
 
-// hasShortfall tells whether the part's jobs could use more than it will have.
+// hasShortfall reports whether the shard's jobs could use more than its capacity
+// once all machines are up.
 func (l ShardLoad) hasShortfall() bool { return l.TotalDemand() > l.totalCapacity() }
 
-// Surplus is what the part can do without when a share of its need is kept as
-// spare room; negative: it has less than that.
+// Surplus returns what the shard can release when it keeps spareShare of its demand
+// as spare capacity, and the fixed reserve. It is negative when the shard has less
+// than that.
 func (l ShardLoad) Surplus(spareShare float64) cluster.Amount {
-	need := l.TotalDemand()
-	return l.Available - need - cluster.Amount(float64(need)*spareShare) - scaleInReserve
+	demand := l.TotalDemand()
+	spare := cluster.Amount(float64(demand) * spareShare)
+	return l.Available - demand - spare - scaleInReserve
 }
 
-// Snapshot is every part's load as far as it is known.
+// Snapshot is the load of every shard as far as it is known.
 type Snapshot map[cluster.ShardID]ShardLoad
 
-// OthersHaveShortfall tells whether a part other than the given lacks machines.
-func (s Snapshot) OthersHaveShortfall(part cluster.ShardID) bool {
+// OthersHaveShortfall reports whether a shard other than the given one has a
+// shortfall.
+func (s Snapshot) OthersHaveShortfall(shard cluster.ShardID) bool {
 	for other, load := range s {
-		if other != part && load.hasShortfall() {
+		if other != shard && load.hasShortfall() {
 			return true
 		}
 	}
 	return false
 }
 
-// CanScaleOutFirst tells whether no other part that lacks machines has much less than
-// the given one: what the cloud still has should go to such a part first.
-func (s Snapshot) CanScaleOutFirst(part cluster.ShardID) bool {
-	own := s[part].totalCapacity()
+// CanScaleOutFirst reports whether the shard need not wait for another one. It has
+// to wait while some other shard with a shortfall has much less capacity: what the
+// cloud still offers should go to that one first.
+func (s Snapshot) CanScaleOutFirst(shard cluster.ShardID) bool {
+	capacity := s[shard].totalCapacity()
 	for other, load := range s {
-		if other != part && load.hasShortfall() && load.totalCapacity()+scaleOutLead < own {
+		if other != shard && load.hasShortfall() && load.totalCapacity()+scaleOutLead < capacity {
 			return false
 		}
 	}
--- a/internal/fairshare/plan.go
+++ b/internal/fairshare/plan.go
@@ -7,120 +7,123 @@
 	"stairrelay/internal/cluster"
 )
 
-// rebalanceMargin: a part keeps what is one part in this many beyond its target.
+// rebalanceMargin is the divisor of the margin above its target that a shard keeps:
+// one sixth of the target.
 const rebalanceMargin = 6
 
-// Plan is the division of all machines that there are.
+// Plan divides the capacity of all machines among the shards.
 type Plan struct {
+	// Loads is the snapshot that was divided.
 	Loads Snapshot
-	// Targets is what each part should have.
+	// Targets holds the capacity in CPUs that each shard should have.
 	Targets map[cluster.ShardID]cluster.Amount
-	// TotalShortfall is what parts have less than their targets, in all.
+	// TotalShortfall is the sum of what shards have less than their targets.
 	TotalShortfall cluster.Amount
 }
 
-// NewPlan divides the machines of a snapshot.
+// NewPlan divides the capacity in a snapshot. Equal snapshots give equal plans, so
+// that controllers which know the same decide the same.
 func NewPlan(loads Snapshot) *Plan {
-	p := &Plan{Loads: loads, Targets: computeTargets(loads)}
-	for part := range loads {
-		p.TotalShortfall += p.shortfall(part)
+	plan := &Plan{Loads: loads, Targets: computeTargets(loads)}
+	for shard := range loads {
+		plan.TotalShortfall += plan.shortfall(shard)
 	}
-	return p
+	return plan
 }
 
-// computeTargets divides all the machines there are: more important work first, and
-// within a priority the least served part first.
+// computeTargets divides the available capacity of all shards: the most important
+// work first, and within a priority the smallest demand first.
 func computeTargets(loads Snapshot) map[cluster.ShardID]cluster.Amount {
-	parts, rest := make([]cluster.ShardID, 0, len(loads)), cluster.Amount(0)
-	for part, load := range loads {
-		parts = append(parts, part)
-		rest += load.Available
+	shards := make([]cluster.ShardID, 0, len(loads))
+	var remaining cluster.Amount
+	for shard, load := range loads {
+		shards = append(shards, shard)
+		remaining += load.Available
 	}
-	slices.Sort(parts)
-	out := make(map[cluster.ShardID]cluster.Amount, len(parts))
+	slices.Sort(shards)
+	targets := make(map[cluster.ShardID]cluster.Amount, len(shards))
 	for priority := cluster.Production; priority >= cluster.BestEffort; priority-- {
-		rest = loads.allocate(parts, priority, rest, out)
+		remaining = loads.allocate(shards, priority, remaining, targets)
 	}
-	return out
+	return targets
 }
 
-// allocate gives each part what its work of a priority could use, of at most rest
-// evenly where that is not enough. It adds to given and returns what is left.
-func (s Snapshot) allocate(parts []cluster.ShardID, priority cluster.Priority, rest cluster.Amount, given map[cluster.ShardID]cluster.Amount) cluster.Amount {
-	open := slices.Clone(parts)
-	slices.SortStableFunc(open, func(a, b cluster.ShardID) int {
+// allocate adds to the targets what the work of a priority could use. Where the
+// remaining capacity does not suffice, it is divided evenly among the shards whose
+// demand is not met. allocate returns what remains for lower priorities.
+func (s Snapshot) allocate(shards []cluster.ShardID, priority cluster.Priority, remaining cluster.Amount, targets map[cluster.ShardID]cluster.Amount) cluster.Amount {
+	byDemand := slices.Clone(shards)
+	slices.SortStableFunc(byDemand, func(a, b cluster.ShardID) int {
 		return cmp.Compare(s[a].Demand[priority], s[b].Demand[priority])
 	})
-	for i, part := range open {
-		even := rest / cluster.Amount(len(open)-i)
-		amount := min(s[part].Demand[priority], even)
-		given[part] += amount
-		rest -= amount
+	for i, shard := range byDemand {
+		evenShare := remaining / cluster.Amount(len(byDemand)-i)
+		amount := min(s[shard].Demand[priority], evenShare)
+		targets[shard] += amount
+		remaining -= amount
 	}
-	return rest
+	return remaining
 }
 
-// shortfall is how much less than its target a part has; 0: it has enough.
-func (p *Plan) shortfall(part cluster.ShardID) cluster.Amount {
-	return max(p.Targets[part]-p.Loads[part].Available, 0)
+// shortfall returns how much less than its target a shard has, at least 0.
+func (p *Plan) shortfall(shard cluster.ShardID) cluster.Amount {
+	return max(p.Targets[shard]-p.Loads[shard].Available, 0)
 }
 
-// Spare is what a part should give up; zero or less: nothing.
+// Spare returns the capacity that a shard should give up; zero or less means none.
 //
-// Between parts that all lack machines needs change every second; what moves
-// for that runs empty first and fetches its images anew. Only what goes beyond
-// a margin is worth it, and no more than others lack.
-func (p *Plan) Spare(part cluster.ShardID) cluster.Amount {
+// Between shards that all lack machines, demands change every second. A machine that
+// is transferred has to be drained first and then fetches its images anew, so only
+// what exceeds the target by a margin is given up, and no more than others lack.
+func (p *Plan) Spare(shard cluster.ShardID) cluster.Amount {
 	if p.TotalShortfall <= 0 {
 		return 0
 	}
-	target := p.Targets[part]
-	return min(p.Loads[part].Available-target-target/rebalanceMargin, p.TotalShortfall)
+	target := p.Targets[shard]
+	excess := p.Loads[shard].Available - target - target/rebalanceMargin
+	return min(excess, p.TotalShortfall)
 }
 
-// Shortfall says how much less than its target a part has.
+// Shortfall is the amount by which a shard has less than its target.
 type Shortfall struct {
 	Shard  cluster.ShardID
 	Amount cluster.Amount
 }
 
-// Recipients lists the parts that lack machines which the giver could offer
-// them, the neediest first.
+// Recipients returns the shards other than the giver that have less than their
+// targets, the largest shortfall first and by number where shortfalls are equal.
 func (p *Plan) Recipients(giver cluster.ShardID) []Shortfall {
-	out := make([]Shortfall, 0, len(p.Loads))
-	for part := range p.Loads {
-		if amount := p.shortfall(part); part != giver && amount > 0 {
-			out = append(out, Shortfall{part, amount})
+	recipients := make([]Shortfall, 0, len(p.Loads))
+	for shard := range p.Loads {
+		if amount := p.shortfall(shard); shard != giver && amount > 0 {
+			recipients = append(recipients, Shortfall{Shard: shard, Amount: amount})
 		}
 	}
-	slices.SortFunc(out, func(a, b Shortfall) int {
-		if a.Amount != b.Amount {
-			return cmp.Compare(b.Amount, a.Amount)
-		}
-		return int(a.Shard) - int(b.Shard)
+	slices.SortFunc(recipients, func(a, b Shortfall) int {
+		return cmp.Or(cmp.Compare(b.Amount, a.Amount), cmp.Compare(a.Shard, b.Shard))
 	})
-	return out
+	return recipients
 }
 
-// ShortfallPriority is the highest priority of work in parts other than the giver
-// that lack machines; BestEffort if there is none.
+// ShortfallPriority returns the highest priority of the work in shards other than
+// the giver that have less than their targets, or BestEffort if there is none.
 func (p *Plan) ShortfallPriority(giver cluster.ShardID) cluster.Priority {
-	top := cluster.BestEffort
-	for part, load := range p.Loads {
-		if part == giver || p.shortfall(part) == 0 {
+	highest := cluster.BestEffort
+	for shard, load := range p.Loads {
+		if shard == giver || p.shortfall(shard) == 0 {
 			continue
 		}
-		for priority := cluster.Production; priority > top; priority-- {
+		for priority := cluster.Production; priority > highest; priority-- {
 			if load.Demand[priority] > 0 {
-				top = priority
+				highest = priority
 			}
 		}
 	}
-	return top
+	return highest
 }
 
-// PickWithin picks, in order, the sizes that fit into what is left of a budget,
-// and returns their positions. Sizes of nothing are passed over.
+// PickWithin chooses, in order, the sizes that fit into what remains of a budget and
+// returns their positions. Sizes of 0 are skipped.
 func PickWithin(sizes []cluster.Amount, budget cluster.Amount) []int {
 	var picked []int
 	for i, size := range sizes {
