--- a/internal/scheduling/jobs.go
+++ b/internal/scheduling/jobs.go
@@ -1,5 +1,6 @@
-// Package scheduling orders the pending jobs of a shard, and the machines that a
-// job's tasks may be assigned to.
+// Package scheduling orders the pending jobs of a shard and the machines that the
+// tasks of a job may be assigned to. Its functions are pure: they get the facts and
+// return an order.
 package scheduling
 
 import (
@@ -8,61 +9,65 @@
 	"stairrelay/internal/cluster"
 )
 
-// Never is the latest start of a job that can't meet any aim any more.
+// Never is the latest start, in milliseconds, of a job that can't meet any of its
+// objectives any more.
 const Never = 1e18
 
-// overdueHorizons: a job that has missed its aims goes before newer urgent work
-// after this many times its horizon, so that the large and the less important
-// are served even if small and urgent work keeps coming.
+// overdueHorizons is the number of horizons after which a job that has missed its
+// objectives is served as if it were urgent. Without it, large and less important
+// jobs would starve while small and urgent ones keep coming.
 const overdueHorizons = 4
 
-// pushBackHorizons: a job is moved back for smaller ones by at most this many
-// times its horizon.
-const pushBackHorizons = 2
+// maxDelayHorizons is the largest number of horizons by which a job is moved back in
+// favour of smaller ones.
+const maxDelayHorizons = 2
 
 const millisPerSecond = 1000
 
-// JobFacts is what a job's rank follows from. Times are milliseconds of the time
-// of day.
+// JobFacts is what the rank of a job follows from. Times of day are milliseconds
+// since 1970.
 type JobFacts struct {
 	Priority         cluster.Priority
-	WithinGuarantee  bool    // within its team's guarantee, as are its earlier unfinished jobs
-	Now              float64 // the time of day
-	ReadySince       float64 // when the job could first start
-	LatestStart      float64 // to meet the first of its aims that it still can, or Never
-	Horizon          float64 // the longest time that its aims give it, in milliseconds
-	ExclusiveSeconds float64 // how long its waiting work would take all of the part, in seconds
+	WithinGuarantee  bool    // the job and the team's earlier unfinished ones are within the guaranteed quota
+	Now              float64 // time of day
+	ReadySince       float64 // time of day from which the job could start
+	LatestStart      float64 // time of day by which it must start to meet the next objective that it still can, or Never
+	Horizon          float64 // the longest time that its objectives allow, in milliseconds
+	ExclusiveSeconds float64 // how long its pending work would occupy all machines of the shard, in seconds
 }
 
-// JobRank says when a job is served among the others of its part.
+// JobRank is the place of a job in the queue order of its shard.
 type JobRank struct {
-	tier            cluster.Priority // urgent work goes before all other
+	tier            cluster.Priority // at least Urgent: before all other work; else 0
 	withinGuarantee bool
-	missedSLO       bool // for good, but not overdue
-	latestStart     float64
+	missedSLO       bool    // no objective can be met any more, and it is not overdue yet
+	latestStart     float64 // time of day in milliseconds, moved back for large jobs
 }
 
-// RankJob works out a job's rank. Those within their team's guarantee go first,
-// the urgent before the others, then by their latest start. smallFirst is by how
-// many times what its work takes a job moves back behind others.
-func RankJob(f JobFacts, smallFirst float64) JobRank {
-	r := JobRank{withinGuarantee: f.WithinGuarantee, latestStart: f.LatestStart}
-	if f.Priority >= cluster.Urgent {
-		r.tier = f.Priority
+// RankJob returns the rank of a job. Urgent and overdue work comes first, then what
+// is within its team's guaranteed quota, then what can still meet an objective, each
+// by latest start. A job's latest start is moved back by smallFirst times what its
+// work would occupy the shard, so that small jobs come before large ones.
+func RankJob(facts JobFacts, smallFirst float64) JobRank {
+	rank := JobRank{withinGuarantee: facts.WithinGuarantee, latestStart: facts.LatestStart}
+	if facts.Priority >= cluster.Urgent {
+		rank.tier = facts.Priority
 	}
-	if f.LatestStart != Never {
-		r.latestStart += min(smallFirst*millisPerSecond*f.ExclusiveSeconds, pushBackHorizons*f.Horizon)
-		return r
+	if facts.LatestStart != Never {
+		delay := smallFirst * millisPerSecond * facts.ExclusiveSeconds
+		rank.latestStart += min(delay, maxDelayHorizons*facts.Horizon)
+		return rank
 	}
-	r.latestStart = f.ReadySince
-	r.missedSLO = f.Now < f.ReadySince+overdueHorizons*f.Horizon
-	if !r.missedSLO {
-		r.tier = max(r.tier, cluster.Urgent)
+	rank.latestStart = facts.ReadySince
+	rank.missedSLO = facts.Now < facts.ReadySince+overdueHorizons*facts.Horizon
+	if !rank.missedSLO {
+		rank.tier = max(rank.tier, cluster.Urgent)
 	}
-	return r
+	return rank
 }
 
-// Compare is negative when a job of rank r is served before one of the other.
+// Compare returns a negative number when a job of rank r is served before one of
+// rank other, a positive one when it is served after it, and 0 for equal ranks.
 func (r JobRank) Compare(other JobRank) int {
 	switch {
 	case r.tier != other.tier:
@@ -75,9 +80,10 @@
 	return cmp.Compare(r.latestStart, other.latestStart)
 }
 
-// trueFirst orders two that differ in a property by whether the first has it.
-func trueFirst(first bool) int {
-	if first {
+// trueFirst compares two items that differ in a property: the one that has it comes
+// first.
+func trueFirst(firstHasIt bool) int {
+	if firstHasIt {
 		return -1
 	}
 	return 1
--- a/internal/scheduling/machines.go
+++ b/internal/scheduling/machines.go
@@ -6,41 +6,42 @@
 	"stairrelay/internal/cluster"
 )
 
-// ImageState says how soon a machine can start a job for its image. It is small
-// since candidates are copied while they are sorted.
+// ImageState says how soon a machine that lacks or has a job's image can start a
+// task of it. It is one byte because candidates are copied while they are sorted.
 type ImageState int8
 
-// The states, the worst first.
+// The image states, the worst first.
 const (
-	ImageBlocked  ImageState = iota - 1 // it should not be fetched now
-	ImageAbsent                         // it would have to be fetched
+	ImageBlocked  ImageState = iota - 1 // it is not there and should not be fetched now
+	ImageAbsent                         // it is not there and can be fetched
 	ImageFetching                       // it is being fetched
-	ImageCached
+	ImageCached                         // it is there
 )
 
-// Two fetches share a machine's rate: one after the other lets the first start
-// sooner and the second no later. But a machine that takes many tasks would
-// stand nearly idle while a few of one job wait for their image.
+// Two concurrent fetches share the bandwidth of a machine: one after the other lets
+// the first task start sooner and the second no later. But a machine that takes many
+// tasks would be nearly idle while a few tasks of one job wait for their image.
 const (
-	// busyFraction: a second fetch may begin while the tasks that wait for
-	// theirs take less than one part in this many of the machine.
-	busyFraction = 8
-	// manyTasks is how many tasks of the job a machine must take for that.
+	// nearlyIdleDivisor: a machine counts as nearly idle while the tasks that wait
+	// for images take less than one eighth of its CPUs.
+	nearlyIdleDivisor = 8
+	// manyTasks is how many tasks of a job a machine must have room for to begin a
+	// second fetch while it is nearly idle.
 	manyTasks = 16
 )
 
-// ImageFetches are the images that a machine is getting.
+// ImageFetches holds the images that a machine is fetching. The zero value has none.
 type ImageFetches struct {
 	images     []imageFetch
-	waitingCPU cluster.Amount // CPUs of the tasks that wait for them
+	waitingCPU cluster.Amount // CPUs of the tasks that wait for an image
 }
 
 type imageFetch struct {
 	image    string
-	priority cluster.Priority // the highest of those that wait for it
+	priority cluster.Priority // the highest of the tasks that wait for it
 }
 
-// Add notes that a task waits for an image.
+// Add records that a task of a priority, with its CPUs, waits for an image.
 func (f *ImageFetches) Add(image string, priority cluster.Priority, cpu cluster.Amount) {
 	f.waitingCPU += cpu
 	for i := range f.images {
@@ -49,38 +50,39 @@
 			return
 		}
 	}
-	f.images = append(f.images, imageFetch{image, priority})
+	f.images = append(f.images, imageFetch{image: image, priority: priority})
 }
 
-// State returns how soon a machine of a size that doesn't have the image could
-// start a task of a job.
-func (f *ImageFetches) State(image string, priority cluster.Priority, cpu, size cluster.Amount) ImageState {
-	important := false // something that waits is as important, or urgent
-	for _, other := range f.images {
-		if other.image == image {
+// State returns how soon a machine with machineCPU CPUs, which does not have the
+// image, could start a task that needs taskCPU.
+func (f *ImageFetches) State(image string, priority cluster.Priority, taskCPU, machineCPU cluster.Amount) ImageState {
+	hasPrecedence := false // a fetch for tasks that are urgent or as important
+	for _, fetch := range f.images {
+		if fetch.image == image {
 			return ImageFetching
 		}
-		important = important || other.priority >= min(priority, cluster.Urgent)
+		hasPrecedence = hasPrecedence || fetch.priority >= min(priority, cluster.Urgent)
 	}
-	takesMany := size >= manyTasks*cpu
-	nearlyIdle := f.waitingCPU*busyFraction < size
-	if important && !(takesMany && nearlyIdle) {
+	takesManyTasks := machineCPU >= manyTasks*taskCPU
+	isNearlyIdle := f.waitingCPU*nearlyIdleDivisor < machineCPU
+	if hasPrecedence && !(takesManyTasks && isNearlyIdle) {
 		return ImageBlocked
 	}
 	return ImageAbsent
 }
 
-// Candidate is a machine that a job's tasks may go to.
+// Candidate is a machine that the tasks of a job may be assigned to.
 type Candidate struct {
 	Image    ImageState
 	Spot     bool
-	Suitable bool // its kind suits the job
+	Suitable bool // the machine's type suits the job
 	FreeCPU  cluster.Amount
 }
 
-// Compare is negative when c should get tasks before another candidate: the one
-// that has the image, then one of a kind that suits, then the one with more
-// room. Where a spot machine is a risk to the job, ordinary ones go first.
+// Compare returns a negative number when c should get tasks before the other
+// candidate: the one with the better image state first, then one of a suitable type,
+// then the one with more free CPUs. Where a spot machine is a risk to the job, an
+// on-demand machine comes before all of these.
 func (c *Candidate) Compare(other *Candidate, spotIsRisk bool) int {
 	switch {
 	case spotIsRisk && c.Spot != other.Spot:
