--- a/internal/grouprecord/address.go
+++ b/internal/grouprecord/address.go
@@ -2,22 +2,30 @@
 
 import (
 	"encoding/base64"
+	"encoding/binary"
+	"net"
 	"net/netip"
 	"strings"
 )
 
-// How an address is written: an IPv4 address with its port as 8 characters,
-// any other as it is behind a prefix.
+// An IPv4 address with its port is stored as 8 characters of base64; any other
+// address as it is, behind a prefix.
 const (
 	noAddress    = "."
 	plainPrefix  = "="
-	packedLength = 6 // bytes: the address and the port
+	packedLength = 6 // bytes of an IPv4 address and a port
 )
 
+// packAddress returns the stored form of a machine's address. An address with a space
+// or a line feed would break the machine's line and is stored as none.
 func packAddress(address string) string {
-	if ap, err := netip.ParseAddrPort(address); err == nil && ap.Addr().Is4() && roundTrips(ap, address) {
-		ip, port := ap.Addr().As4(), ap.Port()
-		return base64.RawURLEncoding.EncodeToString([]byte{ip[0], ip[1], ip[2], ip[3], byte(port >> 8), byte(port)})
+	parsed, err := netip.ParseAddrPort(address)
+	if err == nil && parsed.Addr().Is4() && roundTrips(parsed, address) {
+		ip := parsed.Addr().As4()
+		var packed [packedLength]byte
+		copy(packed[:], ip[:])
+		binary.BigEndian.PutUint16(packed[net.IPv4len:], parsed.Port())
+		return base64.RawURLEncoding.EncodeToString(packed[:])
 	}
 	if address == "" || strings.ContainsAny(address, " \n") {
 		return noAddress
@@ -25,15 +33,17 @@
 	return plainPrefix + address
 }
 
-// maxIPv4Length is the longest text of an IPv4 address with its port.
+// maxIPv4Length is the length of the longest text of an IPv4 address with its port.
 const maxIPv4Length = len("255.255.255.255:65535")
 
-// roundTrips tells whether an IPv4 address is written as it was stated.
-func roundTrips(ap netip.AddrPort, stated string) bool {
-	var buffer [maxIPv4Length]byte // spares an allocation for each machine
-	return string(ap.AppendTo(buffer[:0])) == stated
+// roundTrips reports whether an IPv4 address is formatted as it was given, so that
+// unpacking restores the same text.
+func roundTrips(parsed netip.AddrPort, address string) bool {
+	var buffer [maxIPv4Length]byte // avoids an allocation for each machine
+	return string(parsed.AppendTo(buffer[:0])) == address
 }
 
+// unpackAddress returns the address of a stored form, or ErrInvalidAddress.
 func unpackAddress(text string) (string, error) {
 	if text == noAddress {
 		return "", nil
@@ -41,10 +51,11 @@
 	if plain, ok := strings.CutPrefix(text, plainPrefix); ok {
 		return plain, nil
 	}
-	b, err := base64.RawURLEncoding.DecodeString(text)
-	if err != nil || len(b) != packedLength {
+	packed, err := base64.RawURLEncoding.DecodeString(text)
+	if err != nil || len(packed) != packedLength {
 		return "", ErrInvalidAddress
 	}
-	ip, port := netip.AddrFrom4([4]byte(b[:4])), uint16(b[4])<<8|uint16(b[5])
+	ip := netip.AddrFrom4([net.IPv4len]byte(packed[:net.IPv4len]))
+	port := binary.BigEndian.Uint16(packed[net.IPv4len:])
 	return netip.AddrPortFrom(ip, port).String(), nil
 }
--- a/internal/grouprecord/encode.go
+++ b/internal/grouprecord/encode.go
@@ -7,10 +7,11 @@
 	"stairrelay/internal/cluster"
 )
 
-// storedForm is the JSON form. Kinds, jobs and claims are listed once and named
-// by their position. Each machine is one string: its id, kind and flags,
-// address, then its tasks as job:first-last@attempt, where attempts count up
-// along the range and belong to a claim of the table.
+// storedForm is the JSON form. Kinds, jobs and shard claims are listed once in tables
+// and referred to by their position. Each machine is one line of fields separated by
+// spaces: id, kind with flags, address, then ranges of tasks in the form
+// job:first-last@claim.count. Along a range the count of the attempts rises with the
+// task's index.
 type storedForm struct {
 	ShardID  cluster.ShardID `json:"p"`
 	Claims   []uint64        `json:"c,omitempty"`
@@ -20,67 +21,71 @@
 	WriteID  string          `json:"w"`
 }
 
-// The flags that follow a machine's kind.
+// The flags that follow the kind in a machine's line.
 const (
 	releasingFlag = 'r'
 	bootingFlag   = 'b'
 )
 
-// attemptBase is the base in which an attempt's count is written.
+// attemptBase is the base in which the count of an attempt is written.
 const attemptBase = 36
 
-// encoder builds the stored form machine by machine.
+// encoder builds a stored form machine by machine.
 type encoder struct {
 	form storedForm
-	jobs map[cluster.JobID]int // the positions in the form's table
+	jobs map[cluster.JobID]int // positions in form.Jobs
 }
 
-// Encode returns the record's JSON form.
-func Encode(r Record) []byte {
+// Encode returns the JSON form of a record.
+func Encode(record Record) []byte {
 	e := encoder{
-		form: storedForm{ShardID: r.ShardID, WriteID: r.WriteID, Machines: make([]string, 0, len(r.Machines))},
+		form: storedForm{
+			ShardID:  record.ShardID,
+			WriteID:  record.WriteID,
+			Machines: make([]string, 0, len(record.Machines)), // stored as [] when empty
+		},
 		jobs: map[cluster.JobID]int{},
 	}
 	var line []byte // reused for each machine
-	for i := range r.Machines {
-		line = e.appendMachine(line[:0], &r.Machines[i])
+	for i := range record.Machines {
+		line = e.appendMachine(line[:0], &record.Machines[i])
 		e.form.Machines = append(e.form.Machines, string(line))
 	}
 	value, err := json.Marshal(e.form)
 	if err != nil {
-		panic(err) // strings and numbers only: there is nothing that JSON can't hold
+		panic(err) // never happens: the form holds only strings and numbers
 	}
 	return value
 }
 
-func (e *encoder) appendMachine(line []byte, m *Machine) []byte {
-	line = append(line, m.ID...)
+func (e *encoder) appendMachine(line []byte, machine *Machine) []byte {
+	line = append(line, machine.ID...)
 	line = append(line, ' ')
-	line = appendInt(line, tableIndex(&e.form.Kinds, m.Kind))
-	if m.Releasing {
+	line = appendInt(line, tableIndex(&e.form.Kinds, machine.Kind))
+	if machine.Releasing {
 		line = append(line, releasingFlag)
 	}
-	if m.Booting {
+	if machine.Booting {
 		line = append(line, bootingFlag)
 	}
 	line = append(line, ' ')
-	line = append(line, packAddress(m.Address)...)
-	for tasks := m.Tasks; len(tasks) > 0; {
-		n := rangeLength(tasks)
+	line = append(line, packAddress(machine.Address)...)
+	for tasks := machine.Tasks; len(tasks) > 0; {
+		length := rangeLength(tasks)
 		line = append(line, ' ')
-		line = e.appendRange(line, tasks[:n])
-		tasks = tasks[n:]
+		line = e.appendRange(line, tasks[:length])
+		tasks = tasks[length:]
 	}
 	return line
 }
 
-// rangeLength is how many tasks at the front share a range.
+// rangeLength returns how many tasks from the first on form one range.
 func rangeLength(tasks []Task) int {
-	n := 1
-	for n < len(tasks) && tasks[n].follows(&tasks[n-1]) {
-		n++
+	length := 1
+	for length < len(tasks) && tasks[length].follows(&tasks[length-1]) {
+		length++
 	}
-	return n
+	return length
 }
 
 func (e *encoder) appendRange(line []byte, tasks []Task) []byte {
@@ -93,17 +98,18 @@
 		line = appendInt(line, last.ID.Index)
 	}
 	line = append(line, '@')
-	if claim := tableIndex(&e.form.Claims, first.Attempt.Claim()); claim > 0 { // the first is understood
+	claim := tableIndex(&e.form.Claims, first.Attempt.Claim())
+	if claim > 0 { // the first of the table is the default
 		line = appendInt(line, claim)
 		line = append(line, '.')
 	}
 	return strconv.AppendUint(line, first.Attempt.Count(), attemptBase)
 }
 
-func appendInt(line []byte, n int) []byte { return strconv.AppendInt(line, int64(n), 10) }
+func appendInt(line []byte, value int) []byte { return strconv.AppendInt(line, int64(value), 10) }
 
-// tableIndex returns where a short table lists a value, and appends it if it
-// doesn't. A record has a handful of kinds and claims.
+// tableIndex returns the position of a value in a table, to which it is appended if it
+// is missing. It searches the whole table, as a record has few kinds and claims.
 func tableIndex[T comparable](table *[]T, value T) int {
 	for i := range *table {
 		if (*table)[i] == value {
@@ -114,13 +120,14 @@
 	return len(*table) - 1
 }
 
-// jobIndex does the same for jobs, of which there may be many.
+// jobIndex returns the position of a job in the table of jobs, to which it is appended
+// if it is missing. A record may have many jobs, so their positions are kept in a map.
 func (e *encoder) jobIndex(job cluster.JobID) int {
-	i, known := e.jobs[job]
+	index, known := e.jobs[job]
 	if !known {
-		i = len(e.form.Jobs)
-		e.jobs[job] = i
+		index = len(e.form.Jobs)
+		e.jobs[job] = index
 		e.form.Jobs = append(e.form.Jobs, job)
 	}
-	return i
+	return index
 }
--- a/internal/grouprecord/record.go
+++ b/internal/grouprecord/record.go
@@ -1,15 +1,19 @@
-// Package grouprecord defines the record that lists the machines of a group and
-// the tasks that may be on them: its typed form, the JSON form that the state
-// service stores, and how many machines and tasks go into one.
+// Package grouprecord defines the node inventory record, which lists the machines of
+// a machine group and the tasks that may be on them: its typed form, the JSON form
+// that the state service stores, and how many machines and tasks go into one record.
+//
+// A task may only be started after a record that lists it is stored. So decoding is
+// strict: a task that is overlooked could run twice.
 package grouprecord
 
 import "stairrelay/internal/cluster"
 
-// Record is what groups/<id> says.
+// Record is the content of the key groups/<id>.
 type Record struct {
+	// ShardID is the shard that the machines belong to.
 	ShardID  cluster.ShardID
 	Machines []Machine
-	// WriteID is that of the transaction that wrote the record.
+	// WriteID identifies the transaction that wrote the record.
 	WriteID string
 }
 
@@ -17,13 +21,13 @@
 type Machine struct {
 	ID        cluster.MachineID
 	Kind      Kind
-	Address   string
-	Releasing bool // the cloud has been or will be told to take it back
-	Booting   bool // it has not reported yet
+	Address   string // host and port of its worker; empty while it is not known
+	Releasing bool   // it is being scaled in: the cloud is asked to take it back
+	Booting   bool   // its worker has not sent a heartbeat yet
 	Tasks     []Task
 }
 
-// Kind is what is alike in machines that are rented together. Its JSON form is
+// Kind is what machines of one provisioning request have in common. Its JSON form is
 // part of the record.
 type Kind struct {
 	Type string `json:"f"`
@@ -37,7 +41,7 @@
 	Attempt cluster.Attempt
 }
 
-// follows tells whether a task can share the range that ends with another.
+// follows reports whether the task continues a range that ends with last.
 func (t *Task) follows(last *Task) bool {
 	return t.ID.Job == last.ID.Job && t.ID.Index == last.ID.Index+1 && t.Attempt == last.Attempt+1
 }
--- a/internal/grouprecord/record_test.go
+++ b/internal/grouprecord/record_test.go
@@ -9,68 +9,102 @@
 	"stairrelay/internal/cluster"
 )
 
+// start returns one start of a task, under a shard claim.
 func start(job cluster.JobID, index int, claim, count uint64) Task {
 	return Task{ID: cluster.TaskID{Job: job, Index: index}, Attempt: cluster.NewAttempt(claim, count)}
 }
 
-// sample has ranges, attempts of two claims, all flags and forms of addresses.
-func sample() Record {
+// sampleRecord has ranges, attempts of two claims, all flags and forms of addresses.
+func sampleRecord() Record {
 	const lastCount = 1<<cluster.AttemptCountBits - 1
 	return Record{ShardID: 2, WriteID: "n-1", Machines: []Machine{
 		{ID: "m-000001", Kind: Kind{"small", "a", true}, Address: "10.1.0.232:9000", Tasks: []Task{
 			start("j-1", 0, 41, 7), start("j-1", 1, 41, 8), start("j-1", 2, 41, 9), // one range
-			start("j-1", 3, 41, 11), // another attempt's counter
-			start("j-2", 4, 41, 12), // another job's
-			start("j-2", 99_999, 7, lastCount)}},
+			start("j-1", 3, 41, 11),            // a count that does not continue the range
+			start("j-2", 4, 41, 12),            // another job
+			start("j-2", 99_999, 7, lastCount), // another claim
+		}},
 		{ID: "m-000002", Kind: Kind{"big", "b", false}, Releasing: true},
 		{ID: "m-000003", Kind: Kind{"small", "a", true}, Address: "host:1", Booting: true},
 	}}
 }
 
-// TestGroupRecord: what a record lists comes back as it was, whoever placed it.
-func TestGroupRecord(t *testing.T) {
-	in := sample()
-	if out, err := Decode(Encode(in)); err != nil || !reflect.DeepEqual(in, out) {
-		t.Errorf("came back as %+v, %v", out, err)
+// TestRoundTrip checks that an encoded record is decoded to the same.
+func TestRoundTrip(t *testing.T) {
+	record := sampleRecord()
+	if decoded, err := Decode(Encode(record)); err != nil || !reflect.DeepEqual(record, decoded) {
+		t.Errorf("decoded %+v, %v; want %+v", decoded, err, record)
 	}
 }
 
-// TestStoredForm: the stored bytes, which controllers of other releases read.
+// TestStoredForm compares the stored bytes, which controllers of other releases read.
 func TestStoredForm(t *testing.T) {
 	const want = `{"p":2,"c":[41,7],"k":[{"f":"small","y":"a","s":true},{"f":"big","y":"b"}],"j":["j-1","j-2"],` +
 		`"m":["m-000001 0 CgEA6CMo 0:0-2@7 0:3@b 1:4@c 1:99999@1.mh33","m-000002 1r .","m-000003 0b =host:1"],"w":"n-1"}`
-	if got := string(Encode(sample())); got != want {
+	if got := string(Encode(sampleRecord())); got != want {
 		t.Errorf("stored as\n%s\nwant\n%s", got, want)
 	}
 	if got, want := string(Encode(Record{ShardID: 1, WriteID: "x"})), `{"p":1,"m":[],"w":"x"}`; got != want {
-		t.Errorf("an empty one is stored as %s, want %s", got, want)
+		t.Errorf("a record without machines is stored as %s, want %s", got, want)
 	}
 }
 
-// TestGroupRecordBad: a task that is overlooked could run twice, so whatever
-// makes no sense is an error.
-func TestGroupRecordBad(t *testing.T) {
-	good := `{"p":1,"c":[5],"k":[{"f":"s","y":"a"}],"j":["j-1"],"m":["m-1 0 . %s"]}`
-	if rec, err := Decode([]byte(fmt.Sprintf(good, "0:1-3@a"))); err != nil || len(rec.Machines[0].Tasks) != 3 {
-		t.Fatalf("good record: %v", err)
+// recordWithTasks returns the stored form of a record with one job, claim and machine,
+// which lists the given ranges of tasks.
+func recordWithTasks(ranges string) []byte {
+	return fmt.Appendf(nil, `{"p":1,"c":[5],"k":[{"f":"s","y":"a"}],"j":["j-1"],"m":["m-1 0 . %s"]}`, ranges)
+}
+
+// TestMalformedRanges checks that a range of tasks which makes no sense is an error: a
+// task that is overlooked could run twice.
+func TestMalformedRanges(t *testing.T) {
+	if record, err := Decode(recordWithTasks("0:1-3@a")); err != nil || len(record.Machines[0].Tasks) != 3 {
+		t.Fatalf("well-formed record: %+v, %v", record, err)
 	}
-	for _, tasks := range []string{"1:1@1", "0:1", "0:3-1@1", "0:x@1", "0:1@", "0:1@1.1", "0:1@zzzzzzzz", "0:-1@1", "0:1-200000@1", "0@1", ""} {
-		_, err := Decode([]byte(fmt.Sprintf(good, tasks)))
-		var bad *RangeError
-		if !errors.As(err, &bad) || bad.Text != tasks {
-			t.Errorf("tasks %q: %v", tasks, err)
-		}
+	for name, tasks := range map[string]string{
+		"job beyond the table":   "1:1@1",
+		"no attempt":             "0:1",
+		"descending range":       "0:3-1@1",
+		"index not a number":     "0:x@1",
+		"empty attempt":          "0:1@",
+		"claim beyond the table": "0:1@1.1",
+		"count too large":        "0:1@zzzzzzzz",
+		"negative index":         "0:-1@1",
+		"range too long":         "0:1-200000@1",
+		"no index":               "0@1",
+		"empty":                  "",
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := Decode(recordWithTasks(tasks))
+			var malformed *RangeError
+			if !errors.As(err, &malformed) || malformed.Text != tasks {
+				t.Errorf("tasks %q: %v", tasks, err)
+			}
+		})
 	}
-	for _, rec := range []string{``, `{}`, `[]`, `{"p":1}`, `{"p":1,"m":["m-1"]}`, `{"p":1,"m":["m-1 0 ."]}`, `{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 !"]}`} {
-		if _, err := Decode([]byte(rec)); err == nil {
-			t.Errorf("record %q was taken", rec)
+}
+
+// TestMalformedRecords checks that records which make no sense are refused.
+func TestMalformedRecords(t *testing.T) {
+	for _, record := range []string{
+		``,
+		`{}`,
+		`[]`,
+		`{"p":1}`,
+		`{"p":1,"m":["m-1"]}`,
+		`{"p":1,"m":["m-1 0 ."]}`,
+		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 !"]}`,
+	} {
+		if _, err := Decode([]byte(record)); err == nil {
+			t.Errorf("record %q was accepted", record)
 		}
 	}
 }
 
-// TestErrorTexts: operators find these in the log, with the line at fault.
+// TestErrorTexts checks the texts that operators find in the log, with the line at
+// fault.
 func TestErrorTexts(t *testing.T) {
-	for rec, want := range map[string]string{
+	for record, want := range map[string]string{
 		`{"p":1}`:                 `group without machines`,
 		`{"p":1,"m":["m-1"]}`:     `machine "m-1"`,
 		`{"p":1,"m":[" 0 ."]}`:    `machine " 0 ."`,
@@ -78,49 +112,50 @@
 		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 !"]}`:       `machine "m-1 0 !": address`,
 		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 . 0:1@1"]}`: `machine "m-1 0 . 0:1@1": tasks "0:1@1"`,
 	} {
-		if _, err := Decode([]byte(rec)); err == nil || err.Error() != want {
-			t.Errorf("%s: %v, want %s", rec, err, want)
+		if _, err := Decode([]byte(record)); err == nil || err.Error() != want {
+			t.Errorf("%s: %v, want %s", record, err, want)
 		}
 	}
 }
 
-// TestPartOf: whose a record is can be read where the rest makes no sense.
-func TestPartOf(t *testing.T) {
-	for rec, want := range map[string]cluster.ShardID{`{"p":3}`: 3, `{"p":0,"m":["?"]}`: 0} {
-		if part, ok := ShardOf([]byte(rec)); !ok || part != want {
-			t.Errorf("%s: part %d, %v", rec, part, ok)
+// TestShardOf checks that the shard can be read where the rest makes no sense.
+func TestShardOf(t *testing.T) {
+	for record, want := range map[string]cluster.ShardID{`{"p":3}`: 3, `{"p":0,"m":["?"]}`: 0} {
+		if shard, ok := ShardOf([]byte(record)); !ok || shard != want {
+			t.Errorf("%s: shard %d, %v; want %d", record, shard, ok, want)
 		}
 	}
-	for _, rec := range []string{``, `{}`, `{"p":"x"}`, `[1]`} {
-		if part, ok := ShardOf([]byte(rec)); ok {
-			t.Errorf("%s: part %d", rec, part)
+	for _, record := range []string{``, `{}`, `{"p":"x"}`, `[1]`} {
+		if shard, ok := ShardOf([]byte(record)); ok {
+			t.Errorf("%s: shard %d, want none", record, shard)
 		}
 	}
 }
 
-// TestAddress: every address comes back, and only the packed form is short.
+// TestAddress checks that every address is restored from its stored form, which is
+// short for an IPv4 address only.
 func TestAddress(t *testing.T) {
-	for address, text := range map[string]string{
+	for address, want := range map[string]string{
 		"":                   ".",
 		"10.1.0.232:9000":    "CgEA6CMo",
 		"255.255.255.255:1":  "_____wAB",
-		"010.1.0.232:9000":   "=010.1.0.232:9000", // not as it would come back
+		"010.1.0.232:9000":   "=010.1.0.232:9000", // unpacked it would have no leading zero
 		"[2001:db8::1]:9000": "=[2001:db8::1]:9000",
 		"10.1.0.232:09000":   "=10.1.0.232:09000",
 		"host:1":             "=host:1",
 	} {
-		got := packAddress(address)
-		back, err := unpackAddress(got)
-		if got != text || back != address || err != nil {
-			t.Errorf("%q: written %q, want %q; read %q, %v", address, got, text, back, err)
+		packed := packAddress(address)
+		unpacked, err := unpackAddress(packed)
+		if packed != want || unpacked != address || err != nil {
+			t.Errorf("%q: packed %q, want %q; unpacked %q, %v", address, packed, want, unpacked, err)
 		}
 	}
 	if got := packAddress("a b"); got != "." {
-		t.Errorf("an address that would break the line is written as %q", got)
+		t.Errorf("an address that would break the line is packed as %q", got)
 	}
-	for _, bad := range []string{"", "!", "CgEA6CM", "CgEA6CMoAA"} {
-		if _, err := unpackAddress(bad); !errors.Is(err, ErrInvalidAddress) {
-			t.Errorf("%q: %v", bad, err)
+	for _, malformed := range []string{"", "!", "CgEA6CM", "CgEA6CMoAA"} {
+		if _, err := unpackAddress(malformed); !errors.Is(err, ErrInvalidAddress) {
+			t.Errorf("%q: %v", malformed, err)
 		}
 	}
 }
--- a/internal/scheduling/machines.go
+++ b/internal/scheduling/machines.go
@@ -56,16 +56,16 @@
 // State returns how soon a machine with machineCPU CPUs, which does not have the
 // image, could start a task that needs taskCPU.
 func (f *ImageFetches) State(image string, priority cluster.Priority, taskCPU, machineCPU cluster.Amount) ImageState {
-	hasPrecedence := false // a fetch for tasks that are urgent or as important
+	otherFirst := false // another image is fetched for tasks that are urgent or as important
 	for _, fetch := range f.images {
 		if fetch.image == image {
 			return ImageFetching
 		}
-		hasPrecedence = hasPrecedence || fetch.priority >= min(priority, cluster.Urgent)
+		otherFirst = otherFirst || fetch.priority >= min(priority, cluster.Urgent)
 	}
 	takesManyTasks := machineCPU >= manyTasks*taskCPU
 	isNearlyIdle := f.waitingCPU*nearlyIdleDivisor < machineCPU
-	if hasPrecedence && !(takesManyTasks && isNearlyIdle) {
+	if otherFirst && !(takesManyTasks && isNearlyIdle) {
 		return ImageBlocked
 	}
 	return ImageAbsent
