--- a/internal/ratelimit/divide.go
+++ b/internal/ratelimit/divide.go
@@ -1,41 +1,45 @@
 package ratelimit
 
-// evenDivisor: one part in this many of a limit is divided evenly, so that an
-// idle controller can begin at once when work comes.
+// evenDivisor: one fifth of a limit is divided evenly, so that an idle controller can
+// begin at once when work arrives.
 const evenDivisor = 5
 
-// demandMargin is how much more than its measured demand a controller is
-// reckoned to need: a demand that is measured under a tight share would else
-// never show that it is larger.
+// demandMargin is the factor by which a controller's demand is taken to exceed the
+// measured one. A demand measured under a tight share would otherwise never show that
+// it is larger.
 const demandMargin = 1.25
 
-// Demand is what another controller has told of its use of a limit.
+// Demand is what another controller has reported of its use of a limit.
 type Demand struct {
-	Rate  float64 // a second that it could use
-	Known bool    // false: nothing was heard of it lately
+	Rate  float64 // what it could use, per second
+	Known bool    // false: it has reported nothing lately
 }
 
-// Divide returns the share of a limit that falls to a controller which could
-// use a rate of demand, among live controllers of which others are those known
-// to be alive beside it. A fifth is divided evenly; of the rest each gets what
-// it could use, in proportion where that is more than there is, and what nobody
-// could use is divided evenly too. A controller not heard of lately counts with
-// an even part of the rest.
+// Divide returns a controller's share of a limit that all controllers share; limit,
+// demand and result are rates per second. demand is what this controller could use,
+// live the number of controllers that are alive, and others the demands of those
+// known to be alive beside it.
+//
+// A fifth of the limit is divided evenly. Of the rest each controller gets what it
+// could use, in proportion where that exceeds the rest, and what nobody could use is
+// divided evenly too. A controller whose demand is not known counts with an even
+// share of the rest. The shares of controllers that know the same add up to the
+// limit.
 func Divide(limit, demand float64, live int, others []Demand) float64 {
 	members := float64(live)
-	even := limit / evenDivisor / members
+	evenShare := limit / evenDivisor / members
 	rest := limit * (evenDivisor - 1) / evenDivisor
-	mine := demand * demandMargin
-	sum := mine
+	ownDemand := demand * demandMargin
+	totalDemand := ownDemand
 	for _, other := range others {
 		if other.Known {
-			sum += other.Rate * demandMargin
+			totalDemand += other.Rate * demandMargin
 		} else {
-			sum += rest / members
+			totalDemand += rest / members
 		}
 	}
-	if sum > rest {
-		return even + mine*rest/sum
+	if totalDemand > rest {
+		return evenShare + ownDemand*rest/totalDemand
 	}
-	return even + mine + (rest-sum)/members
+	return evenShare + ownDemand + (rest-totalDemand)/members
 }
--- a/internal/ratelimit/divide_test.go
+++ b/internal/ratelimit/divide_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestDivide works out shares of a limit of 10: 2 go evenly, 8 by need.
+// TestDivide checks shares of a limit of 10: 2 are divided evenly, 8 by demand.
 func TestDivide(t *testing.T) {
 	idle, unknown := Demand{Known: true}, Demand{}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		demand float64
 		live   int
@@ -13,43 +13,46 @@
 		want   float64
 	}{
 		{"alone", 0, 1, nil, 10},
-		{"alone, wants more than there is", 100, 1, nil, 10},
-		{"nobody needs anything: evenly", 0, 2, []Demand{idle}, 5},
-		{"need that fits, and half of what is over", 4, 2, []Demand{idle}, 1 + 5 + 1.5},
-		{"idle beside need that fits", 0, 2, []Demand{{4, true}}, 1 + 1.5},
-		{"idle beside need of all", 0, 2, []Demand{{100, true}}, 1},
+		{"alone, demand above the limit", 100, 1, nil, 10},
+		{"no demand: evenly", 0, 2, []Demand{idle}, 5},
+		{"demand that fits, and half of what is left", 4, 2, []Demand{idle}, 1 + 5 + 1.5},
+		{"idle beside demand that fits", 0, 2, []Demand{{4, true}}, 1 + 1.5},
+		{"idle beside demand above the limit", 0, 2, []Demand{{100, true}}, 1},
 		{"in proportion", 6, 2, []Demand{{18, true}}, 1 + 2},
-		{"in proportion where a little is missing", 6, 2, []Demand{{2, true}}, 1 + 7.5*8/10},
-		{"one not heard of counts with an even part", 100, 2, []Demand{unknown}, 1 + 125*8/129.0},
-		{"what a silent one told before doesn't count", 0, 2, []Demand{{Rate: 100}}, 1 + 4.0/2},
-		{"live ones beyond the others dilute the even part", 0, 4, []Demand{idle}, 0.5 + 2},
+		{"in proportion where little is missing", 6, 2, []Demand{{2, true}}, 1 + 7.5*8/10},
+		{"an unknown demand counts with an even share", 100, 2, []Demand{unknown}, 1 + 125*8/129.0},
+		{"the rate of an unknown demand does not count", 0, 2, []Demand{{Rate: 100}}, 1 + 4.0/2},
+		{"more live controllers reduce the even share", 0, 4, []Demand{idle}, 0.5 + 2},
 	} {
-		if got := Divide(10, x.demand, x.live, x.others); !near(got, x.want) {
-			t.Errorf("%s: %v, want %v", x.name, got, x.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := Divide(10, test.demand, test.live, test.others); !near(got, test.want) {
+				t.Errorf("share %v, want %v", got, test.want)
+			}
+		})
 	}
 }
 
-// TestDivideWithinLimit: the shares of controllers that know the same of each
-// other add up to the limit, whatever they need.
+// TestDivideWithinLimit checks that the shares of controllers which know the same of
+// each other add up to the limit, whatever their demands are.
 func TestDivideWithinLimit(t *testing.T) {
+	const limit = 3.6
 	for _, demands := range [][]float64{{0, 0, 0}, {1, 0, 0}, {5, 1, 0}, {50, 20, 1}, {3.6, 3.6, 3.6}} {
 		sum := 0.0
 		for self, demand := range demands {
 			var others []Demand
-			for i, d := range demands {
+			for i, rate := range demands {
 				if i != self {
-					others = append(others, Demand{d, true})
+					others = append(others, Demand{Rate: rate, Known: true})
 				}
 			}
-			share := Divide(3.6, demand, len(demands), others)
-			if share < 3.6/5/3-1e-9 {
-				t.Errorf("demands %v: controller %d could not begin with %v", demands, self, share)
+			share := Divide(limit, demand, len(demands), others)
+			if share < limit/5/3-1e-9 {
+				t.Errorf("demands %v: controller %d gets %v, less than its even share", demands, self, share)
 			}
 			sum += share
 		}
-		if !near(sum, 3.6) {
-			t.Errorf("demands %v: the shares add up to %v of 3.6", demands, sum)
+		if !near(sum, limit) {
+			t.Errorf("demands %v: the shares add up to %v of %v", demands, sum, limit)
 		}
 	}
 }
