--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -8,10 +8,9 @@
 	"fmt"
 	"strings"
 
-	"stairrelay/internal/cluster"
-
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
+	"stairrelay/internal/cluster"
 	"stairrelay/internal/controller"
 )
 
@@ -21,10 +20,8 @@
 //go:embed operators.schema.json
 var schemaText []byte
 
-// Schema is the JSON schema of the operators' file.
-func Schema() []byte { return schemaText }
-
-// operatorsFile is the operators' JSON file; an absent field keeps its default.
+// operatorsFile is the operators' JSON file. An absent field keeps its default. The
+// schema holds the bounds and describes the fields.
 type operatorsFile struct {
 	CheckpointSeconds        *float64 `json:"checkpoint_s"`
 	PingSeconds              *float64 `json:"ping_s"`
@@ -43,7 +40,8 @@
 	BeginWithinSeconds       *float64 `json:"begin_within_s"`
 }
 
-// applyOperators checks the operators' file and sets what it names in tuning.
+// applyOperators checks the text of the operators' file against the schema and sets the
+// fields that it names in tuning. A breach of the schema is a FieldError.
 func applyOperators(tuning *controller.Tuning, text []byte) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -76,8 +74,8 @@
 	return compiler.Compile(schemaName)
 }
 
-// firstCause turns a validation's tree of errors into one line that names the
-// innermost field.
+// firstCause converts the tree of errors of a validation into one line that names the
+// innermost field. It returns any other error as it is.
 func firstCause(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
@@ -92,6 +90,7 @@
 	}
 }
 
+// apply sets the fields that are present.
 func (f *operatorsFile) apply(tuning *controller.Tuning) {
 	setSeconds(&tuning.CheckpointInterval, f.CheckpointSeconds)
 	setSeconds(&tuning.PingInterval, f.PingSeconds)
@@ -110,12 +109,14 @@
 	setIfPresent(&tuning.ShortJobWeight, f.SmallFirst)
 }
 
+// setIfPresent sets target unless the value is absent.
 func setIfPresent[T any](target, value *T) {
 	if value != nil {
 		*target = *value
 	}
 }
 
+// setSeconds sets target to a number of seconds unless it is absent.
 func setSeconds(target *cluster.Time, value *float64) {
 	if value != nil {
 		*target = seconds(*value)
--- a/internal/settings/platformfile.go
+++ b/internal/settings/platformfile.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// platformFile is the platform's TOML file. Fields that it does not name are
-// ignored: the platform may add some.
+// platformFile is the platform's TOML file. Fields that are missing here are ignored,
+// as the platform may add some.
 type platformFile struct {
 	HostName string        `toml:"host_name"`
 	Domain   string        `toml:"domain"`
@@ -20,16 +20,19 @@
 	Cluster  clusterTable  `toml:"cluster"`
 }
 
+// peerTable describes another controller.
 type peerTable struct {
 	HostName string `toml:"host_name"`
 	Endpoint string `toml:"endpoint"`
 }
 
+// externalTable holds the addresses of the services that the controllers use.
 type externalTable struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
+// clusterTable describes the cluster: its teams, objectives and limits.
 type clusterTable struct {
 	Count   int          `toml:"count"`
 	Teams   []teamTable  `toml:"teams"`
@@ -40,6 +43,7 @@
 	Limits  limitsTable  `toml:"machine_limits"`
 }
 
+// teamTable holds the guaranteed quota and the quota limit of a team.
 type teamTable struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -48,6 +52,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
+// sloTable is a service-level objective. Its fields are those of cluster.SLO.
 type sloTable struct {
 	Kind           string  `toml:"kind"`
 	Class          string  `toml:"class"`
@@ -55,12 +60,14 @@
 	DeadlineFactor float64 `toml:"times"`
 }
 
+// workersTable holds the intervals that workers keep to.
 type workersTable struct {
 	HeartbeatSeconds float64 `toml:"report_s"`
 	LeaseSeconds     float64 `toml:"lease_s"`
 	CancelSeconds    float64 `toml:"cancel_s"`
 }
 
+// stateTable holds the limits of the state service.
 type stateTable struct {
 	RPS      float64         `toml:"rps"`
 	WriteRPS float64         `toml:"write_rps"`
@@ -69,36 +76,61 @@
 	Next     *nextStateTable `toml:"next"`
 }
 
-// nextStateTable holds limits that come into force later, without notice.
+// nextStateTable holds limits of the state service that take effect later, without
+// notice. An absent limit does not change.
 type nextStateTable struct {
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
+// cloudTable holds the cloud's rate limit and the delay of its machine list.
 type cloudTable struct {
 	RPS            float64 `toml:"rps"`
 	ListLagSeconds float64 `toml:"list_lag_s"`
 }
 
+// limitsTable holds what this process may use of its machine; 0 means no limit.
 type limitsTable struct {
 	MemoryMB       float64 `toml:"mem_mb"`
 	MaxConnections int     `toml:"max_connections"`
 	CPUShare       float64 `toml:"core_share"`
 }
 
-// decodePlatform reads the file's text; its errors name line and field.
+// SyntaxError is an error in the text of the platform's file: it is not TOML, or a
+// field has a value of the wrong type.
+type SyntaxError struct {
+	Line   int    // counted from 1
+	Column int    // counted from 1
+	Key    string // the field, as far as it is known
+	Err    error
+}
+
+// Error returns the position, the field and what is wrong with it, in one line.
+func (e *SyntaxError) Error() string {
+	return fmt.Sprintf("line %d column %d: %s: %v", e.Line, e.Column, e.Key, e.Err)
+}
+
+// Unwrap returns the decoder's error.
+func (e *SyntaxError) Unwrap() error { return e.Err }
+
+// decodePlatform decodes the file's text. Its errors are SyntaxErrors where the decoder
+// knows the position.
 func decodePlatform(text []byte) (*platformFile, error) {
 	var file platformFile
 	err := toml.Unmarshal(text, &file)
-	var decodeError *toml.DecodeError
-	if errors.As(err, &decodeError) {
-		row, column := decodeError.Position()
-		key := strings.Join(decodeError.Key(), ".")
-		return nil, fmt.Errorf("line %d column %d: %s: %s", row, column, key, decodeError.Error())
+	if err == nil {
+		return &file, nil
 	}
-	if err != nil {
+	var decodeError *toml.DecodeError
+	if !errors.As(err, &decodeError) {
 		return nil, err
 	}
-	return &file, nil
+	line, column := decodeError.Position()
+	return nil, &SyntaxError{
+		Line:   line,
+		Column: column,
+		Key:    strings.Join(decodeError.Key(), "."),
+		Err:    decodeError,
+	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -8,10 +9,10 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/controller"
 )
 
+// validPlatformText is a platform's file that is accepted without a warning.
 const validPlatformText = `
 host_name = "n0"
 domain = "a"
@@ -44,130 +45,203 @@
 list_lag_s = 3.0
 `
 
+// writeFile writes a file into a directory of its own and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
-	p := filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
+	path := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return path
 }
 
-// mustLoad reads settings that have to be accepted.
-func mustLoad(t *testing.T, text string) *Settings {
+// mustLoad loads a platform's file that has to be accepted.
+func mustLoad(t *testing.T, platformText string) *Settings {
 	t.Helper()
-	s, err := Load(writeFile(t, "s.toml", text), "")
+	settings, err := Load(writeFile(t, "s.toml", platformText), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return settings
+}
+
+// mustLoadChanged loads the valid file with one text in it replaced.
+func mustLoadChanged(t *testing.T, from, to string) *Settings {
+	t.Helper()
+	return mustLoad(t, strings.Replace(validPlatformText, from, to, 1))
+}
+
+// checkRefused checks that an error is one line that names the file and what is at
+// fault.
+func checkRefused(t *testing.T, err error, file, want string) {
+	t.Helper()
+	switch {
+	case err == nil:
+		t.Errorf("accepted, want an error with %q", want)
+	case !strings.Contains(err.Error(), want):
+		t.Errorf("%q does not contain %q", err, want)
+	case !strings.Contains(err.Error(), file):
+		t.Errorf("%q does not name the file %s", err, file)
+	case strings.Contains(err.Error(), "\n"):
+		t.Errorf("%q has several lines", err)
+	}
 }
 
 func TestLoad(t *testing.T) {
-	s := mustLoad(t, validPlatformText)
-	if s.Controller.Self != "n0" || len(s.Controller.Nodes) != 2 || s.PeerAddresses["n1"] != "127.0.0.1:3" || s.Controller.MaxValueBytes != 4096 {
-		t.Errorf("read %+v", s)
+	settings := mustLoad(t, validPlatformText)
+	config := settings.Controller
+	if config.Self != "n0" || len(config.Nodes) != 2 || settings.PeerAddresses["n1"] != "127.0.0.1:3" || config.MaxValueBytes != 4096 {
+		t.Errorf("loaded %+v", settings)
 	}
-	if s.Controller.Teams[0].QuotaLimit.CPU != 8_500_000 || s.Controller.WorkerLease != cluster.Time(12*time.Second) {
-		t.Errorf("read %+v", s.Controller)
+	if config.Teams[0].QuotaLimit.CPU != 8_500_000 || config.WorkerLease != cluster.Time(12*time.Second) {
+		t.Errorf("loaded %+v", config)
 	}
-	if len(s.Warnings) != 0 {
-		t.Errorf("called odd: %v", s.Warnings)
+	if len(settings.Warnings) != 0 {
+		t.Errorf("warnings: %v", settings.Warnings)
 	}
-	if s.Controller.Tuning != controller.DefaultTuning() {
-		t.Errorf("defaults changed: %+v", s.Controller.Tuning)
+	if config.Tuning != controller.DefaultTuning() {
+		t.Errorf("defaults changed: %+v", config.Tuning)
 	}
 }
 
 func TestGuaranteeAboveLimit(t *testing.T) {
-	s := mustLoad(t, strings.Replace(validPlatformText, "cpus = 4.0", "cpus = 9.0", 1))
-	if len(s.Warnings) != 1 || !strings.Contains(s.Warnings[0], "red") {
-		t.Errorf("warnings: %v", s.Warnings)
+	settings := mustLoadChanged(t, "cpus = 4.0", "cpus = 9.0")
+	if len(settings.Warnings) != 1 || !strings.Contains(settings.Warnings[0], "red") {
+		t.Errorf("warnings: %v", settings.Warnings)
 	}
 }
 
-// TestTeamWithoutAmounts: a team that states neither figure is guaranteed
-// nothing and limited by nothing; nor is that odd. Taken for a limit of 0, all
-// its jobs got 422.
+// TestTeamWithoutAmounts checks that a team which states neither figure is guaranteed
+// nothing and limited by nothing, without a warning. Read as a limit of 0, all its jobs
+// got 422.
 func TestTeamWithoutAmounts(t *testing.T) {
-	s := mustLoad(t, strings.Replace(validPlatformText, "cpus = 4.0\ncpus_max = 8.5\n", "", 1))
-	team := s.Controller.Teams[0]
-	if len(s.Warnings) != 0 || team.GuaranteedQuota.CPU != 0 || team.QuotaLimit.CPU != cluster.NoLimit || team.QuotaLimit.GPU != cluster.NoLimit {
-		t.Errorf("read %+v with warnings %v", team, s.Warnings)
+	settings := mustLoadChanged(t, "cpus = 4.0\ncpus_max = 8.5\n", "")
+	if len(settings.Warnings) != 0 {
+		t.Errorf("warnings: %v", settings.Warnings)
+	}
+	team := settings.Controller.Teams[0]
+	if team.GuaranteedQuota.CPU != 0 || team.QuotaLimit.CPU != cluster.NoLimit || team.QuotaLimit.GPU != cluster.NoLimit {
+		t.Errorf("loaded %+v", team)
 	}
 }
 
 func TestMachineLimits(t *testing.T) {
-	limits := validPlatformText + "\n[cluster.machine_limits]\ncore_share = 0.18\nmax_connections = "
-	s := mustLoad(t, limits+"200\n")
-	if s.CPUShare != 0.18 || s.MaxConnections != 200 {
-		t.Errorf("read %+v", s)
-	}
-	if len(s.Warnings) != 1 || !strings.Contains(s.Warnings[0], "max_connections") {
-		t.Errorf("warnings: %v", s.Warnings)
+	const limits = validPlatformText + "\n[cluster.machine_limits]\ncore_share = 0.18\nmax_connections = "
+	settings := mustLoad(t, limits+"200\n")
+	if settings.CPUShare != 0.18 || settings.MaxConnections != 200 {
+		t.Errorf("loaded %+v", settings)
 	}
-	if _, err := Load(writeFile(t, "s.toml", limits+"-1\n"), ""); err == nil || !strings.Contains(err.Error(), "max_connections") {
-		t.Errorf("sockets below 0: %v", err)
+	if len(settings.Warnings) != 1 || !strings.Contains(settings.Warnings[0], "max_connections") {
+		t.Errorf("warnings: %v", settings.Warnings)
 	}
+	path := writeFile(t, "s.toml", limits+"-1\n")
+	_, err := Load(path, "")
+	checkRefused(t, err, path, "max_connections")
 }
 
-// TestCancelWithin: cancel_s must leave room for a lease after a holder was last
-// certain of its part: 12 + 2 + 4 s and 0.1% of both are not there with 18, and
-// are with 19.
+// TestCancelWithin checks that cancel_s must leave room for a lease after an owner's
+// last confirmation: 12 + 2 + 4 s and 0.1% of both do not fit into 18 s, and do fit
+// into 19 s.
 func TestCancelWithin(t *testing.T) {
-	short := mustLoad(t, strings.Replace(validPlatformText, "cancel_s = 37.0", "cancel_s = 18.0", 1))
+	short := mustLoadChanged(t, "cancel_s = 37.0", "cancel_s = 18.0")
 	if len(short.Warnings) != 1 || !strings.Contains(short.Warnings[0], "3.97 s") || !strings.HasSuffix(short.Warnings[0], "A cancel_s of 19 would do") {
 		t.Errorf("cancel_s 18 with lease_s 12: %v", short.Warnings)
 	}
-	enough := mustLoad(t, strings.Replace(validPlatformText, "cancel_s = 37.0", "cancel_s = 19.0", 1))
+	enough := mustLoadChanged(t, "cancel_s = 37.0", "cancel_s = 19.0")
 	if len(enough.Warnings) != 0 {
 		t.Errorf("cancel_s 19 with lease_s 12: %v", enough.Warnings)
 	}
 }
 
-// TestBadSettings: each breach gives one line that names file and field.
-func TestBadSettings(t *testing.T) {
-	for name, c := range map[string]struct{ from, to, want string }{
-		"not TOML":     {"[cluster]", "[cluster", "line"},
-		"wrong type":   {"lease_s = 12.0", `lease_s = "x"`, "lease_s"},
-		"missing":      {"report_s = 2.0", "", "cluster.workers.report_s"},
-		"bad address":  {"127.0.0.1:5", "nowhere", "external.state"},
-		"own name":     {`host_name = "n1"`, `host_name = "n0"`, "peers.host_name"},
-		"count":        {"count = 2", "count = 3", "cluster.count"},
-		"no team name": {`name = "red"`, "", "cluster.teams.name"},
-		"too small":    {"txn_ops = 12", "txn_ops = 2", "txn_ops"},
-		"negative":     {"cpus = 4.0", "cpus = -4.0", "below 0"},
-		"endless":      {"cpus = 4.0", "cpus = inf", "cluster.teams"},
-		"no number":    {"cpus = 4.0", "cpus = nan", "cluster.teams"},
-		"zero lease":   {"lease_s = 12.0", "lease_s = 0.0", "cluster.workers.lease_s"},
-		"long lease":   {"lease_s = 12.0", "lease_s = 1e300", "cluster.workers.lease_s"},
-		"no whole":     {"txn_ops = 12", "txn_ops = 12.5", "txn_ops"},
-		"many nodes":   {"count = 2", "count = -2", "cluster.count"},
-		"huge value":   {"value_kb = 4.0", "value_kb = 1e20", "cluster.state.value_kb"},
-		"huge memory":  {"[cluster]", "[cluster.machine_limits]\nmem_mb = -1.0\n[cluster]", "cluster.machine_limits.mem_mb"},
-		"no sockets":   {"[cluster]", "[cluster.machine_limits]\nmax_connections = -5\n[cluster]", "cluster.machine_limits.max_connections"},
+// TestInvalidSettings checks that each problem gives one line that names file and field.
+func TestInvalidSettings(t *testing.T) {
+	for name, test := range map[string]struct{ from, to, want string }{
+		"not TOML":             {"[cluster]", "[cluster", "line"},
+		"wrong type":           {"lease_s = 12.0", `lease_s = "x"`, "lease_s"},
+		"missing interval":     {"report_s = 2.0", "", "cluster.workers.report_s"},
+		"address without port": {"127.0.0.1:5", "nowhere", "external.state"},
+		"peer of own name":     {`host_name = "n1"`, `host_name = "n0"`, "peers.host_name"},
+		"wrong count":          {"count = 2", "count = 3", "cluster.count"},
+		"negative count":       {"count = 2", "count = -2", "cluster.count"},
+		"no team name":         {`name = "red"`, "", "cluster.teams.name"},
+		"negative amount":      {"cpus = 4.0", "cpus = -4.0", "below 0"},
+		"infinite amount":      {"cpus = 4.0", "cpus = inf", "cluster.teams"},
+		"amount not a number":  {"cpus = 4.0", "cpus = nan", "cluster.teams"},
+		"no lease":             {"lease_s = 12.0", "lease_s = 0.0", "cluster.workers.lease_s"},
+		"huge lease":           {"lease_s = 12.0", "lease_s = 1e300", "cluster.workers.lease_s"},
+		"too few operations":   {"txn_ops = 12", "txn_ops = 2", "txn_ops"},
+		"fractional count":     {"txn_ops = 12", "txn_ops = 12.5", "txn_ops"},
+		"huge value":           {"value_kb = 4.0", "value_kb = 1e20", "cluster.state.value_kb"},
+		"negative memory":      {"[cluster]", "[cluster.machine_limits]\nmem_mb = -1.0\n[cluster]", "cluster.machine_limits.mem_mb"},
+		"negative connections": {"[cluster]", "[cluster.machine_limits]\nmax_connections = -5\n[cluster]", "cluster.machine_limits.max_connections"},
 	} {
-		p := writeFile(t, "s.toml", strings.Replace(validPlatformText, c.from, c.to, 1))
-		_, err := Load(p, "")
-		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), p) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			path := writeFile(t, "s.toml", strings.Replace(validPlatformText, test.from, test.to, 1))
+			_, err := Load(path, "")
+			checkRefused(t, err, path, test.want)
+		})
 	}
-	if _, err := Load(filepath.Join(t.TempDir(), "none.toml"), ""); err == nil || !strings.Contains(err.Error(), "none.toml") {
-		t.Errorf("missing file: %v", err)
+}
+
+// TestErrorTypes checks that callers can tell what kind of error it is.
+func TestErrorTypes(t *testing.T) {
+	load := func(t *testing.T, from, to string) error {
+		t.Helper()
+		_, err := Load(writeFile(t, "s.toml", strings.Replace(validPlatformText, from, to, 1)), "")
+		return err
 	}
+	t.Run("missing file", func(t *testing.T) {
+		path := filepath.Join(t.TempDir(), "none.toml")
+		_, err := Load(path, "")
+		checkRefused(t, err, path, "none.toml")
+		if !errors.Is(err, os.ErrNotExist) {
+			t.Errorf("%v is not os.ErrNotExist", err)
+		}
+	})
+	t.Run("field", func(t *testing.T) {
+		err := load(t, "count = 2", "count = 3")
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) || fieldError.Field != "cluster.count" {
+			t.Errorf("%v is not a FieldError of cluster.count", err)
+		}
+	})
+	t.Run("syntax", func(t *testing.T) {
+		err := load(t, "lease_s = 12.0", `lease_s = "x"`)
+		var syntaxError *SyntaxError
+		if !errors.As(err, &syntaxError) || syntaxError.Line != 21 || syntaxError.Key != "cluster.workers.lease_s" {
+			t.Errorf("%v is not a SyntaxError of cluster.workers.lease_s in line 21", err)
+		}
+	})
+}
+
+// TestFirstProblemNamed checks which of two problems is named, as that is what an
+// operator mends first.
+func TestFirstProblemNamed(t *testing.T) {
+	text := strings.Replace(validPlatformText, "count = 2", "count = 3", 1)
+	text = strings.Replace(text, "[[cluster.teams]]\nname = \"red\"\ncpus = 4.0\ncpus_max = 8.5\n", "", 1)
+	path := writeFile(t, "s.toml", text)
+	_, err := Load(path, "")
+	checkRefused(t, err, path, "cluster.teams: missing")
 }
 
 func TestOperatorsFile(t *testing.T) {
-	p := writeFile(t, "s.toml", validPlatformText)
-	s, err := Load(p, writeFile(t, "o.json", `{"checkpoint_s": 3, "probes": 7, "spare_share": 0, "begin_within_s": 90}`))
+	platform := writeFile(t, "s.toml", validPlatformText)
+	settings, err := Load(platform, writeFile(t, "o.json", `{"checkpoint_s": 3, "probes": 7, "spare_share": 0, "begin_within_s": 90}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Controller.Tuning.CheckpointInterval != cluster.Time(3*time.Second) || s.Controller.Tuning.ProbeCount != 7 || s.Controller.Tuning.SpareCapacityShare != 0 ||
-		s.Controller.Tuning.FirstTaskTarget != cluster.Time(90*time.Second) {
-		t.Errorf("read %+v", s.Controller.Tuning)
+	want := controller.DefaultTuning()
+	want.CheckpointInterval = cluster.Time(3 * time.Second)
+	want.ProbeCount = 7
+	want.SpareCapacityShare = 0
+	want.FirstTaskTarget = cluster.Time(90 * time.Second)
+	if settings.Controller.Tuning != want {
+		t.Errorf("loaded %+v, want %+v", settings.Controller.Tuning, want)
 	}
+}
+
+func TestInvalidOperatorsFile(t *testing.T) {
+	platform := writeFile(t, "s.toml", validPlatformText)
 	for text, want := range map[string]string{
 		`{"checkpoint_s": 0}`:     "/checkpoint_s",
 		`{"probes": 2.5}`:         "/probes",
@@ -178,22 +252,22 @@
 		`{"budget_share": 1.5}`:   "/budget_share",
 		`{"boot_patience": null}`: "/boot_patience",
 	} {
-		_, err := Load(p, writeFile(t, "o.json", text))
-		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "o.json") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", text, err)
-		}
+		t.Run(text, func(t *testing.T) {
+			_, err := Load(platform, writeFile(t, "o.json", text))
+			checkRefused(t, err, "o.json", want)
+		})
 	}
 }
 
-// TestNextStateLimits: values and transactions keep under the lower of the present
-// limits and those of state.next, which come into force without notice; of the
-// write rate both are known.
+// TestNextStateLimits checks that values and transactions keep to the lower of the
+// present limits and those of state.next, which take effect without notice, and that of
+// the write rate both are known.
 func TestNextStateLimits(t *testing.T) {
-	for name, c := range map[string]struct {
-		next  string
-		rate  float64
-		bytes int
-		ops   int
+	for name, test := range map[string]struct {
+		next          string
+		writeRPS      float64
+		maxValueBytes int
+		maxTxnOps     int
 	}{
 		"absent":         {"", 25, 4096, 12},
 		"empty":          {"[cluster.state.next]\n", 25, 4096, 12},
@@ -202,22 +276,32 @@
 		"each by itself": {"[cluster.state.next]\nwrite_rps = 80.0\nvalue_kb = 2.0\ntxn_ops = 12\n", 25, 2048, 12},
 		"only one":       {"[cluster.state.next]\ntxn_ops = 4\n", 25, 4096, 4},
 	} {
-		s, err := Load(writeFile(t, "s.toml", validPlatformText+c.next), "")
-		if err != nil {
-			t.Errorf("%s: %v", name, err)
-			continue
-		}
-		if k := s.Controller; k.CurrentWriteRPS != 25 || k.WriteRPS != c.rate || k.MaxValueBytes != c.bytes || k.MaxTxnOps != c.ops || k.StoreRPS != 150 {
-			t.Errorf("%s: %v changes a second, %v later, %d bytes, %d a transaction", name, k.CurrentWriteRPS, k.WriteRPS, k.MaxValueBytes, k.MaxTxnOps)
-		}
-	}
-	for field, values := range map[string][]string{"write_rps": {"0.0", "-1.0", "nan", "inf"}, "value_kb": {"0.0", "-4.0", "nan", "1.5"}, "txn_ops": {"0", "-1", "3", "2.5"}} {
-		for _, v := range values {
-			p := writeFile(t, "s.toml", validPlatformText+"[cluster.state.next]\n"+field+" = "+v+"\n")
-			_, err := Load(p, "")
-			if err == nil || !strings.Contains(err.Error(), field) || !strings.Contains(err.Error(), p) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s = %s: %v", field, v, err)
+		t.Run(name, func(t *testing.T) {
+			config := mustLoad(t, validPlatformText+test.next).Controller
+			if config.CurrentWriteRPS != 25 || config.WriteRPS != test.writeRPS || config.StoreRPS != 150 {
+				t.Errorf("write rate %v now, %v later, want 25 and %v; rate %v, want 150",
+					config.CurrentWriteRPS, config.WriteRPS, test.writeRPS, config.StoreRPS)
 			}
+			if config.MaxValueBytes != test.maxValueBytes || config.MaxTxnOps != test.maxTxnOps {
+				t.Errorf("%d bytes and %d operations, want %d and %d",
+					config.MaxValueBytes, config.MaxTxnOps, test.maxValueBytes, test.maxTxnOps)
+			}
+		})
+	}
+}
+
+func TestInvalidNextStateLimits(t *testing.T) {
+	for field, values := range map[string][]string{
+		"write_rps": {"0.0", "-1.0", "nan", "inf"},
+		"value_kb":  {"0.0", "-4.0", "nan", "1.5"},
+		"txn_ops":   {"0", "-1", "3", "2.5"},
+	} {
+		for _, value := range values {
+			t.Run(field+" = "+value, func(t *testing.T) {
+				path := writeFile(t, "s.toml", validPlatformText+"[cluster.state.next]\n"+field+" = "+value+"\n")
+				_, err := Load(path, "")
+				checkRefused(t, err, path, field)
+			})
 		}
 	}
 }
