--- a/internal/sockets/calllimiter.go
+++ b/internal/sockets/calllimiter.go
@@ -6,97 +6,71 @@
 )
 
 const (
-	// unresponsiveDivisor is the part of the slots that silent places get.
+	// unresponsiveDivisor: one quarter of the slots is for unresponsive addresses.
 	unresponsiveDivisor = 4
-	// maxUnresponsive bounds the places that are remembered as silent. Most of so many
-	// are machines that are long gone.
+	// maxUnresponsive bounds the addresses that are remembered as unresponsive. Of
+	// so many most belong to machines that no longer exist.
 	maxUnresponsive = 1 << 14
 )
 
-// CallLimiter bounds calls that run at once. Those to places that did not answer
-// last time have a quarter of their own, so that many silent machines never
-// hold up calls to the others.
+// CallLimiter bounds the calls that run at once. Calls to addresses that did not
+// answer last time have a quarter of the slots to themselves, so that many
+// unresponsive machines never delay calls to the others. It is safe for concurrent
+// use.
 type CallLimiter struct {
-	responsive            semaphore
-	unresponsive          semaphore
+	responsive   semaphore
+	unresponsive semaphore
+
 	mu                    sync.Mutex
 	unresponsiveAddresses map[string]bool
 }
 
-// semaphore holds an element for each slot that is taken; nil: without limit.
-type semaphore chan struct{}
-
-// NewCallLimiter makes slots for so many calls at once; 0: without limit.
+// NewCallLimiter returns a limiter for a number of calls at once; 0 means no limit.
 func NewCallLimiter(calls int) *CallLimiter {
-	s := &CallLimiter{unresponsiveAddresses: map[string]bool{}}
+	limiter := &CallLimiter{unresponsiveAddresses: map[string]bool{}}
 	if calls > 0 {
-		silent := calls / unresponsiveDivisor
-		s.unresponsive = make(semaphore, max(silent, 1))
-		s.responsive = make(semaphore, max(calls-silent, 1))
+		unresponsive := calls / unresponsiveDivisor
+		limiter.unresponsive = newSemaphore(unresponsive)
+		limiter.responsive = newSemaphore(calls - unresponsive)
 	}
-	return s
+	return limiter
 }
 
-// Acquire waits for a slot for a call to a place, at most so long. The function
-// it returns gives the slot back and says whether the place answered.
-func (s *CallLimiter) Acquire(addr string, wait time.Duration) (release func(answered bool), taken bool) {
-	pool := s.semaphoreFor(addr)
-	if !pool.acquire(wait) {
+// Acquire waits for a slot for a call to an address, at most for the given time, and
+// reports whether there was one. The caller must call release once, when the call has
+// ended, and say whether the address answered.
+func (l *CallLimiter) Acquire(addr string, wait time.Duration) (release func(answered bool), acquired bool) {
+	slots := l.semaphoreFor(addr)
+	if !slots.acquire(wait) {
 		return nil, false
 	}
 	release = func(answered bool) {
-		s.recordResult(addr, answered)
-		pool.release()
+		l.recordResult(addr, answered)
+		slots.release()
 	}
 	return release, true
 }
 
-func (s *CallLimiter) semaphoreFor(addr string) semaphore {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.unresponsiveAddresses[addr] {
-		return s.unresponsive
+func (l *CallLimiter) semaphoreFor(addr string) semaphore {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.unresponsiveAddresses[addr] {
+		return l.unresponsive
 	}
-	return s.responsive
+	return l.responsive
 }
 
-// recordResult remembers whether a place answered. When too many are silent all are
-// forgotten; those that still are will be found again.
-func (s *CallLimiter) recordResult(addr string, answered bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// recordResult records whether an address answered. When too many are recorded as
+// unresponsive, all are dropped; those that still are will be found again.
+func (l *CallLimiter) recordResult(addr string, answered bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if answered {
-		delete(s.unresponsiveAddresses, addr)
+		delete(l.unresponsiveAddresses, addr)
 		return
 	}
-	if len(s.unresponsiveAddresses) >= maxUnresponsive {
-		clear(s.unresponsiveAddresses)
-	}
-	s.unresponsiveAddresses[addr] = true
-}
-
-// acquire waits for a slot, at most so long.
-func (p semaphore) acquire(wait time.Duration) bool {
-	if p == nil {
-		return true
-	}
-	select {
-	case p <- struct{}{}:
-		return true
-	default: // no timer is needed while slots are free
-	}
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	select {
-	case p <- struct{}{}:
-		return true
-	case <-timer.C:
-		return false
-	}
-}
-
-func (p semaphore) release() {
-	if p != nil {
-		<-p
+	if len(l.unresponsiveAddresses) >= maxUnresponsive {
+		clear(l.unresponsiveAddresses)
 	}
+	l.unresponsiveAddresses[addr] = true
 }
--- a/internal/sockets/connectionlimiter.go
+++ b/internal/sockets/connectionlimiter.go
@@ -11,41 +11,38 @@
 
 // The time-outs of a server, beside the one for idle connections.
 const (
-	headerTimeout   = 10 * time.Second
-	transferTimeout = 15 * time.Second
+	headerTimeout   = 10 * time.Second // to read the header of a request
+	transferTimeout = 15 * time.Second // to read a request, and to write the answer
 )
 
-// The shares, in sixteenths of the limit, above which connections are closed
-// after each answer: first users', then workers' too.
-const (
-	shareDenominator  = 16
-	closeUsersAbove   = 14
-	closeWorkersAbove = 15
-)
-
-// closeWorkersDuration is how long workers go on being told to close after a new connection
-// found no room but a worker's. With so many more workers than connections each
-// has one for the length of a report; kept again as soon as there is room, they
-// would fill it up within a report's interval. Short of that only those above
-// the share are closed: a connection for each report costs processor time.
+// closeWorkersDuration is how long workers are told to close their connections after
+// only an idle worker's could be closed for a new one. With so many more workers than
+// connections, each has a connection for the length of a heartbeat. If they kept them
+// as soon as there was room, the connections would be used up again within a heartbeat
+// interval. Without such a shortage only those above the share are closed, as a new
+// connection for each heartbeat costs processor time.
 const closeWorkersDuration = time.Minute
 
-// ConnectionLimiter counts the connections of workers and users, and has them closed when
-// there are too many: after an answer, or idle ones to make room for a new one.
+// ConnectionLimiter keeps the connections of workers and users within a limit. It closes
+// them after an answer when most are taken, and idle ones to make room for a new one. It
+// is safe for concurrent use.
 type ConnectionLimiter struct {
-	limit       int // 0: none
+	limit int // 0: none
+
 	mu          sync.Mutex
 	connections map[net.Conn]*connection
-	// The idle connections, the longest idle first.
-	idleUsers, idleWorkers *list.List
+	idleUsers   idleList
+	idleWorkers idleList
 	// closeWorkersUntil is when workers may keep their connections again.
 	closeWorkersUntil time.Time
 }
 
+// connection is an open connection.
 type connection struct {
 	net.Conn
 	role        role
-	idleElement *list.Element // in one of the lists of idle ones; nil: not there
+	idleIn      *idleList     // nil: it is not in a list of idle connections
+	idleElement *list.Element // its element in that list
 }
 
 // role says whose connection it is, as far as its requests have shown.
@@ -57,161 +54,98 @@
 	workerRole
 )
 
-// connectionKey is the key of a request's connection in its context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// NewConnectionLimiter makes a Front for at most so many connections; 0: no limit.
+// NewConnectionLimiter returns a limiter for a number of connections; 0 means no limit.
 func NewConnectionLimiter(limit int) *ConnectionLimiter {
-	return &ConnectionLimiter{
-		limit:       limit,
-		connections: map[net.Conn]*connection{},
-		idleUsers:   list.New(),
-		idleWorkers: list.New(),
-	}
+	return &ConnectionLimiter{limit: limit, connections: map[net.Conn]*connection{}}
 }
 
-// NewServer makes a server whose connections are counted. A connection that says
-// nothing for idleTimeout is closed: that of a machine without power never ends
-// by itself.
-func (f *ConnectionLimiter) NewServer(handler http.Handler, idleTimeout time.Duration) *http.Server {
+// NewServer returns a server whose connections count against the limit. It closes a
+// connection without a request for idleTimeout: the connection of a machine without
+// power would otherwise stay open for ever.
+func (l *ConnectionLimiter) NewServer(handler http.Handler, idleTimeout time.Duration) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       transferTimeout,
 		WriteTimeout:      transferTimeout,
 		IdleTimeout:       idleTimeout,
-		ConnState:         f.connState,
-		ConnContext:       f.connContext,
+		ConnState:         l.connState,
+		ConnContext:       l.connContext,
 	}
 }
 
-// connContext puts a connection's entry into the context of its requests.
-func (f *ConnectionLimiter) connContext(ctx context.Context, conn net.Conn) context.Context {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return context.WithValue(ctx, connectionKey{}, f.ensureConnection(conn))
+// OpenConnections returns the number of open connections.
+func (l *ConnectionLimiter) OpenConnections() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.connections)
+}
+
+// connContext is the server's ConnContext hook: it adds a connection to the context of
+// its requests.
+func (l *ConnectionLimiter) connContext(ctx context.Context, conn net.Conn) context.Context {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return context.WithValue(ctx, connectionKey{}, l.ensureConnection(conn))
 }
 
-// ensureConnection is a connection's entry, made if need be.
-func (f *ConnectionLimiter) ensureConnection(conn net.Conn) *connection {
-	entry := f.connections[conn]
+// ensureConnection returns the entry of a connection, which it adds if it is missing.
+func (l *ConnectionLimiter) ensureConnection(conn net.Conn) *connection {
+	entry := l.connections[conn]
 	if entry == nil {
 		entry = &connection{Conn: conn}
-		f.connections[conn] = entry
+		l.connections[conn] = entry
 	}
 	return entry
 }
 
-// connState follows a connection's states.
-func (f *ConnectionLimiter) connState(conn net.Conn, state http.ConnState) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	entry := f.ensureConnection(conn)
-	f.removeIdle(entry)
+// connState is the server's ConnState hook: it keeps the counts up to date.
+func (l *ConnectionLimiter) connState(conn net.Conn, state http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	entry := l.ensureConnection(conn)
+	entry.removeFromIdle()
 	switch state {
 	case http.StateNew:
-		f.evictIdle()
+		l.evictIdle()
 	case http.StateIdle:
-		if idle := f.idleList(entry); idle != nil {
-			entry.idleElement = idle.PushBack(entry)
-		}
+		l.addIdle(entry)
 	case http.StateClosed, http.StateHijacked:
-		delete(f.connections, conn)
+		delete(l.connections, conn)
 	}
 }
 
-// idleList is the list of idle connections of an entry's role; nil: none is kept.
-func (f *ConnectionLimiter) idleList(entry *connection) *list.List {
+// addIdle adds an entry to the list of idle connections of its role. A connection of
+// unknown role, such as that of a health check, is in none and is never evicted.
+func (l *ConnectionLimiter) addIdle(entry *connection) {
 	switch entry.role {
 	case userRole:
-		return f.idleUsers
+		l.idleUsers.add(entry)
 	case workerRole:
-		return f.idleWorkers
-	default:
-		return nil
+		l.idleWorkers.add(entry)
 	}
 }
 
-func (f *ConnectionLimiter) removeIdle(entry *connection) {
-	if entry.idleElement != nil {
-		f.idleList(entry).Remove(entry.idleElement)
-		entry.idleElement = nil
-	}
-}
-
-// evictIdle closes an idle connection if there are too many: the user's that has
-// been idle the longest, else the worker's that has been idle the shortest, whose
-// next report is farthest off. The server reports the close by connState; until
-// then the next new connection must not count on the same one, so it leaves the
-// list here.
-func (f *ConnectionLimiter) evictIdle() {
-	if f.limit <= 0 || len(f.connections) <= f.limit {
+// evictIdle closes an idle connection if there are too many connections: the user's
+// that has been idle the longest, else the worker's that has been idle the shortest, as
+// its next heartbeat is farthest away. The server reports the close later, by
+// connState. Until then the next new connection must not count on the same one, so it
+// leaves its list here.
+func (l *ConnectionLimiter) evictIdle() {
+	if l.limit <= 0 || len(l.connections) <= l.limit {
 		return
 	}
-	idle := f.idleUsers.Front()
-	if idle == nil {
-		idle = f.idleWorkers.Back()
-		f.closeWorkersUntil = time.Now().Add(closeWorkersDuration)
+	evicted := l.idleUsers.longestIdle()
+	if evicted == nil {
+		evicted = l.idleWorkers.shortestIdle()
+		l.closeWorkersUntil = time.Now().Add(closeWorkersDuration)
 	}
-	if idle == nil {
+	if evicted == nil {
 		return
 	}
-	entry := idle.Value.(*connection)
-	f.removeIdle(entry)
-	_ = entry.Close()
-}
-
-// UserMiddleware marks the connections of those that handler serves as users'. While
-// most of the connections are taken they are told to close.
-func (f *ConnectionLimiter) UserMiddleware(handler http.Handler) http.Handler {
-	return f.middleware(handler, f.markUser)
-}
-
-// WorkerMiddleware marks the connections of those that handler serves as workers'. While
-// nearly all connections are taken, and for a while after there were too few, they are told to close.
-func (f *ConnectionLimiter) WorkerMiddleware(handler http.Handler) http.Handler {
-	return f.middleware(handler, f.markWorker)
-}
-
-// middleware passes on the requests that handler serves, whose connections mark says
-// to close or not.
-func (f *ConnectionLimiter) middleware(handler http.Handler, mark func(*connection) (closes bool)) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if entry, ok := r.Context().Value(connectionKey{}).(*connection); ok && mark(entry) {
-			w.Header().Set("Connection", "close")
-		}
-		handler.ServeHTTP(w, r)
-	})
-}
-
-// markUser notes that a connection is a user's; true when it should be closed
-// after the answer.
-func (f *ConnectionLimiter) markUser(entry *connection) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	entry.role = userRole
-	return f.isAboveShare(closeUsersAbove)
-}
-
-// markWorker does the same for a worker's.
-func (f *ConnectionLimiter) markWorker(entry *connection) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	entry.role = workerRole
-	if f.limit <= 0 {
-		return false
-	}
-	return f.isAboveShare(closeWorkersAbove) || time.Now().Before(f.closeWorkersUntil)
-}
-
-// isAboveShare tells whether more than a share of the connections is taken.
-func (f *ConnectionLimiter) isAboveShare(share int) bool {
-	return f.limit > 0 && len(f.connections) > f.limit*share/shareDenominator
-}
-
-// OpenConnections is how many connections there are.
-func (f *ConnectionLimiter) OpenConnections() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.connections)
+	evicted.removeFromIdle()
+	_ = evicted.Close() // nothing depends on how a connection ends that is not used
 }
