--- /dev/null
+++ b/internal/engine/effects.go
@@ -0,0 +1,69 @@
+package engine
+
+import (
+	"context"
+	"log/slog"
+
+	"stairrelay/internal/messages"
+)
+
+// Executors carry out effects that need other processes. They must not block: they are
+// called by the goroutine that runs the controller. Replies are passed to
+// Engine.DeliverReply.
+type Executors struct {
+	Store   func(messages.Effect)
+	Cloud   func(messages.Effect)
+	Workers func(messages.Effect)
+	Peers   func(messages.PeerCall)
+}
+
+// execute carries out an effect or hands it to its executor.
+func (e *Engine) execute(effect messages.Effect) {
+	switch effect := effect.(type) {
+	case messages.Respond:
+		e.respond(effect)
+	case messages.StoreTxn, messages.StoreGet, messages.StoreList, messages.StoreWatch:
+		e.executors.Store(effect)
+	case messages.CloudMachineTypes, messages.CloudScaleOut, messages.CloudScaleIn, messages.CloudList:
+		e.executors.Cloud(effect)
+	case messages.PushCommands, messages.QueryWorkerStatus:
+		e.executors.Workers(effect)
+	case messages.PeerCall:
+		e.executors.Peers(effect)
+	case messages.Log:
+		e.writeLog(effect)
+	}
+}
+
+// respond passes an answer to its requester. A request is answered once; a second answer
+// is dropped.
+func (e *Engine) respond(answer messages.Respond) {
+	if response := e.pendingRequests[answer.Request]; response != nil {
+		response <- answer
+		delete(e.pendingRequests, answer.Request)
+	}
+}
+
+// statsMessage is the message of the log line to which the engine adds the usage of the
+// process.
+const statsMessage = "stats"
+
+// writeLog writes a line of the controller to the log.
+func (e *Engine) writeLog(line messages.Log) {
+	arguments := line.Args
+	if line.Message == statsMessage {
+		arguments = append(arguments, e.usage.sample(&e.load)...)
+	}
+	e.log.Log(context.Background(), slogLevel(line.Level), line.Message, arguments...)
+}
+
+func slogLevel(level messages.LogLevel) slog.Level {
+	switch level {
+	case messages.LogDebug:
+		return slog.LevelDebug
+	case messages.LogError:
+		return slog.LevelError
+	default:
+		return slog.LevelInfo
+	}
+}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is the one goroutine that owns the core: it feeds it events
-// and hands its effects to those that carry them out.
+// Package engine runs a controller's state machine: one goroutine passes events to it,
+// one at a time, and hands its effects to those that carry them out.
 package engine
 
 import (
@@ -8,92 +8,98 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/controller"
+	"stairrelay/internal/messages"
 )
 
-// inboxSize is the number of events that may wait before their senders do.
+// inboxSize is the number of events that may wait before their senders have to.
 const inboxSize = 256
 
-// Requester hands a request to the core and waits for its answer; false when the
-// context ended first.
+// Requester passes a request to the controller and waits for the answer. It returns
+// false when the request's context ends first.
 type Requester interface {
 	Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool)
 }
 
-// ReplyFunc hands an outgoing call's reply to the core.
+// ReplyFunc passes the reply to an outgoing call to the controller.
 type ReplyFunc func(call messages.CallID, body any)
 
-// Executors carry out effects. They must not block.
-type Executors struct {
-	Store   func(messages.Effect)
-	Cloud   func(messages.Effect)
-	Workers func(messages.Effect)
-	Peers   func(messages.PeerCall)
-}
-
-// Engine runs a core.
+// Engine runs the state machine of a controller. Request and DeliverReply may be called
+// from any goroutine; everything else belongs to the goroutine of Run.
 type Engine struct {
 	controller      *controller.Controller
 	inbox           chan queuedEvent
+	stopped         chan struct{} // closed when Run returns
 	log             *slog.Logger
 	executors       Executors
-	startTime       time.Time
-	pendingRequests map[messages.RequestID]chan messages.Respond
+	startTime       time.Time // the zero of cluster.Time
+	pendingRequests map[messages.RequestID]chan<- messages.Respond
 	lastRequestID   messages.RequestID
 	load            loadMeter
 	usage           usageMeter
 }
 
-// queuedEvent is an event on its way to the core.
+// queuedEvent is an event that waits in the inbox. It is made when its number is known.
 type queuedEvent struct {
 	makeEvent  func(messages.RequestID) messages.Event
-	response   chan messages.Respond // nil: nobody waits
+	response   chan<- messages.Respond // nil: nobody waits for an answer
 	enqueuedAt time.Time
 }
 
-// New makes an engine for a process that may use a share of a core; 0: not
-// limited. Run starts it.
-func New(config controller.Config, coreShare float64, log *slog.Logger) *Engine {
+// New returns an engine with a new state machine. cpuShare is the share of a processor
+// core that the process may use; 0 means no limit. Run starts the engine.
+func New(config controller.Config, cpuShare float64, log *slog.Logger) *Engine {
 	return &Engine{
 		controller:      controller.New(config),
 		inbox:           make(chan queuedEvent, inboxSize),
+		stopped:         make(chan struct{}),
 		log:             log,
 		startTime:       time.Now(),
-		pendingRequests: map[messages.RequestID]chan messages.Respond{},
-		load:            loadMeter{cpuShare: coreShare},
+		pendingRequests: map[messages.RequestID]chan<- messages.Respond{},
+		load:            loadMeter{cpuShare: cpuShare},
 	}
 }
 
-// Request hands a request to the core and waits for its answer; false when ctx
-// ended first.
+// Request passes a request to the controller and waits for the answer. It returns false
+// when ctx ends or the engine stops first.
 func (e *Engine) Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
-	answer := make(chan messages.Respond, 1)
+	// There is room for the answer, so that the engine never waits for a requester
+	// that has given up.
+	response := make(chan messages.Respond, 1)
 	select {
-	case e.inbox <- queuedEvent{makeEvent: event, response: answer, enqueuedAt: time.Now()}:
+	case e.inbox <- queuedEvent{makeEvent: event, response: response, enqueuedAt: time.Now()}:
 	case <-ctx.Done():
 		return messages.Respond{}, false
+	case <-e.stopped:
+		return messages.Respond{}, false
 	}
 	select {
-	case respond := <-answer:
-		return respond, true
+	case answer := <-response:
+		return answer, true
 	case <-ctx.Done():
 		return messages.Respond{}, false
+	case <-e.stopped:
+		return messages.Respond{}, false
 	}
 }
 
-// DeliverReply hands an outgoing call's reply to the core.
+// DeliverReply passes the reply to an outgoing call to the controller. It waits while
+// the inbox is full, and drops the reply once the engine has stopped.
 func (e *Engine) DeliverReply(call messages.CallID, body any) {
-	reply := func(messages.RequestID) messages.Event { return messages.Reply{Call: call, Body: body} }
-	e.inbox <- queuedEvent{makeEvent: reply, enqueuedAt: time.Now()}
+	makeEvent := func(messages.RequestID) messages.Event { return messages.Reply{Call: call, Body: body} }
+	select {
+	case e.inbox <- queuedEvent{makeEvent: makeEvent, enqueuedAt: time.Now()}:
+	case <-e.stopped:
+	}
 }
 
-// Run owns the core until ctx ends.
-func (e *Engine) Run(ctx context.Context, actors Executors) {
-	e.executors = actors
+// Run passes events to the controller and hands its effects to the executors until ctx
+// ends. It may be called once.
+func (e *Engine) Run(ctx context.Context, executors Executors) {
+	defer close(e.stopped)
+	e.executors = executors
 	e.load.windowStart = time.Now()
-	due := e.now()
+	wakeAt := e.now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -101,85 +107,39 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			e.load.recordLag(time.Duration(e.now() - due))
+			e.load.recordLag(time.Duration(e.now() - wakeAt))
 			e.step(messages.Tick{})
-		case m := <-e.inbox:
-			e.load.recordLag(time.Since(m.enqueuedAt))
-			e.step(e.assignRequestID(m))
+		case queued := <-e.inbox:
+			e.load.recordLag(time.Since(queued.enqueuedAt))
+			e.step(e.register(queued))
 		}
-		if load, worthTelling := e.load.measure(); worthTelling {
+		if load, shouldReport := e.load.measure(); shouldReport {
 			e.step(load)
 		}
 		if wake, wanted := e.controller.NextWake(); wanted {
-			due = max(wake, e.now())
-			timer.Reset(time.Duration(due - e.now()))
+			wakeAt = max(wake, e.now())
+			timer.Reset(time.Duration(wakeAt - e.now()))
 		}
 	}
 }
 
-// assignRequestID numbers a message and notes who waits for its answer.
-func (e *Engine) assignRequestID(m queuedEvent) messages.Event {
+// register numbers an event and records who waits for its answer.
+func (e *Engine) register(queued queuedEvent) messages.Event {
 	e.lastRequestID++
-	if m.response != nil {
-		e.pendingRequests[e.lastRequestID] = m.response
+	if queued.response != nil {
+		e.pendingRequests[e.lastRequestID] = queued.response
 	}
-	return m.makeEvent(e.lastRequestID)
+	return queued.makeEvent(e.lastRequestID)
 }
 
-// step takes an event to the core and has its effects carried out.
+// step passes an event to the controller and has its effects carried out.
 func (e *Engine) step(event messages.Event) {
 	e.usage.steps++
-	wall := cluster.WallTime(time.Now().UnixMilli())
-	for _, effect := range e.controller.Step(e.now(), wall, event) {
-		e.executeEffect(effect)
+	wallTime := cluster.WallTime(time.Now().UnixMilli())
+	for _, effect := range e.controller.Step(e.now(), wallTime, event) {
+		e.execute(effect)
 	}
 }
 
+// now returns the time since the engine was made.
 func (e *Engine) now() cluster.Time { return cluster.Time(time.Since(e.startTime)) }
-
-func (e *Engine) executeEffect(effect messages.Effect) {
-	switch effect := effect.(type) {
-	case messages.Respond:
-		e.respond(effect)
-	case messages.StoreTxn, messages.StoreGet, messages.StoreList, messages.StoreWatch:
-		e.executors.Store(effect)
-	case messages.CloudMachineTypes, messages.CloudScaleOut, messages.CloudScaleIn, messages.CloudList:
-		e.executors.Cloud(effect)
-	case messages.PushCommands, messages.QueryWorkerStatus:
-		e.executors.Workers(effect)
-	case messages.PeerCall:
-		e.executors.Peers(effect)
-	case messages.Log:
-		e.writeLog(effect)
-	}
-}
-
-// respond answers a request, unless its sender has been answered.
-func (e *Engine) respond(respond messages.Respond) {
-	if answer := e.pendingRequests[respond.Request]; answer != nil {
-		answer <- respond
-		delete(e.pendingRequests, respond.Request)
-	}
-}
-
-// statsLine is the log line that the engine adds the process's usage to.
-const statsLine = "stats"
-
-// writeLog writes a line of the core's to the log.
-func (e *Engine) writeLog(line messages.Log) {
-	arguments := line.Args
-	if line.Message == statsLine {
-		arguments = append(arguments, e.usage.sample(&e.load)...)
-	}
-	e.log.Log(context.Background(), slogLevel(line), line.Message, arguments...)
-}
-
-func slogLevel(line messages.Log) slog.Level {
-	switch line.Level {
-	case messages.LogDebug:
-		return slog.LevelDebug
-	case messages.LogError:
-		return slog.LevelError
-	}
-	return slog.LevelInfo
-}
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -8,55 +8,54 @@
 )
 
 const (
-	// measureInterval is the time over which the process's load is measured.
+	// measureInterval is the time over which the load of the process is measured.
 	measureInterval = time.Second
-	// busyThreshold and longLag are from when on the core is told of the load.
+	// busyThreshold, a share of the processor time that the process may use, and
+	// lagThreshold are the values above which the controller is told the load.
 	busyThreshold = 0.5
 	lagThreshold  = 100 * time.Millisecond
 )
 
 // loadMeter measures how busy the process is.
 type loadMeter struct {
-	cpuShare       float64       // of a processor core that the process may use; 0: not limited
-	windowStart    time.Time     // begin of the present measurement
-	windowStartCPU time.Duration // processor time used at that moment
+	cpuShare       float64       // share of a processor core that the process may use; 0: no limit
+	windowStart    time.Time     // beginning of the present measurement
+	windowStartCPU time.Duration // processor time of the process at that moment
 	worstLag       time.Duration // the worst since then
-	reportedBusy   bool          // the core believes that the process is busy
+	reportedBusy   bool          // the last load that the controller was told is above a threshold
 	peakBusy       float64       // since the last stats line
-	peakLag        time.Duration // likewise
+	peakLag        time.Duration // since the last stats line
 }
 
-// recordLag notes how late an event was taken up.
+// recordLag records how late an event was processed.
 func (m *loadMeter) recordLag(lag time.Duration) { m.worstLag = max(m.worstLag, lag) }
 
-// measure looks once a second how busy the process is. It is worth telling
-// while it is busy, and once when it no longer is.
-func (m *loadMeter) measure() (messages.ProcessLoad, bool) {
+// measure returns the load once per measureInterval. It reports whether the controller
+// should be told: while the process is busy, and once when it no longer is.
+func (m *loadMeter) measure() (load messages.ProcessLoad, shouldReport bool) {
 	now := time.Now()
 	elapsed := now.Sub(m.windowStart)
 	if elapsed < measureInterval {
 		return messages.ProcessLoad{}, false
 	}
-	cpu, known := processCPUTime()
-	if !known {
+	cpuTime, err := processCPUTime()
+	if err != nil {
 		return messages.ProcessLoad{}, false
 	}
-	load := messages.ProcessLoad{EventDelay: cluster.Time(m.worstLag)}
+	load = messages.ProcessLoad{EventDelay: cluster.Time(m.worstLag)}
 	if m.cpuShare > 0 {
-		used := cpu - m.windowStartCPU
+		used := cpuTime - m.windowStartCPU
 		load.CPUUsage = used.Seconds() / elapsed.Seconds() / m.cpuShare
 	}
 	m.peakBusy = max(m.peakBusy, load.CPUUsage)
 	m.peakLag = max(m.peakLag, m.worstLag)
-	m.windowStart = now
-	m.windowStartCPU = cpu
-	m.worstLag = 0
-	wasTold := m.reportedBusy
+	m.windowStart, m.windowStartCPU, m.worstLag = now, cpuTime, 0
+	wasBusy := m.reportedBusy
 	m.reportedBusy = load.CPUUsage > busyThreshold || load.EventDelay > cluster.Time(lagThreshold)
-	return load, wasTold || m.reportedBusy
+	return load, wasBusy || m.reportedBusy
 }
 
-// takePeaks gives the largest values since the last call.
+// takePeaks returns the largest values since the last call.
 func (m *loadMeter) takePeaks() (busy float64, lag time.Duration) {
 	busy, lag = m.peakBusy, m.peakLag
 	m.peakBusy, m.peakLag = 0, 0
--- a/internal/engine/usage.go
+++ b/internal/engine/usage.go
@@ -1,12 +1,14 @@
 package engine
 
 import (
+	"fmt"
 	"runtime/metrics"
 	"syscall"
 	"time"
 )
 
-// memoryMetric is all the memory that the Go runtime has mapped.
+// memoryMetric is the name of the metric for all memory that the Go runtime has mapped,
+// in bytes.
 const memoryMetric = "/memory/classes/total:bytes"
 
 const (
@@ -14,22 +16,22 @@
 	bytesPerKB = 1024
 )
 
-// usageMeter counts what the process uses between two stats lines, so that a
-// day can be judged from its log.
+// usageMeter counts what the process uses between two stats lines, so that its use over
+// a day can be read from the log.
 type usageMeter struct {
-	lastCPUTime time.Duration // processor time used at the last stats line
-	steps       int           // since then
+	lastCPUTime time.Duration // processor time at the last stats line
+	steps       int           // events since then
 }
 
-// sample gives the log arguments of the usage since the last one; none when
-// the system does not tell.
+// sample returns the log arguments for the usage since the last sample; none when the
+// processor time is not known.
 func (u *usageMeter) sample(load *loadMeter) []any {
-	cpu, known := processCPUTime()
-	if !known {
+	cpuTime, err := processCPUTime()
+	if err != nil {
 		return nil
 	}
-	used, steps := cpu-u.lastCPUTime, u.steps
-	u.lastCPUTime, u.steps = cpu, 0
+	used, steps := cpuTime-u.lastCPUTime, u.steps
+	u.lastCPUTime, u.steps = cpuTime, 0
 	peakBusy, peakLag := load.takePeaks()
 	return []any{
 		"cpu_ms", used.Milliseconds(),
@@ -41,16 +43,17 @@
 	}
 }
 
-// processCPUTime is what the process has taken so far; false when the system
-// does not tell.
-func processCPUTime() (time.Duration, bool) {
+// processCPUTime returns the processor time that the process has used, in user and
+// system mode.
+func processCPUTime() (time.Duration, error) {
 	var usage syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
-		return 0, false
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		return 0, fmt.Errorf("reading the processor time: %w", err)
 	}
-	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), true
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
+// mappedMemory returns the bytes that the Go runtime has mapped.
 func mappedMemory() uint64 {
 	sample := []metrics.Sample{{Name: memoryMetric}}
 	metrics.Read(sample)
