--- a/cmd/stairrelay/command.go
+++ b/cmd/stairrelay/command.go
@@ -10,19 +10,23 @@
 	"stairrelay/internal/settings"
 )
 
-// version is the release; the build's own stamp is added where there is one.
+// version is the release of the program.
 const version = "0.1.0"
 
-// operatorsEnv names the operators' settings file, since the platform fixes
-// the command line.
+// operatorsEnv is the environment variable that names the operators' settings file: the
+// platform determines the command line.
 const operatorsEnv = "STAIRRELAY_OPERATORS"
 
-// settingsError is an error of the settings that the program is started with.
+// settingsError marks an error of the settings, for the exit status.
 type settingsError struct{ err error }
 
+// Error returns the text of the error that it marks.
 func (e *settingsError) Error() string { return e.err.Error() }
+
+// Unwrap returns the error that it marks.
 func (e *settingsError) Unwrap() error { return e.err }
 
+// errNoConfig is the error of a command line without a settings file.
 var errNoConfig = errors.New("--config: missing; see --help")
 
 // options are the values of the command line's flags.
@@ -31,6 +35,7 @@
 	operatorsPath string
 }
 
+// newCommand returns the program's command with its subcommands.
 func newCommand() *cobra.Command {
 	var opts options
 	root := &cobra.Command{
@@ -41,8 +46,10 @@
 		Args:          cobra.NoArgs,
 		RunE:          opts.runController,
 	}
+	root.CompletionOptions.DisableDefaultCmd = true
 	root.Flags().StringVar(&opts.configPath, "config", "", "the platform's settings file (TOML)")
-	root.PersistentFlags().StringVar(&opts.operatorsPath, "operators", os.Getenv(operatorsEnv), "the operators' settings file (JSON); also "+operatorsEnv)
+	root.PersistentFlags().StringVar(&opts.operatorsPath, "operators", os.Getenv(operatorsEnv),
+		"the operators' settings file (JSON); also "+operatorsEnv)
 	root.AddCommand(&cobra.Command{
 		Use:   "check-config FILE",
 		Short: "Check the settings and open nothing",
@@ -55,25 +62,26 @@
 		Args:  cobra.NoArgs,
 		Run:   printVersion,
 	})
-	root.CompletionOptions.DisableDefaultCmd = true
 	return root
 }
 
+// runController runs a controller with the settings that the flags name.
 func (o *options) runController(command *cobra.Command, _ []string) error {
 	if o.configPath == "" {
 		return &settingsError{errNoConfig}
 	}
-	loaded, err := settings.Load(o.configPath, o.operatorsPath)
+	loaded, err := o.loadSettings(o.configPath)
 	if err != nil {
-		return &settingsError{err}
+		return err
 	}
 	return runController(command.Context(), loaded)
 }
 
-func (o *options) checkConfig(command *cobra.Command, args []string) error {
-	loaded, err := settings.Load(args[0], o.operatorsPath)
+// checkConfig loads the settings and prints their warnings.
+func (o *options) checkConfig(command *cobra.Command, arguments []string) error {
+	loaded, err := o.loadSettings(arguments[0])
 	if err != nil {
-		return &settingsError{err}
+		return err
 	}
 	for _, warning := range loaded.Warnings {
 		fmt.Fprintln(command.ErrOrStderr(), "odd:", warning)
@@ -82,6 +90,16 @@
 	return nil
 }
 
+// loadSettings loads a settings file together with the operators' file. Its errors are
+// settingsErrors.
+func (o *options) loadSettings(configPath string) (*settings.Settings, error) {
+	loaded, err := settings.Load(configPath, o.operatorsPath)
+	if err != nil {
+		return nil, &settingsError{err}
+	}
+	return loaded, nil
+}
+
 func printVersion(command *cobra.Command, _ []string) {
 	fmt.Fprintln(command.OutOrStdout(), "stairrelay", version)
 }
--- a/cmd/stairrelay/controller.go
+++ b/cmd/stairrelay/controller.go
@@ -2,15 +2,8 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
-	"fmt"
+	"errors"
 	"log/slog"
-	"net"
-	"net/http"
-	"os"
-	"runtime"
-	"runtime/debug"
 	"time"
 
 	"stairrelay/internal/cloud"
@@ -23,112 +16,99 @@
 	"stairrelay/internal/workers"
 )
 
+// A connection without a request is closed after idleHeartbeats heartbeat intervals, but
+// not before minIdleTimeout.
 const (
-	// logLevelEnv names the least level that is logged: error, info or debug.
-	logLevelEnv = "LOG_LEVEL"
-	// gcPercent is how much the heap may grow between two collections.
-	gcPercent = 200
-	// heapLimitShare is the share of the memory limit for what the garbage collector
-	// sees; stacks and the runtime fit beside it. Near the limit it runs all the
-	// time, so that the limit costs processor time first.
-	heapLimitShare = 0.75
-	bytesPerMB     = 1 << 20
-	// bootIDLength is the length in bytes of what tells this process from others.
-	bootIDLength = 4
-	// A connection is closed when it says nothing for so many reports, but for
-	// not less than the least time.
 	idleHeartbeats = 4
 	minIdleTimeout = 15 * time.Second
-	// serverCount is the number of servers that may fail.
-	serverCount = 2
 )
 
-// runController runs a controller until one of its servers fails.
+// runController runs a controller until one of its servers fails or ctx ends. It returns
+// the server's error, or that of ctx.
 func runController(ctx context.Context, config *settings.Settings) error {
 	limitResources(config)
 	log := newLogger()
-	bootID, err := newBootID()
+	instanceID, err := newInstanceID()
 	if err != nil {
 		return err
 	}
-	config.Controller.InstanceID = bootID
+	config.Controller.InstanceID = instanceID
 	eng := engine.New(config.Controller, config.CPUShare, log)
-	plan := sockets.NewBudget(config.MaxConnections, len(config.PeerAddresses))
-	actors := newExecutors(config, plan, eng.DeliverReply)
-	frontListener, err := listen(ctx, "listen", config.ListenAddress)
-	if err != nil {
-		return err
-	}
-	backListener, err := listen(ctx, "back", config.PeerListenAddress)
+	budget := sockets.NewBudget(config.MaxConnections, len(config.PeerAddresses))
+	executors := newExecutors(config, budget, eng.DeliverReply)
+
+	servers, err := newServers(ctx, config, eng, budget, log)
 	if err != nil {
 		return err
 	}
-	front := sockets.NewConnectionLimiter(plan.Inbound)
-	frontHandler := users.Handler(eng, front.UserMiddleware, front.WorkerMiddleware(workers.Handler(eng, log)))
-	back := sockets.NewConnectionLimiter(0)
-	backHandler := peers.Handler(eng, log)
-	idleTimeout := max(idleHeartbeats*time.Duration(config.Controller.HeartbeatInterval), minIdleTimeout)
-	failed := make(chan error, serverCount)
-	go func() { failed <- serve(frontListener, front.NewServer(frontHandler, idleTimeout), log) }()
-	go func() { failed <- serve(backListener, back.NewServer(backHandler, idleTimeout), log) }()
+	defer servers.close()
+	failed := servers.start(log)
 	for _, warning := range config.Warnings {
-		log.Warn("odd setting", "what", warning)
+		log.Warn("odd setting", "warning", warning)
 	}
 	log.Info("started", "version", version, "node", string(config.Controller.Self), "listen", config.ListenAddress)
-	go eng.Run(ctx, actors)
-	return <-failed
-}
-
-// limitResources keeps the process within its share of the machine: the share
-// of a processor core is small, so only one thread runs at a time.
-func limitResources(config *settings.Settings) {
-	runtime.GOMAXPROCS(1)
-	if config.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(config.MemoryMB * heapLimitShare * bytesPerMB))
-	}
-	debug.SetGCPercent(gcPercent)
-}
-
-func newLogger() *slog.Logger {
-	level := slog.LevelInfo
-	switch os.Getenv(logLevelEnv) {
-	case "error":
-		level = slog.LevelError
-	case "debug":
-		level = slog.LevelDebug
-	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-}
 
-func newBootID() (string, error) {
-	var id [bootIDLength]byte
-	if _, err := rand.Read(id[:]); err != nil {
-		return "", fmt.Errorf("drawing a boot id: %w", err)
+	ctx, stopEngine := context.WithCancel(ctx)
+	defer stopEngine()
+	go eng.Run(ctx, executors)
+	select {
+	case err := <-failed:
+		return err
+	case <-ctx.Done():
+		return ctx.Err()
 	}
-	return hex.EncodeToString(id[:]), nil
 }
 
-func newExecutors(config *settings.Settings, plan sockets.Budget, reply engine.ReplyFunc) engine.Executors {
+// newExecutors returns the clients of the services, workers and other controllers.
+func newExecutors(config *settings.Settings, budget sockets.Budget, reply engine.ReplyFunc) engine.Executors {
 	return engine.Executors{
 		Store:   store.New(config.StoreAddress, reply).Do,
 		Cloud:   cloud.New(config.CloudAddress, reply).Do,
-		Workers: workers.New(plan.Calls, reply).Do,
+		Workers: workers.New(budget.Calls, reply).Do,
 		Peers:   peers.New(config.PeerAddresses, reply).Do,
 	}
 }
 
-// listen opens a listener for the address of a setting. Silent connections are
-// closed by the server's time-outs; probing them besides would only cost.
-func listen(ctx context.Context, setting, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAlive: -1}
-	listener, err := config.Listen(ctx, "tcp", address)
+// controllerServers are the servers of a controller: one for users and workers, and one
+// for the other controllers.
+type controllerServers struct {
+	public *server
+	peers  *server
+}
+
+// newServers listens on both addresses. After an error it listens on none.
+func newServers(ctx context.Context, config *settings.Settings, eng *engine.Engine, budget sockets.Budget, log *slog.Logger) (*controllerServers, error) {
+	idleTimeout := max(idleHeartbeats*time.Duration(config.Controller.HeartbeatInterval), minIdleTimeout)
+	publicLimiter := sockets.NewConnectionLimiter(budget.Inbound)
+	workerHandler := publicLimiter.WorkerMiddleware(workers.Handler(eng, log))
+	publicHandler := users.Handler(eng, publicLimiter.UserMiddleware, workerHandler)
+	peerLimiter := sockets.NewConnectionLimiter(0) // peers are few; the budget has room for them
+	peerHandler := peers.Handler(eng, log)
+
+	public, err := listen(ctx, "listen", config.ListenAddress, publicLimiter.NewServer(publicHandler, idleTimeout))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", setting, err)
+		return nil, err
+	}
+	peerServer, err := listen(ctx, "back", config.PeerListenAddress, peerLimiter.NewServer(peerHandler, idleTimeout))
+	if err != nil {
+		return nil, errors.Join(err, public.listener.Close())
+	}
+	return &controllerServers{public: public, peers: peerServer}, nil
+}
+
+// start serves both addresses and returns a channel with the error of each server that
+// ends.
+func (s *controllerServers) start(log *slog.Logger) <-chan error {
+	all := []*server{s.public, s.peers}
+	failed := make(chan error, len(all)) // neither waits for a reader
+	for _, server := range all {
+		go func() { failed <- server.serve(log) }()
 	}
-	return listener, nil
+	return failed
 }
 
-func serve(listener net.Listener, server *http.Server, log *slog.Logger) error {
-	server.ErrorLog = slog.NewLogLogger(log.Handler(), slog.LevelDebug)
-	return server.Serve(listener)
+// close stops both servers at once. Their errors no longer matter.
+func (s *controllerServers) close() {
+	_ = s.public.http.Close()
+	_ = s.peers.http.Close()
 }
--- a/cmd/stairrelay/main.go
+++ b/cmd/stairrelay/main.go
@@ -1,28 +1,42 @@
-// Command stairrelay is a cluster scheduler: controllers that share parts of
-// the work and take each other's over.
+// Command stairrelay is a cluster scheduler. It runs one of several controllers that
+// divide the shards of the cluster among themselves and take over those of a controller
+// that fails.
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 )
 
-// The program's exit statuses.
+// The exit statuses of the program.
 const (
-	exitFailure  = 1
+	exitSuccess  = 0
+	exitFailure  = 1 // the command line is wrong, or the controller failed
 	exitSettings = 2 // the settings are missing or wrong
 )
 
 func main() {
-	err := newCommand().Execute()
+	os.Exit(execute(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
+}
+
+// execute runs the command line and returns the exit status. An error is one line on
+// stderr.
+func execute(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
+	command := newCommand()
+	command.SetArgs(arguments)
+	command.SetOut(stdout)
+	command.SetErr(stderr)
+	err := command.ExecuteContext(ctx)
 	if err == nil {
-		return
+		return exitSuccess
 	}
-	fmt.Fprintln(os.Stderr, "stairrelay:", err)
-	var wrongSettings *settingsError
-	if errors.As(err, &wrongSettings) {
-		os.Exit(exitSettings)
+	fmt.Fprintln(stderr, "stairrelay:", err)
+	var settingsProblem *settingsError
+	if errors.As(err, &settingsProblem) {
+		return exitSettings
 	}
-	os.Exit(exitFailure)
+	return exitFailure
 }
