--- a/cmd/stairrelay/controller.go
+++ b/cmd/stairrelay/controller.go
@@ -77,7 +77,13 @@
 }
 
 // newServers listens on both addresses. After an error it listens on none.
-func newServers(ctx context.Context, config *settings.Settings, eng *engine.Engine, budget sockets.Budget, log *slog.Logger) (*controllerServers, error) {
+func newServers(
+	ctx context.Context,
+	config *settings.Settings,
+	eng *engine.Engine,
+	budget sockets.Budget,
+	log *slog.Logger,
+) (*controllerServers, error) {
 	idleTimeout := max(idleHeartbeats*time.Duration(config.Controller.HeartbeatInterval), minIdleTimeout)
 	publicLimiter := sockets.NewConnectionLimiter(budget.Inbound)
 	workerHandler := publicLimiter.WorkerMiddleware(workers.Handler(eng, log))
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -99,7 +99,7 @@
 // largest Amount that sums of a few limits do not overflow.
 const NoLimit Amount = math.MaxInt64 / 4
 
-// Priority is the importance of a job; a higher one is served first.
+// Priority is the importance of a job; a higher one is more important.
 type Priority int
 
 // The priorities, the least important first.
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -11,7 +11,7 @@
 	// measureInterval is the time over which the load of the process is measured.
 	measureInterval = time.Second
 	// busyThreshold, a share of the processor time that the process may use, and
-	// lagThreshold are the values above which the controller is told the load.
+	// lagThreshold are the values above which the load is reported to the controller.
 	busyThreshold = 0.5
 	lagThreshold  = 100 * time.Millisecond
 )
@@ -22,7 +22,7 @@
 	windowStart    time.Time     // beginning of the present measurement
 	windowStartCPU time.Duration // processor time of the process at that moment
 	worstLag       time.Duration // the worst since then
-	reportedBusy   bool          // the last load that the controller was told is above a threshold
+	reportedBusy   bool          // the last load that was reported is above a threshold
 	peakBusy       float64       // since the last stats line
 	peakLag        time.Duration // since the last stats line
 }
@@ -30,8 +30,8 @@
 // recordLag records how late an event was processed.
 func (m *loadMeter) recordLag(lag time.Duration) { m.worstLag = max(m.worstLag, lag) }
 
-// measure returns the load once per measureInterval. It reports whether the controller
-// should be told: while the process is busy, and once when it no longer is.
+// measure returns the load once per measureInterval, and whether it should be reported
+// to the controller: while the process is busy, and once when it no longer is.
 func (m *loadMeter) measure() (load messages.ProcessLoad, shouldReport bool) {
 	now := time.Now()
 	elapsed := now.Sub(m.windowStart)
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -27,9 +27,9 @@
 	meter.worstLag = lag
 }
 
-// TestLoadReported checks that the controller is told when the process is near its
-// share or late, and once when it no longer is; it is not told anything in between and
-// while there is little load.
+// TestLoadReported checks that the load is reported when the process is near its share
+// or late, and once when it no longer is; not more than once a second, and not while
+// there is little load.
 func TestLoadReported(t *testing.T) {
 	meter := newLoadMeter(t)
 	endWindow(t, meter, 0, 0)
--- a/internal/fairshare/plan.go
+++ b/internal/fairshare/plan.go
@@ -51,7 +51,12 @@
 // allocate adds to the targets what the work of a priority could use. Where the
 // remaining capacity does not suffice, it is divided evenly among the shards whose
 // demand is not met. allocate returns what remains for lower priorities.
-func (s Snapshot) allocate(shards []cluster.ShardID, priority cluster.Priority, remaining cluster.Amount, targets map[cluster.ShardID]cluster.Amount) cluster.Amount {
+func (s Snapshot) allocate(
+	shards []cluster.ShardID,
+	priority cluster.Priority,
+	remaining cluster.Amount,
+	targets map[cluster.ShardID]cluster.Amount,
+) cluster.Amount {
 	byDemand := slices.Clone(shards)
 	slices.SortStableFunc(byDemand, func(a, b cluster.ShardID) int {
 		return cmp.Compare(s[a].Demand[priority], s[b].Demand[priority])
--- a/internal/settings/workertimes.go
+++ b/internal/settings/workertimes.go
@@ -29,7 +29,8 @@
 	const margin = 1.01
 	missing := inSeconds(ownership.MinAnswerWindow - window)
 	enough := math.Ceil(workers.CancelSeconds + missing*margin)
-	s.warnf("cluster.workers: with lease_s %g a cancel_s of %g leaves a cut-off controller %.2f s to notice that it was succeeded, of %g that it needs; "+
+	s.warnf("cluster.workers: with lease_s %g a cancel_s of %g leaves a cut-off controller %.2f s "+
+		"to notice that it was succeeded, of %g that it needs; "+
 		"in an outage of the state service a cancelled task may run on past cancel_s. A cancel_s of %g would do",
 		workers.LeaseSeconds, workers.CancelSeconds, inSeconds(window), inSeconds(ownership.MinAnswerWindow), enough)
 }
--- a/internal/sockets/middleware.go
+++ b/internal/sockets/middleware.go
@@ -16,39 +16,39 @@
 // UserMiddleware returns a handler that serves users: it records that their connections
 // are users', and tells them to close while most connections are taken.
 func (l *ConnectionLimiter) UserMiddleware(handler http.Handler) http.Handler {
-	return middleware(handler, l.markUser)
+	return middleware(handler, l.recordUser)
 }
 
 // WorkerMiddleware returns a handler that serves workers: it records that their
 // connections are workers', and tells them to close while nearly all connections are
 // taken and for a while after there were too few.
 func (l *ConnectionLimiter) WorkerMiddleware(handler http.Handler) http.Handler {
-	return middleware(handler, l.markWorker)
+	return middleware(handler, l.recordWorker)
 }
 
-// middleware calls mark with the connection of each request. When it returns true, the
+// middleware calls record with the connection of each request. When it returns true, the
 // answer tells the client to close the connection.
-func middleware(handler http.Handler, mark func(*connection) (shouldClose bool)) http.Handler {
+func middleware(handler http.Handler, record func(*connection) (shouldClose bool)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if entry, ok := r.Context().Value(connectionKey{}).(*connection); ok && mark(entry) {
+		if entry, ok := r.Context().Value(connectionKey{}).(*connection); ok && record(entry) {
 			w.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// markUser records that a connection is a user's and reports whether it should be closed
+// recordUser records that a connection is a user's and reports whether it should be closed
 // after the answer.
-func (l *ConnectionLimiter) markUser(entry *connection) (shouldClose bool) {
+func (l *ConnectionLimiter) recordUser(entry *connection) (shouldClose bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entry.role = userRole
 	return l.isAboveShare(closeUsersAbove)
 }
 
-// markWorker records that a connection is a worker's and reports whether it should be
+// recordWorker records that a connection is a worker's and reports whether it should be
 // closed after the answer.
-func (l *ConnectionLimiter) markWorker(entry *connection) (shouldClose bool) {
+func (l *ConnectionLimiter) recordWorker(entry *connection) (shouldClose bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entry.role = workerRole
