--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -5,8 +5,11 @@
 	"slices"
 	"strconv"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // A submission is accepted by a record in the store. Those that come in
@@ -118,12 +121,12 @@
 // enqueueAdmission has a job stored and answers its submission then, or says that this
 // took too long.
 func (c *Controller) enqueueAdmission(spec cluster.JobSpec, answer func(messages.Respond)) {
-	a := &pendingAdmission{spec: spec, respond: answer, deadline: c.now + admissionTimeout}
-	c.after(admissionTimeout, func() {
+	a := &pendingAdmission{spec: spec, respond: answer, deadline: c.loop.Now() + admissionTimeout}
+	c.loop.After(admissionTimeout, func() {
 		a.answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "not stored in time"})
 	})
-	c.after(storeSlowThreshold+50*millisecond, func() {
-		if !a.answered && c.storeHealth.isUnresponsive(c.now) {
+	c.loop.After(writequeue.SlowThreshold+50*millisecond, func() {
+		if !a.answered && c.writeQueue.Health.IsUnresponsive(c.loop.Now()) {
 			c.proxySubmission(a.spec, a.answer)
 		}
 	})
@@ -143,7 +146,7 @@
 	if len(s.unchecked) > 1 {
 		return
 	}
-	c.after(5*millisecond, func() {
+	c.loop.After(5*millisecond, func() {
 		batch := s.unchecked
 		s.unchecked = nil
 		c.readAdmissionChanges(func(ok bool) {
@@ -163,7 +166,7 @@
 	size := 0
 	for len(s.waiting) > 0 {
 		a := s.waiting[0]
-		if !a.answered && c.now <= a.deadline && !c.joinIdempotentRetry(a, batch) {
+		if !a.answered && c.loop.Now() <= a.deadline && !c.joinIdempotentRetry(a, batch) {
 			v, _ := json.Marshal(a.spec)
 			size += len(v) + len(a.spec.ID) + 20
 			if len(batch) > 0 && size > c.config.MaxValueBytes*4/5 || len(batch) == c.config.MaxTxnOps {
@@ -180,7 +183,7 @@
 // answered with the same id's submission of a batch; false: it is neither.
 func (c *Controller) joinIdempotentRetry(a *pendingAdmission, batch []*pendingAdmission) bool {
 	id := a.spec.ID
-	if c.jobs.known[id] != nil { // the same id came in twice at once
+	if c.state.Jobs.Known[id] != nil { // the same id came in twice at once
 		c.answerIdempotentRetry(a.answer, id)
 		return true
 	}
@@ -203,7 +206,7 @@
 // condition that none of them is known.
 type admissionWrite struct {
 	controller *Controller
-	write      *queuedWrite
+	write      *writequeue.Write
 	batchKey   string // of the record of several
 	built      bool   // it has been built at least once
 	batch      []*pendingAdmission
@@ -215,15 +218,15 @@
 	c.admissions.queuedWrites++
 	key := c.admissions.nextKey(c.config.InstanceID)
 	w := &admissionWrite{controller: c, batchKey: key}
-	w.write = &queuedWrite{
-		shardID:          cluster.NoShard,
-		keys:             []string{key},
-		maxExtraCompares: c.config.MaxTxnOps,
-		build:            w.build,
-		onApplied:        w.handleStored,
-		onConflict:       w.handleConflict,
+	w.write = &writequeue.Write{
+		ShardID:          cluster.NoShard,
+		Keys:             []string{key},
+		MaxExtraCompares: c.config.MaxTxnOps,
+		Build:            w.build,
+		OnApplied:        w.handleStored,
+		OnConflict:       w.handleConflict,
 	}
-	c.writeQueue.enqueue(priorityAdmit, w.write)
+	c.writeQueue.Enqueue(writequeue.Admit, w.write)
 }
 
 // build makes the record. It is called again where another write of its
@@ -236,7 +239,7 @@
 	}
 	s.waiting = append(w.batch, s.waiting...)
 	w.batch, w.jobRecords = w.controller.takeAdmissionBatch(), nil
-	w.write.extraCompares, w.write.keys[0] = nil, w.batchKey
+	w.write.ExtraCompares, w.write.Keys[0] = nil, w.batchKey
 	if len(s.waiting) > s.queuedWrites {
 		w.controller.queueAdmissionWrite()
 	}
@@ -250,12 +253,12 @@
 		rec.Jobs = append(rec.Jobs, admittedJob{a.spec.ID, a.spec})
 	}
 	if len(w.batch) == 1 {
-		w.write.keys[0] = jobKey(w.batch[0].spec.ID)
-		return []messages.TxnOp{{Key: w.write.keys[0], Value: w.jobRecords[0]}}, []cluster.ModRevision{0}
+		w.write.Keys[0] = state.JobKey(w.batch[0].spec.ID)
+		return []messages.TxnOp{{Key: w.write.Keys[0], Value: w.jobRecords[0]}}, []cluster.ModRevision{0}
 	}
 	rec.WriteID = nonce
 	for _, a := range w.batch {
-		w.write.extraCompares = append(w.write.extraCompares, messages.Compare{Key: jobKey(a.spec.ID), ModRevision: 0})
+		w.write.ExtraCompares = append(w.write.ExtraCompares, messages.Compare{Key: state.JobKey(a.spec.ID), ModRevision: 0})
 	}
 	v, _ := json.Marshal(rec)
 	return []messages.TxnOp{{Key: w.batchKey, Value: v}}, []cluster.ModRevision{0}
@@ -272,17 +275,17 @@
 		if len(w.batch) > 1 {
 			w.controller.admissions.recordAdmission(a.spec.ID, revision)
 		}
-		kv := messages.KV{Key: jobKey(a.spec.ID), Value: w.jobRecords[i], ModRevision: own}
+		kv := messages.KV{Key: state.JobKey(a.spec.ID), Value: w.jobRecords[i], ModRevision: own}
 		w.controller.applyJobRecord(kv, nil)
-		w.controller.notifyOwner(w.controller.teams[a.spec.Team].shard, kv)
+		w.controller.notifyOwner(w.controller.state.Teams[a.spec.Team].ShardID, kv)
 		w.controller.notifyDependencyOwners(&a.spec, kv)
-		if w.write.inDoubt {
+		if w.write.InDoubt {
 			// It may have been carried out long before this answer, and others may
 			// have told more of it since.
 			w.controller.answerIdempotentRetry(a.answer, a.spec.ID)
 		}
 	}
-	if w.write.inDoubt {
+	if w.write.InDoubt {
 		return
 	}
 	for _, a := range w.batch {
@@ -300,7 +303,7 @@
 		return
 	}
 	v := cluster.JobView{ID: id, Status: cluster.JobPending}
-	if k := c.jobs.finalJob(id); k != nil {
+	if k := c.state.Jobs.FinalJob(id); k != nil {
 		v = finalView(id, k)
 	}
 	a.answer(messages.Respond{Status: messages.ReplyCreated, View: &v})
@@ -331,37 +334,37 @@
 }
 
 // applyAdmissionRecord takes in a record of jobs that were accepted together.
-func (c *Controller) applyAdmissionRecord(kv messages.KV, loading *shard) {
+func (c *Controller) applyAdmissionRecord(kv messages.KV, loading *state.Shard) {
 	if kv.Value == nil {
 		return
 	}
 	c.recordPeerWrite(kv)
 	var rec admissionRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
-		c.log(messages.LogError, "unreadable record", "key", kv.Key)
+		c.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	for i := range rec.Jobs {
 		j := &rec.Jobs[i]
 		c.admissions.recordAdmission(j.ID, kv.ModRevision)
 		v, _ := json.Marshal(jobRecord{Spec: &j.Spec})
-		c.applyJobRecord(messages.KV{Key: jobKey(j.ID), Value: v}, loading)
+		c.applyJobRecord(messages.KV{Key: state.JobKey(j.ID), Value: v}, loading)
 	}
 }
 
 // loadAdmissions learns of the jobs that were accepted together, then follows.
 func (c *Controller) loadAdmissions() {
 	s := &c.admissions
-	c.listPrefix(admissionKeyPrefix, func(r messages.ListReply) {
+	c.writeQueue.ListPrefix(admissionKeyPrefix, func(r messages.ListReply) {
 		if r.Outcome != messages.OK {
-			c.after(second, c.loadAdmissions)
+			c.loop.After(second, c.loadAdmissions)
 			return
 		}
 		for _, kv := range r.Items {
 			c.applyAdmissionRecord(kv, nil)
 		}
 		s.appliedRevision, s.loaded = r.Revision, true
-		c.watchPrefix(admissionKeyPrefix, &s.appliedRevision, 2*second, func(kv messages.KV) { c.applyAdmissionRecord(kv, nil) }, c.loadAdmissions)
+		c.writeQueue.Watch(admissionKeyPrefix, &s.appliedRevision, 2*second, func(kv messages.KV) { c.applyAdmissionRecord(kv, nil) }, c.loadAdmissions)
 	})
 }
 
@@ -383,7 +386,7 @@
 // readAdmissionChanges reads the records of several that were stored since the last
 // reading; fn gets whether that worked.
 func (c *Controller) readAdmissionChanges(fn func(bool)) {
-	c.readPrefixSince(admissionKeyPrefix, c.admissions.appliedRevision, func(r messages.WatchReply) {
+	c.writeQueue.ReadChanges(admissionKeyPrefix, c.admissions.appliedRevision, func(r messages.WatchReply) {
 		for _, kv := range r.Items {
 			c.applyAdmissionRecord(kv, nil)
 		}
--- a/internal/controller/cloudlist.go
+++ b/internal/controller/cloudlist.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
 )
 
@@ -46,13 +47,13 @@
 // readPage asks for the page that follows a machine.
 func (l *cloudListRead) readPage(since cluster.MachineID) {
 	c := l.controller
-	c.emit(messages.CloudList{After: since, Call: c.registerCall(func(b any) { l.handlePage(since, b.(messages.CloudListReply)) })})
+	c.loop.Emit(messages.CloudList{After: since, Call: eventloop.Call(c.loop, func(reply messages.CloudListReply) { l.handlePage(since, reply) })})
 }
 
 // readPageWhenAllowed asks for a page as soon as the share of calls allows it.
 func (l *cloudListRead) readPageWhenAllowed(since cluster.MachineID) {
 	if !l.controller.tryCloudCall() {
-		l.controller.after(listRetryDelay, func() { l.readPageWhenAllowed(since) })
+		l.controller.loop.After(listRetryDelay, func() { l.readPageWhenAllowed(since) })
 		return
 	}
 	l.readPage(since)
@@ -64,7 +65,7 @@
 	switch {
 	case page.Outcome == messages.Throttled:
 		c.handleCloudThrottled()
-		c.after(listThrottledDelay, func() { l.readPageWhenAllowed(since) })
+		c.loop.After(listThrottledDelay, func() { l.readPageWhenAllowed(since) })
 		return
 	case page.Outcome != messages.OK:
 		l.done(nil, false)
@@ -84,10 +85,10 @@
 // it has and the more controllers read it, the longer. A controller without
 // machines has only orphans to look for, which takes a minute anyway.
 func (c *Controller) cloudListInterval() cluster.Time {
-	calls := float64(c.cloudListing.lastPageCount * c.writeQueue.liveControllers)
+	calls := float64(c.cloudListing.lastPageCount * c.writeQueue.LiveControllers())
 	spread := cluster.Time(calls / (c.config.CloudRPS * listRateShare) * float64(second))
 	d := max(c.config.CloudListLag, 8*second, spread)
-	if len(c.machines) == 0 {
+	if len(c.state.Machines) == 0 {
 		d *= 4
 	}
 	return d
@@ -103,10 +104,10 @@
 // pollCloudList reads the machine list now and then: it shows machines that died
 // and orphans that no record lists.
 func (c *Controller) pollCloudList() {
-	if c.cloudListing.inProgress || c.now < c.cloudListing.nextReadAt || !c.tryCloudCall() {
+	if c.cloudListing.inProgress || c.loop.Now() < c.cloudListing.nextReadAt || !c.tryCloudCall() {
 		return
 	}
-	c.cloudListing.nextReadAt = c.now + c.cloudListInterval()
+	c.cloudListing.nextReadAt = c.loop.Now() + c.cloudListInterval()
 	c.cloudListing.inProgress = true
 	c.readCloudList(func(items []cluster.ListedMachine, ok bool) {
 		c.cloudListing.inProgress = false
@@ -126,27 +127,23 @@
 	// Once listed, a machine stays listed until it is gone. A list may be old
 	// or the machine new, so this is no proof; but one that is silent too is
 	// not worth waiting for, and its return will be the proof.
-	for id, m := range c.machines {
-		m.missingFromCloudList = !listed[id] && !m.booting
-	}
-	for id := range c.orphanedMachines.unrecordedSince {
-		if !listed[id] || c.machines[id] != nil {
-			delete(c.orphanedMachines.unrecordedSince, id)
-		}
+	for id, m := range c.state.Machines {
+		m.MissingFromCloudList = !listed[id] && !m.Booting
 	}
+	c.reconciler.Orphans.ForgetUnlisted(listed)
 }
 
 // applyCloudListItem takes in one machine of the cloud's list.
 func (c *Controller) applyCloudListItem(l cluster.ListedMachine) {
-	m := c.machines[l.ID]
+	m := c.state.Machines[l.ID]
 	if m == nil {
-		c.handleUnrecordedMachine(l)
+		c.reconciler.Orphans.HandleListed(l)
 		return
 	}
-	if m.address == "" {
-		m.address = l.Addr
+	if m.Address == "" {
+		m.Address = l.Addr
 	}
-	if l.Status == "failed" && !m.releasing && c.shards[m.shardID].ready && c.now-m.lastHeartbeat > 2*c.config.HeartbeatInterval {
+	if l.Status == "failed" && !m.Releasing && c.state.Shards[m.ShardID].Ready && c.loop.Now()-m.LastHeartbeat > 2*c.config.HeartbeatInterval {
 		c.scaleInMachine(m, "failed")
 	}
 }
--- a/internal/controller/cloudrate.go
+++ b/internal/controller/cloudrate.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/ratelimit"
 )
@@ -18,21 +19,21 @@
 	demand    float64 // calls a second that this controller could use
 }
 
-// demandFreshness is how long what another controller told of its demand counts:
-// calls come each second, so it has missed two by then.
-const demandFreshness = 3 * second
-
 // shareByDemand returns this controller's part of a limit that all live ones
 // share. told picks the demand on it from what another one has told.
-func (c *Controller) shareByDemand(limit, demand float64, told func(*messages.Ping) float64) float64 {
-	others := make([]ratelimit.Demand, 0, len(c.peers))
-	for _, id := range c.config.Nodes {
-		if p := c.peers[id]; p != nil && !p.failed {
-			known := p.hasAnswered && c.now-p.lastPingAt < demandFreshness
-			others = append(others, ratelimit.Demand{Rate: told(&p.lastPing), Known: known})
+func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, told func(*messages.Ping) float64) float64 {
+	if c.members == nil { // the write queue is made first, and asks at once
+		return ratelimit.Divide(limit, demand, liveControllers, nil)
+	}
+	peers := c.members.Peers()
+	others := make([]ratelimit.Demand, 0, len(peers))
+	for _, peer := range peers {
+		if !peer.IsUnreachable() {
+			known := peer.HasAnswered() && peer.PingAge() < membership.PingFreshness
+			others = append(others, ratelimit.Demand{Rate: told(peer.LastPing()), Known: known})
 		}
 	}
-	return ratelimit.Divide(limit, demand, c.writeQueue.liveControllers, others)
+	return ratelimit.Divide(limit, demand, liveControllers, others)
 }
 
 // measureCloudDemand works out once a second what this controller could use. A need
@@ -53,14 +54,14 @@
 
 func (c *Controller) updateCloudRate() {
 	s := &c.cloudRate
-	s.bucket.Refill(c.now)
-	rate := c.shareByDemand(c.config.CloudRPS*c.config.Tuning.RateBudgetShare, s.demand, func(g *messages.Ping) float64 { return g.CloudDemand })
+	s.bucket.Refill(c.loop.Now())
+	rate := c.shareByDemand(c.config.CloudRPS*c.config.Tuning.RateBudgetShare, s.demand, c.writeQueue.LiveControllers(), func(g *messages.Ping) float64 { return g.CloudDemand })
 	s.bucket.SetRate(rate, max(cloudBurstSeconds*rate, 1))
 }
 
 // tryCloudCall takes a call out of the share, or notes that one had to wait.
 func (c *Controller) tryCloudCall() bool {
-	if !c.cloudRate.bucket.Take(c.now, 1) {
+	if !c.cloudRate.bucket.Take(c.loop.Now(), 1) {
 		c.cloudRate.wasDenied = true
 		return false
 	}
@@ -71,7 +72,7 @@
 // forceCloudCall counts a call that waits for nothing: without the machine types
 // nothing runs, and a request that is repeated was paid for once.
 func (c *Controller) forceCloudCall() {
-	c.cloudRate.bucket.Refill(c.now)
+	c.cloudRate.bucket.Refill(c.loop.Now())
 	c.cloudRate.bucket.Spend(1)
 	c.countCloudCall()
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,11 +8,16 @@
 package controller
 
 import (
-	"sort"
 	"time"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/reconcile"
+	"stairrelay/internal/writequeue"
 )
 
 const (
@@ -23,36 +28,30 @@
 // Controller is a controller's whole state, by owner: each type says what always
 // holds of its fields, in the file that it is named for.
 type Controller struct {
-	config   Config
-	now      cluster.Time
-	wallTime cluster.WallTime
+	config Config
+	loop   *eventloop.Loop
+	state  *state.State
 
 	// What it wants done, and what it waits for.
-	effects      []messages.Effect
-	lastCallID   messages.CallID
-	pendingCalls map[messages.CallID]func(any)
-	timers       timerQueue
-	writeQueue   writeQueue
-	cloudRate    cloudRateShare
-	counters     Counters
+	writeQueue *writequeue.Queue
+	cloudRate  cloudRateShare
+	counters   Counters
 
 	// How this node fares.
-	storeHealth        storeHealth
-	processHealth      processHealth
-	livenessKey        nodeLiveness
-	workerReachability workerReachability
+	processHealth      *membership.ProcessHealth
+	workerReachability *membership.WorkerReachability
 
 	// The other controllers.
-	peers           map[cluster.NodeID]*peer
-	versionRegistry versionRegistry
-	ownerQueries    ownerQueries
+	members            *membership.Members
+	ownerQueries       ownerQueries
+	jobNotices         jobNotices
+	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	shards            []*shard         // by number
-	shardsRevision    cluster.Revision // who holds which part is known up to this revision
-	ownedShardChanges int              // of the parts held here
-	teams             map[string]*team
-	jobs              jobRegistry
+	ownershipChecks   []ownershipChecks // by shard
+	progress          []shardProgress   // by shard
+	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
+	ownedShardChanges int               // of the parts held here
 	jobReads          linearizableJobReads
 	admissions        admissionQueue
 	classStats        map[string]*classStats
@@ -60,66 +59,50 @@
 	schedulingTrigger schedulingTrigger
 
 	// Machines.
-	machines          map[cluster.MachineID]*machine // of parts held here
-	machineGroups     map[string]*machineGroup       // of parts held here
 	recordNames       recordNames
 	machineOwners     machineOwners
-	orphanedMachines  orphanedMachines
-	machineTypes      map[string]cluster.MachineType
+	reconciler        *reconcile.Reconciler
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
 	scaleOutScheduled bool // a look for machines before the next regular one
 	machineReleases   scaleInBatch
 	spotInterruptions spotInterruptions
 	heldHeartbeats    heldHeartbeats
-	urgentPushes      []*machine // whose commands can't wait for their reports
+	urgentPushes      []*state.Machine // whose commands can't wait for their reports
 }
 
 // New makes a Core. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
-		config:           cfg,
-		pendingCalls:     map[messages.CallID]func(any){},
-		jobs:             newJobRegistry(),
-		machines:         map[cluster.MachineID]*machine{},
-		machineGroups:    map[string]*machineGroup{},
-		admissions:       admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:    machineOwners{},
-		orphanedMachines: newOrphanedMachines(),
-		peers:            map[cluster.NodeID]*peer{},
-		ownerQueries:     newOwnerQueries(),
-		teams:            map[string]*team{},
-		machineTypes:     map[string]cluster.MachineType{},
-		classStats:       map[string]*classStats{},
-	}
-	c.versionRegistry = newVersionRegistry(cfg.Self)
-	c.writeQueue.init(c)
-	for i := range cfg.Nodes {
-		c.shards = append(c.shards, &shard{id: cluster.ShardID(i), preferredOwner: cfg.Nodes[i], outOfCapacityCount: map[provisioningOption]int{}, usage: teamUsage{}})
-		if n := cfg.Nodes[i]; n != cfg.Self {
-			c.peers[n] = &peer{id: n}
-		}
-	}
-	partOf := assignTeamsToShards(cfg.Teams, len(cfg.Nodes))
-	for _, t := range cfg.Teams {
-		c.teams[t.Name] = &team{Team: t, shard: partOf[t.Name]}
+		config:             cfg,
+		loop:               eventloop.New(),
+		state:              state.New(cfg.Nodes, cfg.Teams),
+		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
+		machineOwners:      machineOwners{},
+		ownerQueries:       newOwnerQueries(),
+		jobNotices:         jobNotices{},
+		attemptedTransfers: attemptedTransfers{},
+		processHealth:      &membership.ProcessHealth{},
+		classStats:         map[string]*classStats{},
 	}
+	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
+	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
+	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.reconciler = c.newReconciler()
+	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
+	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
 	c.cloudListing.nextReadAt = c.firstCloudListAt()
-	c.after(0, c.startLoops)
+	c.loop.After(0, c.startLoops)
 	return c
 }
 
 // Step takes one event and returns what is to be done about it.
 func (c *Controller) Step(now cluster.Time, wall cluster.WallTime, ev messages.Event) []messages.Effect {
-	stood := now-c.now > processPauseThreshold
-	if now > c.now {
-		c.now = now
-	}
-	c.wallTime = wall
-	c.effects = nil
-	if stood && c.timers.len() > 0 {
+	paused := membership.IsPause(now - c.loop.Now())
+	c.loop.Begin(now, wall)
+	if _, started := c.loop.NextWake(); paused && started {
 		c.handleProcessPause()
 	}
 	switch e := ev.(type) {
@@ -141,80 +124,55 @@
 	case messages.PeerRequest:
 		c.handlePeerRequest(e)
 	case messages.ProcessLoad:
-		c.processHealth.load = e
+		c.processHealth.RecordLoad(e)
 	case messages.Reply:
-		if fn := c.pendingCalls[e.Call]; fn != nil {
-			delete(c.pendingCalls, e.Call)
-			fn(e.Body)
-		}
+		c.loop.Deliver(e)
 	}
-	c.runTimers()
+	c.loop.RunTimers()
 	c.flush()
-	return c.effects
+	return c.loop.Effects()
 }
 
+// NextWake is when the next Tick is due; false: no timer is set.
+func (c *Controller) NextWake() (cluster.Time, bool) { return c.loop.NextWake() }
+
 // flush decides once per step on all that the step has changed.
 func (c *Controller) flush() {
-	switch c.schedulingTrigger.check(c.now) {
+	switch c.schedulingTrigger.check(c.loop.Now()) {
 	case scheduleNow:
-		c.schedulingTrigger.begin(c.now + c.processHealth.stretchDelay(schedulingInterval))
+		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.StretchDelay(schedulingInterval))
 		c.scheduleOwnedShards()
 	case scheduleLater:
-		c.after(c.schedulingTrigger.armTimer(c.now), func() { c.schedulingTrigger.timerArmed = false })
+		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
 	}
 	c.pushQueuedCommands()
-	c.writeQueue.dispatch()
+	c.writeQueue.Dispatch()
 	c.answerHeldHeartbeats()
 }
 
-func (c *Controller) emit(e messages.Effect) { c.effects = append(c.effects, e) }
-
-func (c *Controller) registerCall(fn func(any)) messages.CallID {
-	c.lastCallID++
-	c.pendingCalls[c.lastCallID] = fn
-	return c.lastCallID
-}
-
-func (c *Controller) log(level messages.LogLevel, text string, args ...any) {
-	c.emit(messages.Log{Level: level, Message: text, Args: args})
-}
-
 // respondError answers at once that the request can't be taken now.
 func (c *Controller) respondError(req messages.RequestID, status messages.ReplyStatus, after int, why string) {
-	c.emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
+	c.loop.Emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
 }
 
 // startLoops starts everything that runs on its own.
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
-	for _, n := range c.config.Nodes {
-		if p := c.peers[n]; p != nil {
-			c.startFailureDetector(p)
-		}
-	}
+	c.members.Start()
 	c.loadShards()
 	c.loadJobs()
 	c.loadAdmissions()
 	c.fetchMachineTypes()
 	c.loadMachineTypeCache()
-	c.every(fixedInterval(t.CheckpointInterval), c.writeBackgroundState)
-	c.every(fixedInterval(second), c.writeQueue.measureDemand)
-	c.every(fixedInterval(second), c.measureCloudDemand)
-	c.every(fixedInterval(maintenanceInterval), c.maintainMachines)
-	c.every(fixedInterval(second), c.runScaleOut)
-	c.every(fixedInterval(2*second), c.probeWorker)
-	c.every(fixedInterval(2*second), c.refreshNodeLiveness)
-	c.every(fixedInterval(second/2), c.probeStore)
-	c.every(fixedInterval(second), c.renewOwnership)
-	c.every(fixedInterval(second/4), func() { c.schedulingTrigger.request() })
-	c.every(fixedInterval(30*second), c.logStats)
-}
-
-func sortedKeys[K ~string, V any](m map[K]V) []K {
-	ks := make([]K, 0, len(m))
-	for k := range m {
-		ks = append(ks, k)
-	}
-	sort.Slice(ks, func(i, j int) bool { return ks[i] < ks[j] })
-	return ks
+	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
+	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
+	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
+	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
+	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
+	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
+	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
+	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
+	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/jobreads.go
+++ b/internal/controller/jobreads.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // jobReadInterval is the least time between the beginnings of two readings of the
@@ -50,18 +51,18 @@
 // linearizableJobRead calls fn after everything has been learned that was stored about jobs
 // before this call, with readings begun after it; false: that could not be read.
 func (c *Controller) linearizableJobRead(fn func(bool)) {
-	if c.isStoreUnavailableFor(second) || c.jobs.appliedRevision == 0 || !c.admissions.loaded {
+	if c.writeQueue.IsUnavailableFor(second) || c.state.Jobs.AppliedRevision == 0 || !c.admissions.loaded {
 		fn(false)
 		return
 	}
 	if c.jobReads.enqueue(fn) {
-		c.after(c.jobReads.delay(c.now), c.readJobChanges)
+		c.loop.After(c.jobReads.delay(c.loop.Now()), c.readJobChanges)
 	}
 }
 
 // readJobChanges reads the jobs' own records and those of several.
 func (c *Controller) readJobChanges() {
-	served := c.jobReads.takeBatch(c.now)
+	served := c.jobReads.takeBatch(c.loop.Now())
 	left, good := 2, true
 	done := func(ok bool) {
 		good = good && ok
@@ -72,11 +73,11 @@
 			fn(good)
 		}
 		if c.jobReads.finish() {
-			c.after(c.jobReads.delay(c.now), c.readJobChanges)
+			c.loop.After(c.jobReads.delay(c.loop.Now()), c.readJobChanges)
 		}
 	}
 	c.readAdmissionChanges(done)
-	c.readPrefixSince(jobKeyPrefix, c.jobs.appliedRevision, func(r messages.WatchReply) {
+	c.writeQueue.ReadChanges(state.JobKeyPrefix, c.state.Jobs.AppliedRevision, func(r messages.WatchReply) {
 		for _, kv := range r.Items {
 			c.applyJobRecord(kv, nil)
 		}
--- a/internal/controller/machinetypecache.go
+++ b/internal/controller/machinetypecache.go
@@ -2,10 +2,13 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // The machine types come from the cloud. Without them no submission can be
@@ -43,36 +46,35 @@
 // prices move.
 func (c *Controller) fetchMachineTypes() {
 	c.forceCloudCall()
-	c.emit(messages.CloudMachineTypes{Call: c.registerCall(func(b any) {
-		r := b.(messages.MachineTypesReply)
+	c.loop.Emit(messages.CloudMachineTypes{Call: eventloop.Call(c.loop, func(r messages.MachineTypesReply) {
 		if r.Outcome != messages.OK || len(r.Types) == 0 {
-			c.after(2*second, c.fetchMachineTypes)
+			c.loop.After(2*second, c.fetchMachineTypes)
 			return
 		}
 		c.applyMachineTypes(r.Types)
-		c.after(3*second, c.writeMachineTypeCache) // the start has more urgent writes
-		c.after(60*second, c.fetchMachineTypes)
+		c.loop.After(3*second, c.writeMachineTypeCache) // the start has more urgent writes
+		c.loop.After(60*second, c.fetchMachineTypes)
 	})})
 }
 
 // applyMachineTypes takes in machine types as the cloud or the store gives them.
 func (c *Controller) applyMachineTypes(types []cluster.MachineType) {
 	for _, t := range types {
-		c.machineTypes[t.Name] = t
+		c.state.MachineTypes[t.Name] = t
 	}
 	c.schedulingTrigger.request()
 }
 
 // loadMachineTypeCache takes the catalogue from the store if the cloud has not given one.
 func (c *Controller) loadMachineTypeCache() {
-	c.readKey(machineTypesKey, func(r messages.GetReply) {
+	c.writeQueue.ReadKey(machineTypesKey, func(r messages.GetReply) {
 		switch r.Outcome {
 		case messages.OK:
 			c.applyMachineTypeCache(r.KV)
 		case messages.NotFound:
 			c.machineTypeCache.loaded = true
 		default:
-			c.after(second, c.loadMachineTypeCache)
+			c.loop.After(second, c.loadMachineTypeCache)
 			return
 		}
 		c.writeMachineTypeCache()
@@ -84,56 +86,43 @@
 	c.machineTypeCache.loaded, c.machineTypeCache.modRevision = true, kv.ModRevision
 	var rec machineTypesRecord
 	if json.Unmarshal(kv.Value, &rec) != nil {
-		c.log(messages.LogError, "unreadable record", "key", kv.Key)
+		c.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
 		return
 	}
 	c.machineTypeCache.types = rec.Types
-	if len(c.machineTypes) == 0 && len(rec.Types) > 0 {
-		c.log(messages.LogInfo, "machine types from the store", "types", len(rec.Types))
+	if len(c.state.MachineTypes) == 0 && len(rec.Types) > 0 {
+		c.loop.Log(messages.LogInfo, "machine types from the store", "types", len(rec.Types))
 		c.applyMachineTypes(rec.Types)
 	}
 }
 
-// isFirstAlive tells whether no controller listed before this one is alive.
-func (c *Controller) isFirstAlive() bool {
-	for _, id := range c.config.Nodes {
-		if id == c.config.Self {
-			break
-		}
-		if !c.peers[id].failed {
-			return false
-		}
-	}
-	return true
-}
-
 // writeMachineTypeCache stores the catalogue where it differs from the one kept in more
 // than prices. The first live controller does, so that one put is spent.
 func (c *Controller) writeMachineTypeCache() {
 	s := &c.machineTypeCache
-	if !c.isFirstAlive() || !s.loaded || s.writing || len(c.machineTypes) == 0 {
+	if !c.members.IsFirstReachable() || !s.loaded || s.writing || len(c.state.MachineTypes) == 0 {
 		return
 	}
 	var types []cluster.MachineType
-	for _, name := range sortedKeys(c.machineTypes) {
-		types = append(types, c.machineTypes[name])
+	for _, name := range slices.Sorted(maps.Keys(c.state.MachineTypes)) {
+		types = append(types, c.state.MachineTypes[name])
 	}
 	if s.equalExceptPrices(types) {
 		return
 	}
 	s.writing = true
-	c.writeQueue.enqueue(priorityBackground, &queuedWrite{
-		shardID: cluster.NoShard,
-		keys:    []string{machineTypesKey},
-		build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
+	c.writeQueue.Enqueue(writequeue.Background, &writequeue.Write{
+		ShardID: cluster.NoShard,
+		Keys:    []string{machineTypesKey},
+		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			v, _ := json.Marshal(machineTypesRecord{types, nonce})
 			if len(v) > c.config.MaxValueBytes { // does without
 				return nil, nil
 			}
 			return []messages.TxnOp{{Key: machineTypesKey, Value: v}}, []cluster.ModRevision{s.modRevision}
 		},
-		onApplied: func(e cluster.Revision) { s.writing, s.types, s.modRevision = false, types, cluster.ModRevision(e) },
-		onConflict: func() { // another has stored it
+		OnApplied: func(e cluster.Revision) { s.writing, s.types, s.modRevision = false, types, cluster.ModRevision(e) },
+		OnConflict: func() { // another has stored it
 			s.writing = false
 			c.loadMachineTypeCache()
 		},
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -7,6 +7,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 )
 
@@ -19,16 +20,18 @@
 		"Loads":          {ShardLoads: make([]fairshare.ShardLoad, 4)},
 		"Terms":          {KnownTerms: make([]cluster.Term, 4)},
 		"Offer":          {FailbackOffers: make([]cluster.ShardID, 4)},
-		"Groups":         {TransferOffers: make([]messages.TransferOffer, maxOffers+1)},
+		"Groups":         {TransferOffers: make([]messages.TransferOffer, membership.MaxTransferOffers+1)},
 		"Groups.Kinds.N": {TransferOffers: []messages.TransferOffer{{Key: "groups/g", Recipient: 0, Kinds: []messages.MachineKindCount{{Type: "small", Zone: "a", Count: 1 << 62}}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newControllerHarness()
 			lines := 0
 			for req := range 2 {
-				b.effects = nil
-				b.handlePeerRequest(messages.PeerRequest{Request: messages.RequestID(req + 1), Message: messages.PeerMessage{Version: peerProtocolVersion, From: "n1", Ping: &ping}})
-				for _, effect := range b.effects {
+				takeEffects(b.Controller)
+				message := b.members.WithSender(messages.PeerMessage{Ping: &ping})
+				message.From = "n1"
+				b.handlePeerRequest(messages.PeerRequest{Request: messages.RequestID(req + 1), Message: message})
+				for _, effect := range b.loop.Effects() {
 					switch effect := effect.(type) {
 					case messages.Respond:
 						if effect.Status != 400 || !strings.HasPrefix(effect.Error, name) {
@@ -42,14 +45,15 @@
 			if lines != 1 {
 				t.Errorf("%d lines in the log, want 1", lines)
 			}
-			var wrong *PingError
-			if err := b.validatePing(&ping); !errors.As(err, &wrong) || wrong.Field != name {
+			var wrong *membership.PingError
+			if err := b.members.HandlePing(b.members.Peer("n1"), &ping); !errors.As(err, &wrong) || wrong.Field != name {
 				t.Errorf("error %v", err)
 			}
 		})
 	}
 	b := newControllerHarness()
-	if err := b.validatePing(b.makePing(b.peers["n1"])); err != nil {
+	peer := b.members.Peer("n1")
+	if err := b.members.HandlePing(peer, b.members.MakePing(peer)); err != nil {
 		t.Errorf("our own call: %v", err)
 	}
 }
@@ -84,13 +88,13 @@
 	b := newControllerHarness()
 	answered := 0
 	for range questions {
-		b.queryOwner(b.peers["n1"], "j-1", func(messages.ReplyStatus, cluster.JobView) { answered++ })
+		b.queryOwner("n1", "j-1", func(messages.ReplyStatus, cluster.JobView) { answered++ })
 	}
 	sentMessages := 0
-	for end := b.now + second; b.now < end; b.now += 10 * millisecond {
-		b.effects = nil
-		b.runTimers()
-		for _, effect := range b.effects {
+	for end := b.loop.Now() + second; b.loop.Now() < end; setTime(b.Controller, b.loop.Now()+10*millisecond) {
+		takeEffects(b.Controller)
+		b.loop.RunTimers()
+		for _, effect := range b.loop.Effects() {
 			call, ok := effect.(messages.PeerCall)
 			if !ok || call.Message.Query == nil {
 				continue
@@ -99,7 +103,7 @@
 			if len(call.Message.Query.IDs) > maxQueriesPerMessage {
 				t.Errorf("a message asks %d questions", len(call.Message.Query.IDs))
 			}
-			b.pendingCalls[call.Call](messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Views: []cluster.JobView{{ID: "j-1", Status: cluster.JobRunning}}}})
+			b.loop.Deliver(messages.Reply{Call: call.Call, Body: messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Views: []cluster.JobView{{ID: "j-1", Status: cluster.JobRunning}}}}})
 		}
 	}
 	if sentMessages != 3 || answered != questions {
--- a/internal/controller/ownershipcheck.go
+++ b/internal/controller/ownershipcheck.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // ownershipChecks gathers those who wait until the store has shown that a part is
@@ -26,37 +27,37 @@
 // confirmOwnership calls fn after the store has shown that the part is still held,
 // with a read begun after this call. Without it a holder that lost its claim
 // unawares could answer with an older state than its successor.
-func (c *Controller) confirmOwnership(p *shard, fn func(held bool)) {
-	if c.isStoreUnavailableFor(second) {
+func (c *Controller) confirmOwnership(p *state.Shard, fn func(held bool)) {
+	if c.writeQueue.IsUnavailableFor(second) {
 		fn(false)
 		return
 	}
-	s := &p.ownershipChecks
+	s := &c.ownershipChecks[p.ID]
 	s.waiting = append(s.waiting, fn)
 	if s.scheduled {
 		return
 	}
 	s.scheduled = true
-	c.after(max(0, s.lastReadAt+jobReadInterval-c.now), func() { c.readOwnership(p) })
+	c.loop.After(max(0, s.lastReadAt+jobReadInterval-c.loop.Now()), func() { c.readOwnership(p) })
 }
 
 // readOwnership reads a part's claim for those who wait now.
-func (c *Controller) readOwnership(p *shard) {
-	s := &p.ownershipChecks
-	batch, mark := s.take(), p.modRevision
-	s.lastReadAt = c.now
+func (c *Controller) readOwnership(p *state.Shard) {
+	s := &c.ownershipChecks[p.ID]
+	batch, mark := s.take(), p.ModRevision
+	s.lastReadAt = c.loop.Now()
 	if len(batch) == 0 { // the part was lost meanwhile
 		s.scheduled = false
 		return
 	}
-	begun := c.now
-	c.readKey(p.key(), func(r messages.GetReply) {
+	begun := c.loop.Now()
+	c.writeQueue.ReadKey(p.Key(), func(r messages.GetReply) {
 		s.scheduled = false
 		if r.Outcome == messages.OK {
 			c.applyShardRecord(r.KV)
 			c.recordConfirmation(p, r.KV.ModRevision, begun)
 		}
-		held := r.Outcome == messages.OK && p.owned && r.KV.ModRevision == mark && p.modRevision == mark
+		held := r.Outcome == messages.OK && p.Owned && r.KV.ModRevision == mark && p.ModRevision == mark
 		for _, fn := range batch {
 			fn(held)
 		}
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -4,7 +4,10 @@
 	"slices"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/grouprecord"
@@ -21,17 +24,24 @@
 	return whys
 }
 
+// receivePing takes in a peer's ping, which must be valid.
+func (b *controllerHarness) receivePing(from *membership.Peer, ping *messages.Ping) {
+	if err := b.members.HandlePing(from, ping); err != nil {
+		panic(err)
+	}
+}
+
 // runStallChecks lets so many checkpoints pass with nothing else happening.
 func (b *controllerHarness) runStallChecks(n int) []string {
-	b.effects = nil
+	takeEffects(b.Controller)
 	for range n {
-		b.now += 2 * second
-		for _, id := range []cluster.NodeID{"n1", "n2"} {
-			b.peers[id].lastPingAt = b.now
+		setTime(b.Controller, b.loop.Now()+2*second)
+		for _, peer := range b.members.Peers() {
+			b.receivePing(peer, peer.LastPing())
 		}
 		b.checkShardProgress()
 	}
-	return loggedStalls(b.effects)
+	return loggedStalls(b.loop.Effects())
 }
 
 // TestStalledShardIsLogged: operators are told of a part that nobody serves, and
@@ -44,11 +54,11 @@
 	}{
 		{"all parts idle", func(*controllerHarness) {}, ""},
 		{"nobody holds it", func(b *controllerHarness) {
-			b.shards[0].owned, b.shards[0].owner = false, "n1"
+			b.state.Shards[0].Owned, b.state.Shards[0].Owner = false, "n1"
 		}, "nobody serves it"},
 		{"another holds it", func(b *controllerHarness) {
-			b.shards[0].owned, b.shards[0].owner = false, "n1"
-			b.peers["n1"].lastPing.Shards = []messages.ShardTerm{{Shard: 0, Term: 2}}
+			b.state.Shards[0].Owned, b.state.Shards[0].Owner = false, "n1"
+			b.receivePing(b.members.Peer("n1"), &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 2}}})
 		}, ""},
 		{"idle machines beside waiting tasks", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
@@ -56,27 +66,27 @@
 		}, "waiting tasks fit on its machines and none is started"},
 		{"waiting tasks that fit nowhere", func(b *controllerHarness) {
 			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			m.draining = true
+			m.Draining = true
 			b.addTestJob("j-2", 2)
 		}, ""},
 		{"waiting tasks that may not go to the zone", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
-			far := b.addMachine(b.newGroup(b.shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
+			far := b.addMachine(b.newGroup(b.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
 			j := b.addTestJob("j-2", 2)
-			j.spec.Colocate = true
-			j.setAssigned(0, &assignment{task: cluster.TaskID{Job: "j-2", Index: 0}, job: j, machineID: far.id, phase: phaseAcknowledged})
+			j.Spec.Colocate = true
+			j.SetAssigned(0, &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: j, MachineID: far.ID, Phase: state.PhaseAcknowledged})
 		}, ""},
 		{"a record that is never stored", func(b *controllerHarness) {
 			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			m.group.writePending = true
+			m.Group.WritePending = true
 		}, "its writes are not stored"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			test.prepare(b)
 			beat := func() { // the machine goes on reporting
-				for _, m := range b.machines {
-					m.lastHeartbeat = b.now + 2*second
+				for _, m := range b.state.Machines {
+					m.LastHeartbeat = b.loop.Now() + 2*second
 				}
 			}
 			var logged []string
@@ -102,12 +112,12 @@
 // progress.
 func TestProgressEndsStall(t *testing.T) {
 	b := newControllerHarness()
-	b.registerMachines(b.shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
+	b.registerMachines(b.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
-	m := b.machines["m-1"]
-	m.group.writePending = true
+	m := b.state.Machines["m-1"]
+	m.Group.WritePending = true
 	b.runStallChecks(stallThreshold - 1)
-	b.shards[0].storedTransactions++
+	b.state.Shards[0].StoredTransactions++
 	if logged := b.runStallChecks(stallThreshold - 1); len(logged) > 0 {
 		t.Errorf("logged %q beside progress", logged)
 	}
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -1,10 +1,16 @@
 package controller
 
 import (
+	"maps"
+	"slices"
 	"strings"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // scaleInBatch gathers the machines that are given back, so that many share
@@ -32,7 +38,7 @@
 // takeLogArgs returns the arguments of the log line that is due.
 func (s *scaleInBatch) takeLogArgs() []any {
 	args := make([]any, 0, 2*len(s.machinesByCause)+2)
-	for _, cause := range sortedKeys(s.machinesByCause) {
+	for _, cause := range slices.Sorted(maps.Keys(s.machinesByCause)) {
 		args = append(args, strings.ReplaceAll(cause, " ", "_"), s.machinesByCause[cause])
 	}
 	args = append(args, "tasks", s.taskCount)
@@ -42,24 +48,24 @@
 
 // scaleInMachine gives a machine back: the record says so first, so that no
 // part can take it while the cloud is called.
-func (c *Controller) scaleInMachine(m *machine, why string) {
-	if m.releasing {
+func (c *Controller) scaleInMachine(m *state.Machine, why string) {
+	if m.Releasing {
 		return
 	}
-	c.log(messages.LogDebug, "returning machine", "machine", string(m.id), "why", why, "tasks", m.liveTaskCount())
-	c.recordScaleIn(why, m.liveTaskCount())
-	m.releasing = true
-	c.writeMachine(m, priorityOutcome)
+	c.loop.Log(messages.LogDebug, "returning machine", "machine", string(m.ID), "why", why, "tasks", m.LiveTaskCount())
+	c.recordScaleIn(why, m.LiveTaskCount())
+	m.Releasing = true
+	c.writeMachine(m, writequeue.Outcome)
 }
 
 // scaleInBeforeRecorded gives a machine back before its record says so: it holds
 // cancelled tasks, and an outage of the store may outlast their time. A machine
 // whose record lists tasks can't be taken by another part. One that has been claimed with its part meanwhile may be lost to its new
 // holder, as if it had died: the return itself frees nothing, the record does.
-func (c *Controller) scaleInBeforeRecorded(m *machine) {
-	if c.canAnswerWorkers(c.shards[m.shardID]) {
+func (c *Controller) scaleInBeforeRecorded(m *state.Machine) {
+	if c.canAnswerWorkers(c.state.Shards[m.ShardID]) {
 		c.scaleInMachine(m, "cancelled tasks in an outage")
-		m.releaseConfirmed = true
+		m.ReleaseConfirmed = true
 	}
 }
 
@@ -67,7 +73,7 @@
 // of machines may fall together.
 func (c *Controller) recordScaleIn(cause string, tasks int) {
 	if c.machineReleases.add(cause, tasks) {
-		c.after(second, func() { c.log(messages.LogInfo, "returning machines", c.machineReleases.takeLogArgs()...) })
+		c.loop.After(second, func() { c.loop.Log(messages.LogInfo, "returning machines", c.machineReleases.takeLogArgs()...) })
 	}
 }
 
@@ -77,7 +83,7 @@
 		return
 	}
 	c.machineReleases.callScheduled = true
-	c.after(50*millisecond, func() {
+	c.loop.After(50*millisecond, func() {
 		c.machineReleases.callScheduled = false
 		c.callScaleIn()
 	})
@@ -87,12 +93,12 @@
 const maxScaleInMachines = 100
 
 func (c *Controller) callScaleIn() {
-	var ms []*machine
+	var ms []*state.Machine
 	var ids []cluster.MachineID
-	for _, p := range c.shards {
-		for _, m := range p.machines {
-			if p.owned && m.releaseConfirmed && !m.scaleInCallInFlight && !m.terminated && len(ms) < maxScaleInMachines {
-				ms, ids = append(ms, m), append(ids, m.id)
+	for _, p := range c.state.Shards {
+		for _, m := range p.Machines {
+			if p.Owned && m.ReleaseConfirmed && !m.ScaleInCallInFlight && !m.Terminated && len(ms) < maxScaleInMachines {
+				ms, ids = append(ms, m), append(ids, m.ID)
 			}
 		}
 	}
@@ -100,19 +106,19 @@
 		return
 	}
 	for _, m := range ms {
-		m.scaleInCallInFlight = true
+		m.ScaleInCallInFlight = true
 	}
-	c.emit(messages.CloudScaleIn{IDs: ids, Call: c.registerCall(func(b any) {
-		if b.(messages.ScaleInReply).Outcome != messages.OK {
-			c.after(2*second, func() {
+	c.loop.Emit(messages.CloudScaleIn{IDs: ids, Call: eventloop.Call(c.loop, func(reply messages.ScaleInReply) {
+		if reply.Outcome != messages.OK {
+			c.loop.After(2*second, func() {
 				for _, m := range ms {
-					m.scaleInCallInFlight = false
+					m.ScaleInCallInFlight = false
 				}
 			})
 			return
 		}
 		for _, m := range ms {
-			if c.machines[m.id] == m {
+			if c.state.Machines[m.ID] == m {
 				c.handleMachineTerminated(m)
 			}
 		}
@@ -121,27 +127,27 @@
 
 // handleMachineTerminated follows the cloud's word that a machine and all on it are gone.
 // What ran there may start elsewhere once the record says so.
-func (c *Controller) handleMachineTerminated(m *machine) {
-	m.terminated = true
-	for _, a := range m.assignments {
-		m.markConfirmedAbsent(a)
+func (c *Controller) handleMachineTerminated(m *state.Machine) {
+	m.Terminated = true
+	for _, a := range m.Assignments {
+		m.MarkConfirmedAbsent(a)
 	}
-	c.writeMachine(m, priorityStart)
+	c.writeMachine(m, writequeue.Start)
 }
 
 // removeMachineAndFreeTasks drops a machine whose record no longer lists it, and frees its
 // tasks.
-func (c *Controller) removeMachineAndFreeTasks(m *machine) {
-	if c.machines[m.id] != m {
+func (c *Controller) removeMachineAndFreeTasks(m *state.Machine) {
+	if c.state.Machines[m.ID] != m {
 		return
 	}
 	c.removeMachine(m)
-	for _, a := range m.sortedAssignments() {
-		delete(m.assignments, a.task)
+	for _, a := range m.SortedAssignments() {
+		delete(m.Assignments, a.Task)
 		c.unassignTask(a)
 	}
-	if m.pendingHeartbeat != 0 {
-		c.redirectWorker(m.pendingHeartbeat, "")
-		m.pendingHeartbeat = 0
+	if m.PendingHeartbeat != 0 {
+		c.redirectWorker(m.PendingHeartbeat, "")
+		m.PendingHeartbeat = 0
 	}
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -2,10 +2,13 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
 // What users submit: whether a job can be taken, and by which controller.
@@ -13,12 +16,12 @@
 func (c *Controller) handleSubmit(e messages.Submit) {
 	answer := func(r messages.Respond) {
 		if r.View == nil {
-			c.log(messages.LogDebug, "submission refused", "job", string(e.Spec.ID), "status", r.Status, "why", r.Error)
+			c.loop.Log(messages.LogDebug, "submission refused", "job", string(e.Spec.ID), "status", r.Status, "why", r.Error)
 		}
 		r.Request = e.Request
-		c.emit(r)
+		c.loop.Emit(r)
 	}
-	if c.jobs.known[e.Spec.ID] == nil && e.Rejection == 0 && (c.storeHealth.isUnresponsive(c.now) || len(c.machineTypes) == 0) && c.proxySubmission(e.Spec, answer) {
+	if c.state.Jobs.Known[e.Spec.ID] == nil && e.Rejection == 0 && (c.writeQueue.Health.IsUnresponsive(c.loop.Now()) || len(c.state.MachineTypes) == 0) && c.proxySubmission(e.Spec, answer) {
 		return
 	}
 	c.submit(e.Spec, e.Rejection, e.Reason, answer)
@@ -33,11 +36,11 @@
 	n := len(c.config.Nodes)
 	self := slices.Index(c.config.Nodes, c.config.Self)
 	for i := 1; i < n; i++ {
-		p := c.peers[c.config.Nodes[(self+i)%n]]
+		p := c.members.Peer(c.config.Nodes[(self+i)%n])
 		if p == nil || !c.canProxyTo(p, &spec) {
 			continue
 		}
-		c.callPeer(p.id, proxyTimeout, messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: spec.ID, Spec: spec}}, func(r messages.PeerReply) {
+		c.members.Call(p.ID(), proxyTimeout, messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: spec.ID, Spec: spec}}, func(r messages.PeerReply) {
 			c.answerProxied(&spec, r, answer)
 		})
 		return true
@@ -49,11 +52,11 @@
 const proxyTimeout = 2500 * millisecond
 
 // canProxyTo tells whether a peer can take a submission, as far as it has told.
-func (c *Controller) canProxyTo(p *peer, spec *cluster.JobSpec) bool {
-	if p.failed || p.suspected || !p.hasAnswered || c.now-p.lastPingAt > 2*second || !p.lastPing.StoreReachable {
+func (c *Controller) canProxyTo(p *membership.Peer, spec *cluster.JobSpec) bool {
+	if p.IsUnreachable() || p.IsSuspected() || !p.HasAnswered() || p.PingAge() > 2*second || !p.LastPing().StoreReachable {
 		return false
 	}
-	return len(spec.Dependencies) == 0 || p.lastPing.FeatureLevel >= dependencyFeatureLevel // else it would start it at once
+	return len(spec.Dependencies) == 0 || p.LastPing().FeatureLevel >= dependencyFeatureLevel // else it would start it at once
 }
 
 // answerProxied answers a submission as the controller says that it went to.
@@ -62,8 +65,8 @@
 	case r.Outcome != messages.OK:
 		answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "store out of reach"})
 	case len(r.Message.Views) == 1:
-		if t := c.teams[spec.Team]; t != nil {
-			c.jobs.register(spec.ID, t.shard, spec.Team, spec.Tasks)
+		if t := c.state.Teams[spec.Team]; t != nil {
+			c.state.Jobs.Register(spec.ID, t.ShardID, spec.Team, spec.Tasks)
 		}
 		answer(messages.Respond{Status: r.Message.Status, View: &r.Message.Views[0]})
 	default:
@@ -98,16 +101,16 @@
 // evaluate decides on the submission; checked: what the job awaits was looked up.
 func (s *submission) evaluate(checked bool) {
 	c := s.controller
-	if c.jobs.known[s.spec.ID] != nil {
+	if c.state.Jobs.Known[s.spec.ID] != nil {
 		c.answerIdempotentRetry(s.answer, s.spec.ID)
 		return
 	}
-	if c.isStoreUnavailableFor(second) {
+	if c.writeQueue.IsUnavailableFor(second) {
 		s.reject(messages.ReplyUnavailable, storeRetryAfterSeconds, "store out of reach")
 		return
 	}
 	if s.invalidStatus == 0 {
-		if len(c.machineTypes) == 0 {
+		if len(c.state.MachineTypes) == 0 {
 			s.reject(messages.ReplyUnavailable, storeRetryAfterSeconds, "machine types not known yet")
 			return
 		}
@@ -167,7 +170,7 @@
 		s.reject(messages.ReplyUnavailable, 30, "awaits more unfinished jobs than fit into a record")
 		return
 	}
-	s.spec.SubmittedAt = c.wallTime
+	s.spec.SubmittedAt = c.loop.WallTime()
 	c.enqueueAdmission(s.spec, s.answer)
 }
 
@@ -176,8 +179,8 @@
 // priorities are refused, least important first. It returns when to come back.
 func (c *Controller) overloadRetryAfter(prio cluster.Priority) int {
 	// A put takes several when many wait.
-	wait := (float64(len(c.writeQueue.queues[priorityAdmit])) + c.admissions.putsNeeded(c.config.MaxTxnOps)) / max(c.writeQueue.putBudget.Rate(), 1)
-	wait = max(wait, float64(c.processHealth.load.EventDelay)/float64(second)) // a process that falls behind takes on no more
+	wait := (float64(len(c.writeQueue.Queued(writequeue.Admit))) + c.admissions.putsNeeded(c.config.MaxTxnOps)) / max(c.writeQueue.PutBudget().Rate(), 1)
+	wait = max(wait, float64(c.processHealth.EventDelay())/float64(second)) // a process that falls behind takes on no more
 	limit := [...]float64{cluster.BestEffort: 1, cluster.Normal: 1.5, cluster.Urgent: 2.5, cluster.Production: 3}[prio]
 	if wait <= limit {
 		return 0
@@ -198,41 +201,14 @@
 
 // checkSchedulable returns 422 for a job that no machine or quota could ever take.
 func (c *Controller) checkSchedulable(s *cluster.JobSpec) messages.ReplyStatus {
-	t := c.teams[s.Team]
+	t := c.state.Teams[s.Team]
 	if t == nil || s.ResourceRequest.CPU > t.QuotaLimit.CPU || s.ResourceRequest.GPU > t.QuotaLimit.GPU {
 		return messages.ReplyUnschedulable
 	}
-	for _, name := range sortedKeys(c.machineTypes) {
-		if c.isTypeAllowed(s, c.machineTypes[name], "") {
+	for _, name := range slices.Sorted(maps.Keys(c.state.MachineTypes)) {
+		if s.AllowsMachineType(c.state.MachineTypes[name], "") {
 			return 0
 		}
 	}
 	return messages.ReplyUnschedulable
 }
-
-// isTypeAllowed tells whether a type, and with it one of its zones, is allowed for a
-// job's tasks and large enough for one.
-func (c *Controller) isTypeAllowed(s *cluster.JobSpec, t cluster.MachineType, zone string) bool {
-	if !s.ResourceRequest.FitsIn(t.Capacity) {
-		return false
-	}
-	if len(s.MachineTypes) > 0 && !containsString(s.MachineTypes, t.Name) {
-		return false
-	}
-	if s.Zone == "" {
-		return true
-	}
-	if zone == "" {
-		return containsString(t.Zones, s.Zone)
-	}
-	return zone == s.Zone
-}
-
-func containsString(l []string, s string) bool {
-	for _, x := range l {
-		if x == s {
-			return true
-		}
-	}
-	return false
-}
