--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -91,7 +91,7 @@
 // dropTransferred forgets a group that another shard has taken. Its record listed no
 // task, so what was planned for it was never sent.
 func (inv *Inventory) dropTransferred(group *state.MachineGroup, to cluster.ShardID) {
-	inv.loop.Log(messages.LogDebug, "group moved away", "group", group.ID, "machines", len(group.Machines), "to", int(to))
+	inv.loop.Log(messages.LogDebug, "machine group transferred away", "group", group.ID, "machines", len(group.Machines), "to_shard", int(to))
 	delete(inv.state.Groups, group.ID)
 	for _, m := range group.SortedMachines() {
 		inv.DropMachine(m)
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -19,7 +19,7 @@
 
 // quarantineRecord notes a group's record that makes no sense.
 func (inv *Inventory) quarantineRecord(shard *state.Shard, item messages.KV, reason error) {
-	inv.loop.Log(messages.LogInfo, "impossible record", "key", item.Key, "why", reason.Error())
+	inv.loop.Log(messages.LogInfo, "corrupt record quarantined", "key", item.Key, "error", reason.Error())
 	if shard.Quarantined == nil {
 		shard.Quarantined = map[string]cluster.ModRevision{}
 	}
@@ -161,7 +161,7 @@
 		},
 		OnApplied: func(cluster.Revision) {
 			if r.isCurrent() {
-				r.inventory.loop.Log(messages.LogInfo, "impossible records dropped", "part", int(r.shard.ID), "records", len(keys))
+				r.inventory.loop.Log(messages.LogInfo, "quarantined records deleted", "shard", int(r.shard.ID), "records", len(keys))
 				r.inventory.reload(r.shard)
 			}
 		},
--- a/internal/inventory/transfer.go
+++ b/internal/inventory/transfer.go
@@ -118,7 +118,7 @@
 			inv.AddMachine(group, line, cluster.FencingToken(revision))
 		}
 	}
-	inv.loop.Log(messages.LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(t.shard.ID), "from", int(t.fromShard))
+	inv.loop.Log(messages.LogDebug, "machine group acquired", "group", t.groupID, "machines", len(t.machines), "shard", int(t.shard.ID), "from_shard", int(t.fromShard))
 	inv.scheduler.RequestScheduling()
 	inv.scheduler.MaintainMachines()
 }
