--- a/internal/controller/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -28,7 +28,7 @@
 	var rest cluster.Time
 	for range 20 {
 		p.Owned = true
-		c.giveUpCorruptShard(p, "k", "test")
+		c.ownership.GiveUpCorrupt(p, "k", "test")
 		rest = max(rest, p.AcquireNotBefore-c.loop.Now())
 	}
 	const alone = 8 * second // lost: a node that hears nobody waits this long after its own cut
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -364,7 +364,13 @@
 			c.applyAdmissionRecord(kv, nil)
 		}
 		s.appliedRevision, s.loaded = r.Revision, true
-		c.watchPrefix(admissionKeyPrefix, &s.appliedRevision, 2*second, func(kv messages.KV) { c.applyAdmissionRecord(kv, nil) }, c.loadAdmissions)
+		c.writeQueue.Watch(writequeue.PrefixWatch{
+			Prefix:      admissionKeyPrefix,
+			Position:    &s.appliedRevision,
+			Pause:       recordWatchPause,
+			OnChange:    func(kv messages.KV) { c.applyAdmissionRecord(kv, nil) },
+			OnCompacted: c.loadAdmissions,
+		})
 	})
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,6 +16,7 @@
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ownership"
 	"stairrelay/internal/writequeue"
 )
 
@@ -47,10 +48,8 @@
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	ownershipChecks   []ownershipChecks // by shard
-	progress          []shardProgress   // by shard
-	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
-	ownedShardChanges int               // of the parts held here
+	ownership         *ownership.Manager
+	progress          []shardProgress // by shard
 	jobReads          linearizableJobReads
 	admissions        admissionQueue
 	classStats        map[string]*classStats
@@ -88,7 +87,7 @@
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
-	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
@@ -158,7 +157,7 @@
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
 	c.members.Start()
-	c.loadShards()
+	c.ownership.Start()
 	c.loadJobs()
 	c.loadAdmissions()
 	c.fetchMachineTypes()
@@ -171,7 +170,7 @@
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
-	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
+	c.loop.Every(eventloop.FixedInterval(second), c.ownership.RenewLeases)
 	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/fairshare.go
+++ b/internal/controller/fairshare.go
@@ -33,10 +33,10 @@
 
 // ownedShardLoads describes the parts held here.
 func (c *Controller) ownedShardLoads() []fairshare.ShardLoad {
-	if c.loadCache.isValid(c.loop.Now(), c.ownedShardChanges) {
+	if c.loadCache.isValid(c.loop.Now(), c.ownership.Changes()) {
 		return c.loadCache.loads
 	}
-	c.loadCache.computedAt, c.loadCache.ownershipChanges = c.loop.Now(), c.ownedShardChanges
+	c.loadCache.computedAt, c.loadCache.ownershipChanges = c.loop.Now(), c.ownership.Changes()
 	var out []fairshare.ShardLoad
 	for _, p := range c.state.Shards {
 		if p.Owned && p.Ready {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -160,11 +160,21 @@
 	})
 }
 
+// recordWatchPause is the time between two requests of the watches on jobs and
+// admissions.
+const recordWatchPause = 2 * second
+
 func (c *Controller) watchJobs() {
-	c.watchPrefix(state.JobKeyPrefix, &c.state.Jobs.AppliedRevision, 2*second, func(kv messages.KV) {
-		c.recordPeerWrite(kv)
-		c.applyJobRecord(kv, nil)
-	}, c.loadJobs)
+	c.writeQueue.Watch(writequeue.PrefixWatch{
+		Prefix:   state.JobKeyPrefix,
+		Position: &c.state.Jobs.AppliedRevision,
+		Pause:    recordWatchPause,
+		OnChange: func(kv messages.KV) {
+			c.recordPeerWrite(kv)
+			c.applyJobRecord(kv, nil)
+		},
+		OnCompacted: c.loadJobs,
+	})
 }
 
 // recordPeerWrite notes which controller wrote a record that has just changed.
@@ -172,7 +182,7 @@
 	if kv.Value == nil {
 		return
 	}
-	c.members.RecordWrite(writeIDInstance(writequeue.WriteIDOf(kv.Value)))
+	c.members.RecordWrite(writequeue.WriterOf(kv.Value))
 }
 
 func (c *Controller) addOwnedJob(j *state.Job) {
--- a/internal/controller/jobwrite.go
+++ b/internal/controller/jobwrite.go
@@ -163,7 +163,7 @@
 		w.controller.resolveFirstRecordConflict(j, w.priority)
 		return
 	}
-	w.controller.giveUpCorruptShard(w.controller.state.Shards[j.ShardID], j.ChunkKey(0), "changed by another writer")
+	w.controller.ownership.GiveUpCorrupt(w.controller.state.Shards[j.ShardID], j.ChunkKey(0), "changed by another writer")
 }
 
 // handleTooLarge follows the store's refusal of a record by its length. The job was
@@ -200,7 +200,7 @@
 		case r.Outcome != messages.OK:
 			c.loop.After(second/2, func() { c.resolveFirstRecordConflict(j, prio) })
 		case json.Unmarshal(r.KV.Value, &rec) != nil || rec.Spec == nil || rec.CompletedIndexes != "" || rec.FinalStatus != "":
-			c.giveUpCorruptShard(c.state.Shards[j.ShardID], j.ChunkKey(0), "changed by another writer")
+			c.ownership.GiveUpCorrupt(c.state.Shards[j.ShardID], j.ChunkKey(0), "changed by another writer")
 		default:
 			j.ModRevisions[0] = r.KV.ModRevision
 			c.writeJob(j, prio)
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	part := b.state.Shards[0]
 	part.Owned, part.Ready, part.ConfirmedAt = false, false, 0
-	b.acquireShard(part)
+	b.ownership.Acquire(part)
 	b.writeQueue.Dispatch()
 	for _, effect := range b.loop.Effects() {
 		if claim, ok := effect.(messages.StoreTxn); ok {
@@ -67,7 +67,7 @@
 			if test.wordHeld {
 				want = heard
 			}
-			if got := b.ownershipConfirmedAt(part); got != want {
+			if got := b.ownership.LastConfirmedAt(part); got != want {
 				t.Errorf("certain as of %d s, want %d s", got/second, want/second)
 			}
 		})
--- a/internal/controller/machinegroups.go
+++ b/internal/controller/machinegroups.go
@@ -325,17 +325,17 @@
 		case messages.OK:
 			rec, err := grouprecord.Decode(r.KV.Value)
 			if err != nil {
-				c.giveUpCorruptShard(c.state.Shards[g.ShardID], g.Key(), err.Error())
+				c.ownership.GiveUpCorrupt(c.state.Shards[g.ShardID], g.Key(), err.Error())
 				return
 			}
 			if rec.ShardID == g.ShardID {
 				if r.KV.ModRevision > g.ModRevision && !g.WritePending {
-					c.handleForeignWrite(c.state.Shards[g.ShardID], g.Key(), "changed by another writer")
+					c.ownership.HandleForeignWrite(c.state.Shards[g.ShardID], g.Key(), "changed by another writer")
 					return
 				}
 				// Still ours, yet a worker may have seen a higher token: an owner
 				// that has since lost it had a later one. Ours must rise above it.
-				c.rereadShard(c.state.Shards[g.ShardID])
+				c.ownership.RereadClaim(c.state.Shards[g.ShardID])
 				for _, m := range g.SortedMachines() {
 					if m.FencedOff {
 						m.FencedOff = false
@@ -357,7 +357,7 @@
 		for _, m := range g.SortedMachines() {
 			for _, a := range m.SortedAssignments() {
 				if a.Phase != state.PhaseRecording && !a.ConfirmedAbsent {
-					c.handleForeignWrite(c.state.Shards[g.ShardID], g.Key(), "moved while it listed tasks")
+					c.ownership.HandleForeignWrite(c.state.Shards[g.ShardID], g.Key(), "moved while it listed tasks")
 					return
 				}
 			}
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -31,11 +31,11 @@
 		}, 100 * second, true, false, false},
 		{"a new run, the store read since", heard, func(b *controllerHarness, n2 *membership.Peer) {
 			b.members.HandlePingReply(n2, &messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
-			b.recordConfirmation(b.state.Shards[0], 30, heard)
+			b.ownership.RecordConfirmation(b.state.Shards[0], 30, heard)
 		}, heard, true, true, false},
 		{"a new run, another's mark read", heard, func(b *controllerHarness, n2 *membership.Peer) {
 			b.members.HandlePingReply(n2, &messages.Ping{InstanceID: "other", KnownTerms: []cluster.Term{1, 1, 1}}, heard)
-			b.recordConfirmation(b.state.Shards[0], 31, heard)
+			b.ownership.RecordConfirmation(b.state.Shards[0], 31, heard)
 		}, 100 * second, true, false, false},
 		{"an older release", heard, func(b *controllerHarness, n2 *membership.Peer) {
 			b.members.HandlePingReply(n2, &messages.Ping{InstanceID: knownInstance("n2")}, heard)
@@ -65,15 +65,15 @@
 		if !x.held {
 			continue
 		}
-		if at := b.ownershipConfirmedAt(p); at != x.certain {
+		if at := b.ownership.LastConfirmedAt(p); at != x.certain {
 			t.Errorf("%s: certain as of %d s, want %d s", x.name, at/second, x.certain/second)
 		}
-		if b.loop.Now() == heard && x.certain == heard && !b.canStartTasks(p) {
+		if b.loop.Now() == heard && x.certain == heard && !b.ownership.CanStartTasks(p) {
 			t.Errorf("%s: may not start", x.name)
 		}
 		setTime(b.Controller, b.loop.Now()+8*second)
-		if b.canAnswerWorkers(p) != x.entitled || b.canStartTasks(p) != x.may {
-			t.Errorf("%s, 8 s later: entitled %v, may start %v", x.name, b.canAnswerWorkers(p), b.canStartTasks(p))
+		if b.ownership.CanAnswerWorkers(p) != x.entitled || b.ownership.CanStartTasks(p) != x.may {
+			t.Errorf("%s, 8 s later: entitled %v, may start %v", x.name, b.ownership.CanAnswerWorkers(p), b.ownership.CanStartTasks(p))
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	b := newControllerHarness()
 	p := b.state.Shards[0]
 	b.runFor(b.config.CancelDeadline)
-	if d := b.loop.Now() - p.ConfirmedAt; d > 4*second || !b.canAnswerWorkers(p) || !b.canStartTasks(p) {
-		t.Errorf("last proven %d s ago: entitled %v, may start %v", d/second, b.canAnswerWorkers(p), b.canStartTasks(p))
+	if d := b.loop.Now() - p.ConfirmedAt; d > 4*second || !b.ownership.CanAnswerWorkers(p) || !b.ownership.CanStartTasks(p) {
+		t.Errorf("last proven %d s ago: entitled %v, may start %v", d/second, b.ownership.CanAnswerWorkers(p), b.ownership.CanStartTasks(p))
 	}
 }
--- a/internal/controller/processpause.go
+++ b/internal/controller/processpause.go
@@ -14,7 +14,7 @@
 	c.loop.Log(messages.LogInfo, "stood still")
 	for _, shard := range c.state.Shards {
 		if shard.Owned {
-			c.rereadShard(shard)
+			c.ownership.RereadClaim(shard)
 		}
 	}
 }
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -11,6 +11,7 @@
 	"strings"
 	"testing"
 
+	"stairrelay/internal/ownership"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -90,8 +91,8 @@
 	if json.Unmarshal(recs["rentals/r-b1-30-1"], &r) != nil || r != (provisioningRecord{0, "small", "a", true, 3, "b1-12"}) {
 		t.Errorf("rental %+v", r)
 	}
-	var p shardRecord
-	if json.Unmarshal(recs["parts/0"], &p) != nil || !reflect.DeepEqual(p, shardRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}) {
+	var p ownership.ClaimRecord
+	if json.Unmarshal(recs["parts/0"], &p) != nil || !reflect.DeepEqual(p, ownership.ClaimRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}) {
 		t.Errorf("part %+v", p)
 	}
 	var c machineTypesRecord
@@ -122,7 +123,7 @@
 		case strings.HasPrefix(key, "rentals/"):
 			rec = &provisioningRecord{}
 		case strings.HasPrefix(key, "parts/"):
-			rec = &shardRecord{}
+			rec = &ownership.ClaimRecord{}
 		case key == "types":
 			rec = &machineTypesRecord{}
 		case strings.HasPrefix(key, "groups/"):
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -30,7 +30,7 @@
 	case !p.Owned || !p.Ready:
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "")
 		return
-	case !c.canAnswerWorkers(p):
+	case !c.ownership.CanAnswerWorkers(p):
 		// Another may have claimed the part unnoticed, and cancelled jobs of it.
 		c.redirectWorker(e.Request, "")
 		return
@@ -153,7 +153,7 @@
 func (c *Controller) commandsFor(m *state.Machine, urgentOnly bool) []cluster.Command {
 	var out []cluster.Command
 	var starts []cluster.Command
-	mayStart := c.canStartTasks(c.state.Shards[m.ShardID])
+	mayStart := c.ownership.CanStartTasks(c.state.Shards[m.ShardID])
 	for _, a := range m.SortedAssignments() {
 		switch {
 		case a.ConfirmedAbsent:
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -74,7 +74,7 @@
 		return
 	}
 	if j := c.state.Jobs.Owned[id]; j != nil {
-		c.confirmOwnership(c.state.Shards[j.ShardID], func(good bool) {
+		c.ownership.Confirm(c.state.Shards[j.ShardID], func(good bool) {
 			if k := c.state.Jobs.FinalJob(id); k != nil {
 				fn(messages.ReplyOK, finalView(id, k))
 			} else if j := c.state.Jobs.Owned[id]; good && j != nil && !j.EndInFlight {
@@ -164,7 +164,7 @@
 	for _, p := range c.state.Shards {
 		if byPart[p.ID] {
 			left++
-			c.confirmOwnership(p, func(ok bool) {
+			c.ownership.Confirm(p, func(ok bool) {
 				good[p.ID] = ok
 				finish()
 			})
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -63,7 +63,7 @@
 // whose record lists tasks can't be taken by another part. One that has been claimed with its part meanwhile may be lost to its new
 // holder, as if it had died: the return itself frees nothing, the record does.
 func (c *Controller) scaleInBeforeRecorded(m *state.Machine) {
-	if c.canAnswerWorkers(c.state.Shards[m.ShardID]) {
+	if c.ownership.CanAnswerWorkers(c.state.Shards[m.ShardID]) {
 		c.scaleInMachine(m, "cancelled tasks in an outage")
 		m.ReleaseConfirmed = true
 	}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -31,7 +31,7 @@
 func (c *Controller) applyProvisioningRecord(kv messages.KV, p *state.Shard) {
 	var rec provisioningRecord
 	if json.Unmarshal(kv.Value, &rec) != nil {
-		c.giveUpCorruptShard(p, kv.Key, "rental record")
+		c.ownership.GiveUpCorrupt(p, kv.Key, "rental record")
 		return
 	}
 	if rec.Shard != p.ID {
@@ -307,7 +307,7 @@
 		// bring it back; a successor would then record its machines a second time.
 		// The key of its machines' group stays until the next claim fences the copy.
 		ExtraCompares: []messages.Compare{{Key: "groups/" + r.GroupID, ModRevision: 0}},
-		OnConflict:    func() { c.handleForeignWrite(p, provisioningKey(r.Name), "name in use") },
+		OnConflict:    func() { c.ownership.HandleForeignWrite(p, provisioningKey(r.Name), "name in use") },
 	}
 	x.OnApplied = func(e cluster.Revision) {
 		r.ModRevision, r.CreateInDoubt = cluster.ModRevision(e), x.InDoubt
@@ -412,7 +412,7 @@
 				case g.Outcome == messages.NotFound && len(ms) == 0:
 					delete(p.ProvisioningRequests, r.Name)
 				case g.Outcome == messages.OK || g.Outcome == messages.NotFound:
-					c.handleForeignWrite(p, provisioningKey(r.Name), "settled by another writer")
+					c.ownership.HandleForeignWrite(p, provisioningKey(r.Name), "settled by another writer")
 				default:
 					c.loop.After(second, func() {
 						if c.isProvisioningCurrent(p, r) {
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -59,8 +59,7 @@
 		c.repairQuarantined(p)
 		return
 	}
-	p.Ready = true
-	c.ownedShardChanges++
+	c.ownership.MarkReady(p)
 	early := p.EarlyJobs
 	p.EarlyJobs = nil
 	for _, kv := range early {
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -34,14 +34,14 @@
 }
 
 // HandleDeposed implements writequeue.ShardOwnership.
-func (o shardClaims) HandleDeposed(id cluster.ShardID) { o.controller.handleDeposed(id) }
+func (o shardClaims) HandleDeposed(id cluster.ShardID) { o.controller.ownership.HandleDeposed(id) }
 
 // HandleStored implements writequeue.ShardOwnership.
 func (o shardClaims) HandleStored(stored writequeue.StoredTransaction) {
 	shard := o.controller.state.Shards[stored.ShardID]
 	shard.StoredTransactions++
 	shard.LastStoredRevision = max(shard.LastStoredRevision, stored.Revision)
-	o.controller.recordConfirmation(shard, stored.Claim, stored.SentAt)
+	o.controller.ownership.RecordConfirmation(shard, stored.Claim, stored.SentAt)
 }
 
 // probeStore keeps in touch with the state service while it matters whether it
@@ -50,6 +50,6 @@
 // an outage. On an idle controller nothing else would ask for minutes.
 func (c *Controller) probeStore() {
 	if c.writeQueue.Health.ShouldProbe(c.loop.Now()) {
-		c.rereadShard(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
+		c.ownership.RereadClaim(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
 	}
 }
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -25,7 +25,7 @@
 	b.store.revision++
 	claim := messages.KV{Key: part.Key(), Value: fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, part.Term+1, b.store.revision), ModRevision: cluster.ModRevision(b.store.revision)}
 	b.store.keys[part.Key()] = claim
-	b.applyShardRecord(claim)
+	b.ownership.ApplyClaim(claim)
 	if part.Owned {
 		t.Fatal("the part is still held after another's claim")
 	}
@@ -35,7 +35,7 @@
 func acquireAndLoadShard(t *testing.T, b *controllerHarness) {
 	t.Helper()
 	part := b.state.Shards[0]
-	b.acquireShard(part)
+	b.ownership.Acquire(part)
 	b.runFor(200 * millisecond)
 	if !part.Owned || !part.Ready {
 		t.Fatalf("held %v, ready %v after the claim", part.Owned, part.Ready)
@@ -191,7 +191,7 @@
 		if outage {
 			b.writeQueue.Health.MarkFailing(b.loop.Now() - 2*second)
 		}
-		b.considerAcquire(part)
+		b.ownership.ConsiderAcquire(part)
 		if part.Acquiring == outage {
 			t.Errorf("outage %v: claims %v", outage, part.Acquiring)
 		}
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/lease_test.go
@@ -6,8 +6,6 @@
 	"stairrelay/internal/cluster"
 )
 
-const second = cluster.Second
-
 // TestBound: the last answer's lease is over within cancelWithin, whatever the
 // clocks do within the protocol's drift.
 func TestBound(t *testing.T) {
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -10,8 +10,6 @@
 package state
 
 import (
-	"strconv"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/messages"
@@ -36,28 +34,6 @@
 	}
 }
 
-// ShardOwnership is who owns a shard, as far as this controller knows.
-type ShardOwnership struct {
-	ID             cluster.ShardID
-	PreferredOwner cluster.NodeID
-	Owner          cluster.NodeID
-	Term           cluster.Term
-	ModRevision    cluster.ModRevision // of parts/<n> as last seen; the claim's while owned
-	RecordRead     bool                // from the store, at least once
-
-	Owned         bool // by this controller
-	Ready         bool // its checkpoint has been read
-	Acquiring     bool
-	ClaimRevision cluster.Revision
-	ConfirmedAt   cluster.Time // when the last exchange with the store began that showed the claim in force
-
-	CorruptRecordCount int          // how often its records made no sense
-	AcquireNotBefore   cluster.Time // not acquired again before
-	FailbackOffered    bool         // its owner is willing to hand it back to us
-	OwnershipChangedAt cluster.Time
-	OwnerChanges       []cluster.Time // when it changed owners, the last minute's
-}
-
 // AttemptNumbers number the starts of a shard's tasks.
 type AttemptNumbers struct {
 	AttemptCount uint64 // starts numbered under attemptBase
@@ -120,47 +96,13 @@
 	CreateInDoubt bool   // a late copy of its creation may yet be carried out
 }
 
-// Key is where the claim of the shard is stored.
-func (p *Shard) Key() string { return "parts/" + strconv.Itoa(int(p.ID)) }
-
-// IsOwnedUnder tells whether the part is still held under a claim.
-func (p *Shard) IsOwnedUnder(claim cluster.Revision) bool { return p.Owned && p.ClaimRevision == claim }
-
-// RecordOwnerChange notes that the part has a new holder.
-func (p *Shard) RecordOwnerChange(now cluster.Time) {
-	p.OwnershipChangedAt = now
-	keep := p.OwnerChanges[:0]
-	for _, t := range p.OwnerChanges {
-		if now-t < 60*cluster.Second {
-			keep = append(keep, t)
-		}
-	}
-	p.OwnerChanges = append(keep, now)
-}
-
-// IsBackoffOver damps quarrels: nodes that each believe the other to be lost would
-// else claim a part from one another several times a second. Every change of
-// hands within a minute doubles the pause before the next.
-func (p *Shard) IsBackoffOver(now cluster.Time) bool {
-	n := 0
-	for _, t := range p.OwnerChanges {
-		if now-t < 60*cluster.Second {
-			n++
-		}
-	}
-	if n <= 1 {
-		return now-p.OwnershipChangedAt > 2*cluster.Second || n == 0
-	}
-	return now-p.OwnershipChangedAt > min(cluster.Second<<n, 30*cluster.Second)
-}
-
 // NextAttempt numbers a start. A number is never given twice: an attempt that a
 // worker still remembers would not be started again.
-func (p *Shard) NextAttempt() cluster.Attempt {
-	if p.AttemptCount == cluster.MaxAttemptCount && p.LastStoredRevision > p.AttemptBase {
-		p.AttemptBase, p.AttemptCount = p.LastStoredRevision, 0
+func (s *Shard) NextAttempt() cluster.Attempt {
+	if s.AttemptCount == cluster.MaxAttemptCount && s.LastStoredRevision > s.AttemptBase {
+		s.AttemptBase, s.AttemptCount = s.LastStoredRevision, 0
 	}
-	p.AttemptCount++
-	p.PlannedStarts++
-	return cluster.NewAttempt(uint64(p.AttemptBase), p.AttemptCount)
+	s.AttemptCount++
+	s.PlannedStarts++
+	return cluster.NewAttempt(uint64(s.AttemptBase), s.AttemptCount)
 }
--- a/internal/writequeue/write.go
+++ b/internal/writequeue/write.go
@@ -11,6 +11,7 @@
 
 import (
 	"encoding/json"
+	"strings"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
@@ -98,6 +99,18 @@
 	return record.WriteID
 }
 
+// WriterOf reads the instance id of the process that stored a record; empty: the
+// record has no write id.
+func WriterOf(value []byte) string { return InstanceOf(WriteIDOf(value)) }
+
+// InstanceOf returns the instance id of the process that made a write id.
+func InstanceOf(writeID string) string {
+	if end := strings.LastIndexByte(writeID, '-'); end > 0 {
+		return writeID[:end]
+	}
+	return writeID
+}
+
 // transaction is what is sent to the state service: writes with one outcome.
 type transaction struct {
 	writes         []*Write
