--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,6 +17,7 @@
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/ownership"
+	"stairrelay/internal/reconcile"
 	"stairrelay/internal/writequeue"
 )
 
@@ -59,7 +60,7 @@
 	// Machines.
 	recordNames       recordNames
 	machineOwners     machineOwners
-	orphanedMachines  orphanedMachines
+	reconciler        *reconcile.Reconciler
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
 	scaleOutScheduled bool // a look for machines before the next regular one
@@ -77,7 +78,6 @@
 		state:              state.New(cfg.Nodes, cfg.Teams),
 		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
 		machineOwners:      machineOwners{},
-		orphanedMachines:   newOrphanedMachines(),
 		ownerQueries:       newOwnerQueries(),
 		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
@@ -88,6 +88,7 @@
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
 	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.reconciler = c.newReconciler()
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
