--- a/internal/writequeue/write.go
+++ b/internal/writequeue/write.go
@@ -99,14 +99,14 @@
 	return record.WriteID
 }
 
-// WriterOf reads the instance id of the process that stored a record; empty: the
+// WriterOf reads the instance of the process that stored a record; empty: the
 // record has no write id.
 func WriterOf(value []byte) string { return InstanceOf(WriteIDOf(value)) }
 
-// InstanceOf returns the instance id of the process that made a write id.
+// InstanceOf is the instance of the controller process that made a write id.
 func InstanceOf(writeID string) string {
-	if end := strings.LastIndexByte(writeID, '-'); end > 0 {
-		return writeID[:end]
+	if i := strings.LastIndexByte(writeID, '-'); i > 0 {
+		return writeID[:i]
 	}
 	return writeID
 }
