--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 import (
 	"time"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -58,8 +59,8 @@
 	schedulingTrigger schedulingTrigger
 
 	// Machines.
-	recordNames       recordNames
-	machineOwners     machineOwners
+	recordNames       *inventory.RecordNames
+	inventory         *inventory.Inventory
 	reconciler        *reconcile.Reconciler
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
@@ -77,7 +78,7 @@
 		loop:               eventloop.New(),
 		state:              state.New(cfg.Nodes, cfg.Teams),
 		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:      machineOwners{},
+		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
 		ownerQueries:       newOwnerQueries(),
 		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
@@ -88,6 +89,7 @@
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
 	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.reconciler = c.newReconciler()
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.updateCloudRate()
--- a/internal/controller/ownership_adapter.go
+++ b/internal/controller/ownership_adapter.go
@@ -42,7 +42,7 @@
 func (s shardStore) DropShard(shard *state.Shard) {
 	c := s.controller
 	for _, machine := range shard.Machines {
-		c.dropMachine(machine)
+		c.inventory.DropMachine(machine)
 	}
 	for _, job := range shard.Jobs {
 		c.abandonJob(job)
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -71,7 +71,7 @@
 		}, ""},
 		{"waiting tasks that may not go to the zone", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
-			far := b.addMachine(b.newGroup(b.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
+			far := b.inventory.AddMachine(b.state.AddGroup(b.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
 			j := b.addTestJob("j-2", 2)
 			j.Spec.Colocate = true
 			j.SetAssigned(0, &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: j, MachineID: far.ID, Phase: state.PhaseAcknowledged})
@@ -112,7 +112,7 @@
 // progress.
 func TestProgressEndsStall(t *testing.T) {
 	b := newControllerHarness()
-	b.registerMachines(b.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
+	b.inventory.RegisterMachines(b.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
 	m := b.state.Machines["m-1"]
 	m.Group.WritePending = true
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/state"
 )
@@ -30,22 +31,19 @@
 
 // RecentOwner implements reconcile.MachineDirectory.
 func (d machineDirectory) RecentOwner(id cluster.MachineID, within cluster.Time) (cluster.ShardID, bool) {
-	return d.controller.machineOwners.recent(id, d.controller.loop.Now(), within)
+	return d.controller.inventory.RecentShardOf(id, within)
 }
 
 // LastOwner implements reconcile.MachineDirectory.
 func (d machineDirectory) LastOwner(id cluster.MachineID) cluster.ShardID {
-	return d.controller.machineOwners[id].shardID
+	shard, _ := d.controller.inventory.LastShardOf(id)
+	return shard
 }
 
 // ReadRecordedMachines implements reconcile.MachineDirectory.
 func (d machineDirectory) ReadRecordedMachines(handle func(*reconcile.RecordedMachines)) {
-	d.controller.readRecordedMachines(func(recorded *recordedMachines) {
-		if recorded == nil {
-			handle(nil)
-			return
-		}
-		handle(&reconcile.RecordedMachines{RequestedKinds: recorded.requestedKinds, Listed: recorded.listed})
+	d.controller.inventory.ReadRecordedMachines(func(recorded *inventory.RecordedMachines) {
+		handle((*reconcile.RecordedMachines)(recorded))
 	})
 }
 
@@ -53,9 +51,9 @@
 type machineRegistrar struct{ controller *Controller }
 
 // MaxMachinesPerGroup implements reconcile.MachineRegistrar.
-func (r machineRegistrar) MaxMachinesPerGroup() int { return r.controller.groupMachines() }
+func (r machineRegistrar) MaxMachinesPerGroup() int { return r.controller.inventory.TargetGroupSize() }
 
 // RegisterMachines implements reconcile.MachineRegistrar.
 func (r machineRegistrar) RegisterMachines(shard *state.Shard, machines []grouprecord.Machine, done func()) {
-	r.controller.registerMachines(shard, machines, done)
+	r.controller.inventory.RegisterMachines(shard, machines, done)
 }
