--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,6 +17,7 @@
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ownership"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/writequeue"
 )
@@ -49,10 +50,8 @@
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	ownershipChecks   []ownershipChecks // by shard
-	progress          []shardProgress   // by shard
-	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
-	ownedShardChanges int               // of the parts held here
+	ownership         *ownership.Manager
+	progress          []shardProgress // by shard
 	jobReads          linearizableJobReads
 	admissions        admissionQueue
 	classStats        map[string]*classStats
@@ -87,11 +86,11 @@
 		classStats:         map[string]*classStats{},
 	}
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
-	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.reconciler = c.newReconciler()
-	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
@@ -161,7 +160,7 @@
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
 	c.members.Start()
-	c.loadShards()
+	c.ownership.Start()
 	c.loadJobs()
 	c.loadAdmissions()
 	c.fetchMachineTypes()
@@ -174,7 +173,7 @@
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
-	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
+	c.loop.Every(eventloop.FixedInterval(second), c.ownership.RenewLeases)
 	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -5,6 +5,7 @@
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/inventory"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ownership"
 	"stairrelay/internal/state"
 )
 
@@ -21,7 +22,7 @@
 // inventoryDependencies are the controller's parts that the inventory calls.
 func (c *Controller) inventoryDependencies() inventory.Dependencies {
 	return inventory.Dependencies{
-		Shards:    inventoryShards{controller: c},
+		Shards:    inventoryShards{Manager: c.ownership, controller: c},
 		Jobs:      inventoryJobs{controller: c},
 		Workers:   inventoryWorkers{controller: c},
 		Scheduler: inventoryScheduler{controller: c},
@@ -30,19 +31,12 @@
 }
 
 // inventoryShards implements inventory.Shards.
-type inventoryShards struct{ controller *Controller }
-
-func (a inventoryShards) Reread(shard *state.Shard) { a.controller.rereadShard(shard) }
-
-func (a inventoryShards) Load(shard *state.Shard) { a.controller.loadShard(shard) }
-
-func (a inventoryShards) HandleForeignWrite(shard *state.Shard, key, reason string) {
-	a.controller.handleForeignWrite(shard, key, reason)
+type inventoryShards struct {
+	*ownership.Manager
+	controller *Controller
 }
 
-func (a inventoryShards) GiveUpCorrupt(shard *state.Shard, key, reason string) {
-	a.controller.giveUpCorruptShard(shard, key, reason)
-}
+func (a inventoryShards) Load(shard *state.Shard) { a.controller.loadShard(shard) }
 
 // inventoryJobs implements inventory.Jobs.
 type inventoryJobs struct{ controller *Controller }
--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -63,7 +63,7 @@
 // ones although the group is still the shard's: an owner that has since lost the group
 // had a later token, and the present one must rise above it.
 func (inv *Inventory) raiseFencedOffTokens(shard *state.Shard, group *state.MachineGroup) {
-	inv.shards.Reread(shard)
+	inv.shards.RereadClaim(shard)
 	for _, m := range group.SortedMachines() {
 		if m.FencedOff {
 			m.FencedOff = false
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -38,8 +38,8 @@
 
 // Shards is what the inventory needs of the ownership of shards.
 type Shards interface {
-	// Reread reads a shard's claim from the state service.
-	Reread(*state.Shard)
+	// RereadClaim reads a shard's claim from the state service.
+	RereadClaim(*state.Shard)
 	// Load reads the records of an owned shard.
 	Load(*state.Shard)
 	// HandleForeignWrite is called when a record of an owned shard was changed by
