--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -22,7 +22,7 @@
 // inventoryDependencies are the controller's parts that the inventory calls.
 func (c *Controller) inventoryDependencies() inventory.Dependencies {
 	return inventory.Dependencies{
-		Shards:    inventoryShards{Manager: c.ownership, controller: c},
+		Shards:    inventoryShards{Manager: c.ownership, shardStore: shardStore{c}},
 		Jobs:      inventoryJobs{controller: c},
 		Workers:   inventoryWorkers{controller: c},
 		Scheduler: inventoryScheduler{controller: c},
@@ -33,11 +33,9 @@
 // inventoryShards implements inventory.Shards.
 type inventoryShards struct {
 	*ownership.Manager
-	controller *Controller
+	shardStore
 }
 
-func (a inventoryShards) Load(shard *state.Shard) { a.controller.loadShard(shard) }
-
 // inventoryJobs implements inventory.Jobs.
 type inventoryJobs struct{ controller *Controller }
 
--- a/internal/controller/ownership_adapter.go
+++ b/internal/controller/ownership_adapter.go
@@ -1,9 +1,6 @@
 package controller
 
 import (
-	"maps"
-	"slices"
-
 	"stairrelay/internal/membership"
 	"stairrelay/internal/ownership"
 	"stairrelay/internal/state"
@@ -35,21 +32,8 @@
 // shardStore loads acquired shards and drops lost ones.
 type shardStore struct{ controller *Controller }
 
-// LoadShard implements ownership.ShardStore.
+// LoadShard implements ownership.ShardStore and inventory.Shards.
 func (s shardStore) LoadShard(shard *state.Shard) { s.controller.loadShard(shard) }
 
 // DropShard implements ownership.ShardStore.
-func (s shardStore) DropShard(shard *state.Shard) {
-	c := s.controller
-	for _, machine := range shard.Machines {
-		c.inventory.DropMachine(machine)
-	}
-	for _, job := range shard.Jobs {
-		c.abandonJob(job)
-	}
-	for _, id := range slices.Sorted(maps.Keys(c.state.Groups)) {
-		if c.state.Groups[id].ShardID == shard.ID {
-			delete(c.state.Groups, id)
-		}
-	}
-}
+func (s shardStore) DropShard(shard *state.Shard) { s.controller.inventory.DropShard(shard) }
--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -94,7 +94,7 @@
 	inv.loop.Log(messages.LogDebug, "machine group transferred away", "group", group.ID, "machines", len(group.Machines), "to_shard", int(to))
 	delete(inv.state.Groups, group.ID)
 	for _, m := range group.SortedMachines() {
-		inv.DropMachine(m)
+		inv.dropMachine(m)
 		for _, a := range m.SortedAssignments() {
 			inv.unassign(a)
 		}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -40,8 +40,8 @@
 type Shards interface {
 	// RereadClaim reads a shard's claim from the state service.
 	RereadClaim(*state.Shard)
-	// Load reads the records of an owned shard.
-	Load(*state.Shard)
+	// LoadShard reads the records of an owned shard.
+	LoadShard(*state.Shard)
 	// HandleForeignWrite is called when a record of an owned shard was changed by
 	// another writer than its owner.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
--- a/internal/inventory/machines.go
+++ b/internal/inventory/machines.go
@@ -1,6 +1,9 @@
 package inventory
 
 import (
+	"maps"
+	"slices"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/state"
@@ -14,13 +17,27 @@
 	return inv.state.AddMachine(group, line, token, inv.loop.Now())
 }
 
-// DropMachine forgets a machine that is no longer owned here, and sends its worker to
+// dropMachine forgets a machine that is no longer owned here, and sends its worker to
 // the owner of its shard.
-func (inv *Inventory) DropMachine(machine *state.Machine) {
+func (inv *Inventory) dropMachine(machine *state.Machine) {
 	inv.state.RemoveMachine(machine)
 	inv.redirectPendingHeartbeat(machine, inv.state.Shards[machine.ShardID].Owner)
 }
 
+// DropShard forgets the machines, jobs and groups of a shard that is not owned any more,
+// or whose records are read again.
+func (inv *Inventory) DropShard(shard *state.Shard) {
+	for _, m := range slices.Clone(shard.Machines) {
+		inv.dropMachine(m)
+	}
+	for _, job := range slices.Clone(shard.Jobs) {
+		inv.jobs.Abandon(job)
+	}
+	maps.DeleteFunc(inv.state.Groups, func(_ string, group *state.MachineGroup) bool {
+		return group.ShardID == shard.ID
+	})
+}
+
 // removeTerminated forgets a machine that the cloud has taken back, once its record no
 // longer lists it. Its tasks may be started elsewhere.
 func (inv *Inventory) removeTerminated(machine *state.Machine) {
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -176,17 +176,7 @@
 // reload forgets what was read of a shard's records and reads them again.
 func (inv *Inventory) reload(shard *state.Shard) {
 	shard.Quarantined = nil
-	for _, m := range slices.Clone(shard.Machines) {
-		inv.DropMachine(m)
-	}
-	for _, job := range slices.Clone(shard.Jobs) {
-		inv.jobs.Abandon(job)
-	}
-	for _, id := range slices.Sorted(maps.Keys(inv.state.Groups)) {
-		if inv.state.Groups[id].ShardID == shard.ID {
-			delete(inv.state.Groups, id)
-		}
-	}
+	inv.DropShard(shard)
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
-	inv.shards.Load(shard)
+	inv.shards.LoadShard(shard)
 }
