--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -6,10 +6,13 @@
 	"stairrelay/internal/state"
 )
 
-// shardLoad is the reading of the checkpoint of a part just claimed: the
-// records come first, what the workers say is compared with them afterwards.
+// loadRetryPause is the pause after a shard's records could not be read.
+const loadRetryPause = second / 3
+
+// shardLoad reads the records of a shard that was just acquired. They come first;
+// what the workers say is compared with them afterwards.
 //
-// It ends with its claim. Nothing is taken in before all records were read.
+// It ends with its claim. Nothing is applied before all records were read.
 type shardLoad struct {
 	controller           *Controller
 	shard                *state.Shard
@@ -20,101 +23,111 @@
 	jobs                 *messages.ListReply
 }
 
-// loadShard reads the checkpoint of a part.
-func (c *Controller) loadShard(p *state.Shard) {
-	l := &shardLoad{controller: c, shard: p, claimRevision: p.ClaimRevision}
-	l.read("groups/", &l.groups)
-	l.read("rentals/", &l.provisioningRequests)
-	// The accepts first: what is accepted in between comes by the watch.
-	l.read(admissionKeyPrefix, &l.admissions)
-	l.read(state.JobKeyPrefix, &l.jobs)
+// loadShard reads the records of a shard.
+func (c *Controller) loadShard(shard *state.Shard) {
+	load := &shardLoad{controller: c, shard: shard, claimRevision: shard.ClaimRevision}
+	load.read("groups/", &load.groups)
+	load.read("rentals/", &load.provisioningRequests)
+	// The admissions before the jobs: what is admitted in between comes by the watch.
+	load.read(admissionKeyPrefix, &load.admissions)
+	load.read(state.JobKeyPrefix, &load.jobs)
 }
 
 // read lists the records with a prefix until that works.
-func (l *shardLoad) read(prefix string, to **messages.ListReply) {
-	l.controller.writeQueue.ListPrefix(prefix, func(r messages.ListReply) {
+func (l *shardLoad) read(prefix string, result **messages.ListReply) {
+	l.controller.writeQueue.ListPrefix(prefix, func(reply messages.ListReply) {
 		if !l.shard.IsOwnedUnder(l.claimRevision) {
 			return
 		}
-		if r.Outcome != messages.OK {
-			l.controller.loop.After(second/3, func() { l.read(prefix, to) })
+		if reply.Outcome != messages.OK {
+			l.controller.loop.After(loadRetryPause, func() { l.read(prefix, result) })
 			return
 		}
-		*to = &r
-		if l.groups != nil && l.provisioningRequests != nil && l.admissions != nil && l.jobs != nil {
+		*result = &reply
+		if l.isComplete() {
 			l.finish()
 		}
 	})
 }
 
-// finish takes the records in and begins to serve the part, unless they show
-// that it is lost or hold something that makes no sense.
+// isComplete tells whether all records were read.
+func (l *shardLoad) isComplete() bool {
+	return l.groups != nil && l.provisioningRequests != nil && l.admissions != nil && l.jobs != nil
+}
+
+// finish applies the records and begins to serve the shard, unless they show that it
+// is lost or some of them make no sense.
 func (l *shardLoad) finish() {
-	c, p := l.controller, l.shard
+	c, shard := l.controller, l.shard
 	l.applyRecords()
-	if !p.Owned {
+	if !shard.Owned {
 		return
 	}
-	if len(p.Quarantined) > 0 {
-		c.inventory.RepairQuarantined(p)
+	if len(shard.Quarantined) > 0 {
+		c.inventory.RepairQuarantined(shard)
 		return
 	}
-	c.ownership.MarkReady(p)
-	early := p.EarlyJobs
-	p.EarlyJobs = nil
-	for _, kv := range early {
-		c.applyJobRecord(kv, nil)
-	}
+	c.ownership.MarkReady(shard)
+	l.applyEarlyJobs()
 	l.awaitAcknowledgements()
 	c.schedulingTrigger.request()
-	if len(p.Machines)+len(p.ProvisioningRequests) > 0 {
+	if len(shard.Machines)+len(shard.ProvisioningRequests) > 0 {
 		c.cloudListing.nextReadAt = 0 // the cloud's list shows what the records may lack
 	}
-	c.loop.Log(messages.LogInfo, "part ready",
-		"part", int(p.ID),
-		"machines", len(p.Machines),
-		"jobs", len(p.Jobs),
-		"took_ms", int((c.loop.Now()-p.OwnershipChangedAt)/millisecond))
+	c.loop.Log(messages.LogInfo, "shard ready",
+		"shard", int(shard.ID),
+		"machines", len(shard.Machines),
+		"jobs", len(shard.Jobs),
+		"took_ms", l.millisSinceAcquire(c.loop.Now()))
 	c.maintainMachines()
 }
 
+// applyRecords applies all records that were read.
 func (l *shardLoad) applyRecords() {
-	c, p := l.controller, l.shard
+	c, shard := l.controller, l.shard
 	for _, kv := range l.jobs.Items {
-		c.applyJobRecord(kv, p)
+		c.applyJobRecord(kv, shard)
 	}
 	for _, kv := range l.admissions.Items { // after the jobs' own records, which count
-		c.applyAdmissionRecord(kv, p)
+		c.applyAdmissionRecord(kv, shard)
 	}
 	for _, kv := range l.groups.Items {
-		c.inventory.ApplyRecord(kv, p)
+		c.inventory.ApplyRecord(kv, shard)
 	}
 	for _, kv := range l.provisioningRequests.Items {
-		c.applyProvisioningRecord(kv, p)
+		c.applyProvisioningRecord(kv, shard)
 	}
 }
 
-// awaitAcknowledgements notes which machines have yet to acknowledge this claim's token,
-// and logs after a lease how many did.
-func (l *shardLoad) awaitAcknowledgements() {
-	c, p := l.controller, l.shard
-	p.AwaitingFirstAcknowledgementCount, p.LastAcknowledgedAt = 0, c.loop.Now()
-	for _, m := range p.Machines {
-		if m.AwaitingFirstAcknowledgement = !m.Booting; m.AwaitingFirstAcknowledgement {
-			p.AwaitingFirstAcknowledgementCount++
-		}
+// applyEarlyJobs applies the job records that were seen while the shard was loaded.
+func (l *shardLoad) applyEarlyJobs() {
+	early := l.shard.EarlyJobs
+	l.shard.EarlyJobs = nil
+	for _, kv := range early {
+		l.controller.applyJobRecord(kv, nil)
 	}
-	taken := p.AwaitingFirstAcknowledgementCount
-	if taken == 0 {
+}
+
+// awaitAcknowledgements notes which machines have yet to acknowledge this claim's
+// fencing token, and logs after a worker lease how many did.
+func (l *shardLoad) awaitAcknowledgements() {
+	c, shard := l.controller, l.shard
+	awaited := shard.AwaitFirstAcknowledgements(c.loop.Now())
+	if awaited == 0 {
 		return
 	}
 	c.loop.After(c.config.WorkerLease, func() {
-		if p.IsOwnedUnder(l.claimRevision) {
-			c.loop.Log(messages.LogInfo, "machines answered",
-				"part", int(p.ID),
-				"machines", taken,
-				"silent", p.AwaitingFirstAcknowledgementCount,
-				"took_ms", int((p.LastAcknowledgedAt-p.OwnershipChangedAt)/millisecond))
+		if shard.IsOwnedUnder(l.claimRevision) {
+			c.loop.Log(messages.LogInfo, "machines acknowledged",
+				"shard", int(shard.ID),
+				"machines", awaited,
+				"silent", shard.AwaitingFirstAcknowledgementCount,
+				"took_ms", l.millisSinceAcquire(shard.LastAcknowledgedAt))
 		}
 	})
 }
+
+// millisSinceAcquire is how long after the acquire a time was.
+func (l *shardLoad) millisSinceAcquire(at cluster.Time) int {
+	return int((at - l.shard.OwnershipChangedAt) / millisecond)
+}
--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -105,9 +105,9 @@
 // beginOwnership begins to load a shard that was acquired.
 func (m *Manager) beginOwnership(shard *state.Shard, term cluster.Term, claim cluster.Revision, previousOwner cluster.NodeID) {
 	shard.BeginOwnership(m.config.Self, term, claim, m.loop.Now())
-	m.loop.Log(messages.LogInfo, "claimed part",
-		"part", int(shard.ID),
+	m.loop.Log(messages.LogInfo, "shard acquired",
+		"shard", int(shard.ID),
 		"term", uint64(term),
-		"from", string(previousOwner))
+		"previous_owner", string(previousOwner))
 	m.store.LoadShard(shard)
 }
--- a/internal/ownership/claims.go
+++ b/internal/ownership/claims.go
@@ -102,7 +102,7 @@
 	}
 	record, err := DecodeClaim(kv.Value)
 	if err != nil {
-		m.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
+		m.loop.Log(messages.LogError, "unreadable record", "key", kv.Key, "error", err.Error())
 		return
 	}
 	m.peers.RecordUpgraded(record.Upgraded...)
--- a/internal/ownership/deposition.go
+++ b/internal/ownership/deposition.go
@@ -17,7 +17,7 @@
 	if !shard.Owned {
 		return
 	}
-	m.loop.Log(messages.LogInfo, "lost part", "part", int(id), "term", uint64(shard.Term))
+	m.loop.Log(messages.LogInfo, "shard lost", "shard", int(id), "term", uint64(shard.Term))
 	shard.EndOwnership(m.loop.Now())
 	m.changes++
 	m.store.DropShard(shard)
@@ -32,7 +32,7 @@
 // process can't account for: nothing is guessed, the shard is acquired again after
 // a pause and read anew. Meanwhile every controller answers from the state service.
 func (m *Manager) GiveUpCorrupt(shard *state.Shard, key, reason string) {
-	m.loop.Log(messages.LogError, "impossible record", "key", key, "why", reason)
+	m.loop.Log(messages.LogError, "corrupt record, shard given up", "shard", int(shard.ID), "key", key, "reason", reason)
 	shard.PostponeAcquire(m.loop.Now())
 	m.HandleDeposed(shard.ID)
 }
