--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -12,7 +12,7 @@
 
 // deliverStatus is a machine's next account of itself.
 func (b *controllerHarness) deliverStatus(m *state.Machine, tasks ...cluster.TaskStatus) {
-	b.reconcile(m, &cluster.HeartbeatStatus{Machine: m.ID, Incarnation: m.Incarnation, SequenceNumber: m.SequenceNumber + 1, FencingToken: m.Token, PreemptionNotice: -1, Tasks: tasks}, false)
+	b.reconciler.ApplyStatus(m, &cluster.HeartbeatStatus{Machine: m.ID, Incarnation: m.Incarnation, SequenceNumber: m.SequenceNumber + 1, FencingToken: m.Token, PreemptionNotice: -1, Tasks: tasks}, false)
 }
 
 // TestCompletedTaskLeavesGroupRecord: a completed task is left out of its group's next
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -67,8 +67,6 @@
 	scaleOutScheduled bool // a look for machines before the next regular one
 	machineReleases   scaleInBatch
 	spotInterruptions spotInterruptions
-	heldHeartbeats    heldHeartbeats
-	urgentPushes      []*state.Machine // whose commands can't wait for their reports
 }
 
 // New makes a Core. Nothing happens before the first Step.
@@ -120,7 +118,7 @@
 		c.handleHealth(e)
 	case messages.Heartbeat:
 		c.counters.Heartbeats++
-		c.handleHeartbeat(e)
+		c.reconciler.Heartbeats.Handle(e)
 	case messages.PeerRequest:
 		c.handlePeerRequest(e)
 	case messages.ProcessLoad:
@@ -145,9 +143,9 @@
 	case scheduleLater:
 		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
 	}
-	c.pushQueuedCommands()
+	c.reconciler.Commands.PushQueued()
 	c.writeQueue.Dispatch()
-	c.answerHeldHeartbeats()
+	c.reconciler.Heartbeats.AnswerReady()
 }
 
 // respondError answers at once that the request can't be taken now.
@@ -167,7 +165,7 @@
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
-	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
+	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
 	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -119,8 +119,8 @@
 // cancelWithDependency stores that a job is cancelled with one that it needs.
 func (c *Controller) cancelWithDependency(j *state.Job) {
 	j.Cancelling = true
-	c.withdrawUnsentStarts(j)
-	c.stopAllTasks(j)
+	c.reconciler.Stops.WithdrawUnsent(j)
+	c.reconciler.Stops.StopJob(j)
 	c.writeJob(j, writequeue.Outcome)
 }
 
--- a/internal/controller/failover_quota_test.go
+++ b/internal/controller/failover_quota_test.go
@@ -24,7 +24,7 @@
 		if acked {
 			r.FencingToken, want = m.Token, 0
 		}
-		b.reconcile(m, &r, false)
+		b.reconciler.ApplyStatus(m, &r, false)
 		if use := b.teamUsageOf(p)["red"].CPU; use != want {
 			t.Errorf("acknowledged %v: the team uses %d, want %d", acked, use, want)
 		}
--- a/internal/controller/fairshare.go
+++ b/internal/controller/fairshare.go
@@ -49,7 +49,7 @@
 
 func (c *Controller) computeShardLoad(p *state.Shard) fairshare.ShardLoad {
 	l := fairshare.ShardLoad{Shard: p.ID}
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if m.Releasing || m.Draining {
 			continue
@@ -127,7 +127,7 @@
 // pick from.
 func (c *Controller) uncordonMachines(p *state.Shard, spare cluster.Amount) []*state.Machine {
 	var ms []*state.Machine
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if m.Cordoned && spare <= 0 {
 			c.schedulingTrigger.request()
@@ -215,7 +215,7 @@
 	}
 	for _, a := range m.SortedAssignments() {
 		if a.IsLive() && a.Phase == state.PhaseAcknowledged {
-			c.stopTask(m, a, a.Job.Spec.SaveSeconds+1)
+			c.reconciler.Stops.Preempt(m, a)
 		}
 	}
 }
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"stairrelay/internal/reconcile"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -78,7 +79,7 @@
 			b := newControllerHarness()
 			b.addTestJob("j-1", 1)
 			b.addRegisteredGroup(b.state.Shards[0], "g", []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}, 100, 31)
-			b.handleHeartbeat(firstHeartbeat(fastBootMachine))
+			b.reconciler.Heartbeats.Handle(firstHeartbeat(fastBootMachine))
 			effects := flushEffects(b)
 			var record *messages.StoreTxn
 			for _, effect := range effects {
@@ -90,7 +91,7 @@
 				t.Fatal("the machine got no task, or its record is not written")
 			}
 			for range 10 { // the answer to the report does not wait that long
-				setTime(b.Controller, b.loop.Now()+maxHeartbeatHold/4)
+				setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold/4)
 				effects = append(effects, flushEffects(b)...)
 			}
 			if n := countStarts(effects); n != 0 {
--- a/internal/controller/grouptransfer.go
+++ b/internal/controller/grouptransfer.go
@@ -119,7 +119,7 @@
 	}
 	c.loop.Log(messages.LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(p.ID), "from", int(t.fromShard))
 	c.schedulingTrigger.request()
-	c.maintainMachines()
+	c.reconciler.Maintenance.Run()
 }
 
 // handleConflict follows a conflict with another writer of the record.
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -237,7 +237,7 @@
 		"tasks", j.Spec.Tasks, "first_run_s", int((j.FirstRunAt-j.ArrivedAt)/second), "all_run_s", int((j.LastRunAt-j.ArrivedAt)/second),
 		"took_s", int((c.loop.Now()-j.ArrivedAt)/second), "run_s", int(j.Spec.RuntimeSeconds), "due_s", int(j.Spec.DeadlineSeconds), "cpu", float64(j.Spec.ResourceRequest.CPU)/1e6, "guaranteed", j.InitiallyGuaranteed)
 	if end == cluster.JobCancelled {
-		c.stopAllTasks(j)
+		c.reconciler.Stops.StopJob(j)
 	}
 	c.schedulingTrigger.request()
 	if len(j.Assignments) == 0 {
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -36,10 +36,10 @@
 			if byAnswer {
 				want = x.answer
 				m.PendingHeartbeat = 9
-				b.answerHeartbeat(m)
+				b.reconciler.Heartbeats.Answer(m)
 				cmds = b.loop.Effects()[len(b.loop.Effects())-1].(messages.Respond).Heartbeat.Commands
 			} else {
-				b.pushQueuedCommands()
+				b.reconciler.Commands.PushQueued()
 				for _, f := range b.loop.Effects() {
 					if o, ok := f.(messages.PushCommands); ok {
 						cmds = o.Commands
@@ -64,14 +64,14 @@
 		b := newControllerHarness()
 		m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
 		b.cancelOwnedJob("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
-		b.pushQueuedCommands()
+		b.reconciler.Commands.PushQueued()
 		o := b.loop.Effects()[len(b.loop.Effects())-1].(messages.PushCommands)
 		takeEffects(b.Controller)
 		r := cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: 1, SequenceNumber: 2, FencingToken: m.Token, PreemptionNotice: -1, Tasks: []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}}}
 		b.loop.Deliver(messages.Reply{Call: o.Call, Body: messages.PushCommandsReply{Outcome: out, Status: r}})
-		b.queueCommandPush(m)
+		b.reconciler.Commands.QueuePush(m)
 		takeEffects(b.Controller)
-		b.pushQueuedCommands()
+		b.reconciler.Commands.PushQueued()
 		if sent := len(b.loop.Effects()) > 0; sent != again {
 			t.Errorf("after %v the stop is sent again: %v", out, sent)
 		}
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -63,9 +63,9 @@
 		if x.acks {
 			r.FencingToken = m.Token
 		}
-		b.reconcile(m, &r, false)
-		setTime(b.Controller, b.loop.Now()+b.firstAcknowledgementTimeout()+second)
-		b.maintainMachines()
+		b.reconciler.ApplyStatus(m, &r, false)
+		setTime(b.Controller, b.loop.Now()+b.reconciler.Maintenance.FirstAcknowledgementTimeout()+second)
+		b.reconciler.Maintenance.Run()
 		if m.Releasing != x.returned {
 			t.Errorf("cancelled %v, acknowledged %v: returned %v", x.cancelled, x.acks, m.Releasing)
 		}
@@ -86,7 +86,7 @@
 		} else {
 			m.RaisingToken, m.TokenAcknowledged = true, false
 		}
-		b.pushMaintenanceCommands(b.state.Shards[0].Machines)
+		b.reconciler.Maintenance.PushCommands(b.state.Shards[0].Machines)
 		var got []cluster.Command
 		for _, f := range b.loop.Effects() {
 			if o, ok := f.(messages.PushCommands); ok && o.Addr == m.Address {
--- a/internal/controller/machinegroups.go
+++ b/internal/controller/machinegroups.go
@@ -226,18 +226,16 @@
 			continue
 		}
 		m.RecordedTaskCount = len(x.listed)
-		if m.PendingHeartbeat != 0 {
-			c.heldHeartbeats.toCheck = append(c.heldHeartbeats.toCheck, m)
-		}
+		c.reconciler.Heartbeats.Recheck(m)
 		for _, a := range x.listed {
 			if a.Phase != state.PhaseRecording {
 				continue
 			}
 			a.Phase = state.PhaseReady
 			if !a.Job.IsActive() {
-				c.confirmAbsent(m, a) // cancelled meanwhile, never sent
+				c.reconciler.ConfirmAbsent(m, a) // cancelled meanwhile, never sent
 			} else {
-				c.queueCommandPush(m)
+				c.reconciler.Commands.QueuePush(m)
 			}
 		}
 		for _, a := range x.removed {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -7,7 +7,6 @@
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
@@ -49,17 +48,7 @@
 // dropMachine forgets a machine that is no longer ours.
 func (c *Controller) dropMachine(m *state.Machine) {
 	c.removeMachine(m)
-	if m.PendingHeartbeat != 0 {
-		c.redirectWorker(m.PendingHeartbeat, c.state.Shards[m.ShardID].Owner)
-		m.PendingHeartbeat = 0
-	}
-}
-
-func (c *Controller) redirectWorker(req messages.RequestID, to cluster.NodeID) {
-	if to == c.config.Self {
-		to = ""
-	}
-	c.loop.Emit(messages.Respond{Request: req, Status: messages.ReplyMisdirected, Heartbeat: &messages.HeartbeatResponse{RedirectTo: to}})
+	c.reconciler.Heartbeats.RedirectPending(m, c.state.Shards[m.ShardID].Owner)
 }
 
 // removeAssignment follows a stored record that no longer lists the task: from
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -40,11 +40,11 @@
 		for _, m := range ms {
 			m.PushInFlight = false
 			m.Assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(ms, m)}].Phase = state.PhaseReady
-			c.queueCommandPush(m)
+			c.reconciler.Commands.QueuePush(m)
 		}
 		takeEffects(c)
 		c.processHealth.RecordLoad(l)
-		c.pushQueuedCommands()
+		c.reconciler.Commands.PushQueued()
 		for _, f := range c.loop.Effects() {
 			to = append(to, f.(messages.PushCommands).Addr)
 		}
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -87,7 +87,7 @@
 		m, a := b.addRunningMachine(j)
 		a.Phase = state.PhaseReady
 		setTime(b.Controller, b.loop.Now()+d)
-		if n := len(b.commandsFor(m, false)); n != want {
+		if n := len(b.reconciler.Commands.For(m, false)); n != want {
 			t.Errorf("%d s after the last proof: %d starts", d/second, n)
 		}
 	}
--- a/internal/controller/preempt.go
+++ b/internal/controller/preempt.go
@@ -49,7 +49,7 @@
 // preemptibleMachines lists a part's machines with work that could give way.
 func (c *Controller) preemptibleMachines(p *state.Shard) []*state.Machine {
 	var machines []*state.Machine
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if c.isSchedulable(m) && m.HasCheckpointableTask() {
 			machines = append(machines, m)
@@ -87,7 +87,7 @@
 			made++
 		}
 		for _, a := range stop {
-			c.stopTask(m, a, a.Job.Spec.SaveSeconds+1)
+			c.reconciler.Stops.Preempt(m, a)
 		}
 		if made >= j.PendingCount() {
 			break
@@ -152,7 +152,7 @@
 			}
 			room = room.Plus(a.ResourceRequest)
 			if !a.StopRequested {
-				c.stopTask(m, a, a.Job.Spec.SaveSeconds+1)
+				c.reconciler.Stops.Preempt(m, a)
 				j.NextPreemptionAt = c.loop.Now() + preemptionBackoff
 			}
 		}
--- a/internal/controller/processpause.go
+++ b/internal/controller/processpause.go
@@ -1,9 +1,7 @@
 package controller
 
 import (
-	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
-	"stairrelay/internal/state"
 )
 
 // handleProcessPause is called when the process has gone on after a pause. What it
@@ -18,8 +16,3 @@
 		}
 	}
 }
-
-// heartbeatAge is how long a machine could have been heard and was not.
-func (c *Controller) heartbeatAge(m *state.Machine) cluster.Time {
-	return c.loop.Now() - max(m.LastHeartbeat, c.processHealth.ResumedAt())
-}
--- a/internal/controller/queueorder.go
+++ b/internal/controller/queueorder.go
@@ -128,7 +128,7 @@
 		rank scheduling.JobRank
 	}
 	room := cluster.Amount(1_000_000)
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		room += c.state.MachineTypes[m.MachineType].Capacity.CPU
 	}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -255,8 +255,8 @@
 		// Its tasks are of no use from now on, and the store's answer may be lost
 		// though others read, and tell, that it is cancelled.
 		j.Cancelling = true
-		c.withdrawUnsentStarts(j)
-		c.stopAllTasks(j)
+		c.reconciler.Stops.WithdrawUnsent(j)
+		c.reconciler.Stops.StopJob(j)
 	}
 	c.writeJob(j, writequeue.Admit)
 }
--- a/internal/controller/runtimes.go
+++ b/internal/controller/runtimes.go
@@ -77,14 +77,14 @@
 		}
 	}
 	c.loop.Log(messages.LogInfo, "machine is slow", "machine", string(m.ID), "pace", m.RelativePace, "late_tasks", len(late))
-	c.drainMachine(m)
+	c.reconciler.Stops.Drain(m)
 	for _, a := range m.SortedAssignments() {
 		if a.Phase == state.PhaseAcknowledged && !a.ConfirmedAbsent && a.Job.Spec.CheckpointSeconds > 0 {
 			late = append(late, a)
 		}
 	}
 	for _, a := range late {
-		c.stopTask(m, a, a.Job.Spec.SaveSeconds*4+1)
+		c.reconciler.Stops.MoveOffSlowMachine(m, a)
 	}
 }
 
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -146,8 +146,5 @@
 		delete(m.Assignments, a.Task)
 		c.unassignTask(a)
 	}
-	if m.PendingHeartbeat != 0 {
-		c.redirectWorker(m.PendingHeartbeat, "")
-		m.PendingHeartbeat = 0
-	}
+	c.reconciler.Heartbeats.RedirectPending(m, "")
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -129,7 +129,7 @@
 		s := &slots[i]
 		c.packWork(work, s.available, func(j *state.Job) bool { return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) })
 	}
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if !m.Booting && !m.TokenAcknowledged && !m.Releasing && c.loop.Now()-m.OwnedSince < 5*second {
 			c.packWork(work, c.state.MachineTypes[m.MachineType].Capacity.Minus(m.UsedResources()), func(j *state.Job) bool { return c.isAllowedOn(j, m) })
@@ -137,7 +137,7 @@
 	}
 	// Another part's idle machine serves at once, a booting one much later.
 	c.acceptOffers(p, work)
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if m.Releasing || m.Draining || c.isSchedulable(m) {
 			continue
@@ -174,7 +174,7 @@
 	if !p.Owned || !p.Ready {
 		return nil
 	}
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if c.isSchedulable(m) && len(m.Assignments) == 0 && m.RecordedTaskCount == 0 && !m.Group.WriteInFlight && m.Group.Offer == nil && m.Address != "" &&
 			len(m.UnrecordedToStop) == 0 && c.loop.Now()-m.IdleSince > second/2 {
--- a/internal/controller/schedule.go
+++ b/internal/controller/schedule.go
@@ -32,7 +32,7 @@
 func (c *Controller) listFreeCapacity(p *state.Shard, least cluster.Amount) ([]freeCapacity, []grouprecord.Kind) {
 	var l []freeCapacity
 	var kinds []grouprecord.Kind
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if m.Cordoned && !m.ScaleInCandidate || !c.isSchedulable(m) || m.Group.Offer != nil {
 			continue
@@ -275,7 +275,7 @@
 func (c *Controller) reserveMachine(p *state.Shard, j *state.Job) *state.Machine {
 	var best *state.Machine
 	var most cluster.Amount
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if !c.isSchedulable(m) || m.Cordoned || m.Group.Offer != nil || !c.isAllowedOn(j, m) {
 			continue
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -76,7 +76,7 @@
 		"machines", len(p.Machines),
 		"jobs", len(p.Jobs),
 		"took_ms", int((c.loop.Now()-p.OwnershipChangedAt)/millisecond))
-	c.maintainMachines()
+	c.reconciler.Maintenance.Run()
 }
 
 func (l *shardLoad) applyRecords() {
--- a/internal/controller/spotinterruptions.go
+++ b/internal/controller/spotinterruptions.go
@@ -10,8 +10,13 @@
 	servedSeconds     float64 // what all of them have served
 }
 
-// addServed notes that a spot machine has served for a time.
-func (s *spotInterruptions) addServed(d cluster.Time) { s.servedSeconds += d.Seconds() }
+// RecordInterruption counts a spot machine that was taken back or lost.
+func (s *spotInterruptions) RecordInterruption() { s.interruptionCount++ }
+
+// AddServed counts for how long a spot machine has served.
+func (s *spotInterruptions) AddServed(duration cluster.Time) {
+	s.servedSeconds += duration.Seconds()
+}
 
 // rate is how often a spot machine goes in a second, as far as seen here;
 // before anything was seen, once in an hour.
--- a/internal/controller/stale_heartbeat_test.go
+++ b/internal/controller/stale_heartbeat_test.go
@@ -33,7 +33,7 @@
 	b := newControllerHarness()
 	m, present := addMachineRunningPresentAttempt(b)
 	task := present.Task
-	b.reconcile(m, statusUnderToken(m, m.SequenceNumber+1,
+	b.reconciler.ApplyStatus(m, statusUnderToken(m, m.SequenceNumber+1,
 		cluster.TaskStatus{Task: task, Attempt: earlierAttempt, State: cluster.Ended, Cause: cluster.CauseStopped},
 		cluster.TaskStatus{Task: task, Attempt: presentAttempt, State: cluster.Running}), false)
 	if present.ConfirmedAbsent || present.Phase != state.PhaseAcknowledged {
@@ -51,7 +51,7 @@
 	b := newControllerHarness()
 	m, present := addMachineRunningPresentAttempt(b)
 	present.Phase, present.DispatchedAtSequence = state.PhaseDispatched, m.SequenceNumber
-	b.reconcile(m, statusUnderToken(m, m.SequenceNumber+1,
+	b.reconciler.ApplyStatus(m, statusUnderToken(m, m.SequenceNumber+1,
 		cluster.TaskStatus{Task: present.Task, Attempt: earlierAttempt, State: cluster.Running}), false)
 	if !m.UnrecordedToStop[state.TaskAttempt{Task: present.Task, Attempt: earlierAttempt}] {
 		t.Error("the earlier attempt is not stopped")
@@ -86,7 +86,7 @@
 			m.Incarnation, m.SequenceNumber = lastSession, lastStamp
 			report := statusUnderToken(m, test.stamp)
 			report.Incarnation = test.session
-			if taken := b.reconcile(m, report, false); taken != test.proof {
+			if taken := b.reconciler.ApplyStatus(m, report, false); taken != test.proof {
 				t.Errorf("taken in %v, want %v", taken, test.proof)
 			}
 			if present.ConfirmedAbsent != test.proof {
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -19,8 +19,11 @@
 	MachineScans int
 }
 
-// addMachineScans counts a look at each of so many machines.
-func (n *Counters) addMachineScans(machines []*state.Machine) { n.MachineScans += len(machines) }
+// AddCommandPush counts a call to a worker.
+func (n *Counters) AddCommandPush() { n.CommandPushes++ }
+
+// AddMachineScans counts a look at each of some machines.
+func (n *Counters) AddMachineScans(machines []*state.Machine) { n.MachineScans += len(machines) }
 
 // capacityUsage sums up what the machines of all parts have and what is done with
 // it, in processors.
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -86,14 +86,14 @@
 		m.Incarnation = 1
 		report := statusUnderToken(m, 1)
 		report.FencingToken = earlierToken
-		b.reconcile(m, report, false)
+		b.reconciler.ApplyStatus(m, report, false)
 		if use := b.teamUsageOf(part)["red"].CPU; use != need {
 			t.Errorf("after a report under token %d, with %d in force, the team uses %d, want %d", earlierToken, m.Token, use, need)
 		}
 		earlierToken = m.Token
 	}
 	m := b.state.Machines["m-1"]
-	b.reconcile(m, statusUnderToken(m, 2), false)
+	b.reconciler.ApplyStatus(m, statusUnderToken(m, 2), false)
 	if use := b.teamUsageOf(part)["red"].CPU; use != 0 {
 		t.Errorf("after a report under the token in force the team uses %d, want 0", use)
 	}
--- a/internal/controller/unanswered_call_test.go
+++ b/internal/controller/unanswered_call_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"stairrelay/internal/reconcile"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -20,10 +21,10 @@
 		unanswered cluster.Time // since when a call has no answer; 0: none is under way
 		returned   bool
 	}{
-		{"known for long, no answer", half + second, slowPushThreshold + 100*millisecond, true},
-		{"known for long, called a moment ago", half + second, slowPushThreshold - 100*millisecond, false},
+		{"known for long, no answer", half + second, reconcile.SlowPushThreshold + 100*millisecond, true},
+		{"known for long, called a moment ago", half + second, reconcile.SlowPushThreshold - 100*millisecond, false},
 		{"known for long, not called", half + second, 0, false},
-		{"known for a short time, no answer", half - second, slowPushThreshold + 100*millisecond, false},
+		{"known for a short time, no answer", half - second, reconcile.SlowPushThreshold + 100*millisecond, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
@@ -37,7 +38,7 @@
 			if test.unanswered > 0 {
 				m.PushInFlight, m.LastPushAt = true, b.loop.Now()-test.unanswered
 			}
-			b.maintainMachines()
+			b.reconciler.Maintenance.Run()
 			if m.Releasing != test.returned {
 				t.Errorf("returned %v, want %v", m.Releasing, test.returned)
 			}
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"stairrelay/internal/reconcile"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -19,8 +20,8 @@
 // heartbeatReplyStatus is the status with which a report of a machine is answered.
 func heartbeatReplyStatus(b *controllerHarness, m *state.Machine) messages.ReplyStatus {
 	takeEffects(b.Controller)
-	b.handleHeartbeat(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: m.Incarnation, SequenceNumber: m.SequenceNumber + 1, FencingToken: m.Token, PreemptionNotice: -1}})
-	setTime(b.Controller, b.loop.Now()+maxHeartbeatHold)
+	b.reconciler.Heartbeats.Handle(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: m.Incarnation, SequenceNumber: m.SequenceNumber + 1, FencingToken: m.Token, PreemptionNotice: -1}})
+	setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold)
 	b.flush()
 	for _, effect := range b.loop.Effects() {
 		if answer, ok := effect.(messages.Respond); ok {
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -66,6 +66,7 @@
 // into a record here, and is not taken up a second time meanwhile.
 type Orphans struct {
 	*shared
+	reconciler *Reconciler
 
 	unrecordedSince map[cluster.MachineID]cluster.Time // in the cloud's list and in no record, since when
 	candidates      []cluster.ListedMachine            // in the cloud's list, to be looked for in the records
@@ -75,9 +76,10 @@
 	registering     map[cluster.MachineID]bool
 }
 
-func newOrphans(s *shared) *Orphans {
+func newOrphans(s *shared, r *Reconciler) *Orphans {
 	return &Orphans{
 		shared:          s,
+		reconciler:      r,
 		unrecordedSince: map[cluster.MachineID]cluster.Time{},
 		registering:     map[cluster.MachineID]bool{},
 	}
@@ -137,7 +139,7 @@
 	id := heartbeat.Status.Machine
 	switch {
 	case o.state.Machines[id] != nil: // became known meanwhile
-		o.deps.HandleHeartbeat(heartbeat)
+		o.reconciler.Heartbeats.Handle(heartbeat)
 	case recorded == nil:
 		o.respondUnavailable(heartbeat.Request)
 	case recorded.Listed[id]:
@@ -277,7 +279,7 @@
 			for _, machine := range machines {
 				delete(o.registering, machine.ID)
 			}
-			o.deps.MaintainMachines()
+			o.reconciler.Maintenance.Run()
 		}
 		if !shard.IsOwnedUnder(claim) {
 			done()
--- /dev/null
+++ b/internal/state/transitions.go
@@ -0,0 +1,78 @@
+package state
+
+import "stairrelay/internal/cluster"
+
+// The transitions of an assignment that follow what its worker was sent and has
+// shown. Recording, ended and proven absent are set where the records and the usage
+// sums are kept.
+
+// DispatchWithAnswer records that the start goes with the answer to the heartbeat of
+// a sequence number. Only a later heartbeat was made after that answer arrived: an
+// earlier one that is delivered late does not show that the start was lost.
+func (a *Assignment) DispatchWithAnswer(sequence cluster.SequenceNumber) {
+	a.Phase = PhaseDispatched
+	a.Pushed = false
+	a.DispatchedAtSequence = sequence
+}
+
+// DispatchWithPush records that the start is pushed. Until the push is answered it
+// may still arrive, whatever heartbeats show.
+func (a *Assignment) DispatchWithPush() {
+	a.Phase = PhaseDispatched
+	a.Pushed = true
+}
+
+// Redispatch records that a dispatched start did not arrive and never will, so that
+// it may be sent again. To call this while the start may still arrive would run the
+// task twice.
+func (a *Assignment) Redispatch() { a.Phase = PhaseReady }
+
+// Acknowledge records that a heartbeat has shown the task in a state.
+func (a *Assignment) Acknowledge(shown cluster.TaskState) {
+	a.StartUnobserved = a.StartUnobserved || a.Phase == PhaseUnverified
+	a.Phase = PhaseAcknowledged
+	a.State = shown
+}
+
+// RecordRunning records that a heartbeat has shown the task running; true: it was the
+// first to do so.
+func (a *Assignment) RecordRunning(now cluster.Time) bool {
+	if a.RunningSince != 0 {
+		return false
+	}
+	a.RunningSince = now
+	if a.Job.FirstRunAt == 0 {
+		a.Job.FirstRunAt = now
+	}
+	a.Job.LastRunAt = now
+	return true
+}
+
+// IsUnsent tells whether the start was not sent: its worker knows nothing of it.
+func (a *Assignment) IsUnsent() bool { return a.Phase == PhaseReady || a.Phase == PhaseRecording }
+
+// RequestStop records that the task is to be stopped, after a grace in seconds for a
+// task checkpoint. The time of the first request is kept when the stop is requested
+// anew: it tells how long the worker has ignored it.
+func (a *Assignment) RequestStop(grace float64, now cluster.Time) {
+	a.StopRequested, a.GracePeriod = true, grace
+	if a.StopRequestedAt == 0 {
+		a.StopRequestedAt = now
+	}
+}
+
+// MarkStopSent records when the stop was first sent. The worker's grace counts from
+// then.
+func (a *Assignment) MarkStopSent(now cluster.Time) {
+	if a.StopSentAt == 0 {
+		a.StopSentAt = now
+	}
+}
+
+// RecordFirstAcknowledgement records that a machine taken over with the shard has
+// acknowledged this owner's token.
+func (p *Shard) RecordFirstAcknowledgement(m *Machine, now cluster.Time) {
+	m.AwaitingFirstAcknowledgement = false
+	p.AwaitingFirstAcknowledgementCount--
+	p.LastAcknowledgedAt = now
+}
