--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/state"
 
@@ -78,7 +79,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			b.addTestJob("j-1", 1)
-			b.addRegisteredGroup(b.state.Shards[0], "g", []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}, 100, 31)
+			machines := []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}
+			b.inventory.AddNewGroup(&inventory.NewGroup{ID: "g", Shard: b.state.Shards[0], Machines: machines}, 31)
+			b.state.Groups["g"].RecordSize = 100
 			b.reconciler.Heartbeats.Handle(firstHeartbeat(fastBootMachine))
 			effects := flushEffects(b)
 			var record *messages.StoreTxn
--- a/internal/controller/groupcleanup.go
+++ b/internal/controller/groupcleanup.go
@@ -19,7 +19,7 @@
 		for _, m := range g.SortedMachines() {
 			for _, a := range m.Assignments {
 				if a.ConfirmedAbsent {
-					c.writeGroup(g, writequeue.Background)
+					c.inventory.WriteGroup(g, writequeue.Background)
 					break machines
 				}
 			}
@@ -27,7 +27,7 @@
 	}
 	for _, p := range c.state.Shards {
 		if p.Owned && p.Ready {
-			c.splitAndMergeGroups(p)
+			c.inventory.SplitAndMerge(p)
 		}
 	}
 }
--- a/internal/controller/processpause.go
+++ b/internal/controller/processpause.go
@@ -12,7 +12,7 @@
 	c.loop.Log(messages.LogInfo, "process resumed after a pause")
 	for _, shard := range c.state.Shards {
 		if shard.Owned {
-			c.rereadShard(shard)
+			c.ownership.RereadClaim(shard)
 		}
 	}
 }
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -1,8 +1,7 @@
 package controller
 
 import (
-	"stairrelay/internal/cluster"
-	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
@@ -24,14 +23,14 @@
 // newReconciler connects the reconciler to the other parts.
 func (c *Controller) newReconciler() *reconcile.Reconciler {
 	return reconcile.New(c.loop, c.state, c.writeQueue, c.reconcileConfig(), reconcile.Dependencies{
-		Ownership:         workerOwnership{controller: c},
-		Machines:          machineRecords{controller: c},
+		Ownership:         c.ownership,
+		Machines:          c.inventory,
 		Jobs:              jobRecords{controller: c},
 		Runtimes:          runtimeEstimates{controller: c},
 		Reachability:      c.workerReachability,
 		Process:           c.processHealth,
-		Directory:         machineDirectory{controller: c},
-		Registrar:         machineRegistrar{controller: c},
+		Directory:         machineDirectory{c.inventory},
+		Registrar:         c.inventory,
 		Releaser:          machineReleaser{controller: c},
 		Spot:              &c.spotInterruptions,
 		Metrics:           &c.counters,
@@ -51,33 +50,6 @@
 	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(patience) && !c.members.HasAnswerWithin(patience)
 }
 
-// workerOwnership tells the reconciler what may be done as the owner of a shard.
-type workerOwnership struct{ controller *Controller }
-
-// CanAnswerWorkers implements reconcile.ShardOwnership.
-func (o workerOwnership) CanAnswerWorkers(shard *state.Shard) bool {
-	return o.controller.canAnswerWorkers(shard)
-}
-
-// CanStartTasks implements reconcile.ShardOwnership.
-func (o workerOwnership) CanStartTasks(shard *state.Shard) bool {
-	return o.controller.canStartTasks(shard)
-}
-
-// machineRecords writes and checks the machines' records for the reconciler.
-type machineRecords struct{ controller *Controller }
-
-// WriteMachine implements reconcile.MachineRecords.
-func (r machineRecords) WriteMachine(machine *state.Machine, priority writequeue.Priority) {
-	r.controller.writeMachine(machine, priority)
-}
-
-// RaiseToken implements reconcile.MachineRecords.
-func (r machineRecords) RaiseToken(machine *state.Machine) { r.controller.raiseToken(machine) }
-
-// CheckOwner implements reconcile.MachineRecords.
-func (r machineRecords) CheckOwner(machine *state.Machine) { r.controller.checkOwner(machine) }
-
 // jobRecords writes the jobs' records for the reconciler.
 type jobRecords struct{ controller *Controller }
 
@@ -126,36 +98,11 @@
 }
 
 // machineDirectory tells the reconciler whose machines are that are not owned here.
-type machineDirectory struct{ controller *Controller }
-
-// RecentOwner implements reconcile.MachineDirectory.
-func (d machineDirectory) RecentOwner(id cluster.MachineID, within cluster.Time) (cluster.ShardID, bool) {
-	return d.controller.machineOwners.recent(id, d.controller.loop.Now(), within)
-}
-
-// LastOwner implements reconcile.MachineDirectory.
-func (d machineDirectory) LastOwner(id cluster.MachineID) cluster.ShardID {
-	return d.controller.machineOwners[id].shardID
-}
+type machineDirectory struct{ *inventory.Inventory }
 
 // ReadRecordedMachines implements reconcile.MachineDirectory.
 func (d machineDirectory) ReadRecordedMachines(handle func(*reconcile.RecordedMachines)) {
-	d.controller.readRecordedMachines(func(recorded *recordedMachines) {
-		if recorded == nil {
-			handle(nil)
-			return
-		}
-		handle(&reconcile.RecordedMachines{RequestedKinds: recorded.requestedKinds, Listed: recorded.listed})
+	d.Inventory.ReadRecordedMachines(func(recorded *inventory.RecordedMachines) {
+		handle((*reconcile.RecordedMachines)(recorded))
 	})
 }
-
-// machineRegistrar writes orphaned machines into records for the reconciler.
-type machineRegistrar struct{ controller *Controller }
-
-// MaxMachinesPerGroup implements reconcile.MachineRegistrar.
-func (r machineRegistrar) MaxMachinesPerGroup() int { return r.controller.groupMachines() }
-
-// RegisterMachines implements reconcile.MachineRegistrar.
-func (r machineRegistrar) RegisterMachines(shard *state.Shard, machines []grouprecord.Machine, done func()) {
-	r.controller.registerMachines(shard, machines, done)
-}
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -55,7 +55,7 @@
 	c.loop.Log(messages.LogDebug, "returning machine", "machine", string(m.ID), "why", why, "tasks", m.LiveTaskCount())
 	c.recordScaleIn(why, m.LiveTaskCount())
 	m.Releasing = true
-	c.writeMachine(m, writequeue.Outcome)
+	c.inventory.WriteMachine(m, writequeue.Outcome)
 }
 
 // scaleInBeforeRecorded gives a machine back before its record says so: it holds
@@ -63,7 +63,7 @@
 // whose record lists tasks can't be taken by another part. One that has been claimed with its part meanwhile may be lost to its new
 // holder, as if it had died: the return itself frees nothing, the record does.
 func (c *Controller) scaleInBeforeRecorded(m *state.Machine) {
-	if c.canAnswerWorkers(c.state.Shards[m.ShardID]) {
+	if c.ownership.CanAnswerWorkers(c.state.Shards[m.ShardID]) {
 		c.scaleInMachine(m, "cancelled tasks in an outage")
 		m.ReleaseConfirmed = true
 	}
@@ -132,19 +132,5 @@
 	for _, a := range m.Assignments {
 		m.MarkConfirmedAbsent(a)
 	}
-	c.writeMachine(m, writequeue.Start)
-}
-
-// removeMachineAndFreeTasks drops a machine whose record no longer lists it, and frees its
-// tasks.
-func (c *Controller) removeMachineAndFreeTasks(m *state.Machine) {
-	if c.state.Machines[m.ID] != m {
-		return
-	}
-	c.removeMachine(m)
-	for _, a := range m.SortedAssignments() {
-		delete(m.Assignments, a.Task)
-		c.unassignTask(a)
-	}
-	c.reconciler.Heartbeats.RedirectPending(m, "")
+	c.inventory.WriteMachine(m, writequeue.Start)
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -7,6 +7,7 @@
 	"sort"
 	"strings"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -31,7 +32,7 @@
 func (c *Controller) applyProvisioningRecord(kv messages.KV, p *state.Shard) {
 	var rec provisioningRecord
 	if json.Unmarshal(kv.Value, &rec) != nil {
-		c.giveUpCorruptShard(p, kv.Key, "rental record")
+		c.ownership.GiveUpCorrupt(p, kv.Key, "rental record")
 		return
 	}
 	if rec.Shard != p.ID {
@@ -52,7 +53,7 @@
 
 // listPendingWork lists the waiting tasks that team limits would let run at once.
 func (c *Controller) listPendingWork(p *state.Shard) []pendingWork {
-	use := c.teamUsageOf(p)
+	use := p.UsageByTeam()
 	var l []pendingWork
 	jobs, _ := c.queuedJobs(p)
 	// A starving job's next task comes first here as it does when tasks are
@@ -217,7 +218,7 @@
 		}
 		o := opts[0]
 		n := 0
-		for n < min(50, c.groupMachines()) {
+		for n < min(50, c.inventory.TargetGroupSize()) {
 			if c.packWork(work, c.state.MachineTypes[o.Type].Capacity, func(j *state.Job) bool { return c.isOptionAllowed(j, o) }) == 0 {
 				break
 			}
@@ -295,7 +296,7 @@
 const maxCapacityBackoffDoublings = 2
 
 func (c *Controller) createProvisioningRequest(p *state.Shard, o state.ProvisioningOption, n int) {
-	r := &state.ProvisioningRequest{Name: c.nextProvisioningRequestName(p), Option: o, Count: n, GroupID: c.nextMachineGroupName(p)}
+	r := &state.ProvisioningRequest{Name: c.recordNames.NextProvisioningRequest(p), Option: o, Count: n, GroupID: c.recordNames.NextGroup(p)}
 	p.ProvisioningRequests[r.Name] = r
 	x := &writequeue.Write{
 		ShardID: p.ID, Keys: []string{provisioningKey(r.Name)},
@@ -307,7 +308,7 @@
 		// bring it back; a successor would then record its machines a second time.
 		// The key of its machines' group stays until the next claim fences the copy.
 		ExtraCompares: []messages.Compare{{Key: "groups/" + r.GroupID, ModRevision: 0}},
-		OnConflict:    func() { c.handleForeignWrite(p, provisioningKey(r.Name), "name in use") },
+		OnConflict:    func() { c.ownership.HandleForeignWrite(p, provisioningKey(r.Name), "name in use") },
 	}
 	x.OnApplied = func(e cluster.Revision) {
 		r.ModRevision, r.CreateInDoubt = cluster.ModRevision(e), x.InDoubt
@@ -364,21 +365,22 @@
 // transaction, so that no crash between the two can lose a machine.
 func (c *Controller) completeProvisioning(p *state.Shard, r *state.ProvisioningRequest, ids []cluster.MachineID) {
 	claim := p.ClaimRevision
-	id, size := r.GroupID, 0
+	id := r.GroupID
 	if id == "" { // of an earlier claim, whose copies this one has fenced
-		id = c.nextMachineGroupName(p)
+		id = c.recordNames.NextGroup(p)
 	}
 	kind := grouprecord.Kind{Type: r.Option.Type, Zone: r.Option.Zone, Spot: r.Option.Spot}
 	ms := make([]grouprecord.Machine, 0, len(ids))
 	for _, m := range ids {
 		ms = append(ms, grouprecord.Machine{ID: m, Kind: kind, Booting: true})
 	}
+	group := &inventory.NewGroup{ID: id, Shard: p, Machines: ms}
 	keys, prio := []string{provisioningKey(r.Name)}, writequeue.Background
 	// A refused one gets no machines, but where a copy of its creation may come
 	// late its group's key has to be there all the same, with nothing listed.
 	made := len(ids) > 0 || r.CreateInDoubt
 	if made {
-		keys = append(keys, "groups/"+id)
+		keys = append(keys, state.GroupKey(id))
 	}
 	if len(ids) > 0 {
 		prio = writequeue.ScaleOut
@@ -388,9 +390,8 @@
 		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
 			ops, marks := []messages.TxnOp{{Key: provisioningKey(r.Name), Value: nil}}, []cluster.ModRevision{r.ModRevision}
 			if made {
-				v := grouprecord.Encode(grouprecord.Record{ShardID: p.ID, Machines: ms, WriteID: nonce})
-				size = len(v)
-				ops, marks = append(ops, messages.TxnOp{Key: "groups/" + id, Value: v}), append(marks, 0)
+				operation, modRevision := group.Operation(nonce)
+				ops, marks = append(ops, operation), append(marks, modRevision)
 			}
 			return ops, marks
 		},
@@ -400,7 +401,7 @@
 			}
 			delete(p.ProvisioningRequests, r.Name)
 			if len(ms) > 0 {
-				c.addRegisteredGroup(p, id, ms, size, e)
+				c.inventory.AddNewGroup(group, e)
 			}
 		},
 		OnConflict: func() {
@@ -412,7 +413,7 @@
 				case g.Outcome == messages.NotFound && len(ms) == 0:
 					delete(p.ProvisioningRequests, r.Name)
 				case g.Outcome == messages.OK || g.Outcome == messages.NotFound:
-					c.handleForeignWrite(p, provisioningKey(r.Name), "settled by another writer")
+					c.ownership.HandleForeignWrite(p, provisioningKey(r.Name), "settled by another writer")
 				default:
 					c.loop.After(second, func() {
 						if c.isProvisioningCurrent(p, r) {
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -25,7 +25,7 @@
 	b.store.revision++
 	claim := messages.KV{Key: part.Key(), Value: fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, part.Term+1, b.store.revision), ModRevision: cluster.ModRevision(b.store.revision)}
 	b.store.keys[part.Key()] = claim
-	b.applyShardRecord(claim)
+	b.ownership.ApplyClaim(claim)
 	if part.Owned {
 		t.Fatal("the part is still held after another's claim")
 	}
@@ -35,7 +35,7 @@
 func acquireAndLoadShard(t *testing.T, b *controllerHarness) {
 	t.Helper()
 	part := b.state.Shards[0]
-	b.acquireShard(part)
+	b.ownership.Acquire(part)
 	b.runFor(200 * millisecond)
 	if !part.Owned || !part.Ready {
 		t.Fatalf("held %v, ready %v after the claim", part.Owned, part.Ready)
@@ -87,14 +87,14 @@
 		report := statusUnderToken(m, 1)
 		report.FencingToken = earlierToken
 		b.reconciler.ApplyStatus(m, report, false)
-		if use := b.teamUsageOf(part)["red"].CPU; use != need {
+		if use := part.UsageByTeam()["red"].CPU; use != need {
 			t.Errorf("after a report under token %d, with %d in force, the team uses %d, want %d", earlierToken, m.Token, use, need)
 		}
 		earlierToken = m.Token
 	}
 	m := b.state.Machines["m-1"]
 	b.reconciler.ApplyStatus(m, statusUnderToken(m, 2), false)
-	if use := b.teamUsageOf(part)["red"].CPU; use != 0 {
+	if use := part.UsageByTeam()["red"].CPU; use != 0 {
 		t.Errorf("after a report under the token in force the team uses %d, want 0", use)
 	}
 }
@@ -109,7 +109,7 @@
 	var heldUp []messages.StoreTxn
 	for holder := range successiveOwners {
 		id := cluster.MachineID(fmt.Sprintf("m-%d", 3*holder)) // numbers of part 0
-		b.registerMachines(part, []grouprecord.Machine{{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}}, func() {})
+		b.inventory.RegisterMachines(part, []grouprecord.Machine{{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}}, func() {})
 		heldUp = append(heldUp, loseNextWriteReply(t, b))
 		deposeOwner(t, b)
 		acquireAndLoadShard(t, b)
@@ -191,7 +191,7 @@
 		if outage {
 			b.writeQueue.Health.MarkFailing(b.loop.Now() - 2*second)
 		}
-		b.considerAcquire(part)
+		b.ownership.ConsiderAcquire(part)
 		if part.Acquiring == outage {
 			t.Errorf("outage %v: claims %v", outage, part.Acquiring)
 		}
--- a/internal/reconcile/heartbeats.go
+++ b/internal/reconcile/heartbeats.go
@@ -37,7 +37,9 @@
 	if !h.accept(machine, heartbeat.Request, status) {
 		return
 	}
-	h.redirectPending(machine, "")
+	if machine.PendingHeartbeat != 0 {
+		h.redirect(machine.PendingHeartbeat, "") // only the latest heartbeat is answered
+	}
 	machine.PendingHeartbeat = heartbeat.Request
 	machine.PendingSequenceNumber = status.SequenceNumber
 	machine.ReplyDeadline = h.loop.Now() + MaxHeartbeatHold
@@ -72,18 +74,8 @@
 	return false
 }
 
-// RedirectPending sends the worker whose heartbeat awaits its answer to another
-// controller; empty: to any other.
-func (h *Heartbeats) RedirectPending(machine *state.Machine, to cluster.NodeID) {
-	h.redirectPending(machine, to)
-	machine.PendingHeartbeat = 0
-}
-
-func (h *Heartbeats) redirectPending(machine *state.Machine, to cluster.NodeID) {
-	if machine.PendingHeartbeat != 0 {
-		h.redirect(machine.PendingHeartbeat, to)
-	}
-}
+// Redirect answers a heartbeat with the controller to turn to; empty: any other.
+func (h *Heartbeats) Redirect(request messages.RequestID, to cluster.NodeID) { h.redirect(request, to) }
 
 // Answer answers a machine's heartbeat with what it is to do.
 func (h *Heartbeats) Answer(machine *state.Machine) {
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -48,9 +48,6 @@
 	return true
 }
 
-// IsUnsent tells whether the start was not sent: its worker knows nothing of it.
-func (a *Assignment) IsUnsent() bool { return a.Phase == PhaseReady || a.Phase == PhaseRecording }
-
 // RequestStop records that the task is to be stopped, after a grace in seconds for a
 // task checkpoint. The time of the first request is kept when the stop is requested
 // anew: it tells how long the worker has ignored it.
