--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -79,7 +79,7 @@
 		"machines", len(shard.Machines),
 		"jobs", len(shard.Jobs),
 		"took_ms", l.millisSinceAcquire(c.loop.Now()))
-	c.maintainMachines()
+	c.reconciler.Maintenance.Run()
 }
 
 // applyRecords applies all records that were read.
