--- a/internal/controller/acquire_conflict_test.go
+++ b/internal/controller/acquire_conflict_test.go
@@ -18,7 +18,7 @@
 	part := b.state.Shards[1]
 	part.Owned, part.Ready = false, false
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: []byte(`{"s":{"tm":"red","n":1},"w":"b1-1"}`), ModRevision: 31}
-	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.acquireShard(part)
 	b.runFor(2 * second)
 
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -19,7 +19,7 @@
 			b.store.revision = 40
 			b.store.keys["accepts/b1-1"] = messages.KV{Key: "accepts/b1-1", Value: []byte(`{"j":[{"id":"j-1","s":{"team":"red","tasks":1,"Team":"red","Tasks":1}}],"w":"b1-1"}`), ModRevision: 40}
 		}
-		b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 		b.runFor(second)
 		if len(b.sentResponses) != 1 || b.sentResponses[0].Status != want || b.sentResponses[0].View == nil {
 			t.Errorf("%s: answered %+v, want %d", name, b.sentResponses, want)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 import (
 	"time"
 
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -43,8 +44,6 @@
 
 	// The other controllers.
 	members            *membership.Members
-	ownerQueries       ownerQueries
-	jobNotices         jobNotices
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
@@ -52,8 +51,7 @@
 	progress          []shardProgress   // by shard
 	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
 	ownedShardChanges int               // of the parts held here
-	jobReads          linearizableJobReads
-	admissions        admissionQueue
+	jobs              *jobs.Jobs
 	classStats        map[string]*classStats
 	loadCache         loadCache
 	schedulingTrigger schedulingTrigger
@@ -77,10 +75,7 @@
 		config:             cfg,
 		loop:               eventloop.New(),
 		state:              state.New(cfg.Nodes, cfg.Teams),
-		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
 		machineOwners:      machineOwners{},
-		ownerQueries:       newOwnerQueries(),
-		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
 		processHealth:      &membership.ProcessHealth{},
 		classStats:         map[string]*classStats{},
@@ -88,6 +83,7 @@
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.jobs = c.newJobs()
 	c.reconciler = c.newReconciler()
 	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
@@ -109,13 +105,13 @@
 	case messages.Tick:
 	case messages.Submit:
 		c.counters.Submissions++
-		c.handleSubmit(e)
+		c.jobs.Submissions.HandleSubmit(e)
 	case messages.Query:
 		c.counters.Queries++
-		c.handleQuery(e)
+		c.jobs.Queries.HandleQuery(e)
 	case messages.Cancel:
 		c.counters.Cancellations++
-		c.handleCancel(e.Request, e.ID, true)
+		c.jobs.Cancellations.HandleCancel(e)
 	case messages.Health:
 		c.handleHealth(e)
 	case messages.Heartbeat:
@@ -160,8 +156,7 @@
 	t := c.config.Tuning
 	c.members.Start()
 	c.loadShards()
-	c.loadJobs()
-	c.loadAdmissions()
+	c.jobs.Load()
 	c.fetchMachineTypes()
 	c.loadMachineTypeCache()
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -92,7 +92,7 @@
 	c.state.MachineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
 	prepare(c)
 	setTime(c, 100*second)
-	c.admissions.loaded = true
+	c.jobs.AdmissionRecords.ApplyAll(nil, 0)
 	b := &controllerHarness{Controller: c, store: &testStore{keys: map[string]messages.KV{}, revision: 30}, losesReply: func(messages.StoreTxn) bool { return false }}
 	for _, p := range c.state.Shards {
 		p.Owned, p.Ready, p.Owner, p.ClaimRevision, p.ModRevision, p.Term, p.ConfirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
--- a/internal/controller/failover_quota_test.go
+++ b/internal/controller/failover_quota_test.go
@@ -15,7 +15,7 @@
 	for _, acked := range []bool{false, true} {
 		b := newControllerHarness()
 		p := b.state.Shards[0]
-		b.applyJobRecord(messages.KV{Key: "jobs/j-1", Value: []byte(`{"st":"cancelled","tm":"red","n":2,"r":{"CPU":3000000,"GPU":0,"Mem":1},"w":"b9-1"}`), ModRevision: 20}, p)
+		b.jobs.Records.Apply(messages.KV{Key: "jobs/j-1", Value: []byte(`{"st":"cancelled","tm":"red","n":2,"r":{"CPU":3000000,"GPU":0,"Mem":1},"w":"b9-1"}`), ModRevision: 20}, p)
 		l := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7}}}
 		b.applyGroupRecord(messages.KV{Key: "groups/g", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{l}, WriteID: "b9-2"}), ModRevision: 25}, p)
 		m := b.state.Machines["m-1"]
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -16,15 +16,15 @@
 	j := b.addTestJob("j-1", 1)
 	j.SetCompleted(0)
 	b.losesReply = func(messages.StoreTxn) bool { return true }
-	b.writeJob(j, writequeue.Admit)
+	b.jobs.Records.Write(j, writequeue.Admit)
 	b.runFor(60 * millisecond)
 	if b.store.get("jobs/j-1").Outcome != messages.OK || j.FinalStatus != "" {
 		t.Fatal("the end is not stored, or its answer is not lost")
 	}
 	b.state.Jobs.Known["j-1"].FinalStatus = "" // nothing has told this controller
-	b.handleQuery(messages.Query{Request: 5, ID: "j-1"})
+	b.jobs.Queries.HandleQuery(messages.Query{Request: 5, ID: "j-1"})
 	var views []cluster.JobView
-	b.answerJobQuery([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
+	b.jobs.Queries.AnswerPeer([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
 	b.runFor(300 * millisecond)
 	if len(b.sentResponses) != 1 || b.sentResponses[0].View == nil || b.sentResponses[0].View.Status != cluster.JobDone {
 		t.Errorf("a question gets %+v", b.sentResponses)
--- /dev/null
+++ b/internal/controller/jobs_adapter.go
@@ -0,0 +1,78 @@
+package controller
+
+import (
+	"stairrelay/internal/jobs"
+	"stairrelay/internal/state"
+)
+
+// jobsConfig is what the jobs need of the settings.
+func (c *Controller) jobsConfig() jobs.Config {
+	return jobs.Config{
+		Self:               c.config.Self,
+		Nodes:              c.config.Nodes,
+		InstanceID:         c.config.InstanceID,
+		MaxValueBytes:      c.config.MaxValueBytes,
+		MaxTxnOps:          c.config.MaxTxnOps,
+		CheckpointInterval: c.config.Tuning.CheckpointInterval,
+	}
+}
+
+// newJobs connects the jobs to the other parts.
+func (c *Controller) newJobs() *jobs.Jobs {
+	return jobs.New(c.loop, c.state, c.writeQueue, c.jobsConfig(), jobs.Collaborators{
+		Members:   c.members,
+		Process:   c.processHealth,
+		Ownership: jobShards{controller: c},
+		Tasks:     jobTasks{controller: c},
+		Scheduler: jobScheduler{controller: c},
+	})
+}
+
+// jobShards confirms and gives up shards for the jobs.
+type jobShards struct{ controller *Controller }
+
+// Confirm implements jobs.ShardOwnership.
+func (s jobShards) Confirm(shard *state.Shard, handle func(owned bool)) {
+	s.controller.confirmOwnership(shard, handle)
+}
+
+// GiveUpCorrupt implements jobs.ShardOwnership.
+func (s jobShards) GiveUpCorrupt(shard *state.Shard, key, reason string) {
+	s.controller.giveUpCorruptShard(shard, key, reason)
+}
+
+// jobTasks stops tasks for the jobs.
+type jobTasks struct{ controller *Controller }
+
+// WithdrawUnsentStarts implements jobs.TaskStopper.
+func (t jobTasks) WithdrawUnsentStarts(job *state.Job) { t.controller.withdrawUnsentStarts(job) }
+
+// StopAll implements jobs.TaskStopper.
+func (t jobTasks) StopAll(job *state.Job) { t.controller.stopAllTasks(job) }
+
+// RemoveAssignment implements jobs.TaskStopper.
+func (t jobTasks) RemoveAssignment(machine *state.Machine, assignment *state.Assignment) {
+	t.controller.removeAssignment(machine, assignment)
+}
+
+// jobScheduler takes requests to schedule the jobs' tasks.
+type jobScheduler struct{ controller *Controller }
+
+// RequestScheduling implements jobs.Scheduler.
+func (s jobScheduler) RequestScheduling() { s.controller.schedulingTrigger.request() }
+
+// RequestScaleOut implements jobs.Scheduler.
+func (s jobScheduler) RequestScaleOut() { s.controller.scheduleScaleOut() }
+
+// RuntimeRatio implements jobs.Scheduler.
+func (s jobScheduler) RuntimeRatio(class string) float64 {
+	return s.controller.statsOfClass(class).runtimeRatio
+}
+
+// writeBackgroundState stores what can wait: outcomes of tasks whose jobs go on, and
+// machine records that list more than they need to.
+func (c *Controller) writeBackgroundState() {
+	c.jobs.Records.WriteOutcomes()
+	c.cleanUpGroups()
+	c.checkShardProgress()
+}
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -29,7 +29,7 @@
 			ready := &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: other, MachineID: m.ID, Attempt: 8, Phase: state.PhaseReady}
 			m.AddAssignment(ready)
 			other.SetAssigned(0, ready)
-			b.cancelOwnedJob("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
+			b.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
 			m.RaisingToken, m.TokenAcknowledged = x.bumping, x.acked
 			var cmds []cluster.Command
 			want := x.ordered
@@ -63,7 +63,7 @@
 	for out, again := range map[messages.Outcome]bool{messages.NotApplied: true, messages.UnknownOutcome: true, messages.OK: false} {
 		b := newControllerHarness()
 		m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-		b.cancelOwnedJob("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
+		b.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
 		b.pushQueuedCommands()
 		o := b.loop.Effects()[len(b.loop.Effects())-1].(messages.PushCommands)
 		takeEffects(b.Controller)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -2,6 +2,7 @@
 
 import (
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/state"
@@ -14,7 +15,7 @@
 		Self:                c.config.Self,
 		Nodes:               c.config.Nodes,
 		InstanceID:          c.config.InstanceID,
-		FeatureLevel:        dependencyFeatureLevel,
+		FeatureLevel:        jobs.DependencyFeatureLevel,
 		MaxValueBytes:       c.config.MaxValueBytes,
 		HeartbeatInterval:   c.config.HeartbeatInterval,
 		PingInterval:        tuning.PingInterval,
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("strained, placements are %v apart", time.Duration(d))
 	}
 	c.processHealth.RecordLoad(messages.ProcessLoad{EventDelay: 2 * second})
-	if c.overloadRetryAfter(cluster.BestEffort) == 0 || c.overloadRetryAfter(cluster.Normal) == 0 || c.overloadRetryAfter(cluster.Production) != 0 {
-		t.Errorf("2 s behind: refused for %d, %d, %d s", c.overloadRetryAfter(cluster.BestEffort), c.overloadRetryAfter(cluster.Normal), c.overloadRetryAfter(cluster.Production))
+	if c.jobs.Submissions.OverloadRetryAfter(cluster.BestEffort) == 0 || c.jobs.Submissions.OverloadRetryAfter(cluster.Normal) == 0 || c.jobs.Submissions.OverloadRetryAfter(cluster.Production) != 0 {
+		t.Errorf("2 s behind: refused for %d, %d, %d s", c.jobs.Submissions.OverloadRetryAfter(cluster.BestEffort), c.jobs.Submissions.OverloadRetryAfter(cluster.Normal), c.jobs.Submissions.OverloadRetryAfter(cluster.Production))
 	}
 }
--- a/internal/controller/ownershipcheck.go
+++ b/internal/controller/ownershipcheck.go
@@ -6,6 +6,10 @@
 	"stairrelay/internal/state"
 )
 
+// ownershipCheckInterval is the least time between the beginnings of two reads of a
+// shard's claim: those who ask in between share the next one.
+const ownershipCheckInterval = 100 * millisecond
+
 // ownershipChecks gathers those who wait until the store has shown that a part is
 // still held.
 //
@@ -38,7 +42,7 @@
 		return
 	}
 	s.scheduled = true
-	c.loop.After(max(0, s.lastReadAt+jobReadInterval-c.loop.Now()), func() { c.readOwnership(p) })
+	c.loop.After(max(0, s.lastReadAt+ownershipCheckInterval-c.loop.Now()), func() { c.readOwnership(p) })
 }
 
 // readOwnership reads a part's claim for those who wait now.
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -19,17 +19,17 @@
 		c.answerPing(e.Request, from, message.Ping)
 	case message.Notice != nil:
 		for _, record := range message.Notice.Keys {
-			c.applyJobRecord(record, nil)
+			c.jobs.Records.Apply(record, nil)
 		}
 		c.replyToPeer(e.Request, messages.PeerMessage{Status: messages.ReplyOK})
 	case message.Query != nil:
-		c.answerJobQuery(message.Query.IDs, func(views []cluster.JobView) {
+		c.jobs.Queries.AnswerPeer(message.Query.IDs, func(views []cluster.JobView) {
 			c.replyToPeer(e.Request, messages.PeerMessage{Views: views})
 		})
 	case message.Submission != nil:
 		c.answerSubmission(e.Request, message.Submission)
 	case message.Cancel != "":
-		c.cancelOwnedJob(message.Cancel, func(status messages.ReplyStatus, view *cluster.JobView) {
+		c.jobs.Cancellations.CancelOwned(message.Cancel, func(status messages.ReplyStatus, view *cluster.JobView) {
 			c.replyToPeer(e.Request, messages.PeerMessage{Status: status, Views: viewList(view)})
 		})
 	default:
@@ -60,7 +60,7 @@
 		c.respondError(request, messages.ReplyBadRequest, 0, "no job")
 		return
 	}
-	c.submit(spec, 0, "", func(outcome messages.Respond) {
+	c.jobs.Submissions.Submit(spec, func(outcome messages.Respond) {
 		c.replyToPeer(request, messages.PeerMessage{
 			Status:     outcome.Status,
 			RetryAfter: outcome.RetryAfter,
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -11,6 +11,7 @@
 	"strings"
 	"testing"
 
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -53,9 +54,9 @@
 		b.store.keys[k] = kv
 		switch {
 		case strings.HasPrefix(k, "jobs/"):
-			b.applyJobRecord(kv, nil)
+			b.jobs.Records.Apply(kv, nil)
 		case strings.HasPrefix(k, "accepts/"):
-			b.applyAdmissionRecord(kv, nil)
+			b.jobs.AdmissionRecords.Apply(kv, nil)
 		}
 	}
 	b.runFor(second)
@@ -116,9 +117,9 @@
 		var rec any
 		switch {
 		case strings.HasPrefix(key, "jobs/"), strings.HasPrefix(key, "done/"):
-			rec = &jobRecord{}
+			rec = &jobs.Record{}
 		case strings.HasPrefix(key, "accepts/"):
-			rec = &admissionRecord{}
+			rec = &jobs.AdmissionRecord{}
 		case strings.HasPrefix(key, "rentals/"):
 			rec = &provisioningRecord{}
 		case strings.HasPrefix(key, "parts/"):
@@ -143,7 +144,7 @@
 		if v, _ := json.Marshal(rec); !bytes.Equal(v, old) {
 			t.Errorf("%s: wrote %.300s, was %.300s", key, v, old)
 		}
-		if j, ok := rec.(*jobRecord); ok && j.Spec != nil && strings.HasPrefix(key, "jobs/") {
+		if j, ok := rec.(*jobs.Record); ok && j.Spec != nil && strings.HasPrefix(key, "jobs/") {
 			taskStates := make([]uint8, min(j.Spec.Tasks, state.TasksPerChunk))
 			state.DecodeCompleted(j.CompletedIndexes, len(taskStates), func(i int) { taskStates[i] = state.TaskCompletionStored })
 			out, fits := state.EncodeCompleted(taskStates, 1<<20)
@@ -157,7 +158,7 @@
 	if len(forms) != 2 {
 		t.Error("the records don't show both forms of outcomes")
 	}
-	v, _ := json.Marshal(jobRecord{Spec: &cluster.JobSpec{Dependencies: []cluster.JobID{}}})
+	v, _ := json.Marshal(jobs.Record{Spec: &cluster.JobSpec{Dependencies: []cluster.JobID{}}})
 	if strings.Contains(string(v), `"aw"`) {
 		t.Errorf("an empty list is written: %s", v)
 	}
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -13,7 +14,7 @@
 // job that awaits others on to one of an earlier release, which would store it
 // without them and start it at once.
 func TestDependentJobNotProxiedToOldVersion(t *testing.T) {
-	for level, want := range map[int]bool{0: false, dependencyFeatureLevel: true} {
+	for level, want := range map[int]bool{0: false, jobs.DependencyFeatureLevel: true} {
 		b := newControllerHarness()
 		dropTimers(b.Controller)
 		takeEffects(b.Controller)
@@ -22,7 +23,7 @@
 		}
 		b.writeQueue.Health.MarkFailing(b.loop.Now() - 10*second)
 		b.state.Jobs.Known["j-1"] = &state.KnownJob{ShardID: 0, Tasks: 1, Team: "red"}
-		b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
+		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
 		handed := false
 		for _, f := range b.loop.Effects() {
 			if c, ok := f.(messages.PeerCall); ok && c.Message.Submission != nil {
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -136,7 +136,7 @@
 		c.dropMachine(m)
 	}
 	for _, j := range slices.Clone(p.Jobs) {
-		c.abandonJob(j)
+		c.jobs.Records.Abandon(j)
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.state.Groups)) {
 		if c.state.Groups[id].ShardID == p.ID {
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -366,7 +366,7 @@
 func (c *Controller) recordTaskDone(j *state.Job, index int) {
 	j.SetCompleted(index)
 	if j.FinalStatus == "" && j.ChunksLoading == 0 && j.CompletedCount == j.Spec.Tasks {
-		c.writeJob(j, writequeue.Admit)
+		c.jobs.Records.Write(j, writequeue.Admit)
 	}
 }
 
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"testing"
 
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
 )
@@ -16,13 +17,13 @@
 	dropTimers(b.Controller)
 	b.rejectLongerValues(2000)
 	j := b.addTestJob("j-1", 16_000)
-	v, _ := json.Marshal(jobRecord{Spec: &j.Spec, WriteID: "x"})
+	v, _ := json.Marshal(jobs.Record{Spec: &j.Spec, WriteID: "x"})
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: v, ModRevision: 20}
 	j.ModRevisions[0] = 20
 	for i := 0; i < 16_000; i += 3 {
 		j.SetCompleted(i)
 	}
-	b.writeJob(j, writequeue.Background)
+	b.jobs.Records.Write(j, writequeue.Background)
 	b.runFor(10 * second)
 	for _, p := range b.state.Shards {
 		if !p.Owned {
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -2,6 +2,7 @@
 
 import (
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/state"
 )
@@ -26,7 +27,7 @@
 	l.read("groups/", &l.groups)
 	l.read("rentals/", &l.provisioningRequests)
 	// The accepts first: what is accepted in between comes by the watch.
-	l.read(admissionKeyPrefix, &l.admissions)
+	l.read(jobs.AdmissionKeyPrefix, &l.admissions)
 	l.read(state.JobKeyPrefix, &l.jobs)
 }
 
@@ -64,7 +65,7 @@
 	early := p.EarlyJobs
 	p.EarlyJobs = nil
 	for _, kv := range early {
-		c.applyJobRecord(kv, nil)
+		c.jobs.Records.Apply(kv, nil)
 	}
 	l.awaitAcknowledgements()
 	c.schedulingTrigger.request()
@@ -82,10 +83,10 @@
 func (l *shardLoad) applyRecords() {
 	c, p := l.controller, l.shard
 	for _, kv := range l.jobs.Items {
-		c.applyJobRecord(kv, p)
+		c.jobs.Records.Apply(kv, p)
 	}
 	for _, kv := range l.admissions.Items { // after the jobs' own records, which count
-		c.applyAdmissionRecord(kv, p)
+		c.jobs.AdmissionRecords.Apply(kv, p)
 	}
 	for _, kv := range l.groups.Items {
 		c.applyGroupRecord(kv, p)
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -56,7 +56,7 @@
 	}
 	p := c.state.Shards[n]
 	if kv.ModRevision > p.ModRevision {
-		c.recordPeerWrite(kv)
+		c.members.RecordWrite(writequeue.InstanceOf(writequeue.WriteIDOf(kv.Value)))
 	}
 	var rec shardRecord
 	if json.Unmarshal(kv.Value, &rec) != nil || rec.Owner == "" {
@@ -176,7 +176,7 @@
 		c.dropMachine(m)
 	}
 	for _, j := range p.Jobs {
-		c.abandonJob(j)
+		c.jobs.Records.Abandon(j)
 	}
 	for _, gid := range slices.Sorted(maps.Keys(c.state.Groups)) {
 		if c.state.Groups[gid].ShardID == id {
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -8,6 +8,7 @@
 	"strconv"
 	"testing"
 
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -61,8 +62,9 @@
 	b := newControllerHarness()
 	b.config.MaxTxnOps = 4
 	b.writeQueue.Configure(b.writeQueueConfig())
+	b.jobs.Configure(b.jobsConfig())
 	j := b.addTestJob("j-1", 100_000)
-	v, _ := json.Marshal(jobRecord{Spec: &j.Spec, WriteID: "x"})
+	v, _ := json.Marshal(jobs.Record{Spec: &j.Spec, WriteID: "x"})
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: v, ModRevision: 31}
 	j.ModRevisions[0] = 31
 	for i := 0; i < 100_000; i += 3 {
@@ -71,7 +73,7 @@
 	stored := func() int {
 		n := 0
 		for k := range j.ModRevisions {
-			var rec jobRecord
+			var rec jobs.Record
 			if json.Unmarshal(b.store.keys[j.ChunkKey(k)].Value, &rec) == nil {
 				state.DecodeCompleted(rec.CompletedIndexes, len(j.ChunkStates(k)), func(int) { n++ })
 			}
@@ -79,7 +81,7 @@
 		return n
 	}
 	for range 5 {
-		b.writeJob(j, writequeue.Background)
+		b.jobs.Records.Write(j, writequeue.Background)
 		b.runFor(2 * second)
 	}
 	if n := stored(); n != 33_334 {
@@ -88,14 +90,14 @@
 	for i := range 100_000 {
 		j.SetCompleted(i)
 	}
-	b.writeJob(j, writequeue.Admit)
+	b.jobs.Records.Write(j, writequeue.Admit)
 	b.runFor(20 * second)
 	for k := 1; k < state.ChunkCount(100_000); k++ {
 		if b.store.get(j.ChunkKey(k)).Outcome != messages.NotFound {
 			t.Errorf("%s is left", j.ChunkKey(k))
 		}
 	}
-	var rec jobRecord
+	var rec jobs.Record
 	if json.Unmarshal(b.store.keys["jobs/j-1"].Value, &rec) != nil || rec.FinalStatus != cluster.JobDone || rec.Tasks != 100_000 {
 		t.Errorf("stored at the end: %s", b.store.keys["jobs/j-1"].Value)
 	}
@@ -162,6 +164,7 @@
 		b := newControllerHarness()
 		b.config.MaxTxnOps = c.ops
 		b.writeQueue.Configure(b.writeQueueConfig())
+		b.jobs.Configure(b.jobsConfig())
 		j := b.addTestJob("j-1", 20_000)
 		g := b.addGroupWithTasks("g", j, c.machines, 3, 0)
 		before := g.RecordSize
@@ -270,7 +273,7 @@
 	b.Controller = c
 	c.state.MachineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
 	setTime(c, 100*second)
-	c.admissions.loaded = true
+	c.jobs.AdmissionRecords.ApplyAll(nil, 0)
 	dropTimers(c)
 	for _, p := range c.state.Shards {
 		p.Owned, p.Ready, p.Owner, p.ClaimRevision, p.ModRevision, p.Term, p.ConfirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
@@ -285,7 +288,7 @@
 	told := 0
 	for i := range 20 {
 		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, RuntimeSeconds: 5}
-		b.submit(s, 0, "", func(r messages.Respond) {
+		b.jobs.Submissions.Submit(s, func(r messages.Respond) {
 			if told++; r.Status != 201 {
 				t.Errorf("%s gets %d", s.ID, r.Status)
 			}
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -59,7 +59,7 @@
 	m, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
 	m.Group.ModRevision = 77 // another writer was there
 	b.writeMachine(m, writequeue.Start)
-	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.runFor(5 * second)
 	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
 		t.Fatal("the two writes did not share a transaction")
@@ -68,8 +68,8 @@
 		t.Errorf("answered %+v, want 201", b.sentResponses)
 	}
 	b.runFor(5 * second)
-	if n := len(b.writeQueue.Queued(writequeue.Admit)); n != 0 || b.admissions.keysIssued > 3 {
-		t.Errorf("nothing waits to be accepted, but %d writes are queued, after %d", n, b.admissions.keysIssued)
+	if n := len(b.writeQueue.Queued(writequeue.Admit)); n != 0 || b.jobs.Submissions.AdmissionKeyCount() > 3 {
+		t.Errorf("nothing waits to be accepted, but %d writes are queued, after %d", n, b.jobs.Submissions.AdmissionKeyCount())
 	}
 }
 
@@ -80,7 +80,7 @@
 	b.store.revision = 40
 	b.store.keys["accepts/b1-1"] = messages.KV{Key: "accepts/b1-1", Value: []byte(`{"j":[{"id":"j-1","s":{"Team":"red","Tasks":1}}],"w":"b1-1"}`), ModRevision: 40}
 	b.failsReads = true
-	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	b.runFor(4 * second)
 	for _, r := range b.sentResponses {
 		if r.Status == 201 {
@@ -94,7 +94,7 @@
 func TestDuplicateSubmissionInOneRecord(t *testing.T) {
 	b := newControllerHarness()
 	for i := range messages.RequestID(2) {
-		b.handleSubmit(messages.Submit{Request: 1 + i, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1 + i, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	}
 	b.runFor(second)
 	n := map[messages.ReplyStatus]int{}
@@ -123,7 +123,7 @@
 	b.runFor(second)
 	// Nothing is dispatched meanwhile, as while the store is slow.
 	for i := range messages.RequestID(60) {
-		b.handleSubmit(messages.Submit{Request: 1 + i, Spec: cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%03d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1 + i, Spec: cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%03d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
 	}
 	b.runFor(second)
 	for _, f := range b.sentTransactions {
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -20,6 +20,7 @@
 	b := newControllerHarness()
 	b.config.MaxValueBytes, b.config.MaxTxnOps = 16_384, 20
 	b.writeQueue.Configure(b.writeQueueConfig())
+	b.jobs.Configure(b.jobsConfig())
 	p := b.state.Shards[0]
 	for i := range groups {
 		g := b.newGroup(p, fmt.Sprintf("g%02d", i), 31)
--- a/internal/controller/urgency_test.go
+++ b/internal/controller/urgency_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/state"
 )
@@ -28,8 +29,8 @@
 		b.state.Teams["red"].ShardID = 0
 		b.state.Shards[1].Owned, b.state.Shards[2].Owned = false, false
 		for _, i := range order {
-			v, _ := json.Marshal(jobRecord{Spec: &specs[i], WriteID: "x"})
-			b.applyJobRecord(messages.KV{Key: "jobs/" + string(specs[i].ID), Value: v, ModRevision: cluster.ModRevision(31 + i)}, nil)
+			v, _ := json.Marshal(jobs.Record{Spec: &specs[i], WriteID: "x"})
+			b.jobs.Records.Apply(messages.KV{Key: "jobs/" + string(specs[i].ID), Value: v, ModRevision: cluster.ModRevision(31 + i)}, nil)
 		}
 		due := 1_000_000 + 300_000.0
 		for id, want := range map[cluster.JobID]struct {
@@ -37,8 +38,8 @@
 			by   float64
 		}{
 			"d": {cluster.Production, due},
-			"b": {cluster.Production, due - 20_000 - stageDelayMillis},
-			"a": {cluster.Production, due - 2*(20_000+stageDelayMillis)},
+			"b": {cluster.Production, due - 20_000 - jobs.StageDelayMillis},
+			"a": {cluster.Production, due - 2*(20_000+jobs.StageDelayMillis)},
 			"c": {cluster.Urgent, 0},
 			"e": {cluster.Production, 1_100_000}, // its own is the tighter
 		} {
@@ -52,22 +53,22 @@
 		if b.state.Jobs.Owned["a"] == nil || b.state.Jobs.Owned["b"] != nil {
 			t.Fatal("the wrong jobs are held")
 		}
-		if start := b.latestStart(b.state.Jobs.Owned["a"]); start != due-2*(20_000+stageDelayMillis)-20_000 {
+		if start := b.latestStart(b.state.Jobs.Owned["a"]); start != due-2*(20_000+jobs.StageDelayMillis)-20_000 {
 			t.Errorf("%v: a is to start at %v", order, start)
 		}
 		// One that comes later, and one after the end.
 		late := spec("f", "blue", cluster.Normal, 100, "b")
-		v, _ := json.Marshal(jobRecord{Spec: &late, WriteID: "x"})
-		b.applyJobRecord(messages.KV{Key: "jobs/f", Value: v, ModRevision: 40}, nil)
-		if k := b.state.Jobs.Known["a"]; k.EffectiveDeadline != 1_100_000-2*(20_000+stageDelayMillis) {
+		v, _ := json.Marshal(jobs.Record{Spec: &late, WriteID: "x"})
+		b.jobs.Records.Apply(messages.KV{Key: "jobs/f", Value: v, ModRevision: 40}, nil)
+		if k := b.state.Jobs.Known["a"]; k.EffectiveDeadline != 1_100_000-2*(20_000+jobs.StageDelayMillis) {
 			t.Errorf("%v: a tighter deadline does not reach a: %v", order, k.EffectiveDeadline)
 		}
-		done, _ := json.Marshal(jobRecord{FinalStatus: cluster.JobDone, Team: "green", Tasks: 1, WriteID: "x"})
-		b.applyJobRecord(messages.KV{Key: "jobs/b", Value: done, ModRevision: 41}, nil)
+		done, _ := json.Marshal(jobs.Record{FinalStatus: cluster.JobDone, Team: "green", Tasks: 1, WriteID: "x"})
+		b.jobs.Records.Apply(messages.KV{Key: "jobs/b", Value: done, ModRevision: 41}, nil)
 		later := spec("g", "blue", cluster.Production, 50, "b")
-		v, _ = json.Marshal(jobRecord{Spec: &later, WriteID: "x"})
-		b.applyJobRecord(messages.KV{Key: "jobs/g", Value: v, ModRevision: 42}, nil)
-		if k := b.state.Jobs.Known["a"]; k.EffectiveDeadline != 1_100_000-2*(20_000+stageDelayMillis) {
+		v, _ = json.Marshal(jobs.Record{Spec: &later, WriteID: "x"})
+		b.jobs.Records.Apply(messages.KV{Key: "jobs/g", Value: v, ModRevision: 42}, nil)
+		if k := b.state.Jobs.Known["a"]; k.EffectiveDeadline != 1_100_000-2*(20_000+jobs.StageDelayMillis) {
 			t.Errorf("%v: what awaits a finished job changes a: %v", order, k.EffectiveDeadline)
 		}
 	}
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -37,6 +37,7 @@
 	b.config.CurrentWriteRPS, b.config.WriteRPS, b.config.MaxTxnOps = present, later, 4
 	dropTimers(b.Controller) // no tidying up, which would join the groups
 	b.writeQueue.Configure(b.writeQueueConfig())
+	b.jobs.Configure(b.jobsConfig())
 	return b
 }
 
--- /dev/null
+++ b/internal/jobs/notices_test.go
@@ -0,0 +1,30 @@
+package jobs
+
+import (
+	"testing"
+
+	"stairrelay/internal/messages"
+)
+
+// TestJobNoticesWithinMessageLimit: records near the largest value of the state
+// service are sent in several messages, each within what a controller takes; one
+// that is larger goes alone.
+func TestJobNoticesWithinMessageLimit(t *testing.T) {
+	large := messages.KV{Key: "jobs/j", Value: make([]byte, 64<<10)}
+	huge := messages.KV{Key: "jobs/h", Value: make([]byte, 2*maxNoticeBytes)}
+	for _, test := range []struct {
+		name    string
+		waiting []messages.KV
+		want    int
+	}{
+		{"small", make([]messages.KV, 2*maxNotices), maxNotices},
+		{"large", []messages.KV{large, large, large, large, large, large}, 3},
+		{"one too large, first", []messages.KV{huge, large}, 1},
+		{"one too large, later", []messages.KV{large, huge}, 1},
+	} {
+		queue := noticeQueue{waiting: test.waiting}
+		if got := len(queue.nextBatch()); got != test.want {
+			t.Errorf("%s: %d records, want %d", test.name, got, test.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/jobs/ownerqueries.go
@@ -0,0 +1,99 @@
+package jobs
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+const (
+	// ownerQueryDelay is how long the queries to a controller are gathered.
+	ownerQueryDelay = 50 * millisecond
+	// ownerQueryTimeout is how long its answer may take.
+	ownerQueryTimeout = 800 * millisecond
+	// maxQueriesPerMessage is how many jobs a message asks about.
+	maxQueriesPerMessage = 1000
+)
+
+// ownerQueries gathers the queries for jobs of shards that other controllers own, so
+// that those of some milliseconds share one message.
+//
+// A controller with queries waiting has a message scheduled.
+type ownerQueries struct {
+	*shared
+
+	queries   *Queries
+	waiting   map[cluster.NodeID][]ownerQuery
+	scheduled map[cluster.NodeID]bool
+}
+
+// ownerQuery is a query that waits for the answer of the job's owner.
+type ownerQuery struct {
+	id     cluster.JobID
+	handle viewHandler
+}
+
+func newOwnerQueries(queries *Queries) *ownerQueries {
+	return &ownerQueries{
+		shared:    queries.shared,
+		queries:   queries,
+		waiting:   map[cluster.NodeID][]ownerQuery{},
+		scheduled: map[cluster.NodeID]bool{},
+	}
+}
+
+// add asks the owner of a job's shard for the job's status.
+func (o *ownerQueries) add(owner cluster.NodeID, id cluster.JobID, handle viewHandler) {
+	o.waiting[owner] = append(o.waiting[owner], ownerQuery{id: id, handle: handle})
+	if !o.scheduled[owner] {
+		o.scheduled[owner] = true
+		o.loop.After(ownerQueryDelay, func() { o.send(owner) })
+	}
+}
+
+// takeBatch returns the queries of the message that is sent now; more: others wait
+// for another message.
+func (o *ownerQueries) takeBatch(owner cluster.NodeID) (batch []ownerQuery, more bool) {
+	waiting := o.waiting[owner]
+	if len(waiting) > maxQueriesPerMessage {
+		o.waiting[owner] = waiting[maxQueriesPerMessage:]
+		return waiting[:maxQueriesPerMessage], true
+	}
+	delete(o.waiting, owner)
+	o.scheduled[owner] = false
+	return waiting, false
+}
+
+func (o *ownerQueries) send(owner cluster.NodeID) {
+	batch, more := o.takeBatch(owner)
+	if more {
+		o.loop.After(ownerQueryDelay, func() { o.send(owner) })
+	}
+	ids := make([]cluster.JobID, len(batch))
+	for i, query := range batch {
+		ids[i] = query.id
+	}
+	message := messages.PeerMessage{Query: &messages.JobQuery{IDs: ids}}
+	o.Members.Call(owner, ownerQueryTimeout, message, func(reply messages.PeerReply) { o.handleReply(batch, reply) })
+}
+
+// handleReply passes the owner's answers on. What it could not vouch for is looked up
+// in the state service.
+func (o *ownerQueries) handleReply(batch []ownerQuery, reply messages.PeerReply) {
+	views := map[cluster.JobID]cluster.JobView{}
+	if reply.Outcome == messages.OK {
+		for _, view := range reply.Message.Views {
+			views[view.ID] = view
+		}
+	}
+	for _, query := range batch {
+		view, answered := views[query.id]
+		if !answered {
+			o.queries.lookUpInStore(query.id, query.handle)
+			continue
+		}
+		if known := o.state.Jobs.Known[query.id]; known != nil && view.Status.IsFinal() {
+			o.queries.records.dependencies.applyFinalStatus(query.id, known, view.Status)
+		}
+		query.handle(messages.ReplyOK, view)
+	}
+}
--- /dev/null
+++ b/internal/jobs/ownerqueries_test.go
@@ -0,0 +1,52 @@
+package jobs
+
+import (
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
+)
+
+// TestJobQueriesSplitAcrossMessages: queries beyond what one message asks wait for
+// the next, and all are answered.
+func TestJobQueriesSplitAcrossMessages(t *testing.T) {
+	const questions = 2*maxQueriesPerMessage + 1
+	nodes := []cluster.NodeID{"n0", "n1"}
+	loop := eventloop.New()
+	common := &shared{
+		Collaborators: Collaborators{
+			Members: membership.New(loop, membership.Config{Self: "n0", Nodes: nodes}, nil, nil, nil),
+		},
+		loop:  loop,
+		state: state.New(nodes, nil),
+	}
+	queries := newOwnerQueries(&Queries{shared: common})
+	answered := 0
+	for range questions {
+		queries.add("n1", "j-1", func(messages.ReplyStatus, cluster.JobView) { answered++ })
+	}
+	sentMessages := 0
+	for now := cluster.Time(0); now < second; now += 10 * millisecond {
+		loop.Begin(now, 0)
+		loop.RunTimers()
+		for _, effect := range loop.Effects() {
+			call, ok := effect.(messages.PeerCall)
+			if !ok || call.Message.Query == nil {
+				continue
+			}
+			sentMessages++
+			if len(call.Message.Query.IDs) > maxQueriesPerMessage {
+				t.Errorf("a message asks %d questions", len(call.Message.Query.IDs))
+			}
+			view := cluster.JobView{ID: "j-1", Status: cluster.JobRunning}
+			reply := messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Views: []cluster.JobView{view}}}
+			loop.Deliver(messages.Reply{Call: call.Call, Body: reply})
+		}
+	}
+	if sentMessages != 3 || answered != questions {
+		t.Errorf("%d messages, %d answers", sentMessages, answered)
+	}
+}
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -124,6 +124,18 @@
 	return j
 }
 
+// RestoreCompleted takes in which tasks of a chunk are completed by its stored record;
+// false: the text makes no sense, and what precedes the fault was taken in.
+func (j *Job) RestoreCompleted(chunk int, completedIndexes string) bool {
+	taskStates := j.ChunkStates(chunk)
+	return DecodeCompleted(completedIndexes, len(taskStates), func(i int) {
+		if taskStates[i] == TaskPending {
+			taskStates[i] = TaskCompletionStored
+			j.CompletedCount++
+		}
+	})
+}
+
 // PendingCount is the number of tasks that are on no machine and not completed.
 func (j *Job) PendingCount() int { return j.Spec.Tasks - j.AssignedCount - j.CompletedCount }
 
