--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 import (
 	"time"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/jobs"
 	"stairrelay/internal/state"
 
@@ -17,6 +18,7 @@
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ownership"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/writequeue"
 )
@@ -47,18 +49,16 @@
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	ownershipChecks   []ownershipChecks // by shard
-	progress          []shardProgress   // by shard
-	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
-	ownedShardChanges int               // of the parts held here
+	ownership         *ownership.Manager
+	progress          []shardProgress // by shard
 	jobs              *jobs.Jobs
 	classStats        map[string]*classStats
 	loadCache         loadCache
 	schedulingTrigger schedulingTrigger
 
 	// Machines.
-	recordNames       recordNames
-	machineOwners     machineOwners
+	recordNames       *inventory.RecordNames
+	inventory         *inventory.Inventory
 	reconciler        *reconcile.Reconciler
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
@@ -75,7 +75,7 @@
 		config:             cfg,
 		loop:               eventloop.New(),
 		state:              state.New(cfg.Nodes, cfg.Teams),
-		machineOwners:      machineOwners{},
+		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
 		attemptedTransfers: attemptedTransfers{},
 		processHealth:      &membership.ProcessHealth{},
 		classStats:         map[string]*classStats{},
@@ -83,9 +83,10 @@
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
 	c.jobs = c.newJobs()
+	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.reconciler = c.newReconciler()
-	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
@@ -155,7 +156,7 @@
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
 	c.members.Start()
-	c.loadShards()
+	c.ownership.Start()
 	c.jobs.Load()
 	c.fetchMachineTypes()
 	c.loadMachineTypeCache()
@@ -167,7 +168,7 @@
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
-	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
+	c.loop.Every(eventloop.FixedInterval(second), c.ownership.RenewLeases)
 	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -77,7 +78,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			b.addTestJob("j-1", 1)
-			b.addRegisteredGroup(b.state.Shards[0], "g", []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}, 100, 31)
+			machines := []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}
+			b.inventory.AddNewGroup(&inventory.NewGroup{ID: "g", Shard: b.state.Shards[0], Machines: machines}, 31)
+			b.state.Groups["g"].RecordSize = 100
 			b.handleHeartbeat(firstHeartbeat(fastBootMachine))
 			effects := flushEffects(b)
 			var record *messages.StoreTxn
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -22,25 +22,12 @@
 	return jobs.New(c.loop, c.state, c.writeQueue, c.jobsConfig(), jobs.Collaborators{
 		Members:   c.members,
 		Process:   c.processHealth,
-		Ownership: jobShards{controller: c},
+		Ownership: c.ownership,
 		Tasks:     jobTasks{controller: c},
 		Scheduler: jobScheduler{controller: c},
 	})
 }
 
-// jobShards confirms and gives up shards for the jobs.
-type jobShards struct{ controller *Controller }
-
-// Confirm implements jobs.ShardOwnership.
-func (s jobShards) Confirm(shard *state.Shard, handle func(owned bool)) {
-	s.controller.confirmOwnership(shard, handle)
-}
-
-// GiveUpCorrupt implements jobs.ShardOwnership.
-func (s jobShards) GiveUpCorrupt(shard *state.Shard, key, reason string) {
-	s.controller.giveUpCorruptShard(shard, key, reason)
-}
-
 // jobTasks stops tasks for the jobs.
 type jobTasks struct{ controller *Controller }
 
@@ -52,7 +39,7 @@
 
 // RemoveAssignment implements jobs.TaskStopper.
 func (t jobTasks) RemoveAssignment(machine *state.Machine, assignment *state.Assignment) {
-	t.controller.removeAssignment(machine, assignment)
+	t.controller.inventory.RemoveAssignment(machine, assignment)
 }
 
 // jobScheduler takes requests to schedule the jobs' tasks.
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -144,9 +144,9 @@
 	}
 	p := c.state.Shards[0]
 	p.Owned, p.Ready = true, true
-	g := c.newGroup(p, "g", 1)
+	g := c.state.AddGroup(p, "g", 1)
 	for i := range machines {
-		m := c.addMachine(g, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
+		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
 		m.OwnedSince = 0
 	}
 	c.workerReachability.RecordOwnedHeartbeat()
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -30,14 +30,14 @@
 	case !p.Owned || !p.Ready:
 		c.respondError(e.Request, messages.ReplyUnavailable, 0, "")
 		return
-	case !c.canAnswerWorkers(p):
+	case !c.ownership.CanAnswerWorkers(p):
 		// Another may have claimed the part unnoticed, and cancelled jobs of it.
 		c.redirectWorker(e.Request, "")
 		return
 	case r.FencingToken > m.Token:
 		// Somebody later is entitled: a 200 with our token would be dropped
 		// and hold the worker here while its lease runs out.
-		c.checkOwner(m)
+		c.inventory.CheckOwner(m)
 		c.redirectWorker(e.Request, c.state.Shards[m.ShardID].Owner)
 		return
 	case r.Incarnation < m.Incarnation:
@@ -153,7 +153,7 @@
 func (c *Controller) commandsFor(m *state.Machine, urgentOnly bool) []cluster.Command {
 	var out []cluster.Command
 	var starts []cluster.Command
-	mayStart := c.canStartTasks(c.state.Shards[m.ShardID])
+	mayStart := c.ownership.CanStartTasks(c.state.Shards[m.ShardID])
 	for _, a := range m.SortedAssignments() {
 		switch {
 		case a.ConfirmedAbsent:
@@ -235,7 +235,7 @@
 		deaf = c.reconcileAbsent(m, r, present, fresh, viaOrders) || deaf
 	}
 	if deaf && m.TokenAcknowledged {
-		c.raiseToken(m)
+		c.inventory.RaiseToken(m)
 	}
 	m.ForgetCleared(present)
 	return true
@@ -318,7 +318,7 @@
 	}
 	m.MarkConfirmedAbsent(a)
 	if a.Job.Assignments[a.Task.Index] == a && a.Job.IsActive() {
-		c.writeMachine(m, writequeue.Start)
+		c.inventory.WriteMachine(m, writequeue.Start)
 		return
 	}
 	// Nobody waits for it: the next checkpoint takes it along.
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -38,6 +38,7 @@
 	dropTimers(b.Controller) // no tidying up, which would join the groups
 	b.writeQueue.Configure(b.writeQueueConfig())
 	b.jobs.Configure(b.jobsConfig())
+	b.inventory.Configure(b.inventoryConfig())
 	return b
 }
 
@@ -47,7 +48,7 @@
 	for i := range groups {
 		g := b.addGroupWithTasks(fmt.Sprintf("%s-%02d", name, i), j, 2, 2, from+10*i)
 		markTasksRecording(g, 4)
-		b.writeGroup(g, writequeue.Start)
+		b.inventory.WriteGroup(g, writequeue.Start)
 		all = append(all, g)
 	}
 	return all
--- a/internal/jobs/admissionrecords.go
+++ b/internal/jobs/admissionrecords.go
@@ -6,6 +6,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
 )
 
 // AdmissionKeyPrefix is where the records of jobs admitted together are stored.
@@ -68,7 +69,13 @@
 			return
 		}
 		a.ApplyAll(reply.Items, reply.Revision)
-		a.writeQueue.Watch(AdmissionKeyPrefix, &a.appliedRevision, watchPause, func(kv messages.KV) { a.Apply(kv, nil) }, a.load)
+		a.writeQueue.Watch(writequeue.PrefixWatch{
+			Prefix:      AdmissionKeyPrefix,
+			Position:    &a.appliedRevision,
+			Pause:       watchPause,
+			OnChange:    func(kv messages.KV) { a.Apply(kv, nil) },
+			OnCompacted: a.load,
+		})
 	})
 }
 
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -162,7 +162,13 @@
 			r.Apply(kv, nil)
 		}
 		r.state.Jobs.AppliedRevision = reply.Revision
-		r.writeQueue.Watch(state.JobKeyPrefix, &r.state.Jobs.AppliedRevision, watchPause, r.applyWatched, r.load)
+		r.writeQueue.Watch(writequeue.PrefixWatch{
+			Prefix:      state.JobKeyPrefix,
+			Position:    &r.state.Jobs.AppliedRevision,
+			Pause:       watchPause,
+			OnChange:    r.applyWatched,
+			OnCompacted: r.load,
+		})
 	})
 }
 
@@ -186,6 +192,6 @@
 // cannot reach it must not take it for failed.
 func (s *shared) recordWriter(kv messages.KV) {
 	if kv.Value != nil {
-		s.Members.RecordWrite(writequeue.InstanceOf(writequeue.WriteIDOf(kv.Value)))
+		s.Members.RecordWrite(writequeue.WriterOf(kv.Value))
 	}
 }
--- a/internal/writequeue/write.go
+++ b/internal/writequeue/write.go
@@ -99,6 +99,10 @@
 	return record.WriteID
 }
 
+// WriterOf reads the instance of the process that stored a record; empty: the
+// record has no write id.
+func WriterOf(value []byte) string { return InstanceOf(WriteIDOf(value)) }
+
 // InstanceOf is the instance of the controller process that made a write id.
 func InstanceOf(writeID string) string {
 	if i := strings.LastIndexByte(writeID, '-'); i > 0 {
