--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"stairrelay/internal/inventory"
+	"stairrelay/internal/reconcile"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -81,7 +82,7 @@
 			machines := []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}
 			b.inventory.AddNewGroup(&inventory.NewGroup{ID: "g", Shard: b.state.Shards[0], Machines: machines}, 31)
 			b.state.Groups["g"].RecordSize = 100
-			b.handleHeartbeat(firstHeartbeat(fastBootMachine))
+			b.reconciler.Heartbeats.Handle(firstHeartbeat(fastBootMachine))
 			effects := flushEffects(b)
 			var record *messages.StoreTxn
 			for _, effect := range effects {
@@ -93,7 +94,7 @@
 				t.Fatal("the machine got no task, or its record is not written")
 			}
 			for range 10 { // the answer to the report does not wait that long
-				setTime(b.Controller, b.loop.Now()+maxHeartbeatHold/4)
+				setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold/4)
 				effects = append(effects, flushEffects(b)...)
 			}
 			if n := countStarts(effects); n != 0 {
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -42,20 +42,19 @@
 type inventoryWorkers struct{ controller *Controller }
 
 func (a inventoryWorkers) ConfirmAbsent(machine *state.Machine, assignment *state.Assignment) {
-	a.controller.confirmAbsent(machine, assignment)
+	a.controller.reconciler.ConfirmAbsent(machine, assignment)
 }
 
 func (a inventoryWorkers) QueueCommandPush(machine *state.Machine) {
-	a.controller.queueCommandPush(machine)
+	a.controller.reconciler.Commands.QueuePush(machine)
 }
 
 func (a inventoryWorkers) RecheckHeldHeartbeat(machine *state.Machine) {
-	held := &a.controller.heldHeartbeats
-	held.toCheck = append(held.toCheck, machine)
+	a.controller.reconciler.Heartbeats.Recheck(machine)
 }
 
 func (a inventoryWorkers) RedirectWorker(request messages.RequestID, node cluster.NodeID) {
-	a.controller.redirectWorker(request, node)
+	a.controller.reconciler.Heartbeats.Redirect(request, node)
 }
 
 // inventoryScheduler implements inventory.Scheduler.
@@ -63,7 +62,7 @@
 
 func (a inventoryScheduler) RequestScheduling() { a.controller.schedulingTrigger.request() }
 
-func (a inventoryScheduler) MaintainMachines() { a.controller.maintainMachines() }
+func (a inventoryScheduler) MaintainMachines() { a.controller.reconciler.Maintenance.Run() }
 
 // inventoryCloud implements inventory.Cloud.
 type inventoryCloud struct{ controller *Controller }
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -32,10 +32,10 @@
 type jobTasks struct{ controller *Controller }
 
 // WithdrawUnsentStarts implements jobs.TaskStopper.
-func (t jobTasks) WithdrawUnsentStarts(job *state.Job) { t.controller.withdrawUnsentStarts(job) }
+func (t jobTasks) WithdrawUnsentStarts(job *state.Job) { t.controller.reconciler.Stops.WithdrawUnsent(job) }
 
 // StopAll implements jobs.TaskStopper.
-func (t jobTasks) StopAll(job *state.Job) { t.controller.stopAllTasks(job) }
+func (t jobTasks) StopAll(job *state.Job) { t.controller.reconciler.Stops.StopJob(job) }
 
 // RemoveAssignment implements jobs.TaskStopper.
 func (t jobTasks) RemoveAssignment(machine *state.Machine, assignment *state.Assignment) {
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -40,10 +40,11 @@
 
 // MachineDirectory tells whose machines are that this controller does not own.
 type MachineDirectory interface {
-	// RecentOwner returns the shard that listed a machine within a time.
-	RecentOwner(id cluster.MachineID, within cluster.Time) (cluster.ShardID, bool)
-	// LastOwner returns the shard that listed a machine last.
-	LastOwner(id cluster.MachineID) cluster.ShardID
+	// RecentShardOf returns the shard whose record was seen to list a machine within a
+	// time.
+	RecentShardOf(id cluster.MachineID, within cluster.Time) (cluster.ShardID, bool)
+	// LastShardOf returns the shard whose record was last seen to list a machine.
+	LastShardOf(id cluster.MachineID) (cluster.ShardID, bool)
 	// ReadRecordedMachines calls handle with what the records list; nil: the state
 	// service does not answer, or a record can't be read.
 	ReadRecordedMachines(handle func(*RecordedMachines))
@@ -51,8 +52,8 @@
 
 // MachineRegistrar writes machines into records.
 type MachineRegistrar interface {
-	// MaxMachinesPerGroup is how many machines one record may list.
-	MaxMachinesPerGroup() int
+	// TargetGroupSize is how many machines are put into one record.
+	TargetGroupSize() int
 	// RegisterMachines writes machines that no record lists into a new group of a
 	// shard. It calls done when that is stored, or has failed.
 	RegisterMachines(shard *state.Shard, machines []grouprecord.Machine, done func())
@@ -66,6 +67,7 @@
 // into a record here, and is not taken up a second time meanwhile.
 type Orphans struct {
 	*shared
+	reconciler *Reconciler
 
 	unrecordedSince map[cluster.MachineID]cluster.Time // in the cloud's list and in no record, since when
 	candidates      []cluster.ListedMachine            // in the cloud's list, to be looked for in the records
@@ -75,9 +77,10 @@
 	registering     map[cluster.MachineID]bool
 }
 
-func newOrphans(s *shared) *Orphans {
+func newOrphans(s *shared, r *Reconciler) *Orphans {
 	return &Orphans{
 		shared:          s,
+		reconciler:      r,
 		unrecordedSince: map[cluster.MachineID]cluster.Time{},
 		registering:     map[cluster.MachineID]bool{},
 	}
@@ -86,7 +89,7 @@
 // HandleHeartbeat answers a worker whose machine this controller does not own. The
 // records show who does; one reading of them serves all workers that ask meanwhile.
 func (o *Orphans) HandleHeartbeat(heartbeat messages.Heartbeat) {
-	if shard, ok := o.deps.Directory.RecentOwner(heartbeat.Status.Machine, ownerHintFresh); ok {
+	if shard, ok := o.deps.Directory.RecentShardOf(heartbeat.Status.Machine, ownerHintFresh); ok {
 		o.redirectToOwner(heartbeat.Request, shard)
 		return
 	}
@@ -137,11 +140,12 @@
 	id := heartbeat.Status.Machine
 	switch {
 	case o.state.Machines[id] != nil: // became known meanwhile
-		o.deps.HandleHeartbeat(heartbeat)
+		o.reconciler.Heartbeats.Handle(heartbeat)
 	case recorded == nil:
 		o.respondUnavailable(heartbeat.Request)
 	case recorded.Listed[id]:
-		o.redirectToOwner(heartbeat.Request, o.deps.Directory.LastOwner(id))
+		shard, _ := o.deps.Directory.LastShardOf(id) // the record that lists it was just read
+		o.redirectToOwner(heartbeat.Request, shard)
 	default:
 		shard := o.ShardFor(id)
 		o.redirectToOwner(heartbeat.Request, shard.ID)
@@ -191,7 +195,7 @@
 	if listed.AgeSeconds < 3*float64(o.config.CloudListLag)/float64(second)+20 {
 		return
 	}
-	if _, ok := o.deps.Directory.RecentOwner(listed.ID, ownerHintRetention); ok {
+	if _, ok := o.deps.Directory.RecentShardOf(listed.ID, ownerHintRetention); ok {
 		return
 	}
 	shard := o.ShardFor(listed.ID)
@@ -265,19 +269,19 @@
 	o.loop.After(registrationDelay, func() { o.registerQueued(shard, claim) })
 }
 
-// registerQueued writes the gathered machines into records, each as large as a
-// record may be.
+// registerQueued writes the gathered machines into records, a group of the
+// target size in each.
 func (o *Orphans) registerQueued(shard *state.Shard, claim cluster.Revision) {
 	waiting := shard.ToRegister
 	shard.ToRegister = nil
-	for limit := o.deps.Registrar.MaxMachinesPerGroup(); len(waiting) > 0; {
+	for limit := o.deps.Registrar.TargetGroupSize(); len(waiting) > 0; {
 		machines := waiting[:min(limit, len(waiting))]
 		waiting = waiting[len(machines):]
 		done := func() {
 			for _, machine := range machines {
 				delete(o.registering, machine.ID)
 			}
-			o.deps.MaintainMachines()
+			o.reconciler.Maintenance.Run()
 		}
 		if !shard.IsOwnedUnder(claim) {
 			done()
