--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -32,7 +32,9 @@
 type jobTasks struct{ controller *Controller }
 
 // WithdrawUnsentStarts implements jobs.TaskStopper.
-func (t jobTasks) WithdrawUnsentStarts(job *state.Job) { t.controller.reconciler.Stops.WithdrawUnsent(job) }
+func (t jobTasks) WithdrawUnsentStarts(job *state.Job) {
+	t.controller.reconciler.Stops.WithdrawUnsent(job)
+}
 
 // StopAll implements jobs.TaskStopper.
 func (t jobTasks) StopAll(job *state.Job) { t.controller.reconciler.Stops.StopJob(job) }
