--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -55,7 +55,7 @@
 
 // WriteJob implements reconcile.JobRecords.
 func (r jobRecords) WriteJob(job *state.Job, priority writequeue.Priority) {
-	r.controller.writeJob(job, priority)
+	r.controller.jobs.Records.Write(job, priority)
 }
 
 // runtimeEstimates shows the reconciler how long tasks run.
