--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -62,6 +62,6 @@
 // machine records that list more than they need to.
 func (c *Controller) writeBackgroundState() {
 	c.jobs.Records.WriteOutcomes()
-	c.cleanUpGroups()
+	c.inventory.CleanUp()
 	c.checkShardProgress()
 }
--- /dev/null
+++ b/internal/inventory/cleanup.go
@@ -0,0 +1,35 @@
+package inventory
+
+import (
+	"maps"
+	"slices"
+
+	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
+)
+
+// CleanUp stores the groups' records that list tasks which are confirmed absent, and
+// splits and merges records by their sizes.
+func (inv *Inventory) CleanUp() {
+	for _, id := range slices.Sorted(maps.Keys(inv.state.Groups)) {
+		if group := inv.state.Groups[id]; !group.WritePending && listsAbsentTask(group) {
+			inv.WriteGroup(group, writequeue.Background)
+		}
+	}
+	for _, shard := range inv.state.Shards {
+		if shard.Owned && shard.Ready {
+			inv.SplitAndMerge(shard)
+		}
+	}
+}
+
+func listsAbsentTask(group *state.MachineGroup) bool {
+	for _, m := range group.Machines {
+		for _, a := range m.Assignments {
+			if a.ConfirmedAbsent {
+				return true
+			}
+		}
+	}
+	return false
+}
