--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -121,7 +121,7 @@
 				}
 				queue = append(queue, c.Step(c.loop.Now(), 0, messages.Reply{Call: f.Call, Body: r})...)
 			case messages.Log:
-				enlisted = enlisted || f.Message == "adopted stray machine"
+				enlisted = enlisted || f.Message == "orphaned machine adopted"
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 		t.Error("nobody looked whose the machine is")
 	}
 	if enlisted || len(p.ToRegister) > 0 {
-		t.Error("a returned machine was taken in as a stray")
+		t.Error("a returned machine was adopted as an orphan")
 	}
 }
 
--- a/internal/reconcile/draining.go
+++ b/internal/reconcile/draining.go
@@ -30,7 +30,7 @@
 func (s *Stops) HandlePreemptionNotice(machine *state.Machine, secondsLeft float64) {
 	if !machine.Draining {
 		s.deps.Spot.RecordInterruption()
-		s.loop.Log(messages.LogDebug, "spot notice", "machine", string(machine.ID), "left_s", secondsLeft)
+		s.loop.Log(messages.LogDebug, "preemption notice", "machine", string(machine.ID), "left_s", secondsLeft)
 		machine.Draining = true
 	}
 	machine.PreemptionDeadline = s.loop.Now() + cluster.Time(secondsLeft*float64(second))
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -253,7 +253,7 @@
 	if o.isTooNew(listed.ID) {
 		return
 	}
-	o.loop.Log(messages.LogInfo, "adopted stray machine", "machine", string(listed.ID))
+	o.loop.Log(messages.LogInfo, "orphaned machine adopted", "machine", string(listed.ID))
 	o.queueRegistration(shard, grouprecord.Machine{ID: listed.ID, Kind: kind, Address: listed.Addr})
 }
 
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -49,7 +49,7 @@
 func (r *Reconciler) handleBooted(machine *state.Machine) {
 	machine.Booting = false
 	bootSeconds := int((r.loop.Now() - machine.OwnedSince) / second)
-	r.loop.Log(messages.LogDebug, "machine up", "machine", string(machine.ID), "type", machine.MachineType, "after_s", bootSeconds)
+	r.loop.Log(messages.LogDebug, "machine booted", "machine", string(machine.ID), "type", machine.MachineType, "after_s", bootSeconds)
 	machine.IdleSince = r.loop.Now() // it has not been idle while it booted
 	r.deps.RequestScheduling()
 }
--- a/internal/reconcile/unrecorded.go
+++ b/internal/reconcile/unrecorded.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if !machine.UnrecordedToStop[attempt] {
-		r.loop.Log(messages.LogInfo, "stray task", "machine", string(machine.ID), "task", task.Task.String(), "attempt", uint64(task.Attempt))
+		r.loop.Log(messages.LogInfo, "unrecorded task", "machine", string(machine.ID), "task", task.Task.String(), "attempt", uint64(task.Attempt))
 	}
 	machine.UnrecordedToStop[attempt] = true
 }
