--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -3,8 +3,6 @@
 import (
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -45,56 +43,3 @@
 		}
 	}
 }
-
-// TestHungMachineReleasedAfterFailover: after a take-over an old copy of a report arrives from
-// a machine with cancelled tasks. It proves no life: unless the machine
-// acknowledges its token soon, it is returned; one without such tasks is not.
-func TestHungMachineReleasedAfterFailover(t *testing.T) {
-	for _, x := range []struct{ cancelled, acks, returned bool }{{true, false, true}, {true, true, false}, {false, false, false}} {
-		b := newControllerHarness()
-		j := b.addTestJob("j-1", 1)
-		m, a := b.addRunningMachine(j)
-		m.Incarnation, m.SequenceNumber, m.TokenAcknowledged, m.AwaitingFirstAcknowledgement, a.Phase = 0, 0, false, true, state.PhaseUnverified
-		if j.Cancelling = x.cancelled; x.cancelled {
-			a.StopRequested = true
-		}
-		setTime(b.Controller, b.loop.Now()+second)
-		r := cluster.HeartbeatStatus{Machine: "m-1", Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1, Tasks: []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}}}
-		if x.acks {
-			r.FencingToken = m.Token
-		}
-		b.reconciler.ApplyStatus(m, &r, false)
-		setTime(b.Controller, b.loop.Now()+b.reconciler.Maintenance.FirstAcknowledgementTimeout()+second)
-		b.reconciler.Maintenance.Run()
-		if m.Releasing != x.returned {
-			t.Errorf("cancelled %v, acknowledged %v: returned %v", x.cancelled, x.acks, m.Releasing)
-		}
-	}
-}
-
-// TestMachinesWithCancelledTasksCalledFirst: machines with cancelled tasks that are silent, or
-// wait for a higher token that an outage keeps from being stored, are called
-// with the stops, before all others.
-func TestMachinesWithCancelledTasksCalledFirst(t *testing.T) {
-	for name, silent := range map[string]bool{"silent": true, "bumping": false} {
-		b := newControllerHarness()
-		m, a := b.addRunningMachine(b.addTestJob("j-1", 1))
-		a.StopRequested = true
-		a.Job.Cancelling = true
-		if m.LastHeartbeat = b.loop.Now(); silent {
-			m.LastHeartbeat -= 2*b.config.HeartbeatInterval + second
-		} else {
-			m.RaisingToken, m.TokenAcknowledged = true, false
-		}
-		b.reconciler.Maintenance.PushCommands(b.state.Shards[0].Machines)
-		var got []cluster.Command
-		for _, f := range b.loop.Effects() {
-			if o, ok := f.(messages.PushCommands); ok && o.Addr == m.Address {
-				got = append(got, o.Commands...)
-			}
-		}
-		if len(got) != 1 || got[0].Kind != cluster.Stop {
-			t.Errorf("%s: called with %+v", name, got)
-		}
-	}
-}
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -61,6 +61,12 @@
 	return messages.StoreTxn{}
 }
 
+// statusUnderToken is a report of the machine's present session under its
+// present token, which is proof of what it does not show.
+func statusUnderToken(m *state.Machine, stamp cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
+	return &cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: m.Incarnation, SequenceNumber: stamp, FencingToken: m.Token, PreemptionNotice: -1, Tasks: tasks}
+}
+
 // TestEachOwnerRaisesToken: ten holders follow one another, and none changes the
 // record of a machine that lists a task of a cancelled job. Each has a higher
 // term and token than all before it, so reports under an earlier holder's token,
--- /dev/null
+++ b/internal/reconcile/absence_test.go
@@ -0,0 +1,96 @@
+package reconcile
+
+import (
+	"slices"
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/state"
+)
+
+// The last heartbeat that was applied before the status of a lostStartCase.
+const (
+	dispatchedAt    = cluster.SequenceNumber(5)
+	lastIncarnation = cluster.Incarnation(2)
+)
+
+// lostStartCase is a status that does not show a task whose start was sent with the
+// answer to the last heartbeat.
+type lostStartCase struct {
+	name    string
+	prepare func(*state.Machine, *state.Assignment)
+	status  func(*cluster.HeartbeatStatus)
+	pushed  bool // the status answers a push
+	lost    bool
+	raises  bool // the token, as answers seem not to reach the machine
+}
+
+var lostStartCases = []lostStartCase{
+	{name: "sent with the answer to an earlier heartbeat", lost: true, raises: true},
+	{
+		name:   "sent with the answer to this heartbeat, which answers a push",
+		pushed: true,
+	},
+	{
+		name:    "sent with the answer to this heartbeat",
+		prepare: func(machine *state.Machine, _ *state.Assignment) { machine.SequenceNumber = dispatchedAt - 1 },
+		status:  func(status *cluster.HeartbeatStatus) { status.SequenceNumber = dispatchedAt },
+	},
+	{
+		name:   "the worker has begun a new incarnation",
+		status: func(status *cluster.HeartbeatStatus) { status.Incarnation = lastIncarnation + 1 },
+		lost:   true, raises: true,
+	},
+	{
+		name:    "pushed, answered",
+		prepare: func(_ *state.Machine, assignment *state.Assignment) { assignment.Pushed = true },
+		lost:    true,
+	},
+	{
+		name: "pushed, not answered yet",
+		prepare: func(machine *state.Machine, assignment *state.Assignment) {
+			assignment.Pushed, machine.PushInFlight = true, true
+		},
+	},
+	{
+		name: "pushed, outcome unknown",
+		prepare: func(machine *state.Machine, assignment *state.Assignment) {
+			assignment.Pushed, machine.StartInDoubt, machine.RaisingToken = true, true, true
+		},
+	},
+	{
+		name:   "the worker has not acknowledged the token",
+		status: func(status *cluster.HeartbeatStatus) { status.FencingToken-- },
+	},
+}
+
+// TestStartLostOnlyWithProof: a start is sent again only when the first one can't arrive
+// any more; else the task might run twice.
+func TestStartLostOnlyWithProof(t *testing.T) {
+	for _, test := range lostStartCases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t)
+			machine := h.addMachine()
+			assignment := h.assign(machine, h.addJob(), state.PhaseDispatched)
+			machine.Incarnation, machine.SequenceNumber, assignment.DispatchedAtSequence = lastIncarnation, dispatchedAt, dispatchedAt
+			if test.prepare != nil {
+				test.prepare(machine, assignment)
+			}
+			status := statusUnderToken(machine, dispatchedAt+1)
+			if test.status != nil {
+				test.status(status)
+			}
+			h.ApplyStatus(machine, status, test.pushed)
+			want := state.PhaseDispatched
+			if test.lost {
+				want = state.PhaseReady
+			}
+			if assignment.Phase != want || assignment.ConfirmedAbsent {
+				t.Errorf("phase %d, absent %v; want phase %d", assignment.Phase, assignment.ConfirmedAbsent, want)
+			}
+			if raised := slices.Contains(h.raisedTokens, machine.ID); raised != test.raises {
+				t.Errorf("raised the token: %v, want %v", raised, test.raises)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/reconcile/draining_test.go
@@ -0,0 +1,70 @@
+package reconcile
+
+import (
+	"testing"
+
+	"stairrelay/internal/state"
+)
+
+// TestPreemptionNotice: of the tasks on a machine that the cloud takes, one that can
+// finish goes on, one that can save does so as late as possible, and one that can do
+// neither starts anew elsewhere at once.
+func TestPreemptionNotice(t *testing.T) {
+	for _, test := range []struct {
+		name              string
+		checkpointSeconds float64
+		saveSeconds       float64
+		remainingSeconds  float64
+		secondsLeft       float64
+		stopped           bool
+		grace             float64
+	}{
+		{name: "finishes in time", remainingSeconds: 20, secondsLeft: 30},
+		{name: "might finish", remainingSeconds: 45, secondsLeft: 30},
+		{name: "can't finish", remainingSeconds: 51, secondsLeft: 30, stopped: true},
+		{name: "can save and finishes", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 9, secondsLeft: 12},
+		{name: "can save, has time yet", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 100, secondsLeft: 15},
+		{name: "can save, must begin", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 100, secondsLeft: 14, stopped: true, grace: 6},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t)
+			job := h.addJob()
+			job.Spec.CheckpointSeconds, job.Spec.SaveSeconds = test.checkpointSeconds, test.saveSeconds
+			h.remainingSeconds = test.remainingSeconds
+			machine, running := h.addRunningMachine(job)
+			h.Stops.HandlePreemptionNotice(machine, test.secondsLeft)
+			if running.StopRequested != test.stopped || running.GracePeriod != test.grace {
+				t.Errorf("stop requested %v with a grace of %g s, want %v with %g s", running.StopRequested, running.GracePeriod, test.stopped, test.grace)
+			}
+			if !machine.Draining || h.spotLosses != 1 {
+				t.Errorf("draining %v, %d interruptions counted; want true and 1", machine.Draining, h.spotLosses)
+			}
+		})
+	}
+}
+
+// TestUnsentStartNotStopped: a start that was not sent needs no stop. One that is recorded
+// is withdrawn; one whose record is being written stays until that is stored, as a record
+// that lists it may be stored at any moment.
+func TestUnsentStartNotStopped(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		phase     state.AssignmentPhase
+		stopped   bool
+		withdrawn bool
+	}{
+		{"being recorded", state.PhaseRecording, false, false},
+		{"ready", state.PhaseReady, true, true},
+		{"dispatched", state.PhaseDispatched, true, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t)
+			machine := h.addMachine()
+			assignment := h.assign(machine, h.addJob(), test.phase)
+			h.Stops.Preempt(machine, assignment)
+			if assignment.StopRequested != test.stopped || assignment.ConfirmedAbsent != test.withdrawn {
+				t.Errorf("stop requested %v, withdrawn %v; want %v, %v", assignment.StopRequested, assignment.ConfirmedAbsent, test.stopped, test.withdrawn)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/reconcile/harness_test.go
@@ -0,0 +1,211 @@
+package reconcile
+
+import (
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
+	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
+)
+
+// testAttempt is the attempt of every task that a test assigns.
+const testAttempt = cluster.Attempt(7)
+
+// harness is a reconciler with the loop, the state and the queue that it works on. The
+// other parts of a controller are played by the harness, which notes what it is asked
+// for.
+type harness struct {
+	*Reconciler
+	t     *testing.T
+	queue *writequeue.Queue
+
+	isolated         bool
+	cannotAnswer     bool
+	cannotStart      bool
+	overloaded       bool
+	workersReporting bool
+	resumedAt        cluster.Time
+	remainingSeconds float64 // of every task
+
+	releases      []ReleaseReason
+	spotLosses    int
+	raisedTokens  []cluster.MachineID
+	checkedOwners []cluster.MachineID
+}
+
+// newHarness makes the reconciler of one of three controllers, which owns shard 0 and
+// has a team and a type of machines.
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	nodes := []cluster.NodeID{"n0", "n1", "n2"}
+	h := &harness{t: t}
+	loop := eventloop.New()
+	st := state.New(nodes, []cluster.Team{{Name: "red"}})
+	st.MachineTypes["small"] = cluster.MachineType{Name: "small", BootSeconds: 10}
+	shard := st.Shards[0]
+	shard.Owned, shard.Ready, shard.Owner = true, true, "n0"
+	h.queue = writequeue.New(loop, writequeue.Config{
+		InstanceID:    "b0",
+		RequestRPS:    100,
+		WriteRPS:      100,
+		BudgetShare:   1,
+		MaxTxnOps:     12,
+		Controllers:   len(nodes),
+		ShareByDemand: func(limit, _ float64, _ int) float64 { return limit },
+	}, claims{st})
+	config := Config{
+		Self:              "n0",
+		HeartbeatInterval: 5 * second,
+		WorkerLease:       26 * second,
+		CancelDeadline:    60 * second,
+		CloudListLag:      8 * second,
+		BootTimeoutFactor: 1.8,
+		ScaleInIdleTime:   30 * second,
+	}
+	h.Reconciler = New(loop, st, h.queue, config, Dependencies{
+		Ownership:         h,
+		Machines:          h,
+		Jobs:              h,
+		Runtimes:          h,
+		Reachability:      h,
+		Process:           h,
+		Directory:         h,
+		Registrar:         h,
+		Releaser:          h,
+		Spot:              h,
+		Metrics:           h,
+		IsIsolated:        func() bool { return h.isolated },
+		RequestScheduling: func() {},
+	})
+	h.setTime(100 * second)
+	return h
+}
+
+func (h *harness) CanAnswerWorkers(*state.Shard) bool                           { return !h.cannotAnswer }
+func (h *harness) CanStartTasks(*state.Shard) bool                              { return !h.cannotStart }
+func (h *harness) WriteMachine(*state.Machine, writequeue.Priority)             {}
+func (h *harness) WriteJob(*state.Job, writequeue.Priority)                     {}
+func (h *harness) RecordRuntime(*state.Machine, *state.Assignment)              {}
+func (h *harness) ExpectedRemainingSeconds(*state.Assignment) float64           { return h.remainingSeconds }
+func (h *harness) HandleSlowMachine(*state.Machine)                             {}
+func (h *harness) RecordHeartbeat()                                             {}
+func (h *harness) RecordOwnedHeartbeat()                                        {}
+func (h *harness) HasOwnedHeartbeatWithin(cluster.Time) bool                    { return h.workersReporting }
+func (h *harness) IsOverloaded() bool                                           { return h.overloaded }
+func (h *harness) ResumedAt() cluster.Time                                      { return h.resumedAt }
+func (h *harness) LastShardOf(cluster.MachineID) (cluster.ShardID, bool)        { return 0, false }
+func (h *harness) ReadRecordedMachines(func(*RecordedMachines))                 {}
+func (h *harness) TargetGroupSize() int                                         { return 10 }
+func (h *harness) RegisterMachines(*state.Shard, []grouprecord.Machine, func()) {}
+func (h *harness) ReleaseBeforeRecorded(*state.Machine)                         {}
+func (h *harness) ScheduleCall()                                                {}
+func (h *harness) RecordInterruption()                                          { h.spotLosses++ }
+func (h *harness) AddServed(cluster.Time)                                       {}
+func (h *harness) AddMachineScans([]*state.Machine)                             {}
+func (h *harness) AddCommandPush()                                              {}
+
+func (h *harness) RecentShardOf(cluster.MachineID, cluster.Time) (cluster.ShardID, bool) {
+	return 0, false
+}
+
+func (h *harness) RaiseToken(machine *state.Machine) {
+	machine.RaisingToken = true
+	h.raisedTokens = append(h.raisedTokens, machine.ID)
+}
+
+func (h *harness) CheckOwner(machine *state.Machine) {
+	h.checkedOwners = append(h.checkedOwners, machine.ID)
+}
+
+func (h *harness) Release(machine *state.Machine, reason ReleaseReason) {
+	machine.Releasing = true
+	h.releases = append(h.releases, reason)
+}
+
+func (h *harness) SurplusPredicate() func(*state.Machine) bool {
+	return func(*state.Machine) bool { return true }
+}
+
+// claims shows the queue the claims in a state.
+type claims struct{ state *state.State }
+
+func (c claims) ClaimOf(id cluster.ShardID) writequeue.Claim {
+	shard := c.state.Shards[id]
+	return writequeue.Claim{Key: shard.Key(), ModRevision: shard.ModRevision, Owned: shard.Owned}
+}
+
+func (c claims) HandleDeposed(cluster.ShardID) {}
+
+func (c claims) HandleStored(writequeue.StoredTransaction) {}
+
+// setTime begins a step at a time.
+func (h *harness) setTime(now cluster.Time) { h.loop.Begin(now, h.loop.WallTime()) }
+
+// pushes lists the pushes of the present step.
+func (h *harness) pushes() []messages.PushCommands {
+	var pushes []messages.PushCommands
+	for _, effect := range h.loop.Effects() {
+		if push, ok := effect.(messages.PushCommands); ok {
+			pushes = append(pushes, push)
+		}
+	}
+	return pushes
+}
+
+// addJob adds a job of one task to the owned shard.
+func (h *harness) addJob() *state.Job {
+	const id = cluster.JobID("j-1")
+	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}}
+	job := state.NewJob(spec, 0, 0, h.loop.Now())
+	h.state.AddOwnedJob(job)
+	h.state.Jobs.Known[id] = &state.KnownJob{ShardID: 0, Tasks: 1, Team: "red"}
+	return job
+}
+
+// addMachine adds an empty machine that has acknowledged its token.
+func (h *harness) addMachine() *state.Machine {
+	group := h.state.AddGroup(h.state.Shards[0], "g", 31)
+	line := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}
+	machine := h.state.AddMachine(group, line, 31, h.loop.Now())
+	machine.TokenAcknowledged, machine.Incarnation, machine.SequenceNumber = true, 1, 1
+	return machine
+}
+
+// assign lists the task of a job on a machine.
+func (h *harness) assign(machine *state.Machine, job *state.Job, phase state.AssignmentPhase) *state.Assignment {
+	assignment := &state.Assignment{
+		Task:            cluster.TaskID{Job: job.Spec.ID, Index: 0},
+		Job:             job,
+		MachineID:       machine.ID,
+		Attempt:         testAttempt,
+		ResourceRequest: job.Spec.ResourceRequest,
+		Phase:           phase,
+		State:           cluster.Running,
+	}
+	machine.AddAssignment(assignment)
+	job.SetAssigned(0, assignment)
+	return assignment
+}
+
+// addRunningMachine adds a machine on which the task of a job runs.
+func (h *harness) addRunningMachine(job *state.Job) (*state.Machine, *state.Assignment) {
+	machine := h.addMachine()
+	return machine, h.assign(machine, job, state.PhaseAcknowledged)
+}
+
+// statusUnderToken is a status of the machine's present incarnation under its present
+// token, which is proof of what it does not show.
+func statusUnderToken(machine *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
+	return &cluster.HeartbeatStatus{
+		Machine:          machine.ID,
+		Addr:             machine.Address,
+		Incarnation:      machine.Incarnation,
+		SequenceNumber:   sequence,
+		FencingToken:     machine.Token,
+		PreemptionNotice: -1,
+		Tasks:            tasks,
+	}
+}
--- /dev/null
+++ b/internal/reconcile/heartbeats_test.go
@@ -0,0 +1,108 @@
+package reconcile
+
+import (
+	"slices"
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
+)
+
+// testRequest is the request of every heartbeat that a test sends.
+const testRequest = messages.RequestID(1)
+
+// response returns the answer to a heartbeat in the present step; nil: there is none.
+func (h *harness) response() *messages.Respond {
+	h.t.Helper()
+	for _, effect := range h.loop.Effects() {
+		if response, ok := effect.(messages.Respond); ok && response.Request == testRequest {
+			return &response
+		}
+	}
+	return nil
+}
+
+// TestHeartbeatNotAccepted: a controller that may not be the owner of a machine any more
+// gives its worker no answer that would keep it here.
+func TestHeartbeatNotAccepted(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		prepare func(*harness, *state.Machine)
+		status  messages.ReplyStatus
+	}{
+		{"owner", func(*harness, *state.Machine) {}, messages.ReplyOK},
+		{"isolated", func(h *harness, _ *state.Machine) { h.isolated = true }, messages.ReplyMisdirected},
+		{"ownership lease expired", func(h *harness, _ *state.Machine) { h.cannotAnswer = true }, messages.ReplyMisdirected},
+		{"shard not loaded yet", func(h *harness, _ *state.Machine) { h.state.Shards[0].Ready = false }, messages.ReplyUnavailable},
+		{"fenced off by a newer token", func(_ *harness, machine *state.Machine) { machine.Token -= 2 }, messages.ReplyMisdirected},
+		{"of an earlier incarnation", func(_ *harness, machine *state.Machine) { machine.Incarnation++ }, messages.ReplyMisdirected},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t)
+			machine := h.addMachine()
+			status := statusUnderToken(machine, machine.SequenceNumber+1)
+			test.prepare(h, machine)
+			h.Heartbeats.Handle(messages.Heartbeat{Request: testRequest, Status: *status})
+			h.Heartbeats.AnswerReady()
+			response := h.response()
+			if response == nil || response.Status != test.status {
+				t.Fatalf("answered with %+v, want status %v", response, test.status)
+			}
+			if fenced := status.FencingToken > machine.Token; fenced != (len(h.checkedOwners) == 1) {
+				t.Errorf("owners checked of %v", h.checkedOwners)
+			}
+		})
+	}
+}
+
+// hold sends a heartbeat of a machine with a start that is being recorded, and checks that
+// it is not answered yet.
+func (h *harness) hold() (*state.Machine, *state.Assignment) {
+	h.t.Helper()
+	machine := h.addMachine()
+	assignment := h.assign(machine, h.addJob(), state.PhaseRecording)
+	h.Heartbeats.Handle(messages.Heartbeat{Request: testRequest, Status: *statusUnderToken(machine, machine.SequenceNumber+1)})
+	h.Heartbeats.AnswerReady()
+	if h.response() != nil {
+		h.t.Fatal("answered before the record is stored")
+	}
+	return machine, assignment
+}
+
+// TestHeartbeatHeldForRecord: the answer to a heartbeat waits for the record of a start, so
+// that it carries the start.
+func TestHeartbeatHeldForRecord(t *testing.T) {
+	h := newHarness(t)
+	machine, assignment := h.hold()
+	assignment.MarkRecorded()
+	h.Heartbeats.Recheck(machine)
+	h.Heartbeats.AnswerReady()
+	response := h.response()
+	if response == nil {
+		t.Fatal("no answer after the record is stored")
+	}
+	want := []cluster.Command{{Kind: cluster.Start, Task: assignment.Task, Attempt: assignment.Attempt}}
+	if got := response.Heartbeat.Commands; !slices.Equal(got, want) {
+		t.Errorf("answered with %+v, want %+v", got, want)
+	}
+}
+
+// TestHeldHeartbeatAnsweredInTime: a heartbeat is not held for longer than the worker can
+// wait, and a start whose record is not stored does not go with its answer.
+func TestHeldHeartbeatAnsweredInTime(t *testing.T) {
+	h := newHarness(t)
+	h.hold()
+	begin := h.loop.Now()
+	for h.response() == nil && h.loop.Now() < begin+second {
+		h.setTime(h.loop.Now() + 50*millisecond)
+		h.loop.RunTimers()
+		h.Heartbeats.AnswerReady()
+	}
+	if held := h.loop.Now() - begin; held < MaxHeartbeatHold || held > MaxHeartbeatHold+heldHeartbeatInterval {
+		t.Errorf("held for %d ms", held/millisecond)
+	}
+	if response := h.response(); response == nil || len(response.Heartbeat.Commands) != 0 {
+		t.Errorf("answered with %+v, want no commands", response)
+	}
+}
--- /dev/null
+++ b/internal/reconcile/machine_maintenance_test.go
@@ -0,0 +1,74 @@
+package reconcile
+
+import (
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/state"
+)
+
+// TestHungMachineReleasedAfterFailover: after a failover an old copy of a heartbeat
+// arrives from a machine with cancelled tasks. It proves no life: unless the machine
+// acknowledges its token soon, it is released; one without such tasks is not.
+func TestHungMachineReleasedAfterFailover(t *testing.T) {
+	for _, test := range []struct {
+		name                              string
+		cancelled, acknowledges, released bool
+	}{
+		{"cancelled, no acknowledgement", true, false, true},
+		{"cancelled, acknowledged", true, true, false},
+		{"not cancelled", false, false, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t)
+			job := h.addJob()
+			machine, listed := h.addRunningMachine(job)
+			machine.Incarnation, machine.SequenceNumber, machine.TokenAcknowledged, machine.AwaitingFirstAcknowledgement = 0, 0, false, true
+			listed.Phase = state.PhaseUnverified
+			job.Cancelling, listed.StopRequested = test.cancelled, test.cancelled
+			h.setTime(h.loop.Now() + second)
+			status := cluster.HeartbeatStatus{
+				Machine: machine.ID, Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1,
+				Tasks: []cluster.TaskStatus{{Task: listed.Task, Attempt: listed.Attempt, State: cluster.Running}},
+			}
+			if test.acknowledges {
+				status.FencingToken = machine.Token
+			}
+			h.ApplyStatus(machine, &status, false)
+			h.setTime(h.loop.Now() + h.Maintenance.FirstAcknowledgementTimeout() + second)
+			h.Maintenance.Run()
+			if machine.Releasing != test.released {
+				t.Errorf("released %v, want %v", machine.Releasing, test.released)
+			}
+		})
+	}
+}
+
+// TestMachinesWithCancelledTasksCalledFirst: machines with cancelled tasks that are
+// silent, or wait for a higher token that an outage keeps from being stored, are called
+// with the stops, before all others.
+func TestMachinesWithCancelledTasksCalledFirst(t *testing.T) {
+	for name, silent := range map[string]bool{"silent": true, "token being raised": false} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t)
+			machine, running := h.addRunningMachine(h.addJob())
+			running.StopRequested = true
+			running.Job.Cancelling = true
+			if silent {
+				machine.LastHeartbeat = h.loop.Now() - 2*h.config.HeartbeatInterval - second
+			} else {
+				machine.RaisingToken, machine.TokenAcknowledged = true, false
+			}
+			h.Maintenance.PushCommands(h.state.Shards[0].Machines)
+			var got []cluster.Command
+			for _, push := range h.pushes() {
+				if push.Addr == machine.Address {
+					got = append(got, push.Commands...)
+				}
+			}
+			if len(got) != 1 || got[0].Kind != cluster.Stop {
+				t.Errorf("called with %+v, want one stop", got)
+			}
+		})
+	}
+}
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -173,7 +173,8 @@
 // Configure takes over other settings.
 func (r *Reconciler) Configure(config Config) { r.config = config }
 
-// redirect sends a worker to another controller; empty: to any other.
+// redirect sends a worker to another controller; empty: to any other. This controller
+// is not named, as the worker would come back at once.
 func (s *shared) redirect(request messages.RequestID, to cluster.NodeID) {
 	if to == s.config.Self {
 		to = ""
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -68,8 +68,8 @@
 
 // RecordFirstAcknowledgement records that a machine taken over with the shard has
 // acknowledged this owner's token.
-func (p *Shard) RecordFirstAcknowledgement(m *Machine, now cluster.Time) {
+func (s *Shard) RecordFirstAcknowledgement(m *Machine, now cluster.Time) {
 	m.AwaitingFirstAcknowledgement = false
-	p.AwaitingFirstAcknowledgementCount--
-	p.LastAcknowledgedAt = now
+	s.AwaitingFirstAcknowledgementCount--
+	s.LastAcknowledgedAt = now
 }
