--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"stairrelay/internal/inventory"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -45,15 +46,12 @@
 
 	// The other controllers.
 	members            *membership.Members
-	ownerQueries       ownerQueries
-	jobNotices         jobNotices
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
 	ownership         *ownership.Manager
 	progress          []shardProgress // by shard
-	jobReads          linearizableJobReads
-	admissions        admissionQueue
+	jobs              *jobs.Jobs
 	classStats        map[string]*classStats
 	loadCache         loadCache
 	schedulingTrigger schedulingTrigger
@@ -75,10 +73,7 @@
 		config:             cfg,
 		loop:               eventloop.New(),
 		state:              state.New(cfg.Nodes, cfg.Teams),
-		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
 		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
-		ownerQueries:       newOwnerQueries(),
-		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
 		processHealth:      &membership.ProcessHealth{},
 		classStats:         map[string]*classStats{},
@@ -87,6 +82,7 @@
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
 	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.jobs = c.newJobs()
 	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.reconciler = c.newReconciler()
 	c.progress = make([]shardProgress, len(cfg.Nodes))
@@ -108,13 +104,13 @@
 	case messages.Tick:
 	case messages.Submit:
 		c.counters.Submissions++
-		c.handleSubmit(e)
+		c.jobs.Submissions.HandleSubmit(e)
 	case messages.Query:
 		c.counters.Queries++
-		c.handleQuery(e)
+		c.jobs.Queries.HandleQuery(e)
 	case messages.Cancel:
 		c.counters.Cancellations++
-		c.handleCancel(e.Request, e.ID, true)
+		c.jobs.Cancellations.HandleCancel(e)
 	case messages.Health:
 		c.handleHealth(e)
 	case messages.Heartbeat:
@@ -159,8 +155,7 @@
 	t := c.config.Tuning
 	c.members.Start()
 	c.ownership.Start()
-	c.loadJobs()
-	c.loadAdmissions()
+	c.jobs.Load()
 	c.fetchMachineTypes()
 	c.loadMachineTypeCache()
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
