--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 import (
 	"time"
 
+	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -34,7 +35,6 @@
 
 	// What it wants done, and what it waits for.
 	writeQueue *writequeue.Queue
-	cloudRate  cloudRateShare
 	counters   Counters
 
 	// How this node fares.
@@ -62,11 +62,8 @@
 	recordNames       recordNames
 	machineOwners     machineOwners
 	reconciler        *reconcile.Reconciler
-	machineTypeCache  machineTypeCache
-	cloudListing      cloudListing
+	provisioner       *provisioning.Provisioner
 	scaleOutScheduled bool // a look for machines before the next regular one
-	machineReleases   scaleInBatch
-	spotInterruptions spotInterruptions
 	heldHeartbeats    heldHeartbeats
 	urgentPushes      []*state.Machine // whose commands can't wait for their reports
 }
@@ -88,12 +85,10 @@
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.provisioner = c.newProvisioner()
 	c.reconciler = c.newReconciler()
 	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
-	c.updateCloudRate()
-	c.cloudRate.bucket.Fill()
-	c.cloudListing.nextReadAt = c.firstCloudListAt()
 	c.loop.After(0, c.startLoops)
 	return c
 }
@@ -162,11 +157,11 @@
 	c.loadShards()
 	c.loadJobs()
 	c.loadAdmissions()
-	c.fetchMachineTypes()
-	c.loadMachineTypeCache()
+	c.provisioner.Types.Fetch()
+	c.provisioner.Types.Load()
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
-	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
+	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.Rate.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
 	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
--- a/internal/controller/machinegroups.go
+++ b/internal/controller/machinegroups.go
@@ -254,7 +254,7 @@
 		}
 		if x.releases && !m.ReleaseConfirmed {
 			m.ReleaseConfirmed = true
-			c.scheduleScaleIn()
+			c.provisioner.ScaleIn.ScheduleCall()
 		}
 	}
 	for _, m := range s.terminated {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -117,3 +117,20 @@
 	m.RaisingToken = true
 	c.writeMachine(m, writequeue.Start)
 }
+
+// removeMachineAndFreeTasks drops a machine whose record no longer lists it, and frees its
+// tasks.
+func (c *Controller) removeMachineAndFreeTasks(m *state.Machine) {
+	if c.state.Machines[m.ID] != m {
+		return
+	}
+	c.removeMachine(m)
+	for _, a := range m.SortedAssignments() {
+		delete(m.Assignments, a.Task)
+		c.unassignTask(a)
+	}
+	if m.PendingHeartbeat != 0 {
+		c.redirectWorker(m.PendingHeartbeat, "")
+		m.PendingHeartbeat = 0
+	}
+}
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -57,14 +57,14 @@
 func (s *machineMaintenance) maintain(m *state.Machine) {
 	c := s.controller
 	if m.Spot && !m.Booting {
-		c.spotInterruptions.addServed(maintenanceInterval)
+		c.provisioner.Spot.AddServed(maintenanceInterval)
 	}
 	if c.writeQueue.IsUnavailableFor(second) && !m.ReleaseConfirmed && (c.hangsWithCancelledTasks(m) || c.ignoresStop(m)) {
-		c.scaleInBeforeRecorded(m)
+		c.provisioner.ScaleIn.ReleaseBeforeRecorded(m)
 	}
 	if m.Releasing {
 		if m.ReleaseConfirmed && !m.ScaleInCallInFlight {
-			c.scheduleScaleIn()
+			c.provisioner.ScaleIn.ScheduleCall()
 		}
 		return
 	}
@@ -74,21 +74,21 @@
 	c.handleSlowMachine(m)
 	if m.Booting {
 		if s.isBootTimedOut(m) {
-			c.scaleInMachine(m, "never came up")
+			c.provisioner.ScaleIn.Release(m, "never came up")
 		}
 		return
 	}
 	if why := s.stopFailureReason(m); why != "" {
-		c.scaleInMachine(m, why)
+		c.provisioner.ScaleIn.Release(m, why)
 		return
 	}
 	if why := s.silenceReason(m); why != "" {
 		c.countSpotLoss(m)
-		c.scaleInMachine(m, why)
+		c.provisioner.ScaleIn.Release(m, why)
 		return
 	}
 	if why := s.scaleInReason(m); why != "" {
-		c.scaleInMachine(m, why)
+		c.provisioner.ScaleIn.Release(m, why)
 	}
 }
 
@@ -225,7 +225,7 @@
 // countSpotLoss notes a spot machine that went without notice.
 func (c *Controller) countSpotLoss(m *state.Machine) {
 	if m.Spot && !m.Draining {
-		c.spotInterruptions.interruptionCount++
+		c.provisioner.Spot.RecordInterruption()
 	}
 }
 
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -23,9 +23,8 @@
 		for _, peer := range c.members.Peers() {
 			c.members.HandlePingReply(peer, &messages.Ping{CloudDemand: demand[peer.ID()]}, c.loop.Now())
 		}
-		c.cloudRate.demand = demand[self]
-		c.updateCloudRate()
-		return c.cloudRate.bucket.Rate()
+		c.provisioner.Rate.SetDemand(demand[self])
+		return c.provisioner.Rate.Share()
 	}
 	demand := map[cluster.NodeID]float64{"n0": 4}
 	busy := view("n0", demand)
@@ -43,16 +42,6 @@
 	if sum > 3.601 {
 		t.Errorf("together %.2f calls a second, over 3.6", sum)
 	}
-	// A call that had to wait shows as demand at once.
-	c := newSevenNodeController()
-	c.cloudRate.bucket.Lower(0)
-	if c.tryCloudCall() || !c.cloudRate.wasDenied {
-		t.Error("a call without a share was let through, or not noted")
-	}
-	before := c.cloudRate.bucket.Rate()
-	if c.measureCloudDemand(); c.cloudRate.bucket.Rate() <= before {
-		t.Errorf("rate %.2f before and %.2f after calls had to wait", before, c.cloudRate.bucket.Rate())
-	}
 }
 
 // newSevenNodeController is a cluster's first controller whose one team has no limit.
@@ -106,7 +95,7 @@
 			owned = false // returned; the list shows it for 16 s more
 		}
 		if c.loop.Now() < 86*second && c.loop.Now()%(8*second) == 0 {
-			c.applyCloudListItem(cluster.ListedMachine{ID: "m-000007", Type: "small", Zone: "a", AgeSeconds: 500})
+			c.provisioner.List.Apply([]cluster.ListedMachine{{ID: "m-000007", Type: "small", Zone: "a", AgeSeconds: 500}})
 		}
 		queue := c.Step(c.loop.Now()+second/2, 0, messages.Tick{})
 		for len(queue) > 0 {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -60,7 +60,7 @@
 		}
 	}
 	ping.TransferOffers = c.transferOffers()
-	ping.CloudDemand = c.cloudRate.demand
+	ping.CloudDemand = c.provisioner.Rate.Demand()
 	ping.ShardLoads = c.ownedShardLoads()
 	ping.KnownTerms = c.knownTerms()
 }
@@ -79,7 +79,7 @@
 }
 
 // HandleReachabilityChange implements membership.Host.
-func (h membershipHost) HandleReachabilityChange() { h.controller.updateCloudRate() }
+func (h membershipHost) HandleReachabilityChange() { h.controller.provisioner.Rate.Divide() }
 
 // ReviewOwnership implements membership.Host.
 func (h membershipHost) ReviewOwnership() { h.controller.reviewShards() }
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -11,6 +11,7 @@
 	"strings"
 	"testing"
 
+	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -94,7 +95,7 @@
 	if json.Unmarshal(recs["parts/0"], &p) != nil || !reflect.DeepEqual(p, shardRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}) {
 		t.Errorf("part %+v", p)
 	}
-	var c machineTypesRecord
+	var c provisioning.MachineTypesRecord
 	if json.Unmarshal(recs["types"], &c) != nil || len(c.Types) != 1 || c.Types[0].SpotPrice != 0.07 || len(c.Types[0].Zones) != 2 || c.WriteID != "b1-14" {
 		t.Errorf("types %+v", c)
 	}
@@ -124,7 +125,7 @@
 		case strings.HasPrefix(key, "parts/"):
 			rec = &shardRecord{}
 		case key == "types":
-			rec = &machineTypesRecord{}
+			rec = &provisioning.MachineTypesRecord{}
 		case strings.HasPrefix(key, "groups/"):
 			group, err := grouprecord.Decode(old)
 			if err != nil {
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -50,8 +51,8 @@
 		again(wait)
 		return
 	}
-	c.forceCloudCall()
-	c.readCloudList(func(listedByCloud []cluster.ListedMachine, ok bool) {
+	c.provisioner.Rate.ForceCall()
+	c.provisioner.List.Read(func(listedByCloud []cluster.ListedMachine, ok bool) {
 		if !ok {
 			again(2 * second)
 			return
@@ -91,8 +92,8 @@
 		c.deleteQuarantinedRecords(p, claim)
 		return
 	}
-	n := min(len(lost), maxScaleInMachines)
-	c.forceCloudCall()
+	n := min(len(lost), provisioning.MaxMachinesPerScaleIn)
+	c.provisioner.Rate.ForceCall()
 	c.loop.Emit(messages.CloudScaleIn{IDs: lost[:n], Call: eventloop.Call(c.loop, func(reply messages.ScaleInReply) {
 		if reply.Outcome != messages.OK {
 			again(2 * second)
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -109,7 +109,7 @@
 // runScaleOut finds machines for work that has none: first what is coming
 // already, then other parts' idle machines, then the cloud's.
 func (c *Controller) runScaleOut() {
-	c.pollCloudList()
+	c.provisioner.List.Poll()
 	c.cordonSurplusMachines()
 	for _, p := range c.state.Shards {
 		if p.Owned && p.Ready && len(c.state.MachineTypes) > 0 && !c.writeQueue.IsUnavailableFor(second) {
@@ -226,7 +226,7 @@
 		if n == 0 {
 			return
 		}
-		if !c.tryCloudCall() {
+		if !c.provisioner.Rate.TryCall() {
 			return
 		}
 		flying++
@@ -325,7 +325,7 @@
 		return
 	}
 	if r.Attempts++; r.Attempts > 1 { // the first was counted when it was decided
-		c.forceCloudCall()
+		c.provisioner.Rate.ForceCall()
 	}
 	c.loop.Emit(messages.CloudScaleOut{Name: r.Name, Type: r.Option.Type, Zone: r.Option.Zone, Spot: r.Option.Spot, Count: r.Count, Call: eventloop.Call(c.loop, func(a messages.ScaleOutReply) {
 		if !c.isProvisioningCurrent(p, r) {
@@ -352,7 +352,7 @@
 			r.Answered = true
 			c.completeProvisioning(p, r, nil)
 		case messages.Throttled:
-			c.handleCloudThrottled()
+			c.provisioner.Rate.HandleThrottled()
 			c.loop.After(second/2, func() { c.callScaleOut(p, r) })
 		default:
 			c.loop.After(3*second, func() { c.callScaleOut(p, r) })
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -44,7 +44,10 @@
 // where no great loss is to be expected the kind does not matter.
 func TestSpotPreference(t *testing.T) {
 	c := newSevenNodeController()
-	c.spotInterruptions.interruptionCount, c.spotInterruptions.servedSeconds = 10, 20_000 // two an hour
+	for range 10 { // two an hour
+		c.provisioner.Spot.RecordInterruption()
+	}
+	c.provisioner.Spot.AddServed(20_000 * second)
 	c.state.MachineTypes["small"] = cluster.MachineType{Name: "small", FetchGBPerSecond: 0.25}
 	p, spot, own := c.state.Shards[0], true, false
 	like := func(run, checkpoint float64) *state.Job {
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -69,7 +69,7 @@
 	l.awaitAcknowledgements()
 	c.schedulingTrigger.request()
 	if len(p.Machines)+len(p.ProvisioningRequests) > 0 {
-		c.cloudListing.nextReadAt = 0 // the cloud's list shows what the records may lack
+		c.provisioner.List.RequestRead() // the cloud's list shows what the records may lack
 	}
 	c.loop.Log(messages.LogInfo, "part ready",
 		"part", int(p.ID),
--- a/internal/controller/spotpreference.go
+++ b/internal/controller/spotpreference.go
@@ -14,7 +14,7 @@
 		return 0
 	}
 	run := c.expectedRunSeconds(j)
-	return 4 * c.spotInterruptions.rate() * run * run / 2
+	return 4 * c.provisioner.Spot.Rate() * run * run / 2
 }
 
 // spotLossLimit is the expected loss, in seconds, from which a job should rather have
@@ -35,7 +35,7 @@
 	if loss == 0 || loss > spotLossLimit {
 		return loss > 0
 	}
-	if c.spotInterruptions.rate()*c.expectedRunSeconds(j)*float64(j.Spec.Tasks) < taskLossThreshold {
+	if c.provisioner.Spot.Rate()*c.expectedRunSeconds(j)*float64(j.Spec.Tasks) < taskLossThreshold {
 		return false
 	}
 	aim := 0.0
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -14,7 +14,6 @@
 	Queries       int
 	Cancellations int
 	CommandPushes int
-	CloudCalls    int
 	// MachineScans counts the machines that were looked at one by one, whatever for.
 	MachineScans int
 }
@@ -128,7 +127,7 @@
 		"conflicts", writes.Conflicts,
 		"gets", writes.Reads,
 		"peer_calls", c.members.TakeCallCount(),
-		"cloud_calls", counts.CloudCalls,
+		"cloud_calls", c.provisioner.Rate.TakeCallCount(),
 		"visits", counts.MachineScans,
 		"parts", c.ownedShardCount(),
 		"stalled_parts", c.stalledShardCount(),
--- a/internal/controller/stops.go
+++ b/internal/controller/stops.go
@@ -12,7 +12,7 @@
 // what can't finish starts anew elsewhere, what can finish is left alone.
 func (c *Controller) handlePreemptionNotice(m *state.Machine, left float64) {
 	if !m.Draining {
-		c.spotInterruptions.interruptionCount++
+		c.provisioner.Spot.RecordInterruption()
 		c.loop.Log(messages.LogDebug, "spot notice", "machine", string(m.ID), "left_s", left)
 		m.Draining = true
 	}
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -36,7 +36,7 @@
 	if m == nil || m.ShardID != q.ID {
 		t.Fatal("the group was not taken")
 	}
-	b.handleMachineTerminated(m)
+	b.provisioner.ScaleIn.HandleTerminated(m)
 	b.runFor(200 * millisecond)
 	if kv := b.store.get(key); kv.Outcome != messages.OK || b.state.Machines["m-1"] != nil {
 		t.Fatalf("the emptied group: %v", kv)
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -4,7 +4,9 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ratelimit"
 	"stairrelay/internal/writequeue"
 )
 
@@ -53,3 +55,20 @@
 		c.rereadShard(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
 	}
 }
+
+// shareByDemand returns this controller's part of a limit that all live ones share.
+// reported picks the demand on it from another controller's ping.
+func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, reported func(*messages.Ping) float64) float64 {
+	if c.members == nil { // the write queue is made first, and asks at once
+		return ratelimit.Divide(limit, demand, liveControllers, nil)
+	}
+	peers := c.members.Peers()
+	others := make([]ratelimit.Demand, 0, len(peers))
+	for _, peer := range peers {
+		if !peer.IsUnreachable() {
+			known := peer.HasAnswered() && peer.PingAge() < membership.PingFreshness
+			others = append(others, ratelimit.Demand{Rate: reported(peer.LastPing()), Known: known})
+		}
+	}
+	return ratelimit.Divide(limit, demand, liveControllers, others)
+}
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -98,7 +98,7 @@
 	if startedOutside() {
 		t.Error("started outside while the record lists it on a machine of the zone")
 	}
-	b.handleMachineTerminated(b.state.Machines["m-1"])
+	b.provisioner.ScaleIn.HandleTerminated(b.state.Machines["m-1"])
 	if startedOutside() {
 		t.Error("started outside before the record shows that the machine is gone")
 	}
