--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 import (
 	"time"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 
@@ -17,6 +18,7 @@
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ownership"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/writequeue"
 )
@@ -48,10 +50,8 @@
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	ownershipChecks   []ownershipChecks // by shard
-	progress          []shardProgress   // by shard
-	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
-	ownedShardChanges int               // of the parts held here
+	ownership         *ownership.Manager
+	progress          []shardProgress // by shard
 	jobReads          linearizableJobReads
 	admissions        admissionQueue
 	classStats        map[string]*classStats
@@ -59,8 +59,8 @@
 	schedulingTrigger schedulingTrigger
 
 	// Machines.
-	recordNames       recordNames
-	machineOwners     machineOwners
+	recordNames       *inventory.RecordNames
+	inventory         *inventory.Inventory
 	reconciler        *reconcile.Reconciler
 	provisioner       *provisioning.Provisioner
 	scaleOutScheduled bool // a look for machines before the next regular one
@@ -75,7 +75,7 @@
 		loop:               eventloop.New(),
 		state:              state.New(cfg.Nodes, cfg.Teams),
 		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:      machineOwners{},
+		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
 		ownerQueries:       newOwnerQueries(),
 		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
@@ -85,9 +85,10 @@
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.provisioner = c.newProvisioner()
 	c.reconciler = c.newReconciler()
-	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.loop.After(0, c.startLoops)
 	return c
@@ -154,7 +155,7 @@
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
 	c.members.Start()
-	c.loadShards()
+	c.ownership.Start()
 	c.loadJobs()
 	c.loadAdmissions()
 	c.provisioner.Types.Fetch()
@@ -167,7 +168,7 @@
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
-	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
+	c.loop.Every(eventloop.FixedInterval(second), c.ownership.RenewLeases)
 	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -11,6 +11,7 @@
 	"strings"
 	"testing"
 
+	"stairrelay/internal/ownership"
 	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 
@@ -79,7 +80,7 @@
 		t.Error("a cancelled job's need is lost")
 	}
 	for _, k := range []string{"groups/b1-30-1", "groups/b1-30-2"} {
-		b.applyGroupRecord(messages.KV{Key: k, Value: recs[k], ModRevision: 31}, b.state.Shards[0])
+		b.inventory.ApplyRecord(messages.KV{Key: k, Value: recs[k], ModRevision: 31}, b.state.Shards[0])
 	}
 	m1, m2, m3 := b.state.Machines["m-000001"], b.state.Machines["m-000002"], b.state.Machines["m-000003"]
 	if m1 == nil || m2 == nil || m3 == nil || len(m1.Assignments) != 3 || m1.Address != "10.1.0.232:9000" || !m1.Spot || m1.Zone != "a" || !m2.Booting || !m3.ReleaseConfirmed || len(m3.Assignments) != 1 {
@@ -91,8 +92,8 @@
 	if json.Unmarshal(recs["rentals/r-b1-30-1"], &r) != nil || r != (provisioningRecord{0, "small", "a", true, 3, "b1-12"}) {
 		t.Errorf("rental %+v", r)
 	}
-	var p shardRecord
-	if json.Unmarshal(recs["parts/0"], &p) != nil || !reflect.DeepEqual(p, shardRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}) {
+	var p ownership.ClaimRecord
+	if json.Unmarshal(recs["parts/0"], &p) != nil || !reflect.DeepEqual(p, ownership.ClaimRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}) {
 		t.Errorf("part %+v", p)
 	}
 	var c provisioning.MachineTypesRecord
@@ -123,7 +124,7 @@
 		case strings.HasPrefix(key, "rentals/"):
 			rec = &provisioningRecord{}
 		case strings.HasPrefix(key, "parts/"):
-			rec = &shardRecord{}
+			rec = &ownership.ClaimRecord{}
 		case key == "types":
 			rec = &provisioning.MachineTypesRecord{}
 		case strings.HasPrefix(key, "groups/"):
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -4,8 +4,6 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/provisioning"
-	"stairrelay/internal/state"
-	"stairrelay/internal/writequeue"
 )
 
 // provisioningConfig is what provisioning needs of the settings.
@@ -29,8 +27,8 @@
 	return provisioning.New(c.loop, c.state, c.writeQueue, c.provisioningConfig(), provisioning.Dependencies{
 		Members:   c.members,
 		Scheduler: provisioningScheduler{controller: c},
-		Ownership: provisioningOwnership{controller: c},
-		Records:   provisioningRecords{controller: c},
+		Ownership: c.ownership,
+		Records:   c.inventory,
 		Orphans:   provisioningOrphans{controller: c},
 	})
 }
@@ -41,22 +39,6 @@
 // RequestScheduling implements provisioning.Scheduler.
 func (s provisioningScheduler) RequestScheduling() { s.controller.schedulingTrigger.request() }
 
-// provisioningOwnership tells what may be done as the owner of a shard.
-type provisioningOwnership struct{ controller *Controller }
-
-// CanAnswerWorkers implements provisioning.ShardOwnership.
-func (o provisioningOwnership) CanAnswerWorkers(shard *state.Shard) bool {
-	return o.controller.canAnswerWorkers(shard)
-}
-
-// provisioningRecords writes the records of machines.
-type provisioningRecords struct{ controller *Controller }
-
-// WriteMachine implements provisioning.MachineRecords.
-func (r provisioningRecords) WriteMachine(machine *state.Machine, priority writequeue.Priority) {
-	r.controller.writeMachine(machine, priority)
-}
-
 // provisioningOrphans shows listed machines without a record to the reconciler, which
 // is made after the provisioner.
 type provisioningOrphans struct{ controller *Controller }
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -56,11 +56,10 @@
 		return
 	}
 	if len(p.Quarantined) > 0 {
-		c.repairQuarantined(p)
+		c.inventory.RepairQuarantined(p)
 		return
 	}
-	p.Ready = true
-	c.ownedShardChanges++
+	c.ownership.MarkReady(p)
 	early := p.EarlyJobs
 	p.EarlyJobs = nil
 	for _, kv := range early {
@@ -88,7 +87,7 @@
 		c.applyAdmissionRecord(kv, p)
 	}
 	for _, kv := range l.groups.Items {
-		c.applyGroupRecord(kv, p)
+		c.inventory.ApplyRecord(kv, p)
 	}
 	for _, kv := range l.provisioningRequests.Items {
 		c.applyProvisioningRecord(kv, p)
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -76,7 +76,7 @@
 // Load reads the stored machine types, and uses them if the cloud has not given any.
 func (t *TypeCache) Load() {
 	t.queue.ReadKey(machineTypesKey, func(reply messages.GetReply) {
-		switch reply.Outcome {
+		switch reply.Outcome { //nolint:exhaustive // all others are failures
 		case messages.OK:
 			t.applyStored(reply.KV)
 		case messages.NotFound:
