--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"stairrelay/internal/inventory"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 
@@ -45,15 +46,12 @@
 
 	// The other controllers.
 	members            *membership.Members
-	ownerQueries       ownerQueries
-	jobNotices         jobNotices
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
 	ownership         *ownership.Manager
 	progress          []shardProgress // by shard
-	jobReads          linearizableJobReads
-	admissions        admissionQueue
+	jobs              *jobs.Jobs
 	classStats        map[string]*classStats
 	loadCache         loadCache
 	schedulingTrigger schedulingTrigger
@@ -64,8 +62,6 @@
 	reconciler        *reconcile.Reconciler
 	provisioner       *provisioning.Provisioner
 	scaleOutScheduled bool // a look for machines before the next regular one
-	heldHeartbeats    heldHeartbeats
-	urgentPushes      []*state.Machine // whose commands can't wait for their reports
 }
 
 // New makes a Core. Nothing happens before the first Step.
@@ -74,10 +70,7 @@
 		config:             cfg,
 		loop:               eventloop.New(),
 		state:              state.New(cfg.Nodes, cfg.Teams),
-		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
 		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
-		ownerQueries:       newOwnerQueries(),
-		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
 		processHealth:      &membership.ProcessHealth{},
 		classStats:         map[string]*classStats{},
@@ -86,6 +79,7 @@
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
 	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.jobs = c.newJobs()
 	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.provisioner = c.newProvisioner()
 	c.reconciler = c.newReconciler()
@@ -105,18 +99,18 @@
 	case messages.Tick:
 	case messages.Submit:
 		c.counters.Submissions++
-		c.handleSubmit(e)
+		c.jobs.Submissions.HandleSubmit(e)
 	case messages.Query:
 		c.counters.Queries++
-		c.handleQuery(e)
+		c.jobs.Queries.HandleQuery(e)
 	case messages.Cancel:
 		c.counters.Cancellations++
-		c.handleCancel(e.Request, e.ID, true)
+		c.jobs.Cancellations.HandleCancel(e)
 	case messages.Health:
 		c.handleHealth(e)
 	case messages.Heartbeat:
 		c.counters.Heartbeats++
-		c.handleHeartbeat(e)
+		c.reconciler.Heartbeats.Handle(e)
 	case messages.PeerRequest:
 		c.handlePeerRequest(e)
 	case messages.ProcessLoad:
@@ -141,9 +135,9 @@
 	case scheduleLater:
 		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
 	}
-	c.pushQueuedCommands()
+	c.reconciler.Commands.PushQueued()
 	c.writeQueue.Dispatch()
-	c.answerHeldHeartbeats()
+	c.reconciler.Heartbeats.AnswerReady()
 }
 
 // respondError answers at once that the request can't be taken now.
@@ -156,14 +150,13 @@
 	t := c.config.Tuning
 	c.members.Start()
 	c.ownership.Start()
-	c.loadJobs()
-	c.loadAdmissions()
+	c.jobs.Load()
 	c.provisioner.Types.Fetch()
 	c.provisioner.Types.Load()
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.Rate.MeasureDemand)
-	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
+	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
 	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -24,7 +24,7 @@
 func (c *Controller) inventoryDependencies() inventory.Dependencies {
 	return inventory.Dependencies{
 		Shards:    inventoryShards{Manager: c.ownership, controller: c},
-		Jobs:      inventoryJobs{controller: c},
+		Jobs:      c.jobs.Records,
 		Workers:   inventoryWorkers{controller: c},
 		Scheduler: inventoryScheduler{controller: c},
 		Cloud:     inventoryCloud{controller: c},
@@ -39,29 +39,23 @@
 
 func (a inventoryShards) Load(shard *state.Shard) { a.controller.loadShard(shard) }
 
-// inventoryJobs implements inventory.Jobs.
-type inventoryJobs struct{ controller *Controller }
-
-func (a inventoryJobs) Abandon(job *state.Job) { a.controller.abandonJob(job) }
-
 // inventoryWorkers implements inventory.Workers.
 type inventoryWorkers struct{ controller *Controller }
 
 func (a inventoryWorkers) ConfirmAbsent(machine *state.Machine, assignment *state.Assignment) {
-	a.controller.confirmAbsent(machine, assignment)
+	a.controller.reconciler.ConfirmAbsent(machine, assignment)
 }
 
 func (a inventoryWorkers) QueueCommandPush(machine *state.Machine) {
-	a.controller.queueCommandPush(machine)
+	a.controller.reconciler.Commands.QueuePush(machine)
 }
 
 func (a inventoryWorkers) RecheckHeldHeartbeat(machine *state.Machine) {
-	held := &a.controller.heldHeartbeats
-	held.toCheck = append(held.toCheck, machine)
+	a.controller.reconciler.Heartbeats.Recheck(machine)
 }
 
 func (a inventoryWorkers) RedirectWorker(request messages.RequestID, node cluster.NodeID) {
-	a.controller.redirectWorker(request, node)
+	a.controller.reconciler.Heartbeats.Redirect(request, node)
 }
 
 // inventoryScheduler implements inventory.Scheduler.
@@ -69,7 +63,7 @@
 
 func (a inventoryScheduler) RequestScheduling() { a.controller.schedulingTrigger.request() }
 
-func (a inventoryScheduler) MaintainMachines() { a.controller.maintainMachines() }
+func (a inventoryScheduler) MaintainMachines() { a.controller.reconciler.Maintenance.Run() }
 
 // inventoryCloud implements inventory.Cloud.
 type inventoryCloud struct{ controller *Controller }
