--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -133,7 +133,7 @@
 		}
 		return false
 	}
-	b.createProvisioningRequest(part, state.ProvisioningOption{Type: "small", Zone: "a", Spot: false}, 1)
+	b.provisioner.Requests.Create(part, state.ProvisioningOption{Type: "small", Zone: "a", Spot: false}, 1)
 	for _, effect := range effectsDuring(b, second) {
 		if rent, ok := effect.(messages.CloudScaleOut); ok {
 			b.loop.Deliver(messages.Reply{Call: rent.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}}})
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -89,8 +89,8 @@
 	} else if a := m1.Assignments[cluster.TaskID{Job: "j-000412", Index: 4}]; a == nil || a.Attempt != 30<<20|2 {
 		t.Errorf("task 4 is listed as %+v", a)
 	}
-	var r provisioningRecord
-	if json.Unmarshal(recs["rentals/r-b1-30-1"], &r) != nil || r != (provisioningRecord{0, "small", "a", true, 3, "b1-12"}) {
+	var r provisioning.RequestRecord
+	if json.Unmarshal(recs["rentals/r-b1-30-1"], &r) != nil || r != (provisioning.RequestRecord{Shard: 0, Type: "small", Zone: "a", Spot: true, Count: 3, WriteID: "b1-12"}) {
 		t.Errorf("rental %+v", r)
 	}
 	var p ownership.ClaimRecord
@@ -123,7 +123,7 @@
 		case strings.HasPrefix(key, "accepts/"):
 			rec = &jobs.AdmissionRecord{}
 		case strings.HasPrefix(key, "rentals/"):
-			rec = &provisioningRecord{}
+			rec = &provisioning.RequestRecord{}
 		case strings.HasPrefix(key, "parts/"):
 			rec = &ownership.ClaimRecord{}
 		case key == "types":
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -9,13 +9,14 @@
 // provisioningConfig is what provisioning needs of the settings.
 func (c *Controller) provisioningConfig() provisioning.Config {
 	return provisioning.Config{
-		Self:              c.config.Self,
-		Nodes:             c.config.Nodes,
-		HeartbeatInterval: c.config.HeartbeatInterval,
-		CloudListLag:      c.config.CloudListLag,
-		CloudRPS:          c.config.CloudRPS,
-		BudgetShare:       c.config.Tuning.RateBudgetShare,
-		MaxValueBytes:     c.config.MaxValueBytes,
+		Self:                 c.config.Self,
+		Nodes:                c.config.Nodes,
+		HeartbeatInterval:    c.config.HeartbeatInterval,
+		CloudListLag:         c.config.CloudListLag,
+		CloudRPS:             c.config.CloudRPS,
+		BudgetShare:          c.config.Tuning.RateBudgetShare,
+		OutOfCapacityBackoff: c.config.Tuning.OutOfCapacityBackoff,
+		MaxValueBytes:        c.config.MaxValueBytes,
 		ShareByDemand: func(limit, demand float64) float64 {
 			return c.shareByDemand(limit, demand, c.writeQueue.LiveControllers(), func(ping *messages.Ping) float64 { return ping.CloudDemand })
 		},
@@ -25,11 +26,13 @@
 // newProvisioner connects the provisioner to the other parts.
 func (c *Controller) newProvisioner() *provisioning.Provisioner {
 	return provisioning.New(c.loop, c.state, c.writeQueue, c.provisioningConfig(), provisioning.Dependencies{
-		Members:   c.members,
-		Scheduler: provisioningScheduler{controller: c},
-		Ownership: c.ownership,
-		Records:   c.inventory,
-		Orphans:   provisioningOrphans{controller: c},
+		Members:         c.members,
+		Scheduler:       provisioningScheduler{controller: c},
+		Ownership:       c.ownership,
+		Records:         c.inventory,
+		Names:           c.recordNames,
+		Orphans:         provisioningOrphans{controller: c},
+		RequestScaleOut: c.scheduleScaleOut,
 	})
 }
 
--- a/internal/controller/provisioning_late_write_test.go
+++ b/internal/controller/provisioning_late_write_test.go
@@ -35,7 +35,7 @@
 	}
 	var first *messages.StoreTxn
 	rented := false
-	c.createProvisioningRequest(p, state.ProvisioningOption{Type: "small", Zone: "a", Spot: true}, 2)
+	c.provisioner.Requests.Create(p, state.ProvisioningOption{Type: "small", Zone: "a", Spot: true}, 2)
 	for range 3 {
 		c.writeQueue.Dispatch()
 		out := takeEffects(c)
@@ -68,7 +68,7 @@
 	p := b.state.Shards[0]
 	n := 0
 	b.losesReply = func(messages.StoreTxn) bool { n++; return n == 1 }
-	b.createProvisioningRequest(p, state.ProvisioningOption{Type: "small", Zone: "a", Spot: true}, 2)
+	b.provisioner.Requests.Create(p, state.ProvisioningOption{Type: "small", Zone: "a", Spot: true}, 2)
 	var rent *messages.CloudScaleOut
 	for range 100 {
 		b.loop.RunTimers()
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -1,49 +1,15 @@
 package controller
 
 import (
-	"encoding/json"
 	"maps"
 	"slices"
 	"sort"
-	"strings"
 
-	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/eventloop"
-	"stairrelay/internal/messages"
-	"stairrelay/internal/writequeue"
-
-	"stairrelay/internal/grouprecord"
 )
 
-type provisioningRecord struct {
-	Shard   cluster.ShardID `json:"p"`
-	Type    string          `json:"f"`
-	Zone    string          `json:"y"`
-	Spot    bool            `json:"s,omitempty"`
-	Count   int             `json:"n"`
-	WriteID string          `json:"w"`
-}
-
-func provisioningKey(name string) string { return "rentals/" + name }
-
-func (c *Controller) applyProvisioningRecord(kv messages.KV, p *state.Shard) {
-	var rec provisioningRecord
-	if json.Unmarshal(kv.Value, &rec) != nil {
-		c.ownership.GiveUpCorrupt(p, kv.Key, "rental record")
-		return
-	}
-	if rec.Shard != p.ID {
-		return
-	}
-	name := strings.TrimPrefix(kv.Key, "rentals/")
-	r := &state.ProvisioningRequest{Name: name, Option: state.ProvisioningOption{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, Count: rec.Count, ModRevision: kv.ModRevision}
-	p.ProvisioningRequests[name] = r
-	c.callScaleOut(p, r)
-}
-
 // pendingWork is what a part's waiting tasks need beyond what it has.
 type pendingWork struct {
 	job      *state.Job
@@ -149,11 +115,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.ProvisioningRequests)) {
 		r := p.ProvisioningRequests[name]
-		n := r.Count
-		if r.Answered {
-			n = r.GrantedCount
-		}
-		for range n {
+		for range r.ExpectedMachines() {
 			c.packWork(work, c.state.MachineTypes[r.Option.Type].Capacity, func(j *state.Job) bool { return c.isOptionAllowed(j, r.Option) })
 		}
 	}
@@ -187,12 +149,7 @@
 
 // requestMachines asks the cloud, cheapest per task first.
 func (c *Controller) requestMachines(p *state.Shard, work []pendingWork) {
-	flying := 0
-	for _, r := range p.ProvisioningRequests {
-		if !r.Answered {
-			flying++
-		}
-	}
+	flying := p.UnansweredRequests()
 	for flying < 4 {
 		var first *state.Job
 		for _, w := range work {
@@ -231,7 +188,7 @@
 			return
 		}
 		flying++
-		c.createProvisioningRequest(p, o, n)
+		c.provisioner.Requests.Create(p, o, n)
 	}
 }
 
@@ -272,7 +229,7 @@
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				o := state.ProvisioningOption{Type: name, Zone: z, Spot: spot}
-				if !c.isOptionAllowed(j, o) || c.loop.Now() < p.OutOfCapacityUntil[o] {
+				if !c.isOptionAllowed(j, o) || p.IsBackedOff(o, c.loop.Now()) {
 					continue
 				}
 				l = append(l, priced{o, t.HourlyPrice(spot) / float64(tasksPerMachine(t.Capacity, j.Spec.ResourceRequest))})
@@ -290,138 +247,3 @@
 // tasksPerMachine counts how many tasks of a need an empty machine takes; at least
 // one, as it divides prices.
 func tasksPerMachine(room, need cluster.Resources) int { return max(room.FitCount(need), 1) }
-
-// maxCapacityBackoffDoublings bounds how often the pause after a refusal doubles: each request
-// costs two puts, a whole second's worth where the write rate is low.
-const maxCapacityBackoffDoublings = 2
-
-func (c *Controller) createProvisioningRequest(p *state.Shard, o state.ProvisioningOption, n int) {
-	r := &state.ProvisioningRequest{Name: c.recordNames.NextProvisioningRequest(p), Option: o, Count: n, GroupID: c.recordNames.NextGroup(p)}
-	p.ProvisioningRequests[r.Name] = r
-	x := &writequeue.Write{
-		ShardID: p.ID, Keys: []string{provisioningKey(r.Name)},
-		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
-			v, _ := json.Marshal(provisioningRecord{p.ID, o.Type, o.Zone, o.Spot, n, nonce})
-			return []messages.TxnOp{{Key: provisioningKey(r.Name), Value: v}}, []cluster.ModRevision{0}
-		},
-		// Once it is settled its key is absent again, and a late copy of this would
-		// bring it back; a successor would then record its machines a second time.
-		// The key of its machines' group stays until the next claim fences the copy.
-		ExtraCompares: []messages.Compare{{Key: "groups/" + r.GroupID, ModRevision: 0}},
-		OnConflict:    func() { c.ownership.HandleForeignWrite(p, provisioningKey(r.Name), "name in use") },
-	}
-	x.OnApplied = func(e cluster.Revision) {
-		r.ModRevision, r.CreateInDoubt = cluster.ModRevision(e), x.InDoubt
-		c.callScaleOut(p, r)
-	}
-	c.writeQueue.Enqueue(writequeue.ScaleOut, x)
-}
-
-func (c *Controller) isProvisioningCurrent(p *state.Shard, r *state.ProvisioningRequest) bool {
-	return p.Owned && p.ProvisioningRequests[r.Name] == r
-}
-
-func (c *Controller) callScaleOut(p *state.Shard, r *state.ProvisioningRequest) {
-	if !c.isProvisioningCurrent(p, r) || r.Answered {
-		return
-	}
-	if r.Attempts++; r.Attempts > 1 { // the first was counted when it was decided
-		c.provisioner.Rate.ForceCall()
-	}
-	c.loop.Emit(messages.CloudScaleOut{Name: r.Name, Type: r.Option.Type, Zone: r.Option.Zone, Spot: r.Option.Spot, Count: r.Count, Call: eventloop.Call(c.loop, func(a messages.ScaleOutReply) {
-		if !c.isProvisioningCurrent(p, r) {
-			return
-		}
-		switch a.Outcome {
-		case messages.OK:
-			c.loop.Log(messages.LogDebug, "rented", "part", int(p.ID), "type", r.Option.Type, "zone", r.Option.Zone, "spot", r.Option.Spot, "asked", r.Count, "got", len(a.IDs))
-			if len(a.IDs) < r.Count {
-				p.OutOfCapacityUntil[r.Option] = c.loop.Now() + c.config.Tuning.OutOfCapacityBackoff
-			}
-			delete(p.OutOfCapacityCount, r.Option)
-			r.Answered, r.GrantedCount = true, len(a.IDs)
-			c.completeProvisioning(p, r, a.IDs)
-			c.scheduleScaleOut()
-		case messages.NotFound:
-			p.OutOfCapacityUntil[r.Option] = c.loop.Now() + c.config.Tuning.OutOfCapacityBackoff<<p.OutOfCapacityCount[r.Option]
-			p.OutOfCapacityCount[r.Option] = min(p.OutOfCapacityCount[r.Option]+1, maxCapacityBackoffDoublings)
-			r.Answered = true
-			c.completeProvisioning(p, r, nil)
-			c.scheduleScaleOut()
-		case messages.Invalid:
-			p.OutOfCapacityUntil[r.Option] = c.loop.Now() + 300*second
-			r.Answered = true
-			c.completeProvisioning(p, r, nil)
-		case messages.Throttled:
-			c.provisioner.Rate.HandleThrottled()
-			c.loop.After(second/2, func() { c.callScaleOut(p, r) })
-		default:
-			c.loop.After(3*second, func() { c.callScaleOut(p, r) })
-		}
-	})})
-}
-
-// completeProvisioning records the machines and forgets the request in one
-// transaction, so that no crash between the two can lose a machine.
-func (c *Controller) completeProvisioning(p *state.Shard, r *state.ProvisioningRequest, ids []cluster.MachineID) {
-	claim := p.ClaimRevision
-	id := r.GroupID
-	if id == "" { // of an earlier claim, whose copies this one has fenced
-		id = c.recordNames.NextGroup(p)
-	}
-	kind := grouprecord.Kind{Type: r.Option.Type, Zone: r.Option.Zone, Spot: r.Option.Spot}
-	ms := make([]grouprecord.Machine, 0, len(ids))
-	for _, m := range ids {
-		ms = append(ms, grouprecord.Machine{ID: m, Kind: kind, Booting: true})
-	}
-	group := &inventory.NewGroup{ID: id, Shard: p, Machines: ms}
-	keys, prio := []string{provisioningKey(r.Name)}, writequeue.Background
-	// A refused one gets no machines, but where a copy of its creation may come
-	// late its group's key has to be there all the same, with nothing listed.
-	made := len(ids) > 0 || r.CreateInDoubt
-	if made {
-		keys = append(keys, state.GroupKey(id))
-	}
-	if len(ids) > 0 {
-		prio = writequeue.ScaleOut
-	}
-	c.writeQueue.Enqueue(prio, &writequeue.Write{
-		ShardID: p.ID, Keys: keys,
-		Build: func(nonce string) ([]messages.TxnOp, []cluster.ModRevision) {
-			ops, marks := []messages.TxnOp{{Key: provisioningKey(r.Name), Value: nil}}, []cluster.ModRevision{r.ModRevision}
-			if made {
-				operation, modRevision := group.Operation(nonce)
-				ops, marks = append(ops, operation), append(marks, modRevision)
-			}
-			return ops, marks
-		},
-		OnApplied: func(e cluster.Revision) {
-			if !p.Owned || p.ClaimRevision != claim {
-				return
-			}
-			delete(p.ProvisioningRequests, r.Name)
-			if len(ms) > 0 {
-				c.inventory.AddNewGroup(group, e)
-			}
-		},
-		OnConflict: func() {
-			// Where only the request is dropped no nonce tells whether an earlier
-			// sending was carried out; that the key is gone does.
-			c.writeQueue.ReadKey(provisioningKey(r.Name), func(g messages.GetReply) {
-				switch {
-				case !p.Owned || p.ClaimRevision != claim:
-				case g.Outcome == messages.NotFound && len(ms) == 0:
-					delete(p.ProvisioningRequests, r.Name)
-				case g.Outcome == messages.OK || g.Outcome == messages.NotFound:
-					c.ownership.HandleForeignWrite(p, provisioningKey(r.Name), "settled by another writer")
-				default:
-					c.loop.After(second, func() {
-						if c.isProvisioningCurrent(p, r) {
-							c.completeProvisioning(p, r, ids)
-						}
-					})
-				}
-			})
-		},
-	})
-}
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -4,6 +4,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/jobs"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 )
 
@@ -28,7 +29,7 @@
 func (c *Controller) loadShard(shard *state.Shard) {
 	load := &shardLoad{controller: c, shard: shard, claimRevision: shard.ClaimRevision}
 	load.read("groups/", &load.groups)
-	load.read("rentals/", &load.provisioningRequests)
+	load.read(provisioning.RequestKeyPrefix, &load.provisioningRequests)
 	// The admissions before the jobs: what is admitted in between comes by the watch.
 	load.read(jobs.AdmissionKeyPrefix, &load.admissions)
 	load.read(state.JobKeyPrefix, &load.jobs)
@@ -96,7 +97,7 @@
 		c.inventory.ApplyRecord(kv, shard)
 	}
 	for _, kv := range l.provisioningRequests.Items {
-		c.applyProvisioningRecord(kv, shard)
+		c.provisioner.Requests.ApplyRecord(kv, shard)
 	}
 }
 
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -5,6 +5,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/ratelimit"
 	"stairrelay/internal/state"
@@ -28,7 +29,10 @@
 func (h *testHost) HandleListed(m cluster.ListedMachine) {
 	h.listedOrphans = append(h.listedOrphans, m)
 }
-func (h *testHost) ForgetUnlisted(map[cluster.MachineID]bool) {}
+func (h *testHost) ForgetUnlisted(map[cluster.MachineID]bool)         {}
+func (h *testHost) HandleForeignWrite(*state.Shard, string, string)   {}
+func (h *testHost) GiveUpCorrupt(*state.Shard, string, string)        {}
+func (h *testHost) AddNewGroup(*inventory.NewGroup, cluster.Revision) {}
 
 func (h *testHost) WriteMachine(machine *state.Machine, _ writequeue.Priority) {
 	h.written = append(h.written, machine)
@@ -72,7 +76,7 @@
 			return shareAmongUnknown(limit, demand, testControllers)
 		},
 	}
-	deps := Dependencies{Members: h.host, Scheduler: h.host, Ownership: h.host, Records: h.host, Orphans: h.host}
+	deps := Dependencies{Members: h.host, Scheduler: h.host, Ownership: h.host, Records: h.host, Names: inventory.NewRecordNames("b0"), Orphans: h.host, RequestScaleOut: func() {}}
 	h.Provisioner = New(h.loop, h.state, queue, config, deps)
 	return h
 }
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -12,6 +12,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
@@ -37,6 +38,9 @@
 	CloudListLag cluster.Time
 	// MaxValueBytes is how long a stored value may be.
 	MaxValueBytes int
+	// OutOfCapacityBackoff is how long an option is not requested after the cloud had
+	// no machines of it for the first time.
+	OutOfCapacityBackoff cluster.Time
 	// ShareByDemand returns this controller's part of a limit on requests a second
 	// that all live controllers share, given what it could use itself.
 	ShareByDemand func(limit, demand float64) float64
@@ -55,16 +59,29 @@
 	RequestScheduling()
 }
 
-// ShardOwnership tells what may be done as the owner of a shard.
+// ShardOwnership is what provisioning needs of the ownership of shards.
 type ShardOwnership interface {
 	// CanAnswerWorkers tells whether this controller may answer the shard's workers.
 	CanAnswerWorkers(*state.Shard) bool
+	// HandleForeignWrite is called when a record of an owned shard was changed by
+	// another writer than its owner.
+	HandleForeignWrite(shard *state.Shard, key, reason string)
+	// GiveUpCorrupt gives up a shard with a record that makes no sense.
+	GiveUpCorrupt(shard *state.Shard, key, reason string)
 }
 
 // MachineRecords writes the records of machines.
 type MachineRecords interface {
 	// WriteMachine has the record that lists a machine written.
 	WriteMachine(*state.Machine, writequeue.Priority)
+	// AddNewGroup is called when the first record of a group was stored.
+	AddNewGroup(*inventory.NewGroup, cluster.Revision)
+}
+
+// RecordNames gives names to new records, each of them once.
+type RecordNames interface {
+	NextProvisioningRequest(*state.Shard) string
+	NextGroup(*state.Shard) string
 }
 
 // Dependencies are the other parts of the controller that provisioning uses.
@@ -73,7 +90,11 @@
 	Scheduler Scheduler
 	Ownership ShardOwnership
 	Records   MachineRecords
+	Names     RecordNames
 	Orphans   Orphans
+
+	// RequestScaleOut has machines requested before the next regular time.
+	RequestScaleOut func()
 }
 
 // Provisioner requests machines and gives them back. It sets no timers before its
@@ -89,6 +110,8 @@
 	List *MachineList
 	// ScaleIn gives machines back.
 	ScaleIn *ScaleIn
+	// Requests carries out provisioning requests.
+	Requests *Requests
 }
 
 // shared is what the parts of a Provisioner use.
@@ -107,5 +130,6 @@
 	p.Types = &TypeCache{shared: base, rate: p.Rate}
 	p.ScaleIn = &ScaleIn{shared: base, rate: p.Rate}
 	p.List = newMachineList(base, p.Rate, p.ScaleIn)
+	p.Requests = &Requests{shared: base, rate: p.Rate, handleAnswer: deps.RequestScaleOut}
 	return p
 }
