--- a/internal/jobs/admissionrecords.go
+++ b/internal/jobs/admissionrecords.go
@@ -41,8 +41,8 @@
 	}
 	a.recordWriter(kv)
 	var record AdmissionRecord
-	if json.Unmarshal(kv.Value, &record) != nil {
-		a.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
+	if err := json.Unmarshal(kv.Value, &record); err != nil {
+		a.loop.Log(messages.LogError, "unreadable record", "key", kv.Key, "error", err.Error())
 		return
 	}
 	for i := range record.Jobs {
--- a/internal/jobs/checkpoints.go
+++ b/internal/jobs/checkpoints.go
@@ -76,17 +76,17 @@
 func (r *Records) logEnd(job *state.Job, final cluster.JobStatus) {
 	spec := &job.Spec
 	secondsSinceArrival := func(at cluster.Time) int { return int((at - job.ArrivedAt) / second) }
-	r.loop.Log(messages.LogDebug, "job over",
+	r.loop.Log(messages.LogDebug, "job ended",
 		"job", string(spec.ID),
 		"status", string(final),
 		"class", spec.Class,
 		"team", spec.Team,
 		"tasks", spec.Tasks,
-		"first_run_s", secondsSinceArrival(job.FirstRunAt),
-		"all_run_s", secondsSinceArrival(job.LastRunAt),
+		"first_start_s", secondsSinceArrival(job.FirstRunAt),
+		"last_start_s", secondsSinceArrival(job.LastRunAt),
 		"took_s", secondsSinceArrival(r.loop.Now()),
-		"run_s", int(spec.RuntimeSeconds),
-		"due_s", int(spec.DeadlineSeconds),
+		"estimated_run_s", int(spec.RuntimeSeconds),
+		"deadline_s", int(spec.DeadlineSeconds),
 		"cpu", float64(spec.ResourceRequest.CPU)/cluster.AmountsPerUnit,
 		"guaranteed", job.InitiallyGuaranteed)
 }
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -142,7 +142,7 @@
 		return
 	}
 	job.ReadySince = g.loop.WallTime()
-	g.loop.Log(messages.LogDebug, "job released", "job", string(job.Spec.ID), "awaited", len(known.Dependencies))
+	g.loop.Log(messages.LogDebug, "job ready", "job", string(job.Spec.ID), "dependencies", len(known.Dependencies))
 	g.state.Shards[job.ShardID].QueueOrder = nil
 	g.Scheduler.RequestScheduling()
 	g.Scheduler.RequestScaleOut()
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -129,8 +129,8 @@
 }
 
 // New makes the parts and connects them. Nothing is known of any job yet.
-func New(loop *eventloop.Loop, known *state.State, queue *writequeue.Queue, config Config, collaborators Collaborators) *Jobs {
-	common := &shared{Collaborators: collaborators, loop: loop, state: known, writeQueue: queue, config: config}
+func New(loop *eventloop.Loop, shards *state.State, queue *writequeue.Queue, config Config, collaborators Collaborators) *Jobs {
+	common := &shared{Collaborators: collaborators, loop: loop, state: shards, writeQueue: queue, config: config}
 	sender := newNotices(common)
 	records := newRecords(common, sender)
 	admissionRecords := newAdmissionRecords(common, records)
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -32,12 +32,11 @@
 func (q *Queries) HandleQuery(query messages.Query) {
 	q.lookUp(query.ID, func(status messages.ReplyStatus, view cluster.JobView) {
 		response := messages.Respond{Request: query.Request, Status: status}
-		switch status {
+		switch status { //nolint:exhaustive // any other status says all by itself
 		case messages.ReplyOK:
 			response.View = &view
 		case messages.ReplyUnavailable:
 			response.RetryAfter = shortRetryAfterSeconds
-		default: // there is no such job
 		}
 		q.loop.Emit(response)
 	})
@@ -91,7 +90,7 @@
 		return
 	}
 	q.writeQueue.ReadKey(state.JobKey(id), func(reply messages.GetReply) {
-		switch reply.Outcome {
+		switch reply.Outcome { //nolint:exhaustive // any other outcome is a failure
 		case messages.OK:
 			q.records.Apply(reply.KV, nil)
 			q.answerFromRecord(id, reply.KV, handle)
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -35,14 +35,14 @@
 		return
 	}
 	var record Record
-	if json.Unmarshal(kv.Value, &record) != nil {
-		r.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
+	if err := json.Unmarshal(kv.Value, &record); err != nil {
+		r.loop.Log(messages.LogError, "unreadable record", "key", kv.Key, "error", err.Error())
 		return
 	}
 	teamName, tasks := record.teamAndTasks()
 	team := r.state.Teams[teamName]
 	if team == nil || tasks < 1 {
-		r.loop.Log(messages.LogError, "job record of no known team", "key", kv.Key)
+		r.loop.Log(messages.LogError, "job record names no known team", "key", kv.Key)
 		return
 	}
 	id := cluster.JobID(strings.TrimPrefix(kv.Key, state.JobKeyPrefix))
@@ -102,7 +102,7 @@
 	}
 	// A task that is started again after it was done ends at once, so it is safe
 	// to take all of them as not done.
-	r.logImpossibleRecord(kv.Key)
+	r.logCorruptOutcomes(kv.Key)
 	return state.NewJob(*record.Spec, shard, kv.ModRevision, r.loop.Now())
 }
 
@@ -113,7 +113,7 @@
 		if !r.state.Jobs.Owns(job) {
 			return
 		}
-		switch reply.Outcome {
+		switch reply.Outcome { //nolint:exhaustive // any other outcome is a failure, after which the read is repeated
 		case messages.OK:
 			r.applyChunk(job, chunk, reply.KV)
 		case messages.NotFound: // no outcome of it was stored yet
@@ -134,13 +134,13 @@
 func (r *Records) applyChunk(job *state.Job, chunk int, kv messages.KV) {
 	var record Record
 	if json.Unmarshal(kv.Value, &record) != nil || !job.RestoreCompleted(chunk, record.CompletedIndexes) {
-		r.logImpossibleRecord(kv.Key)
+		r.logCorruptOutcomes(kv.Key)
 	}
 	job.ModRevisions[chunk] = kv.ModRevision
 }
 
-func (r *Records) logImpossibleRecord(key string) {
-	r.loop.Log(messages.LogInfo, "impossible record", "key", key, "why", "done ranges")
+func (r *Records) logCorruptOutcomes(key string) {
+	r.loop.Log(messages.LogInfo, "corrupt record of completed tasks", "key", key)
 }
 
 // writeEndIfComplete stores the end of a job all of whose tasks were done when its
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -24,7 +24,7 @@
 	id := request.Spec.ID
 	answer := func(response messages.Respond) {
 		if response.View == nil {
-			s.loop.Log(messages.LogDebug, "submission refused", "job", string(id), "status", response.Status, "why", response.Error)
+			s.loop.Log(messages.LogDebug, "submission refused", "job", string(id), "status", response.Status, "reason", response.Error)
 		}
 		response.Request = request.Request
 		s.loop.Emit(response)
@@ -146,7 +146,7 @@
 // accepted id never gets 400 or 422 later, whatever the retry says.
 func (s *submission) refuseInvalid() {
 	s.submissions.queries.lookUpInStore(s.spec.ID, func(status messages.ReplyStatus, view cluster.JobView) {
-		switch status {
+		switch status { //nolint:exhaustive // any other status means that the state service did not answer
 		case messages.ReplyOK:
 			s.answer(messages.Respond{Status: messages.ReplyOK, View: &view})
 		case messages.ReplyJobNotFound:
@@ -160,7 +160,7 @@
 // checkDependencies looks up the jobs that the job depends on and goes on.
 func (s *submission) checkDependencies() {
 	s.submissions.checkDependencies(&s.spec, func(status messages.ReplyStatus) {
-		switch status {
+		switch status { //nolint:exhaustive // dependencyStatus gives these and ReplyUnavailable
 		case messages.ReplyNone:
 			s.evaluate(true)
 		case messages.ReplyUnschedulable: // unless its id was accepted before
@@ -203,7 +203,7 @@
 
 // dependencyStatus is what the look-up of a dependency means for the submission.
 func dependencyStatus(lookedUp messages.ReplyStatus) messages.ReplyStatus {
-	switch lookedUp {
+	switch lookedUp { //nolint:exhaustive // any other status means that the state service did not answer
 	case messages.ReplyOK:
 		return messages.ReplyNone
 	case messages.ReplyJobNotFound:
--- a/internal/state/jobregistry.go
+++ b/internal/state/jobregistry.go
@@ -8,31 +8,41 @@
 
 // JobRegistry is what this controller knows of all jobs.
 //
-// Every held job is known. A final state once known never changes, and a known
+// Every owned job is known. A final status once known never changes, and a known
 // job is never forgotten. A job is among another's dependents exactly once, and
 // only if its record names that one.
 type JobRegistry struct {
-	Known           map[cluster.JobID]*KnownJob
-	Owned           map[cluster.JobID]*Job            // of parts held here, until nothing of them is on a machine
-	Dependents      map[cluster.JobID][]cluster.JobID // jobs that await a job
-	AppliedRevision cluster.Revision                  // what was stored until then is known; 0: nothing was read yet
+	// Known are all jobs of which anything was heard, whoever owns their shards.
+	Known map[cluster.JobID]*KnownJob
+	// Owned are the jobs of the owned shards, until no machine lists a task of them.
+	Owned map[cluster.JobID]*Job
+	// Dependents are the jobs whose records name a job as a dependency.
+	Dependents map[cluster.JobID][]cluster.JobID
+	// AppliedRevision is up to which revision of the state service the jobs' own
+	// records are known; 0: nothing was read yet.
+	AppliedRevision cluster.Revision
 }
 
-// KnownJob is what is known of a job, whoever holds its part.
+// KnownJob is what is known of a job, whoever owns its shard.
 type KnownJob struct {
-	ShardID           cluster.ShardID
-	FinalStatus       cluster.JobStatus // or "" while it is unfinished
-	FinalSince        cluster.Time      // since when this process has known of its final state; longAgo: since it began
-	FinalRecorded     bool              // its own record says so; else it follows from that of a job that it needs
-	Tasks             int
-	Team              string
-	ResourceRequest   cluster.Resources // of a cancelled job
-	Spec              *cluster.JobSpec  // while it is unfinished, and its record was seen
-	Dependencies      []cluster.JobID
-	EffectivePriority cluster.Priority // its own, or that of one that needs it
-	EffectiveDeadline float64          // when it has to be done for itself and all that need it, as time of day; 0: any time
+	ShardID         cluster.ShardID
+	FinalStatus     cluster.JobStatus // or "" while it is unfinished
+	FinalSince      cluster.Time      // since when this process has known its final status; DistantPast: since it began
+	FinalRecorded   bool              // its own record says so; else it follows from that of a dependency
+	Tasks           int
+	Team            string
+	ResourceRequest cluster.Resources // of a cancelled job
+	Spec            *cluster.JobSpec  // while it is unfinished, and its record was seen
+	Dependencies    []cluster.JobID
+
+	// EffectivePriority and EffectiveDeadline are the most urgent of its own and of
+	// those of all its dependents. The deadline is in milliseconds of the time of
+	// day; 0: there is none.
+	EffectivePriority cluster.Priority
+	EffectiveDeadline float64
 }
 
+// NewJobRegistry makes a registry that knows no job.
 func NewJobRegistry() JobRegistry {
 	return JobRegistry{
 		Known:      map[cluster.JobID]*KnownJob{},
@@ -42,20 +52,20 @@
 }
 
 // Register returns what is known of a job, and registers it when it is new.
-func (r *JobRegistry) Register(id cluster.JobID, part cluster.ShardID, team string, tasks int) *KnownJob {
-	k := r.Known[id]
-	if k == nil {
-		k = &KnownJob{ShardID: part, Tasks: tasks, Team: team}
-		r.Known[id] = k
+func (r *JobRegistry) Register(id cluster.JobID, shard cluster.ShardID, team string, tasks int) *KnownJob {
+	known := r.Known[id]
+	if known == nil {
+		known = &KnownJob{ShardID: shard, Tasks: tasks, Team: team}
+		r.Known[id] = known
 	}
-	return k
+	return known
 }
 
 // DistantPast is before any time that this process has seen.
 const DistantPast = -cluster.Time(1) << 62
 
 // ObservedAt is since when a state that is learnt now counts as known. What the
-// first reading shows was stored before this process began, perhaps long before.
+// first read shows was stored before this process began, perhaps long before.
 func (r *JobRegistry) ObservedAt(now cluster.Time) cluster.Time {
 	if r.AppliedRevision == 0 {
 		return DistantPast
@@ -63,50 +73,51 @@
 	return now
 }
 
-// FinalJob returns what is known of a job in a final state, or nil.
+// FinalJob returns what is known of a job in a final status, or nil.
 func (r *JobRegistry) FinalJob(id cluster.JobID) *KnownJob {
-	if k := r.Known[id]; k != nil && k.FinalStatus != "" {
-		return k
+	if known := r.Known[id]; known != nil && known.FinalStatus != "" {
+		return known
 	}
 	return nil
 }
 
-// Owns tells whether a job is still the one held under its id.
-func (r *JobRegistry) Owns(j *Job) bool { return r.Owned[j.Spec.ID] == j }
+// Owns tells whether a job is still the one that is served under its id: its shard may
+// have been lost, and acquired again, since the job was read.
+func (r *JobRegistry) Owns(job *Job) bool { return r.Owned[job.Spec.ID] == job }
 
-// AddDependent notes that a job awaits another.
-func (r *JobRegistry) AddDependent(awaited, id cluster.JobID) {
-	if !slices.Contains(r.Dependents[awaited], id) {
-		r.Dependents[awaited] = append(r.Dependents[awaited], id)
+// AddDependent notes that a job depends on another.
+func (r *JobRegistry) AddDependent(dependency, id cluster.JobID) {
+	if !slices.Contains(r.Dependents[dependency], id) {
+		r.Dependents[dependency] = append(r.Dependents[dependency], id)
 	}
 }
 
-// UnmetDependencies tells which of the jobs that a job names are not known to be done.
-func (r *JobRegistry) UnmetDependencies(k *KnownJob) []cluster.JobID {
-	var open []cluster.JobID
-	for _, id := range k.Dependencies {
-		if a := r.Known[id]; a == nil || a.FinalStatus != cluster.JobDone {
-			open = append(open, id)
+// UnmetDependencies tells which of a job's dependencies are not known to be done.
+func (r *JobRegistry) UnmetDependencies(known *KnownJob) []cluster.JobID {
+	var unmet []cluster.JobID
+	for _, id := range known.Dependencies {
+		if dependency := r.Known[id]; dependency == nil || dependency.FinalStatus != cluster.JobDone {
+			unmet = append(unmet, id)
 		}
 	}
-	return open
+	return unmet
 }
 
 // IsBlocked tells whether a job is known to wait for others.
 func (r *JobRegistry) IsBlocked(id cluster.JobID) bool {
-	k := r.Known[id]
-	return k != nil && k.FinalStatus == "" && len(r.UnmetDependencies(k)) > 0
+	known := r.Known[id]
+	return known != nil && known.FinalStatus == "" && len(r.UnmetDependencies(known)) > 0
 }
 
-// InheritUrgency notes a priority and the time by which a job has to be done; false:
-// nothing is more urgent than before.
-func (k *KnownJob) InheritUrgency(prio cluster.Priority, by float64) bool {
-	more := false
-	if prio > k.EffectivePriority {
-		k.EffectivePriority, more = prio, true
+// InheritUrgency takes over a priority and the time by which the job has to be done;
+// false: nothing is more urgent than before.
+func (k *KnownJob) InheritUrgency(priority cluster.Priority, deadline float64) bool {
+	changed := false
+	if priority > k.EffectivePriority {
+		k.EffectivePriority, changed = priority, true
 	}
-	if by > 0 && (k.EffectiveDeadline == 0 || by < k.EffectiveDeadline) {
-		k.EffectiveDeadline, more = by, true
+	if deadline > 0 && (k.EffectiveDeadline == 0 || deadline < k.EffectiveDeadline) {
+		k.EffectiveDeadline, changed = deadline, true
 	}
-	return more
+	return changed
 }
