--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -292,7 +292,7 @@
 	m := newIdleCluster(t, 3)
 	released := map[string]cluster.Time{}
 	m.Log = func(s string) {
-		if _, id, ok := strings.Cut(s, "job released [job "); ok {
+		if _, id, ok := strings.Cut(s, "job ready [job "); ok {
 			released[strings.Fields(id)[0]] = m.Now
 		}
 	}
