--- a/internal/controller/groupcleanup.go
+++ b/internal/controller/groupcleanup.go
@@ -4,30 +4,35 @@
 	"maps"
 	"slices"
 
+	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
 
-// cleanUpGroups clears what records list though it is over, and keeps the
-// records' sizes in hand.
+// cleanUpGroups has the records written that list tasks which are proven absent, and
+// keeps the records' sizes within bounds.
 func (c *Controller) cleanUpGroups() {
 	for _, id := range slices.Sorted(maps.Keys(c.state.Groups)) {
-		g := c.state.Groups[id]
-		if g.WritePending {
-			continue
+		group := c.state.Groups[id]
+		if !group.WritePending && listsAbsentTask(group) {
+			c.inventory.WriteGroup(group, writequeue.Background)
 		}
-	machines:
-		for _, m := range g.SortedMachines() {
-			for _, a := range m.Assignments {
-				if a.ConfirmedAbsent {
-					c.inventory.WriteGroup(g, writequeue.Background)
-					break machines
-				}
-			}
+	}
+	for _, shard := range c.state.Shards {
+		if shard.Owned && shard.Ready {
+			c.inventory.SplitAndMerge(shard)
 		}
 	}
-	for _, p := range c.state.Shards {
-		if p.Owned && p.Ready {
-			c.inventory.SplitAndMerge(p)
+}
+
+// listsAbsentTask tells whether a task that a group's record lists is proven not to be on
+// its machine.
+func listsAbsentTask(group *state.MachineGroup) bool {
+	for _, machine := range group.Machines {
+		for _, assignment := range machine.Assignments {
+			if assignment.ConfirmedAbsent {
+				return true
+			}
 		}
 	}
+	return false
 }
--- a/internal/controller/surplus.go
+++ b/internal/controller/surplus.go
@@ -6,26 +6,26 @@
 	"stairrelay/internal/state"
 )
 
-// surplusPredicate returns a function that tells whether an idle machine is of no use
-// to any part. Another part with too few machines is better offered it than
-// left to rent one. What all machines share is worked out at most once.
+// surplusPredicate returns a function that tells whether an idle machine is of no use to
+// any shard. A machine is better offered to another shard with too few machines than
+// released while that one scales out. What all machines share is worked out at most once.
 func (c *Controller) surplusPredicate() func(*state.Machine) bool {
 	var loads fairshare.Snapshot
-	work := map[cluster.ShardID][]pendingWork{}
-	return func(m *state.Machine) bool {
+	workByShard := map[cluster.ShardID][]pendingWork{}
+	return func(machine *state.Machine) bool {
 		if loads == nil {
 			loads = c.allShardLoads()
 		}
-		if loads.OthersHaveShortfall(m.ShardID) {
+		if loads.OthersHaveShortfall(machine.ShardID) {
 			return false
 		}
-		w, ok := work[m.ShardID]
+		pending, ok := workByShard[machine.ShardID]
 		if !ok {
-			w = c.listPendingWork(c.state.Shards[m.ShardID])
-			work[m.ShardID] = w
+			pending = c.listPendingWork(c.state.Shards[machine.ShardID])
+			workByShard[machine.ShardID] = pending
 		}
-		for _, x := range w {
-			if c.isAllowedOn(x.job, m) {
+		for i := range pending {
+			if c.isAllowedOn(pending[i].job, machine) {
 				return false
 			}
 		}
--- a/internal/reconcile/absence.go
+++ b/internal/reconcile/absence.go
@@ -46,9 +46,11 @@
 }
 
 // provesStartLost tells whether a dispatched start that the status does not show was
-// lost for good. A start that went with an answer is lost if the worker has had that
-// answer; a pushed one if its push was answered. Taking it for lost any earlier would
-// start the task a second time while the first start is still on its way.
+// lost for good. A start that went with an answer is lost if a later heartbeat does not
+// show it, as the worker sends that only when it waits for the answer no more; the status
+// that answers a push says nothing about it. A pushed start is lost if its push was
+// answered. Taking a start for lost any earlier would run the task a second time while
+// the first start is still on its way.
 func (e absenceEvidence) provesStartLost(machine *state.Machine, assignment *state.Assignment) bool {
 	if e.newIncarnation {
 		return true
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -46,8 +46,8 @@
 	return append(commands, starts...)
 }
 
-// mayStartOn tells whether starts may be sent to a machine now. While one is in doubt
-// none is: it may arrive after a stop of the same task.
+// mayStartOn tells whether starts may be sent to a machine now. While one is in doubt the
+// machine gets no new work: what is sent to it may not reach it.
 func (c *Commands) mayStartOn(machine *state.Machine) bool {
 	if machine.StartInDoubt || machine.Releasing || c.loop.Now() < machine.NoStartsBefore {
 		return false
@@ -56,7 +56,7 @@
 }
 
 // isStopDue tells whether a task's stop is to be sent now. A task that is saving is
-// left alone until its grace is over: another stop would cut it short.
+// left alone until its grace is over.
 func (c *Commands) isStopDue(assignment *state.Assignment, urgentOnly bool) bool {
 	if !assignment.StopRequested || urgentOnly && assignment.StopSentAt > 0 {
 		return false
@@ -77,7 +77,8 @@
 
 // clearingCommands stop what runs without being recorded, and acknowledge what has
 // ended and is not recorded any more. While a start is in doubt nothing is
-// acknowledged: the worker must remember the attempt, to refuse a late copy of it.
+// acknowledged: a worker that has dropped an attempt can't tell a late copy of its start
+// from a new one.
 func clearingCommands(machine *state.Machine) []cluster.Command {
 	var commands []cluster.Command
 	for _, attempt := range state.SortedAttempts(machine.UnrecordedToStop) {
--- a/internal/reconcile/draining.go
+++ b/internal/reconcile/draining.go
@@ -24,10 +24,10 @@
 	s.deps.RequestScheduling()
 }
 
-// HandlePreemptionNotice follows a notice that the cloud takes a machine in so many
+// handlePreemptionNotice follows a notice that the cloud takes a machine in so many
 // seconds. A task that can save does so in time, one that can't finish starts anew
 // elsewhere, and one that can finish is left alone.
-func (s *Stops) HandlePreemptionNotice(machine *state.Machine, secondsLeft float64) {
+func (s *Stops) handlePreemptionNotice(machine *state.Machine, secondsLeft float64) {
 	if !machine.Draining {
 		s.deps.Spot.RecordInterruption()
 		s.loop.Log(messages.LogDebug, "preemption notice", "machine", string(machine.ID), "left_s", secondsLeft)
--- a/internal/reconcile/draining_test.go
+++ b/internal/reconcile/draining_test.go
@@ -32,7 +32,7 @@
 			job.Spec.CheckpointSeconds, job.Spec.SaveSeconds = test.checkpointSeconds, test.saveSeconds
 			h.remainingSeconds = test.remainingSeconds
 			machine, running := h.addRunningMachine(job)
-			h.Stops.HandlePreemptionNotice(machine, test.secondsLeft)
+			h.Stops.handlePreemptionNotice(machine, test.secondsLeft)
 			if running.StopRequested != test.stopped || running.GracePeriod != test.grace {
 				t.Errorf("stop requested %v with a grace of %g s, want %v with %g s", running.StopRequested, running.GracePeriod, test.stopped, test.grace)
 			}
--- a/internal/reconcile/machine_maintenance_test.go
+++ b/internal/reconcile/machine_maintenance_test.go
@@ -35,7 +35,7 @@
 				status.FencingToken = machine.Token
 			}
 			h.ApplyStatus(machine, &status, false)
-			h.setTime(h.loop.Now() + h.Maintenance.FirstAcknowledgementTimeout() + second)
+			h.setTime(h.loop.Now() + h.Maintenance.firstAcknowledgementTimeout() + second)
 			h.Maintenance.Run()
 			if machine.Releasing != test.released {
 				t.Errorf("released %v, want %v", machine.Releasing, test.released)
@@ -59,7 +59,7 @@
 			} else {
 				machine.RaisingToken, machine.TokenAcknowledged = true, false
 			}
-			h.Maintenance.PushCommands(h.state.Shards[0].Machines)
+			h.Maintenance.pushCommands(h.state.Shards[0].Machines)
 			var got []cluster.Command
 			for _, push := range h.pushes() {
 				if push.Addr == machine.Address {
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -86,17 +86,17 @@
 		}
 	}
 	m.deps.Metrics.AddMachineScans(machines)
-	m.PushCommands(machines)
+	m.pushCommands(machines)
 	for _, machine := range machines {
 		scan.maintain(machine)
 	}
 }
 
-// PushCommands calls the machines that have not acknowledged their token, and those
+// pushCommands calls the machines that have not acknowledged their token, and those
 // that run cancelled tasks and are silent: they may be unable to send heartbeats and
 // still be reached. Machines with cancelled tasks come first: after a failover in an
 // outage nothing but these calls may reach them.
-func (m *Maintenance) PushCommands(machines []*state.Machine) {
+func (m *Maintenance) pushCommands(machines []*state.Machine) {
 	calls := 0
 	for _, machine := range machines {
 		if calls < maxTokenCalls && m.isCallable(machine) && m.needsStops(machine) {
--- a/internal/reconcile/push.go
+++ b/internal/reconcile/push.go
@@ -57,7 +57,7 @@
 
 // push calls a worker with commands, perhaps none: then only the token is sent.
 func (c *Commands) push(machine *state.Machine, commands []cluster.Command) {
-	machine.PushInFlight, machine.LastPushAt = true, c.loop.Now()
+	machine.BeginPush(c.loop.Now())
 	c.deps.Metrics.AddCommandPush()
 	var starts []*state.Assignment
 	for _, command := range commands {
@@ -68,7 +68,7 @@
 		}
 	}
 	call := eventloop.Call(c.loop, func(reply messages.PushCommandsReply) {
-		machine.PushInFlight = false
+		machine.EndPush()
 		if c.state.Machines[machine.ID] == machine {
 			c.handlePushReply(machine, starts, reply)
 		}
@@ -100,9 +100,7 @@
 	case messages.UnknownOutcome, messages.NotFound, messages.Compacted, messages.Throttled, messages.Invalid:
 		machine.ResetSentStops()
 		if len(starts) > 0 {
-			// The starts may arrive minutes late, when the tasks run elsewhere. A
-			// higher token ends that.
-			machine.StartInDoubt = true
+			machine.MarkStartInDoubt()
 			c.deps.Machines.RaiseToken(machine)
 		}
 	}
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -31,7 +31,7 @@
 		machine.CachedImages = nil
 	}
 	if status.PreemptionNotice >= 0 {
-		r.Stops.HandlePreemptionNotice(machine, status.PreemptionNotice)
+		r.Stops.handlePreemptionNotice(machine, status.PreemptionNotice)
 	}
 	present := r.applyPresent(machine, status)
 	if machine.TokenAcknowledged {
@@ -47,10 +47,9 @@
 
 // handleBooted follows a machine's first heartbeat.
 func (r *Reconciler) handleBooted(machine *state.Machine) {
-	machine.Booting = false
 	bootSeconds := int((r.loop.Now() - machine.OwnedSince) / second)
 	r.loop.Log(messages.LogDebug, "machine booted", "machine", string(machine.ID), "type", machine.MachineType, "after_s", bootSeconds)
-	machine.IdleSince = r.loop.Now() // it has not been idle while it booted
+	machine.MarkBooted(r.loop.Now())
 	r.deps.RequestScheduling()
 }
 
--- a/internal/reconcile/stops.go
+++ b/internal/reconcile/stops.go
@@ -10,12 +10,13 @@
 // Stops stops tasks. Each cause has its method:
 //
 //   - StopJob: the task's job was cancelled, or failed with one that it needs.
-//   - Preempt: a task of higher priority, or of a team below its fair share, needs
-//     the place.
+//   - Preempt: scheduling needs the place for a task of higher priority or of a team
+//     below its fair share, or another shard needs the machine more.
 //   - MoveOffSlowMachine: the machine is slow, or the task runs late on it.
-//   - HandlePreemptionNotice (draining.go): the cloud takes the machine.
+//   - handlePreemptionNotice (draining.go): the cloud takes the machine.
 //
-// Tasks that no record lists are stopped by unrecorded.go.
+// Tasks that no record lists are stopped by unrecorded.go. All other ends of a task
+// are its own, or that of its machine (ReleaseReason).
 type Stops struct {
 	*shared
 	reconciler *Reconciler
--- a/internal/reconcile/token.go
+++ b/internal/reconcile/token.go
@@ -21,7 +21,7 @@
 }
 
 // hasNoEarlierCommands tells whether no older command can be on its way to a worker
-// that has seen no token at all: nobody but this claim has ever owned the machine,
+// that has seen no token at all: the machine has never been owned under another claim,
 // and no start of ours is in doubt.
 func hasNoEarlierCommands(machine *state.Machine) bool {
 	return machine.Token == machine.InitialToken && !machine.StartInDoubt && !machine.RaisingToken
--- a/internal/reconcile/unanswered_call_test.go
+++ b/internal/reconcile/unanswered_call_test.go
@@ -19,10 +19,10 @@
 		unanswered cluster.Time // since when a call has no answer; 0: none is in flight
 		released   bool
 	}{
-		{"known for long, no answer", half + second, SlowPushThreshold + 100*millisecond, true},
-		{"known for long, called a moment ago", half + second, SlowPushThreshold - 100*millisecond, false},
+		{"known for long, no answer", half + second, slowPushThreshold + 100*millisecond, true},
+		{"known for long, called a moment ago", half + second, slowPushThreshold - 100*millisecond, false},
 		{"known for long, not called", half + second, 0, false},
-		{"known for a short time, no answer", half - second, SlowPushThreshold + 100*millisecond, false},
+		{"known for a short time, no answer", half - second, slowPushThreshold + 100*millisecond, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -10,9 +10,9 @@
 	leaseMargin = 2 * second
 	// lossMargin is added to the worker's lease before a machine counts as lost.
 	lossMargin = 5 * second
-	// SlowPushThreshold is well above what a call takes to a machine that runs.
-	SlowPushThreshold = 1500 * millisecond
-	// minFirstAcknowledgementTimeout bounds FirstAcknowledgementTimeout from below.
+	// slowPushThreshold is well above what a call takes to a machine that runs.
+	slowPushThreshold = 1500 * millisecond
+	// minFirstAcknowledgementTimeout bounds firstAcknowledgementTimeout from below.
 	minFirstAcknowledgementTimeout = 5 * second
 )
 
@@ -69,10 +69,10 @@
 	return releaseNone
 }
 
-// FirstAcknowledgementTimeout is how long a machine taken over with cancelled tasks may
+// firstAcknowledgementTimeout is how long a machine taken over with cancelled tasks may
 // take to acknowledge its token. That a heartbeat of it came says nothing by itself: it
 // may be a copy that was held up until now, while the machine hangs.
-func (m *Maintenance) FirstAcknowledgementTimeout() cluster.Time {
+func (m *Maintenance) firstAcknowledgementTimeout() cluster.Time {
 	return max(minFirstAcknowledgementTimeout, 2*m.config.HeartbeatInterval)
 }
 
@@ -88,15 +88,15 @@
 	if !machine.AwaitingFirstAcknowledgement {
 		return false
 	}
-	if m.elapsedSince(machine.OwnedSince) > m.FirstAcknowledgementTimeout() {
+	if m.elapsedSince(machine.OwnedSince) > m.firstAcknowledgementTimeout() {
 		return true
 	}
-	return m.hasLongCancelledTask(machine) && machine.PushInFlight && m.elapsedSince(machine.LastPushAt) > SlowPushThreshold
+	return m.hasLongCancelledTask(machine) && machine.PushInFlight && m.elapsedSince(machine.LastPushAt) > slowPushThreshold
 }
 
 // hasLongCancelledTask tells whether half of the time for a cancellation has passed
 // since this process learnt of one whose tasks may be on a machine. Where each owner
-// of the shard was deposed before FirstAcknowledgementTimeout was over, the rest may
+// of the shard was deposed before firstAcknowledgementTimeout was over, the rest may
 // not be enough for that either.
 func (m *Maintenance) hasLongCancelledTask(machine *state.Machine) bool {
 	for _, assignment := range machine.Assignments {
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -2,9 +2,9 @@
 
 import "stairrelay/internal/cluster"
 
-// The transitions of an assignment that follow what its worker was sent and has
-// shown. Recording, ended and proven absent are set where the records and the usage
-// sums are kept.
+// The transitions of assignments and machines that follow what a worker was sent and
+// has shown. Recorded, ended and proven absent are beside the records and the sums that
+// depend on them: MarkRecorded, MarkEnded, MarkConfirmedAbsent.
 
 // DispatchWithAnswer records that the start goes with the answer to the heartbeat of
 // a sequence number. Only a later heartbeat was made after that answer arrived: an
@@ -73,3 +73,24 @@
 	s.AwaitingFirstAcknowledgementCount--
 	s.LastAcknowledgedAt = now
 }
+
+// MarkBooted records a machine's first heartbeat. It has not been idle while it booted.
+func (m *Machine) MarkBooted(now cluster.Time) {
+	m.Booting = false
+	m.IdleSince = now
+}
+
+// BeginPush records that commands are being pushed to the machine. While they are, no
+// others are pushed: they might overtake the first.
+func (m *Machine) BeginPush(now cluster.Time) {
+	m.PushInFlight = true
+	m.LastPushAt = now
+}
+
+// EndPush records that the outcome of the push is there.
+func (m *Machine) EndPush() { m.PushInFlight = false }
+
+// MarkStartInDoubt records that the outcome of pushed starts is unknown. They may arrive
+// minutes late, when the tasks run elsewhere. Only a higher token ends that, once it is
+// acknowledged; until then nothing more is started here and no end is acknowledged.
+func (m *Machine) MarkStartInDoubt() { m.StartInDoubt = true }
