--- a/internal/controller/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -7,32 +7,33 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestAcquireBackoffBounded: however often a part has changed hands or its records made no
-// sense, the pauses before somebody claims it stay, all together, below the
-// 75 s after which a job without an answer counts as forgotten.
+// TestAcquireBackoffBounded: however often a shard has changed owners or its records
+// made no sense, the pauses before a controller acquires it stay, all together, below
+// the 75 s after which a job without an answer counts as forgotten.
 func TestAcquireBackoffBounded(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, WorkerLease: 22 * second, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
-	p, tune := c.state.Shards[0], c.config.Tuning
-	detect := tune.PingInterval + tune.ProbeInterval*cluster.Time(tune.ProbeCount)
-	for i := range tune.PingRetries {
-		detect += tune.InitialRetryTimeout << i
+	shard, tuning := c.state.Shards[0], c.config.Tuning
+	detect := tuning.PingInterval + tuning.ProbeInterval*cluster.Time(tuning.ProbeCount)
+	for retry := range tuning.PingRetries {
+		detect += tuning.InitialRetryTimeout << retry
 	}
 	setTime(c, 100*second)
 	for range 50 {
-		p.RecordOwnerChange(c.loop.Now())
+		shard.RecordOwnerChange(c.loop.Now())
 	}
-	damped := cluster.Time(0)
-	for !p.IsBackoffOver(c.loop.Now() + damped) {
-		damped += second
+	backoff := cluster.Time(0)
+	for !shard.IsBackoffOver(c.loop.Now() + backoff) {
+		backoff += second
 	}
-	var rest cluster.Time
+	var corruptPause cluster.Time
 	for range 20 {
-		p.Owned = true
-		c.ownership.GiveUpCorrupt(p, "k", "test")
-		rest = max(rest, p.AcquireNotBefore-c.loop.Now())
+		shard.Owned = true
+		c.ownership.GiveUpCorrupt(shard, "k", "test")
+		corruptPause = max(corruptPause, shard.AcquireNotBefore-c.loop.Now())
 	}
-	const alone = 8 * second // lost: a node that hears nobody waits this long after its own cut
-	if sum := detect + damped + rest + alone; damped == 0 || rest == 0 || sum >= 75*second {
-		t.Errorf("detection %v, damping %v, rest %v, alone %v: %v in all", time.Duration(detect), time.Duration(damped), time.Duration(rest), time.Duration(alone), time.Duration(sum))
+	const isolated = 8 * second // a node that hears no other waits this long after its own partition
+	if sum := detect + backoff + corruptPause + isolated; backoff == 0 || corruptPause == 0 || sum >= 75*second {
+		t.Errorf("detection %v, back-off %v, after corrupt records %v, isolated %v: %v in all",
+			time.Duration(detect), time.Duration(backoff), time.Duration(corruptPause), time.Duration(isolated), time.Duration(sum))
 	}
 }
--- a/internal/controller/acquire_conflict_test.go
+++ b/internal/controller/acquire_conflict_test.go
@@ -7,25 +7,25 @@
 	"stairrelay/internal/messages"
 )
 
-// TestAcquireResentAfterBatchConflict: a claim shares its transaction with an acceptance
-// that is refused, since another controller accepted the job meanwhile. The
-// claim has to be sent again as a claim: sent as an ordinary write it was
-// dropped, as the part is not held, and the controller counted as claiming for
-// ever. Then nobody served the part: its last holder waited for its own claim,
-// and the others saw that holder alive.
+// TestAcquireResentAfterBatchConflict: an acquire shares its transaction with an
+// admission that is refused, since another controller admitted the job meanwhile. The
+// acquire has to be sent again as an acquire: sent as an ordinary write it was dropped,
+// as the shard is not owned, and the controller counted as acquiring for ever. Then
+// nobody served the shard: its last owner waited for its own acquire, and the others
+// saw that owner alive.
 func TestAcquireResentAfterBatchConflict(t *testing.T) {
 	b := newControllerHarness()
-	part := b.state.Shards[1]
-	part.Owned, part.Ready = false, false
+	shard := b.state.Shards[1]
+	shard.Owned, shard.Ready = false, false
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: []byte(`{"s":{"tm":"red","n":1},"w":"b1-1"}`), ModRevision: 31}
 	b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
-	b.ownership.Acquire(part)
+	b.ownership.Acquire(shard)
 	b.runFor(2 * second)
 
 	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
-		t.Fatal("the claim and the acceptance did not share a transaction")
+		t.Fatal("the acquire and the admission did not share a transaction")
 	}
-	if !part.Owned || part.Acquiring {
-		t.Errorf("held %v, claiming %v; want the part held", part.Owned, part.Acquiring)
+	if !shard.Owned || shard.Acquiring {
+		t.Errorf("owned %v, acquiring %v; want the shard owned", shard.Owned, shard.Acquiring)
 	}
 }
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -14,61 +14,62 @@
 	b.members.HandlePingReply(b.members.Peer(id), ping, b.loop.Now())
 }
 
-// sendAcquire makes the controller claim part 0 and returns the transaction, which
+// sendAcquire makes the controller acquire shard 0 and returns the transaction, which
 // has no answer yet.
 func sendAcquire(t *testing.T, b *controllerHarness) messages.StoreTxn {
 	t.Helper()
-	part := b.state.Shards[0]
-	part.Owned, part.Ready, part.ConfirmedAt = false, false, 0
-	b.ownership.Acquire(part)
+	shard := b.state.Shards[0]
+	shard.Owned, shard.Ready, shard.ConfirmedAt = false, false, 0
+	b.ownership.Acquire(shard)
 	b.writeQueue.Dispatch()
 	for _, effect := range b.loop.Effects() {
-		if claim, ok := effect.(messages.StoreTxn); ok {
-			return claim
+		if acquire, ok := effect.(messages.StoreTxn); ok {
+			return acquire
 		}
 	}
-	t.Fatal("no claim was sent")
+	t.Fatal("no acquire was sent")
 	return messages.StoreTxn{}
 }
 
-// TestLaterTermSeenBeforeAcquireReply: the store carries out a claim, and the
-// answer is late. Meanwhile a peer claims the part in its turn and answers a call
-// with its later term. The claim's answer then makes this controller a holder
-// that has been succeeded already: hearTerms ignored the later term, as the part
-// was not held yet, so nothing but the comparison of terms in wordOn keeps that
-// peer's answer from counting as its word that there is no later claim.
+// TestLaterTermSeenBeforeAcquireReply: the state service carries out an acquire, and
+// the answer is late. Meanwhile a peer acquires the shard in its turn and answers a
+// ping with its later term. The acquire's answer then makes this controller an owner
+// that was deposed already: ownership.Manager.ApplyPing ignored the later term, as the
+// shard was not owned yet, so nothing but the comparison of terms in
+// Acknowledgement.covers keeps that peer's answer from counting as its acknowledgement
+// that there is no later claim.
 func TestLaterTermSeenBeforeAcquireReply(t *testing.T) {
 	const ownTerm = 2
 	for _, test := range []struct {
-		name     string
-		heard    cluster.Term
-		wordHeld bool
+		name         string
+		peerTerm     cluster.Term
+		acknowledged bool
 	}{
 		{"the peer knows of no later claim", ownTerm, true},
-		{"the peer has claimed the part since", ownTerm + 1, false},
+		{"the peer has acquired the shard since", ownTerm + 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newHarnessWithKnownPeers()
-			part := b.state.Shards[0]
-			claim := sendAcquire(t, b)
-			sent := b.loop.Now()
+			shard := b.state.Shards[0]
+			acquire := sendAcquire(t, b)
+			sentAt := b.loop.Now()
 
 			setTime(b.Controller, b.loop.Now()+3*second)
-			heard := b.loop.Now()
-			answerProbe(b, "n1", test.heard)
+			answeredAt := b.loop.Now()
+			answerProbe(b, "n1", test.peerTerm)
 			answerProbe(b, "n2", ownTerm)
 
 			setTime(b.Controller, b.loop.Now()+second)
-			b.loop.Deliver(messages.Reply{Call: claim.Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 40}})
-			if !part.Owned || part.Term != ownTerm {
-				t.Fatalf("held %v, term %d; want the part held with term %d", part.Owned, part.Term, ownTerm)
+			b.loop.Deliver(messages.Reply{Call: acquire.Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 40}})
+			if !shard.Owned || shard.Term != ownTerm {
+				t.Fatalf("owned %v, term %d; want the shard owned with term %d", shard.Owned, shard.Term, ownTerm)
 			}
-			want := sent
-			if test.wordHeld {
-				want = heard
+			want := sentAt
+			if test.acknowledged {
+				want = answeredAt
 			}
-			if got := b.ownership.LastConfirmedAt(part); got != want {
-				t.Errorf("certain as of %d s, want %d s", got/second, want/second)
+			if got := b.ownership.LastConfirmedAt(shard); got != want {
+				t.Errorf("confirmed as of %d s, want %d s", got/second, want/second)
 			}
 		})
 	}
--- a/internal/controller/processpause.go
+++ b/internal/controller/processpause.go
@@ -10,9 +10,5 @@
 func (c *Controller) handleProcessPause() {
 	c.processHealth.RecordPause(c.loop.Now())
 	c.loop.Log(messages.LogInfo, "process resumed after a pause")
-	for _, shard := range c.state.Shards {
-		if shard.Owned {
-			c.ownership.RereadClaim(shard)
-		}
-	}
+	c.ownership.RereadOwnClaims()
 }
--- a/internal/ownership/claims.go
+++ b/internal/ownership/claims.go
@@ -73,6 +73,16 @@
 	})
 }
 
+// RereadOwnClaims reads the claim records of the shards that are owned, as far as is
+// known: after the process was paused, other controllers may have acquired them.
+func (m *Manager) RereadOwnClaims() {
+	for _, shard := range m.shards {
+		if shard.Owned {
+			m.RereadClaim(shard)
+		}
+	}
+}
+
 // RereadClaim reads a shard's claim record.
 func (m *Manager) RereadClaim(shard *state.Shard) {
 	sentAt := m.loop.Now()
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -28,7 +28,9 @@
 
 func (p *fakePeers) RecordWrite(instanceID string) { p.writers = append(p.writers, instanceID) }
 
-func (p *fakePeers) RecordUpgraded(nodes ...cluster.NodeID) { p.upgraded = append(p.upgraded, nodes...) }
+func (p *fakePeers) RecordUpgraded(nodes ...cluster.NodeID) {
+	p.upgraded = append(p.upgraded, nodes...)
+}
 
 func (p *fakePeers) UpgradedNodes() []cluster.NodeID { return p.upgraded }
 
@@ -303,39 +305,64 @@
 		t.Run(test.name, func(t *testing.T) {
 			m := newTestManager()
 			shard := m.own(0)
-			var answers []bool
-			m.Confirm(shard, func(owned bool) { answers = append(answers, owned) })
-			lostWrites := 0
-			m.queue.Enqueue(writequeue.Start, &writequeue.Write{Keys: []string{"groups/g"}, OnOwnershipLost: func() { lostWrites++ }})
-			changes := m.Changes()
+			loss := m.watchLoss(shard)
 			test.learn(m)
 			if shard.Owned == test.want || shard.Ready == test.want {
 				t.Fatalf("owned %v, ready %v", shard.Owned, shard.Ready)
 			}
-			var wantAnswers []bool
-			var wantDropped []cluster.ShardID
-			wantLostWrites := 0
-			if test.want {
-				wantAnswers, wantDropped, wantLostWrites = []bool{false}, []cluster.ShardID{0}, 1
-			}
-			if lostWrites != wantLostWrites {
-				t.Errorf("%d writes were told of the loss, want %d", lostWrites, wantLostWrites)
-			}
-			if test.want && !slices.ContainsFunc(requests[messages.StoreGet](m), func(read messages.StoreGet) bool {
-				return read.Key == "parts/0"
-			}) {
-				t.Error("does not read who owns the shard now")
-			}
-			if !slices.Equal(answers, wantAnswers) || !slices.Equal(m.store.dropped, wantDropped) {
-				t.Errorf("ownership checks answered %v, dropped %v", answers, m.store.dropped)
-			}
-			if (m.Changes() != changes) != test.want {
-				t.Errorf("%d changes after %d", m.Changes(), changes)
-			}
+			loss.check(t, m, test.want)
 		})
 	}
 }
 
+// observedLoss is what was seen of the loss of shard 0.
+type observedLoss struct {
+	checkAnswers  []bool // of an ownership check that waited
+	lostWrites    int    // queued writes that were told of it
+	changesBefore int
+}
+
+// watchLoss lets an ownership check and a write wait while shard 0 is lost.
+func (m *testManager) watchLoss(shard *state.Shard) *observedLoss {
+	loss := &observedLoss{changesBefore: m.Changes()}
+	m.Confirm(shard, func(owned bool) { loss.checkAnswers = append(loss.checkAnswers, owned) })
+	m.queue.Enqueue(writequeue.Start, &writequeue.Write{
+		Keys:            []string{"groups/g"},
+		Build:           func(string) ([]messages.TxnOp, []cluster.ModRevision) { return nil, nil },
+		OnOwnershipLost: func() { loss.lostWrites++ },
+	})
+	return loss
+}
+
+// check compares what was seen with what should follow from a loss, or from none.
+func (o *observedLoss) check(t *testing.T, m *testManager, lost bool) {
+	t.Helper()
+	var wantAnswers []bool
+	var wantDropped []cluster.ShardID
+	wantWrites, wantChanges := 0, 0
+	if lost {
+		wantAnswers, wantDropped, wantWrites, wantChanges = []bool{false}, []cluster.ShardID{0}, 1, 1
+	}
+	if !slices.Equal(o.checkAnswers, wantAnswers) {
+		t.Errorf("the ownership check was answered %v, want %v", o.checkAnswers, wantAnswers)
+	}
+	if !slices.Equal(m.store.dropped, wantDropped) {
+		t.Errorf("dropped shards %v, want %v", m.store.dropped, wantDropped)
+	}
+	if o.lostWrites != wantWrites {
+		t.Errorf("%d writes were told of the loss, want %d", o.lostWrites, wantWrites)
+	}
+	if changes := m.Changes() - o.changesBefore; changes != wantChanges {
+		t.Errorf("%d changes were counted, want %d", changes, wantChanges)
+	}
+	readsClaim := slices.ContainsFunc(requests[messages.StoreGet](m), func(read messages.StoreGet) bool {
+		return read.Key == "parts/0"
+	})
+	if lost && !readsClaim {
+		t.Error("does not read who owns the shard now")
+	}
+}
+
 // TestPeerClaim shows what follows from a peer's ping that names a later term of a
 // shard which is not owned here.
 func TestPeerClaim(t *testing.T) {
--- a/internal/state/shardownership.go
+++ b/internal/state/shardownership.go
@@ -115,20 +115,6 @@
 	s.OutOfCapacityCount = map[ProvisioningOption]int{}
 }
 
-// AwaitFirstAcknowledgements records that none of the shard's machines has
-// acknowledged the fencing token of a new claim, and returns how many have to:
-// those that are still booting get no other.
-func (s *Shard) AwaitFirstAcknowledgements(now cluster.Time) int {
-	s.AwaitingFirstAcknowledgementCount, s.LastAcknowledgedAt = 0, now
-	for _, machine := range s.Machines {
-		machine.AwaitingFirstAcknowledgement = !machine.Booting
-		if machine.AwaitingFirstAcknowledgement {
-			s.AwaitingFirstAcknowledgementCount++
-		}
-	}
-	return s.AwaitingFirstAcknowledgementCount
-}
-
 // EndOwnership records that this controller does not own the shard any more. Its
 // machines and jobs are dropped by those who keep them.
 func (s *Shard) EndOwnership(now cluster.Time) {
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -66,10 +66,24 @@
 	}
 }
 
+// AwaitFirstAcknowledgements records that none of the shard's machines has
+// acknowledged the fencing token of a new claim, and returns how many have to:
+// one that is still booting has had no other token.
+func (s *Shard) AwaitFirstAcknowledgements(now cluster.Time) int {
+	s.AwaitingFirstAcknowledgementCount, s.LastAcknowledgedAt = 0, now
+	for _, machine := range s.Machines {
+		machine.AwaitingFirstAcknowledgement = !machine.Booting
+		if machine.AwaitingFirstAcknowledgement {
+			s.AwaitingFirstAcknowledgementCount++
+		}
+	}
+	return s.AwaitingFirstAcknowledgementCount
+}
+
 // RecordFirstAcknowledgement records that a machine taken over with the shard has
 // acknowledged this owner's token.
-func (p *Shard) RecordFirstAcknowledgement(m *Machine, now cluster.Time) {
+func (s *Shard) RecordFirstAcknowledgement(m *Machine, now cluster.Time) {
 	m.AwaitingFirstAcknowledgement = false
-	p.AwaitingFirstAcknowledgementCount--
-	p.LastAcknowledgedAt = now
+	s.AwaitingFirstAcknowledgementCount--
+	s.LastAcknowledgedAt = now
 }
