--- a/internal/controller/ownership_adapter.go
+++ b/internal/controller/ownership_adapter.go
@@ -45,7 +45,7 @@
 		c.inventory.DropMachine(machine)
 	}
 	for _, job := range shard.Jobs {
-		c.abandonJob(job)
+		c.jobs.Records.Abandon(job)
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.state.Groups)) {
 		if c.state.Groups[id].ShardID == shard.ID {
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -2,6 +2,7 @@
 
 import (
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/state"
 )
@@ -29,7 +30,7 @@
 	load.read("groups/", &load.groups)
 	load.read("rentals/", &load.provisioningRequests)
 	// The admissions before the jobs: what is admitted in between comes by the watch.
-	load.read(admissionKeyPrefix, &load.admissions)
+	load.read(jobs.AdmissionKeyPrefix, &load.admissions)
 	load.read(state.JobKeyPrefix, &load.jobs)
 }
 
@@ -86,10 +87,10 @@
 func (l *shardLoad) applyRecords() {
 	c, shard := l.controller, l.shard
 	for _, kv := range l.jobs.Items {
-		c.applyJobRecord(kv, shard)
+		c.jobs.Records.Apply(kv, shard)
 	}
 	for _, kv := range l.admissions.Items { // after the jobs' own records, which count
-		c.applyAdmissionRecord(kv, shard)
+		c.jobs.AdmissionRecords.Apply(kv, shard)
 	}
 	for _, kv := range l.groups.Items {
 		c.inventory.ApplyRecord(kv, shard)
@@ -104,7 +105,7 @@
 	early := l.shard.EarlyJobs
 	l.shard.EarlyJobs = nil
 	for _, kv := range early {
-		l.controller.applyJobRecord(kv, nil)
+		l.controller.jobs.Records.Apply(kv, nil)
 	}
 }
 
