--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -7,6 +7,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -59,6 +60,12 @@
 	return messages.StoreTxn{}
 }
 
+// statusUnderToken is a heartbeat's status of the machine's present incarnation under
+// its present fencing token, which confirms absent what it does not list.
+func statusUnderToken(m *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
+	return &cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: m.Incarnation, SequenceNumber: sequence, FencingToken: m.Token, PreemptionNotice: -1, Tasks: tasks}
+}
+
 // TestEachOwnerRaisesToken: ten owners follow one another, and none changes the
 // record of a machine that lists a task of a cancelled job. Each has a higher
 // term and fencing token than all before it, so heartbeats under an earlier owner's
