--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,6 +12,7 @@
 
 	"stairrelay/internal/inventory"
 	"stairrelay/internal/jobs"
+	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -37,7 +38,6 @@
 
 	// What it wants done, and what it waits for.
 	writeQueue *writequeue.Queue
-	cloudRate  cloudRateShare
 	counters   Counters
 
 	// How this node fares.
@@ -60,11 +60,8 @@
 	recordNames       *inventory.RecordNames
 	inventory         *inventory.Inventory
 	reconciler        *reconcile.Reconciler
-	machineTypeCache  machineTypeCache
-	cloudListing      cloudListing
+	provisioner       *provisioning.Provisioner
 	scaleOutScheduled bool // a look for machines before the next regular one
-	machineReleases   scaleInBatch
-	spotInterruptions spotInterruptions
 }
 
 // New makes a Core. Nothing happens before the first Step.
@@ -84,11 +81,9 @@
 	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
 	c.jobs = c.newJobs()
 	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
+	c.provisioner = c.newProvisioner()
 	c.reconciler = c.newReconciler()
 	c.progress = make([]shardProgress, len(cfg.Nodes))
-	c.updateCloudRate()
-	c.cloudRate.bucket.Fill()
-	c.cloudListing.nextReadAt = c.firstCloudListAt()
 	c.loop.After(0, c.startLoops)
 	return c
 }
@@ -156,11 +151,11 @@
 	c.members.Start()
 	c.ownership.Start()
 	c.jobs.Load()
-	c.fetchMachineTypes()
-	c.loadMachineTypeCache()
+	c.provisioner.Types.Fetch()
+	c.provisioner.Types.Load()
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
-	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
+	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.Rate.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
 	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -32,7 +32,7 @@
 		Directory:         machineDirectory{c.inventory},
 		Registrar:         c.inventory,
 		Releaser:          machineReleaser{controller: c},
-		Spot:              &c.spotInterruptions,
+		Spot:              c.provisioner.Spot,
 		Metrics:           &c.counters,
 		IsIsolated:        c.isIsolated,
 		RequestScheduling: c.schedulingTrigger.request,
@@ -81,16 +81,16 @@
 
 // Release implements reconcile.MachineReleaser.
 func (r machineReleaser) Release(machine *state.Machine, reason reconcile.ReleaseReason) {
-	r.controller.scaleInMachine(machine, string(reason))
+	r.controller.provisioner.ScaleIn.Release(machine, string(reason))
 }
 
 // ReleaseBeforeRecorded implements reconcile.MachineReleaser.
 func (r machineReleaser) ReleaseBeforeRecorded(machine *state.Machine) {
-	r.controller.scaleInBeforeRecorded(machine)
+	r.controller.provisioner.ScaleIn.ReleaseBeforeRecorded(machine)
 }
 
 // ScheduleCall implements reconcile.MachineReleaser.
-func (r machineReleaser) ScheduleCall() { r.controller.scheduleScaleIn() }
+func (r machineReleaser) ScheduleCall() { r.controller.provisioner.ScaleIn.ScheduleCall() }
 
 // SurplusPredicate implements reconcile.MachineReleaser.
 func (r machineReleaser) SurplusPredicate() func(*state.Machine) bool {
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -73,7 +73,7 @@
 	l.awaitAcknowledgements()
 	c.schedulingTrigger.request()
 	if len(shard.Machines)+len(shard.ProvisioningRequests) > 0 {
-		c.cloudListing.nextReadAt = 0 // the cloud's list shows what the records may lack
+		c.provisioner.List.RequestRead() // the cloud's list shows what the records may lack
 	}
 	c.loop.Log(messages.LogInfo, "shard ready",
 		"shard", int(shard.ID),
