--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -6,6 +6,7 @@
 	"stairrelay/internal/inventory"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/ownership"
+	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 )
 
@@ -15,7 +16,7 @@
 		ValueLimit:         grouprecord.ValueLimit(c.config.MaxValueBytes),
 		MaxTxnOps:          c.config.MaxTxnOps,
 		CloudListLag:       c.config.CloudListLag,
-		MaxScaleInMachines: maxScaleInMachines,
+		MaxScaleInMachines: provisioning.MaxMachinesPerScaleIn,
 	}
 }
 
@@ -67,10 +68,10 @@
 // inventoryCloud implements inventory.Cloud.
 type inventoryCloud struct{ controller *Controller }
 
-func (a inventoryCloud) ScheduleScaleIn() { a.controller.scheduleScaleIn() }
+func (a inventoryCloud) ScheduleScaleIn() { a.controller.provisioner.ScaleIn.ScheduleCall() }
 
-func (a inventoryCloud) ForceCall() { a.controller.forceCloudCall() }
+func (a inventoryCloud) ForceCall() { a.controller.provisioner.Rate.ForceCall() }
 
 func (a inventoryCloud) ReadList(handle func(machines []cluster.ListedMachine, ok bool)) {
-	a.controller.readCloudList(handle)
+	a.controller.provisioner.List.Read(handle)
 }
