--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -13,6 +13,7 @@
 
 	"stairrelay/internal/jobs"
 	"stairrelay/internal/ownership"
+	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -88,15 +89,15 @@
 	} else if a := m1.Assignments[cluster.TaskID{Job: "j-000412", Index: 4}]; a == nil || a.Attempt != 30<<20|2 {
 		t.Errorf("task 4 is listed as %+v", a)
 	}
-	var r provisioningRecord
-	if json.Unmarshal(recs["rentals/r-b1-30-1"], &r) != nil || r != (provisioningRecord{0, "small", "a", true, 3, "b1-12"}) {
+	var r provisioning.RequestRecord
+	if json.Unmarshal(recs["rentals/r-b1-30-1"], &r) != nil || r != (provisioning.RequestRecord{Shard: 0, Type: "small", Zone: "a", Spot: true, Count: 3, WriteID: "b1-12"}) {
 		t.Errorf("rental %+v", r)
 	}
 	var p ownership.ClaimRecord
 	if json.Unmarshal(recs["parts/0"], &p) != nil || !reflect.DeepEqual(p, ownership.ClaimRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}) {
 		t.Errorf("part %+v", p)
 	}
-	var c machineTypesRecord
+	var c provisioning.MachineTypesRecord
 	if json.Unmarshal(recs["types"], &c) != nil || len(c.Types) != 1 || c.Types[0].SpotPrice != 0.07 || len(c.Types[0].Zones) != 2 || c.WriteID != "b1-14" {
 		t.Errorf("types %+v", c)
 	}
@@ -122,11 +123,11 @@
 		case strings.HasPrefix(key, "accepts/"):
 			rec = &jobs.AdmissionRecord{}
 		case strings.HasPrefix(key, "rentals/"):
-			rec = &provisioningRecord{}
+			rec = &provisioning.RequestRecord{}
 		case strings.HasPrefix(key, "parts/"):
 			rec = &ownership.ClaimRecord{}
 		case key == "types":
-			rec = &machineTypesRecord{}
+			rec = &provisioning.MachineTypesRecord{}
 		case strings.HasPrefix(key, "groups/"):
 			group, err := grouprecord.Decode(old)
 			if err != nil {
