--- a/internal/controller/commandpush.go
+++ b/internal/controller/commandpush.go
@@ -100,6 +100,6 @@
 		return
 	}
 	if c.reconcile(m, r, true) {
-		c.schedulingTrigger.request()
+		c.scheduler.Trigger.Request()
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 import (
 	"time"
 
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -54,9 +55,8 @@
 	ownedShardChanges int               // of the parts held here
 	jobReads          linearizableJobReads
 	admissions        admissionQueue
-	classStats        map[string]*classStats
 	loadCache         loadCache
-	schedulingTrigger schedulingTrigger
+	scheduler         *scheduling.Scheduler
 
 	// Machines.
 	recordNames       recordNames
@@ -83,11 +83,11 @@
 		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
 		processHealth:      &membership.ProcessHealth{},
-		classStats:         map[string]*classStats{},
 	}
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.scheduler = c.newScheduler()
 	c.reconciler = c.newReconciler()
 	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
@@ -138,13 +138,7 @@
 
 // flush decides once per step on all that the step has changed.
 func (c *Controller) flush() {
-	switch c.schedulingTrigger.check(c.loop.Now()) {
-	case scheduleNow:
-		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.StretchDelay(schedulingInterval))
-		c.scheduleOwnedShards()
-	case scheduleLater:
-		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
-	}
+	c.scheduler.RunIfRequested()
 	c.pushQueuedCommands()
 	c.writeQueue.Dispatch()
 	c.answerHeldHeartbeats()
@@ -173,6 +167,6 @@
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
 	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
-	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
+	c.loop.Every(eventloop.FixedInterval(second/4), c.scheduler.Trigger.Request)
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -69,7 +69,7 @@
 	}
 	by := 0.0
 	if k.EffectiveDeadline > 0 {
-		by = k.EffectiveDeadline - c.statsOfClass(k.Spec.Class).runtimeRatio*k.Spec.RuntimeSeconds*1000 - stageDelayMillis
+		by = k.EffectiveDeadline - c.scheduler.RunTimes.Ratio(k.Spec.Class)*k.Spec.RuntimeSeconds*1000 - stageDelayMillis
 	}
 	for _, a := range k.Dependencies {
 		o := c.state.Jobs.Known[a]
@@ -130,7 +130,7 @@
 	j.ReadySince = c.loop.WallTime()
 	c.loop.Log(messages.LogDebug, "job released", "job", string(j.Spec.ID), "awaited", len(k.Dependencies))
 	c.state.Shards[j.ShardID].QueueOrder = nil
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 	c.scheduleScaleOut()
 }
 
--- a/internal/controller/fairshare.go
+++ b/internal/controller/fairshare.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -65,12 +66,12 @@
 			}
 		}
 	}
-	for _, w := range c.listPendingWork(p) {
-		prio := w.job.EffectivePriority
-		if w.starving {
+	for _, w := range c.scheduler.Queue.PendingWork(p) {
+		prio := w.Job.EffectivePriority
+		if w.Starving {
 			prio = max(prio, cluster.Urgent) // it goes before all else
 		}
-		l.Demand[prio] += w.job.Spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
+		l.Demand[prio] += w.Job.Spec.ResourceRequest.CPU * cluster.Amount(w.Count)
 	}
 	return l
 }
@@ -130,10 +131,10 @@
 	c.counters.addMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if m.Cordoned && spare <= 0 {
-			c.schedulingTrigger.request()
+			c.scheduler.Trigger.Request()
 		}
 		m.Cordoned, m.ScaleInCandidate = false, false
-		if c.isSchedulable(m) {
+		if c.scheduler.Eligibility.IsSchedulable(m) {
 			ms = append(ms, m)
 		}
 	}
@@ -146,7 +147,7 @@
 	for _, m := range ms {
 		for _, a := range m.Assignments {
 			if a.IsLive() {
-				rest[m] = max(rest[m], c.expectedRemainingSeconds(a))
+				rest[m] = max(rest[m], c.scheduler.RunTimes.ExpectedRemainingSeconds(a))
 			}
 		}
 	}
@@ -183,7 +184,7 @@
 	if need.CPU == 0 {
 		return price / float64(t.Capacity.CPU)
 	}
-	return price / float64(need.CPU*cluster.Amount(tasksPerMachine(t.Capacity, need)))
+	return price / float64(need.CPU*cluster.Amount(scheduling.TasksPerMachine(t.Capacity, need)))
 }
 
 // typicalRequest is what a somewhat larger than average task of a part takes.
@@ -209,7 +210,7 @@
 		return
 	}
 	for _, a := range m.Assignments {
-		if a.IsLive() && (a.Job.EffectivePriority >= top || a.Job.Spec.CheckpointSeconds == 0 || c.isPreemptionExempt(a.Job)) {
+		if a.IsLive() && (a.Job.EffectivePriority >= top || a.Job.Spec.CheckpointSeconds == 0 || c.scheduler.Queue.IsPreemptionExempt(a.Job)) {
 			return
 		}
 	}
--- a/internal/controller/grouptransfer.go
+++ b/internal/controller/grouptransfer.go
@@ -118,7 +118,7 @@
 		}
 	}
 	c.loop.Log(messages.LogDebug, "took idle machines", "group", t.groupID, "machines", len(t.machines), "part", int(p.ID), "from", int(t.fromShard))
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 	c.maintainMachines()
 }
 
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -95,7 +95,7 @@
 		return
 	}
 	c.updateReadiness(j)
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 	c.scheduleScaleOut()
 	for n := 1; n < len(j.ModRevisions); n++ {
 		j.ChunksLoading++
@@ -135,7 +135,7 @@
 			return
 		}
 		j.ChunksLoading--
-		c.schedulingTrigger.request()
+		c.scheduler.Trigger.Request()
 		if j.ChunksLoading == 0 && j.CompletedCount == j.Spec.Tasks {
 			c.writeJob(j, writequeue.Admit)
 		}
@@ -220,7 +220,7 @@
 	if end == cluster.JobCancelled {
 		c.stopAllTasks(j)
 	}
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 	if len(j.Assignments) == 0 {
 		c.state.RemoveOwnedJob(j)
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -99,7 +99,7 @@
 	if j.FinalStatus != "" && len(j.Assignments) == 0 && c.state.Jobs.Owns(j) {
 		c.state.RemoveOwnedJob(j)
 	}
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 }
 
 // checkOwner finds out whether a machine was moved to another part.
--- a/internal/controller/machinetypecache.go
+++ b/internal/controller/machinetypecache.go
@@ -62,7 +62,7 @@
 	for _, t := range types {
 		c.state.MachineTypes[t.Name] = t
 	}
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 }
 
 // loadMachineTypeCache takes the catalogue from the store if the cloud has not given one.
--- a/internal/controller/maintenance.go
+++ b/internal/controller/maintenance.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -18,7 +19,7 @@
 func (c *Controller) handleMachineBooted(m *state.Machine) {
 	c.loop.Log(messages.LogDebug, "machine up", "machine", string(m.ID), "type", m.MachineType, "after_s", int((c.loop.Now()-m.OwnedSince)/second))
 	m.IdleSince = c.loop.Now() // it has not been idle while it booted
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 }
 
 const maintenanceInterval = second / 2
@@ -71,7 +72,7 @@
 	if c.writeQueue.IsUnavailableFor(second) {
 		return
 	}
-	c.handleSlowMachine(m)
+	c.scheduler.Stragglers.CheckMachine(m)
 	if m.Booting {
 		if s.isBootTimedOut(m) {
 			c.scaleInMachine(m, "never came up")
@@ -254,7 +255,7 @@
 // left to rent one. What all machines share is worked out at most once.
 func (c *Controller) surplusPredicate() func(*state.Machine) bool {
 	var loads fairshare.Snapshot
-	work := map[cluster.ShardID][]pendingWork{}
+	work := map[cluster.ShardID]scheduling.PendingWork{}
 	return func(m *state.Machine) bool {
 		if loads == nil {
 			loads = c.allShardLoads()
@@ -264,11 +265,11 @@
 		}
 		w, ok := work[m.ShardID]
 		if !ok {
-			w = c.listPendingWork(c.state.Shards[m.ShardID])
+			w = c.scheduler.Queue.PendingWork(c.state.Shards[m.ShardID])
 			work[m.ShardID] = w
 		}
 		for _, x := range w {
-			if c.isAllowedOn(x.job, m) {
+			if c.scheduler.Eligibility.IsAllowedOn(x.Job, m) {
 				return false
 			}
 		}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -56,7 +57,7 @@
 	if to := called(messages.ProcessLoad{CPUUsage: 0.9}); len(to) != 1 || to[0] != "idle" {
 		t.Errorf("strained, starts are called to %v", to)
 	}
-	if d := c.processHealth.StretchDelay(schedulingInterval); d <= schedulingInterval || d > second {
+	if d := c.processHealth.StretchDelay(scheduling.MinInterval); d <= scheduling.MinInterval || d > second {
 		t.Errorf("strained, placements are %v apart", time.Duration(d))
 	}
 	c.processHealth.RecordLoad(messages.ProcessLoad{EventDelay: 2 * second})
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -6,8 +6,6 @@
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/state"
-
-	"stairrelay/internal/scheduling"
 )
 
 // stallThreshold is how many checkpoints in a row a part may go without
@@ -110,22 +108,7 @@
 // hasStalledStarts tells whether waiting tasks fit on the part's machines, and none
 // was given one since the last checkpoint.
 func (c *Controller) hasStalledStarts(p *state.Shard) bool {
-	if p.PlannedStarts != c.progress[p.ID].plannedStarts || !slices.ContainsFunc(p.Jobs, c.hasSchedulableTasks) {
-		return false
-	}
-	work := c.listPendingWork(p)
-	slots, _ := c.listFreeCapacity(p, 1)
-	for i := range slots {
-		s := &slots[i]
-		fits := func(j *state.Job) bool {
-			return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) && c.hasRoom(s.machine.Group, j) && s.imageState(j) != scheduling.ImageBlocked &&
-				isZoneAllowed(&j.Spec, c.countTasksByZone(j), s.machine.Zone)
-		}
-		if c.packWork(work, s.available, fits) > 0 {
-			return true
-		}
-	}
-	return false
+	return p.PlannedStarts == c.progress[p.ID].plannedStarts && c.scheduler.HasStartableTasks(p)
 }
 
 // stalledShardCount counts the parts that have not been served for so long that
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -51,7 +52,7 @@
 	for _, g := range c.state.Groups {
 		if g.Offer != nil && c.loop.Now() > g.Offer.Until {
 			g.Offer = nil
-			c.schedulingTrigger.request()
+			c.scheduler.Trigger.Request()
 		}
 	}
 }
@@ -66,10 +67,10 @@
 	if len(idle) == 0 {
 		return
 	}
-	work := c.listPendingWork(p)
+	work := c.scheduler.Queue.PendingWork(p)
 	var spare []*state.Machine
 	for _, m := range idle {
-		if m.Cordoned || c.packWork(work, c.state.MachineTypes[m.MachineType].Capacity, func(j *state.Job) bool { return c.isAllowedOn(j, m) }) == 0 {
+		if m.Cordoned || work.Pack(c.state.MachineTypes[m.MachineType].Capacity, func(j *state.Job) bool { return c.scheduler.Eligibility.IsAllowedOn(j, m) }) == 0 {
 			spare = append(spare, m)
 		}
 	}
@@ -127,13 +128,13 @@
 }
 
 // acceptOffers takes groups that others offer to a part, if it has a use for them.
-func (c *Controller) acceptOffers(p *state.Shard, work []pendingWork) {
+func (c *Controller) acceptOffers(p *state.Shard, work scheduling.PendingWork) {
 	use := func(o messages.TransferOffer) bool {
 		took := 0
 		for _, k := range o.Kinds {
 			for range k.Count {
-				took += c.packWork(work, c.state.MachineTypes[k.Type].Capacity, func(j *state.Job) bool {
-					return c.isOptionAllowed(j, state.ProvisioningOption{Type: k.Type, Zone: k.Zone, Spot: k.Spot})
+				took += work.Pack(c.state.MachineTypes[k.Type].Capacity, func(j *state.Job) bool {
+					return c.scheduler.Eligibility.IsOptionAllowed(j, state.ProvisioningOption{Type: k.Type, Zone: k.Zone, Spot: k.Spot})
 				})
 			}
 		}
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -50,7 +50,7 @@
 	m.PendingHeartbeat, m.PendingSequenceNumber, m.ReplyDeadline = e.Request, r.SequenceNumber, c.loop.Now()+maxHeartbeatHold
 	if c.reconcile(m, r, false) {
 		c.workerReachability.RecordOwnedHeartbeat()
-		c.schedulingTrigger.request()
+		c.scheduler.Trigger.Request()
 	}
 	c.heldHeartbeats.toCheck = append(c.heldHeartbeats.toCheck, m)
 }
@@ -397,7 +397,7 @@
 	j := a.Job
 	m.MarkEnded(a, t.Cause)
 	if t.Cause == cluster.CauseCompleted {
-		c.recordRuntime(m, a)
+		c.scheduler.RunTimes.Record(m, a)
 		c.recordTaskDone(j, a.Task.Index)
 		return
 	}
@@ -435,5 +435,5 @@
 
 func (c *Controller) drainMachine(m *state.Machine) {
 	m.Draining = true
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 }
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -49,5 +49,5 @@
 			m.InitialToken = m.Token
 		}
 	}
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -7,6 +7,7 @@
 	"sort"
 	"strings"
 
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -43,56 +44,6 @@
 	c.callScaleOut(p, r)
 }
 
-// pendingWork is what a part's waiting tasks need beyond what it has.
-type pendingWork struct {
-	job      *state.Job
-	tasks    int
-	starving bool // a starving job's next task
-}
-
-// listPendingWork lists the waiting tasks that team limits would let run at once.
-func (c *Controller) listPendingWork(p *state.Shard) []pendingWork {
-	use := c.teamUsageOf(p)
-	var l []pendingWork
-	jobs, _ := c.queuedJobs(p)
-	// A starving job's next task comes first here as it does when tasks are
-	// placed: else no machine of the kind it needs would ever be rented.
-	first := map[*state.Job]int{}
-	for _, j := range jobs {
-		if c.isStarving(j) {
-			first[j] = 1
-			use[j.Spec.Team] = use[j.Spec.Team].Plus(j.Spec.ResourceRequest)
-			l = append(l, pendingWork{j, 1, true})
-		}
-	}
-	for _, j := range jobs {
-		need := j.Spec.ResourceRequest
-		n := min(j.PendingCount()-first[j], c.state.Teams[j.Spec.Team].QuotaLimit.Minus(use[j.Spec.Team]).FitCount(cluster.Resources{CPU: need.CPU, GPU: need.GPU}))
-		if n <= 0 {
-			continue
-		}
-		use[j.Spec.Team] = use[j.Spec.Team].Plus(need.Times(n))
-		l = append(l, pendingWork{job: j, tasks: n})
-	}
-	return l
-}
-
-// packWork takes from the waiting work what would fit into room.
-func (c *Controller) packWork(work []pendingWork, room cluster.Resources, ok func(*state.Job) bool) int {
-	took := 0
-	for i := range work {
-		w := &work[i]
-		if w.tasks <= 0 || !w.job.Spec.ResourceRequest.FitsIn(room) || !ok(w.job) {
-			continue
-		}
-		n := min(w.tasks, room.FitCount(w.job.Spec.ResourceRequest))
-		room = room.Minus(w.job.Spec.ResourceRequest.Times(n))
-		w.tasks -= n
-		took += n
-	}
-	return took
-}
-
 // scheduleScaleOut looks for machines before the next regular sweep: boots take long,
 // and every second that a request waits is added to them.
 func (c *Controller) scheduleScaleOut() {
@@ -119,31 +70,27 @@
 }
 
 func (c *Controller) scaleOutShard(p *state.Shard) {
-	work := c.listPendingWork(p)
+	work := c.scheduler.Queue.PendingWork(p)
 	if len(work) == 0 {
 		return
 	}
 	// What the usable machines have free is about to be used.
-	slots, _ := c.listFreeCapacity(p, 1)
-	for i := range slots {
-		s := &slots[i]
-		c.packWork(work, s.available, func(j *state.Job) bool { return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) })
-	}
+	c.scheduler.PackFreeCapacity(p, work)
 	c.counters.addMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if !m.Booting && !m.TokenAcknowledged && !m.Releasing && c.loop.Now()-m.OwnedSince < 5*second {
-			c.packWork(work, c.state.MachineTypes[m.MachineType].Capacity.Minus(m.UsedResources()), func(j *state.Job) bool { return c.isAllowedOn(j, m) })
+			work.Pack(c.state.MachineTypes[m.MachineType].Capacity.Minus(m.UsedResources()), func(j *state.Job) bool { return c.scheduler.Eligibility.IsAllowedOn(j, m) })
 		}
 	}
 	// Another part's idle machine serves at once, a booting one much later.
 	c.acceptOffers(p, work)
 	c.counters.addMachineScans(p.Machines)
 	for _, m := range p.Machines {
-		if m.Releasing || m.Draining || c.isSchedulable(m) {
+		if m.Releasing || m.Draining || c.scheduler.Eligibility.IsSchedulable(m) {
 			continue
 		}
 		if m.Booting {
-			c.packWork(work, c.state.MachineTypes[m.MachineType].Capacity.Minus(m.UsedResources()), func(j *state.Job) bool { return c.isAllowedOn(j, m) })
+			work.Pack(c.state.MachineTypes[m.MachineType].Capacity.Minus(m.UsedResources()), func(j *state.Job) bool { return c.scheduler.Eligibility.IsAllowedOn(j, m) })
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.ProvisioningRequests)) {
@@ -153,7 +100,7 @@
 			n = r.GrantedCount
 		}
 		for range n {
-			c.packWork(work, c.state.MachineTypes[r.Option.Type].Capacity, func(j *state.Job) bool { return c.isOptionAllowed(j, r.Option) })
+			work.Pack(c.state.MachineTypes[r.Option.Type].Capacity, func(j *state.Job) bool { return c.scheduler.Eligibility.IsOptionAllowed(j, r.Option) })
 		}
 	}
 	if c.canScaleOut(p) {
@@ -161,13 +108,6 @@
 	}
 }
 
-func (c *Controller) isOptionAllowed(j *state.Job, o state.ProvisioningOption) bool {
-	if j.Spec.Colocate && !isOnlyZone(c.countTasksByZone(j), o.Zone) {
-		return false
-	}
-	return (j.Spec.Spot || !o.Spot) && j.Spec.AllowsMachineType(c.state.MachineTypes[o.Type], o.Zone)
-}
-
 // idleMachines lists the machines of a part that another may take.
 func (c *Controller) idleMachines(p *state.Shard) []*state.Machine {
 	var l []*state.Machine
@@ -176,7 +116,7 @@
 	}
 	c.counters.addMachineScans(p.Machines)
 	for _, m := range p.Machines {
-		if c.isSchedulable(m) && len(m.Assignments) == 0 && m.RecordedTaskCount == 0 && !m.Group.WriteInFlight && m.Group.Offer == nil && m.Address != "" &&
+		if c.scheduler.Eligibility.IsSchedulable(m) && len(m.Assignments) == 0 && m.RecordedTaskCount == 0 && !m.Group.WriteInFlight && m.Group.Offer == nil && m.Address != "" &&
 			len(m.UnrecordedToStop) == 0 && c.loop.Now()-m.IdleSince > second/2 {
 			l = append(l, m)
 		}
@@ -185,7 +125,7 @@
 }
 
 // requestMachines asks the cloud, cheapest per task first.
-func (c *Controller) requestMachines(p *state.Shard, work []pendingWork) {
+func (c *Controller) requestMachines(p *state.Shard, work scheduling.PendingWork) {
 	flying := 0
 	for _, r := range p.ProvisioningRequests {
 		if !r.Answered {
@@ -195,8 +135,8 @@
 	for flying < 4 {
 		var first *state.Job
 		for _, w := range work {
-			if w.tasks > 0 {
-				first = w.job
+			if w.Count > 0 {
+				first = w.Job
 				break
 			}
 		}
@@ -209,8 +149,8 @@
 		}
 		if len(opts) == 0 {
 			for i := range work { // nothing to be had for it now
-				if work[i].job == first {
-					work[i].tasks = 0
+				if work[i].Job == first {
+					work[i].Count = 0
 				}
 			}
 			continue
@@ -218,7 +158,7 @@
 		o := opts[0]
 		n := 0
 		for n < min(50, c.groupMachines()) {
-			if c.packWork(work, c.state.MachineTypes[o.Type].Capacity, func(j *state.Job) bool { return c.isOptionAllowed(j, o) }) == 0 {
+			if work.Pack(c.state.MachineTypes[o.Type].Capacity, func(j *state.Job) bool { return c.scheduler.Eligibility.IsOptionAllowed(j, o) }) == 0 {
 				break
 			}
 			n++
@@ -238,7 +178,7 @@
 // are none now, should have an ordinary one at several times the price: only
 // if what is there and coming would not be through with it by the time that
 // the machine is up.
-func (c *Controller) isOnDemandWorthwhile(p *state.Shard, work []pendingWork, o state.ProvisioningOption) bool {
+func (c *Controller) isOnDemandWorthwhile(p *state.Shard, work scheduling.PendingWork, o state.ProvisioningOption) bool {
 	t := c.state.MachineTypes[o.Type]
 	if t.OnDemandPrice < 1.5*t.SpotPrice {
 		return true
@@ -255,7 +195,7 @@
 	have := float64(max(mine, all/cluster.Amount(max(len(loads), 1)))) / 1e6
 	rest := 0.0
 	for _, w := range work {
-		rest += float64(w.tasks) * float64(w.job.Spec.ResourceRequest.CPU) / 1e6 * c.expectedRunSeconds(w.job)
+		rest += float64(w.Count) * float64(w.Job.Spec.ResourceRequest.CPU) / 1e6 * c.scheduler.RunTimes.ExpectedSeconds(w.Job)
 	}
 	return rest > have*t.BootSeconds
 }
@@ -271,10 +211,10 @@
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				o := state.ProvisioningOption{Type: name, Zone: z, Spot: spot}
-				if !c.isOptionAllowed(j, o) || c.loop.Now() < p.OutOfCapacityUntil[o] {
+				if !c.scheduler.Eligibility.IsOptionAllowed(j, o) || c.loop.Now() < p.OutOfCapacityUntil[o] {
 					continue
 				}
-				l = append(l, priced{o, t.HourlyPrice(spot) / float64(tasksPerMachine(t.Capacity, j.Spec.ResourceRequest))})
+				l = append(l, priced{o, t.HourlyPrice(spot) / float64(scheduling.TasksPerMachine(t.Capacity, j.Spec.ResourceRequest))})
 			}
 		}
 	}
@@ -286,10 +226,6 @@
 	return out
 }
 
-// tasksPerMachine counts how many tasks of a need an empty machine takes; at least
-// one, as it divides prices.
-func tasksPerMachine(room, need cluster.Resources) int { return max(room.FitCount(need), 1) }
-
 // maxCapacityBackoffDoublings bounds how often the pause after a refusal doubles: each request
 // costs two puts, a whole second's worth where the write rate is low.
 const maxCapacityBackoffDoublings = 2
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -67,7 +67,7 @@
 		c.applyJobRecord(kv, nil)
 	}
 	l.awaitAcknowledgements()
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 	if len(p.Machines)+len(p.ProvisioningRequests) > 0 {
 		c.cloudListing.nextReadAt = 0 // the cloud's list shows what the records may lack
 	}
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -79,8 +79,8 @@
 		if !p.Owned || !p.Ready {
 			continue
 		}
-		for _, w := range c.listPendingWork(p) {
-			use.pending += w.job.Spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
+		for _, w := range c.scheduler.Queue.PendingWork(p) {
+			use.pending += w.Job.Spec.ResourceRequest.CPU * cluster.Amount(w.Count)
 		}
 	}
 	return use
--- a/internal/controller/stops.go
+++ b/internal/controller/stops.go
@@ -21,7 +21,7 @@
 		if !a.IsLive() || a.StopRequested {
 			continue
 		}
-		rest := c.expectedRemainingSeconds(a)
+		rest := c.scheduler.RunTimes.ExpectedRemainingSeconds(a)
 		s := a.Job.Spec
 		if s.CheckpointSeconds > 0 {
 			if rest > left-2 && left < s.SaveSeconds+10 {
--- a/internal/controller/urgency_test.go
+++ b/internal/controller/urgency_test.go
@@ -52,7 +52,7 @@
 		if b.state.Jobs.Owned["a"] == nil || b.state.Jobs.Owned["b"] != nil {
 			t.Fatal("the wrong jobs are held")
 		}
-		if start := b.latestStart(b.state.Jobs.Owned["a"]); start != due-2*(20_000+stageDelayMillis)-20_000 {
+		if start := b.scheduler.Queue.LatestStart(b.state.Jobs.Owned["a"]); start != due-2*(20_000+stageDelayMillis)-20_000 {
 			t.Errorf("%v: a is to start at %v", order, start)
 		}
 		// One that comes later, and one after the end.
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -92,7 +92,7 @@
 	outside.TokenAcknowledged, outside.Incarnation, outside.SequenceNumber = true, 1, 1
 
 	startedOutside := func() bool {
-		b.scheduleShard(part)
+		b.scheduler.ScheduleShard(part)
 		return outside.Assignments[task] != nil
 	}
 	if startedOutside() {
--- /dev/null
+++ b/internal/scheduling/capacity.go
@@ -0,0 +1,111 @@
+package scheduling
+
+import (
+	"slices"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/state"
+)
+
+// freeCapacity is a machine with free resources.
+type freeCapacity struct {
+	machine      *state.Machine
+	available    cluster.Resources
+	kindIndex    int // its index among the kinds of the machines with free resources
+	imageFetches ImageFetches
+	machineCPU   cluster.Amount // CPUs of the whole machine
+}
+
+// listFreeCapacity lists the machines of a shard with at least minCPU free, and their
+// kinds: what a job may use is decided once for all machines of a kind.
+func (s *Scheduler) listFreeCapacity(shard *state.Shard, minCPU cluster.Amount) ([]freeCapacity, []grouprecord.Kind) {
+	var capacities []freeCapacity
+	var kinds []grouprecord.Kind
+	s.shared.deps.CountMachineScans(shard.Machines)
+	for _, machine := range shard.Machines {
+		if machine.Cordoned && !machine.ScaleInCandidate || !s.Eligibility.IsSchedulable(machine) || machine.Group.Offer != nil {
+			continue
+		}
+		machineType, known := s.shared.state.MachineTypes[machine.MachineType]
+		if !known {
+			continue
+		}
+		capacity := freeCapacity{
+			machine:    machine,
+			available:  machineType.Capacity.Minus(machine.UsedResources()),
+			machineCPU: machineType.Capacity.CPU,
+		}
+		if capacity.available.CPU < minCPU {
+			continue
+		}
+		capacity.addStartingFetches()
+		if capacity.kindIndex = slices.Index(kinds, machine.Kind()); capacity.kindIndex < 0 {
+			capacity.kindIndex = len(kinds)
+			kinds = append(kinds, machine.Kind())
+		}
+		capacities = append(capacities, capacity)
+	}
+	return capacities, kinds
+}
+
+// addStartingFetches records the images that tasks on the machine wait for.
+func (c *freeCapacity) addStartingFetches() {
+	for _, assignment := range c.machine.Assignments {
+		if assignment.IsLive() && assignment.RunningSince == 0 && !c.machine.HasCachedImage(assignment.Job.Spec.Image) {
+			c.addFetch(assignment.Job)
+		}
+	}
+}
+
+// addFetch records that a task of a job waits for its image there.
+func (c *freeCapacity) addFetch(job *state.Job) {
+	c.imageFetches.Add(job.Spec.Image, job.EffectivePriority, job.Spec.ResourceRequest.CPU)
+}
+
+// imageState says how soon the machine can start a job for its image.
+func (c *freeCapacity) imageState(job *state.Job) ImageState {
+	if c.machine.HasCachedImage(job.Spec.Image) {
+		return ImageCached
+	}
+	return c.imageFetches.State(job.Spec.Image, job.EffectivePriority, job.Spec.ResourceRequest.CPU, c.machineCPU)
+}
+
+// PackFreeCapacity takes from the work what fits into the free resources of a shard's
+// machines.
+func (s *Scheduler) PackFreeCapacity(shard *state.Shard, work PendingWork) {
+	capacities, _ := s.listFreeCapacity(shard, 1)
+	for i := range capacities {
+		capacity := &capacities[i]
+		work.Pack(capacity.available, func(job *state.Job) bool {
+			return s.Eligibility.IsAllowedOn(job, capacity.machine) && s.Eligibility.CanUseMachine(job, capacity.machine)
+		})
+	}
+}
+
+// HasStartableTasks tells whether pending tasks of a shard fit on its machines.
+func (s *Scheduler) HasStartableTasks(shard *state.Shard) bool {
+	if !slices.ContainsFunc(shard.Jobs, s.Queue.hasSchedulableTasks) {
+		return false
+	}
+	work := s.Queue.PendingWork(shard)
+	capacities, _ := s.listFreeCapacity(shard, 1)
+	for i := range capacities {
+		capacity := &capacities[i]
+		if work.Pack(capacity.available, func(job *state.Job) bool { return s.isStartable(job, capacity) }) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// isStartable tells whether a task of a job could be started on a machine with free
+// resources.
+func (s *Scheduler) isStartable(job *state.Job, capacity *freeCapacity) bool {
+	machine := capacity.machine
+	return s.Eligibility.IsAllowedOn(job, machine) &&
+		s.Eligibility.CanUseMachine(job, machine) &&
+		s.shared.deps.Records.HasRoom(machine.Group, job) &&
+		capacity.imageState(job) != ImageBlocked &&
+		isZoneAllowed(&job.Spec, s.Eligibility.countTasksByZone(job), machine.Zone)
+}
--- /dev/null
+++ b/internal/scheduling/fixture_test.go
@@ -0,0 +1,110 @@
+package scheduling
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
+	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
+)
+
+// fixture is a scheduler of one shard, whose team red may use 100 CPUs, with fakes of
+// the other parts of the controller.
+type fixture struct {
+	*Scheduler
+	loop                 *eventloop.Loop
+	state                *state.State
+	shard                *state.Shard
+	config               Config
+	spotInterruptionRate float64 // per second
+	written              []*state.Machine
+	drained              []*state.Machine
+}
+
+func newFixture() *fixture {
+	f := &fixture{
+		loop: eventloop.New(),
+		state: state.New([]cluster.NodeID{"n0"}, []cluster.Team{
+			{Name: "red", QuotaLimit: cluster.Resources{CPU: 100 * cpu}},
+		}),
+		config: Config{HeartbeatInterval: 5 * second, ShortJobWeight: 32, FirstTaskTarget: 240 * second},
+	}
+	f.shard = f.state.Shards[0]
+	f.shard.Owned, f.shard.Ready = true, true
+	f.Scheduler = New(f.loop, f.state, f.config, Dependencies{
+		Workers:              f,
+		Records:              f,
+		Store:                f,
+		SpotInterruptionRate: func() float64 { return f.spotInterruptionRate },
+		CountMachineScans:    func([]*state.Machine) {},
+		StretchDelay:         func(delay cluster.Time) cluster.Time { return delay },
+	})
+	f.state.MachineTypes["small"] = cluster.MachineType{
+		Name:             "small",
+		Capacity:         cluster.Resources{CPU: 4 * cpu, Memory: 16 * cpu},
+		Zones:            []string{"a"},
+		FetchGBPerSecond: 0.25,
+	}
+	f.loop.Begin(0, 1_000_000)
+	return f
+}
+
+// StopTask implements Workers.
+func (f *fixture) StopTask(_ *state.Machine, assignment *state.Assignment, graceSeconds float64) {
+	assignment.StopRequested, assignment.GracePeriod = true, graceSeconds
+}
+
+// DrainMachine implements Workers.
+func (f *fixture) DrainMachine(machine *state.Machine) {
+	machine.Draining = true
+	f.drained = append(f.drained, machine)
+}
+
+// HasRoom implements MachineRecords.
+func (f *fixture) HasRoom(*state.MachineGroup, *state.Job) bool { return true }
+
+// WriteMachine implements MachineRecords.
+func (f *fixture) WriteMachine(machine *state.Machine, _ writequeue.Priority) {
+	f.written = append(f.written, machine)
+}
+
+// IsUnavailableFor implements Store.
+func (f *fixture) IsUnavailableFor(cluster.Time) bool { return false }
+
+// addMachine adds a machine of the type small whose worker has acknowledged its token.
+func (f *fixture) addMachine(id cluster.MachineID) *state.Machine {
+	group := &state.MachineGroup{ID: "g-" + string(id), Machines: map[cluster.MachineID]*state.Machine{}, NextWritePriority: writequeue.PriorityCount}
+	f.state.Groups[group.ID] = group
+	line := grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}}
+	machine := state.NewMachine(group, line, 5, f.loop.Now())
+	machine.TokenAcknowledged = true
+	machine.Usage.ByTeam = f.shard.Usage
+	group.Machines[id] = machine
+	f.state.Machines[id] = machine
+	f.shard.Machines = append(f.shard.Machines, machine)
+	return machine
+}
+
+// addJob adds a job of the team red whose tasks need a machine each.
+func (f *fixture) addJob(spec cluster.JobSpec) *state.Job {
+	spec.Team, spec.ResourceRequest = "red", cluster.Resources{CPU: 4 * cpu}
+	job := state.NewJob(spec, f.shard.ID, 0, f.loop.Now())
+	f.state.AddOwnedJob(job)
+	return job
+}
+
+// addRunningTask assigns the job's next pending task to a machine, on which it runs.
+func (f *fixture) addRunningTask(job *state.Job, machine *state.Machine) *state.Assignment {
+	task := cluster.TaskID{Job: job.Spec.ID, Index: job.NextPendingTask()}
+	assignment := &state.Assignment{
+		Task:            task,
+		Job:             job,
+		ResourceRequest: job.Spec.ResourceRequest,
+		MachineID:       machine.ID,
+		Phase:           state.PhaseAcknowledged,
+		State:           cluster.Running,
+	}
+	machine.AddAssignment(assignment)
+	job.SetAssigned(task.Index, assignment)
+	return assignment
+}
--- /dev/null
+++ b/internal/scheduling/scheduler.go
@@ -0,0 +1,122 @@
+package scheduling
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
+	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
+)
+
+const (
+	second      = cluster.Second
+	millisecond = cluster.Millisecond
+)
+
+// Config is what the scheduler knows from the start.
+type Config struct {
+	// HeartbeatInterval is how often workers report.
+	HeartbeatInterval cluster.Time
+	// SLOs are the objectives of all classes of jobs.
+	SLOs []cluster.SLO
+	// ShortJobWeight is how many times a job's latest start is moved back by what its
+	// remaining work would take all of its shard.
+	ShortJobWeight float64
+	// FirstTaskTarget is how soon a job's first task should start: it goes before all
+	// others after half of this.
+	FirstTaskTarget cluster.Time
+}
+
+// Workers is what the scheduler asks of the machines' workers.
+type Workers interface {
+	// StopTask stops a task and gives it some seconds to save a checkpoint.
+	StopTask(machine *state.Machine, assignment *state.Assignment, graceSeconds float64)
+	// DrainMachine lets a machine run empty, so that it is released.
+	DrainMachine(machine *state.Machine)
+}
+
+// MachineRecords is what the scheduler needs of the records of the machine groups.
+type MachineRecords interface {
+	// HasRoom tells whether a group's record can list one more task of a job.
+	HasRoom(group *state.MachineGroup, job *state.Job) bool
+	// WriteMachine stores the record that lists a machine's tasks.
+	WriteMachine(machine *state.Machine, priority writequeue.Priority)
+}
+
+// Store tells whether records can be stored.
+type Store interface {
+	// IsUnavailableFor tells whether the state service has failed for longer than a
+	// time.
+	IsUnavailableFor(duration cluster.Time) bool
+}
+
+// Dependencies are the other parts of the controller that the scheduler uses.
+type Dependencies struct {
+	Workers Workers
+	Records MachineRecords
+	Store   Store
+	// SpotInterruptionRate is how often a spot machine is lost, per second.
+	SpotInterruptionRate func() float64
+	// CountMachineScans counts a look at each of some machines, for the periodic log
+	// line.
+	CountMachineScans func([]*state.Machine)
+	// StretchDelay lengthens a pause while the process is overloaded.
+	StretchDelay func(cluster.Time) cluster.Time
+}
+
+// Scheduler assigns pending tasks to machines. Its parts can be asked for what the
+// other parts of the controller need to know.
+type Scheduler struct {
+	// Trigger says when tasks are assigned.
+	Trigger *Trigger
+	// RunTimes estimates how long tasks run.
+	RunTimes *RunTimes
+	// Stragglers replaces slow machines and restarts tasks that take too long.
+	Stragglers *Stragglers
+	// Spot weighs spot machines against on-demand ones.
+	Spot *SpotPreference
+	// Eligibility tells which machines a job may use.
+	Eligibility *Eligibility
+	// Queue orders the pending jobs of a shard.
+	Queue *JobQueue
+
+	shared *shared
+}
+
+// shared is what all parts of the scheduler use.
+type shared struct {
+	loop   *eventloop.Loop
+	state  *state.State
+	config Config
+	deps   Dependencies
+}
+
+// New makes a scheduler. It sets no timers of its own: its periodic methods are to
+// be called by the owner of the loop.
+func New(loop *eventloop.Loop, st *state.State, config Config, deps Dependencies) *Scheduler {
+	base := &shared{loop: loop, state: st, config: config, deps: deps}
+	s := &Scheduler{shared: base, Trigger: &Trigger{}}
+	s.RunTimes = newRunTimes(loop)
+	s.Stragglers = &Stragglers{shared: base}
+	s.Spot = &SpotPreference{shared: base, runTimes: s.RunTimes}
+	s.Eligibility = &Eligibility{shared: base, spot: s.Spot}
+	s.Queue = &JobQueue{shared: base, runTimes: s.RunTimes, spot: s.Spot}
+	return s
+}
+
+// Configure takes over other settings.
+func (s *Scheduler) Configure(config Config) { s.shared.config = config }
+
+// machineCapacity is what a machine of the type has in all.
+func (s *shared) machineCapacity(machine *state.Machine) cluster.Resources {
+	return s.state.MachineTypes[machine.MachineType].Capacity
+}
+
+// freeResources is what is free on a machine.
+func (s *shared) freeResources(machine *state.Machine) cluster.Resources {
+	return s.machineCapacity(machine).Minus(machine.UsedResources())
+}
+
+// secondsSince is how long ago a time was.
+func (s *shared) secondsSince(start cluster.Time) float64 {
+	return (s.loop.Now() - start).Seconds()
+}
