--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 import (
 	"time"
 
+	"stairrelay/internal/inventory"
 	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
@@ -17,6 +18,7 @@
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ownership"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/writequeue"
 )
@@ -49,18 +51,16 @@
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	ownershipChecks   []ownershipChecks // by shard
-	progress          []shardProgress   // by shard
-	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
-	ownedShardChanges int               // of the parts held here
-	jobReads          linearizableJobReads
-	admissions        admissionQueue
-	loadCache         loadCache
-	scheduler         *scheduling.Scheduler
+	ownership  *ownership.Manager
+	progress   []shardProgress // by shard
+	jobReads   linearizableJobReads
+	admissions admissionQueue
+	loadCache  loadCache
+	scheduler  *scheduling.Scheduler
 
 	// Machines.
-	recordNames       recordNames
-	machineOwners     machineOwners
+	recordNames       *inventory.RecordNames
+	inventory         *inventory.Inventory
 	reconciler        *reconcile.Reconciler
 	machineTypeCache  machineTypeCache
 	cloudListing      cloudListing
@@ -78,7 +78,7 @@
 		loop:               eventloop.New(),
 		state:              state.New(cfg.Nodes, cfg.Teams),
 		admissions:         admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:      machineOwners{},
+		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
 		ownerQueries:       newOwnerQueries(),
 		jobNotices:         jobNotices{},
 		attemptedTransfers: attemptedTransfers{},
@@ -87,9 +87,10 @@
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.scheduler = c.newScheduler()
 	c.reconciler = c.newReconciler()
-	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.updateCloudRate()
 	c.cloudRate.bucket.Fill()
@@ -153,7 +154,7 @@
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
 	c.members.Start()
-	c.loadShards()
+	c.ownership.Start()
 	c.loadJobs()
 	c.loadAdmissions()
 	c.fetchMachineTypes()
@@ -166,7 +167,7 @@
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
-	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
+	c.loop.Every(eventloop.FixedInterval(second), c.ownership.RenewLeases)
 	c.loop.Every(eventloop.FixedInterval(second/4), c.scheduler.Trigger.Request)
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/scheduling_adapter.go
+++ b/internal/controller/scheduling_adapter.go
@@ -3,7 +3,6 @@
 import (
 	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
-	"stairrelay/internal/writequeue"
 )
 
 // schedulingConfig is what the scheduler needs of the settings.
@@ -21,7 +20,7 @@
 func (c *Controller) newScheduler() *scheduling.Scheduler {
 	return scheduling.New(c.loop, c.state, c.schedulingConfig(), scheduling.Dependencies{
 		Workers:              schedulingWorkers{controller: c},
-		Records:              schedulingRecords{controller: c},
+		Records:              c.inventory,
 		Store:                c.writeQueue,
 		SpotInterruptionRate: c.spotInterruptions.rate,
 		CountMachineScans:    c.counters.addMachineScans,
@@ -39,16 +38,3 @@
 
 // DrainMachine implements scheduling.Workers.
 func (w schedulingWorkers) DrainMachine(machine *state.Machine) { w.controller.drainMachine(machine) }
-
-// schedulingRecords stores the records of machine groups for the scheduler.
-type schedulingRecords struct{ controller *Controller }
-
-// HasRoom implements scheduling.MachineRecords.
-func (r schedulingRecords) HasRoom(group *state.MachineGroup, job *state.Job) bool {
-	return r.controller.hasRoom(group, job)
-}
-
-// WriteMachine implements scheduling.MachineRecords.
-func (r schedulingRecords) WriteMachine(machine *state.Machine, priority writequeue.Priority) {
-	r.controller.writeMachine(machine, priority)
-}
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/lease.go
@@ -1,26 +1,9 @@
-// Package ownership bounds how long the owner of a shard may act on what it last
-// knew for certain: its ownership lease.
-//
-// While the store does not answer, an owner can't see that another controller has
-// acquired its shard. The new owner may have confirmed cancellations of jobs whose
-// tasks run on machines which still send heartbeats to the former owner, and each
-// answer of the former owner would renew the lease of those machines. So an owner
-// counts from the last moment at which it was certain that nobody had acquired the
-// shard after it, and stops answering the shard's workers early enough that their
-// leases expire in time (docs/safety.md, "Gap").
-//
-// Two things confirm ownership. Every exchange with the store that shows the
-// claim in force confirms it as of the beginning of that exchange. Peer
-// acknowledgements confirm it as of the sending of the calls, once every other
-// controller has answered one with the terms that it knows, none of them later.
-// A controller that acquires a shard knows its term from then on, and acts on it
-// only after that. An acknowledgement counts only for the peer's present process,
-// as an earlier process may have acquired the shard and forgotten it: such a claim
-// shows in the store alone, so the store must have been read since. While all
-// peers acknowledge, an outage of the store costs nothing.
 package ownership
 
-import "stairrelay/internal/cluster"
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/state"
+)
 
 // clockDrift bounds how far the steady clocks of two machines drift apart, as a
 // fraction of the time that passes: twice the protocol's 0.05%.
@@ -28,20 +11,20 @@
 
 // stopMargin is the time in which a worker notices that its lease has expired and
 // stops its tasks.
-const stopMargin = 2 * cluster.Second
+const stopMargin = 2 * second
 
 // MinAnswerWindow is what peer calls each second need: with a shorter window one
 // lost call would cost tasks. Where the settings leave less, this much is used all
 // the same, and the bound on cancellations does not hold in every outage.
-const MinAnswerWindow = 4 * cluster.Second
+const MinAnswerWindow = 4 * second
 
 // StartWindow is the greatest age of the last confirmation at which tasks are
 // started. Starts by an owner that was succeeded would only be stopped again.
-const StartWindow = 5 * cluster.Second
+const StartWindow = 5 * second
 
 // renewalAge is the age of the last confirmation from which on the store is read.
 // While all controllers answer, peer calls confirm ownership each second.
-const renewalAge = 2 * cluster.Second
+const renewalAge = 2 * second
 
 // AnswerWindow returns how long after its ownership was last confirmed an owner may
 // answer the shard's workers. A new owner, which this one does not know of yet, may
@@ -112,3 +95,47 @@
 	}
 	return max(confirmedAt, c.ConfirmedAt)
 }
+
+// RecordConfirmation records that the state service has shown a claim of a shard in
+// force, by an exchange that began at a time.
+func (m *Manager) RecordConfirmation(shard *state.Shard, claim cluster.ModRevision, begunAt cluster.Time) {
+	if shard.Owned && shard.ModRevision == claim {
+		shard.ConfirmedAt = max(shard.ConfirmedAt, begunAt)
+	}
+}
+
+// LastConfirmedAt is the last moment at which it is certain that nobody had acquired
+// an owned shard after this controller.
+func (m *Manager) LastConfirmedAt(shard *state.Shard) cluster.Time {
+	claim := Claim{ShardID: shard.ID, Term: shard.Term, ConfirmedAt: shard.ConfirmedAt}
+	m.acknowledgements = m.peers.AppendAcknowledgements(m.acknowledgements[:0])
+	return claim.LastConfirmedAt(m.loop.Now(), m.acknowledgements)
+}
+
+// confirmationAge is how long ago that was.
+func (m *Manager) confirmationAge(shard *state.Shard) cluster.Time {
+	return m.loop.Now() - m.LastConfirmedAt(shard)
+}
+
+// CanAnswerWorkers tells whether this controller may still answer a shard's workers.
+func (m *Manager) CanAnswerWorkers(shard *state.Shard) bool {
+	return CanAnswer(m.confirmationAge(shard), m.config.CancelDeadline, m.config.WorkerLease)
+}
+
+// CanStartTasks tells whether tasks of a shard may be sent to its machines.
+func (m *Manager) CanStartTasks(shard *state.Shard) bool {
+	return CanStart(m.confirmationAge(shard))
+}
+
+// RenewLeases reads the claim records of owned shards that some controller has not
+// acknowledged lately, as when one is down or was restarted.
+func (m *Manager) RenewLeases() {
+	if m.isStoreOut() {
+		return
+	}
+	for _, shard := range m.shards {
+		if shard.Owned && NeedsRenewal(m.confirmationAge(shard)) {
+			m.RereadClaim(shard)
+		}
+	}
+}
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/lease_test.go
@@ -6,8 +6,6 @@
 	"stairrelay/internal/cluster"
 )
 
-const second = cluster.Second
-
 // TestAnswerWindow checks that the worker lease that the last answer renews expires
 // within cancelWithin, whatever the clocks do within the protocol's drift.
 func TestAnswerWindow(t *testing.T) {
--- a/internal/scheduling/assign.go
+++ b/internal/scheduling/assign.go
@@ -1,7 +1,6 @@
 package scheduling
 
 import (
-	"maps"
 	"slices"
 
 	"stairrelay/internal/cluster"
@@ -65,7 +64,7 @@
 	for _, job := range jobs {
 		minCPU = min(minCPU, job.Spec.ResourceRequest.CPU)
 	}
-	r := &round{Scheduler: s, shard: shard, jobs: jobs, guaranteed: guaranteed, usage: maps.Clone(shard.Usage), reserved: state.TeamUsage{}}
+	r := &round{Scheduler: s, shard: shard, jobs: jobs, guaranteed: guaranteed, usage: shard.UsageByTeam(), reserved: state.TeamUsage{}}
 	r.capacities, r.kinds = s.listFreeCapacity(shard, minCPU)
 	r.assignStarving()
 	for _, job := range jobs {
--- a/internal/scheduling/pendingwork.go
+++ b/internal/scheduling/pendingwork.go
@@ -1,8 +1,6 @@
 package scheduling
 
 import (
-	"maps"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/state"
 )
@@ -20,7 +18,7 @@
 
 // PendingWork lists the pending tasks that the teams' quotas would let run at once.
 func (q *JobQueue) PendingWork(shard *state.Shard) PendingWork {
-	usage := maps.Clone(shard.Usage)
+	usage := shard.UsageByTeam()
 	var work PendingWork
 	jobs, _ := q.Jobs(shard)
 	// The next task of a starving job comes first here as it does when tasks are
--- a/internal/scheduling/preempt_test.go
+++ b/internal/scheduling/preempt_test.go
@@ -1,7 +1,6 @@
 package scheduling
 
 import (
-	"maps"
 	"testing"
 
 	"stairrelay/internal/cluster"
@@ -22,7 +21,7 @@
 		victim := f.addJob(cluster.JobSpec{ID: "j-1", Tasks: 9, CheckpointSeconds: 10, SubmittedAt: submitted})
 		urgent := f.addJob(cluster.JobSpec{ID: "j-2", Tasks: 1, Priority: cluster.Urgent, SubmittedAt: f.loop.WallTime()})
 		assignment := f.addRunningTask(victim, machine)
-		r := &round{Scheduler: f.Scheduler, shard: f.shard, jobs: []*state.Job{urgent}, guaranteed: map[*state.Job]bool{}, usage: maps.Clone(f.shard.Usage)}
+		r := &round{Scheduler: f.Scheduler, shard: f.shard, jobs: []*state.Job{urgent}, guaranteed: map[*state.Job]bool{}, usage: f.shard.UsageByTeam()}
 		r.preempt()
 		if assignment.StopRequested == waited {
 			t.Errorf("waited %v: stopped %v", waited, assignment.StopRequested)
