--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -67,8 +67,6 @@
 	scaleOutScheduled bool // a look for machines before the next regular one
 	machineReleases   scaleInBatch
 	spotInterruptions spotInterruptions
-	heldHeartbeats    heldHeartbeats
-	urgentPushes      []*state.Machine // whose commands can't wait for their reports
 }
 
 // New makes a Core. Nothing happens before the first Step.
@@ -121,7 +119,7 @@
 		c.handleHealth(e)
 	case messages.Heartbeat:
 		c.counters.Heartbeats++
-		c.handleHeartbeat(e)
+		c.reconciler.Heartbeats.Handle(e)
 	case messages.PeerRequest:
 		c.handlePeerRequest(e)
 	case messages.ProcessLoad:
@@ -140,9 +138,9 @@
 // flush decides once per step on all that the step has changed.
 func (c *Controller) flush() {
 	c.scheduler.RunIfRequested()
-	c.pushQueuedCommands()
+	c.reconciler.Commands.PushQueued()
 	c.writeQueue.Dispatch()
-	c.answerHeldHeartbeats()
+	c.reconciler.Heartbeats.AnswerReady()
 }
 
 // respondError answers at once that the request can't be taken now.
@@ -162,7 +160,7 @@
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
-	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
+	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
 	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -1,59 +1,97 @@
 package controller
 
 import (
-	"stairrelay/internal/cluster"
-	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/inventory"
 	"stairrelay/internal/reconcile"
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
 )
 
 // reconcileConfig is what the reconciler needs of the settings.
 func (c *Controller) reconcileConfig() reconcile.Config {
 	return reconcile.Config{
-		Self:         c.config.Self,
-		CloudListLag: c.config.CloudListLag,
+		Self:              c.config.Self,
+		HeartbeatInterval: c.config.HeartbeatInterval,
+		WorkerLease:       c.config.WorkerLease,
+		CancelDeadline:    c.config.CancelDeadline,
+		CloudListLag:      c.config.CloudListLag,
+		BootTimeoutFactor: c.config.Tuning.BootTimeoutFactor,
+		ScaleInIdleTime:   c.config.Tuning.ScaleInIdleTime,
 	}
 }
 
 // newReconciler connects the reconciler to the other parts.
 func (c *Controller) newReconciler() *reconcile.Reconciler {
 	return reconcile.New(c.loop, c.state, c.writeQueue, c.reconcileConfig(), reconcile.Dependencies{
-		Directory:        machineDirectory{controller: c},
-		Registrar:        machineRegistrar{controller: c},
-		HandleHeartbeat:  c.handleHeartbeat,
-		MaintainMachines: c.maintainMachines,
+		Ownership:         c.ownership,
+		Machines:          c.inventory,
+		Jobs:              jobRecords{controller: c},
+		Runtimes:          runtimes{c.scheduler.RunTimes, c.scheduler.Stragglers},
+		Reachability:      c.workerReachability,
+		Process:           c.processHealth,
+		Directory:         machineDirectory{c.inventory},
+		Registrar:         c.inventory,
+		Releaser:          machineReleaser{controller: c},
+		Spot:              &c.spotInterruptions,
+		Metrics:           &c.counters,
+		IsIsolated:        c.isIsolated,
+		RequestScheduling: c.scheduler.Trigger.Request,
 	})
 }
 
-// machineDirectory tells the reconciler whose machines are that are not owned here.
-type machineDirectory struct{ controller *Controller }
+// isolationThreshold is the least time after which a controller may count as
+// isolated.
+const isolationThreshold = 10 * second
 
-// RecentOwner implements reconcile.MachineDirectory.
-func (d machineDirectory) RecentOwner(id cluster.MachineID, within cluster.Time) (cluster.ShardID, bool) {
-	return d.controller.inventory.RecentShardOf(id, within)
+// isIsolated tells whether this controller has had neither the state service nor any
+// other controller for so long that another may own its shards.
+func (c *Controller) isIsolated() bool {
+	patience := max(c.config.WorkerLease, isolationThreshold)
+	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(patience) && !c.members.HasAnswerWithin(patience)
 }
 
-// LastOwner implements reconcile.MachineDirectory.
-func (d machineDirectory) LastOwner(id cluster.MachineID) cluster.ShardID {
-	shard, _ := d.controller.inventory.LastShardOf(id)
-	return shard
+// jobRecords writes the jobs' records for the reconciler.
+type jobRecords struct{ controller *Controller }
+
+// WriteJob implements reconcile.JobRecords.
+func (r jobRecords) WriteJob(job *state.Job, priority writequeue.Priority) {
+	r.controller.writeJob(job, priority)
 }
 
-// ReadRecordedMachines implements reconcile.MachineDirectory.
-func (d machineDirectory) ReadRecordedMachines(handle func(*reconcile.RecordedMachines)) {
-	d.controller.inventory.ReadRecordedMachines(func(recorded *inventory.RecordedMachines) {
-		handle((*reconcile.RecordedMachines)(recorded))
-	})
+// runtimes shows the reconciler how long tasks run.
+type runtimes struct {
+	*scheduling.RunTimes
+	*scheduling.Stragglers
+}
+
+// machineReleaser gives machines back to the cloud for the reconciler.
+type machineReleaser struct{ controller *Controller }
+
+// Release implements reconcile.MachineReleaser.
+func (r machineReleaser) Release(machine *state.Machine, reason reconcile.ReleaseReason) {
+	r.controller.scaleInMachine(machine, string(reason))
 }
 
-// machineRegistrar writes orphaned machines into records for the reconciler.
-type machineRegistrar struct{ controller *Controller }
+// ReleaseBeforeRecorded implements reconcile.MachineReleaser.
+func (r machineReleaser) ReleaseBeforeRecorded(machine *state.Machine) {
+	r.controller.scaleInBeforeRecorded(machine)
+}
+
+// ScheduleCall implements reconcile.MachineReleaser.
+func (r machineReleaser) ScheduleCall() { r.controller.scheduleScaleIn() }
 
-// MaxMachinesPerGroup implements reconcile.MachineRegistrar.
-func (r machineRegistrar) MaxMachinesPerGroup() int { return r.controller.inventory.TargetGroupSize() }
+// SurplusPredicate implements reconcile.MachineReleaser.
+func (r machineReleaser) SurplusPredicate() func(*state.Machine) bool {
+	return r.controller.surplusPredicate()
+}
+
+// machineDirectory tells the reconciler whose machines are that are not owned here.
+type machineDirectory struct{ *inventory.Inventory }
 
-// RegisterMachines implements reconcile.MachineRegistrar.
-func (r machineRegistrar) RegisterMachines(shard *state.Shard, machines []grouprecord.Machine, done func()) {
-	r.controller.inventory.RegisterMachines(shard, machines, done)
+// ReadRecordedMachines implements reconcile.MachineDirectory.
+func (d machineDirectory) ReadRecordedMachines(handle func(*reconcile.RecordedMachines)) {
+	d.Inventory.ReadRecordedMachines(func(recorded *inventory.RecordedMachines) {
+		handle((*reconcile.RecordedMachines)(recorded))
+	})
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -77,7 +77,7 @@
 	}
 	// What the usable machines have free is about to be used.
 	c.scheduler.PackFreeCapacity(p, work)
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if !m.Booting && !m.TokenAcknowledged && !m.Releasing && c.loop.Now()-m.OwnedSince < 5*second {
 			work.Pack(c.state.MachineTypes[m.MachineType].Capacity.Minus(m.UsedResources()), func(j *state.Job) bool { return c.scheduler.Eligibility.IsAllowedOn(j, m) })
@@ -85,7 +85,7 @@
 	}
 	// Another part's idle machine serves at once, a booting one much later.
 	c.acceptOffers(p, work)
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if m.Releasing || m.Draining || c.scheduler.Eligibility.IsSchedulable(m) {
 			continue
@@ -115,7 +115,7 @@
 	if !p.Owned || !p.Ready {
 		return nil
 	}
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if c.scheduler.Eligibility.IsSchedulable(m) && len(m.Assignments) == 0 && m.RecordedTaskCount == 0 && !m.Group.WriteInFlight && m.Group.Offer == nil && m.Address != "" &&
 			len(m.UnrecordedToStop) == 0 && c.loop.Now()-m.IdleSince > second/2 {
--- a/internal/controller/scheduling_adapter.go
+++ b/internal/controller/scheduling_adapter.go
@@ -19,22 +19,28 @@
 // newScheduler connects the scheduler to the other parts.
 func (c *Controller) newScheduler() *scheduling.Scheduler {
 	return scheduling.New(c.loop, c.state, c.schedulingConfig(), scheduling.Dependencies{
-		Workers:              schedulingWorkers{controller: c},
+		Stops:                taskStopper{controller: c},
 		Records:              c.inventory,
 		Store:                c.writeQueue,
 		SpotInterruptionRate: c.spotInterruptions.rate,
-		CountMachineScans:    c.counters.addMachineScans,
+		CountMachineScans:    c.counters.AddMachineScans,
 		StretchDelay:         c.processHealth.StretchDelay,
 	})
 }
 
-// schedulingWorkers stops tasks and drains machines for the scheduler.
-type schedulingWorkers struct{ controller *Controller }
+// taskStopper stops tasks and drains machines for the scheduler. The reconciler is made
+// after the scheduler, so that it is looked up when it is needed.
+type taskStopper struct{ controller *Controller }
 
-// StopTask implements scheduling.Workers.
-func (w schedulingWorkers) StopTask(machine *state.Machine, assignment *state.Assignment, graceSeconds float64) {
-	w.controller.stopTask(machine, assignment, graceSeconds)
+// Preempt implements scheduling.TaskStopper.
+func (s taskStopper) Preempt(machine *state.Machine, assignment *state.Assignment) {
+	s.controller.reconciler.Stops.Preempt(machine, assignment)
 }
 
-// DrainMachine implements scheduling.Workers.
-func (w schedulingWorkers) DrainMachine(machine *state.Machine) { w.controller.drainMachine(machine) }
+// MoveOffSlowMachine implements scheduling.TaskStopper.
+func (s taskStopper) MoveOffSlowMachine(machine *state.Machine, assignment *state.Assignment) {
+	s.controller.reconciler.Stops.MoveOffSlowMachine(machine, assignment)
+}
+
+// Drain implements scheduling.TaskStopper.
+func (s taskStopper) Drain(machine *state.Machine) { s.controller.reconciler.Stops.Drain(machine) }
--- a/internal/scheduling/fixture_test.go
+++ b/internal/scheduling/fixture_test.go
@@ -18,7 +18,6 @@
 	config               Config
 	spotInterruptionRate float64 // per second
 	written              []*state.Machine
-	drained              []*state.Machine
 }
 
 func newFixture() *fixture {
@@ -32,7 +31,7 @@
 	f.shard = f.state.Shards[0]
 	f.shard.Owned, f.shard.Ready = true, true
 	f.Scheduler = New(f.loop, f.state, f.config, Dependencies{
-		Workers:              f,
+		Stops:                f,
 		Records:              f,
 		Store:                f,
 		SpotInterruptionRate: func() float64 { return f.spotInterruptionRate },
@@ -49,17 +48,19 @@
 	return f
 }
 
-// StopTask implements Workers.
-func (f *fixture) StopTask(_ *state.Machine, assignment *state.Assignment, graceSeconds float64) {
-	assignment.StopRequested, assignment.GracePeriod = true, graceSeconds
+// Preempt implements TaskStopper.
+func (f *fixture) Preempt(_ *state.Machine, assignment *state.Assignment) {
+	assignment.StopRequested = true
 }
 
-// DrainMachine implements Workers.
-func (f *fixture) DrainMachine(machine *state.Machine) {
-	machine.Draining = true
-	f.drained = append(f.drained, machine)
+// MoveOffSlowMachine implements TaskStopper.
+func (f *fixture) MoveOffSlowMachine(_ *state.Machine, assignment *state.Assignment) {
+	assignment.StopRequested = true
 }
 
+// Drain implements TaskStopper.
+func (f *fixture) Drain(machine *state.Machine) { machine.Draining = true }
+
 // HasRoom implements MachineRecords.
 func (f *fixture) HasRoom(*state.MachineGroup, *state.Job) bool { return true }
 
--- a/internal/scheduling/preempt.go
+++ b/internal/scheduling/preempt.go
@@ -90,7 +90,7 @@
 			fitting++
 		}
 		for _, victim := range victims {
-			p.stopForPreemption(machine, victim)
+			p.shared.deps.Stops.Preempt(machine, victim)
 		}
 		if fitting >= job.PendingCount() {
 			break
@@ -102,12 +102,6 @@
 	return true
 }
 
-// stopForPreemption stops a task with the time that its job needs to save a
-// checkpoint.
-func (s *Scheduler) stopForPreemption(machine *state.Machine, victim *state.Assignment) {
-	s.shared.deps.Workers.StopTask(machine, victim, victim.Job.Spec.SaveSeconds+1)
-}
-
 // selectVictims picks the tasks on a machine that have to stop so that a job's task
 // fits, and returns what is free then.
 func (p *preemption) selectVictims(job *state.Job, machine *state.Machine) (victims []*state.Assignment, free cluster.Resources) {
@@ -161,7 +155,7 @@
 			}
 			quotaLeft = quotaLeft.Plus(assignment.ResourceRequest)
 			if !assignment.StopRequested {
-				p.stopForPreemption(machine, assignment)
+				p.shared.deps.Stops.Preempt(machine, assignment)
 				job.NextPreemptionAt = p.shared.loop.Now() + preemptionBackoff
 			}
 		}
--- a/internal/scheduling/runtimes.go
+++ b/internal/scheduling/runtimes.go
@@ -68,8 +68,8 @@
 	return max(run-elapsed, run*minRemainingShare)
 }
 
-// Record takes in the run time of a task that has completed on a machine.
-func (r *RunTimes) Record(machine *state.Machine, assignment *state.Assignment) {
+// RecordRuntime takes in the run time of a task that has completed on a machine.
+func (r *RunTimes) RecordRuntime(machine *state.Machine, assignment *state.Assignment) {
 	job := assignment.Job
 	// Only whole runs that were seen from their start tell anything: a task that
 	// resumes from a checkpoint has less to do, and the start of one that an earlier
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -26,12 +26,14 @@
 	FirstTaskTarget cluster.Time
 }
 
-// Workers is what the scheduler asks of the machines' workers.
-type Workers interface {
-	// StopTask stops a task and gives it some seconds to save a checkpoint.
-	StopTask(machine *state.Machine, assignment *state.Assignment, graceSeconds float64)
-	// DrainMachine lets a machine run empty, so that it is released.
-	DrainMachine(machine *state.Machine)
+// TaskStopper stops tasks and empties machines.
+type TaskStopper interface {
+	// Preempt stops a task so that others get its room.
+	Preempt(machine *state.Machine, assignment *state.Assignment)
+	// MoveOffSlowMachine stops a task so that it starts again on another machine.
+	MoveOffSlowMachine(machine *state.Machine, assignment *state.Assignment)
+	// Drain lets a machine run empty, so that it is released.
+	Drain(machine *state.Machine)
 }
 
 // MachineRecords is what the scheduler needs of the records of the machine groups.
@@ -51,7 +53,7 @@
 
 // Dependencies are the other parts of the controller that the scheduler uses.
 type Dependencies struct {
-	Workers Workers
+	Stops   TaskStopper
 	Records MachineRecords
 	Store   Store
 	// SpotInterruptionRate is how often a spot machine is lost, per second.
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -23,17 +23,14 @@
 	// maxLateChecks is in how many checks in a row a straggler must be found: the
 	// heartbeats may be late, not the task.
 	maxLateChecks = 4
-	// slowSaveFactor is how much longer than elsewhere saving a checkpoint may take
-	// on a slow machine.
-	slowSaveFactor = 4
 )
 
 // Stragglers finds the machines and tasks that take far longer than others.
 type Stragglers struct{ *shared }
 
-// CheckMachine drains a machine that is much slower than its like, and restarts
+// HandleSlowMachine drains a machine that is much slower than its like, and restarts
 // elsewhere what has already taken far longer than the job's other tasks.
-func (s *Stragglers) CheckMachine(machine *state.Machine) {
+func (s *Stragglers) HandleSlowMachine(machine *state.Machine) {
 	if machine.Draining || machine.Releasing {
 		return
 	}
@@ -54,14 +51,14 @@
 		}
 	}
 	s.loop.Log(messages.LogInfo, "machine is slow", "machine", string(machine.ID), "pace", machine.RelativePace, "late_tasks", len(late))
-	s.deps.Workers.DrainMachine(machine)
+	s.deps.Stops.Drain(machine)
 	for _, assignment := range machine.SortedAssignments() {
 		if assignment.IsCheckpointable() {
 			late = append(late, assignment)
 		}
 	}
 	for _, assignment := range late {
-		s.deps.Workers.StopTask(machine, assignment, assignment.Job.Spec.SaveSeconds*slowSaveFactor+1)
+		s.deps.Stops.MoveOffSlowMachine(machine, assignment)
 	}
 }
 
