--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -23,7 +23,7 @@
 func (c *Controller) inventoryDependencies() inventory.Dependencies {
 	return inventory.Dependencies{
 		Shards:    inventoryShards{Manager: c.ownership, controller: c},
-		Jobs:      inventoryJobs{controller: c},
+		Jobs:      c.jobs.Records,
 		Workers:   inventoryWorkers{controller: c},
 		Scheduler: inventoryScheduler{controller: c},
 		Cloud:     inventoryCloud{controller: c},
@@ -38,11 +38,6 @@
 
 func (a inventoryShards) Load(shard *state.Shard) { a.controller.loadShard(shard) }
 
-// inventoryJobs implements inventory.Jobs.
-type inventoryJobs struct{ controller *Controller }
-
-func (a inventoryJobs) Abandon(job *state.Job) { a.controller.abandonJob(job) }
-
 // inventoryWorkers implements inventory.Workers.
 type inventoryWorkers struct{ controller *Controller }
 
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -56,7 +56,7 @@
 
 // WriteJob implements reconcile.JobRecords.
 func (r jobRecords) WriteJob(job *state.Job, priority writequeue.Priority) {
-	r.controller.writeJob(job, priority)
+	r.controller.jobs.Records.Write(job, priority)
 }
 
 // runtimes shows the reconciler how long tasks run.
