--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -52,7 +52,7 @@
 	c := h.controller
 	c.ownership.DescribeOwnership(to, ping)
 	ping.TransferOffers = c.transferOffers()
-	ping.CloudDemand = c.cloudRate.demand
+	ping.CloudDemand = c.provisioner.Rate.Demand()
 	ping.ShardLoads = c.ownedShardLoads()
 }
 
@@ -67,7 +67,7 @@
 }
 
 // HandleReachabilityChange implements membership.Host.
-func (h membershipHost) HandleReachabilityChange() { h.controller.updateCloudRate() }
+func (h membershipHost) HandleReachabilityChange() { h.controller.provisioner.Rate.Divide() }
 
 // ReviewOwnership implements membership.Host.
 func (h membershipHost) ReviewOwnership() { h.controller.ownership.ConsiderAcquires() }
--- a/internal/controller/scheduling_adapter.go
+++ b/internal/controller/scheduling_adapter.go
@@ -22,7 +22,7 @@
 		Stops:                taskStopper{controller: c},
 		Records:              c.inventory,
 		Store:                c.writeQueue,
-		SpotInterruptionRate: c.spotInterruptions.rate,
+		SpotInterruptionRate: c.provisioner.Spot.Rate,
 		CountMachineScans:    c.counters.AddMachineScans,
 		StretchDelay:         c.processHealth.StretchDelay,
 	})
