--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -10,87 +10,102 @@
 	"stairrelay/internal/state"
 )
 
+const (
+	storeConfirmedAt = 100 * second // when the state service last showed the claim of shard 0
+	answeredAt       = 130 * second // when the pings were sent that the peers have answered
+)
+
+// leaseTest is what the other controllers have acknowledged, and what the owner of
+// shard 0 may do by it.
+type leaseTest struct {
+	name       string
+	n2Answered cluster.Time // when the last ping was sent that n2 has answered; 0: none was
+	prepare    func(b *controllerHarness, n2 *membership.Peer)
+	owned      bool
+	confirmed  cluster.Time
+	mayAnswer  bool // 8 s later
+	mayStart   bool // 8 s later
+}
+
+var leaseTests = []leaseTest{
+	{
+		name: "every peer acknowledged", n2Answered: answeredAt,
+		prepare: func(*controllerHarness, *membership.Peer) {},
+		owned:   true, confirmed: answeredAt, mayAnswer: true, mayStart: false,
+	},
+	{
+		name: "one peer never did", n2Answered: 0,
+		prepare: func(*controllerHarness, *membership.Peer) {},
+		owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+	},
+	{
+		name: "a new process", n2Answered: answeredAt,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, "other", 1, 1, 1) },
+		owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+	},
+	{
+		name: "a new process, the store read since", n2Answered: answeredAt,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) {
+			answerPing(b, n2, "other", 1, 1, 1)
+			b.ownership.RecordConfirmation(b.state.Shards[0], 30, answeredAt)
+		},
+		owned: true, confirmed: answeredAt, mayAnswer: true, mayStart: false,
+	},
+	{
+		name: "a new process, another mod revision read", n2Answered: answeredAt,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) {
+			answerPing(b, n2, "other", 1, 1, 1)
+			b.ownership.RecordConfirmation(b.state.Shards[0], 31, answeredAt)
+		},
+		owned: true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+	},
+	{
+		name: "an older release", n2Answered: answeredAt,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, knownInstance("n2")) },
+		owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+	},
+	{
+		name: "a later term", n2Answered: answeredAt,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, knownInstance("n2"), 2, 1, 1) },
+		owned:   false,
+	},
+	{
+		name: "its own ping only", n2Answered: storeConfirmedAt,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) {
+			b.receivePing(n2, &messages.Ping{InstanceID: knownInstance("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
+		},
+		owned: true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+	},
+}
+
+// answerPing lets a peer answer a ping with the terms that it knows.
+func answerPing(b *controllerHarness, from *membership.Peer, instanceID string, terms ...cluster.Term) {
+	b.members.HandlePingReply(from, &messages.Ping{InstanceID: instanceID, KnownTerms: terms}, answeredAt)
+}
+
+// newHarness is the controller of a test after the peers' acknowledgements.
+func (test *leaseTest) newHarness() *controllerHarness {
+	b := newHarnessWithKnownPeers()
+	b.state.Shards[0].ConfirmedAt = storeConfirmedAt
+	setTime(b.Controller, answeredAt)
+	for id, sentAt := range map[cluster.NodeID]cluster.Time{"n1": answeredAt, "n2": test.n2Answered} {
+		if sentAt > 0 {
+			ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{1, 1, 1}}
+			b.members.HandlePingReply(b.members.Peer(id), ping, sentAt)
+		}
+	}
+	test.prepare(b, b.members.Peer("n2"))
+	return b
+}
+
 // TestOwnershipLeaseByPeerAcknowledgement shows what a peer's acknowledgement that it
 // knows of no later claim of a shard is worth, and how long an owner may answer
 // workers and start tasks by it.
 func TestOwnershipLeaseByPeerAcknowledgement(t *testing.T) {
-	const (
-		storeConfirmedAt = 100 * second
-		answeredAt       = 130 * second
-	)
-	handleReply := func(b *controllerHarness, from *membership.Peer, instanceID string, terms ...cluster.Term) {
-		b.members.HandlePingReply(from, &messages.Ping{InstanceID: instanceID, KnownTerms: terms}, answeredAt)
-	}
-	for _, test := range []struct {
-		name       string
-		n2Answered cluster.Time // when the last ping was sent that n2 has answered; 0: none was
-		prepare    func(b *controllerHarness, n2 *membership.Peer)
-		owned      bool
-		confirmed  cluster.Time
-		mayAnswer  bool // 8 s later
-		mayStart   bool // 8 s later
-	}{
-		{
-			name: "every peer acknowledged", n2Answered: answeredAt,
-			prepare: func(*controllerHarness, *membership.Peer) {},
-			owned:   true, confirmed: answeredAt, mayAnswer: true, mayStart: false,
-		},
-		{
-			name: "one peer never did", n2Answered: 0,
-			prepare: func(*controllerHarness, *membership.Peer) {},
-			owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
-		},
-		{
-			name: "a new process", n2Answered: answeredAt,
-			prepare: func(b *controllerHarness, n2 *membership.Peer) { handleReply(b, n2, "other", 1, 1, 1) },
-			owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
-		},
-		{
-			name: "a new process, the store read since", n2Answered: answeredAt,
-			prepare: func(b *controllerHarness, n2 *membership.Peer) {
-				handleReply(b, n2, "other", 1, 1, 1)
-				b.ownership.RecordConfirmation(b.state.Shards[0], 30, answeredAt)
-			},
-			owned: true, confirmed: answeredAt, mayAnswer: true, mayStart: false,
-		},
-		{
-			name: "a new process, another mod revision read", n2Answered: answeredAt,
-			prepare: func(b *controllerHarness, n2 *membership.Peer) {
-				handleReply(b, n2, "other", 1, 1, 1)
-				b.ownership.RecordConfirmation(b.state.Shards[0], 31, answeredAt)
-			},
-			owned: true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
-		},
-		{
-			name: "an older release", n2Answered: answeredAt,
-			prepare: func(b *controllerHarness, n2 *membership.Peer) { handleReply(b, n2, knownInstance("n2")) },
-			owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
-		},
-		{
-			name: "a later term", n2Answered: answeredAt,
-			prepare: func(b *controllerHarness, n2 *membership.Peer) { handleReply(b, n2, knownInstance("n2"), 2, 1, 1) },
-			owned:   false,
-		},
-		{
-			name: "its own ping only", n2Answered: storeConfirmedAt,
-			prepare: func(b *controllerHarness, n2 *membership.Peer) {
-				b.receivePing(n2, &messages.Ping{InstanceID: knownInstance("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
-			},
-			owned: true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
-		},
-	} {
+	for _, test := range leaseTests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarnessWithKnownPeers()
+			b := test.newHarness()
 			shard := b.state.Shards[0]
-			shard.ConfirmedAt = storeConfirmedAt
-			setTime(b.Controller, answeredAt)
-			for id, sentAt := range map[cluster.NodeID]cluster.Time{"n1": answeredAt, "n2": test.n2Answered} {
-				if sentAt > 0 {
-					ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{1, 1, 1}}
-					b.members.HandlePingReply(b.members.Peer(id), ping, sentAt)
-				}
-			}
-			test.prepare(b, b.members.Peer("n2"))
 			if shard.Owned != test.owned {
 				t.Fatalf("owned: %v, want %v", shard.Owned, test.owned)
 			}
