--- /dev/null
+++ b/internal/jobs/admissionqueue_test.go
@@ -0,0 +1,78 @@
+package jobs
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// enqueueTestAdmissions has jobs wait for their records, without a write of their own.
+func enqueueTestAdmissions(jobs *testJobs, specs ...cluster.JobSpec) (*admissionQueue, map[cluster.JobID][]messages.Respond) {
+	queue := jobs.Submissions.queue
+	answers := map[cluster.JobID][]messages.Respond{}
+	for _, spec := range specs {
+		answer := func(response messages.Respond) { answers[spec.ID] = append(answers[spec.ID], response) }
+		queue.waiting = append(queue.waiting, &pendingAdmission{spec: spec, respond: answer, deadline: jobs.loop.Now() + second})
+	}
+	return queue, answers
+}
+
+// TestAdmissionBatchWithinLimits shows that a batch has no more jobs than a transaction
+// may compare, and no more bytes than go into a record; a single job always goes.
+func TestAdmissionBatchWithinLimits(t *testing.T) {
+	large := strings.Repeat("x", 1500)
+	for _, test := range []struct {
+		name string
+		jobs int
+		text string
+		want []int
+	}{
+		{"small", 6, "", []int{4, 2}},
+		{"large", 3, large, []int{2, 1}},
+		{"too large", 2, strings.Repeat("x", 5000), []int{1, 1}},
+	} {
+		var specs []cluster.JobSpec
+		for i := range test.jobs {
+			specs = append(specs, cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%d", i)), Team: "red", Tasks: 1, Image: test.text})
+		}
+		queue, _ := enqueueTestAdmissions(newTestJobs(t), specs...)
+		for i, want := range test.want {
+			if batch := queue.takeBatch(); len(batch) != want {
+				t.Errorf("%s: batch %d has %d jobs, want %d", test.name, i, len(batch), want)
+			}
+		}
+		if len(queue.waiting) != 0 {
+			t.Errorf("%s: %d submissions are left", test.name, len(queue.waiting))
+		}
+	}
+}
+
+// TestAdmissionBatchSkipsAnsweredAndLate shows that a submission is not stored after
+// its user was answered, nor after its time is over.
+func TestAdmissionBatchSkipsAnsweredAndLate(t *testing.T) {
+	jobs := newTestJobs(t)
+	queue, _ := enqueueTestAdmissions(jobs, cluster.JobSpec{ID: "j-1"}, cluster.JobSpec{ID: "j-2"}, cluster.JobSpec{ID: "j-3"})
+	queue.waiting[0].answered = true
+	queue.waiting[1].deadline = jobs.loop.Now() - 1
+	if batch := queue.takeBatch(); len(batch) != 1 || batch[0].spec.ID != "j-3" {
+		t.Errorf("a batch of %d jobs, want j-3 alone", len(batch))
+	}
+}
+
+// TestIdempotentRetryJoinsBatch shows that the same id twice in a batch is stored once,
+// and that both submissions are answered.
+func TestIdempotentRetryJoinsBatch(t *testing.T) {
+	jobs := newTestJobs(t)
+	queue, answers := enqueueTestAdmissions(jobs, cluster.JobSpec{ID: "j-1"}, cluster.JobSpec{ID: "j-1"})
+	batch := queue.takeBatch()
+	if len(batch) != 1 {
+		t.Fatalf("a batch of %d jobs, want 1", len(batch))
+	}
+	batch[0].answer(messages.Respond{Status: messages.ReplyUnavailable})
+	if len(answers["j-1"]) != 2 {
+		t.Errorf("%d answers, want 2", len(answers["j-1"]))
+	}
+}
--- /dev/null
+++ b/internal/jobs/harness_test.go
@@ -0,0 +1,127 @@
+package jobs
+
+import (
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
+)
+
+// testJobs is the package in controller n0 of two; shard 0 is owned here and serves
+// the team red, shard 1 belongs to n1 and serves the team green.
+type testJobs struct {
+	*Jobs
+	t         *testing.T
+	loop      *eventloop.Loop
+	state     *state.State
+	scheduler *fakeScheduler
+	tasks     *fakeTasks
+}
+
+// fakeOwnership owns every shard whose state says so, and is never deposed.
+type fakeOwnership struct{ state *state.State }
+
+func (f fakeOwnership) ClaimOf(id cluster.ShardID) writequeue.Claim {
+	return writequeue.Claim{Key: f.state.Shards[id].Key(), Owned: f.state.Shards[id].Owned}
+}
+func (fakeOwnership) HandleDeposed(cluster.ShardID)             {}
+func (fakeOwnership) HandleStored(writequeue.StoredTransaction) {}
+
+func (fakeOwnership) Confirm(shard *state.Shard, handle func(owned bool)) { handle(shard.Owned) }
+func (fakeOwnership) GiveUpCorrupt(shard *state.Shard, _, _ string)       { shard.Owned = false }
+
+// fakeTasks notes whose tasks were stopped.
+type fakeTasks struct{ stopped []cluster.JobID }
+
+func (*fakeTasks) WithdrawUnsentStarts(*state.Job)                    {}
+func (f *fakeTasks) StopAll(job *state.Job)                           { f.stopped = append(f.stopped, job.Spec.ID) }
+func (*fakeTasks) RemoveAssignment(*state.Machine, *state.Assignment) {}
+
+// fakeScheduler counts what it is asked for.
+type fakeScheduler struct{ schedulingRequests int }
+
+func (f *fakeScheduler) RequestScheduling()        { f.schedulingRequests++ }
+func (*fakeScheduler) RequestScaleOut()            {}
+func (*fakeScheduler) RuntimeRatio(string) float64 { return 1 }
+
+func newTestJobs(t *testing.T) *testJobs {
+	t.Helper()
+	nodes := []cluster.NodeID{"n0", "n1"}
+	loop := eventloop.New()
+	loop.Begin(100*second, 0)
+	quota := cluster.Resources{CPU: 10_000_000}
+	shards := state.New(nodes, []cluster.Team{{Name: "red", QuotaLimit: quota}, {Name: "green", QuotaLimit: quota}})
+	shards.Teams["red"].ShardID, shards.Teams["green"].ShardID = 0, 1
+	shards.Shards[0].Owned, shards.Shards[0].Ready, shards.Shards[0].Owner = true, true, "n0"
+	shards.Shards[1].Owner = "n1"
+	shards.MachineTypes["small"] = cluster.MachineType{
+		Name:     "small",
+		Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000},
+		Zones:    []string{"a"},
+	}
+	ownership := fakeOwnership{state: shards}
+	queue := writequeue.New(loop, writequeue.Config{
+		InstanceID:    "b0",
+		RequestRPS:    1000,
+		WriteRPS:      1000,
+		BudgetShare:   1,
+		MaxTxnOps:     4,
+		Controllers:   len(nodes),
+		ShareByDemand: func(limit, _ float64, _ int) float64 { return limit },
+	}, ownership)
+	tasks, scheduler := &fakeTasks{}, &fakeScheduler{}
+	config := Config{Self: "n0", Nodes: nodes, InstanceID: "b0", MaxValueBytes: 4096, MaxTxnOps: 4, CheckpointInterval: second}
+	return &testJobs{
+		t:         t,
+		loop:      loop,
+		state:     shards,
+		scheduler: scheduler,
+		tasks:     tasks,
+		Jobs: New(loop, shards, queue, config, Collaborators{
+			Members:   membership.New(loop, membership.Config{Self: "n0", Nodes: nodes}, queue, nil, nil),
+			Process:   &membership.ProcessHealth{},
+			Ownership: ownership,
+			Tasks:     tasks,
+			Scheduler: scheduler,
+		}),
+	}
+}
+
+// apply takes in a job's record.
+func (j *testJobs) apply(id cluster.JobID, record Record) {
+	j.t.Helper()
+	j.Records.Apply(messages.KV{Key: state.JobKey(id), Value: record.encode(), ModRevision: 20}, nil)
+}
+
+// applySpec takes in the record of an unfinished job.
+func (j *testJobs) applySpec(id cluster.JobID, team string, dependencies ...cluster.JobID) {
+	j.t.Helper()
+	j.apply(id, Record{Spec: &cluster.JobSpec{Team: team, Tasks: 1, Dependencies: dependencies}})
+}
+
+// runFor lets time pass, and returns the effects of it.
+func (j *testJobs) runFor(duration cluster.Time) []messages.Effect {
+	j.t.Helper()
+	j.loop.Begin(j.loop.Now()+duration, 0)
+	j.loop.RunTimers()
+	return j.loop.Effects()
+}
+
+// noticesTo lists the keys of the records that a controller is sent.
+func noticesTo(node cluster.NodeID, effects []messages.Effect) []string {
+	var keys []string
+	for _, effect := range effects {
+		call, ok := effect.(messages.PeerCall)
+		if !ok || call.To != node || call.Message.Notice == nil {
+			continue
+		}
+		for _, kv := range call.Message.Notice.Keys {
+			keys = append(keys, kv.Key)
+		}
+	}
+	return keys
+}
