--- a/internal/reconcile/harness_test.go
+++ b/internal/reconcile/harness_test.go
@@ -28,12 +28,16 @@
 	overloaded       bool
 	workersReporting bool
 	resumedAt        cluster.Time
-	remainingSeconds float64 // of every task
+	remainingSeconds float64           // of every task
+	recorded         *RecordedMachines // what the records list; nil: they can't be read
+	listingShard     cluster.ShardID   // of every machine that they list
 
 	releases      []ReleaseReason
 	spotLosses    int
 	raisedTokens  []cluster.MachineID
 	checkedOwners []cluster.MachineID
+	readings      int // of all records
+	registered    []cluster.MachineID
 }
 
 // newHarness makes the reconciler of one of three controllers, which owns shard 0 and
@@ -84,33 +88,46 @@
 	return h
 }
 
-func (h *harness) CanAnswerWorkers(*state.Shard) bool                           { return !h.cannotAnswer }
-func (h *harness) CanStartTasks(*state.Shard) bool                              { return !h.cannotStart }
-func (h *harness) WriteMachine(*state.Machine, writequeue.Priority)             {}
-func (h *harness) WriteJob(*state.Job, writequeue.Priority)                     {}
-func (h *harness) RecordRuntime(*state.Machine, *state.Assignment)              {}
-func (h *harness) ExpectedRemainingSeconds(*state.Assignment) float64           { return h.remainingSeconds }
-func (h *harness) HandleSlowMachine(*state.Machine)                             {}
-func (h *harness) RecordHeartbeat()                                             {}
-func (h *harness) RecordOwnedHeartbeat()                                        {}
-func (h *harness) HasOwnedHeartbeatWithin(cluster.Time) bool                    { return h.workersReporting }
-func (h *harness) IsOverloaded() bool                                           { return h.overloaded }
-func (h *harness) ResumedAt() cluster.Time                                      { return h.resumedAt }
-func (h *harness) LastShardOf(cluster.MachineID) (cluster.ShardID, bool)        { return 0, false }
-func (h *harness) ReadRecordedMachines(func(*RecordedMachines))                 {}
-func (h *harness) TargetGroupSize() int                                         { return 10 }
-func (h *harness) RegisterMachines(*state.Shard, []grouprecord.Machine, func()) {}
-func (h *harness) ReleaseBeforeRecorded(*state.Machine)                         {}
-func (h *harness) ScheduleCall()                                                {}
-func (h *harness) RecordInterruption()                                          { h.spotLosses++ }
-func (h *harness) AddServed(cluster.Time)                                       {}
-func (h *harness) AddMachineScans([]*state.Machine)                             {}
-func (h *harness) AddCommandPush()                                              {}
+func (h *harness) CanAnswerWorkers(*state.Shard) bool                 { return !h.cannotAnswer }
+func (h *harness) CanStartTasks(*state.Shard) bool                    { return !h.cannotStart }
+func (h *harness) WriteMachine(*state.Machine, writequeue.Priority)   {}
+func (h *harness) WriteJob(*state.Job, writequeue.Priority)           {}
+func (h *harness) RecordRuntime(*state.Machine, *state.Assignment)    {}
+func (h *harness) ExpectedRemainingSeconds(*state.Assignment) float64 { return h.remainingSeconds }
+func (h *harness) HandleSlowMachine(*state.Machine)                   {}
+func (h *harness) RecordHeartbeat()                                   {}
+func (h *harness) RecordOwnedHeartbeat()                              {}
+func (h *harness) HasOwnedHeartbeatWithin(cluster.Time) bool          { return h.workersReporting }
+func (h *harness) IsOverloaded() bool                                 { return h.overloaded }
+func (h *harness) ResumedAt() cluster.Time                            { return h.resumedAt }
+func (h *harness) TargetGroupSize() int                               { return 10 }
+func (h *harness) ReleaseBeforeRecorded(*state.Machine)               {}
+func (h *harness) ScheduleCall()                                      {}
+func (h *harness) RecordInterruption()                                { h.spotLosses++ }
+func (h *harness) AddServed(cluster.Time)                             {}
+func (h *harness) AddMachineScans([]*state.Machine)                   {}
+func (h *harness) AddCommandPush()                                    {}
 
 func (h *harness) RecentShardOf(cluster.MachineID, cluster.Time) (cluster.ShardID, bool) {
 	return 0, false
 }
 
+func (h *harness) LastShardOf(cluster.MachineID) (cluster.ShardID, bool) {
+	return h.listingShard, true
+}
+
+func (h *harness) ReadRecordedMachines(handle func(*RecordedMachines)) {
+	h.readings++
+	handle(h.recorded)
+}
+
+func (h *harness) RegisterMachines(_ *state.Shard, machines []grouprecord.Machine, done func()) {
+	for i := range machines {
+		h.registered = append(h.registered, machines[i].ID)
+	}
+	done()
+}
+
 func (h *harness) RaiseToken(machine *state.Machine) {
 	machine.RaisingToken = true
 	h.raisedTokens = append(h.raisedTokens, machine.ID)
@@ -144,6 +161,17 @@
 // setTime begins a step at a time.
 func (h *harness) setTime(now cluster.Time) { h.loop.Begin(now, h.loop.WallTime()) }
 
+// runFor lets time pass, and returns the effects of its steps.
+func (h *harness) runFor(duration cluster.Time) []messages.Effect {
+	var effects []messages.Effect
+	for end := h.loop.Now() + duration; h.loop.Now() < end; {
+		h.setTime(h.loop.Now() + 50*millisecond)
+		h.loop.RunTimers()
+		effects = append(effects, h.loop.Effects()...)
+	}
+	return effects
+}
+
 // pushes lists the pushes of the present step.
 func (h *harness) pushes() []messages.PushCommands {
 	var pushes []messages.PushCommands
--- /dev/null
+++ b/internal/state/transitions_test.go
@@ -0,0 +1,46 @@
+package state
+
+import (
+	"testing"
+
+	"stairrelay/internal/cluster"
+)
+
+// TestRequestStopKeepsFirstTime: a stop that is requested anew, with less grace, leaves the
+// time of the first request: how long the worker has ignored it counts from then.
+func TestRequestStopKeepsFirstTime(t *testing.T) {
+	var a Assignment
+	a.RequestStop(30, 5*cluster.Second)
+	a.MarkStopSent(6 * cluster.Second)
+	a.RequestStop(0, 9*cluster.Second)
+	a.MarkStopSent(10 * cluster.Second)
+	if a.StopRequestedAt != 5*cluster.Second || a.StopSentAt != 6*cluster.Second || a.GracePeriod != 0 {
+		t.Errorf("requested at %d, sent at %d, grace %g s; want the first times and no grace", a.StopRequestedAt, a.StopSentAt, a.GracePeriod)
+	}
+}
+
+// TestAcknowledgeUnverified: a task that an earlier owner started counts as one whose start
+// was not observed, also after a heartbeat has shown it.
+func TestAcknowledgeUnverified(t *testing.T) {
+	for phase, unobserved := range map[AssignmentPhase]bool{PhaseUnverified: true, PhaseDispatched: false} {
+		a := Assignment{Phase: phase}
+		a.Acknowledge(cluster.Fetching)
+		a.Acknowledge(cluster.Running)
+		if a.Phase != PhaseAcknowledged || a.State != cluster.Running || a.StartUnobserved != unobserved {
+			t.Errorf("from phase %d: phase %d, state %d, start unobserved %v", phase, a.Phase, a.State, a.StartUnobserved)
+		}
+	}
+}
+
+// TestRecordRunning: the first heartbeat that shows a task running sets the times of its
+// job's runs; later ones change nothing.
+func TestRecordRunning(t *testing.T) {
+	job := NewJob(cluster.JobSpec{ID: "j-1", Tasks: 2}, 0, 0, 0)
+	first, second := &Assignment{Job: job}, &Assignment{Job: job}
+	if !first.RecordRunning(3) || first.RecordRunning(4) || !second.RecordRunning(5) {
+		t.Error("the first heartbeat that shows a task running is not told from later ones")
+	}
+	if first.RunningSince != 3 || job.FirstRunAt != 3 || job.LastRunAt != 5 {
+		t.Errorf("running since %d, the job's first at %d, its last at %d; want 3, 3, 5", first.RunningSince, job.FirstRunAt, job.LastRunAt)
+	}
+}
