--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -40,7 +40,7 @@
 type provisioningScheduler struct{ controller *Controller }
 
 // RequestScheduling implements provisioning.Scheduler.
-func (s provisioningScheduler) RequestScheduling() { s.controller.schedulingTrigger.request() }
+func (s provisioningScheduler) RequestScheduling() { s.controller.scheduler.Trigger.Request() }
 
 // provisioningOrphans shows listed machines without a record to the reconciler, which
 // is made after the provisioner.
--- /dev/null
+++ b/internal/controller/scheduling_adapter.go
@@ -0,0 +1,46 @@
+package controller
+
+import (
+	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
+)
+
+// schedulingConfig is what the scheduler needs of the settings.
+func (c *Controller) schedulingConfig() scheduling.Config {
+	tuning := &c.config.Tuning
+	return scheduling.Config{
+		HeartbeatInterval: c.config.HeartbeatInterval,
+		SLOs:              c.config.SLOs,
+		ShortJobWeight:    tuning.ShortJobWeight,
+		FirstTaskTarget:   tuning.FirstTaskTarget,
+	}
+}
+
+// newScheduler connects the scheduler to the other parts.
+func (c *Controller) newScheduler() *scheduling.Scheduler {
+	return scheduling.New(c.loop, c.state, c.schedulingConfig(), scheduling.Dependencies{
+		Stops:                taskStopper{controller: c},
+		Records:              c.inventory,
+		Store:                c.writeQueue,
+		SpotInterruptionRate: c.provisioner.Spot.Rate,
+		CountMachineScans:    c.counters.AddMachineScans,
+		StretchDelay:         c.processHealth.StretchDelay,
+	})
+}
+
+// taskStopper stops tasks and drains machines for the scheduler. The reconciler is made
+// after the scheduler, so that it is looked up when it is needed.
+type taskStopper struct{ controller *Controller }
+
+// Preempt implements scheduling.TaskStopper.
+func (s taskStopper) Preempt(machine *state.Machine, assignment *state.Assignment) {
+	s.controller.reconciler.Stops.Preempt(machine, assignment)
+}
+
+// MoveOffSlowMachine implements scheduling.TaskStopper.
+func (s taskStopper) MoveOffSlowMachine(machine *state.Machine, assignment *state.Assignment) {
+	s.controller.reconciler.Stops.MoveOffSlowMachine(machine, assignment)
+}
+
+// Drain implements scheduling.TaskStopper.
+func (s taskStopper) Drain(machine *state.Machine) { s.controller.reconciler.Stops.Drain(machine) }
