--- a/internal/controller/all_controllers_down_test.go
+++ b/internal/controller/all_controllers_down_test.go
@@ -13,14 +13,14 @@
 	other := m.submitJob("j-000002", 2, 20*second)
 	m.RunUntil(m.Now + 3*second)
 	for _, n := range m.Nodes {
-		m.KillNode(n)
+		n.Kill()
 	}
 	m.RunUntil(m.Now + m.config.WorkerLease + 5*second)
 	if n := m.countRunningTasks(m.longJob); n != 0 {
 		t.Fatalf("%d tasks outlive their lease", n)
 	}
 	for i, n := range m.Nodes {
-		m.After(cluster.Time(i)*second/5, func() { m.StartNode(n) })
+		m.After(cluster.Time(i)*second/5, n.Start)
 	}
 	m.runAndCheck(90 * second)
 	if other.ReportedStatus != cluster.JobDone || m.countRunningTasks(m.longJob) != 3 {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -17,14 +17,14 @@
 	w.NoRandomFaults = true
 	for _, z := range []string{"a", "b", "c"} {
 		for range 5 {
-			w.AddMachine("small", z, false)
+			w.Machines.Add("small", z, false)
 		}
 	}
 	w.RunUntil(5 * second)
 	for i := range 60 {
 		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: []string{"red", "green", "blue"}[i%3], Priority: cluster.Normal,
 			Tasks: 1000, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 4, Spot: true}
-		w.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 4 * second, TaskCount: s.Tasks, Image: s.Image}})
+		w.Users.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 4 * second, TaskCount: s.Tasks, Image: s.Image}})
 	}
 	w.RunUntil(30 * second)
 	b.ReportAllocs()
@@ -62,13 +62,13 @@
 	w = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return w }))
 	w.NoRandomFaults = true
 	for i := range machines {
-		w.AddMachine("small", []string{"a", "b", "c"}[i%3], false)
+		w.Machines.Add("small", []string{"a", "b", "c"}[i%3], false)
 	}
 	w.RunUntil(10 * second)
 	for i := range machines * 9 / 19 {
 		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: fmt.Sprintf("c%d", i%3), Team: cfg.Teams[i%6].Name, Priority: cluster.Priority(i % 3),
 			Tasks: 10 + 30*(i%7), ResourceRequest: cluster.Resources{CPU: cpu * cluster.Amount(1+i%2), Memory: 3 * cpu}, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1, RuntimeSeconds: 25, Spot: true}
-		w.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 25 * second, TaskCount: s.Tasks, Image: s.Image}})
+		w.Users.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 25 * second, TaskCount: s.Tasks, Image: s.Image}})
 	}
 	w.RunUntil(60 * second)
 	b.ResetTimer()
@@ -79,7 +79,7 @@
 	b.ReportMetric(float64(w.ControllerTime.Milliseconds())/float64(b.N)/float64(nodes), "core-ms/s")
 	b.ReportMetric(float64(w.ControllerTime.Microseconds())/float64(w.StepCount), "us/step")
 	running := 0
-	for _, l := range w.Workers {
+	for _, l := range w.Machines.Workers {
 		running += len(l.Tasks)
 	}
 	b.ReportMetric(float64(running), "tasks")
--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -37,7 +37,7 @@
 	m.Simulator = simulation.NewSimulator(seed, cfg, testCloud(func() *simulation.Simulator { return m.Simulator }))
 	m.NoRandomFaults = true
 	for range machines {
-		m.AddMachine("small", "a", false)
+		m.Machines.Add("small", "a", false)
 	}
 	m.RunUntil(10 * second)
 	m.longJob = m.submitJob("j-000001", 3, 300*second)
@@ -53,7 +53,7 @@
 	s := cluster.JobSpec{ID: id, Class: "c", Team: "red", Priority: cluster.Normal, Tasks: tasks, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu},
 		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: cluster.WallTime(m.Now / 1e6)}
 	j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
-	m.Submit(j)
+	m.Users.Submit(j)
 	return j
 }
 
@@ -85,9 +85,9 @@
 	j.CancelRequested = true
 	var ask func()
 	ask = func() {
-		m.SendRequest(n, func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: j.Spec.ID} }, func(r messages.Respond) {
+		n.SendRequest(func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: j.Spec.ID} }, func(r messages.Respond) {
 			if r.Status == 200 {
-				m.CheckReportedStatus(j, r.View.Status)
+				m.Users.CheckReportedStatus(j, r.View.Status)
 			} else if j.CancelConfirmedAt == 0 {
 				m.After(second/10, ask)
 			}
@@ -100,7 +100,7 @@
 // countRunningTasks counts the job's tasks that run on machines.
 func (m *testCluster) countRunningTasks(j *simulation.Job) int {
 	n := 0
-	for _, l := range m.Workers {
+	for _, l := range m.Machines.Workers {
 		for _, x := range l.Tasks {
 			if x.ID.Job == j.Spec.ID && (x.State == cluster.Running || x.State == cluster.Checkpointing) {
 				n++
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -20,7 +20,7 @@
 // submitAfter hands in a job of a team that awaits others.
 func (m *testCluster) submitAfter(id cluster.JobID, team string, tasks int, run cluster.Time, awaits ...cluster.JobID) *simulation.Job {
 	j := newTestJob(m, id, team, tasks, run, awaits...)
-	m.SubmitAfterDependencies(j, false)
+	m.Users.SubmitAfterDependencies(j, false)
 	return j
 }
 
@@ -34,7 +34,7 @@
 func (m *testCluster) requestAnswer(n *simulation.Node, ev func(messages.RequestID) messages.Event) messages.Respond {
 	m.t.Helper()
 	var got *messages.Respond
-	m.SendRequest(n, ev, func(r messages.Respond) { got = &r })
+	n.SendRequest(ev, func(r messages.Respond) { got = &r })
 	m.waitFor("an answer", 6*second, func() bool { return got != nil })
 	return *got
 }
@@ -68,7 +68,7 @@
 	m.Simulator = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return m.Simulator }))
 	m.NoRandomFaults = true
 	for range machines {
-		m.AddMachine("small", "a", false)
+		m.Machines.Add("small", "a", false)
 	}
 	m.RunUntil(10 * second)
 	return m
@@ -178,14 +178,14 @@
 	}
 	// Accepted a moment ago by another controller, in a record of its own and in one of several.
 	for round, several := range []int{1, 14} {
-		m.StoreDelay = second / 5 // more come in than there are writes at once
+		m.Store.Delay = second / 5 // more come in than there are writes at once
 		var ids []cluster.JobID
 		left := several
 		for k := range several {
 			j := newTestJob(m, cluster.JobID(fmt.Sprintf("j-30%d%03d", round, k)), "blue", 1, 60*second)
 			ids = append(ids, j.Spec.ID)
 			m.Jobs[j.Spec.ID] = j
-			m.SendRequest(m.Nodes[0], func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: j.Spec} }, func(r messages.Respond) {
+			m.Nodes[0].SendRequest(func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: j.Spec} }, func(r messages.Respond) {
 				if r.Status != 201 {
 					t.Errorf("%s gets %d", j.Spec.ID, r.Status)
 				}
@@ -194,7 +194,7 @@
 			})
 		}
 		m.waitFor("they are accepted", 5*second, func() bool { return left == 0 })
-		m.StoreDelay = 0
+		m.Store.Delay = 0
 		n := 0
 		for _, kv := range m.StateService.List("accepts/").Items {
 			n += len(kv.Value)
@@ -219,7 +219,7 @@
 	if r := m.submitAt(m.Nodes[0], newTestJob(m, "j-000001", "red", 3, 300*second, "j-200000")); r.Status != 200 {
 		t.Errorf("a repeat gets %d", r.Status)
 	}
-	m.StoreDownUntil = m.Now + 20*second
+	m.Store.DownUntil = m.Now + 20*second
 	m.RunUntil(m.Now + 2*second)
 	for _, n := range m.Nodes {
 		expect(n, newTestJob(m, "j-500000", "green", 1, second, "j-999999"), 503)
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -27,25 +27,29 @@
 	{"refused by the store", func(w *simulation.Simulator, n *simulation.Node, d cluster.Time) { n.StoreRefusesUntil = w.Now + d }},
 	{"cut from everything", partitionFromAll},
 	{"the store is out", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
-		w.StoreDownUntil = w.Now + min(d, longestOutage)
+		w.Store.DownUntil = w.Now + min(d, longestOutage)
 	}},
-	{"machines hang", onTwoMachines((*simulation.Simulator).HangMachine)},
+	{"machines hang", onTwoMachines((*simulation.Machines).Hang)},
 	{"machines cut off while the cloud is out", cutMachinesWithoutCloud},
 	{"machines taken back", preemptMachines},
-	{"machines heard that hear nothing", onTwoMachines((*simulation.Simulator).MakeUnreachable)},
+	{"machines heard that hear nothing", onTwoMachines((*simulation.Machines).MakeUnreachable)},
 	{"a heap of old reports", duplicateHeartbeats},
 	{"with its workers alone", func(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
 		n.StoreCutUntil, n.PeersCutUntil = w.Now+d, w.Now+d
 	}},
 	{"all back at once, one ends again", restartTwice},
-	{"writes without an answer carried out late", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.LoseWriteReplies(0.3, d, false) }},
-	{"writes carried out, their answers lost", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.LoseWriteReplies(0.3, d, true) }},
-	{"machines that reach no controller", onTwoMachines((*simulation.Simulator).BlockHeartbeats)},
+	{"writes without an answer carried out late", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
+		w.Store.LoseWriteReplies(0.3, d, false)
+	}},
+	{"writes carried out, their answers lost", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
+		w.Store.LoseWriteReplies(0.3, d, true)
+	}},
+	{"machines that reach no controller", onTwoMachines((*simulation.Machines).BlockHeartbeats)},
 	{"old reports as the next holder begins", replayHeartbeatsAfterFailover},
 	{"running jobs cancelled while their machines hang", cancelOnHungMachines},
-	{"cancelled as they end", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.CancelAtEnd(0.5, d) }},
-	{"users ask everywhere at once", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.EnableReadAfterWriteChecks(d) }},
-	{"odd requests", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.SendOddRequests(d) }},
+	{"cancelled as they end", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.Cancellations.CancelAtEnd(0.5, d) }},
+	{"users ask everywhere at once", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.ReadAfterWrite.EnableFor(d) }},
+	{"odd requests", func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) { w.OddRequests.SendFor(d) }},
 }
 
 // longestOutage is how long the store is out at the most in these troubles;
@@ -94,32 +98,32 @@
 }
 
 // onTwoMachines is a trouble of two machines.
-func onTwoMachines(begin func(*simulation.Simulator, cluster.MachineID, cluster.Time)) func(*simulation.Simulator, *simulation.Node, cluster.Time) {
+func onTwoMachines(begin func(*simulation.Machines, cluster.MachineID, cluster.Time)) func(*simulation.Simulator, *simulation.Node, cluster.Time) {
 	return func(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
-		begin(w, w.RandomMachine(), d)
-		begin(w, w.RandomMachine(), d)
+		begin(w.Machines, w.Machines.Random(), d)
+		begin(w.Machines, w.Machines.Random(), d)
 	}
 }
 
 func cutMachinesWithoutCloud(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
-	onTwoMachines((*simulation.Simulator).CutMachine)(w, n, d)
-	w.CloudDownUntil = w.Now + d
+	onTwoMachines((*simulation.Machines).Cut)(w, n, d)
+	w.CloudAPI.DownUntil = w.Now + d
 }
 
 // preemptMachines has the cloud take machines, with a notice or without.
 func preemptMachines(w *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for range 3 {
 		if w.Chance(0.5) {
-			w.PreemptSpotMachine(w.RandomMachine(), w.RandomBetween(5*second, 25*second))
+			w.Machines.Preempt(w.Machines.Random(), w.RandomBetween(5*second, 25*second))
 		} else {
-			w.RemoveMachine(w.RandomMachine())
+			w.Machines.Remove(w.Machines.Random())
 		}
 	}
 }
 
 func duplicateHeartbeats(w *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for range 20 {
-		w.DuplicateHeartbeat(w.RandomMachine(), w.RandomBetween(second, 40*second))
+		w.Machines.DuplicateHeartbeat(w.Machines.Random(), w.RandomBetween(second, 40*second))
 	}
 }
 
@@ -136,21 +140,21 @@
 }
 
 func replayHeartbeatsAfterFailover(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
-	w.CaptureHeartbeats(0.5, d)
+	w.Failovers.CaptureHeartbeats(0.5, d)
 	w.After(d, func() { crash(w, n) })
 }
 
 // cancelOnHungMachines cancels running jobs while their machines hang; in some
 // the busiest controller ends as well, or the store is out.
 func cancelOnHungMachines(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
-	w.CancelRunningJobs(8, w.RandomBetween(10*second, 45*second))
+	w.Cancellations.CancelRunning(8, w.RandomBetween(10*second, 45*second))
 	switch w.Rand.IntN(3) {
 	case 0:
 		if n := w.BusiestNode(); n != nil {
 			w.After(w.RandomBetween(0, second), func() { crash(w, n) })
 		}
 	case 1:
-		w.StoreDownUntil = w.Now + min(d, longestOutage)
+		w.Store.DownUntil = w.Now + min(d, longestOutage)
 	}
 }
 
@@ -161,7 +165,7 @@
 		{"all controllers stood still", pauseAllProcesses},
 		{"a zone cut off", partitionZone},
 		{"half of the machines died", func(w *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
-			w.RemoveEveryNthMachine(2)
+			w.Machines.RemoveEveryNth(2)
 			w.FaultCounts["half of the machines died"]++
 		}},
 		{"controllers refused one another", refusePeerConnections},
@@ -203,7 +207,7 @@
 
 func partitionZone(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	zones := []string{"a", "b", "c"}
-	w.CutZone(zones[w.Rand.IntN(len(zones))], d)
+	w.Machines.CutZone(zones[w.Rand.IntN(len(zones))], d)
 	w.FaultCounts["a zone cut off"]++
 }
 
@@ -216,14 +220,14 @@
 
 func crashAllInOutage(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	outage := min(d, longestOutage)
-	w.StoreDownUntil = w.Now + outage
+	w.Store.DownUntil = w.Now + outage
 	w.After(outage/2, func() { crashAll(w) })
 	w.FaultCounts["all controllers ended in an outage"]++
 }
 
 func faultyMachinesWithoutCloud(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
-	w.MakeMachinesFaulty(3, d)
-	w.CloudDownUntil = w.Now + d
+	w.Machines.MakeFaulty(3, d)
+	w.CloudAPI.DownUntil = w.Now + d
 	w.FaultCounts["sick machines in an outage of the cloud"]++
 }
 
@@ -239,8 +243,8 @@
 // fastBootsWithSlowStore has machines get work at once while writes lag, and
 // the busiest controller end meanwhile.
 func fastBootsWithSlowStore(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
-	w.EnableFastBoots(d)
-	w.SlowStore(w.RandomBetween(second/5, 4*second/5), d)
+	w.Machines.EnableFastBoots(d)
+	w.Store.Slow(w.RandomBetween(second/5, 4*second/5), d)
 	w.After(w.RandomBetween(second, d), func() {
 		if crashBusiest(w) {
 			w.FaultCounts["quick boots with a slow store as the busiest controller ends"]++
@@ -250,7 +254,7 @@
 
 func slowStoreRefusesController(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
 	n.StoreRefusesUntil = w.Now + d
-	w.SlowStore(w.RandomBetween(second/5, 4*second/5), d)
+	w.Store.Slow(w.RandomBetween(second/5, 4*second/5), d)
 	w.FaultCounts["a slow store that refuses one controller"]++
 }
 
@@ -269,7 +273,7 @@
 	begin := func() {
 		if !out {
 			out = true
-			w.StoreDownUntil = w.Now + cancelWithin + w.RandomBetween(second, 5*second)
+			w.Store.DownUntil = w.Now + cancelWithin + w.RandomBetween(second, 5*second)
 		}
 	}
 	n.StoreRefusesUntil = w.Now + w.RandomBetween(3*second, 8*second)
@@ -278,7 +282,7 @@
 	} else {
 		n.StoreRefusesUntil = w.Now + 10*second
 		ends := w.Chance(0.8)
-		w.OnShardAcquired(10*second, func(holder cluster.NodeID) {
+		w.Failovers.OnShardAcquired(10*second, func(holder cluster.NodeID) {
 			w.FaultCounts["an outage within a second of a claim"]++
 			w.After(w.RandomBetween(0, second), begin)
 			o := w.Nodes[w.Rand.IntN(len(w.Nodes))]
@@ -297,7 +301,7 @@
 		if i >= 7 { // the outage goes on
 			at = cluster.Time(i-5) * 8 * second
 		}
-		w.After(at+w.RandomBetween(0, second), w.CancelRandomJob)
+		w.After(at+w.RandomBetween(0, second), w.Cancellations.CancelRandom)
 	}
 }
 
@@ -310,6 +314,6 @@
 }
 
 func restart(w *simulation.Simulator, n *simulation.Node, gap cluster.Time) {
-	w.KillNode(n)
-	w.After(gap, func() { w.StartNode(n) })
+	n.Kill()
+	w.After(gap, n.Start)
 }
--- a/internal/controller/hung_machine_test.go
+++ b/internal/controller/hung_machine_test.go
@@ -34,9 +34,9 @@
 
 // hangMachinesOfJob stops the machines on which tasks of the job are.
 func (m *testCluster) hangMachinesOfJob(d cluster.Time) {
-	for id, worker := range m.Workers {
+	for id, worker := range m.Machines.Workers {
 		if len(worker.Tasks) > 0 {
-			m.HangMachine(id, d)
+			m.Machines.Hang(id, d)
 		}
 	}
 }
@@ -79,13 +79,13 @@
 // out for longer than cancel_s: the machine is returned without a record.
 func TestHungMachineReleasedInOutage(t *testing.T) {
 	m := newTestCluster(t, 2)
-	for id, l := range m.Workers {
+	for id, l := range m.Machines.Workers {
 		if len(l.Tasks) > 0 {
-			m.HangMachine(id, 100*second)
+			m.Machines.Hang(id, 100*second)
 		}
 	}
 	m.cancelAt(m.Nodes[1], m.longJob)
-	m.StoreDownUntil = m.Now + 80*second
+	m.Store.DownUntil = m.Now + 80*second
 	if m.countRunningTasks(m.longJob) == 0 {
 		t.Fatal("the tasks are gone before the outage")
 	}
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -16,15 +16,15 @@
 	var w *simulation.Simulator
 	w = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return w }))
 	w.NoRandomFaults = true
-	w.AddMachine("small", "a", false)
+	w.Machines.Add("small", "a", false)
 	w.RunUntil(10 * second)
 	owner := w.Nodes[1] // of the part that the machine's number points to
 	owner.StoreCutUntil, owner.PeersCutUntil = w.Now+100*second, w.Now+100*second
 	w.Nodes[0].WorkersCutUntil, w.Nodes[2].WorkersCutUntil = w.Now+100*second, w.Now+100*second
 	answer := func() messages.ReplyStatus {
 		status := messages.ReplyNone
-		r := w.Workers["m-000001"].NextStatus()
-		w.SendRequest(owner, func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: r} }, func(a messages.Respond) { status = a.Status })
+		r := w.Machines.Workers["m-000001"].NextStatus()
+		owner.SendRequest(func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: r} }, func(a messages.Respond) { status = a.Status })
 		w.RunUntil(w.Now + second)
 		return status
 	}
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -39,7 +39,7 @@
 	f.NoRandomFaults = true
 	f.StateService.Limits = simulation.StoreLimits{WriteRPS: cfg.WriteRPS, ValueBytes: cfg.MaxValueBytes, TxnOps: cfg.MaxTxnOps}
 	for i := range machines {
-		f.AddMachine("small", []string{"a", "b", "c"}[i%3], false)
+		f.Machines.Add("small", []string{"a", "b", "c"}[i%3], false)
 	}
 	return f
 }
@@ -52,7 +52,7 @@
 		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", f.jobCount)), Class: "c", Team: team, Priority: cluster.Normal, Tasks: tasks,
 			ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: fmt.Sprintf("img-%d", f.jobCount%20), ImageGB: 1, RuntimeSeconds: run.Seconds()}
 		f.jobCount++
-		f.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: s.Image}})
+		f.Users.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: s.Image}})
 	}
 }
 
@@ -74,7 +74,7 @@
 		if at += second / 4; at > begin+within || len(f.Violations) > 0 {
 			acked, all := f.countOwnedMachines()
 			f.t.Fatalf("not within %v: %s; of %d machines that are up %d are held, %d acknowledged, %d jobs unfinished; broken: %v",
-				time.Duration(within), what, f.LiveWorkerCount(), all, acked, f.UnfinishedJobCount(), f.Violations)
+				time.Duration(within), what, f.Machines.LiveCount(), all, acked, f.UnfinishedJobCount(), f.Violations)
 		}
 	}
 	return f.Now - begin
@@ -90,7 +90,7 @@
 	f.t.Helper()
 	return f.waitFor("all machines acknowledge their token", within, func() bool {
 		acked, all := f.countOwnedMachines()
-		return acked == all && all >= f.LiveWorkerCount()-bootingAllowance && all >= f.machineCount*9/10
+		return acked == all && all >= f.Machines.LiveCount()-bootingAllowance && all >= f.machineCount*9/10
 	})
 }
 
@@ -128,8 +128,8 @@
 			restart(f.Simulator, f.BusiestNode(), 30*second)
 		}
 		f.RunUntil(f.Now + 8*second) // others are about to claim their parts
-		f.StoreDownUntil = f.Now + 10*second
-		f.RunUntil(f.StoreDownUntil)
+		f.Store.DownUntil = f.Now + 10*second
+		f.RunUntil(f.Store.DownUntil)
 		recovered := f.waitForAllOwned(26 * second)
 		worked := f.waitForAllDone(120 * second)
 		t.Logf("registered in %v, all held again %v after the outage, done %v later", time.Duration(registered), time.Duration(recovered), time.Duration(worked))
@@ -153,7 +153,7 @@
 		f.waitForAllOwned(20 * second)
 		f.submitLoad(2*largeFleetMachines, 30*second)
 		f.RunUntil(f.Now + 5*second)
-		f.CutZone("a", 20*second) // within the lease: the tasks there go on
+		f.Machines.CutZone("a", 20*second) // within the lease: the tasks there go on
 		f.RunUntil(f.Now + 20*second)
 		recovered := f.waitForAllOwned(20 * second)
 		worked := f.waitForAllDone(120 * second)
--- a/internal/controller/one_task_jobs_test.go
+++ b/internal/controller/one_task_jobs_test.go
@@ -21,10 +21,10 @@
 			cfg := testConfig()
 			var w *simulation.Simulator
 			w = simulation.NewSimulator(seed, cfg, testCloud(func() *simulation.Simulator { return w }))
-			w.LateDelivery, w.HeartbeatDuplicateChance, w.SlowPeerChance = true, 0.03, 0.03
+			w.Network.LateDelivery, w.Network.HeartbeatDuplicateChance, w.Network.SlowPeerChance = true, 0.03, 0.03
 			for _, z := range []string{"a", "b", "c"} {
-				w.AddMachine("small", z, false)
-				w.AddMachine("small", z, false)
+				w.Machines.Add("small", z, false)
+				w.Machines.Add("small", z, false)
 			}
 			cancelled := 0
 			for i := range 160 {
@@ -33,14 +33,14 @@
 					Tasks: 1, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, Spot: true}
 				j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: 1, Image: "img"}}
 				at := 10*second + cluster.Time(i)*second/4
-				w.After(at, func() { w.Submit(j) })
+				w.After(at, func() { w.Users.Submit(j) })
 				if i%4 == 0 {
 					j.CancelPlanned = true
-					w.After(at+w.RandomBetween(0, 12*second), func() { w.Cancel(j) })
+					w.After(at+w.RandomBetween(0, 12*second), func() { w.Users.Cancel(j) })
 				}
 			}
-			w.After(12*second, func() { w.EnableReadAfterWriteChecks(40 * second) })
-			w.After(w.RandomBetween(15*second, 25*second), func() { w.LoseWriteReplies(0.1, 10*second, true) })
+			w.After(12*second, func() { w.ReadAfterWrite.EnableFor(40 * second) })
+			w.After(w.RandomBetween(15*second, 25*second), func() { w.Store.LoseWriteReplies(0.1, 10*second, true) })
 			w.After(w.RandomBetween(30*second, 45*second), func() {
 				if n := w.BusiestNode(); n != nil {
 					crash(w, n)
--- a/internal/controller/owner_failures_test.go
+++ b/internal/controller/owner_failures_test.go
@@ -23,8 +23,8 @@
 			}
 		})
 	}
-	m.After(40*second, func() { m.StoreDownUntil = m.Now + 30*second })
-	m.After(38*second, func() { m.Cancel(m.longJob) })
+	m.After(40*second, func() { m.Store.DownUntil = m.Now + 30*second })
+	m.After(38*second, func() { m.Users.Cancel(m.longJob) })
 	m.runAndCheck(120 * second)
 	if len(ended) < 2 || m.longJob.ReportedStatus != cluster.JobCancelled || m.longJob.CancelConfirmedAt-begun > 90*second {
 		t.Errorf("ended %v, the job is %s since %v", ended, m.longJob.ReportedStatus, time.Duration(m.longJob.CancelConfirmedAt-begun))
--- a/internal/controller/ownership_gap_test.go
+++ b/internal/controller/ownership_gap_test.go
@@ -24,10 +24,10 @@
 			m.waitFor("claimed by the next", 10*second, func() bool { return m.longJobOwner() == next.ID })
 			next.WorkersCutUntil, next.PeersCutUntil = m.Now+300*second, m.Now+300*second
 			m.cancelAt(next, m.longJob)
-			m.KillNode(next)
-			m.StoreDownUntil = m.Now + 80*second
+			next.Kill()
+			m.Store.DownUntil = m.Now + 80*second
 			next.PeersCutUntil = 0
-			m.After(6*second, func() { m.StartNode(next) })
+			m.After(6*second, next.Start)
 			if m.countRunningTasks(m.longJob) == 0 {
 				t.Fatal("the tasks are gone before the outage: the gap did not open")
 			}
@@ -40,9 +40,9 @@
 // outage of the state service that is longer than cancel_s costs no running task.
 func TestOutageWithAllPeerAcknowledgements(t *testing.T) {
 	m := newTestCluster(t, 2)
-	m.StoreDownUntil = m.Now + 2*m.config.CancelDeadline
+	m.Store.DownUntil = m.Now + 2*m.config.CancelDeadline
 	m.runAndCheck(2*m.config.CancelDeadline + 5*second)
-	for id, l := range m.Workers {
+	for id, l := range m.Machines.Workers {
 		if l.Incarnation != 1 {
 			t.Errorf("the lease of %s ran out", id)
 		}
@@ -61,16 +61,16 @@
 	m.waitFor("claimed by the next", 10*second, func() bool { return m.longJobOwner() == next.ID })
 	next.WorkersCutUntil = m.Now + 60*second
 	m.RunUntil(m.Now + 2*second) // the third hears of the claim
-	m.KillNode(next)
-	m.StoreDownUntil = m.Now + 60*second
+	next.Kill()
+	m.Store.DownUntil = m.Now + 60*second
 	status := messages.ReplyNone
 	m.RunUntil(m.Now + 2*second)
-	for id, l := range m.Workers {
+	for id, l := range m.Machines.Workers {
 		if len(l.Tasks) == 0 {
 			continue
 		}
 		r := l.NextStatus()
-		m.SendRequest(leader, func(req messages.RequestID) messages.Event { return messages.Heartbeat{Request: req, Status: r} }, func(a messages.Respond) { status = a.Status })
+		leader.SendRequest(func(req messages.RequestID) messages.Event { return messages.Heartbeat{Request: req, Status: r} }, func(a messages.Respond) { status = a.Status })
 		m.RunUntil(m.Now + second)
 		if status == 200 {
 			t.Errorf("the former leader still answers %s", id)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -57,7 +57,7 @@
 	capacity[simulation.CapacityKey("big", "a", true)] = 1
 	capacity[simulation.CapacityKey("big", "b", false)] = 1
 	return simulation.NewFakeCloud(types, capacity, func() cluster.Time {
-		if w().HasFastBoots() {
+		if w().Machines.HasFastBoots() {
 			return w().RandomBetween(second, 2*second)
 		}
 		if w().Chance(0.1) {
@@ -154,7 +154,7 @@
 // addMachinePerZone puts a small machine into each zone, up at once.
 func addMachinePerZone(w *simulation.Simulator) {
 	for _, zone := range []string{"a", "b", "c"} {
-		w.AddMachine("small", zone, false)
+		w.Machines.Add("small", zone, false)
 	}
 }
 
@@ -163,7 +163,7 @@
 // job left.
 func runWithFaults(t *testing.T, w *simulation.Simulator, cfg controller.Config, plans func(teams []string, until cluster.Time)) {
 	t.Helper()
-	w.LateDelivery, w.HeartbeatDuplicateChance, w.SlowPeerChance = true, 0.03, 0.03
+	w.Network.LateDelivery, w.Network.HeartbeatDuplicateChance, w.Network.SlowPeerChance = true, 0.03, 0.03
 	if os.Getenv("STAIRRELAY_LOG") != "" {
 		w.Log = func(s string) { t.Log(time.Duration(w.Now), s) }
 	}
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -53,12 +53,12 @@
 			s.MachineTypes = []string{"small"}
 		}
 		j := &simulation.Job{Spec: s, Info: info}
-		w.After(at, func() { w.Submit(j) })
+		w.After(at, func() { w.Users.Submit(j) })
 		if w.Chance(0.2) {
 			j.CancelPlanned = true
-			w.After(at+w.RandomBetween(0, 30*second), func() { w.Cancel(j) })
+			w.After(at+w.RandomBetween(0, 30*second), func() { w.Users.Cancel(j) })
 		}
-		w.After(w.RandomBetween(0, until), func() { w.QueryUnknownJob(cluster.JobID(fmt.Sprintf("j-9%05d", w.Rand.IntN(1000)))) })
+		w.After(w.RandomBetween(0, until), func() { w.Users.QueryUnknownJob(cluster.JobID(fmt.Sprintf("j-9%05d", w.Rand.IntN(1000)))) })
 	}
 }
 
@@ -87,16 +87,16 @@
 		last := job(middle.Spec.ID, first.Spec.ID)
 		line = append(line, middle, last)
 		late := w.Chance(0.25)
-		w.After(at, func() { w.Submit(first) })
+		w.After(at, func() { w.Users.Submit(first) })
 		for _, j := range line[1:] {
-			w.After(at, func() { w.SubmitAfterDependencies(j, late && j == last) })
+			w.After(at, func() { w.Users.SubmitAfterDependencies(j, late && j == last) })
 		}
 		if w.Chance(0.5) {
 			j := line[w.Rand.IntN(len(line))]
 			j.CancelPlanned = true
 			w.After(at+w.RandomBetween(0, 40*second), func() {
 				if w.Jobs[j.Spec.ID] != nil {
-					w.Cancel(j)
+					w.Users.Cancel(j)
 				}
 			})
 		}
--- a/internal/controller/scale_out_zone_cluster_test.go
+++ b/internal/controller/scale_out_zone_cluster_test.go
@@ -15,11 +15,11 @@
 	s := cluster.JobSpec{ID: "j-000002", Class: "c", Team: "red", Priority: cluster.Normal, Tasks: 3, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Zone: "b",
 		Image: "img", ImageGB: 1, RuntimeSeconds: 60, SubmittedAt: cluster.WallTime(m.Now / 1e6)}
 	j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 60 * second, TaskCount: 3, Image: "img"}}
-	m.Submit(j)
+	m.Users.Submit(j)
 	m.waitFor("its tasks run in its zone", 60*second, func() bool { return m.countRunningTasks(j) == 3 })
-	for id, l := range m.Workers {
+	for id, l := range m.Machines.Workers {
 		if l.Zone == "b" {
-			m.RemoveMachine(id)
+			m.Machines.Remove(id)
 		}
 	}
 	m.waitFor("its tasks run again", 90*second, func() bool { return m.countRunningTasks(j) == 3 })
--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -19,10 +19,10 @@
 	for _, slow := range []cluster.Time{0, 200 * second / 1000, 600 * second / 1000} {
 		var w *simulation.Simulator
 		w = simulation.NewSimulator(3, testConfig(), testCloud(func() *simulation.Simulator { return w }))
-		w.NoRandomFaults, w.StoreDelay = true, slow
+		w.NoRandomFaults, w.Store.Delay = true, slow
 		for _, z := range []string{"a", "b", "c"} {
-			w.AddMachine("small", z, false)
-			w.AddMachine("small", z, false)
+			w.Machines.Add("small", z, false)
+			w.Machines.Add("small", z, false)
 		}
 		w.RunUntil(10 * second)
 		var waits []time.Duration
@@ -33,11 +33,11 @@
 			w.Jobs[s.ID] = j
 			w.After(cluster.Time(i)*second, func() {
 				at := w.Now
-				w.SendRequest(w.Nodes[i%3], func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(r messages.Respond) {
+				w.Nodes[i%3].SendRequest(func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(r messages.Respond) {
 					waits = append(waits, time.Duration(w.Now-at))
 					if r.Status == 201 {
 						j.Accepted = true
-						w.CheckReportedStatus(j, r.View.Status)
+						w.Users.CheckReportedStatus(j, r.View.Status)
 					}
 				})
 			})
@@ -54,7 +54,7 @@
 		}
 		left := 0
 		for id := range w.Jobs {
-			w.SendRequest(w.Nodes[0], func(r messages.RequestID) messages.Event { return messages.Query{Request: r, ID: id} }, func(r messages.Respond) {
+			w.Nodes[0].SendRequest(func(r messages.RequestID) messages.Event { return messages.Query{Request: r, ID: id} }, func(r messages.Respond) {
 				if r.View == nil || r.View.Status != cluster.JobDone {
 					left++
 				}
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -177,7 +177,7 @@
 			}
 			if r.View != nil && jobs[id] != nil {
 				jobs[id].Accepted = true
-				w.CheckReportedStatus(jobs[id], r.View.Status)
+				w.Users.CheckReportedStatus(jobs[id], r.View.Status)
 			}
 		}
 	}
@@ -185,7 +185,7 @@
 	case "machines": // machines small a 2 [spot=1]
 		n, _ := strconv.Atoi(arg[2])
 		for range n {
-			w.AddMachine(arg[0], arg[1], opt["spot"] != "")
+			w.Machines.Add(arg[0], arg[1], opt["spot"] != "")
 		}
 	case "capacity": // capacity small a 2 [spot=1]
 		n, _ := strconv.Atoi(arg[2])
@@ -205,7 +205,7 @@
 			jobs[arg[0]] = &simulation.Job{Spec: s, Info: info}
 			w.Jobs[s.ID] = jobs[arg[0]]
 		}
-		w.SendRequest(node(arg[3]), func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, answered("submits", arg[0]))
+		node(arg[3]).SendRequest(func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, answered("submits", arg[0]))
 	case "flood": // flood 50 red via n0 priority=1
 		n, _ := strconv.Atoi(arg[0])
 		count := map[string]int{}
@@ -213,30 +213,30 @@
 			s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%v%05d", num("priority", 1), i)), Class: "c", Team: arg[1], Priority: cluster.Priority(num("priority", 1)),
 				Tasks: 1, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 500}
 			w.Jobs[s.ID] = &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 500 * second, TaskCount: 1, Image: "img"}}
-			w.SendRequest(node(arg[3]), func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(r messages.Respond) {
+			node(arg[3]).SendRequest(func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(r messages.Respond) {
 				count[fmt.Sprint(r.Status)]++
 			})
 		}
 		w.After(3500*second/1000, func() { say(fmt.Sprintf("users of priority %v: %v", num("priority", 1), count)) })
 	case "query":
-		w.SendRequest(node(arg[2]), func(id messages.RequestID) messages.Event {
+		node(arg[2]).SendRequest(func(id messages.RequestID) messages.Event {
 			return messages.Query{Request: id, ID: cluster.JobID(arg[0])}
 		}, answered("asks for", arg[0]))
 	case "cancel":
 		if j := jobs[arg[0]]; j != nil {
 			j.CancelRequested = true
 		}
-		w.SendRequest(node(arg[2]), func(id messages.RequestID) messages.Event {
+		node(arg[2]).SendRequest(func(id messages.RequestID) messages.Event {
 			return messages.Cancel{Request: id, ID: cluster.JobID(arg[0])}
 		}, answered("cancels", arg[0]))
 	case "upgrade": // upgrade n0 6s: it ends and is back after that, new
-		w.UpgradeNode(node(arg[0]), dur(arg[1]))
+		node(arg[0]).Upgrade(dur(arg[1]))
 	case "limits": // the lower limits come into force
 		w.LowerStoreLimits()
 	case "crash":
-		w.KillNode(node(arg[0]))
+		node(arg[0]).Kill()
 	case "boot":
-		w.StartNode(node(arg[0]))
+		node(arg[0]).Start()
 	case "cut": // cut n0 store 10s
 		n, until := node(arg[0]), w.Now+dur(arg[2])
 		switch arg[1] {
@@ -260,11 +260,11 @@
 			}
 		}
 	case "outage":
-		w.StoreDownUntil = w.Now + dur(arg[0])
+		w.Store.DownUntil = w.Now + dur(arg[0])
 	case "cloud": // cloud 30s: its interface is down
-		w.CloudDownUntil = w.Now + dur(arg[0])
+		w.CloudAPI.DownUntil = w.Now + dur(arg[0])
 	case "hang":
-		w.HangMachine(cluster.MachineID(arg[0]), dur(arg[1]))
+		w.Machines.Hang(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "corrupt": // the record that lists a machine makes no sense any more
 		for _, kv := range w.StateService.List("groups/").Items {
 			if strings.Contains(string(kv.Value), arg[0]) {
@@ -272,19 +272,19 @@
 			}
 		}
 	case "deaf": // reports arrive, nothing reaches it
-		w.MakeUnreachable(cluster.MachineID(arg[0]), dur(arg[1]))
+		w.Machines.MakeUnreachable(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "copy": // its present report is delivered again later
-		w.DuplicateHeartbeat(cluster.MachineID(arg[0]), dur(arg[1]))
+		w.Machines.DuplicateHeartbeat(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "refuse": // refuse n0 10s: by the state service, that controller alone
 		node(arg[0]).StoreRefusesUntil = w.Now + dur(arg[1])
 	case "mute": // it reaches no controller, direct commands reach it
-		w.BlockHeartbeats(cluster.MachineID(arg[0]), dur(arg[1]))
+		w.Machines.BlockHeartbeats(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "lose": // lose n0 answers 3s: its transactions are carried out, their answers lost
 		node(arg[0]).StoreRepliesLostUntil = w.Now + dur(arg[2])
 	case "slow": // slow 500ms 30s: the state service answers that much later
-		w.SlowStore(dur(arg[0]), dur(arg[1]))
+		w.Store.Slow(dur(arg[0]), dur(arg[1]))
 	case "reboot": // the worker is back at once, in its next session
-		w.RebootWorker(cluster.MachineID(arg[0]))
+		w.Machines.Reboot(cluster.MachineID(arg[0]))
 	case "stream": // stream red via n0 every=4s for=60s tasks=1 run=10: small jobs that keep coming
 		every, left, n := dur(opt["every"]), dur(opt["for"]), 0
 		run := num("run", 10)
@@ -294,14 +294,14 @@
 			s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-8%05d", n)), Class: "small", Team: arg[0], Priority: cluster.Priority(num("priority", 1)), Tasks: int(num("tasks", 1)),
 				ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: run, SubmittedAt: cluster.WallTime(w.Now / 1e6)}
 			w.Jobs[s.ID] = &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: cluster.Time(run * 1e9), TaskCount: s.Tasks, Image: s.Image}}
-			w.SendRequest(node(arg[2]), func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(messages.Respond) {})
+			node(arg[2]).SendRequest(func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(messages.Respond) {})
 			if left -= every; left > 0 {
 				w.After(every, next)
 			}
 		}
 		next()
 	case "notice":
-		w.PreemptSpotMachine(cluster.MachineID(arg[0]), dur(arg[1]))
+		w.Machines.Preempt(cluster.MachineID(arg[0]), dur(arg[1]))
 	case "run":
 		w.RunUntil(w.Now + dur(arg[0]))
 	default:
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -87,14 +87,14 @@
 	order := w.Rand.Perm(len(w.Nodes))
 	first, rest := w.Nodes[order[0]], order[1:]
 	begin := w.RandomBetween(20*second, 60*second)
-	w.After(begin, func() { w.UpgradeNode(first, 6*second) })
+	w.After(begin, func() { first.Upgrade(6 * second) })
 
 	back := w.Nodes[rest[0]]
 	w.After(begin+w.RandomBetween(second, 15*second), func() {
 		w.FaultCounts["old controllers ended and back old"]++
 		restart(w, back, w.RandomBetween(second/10, 8*second))
 	})
-	w.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
+	w.Failovers.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
 		ended := w.Nodes[rest[w.Rand.IntN(len(rest))]]
 		w.After(w.RandomBetween(0, second), func() {
 			if ended.Version == simulation.ProductionVersion {
@@ -117,7 +117,7 @@
 	w.After(last, func() {
 		w.FaultCounts["several controllers upgraded at once"]++
 		for _, i := range rest {
-			w.UpgradeNode(w.Nodes[i], w.RandomBetween(5*second, 8*second))
+			w.Nodes[i].Upgrade(w.RandomBetween(5*second, 8*second))
 		}
 	})
 	w.After(last+w.RandomBetween(0, 60*second), w.LowerStoreLimits)
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -30,7 +30,7 @@
 	inside, outside := m.Nodes[1], m.Nodes[2]
 	healed := m.Now + 2*m.config.CancelDeadline
 	m.partitionZone(inside.ID, healed)
-	m.CloudDownUntil = healed
+	m.CloudAPI.DownUntil = healed
 	m.waitFor("claimed outside", 30*second, func() bool { return m.longJobOwner() == outside.ID })
 	m.cancelAt(outside, m.longJob)
 	if m.countRunningTasks(m.longJob) == 0 {
--- /dev/null
+++ b/internal/simulation/command_calls.go
@@ -0,0 +1,105 @@
+package simulation
+
+import (
+	"fmt"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+const (
+	// connectTimeout is how long a controller waits for a machine that is gone.
+	connectTimeout = 1500 * millisecond
+	// commandTimeout is how long a controller waits for a machine that does not
+	// answer.
+	commandTimeout = 2500 * millisecond
+	// commandReplyTimeout is how long a controller waits for a reply that was lost.
+	commandReplyTimeout = 2 * second
+)
+
+// commandChannel carries the controllers' calls to the workers.
+type commandChannel struct {
+	*environment
+	network  *Network
+	machines *Machines
+}
+
+func (c *commandChannel) queryStatus(node *Node, query messages.QueryWorkerStatus) {
+	call := node.newCall(query.Call)
+	worker := c.machines.Workers[cluster.MachineID(query.Addr)]
+	if worker == nil || worker.removed || c.Now < worker.commandsBlockedUntil(node) {
+		call.replyAfter(commandTimeout, messages.PushCommandsReply{Outcome: messages.UnknownOutcome})
+		return
+	}
+	delay := c.network.delay()
+	call.replyAfter(delay, messages.PushCommandsReply{Outcome: messages.OK, Status: worker.NextStatus()})
+}
+
+func (c *commandChannel) push(node *Node, commands messages.PushCommands) {
+	call := node.newCall(commands.Call)
+	worker := c.machines.Workers[cluster.MachineID(commands.Addr)]
+	if worker == nil || worker.removed {
+		call.replyAfter(connectTimeout, messages.PushCommandsReply{Outcome: messages.NotApplied})
+		return
+	}
+	blockedUntil := worker.commandsBlockedUntil(node)
+	c.countFaults(worker, blockedUntil)
+	if c.Now < blockedUntil || c.Chance(0.01) {
+		if delay, arrives := c.network.lateArrival(blockedUntil); arrives {
+			c.After(delay, func() { c.deliverLate(worker, commands) })
+		}
+		call.replyAfter(commandTimeout, messages.PushCommandsReply{Outcome: messages.UnknownOutcome})
+		return
+	}
+	c.After(c.network.delay(), func() { c.deliver(call, worker, commands) })
+}
+
+func (c *commandChannel) countFaults(worker *SimulatedWorker, blockedUntil cluster.Time) {
+	if c.Now < worker.heartbeatsBlockedUntil && c.Now >= blockedUntil {
+		c.FaultCounts["commands to a mute machine"]++
+	}
+	if c.Now < worker.unreachableUntil {
+		c.FaultCounts["commands to a one-way machine"]++
+	}
+}
+
+func (c *commandChannel) deliver(call pendingCall, worker *SimulatedWorker, commands messages.PushCommands) {
+	unknown := messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
+	if worker.removed {
+		call.replyAfter(commandReplyTimeout, unknown)
+		return
+	}
+	reply := worker.HandleCommands(commands)
+	c.logCommands(call.node, worker, commands.FencingToken, commands.Commands)
+	c.machines.heartbeats.schedule(worker)
+	if c.Chance(0.01) {
+		call.replyAfter(commandReplyTimeout, unknown)
+		return
+	}
+	call.replyAfter(c.network.delay(), reply)
+}
+
+// deliverLate delivers commands whose controller has given them up. A machine
+// that hangs handles them when it goes on, and by then notices first that its
+// lease has expired.
+func (c *commandChannel) deliverLate(worker *SimulatedWorker, commands messages.PushCommands) {
+	if worker.removed {
+		return
+	}
+	if c.Now < worker.hungUntil {
+		c.After(worker.hungUntil-c.Now+millisecond, func() { c.deliverLate(worker, commands) })
+		return
+	}
+	if worker.isLeaseExpired(c.Now) {
+		worker.Advance(c.Now)
+	}
+	worker.HandleCommands(commands)
+}
+
+// logCommands logs the commands that a worker got from a controller.
+func (e *environment) logCommands(node *Node, worker *SimulatedWorker, token cluster.FencingToken, commands []cluster.Command) {
+	for _, command := range commands {
+		verb := [...]string{"start", "stop", "forget"}[command.Kind]
+		e.Log(fmt.Sprintf("%s -> %s token %d: %s %s attempt %d", node.ID, worker.ID, token, verb, command.Task, command.Attempt))
+	}
+}
--- a/internal/simulation/fake_cloud.go
+++ b/internal/simulation/fake_cloud.go
@@ -116,6 +116,16 @@
 	return list
 }
 
+// CapacityOf is the capacity of a machine type; zero: there is no such type.
+func (c *FakeCloud) CapacityOf(machineType string) cluster.Resources {
+	for _, t := range c.MachineTypes {
+		if t.Name == machineType {
+			return t.Capacity
+		}
+	}
+	return cluster.Resources{}
+}
+
 // listPageSize is the most machines that a page of the list holds.
 const listPageSize = 500
 
--- a/internal/simulation/fake_state_service.go
+++ b/internal/simulation/fake_state_service.go
@@ -1,6 +1,3 @@
-// Package simulation runs controllers in simulated time against fakes of
-// everything around them: the state service, the cloud, workers and users. It
-// injects faults and checks the protocol's rules all along.
 package simulation
 
 import (
@@ -11,6 +8,13 @@
 	"stairrelay/internal/messages"
 )
 
+// StoreLimits are the limits of the state service that change with the upgrade.
+type StoreLimits struct {
+	WriteRPS   float64
+	ValueBytes int
+	TxnOps     int
+}
+
 // FakeStateService is a model of the state service.
 type FakeStateService struct {
 	Revision cluster.Revision
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -4,184 +4,199 @@
 	"fmt"
 	"slices"
 	"strings"
-	"time"
 
 	"stairrelay/internal/cluster"
 )
 
-// The protocol's rules, checked as the simulated cluster runs.
-
-// Job is a submitted job with all that its user was told.
-type Job struct {
-	Spec              cluster.JobSpec
-	Info              JobInfo
-	Accepted          bool
-	ReportedStatus    cluster.JobStatus
-	CancelRequested   bool
-	CancelConfirmedAt cluster.Time
-	SubmittedAt       cluster.Time
-	FirstStartAt      cluster.Time // when its first task started; 0: not yet
-	finalReportedAt   cluster.Time
-	lastAnswerAt      cluster.Time // when a question about it was last answered
-	CancelPlanned     bool         // its user has a cancellation in mind
-	lastStartAt       cluster.Time // when a task of it last started
-	starvingSince     cluster.Time // since when it waits with room for it; 0: it doesn't
-}
+const (
+	// forgottenAfter is how long queries about an accepted job may stay unanswered
+	// once all faults are over.
+	forgottenAfter = 75 * second
+	// successorDelay is the time that a successor takes, at the most, to take over
+	// after a controller has ended.
+	successorDelay = 6 * second
+)
 
-// reportViolation notes a broken rule; the day ends there.
-func (w *Simulator) reportViolation(format string, args ...any) {
-	w.Violations = append(w.Violations, fmt.Sprintf("%v: ", time.Duration(w.Now))+fmt.Sprintf(format, args...))
+// invariantChecker checks the protocol's rules as the simulation runs.
+type invariantChecker struct {
+	*environment
+	jobs       *jobTable
+	nodes      *nodeSet
+	machines   *Machines
+	store      *Store
+	cloud      *CloudAPI
+	starvation *starvationChecker
+	startedOn  map[cluster.TaskID][]cluster.MachineID // where a task has ever started
 }
 
-// runPeriodicChecks starts the workers of machines that came up, ends tasks whose time has
-// come and checks the rules that hold at every moment.
-func (w *Simulator) runPeriodicChecks() {
-	for _, l := range w.Cloud.CompleteBoots(w.Now) {
-		w.startWorker(l)
-	}
-	for _, id := range w.liveMachineIDs() {
-		l := w.Workers[id]
-		if w.Now >= l.hungUntil && l.Advance(w.Now) {
-			w.scheduleHeartbeat(l)
-		}
-	}
-	w.checkQuotasAndCancellations()
-	w.checkForgotten()
-	w.checkStarvation()
+// checkAll checks the rules that hold at every moment.
+func (c *invariantChecker) checkAll() {
+	c.checkQuotasAndCancellations()
+	c.checkForgotten()
+	c.starvation.check()
 }
 
-// checkForgotten: once all troubles are over, somebody answers about every
-// accepted job within 75 s.
-func (w *Simulator) checkForgotten() {
-	if w.FaultsOverAt == 0 || w.Now < w.FaultsOverAt {
+// checkForgotten: once all faults are over, some controller answers about every
+// accepted job.
+func (c *invariantChecker) checkForgotten() {
+	if !c.faultsOver() {
 		return
 	}
-	for _, j := range w.Jobs {
-		if j.Accepted && w.Now-max(w.FaultsOverAt, j.lastAnswerAt) > 75*second {
-			w.reportViolation("forgotten: no question about %s was answered for 75 s", j.Spec.ID)
+	for _, job := range c.jobs.Jobs {
+		if job.Accepted && c.Now-max(c.FaultsOverAt, job.lastAnswerAt) > forgottenAfter {
+			c.reportViolation("forgotten: no question about %s was answered for 75 s", job.Spec.ID)
 			return
 		}
 	}
 }
 
 // handleTaskStart checks the rules that a task's start may break.
-func (w *Simulator) handleTaskStart(on *FakeWorker, task *Task) {
-	w.Log(fmt.Sprintf("%s runs %s attempt %d", on.ID, task.ID, task.Attempt))
-	job := w.Jobs[task.ID.Job]
+func (c *invariantChecker) handleTaskStart(on *FakeWorker, task *Task) {
+	c.Log(fmt.Sprintf("%s runs %s attempt %d", on.ID, task.ID, task.Attempt))
+	job := c.jobs.Jobs[task.ID.Job]
 	if job == nil {
-		w.reportViolation("%s started, no such job", task.ID)
+		c.reportViolation("%s started, no such job", task.ID)
 		return
 	}
 	if job.FirstStartAt == 0 {
-		job.FirstStartAt = w.Now
+		job.FirstStartAt = c.Now
 	}
-	job.lastStartAt = w.Now
-	w.checkDependenciesDone(job)
-	w.checkRunsOnce(on, task)
-	w.checkPlacement(on, task, job)
-	if !w.NoRandomFaults {
-		w.checkQuotasAndCancellations()
+	job.lastStartAt = c.Now
+	c.checkDependenciesDone(job)
+	c.checkRunsOnce(on, task)
+	c.checkPlacement(on, task, job)
+	if !c.NoRandomFaults {
+		c.checkQuotasAndCancellations()
 	}
-	w.checkStartAfterCancel(task, job)
+	c.checkStartAfterCancel(task, job)
 }
 
 // checkRunsOnce: a task does not start on a machine while it is on another.
-func (w *Simulator) checkRunsOnce(on *FakeWorker, task *Task) {
+func (c *invariantChecker) checkRunsOnce(on *FakeWorker, task *Task) {
 	// What runs has started, so only the machines on which it did matter.
-	startedOn := w.startedOn[task.ID]
+	startedOn := c.startedOn[task.ID]
 	if !slices.Contains(startedOn, on.ID) {
-		w.startedOn[task.ID] = append(startedOn, on.ID)
+		c.startedOn[task.ID] = append(startedOn, on.ID)
 	}
 	for _, id := range startedOn {
-		live := w.Workers[id]
-		if live == nil || live.removed {
+		worker := c.machines.live(id)
+		if worker == nil || worker.ID == on.ID {
 			continue
 		}
-		other := live.Tasks[task.ID]
-		if live.ID != on.ID && other != nil && other.State != cluster.Ended && other.State != cluster.Fetching {
-			w.reportViolation("ran_twice: %s starts on %s (attempt %d) while on %s (attempt %d)", task.ID, on.ID, task.Attempt, live.ID, other.Attempt)
+		other := worker.Tasks[task.ID]
+		if other != nil && other.State != cluster.Ended && other.State != cluster.Fetching {
+			c.reportViolation("ran_twice: %s starts on %s (attempt %d) while on %s (attempt %d)", task.ID, on.ID, task.Attempt, worker.ID, other.Attempt)
 		}
 	}
 }
 
 // checkPlacement: a task starts where its job allows, given the job's other tasks.
-func (w *Simulator) checkPlacement(on *FakeWorker, task *Task, job *Job) {
-	s := job.Spec
-	if s.Zone != "" && s.Zone != on.Zone || on.Spot && !s.Spot || len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, on.Type) {
-		w.reportViolation("wrong_place: %s on %s", task.ID, on.ID)
+func (c *invariantChecker) checkPlacement(on *FakeWorker, task *Task, job *Job) {
+	spec := job.Spec
+	if !allowsMachine(spec, on) {
+		c.reportViolation("wrong_place: %s on %s", task.ID, on.ID)
 	}
-	if !s.Colocate && !s.Spread {
+	if !spec.Colocate && !spec.Spread {
 		return
 	}
-	zones := w.countTasksByZone(task.ID.Job)
-	if s.Colocate && len(zones) > 1 {
-		w.reportViolation("wrong_place: %s in more than one zone", task.ID)
+	zones := c.countTasksByZone(task.ID.Job)
+	if spec.Colocate && len(zones) > 1 {
+		c.reportViolation("wrong_place: %s in more than one zone", task.ID)
 	}
-	if s.Spread && zones[on.Zone] > (s.Tasks+1)/2 {
-		w.reportViolation("wrong_place: %s has %d of %d tasks in %s", task.ID, zones[on.Zone], s.Tasks, on.Zone)
+	if spec.Spread && zones[on.Zone] > (spec.Tasks+1)/2 {
+		c.reportViolation("wrong_place: %s has %d of %d tasks in %s", task.ID, zones[on.Zone], spec.Tasks, on.Zone)
 	}
 }
 
+// allowsMachine tells whether a job's tasks may run on a machine.
+func allowsMachine(spec cluster.JobSpec, on *FakeWorker) bool {
+	return (spec.Zone == "" || spec.Zone == on.Zone) &&
+		(spec.Spot || !on.Spot) &&
+		(len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, on.Type))
+}
+
 // countTasksByZone counts the tasks of a job that are on machines.
-func (w *Simulator) countTasksByZone(job cluster.JobID) map[string]int {
+func (c *invariantChecker) countTasksByZone(job cluster.JobID) map[string]int {
 	zones := map[string]int{}
-	for _, id := range w.liveMachineIDs() {
-		live := w.Workers[id]
-		for _, task := range live.Tasks {
+	for _, id := range c.machines.liveIDs() {
+		worker := c.machines.Workers[id]
+		for _, task := range worker.Tasks {
 			if task.ID.Job == job && task.isOnMachine() {
-				zones[live.Zone]++
+				zones[worker.Zone]++
 			}
 		}
 	}
 	return zones
 }
 
+// isOnMachine tells whether the task uses its machine as the rules count it.
+func (t *Task) isOnMachine() bool {
+	return t.State == cluster.Running || t.State == cluster.Checkpointing
+}
+
 // checkStartAfterCancel: no task starts long after its user was told that the
 // job is cancelled.
-func (w *Simulator) checkStartAfterCancel(task *Task, job *Job) {
+func (c *invariantChecker) checkStartAfterCancel(task *Task, job *Job) {
 	if job.CancelConfirmedAt == 0 {
 		return
 	}
-	w.FaultCounts["starts after a confirmed cancellation"]++
-	if w.Now-job.CancelConfirmedAt > w.config.CancelDeadline {
-		w.reportViolation("ran_cancelled: %s starts", task.ID)
+	c.FaultCounts["starts after a confirmed cancellation"]++
+	if c.isCancelOverdue(job) {
+		c.reportViolation("ran_cancelled: %s starts", task.ID)
 	}
 }
 
-// isOnMachine tells whether the task uses its machine as the rules count it.
-func (t *Task) isOnMachine() bool {
-	return t.State == cluster.Running || t.State == cluster.Checkpointing
+// isCancelOverdue tells whether all tasks of a cancelled job should be gone.
+func (c *invariantChecker) isCancelOverdue(job *Job) bool {
+	return job.CancelConfirmedAt > 0 && c.Now-job.CancelConfirmedAt > c.config.CancelDeadline
 }
 
-// checkQuotasAndCancellations checks what is on all machines now against the limits of the
-// teams and the cancellations that users were told of.
-func (w *Simulator) checkQuotasAndCancellations() {
-	use := map[string]cluster.Amount{}
-	for _, id := range w.liveMachineIDs() {
-		for _, task := range w.Workers[id].Tasks {
+// checkQuotasAndCancellations checks what is on all machines now against the quota
+// limits of the teams and the cancellations that users were told of.
+func (c *invariantChecker) checkQuotasAndCancellations() {
+	usage := map[string]cluster.Amount{}
+	for _, id := range c.machines.liveIDs() {
+		worker := c.machines.Workers[id]
+		for _, task := range worker.Tasks {
 			if !task.isOnMachine() {
 				continue
 			}
-			job := w.Jobs[task.ID.Job]
-			use[job.Spec.Team] += job.Spec.ResourceRequest.CPU
-			if job.CancelConfirmedAt > 0 && w.Now-job.CancelConfirmedAt > w.config.CancelDeadline && !w.canOnlyLeaseStop(job, w.Workers[id]) {
-				w.reportViolation("ran_cancelled: %s is on %s", task.ID, id)
+			job := c.jobs.Jobs[task.ID.Job]
+			usage[job.Spec.Team] += job.Spec.ResourceRequest.CPU
+			if c.isCancelOverdue(job) && !c.canOnlyLeaseStop(job, worker) {
+				c.reportViolation("ran_cancelled: %s is on %s", task.ID, id)
 			}
 		}
 	}
-	for _, team := range w.config.Teams {
-		if use[team.Name] > team.QuotaLimit.CPU {
-			w.reportViolation("quota: %s uses %d:%s", team.Name, use[team.Name], w.describeTeamTasks(team.Name))
+	for _, team := range c.config.Teams {
+		if usage[team.Name] > team.QuotaLimit.CPU {
+			c.reportViolation("quota: %s uses %d:%s", team.Name, usage[team.Name], c.describeTeamTasks(team.Name))
 		}
 	}
 }
 
-// describeTeamTasks lists a team's tasks on machines, to tell what broke its limit.
-func (w *Simulator) describeTeamTasks(team string) string {
+// canOnlyLeaseStop tells whether nothing but its lease can end a cancelled job's
+// task on a machine. That is so when the machine hangs on past the lease and,
+// since the cancellation was confirmed, either the cloud takes no scale-in, or a
+// controller ended, at most successorDelay before, and the state service is
+// down, which alone knows which machines that controller owned.
+func (c *invariantChecker) canOnlyLeaseStop(job *Job, worker *SimulatedWorker) bool {
+	if !worker.isLeaseExpiredWhileHung(c.Now) {
+		return false
+	}
+	cloudDown := c.cloud.DownUntil > job.CancelConfirmedAt
+	storeDown := c.store.DownUntil > job.CancelConfirmedAt
+	ownerEnded := c.nodes.lastKillAt+successorDelay > job.CancelConfirmedAt
+	return cloudDown || storeDown && ownerEnded
+}
+
+// describeTeamTasks lists a team's tasks on machines, to show what exceeds its
+// quota limit.
+func (c *invariantChecker) describeTeamTasks(team string) string {
 	var list strings.Builder
-	for _, id := range w.liveMachineIDs() {
-		for _, task := range w.Workers[id].sortedTasks() {
-			if task.isOnMachine() && w.Jobs[task.ID.Job].Spec.Team == team {
+	for _, id := range c.machines.liveIDs() {
+		for _, task := range c.machines.Workers[id].sortedTasks() {
+			if task.isOnMachine() && c.jobs.Jobs[task.ID.Job].Spec.Team == team {
 				fmt.Fprintf(&list, " %s(%d)@%s", task.ID, task.Attempt, id)
 			}
 		}
--- /dev/null
+++ b/internal/simulation/odd_requests.go
@@ -0,0 +1,185 @@
+package simulation
+
+import (
+	"fmt"
+	"net/http"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+const (
+	// The pause between two odd requests.
+	minOddRequestPause = 100 * millisecond
+	maxOddRequestPause = 500 * millisecond
+	// oddQueryCount is how often a rejected job is queried, within oddQueryPeriod.
+	oddQueryCount  = 3
+	oddQueryPeriod = 20 * second
+)
+
+// OddRequests makes requests that users seldom make, and checks the answers.
+type OddRequests struct {
+	*environment
+	nodes         *nodeSet
+	users         *Users
+	jobs          *jobTable
+	rejectedCount int
+}
+
+// SendFor makes odd requests for a while.
+func (o *OddRequests) SendFor(duration cluster.Time) { o.sendUntil(o.Now + duration) }
+
+func (o *OddRequests) sendUntil(until cluster.Time) {
+	if o.Now >= until {
+		return
+	}
+	o.sendOne()
+	o.After(o.RandomBetween(minOddRequestPause, maxOddRequestPause), func() { o.sendUntil(until) })
+}
+
+func (o *OddRequests) sendOne() {
+	switch o.Rand.IntN(4) {
+	case 0:
+		o.submitAgain()
+	case 1:
+		o.cancelDone()
+	case 2:
+		o.submitUnschedulable()
+	default:
+		o.submitMalformed()
+	}
+}
+
+// submitAgain submits an unfinished job again, which the controllers answer with
+// its status.
+func (o *OddRequests) submitAgain() {
+	const kind = "repeats of unfinished jobs"
+	job := o.drawJob((*Job).isUnfinished)
+	if job == nil {
+		return
+	}
+	askedAt := o.Now
+	o.nodes.random().SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
+		if answer.Status != http.StatusTooManyRequests {
+			o.checkStatusAnswer(kind, job, answer, func() bool { return askedAt >= job.finalReportedAt })
+		}
+		o.FaultCounts["odd requests: "+kind]++
+	})
+}
+
+// cancelDone cancels a job that is done, which the controllers answer with its
+// status.
+func (o *OddRequests) cancelDone() {
+	const kind = "cancellations of done jobs"
+	job := o.drawJob(func(job *Job) bool { return job.Accepted && job.ReportedStatus == cluster.JobDone })
+	if job == nil {
+		return
+	}
+	o.nodes.random().SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
+		o.checkStatusAnswer(kind, job, answer, func() bool { return true })
+		o.FaultCounts["odd requests: "+kind]++
+	})
+}
+
+// drawJob draws one of the jobs for which something holds; nil: there is none.
+func (o *OddRequests) drawJob(holds func(*Job) bool) *Job {
+	jobs := o.jobs.selectJobs(holds)
+	if len(jobs) == 0 {
+		return nil
+	}
+	return jobs[o.Rand.IntN(len(jobs))]
+}
+
+// checkStatusAnswer checks an answer that should bring the status of a job; the
+// status counts if it is current.
+func (o *OddRequests) checkStatusAnswer(kind string, job *Job, answer messages.Respond, current func() bool) {
+	switch answer.Status {
+	case 0, http.StatusServiceUnavailable:
+	case http.StatusOK:
+		if answer.View == nil {
+			o.reportViolation("%s get no state: %s", kind, job.Spec.ID)
+		} else if current() {
+			o.users.CheckReportedStatus(job, answer.View.Status)
+		}
+	default:
+		o.reportViolation("forgotten: %s get %d: %s", kind, answer.Status, job.Spec.ID)
+	}
+}
+
+// rejectedSubmission is a submission that the controllers have to reject.
+type rejectedSubmission struct {
+	kind      string
+	spec      cluster.JobSpec
+	rejection messages.ReplyStatus // what the program's HTTP server found wrong, if anything
+	want      messages.ReplyStatus
+}
+
+// submitUnschedulable submits a job that fits no machine.
+func (o *OddRequests) submitUnschedulable() {
+	spec := o.newRejectedSpec()
+	spec.ResourceRequest.CPU = 1_000_000_000
+	o.submitRejected(rejectedSubmission{kind: "jobs that fit no machine", spec: spec, want: messages.ReplyUnschedulable})
+}
+
+// submitMalformed submits a job whose description makes no sense.
+func (o *OddRequests) submitMalformed() {
+	o.submitRejected(rejectedSubmission{
+		kind:      "malformed jobs",
+		spec:      o.newRejectedSpec(),
+		rejection: messages.ReplyBadRequest,
+		want:      messages.ReplyBadRequest,
+	})
+}
+
+func (o *OddRequests) newRejectedSpec() cluster.JobSpec {
+	o.rejectedCount++
+	return cluster.JobSpec{
+		ID:              cluster.JobID(fmt.Sprintf("j-7%05d", o.rejectedCount)),
+		Class:           "odd",
+		Team:            o.config.Teams[0].Name,
+		Priority:        cluster.Normal,
+		Tasks:           1,
+		ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000},
+		Image:           "img",
+		ImageGB:         1,
+		RuntimeSeconds:  5,
+	}
+}
+
+// submitRejected makes a submission that has to be rejected, and then queries the
+// job, which nobody may know.
+func (o *OddRequests) submitRejected(submission rejectedSubmission) {
+	request := func(id messages.RequestID) messages.Event {
+		return messages.Submit{Request: id, Spec: submission.spec, Rejection: submission.rejection}
+	}
+	o.nodes.random().SendRequest(request, func(answer messages.Respond) { o.checkRejection(submission, answer) })
+	for range oddQueryCount {
+		o.After(o.RandomBetween(millisecond, oddQueryPeriod), func() { o.queryRejected(submission) })
+	}
+}
+
+func (o *OddRequests) checkRejection(submission rejectedSubmission, answer messages.Respond) {
+	switch answer.Status {
+	case submission.want:
+		o.FaultCounts["odd requests: "+submission.kind]++
+		return
+	case 0, http.StatusServiceUnavailable:
+		return
+	case http.StatusTooManyRequests:
+		if submission.rejection == messages.ReplyNone {
+			return
+		}
+	}
+	o.reportViolation("%s get %d: %s", submission.kind, answer.Status, submission.spec.ID)
+}
+
+func (o *OddRequests) queryRejected(submission rejectedSubmission) {
+	id := submission.spec.ID
+	o.nodes.random().SendRequest(queryRequest(id), func(answer messages.Respond) {
+		switch answer.Status {
+		case 0, http.StatusServiceUnavailable, http.StatusNotFound:
+		default:
+			o.reportViolation("invented: questions about %s, one of the %s, get %d", id, submission.kind, answer.Status)
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulation/peer_calls.go
@@ -0,0 +1,70 @@
+package simulation
+
+import (
+	"stairrelay/internal/messages"
+)
+
+// peerChannel carries the messages between controllers.
+type peerChannel struct {
+	*environment
+	network *Network
+	nodes   *nodeSet
+}
+
+func (c *peerChannel) call(from *Node, message messages.PeerCall) {
+	to := c.nodes.byID(message.To)
+	call := from.newCall(message.Call)
+	lost := messages.PeerReply{Outcome: messages.UnknownOutcome}
+	if !to.running || c.Now < max(from.PeersRefuseUntil, to.PeersRefuseUntil) {
+		call.replyAfter(c.network.delay(), lost)
+		return
+	}
+	if c.Now < max(from.PeersCutUntil, to.PeersCutUntil) {
+		call.replyAfter(message.Timeout, lost)
+		return
+	}
+	exchange := &peerExchange{channel: c, call: call, to: to, message: message.Message}
+	if c.network.isSlowPeerMessage() {
+		c.FaultCounts["slow messages between controllers"]++
+		c.After(c.RandomBetween(50*millisecond, 400*millisecond), exchange.send)
+	} else {
+		exchange.send()
+	}
+	c.After(message.Timeout, exchange.timeOut)
+}
+
+// peerExchange is a message between controllers with its reply.
+type peerExchange struct {
+	channel  *peerChannel
+	call     pendingCall
+	to       *Node
+	message  messages.PeerMessage
+	finished bool // the reply has come, or the caller has given up
+}
+
+func (x *peerExchange) send() {
+	request := func(id messages.RequestID) messages.Event {
+		return messages.PeerRequest{Request: id, Message: x.message}
+	}
+	x.to.SendRequest(request, x.handleReply)
+}
+
+func (x *peerExchange) handleReply(answer messages.Respond) {
+	if x.finished {
+		return
+	}
+	x.finished = true
+	if answer.Peer == nil {
+		x.call.replyAfter(0, messages.PeerReply{Outcome: messages.UnknownOutcome})
+		return
+	}
+	x.call.replyAfter(x.channel.network.delay(), messages.PeerReply{Outcome: messages.OK, Message: *answer.Peer})
+}
+
+func (x *peerExchange) timeOut() {
+	if x.finished {
+		return
+	}
+	x.finished = true
+	x.call.reply(messages.PeerReply{Outcome: messages.UnknownOutcome})
+}
--- /dev/null
+++ b/internal/simulation/read_after_write.go
@@ -0,0 +1,112 @@
+package simulation
+
+import (
+	"net/http"
+	"time"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+const (
+	// readAfterWriteRounds is how often each controller is asked.
+	readAfterWriteRounds = 3
+	// maxReadAfterWritePause is the time within which all of them are asked.
+	maxReadAfterWritePause = 50 * millisecond
+	// submissionTimeout is how long a user waits for the answer to a submission or
+	// a cancellation.
+	submissionTimeout = 5 * second
+)
+
+// ReadAfterWrite checks that no controller forgets what a user was told, by
+// asking all of them right after.
+type ReadAfterWrite struct {
+	*environment
+	nodes *nodeSet
+	users *Users
+	until cluster.Time
+}
+
+// EnableFor has users ask at all nodes, again and again, right after they were
+// told that a job is accepted, done or cancelled.
+func (r *ReadAfterWrite) EnableFor(duration cluster.Time) { r.until = r.Now + duration }
+
+// start checks what a job's user was just told.
+func (r *ReadAfterWrite) start(job *Job) {
+	if r.Now >= r.until {
+		return
+	}
+	for range readAfterWriteRounds {
+		for _, node := range r.nodes.Nodes {
+			draw := r.Rand.IntN(10)
+			r.After(r.RandomBetween(0, maxReadAfterWritePause), func() { r.checkAt(node, job, draw) })
+		}
+	}
+}
+
+// followUpKind is a kind of request about a job of which its user was told.
+type followUpKind string
+
+const (
+	followUpQuery  followUpKind = "questions"
+	followUpSubmit followUpKind = "repeats"
+	followUpCancel followUpKind = "cancellations"
+)
+
+// timeout is how long a user waits for the answer.
+func (k followUpKind) timeout() cluster.Time {
+	if k == followUpQuery {
+		return userTimeout
+	}
+	return submissionTimeout
+}
+
+// followUp is a request about a job of which its user was told.
+type followUp struct {
+	kind     followUpKind
+	job      *Job
+	node     *Node
+	askedAt  cluster.Time
+	accepted bool // the job was accepted when it was asked about
+}
+
+// checkAt asks one controller about a job that it may not forget any more.
+func (r *ReadAfterWrite) checkAt(node *Node, job *Job, draw int) {
+	request := queryRequest(job.Spec.ID)
+	asked := followUp{kind: followUpQuery, job: job, node: node, askedAt: r.Now, accepted: job.Accepted}
+	switch {
+	case draw < 2:
+		asked.kind = followUpSubmit
+		request = submitRequest(job.Spec)
+	case draw == 2 && job.CancelPlanned:
+		asked.kind = followUpCancel
+		job.CancelRequested = true
+		request = cancelRequest(job.Spec.ID)
+	}
+	node.SendRequest(request, func(answer messages.Respond) { r.handleAnswer(asked, answer) })
+}
+
+func (r *ReadAfterWrite) handleAnswer(asked followUp, answer messages.Respond) {
+	if answer.Status == 0 || r.Now-asked.askedAt > asked.kind.timeout() {
+		return
+	}
+	job := asked.job
+	switch {
+	case answer.Status == http.StatusOK && answer.View != nil:
+		if asked.kind == followUpCancel || asked.askedAt >= job.finalReportedAt {
+			r.users.CheckReportedStatus(job, answer.View.Status)
+		}
+	case answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests:
+	case !asked.accepted && asked.kind == followUpCancel && answer.Status == http.StatusNotFound:
+	case isRefusal(answer.Status):
+		r.reportViolation("forgotten: %s was told before %v; %s at %s then get %d", job.Spec.ID, time.Duration(asked.askedAt), asked.kind, asked.node.ID, answer.Status)
+	default:
+		r.reportViolation("%s about %s at %s get %d", asked.kind, job.Spec.ID, asked.node.ID, answer.Status)
+	}
+	r.FaultCounts["close looks: "+string(asked.kind)]++
+}
+
+// isRefusal tells whether an answer says that the job is unknown or can't be run.
+func isRefusal(status messages.ReplyStatus) bool {
+	return status == http.StatusNotFound || status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
+}
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -1,61 +1,44 @@
+// Package simulation runs controllers in simulated time against fakes of
+// everything around them: the state service, the cloud, workers and users. It
+// injects faults and checks the protocol's rules all along.
+//
+// The components of a simulation share an environment with the clock and the
+// random source; simulator.go shows how they are put together.
 package simulation
 
 import (
-	"math/rand/v2"
-	"time"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
 	"stairrelay/internal/controller"
 )
 
-const (
-	second      = cluster.Time(time.Second)
-	millisecond = cluster.Time(time.Millisecond)
-)
+// checkInterval is how often machines advance and the rules are checked.
+const checkInterval = 500 * millisecond
 
-// Simulator runs several cores against the models in simulated time, with a
-// network that delays, loses and delivers late, and checks the rules.
+// Simulator is a simulated cluster: controllers that run in simulated time
+// against fakes, with a network that delays, loses and delivers late, users, and
+// a checker of the protocol's rules.
 type Simulator struct {
-	Now                      cluster.Time
-	Rand                     *rand.Rand
-	StateService             *FakeStateService
-	Cloud                    *FakeCloud
-	Nodes                    []*Node
-	Workers                  map[cluster.MachineID]*SimulatedWorker
-	Jobs                     map[cluster.JobID]*Job
-	Violations               []string
-	LateDelivery             bool           // messages over a cut may arrive minutes late
-	HeartbeatDuplicateChance float64        // the chance that a report is delivered again, up to several leases later
-	SlowPeerChance           float64        // the chance that a message between controllers is slow
-	FaultsOverAt             cluster.Time   // all troubles are over from then on; 0: not judged
-	FaultCounts              map[string]int // troubles that were seen to happen, by kind
-	NoRandomFaults           bool           // nothing is lost or slow but what a test asks for
-	StoreDownUntil           cluster.Time   // the state service is out until then
-	StoreDelay               cluster.Time   // added to every answer of the state service
-	CloudDownUntil           cluster.Time
-	faults                   faultState
-	lastNodeKillAt           cluster.Time // of a controller
-	config                   controller.Config
-	// limitsBeforeUpgrade are the store's limits before the upgrade.
-	limitsBeforeUpgrade StoreLimits
-	doneTasks           map[cluster.TaskID]bool
-	startedOn           map[cluster.TaskID][]cluster.MachineID // where a task has ever started
-	eventQueue          eventHeap
-	eventSequence       uint64
-	bootCount           int
-	sortedLiveIDs       []cluster.MachineID // sorted; nil: to be worked out anew
-	Log                 func(string)
-	ControllerTime      time.Duration // real time that the cores took
-	StepCount           int           // events that they were given
-	CountAllocations    bool          // count the cores' allocations, which takes time itself
-	Allocations         uint64        // counted
-	observe             EffectObserver
+	*environment
+	*nodeSet
+	*jobTable
+	StateService   *FakeStateService
+	Cloud          *FakeCloud
+	Network        *Network
+	Store          *Store
+	CloudAPI       *CloudAPI
+	Machines       *Machines
+	Users          *Users
+	Failovers      *Failovers
+	Cancellations  *Cancellations
+	ReadAfterWrite *ReadAfterWrite
+	OddRequests    *OddRequests
+	checker        *invariantChecker
 }
 
-// EffectObserver is told of every effect that a controller asks for, in the
-// order in which the controllers ask.
+// EffectObserver is shown every effect that a controller asks for, in the order
+// in which the controllers ask.
 type EffectObserver func(now cluster.Time, node cluster.NodeID, effect messages.Effect)
 
 // Option changes a cluster before its controllers start.
@@ -63,68 +46,125 @@
 
 // ObserveEffects has every effect shown to an observer.
 func ObserveEffects(observe EffectObserver) Option {
-	return func(w *Simulator) { w.observe = observe }
+	return func(s *Simulator) { s.observe = observe }
 }
 
 // NewSimulator makes a cluster whose controllers all start at once.
 func NewSimulator(seed uint64, cfg controller.Config, cloud *FakeCloud, options ...Option) *Simulator {
-	w := newStoppedSimulator(seed, cfg, cloud, options)
-	w.startNodes()
-	return w
+	s := assemble(seed, cfg, cloud, options)
+	s.start()
+	return s
 }
 
-// newStoppedSimulator makes a cluster none of whose controllers has started.
-func newStoppedSimulator(seed uint64, cfg controller.Config, cloud *FakeCloud, options []Option) *Simulator {
-	w := &Simulator{
-		Rand:         rand.New(rand.NewPCG(seed, 1)),
+// assemble puts a cluster together none of whose controllers has started.
+func assemble(seed uint64, cfg controller.Config, cloud *FakeCloud, options []Option) *Simulator {
+	env := newEnvironment(seed, cfg)
+	network := &Network{environment: env}
+	s := &Simulator{
+		environment:  env,
+		nodeSet:      newNodeSet(env, network),
+		jobTable:     newJobTable(),
 		StateService: NewFakeStateService(),
 		Cloud:        cloud,
-		Workers:      map[cluster.MachineID]*SimulatedWorker{},
-		Jobs:         map[cluster.JobID]*Job{},
-		doneTasks:    map[cluster.TaskID]bool{},
-
-		startedOn:   map[cluster.TaskID][]cluster.MachineID{},
-		FaultCounts: map[string]int{},
-		config:      cfg,
-		Log:         func(string) {},
-		observe:     func(cluster.Time, cluster.NodeID, messages.Effect) {},
+		Network:      network,
 	}
+	s.assembleMachines()
+	s.assembleUsers()
+	s.assembleServices()
+	s.assembleChecker()
 	for _, option := range options {
-		option(w)
+		option(s)
 	}
-	for _, id := range cfg.Nodes {
-		w.Nodes = append(w.Nodes, &Node{ID: id})
-	}
-	return w
+	return s
 }
 
-// startNodes boots all controllers.
-func (w *Simulator) startNodes() {
-	for _, n := range w.Nodes {
-		w.StartNode(n)
+// assembleMachines adds the machines with their workers.
+func (s *Simulator) assembleMachines() {
+	s.Failovers = &Failovers{environment: s.environment, nodes: s.nodeSet, owners: map[string]string{}}
+	s.Machines = &Machines{
+		environment: s.environment,
+		Workers:     map[cluster.MachineID]*SimulatedWorker{},
+		cloud:       s.Cloud,
+		nodes:       s.nodeSet,
+		jobs:        s.jobTable,
+	}
+	s.Machines.heartbeats = &heartbeatSender{
+		environment: s.environment,
+		nodes:       s.nodeSet,
+		network:     s.Network,
+		machines:    s.Machines,
+		failovers:   s.Failovers,
 	}
-	w.repeatEvery(500*millisecond, w.runPeriodicChecks)
 }
 
-// Chance is true with probability p.
-func (w *Simulator) Chance(p float64) bool { return !w.NoRandomFaults && w.Rand.Float64() < p }
+// assembleUsers adds the users with what they do beside submitting jobs.
+func (s *Simulator) assembleUsers() {
+	env, nodes, jobs := s.environment, s.nodeSet, s.jobTable
+	s.Users = &Users{environment: env, nodes: nodes, jobs: jobs}
+	s.ReadAfterWrite = &ReadAfterWrite{environment: env, nodes: nodes, users: s.Users}
+	s.Users.readAfterWrite = s.ReadAfterWrite
+	s.OddRequests = &OddRequests{environment: env, nodes: nodes, users: s.Users, jobs: jobs}
+	s.Cancellations = &Cancellations{environment: env, users: s.Users, jobs: jobs, machines: s.Machines}
+	s.Machines.onTaskDone = s.Cancellations.handleTaskDone
+}
 
-// RandomBetween draws a time.
-func (w *Simulator) RandomBetween(a, b cluster.Time) cluster.Time {
-	return a + cluster.Time(w.Rand.Int64N(int64(b-a)+1))
+// assembleServices connects the controllers with the services, the workers and
+// one another.
+func (s *Simulator) assembleServices() {
+	env, network := s.environment, s.Network
+	s.Store = &Store{environment: env, service: s.StateService, network: network, failovers: s.Failovers}
+	s.CloudAPI = &CloudAPI{environment: env, cloud: s.Cloud, network: network, machines: s.Machines}
+	executor := &effectExecutor{
+		environment: env,
+		store:       s.Store,
+		cloud:       s.CloudAPI,
+		commands:    &commandChannel{environment: env, network: network, machines: s.Machines},
+		peers:       &peerChannel{environment: env, network: network, nodes: s.nodeSet},
+	}
+	s.execute = executor.execute
+}
+
+// assembleChecker adds the checker of the rules.
+func (s *Simulator) assembleChecker() {
+	s.checker = &invariantChecker{
+		environment: s.environment,
+		jobs:        s.jobTable,
+		nodes:       s.nodeSet,
+		machines:    s.Machines,
+		store:       s.Store,
+		cloud:       s.CloudAPI,
+		starvation:  &starvationChecker{environment: s.environment, jobs: s.jobTable, machines: s.Machines},
+		startedOn:   map[cluster.TaskID][]cluster.MachineID{},
+	}
+	s.Users.checker = s.checker
+	s.Machines.onTaskStart = s.checker.handleTaskStart
 }
 
-func (w *Simulator) networkDelay() cluster.Time {
-	if w.Chance(0.02) {
-		return w.RandomBetween(50*millisecond, 400*millisecond)
+// start starts all controllers, and the checks.
+func (s *Simulator) start() {
+	for _, node := range s.Nodes {
+		node.Start()
 	}
-	return w.RandomBetween(millisecond, 8*millisecond)
+	s.repeatEvery(checkInterval, func() {
+		s.Machines.advance()
+		s.checker.checkAll()
+	})
 }
 
-// lateArrival says when something sent over a cut arrives, if at all.
-func (w *Simulator) lateArrival(until cluster.Time) (cluster.Time, bool) {
-	if !w.LateDelivery || w.Chance(0.4) {
-		return 0, false
+// BusiestNode is the node to which most workers send their heartbeats, among
+// those whose controllers are running; nil: none is.
+func (s *Simulator) BusiestNode() *Node {
+	workerCounts := make([]int, len(s.Nodes))
+	for _, id := range s.Machines.liveIDs() {
+		workerCounts[s.Machines.Workers[id].nodeIndex]++
+	}
+	var busiest *Node
+	most := -1
+	for i, node := range s.Nodes {
+		if node.running && workerCounts[i] > most {
+			busiest = node
+			most = workerCounts[i]
+		}
 	}
-	return max(until-w.Now, 0) + w.RandomBetween(millisecond, 20*second), true
+	return busiest
 }
--- /dev/null
+++ b/internal/simulation/store_calls.go
@@ -0,0 +1,229 @@
+package simulation
+
+import (
+	"fmt"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
+)
+
+// storeCallTimeout is how long a controller waits for a reply of the state
+// service that was lost.
+const storeCallTimeout = 1200 * millisecond
+
+// Store carries the controllers' calls to the state service, and injects the
+// faults of that way.
+type Store struct {
+	*environment
+	// DownUntil is when an outage of the state service ends.
+	DownUntil cluster.Time
+	// Delay is added to all replies.
+	Delay     cluster.Time
+	service   *FakeStateService
+	network   *Network
+	failovers *Failovers
+	slowBy    cluster.Time // added to the replies until slowUntil
+	slowUntil cluster.Time
+	lostReply replyLoss
+}
+
+// replyLoss is the fault that a share of the transactions gets no reply.
+type replyLoss struct {
+	chance      float64
+	until       cluster.Time
+	applyAtOnce bool
+}
+
+// Slow makes the state service reply slowly for a while.
+func (s *Store) Slow(by, duration cluster.Time) {
+	s.slowBy = by
+	s.slowUntil = s.Now + duration
+}
+
+// LoseWriteReplies lets a share of the transactions get no reply for a while.
+// They are applied 2 to 12 s later, after newer ones of the same controller;
+// with applyAtOnce they are applied at once and only the reply is lost.
+func (s *Store) LoseWriteReplies(share float64, duration cluster.Time, applyAtOnce bool) {
+	s.lostReply = replyLoss{chance: share, until: s.Now + duration, applyAtOnce: applyAtOnce}
+}
+
+// storeCall is a call to the state service.
+type storeCall struct {
+	pendingCall
+	write   bool
+	refused any // the reply of a service that is down
+	unknown any // what the controller gets when there is no reply
+	apply   func() any
+}
+
+func (s *Store) transact(node *Node, txn messages.StoreTxn) {
+	s.send(storeCall{
+		pendingCall: node.newCall(txn.Call),
+		write:       true,
+		refused:     messages.TxnReply{Outcome: messages.NotApplied},
+		unknown:     messages.TxnReply{Outcome: messages.UnknownOutcome},
+		apply:       func() any { return s.applyTxn(node, txn) },
+	})
+}
+
+func (s *Store) get(node *Node, get messages.StoreGet) {
+	s.send(storeCall{
+		pendingCall: node.newCall(get.Call),
+		refused:     messages.GetReply{Outcome: messages.NotApplied},
+		unknown:     messages.GetReply{Outcome: messages.UnknownOutcome},
+		apply:       func() any { return s.service.Get(get.Key) },
+	})
+}
+
+func (s *Store) list(node *Node, list messages.StoreList) {
+	s.send(storeCall{
+		pendingCall: node.newCall(list.Call),
+		refused:     messages.ListReply{Outcome: messages.NotApplied},
+		unknown:     messages.ListReply{Outcome: messages.UnknownOutcome},
+		apply:       func() any { return s.service.List(list.Prefix) },
+	})
+}
+
+// watch waits for changes. A watch without a timeout is a read that is answered
+// at once like any other.
+func (s *Store) watch(node *Node, watch messages.StoreWatch) {
+	if watch.Timeout > 0 {
+		s.pollWatch(node.newCall(watch.Call), watch, s.Now+watch.Timeout)
+		return
+	}
+	s.send(storeCall{
+		pendingCall: node.newCall(watch.Call),
+		refused:     messages.WatchReply{Outcome: messages.NotApplied},
+		unknown:     messages.WatchReply{Outcome: messages.UnknownOutcome},
+		apply:       func() any { return s.service.Changes(watch.Prefix, watch.SinceRevision) },
+	})
+}
+
+func (s *Store) pollWatch(call pendingCall, watch messages.StoreWatch, until cluster.Time) {
+	s.After(s.RandomBetween(10*millisecond, 200*millisecond), func() {
+		if !call.isAwaited() {
+			return
+		}
+		if s.isReachableFrom(call.node) {
+			changes := s.service.Changes(watch.Prefix, watch.SinceRevision)
+			if len(changes.Items) > 0 || s.Now > until {
+				call.replyAfter(0, changes)
+				return
+			}
+		}
+		s.pollWatch(call, watch, until)
+	})
+}
+
+func (s *Store) isReachableFrom(node *Node) bool {
+	return s.Now >= max(s.DownUntil, node.StoreCutUntil, node.StoreRefusesUntil)
+}
+
+// send carries a call to the service, or loses it or its reply.
+func (s *Store) send(call storeCall) {
+	node := call.node
+	switch {
+	case s.Now < s.DownUntil || s.Now < node.StoreRefusesUntil:
+		call.replyAfter(s.network.delay(), call.refused)
+	case s.Now < node.StoreCutUntil:
+		s.lose(call, node.StoreCutUntil)
+	case call.write && s.loseReply(call):
+		call.replyAfter(storeCallTimeout, call.unknown)
+	case s.Chance(0.01):
+		s.lose(call, s.Now)
+	default:
+		s.After(s.network.delay(), func() { s.applyAndReply(call) })
+	}
+}
+
+// lose loses a call on its way, or delivers it late; either way there is no
+// reply.
+func (s *Store) lose(call storeCall, partitionedUntil cluster.Time) {
+	if delay, arrives := s.network.lateArrival(partitionedUntil); arrives {
+		s.After(delay, func() { call.apply() })
+	}
+	call.replyAfter(storeCallTimeout, call.unknown)
+}
+
+func (s *Store) applyAndReply(call storeCall) {
+	reply := call.apply()
+	if s.Chance(0.005) { // applied, but the reply is lost
+		call.replyAfter(storeCallTimeout, call.unknown)
+		return
+	}
+	call.replyAfter(s.network.delay()+s.Delay+s.currentSlowdown(), reply)
+}
+
+func (s *Store) currentSlowdown() cluster.Time {
+	if s.Now < s.slowUntil {
+		return s.slowBy
+	}
+	return 0
+}
+
+// loseReply tells whether a transaction gets no reply, and has it applied all the
+// same.
+func (s *Store) loseReply(call storeCall) bool {
+	switch {
+	case s.Now < call.node.StoreRepliesLostUntil:
+		s.After(s.network.delay(), func() { s.applyWithoutReply(call) })
+	case s.Now >= s.lostReply.until || !s.Chance(s.lostReply.chance):
+		return false
+	case s.lostReply.applyAtOnce:
+		s.After(s.network.delay(), func() { s.applyWithoutReply(call) })
+	default:
+		s.After(s.RandomBetween(2*second, 12*second), func() { s.applyLate(call) })
+	}
+	return true
+}
+
+func (s *Store) applyWithoutReply(call storeCall) {
+	if isApplied(call.apply()) {
+		s.FaultCounts["answers lost though carried out"]++
+	}
+}
+
+// applyLate applies a transaction long after the controller has given it up. A
+// service that is down applies nothing.
+func (s *Store) applyLate(call storeCall) {
+	if s.Now < s.DownUntil {
+		s.After(s.DownUntil-s.Now+s.RandomBetween(0, second), func() { s.applyLate(call) })
+		return
+	}
+	s.FaultCounts["late writes"]++
+	if isApplied(call.apply()) {
+		s.FaultCounts["late writes carried out"]++
+	}
+}
+
+func isApplied(reply any) bool {
+	txn, ok := reply.(messages.TxnReply)
+	return ok && txn.Outcome == messages.OK
+}
+
+// applyTxn applies a transaction of a controller unless it is above the limits.
+func (s *Store) applyTxn(node *Node, txn messages.StoreTxn) messages.TxnReply {
+	if outcome := s.service.Admit(s.Now, txn.Then, txn.If); outcome != messages.OK {
+		return messages.TxnReply{Outcome: outcome}
+	}
+	reply := s.service.Commit(txn.If, txn.Then)
+	s.logTxn(node, txn, reply)
+	if reply.Outcome == messages.OK {
+		s.failovers.recordShardOwners(txn.Then)
+	}
+	return reply
+}
+
+func (s *Store) logTxn(node *Node, txn messages.StoreTxn, reply messages.TxnReply) {
+	verb := "writes"
+	if reply.Outcome != messages.OK {
+		verb = "may not write"
+	}
+	for _, operation := range txn.Then {
+		value := string(operation.Value)
+		if operation.Value == nil {
+			value = "(dropped)"
+		}
+		s.Log(fmt.Sprintf("%s %s %s@%d %s", node.ID, verb, operation.Key, reply.Revision, value))
+	}
+}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -7,178 +7,189 @@
 	"stairrelay/internal/messages"
 )
 
-// Users, and what they are told.
-
 const (
 	// userTimeout is how long a user waits for an answer.
 	userTimeout = 2 * second
-	// A user asks again after a time between these; after a job's end after this
-	// many times as long.
+	// A user polls a job again after a time between these; after the job's end
+	// after this many times as long.
 	minPollPause    = 2 * second
 	maxPollPause    = 6 * second
 	finalPollFactor = 5
 	// retryPause is the least time before a user repeats a refused request.
 	retryPause = second
+	// dependencyPollInterval is how often a user looks whether a job's dependencies
+	// are accepted.
+	dependencyPollInterval = 100 * millisecond
 )
 
-// CheckReportedStatus checks an answer that a user got.
-func (w *Simulator) CheckReportedStatus(job *Job, status cluster.JobStatus) {
-	if status == cluster.JobDone {
-		if index, found := w.findUndoneTask(job); found {
-			w.reportViolation("not_done: %s is called done before task %d is", job.Spec.ID, index)
-			return
-		}
-	}
-	w.checkDependentCancelled(job, status, w.Now)
-	if job.ReportedStatus.IsFinal() && status != job.ReportedStatus {
-		w.reportViolation("went_back: %s was %s, now %s", job.Spec.ID, job.ReportedStatus, status)
-	}
-	if status == cluster.JobCancelled {
-		w.recordCancelConfirmed(job)
-	}
-	ended := status.IsFinal() && !job.ReportedStatus.IsFinal()
-	job.ReportedStatus = status
-	if ended {
-		job.finalReportedAt = w.Now
-		w.checkReadAfterWrite(job)
-	}
+// Users submits jobs, polls and cancels them, and checks the answers.
+type Users struct {
+	*environment
+	nodes          *nodeSet
+	jobs           *jobTable
+	checker        *invariantChecker
+	readAfterWrite *ReadAfterWrite
 }
 
-// findUndoneTask finds a task of a job that is not done.
-func (w *Simulator) findUndoneTask(job *Job) (int, bool) {
-	for index := range job.Spec.Tasks {
-		if !w.doneTasks[cluster.TaskID{Job: job.Spec.ID, Index: index}] {
-			return index, true
-		}
-	}
-	return 0, false
+// Submit submits a job until it is accepted.
+func (u *Users) Submit(job *Job) {
+	u.jobs.Jobs[job.Spec.ID] = job
+	job.SubmittedAt = u.Now
+	u.trySubmit(job)
 }
 
-func (w *Simulator) recordCancelConfirmed(job *Job) {
-	if !w.mayBeCancelled(job) {
-		w.reportViolation("went_back: %s called cancelled unasked", job.Spec.ID)
-	}
-	if job.CancelConfirmedAt == 0 {
-		job.CancelConfirmedAt = w.Now
+// SubmitAfterDependencies submits a job as soon as its dependencies are accepted
+// or, when late, once they are over.
+func (u *Users) SubmitAfterDependencies(job *Job, late bool) {
+	for _, id := range job.Spec.Dependencies {
+		dependency := u.jobs.Jobs[id]
+		if dependency == nil || !dependency.Accepted || late && !dependency.ReportedStatus.IsFinal() {
+			u.After(dependencyPollInterval, func() { u.SubmitAfterDependencies(job, late) })
+			return
+		}
 	}
+	u.FaultCounts["jobs that await others"]++
+	u.Submit(job)
 }
 
-// Submit hands in a job until it is accepted.
-func (w *Simulator) Submit(job *Job) {
-	w.Jobs[job.Spec.ID] = job
-	job.SubmittedAt = w.Now
-	w.trySubmit(job)
-}
-
-func (w *Simulator) trySubmit(job *Job) {
-	asked := w.Now
-	to := w.submissionTarget(job)
-	if to == nil {
-		w.After(retryPause, func() { w.trySubmit(job) })
+func (u *Users) trySubmit(job *Job) {
+	asked := u.Now
+	node := u.submissionTarget(job)
+	if node == nil {
+		u.After(retryPause, func() { u.trySubmit(job) })
 		return
 	}
-	submit := func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: job.Spec} }
-	w.SendRequest(to, submit, func(answer messages.Respond) {
+	node.SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
 		switch answer.Status {
 		case http.StatusOK, http.StatusCreated:
-			w.handleAccepted(job, asked, answer.View.Status)
+			u.handleAccepted(job, asked, answer.View.Status)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			w.reportViolation("%s refused with %d", job.Spec.ID, answer.Status)
+			u.reportViolation("%s refused with %d", job.Spec.ID, answer.Status)
 		default:
-			if len(job.Spec.Dependencies) > 0 && !w.IsUpgraded() {
-				w.FaultCounts["jobs that await others refused in the upgrade"]++
+			if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
+				u.FaultCounts["jobs that await others refused in the upgrade"]++
 			}
 			pause := max(retryPause, cluster.Time(answer.RetryAfter)*second)
-			w.After(pause, func() { w.trySubmit(job) })
+			u.After(pause, func() { u.trySubmit(job) })
 		}
 	})
 }
 
+// submissionTarget draws the node that a submission goes to; nil: no controller
+// can take it yet.
+func (u *Users) submissionTarget(job *Job) *Node {
+	if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
+		return u.nodes.randomCurrent()
+	}
+	return u.nodes.random()
+}
+
 // handleAccepted takes in the answer to a submission that was made at a time.
-func (w *Simulator) handleAccepted(job *Job, asked cluster.Time, status cluster.JobStatus) {
+func (u *Users) handleAccepted(job *Job, asked cluster.Time, status cluster.JobStatus) {
 	first := !job.Accepted
 	job.Accepted = true
-	job.lastAnswerAt = w.Now
+	job.lastAnswerAt = u.Now
 	if asked >= job.finalReportedAt {
-		w.CheckReportedStatus(job, status)
+		u.CheckReportedStatus(job, status)
 	}
 	if first {
-		w.checkReadAfterWrite(job)
+		u.readAfterWrite.start(job)
 	}
-	w.pollJob(job)
+	u.poll(job)
 }
 
-// randomNode draws a controller.
-func (w *Simulator) randomNode() *Node { return w.Nodes[w.Rand.IntN(len(w.Nodes))] }
-
-// pollJob asks for a job's state again and again.
-func (w *Simulator) pollJob(job *Job) {
-	pause := w.RandomBetween(minPollPause, maxPollPause)
+// poll queries a job's status again and again.
+func (u *Users) poll(job *Job) {
+	pause := u.RandomBetween(minPollPause, maxPollPause)
 	if job.ReportedStatus.IsFinal() {
 		pause *= finalPollFactor
 	}
-	w.After(pause, func() {
-		asked := w.Now
-		query := func(id messages.RequestID) messages.Event { return messages.Query{Request: id, ID: job.Spec.ID} }
-		w.SendRequest(w.randomNode(), query, func(answer messages.Respond) {
-			w.handlePollAnswer(job, asked, answer)
-			w.pollJob(job)
+	u.After(pause, func() {
+		asked := u.Now
+		u.nodes.random().SendRequest(queryRequest(job.Spec.ID), func(answer messages.Respond) {
+			u.handlePollAnswer(job, asked, answer)
+			u.poll(job)
 		})
 	})
 }
 
-// handlePollAnswer takes in the answer to a question that was asked at a time, unless
+// handlePollAnswer takes in the answer to a query that was made at a time, unless
 // its user has given up.
-func (w *Simulator) handlePollAnswer(job *Job, asked cluster.Time, answer messages.Respond) {
-	if w.Now-asked > userTimeout {
+func (u *Users) handlePollAnswer(job *Job, asked cluster.Time, answer messages.Respond) {
+	if u.Now-asked > userTimeout {
 		return
 	}
 	switch answer.Status {
 	case http.StatusOK:
-		job.lastAnswerAt = w.Now
-		// An earlier question may have been answered before the end was.
+		job.lastAnswerAt = u.Now
+		// An earlier query may have been answered before the end was.
 		if asked >= job.finalReportedAt {
-			w.CheckReportedStatus(job, answer.View.Status)
+			u.CheckReportedStatus(job, answer.View.Status)
 		}
 	case http.StatusNotFound:
-		w.reportViolation("forgotten: %s", job.Spec.ID)
+		u.reportViolation("forgotten: %s", job.Spec.ID)
 	}
 }
 
-// Cancel asks until it is answered.
-func (w *Simulator) Cancel(job *Job) {
+// Cancel requests a job's cancellation until it is answered.
+func (u *Users) Cancel(job *Job) {
 	job.CancelRequested = true
 	accepted := job.Accepted
-	cancel := func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: job.Spec.ID} }
-	w.SendRequest(w.randomNode(), cancel, func(answer messages.Respond) {
+	u.nodes.random().SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
 		switch {
 		case answer.Status == http.StatusOK:
-			w.CheckReportedStatus(job, answer.View.Status)
+			u.CheckReportedStatus(job, answer.View.Status)
 		case answer.Status == http.StatusNotFound && accepted:
-			w.reportViolation("forgotten: %s at its cancellation", job.Spec.ID)
+			u.reportViolation("forgotten: %s at its cancellation", job.Spec.ID)
 		default:
-			w.After(retryPause, func() { w.Cancel(job) })
+			u.After(retryPause, func() { u.Cancel(job) })
 		}
 	})
 }
 
-// QueryUnknownJob polls for a job that nobody has submitted.
-func (w *Simulator) QueryUnknownJob(id cluster.JobID) {
-	query := func(request messages.RequestID) messages.Event { return messages.Query{Request: request, ID: id} }
-	w.SendRequest(w.randomNode(), query, func(answer messages.Respond) {
+// QueryUnknownJob queries a job that nobody has submitted.
+func (u *Users) QueryUnknownJob(id cluster.JobID) {
+	u.nodes.random().SendRequest(queryRequest(id), func(answer messages.Respond) {
 		if answer.Status == http.StatusOK {
-			w.reportViolation("invented: %s", id)
+			u.reportViolation("invented: %s", id)
 		}
 	})
 }
 
-// UnfinishedJobCount counts the jobs whose users wait.
-func (w *Simulator) UnfinishedJobCount() int {
-	unfinished := 0
-	for _, job := range w.Jobs {
-		if !job.ReportedStatus.IsFinal() {
-			unfinished++
-		}
+// CheckReportedStatus checks the status that a user was told against what the
+// user was told before.
+func (u *Users) CheckReportedStatus(job *Job, status cluster.JobStatus) {
+	if !u.checker.checkReportedStatus(job, status) {
+		return
+	}
+	if status == cluster.JobCancelled && job.CancelConfirmedAt == 0 {
+		job.CancelConfirmedAt = u.Now
+	}
+	ended := status.IsFinal() && !job.ReportedStatus.IsFinal()
+	job.ReportedStatus = status
+	if ended {
+		job.finalReportedAt = u.Now
+		u.readAfterWrite.start(job)
+	}
+}
+
+// submitRequest is a user's submission of a job.
+func submitRequest(spec cluster.JobSpec) func(messages.RequestID) messages.Event {
+	return func(id messages.RequestID) messages.Event {
+		return messages.Submit{Request: id, Spec: spec}
+	}
+}
+
+// queryRequest is a user's query of a job.
+func queryRequest(job cluster.JobID) func(messages.RequestID) messages.Event {
+	return func(id messages.RequestID) messages.Event {
+		return messages.Query{Request: id, ID: job}
+	}
+}
+
+// cancelRequest is a user's cancellation of a job.
+func cancelRequest(job cluster.JobID) func(messages.RequestID) messages.Event {
+	return func(id messages.RequestID) messages.Event {
+		return messages.Cancel{Request: id, ID: job}
 	}
-	return unfinished
 }
--- a/internal/simulation/versions.go
+++ b/internal/simulation/version_filter.go
@@ -5,10 +5,7 @@
 	"encoding/json"
 	"strings"
 
-	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
-
-	"stairrelay/internal/controller"
 )
 
 // Version is the version of the program that a controller runs.
@@ -25,13 +22,6 @@
 	ProductionVersion
 )
 
-// StoreLimits are those of the state service that change with the upgrade.
-type StoreLimits struct {
-	WriteRPS   float64
-	ValueBytes int
-	TxnOps     int
-}
-
 // dependenciesField marks, in the JSON of a job's description, the jobs that it
 // awaits. The production release does not know it.
 const dependenciesField = "aw"
@@ -193,82 +183,3 @@
 	}
 	return out
 }
-
-// NewUpgradeSimulator makes a cluster whose controllers all run the production
-// release, under the limits that the state service has at first. cfg holds the
-// lower limits to come, which only the current release knows of.
-func NewUpgradeSimulator(seed uint64, cfg controller.Config, before StoreLimits, cloud *FakeCloud, options ...Option) *Simulator {
-	w := newStoppedSimulator(seed, cfg, cloud, options)
-	w.limitsBeforeUpgrade = before
-	for _, n := range w.Nodes {
-		n.Version = ProductionVersion
-	}
-	w.StateService.Limits = before
-	w.startNodes()
-	return w
-}
-
-// LowerStoreLimits brings the limits to come into force: from now on the state
-// service refuses what is above them.
-func (w *Simulator) LowerStoreLimits() {
-	w.StateService.Limits = StoreLimits{WriteRPS: w.config.WriteRPS, ValueBytes: w.config.MaxValueBytes, TxnOps: w.config.MaxTxnOps}
-	w.FaultCounts["limits of the store lowered"]++
-}
-
-// UpgradeNode ends a controller's process; the one that is started in its place
-// after a while runs the current release.
-func (w *Simulator) UpgradeNode(n *Node, gap cluster.Time) {
-	if n.running {
-		w.KillNode(n)
-	}
-	n.Version = CurrentVersion
-	w.FaultCounts["controllers upgraded"]++
-	w.After(gap, func() { w.StartNode(n) })
-}
-
-// IsUpgraded tells whether every controller's next or present process is of the
-// current release.
-func (w *Simulator) IsUpgraded() bool {
-	for _, n := range w.Nodes {
-		if n.Version != CurrentVersion {
-			return false
-		}
-	}
-	return true
-}
-
-// nodeConfig is the configuration that a controller's release makes of the
-// settings: the production release ignores the limits to come, the current one
-// uses the present write rate until it is refused.
-func (w *Simulator) nodeConfig(n *Node) controller.Config {
-	cfg := w.config
-	cfg.CurrentWriteRPS = w.limitsBeforeUpgrade.WriteRPS
-	if n.Version == ProductionVersion {
-		cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = w.limitsBeforeUpgrade.WriteRPS, w.limitsBeforeUpgrade.ValueBytes, w.limitsBeforeUpgrade.TxnOps
-	}
-	return cfg
-}
-
-// randomCurrentNode draws a controller of the current release, or none: users ask
-// nothing new of the production release.
-func (w *Simulator) randomCurrentNode() *Node {
-	var current []*Node
-	for _, n := range w.Nodes {
-		if n.Version == CurrentVersion {
-			current = append(current, n)
-		}
-	}
-	if len(current) == 0 {
-		return nil
-	}
-	return current[w.Rand.IntN(len(current))]
-}
-
-// submissionTarget draws the controller that a submission goes to; nil: nobody can take
-// it yet.
-func (w *Simulator) submissionTarget(j *Job) *Node {
-	if len(j.Spec.Dependencies) > 0 && !w.IsUpgraded() {
-		return w.randomCurrentNode()
-	}
-	return w.randomNode()
-}
