--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -18,6 +18,7 @@
 	"stairrelay/internal/cluster"
 
 	"stairrelay/internal/simulation"
+	"stairrelay/internal/simulation/httpfake"
 )
 
 const (
@@ -69,7 +70,7 @@
 // teamNames are those of the settings.
 var teamNames = []string{"red", "green", "blue"}
 
-// smallMachineType is the one machine type of the region.
+// smallMachineType is the one machine type of the cloud.
 var smallMachineType = cluster.MachineType{
 	Name:             "small",
 	Capacity:         cluster.Resources{CPU: 4_000_000, Memory: 16_000_000},
@@ -104,10 +105,10 @@
 	return m.Run()
 }
 
-// processCluster is a region with the processes of its controllers.
+// processCluster is a set of fake services with the processes of the controllers.
 type processCluster struct {
 	t              *testing.T
-	services       *simulation.FakeServices
+	services       *httpfake.Services
 	frontAddresses []string // the controllers' addresses for users and workers
 	peerAddresses  []string // and those for one another
 	settingsPaths  []string // the paths of their settings
@@ -121,7 +122,7 @@
 	text *bytes.Buffer
 }
 
-// startCluster starts a region and its controllers; they end with the test.
+// startCluster starts fake services and the controllers; they end with the test.
 func startCluster(t *testing.T) *processCluster {
 	t.Helper()
 	c := &processCluster{
@@ -143,14 +144,14 @@
 	return c
 }
 
-func newFakeServices(t *testing.T) *simulation.FakeServices {
+func newFakeServices(t *testing.T) *httpfake.Services {
 	t.Helper()
 	capacity := map[string]int{simulation.CapacityKey(smallMachineType.Name, "a", true): 3}
-	region := simulation.NewFakeServices([]cluster.MachineType{smallMachineType}, capacity, heartbeatInterval, leaseDuration)
-	t.Cleanup(region.Close)
-	region.AddMachine(smallMachineType.Name, "a", false)
-	region.AddMachine(smallMachineType.Name, "a", false)
-	return region
+	services := httpfake.NewServices([]cluster.MachineType{smallMachineType}, capacity, heartbeatInterval, leaseDuration)
+	t.Cleanup(services.Close)
+	services.AddMachine(smallMachineType.Name, "a", false)
+	services.AddMachine(smallMachineType.Name, "a", false)
+	return services
 }
 
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
@@ -284,7 +285,7 @@
 		Image:           "img",
 	}
 	c.services.WithLock(func() { c.services.Jobs[cluster.JobID(id)] = info })
-	code, _ := c.callUserAPI(http.MethodPost, node, "/v2/runs", simulation.Submission(id, team, tasks))
+	code, _ := c.callUserAPI(http.MethodPost, node, "/v2/runs", httpfake.Submission(id, team, tasks))
 	return code
 }
 
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -12,7 +12,7 @@
 
 	"stairrelay/internal/cluster"
 
-	"stairrelay/internal/simulation"
+	"stairrelay/internal/simulation/httpfake"
 )
 
 // TestUserAPIOnEveryNode: every node takes jobs of every team and knows them all.
@@ -27,13 +27,13 @@
 		}
 	}
 	for body, want := range map[string]int{
-		`{`:                 http.StatusBadRequest,
-		`[]`:                http.StatusBadRequest,
-		`{"id":"j-5"}`:      http.StatusBadRequest,
-		`{"id":"j-000000"}`: http.StatusOK, // known: never 400 again
-		simulation.Submission("j-7", "nobody", 1):        http.StatusUnprocessableEntity,
-		simulation.Submission("j-000001", "nobody", 100): http.StatusOK,
-		strings.Repeat("x", 70<<10):                      http.StatusBadRequest,
+		`{`:                                     http.StatusBadRequest,
+		`[]`:                                    http.StatusBadRequest,
+		`{"id":"j-5"}`:                          http.StatusBadRequest,
+		`{"id":"j-000000"}`:                     http.StatusOK, // known: never 400 again
+		httpfake.Submission("j-7", "nobody", 1): http.StatusUnprocessableEntity,
+		httpfake.Submission("j-000001", "nobody", 100): http.StatusOK,
+		strings.Repeat("x", 70<<10):                    http.StatusBadRequest,
 	} {
 		if code, _ := c.callUserAPI(http.MethodPost, 0, "/v2/runs", body); code != want {
 			t.Errorf("%.40s: %d, want %d", body, code, want)
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -9,6 +9,7 @@
 	"stairrelay/internal/cluster"
 
 	"stairrelay/internal/simulation"
+	"stairrelay/internal/simulation/httpfake"
 )
 
 // submitWithDependencies hands in a job of one task that awaits others, until it is taken:
@@ -19,7 +20,7 @@
 	c.services.WithLock(func() {
 		c.services.Jobs[cluster.JobID(id)] = simulation.JobInfo{ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}, RunDuration: cluster.Time(run), TaskCount: 1, Image: "img"}
 	})
-	body := addDependencies(simulation.Submission(id, team, 1), fmt.Sprintf(`["%s"]`, strings.Join(awaits, `","`)))
+	body := addDependencies(httpfake.Submission(id, team, 1), fmt.Sprintf(`["%s"]`, strings.Join(awaits, `","`)))
 	c.waitFor(id+" accepted", func() bool {
 		status, _ := c.callUserAPI("POST", node, "/v2/runs", body)
 		return status == 200 || status == 201
@@ -81,7 +82,7 @@
 		`"j-000051"`:   400,
 		`["j-777777"]`: 422, // never accepted
 	} {
-		if status, _ := c.callUserAPI("POST", 1, "/v2/runs", addDependencies(simulation.Submission("j-000064", "red", 1), list)); status != want {
+		if status, _ := c.callUserAPI("POST", 1, "/v2/runs", addDependencies(httpfake.Submission("j-000064", "red", 1), list)); status != want {
 			t.Errorf("awaits %s: %d, want %d", list, status, want)
 		}
 	}
--- a/internal/simulation/http_cloud.go
+++ b/internal/simulation/httpfake/cloud.go
@@ -1,4 +1,4 @@
-package simulation
+package httpfake
 
 import (
 	"net/http"
@@ -11,22 +11,22 @@
 const (
 	// maxScaleOutCount is the largest number of machines that one request may ask for.
 	maxScaleOutCount = 50
-	// bootPollInterval is how often the region looks for machines that have booted.
+	// bootPollInterval is how often the cloud looks for machines that have booted.
 	bootPollInterval = 50 * time.Millisecond
-	// amountsPerUnit: core.Amount counts millionths.
+	// amountsPerUnit is how many cluster.Amount make a CPU or a GB of memory.
 	amountsPerUnit = 1e6
 )
 
 // ServeCloud starts the cloud and the workers of its machines, and returns the
 // cloud's address.
-func (r *FakeServices) ServeCloud() (string, error) {
+func (s *Services) ServeCloud() (string, error) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /flavors", r.serveMachineTypes)
-	mux.HandleFunc("POST /rentals", r.serveScaleOut)
-	mux.HandleFunc("POST /rentals/return", r.serveScaleIn)
-	mux.HandleFunc("GET /rentals", r.serveMachines)
-	go r.startBootedWorkers()
-	return r.serve(mux)
+	mux.HandleFunc("GET /flavors", s.serveMachineTypes)
+	mux.HandleFunc("POST /rentals", s.serveScaleOut)
+	mux.HandleFunc("POST /rentals/return", s.serveScaleIn)
+	mux.HandleFunc("GET /rentals", s.serveMachines)
+	go s.startBootedWorkers()
+	return s.serve(mux)
 }
 
 // machineTypeForm is a machine type.
@@ -43,9 +43,9 @@
 	Zones            []string `json:"yards"`
 }
 
-func (r *FakeServices) serveMachineTypes(w http.ResponseWriter, _ *http.Request) {
+func (s *Services) serveMachineTypes(w http.ResponseWriter, _ *http.Request) {
 	forms := []machineTypeForm{}
-	for _, t := range r.Cloud.MachineTypes {
+	for _, t := range s.Cloud.MachineTypes {
 		forms = append(forms, machineTypeForm{
 			Name:             t.Name,
 			CPU:              float64(t.Capacity.CPU) / amountsPerUnit,
@@ -63,7 +63,7 @@
 	}{forms})
 }
 
-// scaleOutForm is a rental request.
+// scaleOutForm is a provisioning request.
 type scaleOutForm struct {
 	Name  string `json:"charter"`
 	Type  string `json:"fleet"`
@@ -77,7 +77,7 @@
 	IDs []cluster.MachineID `json:"coaches"`
 }
 
-func (r *FakeServices) serveScaleOut(w http.ResponseWriter, request *http.Request) {
+func (s *Services) serveScaleOut(w http.ResponseWriter, request *http.Request) {
 	var form scaleOutForm
 	if !readJSON(w, request, &form) {
 		return
@@ -86,9 +86,9 @@
 		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	rent := messages.CloudScaleOut{Name: form.Name, Type: form.Type, Zone: form.Zone, Spot: form.Spot, Count: form.Count}
+	scaleOut := messages.CloudScaleOut{Name: form.Name, Type: form.Type, Zone: form.Zone, Spot: form.Spot, Count: form.Count}
 	var reply messages.ScaleOutReply
-	r.WithLock(func() { reply = r.Cloud.ScaleOut(r.now(), rent) })
+	s.WithLock(func() { reply = s.Cloud.ScaleOut(s.now(), scaleOut) })
 	if reply.Outcome != messages.OK {
 		writeJSON(w, http.StatusServiceUnavailable, errorForm{Error: "no capacity"})
 		return
@@ -96,15 +96,15 @@
 	writeJSON(w, http.StatusOK, machineIDsForm{IDs: reply.IDs})
 }
 
-func (r *FakeServices) serveScaleIn(w http.ResponseWriter, request *http.Request) {
+func (s *Services) serveScaleIn(w http.ResponseWriter, request *http.Request) {
 	var form machineIDsForm
 	if !readJSON(w, request, &form) {
 		return
 	}
-	r.WithLock(func() {
+	s.WithLock(func() {
 		for _, id := range form.IDs {
-			r.Cloud.RemoveMachine(id)
-			if worker := r.workers[id]; worker != nil {
+			s.Cloud.RemoveMachine(id)
+			if worker := s.workers[id]; worker != nil {
 				worker.terminate()
 			}
 		}
@@ -123,14 +123,14 @@
 	AgeSeconds float64           `json:"ageS"`
 }
 
-func (r *FakeServices) serveMachines(w http.ResponseWriter, request *http.Request) {
+func (s *Services) serveMachines(w http.ResponseWriter, request *http.Request) {
 	forms := []machineForm{}
 	truncated := false
-	r.WithLock(func() {
+	s.WithLock(func() {
 		var page []cluster.ListedMachine
-		page, truncated = r.Cloud.ListPage(r.now(), cluster.MachineID(request.URL.Query().Get("since")))
+		page, truncated = s.Cloud.ListPage(s.now(), cluster.MachineID(request.URL.Query().Get("since")))
 		for _, machine := range page {
-			forms = append(forms, r.encodeMachine(machine))
+			forms = append(forms, s.encodeMachine(machine))
 		}
 	})
 	writeJSON(w, http.StatusOK, struct {
@@ -139,7 +139,7 @@
 	}{Machines: forms, Truncated: truncated})
 }
 
-func (r *FakeServices) encodeMachine(machine cluster.ListedMachine) machineForm {
+func (s *Services) encodeMachine(machine cluster.ListedMachine) machineForm {
 	form := machineForm{
 		ID:         machine.ID,
 		Type:       machine.Type,
@@ -148,19 +148,19 @@
 		Status:     machine.Status,
 		AgeSeconds: machine.AgeSeconds,
 	}
-	if worker := r.workers[machine.ID]; worker != nil {
+	if worker := s.workers[machine.ID]; worker != nil {
 		form.Address = worker.address
 	}
 	return form
 }
 
 // startBootedWorkers starts the workers of machines that have booted.
-func (r *FakeServices) startBootedWorkers() {
-	for r.ctx.Err() == nil {
+func (s *Services) startBootedWorkers() {
+	for s.ctx.Err() == nil {
 		var booted []cluster.ListedMachine
-		r.WithLock(func() { booted = r.Cloud.CompleteBoots(r.now()) })
+		s.WithLock(func() { booted = s.Cloud.CompleteBoots(s.now()) })
 		for _, machine := range booted {
-			r.startWorker(machine)
+			s.startWorker(machine)
 		}
 		time.Sleep(bootPollInterval)
 	}
--- a/internal/simulation/http_forms.go
+++ b/internal/simulation/httpfake/forms.go
@@ -1,4 +1,4 @@
-package simulation
+package httpfake
 
 import (
 	"encoding/json"
@@ -14,6 +14,7 @@
 	GraceSeconds float64 `json:"layoverS"`
 }
 
+// commandKinds maps the names of commands on the wire.
 var commandKinds = map[string]cluster.CommandKind{
 	"start": cluster.Start,
 	"halt":  cluster.Stop,
@@ -34,7 +35,7 @@
 	return commands
 }
 
-// heartbeatForm is a worker's report.
+// heartbeatForm is a worker's heartbeat with its status.
 type heartbeatForm struct {
 	Machine          cluster.MachineID      `json:"coach"`
 	Address          string                 `json:"addr"`
@@ -48,15 +49,16 @@
 	Tasks            []taskForm             `json:"legs"`
 }
 
-// taskForm is a task in a worker's report; only one that has ended has a cause.
+// taskForm is a task in a worker's status; only one that has ended has a cause.
 type taskForm struct {
-	Task    string          `json:"leg"`
-	Attempt cluster.Attempt `json:"boarding"`
-	State   string          `json:"status"`
-	Cause   string          `json:"cause,omitempty"`
-	Saved   bool            `json:"stored,omitempty"`
+	Task         string          `json:"leg"`
+	Attempt      cluster.Attempt `json:"boarding"`
+	State        string          `json:"status"`
+	Cause        string          `json:"cause,omitempty"`
+	Checkpointed bool            `json:"stored,omitempty"`
 }
 
+// taskStateNames maps task states to their names on the wire.
 var taskStateNames = map[cluster.TaskState]string{
 	cluster.Fetching:      "fetching",
 	cluster.Running:       "running",
@@ -64,6 +66,7 @@
 	cluster.Ended:         "ended",
 }
 
+// causeNames maps the causes of a task's end to their names on the wire.
 var causeNames = map[cluster.Cause]string{
 	cluster.CauseCompleted:        "done",
 	cluster.CauseStopped:          "stopped",
@@ -73,19 +76,19 @@
 	cluster.CauseUnknownTask:      "no_such",
 }
 
-func encodeHeartbeat(report cluster.HeartbeatStatus, addr string) heartbeatForm {
+func encodeHeartbeat(status cluster.HeartbeatStatus, addr string) heartbeatForm {
 	form := heartbeatForm{
-		Machine:        report.Machine,
+		Machine:        status.Machine,
 		Address:        addr,
-		Type:           report.Type,
-		Zone:           report.Zone,
-		Spot:           report.Spot,
-		Incarnation:    report.Incarnation,
-		SequenceNumber: report.SequenceNumber,
-		FencingToken:   report.FencingToken,
+		Type:           status.Type,
+		Zone:           status.Zone,
+		Spot:           status.Spot,
+		Incarnation:    status.Incarnation,
+		SequenceNumber: status.SequenceNumber,
+		FencingToken:   status.FencingToken,
 		Tasks:          []taskForm{},
 	}
-	for _, task := range report.Tasks {
+	for _, task := range status.Tasks {
 		form.Tasks = append(form.Tasks, encodeTask(task))
 	}
 	return form
@@ -99,7 +102,7 @@
 	}
 	if task.State == cluster.Ended {
 		form.Cause = causeNames[task.Cause]
-		form.Saved = task.Checkpointed
+		form.Checkpointed = task.Checkpointed
 	}
 	return form
 }
--- a/internal/simulation/http_state_service.go
+++ b/internal/simulation/httpfake/state_service.go
@@ -1,4 +1,4 @@
-package simulation
+package httpfake
 
 import (
 	"encoding/json"
@@ -40,15 +40,15 @@
 }
 
 // ServeState starts the state service and returns its address.
-func (r *FakeServices) ServeState() (string, error) {
+func (s *Services) ServeState() (string, error) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /multi", r.serveTransaction)
-	mux.HandleFunc("GET /keys/{key...}", r.serveKey)
-	mux.HandleFunc("GET /keys", r.serveKeys)
-	mux.HandleFunc("GET /watch", r.serveWatch)
-	return r.serve(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+	mux.HandleFunc("POST /multi", s.serveTransaction)
+	mux.HandleFunc("GET /keys/{key...}", s.serveKey)
+	mux.HandleFunc("GET /keys", s.serveKeys)
+	mux.HandleFunc("GET /watch", s.serveWatch)
+	return s.serve(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		var down bool
-		r.WithLock(func() { down = r.StateServiceDown })
+		s.WithLock(func() { down = s.StateServiceDown })
 		if down {
 			writeJSON(w, http.StatusServiceUnavailable, errorForm{Error: "trouble"})
 			return
@@ -86,13 +86,13 @@
 	return operations
 }
 
-func (r *FakeServices) serveTransaction(w http.ResponseWriter, request *http.Request) {
+func (s *Services) serveTransaction(w http.ResponseWriter, request *http.Request) {
 	var form transactionForm
 	if !readJSON(w, request, &form) {
 		return
 	}
 	var reply messages.TxnReply
-	r.WithLock(func() { reply = r.StateService.Commit(form.compares(), form.operations()) })
+	s.WithLock(func() { reply = s.StateService.Commit(form.compares(), form.operations()) })
 	status := http.StatusOK
 	if reply.Outcome == messages.Conflict {
 		status = http.StatusConflict
@@ -100,24 +100,24 @@
 	writeJSON(w, status, revisionForm{Revision: reply.Revision, Failed: reply.FailedKeys})
 }
 
-func (r *FakeServices) serveKey(w http.ResponseWriter, request *http.Request) {
+func (s *Services) serveKey(w http.ResponseWriter, request *http.Request) {
 	var reply messages.GetReply
-	var epoch cluster.Revision
-	r.WithLock(func() {
-		reply = r.StateService.Get(request.PathValue("key"))
-		epoch = r.StateService.Revision
+	var revision cluster.Revision
+	s.WithLock(func() {
+		reply = s.StateService.Get(request.PathValue("key"))
+		revision = s.StateService.Revision
 	})
 	if reply.Outcome == messages.NotFound {
-		writeJSON(w, http.StatusNotFound, revisionForm{Revision: epoch})
+		writeJSON(w, http.StatusNotFound, revisionForm{Revision: revision})
 		return
 	}
 	writeJSON(w, http.StatusOK, encodeKey(reply.KV))
 }
 
-func (r *FakeServices) serveKeys(w http.ResponseWriter, request *http.Request) {
+func (s *Services) serveKeys(w http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	var list messages.ListReply
-	r.WithLock(func() { list = r.StateService.List(query.Get("prefix")) })
+	s.WithLock(func() { list = s.StateService.List(query.Get("prefix")) })
 	pageSize, _ := strconv.Atoi(query.Get("page"))
 	items, truncated := keyPage(list.Items, query.Get("since"), pageSize)
 	writeJSON(w, http.StatusOK, struct {
@@ -145,14 +145,14 @@
 
 // serveWatch answers as soon as there is a change, at the latest after the
 // time that the caller asks for.
-func (r *FakeServices) serveWatch(w http.ResponseWriter, request *http.Request) {
+func (s *Services) serveWatch(w http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
 	block, _ := strconv.Atoi(query.Get("blockMs"))
 	until := time.Now().Add(time.Duration(block) * time.Millisecond)
 	for {
 		var changes messages.WatchReply
-		r.WithLock(func() { changes = r.StateService.Changes(query.Get("prefix"), cluster.Revision(since)) })
+		s.WithLock(func() { changes = s.StateService.Changes(query.Get("prefix"), cluster.Revision(since)) })
 		if len(changes.Items) > 0 || time.Now().After(until) {
 			writeChanges(w, changes)
 			return
@@ -160,7 +160,7 @@
 		select {
 		case <-request.Context().Done():
 			return
-		case <-r.ctx.Done():
+		case <-s.ctx.Done():
 			return
 		case <-time.After(watchPollInterval):
 		}
--- a/internal/simulation/http_worker.go
+++ b/internal/simulation/httpfake/worker.go
@@ -1,87 +1,85 @@
-package simulation
+package httpfake
 
 import (
 	"bytes"
 	"context"
 	"encoding/json"
+	"fmt"
 	"net/http"
 	"time"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/simulation"
 )
 
 const (
-	// heartbeatTimeout bounds a report's call, checkinRetry is the pause after one
-	// that failed, and redirectPause the one after a redirection.
-	heartbeatTimeout    = 4 * time.Second
+	// heartbeatTimeout bounds the call that carries a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// heartbeatRetryPause is the pause after a heartbeat that failed.
 	heartbeatRetryPause = time.Second
-	redirectPause       = 10 * time.Millisecond
+	// redirectPause is the pause after a heartbeat that was redirected.
+	redirectPause = 10 * time.Millisecond
 )
 
-// httpWorker is a worker that is served over HTTP. The region's lock guards it.
+// httpWorker is a worker that is served over HTTP. The services' lock guards it.
 type httpWorker struct {
-	*FakeWorker
-	services *FakeServices
+	*simulation.FakeWorker
+	services *Services
 	address  string
-	released bool // its machine has been returned
+	released bool // its machine was released
 	cancel   context.CancelFunc
 }
 
-// startWorker serves a machine's worker and lets it report.
-func (r *FakeServices) startWorker(machine cluster.ListedMachine) {
-	ctx, cancel := context.WithCancel(r.ctx)
-	worker := &httpWorker{FakeWorker: r.newFakeWorker(machine), services: r, cancel: cancel}
+// startWorker serves a machine's worker and has it send heartbeats.
+func (s *Services) startWorker(machine cluster.ListedMachine) {
+	ctx, cancel := context.WithCancel(s.ctx)
+	worker := &httpWorker{FakeWorker: s.newFakeWorker(machine), services: s, cancel: cancel}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", worker.serveCommandPush)
 	mux.HandleFunc("GET /inspect", worker.serveStatusQuery)
-	addr, err := r.serve(mux)
+	addr, err := s.serve(mux)
 	if err != nil {
 		cancel()
 		return
 	}
 	worker.address = addr
-	r.WithLock(func() {
-		worker.Start(r.now())
-		r.workers[machine.ID] = worker
+	s.WithLock(func() {
+		worker.Start(s.now())
+		s.workers[machine.ID] = worker
 	})
 	go worker.runHeartbeats(ctx)
 }
 
-// newFakeWorker makes the model of a machine's worker.
-func (r *FakeServices) newFakeWorker(machine cluster.ListedMachine) *FakeWorker {
-	model := &FakeWorker{
+// newFakeWorker makes the fake of a machine's worker.
+func (s *Services) newFakeWorker(machine cluster.ListedMachine) *simulation.FakeWorker {
+	return &simulation.FakeWorker{
 		ID:            machine.ID,
 		Type:          machine.Type,
 		Zone:          machine.Zone,
 		Spot:          machine.Spot,
-		FetchDuration: fakeFetchDuration,
-		LeaseDuration: r.leaseDuration,
-		DoneTasks:     r.doneTasks,
-		OnStart:       r.recordTaskStart,
+		FetchDuration: fetchDuration,
+		LeaseDuration: s.leaseDuration,
+		DoneTasks:     s.doneTasks,
+		OnStart:       s.recordTaskStart,
+		Capacity:      s.Cloud.CapacityOf(machine.Type),
+		LookupJob: func(id cluster.JobID) (simulation.JobInfo, bool) {
+			info, known := s.Jobs[id]
+			return info, known
+		},
 	}
-	model.LookupJob = func(id cluster.JobID) (JobInfo, bool) {
-		info, known := r.Jobs[id]
-		return info, known
-	}
-	for _, t := range r.Cloud.MachineTypes {
-		if t.Name == machine.Type {
-			model.Capacity = t.Capacity
-		}
-	}
-	return model
 }
 
-// recordTaskStart counts a task's start, and notes when it runs elsewhere.
-func (r *FakeServices) recordTaskStart(on *FakeWorker, started *Task) {
-	r.StartCounts[started.ID]++
-	for _, other := range r.workers {
+// recordTaskStart counts a task's start, and records when it runs elsewhere.
+func (s *Services) recordTaskStart(on *simulation.FakeWorker, started *simulation.Task) {
+	s.StartCounts[started.ID]++
+	for _, other := range s.workers {
 		task := other.Tasks[started.ID]
 		if other.ID == on.ID || task == nil {
 			continue
 		}
 		if task.State == cluster.Running || task.State == cluster.Checkpointing {
-			r.DuplicateRuns = append(r.DuplicateRuns, started.ID.String())
+			s.DuplicateRuns = append(s.DuplicateRuns, started.ID.String())
 		}
 	}
 }
@@ -125,7 +123,7 @@
 		return
 	}
 	w.abortIfUnreachable(request)
-	orders := messages.PushCommands{
+	commands := messages.PushCommands{
 		FencingToken: cluster.FencingToken(*form.FencingToken),
 		Incarnation:  cluster.Incarnation(*form.Incarnation),
 		Commands:     decodeCommands(form.Commands),
@@ -133,7 +131,7 @@
 	w.services.mu.Lock()
 	defer w.services.mu.Unlock()
 	w.Advance(w.services.now())
-	reply := w.HandleCommands(orders)
+	reply := w.HandleCommands(commands)
 	status := http.StatusOK
 	if reply.Outcome == messages.Conflict {
 		status = http.StatusConflict
@@ -148,8 +146,8 @@
 	writeJSON(response, http.StatusOK, encodeHeartbeat(w.NextStatus(), w.address))
 }
 
-// abortIfUnreachable loses a request to an unreachable machine: it holds the
-// connection until the caller gives up, then ends the handler.
+// abortIfUnreachable loses a request to an unreachable machine: it keeps the
+// connection until the caller gives up, and then aborts the handler.
 func (w *httpWorker) abortIfUnreachable(request *http.Request) {
 	if !w.isUnreachable() {
 		return
@@ -167,8 +165,8 @@
 	return w.services.UnreachableMachines[w.ID]
 }
 
-// runHeartbeats reports to one controller after the other until one answers, and
-// to that one from then on.
+// runHeartbeats sends heartbeats to one controller after the other until one
+// answers, and to that one from then on.
 func (w *httpWorker) runHeartbeats(ctx context.Context) {
 	nodes := w.services.nodeNames()
 	client := &http.Client{Timeout: heartbeatTimeout}
@@ -193,11 +191,11 @@
 	}
 }
 
-func (r *FakeServices) nodeNames() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (s *Services) nodeNames() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var names []string
-	for name := range r.NodeAddresses {
+	for name := range s.NodeAddresses {
 		names = append(names, name)
 	}
 	return names
@@ -213,50 +211,63 @@
 	return 0, false
 }
 
-// heartbeatResult is what became of a report.
+// heartbeatResult is the outcome of a heartbeat.
 type heartbeatResult struct {
 	accepted bool
-	redirect string // the controller that the worker should report to, if named
+	redirect string // the controller that the worker should turn to, if named
 }
 
-// heartbeatAnswerForm is the answer to a report: commands, or a redirection.
+// heartbeatAnswerForm is the answer to a heartbeat: commands, or a redirection.
 type heartbeatAnswerForm struct {
 	FencingToken uint64        `json:"baton"`
 	Commands     []commandForm `json:"dispatches"`
 	Redirect     string        `json:"dispatcher"`
 }
 
-// sendHeartbeat sends a report to a controller and carries out the answer's commands.
+// sendHeartbeat sends a heartbeat to a controller and carries out the commands of
+// the answer.
 func (w *httpWorker) sendHeartbeat(client *http.Client, node string) heartbeatResult {
-	region := w.services
-	var report cluster.HeartbeatStatus
-	var sent cluster.Time
-	var nodeAddr string
+	var status cluster.HeartbeatStatus
+	var sentAt cluster.Time
+	var nodeAddress string
 	var answerLost bool
-	region.WithLock(func() {
-		w.Advance(region.now())
-		report = w.NextStatus()
-		sent = region.now()
-		nodeAddr = region.NodeAddresses[node]
-		answerLost = region.UnreachableMachines[w.ID]
+	w.services.WithLock(func() {
+		w.Advance(w.services.now())
+		status = w.NextStatus()
+		sentAt = w.services.now()
+		nodeAddress = w.services.NodeAddresses[node]
+		answerLost = w.services.UnreachableMachines[w.ID]
 	})
-	body, _ := json.Marshal(encodeHeartbeat(report, w.address))
-	response, err := client.Post("http://"+nodeAddr+"/checkin", "application/json", bytes.NewReader(body))
-	if err != nil {
-		return heartbeatResult{}
-	}
-	defer response.Body.Close()
-	var form heartbeatAnswerForm
-	_ = json.NewDecoder(response.Body).Decode(&form)
+	code, form, err := w.postHeartbeat(client, nodeAddress, status)
 	switch {
-	case answerLost:
+	case err != nil || answerLost:
 		return heartbeatResult{}
-	case response.StatusCode == http.StatusMisdirectedRequest:
+	case code == http.StatusMisdirectedRequest:
 		return heartbeatResult{redirect: form.Redirect}
-	case response.StatusCode != http.StatusOK:
+	case code != http.StatusOK:
 		return heartbeatResult{}
 	}
-	answer := messages.HeartbeatResponse{FencingToken: cluster.FencingToken(form.FencingToken), Commands: decodeCommands(form.Commands)}
-	region.WithLock(func() { w.HandleHeartbeatAnswer(report.Incarnation, sent, answer) })
+	answer := messages.HeartbeatResponse{
+		FencingToken: cluster.FencingToken(form.FencingToken),
+		Commands:     decodeCommands(form.Commands),
+	}
+	w.services.WithLock(func() { w.HandleHeartbeatAnswer(status.Incarnation, sentAt, answer) })
 	return heartbeatResult{accepted: true}
 }
+
+// postHeartbeat posts a heartbeat and returns the answer's status code and form.
+// The body of a failure need not be a form.
+func (w *httpWorker) postHeartbeat(client *http.Client, address string, status cluster.HeartbeatStatus) (int, heartbeatAnswerForm, error) {
+	body, err := json.Marshal(encodeHeartbeat(status, w.address))
+	if err != nil {
+		return 0, heartbeatAnswerForm{}, fmt.Errorf("encoding a heartbeat: %w", err)
+	}
+	response, err := client.Post("http://"+address+"/checkin", "application/json", bytes.NewReader(body))
+	if err != nil {
+		return 0, heartbeatAnswerForm{}, fmt.Errorf("sending a heartbeat to %s: %w", address, err)
+	}
+	defer response.Body.Close()
+	var form heartbeatAnswerForm
+	_ = json.NewDecoder(response.Body).Decode(&form)
+	return response.StatusCode, form, nil
+}
