--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -5,7 +5,6 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/simulation"
 )
 
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -9,7 +9,6 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
-
 	"stairrelay/internal/simulation"
 )
 
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/simulation"
 )
 
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -4,7 +4,6 @@
 	"testing"
 
 	"stairrelay/internal/messages"
-
 	"stairrelay/internal/simulation"
 )
 
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/simulation"
 )
 
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/controller"
 	"stairrelay/internal/simulation"
 )
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -5,7 +5,6 @@
 	"strconv"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/simulation"
 )
 
--- a/internal/controller/scale_out_zone_cluster_test.go
+++ b/internal/controller/scale_out_zone_cluster_test.go
@@ -4,7 +4,6 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/simulation"
 )
 
--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -8,7 +8,6 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
-
 	"stairrelay/internal/simulation"
 )
 
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -11,301 +11,242 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
+	"stairrelay/internal/controller"
 	"stairrelay/internal/simulation"
 )
 
 var updateGolden = flag.Bool("update", false, "write the traces of testdata/stories anew")
 
-// TestTraces replays the kept traces. A story is a text file: lines that
-// begin with # tell it, lines that begin with > are what happens, the others
-// are what the controllers and workers did about it. With -update the last are
-// written anew: read the difference before it is committed.
+// minTraces is how many traces there are at least.
+const minTraces = 8
+
+// TestTraces replays the kept traces. A trace is a text file: lines that begin
+// with # explain it, lines that begin with > are its commands, and the others are
+// what the controllers and workers did. With -update the last are written anew:
+// read the difference before it is committed.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/stories/*.txt")
-	if err != nil || len(files) < 8 {
-		t.Fatalf("only %d stories: %v", len(files), err)
+	if err != nil || len(files) < minTraces {
+		t.Fatalf("only %d traces: %v", len(files), err)
 	}
-	for _, f := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
-			text, err := os.ReadFile(f)
+	for _, file := range files {
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
+			text, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
 			got := replayTrace(t, string(text))
 			if *updateGolden {
-				if err := os.WriteFile(f, []byte(got), 0o644); err != nil {
+				if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 					t.Fatal(err)
 				}
 				return
 			}
-			if got != string(text) {
-				want, have := strings.Split(string(text), "\n"), strings.Split(got, "\n")
-				for i := range want {
-					if i >= len(have) || want[i] != have[i] {
-						t.Fatalf("line %d of %s\nwant %s\ngot  %s", i+1, f, want[i], append(have, "")[min(i, len(have))])
-					}
-				}
-				t.Fatalf("%s: %d lines more than kept", f, len(have)-len(want))
-			}
+			compareTraces(t, file, got, string(text))
 		})
 	}
 }
 
-// replayTrace plays a story's script and returns the story with what came of it.
+// compareTraces fails at the first line in which a replayed trace differs from the
+// kept one.
+func compareTraces(t *testing.T, file, got, want string) {
+	t.Helper()
+	if got == want {
+		return
+	}
+	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
+	for i, line := range wantLines {
+		if i >= len(gotLines) || line != gotLines[i] {
+			t.Fatalf("line %d of %s\nwant %s\ngot  %s", i+1, file, line, append(gotLines, "")[min(i, len(gotLines))])
+		}
+	}
+	t.Fatalf("%s: %d lines more than kept", file, len(gotLines)-len(wantLines))
+}
+
+// replayTrace runs a trace's commands and returns the trace with what they led to.
 func replayTrace(t *testing.T, text string, options ...simulation.Option) string {
 	t.Helper()
-	var out strings.Builder
-	var w *simulation.Simulator
-	var before *simulation.StoreLimits
-	jobs := map[string]*simulation.Job{}
-	cfg := testConfig()
-	cloud := testCloud(func() *simulation.Simulator { return w })
-	cloud.AvailableCapacity = map[string]int{}
-	cloud.BootDuration = func() cluster.Time { return 10 * second }
-	say := func(s string) { fmt.Fprintf(&out, "%8.3f %s\n", time.Duration(w.Now).Seconds(), s) }
+	runner := newTraceRunner(t, options)
 	for i, line := range strings.Split(text, "\n") {
-		if strings.HasPrefix(line, "#") {
-			out.WriteString(line + "\n")
-		}
-		if !strings.HasPrefix(line, ">") {
-			continue
-		}
-		out.WriteString(line + "\n")
-		if strings.HasPrefix(line, "> teams one-part") { // two teams that share a part
-			cfg.Teams = []cluster.Team{
-				{Name: "red", GuaranteedQuota: cluster.Resources{CPU: 8 * cpu}, QuotaLimit: cluster.Resources{CPU: 16 * cpu}},
-				{Name: "green", GuaranteedQuota: cluster.Resources{CPU: 40 * cpu}, QuotaLimit: cluster.Resources{CPU: 48 * cpu}},
-				{Name: "blue", GuaranteedQuota: cluster.Resources{CPU: 40 * cpu}, QuotaLimit: cluster.Resources{CPU: 48 * cpu}},
-				{Name: "gold", GuaranteedQuota: cluster.Resources{CPU: 8 * cpu}, QuotaLimit: cluster.Resources{CPU: 16 * cpu}},
-			}
-			continue
-		}
-		if f := strings.Fields(line); len(f) == 4 && f[1] == "aim" { // done within so many seconds
-			within, _ := strconv.ParseFloat(f[3], 64)
-			cfg.SLOs = append(cfg.SLOs, cluster.SLO{Kind: "finished", Class: f[2], WithinSeconds: within})
-			continue
-		}
-		if f := strings.Fields(line); len(f) == 5 && f[1] == "production" { // the old release under these limits; the settings name those of upgradeConfig
-			var err error
-			if before, err = parseLimits(f[2:]); err != nil {
-				t.Fatalf("line %d: %v", i+1, err)
-			}
-			continue
-		}
-		if w == nil {
-			if before != nil {
-				cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = upgradeConfig().WriteRPS, upgradeConfig().MaxValueBytes, upgradeConfig().MaxTxnOps
-				w = simulation.NewUpgradeSimulator(1, cfg, *before, cloud, options...)
-			} else {
-				w = simulation.NewSimulator(1, cfg, cloud, options...)
-			}
-			w.NoRandomFaults = true
-			w.Log = say
-		}
-		if err := runTraceCommand(w, cloud, jobs, strings.Fields(line[1:]), say); err != nil {
-			t.Fatalf("line %d: %v", i+1, err)
-		}
+		runner.lineNumber = i + 1
+		runner.runLine(line)
 	}
-	if w == nil {
-		t.Fatal("the story has no script")
+	if runner.simulator == nil {
+		t.Fatal("the trace has no commands")
 	}
-	for _, b := range w.Violations {
-		t.Errorf("rule broken: %s", b)
+	for _, violation := range runner.simulator.Violations {
+		t.Errorf("rule broken: %s", violation)
 	}
-	return out.String()
+	return runner.out.String()
 }
 
-// parseLimits reads value bytes, changes a transaction and changes a second.
-func parseLimits(f []string) (*simulation.StoreLimits, error) {
-	valueBytes, err := strconv.Atoi(f[0])
-	if err != nil {
-		return nil, err
+// traceRunner runs the commands of a trace. Commands about the settings come
+// first; the first other one starts the controllers.
+type traceRunner struct {
+	t                   *testing.T
+	lineNumber          int
+	out                 strings.Builder
+	options             []simulation.Option
+	config              controller.Config
+	cloud               *simulation.FakeCloud
+	limitsBeforeUpgrade *simulation.StoreLimits // nil: all controllers are of the current version
+	simulator           *simulation.Simulator
+	jobs                map[string]*simulation.Job // submitted by name
+}
+
+func newTraceRunner(t *testing.T, options []simulation.Option) *traceRunner {
+	t.Helper()
+	runner := &traceRunner{t: t, options: options, config: testConfig(), jobs: map[string]*simulation.Job{}}
+	runner.cloud = testCloud(func() *simulation.Simulator { return runner.simulator })
+	runner.cloud.AvailableCapacity = map[string]int{}
+	runner.cloud.BootDuration = func() cluster.Time { return 10 * second }
+	return runner
+}
+
+// runLine copies the explanations and commands of the trace, and runs the latter.
+func (r *traceRunner) runLine(line string) {
+	r.t.Helper()
+	isCommand := strings.HasPrefix(line, ">")
+	if isCommand || strings.HasPrefix(line, "#") {
+		r.out.WriteString(line + "\n")
 	}
-	changes, err := strconv.Atoi(f[1])
-	if err != nil {
-		return nil, err
+	if !isCommand {
+		return
 	}
-	rate, err := strconv.ParseFloat(f[2], 64)
-	if err != nil {
-		return nil, err
+	command := r.parseCommand(line[1:])
+	if r.applySetting(command) {
+		return
+	}
+	if r.simulator == nil {
+		r.start()
+	}
+	run, known := traceCommands[command.verb]
+	if !known {
+		r.fail("unknown command %q", line)
 	}
-	return &simulation.StoreLimits{WriteRPS: rate, ValueBytes: valueBytes, TxnOps: changes}, nil
+	run(r, command)
 }
 
-func runTraceCommand(w *simulation.Simulator, cloud *simulation.FakeCloud, jobs map[string]*simulation.Job, f []string, say func(string)) error {
-	opt := map[string]string{}
-	var arg []string
-	for _, x := range f[1:] {
-		if k, v, ok := strings.Cut(x, "="); ok {
-			opt[k] = v
+// start starts the controllers with the settings so far.
+func (r *traceRunner) start() {
+	if r.limitsBeforeUpgrade == nil {
+		r.simulator = simulation.NewSimulator(1, r.config, r.cloud, r.options...)
+	} else {
+		lower := upgradeConfig()
+		r.config.WriteRPS, r.config.MaxValueBytes, r.config.MaxTxnOps = lower.WriteRPS, lower.MaxValueBytes, lower.MaxTxnOps
+		r.simulator = simulation.NewUpgradeSimulator(1, r.config, *r.limitsBeforeUpgrade, r.cloud, r.options...)
+	}
+	r.simulator.NoRandomFaults = true
+	r.simulator.Log = r.write
+}
+
+// write adds a line with the time to the trace.
+func (r *traceRunner) write(text string) {
+	fmt.Fprintf(&r.out, "%8.3f %s\n", time.Duration(r.simulator.Now).Seconds(), text)
+}
+
+func (r *traceRunner) fail(format string, args ...any) {
+	r.t.Helper()
+	r.t.Fatalf("line %d: %s", r.lineNumber, fmt.Sprintf(format, args...))
+}
+
+// traceCommand is a line of a trace: a verb, arguments and options.
+type traceCommand struct {
+	runner  *traceRunner
+	verb    string
+	args    []string
+	options map[string]string
+}
+
+func (r *traceRunner) parseCommand(line string) traceCommand {
+	r.t.Helper()
+	fields := strings.Fields(line)
+	if len(fields) == 0 {
+		r.fail("no command")
+	}
+	command := traceCommand{runner: r, verb: fields[0], options: map[string]string{}}
+	for _, field := range fields[1:] {
+		if name, value, isOption := strings.Cut(field, "="); isOption {
+			command.options[name] = value
 		} else {
-			arg = append(arg, x)
+			command.args = append(command.args, field)
 		}
 	}
-	num := func(k string, or float64) float64 {
-		if v, err := strconv.ParseFloat(opt[k], 64); err == nil {
-			return v
-		}
-		return or
+	return command
+}
+
+// arg is an argument.
+func (c traceCommand) arg(index int) string {
+	c.runner.t.Helper()
+	if index >= len(c.args) {
+		c.runner.fail("%s has only %d arguments", c.verb, len(c.args))
 	}
-	dur := func(s string) cluster.Time {
-		d, err := time.ParseDuration(s)
-		if err != nil {
-			panic(err)
-		}
-		return cluster.Time(d)
+	return c.args[index]
+}
+
+// count is an argument that is a number.
+func (c traceCommand) count(index int) int {
+	c.runner.t.Helper()
+	count, err := strconv.Atoi(c.arg(index))
+	if err != nil {
+		c.runner.fail("%v", err)
 	}
-	node := func(id string) *simulation.Node {
-		for _, n := range w.Nodes {
-			if string(n.ID) == id {
-				return n
-			}
-		}
-		panic("no node " + id)
+	return count
+}
+
+// duration is an argument that is a duration.
+func (c traceCommand) duration(index int) cluster.Time {
+	c.runner.t.Helper()
+	return c.parseDuration(c.arg(index))
+}
+
+// durationOption is an option that is a duration.
+func (c traceCommand) durationOption(name string) cluster.Time {
+	c.runner.t.Helper()
+	return c.parseDuration(c.options[name])
+}
+
+func (c traceCommand) parseDuration(text string) cluster.Time {
+	c.runner.t.Helper()
+	duration, err := time.ParseDuration(text)
+	if err != nil {
+		c.runner.fail("%v", err)
 	}
-	answered := func(what, id string) func(messages.Respond) {
-		return func(r messages.Respond) {
-			switch {
-			case r.View != nil:
-				say(fmt.Sprintf("user %s %s: %d %s done %d running %d", what, id, r.Status, r.View.Status, r.View.Done, r.View.Running))
-			case r.Status == 0:
-				say(fmt.Sprintf("user %s %s: no answer", what, id))
-			default:
-				say(fmt.Sprintf("user %s %s: %d, again after %d s", what, id, r.Status, r.RetryAfter))
-			}
-			if r.View != nil && jobs[id] != nil {
-				jobs[id].Accepted = true
-				w.Users.CheckReportedStatus(jobs[id], r.View.Status)
-			}
-		}
+	return cluster.Time(duration)
+}
+
+// number is an option that is a number; without it a default.
+func (c traceCommand) number(name string, byDefault float64) float64 {
+	c.runner.t.Helper()
+	text, given := c.options[name]
+	if !given {
+		return byDefault
 	}
-	switch f[0] {
-	case "machines": // machines small a 2 [spot=1]
-		n, _ := strconv.Atoi(arg[2])
-		for range n {
-			w.Machines.Add(arg[0], arg[1], opt["spot"] != "")
-		}
-	case "capacity": // capacity small a 2 [spot=1]
-		n, _ := strconv.Atoi(arg[2])
-		cloud.AvailableCapacity[simulation.CapacityKey(arg[0], arg[1], opt["spot"] != "")] = n
-	case "submit": // submit j-000001 red via n0 tasks=3 run=10 cpu=1
-		run := num("run", 10)
-		s := cluster.JobSpec{ID: cluster.JobID(arg[0]), Class: "c", Team: arg[1], Priority: cluster.Priority(num("priority", 1)), Tasks: int(num("tasks", 1)),
-			ResourceRequest: cluster.Resources{CPU: cluster.Amount(num("cpu", 1) * 1e6), Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: run, Spot: opt["spot"] != "", SubmittedAt: cluster.WallTime(w.Now / 1e6)}
-		if opt["awaits"] != "" {
-			s.Dependencies = []cluster.JobID{cluster.JobID(opt["awaits"])}
-		}
-		info := simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: cluster.Time(run * 1e9), TaskCount: s.Tasks, Image: s.Image}
-		if v := num("save", 0); v > 0 {
-			s.CheckpointSeconds, s.SaveSeconds, info.CanCheckpoint, info.SaveDuration = 5, v, true, cluster.Time(v*1e9)
-		}
-		if w.Jobs[s.ID] == nil {
-			jobs[arg[0]] = &simulation.Job{Spec: s, Info: info}
-			w.Jobs[s.ID] = jobs[arg[0]]
-		}
-		node(arg[3]).SendRequest(func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, answered("submits", arg[0]))
-	case "flood": // flood 50 red via n0 priority=1
-		n, _ := strconv.Atoi(arg[0])
-		count := map[string]int{}
-		for i := range n {
-			s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%v%05d", num("priority", 1), i)), Class: "c", Team: arg[1], Priority: cluster.Priority(num("priority", 1)),
-				Tasks: 1, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 500}
-			w.Jobs[s.ID] = &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 500 * second, TaskCount: 1, Image: "img"}}
-			node(arg[3]).SendRequest(func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(r messages.Respond) {
-				count[fmt.Sprint(r.Status)]++
-			})
-		}
-		w.After(3500*second/1000, func() { say(fmt.Sprintf("users of priority %v: %v", num("priority", 1), count)) })
-	case "query":
-		node(arg[2]).SendRequest(func(id messages.RequestID) messages.Event {
-			return messages.Query{Request: id, ID: cluster.JobID(arg[0])}
-		}, answered("asks for", arg[0]))
-	case "cancel":
-		if j := jobs[arg[0]]; j != nil {
-			j.CancelRequested = true
-		}
-		node(arg[2]).SendRequest(func(id messages.RequestID) messages.Event {
-			return messages.Cancel{Request: id, ID: cluster.JobID(arg[0])}
-		}, answered("cancels", arg[0]))
-	case "upgrade": // upgrade n0 6s: it ends and is back after that, new
-		node(arg[0]).Upgrade(dur(arg[1]))
-	case "limits": // the lower limits come into force
-		w.LowerStoreLimits()
-	case "crash":
-		node(arg[0]).Kill()
-	case "boot":
-		node(arg[0]).Start()
-	case "cut": // cut n0 store 10s
-		n, until := node(arg[0]), w.Now+dur(arg[2])
-		switch arg[1] {
-		case "store":
-			n.StoreCutUntil = until
-		case "workers":
-			n.WorkersCutUntil = until
-		case "peers":
-			n.PeersCutUntil = until
-		case "servers": // it keeps its workers
-			n.StoreCutUntil, n.PeersCutUntil = until, until
-		case "all":
-			n.StoreCutUntil, n.WorkersCutUntil, n.PeersCutUntil = until, until, until
-		default:
-			return fmt.Errorf("cut from %q", arg[1])
-		}
-	case "freeze": // freeze all 20s: they stand still while their clocks run on
-		for _, n := range w.Nodes {
-			if arg[0] == "all" || arg[0] == string(n.ID) {
-				n.PausedUntil = w.Now + dur(arg[1])
-			}
-		}
-	case "outage":
-		w.Store.DownUntil = w.Now + dur(arg[0])
-	case "cloud": // cloud 30s: its interface is down
-		w.CloudAPI.DownUntil = w.Now + dur(arg[0])
-	case "hang":
-		w.Machines.Hang(cluster.MachineID(arg[0]), dur(arg[1]))
-	case "corrupt": // the record that lists a machine makes no sense any more
-		for _, kv := range w.StateService.List("groups/").Items {
-			if strings.Contains(string(kv.Value), arg[0]) {
-				w.StateService.Commit(nil, []messages.TxnOp{{Key: kv.Key, Value: []byte(`{"p":1,"m":["?"]}`)}})
-			}
-		}
-	case "deaf": // reports arrive, nothing reaches it
-		w.Machines.MakeUnreachable(cluster.MachineID(arg[0]), dur(arg[1]))
-	case "copy": // its present report is delivered again later
-		w.Machines.DuplicateHeartbeat(cluster.MachineID(arg[0]), dur(arg[1]))
-	case "refuse": // refuse n0 10s: by the state service, that controller alone
-		node(arg[0]).StoreRefusesUntil = w.Now + dur(arg[1])
-	case "mute": // it reaches no controller, direct commands reach it
-		w.Machines.BlockHeartbeats(cluster.MachineID(arg[0]), dur(arg[1]))
-	case "lose": // lose n0 answers 3s: its transactions are carried out, their answers lost
-		node(arg[0]).StoreRepliesLostUntil = w.Now + dur(arg[2])
-	case "slow": // slow 500ms 30s: the state service answers that much later
-		w.Store.Slow(dur(arg[0]), dur(arg[1]))
-	case "reboot": // the worker is back at once, in its next session
-		w.Machines.Reboot(cluster.MachineID(arg[0]))
-	case "stream": // stream red via n0 every=4s for=60s tasks=1 run=10: small jobs that keep coming
-		every, left, n := dur(opt["every"]), dur(opt["for"]), 0
-		run := num("run", 10)
-		var next func()
-		next = func() {
-			n++
-			s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-8%05d", n)), Class: "small", Team: arg[0], Priority: cluster.Priority(num("priority", 1)), Tasks: int(num("tasks", 1)),
-				ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: run, SubmittedAt: cluster.WallTime(w.Now / 1e6)}
-			w.Jobs[s.ID] = &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: cluster.Time(run * 1e9), TaskCount: s.Tasks, Image: s.Image}}
-			node(arg[2]).SendRequest(func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(messages.Respond) {})
-			if left -= every; left > 0 {
-				w.After(every, next)
-			}
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		c.runner.fail("%v", err)
+	}
+	return number
+}
+
+// isSet tells whether an option is given.
+func (c traceCommand) isSet(name string) bool { return c.options[name] != "" }
+
+// machine is an argument that names a machine.
+func (c traceCommand) machine(index int) cluster.MachineID {
+	c.runner.t.Helper()
+	return cluster.MachineID(c.arg(index))
+}
+
+// node is an argument that names a controller.
+func (c traceCommand) node(index int) *simulation.Node {
+	c.runner.t.Helper()
+	name := c.arg(index)
+	for _, node := range c.runner.simulator.Nodes {
+		if string(node.ID) == name {
+			return node
 		}
-		next()
-	case "notice":
-		w.Machines.Preempt(cluster.MachineID(arg[0]), dur(arg[1]))
-	case "run":
-		w.RunUntil(w.Now + dur(arg[0]))
-	default:
-		return fmt.Errorf("unknown line %q", f)
 	}
+	c.runner.fail("no node %s", name)
 	return nil
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -6,7 +6,6 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/controller"
 	"stairrelay/internal/simulation"
 )
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -16,7 +16,6 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/simulation"
 	"stairrelay/internal/simulation/httpfake"
 )
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/simulation/httpfake"
 )
 
--- a/internal/e2e/heartbeat_bench_test.go
+++ b/internal/e2e/heartbeat_bench_test.go
@@ -15,10 +15,9 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/controller"
 	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/sockets"
 	"stairrelay/internal/users"
 	"stairrelay/internal/workers"
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/simulation"
 	"stairrelay/internal/simulation/httpfake"
 )
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -5,9 +5,8 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/controller"
+	"stairrelay/internal/messages"
 )
 
 // Node is a controller's node with the process that runs on it, if any.
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -6,9 +6,8 @@
 	"time"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/controller"
+	"stairrelay/internal/messages"
 )
 
 // nodeSet holds the controllers' nodes.
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -8,9 +8,8 @@
 
 import (
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/controller"
+	"stairrelay/internal/messages"
 )
 
 // checkInterval is how often machines advance and the rules are checked.
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -2,7 +2,6 @@
 
 import (
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/controller"
 )
 
