--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -133,7 +133,7 @@
 		restart(w, n, w.RandomBetween(second/20, second/2))
 	}
 	w.After(w.RandomBetween(second/20, second), func() {
-		w.FaultCounts["ended again during its return"]++
+		w.FaultCounts[faultNodeKilledInRestart]++
 		restart(w, n, w.RandomBetween(second/20, second/2))
 	})
 }
@@ -165,7 +165,7 @@
 		{"a zone cut off", partitionZone},
 		{"half of the machines died", func(w *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 			w.Machines.RemoveEveryNth(2)
-			w.FaultCounts["half of the machines died"]++
+			w.FaultCounts[faultHalfOfMachinesRemoved]++
 		}},
 		{"controllers refused one another", refusePeerConnections},
 		{"all controllers ended in an outage", crashAllInOutage},
@@ -194,40 +194,40 @@
 // pauseProcess stops a process for longer than a lease, mostly.
 func pauseProcess(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
 	n.PausedUntil = w.Now + d
-	w.FaultCounts["a controller stood still"]++
+	w.FaultCounts[faultNodePaused]++
 }
 
 func pauseAllProcesses(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	for _, n := range w.Nodes {
 		n.PausedUntil = w.Now + d
 	}
-	w.FaultCounts["all controllers stood still"]++
+	w.FaultCounts[faultAllNodesPaused]++
 }
 
 func partitionZone(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	zones := []string{"a", "b", "c"}
 	w.Machines.CutZone(zones[w.Rand.IntN(len(zones))], d)
-	w.FaultCounts["a zone cut off"]++
+	w.FaultCounts[faultZonePartitioned]++
 }
 
 func refusePeerConnections(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	for _, n := range w.Nodes {
 		n.PeersRefuseUntil = w.Now + d
 	}
-	w.FaultCounts["controllers refused one another"]++
+	w.FaultCounts[faultPeersRefused]++
 }
 
 func crashAllInOutage(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	outage := min(d, longestOutage)
 	w.Store.DownUntil = w.Now + outage
 	w.After(outage/2, func() { crashAll(w) })
-	w.FaultCounts["all controllers ended in an outage"]++
+	w.FaultCounts[faultAllNodesKilledInOutage]++
 }
 
 func faultyMachinesWithoutCloud(w *simulation.Simulator, _ *simulation.Node, d cluster.Time) {
 	w.Machines.MakeFaulty(3, d)
 	w.CloudAPI.DownUntil = w.Now + d
-	w.FaultCounts["sick machines in an outage of the cloud"]++
+	w.FaultCounts[faultFaultyMachinesWithoutCloud]++
 }
 
 // crashBusiestRepeatedly ends the busiest controller three times within a minute,
@@ -236,7 +236,7 @@
 	for _, at := range []cluster.Time{0, 12 * second, 25 * second} {
 		w.After(at, func() { crashBusiest(w) })
 	}
-	w.FaultCounts["the busiest controller ended again and again"]++
+	w.FaultCounts[faultBusiestNodeKilledRepeatedly]++
 }
 
 // fastBootsWithSlowStore has machines get work at once while writes lag, and
@@ -246,7 +246,7 @@
 	w.Store.Slow(w.RandomBetween(second/5, 4*second/5), d)
 	w.After(w.RandomBetween(second, d), func() {
 		if crashBusiest(w) {
-			w.FaultCounts["quick boots with a slow store as the busiest controller ends"]++
+			w.FaultCounts[faultFastBootsWithSlowStore]++
 		}
 	})
 }
@@ -254,7 +254,7 @@
 func slowStoreRefusesController(w *simulation.Simulator, n *simulation.Node, d cluster.Time) {
 	n.StoreRefusesUntil = w.Now + d
 	w.Store.Slow(w.RandomBetween(second/5, 4*second/5), d)
-	w.FaultCounts["a slow store that refuses one controller"]++
+	w.FaultCounts[faultSlowStoreRefusesNode]++
 }
 
 // storeRefusalThenOutage has the state service refuse one controller alone, and a few
@@ -264,10 +264,10 @@
 // some of those another controller ends as well, so that nobody may be left who knows
 // what users were told. Once a day is enough.
 func storeRefusalThenOutage(w *simulation.Simulator, n *simulation.Node, cancelWithin cluster.Time) {
-	if w.FaultCounts["a controller refused alone, then everybody"] > 0 {
+	if w.FaultCounts[faultRefusalThenOutage] > 0 {
 		return
 	}
-	w.FaultCounts["a controller refused alone, then everybody"]++
+	w.FaultCounts[faultRefusalThenOutage]++
 	out := false
 	begin := func() {
 		if !out {
@@ -282,14 +282,14 @@
 		n.StoreRefusesUntil = w.Now + 10*second
 		ends := w.Chance(0.8)
 		w.Failovers.OnShardAcquired(10*second, func(holder cluster.NodeID) {
-			w.FaultCounts["an outage within a second of a claim"]++
+			w.FaultCounts[faultOutageAtAcquire]++
 			w.After(w.RandomBetween(0, second), begin)
 			o := w.Nodes[w.Rand.IntN(len(w.Nodes))]
 			if !ends || o.ID == holder {
 				return
 			}
 			w.After(w.RandomBetween(0, second), func() {
-				w.FaultCounts["a controller ended within a second of a claim"]++
+				w.FaultCounts[faultNodeKilledAtAcquire]++
 				crash(w, o)
 			})
 		})
--- a/internal/controller/one_task_jobs_test.go
+++ b/internal/controller/one_task_jobs_test.go
@@ -58,7 +58,7 @@
 			if n := w.UnfinishedJobCount(); n > 0 && !t.Failed() {
 				t.Errorf("%d of %d jobs have no end after %v", n, len(w.Jobs), time.Duration(w.Now))
 			}
-			if !t.Failed() && (len(w.Jobs) != 160 || cancelled < 10 || w.FaultCounts["answers lost though carried out"] == 0) {
+			if !t.Failed() && (len(w.Jobs) != 160 || cancelled < 10 || w.FaultCounts[simulation.FaultReplyLost] == 0) {
 				t.Errorf("%d jobs, %d cancelled, faults %v: the day tests nothing", len(w.Jobs), cancelled, w.FaultCounts)
 			}
 			t.Logf("%d cancelled, %v", cancelled, w.FaultCounts)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -72,7 +72,7 @@
 func TestRandomFaults(t *testing.T) {
 	from, to := seedRange(t, 1, 25)
 	var mu sync.Mutex
-	faults := map[string]int{}
+	faults := map[simulation.FaultKind]int{}
 	t.Run("seeds", func(t *testing.T) {
 		for seed := from; seed <= to; seed++ {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
@@ -95,25 +95,25 @@
 		}
 	})
 	// A check that passes because its trouble never came would show nothing.
-	for _, k := range []string{"commands to a one-way machine", "answers to a one-way machine", "late copies of reports",
-		"late copies from machines that are gone", "answers of a controller with its workers alone", "ended again during its return",
-		"a controller stood still", "all controllers stood still", "a zone cut off", "half of the machines died", "controllers refused one another",
-		"all controllers ended in an outage", "sick machines in an outage of the cloud", "the busiest controller ended again and again",
-		"late writes", "late writes carried out", "answers lost though carried out", "old reports at every controller as a part changes hands",
-		"reports of a mute machine", "commands to a mute machine", "running jobs cancelled at once", "machines of cancelled jobs hang", "jobs cancelled as they end",
-		"close looks: questions", "close looks: repeats", "close looks: cancellations", "odd requests: repeats of unfinished jobs",
-		"odd requests: cancellations of done jobs", "odd requests: jobs that fit no machine", "odd requests: malformed jobs",
-		"a controller refused alone, then everybody", "a controller ended within a second of a claim", "an outage within a second of a claim", "machines up within two seconds",
-		"quick boots with a slow store as the busiest controller ends", "a slow store that refuses one controller",
-		"slow messages between controllers",
-		"jobs that await others", "jobs started after those that they await", "jobs cancelled with one that they need"} {
+	for _, k := range []simulation.FaultKind{simulation.FaultCommandToUnreachableMachine, simulation.FaultAnswerToUnreachableMachine, simulation.FaultDuplicateHeartbeat,
+		simulation.FaultDuplicateHeartbeatOfRemovedMachine, simulation.FaultAnswerFromIsolatedNode, faultNodeKilledInRestart,
+		faultNodePaused, faultAllNodesPaused, faultZonePartitioned, faultHalfOfMachinesRemoved, faultPeersRefused,
+		faultAllNodesKilledInOutage, faultFaultyMachinesWithoutCloud, faultBusiestNodeKilledRepeatedly,
+		simulation.FaultLateWrite, simulation.FaultLateWriteApplied, simulation.FaultReplyLost, simulation.FaultHeartbeatReplayedAtFailover,
+		simulation.FaultHeartbeatBlocked, simulation.FaultCommandToBlockedMachine, simulation.FaultRunningJobCancelled, simulation.FaultMachineOfCancelledJobHung, simulation.FaultCancelledAtEnd,
+		simulation.FaultQueryAfterWrite, simulation.FaultSubmitAfterWrite, simulation.FaultCancelAfterWrite, simulation.FaultRepeatedSubmission,
+		simulation.FaultDoneJobCancelled, simulation.FaultUnschedulableSubmission, simulation.FaultMalformedSubmission,
+		faultRefusalThenOutage, faultNodeKilledAtAcquire, faultOutageAtAcquire, simulation.FaultFastBoot,
+		faultFastBootsWithSlowStore, faultSlowStoreRefusesNode,
+		simulation.FaultSlowPeerMessage,
+		simulation.FaultDependentSubmitted, simulation.FaultDependentStarted, simulation.FaultDependentCancelled} {
 		t.Logf("%s: %d", k, faults[k])
 		if faults[k] == 0 && to-from >= 20 {
 			t.Errorf("no day had %s", k)
 		}
 	}
 	// Allowed within the time for a cancellation; told, for they cost work.
-	t.Logf("starts after a confirmed cancellation: %d", faults["starts after a confirmed cancellation"])
+	t.Logf("starts after a confirmed cancellation: %d", faults[simulation.FaultStartAfterCancel])
 }
 
 // seedRange is the range of seeds to play: the given one, or that of
@@ -128,7 +128,7 @@
 	return from, to
 }
 
-func simulateDay(t *testing.T, seed uint64, cfg controller.Config, options ...simulation.Option) map[string]int {
+func simulateDay(t *testing.T, seed uint64, cfg controller.Config, options ...simulation.Option) map[simulation.FaultKind]int {
 	var w *simulation.Simulator
 	w = simulation.NewSimulator(seed, cfg, testCloud(func() *simulation.Simulator { return w }), options...)
 	if len(cfg.Nodes) == 3 { // else no machine is up at the start
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -28,7 +28,7 @@
 func TestRollingUpgrade(t *testing.T) {
 	from, to := seedRange(t, 1, 12)
 	var mu sync.Mutex
-	seen := map[string]int{}
+	seen := map[simulation.FaultKind]int{}
 	t.Run("seeds", func(t *testing.T) {
 		for seed := from; seed <= to; seed++ {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
@@ -42,16 +42,16 @@
 			})
 		}
 	})
-	for _, what := range []string{
-		"controllers upgraded",
-		"old controllers ended and back old",
-		"an old controller ended within a second of a claim",
-		"several controllers upgraded at once",
-		"an old controller apart while others are upgraded",
-		"limits of the store lowered",
-		"transactions above the lowered rate",
-		"jobs that await others refused in the upgrade",
-		"jobs started after those that they await",
+	for _, what := range []simulation.FaultKind{
+		simulation.FaultNodeUpgraded,
+		faultOldNodeRestarted,
+		faultOldNodeKilledAtAcquire,
+		faultUpgradedTogether,
+		faultOldNodePartitioned,
+		simulation.FaultStoreLimitsLowered,
+		faultWriteAboveLoweredRate,
+		simulation.FaultDependentRejectedInUpgrade,
+		simulation.FaultDependentStarted,
 	} {
 		t.Logf("%s: %d", what, seen[what])
 		if seen[what] == 0 && to-from >= 10 {
@@ -60,7 +60,7 @@
 	}
 }
 
-func simulateUpgrade(t *testing.T, seed uint64, options ...simulation.Option) map[string]int {
+func simulateUpgrade(t *testing.T, seed uint64, options ...simulation.Option) map[simulation.FaultKind]int {
 	cfg := upgradeConfig()
 	var w *simulation.Simulator
 	w = simulation.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, testCloud(func() *simulation.Simulator { return w }), options...)
@@ -76,7 +76,7 @@
 	if n := w.StateService.Rejected.Size; n > 0 {
 		t.Errorf("%d transactions were above the lowered limits, which the settings name", n)
 	}
-	w.FaultCounts["transactions above the lowered rate"] += w.StateService.Rejected.Rate
+	w.FaultCounts[faultWriteAboveLoweredRate] += w.StateService.Rejected.Rate
 	return w.FaultCounts
 }
 
@@ -90,14 +90,14 @@
 
 	back := w.Nodes[rest[0]]
 	w.After(begin+w.RandomBetween(second, 15*second), func() {
-		w.FaultCounts["old controllers ended and back old"]++
+		w.FaultCounts[faultOldNodeRestarted]++
 		restart(w, back, w.RandomBetween(second/10, 8*second))
 	})
 	w.Failovers.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
 		ended := w.Nodes[rest[w.Rand.IntN(len(rest))]]
 		w.After(w.RandomBetween(0, second), func() {
 			if ended.Version == simulation.ProductionVersion {
-				w.FaultCounts["an old controller ended within a second of a claim"]++
+				w.FaultCounts[faultOldNodeKilledAtAcquire]++
 				crash(w, ended)
 			}
 		})
@@ -109,12 +109,12 @@
 	last := begin + w.RandomBetween(40*second, 70*second)
 	if w.Chance(0.6) {
 		w.After(begin-second, func() {
-			w.FaultCounts["an old controller apart while others are upgraded"]++
+			w.FaultCounts[faultOldNodePartitioned]++
 			apart.PeersCutUntil = w.Now + w.RandomBetween(20*second, last-begin)
 		})
 	}
 	w.After(last, func() {
-		w.FaultCounts["several controllers upgraded at once"]++
+		w.FaultCounts[faultUpgradedTogether]++
 		for _, i := range rest {
 			w.Nodes[i].Upgrade(w.RandomBetween(5*second, 8*second))
 		}
--- a/internal/simulation/cancellations.go
+++ b/internal/simulation/cancellations.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if isCancellable(job) && c.Chance(c.atEndChance) {
-		c.FaultCounts["jobs cancelled as they end"]++
+		c.FaultCounts[FaultCancelledAtEnd]++
 		c.users.Cancel(job)
 	}
 }
@@ -69,7 +69,7 @@
 		}
 		cancelled++
 		c.After(c.RandomBetween(0, maxCancelSpread), func() {
-			c.FaultCounts["running jobs cancelled at once"]++
+			c.FaultCounts[FaultRunningJobCancelled]++
 			c.users.Cancel(job)
 		})
 		if hang > 0 {
@@ -109,7 +109,7 @@
 	for _, worker := range workers {
 		if hung < limit && c.Now >= worker.hungUntil {
 			hung++
-			c.FaultCounts["machines of cancelled jobs hang"]++
+			c.FaultCounts[FaultMachineOfCancelledJobHung]++
 			c.machines.Hang(worker.ID, duration)
 		}
 	}
--- a/internal/simulation/command_calls.go
+++ b/internal/simulation/command_calls.go
@@ -56,10 +56,10 @@
 
 func (c *commandChannel) countFaults(worker *SimulatedWorker, blockedUntil cluster.Time) {
 	if c.Now < worker.heartbeatsBlockedUntil && c.Now >= blockedUntil {
-		c.FaultCounts["commands to a mute machine"]++
+		c.FaultCounts[FaultCommandToBlockedMachine]++
 	}
 	if c.Now < worker.unreachableUntil {
-		c.FaultCounts["commands to a one-way machine"]++
+		c.FaultCounts[FaultCommandToUnreachableMachine]++
 	}
 }
 
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -23,7 +23,7 @@
 	// Violations lists the rules that were broken; the first one ends the run.
 	Violations []string
 	// FaultCounts counts the faults that actually took effect, by kind.
-	FaultCounts map[string]int
+	FaultCounts map[FaultKind]int
 	// FaultsOverAt is when the last fault is over; the rules about progress hold
 	// from then on. Zero: those rules are not checked.
 	FaultsOverAt cluster.Time
@@ -34,7 +34,7 @@
 	return &environment{
 		randomSource: randomSource{Rand: rand.New(rand.NewPCG(seed, 1))},
 		Log:          func(string) {},
-		FaultCounts:  map[string]int{},
+		FaultCounts:  map[FaultKind]int{},
 		config:       cfg,
 	}
 }
--- a/internal/simulation/failovers.go
+++ b/internal/simulation/failovers.go
@@ -87,7 +87,7 @@
 func (f *Failovers) replay(node *Node, status cluster.HeartbeatStatus) {
 	node.SendRequest(heartbeatRequest(status), func(answer messages.Respond) {
 		if answer.Status != 0 {
-			f.FaultCounts["old reports at every controller as a part changes hands"]++
+			f.FaultCounts[FaultHeartbeatReplayedAtFailover]++
 		}
 	})
 }
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -67,9 +67,9 @@
 	node := s.nodes.random()
 	s.After(delay, func() {
 		node.SendRequest(heartbeatRequest(status), func(messages.Respond) {
-			s.FaultCounts["late copies of reports"]++
+			s.FaultCounts[FaultDuplicateHeartbeat]++
 			if s.machines.Workers[status.Machine].removed {
-				s.FaultCounts["late copies from machines that are gone"]++
+				s.FaultCounts[FaultDuplicateHeartbeatOfRemovedMachine]++
 			}
 		})
 	})
@@ -95,7 +95,7 @@
 func (x *heartbeatExchange) send() {
 	s, worker := x.sender, x.worker
 	if s.Now < worker.heartbeatsBlockedUntil {
-		s.FaultCounts["reports of a mute machine"]++
+		s.FaultCounts[FaultHeartbeatBlocked]++
 		x.tryNextNode()
 		return
 	}
@@ -151,11 +151,11 @@
 		return
 	}
 	if x.sentAt < worker.unreachableUntil {
-		s.FaultCounts["answers to a one-way machine"]++
+		s.FaultCounts[FaultAnswerToUnreachableMachine]++
 		return
 	}
 	if s.Now < x.node.StoreCutUntil && s.Now < x.node.PeersCutUntil && answer.Status == http.StatusOK {
-		s.FaultCounts["answers of a controller with its workers alone"]++
+		s.FaultCounts[FaultAnswerFromIsolatedNode]++
 	}
 	if s.Now < worker.hungUntil {
 		return
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -140,7 +140,7 @@
 	if job.CancelConfirmedAt == 0 {
 		return
 	}
-	c.FaultCounts["starts after a confirmed cancellation"]++
+	c.FaultCounts[FaultStartAfterCancel]++
 	if c.isCancelOverdue(job) {
 		c.reportViolation("ran_cancelled: %s starts", task.ID)
 	}
--- a/internal/simulation/machine_faults.go
+++ b/internal/simulation/machine_faults.go
@@ -99,6 +99,6 @@
 	if m.Now >= m.fastBootsUntil {
 		return false
 	}
-	m.FaultCounts["machines up within two seconds"]++
+	m.FaultCounts[FaultFastBoot]++
 	return true
 }
--- a/internal/simulation/odd_requests.go
+++ b/internal/simulation/odd_requests.go
@@ -53,7 +53,7 @@
 // submitAgain submits an unfinished job again, which the controllers answer with
 // its status.
 func (o *OddRequests) submitAgain() {
-	const kind = "repeats of unfinished jobs"
+	const kind = FaultRepeatedSubmission
 	job := o.drawJob((*Job).isUnfinished)
 	if job == nil {
 		return
@@ -63,21 +63,21 @@
 		if answer.Status != http.StatusTooManyRequests {
 			o.checkStatusAnswer(kind, job, answer, func() bool { return askedAt >= job.finalReportedAt })
 		}
-		o.FaultCounts["odd requests: "+kind]++
+		o.FaultCounts[kind]++
 	})
 }
 
 // cancelDone cancels a job that is done, which the controllers answer with its
 // status.
 func (o *OddRequests) cancelDone() {
-	const kind = "cancellations of done jobs"
+	const kind = FaultDoneJobCancelled
 	job := o.drawJob(func(job *Job) bool { return job.Accepted && job.ReportedStatus == cluster.JobDone })
 	if job == nil {
 		return
 	}
 	o.nodes.random().SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
 		o.checkStatusAnswer(kind, job, answer, func() bool { return true })
-		o.FaultCounts["odd requests: "+kind]++
+		o.FaultCounts[kind]++
 	})
 }
 
@@ -92,7 +92,7 @@
 
 // checkStatusAnswer checks an answer that should bring the status of a job; the
 // status counts if it is current.
-func (o *OddRequests) checkStatusAnswer(kind string, job *Job, answer messages.Respond, current func() bool) {
+func (o *OddRequests) checkStatusAnswer(kind FaultKind, job *Job, answer messages.Respond, current func() bool) {
 	switch answer.Status {
 	case 0, http.StatusServiceUnavailable:
 	case http.StatusOK:
@@ -108,7 +108,7 @@
 
 // rejectedSubmission is a submission that the controllers have to reject.
 type rejectedSubmission struct {
-	kind      string
+	kind      FaultKind
 	spec      cluster.JobSpec
 	rejection messages.ReplyStatus // what the program's HTTP server found wrong, if anything
 	want      messages.ReplyStatus
@@ -118,13 +118,13 @@
 func (o *OddRequests) submitUnschedulable() {
 	spec := o.newRejectedSpec()
 	spec.ResourceRequest.CPU = 1_000_000_000
-	o.submitRejected(rejectedSubmission{kind: "jobs that fit no machine", spec: spec, want: messages.ReplyUnschedulable})
+	o.submitRejected(rejectedSubmission{kind: FaultUnschedulableSubmission, spec: spec, want: messages.ReplyUnschedulable})
 }
 
 // submitMalformed submits a job whose description makes no sense.
 func (o *OddRequests) submitMalformed() {
 	o.submitRejected(rejectedSubmission{
-		kind:      "malformed jobs",
+		kind:      FaultMalformedSubmission,
 		spec:      o.newRejectedSpec(),
 		rejection: messages.ReplyBadRequest,
 		want:      messages.ReplyBadRequest,
@@ -161,7 +161,7 @@
 func (o *OddRequests) checkRejection(submission rejectedSubmission, answer messages.Respond) {
 	switch answer.Status {
 	case submission.want:
-		o.FaultCounts["odd requests: "+submission.kind]++
+		o.FaultCounts[submission.kind]++
 		return
 	case 0, http.StatusServiceUnavailable:
 		return
@@ -179,7 +179,7 @@
 		switch answer.Status {
 		case 0, http.StatusServiceUnavailable, http.StatusNotFound:
 		default:
-			o.reportViolation("invented: questions about %s, one of the %s, get %d", id, submission.kind, answer.Status)
+			o.reportViolation("invented: queries of %s, one of the %s, get %d", id, submission.kind, answer.Status)
 		}
 	})
 }
--- a/internal/simulation/peer_calls.go
+++ b/internal/simulation/peer_calls.go
@@ -25,7 +25,7 @@
 	}
 	exchange := &peerExchange{channel: c, call: call, to: to, message: message.Message}
 	if c.network.isSlowPeerMessage() {
-		c.FaultCounts["slow messages between controllers"]++
+		c.FaultCounts[FaultSlowPeerMessage]++
 		c.After(c.RandomBetween(50*millisecond, 400*millisecond), exchange.send)
 	} else {
 		exchange.send()
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -44,42 +44,33 @@
 	}
 }
 
-// followUpKind is a kind of request about a job of which its user was told.
-type followUpKind string
-
-const (
-	followUpQuery  followUpKind = "questions"
-	followUpSubmit followUpKind = "repeats"
-	followUpCancel followUpKind = "cancellations"
-)
-
-// timeout is how long a user waits for the answer.
-func (k followUpKind) timeout() cluster.Time {
-	if k == followUpQuery {
-		return userTimeout
-	}
-	return submissionTimeout
-}
-
 // followUp is a request about a job of which its user was told.
 type followUp struct {
-	kind     followUpKind
+	kind     FaultKind
 	job      *Job
 	node     *Node
 	askedAt  cluster.Time
 	accepted bool // the job was accepted when it was asked about
 }
 
+// timeout is how long the user waits for the answer.
+func (f followUp) timeout() cluster.Time {
+	if f.kind == FaultQueryAfterWrite {
+		return userTimeout
+	}
+	return submissionTimeout
+}
+
 // checkAt asks one controller about a job that it may not forget any more.
 func (r *ReadAfterWrite) checkAt(node *Node, job *Job, draw int) {
 	request := queryRequest(job.Spec.ID)
-	asked := followUp{kind: followUpQuery, job: job, node: node, askedAt: r.Now, accepted: job.Accepted}
+	asked := followUp{kind: FaultQueryAfterWrite, job: job, node: node, askedAt: r.Now, accepted: job.Accepted}
 	switch {
 	case draw < 2:
-		asked.kind = followUpSubmit
+		asked.kind = FaultSubmitAfterWrite
 		request = submitRequest(job.Spec)
 	case draw == 2 && job.CancelPlanned:
-		asked.kind = followUpCancel
+		asked.kind = FaultCancelAfterWrite
 		job.CancelRequested = true
 		request = cancelRequest(job.Spec.ID)
 	}
@@ -87,23 +78,23 @@
 }
 
 func (r *ReadAfterWrite) handleAnswer(asked followUp, answer messages.Respond) {
-	if answer.Status == 0 || r.Now-asked.askedAt > asked.kind.timeout() {
+	if answer.Status == 0 || r.Now-asked.askedAt > asked.timeout() {
 		return
 	}
 	job := asked.job
 	switch {
 	case answer.Status == http.StatusOK && answer.View != nil:
-		if asked.kind == followUpCancel || asked.askedAt >= job.finalReportedAt {
+		if asked.kind == FaultCancelAfterWrite || asked.askedAt >= job.finalReportedAt {
 			r.users.CheckReportedStatus(job, answer.View.Status)
 		}
 	case answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests:
-	case !asked.accepted && asked.kind == followUpCancel && answer.Status == http.StatusNotFound:
+	case !asked.accepted && asked.kind == FaultCancelAfterWrite && answer.Status == http.StatusNotFound:
 	case isRefusal(answer.Status):
 		r.reportViolation("forgotten: %s was told before %v; %s at %s then get %d", job.Spec.ID, time.Duration(asked.askedAt), asked.kind, asked.node.ID, answer.Status)
 	default:
 		r.reportViolation("%s about %s at %s get %d", asked.kind, job.Spec.ID, asked.node.ID, answer.Status)
 	}
-	r.FaultCounts["close looks: "+string(asked.kind)]++
+	r.FaultCounts[asked.kind]++
 }
 
 // isRefusal tells whether an answer says that the job is unknown or can't be run.
--- a/internal/simulation/status_rules.go
+++ b/internal/simulation/status_rules.go
@@ -32,7 +32,7 @@
 		}
 	}
 	if len(job.Spec.Dependencies) > 0 {
-		c.FaultCounts["jobs started after those that they await"]++
+		c.FaultCounts[FaultDependentStarted]++
 	}
 }
 
@@ -44,7 +44,7 @@
 		switch {
 		case dependency.CancelConfirmedAt == 0:
 		case status == cluster.JobCancelled:
-			c.FaultCounts["jobs cancelled with one that they need"]++
+			c.FaultCounts[FaultDependentCancelled]++
 		case c.isCancelOverdue(dependency):
 			c.reportViolation("orphaned: %s is called %s, %s was cancelled long before", job.Spec.ID, status, dependency.Spec.ID)
 		}
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -179,7 +179,7 @@
 
 func (s *Store) applyWithoutReply(call storeCall) {
 	if isApplied(call.apply()) {
-		s.FaultCounts["answers lost though carried out"]++
+		s.FaultCounts[FaultReplyLost]++
 	}
 }
 
@@ -190,9 +190,9 @@
 		s.After(s.DownUntil-s.Now+s.RandomBetween(0, second), func() { s.applyLate(call) })
 		return
 	}
-	s.FaultCounts["late writes"]++
+	s.FaultCounts[FaultLateWrite]++
 	if isApplied(call.apply()) {
-		s.FaultCounts["late writes carried out"]++
+		s.FaultCounts[FaultLateWriteApplied]++
 	}
 }
 
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -23,7 +23,7 @@
 // service refuses what is above them.
 func (s *Simulator) LowerStoreLimits() {
 	s.StateService.Limits = StoreLimits{WriteRPS: s.config.WriteRPS, ValueBytes: s.config.MaxValueBytes, TxnOps: s.config.MaxTxnOps}
-	s.FaultCounts["limits of the store lowered"]++
+	s.FaultCounts[FaultStoreLimitsLowered]++
 }
 
 // Upgrade ends a node's process; the one that is started in its place after a
@@ -33,7 +33,7 @@
 		n.Kill()
 	}
 	n.Version = CurrentVersion
-	n.set.FaultCounts["controllers upgraded"]++
+	n.set.FaultCounts[FaultNodeUpgraded]++
 	n.set.After(downtime, n.Start)
 }
 
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -48,7 +48,7 @@
 			return
 		}
 	}
-	u.FaultCounts["jobs that await others"]++
+	u.FaultCounts[FaultDependentSubmitted]++
 	u.Submit(job)
 }
 
@@ -67,7 +67,7 @@
 			u.reportViolation("%s refused with %d", job.Spec.ID, answer.Status)
 		default:
 			if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
-				u.FaultCounts["jobs that await others refused in the upgrade"]++
+				u.FaultCounts[FaultDependentRejectedInUpgrade]++
 			}
 			pause := max(retryPause, cluster.Time(answer.RetryAfter)*second)
 			u.After(pause, func() { u.trySubmit(job) })
