--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -11,28 +11,23 @@
 // BenchmarkClusterSecond measures a simulated second of a loaded cluster of
 // three cores: reports, placement, writes, polls.
 func BenchmarkClusterSecond(b *testing.B) {
-	var w *simulation.Simulator
-	w = simulation.NewSimulator(1, testConfig(), testCloud(func() *simulation.Simulator { return w }))
-	w.NoRandomFaults = true
-	for _, z := range []string{"a", "b", "c"} {
-		for range 5 {
-			w.Machines.Add("small", z, false)
-		}
-	}
-	w.RunUntil(5 * second)
+	sim := newSimulator(1, testConfig())
+	sim.NoRandomFaults = true
+	addMachinesPerZone(sim, 5)
+	sim.RunUntil(5 * second)
 	for i := range 60 {
 		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: []string{"red", "green", "blue"}[i%3], Priority: cluster.Normal,
 			Tasks: 1000, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 4, Spot: true}
-		w.Users.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 4 * second, TaskCount: s.Tasks, Image: s.Image}})
+		sim.Users.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 4 * second, TaskCount: s.Tasks, Image: s.Image}})
 	}
-	w.RunUntil(30 * second)
+	sim.RunUntil(30 * second)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		w.RunUntil(w.Now + second)
+		sim.RunUntil(sim.Now + second)
 	}
-	if len(w.Violations) > 0 {
-		b.Fatal(w.Violations)
+	if len(sim.Violations) > 0 {
+		b.Fatal(sim.Violations)
 	}
 }
 
@@ -57,36 +52,35 @@
 	}
 	cfg.HeartbeatInterval, cfg.WorkerLease = 5*second, 26*second
 	cfg.StoreRPS, cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = 500, 100, 8192, 16
-	var w *simulation.Simulator
-	w = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return w }))
-	w.NoRandomFaults = true
+	sim := newSimulator(1, cfg)
+	sim.NoRandomFaults = true
 	for i := range machines {
-		w.Machines.Add("small", []string{"a", "b", "c"}[i%3], false)
+		sim.Machines.Add("small", []string{"a", "b", "c"}[i%3], false)
 	}
-	w.RunUntil(10 * second)
+	sim.RunUntil(10 * second)
 	for i := range machines * 9 / 19 {
 		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: fmt.Sprintf("c%d", i%3), Team: cfg.Teams[i%6].Name, Priority: cluster.Priority(i % 3),
 			Tasks: 10 + 30*(i%7), ResourceRequest: cluster.Resources{CPU: cpu * cluster.Amount(1+i%2), Memory: 3 * cpu}, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1, RuntimeSeconds: 25, Spot: true}
-		w.Users.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 25 * second, TaskCount: s.Tasks, Image: s.Image}})
+		sim.Users.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 25 * second, TaskCount: s.Tasks, Image: s.Image}})
 	}
-	w.RunUntil(60 * second)
+	sim.RunUntil(60 * second)
 	b.ResetTimer()
-	w.ControllerTime, w.StepCount, w.Allocations = 0, 0, 0
+	sim.ControllerTime, sim.StepCount, sim.Allocations = 0, 0, 0
 	for range b.N {
-		w.RunUntil(w.Now + second)
+		sim.RunUntil(sim.Now + second)
 	}
-	b.ReportMetric(float64(w.ControllerTime.Milliseconds())/float64(b.N)/float64(nodes), "core-ms/s")
-	b.ReportMetric(float64(w.ControllerTime.Microseconds())/float64(w.StepCount), "us/step")
+	b.ReportMetric(float64(sim.ControllerTime.Milliseconds())/float64(b.N)/float64(nodes), "core-ms/s")
+	b.ReportMetric(float64(sim.ControllerTime.Microseconds())/float64(sim.StepCount), "us/step")
 	running := 0
-	for _, l := range w.Machines.Workers {
+	for _, l := range sim.Machines.Workers {
 		running += len(l.Tasks)
 	}
 	b.ReportMetric(float64(running), "tasks")
 	b.StopTimer()
-	w.CountAllocations, w.StepCount, w.Allocations = true, 0, 0
-	w.RunUntil(w.Now + second)
-	b.ReportMetric(float64(w.Allocations)/float64(w.StepCount), "allocs/step")
-	if len(w.Violations) > 0 {
-		b.Fatal(w.Violations)
+	sim.CountAllocations, sim.StepCount, sim.Allocations = true, 0, 0
+	sim.RunUntil(sim.Now + second)
+	b.ReportMetric(float64(sim.Allocations)/float64(sim.StepCount), "allocs/step")
+	if len(sim.Violations) > 0 {
+		b.Fatal(sim.Violations)
 	}
 }
--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -1,123 +1,162 @@
 package controller_test
 
 import (
-	"encoding/json"
 	"testing"
 	"time"
 
+	"encoding/json"
+	"fmt"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/controller"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/simulation"
 )
 
-// testCluster is a calm cluster with some machines up and one long job that runs.
+const (
+	// waitStep is the simulated time between two checks of a condition.
+	waitStep = 2 * millisecond
+	// cancelRetryPause is the time between two requests for a cancellation.
+	cancelRetryPause = 100 * millisecond
+)
+
+// testCluster is a cluster without random faults, with some machines up.
 type testCluster struct {
 	*simulation.Simulator
 	t       *testing.T
 	config  controller.Config
-	longJob *simulation.Job
+	longJob *simulation.Job // runs from the start; nil in an idle cluster
 }
 
+// newTestCluster makes a cluster in which one long job runs.
 func newTestCluster(t *testing.T, machines int) *testCluster {
 	t.Helper()
 	return newTestClusterWithSeed(t, 1, machines)
 }
 
+// newTestClusterWithSeed is newTestCluster with a seed of its own.
 func newTestClusterWithSeed(t *testing.T, seed uint64, machines int) *testCluster {
 	t.Helper()
 	return newTestClusterWithConfig(t, testConfig(), seed, machines)
 }
 
-// newTestClusterWithConfig is newMeetingOf with settings of its own.
+// newTestClusterWithConfig is newTestClusterWithSeed with settings of its own.
 func newTestClusterWithConfig(t *testing.T, cfg controller.Config, seed uint64, machines int) *testCluster {
 	t.Helper()
-	m := &testCluster{t: t, config: cfg}
-	m.Simulator = simulation.NewSimulator(seed, cfg, testCloud(func() *simulation.Simulator { return m.Simulator }))
+	m := newIdleClusterWithConfig(t, cfg, seed, machines)
+	m.longJob = m.submitJob("j-000001", 3, 300*second)
+	m.RunUntil(20 * second)
+	if m.longJob.FirstStartAt == 0 {
+		t.Fatal("the long job has not started")
+	}
+	return m
+}
+
+// newIdleCluster makes a cluster in which nothing runs.
+func newIdleCluster(t *testing.T, machines int) *testCluster {
+	t.Helper()
+	return newIdleClusterWithConfig(t, testConfig(), 1, machines)
+}
+
+func newIdleClusterWithConfig(t *testing.T, cfg controller.Config, seed uint64, machines int) *testCluster {
+	t.Helper()
+	m := &testCluster{t: t, config: cfg, Simulator: newSimulator(seed, cfg)}
 	m.NoRandomFaults = true
 	for range machines {
 		m.Machines.Add("small", "a", false)
 	}
 	m.RunUntil(10 * second)
-	m.longJob = m.submitJob("j-000001", 3, 300*second)
-	m.RunUntil(20 * second)
-	if m.longJob.FirstStartAt == 0 {
-		t.Fatal("the job has not begun")
-	}
 	return m
 }
 
-// submitJob hands in a job of team red, whose part is n1's.
+// submitJob submits a job of team red, whose shard is n1's at first.
 func (m *testCluster) submitJob(id cluster.JobID, tasks int, run cluster.Time) *simulation.Job {
-	s := cluster.JobSpec{ID: id, Class: "c", Team: "red", Priority: cluster.Normal, Tasks: tasks, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu},
-		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: cluster.WallTime(m.Now / 1e6)}
-	j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
-	m.Users.Submit(j)
-	return j
+	spec := newJobSpec(id, "red", tasks, run)
+	spec.SubmittedAt = wallTime(m.Now)
+	job := newJob(spec, run)
+	m.Users.Submit(job)
+	return job
 }
 
-// longJobOwner is the controller that the store shows as holder of part 1.
+// longJobOwner is the controller that owns the long job's shard by the store.
 func (m *testCluster) longJobOwner() cluster.NodeID {
-	var rec struct {
-		Holder cluster.NodeID `json:"holder"`
+	m.t.Helper()
+	return m.shardOwner(shardOfTeam["red"])
+}
+
+// shardOfTeam is each team's shard under testConfig.
+var shardOfTeam = map[string]int{"green": 0, "red": 1, "blue": 2}
+
+// shardOwner is the controller that owns a shard by the store.
+func (m *testCluster) shardOwner(shard int) cluster.NodeID {
+	m.t.Helper()
+	var record struct {
+		Owner cluster.NodeID `json:"holder"`
 	}
-	if err := json.Unmarshal(m.StateService.Get("parts/1").KV.Value, &rec); err != nil {
+	if err := json.Unmarshal(m.StateService.Get(fmt.Sprint("parts/", shard)).KV.Value, &record); err != nil {
 		m.t.Fatal(err)
 	}
-	return rec.Holder
+	return record.Owner
 }
 
 // waitFor runs in small steps until something holds, or fails.
-func (m *testCluster) waitFor(what string, within cluster.Time, ok func() bool) {
+func (m *testCluster) waitFor(what string, within cluster.Time, holds func() bool) {
 	m.t.Helper()
 	at := m.Now
-	for end := at + within; !ok(); m.RunUntil(at) {
-		if at += second / 500; at > end || len(m.Violations) > 0 {
-			m.t.Fatalf("not within %v: %s; broken: %v", time.Duration(within), what, m.Violations)
+	for end := at + within; !holds(); m.RunUntil(at) {
+		at += waitStep
+		if at > end || len(m.Violations) > 0 {
+			m.t.Fatalf("not within %v: %s; violations: %v", time.Duration(within), what, m.Violations)
 		}
 	}
 }
 
-// cancelAt asks one controller to cancel the job until it is confirmed.
-func (m *testCluster) cancelAt(n *simulation.Node, j *simulation.Job) {
+// cancelAt requests a job's cancellation of one controller until it is confirmed.
+func (m *testCluster) cancelAt(node *simulation.Node, job *simulation.Job) {
 	m.t.Helper()
-	j.CancelRequested = true
-	var ask func()
-	ask = func() {
-		n.SendRequest(func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: j.Spec.ID} }, func(r messages.Respond) {
-			if r.Status == 200 {
-				m.Users.CheckReportedStatus(j, r.View.Status)
-			} else if j.CancelConfirmedAt == 0 {
-				m.After(second/10, ask)
+	job.CancelRequested = true
+	var request func()
+	request = func() {
+		node.SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
+			if answer.Status == messages.ReplyOK {
+				m.Users.CheckReportedStatus(job, answer.View.Status)
+			} else if job.CancelConfirmedAt == 0 {
+				m.After(cancelRetryPause, request)
 			}
 		})
 	}
-	ask()
-	m.waitFor("the cancellation is confirmed", 5*second, func() bool { return j.CancelConfirmedAt > 0 })
+	request()
+	m.waitFor("the cancellation is confirmed", 5*second, func() bool { return job.CancelConfirmedAt > 0 })
 }
 
 // countRunningTasks counts the job's tasks that run on machines.
-func (m *testCluster) countRunningTasks(j *simulation.Job) int {
-	n := 0
-	for _, l := range m.Machines.Workers {
-		for _, x := range l.Tasks {
-			if x.ID.Job == j.Spec.ID && (x.State == cluster.Running || x.State == cluster.Checkpointing) {
-				n++
+func (m *testCluster) countRunningTasks(job *simulation.Job) int {
+	count := 0
+	for _, worker := range m.Machines.Workers {
+		for _, task := range worker.Tasks {
+			if task.ID.Job == job.Spec.ID && (task.State == cluster.Running || task.State == cluster.Checkpointing) {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// runAndCheck plays on and checks that no rule broke and that no task of the job is
-// left once the cancellation's time is up.
-func (m *testCluster) runAndCheck(d cluster.Time) {
+// runAndCheck runs on, and checks that no rule is broken and that no task of the
+// long job is left once the time for its cancellation is over.
+func (m *testCluster) runAndCheck(duration cluster.Time) {
 	m.t.Helper()
-	m.RunUntil(m.Now + d)
-	for _, b := range m.Violations {
-		m.t.Error(b)
+	m.RunUntil(m.Now + duration)
+	m.checkNoViolations()
+	if count := m.countRunningTasks(m.longJob); m.longJob.CancelConfirmedAt > 0 && count > 0 {
+		m.t.Errorf("%d tasks of the cancelled job still run", count)
 	}
-	if n := m.countRunningTasks(m.longJob); m.longJob.CancelConfirmedAt > 0 && n > 0 {
-		m.t.Errorf("%d tasks of the cancelled job still run", n)
+}
+
+// checkNoViolations fails when a rule was broken.
+func (m *testCluster) checkNoViolations() {
+	m.t.Helper()
+	for _, violation := range m.Violations {
+		m.t.Error(violation)
 	}
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -59,35 +59,6 @@
 	return l
 }
 
-// newIdleCluster is a calm cluster in which nothing runs.
-func newIdleCluster(t *testing.T, machines int) *testCluster {
-	t.Helper()
-	cfg := testConfig()
-	m := &testCluster{t: t, config: cfg}
-	m.Simulator = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return m.Simulator }))
-	m.NoRandomFaults = true
-	for range machines {
-		m.Machines.Add("small", "a", false)
-	}
-	m.RunUntil(10 * second)
-	return m
-}
-
-// shardOfTeam is each team's part under testConfig.
-var shardOfTeam = map[string]int{"green": 0, "red": 1, "blue": 2}
-
-// shardOwner is the controller that the store shows as holder of a part.
-func (m *testCluster) shardOwner(part int) cluster.NodeID {
-	m.t.Helper()
-	var rec struct {
-		Holder cluster.NodeID `json:"holder"`
-	}
-	if err := json.Unmarshal(m.StateService.Get(fmt.Sprint("parts/", part)).KV.Value, &rec); err != nil {
-		m.t.Fatal(err)
-	}
-	return rec.Holder
-}
-
 // storedFinalStatus is the final state in a job's own record; none: "".
 func (m *testCluster) storedFinalStatus(j *simulation.Job) cluster.JobStatus {
 	var rec struct {
@@ -101,14 +72,6 @@
 	return rec.State
 }
 
-// checkNoViolations fails when a rule was broken.
-func (m *testCluster) checkNoViolations() {
-	m.t.Helper()
-	for _, b := range m.Violations {
-		m.t.Error(b)
-	}
-}
-
 // TestDependencyChain: fifty jobs of three teams, one after the other.
 func TestDependencyChain(t *testing.T) {
 	m := newIdleCluster(t, 3)
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -33,8 +33,7 @@
 	}
 	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelDeadline = 5*second, 26*second, 56*second
 	cfg.StoreRPS, cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps, cfg.CloudRPS, cfg.CloudListLag = 250, 100, 8192, 16, 6, 10*second
-	f := &fleet{t: t, machineCount: machines}
-	f.Simulator = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return f.Simulator }))
+	f := &fleet{t: t, machineCount: machines, Simulator: newSimulator(1, cfg)}
 	f.NoRandomFaults = true
 	f.StateService.Limits = simulation.StoreLimits{WriteRPS: cfg.WriteRPS, ValueBytes: cfg.MaxValueBytes, TxnOps: cfg.MaxTxnOps}
 	for i := range machines {
--- a/internal/controller/one_task_jobs_test.go
+++ b/internal/controller/one_task_jobs_test.go
@@ -18,50 +18,45 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			cfg := testConfig()
-			var w *simulation.Simulator
-			w = simulation.NewSimulator(seed, cfg, testCloud(func() *simulation.Simulator { return w }))
-			w.Network.LateDelivery, w.Network.HeartbeatDuplicateChance, w.Network.SlowPeerChance = true, 0.03, 0.03
-			for _, z := range []string{"a", "b", "c"} {
-				w.Machines.Add("small", z, false)
-				w.Machines.Add("small", z, false)
-			}
+			sim := newSimulator(seed, cfg)
+			enableRandomMessageFaults(sim)
+			addMachinesPerZone(sim, 2)
 			cancelled := 0
 			for i := range 160 {
-				run := w.RandomBetween(second, 8*second)
-				s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: cfg.Teams[i%3].Name, Priority: cluster.Priority(w.Rand.IntN(4)),
-					Tasks: 1, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, Spot: true}
-				j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: 1, Image: "img"}}
+				run := sim.RandomBetween(second, 8*second)
+				spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-%06d", i)), cfg.Teams[i%3].Name, 1, run)
+				spec.Priority = cluster.Priority(sim.Rand.IntN(4))
+				spec.Spot = true
+				job := newJob(spec, run)
 				at := 10*second + cluster.Time(i)*second/4
-				w.After(at, func() { w.Users.Submit(j) })
+				sim.After(at, func() { sim.Users.Submit(job) })
 				if i%4 == 0 {
-					j.CancelPlanned = true
-					w.After(at+w.RandomBetween(0, 12*second), func() { w.Users.Cancel(j) })
+					job.CancelPlanned = true
+					sim.After(at+sim.RandomBetween(0, 12*second), func() { sim.Users.Cancel(job) })
 				}
 			}
-			w.After(12*second, func() { w.ReadAfterWrite.EnableFor(40 * second) })
-			w.After(w.RandomBetween(15*second, 25*second), func() { w.Store.LoseWriteReplies(0.1, 10*second, true) })
-			w.After(w.RandomBetween(30*second, 45*second), func() {
-				if n := w.BusiestNode(); n != nil {
-					crash(w, n)
-				}
+			sim.After(12*second, func() { sim.ReadAfterWrite.EnableFor(40 * second) })
+			sim.After(sim.RandomBetween(15*second, 25*second), func() { sim.Store.LoseWriteReplies(0.1, 10*second, true) })
+			sim.After(sim.RandomBetween(30*second, 45*second), func() {
+				crashBusiest(sim)
 			})
-			w.FaultsOverAt = 60 * second
-			w.RunUntil(240 * second)
-			for _, b := range w.Violations {
+			sim.FaultsOverAt = 60 * second
+			sim.RunUntil(240 * second)
+			for _, b := range sim.Violations {
 				t.Error(b)
 			}
-			for _, j := range w.Jobs {
+			for _, j := range sim.Jobs {
 				if j.ReportedStatus == cluster.JobCancelled {
 					cancelled++
 				}
 			}
-			if n := w.UnfinishedJobCount(); n > 0 && !t.Failed() {
-				t.Errorf("%d of %d jobs have no end after %v", n, len(w.Jobs), time.Duration(w.Now))
+			if n := sim.UnfinishedJobCount(); n > 0 && !t.Failed() {
+				t.Errorf("%d of %d jobs have no end after %v", n, len(sim.Jobs), time.Duration(sim.Now))
 			}
-			if !t.Failed() && (len(w.Jobs) != 160 || cancelled < 10 || w.FaultCounts[simulation.FaultReplyLost] == 0) {
-				t.Errorf("%d jobs, %d cancelled, faults %v: the day tests nothing", len(w.Jobs), cancelled, w.FaultCounts)
+			if !t.Failed() && (len(sim.Jobs) != 160 || cancelled < 10 || sim.FaultCounts[simulation.FaultReplyLost] == 0) {
+				t.Errorf("%d jobs, %d cancelled, faults %v: the day tests nothing", len(sim.Jobs), cancelled, sim.FaultCounts)
 			}
-			t.Logf("%d cancelled, %v", cancelled, w.FaultCounts)
+			t.Logf("%d cancelled, %v", cancelled, sim.FaultCounts)
 		})
 	}
 }
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -8,96 +8,153 @@
 	"stairrelay/internal/simulation"
 )
 
-// planJobsAndFaults hands in jobs of all kinds and brings troubles about, one at a time.
-func planJobsAndFaults(w *simulation.Simulator, teams []string, until cluster.Time) {
-	planJobs(w, teams, until)
-	planSingleFaults(w, until)
-}
-
-// plannedJobs is how many jobs a day has beside its pipelines; the first come
-// with the day's beginning.
 const (
+	// plannedJobCount is how many jobs a day has beside its pipelines.
 	plannedJobCount = 45
+	// initialJobCount is how many of them are submitted at the day's beginning.
 	initialJobCount = 10
+	// longJobInterval is how many jobs there are for each long one, whose tasks run
+	// longer than a cancellation may take, so that one which is not stopped shows.
 	longJobInterval = 9
+	// plannedPipelineCount is how many pipelines a day has.
+	plannedPipelineCount = 6
 )
 
-// planJobs hands in jobs of all kinds, some of which are cancelled.
-func planJobs(w *simulation.Simulator, teams []string, until cluster.Time) {
+// planJobs plans jobs of all kinds, some of which are cancelled.
+func planJobs(sim *simulation.Simulator, teams []string, until cluster.Time) {
 	for i := range plannedJobCount {
-		at := w.RandomBetween(0, until)
+		at := sim.RandomBetween(0, until)
 		if i < initialJobCount {
-			at = w.RandomBetween(0, 3*second)
-		}
-		run := w.RandomBetween(3*second, 30*second)
-		tasks := 1 + w.Rand.IntN(9)
-		if i%longJobInterval == 4 { // longer than a cancellation may take: what is not stopped then shows
-			run, tasks = w.RandomBetween(50*second, 90*second), 1+w.Rand.IntN(3)
-		}
-		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c" + strconv.Itoa(i%3), Team: teams[w.Rand.IntN(len(teams))],
-			Priority: cluster.Priority(w.Rand.IntN(4)), Tasks: tasks, ResourceRequest: cluster.Resources{CPU: cpu + cluster.Amount(w.Rand.IntN(2_000_000)), Memory: 2 * cpu},
-			Image: "img-" + strconv.Itoa(w.Rand.IntN(3)), ImageGB: 1, RuntimeSeconds: float64(run) / 1e9 * 0.8, Spot: w.Chance(0.6)}
-		info := simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: s.Tasks, Image: s.Image}
-		if w.Chance(0.3) {
-			s.CheckpointSeconds, s.SaveSeconds, info.CanCheckpoint, info.SaveDuration = 10, 2, true, 2*second
+			at = sim.RandomBetween(0, 3*second)
 		}
-		switch w.Rand.IntN(8) {
-		case 0:
-			s.Colocate = true
-		case 1:
-			s.Spread = true
-		case 2:
-			s.Zone = "b"
-		case 3:
-			s.MachineTypes = []string{"small"}
+		job := drawJob(sim, teams, i)
+		sim.After(at, func() { sim.Users.Submit(job) })
+		if sim.Chance(0.2) {
+			job.CancelPlanned = true
+			sim.After(at+sim.RandomBetween(0, 30*second), func() { sim.Users.Cancel(job) })
 		}
-		j := &simulation.Job{Spec: s, Info: info}
-		w.After(at, func() { w.Users.Submit(j) })
-		if w.Chance(0.2) {
-			j.CancelPlanned = true
-			w.After(at+w.RandomBetween(0, 30*second), func() { w.Users.Cancel(j) })
-		}
-		w.After(w.RandomBetween(0, until), func() { w.Users.QueryUnknownJob(cluster.JobID(fmt.Sprintf("j-9%05d", w.Rand.IntN(1000)))) })
+		sim.After(sim.RandomBetween(0, until), func() {
+			sim.Users.QueryUnknownJob(cluster.JobID(fmt.Sprintf("j-9%05d", sim.Rand.IntN(1000))))
+		})
 	}
 }
 
-// planPipelines plans chains and fans over the teams: some are cancelled at one
-// of their jobs, some have their last job handed in only when the others are over.
-func planPipelines(w *simulation.Simulator, teams []string, until cluster.Time) {
-	n := 0
-	job := func(awaits ...cluster.JobID) *simulation.Job {
-		n++
-		run := w.RandomBetween(2*second, 12*second)
-		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-5%05d", n)), Class: "p" + strconv.Itoa(n%2), Team: teams[w.Rand.IntN(len(teams))],
-			Priority: cluster.Priority(w.Rand.IntN(4)), Tasks: 1 + w.Rand.IntN(4), ResourceRequest: cluster.Resources{CPU: cpu, Memory: 2 * cpu}, Dependencies: awaits,
-			Image: "img-" + strconv.Itoa(w.Rand.IntN(3)), ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, DeadlineSeconds: 120, Spot: w.Chance(0.6)}
-		return &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: s.Tasks, Image: s.Image}}
+// drawJob draws the job of a number.
+func drawJob(sim *simulation.Simulator, teams []string, number int) *simulation.Job {
+	run := sim.RandomBetween(3*second, 30*second)
+	tasks := 1 + sim.Rand.IntN(9)
+	if number%longJobInterval == 4 {
+		run = sim.RandomBetween(50*second, 90*second)
+		tasks = 1 + sim.Rand.IntN(3)
 	}
-	for range 6 {
-		at := w.RandomBetween(0, until-60*second)
-		first := job()
-		line := []*simulation.Job{first}
-		var fan []cluster.JobID
-		for range 1 + w.Rand.IntN(3) {
-			j := job(first.Spec.ID)
-			line, fan = append(line, j), append(fan, j.Spec.ID)
-		}
-		middle := job(fan...)
-		last := job(middle.Spec.ID, first.Spec.ID)
-		line = append(line, middle, last)
-		late := w.Chance(0.25)
-		w.After(at, func() { w.Users.Submit(first) })
-		for _, j := range line[1:] {
-			w.After(at, func() { w.Users.SubmitAfterDependencies(j, late && j == last) })
-		}
-		if w.Chance(0.5) {
-			j := line[w.Rand.IntN(len(line))]
-			j.CancelPlanned = true
-			w.After(at+w.RandomBetween(0, 40*second), func() {
-				if w.Jobs[j.Spec.ID] != nil {
-					w.Users.Cancel(j)
-				}
-			})
+	spec := cluster.JobSpec{
+		ID:              cluster.JobID(fmt.Sprintf("j-%06d", number)),
+		Class:           "c" + strconv.Itoa(number%3),
+		Team:            teams[sim.Rand.IntN(len(teams))],
+		Priority:        cluster.Priority(sim.Rand.IntN(4)),
+		Tasks:           tasks,
+		ResourceRequest: cluster.Resources{CPU: cpu + cluster.Amount(sim.Rand.IntN(2_000_000)), Memory: 2 * cpu},
+		Image:           "img-" + strconv.Itoa(sim.Rand.IntN(3)),
+		ImageGB:         1,
+		RuntimeSeconds:  float64(run) / 1e9 * 0.8,
+		Spot:            sim.Chance(0.6),
+	}
+	job := newJob(spec, run)
+	if sim.Chance(0.3) {
+		job.Spec.CheckpointSeconds = 10
+		job.Spec.SaveSeconds = 2
+		job.Info.CanCheckpoint = true
+		job.Info.SaveDuration = 2 * second
+	}
+	drawPlacement(sim, &job.Spec)
+	return job
+}
+
+// drawPlacement draws where the tasks of a job may run.
+func drawPlacement(sim *simulation.Simulator, spec *cluster.JobSpec) {
+	switch sim.Rand.IntN(8) {
+	case 0:
+		spec.Colocate = true
+	case 1:
+		spec.Spread = true
+	case 2:
+		spec.Zone = "b"
+	case 3:
+		spec.MachineTypes = []string{"small"}
+	}
+}
+
+// planPipelines plans pipelines over the teams: of some a job is cancelled, of some
+// the last job is submitted only when the others are over.
+func planPipelines(sim *simulation.Simulator, teams []string, until cluster.Time) {
+	planner := &pipelinePlanner{sim: sim, teams: teams}
+	for range plannedPipelineCount {
+		planner.plan(sim.RandomBetween(0, until-60*second))
+	}
+}
+
+// pipelinePlanner plans pipelines, whose jobs it numbers.
+type pipelinePlanner struct {
+	sim      *simulation.Simulator
+	teams    []string
+	jobCount int
+}
+
+// plan plans a pipeline that begins at a time.
+func (p *pipelinePlanner) plan(at cluster.Time) {
+	sim := p.sim
+	jobs := p.drawPipeline()
+	first, last := jobs[0], jobs[len(jobs)-1]
+	late := sim.Chance(0.25)
+	sim.After(at, func() { sim.Users.Submit(first) })
+	for _, job := range jobs[1:] {
+		sim.After(at, func() { sim.Users.SubmitAfterDependencies(job, late && job == last) })
+	}
+	if !sim.Chance(0.5) {
+		return
+	}
+	cancelled := jobs[sim.Rand.IntN(len(jobs))]
+	cancelled.CancelPlanned = true
+	sim.After(at+sim.RandomBetween(0, 40*second), func() {
+		if sim.Jobs[cancelled.Spec.ID] != nil {
+			sim.Users.Cancel(cancelled)
 		}
+	})
+}
+
+// drawPipeline draws a pipeline: one job, some that depend on it, one that depends
+// on these, and one that depends on that and on the first.
+func (p *pipelinePlanner) drawPipeline() []*simulation.Job {
+	first := p.drawJob()
+	jobs := []*simulation.Job{first}
+	var fan []cluster.JobID
+	for range 1 + p.sim.Rand.IntN(3) {
+		job := p.drawJob(first.Spec.ID)
+		jobs = append(jobs, job)
+		fan = append(fan, job.Spec.ID)
 	}
+	middle := p.drawJob(fan...)
+	last := p.drawJob(middle.Spec.ID, first.Spec.ID)
+	return append(jobs, middle, last)
+}
+
+// drawJob draws a job of a pipeline.
+func (p *pipelinePlanner) drawJob(dependencies ...cluster.JobID) *simulation.Job {
+	sim := p.sim
+	p.jobCount++
+	run := sim.RandomBetween(2*second, 12*second)
+	return newJob(cluster.JobSpec{
+		ID:              cluster.JobID(fmt.Sprintf("j-5%05d", p.jobCount)),
+		Class:           "p" + strconv.Itoa(p.jobCount%2),
+		Team:            p.teams[sim.Rand.IntN(len(p.teams))],
+		Priority:        cluster.Priority(sim.Rand.IntN(4)),
+		Tasks:           1 + sim.Rand.IntN(4),
+		ResourceRequest: cluster.Resources{CPU: cpu, Memory: 2 * cpu},
+		Dependencies:    dependencies,
+		Image:           "img-" + strconv.Itoa(sim.Rand.IntN(3)),
+		ImageGB:         1,
+		RuntimeSeconds:  float64(run) / 1e9,
+		DeadlineSeconds: 120,
+		Spot:            sim.Chance(0.6),
+	}, run)
 }
--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -16,35 +16,31 @@
 // done, and a submission waits about one round trip, not the sum of many.
 func TestSlowStore(t *testing.T) {
 	for _, slow := range []cluster.Time{0, 200 * second / 1000, 600 * second / 1000} {
-		var w *simulation.Simulator
-		w = simulation.NewSimulator(3, testConfig(), testCloud(func() *simulation.Simulator { return w }))
-		w.NoRandomFaults, w.Store.Delay = true, slow
-		for _, z := range []string{"a", "b", "c"} {
-			w.Machines.Add("small", z, false)
-			w.Machines.Add("small", z, false)
-		}
-		w.RunUntil(10 * second)
+		sim := newSimulator(3, testConfig())
+		sim.NoRandomFaults, sim.Store.Delay = true, slow
+		addMachinesPerZone(sim, 2)
+		sim.RunUntil(10 * second)
 		var waits []time.Duration
 		for i := range 30 {
 			s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: []string{"red", "green", "blue"}[i%3], Priority: cluster.Normal,
 				Tasks: 4, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 5, Spot: true}
 			j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 5 * second, TaskCount: s.Tasks, Image: s.Image}}
-			w.Jobs[s.ID] = j
-			w.After(cluster.Time(i)*second, func() {
-				at := w.Now
-				w.Nodes[i%3].SendRequest(func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(r messages.Respond) {
-					waits = append(waits, time.Duration(w.Now-at))
+			sim.Jobs[s.ID] = j
+			sim.After(cluster.Time(i)*second, func() {
+				at := sim.Now
+				sim.Nodes[i%3].SendRequest(func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: s} }, func(r messages.Respond) {
+					waits = append(waits, time.Duration(sim.Now-at))
 					if r.Status == 201 {
 						j.Accepted = true
-						w.Users.CheckReportedStatus(j, r.View.Status)
+						sim.Users.CheckReportedStatus(j, r.View.Status)
 					}
 				})
 			})
 		}
-		w.RunUntil(100 * second)
+		sim.RunUntil(100 * second)
 		sort.Slice(waits, func(i, k int) bool { return waits[i] < waits[k] })
-		if len(waits) != 30 || len(w.Violations) > 0 {
-			t.Fatalf("slow by %v: %d answers, broken %v", time.Duration(slow), len(waits), w.Violations)
+		if len(waits) != 30 || len(sim.Violations) > 0 {
+			t.Fatalf("slow by %v: %d answers, broken %v", time.Duration(slow), len(waits), sim.Violations)
 		}
 		p50, top := waits[15], waits[29]
 		t.Logf("store slower by %v: submissions p50 %v, longest %v", time.Duration(slow), p50, top)
@@ -52,14 +48,14 @@
 			t.Errorf("slow by %v: p50 %v, longest %v", time.Duration(slow), p50, top)
 		}
 		left := 0
-		for id := range w.Jobs {
-			w.Nodes[0].SendRequest(func(r messages.RequestID) messages.Event { return messages.Query{Request: r, ID: id} }, func(r messages.Respond) {
+		for id := range sim.Jobs {
+			sim.Nodes[0].SendRequest(func(r messages.RequestID) messages.Event { return messages.Query{Request: r, ID: id} }, func(r messages.Respond) {
 				if r.View == nil || r.View.Status != cluster.JobDone {
 					left++
 				}
 			})
 		}
-		w.RunUntil(105 * second)
+		sim.RunUntil(105 * second)
 		if left > 0 {
 			t.Errorf("slow by %v: %d jobs not done", time.Duration(slow), left)
 		}
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -84,10 +84,12 @@
 
 // teamsWithSharedShard are four teams on three shards, so that two share one.
 func teamsWithSharedShard() []cluster.Team {
-	team := func(name string, guaranteed, limit cluster.Amount) cluster.Team {
-		return cluster.Team{Name: name, GuaranteedQuota: cluster.Resources{CPU: guaranteed * cpu}, QuotaLimit: cluster.Resources{CPU: limit * cpu}}
+	return []cluster.Team{
+		testTeam("red", 8*cpu, 16*cpu),
+		testTeam("green", 40*cpu, 48*cpu),
+		testTeam("blue", 40*cpu, 48*cpu),
+		testTeam("gold", 8*cpu, 16*cpu),
 	}
-	return []cluster.Team{team("red", 8, 16), team("green", 40, 48), team("blue", 40, 48), team("gold", 8, 16)}
 }
 
 // parseLimits reads value bytes, changes a transaction and changes a second.
@@ -119,20 +121,19 @@
 // submit: submit j-000001 red via n0 tasks=3 run=10 cpu=1.
 func (r *traceRunner) submit(command traceCommand) {
 	id := command.arg(0)
-	runSeconds := command.number("run", 10)
-	spec := traceJobSpec(id, command.arg(1), runSeconds)
+	run := command.runDuration()
+	spec := newJobSpec(cluster.JobID(id), command.arg(1), int(command.number("tasks", 1)), run)
 	spec.Priority = cluster.Priority(command.number("priority", 1))
-	spec.Tasks = int(command.number("tasks", 1))
-	spec.ResourceRequest.CPU = cluster.Amount(command.number("cpu", 1) * 1e6)
+	spec.ResourceRequest.CPU = cluster.Amount(command.number("cpu", 1) * float64(cpu))
 	spec.Spot = command.isSet("spot")
-	spec.SubmittedAt = cluster.WallTime(r.simulator.Now / 1e6)
+	spec.SubmittedAt = wallTime(r.simulator.Now)
 	if command.isSet("awaits") {
 		spec.Dependencies = []cluster.JobID{cluster.JobID(command.options["awaits"])}
 	}
-	job := traceJob(spec)
+	job := newJob(spec, run)
 	if seconds := command.number("save", 0); seconds > 0 {
 		job.Spec.CheckpointSeconds, job.Spec.SaveSeconds = 5, seconds
-		job.Info.CanCheckpoint, job.Info.SaveDuration = true, cluster.Time(seconds*1e9)
+		job.Info.CanCheckpoint, job.Info.SaveDuration = true, cluster.Time(seconds*float64(second))
 	}
 	if r.simulator.Jobs[spec.ID] == nil {
 		r.jobs[id] = job
@@ -141,45 +142,6 @@
 	command.node(3).SendRequest(submitRequest(job.Spec), r.writeAnswer("submits", id))
 }
 
-// traceJobSpec describes a job of one small task.
-func traceJobSpec(id, team string, runSeconds float64) cluster.JobSpec {
-	return cluster.JobSpec{
-		ID:              cluster.JobID(id),
-		Class:           "c",
-		Team:            team,
-		Tasks:           1,
-		ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu},
-		Image:           "img",
-		ImageGB:         1,
-		RuntimeSeconds:  runSeconds,
-	}
-}
-
-// traceJob is a job whose tasks run as long as its description says.
-func traceJob(spec cluster.JobSpec) *simulation.Job {
-	return &simulation.Job{Spec: spec, Info: simulation.JobInfo{
-		ResourceRequest: spec.ResourceRequest,
-		RunDuration:     cluster.Time(spec.RuntimeSeconds * 1e9),
-		TaskCount:       spec.Tasks,
-		Image:           spec.Image,
-	}}
-}
-
-// submitRequest is a user's submission.
-func submitRequest(spec cluster.JobSpec) func(messages.RequestID) messages.Event {
-	return func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: spec} }
-}
-
-// queryRequest is a user's query.
-func queryRequest(job cluster.JobID) func(messages.RequestID) messages.Event {
-	return func(id messages.RequestID) messages.Event { return messages.Query{Request: id, ID: job} }
-}
-
-// cancelRequest is a user's cancellation.
-func cancelRequest(job cluster.JobID) func(messages.RequestID) messages.Event {
-	return func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: job} }
-}
-
 // writeAnswer writes the answer that a user gets to the trace, and checks it.
 func (r *traceRunner) writeAnswer(request, id string) func(messages.Respond) {
 	return func(answer messages.Respond) {
@@ -201,13 +163,16 @@
 // flood: flood 50 red via n0 priority=1 has users submit many jobs at once, and
 // writes how many got which answer.
 func (r *traceRunner) flood(command traceCommand) {
-	const answersAfter = 3500 * second / 1000
+	const (
+		answersAfter = 3500 * millisecond
+		run          = 500 * second
+	)
 	priority := command.number("priority", 1)
 	answers := map[string]int{}
 	for i := range command.count(0) {
-		spec := traceJobSpec(fmt.Sprintf("j-%v%05d", priority, i), command.arg(1), 500)
+		spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-%v%05d", priority, i)), command.arg(1), 1, run)
 		spec.Priority = cluster.Priority(priority)
-		r.simulator.Jobs[spec.ID] = traceJob(spec)
+		r.simulator.Jobs[spec.ID] = newJob(spec, run)
 		command.node(3).SendRequest(submitRequest(spec), func(answer messages.Respond) { answers[fmt.Sprint(answer.Status)]++ })
 	}
 	r.simulator.After(answersAfter, func() { r.write(fmt.Sprintf("users of priority %v: %v", priority, answers)) })
@@ -217,16 +182,16 @@
 // jobs again and again.
 func (r *traceRunner) stream(command traceCommand) {
 	interval, left := command.durationOption("every"), command.durationOption("for")
+	run, tasks := command.runDuration(), int(command.number("tasks", 1))
 	count := 0
 	var next func()
 	next = func() {
 		count++
-		spec := traceJobSpec(fmt.Sprintf("j-8%05d", count), command.arg(0), command.number("run", 10))
+		spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-8%05d", count)), command.arg(0), tasks, run)
 		spec.Class = "small"
 		spec.Priority = cluster.Priority(command.number("priority", 1))
-		spec.Tasks = int(command.number("tasks", 1))
-		spec.SubmittedAt = cluster.WallTime(r.simulator.Now / 1e6)
-		r.simulator.Jobs[spec.ID] = traceJob(spec)
+		spec.SubmittedAt = wallTime(r.simulator.Now)
+		r.simulator.Jobs[spec.ID] = newJob(spec, run)
 		command.node(2).SendRequest(submitRequest(spec), func(messages.Respond) {})
 		if left -= interval; left > 0 {
 			r.simulator.After(interval, next)
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -229,6 +229,12 @@
 	return number
 }
 
+// runDuration is how long the tasks of a submitted job run.
+func (c traceCommand) runDuration() cluster.Time {
+	c.runner.t.Helper()
+	return cluster.Time(c.number("run", 10) * float64(second))
+}
+
 // isSet tells whether an option is given.
 func (c traceCommand) isSet(name string) bool { return c.options[name] != "" }
 
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -62,62 +62,63 @@
 
 func simulateUpgrade(t *testing.T, seed uint64, options ...simulation.Option) map[simulation.FaultKind]int {
 	cfg := upgradeConfig()
-	var w *simulation.Simulator
-	w = simulation.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, testCloud(func() *simulation.Simulator { return w }), options...)
-	addMachinePerZone(w)
-	runWithFaults(t, w, cfg, func(teams []string, until cluster.Time) {
-		planJobsAndFaults(w, teams, until)
-		planPipelines(w, teams, until)
-		planUpgrade(w)
+	var sim *simulation.Simulator
+	sim = simulation.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, testCloud(func() *simulation.Simulator { return sim }), options...)
+	addMachinesPerZone(sim, 1)
+	runWithFaults(t, sim, cfg, func(teams []string, until cluster.Time) {
+		planJobs(sim, teams, until)
+		planSingleFaults(sim, until)
+		planPipelines(sim, teams, until)
+		planUpgrade(sim)
 	})
-	if !w.IsUpgraded() {
+	if !sim.IsUpgraded() {
 		t.Error("a controller was left on the production release")
 	}
-	if n := w.StateService.Rejected.Size; n > 0 {
+	if n := sim.StateService.Rejected.Size; n > 0 {
 		t.Errorf("%d transactions were above the lowered limits, which the settings name", n)
 	}
-	w.FaultCounts[faultWriteAboveLoweredRate] += w.StateService.Rejected.Rate
-	return w.FaultCounts
+	sim.FaultCounts[faultWriteAboveLoweredRate] += sim.StateService.Rejected.Rate
+	return sim.FaultCounts
 }
 
 // planUpgrade replaces the controllers in two turns, one and then two at once,
 // in a random order, with old ones ending before theirs.
-func planUpgrade(w *simulation.Simulator) {
-	order := w.Rand.Perm(len(w.Nodes))
-	first, rest := w.Nodes[order[0]], order[1:]
-	begin := w.RandomBetween(20*second, 60*second)
-	w.After(begin, func() { first.Upgrade(6 * second) })
+func planUpgrade(sim *simulation.Simulator) {
+	order := sim.Rand.Perm(len(sim.Nodes))
+	first, rest := sim.Nodes[order[0]], order[1:]
+	begin := sim.RandomBetween(20*second, 60*second)
+	sim.After(begin, func() { first.Upgrade(6 * second) })
 
-	back := w.Nodes[rest[0]]
-	w.After(begin+w.RandomBetween(second, 15*second), func() {
-		w.FaultCounts[faultOldNodeRestarted]++
-		restart(w, back, w.RandomBetween(second/10, 8*second))
+	back := sim.Nodes[rest[0]]
+	sim.After(begin+sim.RandomBetween(second, 15*second), func() {
+		sim.FaultCounts[faultOldNodeRestarted]++
+		restart(sim, back, sim.RandomBetween(second/10, 8*second))
 	})
-	w.Failovers.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
-		ended := w.Nodes[rest[w.Rand.IntN(len(rest))]]
-		w.After(w.RandomBetween(0, second), func() {
+	sim.Failovers.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
+		ended := sim.Nodes[rest[sim.Rand.IntN(len(rest))]]
+		sim.After(sim.RandomBetween(0, second), func() {
 			if ended.Version == simulation.ProductionVersion {
-				w.FaultCounts[faultOldNodeKilledAtAcquire]++
-				crash(w, ended)
+				sim.FaultCounts[faultOldNodeKilledAtAcquire]++
+				crash(sim, ended)
 			}
 		})
 	})
 
 	// One that is cut from the other controllers is not heard by those that
 	// start meanwhile, and serves on with what it knows.
-	apart := w.Nodes[rest[1]]
-	last := begin + w.RandomBetween(40*second, 70*second)
-	if w.Chance(0.6) {
-		w.After(begin-second, func() {
-			w.FaultCounts[faultOldNodePartitioned]++
-			apart.PeersCutUntil = w.Now + w.RandomBetween(20*second, last-begin)
+	apart := sim.Nodes[rest[1]]
+	last := begin + sim.RandomBetween(40*second, 70*second)
+	if sim.Chance(0.6) {
+		sim.After(begin-second, func() {
+			sim.FaultCounts[faultOldNodePartitioned]++
+			apart.PeersCutUntil = sim.Now + sim.RandomBetween(20*second, last-begin)
 		})
 	}
-	w.After(last, func() {
-		w.FaultCounts[faultUpgradedTogether]++
+	sim.After(last, func() {
+		sim.FaultCounts[faultUpgradedTogether]++
 		for _, i := range rest {
-			w.Nodes[i].Upgrade(w.RandomBetween(5*second, 8*second))
+			sim.Nodes[i].Upgrade(sim.RandomBetween(5*second, 8*second))
 		}
 	})
-	w.After(last+w.RandomBetween(0, 60*second), w.LowerStoreLimits)
+	sim.After(last+sim.RandomBetween(0, 60*second), sim.LowerStoreLimits)
 }
--- a/internal/simulation/failovers.go
+++ b/internal/simulation/failovers.go
@@ -86,7 +86,7 @@
 // replay delivers a heartbeat of the time before a failover.
 func (f *Failovers) replay(node *Node, status cluster.HeartbeatStatus) {
 	node.SendRequest(heartbeatRequest(status), func(answer messages.Respond) {
-		if answer.Status != 0 {
+		if answer.Status != messages.ReplyNone {
 			f.FaultCounts[FaultHeartbeatReplayedAtFailover]++
 		}
 	})
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"net/http"
 	"slices"
 
 	"stairrelay/internal/cluster"
@@ -154,16 +153,16 @@
 		s.FaultCounts[FaultAnswerToUnreachableMachine]++
 		return
 	}
-	if s.Now < x.node.StoreCutUntil && s.Now < x.node.PeersCutUntil && answer.Status == http.StatusOK {
+	if s.Now < x.node.StoreCutUntil && s.Now < x.node.PeersCutUntil && answer.Status == messages.ReplyOK {
 		s.FaultCounts[FaultAnswerFromIsolatedNode]++
 	}
 	if s.Now < worker.hungUntil {
 		return
 	}
 	switch {
-	case answer.Status == http.StatusOK && answer.Heartbeat != nil:
+	case answer.Status == messages.ReplyOK && answer.Heartbeat != nil:
 		x.accept(*answer.Heartbeat)
-	case answer.Status == http.StatusMisdirectedRequest && answer.Heartbeat != nil:
+	case answer.Status == messages.ReplyMisdirected && answer.Heartbeat != nil:
 		x.redirect(answer.Heartbeat.RedirectTo)
 	default:
 		x.tryNextNode()
--- a/internal/simulation/odd_requests.go
+++ b/internal/simulation/odd_requests.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
@@ -60,7 +59,7 @@
 	}
 	askedAt := o.Now
 	o.nodes.random().SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
-		if answer.Status != http.StatusTooManyRequests {
+		if answer.Status != messages.ReplyTooManyRequests {
 			o.checkStatusAnswer(kind, job, answer, func() bool { return askedAt >= job.finalReportedAt })
 		}
 		o.FaultCounts[kind]++
@@ -94,8 +93,8 @@
 // status counts if it is current.
 func (o *OddRequests) checkStatusAnswer(kind FaultKind, job *Job, answer messages.Respond, current func() bool) {
 	switch answer.Status {
-	case 0, http.StatusServiceUnavailable:
-	case http.StatusOK:
+	case messages.ReplyNone, messages.ReplyUnavailable:
+	case messages.ReplyOK:
 		if answer.View == nil {
 			o.reportViolation("%s get no state: %s", kind, job.Spec.ID)
 		} else if current() {
@@ -163,9 +162,9 @@
 	case submission.want:
 		o.FaultCounts[submission.kind]++
 		return
-	case 0, http.StatusServiceUnavailable:
+	case messages.ReplyNone, messages.ReplyUnavailable:
 		return
-	case http.StatusTooManyRequests:
+	case messages.ReplyTooManyRequests:
 		if submission.rejection == messages.ReplyNone {
 			return
 		}
@@ -177,7 +176,7 @@
 	id := submission.spec.ID
 	o.nodes.random().SendRequest(queryRequest(id), func(answer messages.Respond) {
 		switch answer.Status {
-		case 0, http.StatusServiceUnavailable, http.StatusNotFound:
+		case messages.ReplyNone, messages.ReplyUnavailable, messages.ReplyJobNotFound:
 		default:
 			o.reportViolation("invented: queries of %s, one of the %s, get %d", id, submission.kind, answer.Status)
 		}
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"net/http"
 	"time"
 
 	"stairrelay/internal/cluster"
@@ -78,17 +77,17 @@
 }
 
 func (r *ReadAfterWrite) handleAnswer(asked followUp, answer messages.Respond) {
-	if answer.Status == 0 || r.Now-asked.askedAt > asked.timeout() {
+	if answer.Status == messages.ReplyNone || r.Now-asked.askedAt > asked.timeout() {
 		return
 	}
 	job := asked.job
 	switch {
-	case answer.Status == http.StatusOK && answer.View != nil:
+	case answer.Status == messages.ReplyOK && answer.View != nil:
 		if asked.kind == FaultCancelAfterWrite || asked.askedAt >= job.finalReportedAt {
 			r.users.CheckReportedStatus(job, answer.View.Status)
 		}
-	case answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests:
-	case !asked.accepted && asked.kind == FaultCancelAfterWrite && answer.Status == http.StatusNotFound:
+	case answer.Status == messages.ReplyUnavailable || answer.Status == messages.ReplyTooManyRequests:
+	case !asked.accepted && asked.kind == FaultCancelAfterWrite && answer.Status == messages.ReplyJobNotFound:
 	case isRefusal(answer.Status):
 		r.reportViolation("forgotten: %s was told before %v; %s at %s then get %d", job.Spec.ID, time.Duration(asked.askedAt), asked.kind, asked.node.ID, answer.Status)
 	default:
@@ -99,5 +98,5 @@
 
 // isRefusal tells whether an answer says that the job is unknown or can't be run.
 func isRefusal(status messages.ReplyStatus) bool {
-	return status == http.StatusNotFound || status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
+	return status == messages.ReplyJobNotFound || status == messages.ReplyBadRequest || status == messages.ReplyUnschedulable
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -1,8 +1,6 @@
 package simulation
 
 import (
-	"net/http"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
@@ -61,9 +59,9 @@
 	}
 	node.SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
 		switch answer.Status {
-		case http.StatusOK, http.StatusCreated:
+		case messages.ReplyOK, messages.ReplyCreated:
 			u.handleAccepted(job, asked, answer.View.Status)
-		case http.StatusBadRequest, http.StatusUnprocessableEntity:
+		case messages.ReplyBadRequest, messages.ReplyUnschedulable:
 			u.reportViolation("%s refused with %d", job.Spec.ID, answer.Status)
 		default:
 			if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
@@ -120,13 +118,13 @@
 		return
 	}
 	switch answer.Status {
-	case http.StatusOK:
+	case messages.ReplyOK:
 		job.lastAnswerAt = u.Now
 		// An earlier query may have been answered before the end was.
 		if asked >= job.finalReportedAt {
 			u.CheckReportedStatus(job, answer.View.Status)
 		}
-	case http.StatusNotFound:
+	case messages.ReplyJobNotFound:
 		u.reportViolation("forgotten: %s", job.Spec.ID)
 	}
 }
@@ -137,9 +135,9 @@
 	accepted := job.Accepted
 	u.nodes.random().SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
 		switch {
-		case answer.Status == http.StatusOK:
+		case answer.Status == messages.ReplyOK:
 			u.CheckReportedStatus(job, answer.View.Status)
-		case answer.Status == http.StatusNotFound && accepted:
+		case answer.Status == messages.ReplyJobNotFound && accepted:
 			u.reportViolation("forgotten: %s at its cancellation", job.Spec.ID)
 		default:
 			u.After(retryPause, func() { u.Cancel(job) })
@@ -150,7 +148,7 @@
 // QueryUnknownJob queries a job that nobody has submitted.
 func (u *Users) QueryUnknownJob(id cluster.JobID) {
 	u.nodes.random().SendRequest(queryRequest(id), func(answer messages.Respond) {
-		if answer.Status == http.StatusOK {
+		if answer.Status == messages.ReplyOK {
 			u.reportViolation("invented: %s", id)
 		}
 	})
