--- a/internal/simulation/fake_cloud.go
+++ b/internal/simulation/fake_cloud.go
@@ -14,20 +14,20 @@
 	machineRunning = "running"
 )
 
-// FakeCloud is a model of the cloud.
+// FakeCloud is a fake of the cloud, which provisions machines.
 type FakeCloud struct {
 	MachineTypes      []cluster.MachineType
-	AvailableCapacity map[string]int                 // machines that may yet be rented, by Slot
+	AvailableCapacity map[string]int                 // machines that may yet be provisioned, by CapacityKey
 	BootDuration      func() cluster.Time            // how long the next machine takes to boot
-	machinesByRequest map[string][]cluster.MachineID // what each rental's name got
+	machinesByRequest map[string][]cluster.MachineID // by the name of the provisioning request
 	machines          map[cluster.MachineID]*cloudMachine
 	lastMachineNumber int // the number of the last machine
 }
 
 type cloudMachine struct {
 	cluster.ListedMachine
-	provisionedAt cluster.Time // when it was rented
-	bootedAt      cluster.Time // when it has booted
+	provisionedAt cluster.Time
+	bootedAt      cluster.Time // when it will have booted
 }
 
 // NewFakeCloud makes a cloud without machines.
@@ -41,22 +41,23 @@
 	}
 }
 
-// CapacityKey names a kind of machine.
+// CapacityKey names a pool of machines.
 func CapacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
-// ScaleOut rents, or repeats the answer that the name got before.
+// ScaleOut provisions machines. A request whose name came before gets the same
+// reply as then.
 func (c *FakeCloud) ScaleOut(now cluster.Time, request messages.CloudScaleOut) messages.ScaleOutReply {
 	if ids, known := c.machinesByRequest[request.Name]; known {
 		return messages.ScaleOutReply{Outcome: messages.OK, IDs: ids}
 	}
-	slot := CapacityKey(request.Type, request.Zone, request.Spot)
-	count := min(request.Count, c.AvailableCapacity[slot])
+	key := CapacityKey(request.Type, request.Zone, request.Spot)
+	count := min(request.Count, c.AvailableCapacity[key])
 	if count <= 0 {
 		return messages.ScaleOutReply{Outcome: messages.NotFound}
 	}
-	c.AvailableCapacity[slot] -= count
+	c.AvailableCapacity[key] -= count
 	ids := []cluster.MachineID{}
 	for range count {
 		ids = append(ids, c.addMachine(now, request))
@@ -104,7 +105,7 @@
 	return booted
 }
 
-// List is the machine list as it is now.
+// List lists all machines in order.
 func (c *FakeCloud) List(now cluster.Time) []cluster.ListedMachine {
 	var list []cluster.ListedMachine
 	for _, machine := range c.machines {
--- a/internal/simulation/fake_state_service.go
+++ b/internal/simulation/fake_state_service.go
@@ -15,16 +15,17 @@
 	TxnOps     int
 }
 
-// FakeStateService is a model of the state service.
+// FakeStateService is a fake of the state service: a key-value store with
+// revisions, transactions and a log of changes.
 type FakeStateService struct {
 	Revision cluster.Revision
-	// Limits that a transaction is held to; those that are zero hold for none.
+	// Limits are those that transactions have to keep; a zero is no limit.
 	Limits StoreLimits
-	// Rejected counts the transactions above the limits.
+	// Rejected counts the transactions that were above the limits.
 	Rejected  struct{ Size, Rate int }
 	budget    writeBudget
 	keys      map[string]messages.KV
-	changeLog []messages.KV // all changes in order; a dropped key has no value
+	changeLog []messages.KV // all changes in order; a deleted key has no value
 }
 
 // NewFakeStateService makes a state service without keys.
@@ -32,45 +33,58 @@
 	return &FakeStateService{keys: map[string]messages.KV{}, Revision: 1}
 }
 
-// comparesPerOp is how many conditions the protocol allows per change.
+// comparesPerOp is how many compares the protocol allows for each operation.
 const comparesPerOp = 4
 
-// writeBudget counts down the changes that the rate limit still allows.
+// writeBudget counts down the operations that the rate limit still allows.
 type writeBudget struct {
 	remaining  float64
 	refilledAt cluster.Time
 }
 
-// Admit holds a transaction to the limits: core.OK, or what the service answers
-// instead. A burst of one second's worth is allowed.
-func (s *FakeStateService) Admit(now cluster.Time, then []messages.TxnOp, when []messages.Compare) messages.Outcome {
-	l := s.Limits
-	if l.TxnOps > 0 && (len(then) > l.TxnOps || len(when) > comparesPerOp*l.TxnOps) {
+// Admit checks a transaction against the limits: messages.OK, or what the service
+// answers instead.
+func (s *FakeStateService) Admit(now cluster.Time, then []messages.TxnOp, compares []messages.Compare) messages.Outcome {
+	if !s.isWithinSizeLimits(then, compares) {
 		s.Rejected.Size++
 		return messages.Invalid
 	}
-	for _, op := range then {
-		if l.ValueBytes > 0 && len(op.Value) > l.ValueBytes {
-			s.Rejected.Size++
-			return messages.Invalid
-		}
-	}
-	if l.WriteRPS <= 0 {
-		return messages.OK
-	}
-	s.budget.remaining = min(s.budget.remaining+l.WriteRPS*float64(now-s.budget.refilledAt)/float64(second), l.WriteRPS)
-	s.budget.refilledAt = now
-	if s.budget.remaining < float64(len(then)) {
+	if s.Limits.WriteRPS > 0 && !s.budget.take(now, s.Limits.WriteRPS, float64(len(then))) {
 		s.Rejected.Rate++
 		return messages.Throttled
 	}
-	s.budget.remaining -= float64(len(then))
 	return messages.OK
 }
 
-// Commit compares and changes atomically.
-func (s *FakeStateService) Commit(when []messages.Compare, then []messages.TxnOp) messages.TxnReply {
-	if failed := s.failedCompares(when); len(failed) > 0 {
+func (s *FakeStateService) isWithinSizeLimits(then []messages.TxnOp, compares []messages.Compare) bool {
+	limits := s.Limits
+	if limits.TxnOps > 0 && (len(then) > limits.TxnOps || len(compares) > comparesPerOp*limits.TxnOps) {
+		return false
+	}
+	for _, operation := range then {
+		if limits.ValueBytes > 0 && len(operation.Value) > limits.ValueBytes {
+			return false
+		}
+	}
+	return true
+}
+
+// take takes a number of operations from the budget, unless fewer are left. A
+// burst of one second's worth is allowed.
+func (b *writeBudget) take(now cluster.Time, perSecond, operations float64) bool {
+	refill := perSecond * float64(now-b.refilledAt) / float64(second)
+	b.remaining = min(b.remaining+refill, perSecond)
+	b.refilledAt = now
+	if b.remaining < operations {
+		return false
+	}
+	b.remaining -= operations
+	return true
+}
+
+// Commit applies a transaction if all its compares hold.
+func (s *FakeStateService) Commit(compares []messages.Compare, then []messages.TxnOp) messages.TxnReply {
+	if failed := s.failedCompares(compares); len(failed) > 0 {
 		return messages.TxnReply{Outcome: messages.Conflict, Revision: s.Revision, FailedKeys: failed}
 	}
 	if len(then) > 0 {
@@ -82,12 +96,12 @@
 	return messages.TxnReply{Outcome: messages.OK, Revision: s.Revision}
 }
 
-// failedCompares lists the keys whose conditions do not hold.
-func (s *FakeStateService) failedCompares(when []messages.Compare) []string {
+// failedCompares lists the keys whose compares do not hold.
+func (s *FakeStateService) failedCompares(compares []messages.Compare) []string {
 	var failed []string
-	for _, condition := range when {
-		if s.keys[condition.Key].ModRevision != condition.ModRevision {
-			failed = append(failed, condition.Key)
+	for _, compare := range compares {
+		if s.keys[compare.Key].ModRevision != compare.ModRevision {
+			failed = append(failed, compare.Key)
 		}
 	}
 	return failed
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -7,17 +7,18 @@
 	"stairrelay/internal/messages"
 )
 
-// noPreemptionNotice is the Notice of a machine that the cloud has not called back.
+// noPreemptionNotice is the PreemptionNotice of a machine that the cloud is not going
+// to take.
 const noPreemptionNotice = -1
 
-// Task is one task on a Worker.
+// Task is one task on a worker.
 type Task struct {
 	ID        cluster.TaskID
 	Attempt   cluster.Attempt
 	State     cluster.TaskState
 	Cause     cluster.Cause
-	Saved     bool
-	Remaining cluster.Time // of the fetch, the run or the saving
+	Saved     bool         // its checkpoint is saved
+	Remaining cluster.Time // of its present state
 }
 
 // JobInfo is what a worker fetches of a job on its own.
@@ -31,7 +32,7 @@
 	AlwaysFails     bool // every task ends with an error
 }
 
-// FakeWorker is a model of one machine's worker.
+// FakeWorker is a fake of one machine's worker.
 type FakeWorker struct {
 	ID            cluster.MachineID
 	Type          string
@@ -51,12 +52,12 @@
 	FencingToken     cluster.FencingToken
 	PreemptionNotice float64 // seconds until the cloud takes the machine; negative: it does not
 	Tasks            map[cluster.TaskID]*Task
-	fetchedImages    map[string]bool // those that have been fetched
-	leaseRenewedAt   cluster.Time    // when the lease was last renewed
-	lastAdvanceAt    cluster.Time    // of the last Advance
+	fetchedImages    map[string]bool
+	leaseRenewedAt   cluster.Time // when the lease was last renewed
+	lastAdvanceAt    cluster.Time // of the last Advance
 }
 
-// Start makes the worker run from now on.
+// Start makes the worker run from now on, in its first incarnation.
 func (w *FakeWorker) Start(now cluster.Time) {
 	w.Incarnation = 1
 	w.PreemptionNotice = noPreemptionNotice
@@ -126,7 +127,7 @@
 }
 
 // runTask starts a task whose image is there. One that is done already ends at
-// once, and so does any on a sick machine.
+// once, and so does any on a faulty machine.
 func (w *FakeWorker) runTask(task *Task, info JobInfo) {
 	task.State = cluster.Running
 	task.Remaining = info.RunDuration
@@ -136,7 +137,7 @@
 	w.OnStart(w, task)
 }
 
-// sortedTasks lists the tasks by their names.
+// sortedTasks lists the tasks in the order of their IDs.
 func (w *FakeWorker) sortedTasks() []*Task {
 	tasks := make([]*Task, 0, len(w.Tasks))
 	for _, task := range w.Tasks {
@@ -146,7 +147,7 @@
 	return tasks
 }
 
-// UsedResources sums what the tasks take.
+// UsedResources adds up what the tasks request.
 func (w *FakeWorker) UsedResources() cluster.Resources {
 	var used cluster.Resources
 	for _, task := range w.Tasks {
@@ -154,17 +155,15 @@
 			continue
 		}
 		info, _ := w.LookupJob(task.ID.Job)
-		used.CPU += info.ResourceRequest.CPU
-		used.GPU += info.ResourceRequest.GPU
-		used.Memory += info.ResourceRequest.Memory
+		used = used.Plus(info.ResourceRequest)
 	}
 	return used
 }
 
-// NextStatus is the next report.
+// NextStatus is the status for the next heartbeat.
 func (w *FakeWorker) NextStatus() cluster.HeartbeatStatus {
 	w.SequenceNumber++
-	report := cluster.HeartbeatStatus{
+	status := cluster.HeartbeatStatus{
 		Machine:          w.ID,
 		Addr:             string(w.ID),
 		Type:             w.Type,
@@ -176,7 +175,7 @@
 		PreemptionNotice: w.PreemptionNotice,
 	}
 	for _, task := range w.sortedTasks() {
-		report.Tasks = append(report.Tasks, cluster.TaskStatus{
+		status.Tasks = append(status.Tasks, cluster.TaskStatus{
 			Task:         task.ID,
 			Attempt:      task.Attempt,
 			State:        task.State,
@@ -184,26 +183,27 @@
 			Checkpointed: task.Saved,
 		})
 	}
-	return report
+	return status
 }
 
-// HandleHeartbeatAnswer takes in the answer to the report of a session sent at a time.
-func (w *FakeWorker) HandleHeartbeatAnswer(session cluster.Incarnation, sent cluster.Time, answer messages.HeartbeatResponse) {
-	if session != w.Incarnation || answer.FencingToken < w.FencingToken || answer.FencingToken == 0 {
+// HandleHeartbeatAnswer takes in the answer to a heartbeat that an incarnation sent
+// at a time.
+func (w *FakeWorker) HandleHeartbeatAnswer(incarnation cluster.Incarnation, sentAt cluster.Time, answer messages.HeartbeatResponse) {
+	if incarnation != w.Incarnation || answer.FencingToken < w.FencingToken || answer.FencingToken == 0 {
 		return
 	}
 	w.FencingToken = answer.FencingToken
-	w.leaseRenewedAt = max(w.leaseRenewedAt, sent)
+	w.leaseRenewedAt = max(w.leaseRenewedAt, sentAt)
 	w.executeCommands(answer.Commands)
 }
 
-// HandleCommands carries out direct commands.
-func (w *FakeWorker) HandleCommands(orders messages.PushCommands) messages.PushCommandsReply {
-	if orders.FencingToken < w.FencingToken || orders.Incarnation != w.Incarnation {
+// HandleCommands carries out pushed commands.
+func (w *FakeWorker) HandleCommands(pushed messages.PushCommands) messages.PushCommandsReply {
+	if pushed.FencingToken < w.FencingToken || pushed.Incarnation != w.Incarnation {
 		return messages.PushCommandsReply{Outcome: messages.Conflict, Status: w.NextStatus()}
 	}
-	w.FencingToken = orders.FencingToken
-	w.executeCommands(orders.Commands)
+	w.FencingToken = pushed.FencingToken
+	w.executeCommands(pushed.Commands)
 	return messages.PushCommandsReply{Outcome: messages.OK, Status: w.NextStatus()}
 }
 
@@ -220,8 +220,8 @@
 	}
 }
 
-// startTask begins a task. This model has one slot for each task: while an attempt
-// is there, another is not even refused.
+// startTask starts a task. This worker keeps one attempt of each task: while one is
+// there, another is not even refused.
 func (w *FakeWorker) startTask(command cluster.Command) {
 	if w.Tasks[command.Task] != nil {
 		return
@@ -243,13 +243,13 @@
 	}
 }
 
-func (w *FakeWorker) hasCapacityFor(need cluster.Resources) bool {
+func (w *FakeWorker) hasCapacityFor(request cluster.Resources) bool {
 	used := w.UsedResources()
-	return used.CPU+need.CPU <= w.Capacity.CPU && used.Memory+need.Memory <= w.Capacity.Memory && used.GPU+need.GPU <= w.Capacity.GPU
+	return used.Plus(request).FitsIn(w.Capacity)
 }
 
-// stopTask ends a task. One that can be saved within the grace is saved first; one
-// that is being saved goes on if there is any grace.
+// stopTask ends a task. One that can save a checkpoint within the grace does so
+// first; one that is saving goes on if there is any grace.
 func (w *FakeWorker) stopTask(command cluster.Command) {
 	task := w.Tasks[command.Task]
 	if task == nil || task.Attempt != command.Attempt || task.State == cluster.Ended {
@@ -268,7 +268,7 @@
 	}
 }
 
-// acknowledgeTask drops the account of a task that has ended.
+// acknowledgeTask forgets a task that has ended.
 func (w *FakeWorker) acknowledgeTask(command cluster.Command) {
 	task := w.Tasks[command.Task]
 	if task != nil && task.Attempt == command.Attempt && task.State == cluster.Ended {
--- a/internal/simulation/version_filter.go
+++ b/internal/simulation/version_filter.go
@@ -15,23 +15,28 @@
 	// CurrentVersion is the version under test.
 	CurrentVersion Version = iota
 	// ProductionVersion is the version that deploy/service.toml names as
-	// production. It is modelled by the current core behind a filter that drops,
-	// in both directions, what that version does not know. The filter follows the
-	// table of its reading rules in docs/design.md ("Pipelines and the upgrade"):
+	// production. It is modelled by the current controller behind a filter that
+	// drops, in both directions, what that version does not know. The filter follows
+	// the table of its reading rules in docs/design.md ("Pipelines and the upgrade"):
 	// unknown JSON and CBOR fields are ignored, and none of them is ever written.
 	ProductionVersion
 )
 
-// dependenciesField marks, in the JSON of a job's description, the jobs that it
-// awaits. The production release does not know it.
-const dependenciesField = "aw"
+// Stored fields that the production version does not know.
+const (
+	// dependenciesField lists, in a job's description, the jobs that it depends on.
+	dependenciesField = "aw"
+	// upgradedNodesField lists, in the record of a shard's owner, the controllers
+	// known to be upgraded.
+	upgradedNodesField = "up"
+)
 
-// filterEvent is what a controller of a release makes of an event.
-func filterEvent(r Version, ev messages.Event) messages.Event {
-	if r == CurrentVersion {
-		return ev
+// filterEvent is what a controller of a version reads of an event.
+func filterEvent(version Version, event messages.Event) messages.Event {
+	if version == CurrentVersion {
+		return event
 	}
-	switch e := ev.(type) {
+	switch e := event.(type) {
 	case messages.Submit:
 		e.Spec.Dependencies = nil
 		return e
@@ -42,144 +47,155 @@
 		e.Body = filterProductionReply(e.Body)
 		return e
 	}
-	return ev
+	return event
 }
 
-// filterEffect is what a controller of a release sends of an effect.
-func filterEffect(r Version, f messages.Effect) messages.Effect {
-	if r == CurrentVersion {
-		return f
+// filterEffect is what a controller of a version sends of an effect.
+func filterEffect(version Version, effect messages.Effect) messages.Effect {
+	if version == CurrentVersion {
+		return effect
 	}
-	switch f := f.(type) {
+	switch e := effect.(type) {
 	case messages.PeerCall:
-		f.Message = filterProductionMessage(f.Message)
-		return f
+		e.Message = filterProductionMessage(e.Message)
+		return e
 	case messages.Respond:
-		if f.Peer != nil {
-			m := filterProductionMessage(*f.Peer)
-			f.Peer = &m
+		if e.Peer != nil {
+			message := filterProductionMessage(*e.Peer)
+			e.Peer = &message
 		}
-		return f
+		return e
 	case messages.StoreTxn:
-		then := make([]messages.TxnOp, len(f.Then))
-		for i, op := range f.Then {
-			then[i] = messages.TxnOp{Key: op.Key, Value: FilterProductionRecord(op.Key, op.Value)}
-		}
-		f.Then = then
-		return f
+		e.Then = filterProductionOps(e.Then)
+		return e
 	}
-	return f
+	return effect
 }
 
+// filterProductionReply is what the production version reads of a reply.
 func filterProductionReply(body any) any {
-	switch r := body.(type) {
+	switch reply := body.(type) {
 	case messages.GetReply:
-		r.KV.Value = FilterProductionRecord(r.KV.Key, r.KV.Value)
-		return r
+		reply.KV.Value = FilterProductionRecord(reply.KV.Key, reply.KV.Value)
+		return reply
 	case messages.ListReply:
-		r.Items = filterProductionItems(r.Items)
-		return r
+		reply.Items = filterProductionItems(reply.Items)
+		return reply
 	case messages.WatchReply:
-		r.Items = filterProductionItems(r.Items)
-		return r
+		reply.Items = filterProductionItems(reply.Items)
+		return reply
 	case messages.PeerReply:
-		r.Message = filterProductionMessage(r.Message)
-		return r
+		reply.Message = filterProductionMessage(reply.Message)
+		return reply
 	}
 	return body
 }
 
+func filterProductionOps(operations []messages.TxnOp) []messages.TxnOp {
+	filtered := make([]messages.TxnOp, len(operations))
+	for i, operation := range operations {
+		filtered[i] = messages.TxnOp{Key: operation.Key, Value: FilterProductionRecord(operation.Key, operation.Value)}
+	}
+	return filtered
+}
+
 func filterProductionItems(items []messages.KV) []messages.KV {
-	out := make([]messages.KV, len(items))
+	filtered := make([]messages.KV, len(items))
 	for i, kv := range items {
-		out[i] = messages.KV{Key: kv.Key, Value: FilterProductionRecord(kv.Key, kv.Value), ModRevision: kv.ModRevision}
+		filtered[i] = messages.KV{Key: kv.Key, Value: FilterProductionRecord(kv.Key, kv.Value), ModRevision: kv.ModRevision}
 	}
-	return out
+	return filtered
 }
 
 // filterProductionMessage is a message between controllers without the fields that
-// the production release does not know.
-func filterProductionMessage(m messages.PeerMessage) messages.PeerMessage {
-	if m.Ping != nil {
-		ping := *m.Ping
+// the production version does not know. The message itself stays as it is.
+func filterProductionMessage(message messages.PeerMessage) messages.PeerMessage {
+	if message.Ping != nil {
+		ping := *message.Ping
 		ping.FeatureLevel = 0
-		m.Ping = &ping
+		message.Ping = &ping
 	}
-	if m.Submission != nil {
-		handedOn := *m.Submission
-		handedOn.Spec.Dependencies = nil
-		m.Submission = &handedOn
+	if message.Submission != nil {
+		submission := *message.Submission
+		submission.Spec.Dependencies = nil
+		message.Submission = &submission
 	}
-	if m.Notice != nil {
-		m.Notice = &messages.JobNotice{Keys: filterProductionItems(m.Notice.Keys)}
+	if message.Notice != nil {
+		message.Notice = &messages.JobNotice{Keys: filterProductionItems(message.Notice.Keys)}
 	}
-	return m
+	return message
 }
 
 // FilterProductionRecord is a stored record without the fields that the production
-// release does not know. A record that has none of them stays as it is.
+// version does not know. A record that has none of them stays as it is.
 func FilterProductionRecord(key string, value []byte) []byte {
 	switch {
-	case strings.HasPrefix(key, "parts/") && bytes.Contains(value, []byte(`"`+upgradedNodesField+`"`)):
+	case strings.HasPrefix(key, "parts/") && hasField(value, upgradedNodesField):
 		return withoutField(value, upgradedNodesField)
-	case !bytes.Contains(value, []byte(`"`+dependenciesField+`"`)):
+	case !hasField(value, dependenciesField):
 		return value
 	case strings.HasPrefix(key, "jobs/"):
-		return editField(value, "s", func(spec json.RawMessage) json.RawMessage {
-			return withoutField(spec, dependenciesField)
-		})
+		return withoutDependencies(value)
 	case strings.HasPrefix(key, "accepts/"):
-		return editField(value, "j", filterProductionAdmissions)
+		return editField(value, "j", withoutDependenciesOfAll)
 	}
 	return value
 }
 
-// upgradedNodesField lists, in a claim, the controllers known to be upgraded.
-const upgradedNodesField = "up"
+// withoutDependencies returns a job's record without its dependencies.
+func withoutDependencies(record []byte) json.RawMessage {
+	return editField(record, "s", func(spec json.RawMessage) json.RawMessage {
+		return withoutField(spec, dependenciesField)
+	})
+}
 
-func filterProductionAdmissions(list json.RawMessage) json.RawMessage {
-	var jobs []json.RawMessage
-	if json.Unmarshal(list, &jobs) != nil {
+// withoutDependenciesOfAll returns a list of jobs' records without their
+// dependencies; anything else as it is.
+func withoutDependenciesOfAll(list json.RawMessage) json.RawMessage {
+	var records []json.RawMessage
+	if json.Unmarshal(list, &records) != nil {
 		return list
 	}
-	for i, job := range jobs {
-		jobs[i] = editField(job, "s", func(spec json.RawMessage) json.RawMessage {
-			return withoutField(spec, dependenciesField)
-		})
-	}
-	out, err := json.Marshal(jobs)
-	if err != nil {
-		return list
+	for i, record := range records {
+		records[i] = withoutDependencies(record)
 	}
-	return out
+	return marshalOr(records, list)
 }
 
-// editField returns an object with one field replaced; anything else as it is.
-func editField(object []byte, name string, edit func(json.RawMessage) json.RawMessage) json.RawMessage {
-	fields := map[string]json.RawMessage{}
-	if json.Unmarshal(object, &fields) != nil {
-		return object
-	}
-	if old, ok := fields[name]; ok {
-		fields[name] = edit(old)
-	}
-	out, err := json.Marshal(fields)
-	if err != nil {
-		return object
-	}
-	return out
+// hasField tells whether an object may have a field, at any depth.
+func hasField(object []byte, name string) bool {
+	return bytes.Contains(object, []byte(`"`+name+`"`))
 }
 
 // withoutField returns an object without one of its fields.
 func withoutField(object []byte, name string) json.RawMessage {
+	return editObject(object, func(fields map[string]json.RawMessage) { delete(fields, name) })
+}
+
+// editField returns an object with one field edited, if it has that.
+func editField(object []byte, name string, edit func(json.RawMessage) json.RawMessage) json.RawMessage {
+	return editObject(object, func(fields map[string]json.RawMessage) {
+		if value, ok := fields[name]; ok {
+			fields[name] = edit(value)
+		}
+	})
+}
+
+// editObject returns an object with its fields edited; anything else as it is.
+func editObject(object []byte, edit func(fields map[string]json.RawMessage)) json.RawMessage {
 	fields := map[string]json.RawMessage{}
 	if json.Unmarshal(object, &fields) != nil {
 		return object
 	}
-	delete(fields, name)
-	out, err := json.Marshal(fields)
+	edit(fields)
+	return marshalOr(fields, object)
+}
+
+// marshalOr encodes a value; if that fails it returns the original.
+func marshalOr(value any, original []byte) json.RawMessage {
+	encoded, err := json.Marshal(value)
 	if err != nil {
-		return object
+		return original
 	}
-	return out
+	return encoded
 }
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/version_filter_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestProductionRecordsPassUnchanged: the filter that models the production
-// release changes nothing in records which that release wrote itself.
+// version changes nothing in records which that version wrote itself.
 func TestProductionRecordsPassUnchanged(t *testing.T) {
 	text, err := os.ReadFile("../controller/testdata/production/records.json")
 	if err != nil {
@@ -31,16 +31,16 @@
 	}
 }
 
-// TestProductionVersionIgnoresNewFields: what that release does not know is
-// gone when it has read a record or a message, and all else is still there.
+// TestProductionVersionIgnoresNewFields: what that version does not know is gone
+// when it has read a record or a message, and all else is still there.
 func TestProductionVersionIgnoresNewFields(t *testing.T) {
-	for key, c := range map[string]struct{ value, want string }{
+	for key, test := range map[string]struct{ value, want string }{
 		"jobs/j-1":    {`{"s":{"c":"x","aw":["j-0"]},"w":"b1-1"}`, `{"s":{"c":"x"},"w":"b1-1"}`},
 		"accepts/b-1": {`{"j":[{"id":"j-1","s":{"aw":["j-0"],"c":"x"}},{"id":"j-2","s":{"c":"y"}}],"w":"b1-2"}`, `{"j":[{"id":"j-1","s":{"c":"x"}},{"id":"j-2","s":{"c":"y"}}],"w":"b1-2"}`},
 		"parts/0":     {`{"holder":"n0","term":7,"up":["n0"],"w":"b1-3"}`, `{"holder":"n0","term":7,"w":"b1-3"}`},
 	} {
-		if got := FilterProductionRecord(key, []byte(c.value)); string(got) != c.want {
-			t.Errorf("%s: read as %s, want %s", key, got, c.want)
+		if got := FilterProductionRecord(key, []byte(test.value)); string(got) != test.want {
+			t.Errorf("%s: read as %s, want %s", key, got, test.want)
 		}
 	}
 	ping := messages.PeerCall{Message: messages.PeerMessage{Ping: &messages.Ping{InstanceID: "b1", FeatureLevel: 1}}}
@@ -51,12 +51,12 @@
 	if ping.Message.Ping.FeatureLevel != 1 {
 		t.Error("the filter changed the message itself")
 	}
-	handedOn := messages.PeerRequest{Message: messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: "j-1", Spec: cluster.JobSpec{Team: "red", Dependencies: []cluster.JobID{"j-0"}}}}}
-	read := filterEvent(ProductionVersion, handedOn).(messages.PeerRequest).Message.Submission
+	proxied := messages.PeerRequest{Message: messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: "j-1", Spec: cluster.JobSpec{Team: "red", Dependencies: []cluster.JobID{"j-0"}}}}}
+	read := filterEvent(ProductionVersion, proxied).(messages.PeerRequest).Message.Submission
 	if len(read.Spec.Dependencies) != 0 || read.Spec.Team != "red" {
 		t.Errorf("read %+v", read)
 	}
-	if same := filterEvent(CurrentVersion, handedOn).(messages.PeerRequest).Message.Submission; len(same.Spec.Dependencies) != 1 {
-		t.Error("the current release is filtered")
+	if same := filterEvent(CurrentVersion, proxied).(messages.PeerRequest).Message.Submission; len(same.Spec.Dependencies) != 1 {
+		t.Error("the current version is filtered")
 	}
 }
