--- a/internal/controller/all_controllers_down_test.go
+++ b/internal/controller/all_controllers_down_test.go
@@ -6,21 +6,21 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestAllControllersDownLongerThanLease: all controllers are away for longer than a lease.
+// TestAllControllersDownLongerThanLease: all controllers are down for longer than a lease.
 // The tasks are lost with it; none runs twice, and the job gets done.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	m := newTestCluster(t, 2)
 	other := m.submitJob("j-000002", 2, 20*second)
 	m.RunUntil(m.Now + 3*second)
-	for _, n := range m.Nodes {
-		n.Kill()
+	for _, node := range m.Nodes {
+		node.Kill()
 	}
 	m.RunUntil(m.Now + m.config.WorkerLease + 5*second)
-	if n := m.countRunningTasks(m.longJob); n != 0 {
-		t.Fatalf("%d tasks outlive their lease", n)
+	if running := m.countRunningTasks(m.longJob); running != 0 {
+		t.Fatalf("%d tasks outlive their lease", running)
 	}
-	for i, n := range m.Nodes {
-		m.After(cluster.Time(i)*second/5, n.Start)
+	for i, node := range m.Nodes {
+		m.After(cluster.Time(i)*second/5, node.Start)
 	}
 	m.runAndCheck(90 * second)
 	if other.ReportedStatus != cluster.JobDone || m.countRunningTasks(m.longJob) != 3 {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -8,17 +8,18 @@
 	"stairrelay/internal/simulation"
 )
 
-// BenchmarkClusterSecond measures a simulated second of a loaded cluster of
-// three cores: reports, placement, writes, polls.
+// BenchmarkClusterSecond measures a simulated second of a loaded cluster of three
+// controllers: heartbeats, scheduling, writes, polls.
 func BenchmarkClusterSecond(b *testing.B) {
 	sim := newSimulator(1, testConfig())
 	sim.NoRandomFaults = true
 	addMachinesPerZone(sim, 5)
 	sim.RunUntil(5 * second)
+	const run = 4 * second
 	for i := range 60 {
-		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: "c", Team: []string{"red", "green", "blue"}[i%3], Priority: cluster.Normal,
-			Tasks: 1000, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu}, Image: "img", ImageGB: 1, RuntimeSeconds: 4, Spot: true}
-		sim.Users.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 4 * second, TaskCount: s.Tasks, Image: s.Image}})
+		spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-%06d", i)), testTeams[i%len(testTeams)], 1000, run)
+		spec.Spot = true
+		sim.Users.Submit(newJob(spec, run))
 	}
 	sim.RunUntil(30 * second)
 	b.ReportAllocs()
@@ -31,10 +32,10 @@
 	}
 }
 
-// BenchmarkFleet measures a simulated second of a fleet with some tasks running
-// on each machine and hundreds of jobs waiting. core-ms/s is what one core takes
-// of a second, us/step and allocs/step what one event costs it, bytes/machine
-// what the cores keep; the rest is the stand-ins'.
+// BenchmarkFleet measures a simulated second of a fleet with some tasks running on
+// each machine and hundreds of jobs waiting. core-ms/s is what one controller takes
+// of a second, us/step and allocs/step what one event costs it; the rest is the
+// simulation's.
 func BenchmarkFleet(b *testing.B) {
 	for _, machines := range []int{500, 1000, 2000, 4000, 8000} {
 		b.Run(fmt.Sprintf("%d-machines", machines), func(b *testing.B) { benchFleet(b, 3, machines) })
@@ -42,27 +43,8 @@
 }
 
 func benchFleet(b *testing.B, nodes, machines int) {
-	cfg := testConfig()
-	cfg.Nodes, cfg.Teams = nil, nil
-	for i := range nodes {
-		cfg.Nodes = append(cfg.Nodes, cluster.NodeID(fmt.Sprintf("n%d", i)))
-	}
-	for i := range 6 {
-		cfg.Teams = append(cfg.Teams, cluster.Team{Name: fmt.Sprintf("t%d", i), GuaranteedQuota: cluster.Resources{CPU: cpu * cluster.Amount(machines) / 2}, QuotaLimit: cluster.Resources{CPU: cpu * cluster.Amount(machines) * 3 / 2}})
-	}
-	cfg.HeartbeatInterval, cfg.WorkerLease = 5*second, 26*second
-	cfg.StoreRPS, cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = 500, 100, 8192, 16
-	sim := newSimulator(1, cfg)
-	sim.NoRandomFaults = true
-	for i := range machines {
-		sim.Machines.Add("small", []string{"a", "b", "c"}[i%3], false)
-	}
-	sim.RunUntil(10 * second)
-	for i := range machines * 9 / 19 {
-		s := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Class: fmt.Sprintf("c%d", i%3), Team: cfg.Teams[i%6].Name, Priority: cluster.Priority(i % 3),
-			Tasks: 10 + 30*(i%7), ResourceRequest: cluster.Resources{CPU: cpu * cluster.Amount(1+i%2), Memory: 3 * cpu}, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1, RuntimeSeconds: 25, Spot: true}
-		sim.Users.Submit(&simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: 25 * second, TaskCount: s.Tasks, Image: s.Image}})
-	}
+	b.Helper()
+	sim := newBenchFleet(nodes, machines)
 	sim.RunUntil(60 * second)
 	b.ResetTimer()
 	sim.ControllerTime, sim.StepCount, sim.Allocations = 0, 0, 0
@@ -71,11 +53,11 @@
 	}
 	b.ReportMetric(float64(sim.ControllerTime.Milliseconds())/float64(b.N)/float64(nodes), "core-ms/s")
 	b.ReportMetric(float64(sim.ControllerTime.Microseconds())/float64(sim.StepCount), "us/step")
-	running := 0
-	for _, l := range sim.Machines.Workers {
-		running += len(l.Tasks)
+	tasks := 0
+	for _, worker := range sim.Machines.Workers {
+		tasks += len(worker.Tasks)
 	}
-	b.ReportMetric(float64(running), "tasks")
+	b.ReportMetric(float64(tasks), "tasks")
 	b.StopTimer()
 	sim.CountAllocations, sim.StepCount, sim.Allocations = true, 0, 0
 	sim.RunUntil(sim.Now + second)
@@ -84,3 +66,36 @@
 		b.Fatal(sim.Violations)
 	}
 }
+
+// newBenchFleet makes a fleet whose machines are up, with more jobs than they can
+// run at once.
+func newBenchFleet(nodes, machines int) *simulation.Simulator {
+	cfg := testConfig()
+	cfg.Nodes, cfg.Teams = nil, nil
+	for i := range nodes {
+		cfg.Nodes = append(cfg.Nodes, cluster.NodeID(fmt.Sprintf("n%d", i)))
+	}
+	size := cpu * cluster.Amount(machines)
+	for i := range 6 {
+		cfg.Teams = append(cfg.Teams, testTeam(fmt.Sprintf("t%d", i), size/2, size*3/2))
+	}
+	cfg.HeartbeatInterval, cfg.WorkerLease = 5*second, 26*second
+	cfg.StoreRPS, cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps = 500, 100, 8192, 16
+	sim := newSimulator(1, cfg)
+	sim.NoRandomFaults = true
+	for i := range machines {
+		sim.Machines.Add("small", zones[i%len(zones)], false)
+	}
+	sim.RunUntil(10 * second)
+	const run = 25 * second
+	for i := range machines * 9 / 19 {
+		spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-%06d", i)), cfg.Teams[i%len(cfg.Teams)].Name, 10+30*(i%7), run)
+		spec.Class = fmt.Sprintf("c%d", i%3)
+		spec.Priority = cluster.Priority(i % 3)
+		spec.ResourceRequest = cluster.Resources{CPU: cpu * cluster.Amount(1+i%2), Memory: 3 * cpu}
+		spec.Image = fmt.Sprintf("img-%d", i%20)
+		spec.Spot = true
+		sim.Users.Submit(newJob(spec, run))
+	}
+	return sim
+}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,300 +12,351 @@
 	"stairrelay/internal/simulation"
 )
 
-// Pipelines. Cycles can't arise: a job names only jobs that were accepted, and
-// a repeat of an accepted id never changes what that awaits
-// (TestAwaitsOfSubmissions), so each job is later than all that it names.
+// Pipelines. There are no cycles: a job names only jobs that were accepted, and a
+// repeated submission of an accepted job never changes its dependencies
+// (TestDependenciesOfSubmissions), so each job is later than all that it names.
 
-// submitAfter hands in a job of a team that awaits others.
-func (m *testCluster) submitAfter(id cluster.JobID, team string, tasks int, run cluster.Time, awaits ...cluster.JobID) *simulation.Job {
-	j := newTestJob(m, id, team, tasks, run, awaits...)
-	m.Users.SubmitAfterDependencies(j, false)
-	return j
+// testTeams are the teams of testConfig.
+var testTeams = []string{"red", "green", "blue"}
+
+// newDependent makes a job of a team that depends on others.
+func (m *testCluster) newDependent(id cluster.JobID, team string, run cluster.Time, dependencies ...cluster.JobID) *simulation.Job {
+	spec := newJobSpec(id, team, 1, run)
+	spec.SubmittedAt = wallTime(m.Now)
+	spec.Dependencies = dependencies
+	return newJob(spec, run)
 }
 
-func newTestJob(m *testCluster, id cluster.JobID, team string, tasks int, run cluster.Time, awaits ...cluster.JobID) *simulation.Job {
-	s := cluster.JobSpec{ID: id, Class: "c", Team: team, Priority: cluster.Normal, Tasks: tasks, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu},
-		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: cluster.WallTime(m.Now / 1e6), Dependencies: awaits}
-	return &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
+// submitDependent submits a job of a team once its dependencies are accepted.
+func (m *testCluster) submitDependent(id cluster.JobID, team string, run cluster.Time, dependencies ...cluster.JobID) *simulation.Job {
+	job := m.newDependent(id, team, run, dependencies...)
+	m.Users.SubmitAfterDependencies(job, false)
+	return job
 }
 
-// requestAnswer puts one question to one controller and waits for the answer.
-func (m *testCluster) requestAnswer(n *simulation.Node, ev func(messages.RequestID) messages.Event) messages.Respond {
+// request sends a request to one controller and waits for the answer.
+func (m *testCluster) request(node *simulation.Node, request func(messages.RequestID) messages.Event) messages.Respond {
 	m.t.Helper()
 	var got *messages.Respond
-	n.SendRequest(ev, func(r messages.Respond) { got = &r })
+	node.SendRequest(request, func(answer messages.Respond) { got = &answer })
 	m.waitFor("an answer", 6*second, func() bool { return got != nil })
 	return *got
 }
 
-func (m *testCluster) queryAt(n *simulation.Node, id cluster.JobID) messages.Respond {
+func (m *testCluster) queryAt(node *simulation.Node, id cluster.JobID) messages.Respond {
 	m.t.Helper()
-	return m.requestAnswer(n, func(r messages.RequestID) messages.Event { return messages.Query{Request: r, ID: id} })
+	return m.request(node, queryRequest(id))
 }
 
-func (m *testCluster) submitAt(n *simulation.Node, j *simulation.Job) messages.Respond {
+func (m *testCluster) submitAt(node *simulation.Node, job *simulation.Job) messages.Respond {
 	m.t.Helper()
-	return m.requestAnswer(n, func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: j.Spec} })
+	return m.request(node, submitRequest(job.Spec))
 }
 
-// submitChain hands in jobs each of which awaits the one before, in turns of three teams.
-func (m *testCluster) submitChain(first *simulation.Job, n int, run cluster.Time) []*simulation.Job {
-	l := []*simulation.Job{first}
-	for i := 1; i < n; i++ {
+// submitChain submits jobs each of which depends on the one before, of the teams in
+// turn.
+func (m *testCluster) submitChain(first *simulation.Job, count int, run cluster.Time) []*simulation.Job {
+	m.t.Helper()
+	chain := []*simulation.Job{first}
+	for i := 1; i < count; i++ {
 		id := cluster.JobID(fmt.Sprintf("j-1%05d", i))
-		l = append(l, m.submitAfter(id, []string{"red", "green", "blue"}[i%3], 1, run, l[i-1].Spec.ID))
+		chain = append(chain, m.submitDependent(id, testTeams[i%len(testTeams)], run, chain[i-1].Spec.ID))
 	}
-	m.waitFor("all are accepted", 120*second, func() bool { return l[n-1].Accepted })
-	return l
+	m.waitFor("all are accepted", 120*second, func() bool { return chain[count-1].Accepted })
+	return chain
 }
 
-// storedFinalStatus is the final state in a job's own record; none: "".
-func (m *testCluster) storedFinalStatus(j *simulation.Job) cluster.JobStatus {
-	var rec struct {
-		State cluster.JobStatus `json:"st"`
+// storedFinalStatus is the final status in a job's own record; none: "".
+func (m *testCluster) storedFinalStatus(job *simulation.Job) cluster.JobStatus {
+	m.t.Helper()
+	reply := m.StateService.Get("jobs/" + string(job.Spec.ID))
+	if reply.Outcome != messages.OK {
+		return ""
+	}
+	var record struct {
+		Status cluster.JobStatus `json:"st"`
 	}
-	if r := m.StateService.Get("jobs/" + string(j.Spec.ID)); r.Outcome == messages.OK {
-		if err := json.Unmarshal(r.KV.Value, &rec); err != nil {
-			m.t.Fatal(err)
+	if err := json.Unmarshal(reply.KV.Value, &record); err != nil {
+		m.t.Fatal(err)
+	}
+	return record.Status
+}
+
+// checkCancelledEverywhere checks that all controllers call a job cancelled.
+func (m *testCluster) checkCancelledEverywhere(job *simulation.Job) {
+	m.t.Helper()
+	for _, node := range m.Nodes {
+		if answer := m.queryAt(node, job.Spec.ID); answer.Status != messages.ReplyOK || answer.View.Status != cluster.JobCancelled {
+			m.t.Errorf("%s says of %s: %d %+v", node.ID, job.Spec.ID, answer.Status, answer.View)
 		}
 	}
-	return rec.State
 }
 
+const chainLength = 50
+
 // TestDependencyChain: fifty jobs of three teams, one after the other.
 func TestDependencyChain(t *testing.T) {
 	m := newIdleCluster(t, 3)
-	first := m.submitAfter("j-100000", "red", 1, 40*second)
-	l := m.submitChain(first, 50, second)
-	begun := 1
+	first := m.submitDependent("j-100000", "red", 40*second)
+	chain := m.submitChain(first, chainLength, second)
+	started := 1
 	m.waitFor("the last is done", 900*second, func() bool {
-		for ; begun < 50 && l[begun].FirstStartAt > 0; begun++ {
-			if end := m.storedFinalStatus(l[begun-1]); end != cluster.JobDone {
-				t.Errorf("%s has begun, the one before it is stored as %q", l[begun].Spec.ID, end)
+		for ; started < chainLength && chain[started].FirstStartAt > 0; started++ {
+			if status := m.storedFinalStatus(chain[started-1]); status != cluster.JobDone {
+				t.Errorf("%s has started, the one before it is stored as %q", chain[started].Spec.ID, status)
 			}
 		}
-		return l[49].ReportedStatus == cluster.JobDone
+		return chain[chainLength-1].ReportedStatus == cluster.JobDone
 	})
-	if begun != 50 {
-		t.Errorf("%d have begun in their order", begun)
+	if started != chainLength {
+		t.Errorf("%d have started in their order", started)
 	}
 	m.checkNoViolations()
 }
 
 // TestDependencyChainCancelled: the first of fifty is cancelled. Within cancel_s every
-// controller tells so of each, and none has had a task.
+// controller calls each of them cancelled, and none has had a task.
 func TestDependencyChainCancelled(t *testing.T) {
 	m := newIdleCluster(t, 3)
-	first := m.submitAfter("j-100000", "red", 1, 600*second)
-	l := m.submitChain(first, 50, second)
+	first := m.submitDependent("j-100000", "red", 600*second)
+	chain := m.submitChain(first, chainLength, second)
 	m.cancelAt(m.Nodes[2], first)
 	m.RunUntil(first.CancelConfirmedAt + m.config.CancelDeadline - 2*second)
-	for _, n := range m.Nodes {
-		for _, j := range l {
-			if r := m.queryAt(n, j.Spec.ID); r.Status != 200 || r.View.Status != cluster.JobCancelled {
-				t.Errorf("%s says of %s: %d %+v", n.ID, j.Spec.ID, r.Status, r.View)
-			}
-		}
+	for _, job := range chain {
+		m.checkCancelledEverywhere(job)
 	}
-	for _, j := range l[1:] {
-		if j.FirstStartAt != 0 {
-			t.Errorf("%s had a task", j.Spec.ID)
+	for _, job := range chain[1:] {
+		if job.FirstStartAt != 0 {
+			t.Errorf("%s had a task", job.Spec.ID)
 		}
 	}
-	if n := m.countRunningTasks(first); n > 0 {
-		t.Errorf("%d tasks of the first still run", n)
+	if running := m.countRunningTasks(first); running > 0 {
+		t.Errorf("%d tasks of the first still run", running)
 	}
 	m.RunUntil(m.Now + 60*second)
 	m.checkNoViolations()
 }
 
-// TestDependenciesOfSubmissions: what a submission may name, and what it gets.
+// TestDependenciesOfSubmissions: which dependencies a submission may name, and how it
+// is answered.
 func TestDependenciesOfSubmissions(t *testing.T) {
 	m := newTestCluster(t, 2)
-	expect := func(n *simulation.Node, j *simulation.Job, want messages.ReplyStatus) messages.Respond {
-		t.Helper()
-		r := m.submitAt(n, j)
-		if r.Status != want {
-			t.Errorf("%s, which awaits %v, gets %d %s, want %d", j.Spec.ID, j.Spec.Dependencies, r.Status, r.Error, want)
-		}
-		if j.Accepted = r.Status == 200 || r.Status == 201; j.Accepted {
-			m.Jobs[j.Spec.ID] = j
-		}
-		return r
+	for i, node := range m.Nodes {
+		id := cluster.JobID(fmt.Sprintf("j-20000%d", i))
+		m.expectStatus(node, m.newDependent(id, "green", second, "j-000001", "j-999999"), messages.ReplyUnschedulable)
+		// That did not use the ID up: it may come again with other dependencies.
+		m.expectStatus(node, m.newDependent(id, "green", second, "j-000001", "j-000001"), messages.ReplyCreated)
 	}
-	for i, n := range m.Nodes {
-		expect(n, newTestJob(m, cluster.JobID(fmt.Sprintf("j-20000%d", i)), "green", 1, second, "j-000001", "j-999999"), 422)
-		// The id was not taken by that: it may come again with another list.
-		expect(n, newTestJob(m, cluster.JobID(fmt.Sprintf("j-20000%d", i)), "green", 1, second, "j-000001", "j-000001"), 201)
+	m.checkRecentDependencies()
+	m.checkRepeatedSubmissions()
+	m.checkSubmissionsInOutage()
+	m.RunUntil(m.Now + 20*second)
+	m.checkNoViolations()
+}
+
+// expectStatus submits a job to one controller and checks the answer's status.
+func (m *testCluster) expectStatus(node *simulation.Node, job *simulation.Job, want messages.ReplyStatus) {
+	m.t.Helper()
+	answer := m.submitAt(node, job)
+	if answer.Status != want {
+		m.t.Errorf("%s, which depends on %v, gets %d %s, want %d", job.Spec.ID, job.Spec.Dependencies, answer.Status, answer.Error, want)
 	}
-	// Accepted a moment ago by another controller, in a record of its own and in one of several.
-	for round, several := range []int{1, 14} {
-		m.Store.Delay = second / 5 // more come in than there are writes at once
-		var ids []cluster.JobID
-		left := several
-		for k := range several {
-			j := newTestJob(m, cluster.JobID(fmt.Sprintf("j-30%d%03d", round, k)), "blue", 1, 60*second)
-			ids = append(ids, j.Spec.ID)
-			m.Jobs[j.Spec.ID] = j
-			m.Nodes[0].SendRequest(func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: j.Spec} }, func(r messages.Respond) {
-				if r.Status != 201 {
-					t.Errorf("%s gets %d", j.Spec.ID, r.Status)
-				}
-				j.Accepted = true
-				left--
-			})
-		}
-		m.waitFor("they are accepted", 5*second, func() bool { return left == 0 })
+	job.Accepted = answer.Status == messages.ReplyOK || answer.Status == messages.ReplyCreated
+	if job.Accepted {
+		m.Jobs[job.Spec.ID] = job
+	}
+}
+
+// checkRecentDependencies submits jobs that depend on others which another controller
+// has just accepted, in a record of their own or in one of several.
+func (m *testCluster) checkRecentDependencies() {
+	m.t.Helper()
+	for round, count := range []int{1, 14} {
+		m.Store.Delay = second / 5 // more submissions come in than there are writes at once
+		ids := m.submitTogether(round, count)
 		m.Store.Delay = 0
-		n := 0
+		recordBytes := 0
 		for _, kv := range m.StateService.List("accepts/").Items {
-			n += len(kv.Value)
+			recordBytes += len(kv.Value)
 		}
-		if several > 1 && n == 0 {
-			t.Error("no record of several was written: the test shows nothing of them")
+		if count > 1 && recordBytes == 0 {
+			m.t.Error("no record of several jobs was written: the test shows nothing of them")
 		}
-		for i, n := range m.Nodes[1:] {
-			expect(n, newTestJob(m, cluster.JobID(fmt.Sprintf("j-40%d%03d", round, i)), "green", 1, second, ids...), 201)
+		for i, node := range m.Nodes[1:] {
+			id := cluster.JobID(fmt.Sprintf("j-40%d%03d", round, i))
+			m.expectStatus(node, m.newDependent(id, "green", second, ids...), messages.ReplyCreated)
 		}
 	}
-	// A repeat gets 200 whatever its list says, at every controller.
-	for _, n := range m.Nodes {
-		for _, list := range [][]cluster.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
-			again := newTestJob(m, "j-200000", "green", 1, second, list...)
-			if r := m.submitAt(n, again); r.Status != 200 {
-				t.Errorf("a repeat with %v gets %d at %s", list, r.Status, n.ID)
+}
+
+// submitTogether submits jobs to one controller at once and waits until all are
+// accepted.
+func (m *testCluster) submitTogether(round, count int) []cluster.JobID {
+	m.t.Helper()
+	var ids []cluster.JobID
+	pending := count
+	for i := range count {
+		job := m.newDependent(cluster.JobID(fmt.Sprintf("j-30%d%03d", round, i)), "blue", 60*second)
+		ids = append(ids, job.Spec.ID)
+		m.Jobs[job.Spec.ID] = job
+		m.Nodes[0].SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
+			if answer.Status != messages.ReplyCreated {
+				m.t.Errorf("%s gets %d", job.Spec.ID, answer.Status)
+			}
+			job.Accepted = true
+			pending--
+		})
+	}
+	m.waitFor("they are accepted", 5*second, func() bool { return pending == 0 })
+	return ids
+}
+
+// checkRepeatedSubmissions checks that a repeated submission gets 200 whatever its
+// dependencies are, at every controller. So there is no cycle: the first job that a
+// list names can't come to depend on a later one.
+func (m *testCluster) checkRepeatedSubmissions() {
+	m.t.Helper()
+	for _, node := range m.Nodes {
+		for _, dependencies := range [][]cluster.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
+			again := m.newDependent("j-200000", "green", second, dependencies...)
+			if answer := m.submitAt(node, again); answer.Status != messages.ReplyOK {
+				m.t.Errorf("a repeat with %v gets %d at %s", dependencies, answer.Status, node.ID)
 			}
 		}
 	}
-	// So no cycle: the first job that a list names can't come to await a later one.
-	if r := m.submitAt(m.Nodes[0], newTestJob(m, "j-000001", "red", 3, 300*second, "j-200000")); r.Status != 200 {
-		t.Errorf("a repeat gets %d", r.Status)
+	again := m.newDependent("j-000001", "red", 300*second, "j-200000")
+	again.Spec.Tasks = m.longJob.Spec.Tasks
+	if answer := m.submitAt(m.Nodes[0], again); answer.Status != messages.ReplyOK {
+		m.t.Errorf("a repeat gets %d", answer.Status)
 	}
+}
+
+// checkSubmissionsInOutage checks that nothing is decided while the state service is
+// down.
+func (m *testCluster) checkSubmissionsInOutage() {
+	m.t.Helper()
 	m.Store.DownUntil = m.Now + 20*second
 	m.RunUntil(m.Now + 2*second)
-	for _, n := range m.Nodes {
-		expect(n, newTestJob(m, "j-500000", "green", 1, second, "j-999999"), 503)
-		expect(n, newTestJob(m, "j-500001", "green", 1, second, "j-000001"), 503)
+	for _, node := range m.Nodes {
+		m.expectStatus(node, m.newDependent("j-500000", "green", second, "j-999999"), messages.ReplyUnavailable)
+		m.expectStatus(node, m.newDependent("j-500001", "green", second, "j-000001"), messages.ReplyUnavailable)
 	}
 	m.RunUntil(m.Now + 30*second)
-	expect(m.Nodes[1], newTestJob(m, "j-500000", "green", 1, second, "j-999999"), 422)
-	m.RunUntil(m.Now + 20*second)
-	m.checkNoViolations()
+	m.expectStatus(m.Nodes[1], m.newDependent("j-500000", "green", second, "j-999999"), messages.ReplyUnschedulable)
 }
 
-// TestDependentOfCancelledJobCancelled: a job that names a cancelled one is accepted
-// and cancelled.
+// TestDependentOfCancelledJobCancelled: a job that depends on a cancelled one is
+// accepted and cancelled.
 func TestDependentOfCancelledJobCancelled(t *testing.T) {
 	m := newTestCluster(t, 2)
 	m.cancelAt(m.Nodes[1], m.longJob)
-	for i, n := range m.Nodes {
-		for k, team := range []string{"red", "green", "blue"} {
-			j := newTestJob(m, cluster.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, 1, second, "j-000001")
-			m.Jobs[j.Spec.ID] = j
-			r := m.submitAt(n, j)
-			if r.Status != 201 {
-				t.Errorf("%s gets %d at %s", j.Spec.ID, r.Status, n.ID)
-			}
-			j.Accepted = true
-			for _, other := range m.Nodes {
-				if r := m.queryAt(other, j.Spec.ID); r.Status != 200 || r.View.Status != cluster.JobCancelled {
-					t.Errorf("%s says of %s: %d %+v", other.ID, j.Spec.ID, r.Status, r.View)
-				}
+	for i, node := range m.Nodes {
+		for k, team := range testTeams {
+			job := m.newDependent(cluster.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, second, "j-000001")
+			m.Jobs[job.Spec.ID] = job
+			if answer := m.submitAt(node, job); answer.Status != messages.ReplyCreated {
+				t.Errorf("%s gets %d at %s", job.Spec.ID, answer.Status, node.ID)
 			}
+			job.Accepted = true
+			m.checkCancelledEverywhere(job)
 		}
 	}
 	m.runAndCheck(60 * second)
 }
 
-// TestCancellationVisibleAtPartitionedController: a controller that is cut from the others and has
-// not yet seen the cancellation in its watch is asked about a dependent right
-// after another has told the cancellation. It reads first.
+// TestCancellationVisibleAtPartitionedController: a controller that is partitioned from
+// the others and has not yet seen the cancellation in its watch is asked about a
+// dependent right after another has confirmed the cancellation. It reads first.
 func TestCancellationVisibleAtPartitionedController(t *testing.T) {
 	for i := range 3 {
-		for _, team := range []string{"red", "green", "blue"} {
+		for _, team := range testTeams {
 			m := newTestCluster(t, 2)
-			d := m.submitAfter("j-200000", team, 1, second, "j-000001")
-			e := m.submitAfter("j-200001", "blue", 1, second, "j-200000")
-			m.waitFor("accepted", 20*second, func() bool { return e.Accepted })
+			dependent := m.submitDependent("j-200000", team, second, "j-000001")
+			transitive := m.submitDependent("j-200001", "blue", second, "j-200000")
+			m.waitFor("accepted", 20*second, func() bool { return transitive.Accepted })
 			m.RunUntil(m.Now + 5*second)
-			deaf := m.Nodes[i]
-			at := m.Nodes[(i+1)%3]
-			if i != 1 {
-				at = m.Nodes[1]
+			partitioned, other := m.Nodes[i], m.Nodes[1]
+			if i == 1 {
+				other = m.Nodes[2]
 			}
-			deaf.PeersRefuseUntil = m.Now + 4*second
-			m.cancelAt(at, m.longJob)
+			partitioned.PeersRefuseUntil = m.Now + 4*second
+			m.cancelAt(other, m.longJob)
 			for range 10 {
-				for _, j := range []*simulation.Job{d, e} {
-					if r := m.queryAt(deaf, j.Spec.ID); r.Status == 200 && r.View.Status != cluster.JobCancelled {
-						t.Errorf("%s, cut off, calls %s of %s %s, told cancelled %v before", deaf.ID, j.Spec.ID, team, r.View.Status, time.Duration(m.Now-m.longJob.CancelConfirmedAt))
-					}
-				}
+				m.checkNotCalledUnfinished(partitioned, dependent)
+				m.checkNotCalledUnfinished(partitioned, transitive)
 			}
 			m.runAndCheck(50 * second)
 		}
 	}
 }
 
-// TestDependentReadyAcrossShards: on a quiet day a dependent of another part is released
-// within a second of its predecessor's stored end, and not before. What it then
-// takes to start is what any job takes.
+// checkNotCalledUnfinished checks that a controller which answers about a cancelled
+// job calls it cancelled.
+func (m *testCluster) checkNotCalledUnfinished(node *simulation.Node, job *simulation.Job) {
+	m.t.Helper()
+	if answer := m.queryAt(node, job.Spec.ID); answer.Status == messages.ReplyOK && answer.View.Status != cluster.JobCancelled {
+		m.t.Errorf("%s, partitioned, calls %s of %s %s, confirmed as cancelled %v before", node.ID, job.Spec.ID, job.Spec.Team, answer.View.Status, time.Duration(m.Now-m.longJob.CancelConfirmedAt))
+	}
+}
+
+// TestDependentReadyAcrossShards: on a day without faults a dependent of another shard
+// is ready within a second of its dependency's stored end, and not before. What it
+// then takes to start is what any job takes.
 func TestDependentReadyAcrossShards(t *testing.T) {
 	m := newIdleCluster(t, 3)
-	released := map[string]cluster.Time{}
-	m.Log = func(s string) {
-		if _, id, ok := strings.Cut(s, "job released [job "); ok {
-			released[strings.Fields(id)[0]] = m.Now
+	readyAt := map[string]cluster.Time{}
+	m.Log = func(text string) {
+		if _, id, ok := strings.Cut(text, "job released [job "); ok {
+			readyAt[strings.Fields(id)[0]] = m.Now
 		}
 	}
-	worst := cluster.Time(0)
+	longest := cluster.Time(0)
 	for i := range 9 {
-		from, to := []string{"red", "green", "blue"}[i%3], []string{"red", "green", "blue"}[(i+1+i/3)%3]
-		a := m.submitAfter(cluster.JobID(fmt.Sprintf("j-10000%d", i)), from, 1, 10*second)
-		b := m.submitAfter(cluster.JobID(fmt.Sprintf("j-20000%d", i)), to, 1, 5*second, a.Spec.ID)
-		m.waitFor("accepted", 10*second, func() bool { return b.Accepted })
-		m.waitFor("the first is stored as done", 60*second, func() bool { return m.storedFinalStatus(a) == cluster.JobDone })
-		stored := m.Now
-		if b.FirstStartAt != 0 || released[string(b.Spec.ID)] != 0 {
+		firstTeam, secondTeam := testTeams[i%3], testTeams[(i+1+i/3)%3]
+		dependency := m.submitDependent(cluster.JobID(fmt.Sprintf("j-10000%d", i)), firstTeam, 10*second)
+		dependent := m.submitDependent(cluster.JobID(fmt.Sprintf("j-20000%d", i)), secondTeam, 5*second, dependency.Spec.ID)
+		id := string(dependent.Spec.ID)
+		m.waitFor("accepted", 10*second, func() bool { return dependent.Accepted })
+		m.waitFor("the first is stored as done", 60*second, func() bool { return m.storedFinalStatus(dependency) == cluster.JobDone })
+		storedAt := m.Now
+		if dependent.FirstStartAt != 0 || readyAt[id] != 0 {
 			t.Fatal("too early")
 		}
-		m.waitFor("the second is released", 5*second, func() bool { return released[string(b.Spec.ID)] > 0 })
-		worst = max(worst, m.Now-stored)
-		m.waitFor("the second starts", 40*second, func() bool { return b.FirstStartAt > 0 })
-		t.Logf("%s after %s: released after %v, begun after %v", to, from, time.Duration(released[string(b.Spec.ID)]-stored), time.Duration(b.FirstStartAt-stored))
-		m.waitFor("the second is done", 60*second, func() bool { return b.ReportedStatus == cluster.JobDone })
+		m.waitFor("the second is ready", 5*second, func() bool { return readyAt[id] > 0 })
+		longest = max(longest, m.Now-storedAt)
+		m.waitFor("the second starts", 40*second, func() bool { return dependent.FirstStartAt > 0 })
+		t.Logf("%s after %s: ready after %v, started after %v", secondTeam, firstTeam, time.Duration(readyAt[id]-storedAt), time.Duration(dependent.FirstStartAt-storedAt))
+		m.waitFor("the second is done", 60*second, func() bool { return dependent.ReportedStatus == cluster.JobDone })
 	}
-	if worst > second {
-		t.Errorf("released %v after the stored end", time.Duration(worst))
+	if longest > second {
+		t.Errorf("ready %v after the stored end", time.Duration(longest))
 	}
 	m.checkNoViolations()
 }
 
-// TestDependentReadyAcrossFailover: the holder of the dependent's part ends, once while
-// the job waits and once right as its predecessor's end is stored.
+// TestDependentReadyAcrossFailover: the owner of the dependent's shard restarts, once
+// while the job waits and once right as its dependency's end is stored.
 func TestDependentReadyAcrossFailover(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		for i, team := range []string{"red", "green", "blue"} {
-			m := newTestCluster(t, 3)
-			a := m.submitAfter("j-100000", "red", 1, 30*second)
-			b := m.submitAfter("j-200000", team, 1, 5*second, a.Spec.ID)
-			c := m.submitAfter("j-200001", team, 1, 5*second, "j-000001")
-			m.waitFor("accepted", 10*second, func() bool { return b.Accepted && c.Accepted })
-			if late {
-				m.waitFor("the first is stored as done", 90*second, func() bool {
-					return m.storedFinalStatus(a) == cluster.JobDone
-				})
-			}
-			for _, n := range m.Nodes {
-				if n.ID == m.shardOwner(shardOfTeam[team]) {
-					restart(m.Simulator, n, 20*second)
+		for _, team := range testTeams {
+			t.Run(fmt.Sprintf("%s/late=%v", team, late), func(t *testing.T) {
+				m := newTestCluster(t, 3)
+				dependency := m.submitDependent("j-100000", "red", 30*second)
+				dependent := m.submitDependent("j-200000", team, 5*second, dependency.Spec.ID)
+				blocked := m.submitDependent("j-200001", team, 5*second, "j-000001")
+				m.waitFor("accepted", 10*second, func() bool { return dependent.Accepted && blocked.Accepted })
+				if late {
+					m.waitFor("the first is stored as done", 90*second, func() bool {
+						return m.storedFinalStatus(dependency) == cluster.JobDone
+					})
 				}
-			}
-			m.waitFor(fmt.Sprintf("the dependent is done (%d, late %v)", i, late), 200*second, func() bool { return b.ReportedStatus == cluster.JobDone })
-			if c.FirstStartAt != 0 {
-				t.Error("what awaits the long job has begun")
-			}
-			m.runAndCheck(30 * second)
+				m.restartNode(m.shardOwner(shardOfTeam[team]), 20*second)
+				m.waitFor("the dependent is done", 200*second, func() bool { return dependent.ReportedStatus == cluster.JobDone })
+				if blocked.FirstStartAt != 0 {
+					t.Error("the dependent of the long job has started")
+				}
+				m.runAndCheck(30 * second)
+			})
 		}
 	}
 }
--- a/internal/controller/growth_test.go
+++ b/internal/controller/growth_test.go
@@ -9,18 +9,18 @@
 
 // fleetWork is what all controllers do for each machine and second.
 type fleetWork struct {
-	scans     float64 // how often it is looked at
+	scans     float64 // how often it is scanned
 	puts      float64
 	peerCalls float64
 	events    float64
 }
 
-// measureWork plays a fleet under full load and counts what its controllers do.
+// measureWork runs a fleet under full load and counts what its controllers do.
 func measureWork(t *testing.T, machines int) fleetWork {
 	t.Helper()
 	const (
 		controllers = 3
-		settled     = 31 * second // counts begin anew each 30 s
+		settled     = 31 * second // the counters start anew each 30 s
 		measured    = 25 * second
 	)
 	f := newFleet(t, controllers, machines)
@@ -35,7 +35,7 @@
 	if len(f.Violations) > 0 {
 		t.Fatal(f.Violations)
 	}
-	each := func(n int) float64 { return float64(n) / float64(machines) / cluster.Time(measured).Seconds() }
+	each := func(count int) float64 { return float64(count) / float64(machines) / cluster.Time(measured).Seconds() }
 	return fleetWork{
 		scans:     each(after.MachineScans - before.MachineScans),
 		puts:      each(after.Puts - before.Puts),
@@ -48,34 +48,35 @@
 func (f *fleet) sumCounters() controller.Counters {
 	var sum controller.Counters
 	for _, c := range f.Controllers() {
-		n := c.Counts()
-		sum.MachineScans += n.MachineScans
-		sum.Puts += n.Puts
-		sum.PeerCalls += n.PeerCalls
+		counts := c.Counts()
+		sum.MachineScans += counts.MachineScans
+		sum.Puts += counts.Puts
+		sum.PeerCalls += counts.PeerCalls
 	}
 	return sum
 }
 
 // TestWorkGrowsWithFleet: a fleet eight times as large makes its controllers eight
-// times the work at the most. The looks at all machines of a part come at a pace
-// of their own, so that each machine is looked at as often a second in either;
-// an event that began one by itself would have it looked at eight times as often.
+// times the work at the most. The scans of all machines of a shard come at an
+// interval of their own, so that each machine is scanned as often a second in
+// either fleet; an event that began a scan by itself would have each machine
+// scanned eight times as often.
 func TestWorkGrowsWithFleet(t *testing.T) {
 	small, large := measureWork(t, 500), measureWork(t, 4000)
 	t.Logf("500 machines: %+v", small)
 	t.Logf("4,000 machines: %+v", large)
 	const margin = 1.25
-	for _, x := range []struct {
+	for _, work := range []struct {
 		name         string
 		small, large float64
 	}{
-		{"looks", small.scans, large.scans},
+		{"scans", small.scans, large.scans},
 		{"puts", small.puts, large.puts},
 		{"calls of other controllers", small.peerCalls, large.peerCalls},
 		{"events", small.events, large.events},
 	} {
-		if x.small == 0 || x.large > x.small*margin {
-			t.Errorf("%s for each machine and second: %.3f at 500 machines, %.3f at 4,000", x.name, x.small, x.large)
+		if work.small == 0 || work.large > work.small*margin {
+			t.Errorf("%s for each machine and second: %.3f at 500 machines, %.3f at 4,000", work.name, work.small, work.large)
 		}
 	}
 }
--- a/internal/controller/hung_machine_test.go
+++ b/internal/controller/hung_machine_test.go
@@ -8,82 +8,84 @@
 	"stairrelay/internal/cluster"
 )
 
-// restartEachOwner ends whoever holds part 1 a while after its claim, again and
-// again, each for long enough that another controller succeeds it.
-func (m *testCluster) restartEachOwner(life cluster.Time) {
-	const away = 9 * second
+// successionTime is how long a controller has to be down for another to acquire
+// its shards.
+const successionTime = 9 * second
+
+// restartEachOwner restarts each owner of the long job's shard a while after it has
+// acquired that.
+func (m *testCluster) restartEachOwner(ownershipDuration cluster.Time) {
 	var last cluster.NodeID
-	var look func()
-	look = func() {
-		if holder := m.longJobOwner(); holder != last {
-			last = holder
-			m.After(life, func() { m.restartNode(holder, away) })
+	var check func()
+	check = func() {
+		if owner := m.longJobOwner(); owner != last {
+			last = owner
+			m.After(ownershipDuration, func() { m.restartNode(owner, successionTime) })
 		}
-		m.After(second/10, look)
+		m.After(second/10, check)
 	}
-	look()
+	check()
 }
 
-func (m *testCluster) restartNode(id cluster.NodeID, away cluster.Time) {
+// restartNode restarts the controller of a name.
+func (m *testCluster) restartNode(id cluster.NodeID, delay cluster.Time) {
 	for _, node := range m.Nodes {
 		if node.ID == id {
-			restart(m.Simulator, node, away)
+			restart(m.Simulator, node, delay)
 		}
 	}
 }
 
-// hangMachinesOfJob stops the machines on which tasks of the job are.
-func (m *testCluster) hangMachinesOfJob(d cluster.Time) {
+// hangMachinesOfJob makes the machines hang on which the long job has tasks.
+func (m *testCluster) hangMachinesOfJob(duration cluster.Time) {
 	for id, worker := range m.Machines.Workers {
 		if len(worker.Tasks) > 0 {
-			m.Machines.Hang(id, d)
+			m.Machines.Hang(id, duration)
 		}
 	}
 }
 
 // TestHungMachineAcrossShortOwnerships: the machine of a cancelled job hangs, and no
-// holder of its part lives as long as a holder waits for a machine that it has
-// just taken over (takenPatience). The job's tasks are gone in time all the same:
-// a controller that has known of the cancellation for half of its time, or began
-// only after it, returns a machine that leaves its first call unanswered.
+// owner of its shard runs for as long as an owner waits for a machine that it has
+// just acquired. The job's tasks are gone in time all the same: a controller that
+// has known of the cancellation for half of its time, or started only after it,
+// releases a machine that leaves its first call unanswered.
 func TestHungMachineAcrossShortOwnerships(t *testing.T) {
-	const tenInTwoMinutes = 5400 * second / 1000 // of the 12 s for each, detection takes 6.6 s
-	for _, site := range []struct {
-		report, lease, cancelWithin, life cluster.Time
+	// Ten owners in two minutes: of the 12 s for each, detection takes 6.6 s.
+	const tenInTwoMinutes = 5400 * millisecond
+	for _, test := range []struct {
+		heartbeatInterval, lease, cancelDeadline, ownership cluster.Time
 	}{
 		{2 * second, 12 * second, 37 * second, 2 * second},
 		{3 * second, 22 * second, 52 * second, tenInTwoMinutes},
-		{5 * second, 26500 * second / 1000, 51500 * second / 1000, tenInTwoMinutes},
-		{5 * second, 26500 * second / 1000, 51500 * second / 1000, 2 * second},
+		{5 * second, 26500 * millisecond, 51500 * millisecond, tenInTwoMinutes},
+		{5 * second, 26500 * millisecond, 51500 * millisecond, 2 * second},
 	} {
-		t.Run(fmt.Sprintf("reports each %v, holders live %v", time.Duration(site.report), time.Duration(site.life)), func(t *testing.T) {
+		t.Run(fmt.Sprintf("heartbeats each %v, owners run for %v", time.Duration(test.heartbeatInterval), time.Duration(test.ownership)), func(t *testing.T) {
 			cfg := testConfig()
-			cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelDeadline = site.report, site.lease, site.cancelWithin
-			if patience := max(5*second, 2*site.report); site.life >= patience {
-				t.Fatalf("holders live for %v, no shorter than the patience", time.Duration(site.life))
+			cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelDeadline = test.heartbeatInterval, test.lease, test.cancelDeadline
+			if patience := max(5*second, 2*test.heartbeatInterval); test.ownership >= patience {
+				t.Fatalf("owners run for %v, no shorter than an owner waits", time.Duration(test.ownership))
 			}
 			m := newTestClusterWithConfig(t, cfg, 1, 2)
 			m.hangMachinesOfJob(2 * cfg.CancelDeadline)
 			m.cancelAt(m.Nodes[1], m.longJob)
-			m.restartEachOwner(site.life)
+			m.restartEachOwner(test.ownership)
 			m.RunUntil(m.longJob.CancelConfirmedAt + cfg.CancelDeadline)
-			if n := m.countRunningTasks(m.longJob); n > 0 {
-				t.Errorf("%d tasks are on machines when the cancellation's time is up", n)
+			if running := m.countRunningTasks(m.longJob); running > 0 {
+				t.Errorf("%d tasks are on machines when the time for the cancellation is over", running)
 			}
 			m.runAndCheck(30 * second)
 		})
 	}
 }
 
-// TestHungMachineReleasedInOutage: a cancelled job's machine hangs, and the state service is
-// out for longer than cancel_s: the machine is returned without a record.
+// TestHungMachineReleasedInOutage: a cancelled job's machine hangs, and the state
+// service is down for longer than cancel_s: the machine is released without a
+// record.
 func TestHungMachineReleasedInOutage(t *testing.T) {
 	m := newTestCluster(t, 2)
-	for id, l := range m.Machines.Workers {
-		if len(l.Tasks) > 0 {
-			m.Machines.Hang(id, 100*second)
-		}
-	}
+	m.hangMachinesOfJob(100 * second)
 	m.cancelAt(m.Nodes[1], m.longJob)
 	m.Store.DownUntil = m.Now + 80*second
 	if m.countRunningTasks(m.longJob) == 0 {
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -6,31 +6,33 @@
 	"stairrelay/internal/messages"
 )
 
-// TestIsolatedControllerOwnershipExpires: a controller that keeps its workers but has lost
-// the store and the other controllers is entitled for a bounded time only. Here
-// nobody else reaches the worker either, so that no higher token tells.
+// TestIsolatedControllerOwnershipExpires: a controller that reaches its workers but
+// neither the store nor the other controllers has a valid ownership lease for a
+// bounded time only. Here no other controller reaches the worker either, so that no
+// newer fencing token shows it.
 func TestIsolatedControllerOwnershipExpires(t *testing.T) {
 	cfg := testConfig()
 	sim := newSimulator(1, cfg)
 	sim.NoRandomFaults = true
 	sim.Machines.Add("small", "a", false)
 	sim.RunUntil(10 * second)
-	owner := sim.Nodes[1] // of the part that the machine's number points to
-	owner.StoreCutUntil, owner.PeersCutUntil = sim.Now+100*second, sim.Now+100*second
-	sim.Nodes[0].WorkersCutUntil, sim.Nodes[2].WorkersCutUntil = sim.Now+100*second, sim.Now+100*second
+	owner := sim.Nodes[1] // of the shard that the machine's number belongs to
+	until := sim.Now + 100*second
+	owner.StoreCutUntil, owner.PeersCutUntil = until, until
+	sim.Nodes[0].WorkersCutUntil, sim.Nodes[2].WorkersCutUntil = until, until
 	answer := func() messages.ReplyStatus {
 		status := messages.ReplyNone
-		r := sim.Machines.Workers["m-000001"].NextStatus()
-		owner.SendRequest(heartbeatRequest(r), func(a messages.Respond) { status = a.Status })
+		heartbeat := heartbeatRequest(sim.Machines.Workers["m-000001"].NextStatus())
+		owner.SendRequest(heartbeat, func(answer messages.Respond) { status = answer.Status })
 		sim.RunUntil(sim.Now + second)
 		return status
 	}
 	sim.RunUntil(sim.Now + 5*second)
-	if s := answer(); s != 200 {
-		t.Errorf("soon after the cut: %d", s)
+	if status := answer(); status != messages.ReplyOK {
+		t.Errorf("soon after the partition: %d", status)
 	}
 	sim.RunUntil(sim.Now + cfg.WorkerLease + 5*second)
-	if s := answer(); s != 421 {
-		t.Errorf("a lease later: %d, which holds the worker", s)
+	if status := answer(); status != messages.ReplyMisdirected {
+		t.Errorf("a lease later: %d, which keeps the worker", status)
 	}
 }
--- a/internal/controller/one_task_jobs_test.go
+++ b/internal/controller/one_task_jobs_test.go
@@ -9,54 +9,68 @@
 	"stairrelay/internal/simulation"
 )
 
-// TestManyOneTaskJobs: one-task jobs come four a second for 40 s and a quarter
-// of them is cancelled, while the busiest controller ends, answers of the state
-// service get lost and users look closely. Each of them has a record, a start
+const (
+	oneTaskJobCount    = 160
+	oneTaskJobInterval = second / 4
+	// minCancelledJobs is how many jobs must have been cancelled for the day to test
+	// anything.
+	minCancelledJobs = 10
+)
+
+// TestManyOneTaskJobs: one-task jobs come four a second for 40 s and a quarter of
+// them is cancelled, while the busiest controller crashes, replies of the state
+// service are lost and users ask all controllers. Each job has a record, a start
 // and an end of its own, which is where a controller falls behind.
 func TestManyOneTaskJobs(t *testing.T) {
-	for seed := uint64(1); seed <= 4; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			t.Parallel()
-			cfg := testConfig()
-			sim := newSimulator(seed, cfg)
-			enableRandomMessageFaults(sim)
-			addMachinesPerZone(sim, 2)
-			cancelled := 0
-			for i := range 160 {
-				run := sim.RandomBetween(second, 8*second)
-				spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-%06d", i)), cfg.Teams[i%3].Name, 1, run)
-				spec.Priority = cluster.Priority(sim.Rand.IntN(4))
-				spec.Spot = true
-				job := newJob(spec, run)
-				at := 10*second + cluster.Time(i)*second/4
-				sim.After(at, func() { sim.Users.Submit(job) })
-				if i%4 == 0 {
-					job.CancelPlanned = true
-					sim.After(at+sim.RandomBetween(0, 12*second), func() { sim.Users.Cancel(job) })
-				}
-			}
-			sim.After(12*second, func() { sim.ReadAfterWrite.EnableFor(40 * second) })
-			sim.After(sim.RandomBetween(15*second, 25*second), func() { sim.Store.LoseWriteReplies(0.1, 10*second, true) })
-			sim.After(sim.RandomBetween(30*second, 45*second), func() {
-				crashBusiest(sim)
-			})
-			sim.FaultsOverAt = 60 * second
-			sim.RunUntil(240 * second)
-			for _, b := range sim.Violations {
-				t.Error(b)
-			}
-			for _, j := range sim.Jobs {
-				if j.ReportedStatus == cluster.JobCancelled {
-					cancelled++
-				}
-			}
-			if n := sim.UnfinishedJobCount(); n > 0 && !t.Failed() {
-				t.Errorf("%d of %d jobs have no end after %v", n, len(sim.Jobs), time.Duration(sim.Now))
-			}
-			if !t.Failed() && (len(sim.Jobs) != 160 || cancelled < 10 || sim.FaultCounts[simulation.FaultReplyLost] == 0) {
-				t.Errorf("%d jobs, %d cancelled, faults %v: the day tests nothing", len(sim.Jobs), cancelled, sim.FaultCounts)
-			}
-			t.Logf("%d cancelled, %v", cancelled, sim.FaultCounts)
-		})
+	forEachSeed(t, 1, 4, func(t *testing.T, seed uint64) {
+		cfg := testConfig()
+		sim := newSimulator(seed, cfg)
+		enableRandomMessageFaults(sim)
+		addMachinesPerZone(sim, 2)
+		planOneTaskJobs(sim, cfg.Teams)
+		sim.After(12*second, func() { sim.ReadAfterWrite.EnableFor(40 * second) })
+		sim.After(sim.RandomBetween(15*second, 25*second), func() { sim.Store.LoseWriteReplies(0.1, 10*second, true) })
+		sim.After(sim.RandomBetween(30*second, 45*second), func() { crashBusiest(sim) })
+		sim.FaultsOverAt = 60 * second
+		sim.RunUntil(240 * second)
+		checkOneTaskJobs(t, sim)
+	})
+}
+
+// planOneTaskJobs plans the jobs, of which every fourth is cancelled.
+func planOneTaskJobs(sim *simulation.Simulator, teams []cluster.Team) {
+	for i := range oneTaskJobCount {
+		run := sim.RandomBetween(second, 8*second)
+		spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-%06d", i)), teams[i%len(teams)].Name, 1, run)
+		spec.Priority = cluster.Priority(sim.Rand.IntN(4))
+		spec.Spot = true
+		job := newJob(spec, run)
+		at := 10*second + cluster.Time(i)*oneTaskJobInterval
+		sim.After(at, func() { sim.Users.Submit(job) })
+		if i%4 == 0 {
+			job.CancelPlanned = true
+			sim.After(at+sim.RandomBetween(0, 12*second), func() { sim.Users.Cancel(job) })
+		}
+	}
+}
+
+// checkOneTaskJobs checks that no rule was broken and all jobs have ended.
+func checkOneTaskJobs(t *testing.T, sim *simulation.Simulator) {
+	t.Helper()
+	for _, violation := range sim.Violations {
+		t.Error(violation)
+	}
+	cancelled := 0
+	for _, job := range sim.Jobs {
+		if job.ReportedStatus == cluster.JobCancelled {
+			cancelled++
+		}
+	}
+	if unfinished := sim.UnfinishedJobCount(); unfinished > 0 && !t.Failed() {
+		t.Errorf("%d of %d jobs have no end after %v", unfinished, len(sim.Jobs), time.Duration(sim.Now))
+	}
+	if !t.Failed() && (len(sim.Jobs) != oneTaskJobCount || cancelled < minCancelledJobs || sim.FaultCounts[simulation.FaultReplyLost] == 0) {
+		t.Errorf("%d jobs, %d cancelled, faults %v: the day tests nothing", len(sim.Jobs), cancelled, sim.FaultCounts)
 	}
+	t.Logf("%d cancelled, %v", cancelled, sim.FaultCounts)
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -1,8 +1,6 @@
 package controller_test
 
 import (
-	"strconv"
-	"sync"
 	"testing"
 
 	"stairrelay/internal/cluster"
@@ -10,8 +8,8 @@
 	"stairrelay/internal/simulation"
 )
 
-// limitsBeforeUpgrade are those that the store has until some moment after the
-// upgrade; upgradeConfig holds the lower ones.
+// limitsBeforeUpgrade are those that the state service has until some moment after
+// the upgrade; upgradeConfig has the lower ones.
 var limitsBeforeUpgrade = simulation.StoreLimits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
 
 func upgradeConfig() controller.Config {
@@ -20,50 +18,44 @@
 	return cfg
 }
 
-// TestRollingUpgrade plays seeded days that begin with the production release
-// everywhere. The controllers are replaced while jobs run, troubles come and
-// users already ask the new ones for pipelines; some old processes end and come
-// back old before their turn, in mid-take-over and several at once; the store's
-// limits are lowered at some moment after the upgrade. All rules are checked.
+// upgradeFaults are the kinds of faults that the upgrades must have.
+var upgradeFaults = []simulation.FaultKind{
+	simulation.FaultNodeUpgraded,
+	faultOldNodeRestarted,
+	faultOldNodeKilledAtAcquire,
+	faultUpgradedTogether,
+	faultOldNodePartitioned,
+	simulation.FaultStoreLimitsLowered,
+	faultWriteAboveLoweredRate,
+	simulation.FaultDependentRejectedInUpgrade,
+	simulation.FaultDependentStarted,
+}
+
+// TestRollingUpgrade runs seeded days that begin with the production version
+// everywhere. The controllers are replaced while jobs run, faults come and users
+// already ask the new ones for pipelines; some old processes end and come back
+// with the old version before their turn, during a failover and several at once;
+// the state service's limits are lowered at some moment after the upgrade. All
+// rules are checked.
 func TestRollingUpgrade(t *testing.T) {
 	from, to := seedRange(t, 1, 12)
-	var mu sync.Mutex
-	seen := map[simulation.FaultKind]int{}
+	var seen faultTotals
 	t.Run("seeds", func(t *testing.T) {
-		for seed := from; seed <= to; seed++ {
-			t.Run(strconv.Itoa(seed), func(t *testing.T) {
-				t.Parallel()
-				faults := simulateUpgrade(t, uint64(seed))
-				mu.Lock()
-				defer mu.Unlock()
-				for what, n := range faults {
-					seen[what] += n
-				}
-			})
-		}
+		forEachSeed(t, from, to, func(t *testing.T, seed uint64) {
+			seen.add(simulateUpgrade(t, seed))
+		})
 	})
-	for _, what := range []simulation.FaultKind{
-		simulation.FaultNodeUpgraded,
-		faultOldNodeRestarted,
-		faultOldNodeKilledAtAcquire,
-		faultUpgradedTogether,
-		faultOldNodePartitioned,
-		simulation.FaultStoreLimitsLowered,
-		faultWriteAboveLoweredRate,
-		simulation.FaultDependentRejectedInUpgrade,
-		simulation.FaultDependentStarted,
-	} {
-		t.Logf("%s: %d", what, seen[what])
-		if seen[what] == 0 && to-from >= 10 {
-			t.Errorf("no day had %s", what)
-		}
-	}
+	seen.check(t, upgradeFaults, to-from >= 10)
 }
 
+// simulateUpgrade runs a day with an upgrade and returns how often each fault took
+// effect.
 func simulateUpgrade(t *testing.T, seed uint64, options ...simulation.Option) map[simulation.FaultKind]int {
+	t.Helper()
 	cfg := upgradeConfig()
 	var sim *simulation.Simulator
-	sim = simulation.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, testCloud(func() *simulation.Simulator { return sim }), options...)
+	cloud := testCloud(func() *simulation.Simulator { return sim })
+	sim = simulation.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, cloud, options...)
 	addMachinesPerZone(sim, 1)
 	runWithFaults(t, sim, cfg, func(teams []string, until cluster.Time) {
 		planJobs(sim, teams, until)
@@ -72,10 +64,10 @@
 		planUpgrade(sim)
 	})
 	if !sim.IsUpgraded() {
-		t.Error("a controller was left on the production release")
+		t.Error("a controller was left with the production version")
 	}
-	if n := sim.StateService.Rejected.Size; n > 0 {
-		t.Errorf("%d transactions were above the lowered limits, which the settings name", n)
+	if rejected := sim.StateService.Rejected.Size; rejected > 0 {
+		t.Errorf("%d transactions were above the lowered limits, which the settings name", rejected)
 	}
 	sim.FaultCounts[faultWriteAboveLoweredRate] += sim.StateService.Rejected.Rate
 	return sim.FaultCounts
@@ -85,40 +77,52 @@
 // in a random order, with old ones ending before theirs.
 func planUpgrade(sim *simulation.Simulator) {
 	order := sim.Rand.Perm(len(sim.Nodes))
-	first, rest := sim.Nodes[order[0]], order[1:]
+	first, rest := sim.Nodes[order[0]], []*simulation.Node{}
+	for _, index := range order[1:] {
+		rest = append(rest, sim.Nodes[index])
+	}
 	begin := sim.RandomBetween(20*second, 60*second)
 	sim.After(begin, func() { first.Upgrade(6 * second) })
+	planOldNodeCrashes(sim, rest, begin)
+	last := begin + sim.RandomBetween(40*second, 70*second)
+	planOldNodePartition(sim, rest[1], begin, last)
+	sim.After(last, func() {
+		sim.FaultCounts[faultUpgradedTogether]++
+		for _, node := range rest {
+			node.Upgrade(sim.RandomBetween(5*second, 8*second))
+		}
+	})
+	sim.After(last+sim.RandomBetween(0, 60*second), sim.LowerStoreLimits)
+}
 
-	back := sim.Nodes[rest[0]]
+// planOldNodeCrashes crashes controllers that are not upgraded yet: one after the
+// upgrade has begun, and one within a second of the next change of a shard's
+// owner.
+func planOldNodeCrashes(sim *simulation.Simulator, old []*simulation.Node, begin cluster.Time) {
 	sim.After(begin+sim.RandomBetween(second, 15*second), func() {
 		sim.FaultCounts[faultOldNodeRestarted]++
-		restart(sim, back, sim.RandomBetween(second/10, 8*second))
+		restart(sim, old[0], sim.RandomBetween(second/10, 8*second))
 	})
 	sim.Failovers.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
-		ended := sim.Nodes[rest[sim.Rand.IntN(len(rest))]]
+		node := old[sim.Rand.IntN(len(old))]
 		sim.After(sim.RandomBetween(0, second), func() {
-			if ended.Version == simulation.ProductionVersion {
+			if node.Version == simulation.ProductionVersion {
 				sim.FaultCounts[faultOldNodeKilledAtAcquire]++
-				crash(sim, ended)
+				crash(sim, node)
 			}
 		})
 	})
+}
 
-	// One that is cut from the other controllers is not heard by those that
-	// start meanwhile, and serves on with what it knows.
-	apart := sim.Nodes[rest[1]]
-	last := begin + sim.RandomBetween(40*second, 70*second)
-	if sim.Chance(0.6) {
-		sim.After(begin-second, func() {
-			sim.FaultCounts[faultOldNodePartitioned]++
-			apart.PeersCutUntil = sim.Now + sim.RandomBetween(20*second, last-begin)
-		})
+// planOldNodePartition partitions a controller that is not upgraded yet from the
+// others. Those that start meanwhile do not hear of it, and it serves on with what
+// it knows.
+func planOldNodePartition(sim *simulation.Simulator, node *simulation.Node, begin, last cluster.Time) {
+	if !sim.Chance(0.6) {
+		return
 	}
-	sim.After(last, func() {
-		sim.FaultCounts[faultUpgradedTogether]++
-		for _, i := range rest {
-			sim.Nodes[i].Upgrade(sim.RandomBetween(5*second, 8*second))
-		}
+	sim.After(begin-second, func() {
+		sim.FaultCounts[faultOldNodePartitioned]++
+		node.PeersCutUntil = sim.Now + sim.RandomBetween(20*second, last-begin)
 	})
-	sim.After(last+sim.RandomBetween(0, 60*second), sim.LowerStoreLimits)
 }
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -6,9 +6,9 @@
 	"stairrelay/internal/cluster"
 )
 
-// partitionZone cuts a zone with all the machines and one controller off from the other
-// controllers and from the state service, until a time. The machines go on
-// reporting to the controller inside.
+// partitionZone partitions a zone with all the machines and one controller from the
+// other controllers and the state service, until a time. The machines go on sending
+// their heartbeats to the controller inside.
 func (m *testCluster) partitionZone(inside cluster.NodeID, until cluster.Time) {
 	for _, node := range m.Nodes {
 		if node.ID == inside {
@@ -20,18 +20,18 @@
 }
 
 // TestZonePartitionDuringCloudOutage: a zone with all the machines and the controller
-// that holds their part is cut off for longer than a lease, and the cloud is out,
-// so that the controller outside which claims the part and confirms a
-// cancellation can neither reach the machines nor return them. Only the
-// controller inside can end the cancelled tasks: by no longer answering their
-// machines, though it can't know of the cancellation.
+// that owns their shard is partitioned for longer than a lease, and the cloud is
+// down, so that the controller outside which acquires the shard and confirms a
+// cancellation can neither reach the machines nor release them. Only the controller
+// inside can end the cancelled tasks: by no longer answering their machines, though
+// it can't know of the cancellation.
 func TestZonePartitionDuringCloudOutage(t *testing.T) {
 	m := newTestCluster(t, 2)
 	inside, outside := m.Nodes[1], m.Nodes[2]
 	healed := m.Now + 2*m.config.CancelDeadline
 	m.partitionZone(inside.ID, healed)
 	m.CloudAPI.DownUntil = healed
-	m.waitFor("claimed outside", 30*second, func() bool { return m.longJobOwner() == outside.ID })
+	m.waitFor("acquired outside", 30*second, func() bool { return m.longJobOwner() == outside.ID })
 	m.cancelAt(outside, m.longJob)
 	if m.countRunningTasks(m.longJob) == 0 {
 		t.Fatal("the tasks are gone before the cancellation")
@@ -40,22 +40,16 @@
 }
 
 // TestZonePartitionLongerThanLease: a zone with all the workers and one controller is
-// cut off for longer than a lease; the controller there goes on answering them.
-// Another claims its part and confirms a cancellation, and can't reach a machine.
+// partitioned for longer than a lease; the controller there goes on answering them.
+// Another acquires its shard and confirms a cancellation, and can't reach a machine.
 func TestZonePartitionLongerThanLease(t *testing.T) {
 	m := newTestCluster(t, 2)
 	inside := m.Nodes[1]
-	until := m.Now + 6*m.config.WorkerLease
-	inside.StoreCutUntil, inside.PeersCutUntil = until, until
-	for _, n := range m.Nodes {
-		if n != inside {
-			n.WorkersCutUntil = until
-		}
-	}
-	m.waitFor("claimed outside", 30*second, func() bool { return m.longJobOwner() != inside.ID })
+	m.partitionZone(inside.ID, m.Now+6*m.config.WorkerLease)
+	m.waitFor("acquired outside", 30*second, func() bool { return m.longJobOwner() != inside.ID })
 	outside := m.Nodes[2]
 	if m.longJobOwner() != outside.ID {
-		t.Fatalf("claimed by %s", m.longJobOwner())
+		t.Fatalf("acquired by %s", m.longJobOwner())
 	}
 	m.cancelAt(outside, m.longJob)
 	if m.countRunningTasks(m.longJob) == 0 {
