--- a/internal/controller/combined_faults_test.go
+++ b/internal/controller/combined_faults_test.go
@@ -51,7 +51,7 @@
 }
 
 func partitionZone(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
-	sim.Machines.CutZone(zones[sim.Rand.IntN(len(zones))], duration)
+	sim.Machines.PartitionZone(zones[sim.Rand.IntN(len(zones))], duration)
 	sim.FaultCounts[faultZonePartitioned]++
 }
 
@@ -143,7 +143,7 @@
 
 // outageAtAcquire begins an outage within a second of the next change of a shard's
 // owner. In most cases another controller crashes as well, so that perhaps nobody
-// is left who knows what users were told.
+// is left who knows what was reported to users.
 func outageAtAcquire(sim *simulation.Simulator, within cluster.Time, beginOutage func()) {
 	crashes := sim.Chance(0.8)
 	sim.Failovers.OnShardAcquired(within, func(owner cluster.NodeID) {
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -32,13 +32,13 @@
 	{"a controller crashes", crashOne},
 	{"all controllers crash", func(sim *simulation.Simulator, _ *simulation.Node, _ cluster.Time) { crashAll(sim) }},
 	{"partitioned from the store", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
-		node.StoreCutUntil = sim.Now + duration
+		node.StorePartitionedUntil = sim.Now + duration
 	}},
 	{"partitioned from the workers", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
-		node.WorkersCutUntil = sim.Now + duration
+		node.WorkersPartitionedUntil = sim.Now + duration
 	}},
 	{"partitioned from the other controllers", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
-		node.PeersCutUntil = sim.Now + duration
+		node.PeersPartitionedUntil = sim.Now + duration
 	}},
 	{"refused by the store", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
 		node.StoreRefusesUntil = sim.Now + duration
@@ -48,12 +48,12 @@
 		sim.Store.DownUntil = sim.Now + min(duration, longestOutage)
 	}},
 	{"machines hang", onTwoMachines((*simulation.Machines).Hang)},
-	{"machines partitioned while the cloud is down", cutMachinesWithoutCloud},
+	{"machines partitioned while the cloud is down", partitionMachinesWithoutCloud},
 	{"machines preempted", preemptMachines},
 	{"machines whose heartbeats arrive while nothing reaches them", onTwoMachines((*simulation.Machines).MakeUnreachable)},
 	{"many duplicate heartbeats", duplicateHeartbeats},
 	{"partitioned from everything but the workers", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
-		node.StoreCutUntil, node.PeersCutUntil = sim.Now+duration, sim.Now+duration
+		node.StorePartitionedUntil, node.PeersPartitionedUntil = sim.Now+duration, sim.Now+duration
 	}},
 	{"all restarted at once, one of them twice", restartTwice},
 	{"writes without a reply applied late", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
@@ -129,7 +129,7 @@
 
 func partitionFromAll(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
 	until := sim.Now + duration
-	node.StoreCutUntil, node.WorkersCutUntil, node.PeersCutUntil = until, until, until
+	node.StorePartitionedUntil, node.WorkersPartitionedUntil, node.PeersPartitionedUntil = until, until, until
 }
 
 // onTwoMachines is a fault of two machines.
@@ -140,8 +140,8 @@
 	}
 }
 
-func cutMachinesWithoutCloud(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
-	onTwoMachines((*simulation.Machines).Cut)(sim, node, duration)
+func partitionMachinesWithoutCloud(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
+	onTwoMachines((*simulation.Machines).Partition)(sim, node, duration)
 	sim.CloudAPI.DownUntil = sim.Now + duration
 }
 
--- a/internal/controller/hung_machine_test.go
+++ b/internal/controller/hung_machine_test.go
@@ -14,33 +14,33 @@
 
 // restartEachOwner restarts each owner of the long job's shard a while after it has
 // acquired that.
-func (m *testCluster) restartEachOwner(ownershipDuration cluster.Time) {
+func (c *testCluster) restartEachOwner(ownershipDuration cluster.Time) {
 	var last cluster.NodeID
 	var check func()
 	check = func() {
-		if owner := m.longJobOwner(); owner != last {
+		if owner := c.longJobOwner(); owner != last {
 			last = owner
-			m.After(ownershipDuration, func() { m.restartNode(owner, successionTime) })
+			c.After(ownershipDuration, func() { c.restartNode(owner, successionTime) })
 		}
-		m.After(second/10, check)
+		c.After(second/10, check)
 	}
 	check()
 }
 
 // restartNode restarts the controller of a name.
-func (m *testCluster) restartNode(id cluster.NodeID, delay cluster.Time) {
-	for _, node := range m.Nodes {
+func (c *testCluster) restartNode(id cluster.NodeID, delay cluster.Time) {
+	for _, node := range c.Nodes {
 		if node.ID == id {
-			restart(m.Simulator, node, delay)
+			restart(c.Simulator, node, delay)
 		}
 	}
 }
 
 // hangMachinesOfJob makes the machines hang on which the long job has tasks.
-func (m *testCluster) hangMachinesOfJob(duration cluster.Time) {
-	for id, worker := range m.Machines.Workers {
+func (c *testCluster) hangMachinesOfJob(duration cluster.Time) {
+	for id, worker := range c.Machines.Workers {
 		if len(worker.Tasks) > 0 {
-			m.Machines.Hang(id, duration)
+			c.Machines.Hang(id, duration)
 		}
 	}
 }
@@ -67,15 +67,15 @@
 			if patience := max(5*second, 2*test.heartbeatInterval); test.ownership >= patience {
 				t.Fatalf("owners run for %v, no shorter than an owner waits", time.Duration(test.ownership))
 			}
-			m := newTestClusterWithConfig(t, cfg, 1, 2)
-			m.hangMachinesOfJob(2 * cfg.CancelDeadline)
-			m.cancelAt(m.Nodes[1], m.longJob)
-			m.restartEachOwner(test.ownership)
-			m.RunUntil(m.longJob.CancelConfirmedAt + cfg.CancelDeadline)
-			if running := m.countRunningTasks(m.longJob); running > 0 {
+			c := newTestClusterWithConfig(t, cfg, 1, 2)
+			c.hangMachinesOfJob(2 * cfg.CancelDeadline)
+			c.cancelAt(c.Nodes[1], c.longJob)
+			c.restartEachOwner(test.ownership)
+			c.RunUntil(c.longJob.CancelConfirmedAt + cfg.CancelDeadline)
+			if running := c.countRunningTasks(c.longJob); running > 0 {
 				t.Errorf("%d tasks are on machines when the time for the cancellation is over", running)
 			}
-			m.runAndCheck(30 * second)
+			c.runAndCheck(30 * second)
 		})
 	}
 }
@@ -84,12 +84,12 @@
 // service is down for longer than cancel_s: the machine is released without a
 // record.
 func TestHungMachineReleasedInOutage(t *testing.T) {
-	m := newTestCluster(t, 2)
-	m.hangMachinesOfJob(100 * second)
-	m.cancelAt(m.Nodes[1], m.longJob)
-	m.Store.DownUntil = m.Now + 80*second
-	if m.countRunningTasks(m.longJob) == 0 {
+	c := newTestCluster(t, 2)
+	c.hangMachinesOfJob(100 * second)
+	c.cancelAt(c.Nodes[1], c.longJob)
+	c.Store.DownUntil = c.Now + 80*second
+	if c.countRunningTasks(c.longJob) == 0 {
 		t.Fatal("the tasks are gone before the outage")
 	}
-	m.runAndCheck(120 * second)
+	c.runAndCheck(120 * second)
 }
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -18,8 +18,8 @@
 	sim.RunUntil(10 * second)
 	owner := sim.Nodes[1] // of the shard that the machine's number belongs to
 	until := sim.Now + 100*second
-	owner.StoreCutUntil, owner.PeersCutUntil = until, until
-	sim.Nodes[0].WorkersCutUntil, sim.Nodes[2].WorkersCutUntil = until, until
+	owner.StorePartitionedUntil, owner.PeersPartitionedUntil = until, until
+	sim.Nodes[0].WorkersPartitionedUntil, sim.Nodes[2].WorkersPartitionedUntil = until, until
 	answer := func() messages.ReplyStatus {
 		status := messages.ReplyNone
 		heartbeat := heartbeatRequest(sim.Machines.Workers["m-000001"].NextStatus())
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -153,7 +153,7 @@
 		f.waitForAllOwned(20 * second)
 		f.submitLoad(2*largeFleetMachines, 30*second)
 		f.RunUntil(f.Now + 5*second)
-		f.Machines.CutZone("a", 20*second) // within the lease: the tasks there go on
+		f.Machines.PartitionZone("a", 20*second) // within the lease: the tasks there go on
 		f.RunUntil(f.Now + 20*second)
 		recovered := f.waitForAllOwned(20 * second)
 		worked := f.waitForAllDone(120 * second)
--- a/internal/controller/owner_failures_test.go
+++ b/internal/controller/owner_failures_test.go
@@ -10,23 +10,23 @@
 // TestRepeatedOwnerFailures: the owner of a shard crashes ten times in two minutes, also
 // in an outage of the state service; a job is cancelled in between.
 func TestRepeatedOwnerFailures(t *testing.T) {
-	m := newTestCluster(t, 3)
-	other := m.submitJob("j-000002", 2, 200*second)
-	startedAt, crashes := m.Now, map[cluster.NodeID]int{}
+	c := newTestCluster(t, 3)
+	other := c.submitJob("j-000002", 2, 200*second)
+	startedAt, crashes := c.Now, map[cluster.NodeID]int{}
 	for i := range 10 {
-		m.After(cluster.Time(i)*12*second, func() {
-			owner := m.longJobOwner()
+		c.After(cluster.Time(i)*12*second, func() {
+			owner := c.longJobOwner()
 			crashes[owner]++
-			m.restartNode(owner, successionTime)
+			c.restartNode(owner, successionTime)
 		})
 	}
-	m.After(40*second, func() { m.Store.DownUntil = m.Now + 30*second })
-	m.After(38*second, func() { m.Users.Cancel(m.longJob) })
-	m.runAndCheck(120 * second)
-	if len(crashes) < 2 || m.longJob.ReportedStatus != cluster.JobCancelled || m.longJob.CancelConfirmedAt-startedAt > 90*second {
-		t.Errorf("crashes %v, the job is %s since %v", crashes, m.longJob.ReportedStatus, time.Duration(m.longJob.CancelConfirmedAt-startedAt))
+	c.After(40*second, func() { c.Store.DownUntil = c.Now + 30*second })
+	c.After(38*second, func() { c.Users.Cancel(c.longJob) })
+	c.runAndCheck(120 * second)
+	if len(crashes) < 2 || c.longJob.ReportedStatus != cluster.JobCancelled || c.longJob.CancelConfirmedAt-startedAt > 90*second {
+		t.Errorf("crashes %v, the job is %s since %v", crashes, c.longJob.ReportedStatus, time.Duration(c.longJob.CancelConfirmedAt-startedAt))
 	}
-	m.runAndCheck(300 * second)
+	c.runAndCheck(300 * second)
 	if other.ReportedStatus != cluster.JobDone {
 		t.Errorf("the other job is %s", other.ReportedStatus)
 	}
--- a/internal/controller/ownership_gap_test.go
+++ b/internal/controller/ownership_gap_test.go
@@ -17,22 +17,22 @@
 func TestDeposedOwnerStopsAnsweringInOutage(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ { // in some the others hear of the acquisition before the partition
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			m := newTestClusterWithSeed(t, seed, 2)
-			owner, next, third := m.Nodes[1], m.Nodes[2], m.Nodes[0]
-			owner.StoreRefusesUntil = m.Now + 14*second
-			m.RunUntil(m.Now + 2*second)
-			third.StoreRefusesUntil = m.Now + 20*second // else it reads of the acquisition and tells the former owner
-			m.waitFor("acquired by the next", 10*second, func() bool { return m.longJobOwner() == next.ID })
-			next.WorkersCutUntil, next.PeersCutUntil = m.Now+300*second, m.Now+300*second
-			m.cancelAt(next, m.longJob)
+			c := newTestClusterWithSeed(t, seed, 2)
+			owner, next, third := c.Nodes[1], c.Nodes[2], c.Nodes[0]
+			owner.StoreRefusesUntil = c.Now + 14*second
+			c.RunUntil(c.Now + 2*second)
+			third.StoreRefusesUntil = c.Now + 20*second // else it reads of the acquisition and tells the former owner
+			c.waitFor("acquired by the next", 10*second, func() bool { return c.longJobOwner() == next.ID })
+			next.WorkersPartitionedUntil, next.PeersPartitionedUntil = c.Now+300*second, c.Now+300*second
+			c.cancelAt(next, c.longJob)
 			next.Kill()
-			m.Store.DownUntil = m.Now + 80*second
-			next.PeersCutUntil = 0
-			m.After(6*second, next.Start)
-			if m.countRunningTasks(m.longJob) == 0 {
+			c.Store.DownUntil = c.Now + 80*second
+			next.PeersPartitionedUntil = 0
+			c.After(6*second, next.Start)
+			if c.countRunningTasks(c.longJob) == 0 {
 				t.Fatal("the tasks are gone before the outage: the gap did not open")
 			}
-			m.runAndCheck(120 * second)
+			c.runAndCheck(120 * second)
 		})
 	}
 }
@@ -40,15 +40,15 @@
 // TestOutageWithAllPeerAcknowledgements: while all controllers acknowledge, an outage
 // of the state service that is longer than cancel_s costs no running task.
 func TestOutageWithAllPeerAcknowledgements(t *testing.T) {
-	m := newTestCluster(t, 2)
-	m.Store.DownUntil = m.Now + 2*m.config.CancelDeadline
-	m.runAndCheck(2*m.config.CancelDeadline + 5*second)
-	for id, worker := range m.Machines.Workers {
+	c := newTestCluster(t, 2)
+	c.Store.DownUntil = c.Now + 2*c.config.CancelDeadline
+	c.runAndCheck(2*c.config.CancelDeadline + 5*second)
+	for id, worker := range c.Machines.Workers {
 		if worker.Incarnation != 1 {
 			t.Errorf("the lease of %s has expired", id)
 		}
 	}
-	if running := m.countRunningTasks(m.longJob); running != 3 {
+	if running := c.countRunningTasks(c.longJob); running != 3 {
 		t.Errorf("%d of 3 tasks run", running)
 	}
 }
@@ -57,22 +57,22 @@
 // successor but not from the third controller, whose message is enough for it to
 // give the shard up.
 func TestDeposedOwnerLearnsFromThirdController(t *testing.T) {
-	m := newTestCluster(t, 2)
-	owner, next := m.Nodes[1], m.Nodes[2]
-	owner.StoreRefusesUntil = m.Now + 10*second
-	m.waitFor("acquired by the next", 10*second, func() bool { return m.longJobOwner() == next.ID })
-	next.WorkersCutUntil = m.Now + 60*second
-	m.RunUntil(m.Now + 2*second) // the third hears of the acquisition
+	c := newTestCluster(t, 2)
+	owner, next := c.Nodes[1], c.Nodes[2]
+	owner.StoreRefusesUntil = c.Now + 10*second
+	c.waitFor("acquired by the next", 10*second, func() bool { return c.longJobOwner() == next.ID })
+	next.WorkersPartitionedUntil = c.Now + 60*second
+	c.RunUntil(c.Now + 2*second) // the third hears of the acquisition
 	next.Kill()
-	m.Store.DownUntil = m.Now + 60*second
+	c.Store.DownUntil = c.Now + 60*second
 	status := messages.ReplyNone
-	m.RunUntil(m.Now + 2*second)
-	for id, worker := range m.Machines.Workers {
+	c.RunUntil(c.Now + 2*second)
+	for id, worker := range c.Machines.Workers {
 		if len(worker.Tasks) == 0 {
 			continue
 		}
 		owner.SendRequest(heartbeatRequest(worker.NextStatus()), func(answer messages.Respond) { status = answer.Status })
-		m.RunUntil(m.Now + second)
+		c.RunUntil(c.Now + second)
 		if status == messages.ReplyOK {
 			t.Errorf("the former owner still answers %s", id)
 		}
--- a/internal/controller/scale_out_zone_cluster_test.go
+++ b/internal/controller/scale_out_zone_cluster_test.go
@@ -9,21 +9,21 @@
 // TestZoneBoundJobGetsNewMachines: the machines of the only zone that a job may use
 // are lost. Others are provisioned there, and its tasks start on them.
 func TestZoneBoundJobGetsNewMachines(t *testing.T) {
-	m := newTestCluster(t, 1)
+	c := newTestCluster(t, 1)
 	const run = 60 * second
 	spec := newJobSpec("j-000002", "red", 3, run)
 	spec.Zone = "b"
-	spec.SubmittedAt = wallTime(m.Now)
+	spec.SubmittedAt = wallTime(c.Now)
 	job := newJob(spec, run)
-	m.Users.Submit(job)
-	m.waitFor("its tasks run in its zone", 60*second, func() bool { return m.countRunningTasks(job) == 3 })
-	for id, worker := range m.Machines.Workers {
+	c.Users.Submit(job)
+	c.waitFor("its tasks run in its zone", 60*second, func() bool { return c.countRunningTasks(job) == 3 })
+	for id, worker := range c.Machines.Workers {
 		if worker.Zone == "b" {
-			m.Machines.Remove(id)
+			c.Machines.Remove(id)
 		}
 	}
-	m.waitFor("its tasks run again", 90*second, func() bool { return m.countRunningTasks(job) == 3 })
-	m.runAndCheck(90 * second)
+	c.waitFor("its tasks run again", 90*second, func() bool { return c.countRunningTasks(job) == 3 })
+	c.runAndCheck(90 * second)
 	if job.ReportedStatus != cluster.JobDone {
 		t.Errorf("the job is %s", job.ReportedStatus)
 	}
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -20,7 +20,7 @@
 	"query":    (*traceRunner).query,
 	"cancel":   (*traceRunner).cancel,
 	"corrupt":  (*traceRunner).corruptMachineGroup,
-	"cut":      (*traceRunner).cutNode,
+	"cut":      (*traceRunner).partitionNode,
 	"freeze":   (*traceRunner).pauseNodes,
 	// run 10s: time passes.
 	"run": func(r *traceRunner, c traceCommand) { r.simulator.RunUntil(r.until(c.duration(0))) },
@@ -225,21 +225,21 @@
 	}
 }
 
-// cutNode: cut n0 store 10s partitions a controller from the store, the workers or
+// partitionNode: cut n0 store 10s partitions a controller from the store, the workers or
 // the peers; from the "servers", which leaves it its workers; or from "all".
-func (r *traceRunner) cutNode(command traceCommand) {
+func (r *traceRunner) partitionNode(command traceCommand) {
 	node, until := command.node(0), r.until(command.duration(2))
 	switch from := command.arg(1); from {
 	case "store":
-		node.StoreCutUntil = until
+		node.StorePartitionedUntil = until
 	case "workers":
-		node.WorkersCutUntil = until
+		node.WorkersPartitionedUntil = until
 	case "peers":
-		node.PeersCutUntil = until
+		node.PeersPartitionedUntil = until
 	case "servers":
-		node.StoreCutUntil, node.PeersCutUntil = until, until
+		node.StorePartitionedUntil, node.PeersPartitionedUntil = until, until
 	case "all":
-		node.StoreCutUntil, node.WorkersCutUntil, node.PeersCutUntil = until, until, until
+		node.StorePartitionedUntil, node.WorkersPartitionedUntil, node.PeersPartitionedUntil = until, until, until
 	default:
 		r.fail("cut from %q", from)
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -123,6 +123,6 @@
 	}
 	sim.After(begin-second, func() {
 		sim.FaultCounts[faultOldNodePartitioned]++
-		node.PeersCutUntil = sim.Now + sim.RandomBetween(20*second, last-begin)
+		node.PeersPartitionedUntil = sim.Now + sim.RandomBetween(20*second, last-begin)
 	})
 }
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -9,12 +9,12 @@
 // partitionZone partitions a zone with all the machines and one controller from the
 // other controllers and the state service, until a time. The machines go on sending
 // their heartbeats to the controller inside.
-func (m *testCluster) partitionZone(inside cluster.NodeID, until cluster.Time) {
-	for _, node := range m.Nodes {
+func (c *testCluster) partitionZone(inside cluster.NodeID, until cluster.Time) {
+	for _, node := range c.Nodes {
 		if node.ID == inside {
-			node.StoreCutUntil, node.PeersCutUntil = until, until
+			node.StorePartitionedUntil, node.PeersPartitionedUntil = until, until
 		} else {
-			node.WorkersCutUntil = until
+			node.WorkersPartitionedUntil = until
 		}
 	}
 }
@@ -26,34 +26,34 @@
 // inside can end the cancelled tasks: by no longer answering their machines, though
 // it can't know of the cancellation.
 func TestZonePartitionDuringCloudOutage(t *testing.T) {
-	m := newTestCluster(t, 2)
-	inside, outside := m.Nodes[1], m.Nodes[2]
-	healed := m.Now + 2*m.config.CancelDeadline
-	m.partitionZone(inside.ID, healed)
-	m.CloudAPI.DownUntil = healed
-	m.waitFor("acquired outside", 30*second, func() bool { return m.longJobOwner() == outside.ID })
-	m.cancelAt(outside, m.longJob)
-	if m.countRunningTasks(m.longJob) == 0 {
+	c := newTestCluster(t, 2)
+	inside, outside := c.Nodes[1], c.Nodes[2]
+	healed := c.Now + 2*c.config.CancelDeadline
+	c.partitionZone(inside.ID, healed)
+	c.CloudAPI.DownUntil = healed
+	c.waitFor("acquired outside", 30*second, func() bool { return c.longJobOwner() == outside.ID })
+	c.cancelAt(outside, c.longJob)
+	if c.countRunningTasks(c.longJob) == 0 {
 		t.Fatal("the tasks are gone before the cancellation")
 	}
-	m.runAndCheck(2*m.config.CancelDeadline + 30*second)
+	c.runAndCheck(2*c.config.CancelDeadline + 30*second)
 }
 
 // TestZonePartitionLongerThanLease: a zone with all the workers and one controller is
 // partitioned for longer than a lease; the controller there goes on answering them.
 // Another acquires its shard and confirms a cancellation, and can't reach a machine.
 func TestZonePartitionLongerThanLease(t *testing.T) {
-	m := newTestCluster(t, 2)
-	inside := m.Nodes[1]
-	m.partitionZone(inside.ID, m.Now+6*m.config.WorkerLease)
-	m.waitFor("acquired outside", 30*second, func() bool { return m.longJobOwner() != inside.ID })
-	outside := m.Nodes[2]
-	if m.longJobOwner() != outside.ID {
-		t.Fatalf("acquired by %s", m.longJobOwner())
+	c := newTestCluster(t, 2)
+	inside := c.Nodes[1]
+	c.partitionZone(inside.ID, c.Now+6*c.config.WorkerLease)
+	c.waitFor("acquired outside", 30*second, func() bool { return c.longJobOwner() != inside.ID })
+	outside := c.Nodes[2]
+	if c.longJobOwner() != outside.ID {
+		t.Fatalf("acquired by %s", c.longJobOwner())
 	}
-	m.cancelAt(outside, m.longJob)
-	if m.countRunningTasks(m.longJob) == 0 {
+	c.cancelAt(outside, c.longJob)
+	if c.countRunningTasks(c.longJob) == 0 {
 		t.Fatal("the tasks are gone before the cancellation")
 	}
-	m.runAndCheck(m.config.CancelDeadline + 30*second)
+	c.runAndCheck(c.config.CancelDeadline + 30*second)
 }
--- a/internal/simulation/command_calls.go
+++ b/internal/simulation/command_calls.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// connectTimeout is how long a controller waits for a machine that is gone.
+	// connectTimeout is how long a controller waits for a machine that was removed.
 	connectTimeout = 1500 * millisecond
 	// commandTimeout is how long a controller waits for a machine that does not
 	// answer.
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -98,8 +98,8 @@
 		x.tryNextNode()
 		return
 	}
-	if cutUntil := max(x.node.WorkersCutUntil, worker.cutUntil); s.Now < cutUntil {
-		x.deliverLate(cutUntil)
+	if partitionedUntil := max(x.node.WorkersPartitionedUntil, worker.partitionedUntil); s.Now < partitionedUntil {
+		x.deliverLate(partitionedUntil)
 		return
 	}
 	if s.network.isHeartbeatDuplicated() {
@@ -111,8 +111,8 @@
 
 // deliverLate delivers a heartbeat that was sent over a partition; nobody reads
 // its answer.
-func (x *heartbeatExchange) deliverLate(cutUntil cluster.Time) {
-	if delay, arrives := x.sender.network.lateArrival(cutUntil); arrives {
+func (x *heartbeatExchange) deliverLate(partitionedUntil cluster.Time) {
+	if delay, arrives := x.sender.network.lateArrival(partitionedUntil); arrives {
 		x.sender.After(delay, func() { x.node.SendRequest(heartbeatRequest(x.status), func(messages.Respond) {}) })
 	}
 }
@@ -153,7 +153,7 @@
 		s.FaultCounts[FaultAnswerToUnreachableMachine]++
 		return
 	}
-	if s.Now < x.node.StoreCutUntil && s.Now < x.node.PeersCutUntil && answer.Status == messages.ReplyOK {
+	if s.Now < x.node.StorePartitionedUntil && s.Now < x.node.PeersPartitionedUntil && answer.Status == messages.ReplyOK {
 		s.FaultCounts[FaultAnswerFromIsolatedNode]++
 	}
 	if s.Now < worker.hungUntil {
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -134,8 +134,8 @@
 	return t.State == cluster.Running || t.State == cluster.Checkpointing
 }
 
-// checkStartAfterCancel: no task starts long after its user was told that the
-// job is cancelled.
+// checkStartAfterCancel: no task starts long after its job was reported as
+// cancelled.
 func (c *invariantChecker) checkStartAfterCancel(task *Task, job *Job) {
 	if job.CancelConfirmedAt == 0 {
 		return
@@ -146,13 +146,13 @@
 	}
 }
 
-// isCancelOverdue tells whether all tasks of a cancelled job should be gone.
+// isCancelOverdue tells whether all tasks of a cancelled job should have ended.
 func (c *invariantChecker) isCancelOverdue(job *Job) bool {
 	return job.CancelConfirmedAt > 0 && c.Now-job.CancelConfirmedAt > c.config.CancelDeadline
 }
 
 // checkQuotasAndCancellations checks what is on all machines now against the quota
-// limits of the teams and the cancellations that users were told of.
+// limits of the teams and the cancellations that were confirmed.
 func (c *invariantChecker) checkQuotasAndCancellations() {
 	usage := map[string]cluster.Amount{}
 	for _, id := range c.machines.liveIDs() {
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// Job is a submitted job with all that its user was told.
+// Job is a submitted job with all that was reported to its user.
 type Job struct {
 	Spec              cluster.JobSpec
 	Info              JobInfo
@@ -18,14 +18,13 @@
 	CancelConfirmedAt cluster.Time
 	SubmittedAt       cluster.Time
 	FirstStartAt      cluster.Time // when its first task started; 0: not yet
-	finalReportedAt   cluster.Time // when its user was told that it is over
+	finalReportedAt   cluster.Time // when its end was reported to the user
 	lastAnswerAt      cluster.Time // when a query about it was last answered
 	lastStartAt       cluster.Time // when a task of it last started
 	starvingSince     cluster.Time // since when it waits although there is room; 0: it does not
 }
 
-// isUnfinished tells whether its user was told that the job is accepted, and
-// nothing else since.
+// isUnfinished tells whether the job was reported as accepted, but not its end.
 func (j *Job) isUnfinished() bool { return j.Accepted && !j.ReportedStatus.IsFinal() }
 
 // jobTable holds the submitted jobs, and which of their tasks are done.
--- a/internal/simulation/machine_faults.go
+++ b/internal/simulation/machine_faults.go
@@ -11,18 +11,18 @@
 	}
 }
 
-// Cut partitions a machine's network for a while.
-func (m *Machines) Cut(id cluster.MachineID, duration cluster.Time) {
+// Partition partitions a machine's network for a while.
+func (m *Machines) Partition(id cluster.MachineID, duration cluster.Time) {
 	if worker := m.Workers[id]; worker != nil {
-		worker.cutUntil = m.Now + duration
+		worker.partitionedUntil = m.Now + duration
 	}
 }
 
-// CutZone partitions the network of all machines of a zone for a while.
-func (m *Machines) CutZone(zone string, duration cluster.Time) {
+// PartitionZone partitions the network of all machines of a zone for a while.
+func (m *Machines) PartitionZone(zone string, duration cluster.Time) {
 	for _, id := range m.liveIDs() {
 		if m.Workers[id].Zone == zone {
-			m.Cut(id, duration)
+			m.Partition(id, duration)
 		}
 	}
 }
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -33,7 +33,7 @@
 	*FakeWorker
 	nodeIndex              int          // of the controller that it sends heartbeats to
 	hungUntil              cluster.Time // the machine stands still until then
-	cutUntil               cluster.Time // its network is partitioned until then
+	partitionedUntil       cluster.Time // its network is partitioned until then
 	unreachableUntil       cluster.Time // its heartbeats arrive, nothing reaches it until then
 	heartbeatsBlockedUntil cluster.Time // its connections to controllers fail until then, command pushes reach it
 	removed                bool
@@ -44,7 +44,7 @@
 
 // commandsBlockedUntil is when commands of a controller reach the worker again.
 func (w *SimulatedWorker) commandsBlockedUntil(node *Node) cluster.Time {
-	return max(node.WorkersCutUntil, w.cutUntil, w.hungUntil, w.unreachableUntil)
+	return max(node.WorkersPartitionedUntil, w.partitionedUntil, w.hungUntil, w.unreachableUntil)
 }
 
 // isLeaseExpired tells whether the controllers' lease on the worker is over.
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -16,13 +16,13 @@
 	Version Version
 
 	// Faults of the node; each lasts until a time.
-	StoreCutUntil         cluster.Time // partitioned from the state service
-	WorkersCutUntil       cluster.Time // partitioned from the workers
-	PeersCutUntil         cluster.Time // partitioned from the other controllers
-	StoreRefusesUntil     cluster.Time // the state service answers it with 503
-	PeersRefuseUntil      cluster.Time // its connections with the other controllers are refused
-	StoreRepliesLostUntil cluster.Time // its transactions are applied, but the replies are lost
-	PausedUntil           cluster.Time // its process is paused while its clocks run on
+	StorePartitionedUntil   cluster.Time // partitioned from the state service
+	WorkersPartitionedUntil cluster.Time // partitioned from the workers
+	PeersPartitionedUntil   cluster.Time // partitioned from the other controllers
+	StoreRefusesUntil       cluster.Time // the state service answers it with 503
+	PeersRefuseUntil        cluster.Time // its connections with the other controllers are refused
+	StoreRepliesLostUntil   cluster.Time // its transactions are applied, but the replies are lost
+	PausedUntil             cluster.Time // its process is paused while its clocks run on
 
 	set             *nodeSet
 	controller      *controller.Controller
--- a/internal/simulation/peer_calls.go
+++ b/internal/simulation/peer_calls.go
@@ -19,7 +19,7 @@
 		call.replyAfter(c.network.delay(), lost)
 		return
 	}
-	if c.Now < max(from.PeersCutUntil, to.PeersCutUntil) {
+	if c.Now < max(from.PeersPartitionedUntil, to.PeersPartitionedUntil) {
 		call.replyAfter(message.Timeout, lost)
 		return
 	}
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -17,7 +17,7 @@
 	submissionTimeout = 5 * second
 )
 
-// ReadAfterWrite checks that no controller forgets what a user was told, by
+// ReadAfterWrite checks that no controller forgets what was reported to a user, by
 // asking all of them right after.
 type ReadAfterWrite struct {
 	*environment
@@ -26,11 +26,11 @@
 	until cluster.Time
 }
 
-// EnableFor has users ask at all nodes, again and again, right after they were
-// told that a job is accepted, done or cancelled.
+// EnableFor has users ask all controllers, again and again, right after a job was
+// reported as accepted, done or cancelled.
 func (r *ReadAfterWrite) EnableFor(duration cluster.Time) { r.until = r.Now + duration }
 
-// start checks what a job's user was just told.
+// start checks what was just reported of a job.
 func (r *ReadAfterWrite) start(job *Job) {
 	if r.Now >= r.until {
 		return
@@ -43,7 +43,7 @@
 	}
 }
 
-// followUp is a request about a job of which its user was told.
+// followUp is a request about a job right after something was reported of it.
 type followUp struct {
 	kind     FaultKind
 	job      *Job
@@ -89,7 +89,7 @@
 	case answer.Status == messages.ReplyUnavailable || answer.Status == messages.ReplyTooManyRequests:
 	case !asked.accepted && asked.kind == FaultCancelAfterWrite && answer.Status == messages.ReplyJobNotFound:
 	case isRefusal(answer.Status):
-		r.reportViolation("forgotten: %s was told before %v; %s at %s then get %d", job.Spec.ID, time.Duration(asked.askedAt), asked.kind, asked.node.ID, answer.Status)
+		r.reportViolation("forgotten: %s was reported before %v; %s at %s then get %d", job.Spec.ID, time.Duration(asked.askedAt), asked.kind, asked.node.ID, answer.Status)
 	default:
 		r.reportViolation("%s about %s at %s get %d", asked.kind, job.Spec.ID, asked.node.ID, answer.Status)
 	}
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -122,6 +122,6 @@
 
 // isHealthy tells whether the machine has no fault and is not being preempted.
 func (w *SimulatedWorker) isHealthy(now cluster.Time) bool {
-	faultyUntil := max(w.hungUntil, w.cutUntil, w.unreachableUntil, w.heartbeatsBlockedUntil, w.FaultyUntil)
+	faultyUntil := max(w.hungUntil, w.partitionedUntil, w.unreachableUntil, w.heartbeatsBlockedUntil, w.FaultyUntil)
 	return now >= faultyUntil && w.PreemptionNotice < 0
 }
--- a/internal/simulation/status_rules.go
+++ b/internal/simulation/status_rules.go
@@ -4,7 +4,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// checkReportedStatus checks the status that a user is told. It returns false
+// checkReportedStatus checks a status that is reported to a user. It returns false
 // when the status can't be true, and so must not be recorded.
 func (c *invariantChecker) checkReportedStatus(job *Job, status cluster.JobStatus) bool {
 	if status == cluster.JobDone {
@@ -36,8 +36,8 @@
 	}
 }
 
-// checkDependentCancelled: once the time for a cancellation has passed since the
-// user was told that a job is cancelled, no controller calls a job that needs it
+// checkDependentCancelled: once the time for a cancellation has passed since a job
+// was reported as cancelled, no controller calls a job that needs it
 // unfinished.
 func (c *invariantChecker) checkDependentCancelled(job *Job, status cluster.JobStatus) {
 	for _, dependency := range c.jobs.transitiveDependencies(job) {
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -116,7 +116,7 @@
 }
 
 func (s *Store) isReachableFrom(node *Node) bool {
-	return s.Now >= max(s.DownUntil, node.StoreCutUntil, node.StoreRefusesUntil)
+	return s.Now >= max(s.DownUntil, node.StorePartitionedUntil, node.StoreRefusesUntil)
 }
 
 // send carries a call to the service, or loses it or its reply.
@@ -125,8 +125,8 @@
 	switch {
 	case s.Now < s.DownUntil || s.Now < node.StoreRefusesUntil:
 		call.replyAfter(s.network.delay(), call.refused)
-	case s.Now < node.StoreCutUntil:
-		s.lose(call, node.StoreCutUntil)
+	case s.Now < node.StorePartitionedUntil:
+		s.lose(call, node.StorePartitionedUntil)
 	case call.write && s.loseReply(call):
 		call.replyAfter(storeCallTimeout, call.unknown)
 	case s.Chance(0.01):
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// CheckReportedStatus checks the status that a user was told against what the
-// user was told before.
+// CheckReportedStatus checks a status that is reported to a user against what was
+// reported before.
 func (u *Users) CheckReportedStatus(job *Job, status cluster.JobStatus) {
 	if !u.checker.checkReportedStatus(job, status) {
 		return
