--- /dev/null
+++ b/internal/simulation/clock_test.go
@@ -0,0 +1,58 @@
+package simulation
+
+import (
+	"slices"
+	"testing"
+
+	"stairrelay/internal/cluster"
+)
+
+// TestClockOrdersEvents: events happen by their time, and those that are due at the
+// same time in the order in which they were queued.
+func TestClockOrdersEvents(t *testing.T) {
+	var c clock
+	var happened []string
+	record := func(name string) func() { return func() { happened = append(happened, name) } }
+	c.After(2*second, record("third"))
+	c.After(second, record("first"))
+	c.After(second, record("second"))
+	c.After(3*second, record("too late"))
+	c.RunUntil(2 * second)
+	if want := []string{"first", "second", "third"}; !slices.Equal(happened, want) {
+		t.Errorf("happened %v, want %v", happened, want)
+	}
+	if c.Now != 2*second {
+		t.Errorf("now %v, want %v", c.Now, 2*second)
+	}
+}
+
+// TestClockRepeatsUntilStopped: an action is repeated at its interval, until one stops
+// the clock.
+func TestClockRepeatsUntilStopped(t *testing.T) {
+	var c clock
+	var times []cluster.Time
+	c.repeatEvery(second, func() {
+		times = append(times, c.Now)
+		if len(times) == 3 {
+			c.stop()
+		}
+	})
+	c.RunUntil(10 * second)
+	if want := []cluster.Time{second, 2 * second, 3 * second}; !slices.Equal(times, want) {
+		t.Errorf("repeated at %v, want %v", times, want)
+	}
+}
+
+// TestClockTreatsNegativeDelayAsNone: an event of the past happens now, so that time
+// never runs backwards.
+func TestClockTreatsNegativeDelayAsNone(t *testing.T) {
+	var c clock
+	c.After(second, func() {
+		c.After(-second, func() {
+			if c.Now != second {
+				t.Errorf("now %v, want %v", c.Now, second)
+			}
+		})
+	})
+	c.RunUntil(2 * second)
+}
--- /dev/null
+++ b/internal/simulation/invariants_test.go
@@ -0,0 +1,135 @@
+package simulation
+
+import (
+	"strings"
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/controller"
+)
+
+const testCPU = cluster.Amount(1_000_000)
+
+// newCheckedCluster makes a cluster without controllers, in which a test breaks a rule
+// on two machines that are up.
+func newCheckedCluster(t *testing.T) *Simulator {
+	t.Helper()
+	cfg := controller.Config{
+		Teams:             []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: testCPU}}},
+		Nodes:             []cluster.NodeID{"n0"},
+		HeartbeatInterval: 1000 * second, // no heartbeat is sent in the test
+		WorkerLease:       1000 * second,
+		CancelDeadline:    30 * second,
+	}
+	types := []cluster.MachineType{{Name: "small", Capacity: cluster.Resources{CPU: 4 * testCPU, Memory: 4 * testCPU}}}
+	cloud := NewFakeCloud(types, map[string]int{}, func() cluster.Time { return 0 })
+	s := assemble(1, cfg, cloud, nil)
+	s.NoRandomFaults = true
+	s.Machines.Add("small", "a", false)
+	s.Machines.Add("small", "b", false)
+	s.Machines.advance()
+	return s
+}
+
+// addTestJob makes an accepted job of one task.
+func addTestJob(s *Simulator, id cluster.JobID, dependencies ...cluster.JobID) *Job {
+	request := cluster.Resources{CPU: testCPU, Memory: testCPU}
+	job := &Job{
+		Spec:     cluster.JobSpec{ID: id, Team: "red", Tasks: 1, ResourceRequest: request, Dependencies: dependencies},
+		Info:     JobInfo{ResourceRequest: request, RunDuration: 100 * second, TaskCount: 1},
+		Accepted: true,
+	}
+	s.Jobs[id] = job
+	return job
+}
+
+// startOn starts a job's task on a machine that has its image.
+func startOn(s *Simulator, machine cluster.MachineID, job *Job) {
+	worker := s.Machines.Workers[machine]
+	worker.fetchedImages[job.Info.Image] = true
+	worker.startTask(cluster.Command{Kind: cluster.Start, Task: cluster.TaskID{Job: job.Spec.ID}, Attempt: 1})
+}
+
+// TestBrokenRulesAreReported: the checker finds each rule that is broken. A checker
+// that reports nothing would let every simulated day pass.
+func TestBrokenRulesAreReported(t *testing.T) {
+	const first, other = cluster.MachineID("m-000001"), cluster.MachineID("m-000002")
+	for name, test := range map[string]struct {
+		violate func(s *Simulator)
+		want    string
+	}{
+		"a task runs twice": {func(s *Simulator) {
+			job := addTestJob(s, "j-1")
+			startOn(s, first, job)
+			startOn(s, other, job)
+		}, "ran_twice"},
+		"a task runs in a zone that its job excludes": {func(s *Simulator) {
+			job := addTestJob(s, "j-1")
+			job.Spec.Zone = "b"
+			startOn(s, first, job)
+		}, "wrong_place"},
+		"a task starts before a dependency is done": {func(s *Simulator) {
+			addTestJob(s, "j-1")
+			startOn(s, first, addTestJob(s, "j-2", "j-1"))
+		}, "too_early"},
+		"a team exceeds its quota limit": {func(s *Simulator) {
+			startOn(s, first, addTestJob(s, "j-1"))
+			startOn(s, other, addTestJob(s, "j-2"))
+			s.checker.checkAll()
+		}, "quota"},
+		"a cancelled job's task goes on": {func(s *Simulator) {
+			job := addTestJob(s, "j-1")
+			startOn(s, first, job)
+			job.CancelRequested = true
+			s.After(second, func() { s.Users.CheckReportedStatus(job, cluster.JobCancelled) })
+			s.After(second+s.config.CancelDeadline+millisecond, s.checker.checkAll)
+			s.RunUntil(100 * second)
+		}, "ran_cancelled"},
+		"a job is called done before it is": {func(s *Simulator) {
+			s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobDone)
+		}, "not_done"},
+		"a job is called cancelled unasked": {func(s *Simulator) {
+			s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobCancelled)
+		}, "went_back"},
+		"an ended job is called running": {func(s *Simulator) {
+			job := addTestJob(s, "j-1")
+			job.CancelRequested = true
+			s.Users.CheckReportedStatus(job, cluster.JobCancelled)
+			s.Users.CheckReportedStatus(job, cluster.JobRunning)
+		}, "went_back"},
+		"no query of a job is answered": {func(s *Simulator) {
+			addTestJob(s, "j-1")
+			s.FaultsOverAt = second
+			s.After(second+forgottenAfter+millisecond, s.checker.checkForgotten)
+			s.RunUntil(100 * second)
+		}, "forgotten"},
+		"a job waits while there is room": {func(s *Simulator) {
+			addTestJob(s, "j-1")
+			s.FaultsOverAt = second
+			s.repeatEvery(5*second, s.checker.starvation.check)
+			s.RunUntil(120 * second)
+		}, "left_waiting"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newCheckedCluster(t)
+			test.violate(s)
+			if len(s.Violations) != 1 || !strings.Contains(s.Violations[0], test.want+":") {
+				t.Errorf("violations %v, want one of %s", s.Violations, test.want)
+			}
+		})
+	}
+}
+
+// TestKeptRulesAreNotReported: a job that runs where it may breaks no rule.
+func TestKeptRulesAreNotReported(t *testing.T) {
+	s := newCheckedCluster(t)
+	s.FaultsOverAt = second
+	job := addTestJob(s, "j-1")
+	startOn(s, "m-000001", job)
+	s.Users.CheckReportedStatus(job, cluster.JobRunning)
+	s.repeatEvery(checkInterval, s.checker.checkAll)
+	s.RunUntil(60 * second)
+	if len(s.Violations) > 0 {
+		t.Errorf("violations %v", s.Violations)
+	}
+}
