--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -1,8 +1,12 @@
 package controller
 
 import (
+	"maps"
+	"slices"
 	"strings"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -39,7 +43,7 @@
 
 func (s *testStore) list(prefix string, since cluster.Revision) []messages.KV {
 	var l []messages.KV
-	for _, k := range sortedKeys(s.keys) {
+	for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 		if kv := s.keys[k]; strings.HasPrefix(k, prefix) && kv.ModRevision > cluster.ModRevision(since) {
 			l = append(l, kv)
 		}
@@ -61,52 +65,75 @@
 }
 
 func newControllerHarness() *controllerHarness {
+	return newPreparedHarness(func(*Controller) {})
+}
+
+// newHarnessWithKnownPeers is a harness whose peers' present processes were first
+// heard of at 50 s, before its shards were last confirmed. They have answered no
+// ping yet.
+func newHarnessWithKnownPeers() *controllerHarness {
+	return newPreparedHarness(func(c *Controller) {
+		setTime(c, 50*second)
+		for _, peer := range c.members.Peers() {
+			if err := c.members.HandlePing(peer, &messages.Ping{InstanceID: knownInstance(peer.ID())}); err != nil {
+				panic(err)
+			}
+		}
+	})
+}
+
+// knownInstance is the present process of a peer of newHarnessWithKnownPeers.
+func knownInstance(id cluster.NodeID) string { return "boot-" + string(id) }
+
+// newPreparedHarness is a harness at 100 s, prepared before that.
+func newPreparedHarness(prepare func(*Controller)) *controllerHarness {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, InstanceID: "b0", HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 1000, WriteRPS: 1000, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
-	c.machineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
-	c.now, c.admissions.loaded = 100*second, true
+	c.state.MachineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
+	prepare(c)
+	setTime(c, 100*second)
+	c.jobs.AdmissionRecords.ApplyAll(nil, 0)
 	b := &controllerHarness{Controller: c, store: &testStore{keys: map[string]messages.KV{}, revision: 30}, losesReply: func(messages.StoreTxn) bool { return false }}
-	for _, p := range c.shards {
-		p.owned, p.ready, p.owner, p.claimRevision, p.modRevision, p.term, p.confirmedAt = true, true, "n0", 30, 30, 1, c.now
-		p.provisioningRequests, p.outOfCapacityUntil = map[string]*provisioningRequest{}, map[provisioningOption]cluster.Time{}
-		b.store.keys[p.key()] = messages.KV{Key: p.key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
+	for _, p := range c.state.Shards {
+		p.Owned, p.Ready, p.Owner, p.ClaimRevision, p.ModRevision, p.Term, p.ConfirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
+		p.ProvisioningRequests, p.OutOfCapacityUntil = map[string]*state.ProvisioningRequest{}, map[state.ProvisioningOption]cluster.Time{}
+		b.store.keys[p.Key()] = messages.KV{Key: p.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 	}
 	return b
 }
 
 // runFor lets time pass and the store answer; what it was asked for is kept.
 func (b *controllerHarness) runFor(d cluster.Time) {
-	for end := b.now + d; b.now <= end; b.now += 20 * millisecond {
-		b.runTimers()
-		b.writeQueue.dispatch()
-		out := b.effects
-		b.effects = nil
+	for end := b.loop.Now() + d; b.loop.Now() <= end; setTime(b.Controller, b.loop.Now()+20*millisecond) {
+		b.loop.RunTimers()
+		b.writeQueue.Dispatch()
+		out := takeEffects(b.Controller)
 		for _, f := range out {
 			switch f := f.(type) {
 			case messages.StoreTxn:
 				b.sentTransactions = append(b.sentTransactions, f)
 				if b.rejectsAsMalformed != nil && b.rejectsAsMalformed(f) {
-					b.pendingCalls[f.Call](messages.TxnReply{Outcome: messages.Invalid})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.TxnReply{Outcome: messages.Invalid}})
 				} else if b.throttles != nil && b.throttles(f) {
-					b.pendingCalls[f.Call](messages.TxnReply{Outcome: messages.Throttled})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.TxnReply{Outcome: messages.Throttled}})
 				} else if r := b.store.commit(f); b.losesReply(f) {
-					b.pendingCalls[f.Call](messages.TxnReply{Outcome: messages.UnknownOutcome})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.TxnReply{Outcome: messages.UnknownOutcome}})
 				} else {
-					b.pendingCalls[f.Call](r)
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: r})
 				}
 			case messages.StoreGet:
-				b.pendingCalls[f.Call](b.store.get(f.Key))
+				b.loop.Deliver(messages.Reply{Call: f.Call, Body: b.store.get(f.Key)})
 			case messages.StoreList:
 				if b.failsReads {
-					b.pendingCalls[f.Call](messages.ListReply{Outcome: messages.UnknownOutcome})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.ListReply{Outcome: messages.UnknownOutcome}})
 					continue
 				}
-				b.pendingCalls[f.Call](messages.ListReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, 0), Revision: b.store.revision})
+				b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.ListReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, 0), Revision: b.store.revision}})
 			case messages.StoreWatch:
 				if f.Timeout == 0 && b.failsReads {
-					b.pendingCalls[f.Call](messages.WatchReply{Outcome: messages.UnknownOutcome})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.WatchReply{Outcome: messages.UnknownOutcome}})
 				} else if f.Timeout == 0 {
-					b.pendingCalls[f.Call](messages.WatchReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, f.SinceRevision), Revision: b.store.revision})
+					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.WatchReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, f.SinceRevision), Revision: b.store.revision}})
 				}
 			case messages.Respond:
 				b.sentResponses = append(b.sentResponses, f)
@@ -115,20 +142,20 @@
 	}
 }
 
-func (b *controllerHarness) addTestJob(id cluster.JobID, tasks int) *job {
+func (b *controllerHarness) addTestJob(id cluster.JobID, tasks int) *state.Job {
 	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}}
-	j := newJob(spec, 0, 0, b.now)
-	b.addOwnedJob(j)
-	b.jobs.known[id] = &knownJob{shard: 0, tasks: tasks, team: "red"}
+	j := state.NewJob(spec, 0, 0, b.loop.Now())
+	b.state.AddOwnedJob(j)
+	b.state.Jobs.Known[id] = &state.KnownJob{ShardID: 0, Tasks: tasks, Team: "red"}
 	return j
 }
 
 // addRunningMachine is a machine that runs the first task of a job.
-func (b *controllerHarness) addRunningMachine(j *job) (*machine, *assignment) {
-	m := b.addMachine(b.newGroup(b.shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
-	m.tokenAcknowledged, m.incarnation, m.sequenceNumber, m.lastHeartbeat = true, 1, 1, b.now
-	a := &assignment{task: cluster.TaskID{Job: j.spec.ID, Index: 0}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, attempt: 7, phase: phaseAcknowledged, state: cluster.Running}
-	m.addAssignment(a)
-	j.setAssigned(0, a)
+func (b *controllerHarness) addRunningMachine(j *state.Job) (*state.Machine, *state.Assignment) {
+	m := b.inventory.AddMachine(b.state.AddGroup(b.state.Shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
+	m.TokenAcknowledged, m.Incarnation, m.SequenceNumber, m.LastHeartbeat = true, 1, 1, b.loop.Now()
+	a := &state.Assignment{Task: cluster.TaskID{Job: j.Spec.ID, Index: 0}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: 7, Phase: state.PhaseAcknowledged, State: cluster.Running}
+	m.AddAssignment(a)
+	j.SetAssigned(0, a)
 	return m, a
 }
--- a/internal/controller/growth_test.go
+++ b/internal/controller/growth_test.go
@@ -45,10 +45,10 @@
 }
 
 // sumCounters adds up what all controllers have counted.
-func (f *fleet) sumCounters() controller.Counters {
-	var sum controller.Counters
+func (f *fleet) sumCounters() controller.Work {
+	var sum controller.Work
 	for _, c := range f.Controllers() {
-		counts := c.Counts()
+		counts := c.Work()
 		sum.MachineScans += counts.MachineScans
 		sum.Puts += counts.Puts
 		sum.PeerCalls += counts.PeerCalls
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -7,23 +7,22 @@
 	"stairrelay/internal/messages"
 )
 
-// answerProbe lets a peer, whose present run has been known for long, answer a
-// call that was sent now with the latest term that it knows of part 0.
+// answerProbe lets a peer of newHarnessWithKnownPeers answer a ping that was sent now
+// with the latest term that it knows of shard 0.
 func answerProbe(b *controllerHarness, id cluster.NodeID, term cluster.Term) {
-	peer := b.peers[id]
-	peer.instanceID, peer.instanceSeenAt = "boot-"+string(id), 50*second
-	b.applyPingReply(peer, messages.Ping{InstanceID: peer.instanceID, KnownTerms: []cluster.Term{term, 1, 1}}, b.now)
+	ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{term, 1, 1}}
+	b.members.HandlePingReply(b.members.Peer(id), ping, b.loop.Now())
 }
 
 // sendAcquire makes the controller claim part 0 and returns the transaction, which
 // has no answer yet.
 func sendAcquire(t *testing.T, b *controllerHarness) messages.StoreTxn {
 	t.Helper()
-	part := b.shards[0]
-	part.owned, part.ready, part.confirmedAt = false, false, 0
-	b.acquireShard(part)
-	b.writeQueue.dispatch()
-	for _, effect := range b.effects {
+	part := b.state.Shards[0]
+	part.Owned, part.Ready, part.ConfirmedAt = false, false, 0
+	b.ownership.Acquire(part)
+	b.writeQueue.Dispatch()
+	for _, effect := range b.loop.Effects() {
 		if claim, ok := effect.(messages.StoreTxn); ok {
 			return claim
 		}
@@ -49,26 +48,26 @@
 		{"the peer has claimed the part since", ownTerm + 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
-			part := b.shards[0]
+			b := newHarnessWithKnownPeers()
+			part := b.state.Shards[0]
 			claim := sendAcquire(t, b)
-			sent := b.now
+			sent := b.loop.Now()
 
-			b.now += 3 * second
-			heard := b.now
+			setTime(b.Controller, b.loop.Now()+3*second)
+			heard := b.loop.Now()
 			answerProbe(b, "n1", test.heard)
 			answerProbe(b, "n2", ownTerm)
 
-			b.now += second
-			b.pendingCalls[claim.Call](messages.TxnReply{Outcome: messages.OK, Revision: 40})
-			if !part.owned || part.term != ownTerm {
-				t.Fatalf("held %v, term %d; want the part held with term %d", part.owned, part.term, ownTerm)
+			setTime(b.Controller, b.loop.Now()+second)
+			b.loop.Deliver(messages.Reply{Call: claim.Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 40}})
+			if !part.Owned || part.Term != ownTerm {
+				t.Fatalf("held %v, term %d; want the part held with term %d", part.Owned, part.Term, ownTerm)
 			}
 			want := sent
 			if test.wordHeld {
 				want = heard
 			}
-			if got := b.ownershipConfirmedAt(part); got != want {
+			if got := b.ownership.LastConfirmedAt(part); got != want {
 				t.Errorf("certain as of %d s, want %d s", got/second, want/second)
 			}
 		})
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -3,28 +3,26 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
 )
 
 // Counters count what happened since the last periodic log line.
 type Counters struct {
-	PutsByPriority [priorityCount]int // puts by priority of their writes
-	Heartbeats     int
-	Submissions    int
-	Queries        int
-	Cancellations  int
-	CommandPushes  int
-	Transactions   int
-	Puts           int
-	Conflicts      int
-	Gets           int
-	PeerCalls      int
-	CloudCalls     int
+	Heartbeats    int
+	Submissions   int
+	Queries       int
+	Cancellations int
+	CommandPushes int
 	// MachineScans counts the machines that were looked at one by one, whatever for.
 	MachineScans int
 }
 
-// addMachineScans counts a look at each of so many machines.
-func (n *Counters) addMachineScans(machines []*machine) { n.MachineScans += len(machines) }
+// AddCommandPush counts a call to a worker.
+func (n *Counters) AddCommandPush() { n.CommandPushes++ }
+
+// AddMachineScans counts a look at each of some machines.
+func (n *Counters) AddMachineScans(machines []*state.Machine) { n.MachineScans += len(machines) }
 
 // capacityUsage sums up what the machines of all parts have and what is done with
 // it, in processors.
@@ -41,50 +39,50 @@
 	pending   cluster.Amount // of tasks without a machine
 }
 
-func (u *capacityUsage) addMachine(m *machine, cpu cluster.Amount) {
-	if m.booting {
+func (u *capacityUsage) addMachine(m *state.Machine, cpu cluster.Amount) {
+	if m.Booting {
 		u.booting += cpu
 		return
 	}
 	u.total += cpu
-	if m.spot {
+	if m.Spot {
 		u.spot += cpu
 	}
-	if m.liveTaskCount() == 0 {
+	if m.LiveTaskCount() == 0 {
 		u.idle += cpu
 	}
-	for _, a := range m.assignments {
+	for _, a := range m.Assignments {
 		u.addTask(a)
 	}
 }
 
-func (u *capacityUsage) addTask(a *assignment) {
+func (u *capacityUsage) addTask(a *state.Assignment) {
 	switch {
-	case a.phase == phaseEnded:
-		u.ended += a.resourceRequest.CPU
-	case a.phase == phaseRecording:
-		u.recording += a.resourceRequest.CPU
-	case a.phase == phaseReady:
-		u.ready += a.resourceRequest.CPU
-	case a.runningSince == 0:
-		u.fetching += a.resourceRequest.CPU
+	case a.Phase == state.PhaseEnded:
+		u.ended += a.ResourceRequest.CPU
+	case a.Phase == state.PhaseRecording:
+		u.recording += a.ResourceRequest.CPU
+	case a.Phase == state.PhaseReady:
+		u.ready += a.ResourceRequest.CPU
+	case a.RunningSince == 0:
+		u.fetching += a.ResourceRequest.CPU
 	default:
-		u.running += a.resourceRequest.CPU
+		u.running += a.ResourceRequest.CPU
 	}
 }
 
 // capacityUsage sums up the parts held here.
 func (c *Controller) capacityUsage() capacityUsage {
 	var use capacityUsage
-	for _, p := range c.shards {
-		for _, m := range p.machines {
-			use.addMachine(m, c.machineTypes[m.machineType].Capacity.CPU)
+	for _, p := range c.state.Shards {
+		for _, m := range p.Machines {
+			use.addMachine(m, c.state.MachineTypes[m.MachineType].Capacity.CPU)
 		}
-		if !p.owned || !p.ready {
+		if !p.Owned || !p.Ready {
 			continue
 		}
 		for _, w := range c.listPendingWork(p) {
-			use.pending += w.job.spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
+			use.pending += w.job.Spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
 		}
 	}
 	return use
@@ -94,13 +92,14 @@
 func (c *Controller) logStats() {
 	counts := c.counters
 	c.counters = Counters{}
+	writes := c.writeQueue.TakeCounters()
 	use := c.capacityUsage()
 	groupBytes := 0
-	for _, g := range c.machineGroups {
-		groupBytes += g.recordSize
+	for _, g := range c.state.Groups {
+		groupBytes += g.RecordSize
 	}
 	cpus := func(a cluster.Amount) int { return int(a / 1_000_000) }
-	c.log(messages.LogInfo, "load",
+	c.loop.Log(messages.LogInfo, "load",
 		"cpus", cpus(use.total),
 		"spot", cpus(use.spot),
 		"idle", cpus(use.idle),
@@ -111,41 +110,41 @@
 		"ended", cpus(use.ended),
 		"waiting", cpus(use.pending),
 		"booting", cpus(use.booting),
-		"groups", len(c.machineGroups),
-		"group_bytes", groupBytes/max(len(c.machineGroups), 1),
-		"puts_share", int(c.writeQueue.putBudget.Rate()*10)/10)
-	c.log(messages.LogInfo, "stats",
+		"groups", len(c.state.Groups),
+		"group_bytes", groupBytes/max(len(c.state.Groups), 1),
+		"puts_share", int(c.writeQueue.PutBudget().Rate()*10)/10)
+	c.loop.Log(messages.LogInfo, "stats",
 		"reports", counts.Heartbeats,
 		"submits", counts.Submissions,
 		"queries", counts.Queries,
 		"cancels", counts.Cancellations,
 		"orders", counts.CommandPushes,
-		"txns", counts.Transactions,
-		"puts", counts.Puts,
-		"claims", counts.PutsByPriority[priorityAcquire],
-		"rentals", counts.PutsByPriority[priorityScaleOut],
-		"accepts", counts.PutsByPriority[priorityAdmit],
-		"starts", counts.PutsByPriority[priorityStart],
-		"outcomes", counts.PutsByPriority[priorityOutcome],
-		"lazy", counts.PutsByPriority[priorityBackground],
-		"conflicts", counts.Conflicts,
-		"gets", counts.Gets,
-		"peer_calls", counts.PeerCalls,
-		"cloud_calls", counts.CloudCalls,
+		"txns", writes.Transactions,
+		"puts", writes.Puts,
+		"claims", writes.PutsByPriority[writequeue.Acquire],
+		"rentals", writes.PutsByPriority[writequeue.ScaleOut],
+		"accepts", writes.PutsByPriority[writequeue.Admit],
+		"starts", writes.PutsByPriority[writequeue.Start],
+		"outcomes", writes.PutsByPriority[writequeue.Outcome],
+		"lazy", writes.PutsByPriority[writequeue.Background],
+		"conflicts", writes.Conflicts,
+		"gets", writes.Reads,
+		"peer_calls", c.members.TakeCallCount(),
+		"cloud_calls", c.provisioner.Rate.TakeCallCount(),
 		"visits", counts.MachineScans,
 		"parts", c.ownedShardCount(),
 		"stalled_parts", c.stalledShardCount(),
-		"jobs", len(c.jobs.owned),
-		"machines", len(c.machines),
-		"queue", c.writeQueue.depth(),
-		"inflight", c.writeQueue.inFlight)
+		"jobs", len(c.state.Jobs.Owned),
+		"machines", len(c.state.Machines),
+		"queue", c.writeQueue.Depth(),
+		"inflight", c.writeQueue.InFlight())
 }
 
 // ownedShardCount counts the parts held here.
 func (c *Controller) ownedShardCount() int {
 	held := 0
-	for _, p := range c.shards {
-		if p.owned {
+	for _, p := range c.state.Shards {
+		if p.Owned {
 			held++
 		}
 	}
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -4,7 +4,10 @@
 	"fmt"
 	"testing"
 
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/ratelimit"
@@ -16,10 +19,10 @@
 	refused := 0
 	var allowed ratelimit.TokenBucket
 	allowed.SetRate(rate, rate)
-	allowed.Refill(b.now)
+	allowed.Refill(b.loop.Now())
 	allowed.Fill()
 	b.throttles = func(x messages.StoreTxn) bool {
-		ok := allowed.Take(b.now, float64(len(x.Then)))
+		ok := allowed.Take(b.loop.Now(), float64(len(x.Then)))
 		if !ok {
 			refused++
 		}
@@ -32,18 +35,20 @@
 func newHarnessWithRates(present, later float64) *controllerHarness {
 	b := newControllerHarness()
 	b.config.CurrentWriteRPS, b.config.WriteRPS, b.config.MaxTxnOps = present, later, 4
-	b.timers = timerQueue{} // no tidying up, which would join the groups
-	b.writeQueue.init(b.Controller)
+	dropTimers(b.Controller) // no tidying up, which would join the groups
+	b.writeQueue.Configure(b.writeQueueConfig())
+	b.jobs.Configure(b.jobsConfig())
+	b.inventory.Configure(b.inventoryConfig())
 	return b
 }
 
 // addGroupsAwaitingRecord makes groups of which each has starts that wait for its record.
-func (b *controllerHarness) addGroupsAwaitingRecord(name string, j *job, groups, from int) []*machineGroup {
-	var all []*machineGroup
+func (b *controllerHarness) addGroupsAwaitingRecord(name string, j *state.Job, groups, from int) []*state.MachineGroup {
+	var all []*state.MachineGroup
 	for i := range groups {
 		g := b.addGroupWithTasks(fmt.Sprintf("%s-%02d", name, i), j, 2, 2, from+10*i)
 		markTasksRecording(g, 4)
-		b.writeGroup(g, priorityStart)
+		b.inventory.WriteGroup(g, writequeue.Start)
 		all = append(all, g)
 	}
 	return all
@@ -51,24 +56,24 @@
 
 // checkGroupsReady fails unless every group was stored with its tasks, which may
 // start now, and no part was given up.
-func (b *controllerHarness) checkGroupsReady(t *testing.T, groups []*machineGroup) {
+func (b *controllerHarness) checkGroupsReady(t *testing.T, groups []*state.MachineGroup) {
 	t.Helper()
 	for _, g := range groups {
-		record, err := grouprecord.Decode(b.store.keys[g.key()].Value)
-		if err != nil || len(record.Machines) != 2 || b.countWrites(g.key()) == 0 {
-			t.Errorf("%s: %d machines listed, %d writes, %v", g.id, len(record.Machines), b.countWrites(g.key()), err)
+		record, err := grouprecord.Decode(b.store.keys[g.Key()].Value)
+		if err != nil || len(record.Machines) != 2 || b.countWrites(g.Key()) == 0 {
+			t.Errorf("%s: %d machines listed, %d writes, %v", g.ID, len(record.Machines), b.countWrites(g.Key()), err)
 		}
-		for _, m := range g.sortedMachines() {
-			for _, a := range m.sortedAssignments() {
-				if a.phase != phaseReady {
-					t.Errorf("%s: task %d still waits for its record", g.id, a.task.Index)
+		for _, m := range g.SortedMachines() {
+			for _, a := range m.SortedAssignments() {
+				if a.Phase != state.PhaseReady {
+					t.Errorf("%s: task %d still waits for its record", g.ID, a.Task.Index)
 				}
 			}
 		}
 	}
-	for _, p := range b.shards {
-		if !p.owned {
-			t.Errorf("part %d was given up", p.id)
+	for _, p := range b.state.Shards {
+		if !p.Owned {
+			t.Errorf("part %d was given up", p.ID)
 		}
 	}
 }
@@ -90,11 +95,11 @@
 // checkSharedRate fails unless the controllers share the given rate.
 func (b *controllerHarness) checkSharedRate(t *testing.T, rate float64) {
 	t.Helper()
-	if b.writeQueue.writeRPS != rate {
-		t.Errorf("the controllers share %v changes a second, not %v", b.writeQueue.writeRPS, rate)
+	if b.writeQueue.SharedWriteRPS() != rate {
+		t.Errorf("the controllers share %v changes a second, not %v", b.writeQueue.SharedWriteRPS(), rate)
 	}
-	if most := rate * b.config.Tuning.RateBudgetShare; b.writeQueue.putBudget.Rate() > most {
-		t.Errorf("%v of %v changes a second are this controller's", b.writeQueue.putBudget.Rate(), most)
+	if most := rate * b.config.Tuning.RateBudgetShare; b.writeQueue.PutBudget().Rate() > most {
+		t.Errorf("%v of %v changes a second are this controller's", b.writeQueue.PutBudget().Rate(), most)
 	}
 }
 
@@ -123,8 +128,8 @@
 		t.Fatal("nothing was refused the second time: the test shows nothing")
 	}
 	for _, g := range more {
-		if b.store.keys[g.key()].ModRevision != 20 {
-			t.Errorf("%s was stored though the store refused it", g.id)
+		if b.store.keys[g.Key()].ModRevision != 20 {
+			t.Errorf("%s was stored though the store refused it", g.ID)
 		}
 	}
 	b.throttles = limited
