--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -306,7 +306,7 @@
 	c := newIdleCluster(t, 3)
 	readyAt := map[string]cluster.Time{}
 	c.Log = func(text string) {
-		if _, id, ok := strings.Cut(text, "job released [job "); ok {
+		if _, id, ok := strings.Cut(text, "job ready [job "); ok {
 			readyAt[strings.Fields(id)[0]] = c.Now
 		}
 	}
