--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,6 +13,7 @@
 	"stairrelay/internal/inventory"
 	"stairrelay/internal/jobs"
 	"stairrelay/internal/provisioning"
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -49,12 +50,11 @@
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	ownership         *ownership.Manager
-	progress          []shardProgress // by shard
-	jobs              *jobs.Jobs
-	classStats        map[string]*classStats
-	loadCache         loadCache
-	schedulingTrigger schedulingTrigger
+	ownership *ownership.Manager
+	progress  []shardProgress // by shard
+	jobs      *jobs.Jobs
+	loadCache loadCache
+	scheduler *scheduling.Scheduler
 
 	// Machines.
 	recordNames       *inventory.RecordNames
@@ -73,7 +73,6 @@
 		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
 		attemptedTransfers: attemptedTransfers{},
 		processHealth:      &membership.ProcessHealth{},
-		classStats:         map[string]*classStats{},
 	}
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
@@ -82,6 +81,7 @@
 	c.jobs = c.newJobs()
 	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.provisioner = c.newProvisioner()
+	c.scheduler = c.newScheduler()
 	c.reconciler = c.newReconciler()
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.loop.After(0, c.startLoops)
@@ -128,13 +128,7 @@
 
 // flush decides once per step on all that the step has changed.
 func (c *Controller) flush() {
-	switch c.schedulingTrigger.check(c.loop.Now()) {
-	case scheduleNow:
-		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.StretchDelay(schedulingInterval))
-		c.scheduleOwnedShards()
-	case scheduleLater:
-		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
-	}
+	c.scheduler.RunIfRequested()
 	c.reconciler.Commands.PushQueued()
 	c.writeQueue.Dispatch()
 	c.reconciler.Heartbeats.AnswerReady()
@@ -162,6 +156,6 @@
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
 	c.loop.Every(eventloop.FixedInterval(second), c.ownership.RenewLeases)
-	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
+	c.loop.Every(eventloop.FixedInterval(second/4), c.scheduler.Trigger.Request)
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -61,7 +61,7 @@
 // inventoryScheduler implements inventory.Scheduler.
 type inventoryScheduler struct{ controller *Controller }
 
-func (a inventoryScheduler) RequestScheduling() { a.controller.schedulingTrigger.request() }
+func (a inventoryScheduler) RequestScheduling() { a.controller.scheduler.Trigger.Request() }
 
 func (a inventoryScheduler) MaintainMachines() { a.controller.reconciler.Maintenance.Run() }
 
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/inventory"
 	"stairrelay/internal/reconcile"
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
@@ -26,7 +27,7 @@
 		Ownership:         c.ownership,
 		Machines:          c.inventory,
 		Jobs:              jobRecords{controller: c},
-		Runtimes:          runtimeEstimates{controller: c},
+		Runtimes:          runtimes{c.scheduler.RunTimes, c.scheduler.Stragglers},
 		Reachability:      c.workerReachability,
 		Process:           c.processHealth,
 		Directory:         machineDirectory{c.inventory},
@@ -35,7 +36,7 @@
 		Spot:              c.provisioner.Spot,
 		Metrics:           &c.counters,
 		IsIsolated:        c.isIsolated,
-		RequestScheduling: c.schedulingTrigger.request,
+		RequestScheduling: c.scheduler.Trigger.Request,
 	})
 }
 
@@ -58,22 +59,10 @@
 	r.controller.jobs.Records.Write(job, priority)
 }
 
-// runtimeEstimates shows the reconciler how long tasks run.
-type runtimeEstimates struct{ controller *Controller }
-
-// RecordRuntime implements reconcile.Runtimes.
-func (e runtimeEstimates) RecordRuntime(machine *state.Machine, assignment *state.Assignment) {
-	e.controller.recordRuntime(machine, assignment)
-}
-
-// ExpectedRemainingSeconds implements reconcile.Runtimes.
-func (e runtimeEstimates) ExpectedRemainingSeconds(assignment *state.Assignment) float64 {
-	return e.controller.expectedRemainingSeconds(assignment)
-}
-
-// HandleSlowMachine implements reconcile.Runtimes.
-func (e runtimeEstimates) HandleSlowMachine(machine *state.Machine) {
-	e.controller.handleSlowMachine(machine)
+// runtimes shows the reconciler how long tasks run.
+type runtimes struct {
+	*scheduling.RunTimes
+	*scheduling.Stragglers
 }
 
 // machineReleaser gives machines back to the cloud for the reconciler.
--- a/internal/controller/surplus.go
+++ b/internal/controller/surplus.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 )
 
@@ -11,7 +12,7 @@
 // released while that one scales out. What all machines share is worked out at most once.
 func (c *Controller) surplusPredicate() func(*state.Machine) bool {
 	var loads fairshare.Snapshot
-	workByShard := map[cluster.ShardID][]pendingWork{}
+	workByShard := map[cluster.ShardID]scheduling.PendingWork{}
 	return func(machine *state.Machine) bool {
 		if loads == nil {
 			loads = c.allShardLoads()
@@ -21,11 +22,11 @@
 		}
 		pending, ok := workByShard[machine.ShardID]
 		if !ok {
-			pending = c.listPendingWork(c.state.Shards[machine.ShardID])
+			pending = c.scheduler.Queue.PendingWork(c.state.Shards[machine.ShardID])
 			workByShard[machine.ShardID] = pending
 		}
 		for i := range pending {
-			if c.isAllowedOn(pending[i].job, machine) {
+			if c.scheduler.Eligibility.IsAllowedOn(pending[i].Job, machine) {
 				return false
 			}
 		}
