--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -21,6 +21,8 @@
 	schedulingRequests int
 	written            []*state.Machine
 	listedOrphans      []cluster.ListedMachine
+	corruptKeys        []string
+	answers            int // of provisioning requests
 }
 
 func (h *testHost) IsFirstReachable() bool             { return true }
@@ -31,9 +33,12 @@
 }
 func (h *testHost) ForgetUnlisted(map[cluster.MachineID]bool)         {}
 func (h *testHost) HandleForeignWrite(*state.Shard, string, string)   {}
-func (h *testHost) GiveUpCorrupt(*state.Shard, string, string)        {}
 func (h *testHost) AddNewGroup(*inventory.NewGroup, cluster.Revision) {}
 
+func (h *testHost) GiveUpCorrupt(_ *state.Shard, key, _ string) {
+	h.corruptKeys = append(h.corruptKeys, key)
+}
+
 func (h *testHost) WriteMachine(machine *state.Machine, _ writequeue.Priority) {
 	h.written = append(h.written, machine)
 }
@@ -66,17 +71,18 @@
 		ShareByDemand: shareAmongUnknown,
 	}, h.host)
 	config := Config{
-		Self:              "n0",
-		Nodes:             nodes,
-		HeartbeatInterval: 5 * second,
-		CloudRPS:          5,
-		BudgetShare:       0.9,
-		MaxValueBytes:     4096,
+		Self:                 "n0",
+		Nodes:                nodes,
+		HeartbeatInterval:    5 * second,
+		CloudRPS:             5,
+		BudgetShare:          0.9,
+		MaxValueBytes:        4096,
+		OutOfCapacityBackoff: 15 * second,
 		ShareByDemand: func(limit, demand float64) float64 {
 			return shareAmongUnknown(limit, demand, testControllers)
 		},
 	}
-	deps := Dependencies{Members: h.host, Scheduler: h.host, Ownership: h.host, Records: h.host, Names: inventory.NewRecordNames("b0"), Orphans: h.host, RequestScaleOut: func() {}}
+	deps := Dependencies{Members: h.host, Scheduler: h.host, Ownership: h.host, Records: h.host, Names: inventory.NewRecordNames("b0"), Orphans: h.host, RequestScaleOut: func() { h.host.answers++ }}
 	h.Provisioner = New(h.loop, h.state, queue, config, deps)
 	return h
 }
--- a/internal/provisioning/machinelist_test.go
+++ b/internal/provisioning/machinelist_test.go
@@ -8,6 +8,40 @@
 	"stairrelay/internal/messages"
 )
 
+// The list of the tests' large fleet.
+const (
+	listedMachines = 4000
+	listPageSize   = 500
+	listPages      = listedMachines / listPageSize
+)
+
+// listPage is the page of the list that follows a machine.
+func listPage(after cluster.MachineID) messages.CloudListReply {
+	first := 0
+	if after != "" {
+		_, _ = fmt.Sscanf(string(after), "m-%d", &first)
+		first++
+	}
+	reply := messages.CloudListReply{Outcome: messages.OK, More: first+listPageSize < listedMachines}
+	for i := range listPageSize {
+		id := cluster.MachineID(fmt.Sprintf("m-%06d", first+i))
+		reply.Items = append(reply.Items, cluster.ListedMachine{ID: id, Status: "running"})
+	}
+	return reply
+}
+
+// listRequests returns the requests for pages that were made since effects were last
+// taken.
+func (h *harness) listRequests() []messages.CloudList {
+	var requests []messages.CloudList
+	for _, effect := range h.takeEffects() {
+		if request, ok := effect.(messages.CloudList); ok {
+			requests = append(requests, request)
+		}
+	}
+	return requests
+}
+
 // TestMachineListWithinCloudRate shows that all pages of the machine list of a large
 // fleet are read, none faster than this controller's share of the cloud's request rate
 // allows, and that the next reading waits until the readings of all controllers
@@ -15,58 +49,37 @@
 // controllers were more requests than the cloud allows, and none were left for
 // provisioning.
 func TestMachineListWithinCloudRate(t *testing.T) {
+	const throttledCall = 3 // refused once: the page is asked for again
 	h := newHarness(t)
-	const machines, pageSize = 4000, 500
-	page := func(after cluster.MachineID) messages.CloudListReply {
-		first := 0
-		if after != "" {
-			_, _ = fmt.Sscanf(string(after), "m-%d", &first)
-			first++
-		}
-		reply := messages.CloudListReply{Outcome: messages.OK, More: first+pageSize < machines}
-		for i := range pageSize {
-			reply.Items = append(reply.Items, cluster.ListedMachine{ID: cluster.MachineID(fmt.Sprintf("m-%06d", first+i)), Status: "running"})
-		}
-		return reply
-	}
 	h.Rate.bucket.Fill()
-	calls, throttled := 0, false
-	listed := 0
+	calls, listed := 0, false
 	begin := h.loop.Now()
 	h.List.Poll()
 	h.List.nextReadAt = 1 << 62
-	for h.setTime(begin); h.loop.Now() < begin+30*second && listed == 0; h.setTime(h.loop.Now() + 50*millisecond) {
+	for ; h.loop.Now() < begin+30*second && !listed; h.setTime(h.loop.Now() + 50*millisecond) {
 		h.loop.RunTimers()
-		for _, effect := range h.takeEffects() {
-			request, isList := effect.(messages.CloudList)
-			if !isList {
-				continue
-			}
-			calls++
-			if calls == 3 && !throttled { // refused once: the page is asked for again
-				throttled = true
-				h.loop.Deliver(messages.Reply{Call: request.Call, Body: messages.CloudListReply{Outcome: messages.Throttled}})
-				continue
-			}
-			h.loop.Deliver(messages.Reply{Call: request.Call, Body: page(request.After)})
-			if !h.List.reading {
-				listed = machines
+		for _, request := range h.listRequests() {
+			reply := listPage(request.After)
+			if calls++; calls == throttledCall {
+				reply = messages.CloudListReply{Outcome: messages.Throttled}
 			}
+			h.loop.Deliver(messages.Reply{Call: request.Call, Body: reply})
+			listed = listed || !h.List.reading
 		}
 	}
-	const pages = machines / pageSize
-	if calls != pages+1 {
-		t.Errorf("%d calls for %d pages, one of them refused once", calls, pages)
+	if calls != listPages+1 {
+		t.Errorf("%d calls for %d pages, one of them refused once", calls, listPages)
 	}
-	if h.List.lastPageCount != pages || h.List.reading {
+	if h.List.lastPageCount != listPages || h.List.reading {
 		t.Fatalf("%d pages read", h.List.lastPageCount)
 	}
-	share := h.List.config.CloudRPS * h.List.config.BudgetShare / testControllers
+	config := h.List.config
+	share := config.CloudRPS * config.BudgetShare / testControllers
 	took := (h.loop.Now() - begin).Seconds()
 	if allowed := 2*share + share*took + 1; float64(calls) > allowed {
 		t.Errorf("%d calls within %.1f s, %.1f are allowed", calls, took, allowed)
 	}
-	if rate := float64(pages*testControllers) / h.List.interval().Seconds(); rate > h.List.config.CloudRPS*listRateShare*1.01 {
-		t.Errorf("regular readings take %.1f of %.1f calls a second", rate, h.List.config.CloudRPS)
+	if rate := float64(listPages*testControllers) / h.List.interval().Seconds(); rate > config.CloudRPS*listRateShare*1.01 {
+		t.Errorf("regular readings take %.1f of %.1f calls a second", rate, config.CloudRPS)
 	}
 }
