--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -48,14 +48,14 @@
 type jobScheduler struct{ controller *Controller }
 
 // RequestScheduling implements jobs.Scheduler.
-func (s jobScheduler) RequestScheduling() { s.controller.schedulingTrigger.request() }
+func (s jobScheduler) RequestScheduling() { s.controller.scheduler.Trigger.Request() }
 
 // RequestScaleOut implements jobs.Scheduler.
 func (s jobScheduler) RequestScaleOut() { s.controller.scheduleScaleOut() }
 
 // RuntimeRatio implements jobs.Scheduler.
 func (s jobScheduler) RuntimeRatio(class string) float64 {
-	return s.controller.statsOfClass(class).runtimeRatio
+	return s.controller.scheduler.RunTimes.Ratio(class)
 }
 
 // writeBackgroundState stores what can wait: outcomes of tasks whose jobs go on, and
