--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -61,7 +61,6 @@
 	inventory         *inventory.Inventory
 	reconciler        *reconcile.Reconciler
 	provisioner       *provisioning.Provisioner
-	scaleOutScheduled bool // a look for machines before the next regular one
 }
 
 // New makes a Core. Nothing happens before the first Step.
@@ -80,8 +79,8 @@
 	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
 	c.jobs = c.newJobs()
 	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
-	c.provisioner = c.newProvisioner()
 	c.scheduler = c.newScheduler()
+	c.provisioner = c.newProvisioner()
 	c.reconciler = c.newReconciler()
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.loop.After(0, c.startLoops)
@@ -151,7 +150,7 @@
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.Rate.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
-	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
+	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.ScaleOut.Run)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -51,7 +51,7 @@
 func (s jobScheduler) RequestScheduling() { s.controller.scheduler.Trigger.Request() }
 
 // RequestScaleOut implements jobs.Scheduler.
-func (s jobScheduler) RequestScaleOut() { s.controller.scheduleScaleOut() }
+func (s jobScheduler) RequestScaleOut() { s.controller.provisioner.ScaleOut.Schedule() }
 
 // RuntimeRatio implements jobs.Scheduler.
 func (s jobScheduler) RuntimeRatio(class string) float64 {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -61,7 +61,7 @@
 	c := h.controller
 	c.attemptedTransfers.retainOffered(from.ID(), ping.TransferOffers)
 	if len(ping.TransferOffers) > 0 {
-		c.scheduleScaleOut()
+		c.provisioner.ScaleOut.Schedule()
 	}
 	c.ownership.ApplyPing(from.ID(), ping)
 }
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -2,8 +2,11 @@
 
 import (
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/fairshare"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/provisioning"
+	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
 )
 
 // provisioningConfig is what provisioning needs of the settings.
@@ -26,22 +29,22 @@
 // newProvisioner connects the provisioner to the other parts.
 func (c *Controller) newProvisioner() *provisioning.Provisioner {
 	return provisioning.New(c.loop, c.state, c.writeQueue, c.provisioningConfig(), provisioning.Dependencies{
-		Members:         c.members,
-		Scheduler:       provisioningScheduler{controller: c},
-		Ownership:       c.ownership,
-		Records:         c.inventory,
-		Names:           c.recordNames,
-		Orphans:         provisioningOrphans{controller: c},
-		RequestScaleOut: c.scheduleScaleOut,
+		Members:           c.members,
+		Ownership:         c.ownership,
+		Records:           c.inventory,
+		Names:             c.recordNames,
+		Orphans:           provisioningOrphans{controller: c},
+		Work:              c.scheduler.Queue,
+		Capacity:          c.scheduler,
+		Eligibility:       c.scheduler.Eligibility,
+		RunTimes:          c.scheduler.RunTimes,
+		Sharing:           machineSharing{controller: c},
+		RequestScheduling: c.scheduler.Trigger.Request,
+		CountMachineScans: c.counters.AddMachineScans,
+		StretchDelay:      c.processHealth.StretchDelay,
 	})
 }
 
-// provisioningScheduler takes requests to schedule tasks.
-type provisioningScheduler struct{ controller *Controller }
-
-// RequestScheduling implements provisioning.Scheduler.
-func (s provisioningScheduler) RequestScheduling() { s.controller.scheduler.Trigger.Request() }
-
 // provisioningOrphans shows listed machines without a record to the reconciler, which
 // is made after the provisioner.
 type provisioningOrphans struct{ controller *Controller }
@@ -55,3 +58,20 @@
 func (o provisioningOrphans) ForgetUnlisted(listed map[cluster.MachineID]bool) {
 	o.controller.reconciler.Orphans.ForgetUnlisted(listed)
 }
+
+// machineSharing shares the machines among the shards for provisioning.
+type machineSharing struct{ controller *Controller }
+
+// CordonSurplus implements provisioning.MachineSharing.
+func (s machineSharing) CordonSurplus() { s.controller.cordonSurplusMachines() }
+
+// AcceptOffers implements provisioning.MachineSharing.
+func (s machineSharing) AcceptOffers(shard *state.Shard, work scheduling.PendingWork) {
+	s.controller.acceptOffers(shard, work)
+}
+
+// CanScaleOut implements provisioning.MachineSharing.
+func (s machineSharing) CanScaleOut(shard *state.Shard) bool { return s.controller.canScaleOut(shard) }
+
+// ShardLoads implements provisioning.MachineSharing.
+func (s machineSharing) ShardLoads() fairshare.Snapshot { return s.controller.allShardLoads() }
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -118,6 +118,22 @@
 	}
 }
 
+// idleMachines lists the machines of a part that another may take.
+func (c *Controller) idleMachines(p *state.Shard) []*state.Machine {
+	var l []*state.Machine
+	if !p.Owned || !p.Ready {
+		return nil
+	}
+	c.counters.AddMachineScans(p.Machines)
+	for _, m := range p.Machines {
+		if c.scheduler.Eligibility.IsSchedulable(m) && len(m.Assignments) == 0 && m.RecordedTaskCount == 0 && !m.Group.WriteInFlight && m.Group.Offer == nil && m.Address != "" &&
+			len(m.UnrecordedToStop) == 0 && c.loop.Now()-m.IdleSince > second/2 {
+			l = append(l, m)
+		}
+	}
+	return l
+}
+
 // groupCPU is what a group's machines have in all.
 func (c *Controller) groupCPU(g *state.MachineGroup) cluster.Amount {
 	var sum cluster.Amount
--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -33,7 +33,7 @@
 				part.OutOfCapacityUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = b.loop.Now() + 60*second
 			}
 			b.addTestJob("j-1", 1).Spec.Zone = test.zone
-			b.scaleOutShard(part)
+			b.provisioner.ScaleOut.RunShard(part)
 			var rented []string
 			for _, name := range slices.Sorted(maps.Keys(part.ProvisioningRequests)) {
 				rented = append(rented, part.ProvisioningRequests[name].Option.Zone)
--- a/internal/controller/scheduling_adapter.go
+++ b/internal/controller/scheduling_adapter.go
@@ -22,7 +22,7 @@
 		Stops:                taskStopper{controller: c},
 		Records:              c.inventory,
 		Store:                c.writeQueue,
-		SpotInterruptionRate: c.provisioner.Spot.Rate,
+		SpotInterruptionRate: func() float64 { return c.provisioner.Spot.Rate() }, // made after the scheduler
 		CountMachineScans:    c.counters.AddMachineScans,
 		StretchDelay:         c.processHealth.StretchDelay,
 	})
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -22,17 +22,16 @@
 	written            []*state.Machine
 	listedOrphans      []cluster.ListedMachine
 	corruptKeys        []string
-	answers            int // of provisioning requests
 }
 
 func (h *testHost) IsFirstReachable() bool             { return true }
-func (h *testHost) RequestScheduling()                 { h.schedulingRequests++ }
 func (h *testHost) CanAnswerWorkers(*state.Shard) bool { return true }
 func (h *testHost) HandleListed(m cluster.ListedMachine) {
 	h.listedOrphans = append(h.listedOrphans, m)
 }
 func (h *testHost) ForgetUnlisted(map[cluster.MachineID]bool)         {}
 func (h *testHost) HandleForeignWrite(*state.Shard, string, string)   {}
+func (h *testHost) TargetGroupSize() int                              { return 10 }
 func (h *testHost) AddNewGroup(*inventory.NewGroup, cluster.Revision) {}
 
 func (h *testHost) GiveUpCorrupt(_ *state.Shard, key, _ string) {
@@ -82,8 +81,15 @@
 			return shareAmongUnknown(limit, demand, testControllers)
 		},
 	}
-	deps := Dependencies{Members: h.host, Scheduler: h.host, Ownership: h.host, Records: h.host, Names: inventory.NewRecordNames("b0"), Orphans: h.host, RequestScaleOut: func() { h.host.answers++ }}
-	h.Provisioner = New(h.loop, h.state, queue, config, deps)
+	h.Provisioner = New(h.loop, h.state, queue, config, Dependencies{
+		Members:           h.host,
+		Ownership:         h.host,
+		Records:           h.host,
+		Names:             inventory.NewRecordNames("b0"),
+		Orphans:           h.host,
+		RequestScheduling: func() { h.host.schedulingRequests++ },
+		StretchDelay:      func(delay cluster.Time) cluster.Time { return delay },
+	})
 	return h
 }
 
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -53,12 +53,6 @@
 	IsFirstReachable() bool
 }
 
-// Scheduler assigns the pending tasks to machines.
-type Scheduler interface {
-	// RequestScheduling is called when there may be more that can be assigned.
-	RequestScheduling()
-}
-
 // ShardOwnership is what provisioning needs of the ownership of shards.
 type ShardOwnership interface {
 	// CanAnswerWorkers tells whether this controller may answer the shard's workers.
@@ -74,6 +68,8 @@
 type MachineRecords interface {
 	// WriteMachine has the record that lists a machine written.
 	WriteMachine(*state.Machine, writequeue.Priority)
+	// TargetGroupSize is how many machines a new group should list at most.
+	TargetGroupSize() int
 	// AddNewGroup is called when the first record of a group was stored.
 	AddNewGroup(*inventory.NewGroup, cluster.Revision)
 }
@@ -87,14 +83,24 @@
 // Dependencies are the other parts of the controller that provisioning uses.
 type Dependencies struct {
 	Members   Members
-	Scheduler Scheduler
 	Ownership ShardOwnership
 	Records   MachineRecords
 	Names     RecordNames
 	Orphans   Orphans
 
-	// RequestScaleOut has machines requested before the next regular time.
-	RequestScaleOut func()
+	Work        WorkQueue
+	Capacity    FreeCapacity
+	Eligibility Eligibility
+	RunTimes    RunTimes
+	Sharing     MachineSharing
+
+	// RequestScheduling has tasks assigned soon, as there may be more that can be.
+	RequestScheduling func()
+	// CountMachineScans counts a look at each of some machines, for the periodic log
+	// line.
+	CountMachineScans func([]*state.Machine)
+	// StretchDelay lengthens a pause while the process is overloaded.
+	StretchDelay func(cluster.Time) cluster.Time
 }
 
 // Provisioner requests machines and gives them back. It sets no timers before its
@@ -112,6 +118,8 @@
 	ScaleIn *ScaleIn
 	// Requests carries out provisioning requests.
 	Requests *Requests
+	// ScaleOut decides which machines are requested.
+	ScaleOut *ScaleOut
 }
 
 // shared is what the parts of a Provisioner use.
@@ -130,6 +138,8 @@
 	p.Types = &TypeCache{shared: base, rate: p.Rate}
 	p.ScaleIn = &ScaleIn{shared: base, rate: p.Rate}
 	p.List = newMachineList(base, p.Rate, p.ScaleIn)
-	p.Requests = &Requests{shared: base, rate: p.Rate, handleAnswer: deps.RequestScaleOut}
+	p.Requests = &Requests{shared: base, rate: p.Rate}
+	p.ScaleOut = &ScaleOut{shared: base, rate: p.Rate, list: p.List, requests: p.Requests}
+	p.Requests.handleAnswer = p.ScaleOut.Schedule
 	return p
 }
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -70,7 +70,7 @@
 	for _, machineType := range types {
 		t.state.MachineTypes[machineType.Name] = machineType
 	}
-	t.deps.Scheduler.RequestScheduling()
+	t.deps.RequestScheduling()
 }
 
 // Load reads the stored machine types, and uses them if the cloud has not given any.
