--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -3,30 +3,19 @@
 import (
 	"fmt"
 	"net/http"
-	"net/http/httptest"
-	"strings"
 	"testing"
-	"time"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/engine"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/wire/wiretest"
 )
 
 // execute carries out an effect against a server and returns its reply.
-func execute(t *testing.T, handler http.HandlerFunc, effect messages.Effect) any {
+func execute[T any](t *testing.T, handler http.HandlerFunc, effect messages.Effect) T {
 	t.Helper()
-	server := httptest.NewServer(handler)
-	t.Cleanup(server.Close)
-	replies := make(chan any, 1)
-	cloud := New(strings.TrimPrefix(server.URL, "http://"), func(_ messages.CallID, body any) { replies <- body })
-	cloud.Do(effect)
-	select {
-	case reply := <-replies:
-		return reply
-	case <-time.After(10 * time.Second):
-		t.Fatal("no reply")
-		return nil
-	}
+	address := wiretest.Serve(t, handler)
+	return wiretest.Execute[T](t, func(reply engine.ReplyFunc) { New(address, reply).Do(effect) })
 }
 
 // TestListPages: each page of the machine list is asked for after the last
@@ -47,7 +36,7 @@
 		since, want cluster.MachineID
 		more        bool
 	}{{"", "m-1", true}, {"m-1", "m-2", true}, {"m-2", "m-3", false}} {
-		reply := execute(t, serve, messages.CloudList{After: page.since}).(messages.CloudListReply)
+		reply := execute[messages.CloudListReply](t, serve, messages.CloudList{After: page.since})
 		if reply.Outcome != messages.OK || len(reply.Items) != 1 || reply.Items[0].ID != page.want || reply.More != page.more {
 			t.Errorf("after %q: %+v", page.since, reply)
 		}
@@ -82,7 +71,7 @@
 			w.WriteHeader(c.status)
 			_, _ = w.Write([]byte(c.body))
 		}
-		if got := fmt.Sprint(execute(t, answer, c.effect)); got != c.want {
+		if got := fmt.Sprint(execute[any](t, answer, c.effect)); got != c.want {
 			t.Errorf("%T answered %d %s: got %s, want %s", c.effect, c.status, c.body, got, c.want)
 		}
 	}
--- /dev/null
+++ b/internal/peers/client_test.go
@@ -0,0 +1,90 @@
+package peers
+
+import (
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"strings"
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/wire/wiretest"
+)
+
+const remote = cluster.NodeID("n2")
+
+var ping = messages.PeerMessage{Version: 2, From: "n1", Ping: &messages.Ping{InstanceID: "b"}}
+
+// callPeer has a client send a message to a controller and returns its reply.
+func callPeer(t *testing.T, address string, message messages.PeerMessage) messages.PeerReply {
+	t.Helper()
+	addresses := map[cluster.NodeID]string{remote: address}
+	call := messages.PeerCall{To: remote, Timeout: 5 * cluster.Second, Message: message}
+	return wiretest.Execute[messages.PeerReply](t, func(reply engine.ReplyFunc) { New(addresses, reply).Do(call) })
+}
+
+// TestCall checks the request that another controller gets, and the message that it
+// answers with.
+func TestCall(t *testing.T) {
+	frame, err := Encode(ping)
+	if err != nil {
+		t.Fatal(err)
+	}
+	address, requests := wiretest.ServeAndRecord(t, string(frame))
+	want := messages.PeerReply{Outcome: messages.OK, Message: ping}
+	if got := callPeer(t, address, ping); !reflect.DeepEqual(got, want) {
+		t.Errorf("reply %+v, want %+v", got, want)
+	}
+	wantRequest := wiretest.Request{Method: "POST", URI: "/peer", ContentType: "application/cbor", Body: string(frame)}
+	if got := <-requests; got != wantRequest {
+		t.Errorf("sent %+v, want %+v", got, wantRequest)
+	}
+}
+
+// TestFailedCalls checks that a message counts as not applied only if it was never sent.
+func TestFailedCalls(t *testing.T) {
+	refuse := func(status int, body string) http.HandlerFunc {
+		return func(w http.ResponseWriter, _ *http.Request) {
+			w.WriteHeader(status)
+			_, _ = w.Write([]byte(body))
+		}
+	}
+	for name, address := range map[string]string{
+		"refused connection": wiretest.RefusingAddress(t),
+		"closed connection":  wiretest.ClosingAddress(t),
+		"refused message":    wiretest.Serve(t, refuse(400, "malformed")),
+		"malformed answer":   wiretest.Serve(t, refuse(200, "<html>")),
+	} {
+		want := messages.PeerReply{Outcome: messages.UnknownOutcome}
+		if got := callPeer(t, address, ping); !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: reply %+v, want %+v", name, got, want)
+		}
+	}
+	oversized := messages.PeerMessage{Version: 2, From: "n1", Reason: strings.Repeat("x", MaxMessageSize)}
+	want := messages.PeerReply{Outcome: messages.NotApplied}
+	if got := callPeer(t, wiretest.RefusingAddress(t), oversized); !reflect.DeepEqual(got, want) {
+		t.Errorf("oversized message: reply %+v, want %+v", got, want)
+	}
+}
+
+// TestNoAnswer checks that a message which the controller does not answer is refused,
+// with the controller's reason if it gives one.
+func TestNoAnswer(t *testing.T) {
+	frame, err := Encode(ping)
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	requester := &wiretest.Requester{Response: messages.Respond{Error: "unknown sender"}}
+	recorder := httptest.NewRecorder()
+	Handler(requester, log).ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, messagePath, strings.NewReader(string(frame))))
+	if recorder.Code != http.StatusBadRequest || recorder.Body.String() != "unknown sender\n" {
+		t.Errorf("answered %d %q", recorder.Code, recorder.Body)
+	}
+	newHandler := func(requester engine.Requester) http.Handler { return Handler(requester, log) }
+	wiretest.CheckClientGoesAway(t, newHandler, http.MethodPost, messagePath, string(frame))
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -4,31 +4,21 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
-	"time"
 
+	"stairrelay/internal/engine"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/wire/wiretest"
 
 	"stairrelay/internal/wire"
 )
 
 // execute carries out an effect against a server and returns its reply.
-func execute(t *testing.T, handler http.HandlerFunc, effect messages.Effect) any {
+func execute[T any](t *testing.T, handler http.HandlerFunc, effect messages.Effect) T {
 	t.Helper()
-	server := httptest.NewServer(handler)
-	t.Cleanup(server.Close)
-	replies := make(chan any, 1)
-	store := New(strings.TrimPrefix(server.URL, "http://"), func(_ messages.CallID, body any) { replies <- body })
-	store.Do(effect)
-	select {
-	case reply := <-replies:
-		return reply
-	case <-time.After(10 * time.Second):
-		t.Fatal("no reply")
-		return nil
-	}
+	address := wiretest.Serve(t, handler)
+	return wiretest.Execute[T](t, func(reply engine.ReplyFunc) { New(address, reply).Do(effect) })
 }
 
 // servePages serves a list in three pages, the second of which is throttled once.
@@ -65,7 +55,7 @@
 // TestListPages: a list holds all pages as of the first one's epoch, also when
 // the request limit is met on the way.
 func TestListPages(t *testing.T) {
-	reply := execute(t, servePages(t), messages.StoreList{Prefix: "jobs/"}).(messages.ListReply)
+	reply := execute[messages.ListReply](t, servePages(t), messages.StoreList{Prefix: "jobs/"})
 	var keys []string
 	for _, item := range reply.Items {
 		keys = append(keys, item.Key)
@@ -104,7 +94,7 @@
 			w.WriteHeader(c.status)
 			_, _ = w.Write([]byte(c.body))
 		}
-		if got := fmt.Sprint(execute(t, answer, c.effect)); got != c.want {
+		if got := fmt.Sprint(execute[any](t, answer, c.effect)); got != c.want {
 			t.Errorf("%T answered %d %s: got %s, want %s", c.effect, c.status, c.body, got, c.want)
 		}
 	}
@@ -118,10 +108,10 @@
 		_, _ = w.Write([]byte(`{"epoch":4,"events":[`))
 		_, _ = w.Write(make([]byte, wire.MaxResponseSize))
 	}
-	if reply := execute(t, answer, messages.StoreWatch{}).(messages.WatchReply); reply.Outcome != messages.Compacted {
+	if reply := execute[messages.WatchReply](t, answer, messages.StoreWatch{}); reply.Outcome != messages.Compacted {
 		t.Errorf("read as %+v", reply)
 	}
-	if reply := execute(t, answer, messages.StoreList{}).(messages.ListReply); reply.Outcome != messages.UnknownOutcome {
+	if reply := execute[messages.ListReply](t, answer, messages.StoreList{}); reply.Outcome != messages.UnknownOutcome {
 		t.Errorf("a list of that size was read as %+v", reply.Outcome)
 	}
 }
--- /dev/null
+++ b/internal/workers/handler_test.go
@@ -0,0 +1,160 @@
+package workers
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/wire"
+	"stairrelay/internal/wire/wiretest"
+)
+
+const validHeartbeat = `{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,` +
+	`"shift":1,"stamp":88,"baton":41,"recallS":null,"legs":[{"leg":"j-000412/3","boarding":2,"status":"running"}]}`
+
+// validStatus is what validHeartbeat says.
+func validStatus() cluster.HeartbeatStatus {
+	return cluster.HeartbeatStatus{
+		Machine:          "m-000231",
+		Addr:             "10.1.0.232:9000",
+		Type:             "g8",
+		Zone:             "a",
+		Spot:             true,
+		Incarnation:      1,
+		SequenceNumber:   88,
+		FencingToken:     41,
+		PreemptionNotice: -1,
+		Tasks: []cluster.TaskStatus{
+			{Task: cluster.TaskID{Job: "j-000412", Index: 3}, Attempt: 2, State: cluster.Running},
+		},
+	}
+}
+
+func newTestHandler(requester engine.Requester) http.Handler {
+	return Handler(requester, slog.New(slog.NewTextHandler(io.Discard, nil)))
+}
+
+func serveHeartbeat(handler http.Handler, body string) *httptest.ResponseRecorder {
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/checkin", strings.NewReader(body)))
+	return recorder
+}
+
+// TestHeartbeatResponses checks the event that a heartbeat becomes, and the status, the
+// content type and the body that the worker gets for each kind of answer.
+func TestHeartbeatResponses(t *testing.T) {
+	start := cluster.Command{Kind: cluster.Start, Task: cluster.TaskID{Job: "j-000412", Index: 4}, Attempt: 2}
+	commands := &messages.HeartbeatResponse{FencingToken: 41, Commands: []cluster.Command{start}}
+	redirect := &messages.HeartbeatResponse{RedirectTo: "landing-2"}
+	for name, test := range map[string]struct {
+		response    messages.Respond
+		status      int
+		contentType string
+		body        string
+	}{
+		"commands":      {messages.Respond{Status: messages.ReplyOK, Heartbeat: commands}, 200, "application/json", `{"baton":41,"dispatches":[{"verb":"start","leg":"j-000412/4","boarding":2}]}`},
+		"redirected":    {messages.Respond{Status: messages.ReplyMisdirected, Heartbeat: redirect}, 421, "application/json", `{"dispatcher":"landing-2"}`},
+		"owner unknown": {messages.Respond{Status: messages.ReplyMisdirected, Heartbeat: &messages.HeartbeatResponse{}}, 421, "application/json", `{}`},
+		"unavailable":   {messages.Respond{Status: messages.ReplyUnavailable, Error: "not now"}, 503, "text/plain; charset=utf-8", "not now\n"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			requester := &wiretest.Requester{Response: test.response}
+			got := serveHeartbeat(newTestHandler(requester), validHeartbeat)
+			if got.Code != test.status || got.Body.String() != test.body {
+				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.body)
+			}
+			if contentType := got.Header().Get("Content-Type"); contentType != test.contentType {
+				t.Errorf("Content-Type %q, want %q", contentType, test.contentType)
+			}
+			want := []messages.Event{messages.Heartbeat{Request: 1, Status: validStatus()}}
+			if events := requester.Events(); !reflect.DeepEqual(events, want) {
+				t.Errorf("events %+v, want %+v", events, want)
+			}
+		})
+	}
+}
+
+// TestRefusedHeartbeats checks that a heartbeat that can't be read is answered with 400
+// and never reaches the controller.
+func TestRefusedHeartbeats(t *testing.T) {
+	for name, test := range map[string]struct{ body, responseBody string }{
+		"empty":        {"", "malformed report\n"},
+		"not JSON":     {"{", "malformed report\n"},
+		"no machine":   {`{"shift":1}`, "malformed report\n"},
+		"unknown task": {strings.Replace(validHeartbeat, "running", "flying", 1), "malformed report\n"},
+		"oversized":    {validHeartbeat + strings.Repeat(" ", wire.MaxBodySize), "body unreadable or too large\n"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
+			got := serveHeartbeat(newTestHandler(requester), test.body)
+			if got.Code != http.StatusBadRequest || got.Body.String() != test.responseBody {
+				t.Errorf("answered %d %q, want 400 %q", got.Code, got.Body, test.responseBody)
+			}
+			if events := requester.Events(); len(events) != 0 {
+				t.Errorf("events %+v, want none", events)
+			}
+		})
+	}
+}
+
+// TestLongestHeartbeat checks that a body of the greatest length is taken.
+func TestLongestHeartbeat(t *testing.T) {
+	body := validHeartbeat + strings.Repeat(" ", wire.MaxBodySize-len(validHeartbeat))
+	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK, Heartbeat: &messages.HeartbeatResponse{}}}
+	if got := serveHeartbeat(newTestHandler(requester), body); got.Code != http.StatusOK {
+		t.Errorf("answered %d %q", got.Code, got.Body)
+	}
+}
+
+// TestMalformedHeartbeatLoggedOnce checks that a worker that repeats a malformed
+// heartbeat on new connections does not fill the log, and that the number of different
+// ones in the log is bounded.
+func TestMalformedHeartbeatLoggedOnce(t *testing.T) {
+	var log bytes.Buffer
+	handler := Handler(&wiretest.Requester{}, slog.New(slog.NewTextHandler(&log, nil)))
+	send := func(remoteAddress string) {
+		request := httptest.NewRequest(http.MethodPost, "/checkin", strings.NewReader("{"))
+		request.RemoteAddr = remoteAddress
+		handler.ServeHTTP(httptest.NewRecorder(), request)
+	}
+	send("10.1.0.232:40001")
+	send("10.1.0.232:40002")
+	if lines := strings.Count(log.String(), "\n"); lines != 1 {
+		t.Errorf("%d lines for one host, want 1:\n%s", lines, log.String())
+	}
+	for host := range 2 * maxLoggedErrors {
+		send("host" + strconv.Itoa(host) + ":40001")
+	}
+	if lines := strings.Count(log.String(), "\n"); lines != maxLoggedErrors+1 {
+		t.Errorf("%d lines in all, want %d", lines, maxLoggedErrors+1)
+	}
+}
+
+// TestHeartbeatNotAnswered checks that a heartbeat whose context ends before the
+// controller has answered gets a 503.
+func TestHeartbeatNotAnswered(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	recorder := httptest.NewRecorder()
+	request := httptest.NewRequestWithContext(ctx, http.MethodPost, "/checkin", strings.NewReader(validHeartbeat))
+	newTestHandler(&wiretest.Requester{Silent: true}).ServeHTTP(recorder, request)
+	if recorder.Code != http.StatusServiceUnavailable || recorder.Body.String() != "given up\n" {
+		t.Errorf("answered %d %q", recorder.Code, recorder.Body)
+	}
+}
+
+// TestWorkerGoesAway checks that the wait for an answer ends when the worker closes the
+// connection, as it does 4 s after its heartbeat.
+func TestWorkerGoesAway(t *testing.T) {
+	wiretest.CheckClientGoesAway(t, newTestHandler, http.MethodPost, "/checkin", validHeartbeat)
+}
