--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,16 +1,14 @@
-// Package cloud carries out the core's calls of the cloud's interface.
+// Package cloud carries out the controller's calls of the cloud.
 package cloud
 
 import (
+	"context"
+	"errors"
 	"net/http"
-	"net/url"
-	"strconv"
 	"time"
 
-	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/wire"
 )
 
@@ -19,104 +17,100 @@
 	callTimeout = 4 * time.Second
 	// maxIdleConnections is the number of idle connections that are kept.
 	maxIdleConnections = 2
-	// pageSize is the number of machines that is asked for in a page of the list.
+	// pageSize is the number of machines in a page of the machine list.
 	pageSize = 500
 )
 
-// Client carries out the core's cloud effects.
+// Client carries out the controller's cloud effects.
 type Client struct {
 	service *wire.JSONService
 	reply   engine.ReplyFunc
 }
 
-// New makes a Cloud for the cloud's interface at addr.
-func New(addr string, reply engine.ReplyFunc) *Client {
+// New makes a Client of the cloud at an address.
+func New(address string, reply engine.ReplyFunc) *Client {
 	options := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleConnections}
-	return &Client{
-		service: wire.NewJSONService(addr, callTimeout, options),
-		reply:   reply,
-	}
+	return &Client{service: wire.NewJSONService(address, options), reply: reply}
 }
 
-// Do starts a call; its reply follows.
+// Do starts a call; its reply follows. Only a time-out gives a call up, since the
+// controller waits for the reply to each effect.
 func (c *Client) Do(effect messages.Effect) {
+	ctx := context.Background()
 	switch effect := effect.(type) {
 	case messages.CloudMachineTypes:
-		go func() { c.reply(effect.Call, c.listMachineTypes()) }()
+		go func() { c.reply(effect.Call, c.listMachineTypes(ctx)) }()
 	case messages.CloudScaleOut:
-		go func() { c.reply(effect.Call, c.scaleOut(effect)) }()
+		go func() { c.reply(effect.Call, c.scaleOut(ctx, effect)) }()
 	case messages.CloudScaleIn:
-		go func() { c.reply(effect.Call, c.scaleIn(effect)) }()
+		go func() { c.reply(effect.Call, c.scaleIn(ctx, effect)) }()
 	case messages.CloudList:
-		go func() { c.reply(effect.Call, c.listMachines(effect.After)) }()
+		go func() { c.reply(effect.Call, c.listMachines(ctx, effect)) }()
 	}
 }
 
-func (c *Client) listMachineTypes() messages.MachineTypesReply {
-	response, err := c.service.Call(http.MethodGet, "/flavors", nil)
-	if err != nil || response.Status != http.StatusOK {
-		return messages.MachineTypesReply{Outcome: messages.NotApplied}
+func (c *Client) listMachineTypes(ctx context.Context) messages.MachineTypesReply {
+	call := wire.Call{Method: http.MethodGet, Path: wire.MachineTypesPath, Timeout: callTimeout}
+	types, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTypes)
+	return messages.MachineTypesReply{Outcome: readOutcome(err), Types: types}
+}
+
+func (c *Client) listMachines(ctx context.Context, list messages.CloudList) messages.CloudListReply {
+	call := wire.Call{
+		Method:  http.MethodGet,
+		Path:    wire.MachinesPath(list.After, pageSize),
+		Timeout: callTimeout,
 	}
-	types, err := wire.DecodeTypes(response.Body)
-	if err != nil {
-		return messages.MachineTypesReply{Outcome: messages.UnknownOutcome}
+	page, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeMachines)
+	if wire.IsStatus(err, http.StatusTooManyRequests) {
+		return messages.CloudListReply{Outcome: messages.Throttled}
 	}
-	return messages.MachineTypesReply{Outcome: messages.OK, Types: types}
+	return messages.CloudListReply{Outcome: readOutcome(err), Items: page.Machines, More: page.More}
 }
 
-func (c *Client) scaleOut(rent messages.CloudScaleOut) messages.ScaleOutReply {
-	response, err := c.service.Call(http.MethodPost, "/rentals", wire.EncodeScaleOut(rent))
-	if err != nil {
-		return messages.ScaleOutReply{Outcome: messages.UnknownOutcome}
+// readOutcome tells the outcome of a read. One that got no response with status 200 was
+// not applied, whatever the reason, as it would have changed nothing.
+func readOutcome(err error) messages.Outcome {
+	if err == nil {
+		return messages.OK
 	}
-	switch response.Status {
-	case http.StatusOK:
-		return decodeScaleOut(response.Body)
-	case http.StatusServiceUnavailable:
-		if wire.IsOutOfCapacity(response.Body) {
-			return messages.ScaleOutReply{Outcome: messages.NotFound}
-		}
-		return messages.ScaleOutReply{Outcome: messages.NotApplied}
-	case http.StatusBadRequest:
-		return messages.ScaleOutReply{Outcome: messages.Invalid}
-	case http.StatusTooManyRequests:
-		return messages.ScaleOutReply{Outcome: messages.Throttled}
+	if _, undecodable := errors.AsType[*wire.DecodeError](err); undecodable {
+		return messages.UnknownOutcome
 	}
-	return messages.ScaleOutReply{Outcome: messages.UnknownOutcome}
+	return messages.NotApplied
 }
 
-func decodeScaleOut(body []byte) messages.ScaleOutReply {
-	ids, err := wire.DecodeScaleOut(body)
-	if err != nil {
-		return messages.ScaleOutReply{Outcome: messages.UnknownOutcome}
+func (c *Client) scaleOut(ctx context.Context, scaleOut messages.CloudScaleOut) messages.ScaleOutReply {
+	call := wire.Call{
+		Method:  http.MethodPost,
+		Path:    wire.ScaleOutPath,
+		Body:    wire.EncodeScaleOut(scaleOut),
+		Timeout: callTimeout,
+	}
+	ids, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeScaleOut)
+	if isOutOfCapacity(err) {
+		return messages.ScaleOutReply{Outcome: messages.NotFound}
 	}
-	return messages.ScaleOutReply{Outcome: messages.OK, IDs: ids}
+	return messages.ScaleOutReply{Outcome: wire.OutcomeOf(err), IDs: ids}
 }
 
-func (c *Client) scaleIn(effect messages.CloudScaleIn) messages.ScaleInReply {
-	response, err := c.service.Call(http.MethodPost, "/rentals/return", wire.EncodeScaleIn(effect.IDs))
-	if err != nil || response.Status != http.StatusOK {
-		return messages.ScaleInReply{Outcome: messages.UnknownOutcome}
-	}
-	return messages.ScaleInReply{Outcome: messages.OK}
+// isOutOfCapacity tells whether the cloud has no machine of the kind.
+func isOutOfCapacity(err error) bool {
+	refused, ok := errors.AsType[*wire.StatusError](err)
+	return ok && refused.Status == http.StatusServiceUnavailable && wire.IsOutOfCapacity(refused.Body)
 }
 
-// listMachines reads the page of the machine list that follows a machine.
-func (c *Client) listMachines(since cluster.MachineID) messages.CloudListReply {
-	query := url.Values{"page": {strconv.Itoa(pageSize)}}
-	if since != "" {
-		query.Set("since", string(since))
+// scaleIn gives machines back. Whenever it fails its outcome is unknown: the machines may
+// be gone, or may yet be taken away.
+func (c *Client) scaleIn(ctx context.Context, scaleIn messages.CloudScaleIn) messages.ScaleInReply {
+	call := wire.Call{
+		Method:  http.MethodPost,
+		Path:    wire.ScaleInPath,
+		Body:    wire.EncodeScaleIn(scaleIn.IDs),
+		Timeout: callTimeout,
 	}
-	response, err := c.service.Call(http.MethodGet, "/rentals?"+query.Encode(), nil)
-	switch {
-	case err == nil && response.Status == http.StatusTooManyRequests:
-		return messages.CloudListReply{Outcome: messages.Throttled}
-	case err != nil || response.Status != http.StatusOK:
-		return messages.CloudListReply{Outcome: messages.NotApplied}
-	}
-	page, err := wire.DecodeMachines(response.Body)
-	if err != nil {
-		return messages.CloudListReply{Outcome: messages.UnknownOutcome}
+	if _, err := c.service.Call(ctx, call); err != nil {
+		return messages.ScaleInReply{Outcome: messages.UnknownOutcome}
 	}
-	return messages.CloudListReply{Outcome: messages.OK, Items: page.Machines, More: page.More}
+	return messages.ScaleInReply{Outcome: messages.OK}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,19 +1,19 @@
-// Package peers carries messages between controllers: CBOR over HTTP, bounded
-// in size, each with a version.
+// Package peers carries messages between controllers: CBOR over HTTP, bounded in size,
+// each with a version.
 package peers
 
 import (
+	"context"
 	"net/http"
 	"time"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/wire"
 )
 
-// messagePath is the one resource that controllers serve to one another.
+// messagePath is the one path that controllers serve to one another.
 const messagePath = "/peer"
 
 const (
@@ -22,14 +22,14 @@
 	maxIdlePerPeer = 4
 )
 
-// Client carries out the core's PeerCall effects.
+// Client carries out the controller's PeerCall effects.
 type Client struct {
 	addresses map[cluster.NodeID]string
 	client    *wire.Client
 	reply     engine.ReplyFunc
 }
 
-// New makes Peers for the controllers at the given addresses.
+// New makes a Client of the controllers at the given addresses.
 func New(addresses map[cluster.NodeID]string, reply engine.ReplyFunc) *Client {
 	return &Client{
 		addresses: addresses,
@@ -38,19 +38,20 @@
 	}
 }
 
-// Do sends a message; the reply follows.
-func (p *Client) Do(call messages.PeerCall) {
-	go func() { p.reply(call.Call, p.send(call)) }()
+// Do sends a message; the reply follows. Only the call's time-out gives it up, since the
+// controller waits for the reply to each effect.
+func (c *Client) Do(call messages.PeerCall) {
+	go func() { c.reply(call.Call, c.send(context.Background(), call)) }()
 }
 
-func (p *Client) send(call messages.PeerCall) messages.PeerReply {
+func (c *Client) send(ctx context.Context, call messages.PeerCall) messages.PeerReply {
 	frame, err := Encode(call.Message)
 	if err != nil {
 		return messages.PeerReply{Outcome: messages.NotApplied}
 	}
-	response, err := p.client.Do(wire.Request{
+	response, err := c.client.Do(ctx, wire.Request{
 		Method:      http.MethodPost,
-		URL:         wire.BaseURL(p.addresses[call.To]) + messagePath,
+		URL:         wire.BaseURL(c.addresses[call.To]) + messagePath,
 		ContentType: wire.ContentTypeCBOR,
 		Body:        frame,
 		Timeout:     time.Duration(call.Timeout),
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,133 +1,118 @@
-// Package store carries out the core's calls of the state service.
+// Package store carries out the controller's calls of the state service.
 package store
 
 import (
+	"context"
 	"errors"
 	"net/http"
-	"net/url"
-	"strconv"
 	"time"
 
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/wire"
 )
 
 const (
 	dialTimeout = time.Second
 	callTimeout = 1200 * time.Millisecond
-	// watchTimeoutMargin is how much longer than its own wait a watch may take.
+	// watchTimeoutMargin is by how much the call of a watch may outlast the watch.
 	watchTimeoutMargin = 3 * time.Second
-	// throttleBackoff is the wait before a page of a list is asked for again.
+	// throttleBackoff is the wait before a throttled page of a list is read again.
 	throttleBackoff = 200 * time.Millisecond
-	// pageSize is the number of keys that is asked for in a page of a list.
+	// pageSize is the number of keys in a page of a list.
 	pageSize = 1000
-	// The idle connections that are kept for calls and for watches.
+	// maxIdleCalls and maxIdleWatches are the idle connections that are kept.
 	maxIdleCalls, maxIdleWatches = 8, 4
 )
 
-// Client carries out the core's store effects.
+// Client carries out the controller's store effects.
 type Client struct {
-	service     *wire.JSONService
-	watchClient *wire.Client // apart, since a watch takes as long as it asks for
-	baseURL     string
-	reply       engine.ReplyFunc
+	service      *wire.JSONService
+	watchService *wire.JSONService // has connections of its own, since watches keep them long
+	reply        engine.ReplyFunc
 }
 
-// New makes a Store for the state service at addr.
-func New(addr string, reply engine.ReplyFunc) *Client {
+// New makes a Client of the state service at an address.
+func New(address string, reply engine.ReplyFunc) *Client {
 	forCalls := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleCalls}
 	forWatches := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleWatches}
 	return &Client{
-		service:     wire.NewJSONService(addr, callTimeout, forCalls),
-		watchClient: wire.NewClient(forWatches),
-		baseURL:     wire.BaseURL(addr),
-		reply:       reply,
+		service:      wire.NewJSONService(address, forCalls),
+		watchService: wire.NewJSONService(address, forWatches),
+		reply:        reply,
 	}
 }
 
-// Do starts a call; its reply follows.
-func (s *Client) Do(effect messages.Effect) {
+// Do starts a call; its reply follows. Only a time-out gives a call up, since the
+// controller waits for the reply to each effect.
+func (c *Client) Do(effect messages.Effect) {
+	ctx := context.Background()
 	switch effect := effect.(type) {
 	case messages.StoreTxn:
-		go func() { s.reply(effect.Call, s.transaction(effect)) }()
+		go func() { c.reply(effect.Call, c.commit(ctx, effect)) }()
 	case messages.StoreGet:
-		go func() { s.reply(effect.Call, s.get(effect)) }()
+		go func() { c.reply(effect.Call, c.get(ctx, effect)) }()
 	case messages.StoreList:
-		go func() { s.reply(effect.Call, s.list(effect)) }()
+		go func() { c.reply(effect.Call, c.list(ctx, effect)) }()
 	case messages.StoreWatch:
-		go func() { s.reply(effect.Call, s.watch(effect)) }()
+		go func() { c.reply(effect.Call, c.watch(ctx, effect)) }()
 	}
 }
 
-// outcomeFromStatus maps the statuses that all calls share.
-func outcomeFromStatus(status int) messages.Outcome {
-	switch status {
-	case http.StatusOK:
-		return messages.OK
-	case http.StatusTooManyRequests:
-		return messages.Throttled
-	case http.StatusServiceUnavailable:
-		return messages.NotApplied
-	case http.StatusBadRequest:
-		return messages.Invalid
-	}
-	return messages.UnknownOutcome
+func (c *Client) commit(ctx context.Context, txn messages.StoreTxn) messages.TxnReply {
+	call := wire.Call{
+		Method:  http.MethodPost,
+		Path:    wire.TxnPath,
+		Body:    wire.EncodeTxn(txn),
+		Timeout: callTimeout,
+	}
+	response, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTxn)
+	if refused, ok := errors.AsType[*wire.StatusError](err); ok && refused.Status == http.StatusConflict {
+		return decodeConflict(refused.Body)
+	}
+	return messages.TxnReply{Outcome: wire.OutcomeOf(err), Revision: response.Revision}
 }
 
-func (s *Client) transaction(txn messages.StoreTxn) messages.TxnReply {
-	response, err := s.service.Call(http.MethodPost, "/multi", wire.EncodeTxn(txn))
-	if err != nil {
+// decodeConflict reads the response to a transaction whose compares failed. One that
+// names no key leaves open what has happened.
+func decodeConflict(body []byte) messages.TxnReply {
+	response, err := wire.DecodeTxn(body)
+	if err != nil || len(response.FailedKeys) == 0 {
 		return messages.TxnReply{Outcome: messages.UnknownOutcome}
 	}
-	if response.Status != http.StatusOK && response.Status != http.StatusConflict {
-		return messages.TxnReply{Outcome: outcomeFromStatus(response.Status)}
-	}
-	answer, err := wire.DecodeTxn(response.Body)
-	switch {
-	case err != nil:
-		return messages.TxnReply{Outcome: messages.UnknownOutcome}
-	case response.Status == http.StatusOK:
-		return messages.TxnReply{Outcome: messages.OK, Revision: answer.Revision}
-	case len(answer.FailedKeys) == 0: // a conflict that names no key makes no sense
-		return messages.TxnReply{Outcome: messages.UnknownOutcome}
+	return messages.TxnReply{
+		Outcome:    messages.Conflict,
+		Revision:   response.Revision,
+		FailedKeys: response.FailedKeys,
 	}
-	return messages.TxnReply{Outcome: messages.Conflict, Revision: answer.Revision, FailedKeys: answer.FailedKeys}
 }
 
-func (s *Client) get(get messages.StoreGet) messages.GetReply {
-	response, err := s.service.Call(http.MethodGet, "/keys/"+get.Key, nil)
-	if err != nil {
-		return messages.GetReply{Outcome: messages.UnknownOutcome}
-	}
-	if response.Status == http.StatusNotFound {
+func (c *Client) get(ctx context.Context, get messages.StoreGet) messages.GetReply {
+	call := wire.Call{Method: http.MethodGet, Path: wire.KeyPath(get.Key), Timeout: callTimeout}
+	kv, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeGet)
+	if wire.IsStatus(err, http.StatusNotFound) {
 		return messages.GetReply{Outcome: messages.NotFound}
 	}
-	if outcome := outcomeFromStatus(response.Status); outcome != messages.OK {
-		return messages.GetReply{Outcome: outcome}
-	}
-	kv, err := wire.DecodeGet(response.Body)
 	if err != nil {
-		return messages.GetReply{Outcome: messages.UnknownOutcome}
+		return messages.GetReply{Outcome: wire.OutcomeOf(err)}
 	}
 	kv.Key = get.Key
 	return messages.GetReply{Outcome: messages.OK, KV: kv}
 }
 
-// list reads all pages. The epoch is the first page's: whatever changes while
-// the others are read is shown again by a watch from there.
-func (s *Client) list(list messages.StoreList) messages.ListReply {
-	first, outcome := s.readPage(list.Prefix, "")
-	if outcome != messages.OK {
-		return messages.ListReply{Outcome: outcome}
+// list reads all pages. The revision is that of the first page: a watch from there
+// shows again whatever changes while the others are read.
+func (c *Client) list(ctx context.Context, list messages.StoreList) messages.ListReply {
+	page, err := c.readPage(ctx, list.Prefix, "")
+	if err != nil {
+		return messages.ListReply{Outcome: wire.OutcomeOf(err)}
 	}
-	reply := messages.ListReply{Outcome: messages.OK, Items: first.Items, Revision: first.Revision}
-	for page := first; page.More && len(page.Items) > 0; {
+	reply := messages.ListReply{Outcome: messages.OK, Items: page.Items, Revision: page.Revision}
+	for page.More && len(page.Items) > 0 {
 		lastKey := page.Items[len(page.Items)-1].Key
-		page, outcome = s.readNextPage(list.Prefix, lastKey)
-		if outcome != messages.OK {
-			return messages.ListReply{Outcome: outcome}
+		page, err = c.readNextPage(ctx, list.Prefix, lastKey)
+		if err != nil {
+			return messages.ListReply{Outcome: wire.OutcomeOf(err)}
 		}
 		reply.Items = append(reply.Items, page.Items...)
 		reply.Paginated = true
@@ -135,65 +120,48 @@
 	return reply
 }
 
-// readNextPage reads a page after the first. A list that is half read is not given
-// up because of the request limit.
-func (s *Client) readNextPage(prefix, lastKey string) (wire.ItemPage, messages.Outcome) {
+// readNextPage reads a page after the first. Throttling does not end a list that is
+// half read: begun anew, it would take more requests still.
+func (c *Client) readNextPage(ctx context.Context, prefix, lastKey string) (wire.ItemPage, error) {
 	for {
-		page, outcome := s.readPage(prefix, lastKey)
-		if outcome != messages.Throttled {
-			return page, outcome
+		page, err := c.readPage(ctx, prefix, lastKey)
+		if !wire.IsStatus(err, http.StatusTooManyRequests) {
+			return page, err
+		}
+		select {
+		case <-time.After(throttleBackoff):
+		case <-ctx.Done():
+			return wire.ItemPage{}, ctx.Err()
 		}
-		time.Sleep(throttleBackoff)
-	}
-}
-
-// readPage reads the page of a list that follows a key; the first has no such key.
-func (s *Client) readPage(prefix, lastKey string) (wire.ItemPage, messages.Outcome) {
-	query := url.Values{
-		"prefix": {prefix},
-		"page":   {strconv.Itoa(pageSize)},
-	}
-	if lastKey != "" {
-		query.Set("since", lastKey)
 	}
-	response, err := s.service.Call(http.MethodGet, "/keys?"+query.Encode(), nil)
-	return decodePage(response, err)
 }
 
-func decodePage(response wire.Response, err error) (wire.ItemPage, messages.Outcome) {
-	if err != nil {
-		return wire.ItemPage{}, messages.UnknownOutcome
-	}
-	if outcome := outcomeFromStatus(response.Status); outcome != messages.OK {
-		return wire.ItemPage{}, outcome
-	}
-	page, err := wire.DecodeItems(response.Body)
-	if err != nil {
-		return wire.ItemPage{}, messages.UnknownOutcome
+// readPage reads the page of a list that follows a key; the first page follows none.
+func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.ItemPage, error) {
+	call := wire.Call{
+		Method:  http.MethodGet,
+		Path:    wire.KeysPath(prefix, after, pageSize),
+		Timeout: callTimeout,
 	}
-	return page, messages.OK
+	return wire.CallAndDecode(ctx, c.service, call, wire.DecodeItems)
 }
 
-func (s *Client) watch(watch messages.StoreWatch) messages.WatchReply {
-	wait := time.Duration(watch.Timeout)
-	query := url.Values{
-		"prefix":  {watch.Prefix},
-		"since":   {strconv.FormatUint(uint64(watch.SinceRevision), 10)},
-		"blockMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
-	}
-	response, err := s.watchClient.Do(wire.Request{
+func (c *Client) watch(ctx context.Context, watch messages.StoreWatch) messages.WatchReply {
+	timeout := time.Duration(watch.Timeout)
+	call := wire.Call{
 		Method:  http.MethodGet,
-		URL:     s.baseURL + "/watch?" + query.Encode(),
-		Timeout: wait + watchTimeoutMargin,
-	})
-	// The answer holds all changes and may be of any size. One that is too large
-	// is as good as none: the keys are read again by pages.
-	if errors.Is(err, wire.ErrResponseTooLarge) || err == nil && response.Status == http.StatusGone {
+		Path:    wire.WatchPath(watch.Prefix, watch.SinceRevision, timeout),
+		Timeout: timeout + watchTimeoutMargin,
+	}
+	changes, err := wire.CallAndDecode(ctx, c.watchService, call, wire.DecodeItems)
+	// A response holds all changes and may be of any size. One that is too large is as
+	// good as none, and would be again: the keys are to be read by pages instead.
+	if errors.Is(err, wire.ErrResponseTooLarge) || wire.IsStatus(err, http.StatusGone) {
 		return messages.WatchReply{Outcome: messages.Compacted}
 	}
-	page, outcome := decodePage(response, err)
-	if outcome != messages.OK {
-		return messages.WatchReply{Outcome: outcome}
+	return messages.WatchReply{
+		Outcome:  wire.OutcomeOf(err),
+		Items:    changes.Items,
+		Revision: changes.Revision,
 	}
-	return messages.WatchReply{Outcome: messages.OK, Items: page.Items, Revision: page.Revision}
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// MaxResponseSize bounds what is read of any answer.
+	// MaxResponseSize bounds what is read of any response.
 	MaxResponseSize = 16 << 20
-	// idleTimeout is how long a connection is kept without a call.
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 60 * time.Second
-	// bufferSize is small, since a thousand connections may be kept.
+	// bufferSize is small, since a thousand connections may be open.
 	bufferSize = 2 << 10
 )
 
@@ -26,25 +26,20 @@
 	ContentTypeCBOR = "application/cbor"
 )
 
-// ErrNotSent marks a call that certainly never reached the other side.
-var ErrNotSent = errors.New("not sent")
-
-// ErrResponseTooLarge marks an answer longer than MaxAnswer, none of which is used.
-var ErrResponseTooLarge = errors.New("answer too large")
-
-// ClientOptions bound a client's connections.
+// ClientOptions bound the connections of a Client.
 type ClientOptions struct {
 	DialTimeout    time.Duration
-	MaxIdlePerHost int // idle connections that are kept for each host
-	MaxIdle        int // idle connections that are kept in all; 0: not limited
+	MaxIdlePerHost int // idle connections kept for each host
+	MaxIdle        int // idle connections kept in all; 0: not limited
 }
 
-// Client makes HTTP calls over few, kept connections. It follows no redirects.
+// Client makes HTTP calls and keeps their connections for later calls. It follows no
+// redirects.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient makes a client.
+// NewClient makes a Client.
 func NewClient(options ClientOptions) *Client {
 	dialer := &net.Dialer{Timeout: options.DialTimeout, KeepAlive: -1}
 	transport := &http.Transport{
@@ -69,16 +64,17 @@
 	Timeout     time.Duration
 }
 
-// Response is a call's whole answer.
+// Response is the whole response to a call.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// Do makes a call and reads its whole answer. A connection that could not be
-// made is ErrNotSent; any other error leaves open what has happened.
-func (c *Client) Do(request Request) (Response, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), request.Timeout)
+// Do makes a call and reads its whole response. A connection that could not be
+// made is ErrNotSent; after any other error the request may have been carried out, or
+// may still be.
+func (c *Client) Do(ctx context.Context, request Request) (Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
 	outgoing, err := request.build(ctx)
 	if err != nil {
@@ -91,7 +87,7 @@
 	defer incoming.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(incoming.Body, MaxResponseSize+1))
 	if err != nil {
-		return Response{}, fmt.Errorf("reading answer: %w", err)
+		return Response{}, fmt.Errorf("reading response: %w", err)
 	}
 	if len(body) > MaxResponseSize {
 		return Response{}, ErrResponseTooLarge
@@ -99,6 +95,7 @@
 	return Response{Status: incoming.StatusCode, Body: body}, nil
 }
 
+// build makes the HTTP request.
 func (r *Request) build(ctx context.Context) (*http.Request, error) {
 	if r.Body == nil {
 		return http.NewRequestWithContext(ctx, r.Method, r.URL, nil)
@@ -121,32 +118,5 @@
 	return fmt.Errorf("calling: %w", err)
 }
 
-// JSONService calls a service that takes and gives JSON at one address.
-type JSONService struct {
-	client  *Client
-	baseURL string
-	timeout time.Duration
-}
-
-// NewJSONService makes a JSONService whose calls end after timeout.
-func NewJSONService(addr string, timeout time.Duration, options ClientOptions) *JSONService {
-	return &JSONService{
-		client:  NewClient(options),
-		baseURL: BaseURL(addr),
-		timeout: timeout,
-	}
-}
-
-// Call makes a call; a nil body is none.
-func (s *JSONService) Call(method, path string, body []byte) (Response, error) {
-	return s.client.Do(Request{
-		Method:      method,
-		URL:         s.baseURL + path,
-		ContentType: ContentTypeJSON,
-		Body:        body,
-		Timeout:     s.timeout,
-	})
-}
-
 // BaseURL is the URL of an address with a port, without a path.
-func BaseURL(addr string) string { return "http://" + addr }
+func BaseURL(address string) string { return "http://" + address }
--- /dev/null
+++ b/internal/wire/client_test.go
@@ -0,0 +1,170 @@
+package wire
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"stairrelay/internal/messages"
+)
+
+// startService starts a server that ends with the test and returns a client of it.
+func startService(t *testing.T, handler http.HandlerFunc) *JSONService {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return NewJSONService(strings.TrimPrefix(server.URL, "http://"), ClientOptions{DialTimeout: time.Second, MaxIdlePerHost: 1})
+}
+
+var getCall = Call{Method: http.MethodGet, Path: "/keys", Timeout: 5 * time.Second}
+
+// TestCallErrors checks which error a call has, since what became of the call is told
+// from it.
+func TestCallErrors(t *testing.T) {
+	refused := startService(t, func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		_, _ = io.WriteString(w, "trouble")
+	})
+	_, err := refused.Call(t.Context(), getCall)
+	statusError, ok := errors.AsType[*StatusError](err)
+	if !ok || statusError.Status != http.StatusServiceUnavailable || string(statusError.Body) != "trouble" {
+		t.Errorf("status 503: error %#v", err)
+	}
+	if !IsStatus(err, http.StatusServiceUnavailable) || IsStatus(err, http.StatusGone) {
+		t.Errorf("status 503: IsStatus does not tell it from 410")
+	}
+
+	oversized := startService(t, func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = w.Write(make([]byte, MaxResponseSize+1))
+	})
+	if _, err := oversized.Call(t.Context(), getCall); !errors.Is(err, ErrResponseTooLarge) {
+		t.Errorf("oversized response: error %v", err)
+	}
+
+	closing := startService(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	if _, err := closing.Call(t.Context(), getCall); err == nil || errors.Is(err, ErrNotSent) {
+		t.Errorf("closed connection: error %v", err)
+	}
+
+	redirecting := startService(t, func(w http.ResponseWriter, r *http.Request) {
+		http.Redirect(w, r, "/elsewhere", http.StatusFound)
+	})
+	if _, err := redirecting.Call(t.Context(), getCall); !IsStatus(err, http.StatusFound) {
+		t.Errorf("redirect: error %v", err)
+	}
+}
+
+// TestNotSent checks that only a call without a connection counts as not sent.
+func TestNotSent(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	for name, address := range map[string]string{
+		"refused connection": listener.Addr().String(),
+		"no address":         "",
+		"malformed address":  "a b",
+	} {
+		service := NewJSONService(address, ClientOptions{DialTimeout: time.Second})
+		_, err := service.Call(t.Context(), getCall)
+		if wantNotSent := name != "no address"; errors.Is(err, ErrNotSent) != wantNotSent {
+			t.Errorf("%s: error %v", name, err)
+		}
+	}
+}
+
+// TestCallGivenUp checks that a call ends with its time-out and with its context.
+func TestCallGivenUp(t *testing.T) {
+	ended := make(chan struct{})
+	service := startService(t, func(_ http.ResponseWriter, r *http.Request) {
+		select {
+		case <-r.Context().Done():
+		case <-ended:
+		}
+	})
+	t.Cleanup(func() { close(ended) })
+	call := getCall
+	call.Timeout = 50 * time.Millisecond
+	if _, err := service.Call(t.Context(), call); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("time-out: error %v", err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	time.AfterFunc(50*time.Millisecond, cancel)
+	if _, err := service.Call(ctx, getCall); !errors.Is(err, context.Canceled) {
+		t.Errorf("cancelled: error %v", err)
+	}
+}
+
+// TestOutcomeOf checks that only a status that says so makes a call certainly not applied.
+func TestOutcomeOf(t *testing.T) {
+	for name, test := range map[string]struct {
+		err  error
+		want messages.Outcome
+	}{
+		"none":        {nil, messages.OK},
+		"400":         {&StatusError{Status: 400}, messages.Invalid},
+		"429":         {&StatusError{Status: 429}, messages.Throttled},
+		"503":         {&StatusError{Status: 503}, messages.NotApplied},
+		"500":         {&StatusError{Status: 500}, messages.UnknownOutcome},
+		"504":         {&StatusError{Status: 504}, messages.UnknownOutcome},
+		"not sent":    {ErrNotSent, messages.UnknownOutcome},
+		"too large":   {ErrResponseTooLarge, messages.UnknownOutcome},
+		"undecodable": {&DecodeError{What: "key", Err: ErrNoValue}, messages.UnknownOutcome},
+		"time-out":    {context.DeadlineExceeded, messages.UnknownOutcome},
+	} {
+		if got := OutcomeOf(test.err); got != test.want {
+			t.Errorf("%s: outcome %v, want %v", name, got, test.want)
+		}
+	}
+}
+
+// TestDecodeErrors checks that the fault of a body can be told from its error.
+func TestDecodeErrors(t *testing.T) {
+	decoders := map[string]func(body []byte) error{
+		"machine types": func(body []byte) error { _, err := DecodeTypes(body); return err },
+		"scale-out":     func(body []byte) error { _, err := DecodeScaleOut(body); return err },
+		"machine list":  func(body []byte) error { _, err := DecodeMachines(body); return err },
+		"transaction":   func(body []byte) error { _, err := DecodeTxn(body); return err },
+		"key":           func(body []byte) error { _, err := DecodeGet(body); return err },
+		"keys":          func(body []byte) error { _, err := DecodeItems(body); return err },
+		"heartbeat":     func(body []byte) error { _, err := DecodeHeartbeatStatus(body); return err },
+		"submission":    func(body []byte) error { _, err := DecodeSubmission(body); return err },
+	}
+	for name, decode := range decoders {
+		if _, ok := errors.AsType[*DecodeError](decode([]byte("<html>"))); !ok {
+			t.Errorf("%s: error %#v, want a DecodeError", name, decode([]byte("<html>")))
+		}
+	}
+	for name, fault := range map[string]error{
+		"scale-out":   ErrNoMachines,
+		"transaction": ErrNoRevision,
+		"key":         ErrNoValue,
+		"keys":        ErrNoRevision,
+		"heartbeat":   ErrNoIdentity,
+	} {
+		if err := decoders[name]([]byte("{}")); !errors.Is(err, fault) {
+			t.Errorf("%s: error %v, want %v", name, err, fault)
+		}
+	}
+	typeless, ok := errors.AsType[*InvalidMachineTypeError](decoders["machine types"]([]byte(`{"fleets":[{"name":"x","vcpus":0}]}`)))
+	if !ok || typeless.Name != "x" {
+		t.Errorf("machine types: fault %#v", typeless)
+	}
+	task, ok := errors.AsType[*UnknownTaskError](decoders["heartbeat"]([]byte(`{"coach":"m-1","shift":1,"legs":[{"leg":"j-1/0","status":"flying"}]}`)))
+	if !ok || task.Task != "j-1/0" || task.State != "flying" {
+		t.Errorf("heartbeat: fault %#v", task)
+	}
+	field, ok := errors.AsType[*InvalidFieldError](decoders["submission"]([]byte(`{"id":"j-1"}`)))
+	if !ok || field.Field != "route" {
+		t.Errorf("submission: fault %#v", field)
+	}
+}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -2,24 +2,19 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
 
-// ErrNoMachines is the error of a rental's answer without a list of machines.
-var ErrNoMachines = errors.New("rental answer names no machines")
-
-// InvalidMachineTypeError is the error of a machine type that can't run anything.
-type InvalidMachineTypeError struct{ Name string }
-
-// Error names the type.
-func (e *InvalidMachineTypeError) Error() string {
-	return fmt.Sprintf("machine type %q makes no sense", e.Name)
-}
+// The bodies that the cloud sends, as errors name them.
+const (
+	machineTypesBody = "machine types"
+	scaleOutBody     = "response to scale-out"
+	machineListBody  = "machine list"
+)
 
+// machineType is the form of a machine type.
 type machineType struct {
 	Name        string   `json:"name"`
 	CPU         float64  `json:"vcpus"`
@@ -33,18 +28,18 @@
 	Zones       []string `json:"yards"`
 }
 
-// DecodeTypes reads the cloud's machine types.
+// DecodeTypes reads the machine types of the cloud.
 func DecodeTypes(body []byte) ([]cluster.MachineType, error) {
 	var form struct {
 		Types []machineType `json:"fleets"`
 	}
-	if err := json.Unmarshal(body, &form); err != nil {
-		return nil, fmt.Errorf("reading machine types: %w", err)
+	if err := unmarshal(body, machineTypesBody, &form); err != nil {
+		return nil, err
 	}
 	var types []cluster.MachineType
 	for _, t := range form.Types {
 		if t.Name == "" || t.CPU <= 0 {
-			return nil, &InvalidMachineTypeError{Name: t.Name}
+			return nil, &DecodeError{What: machineTypesBody, Err: &InvalidMachineTypeError{Name: t.Name}}
 		}
 		types = append(types, t.decode())
 	}
@@ -68,7 +63,8 @@
 	}
 }
 
-// rental's fields are in the order of their names, as all releases send them.
+// scaleOutRequest is the form of a scale-out. Its fields are in the order of their
+// names, as all versions send them.
 type scaleOutRequest struct {
 	Name  string `json:"charter"`
 	Count int    `json:"count"`
@@ -77,32 +73,41 @@
 	Zone  string `json:"yard"`
 }
 
-// EncodeScaleOut writes a rental request.
-func EncodeScaleOut(r messages.CloudScaleOut) []byte {
-	return marshal(scaleOutRequest{Name: r.Name, Count: r.Count, Type: r.Type, Spot: r.Spot, Zone: r.Zone})
+// EncodeScaleOut writes the request of a scale-out.
+func EncodeScaleOut(scaleOut messages.CloudScaleOut) []byte {
+	return marshal(scaleOutRequest{
+		Name:  scaleOut.Name,
+		Count: scaleOut.Count,
+		Type:  scaleOut.Type,
+		Spot:  scaleOut.Spot,
+		Zone:  scaleOut.Zone,
+	})
 }
 
+// scaleInRequest is the form of a scale-in.
 type scaleInRequest struct {
 	IDs []cluster.MachineID `json:"coaches"`
 }
 
-// EncodeScaleIn writes a return request.
+// EncodeScaleIn writes the request of a scale-in.
 func EncodeScaleIn(ids []cluster.MachineID) []byte { return marshal(scaleInRequest{IDs: ids}) }
 
-// DecodeScaleOut reads which machines a request got.
+// DecodeScaleOut reads which machines a scale-out got. A response without a list is an
+// error: it does not say that the scale-out got none.
 func DecodeScaleOut(body []byte) ([]cluster.MachineID, error) {
 	var form struct {
 		IDs *[]cluster.MachineID `json:"coaches"`
 	}
-	if err := json.Unmarshal(body, &form); err != nil {
-		return nil, fmt.Errorf("reading rental: %w", err)
+	if err := unmarshal(body, scaleOutBody, &form); err != nil {
+		return nil, err
 	}
 	if form.IDs == nil {
-		return nil, ErrNoMachines
+		return nil, &DecodeError{What: scaleOutBody, Err: ErrNoMachines}
 	}
 	return *form.IDs, nil
 }
 
+// listedMachine is the form of a machine in the machine list.
 type listedMachine struct {
 	ID      string  `json:"id"`
 	Address string  `json:"addr"`
@@ -113,7 +118,7 @@
 	Age     float64 `json:"ageS"`
 }
 
-// MachinePage is a page of the cloud's machine list.
+// MachinePage is a page of the machine list of the cloud.
 type MachinePage struct {
 	Machines []cluster.ListedMachine
 	More     bool // there is another page
@@ -125,8 +130,8 @@
 		Machines []listedMachine `json:"coaches"`
 		More     bool            `json:"truncated"`
 	}
-	if err := json.Unmarshal(body, &form); err != nil {
-		return MachinePage{}, fmt.Errorf("reading machine list: %w", err)
+	if err := unmarshal(body, machineListBody, &form); err != nil {
+		return MachinePage{}, err
 	}
 	page := MachinePage{More: form.More}
 	for _, m := range form.Machines {
@@ -146,8 +151,8 @@
 // outOfCapacityText is the error text of a cloud that has no machine of the kind.
 const outOfCapacityText = "no capacity"
 
-// IsOutOfCapacity tells whether an answer's body says that the cloud has no
-// machine of the kind. The status alone does not tell that from trouble.
+// IsOutOfCapacity tells whether the body of a response says that the cloud has no
+// machine of the kind. Its status is also that of an outage.
 func IsOutOfCapacity(body []byte) bool {
 	var form struct {
 		Error string `json:"error"`
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -2,32 +2,33 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
 
-var (
-	// ErrNoRevision is the error of a state service's answer without its epoch.
-	ErrNoRevision = errors.New("answer has no epoch")
-	// ErrNoValue is the error of a key's answer without value or mark.
-	ErrNoValue = errors.New("key's answer has no value or mark")
+// The bodies that the state service sends, as errors name them.
+const (
+	txnBody     = "response to transaction"
+	keyBody     = "key"
+	keyPageBody = "page of keys or changes"
 )
 
+// compare is the form of a condition of a transaction.
 type compare struct {
 	Key         string `json:"key"`
 	ModRevision uint64 `json:"mark"`
 }
 
+// operation is the form of an operation of a transaction.
 type operation struct {
 	Set   string          `json:"set,omitempty"`
 	Value json.RawMessage `json:"value,omitempty"`
 	Drop  string          `json:"drop,omitempty"`
 }
 
-// transaction's fields are in the order of their names, as all releases send them.
+// transaction is the form of a transaction. Its fields are in the order of their names,
+// as all versions send them.
 type transaction struct {
 	Then []operation `json:"then"`
 	When []compare   `json:"when"`
@@ -42,38 +43,39 @@
 	for _, c := range txn.If {
 		form.When = append(form.When, compare{Key: c.Key, ModRevision: uint64(c.ModRevision)})
 	}
-	for _, o := range txn.Then {
-		if o.Value == nil {
-			form.Then = append(form.Then, operation{Drop: o.Key})
+	for _, op := range txn.Then {
+		if op.Value == nil {
+			form.Then = append(form.Then, operation{Drop: op.Key})
 		} else {
-			form.Then = append(form.Then, operation{Set: o.Key, Value: o.Value})
+			form.Then = append(form.Then, operation{Set: op.Key, Value: op.Value})
 		}
 	}
 	return marshal(form)
 }
 
-// TxnResponse is the answer to a transaction.
+// TxnResponse is the response to a transaction.
 type TxnResponse struct {
 	Revision   cluster.Revision
-	FailedKeys []string // keys whose conditions did not hold
+	FailedKeys []string // the keys whose compares failed
 }
 
-// DecodeTxn reads a transaction's answer.
+// DecodeTxn reads the response to a transaction.
 func DecodeTxn(body []byte) (TxnResponse, error) {
 	var form struct {
-		Epoch  *uint64  `json:"epoch"`
-		Failed []string `json:"failed"`
+		Revision *uint64  `json:"epoch"`
+		Failed   []string `json:"failed"`
 	}
-	if err := json.Unmarshal(body, &form); err != nil {
-		return TxnResponse{}, fmt.Errorf("reading transaction's answer: %w", err)
+	if err := unmarshal(body, txnBody, &form); err != nil {
+		return TxnResponse{}, err
 	}
-	if form.Epoch == nil {
-		return TxnResponse{}, fmt.Errorf("transaction: %w", ErrNoRevision)
+	if form.Revision == nil {
+		return TxnResponse{}, &DecodeError{What: txnBody, Err: ErrNoRevision}
 	}
-	return TxnResponse{Revision: cluster.Revision(*form.Epoch), FailedKeys: form.Failed}, nil
+	return TxnResponse{Revision: cluster.Revision(*form.Revision), FailedKeys: form.Failed}, nil
 }
 
-// item is a key of a list, with Key, or a change of a watch, with Set or Drop.
+// item is the form of a key in a list, with Key, or of a change in a watch, with Set or
+// Drop.
 type item struct {
 	Key         string          `json:"key"`
 	Set         string          `json:"set"`
@@ -97,16 +99,16 @@
 // DecodeGet reads a key.
 func DecodeGet(body []byte) (messages.KV, error) {
 	var form item
-	if err := json.Unmarshal(body, &form); err != nil {
-		return messages.KV{}, fmt.Errorf("reading key: %w", err)
+	if err := unmarshal(body, keyBody, &form); err != nil {
+		return messages.KV{}, err
 	}
 	if form.ModRevision == 0 || len(form.Value) == 0 {
-		return messages.KV{}, ErrNoValue
+		return messages.KV{}, &DecodeError{What: keyBody, Err: ErrNoValue}
 	}
 	return messages.KV{Key: form.Key, Value: form.Value, ModRevision: cluster.ModRevision(form.ModRevision)}, nil
 }
 
-// ItemPage is a page of keys, or of changes. A dropped key has no value.
+// ItemPage is a page of keys, or of changes. A deleted key has no value.
 type ItemPage struct {
 	Items    []messages.KV
 	More     bool // there is another page
@@ -116,18 +118,18 @@
 // DecodeItems reads a page of keys, or of changes.
 func DecodeItems(body []byte) (ItemPage, error) {
 	var form struct {
-		Items  []item  `json:"items"`
-		Events []item  `json:"events"`
-		More   bool    `json:"truncated"`
-		Epoch  *uint64 `json:"epoch"`
+		Items    []item  `json:"items"`
+		Events   []item  `json:"events"`
+		More     bool    `json:"truncated"`
+		Revision *uint64 `json:"epoch"`
 	}
-	if err := json.Unmarshal(body, &form); err != nil {
-		return ItemPage{}, fmt.Errorf("reading keys: %w", err)
+	if err := unmarshal(body, keyPageBody, &form); err != nil {
+		return ItemPage{}, err
 	}
-	if form.Epoch == nil {
-		return ItemPage{}, ErrNoRevision
+	if form.Revision == nil {
+		return ItemPage{}, &DecodeError{What: keyPageBody, Err: ErrNoRevision}
 	}
-	page := ItemPage{More: form.More, Revision: cluster.Revision(*form.Epoch)}
+	page := ItemPage{More: form.More, Revision: cluster.Revision(*form.Revision)}
 	for _, i := range append(form.Items, form.Events...) {
 		page.Items = append(page.Items, i.decode())
 	}
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -1,40 +1,27 @@
 package wire
 
 import (
-	"encoding/json"
-	"errors"
-	"fmt"
 	"strings"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
 
+// heartbeatBody is how errors name the body of a heartbeat.
+const heartbeatBody = "heartbeat"
+
 const (
-	// maxMachineIDLength keeps a machine's records under the state service's limits.
+	// maxMachineIDLength keeps the records of a machine under the limits of the state
+	// service.
 	maxMachineIDLength = 150
 	// unsafePathCharacters are the characters that a machine's id must not have, since
-	// it becomes part of a key's path.
+	// it becomes a component of the path of a key.
 	unsafePathCharacters = " /?#%"
-	// noPreemptionNotice is the Notice of a machine that the cloud has not called back.
+	// noPreemptionNotice is the PreemptionNotice of a machine without one.
 	noPreemptionNotice = -1
 )
 
-// ErrNoIdentity is the error of a report that does not say whose it is.
-var ErrNoIdentity = errors.New("report without machine or session")
-
-// UnknownTaskError is the error of a report with a task whose name or state is
-// not the protocol's.
-type UnknownTaskError struct {
-	Task  string
-	State string
-}
-
-// Error names the task and its state.
-func (e *UnknownTaskError) Error() string {
-	return fmt.Sprintf("report with task %q in state %q", e.Task, e.State)
-}
-
+// heartbeatStatus is the form of a heartbeat.
 type heartbeatStatus struct {
 	Machine          string       `json:"coach"`
 	Address          string       `json:"addr"`
@@ -48,14 +35,16 @@
 	Tasks            []taskStatus `json:"legs"`
 }
 
+// taskStatus is the form of a task in a heartbeat.
 type taskStatus struct {
-	Task    string `json:"leg"`
-	Attempt uint64 `json:"boarding"`
-	State   string `json:"status"`
-	Cause   string `json:"cause"`
-	Saved   bool   `json:"stored"`
+	Task         string `json:"leg"`
+	Attempt      uint64 `json:"boarding"`
+	State        string `json:"status"`
+	Cause        string `json:"cause"`
+	Checkpointed bool   `json:"stored"`
 }
 
+// taskStates are the states of tasks by their names in a heartbeat.
 var taskStates = map[string]cluster.TaskState{
 	"fetching": cluster.Fetching,
 	"running":  cluster.Running,
@@ -63,6 +52,7 @@
 	"ended":    cluster.Ended,
 }
 
+// endCauses are the causes of the end of a task by their names in a heartbeat.
 var endCauses = map[string]cluster.Cause{
 	"done":    cluster.CauseCompleted,
 	"stopped": cluster.CauseStopped,
@@ -72,14 +62,15 @@
 	"no_such": cluster.CauseUnknownTask,
 }
 
-// DecodeHeartbeatStatus reads a worker's report.
+// DecodeHeartbeatStatus reads the status that a worker sends, with a heartbeat or in
+// response to a command push or a status query.
 func DecodeHeartbeatStatus(body []byte) (cluster.HeartbeatStatus, error) {
 	var form heartbeatStatus
-	if err := json.Unmarshal(body, &form); err != nil {
-		return cluster.HeartbeatStatus{}, fmt.Errorf("reading report: %w", err)
+	if err := unmarshal(body, heartbeatBody, &form); err != nil {
+		return cluster.HeartbeatStatus{}, err
 	}
 	if !isValidMachineID(form.Machine) || form.Incarnation == 0 {
-		return cluster.HeartbeatStatus{}, ErrNoIdentity
+		return cluster.HeartbeatStatus{}, &DecodeError{What: heartbeatBody, Err: ErrNoIdentity}
 	}
 	decoded := cluster.HeartbeatStatus{
 		Machine:          cluster.MachineID(form.Machine),
@@ -98,13 +89,14 @@
 	for _, t := range form.Tasks {
 		task, err := t.decode()
 		if err != nil {
-			return cluster.HeartbeatStatus{}, err
+			return cluster.HeartbeatStatus{}, &DecodeError{What: heartbeatBody, Err: err}
 		}
 		decoded.Tasks = append(decoded.Tasks, task)
 	}
 	return decoded, nil
 }
 
+// isValidMachineID tells whether a machine's id can be a component of a key.
 func isValidMachineID(id string) bool {
 	return id != "" && len(id) <= maxMachineIDLength && !strings.ContainsAny(id, unsafePathCharacters)
 }
@@ -119,7 +111,7 @@
 		Task:         task,
 		Attempt:      cluster.Attempt(t.Attempt),
 		State:        state,
-		Checkpointed: t.Saved,
+		Checkpointed: t.Checkpointed,
 	}
 	if state == cluster.Ended {
 		decoded.Cause = decodeCause(t.Cause)
@@ -127,7 +119,8 @@
 	return decoded, nil
 }
 
-// decodeCause takes a cause that is not known for an error, never for success.
+// decodeCause takes an unknown cause for a failure, never for success: a task counted
+// as completed never runs again.
 func decodeCause(text string) cluster.Cause {
 	if cause, known := endCauses[text]; known {
 		return cause
@@ -135,6 +128,7 @@
 	return cluster.CauseFailed
 }
 
+// command is the form of a command to a worker.
 type command struct {
 	Kind    string   `json:"verb"`
 	Task    string   `json:"leg"`
@@ -142,6 +136,7 @@
 	Grace   *float64 `json:"layoverS,omitempty"`
 }
 
+// commandNames are the names of commands on the wire.
 var commandNames = map[cluster.CommandKind]string{
 	cluster.Start:       "start",
 	cluster.Stop:        "halt",
@@ -164,38 +159,41 @@
 	return forms
 }
 
+// redirection is the form of a response that sends a worker to another controller.
 type redirection struct {
 	Node cluster.NodeID `json:"dispatcher,omitempty"`
 }
 
+// heartbeatResponse is the form of a response with commands.
 type heartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []command `json:"dispatches"`
 }
 
-// EncodeHeartbeatResponse writes the body of an answer to a report: a redirection
+// EncodeHeartbeatResponse writes the body of the response to a heartbeat: a redirection
 // with status 421, otherwise commands.
-func EncodeHeartbeatResponse(status messages.ReplyStatus, answer messages.HeartbeatResponse) []byte {
+func EncodeHeartbeatResponse(status messages.ReplyStatus, response messages.HeartbeatResponse) []byte {
 	if status == messages.ReplyMisdirected {
-		return marshal(redirection{Node: answer.RedirectTo})
+		return marshal(redirection{Node: response.RedirectTo})
 	}
 	return marshal(heartbeatResponse{
-		FencingToken: uint64(answer.FencingToken),
-		Commands:     encodeCommands(answer.Commands),
+		FencingToken: uint64(response.FencingToken),
+		Commands:     encodeCommands(response.Commands),
 	})
 }
 
+// pushCommands is the form of a command push.
 type pushCommands struct {
 	FencingToken uint64    `json:"baton"`
 	Incarnation  uint64    `json:"shift"`
 	Commands     []command `json:"dispatches"`
 }
 
-// EncodePushCommands writes commands that are sent straight to a worker.
-func EncodePushCommands(o messages.PushCommands) []byte {
+// EncodePushCommands writes commands that are pushed to a worker.
+func EncodePushCommands(push messages.PushCommands) []byte {
 	return marshal(pushCommands{
-		FencingToken: uint64(o.FencingToken),
-		Incarnation:  uint64(o.Incarnation),
-		Commands:     encodeCommands(o.Commands),
+		FencingToken: uint64(push.FencingToken),
+		Incarnation:  uint64(push.Incarnation),
+		Commands:     encodeCommands(push.Commands),
 	})
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -1,14 +1,14 @@
-// Package workers sends commands straight to workers and serves their reports.
+// Package workers sends commands to workers and serves their heartbeats.
 package workers
 
 import (
+	"context"
 	"errors"
 	"net/http"
 	"time"
 
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/sockets"
 	"stairrelay/internal/wire"
 )
@@ -16,19 +16,20 @@
 const (
 	dialTimeout = 1500 * time.Millisecond
 	callTimeout = 2500 * time.Millisecond
-	// acquireTimeout is how long a call waits for others to end before it is given up
-	// as certainly not made.
-	acquireTimeout = time.Second
+	// slotTimeout is how long a call waits for others to end before it is given up as
+	// certainly not made.
+	slotTimeout = time.Second
 )
 
-// Client carries out the core's Orders and Inspect effects.
+// Client carries out the controller's effects on workers: command pushes and status
+// queries.
 type Client struct {
 	client  *wire.Client
 	limiter *sockets.CallLimiter
 	reply   engine.ReplyFunc
 }
 
-// New makes Workers for so many calls at once; 0: without limit.
+// New makes a Client that makes so many calls at once; 0: without limit.
 func New(calls int, reply engine.ReplyFunc) *Client {
 	return &Client{
 		client:  wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: 1, MaxIdle: calls}),
@@ -37,48 +38,52 @@
 	}
 }
 
-// Do sends commands, or asks for a report; the reply follows.
-func (w *Client) Do(effect messages.Effect) {
+// Do sends commands, or asks for a status; the reply follows. Only a time-out gives a
+// call up, since the controller waits for the reply to each effect.
+func (c *Client) Do(effect messages.Effect) {
+	ctx := context.Background()
 	switch effect := effect.(type) {
 	case messages.PushCommands:
-		go func() { w.reply(effect.Call, w.pushCommands(effect)) }()
+		go func() { c.reply(effect.Call, c.pushCommands(ctx, effect)) }()
 	case messages.QueryWorkerStatus:
-		go func() { w.reply(effect.Call, w.queryStatus(effect)) }()
+		go func() { c.reply(effect.Call, c.queryStatus(ctx, effect)) }()
 	}
 }
 
-func (w *Client) pushCommands(orders messages.PushCommands) messages.PushCommandsReply {
-	return w.send(orders.Addr, wire.Request{
+func (c *Client) pushCommands(ctx context.Context, push messages.PushCommands) messages.PushCommandsReply {
+	return c.send(ctx, push.Addr, wire.Request{
 		Method:      http.MethodPost,
-		URL:         wire.BaseURL(orders.Addr) + "/orders",
+		URL:         wire.BaseURL(push.Addr) + wire.PushCommandsPath,
 		ContentType: wire.ContentTypeJSON,
-		Body:        wire.EncodePushCommands(orders),
+		Body:        wire.EncodePushCommands(push),
 		Timeout:     callTimeout,
 	})
 }
 
-func (w *Client) queryStatus(inspect messages.QueryWorkerStatus) messages.PushCommandsReply {
-	return w.send(inspect.Addr, wire.Request{
+func (c *Client) queryStatus(ctx context.Context, query messages.QueryWorkerStatus) messages.PushCommandsReply {
+	return c.send(ctx, query.Addr, wire.Request{
 		Method:  http.MethodGet,
-		URL:     wire.BaseURL(inspect.Addr) + "/inspect",
+		URL:     wire.BaseURL(query.Addr) + wire.WorkerStatusPath,
 		Timeout: callTimeout,
 	})
 }
 
 // send makes a call as soon as there is a slot for it.
-func (w *Client) send(addr string, request wire.Request) messages.PushCommandsReply {
-	release, taken := w.limiter.Acquire(addr, acquireTimeout)
-	if !taken {
+func (c *Client) send(ctx context.Context, address string, request wire.Request) messages.PushCommandsReply {
+	release, acquired := c.limiter.Acquire(address, slotTimeout)
+	if !acquired {
 		return messages.PushCommandsReply{Outcome: messages.NotApplied}
 	}
-	reply := w.call(request)
+	reply := c.call(ctx, request)
 	answered := reply.Outcome == messages.OK || reply.Outcome == messages.Conflict
 	release(answered)
 	return reply
 }
 
-func (w *Client) call(request wire.Request) messages.PushCommandsReply {
-	response, err := w.client.Do(request)
+// call makes a call. Commands count as not applied only if there was no connection: a
+// worker may execute them minutes later, when its machine no longer hangs.
+func (c *Client) call(ctx context.Context, request wire.Request) messages.PushCommandsReply {
+	response, err := c.client.Do(ctx, request)
 	if errors.Is(err, wire.ErrNotSent) {
 		return messages.PushCommandsReply{Outcome: messages.NotApplied}
 	}
@@ -94,9 +99,9 @@
 	default:
 		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
 	}
-	report, err := wire.DecodeHeartbeatStatus(response.Body)
+	status, err := wire.DecodeHeartbeatStatus(response.Body)
 	if err != nil {
 		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
 	}
-	return messages.PushCommandsReply{Outcome: outcome, Status: report}
+	return messages.PushCommandsReply{Outcome: outcome, Status: status}
 }
