--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -10,19 +10,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxMessageSize bounds a message.
+// MaxMessageSize is the greatest length of an encoded message.
 const MaxMessageSize = 1 << 20
 
-// The bounds of a message's contents, against malformed ones.
+// The bounds of what a message contains. A malformed one must not make the decoder
+// allocate or nest without limit.
 const (
 	maxElements = 1 << 16
 	maxNesting  = 16
 )
 
-// ErrTooLarge is the error of a message longer than MaxFrame.
+// ErrTooLarge is the error of a message longer than MaxMessageSize.
 var ErrTooLarge = errors.New("message too large")
 
-// ErrNoSender is the error of a message that does not say what it is or whose.
+// ErrNoSender is the error of a message without the version of its form or without its
+// sender.
 var ErrNoSender = errors.New("message without version or sender")
 
 var decodeMode = newDecodeMode()
@@ -52,15 +54,16 @@
 	return frame, nil
 }
 
-// Decode reads a message.
+// Decode reads a message. Fields that it does not know are ignored, so that controllers
+// of different versions can talk to each other.
 func Decode(frame []byte) (messages.PeerMessage, error) {
 	var message messages.PeerMessage
 	// A decoder, unlike Unmarshal, allows bytes after the message.
 	if err := decodeMode.NewDecoder(bytes.NewReader(frame)).Decode(&message); err != nil {
-		return message, fmt.Errorf("decoding message: %w", err)
+		return messages.PeerMessage{}, fmt.Errorf("decoding message: %w", err)
 	}
 	if message.Version == 0 || message.From == "" {
-		return message, ErrNoSender
+		return messages.PeerMessage{}, ErrNoSender
 	}
 	return message, nil
 }
--- a/internal/peers/handler.go
+++ b/internal/peers/handler.go
@@ -6,25 +6,24 @@
 	"net/http"
 	"sync"
 
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
 )
 
-// Handler serves the other controllers.
-func Handler(asker engine.Requester, log *slog.Logger) http.Handler {
+// Handler serves the messages of the other controllers.
+func Handler(requester engine.Requester, log *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(http.MethodPost+" "+messagePath, &handler{requester: asker, log: log})
+	mux.Handle(http.MethodPost+" "+messagePath, &handler{requester: requester, log: log})
 	return mux
 }
 
 type handler struct {
 	requester    engine.Requester
 	log          *slog.Logger
-	loggedErrors sync.Map // the errors of malformed messages that are in the log
+	loggedErrors sync.Map // the texts of the errors that are in the log
 }
 
-// ServeHTTP hands a message to the core and answers with its message.
+// ServeHTTP hands a message to the controller and answers with its message.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	frame, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxMessageSize))
 	if err != nil {
@@ -37,23 +36,23 @@
 		http.Error(w, "malformed", http.StatusBadRequest)
 		return
 	}
-	ask := func(id messages.RequestID) messages.Event { return messages.PeerRequest{Request: id, Message: message} }
-	answer, answered := h.requester.Request(r.Context(), ask)
+	request := func(id messages.RequestID) messages.Event { return messages.PeerRequest{Request: id, Message: message} }
+	answer, answered := h.requester.Request(r.Context(), request)
 	if !answered || answer.Peer == nil {
 		http.Error(w, answer.Error, http.StatusBadRequest)
 		return
 	}
-	frame, err = Encode(*answer.Peer)
+	response, err := Encode(*answer.Peer)
 	if err != nil {
 		http.Error(w, "encoding", http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(frame)
+	_, _ = w.Write(response) // fails if the other controller has given the call up
 }
 
 // logMalformed logs each kind of error once.
-func (h *handler) logMalformed(sender string, err error) {
-	if _, known := h.loggedErrors.LoadOrStore(err.Error(), true); !known {
-		h.log.Info("malformed message from a controller", "from", sender, "error", err)
+func (h *handler) logMalformed(remoteAddress string, err error) {
+	if _, logged := h.loggedErrors.LoadOrStore(err.Error(), true); !logged {
+		h.log.Info("malformed message from a controller", "remote_address", remoteAddress, "error", err)
 	}
 }
--- a/internal/users/users.go
+++ b/internal/users/users.go
@@ -7,36 +7,32 @@
 	"strconv"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/wire"
 )
 
-// retryAfterSeconds is when a user should ask again whose request was not
-// answered in time.
+// retryAfterSeconds is when a user should ask again whose request was not answered
+// in time.
 const retryAfterSeconds = 1
 
-// heartbeatPath is where workers send their reports.
-const heartbeatPath = "/checkin"
-
-// Handler serves users, the health check and, through checkin, workers. What
-// is not a worker's goes through markUser.
-func Handler(asker engine.Requester, markUser func(http.Handler) http.Handler, checkin http.Handler) http.Handler {
-	h := &handler{requester: asker}
+// Handler serves users, the health check and, through the heartbeats handler, workers.
+// All requests but heartbeats go through userMiddleware.
+func Handler(requester engine.Requester, userMiddleware func(http.Handler) http.Handler, heartbeats http.Handler) http.Handler {
+	h := &handler{requester: requester}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", h.health)
-	mux.HandleFunc("POST /v2/runs", h.submit)
-	mux.HandleFunc("GET /v2/runs/{id}", h.query)
-	mux.HandleFunc("POST /v2/runs/{id}/cancel", h.cancel)
-	marked := markUser(mux)
-	// Reports are most of what comes in: they don't go through the patterns.
+	mux.HandleFunc("GET "+wire.HealthPath, h.health)
+	mux.HandleFunc("POST "+wire.JobsPath, h.submit)
+	mux.HandleFunc("GET "+wire.JobsPath+"/{id}", h.query)
+	mux.HandleFunc("POST "+wire.JobsPath+"/{id}/cancel", h.cancel)
+	userHandler := userMiddleware(mux)
+	// Heartbeats are most of what comes in: they skip the patterns of the ServeMux.
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == heartbeatPath && r.Method == http.MethodPost {
-			checkin.ServeHTTP(w, r)
+		if r.URL.Path == wire.HeartbeatPath && r.Method == http.MethodPost {
+			heartbeats.ServeHTTP(w, r)
 			return
 		}
-		marked.ServeHTTP(w, r)
+		userHandler.ServeHTTP(w, r)
 	})
 }
 
@@ -61,7 +57,8 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		// The id may be that of a known job, which only the core can tell.
+		// The id may be that of an accepted job, whose user must never get a 400. Only
+		// the controller can tell.
 		submit.Rejection = messages.ReplyBadRequest
 		submit.Reason = err.Error()
 	}
@@ -86,23 +83,24 @@
 		http.NotFound(w, r)
 		return
 	}
-	// A body has no meaning here; read, it does not cost the connection.
+	// A body has no meaning here. It is read so that the connection can be kept; if it
+	// can't be read the cancellation stands all the same.
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, wire.MaxBodySize))
 	h.serve(w, r, func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: job} })
 }
 
-// jobIDFromPath is the job that a request's path names. One whose id is malformed was
-// never accepted.
+// jobIDFromPath is the job that the path of a request names. A job whose id is malformed
+// was never accepted.
 func jobIDFromPath(r *http.Request) (cluster.JobID, bool) {
 	id := r.PathValue("id")
 	return cluster.JobID(id), wire.IsValidJobID(id)
 }
 
-// serve hands a request to the core and writes its answer.
+// serve hands a request to the controller and writes its answer.
 func (h *handler) serve(w http.ResponseWriter, r *http.Request, event func(messages.RequestID) messages.Event) {
 	answer, answered := h.requester.Request(r.Context(), event)
 	if !answered {
-		answer = messages.Respond{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterSeconds}
+		answer = messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: retryAfterSeconds}
 	}
 	if answer.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(answer.RetryAfter))
@@ -111,7 +109,7 @@
 	case answer.View != nil:
 		w.Header().Set("Content-Type", wire.ContentTypeJSON)
 		w.WriteHeader(int(answer.Status))
-		_, _ = w.Write(wire.EncodeJobView(*answer.View))
+		_, _ = w.Write(wire.EncodeJobView(*answer.View)) // fails if the user has gone away
 	case answer.Status == messages.ReplyOK:
 		w.WriteHeader(http.StatusOK)
 	default:
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -7,15 +7,14 @@
 	"net/http"
 	"sync"
 
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/wire"
 )
 
-// Handler serves POST /checkin, a worker's report.
-func Handler(asker engine.Requester, log *slog.Logger) http.Handler {
-	return &handler{requester: asker, log: log, loggedErrors: &logDeduplicator{seen: map[string]bool{}}}
+// Handler serves the heartbeats of workers.
+func Handler(requester engine.Requester, log *slog.Logger) http.Handler {
+	return &handler{requester: requester, log: log, loggedErrors: &logDeduplicator{seen: map[string]bool{}}}
 }
 
 type handler struct {
@@ -24,7 +23,7 @@
 	loggedErrors *logDeduplicator
 }
 
-// ServeHTTP hands the report to the core and answers with its commands.
+// ServeHTTP hands a heartbeat to the controller and answers with its commands.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodySize))
 	if err != nil {
@@ -32,14 +31,14 @@
 		http.Error(w, "body unreadable or too large", http.StatusBadRequest)
 		return
 	}
-	report, err := wire.DecodeHeartbeatStatus(body)
+	status, err := wire.DecodeHeartbeatStatus(body)
 	if err != nil {
 		h.logMalformed(r.RemoteAddr, err)
 		http.Error(w, "malformed report", http.StatusBadRequest)
 		return
 	}
-	checkin := func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: report} }
-	answer, answered := h.requester.Request(r.Context(), checkin)
+	heartbeat := func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: status} }
+	answer, answered := h.requester.Request(r.Context(), heartbeat)
 	if !answered {
 		http.Error(w, "given up", http.StatusServiceUnavailable)
 		return
@@ -50,36 +49,38 @@
 	}
 	w.Header().Set("Content-Type", wire.ContentTypeJSON)
 	w.WriteHeader(int(answer.Status))
+	// Writing fails if the worker has gone away; its next heartbeat gets the commands.
 	_, _ = w.Write(wire.EncodeHeartbeatResponse(answer.Status, *answer.Heartbeat))
 }
 
-func (h *handler) logMalformed(sender string, err error) {
-	host, _, splitErr := net.SplitHostPort(sender) // its port differs with each connection
+// logMalformed logs each error of a host once.
+func (h *handler) logMalformed(remoteAddress string, err error) {
+	host, _, splitErr := net.SplitHostPort(remoteAddress) // the port differs with each connection
 	if splitErr != nil {
-		host = sender
+		host = remoteAddress
 	}
 	if h.loggedErrors.add(host + err.Error()) {
-		h.log.Info("malformed report", "from", host, "error", err)
+		h.log.Info("malformed heartbeat", "host", host, "error", err)
 	}
 }
 
-// maxLoggedErrors bounds the malformed reports that are logged.
+// maxLoggedErrors bounds the malformed heartbeats that are logged.
 const maxLoggedErrors = 1000
 
-// logDeduplicator remembers what has been logged, so that a sender that repeats itself
-// fills no log.
+// logDeduplicator remembers what has been logged, so that a worker that repeats a
+// malformed heartbeat does not fill the log.
 type logDeduplicator struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
 // add tells whether the key is new and there is room for it.
-func (s *logDeduplicator) add(key string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.seen[key] || len(s.seen) > maxLoggedErrors {
+func (d *logDeduplicator) add(key string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.seen[key] || len(d.seen) > maxLoggedErrors {
 		return false
 	}
-	s.seen[key] = true
+	d.seen[key] = true
 	return true
 }
