--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -18,7 +18,7 @@
 	return wiretest.Execute[T](t, func(reply engine.ReplyFunc) { New(address, reply).Do(effect) })
 }
 
-// TestListPages: each page of the machine list is asked for after the last
+// TestListPages checks that each page of the machine list is requested after the last
 // machine of the one before, and says whether another follows.
 func TestListPages(t *testing.T) {
 	pages := map[string]string{
@@ -28,24 +28,25 @@
 	}
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/rentals" || r.URL.Query().Get("page") != "500" {
-			t.Errorf("asked for %s", r.URL)
+			t.Errorf("requested %s", r.URL)
 		}
 		_, _ = w.Write([]byte(pages[r.URL.Query().Get("since")]))
 	}
 	for _, page := range []struct {
-		since, want cluster.MachineID
+		after, want cluster.MachineID
 		more        bool
 	}{{"", "m-1", true}, {"m-1", "m-2", true}, {"m-2", "m-3", false}} {
-		reply := execute[messages.CloudListReply](t, serve, messages.CloudList{After: page.since})
+		reply := execute[messages.CloudListReply](t, serve, messages.CloudList{After: page.after})
 		if reply.Outcome != messages.OK || len(reply.Items) != 1 || reply.Items[0].ID != page.want || reply.More != page.more {
-			t.Errorf("after %q: %+v", page.since, reply)
+			t.Errorf("after %q: %+v", page.after, reply)
 		}
 	}
 }
 
-// TestOutcomes: what each status means; out of machines is not out of order.
+// TestOutcomes checks what each status means: a cloud without capacity is not a cloud in
+// an outage.
 func TestOutcomes(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		effect messages.Effect
 		status int
 		body   string
@@ -67,12 +68,12 @@
 		{messages.CloudList{}, 503, ``, fmt.Sprint(messages.CloudListReply{Outcome: messages.NotApplied})},
 		{messages.CloudList{}, 200, `[]`, fmt.Sprint(messages.CloudListReply{Outcome: messages.UnknownOutcome})},
 	} {
-		answer := func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(c.status)
-			_, _ = w.Write([]byte(c.body))
+		respond := func(w http.ResponseWriter, _ *http.Request) {
+			w.WriteHeader(test.status)
+			_, _ = w.Write([]byte(test.body))
 		}
-		if got := fmt.Sprint(execute[any](t, answer, c.effect)); got != c.want {
-			t.Errorf("%T answered %d %s: got %s, want %s", c.effect, c.status, c.body, got, c.want)
+		if got := fmt.Sprint(execute[any](t, respond, test.effect)); got != test.want {
+			t.Errorf("%T answered %d %s: got %s, want %s", test.effect, test.status, test.body, got, test.want)
 		}
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,19 +14,25 @@
 	"stairrelay/internal/messages"
 )
 
+// echoRequester answers each message with the message itself.
 type echoRequester struct{}
 
 func (echoRequester) Request(_ context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
-	m := event(1).(messages.PeerRequest).Message
-	return messages.Respond{Status: 200, Peer: &m}, true
+	request, ok := event(1).(messages.PeerRequest)
+	if !ok {
+		return messages.Respond{}, false
+	}
+	return messages.Respond{Status: messages.ReplyOK, Peer: &request.Message}, true
 }
 
+// TestFrames checks that a message comes back as it was sent, and that malformed ones are
+// refused.
 func TestFrames(t *testing.T) {
-	h := Handler(echoRequester{}, slog.New(slog.NewTextHandler(&bytes.Buffer{}, nil)))
+	handler := Handler(echoRequester{}, slog.New(slog.NewTextHandler(&bytes.Buffer{}, nil)))
 	post := func(body []byte) (int, []byte) {
-		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest("POST", messagePath, bytes.NewReader(body)))
-		return w.Code, w.Body.Bytes()
+		recorder := httptest.NewRecorder()
+		handler.ServeHTTP(recorder, httptest.NewRequest("POST", messagePath, bytes.NewReader(body)))
+		return recorder.Code, recorder.Body.Bytes()
 	}
 	offer := messages.TransferOffer{Key: "groups/g", ModRevision: 9, Recipient: 1, Kinds: []messages.MachineKindCount{{Type: "x", Count: 3}}}
 	ping := &messages.Ping{
@@ -36,23 +42,23 @@
 		MillisSinceContact: map[cluster.NodeID]int64{"n2": 40},
 		TransferOffers:     []messages.TransferOffer{offer},
 	}
-	m := messages.PeerMessage{Version: 1, From: "n1", Ping: ping}
-	b, err := Encode(m)
+	message := messages.PeerMessage{Version: 1, From: "n1", Ping: ping}
+	frame, err := Encode(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	code, back := post(b)
+	code, response := post(frame)
 	if code != 200 {
 		t.Fatalf("answered %d", code)
 	}
-	got, err := Decode(back)
-	if err != nil || !reflect.DeepEqual(got, m) {
+	got, err := Decode(response)
+	if err != nil || !reflect.DeepEqual(got, message) {
 		t.Errorf("came back as %+v, %v", got, err)
 	}
 	for name, bad := range map[string][]byte{
 		"empty":      nil,
 		"no CBOR":    []byte(strings.Repeat("{", 100)),
-		"truncated":  b[:len(b)/2],
+		"truncated":  frame[:len(frame)/2],
 		"no version": {0xa0},
 		"too large":  bytes.Repeat([]byte{0x80}, MaxMessageSize+1),
 	} {
@@ -62,10 +68,10 @@
 	}
 }
 
-// TestMessageTooLarge: a message that no controller would take is not sent.
+// TestMessageTooLarge checks that a message that no controller would take is not sent.
 func TestMessageTooLarge(t *testing.T) {
-	tell := &messages.JobNotice{Keys: []messages.KV{{Key: "jobs/j", Value: make([]byte, MaxMessageSize)}}}
-	if _, err := Encode(messages.PeerMessage{Version: 1, From: "n1", Notice: tell}); !errors.Is(err, ErrTooLarge) {
+	notice := &messages.JobNotice{Keys: []messages.KV{{Key: "jobs/j", Value: make([]byte, MaxMessageSize)}}}
+	if _, err := Encode(messages.PeerMessage{Version: 1, From: "n1", Notice: notice}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/peers/production_test.go
+++ b/internal/peers/production_test.go
@@ -12,14 +12,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestProductionPing: a call as the version in production encodes it is read,
-// with level 0; ours has one field more, and the same version of the protocol.
+// TestProductionPing checks that a ping as the version in production encodes it is read,
+// with feature level 0. Ours has one field more and the same version of the protocol.
 func TestProductionPing(t *testing.T) {
-	old, err := os.ReadFile("testdata/production/ping.cbor")
+	productionFrame, err := os.ReadFile("testdata/production/ping.cbor")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := Decode(old)
+	message, err := Decode(productionFrame)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,35 +37,42 @@
 		KnownTerms:         []cluster.Term{7, 3, 9},
 	}
 	want := messages.PeerMessage{Version: 2, From: "n1", Ping: ping}
-	if !reflect.DeepEqual(m, want) {
-		t.Errorf("read %+v with %+v", m, m.Ping)
+	if !reflect.DeepEqual(message, want) {
+		t.Errorf("read %+v with %+v", message, message.Ping)
 	}
-	fields := func(b []byte) map[string]any {
-		var msg map[string]any
-		if err := cbor.Unmarshal(b, &msg); err != nil {
-			t.Fatal(err)
-		}
-		ping, ok := msg["Ping"].(map[any]any)
-		if !ok {
-			t.Fatalf("%T", msg["Ping"])
-		}
-		out := map[string]any{}
-		for k, v := range ping {
-			out[k.(string)] = v
-		}
-		return out
-	}
-	m.Ping.FeatureLevel = 1
-	b, err := Encode(m)
+	message.Ping.FeatureLevel = 1
+	frame, err := Encode(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	was, is := fields(old), fields(b)
-	if was["Level"] != nil || is["Level"] == nil {
-		t.Errorf("level: %v and %v", was["Level"], is["Level"])
+	production, current := pingFields(t, productionFrame), pingFields(t, frame)
+	if production["Level"] != nil || current["Level"] == nil {
+		t.Errorf("level: %v and %v", production["Level"], current["Level"])
+	}
+	delete(current, "Level")
+	if !reflect.DeepEqual(production, current) {
+		t.Errorf("fields were %v, are %v", production, current)
 	}
-	delete(is, "Level")
-	if !reflect.DeepEqual(was, is) {
-		t.Errorf("were %v, are %v", was, is)
+}
+
+// pingFields returns the encoded fields of the ping in a message.
+func pingFields(t *testing.T, frame []byte) map[string]any {
+	t.Helper()
+	var message map[string]any
+	if err := cbor.Unmarshal(frame, &message); err != nil {
+		t.Fatal(err)
+	}
+	ping, ok := message["Ping"].(map[any]any)
+	if !ok {
+		t.Fatalf("the ping is a %T", message["Ping"])
+	}
+	fields := map[string]any{}
+	for key, value := range ping {
+		name, ok := key.(string)
+		if !ok {
+			t.Fatalf("the name of a field is a %T", key)
+		}
+		fields[name] = value
 	}
+	return fields
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -35,7 +35,7 @@
 	}
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/keys" || r.URL.Query().Get("prefix") != "jobs/" || r.URL.Query().Get("page") != "1000" {
-			t.Errorf("asked for %s", r.URL)
+			t.Errorf("requested %s", r.URL)
 		}
 		since := r.URL.Query().Get("since")
 		if since == "a" && !throttled {
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestListPages: a list holds all pages as of the first one's epoch, also when
-// the request limit is met on the way.
+// TestListPages checks that a list holds all pages as of the revision of the first one,
+// also when a page is throttled.
 func TestListPages(t *testing.T) {
 	reply := execute[messages.ListReply](t, servePages(t), messages.StoreList{Prefix: "jobs/"})
 	var keys []string
@@ -65,9 +65,10 @@
 	}
 }
 
-// TestOutcomes: what each status means; nothing is taken for done that may not be.
+// TestOutcomes checks what each status means: nothing counts as carried out that may not
+// be.
 func TestOutcomes(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		effect messages.Effect
 		status int
 		body   string
@@ -90,28 +91,28 @@
 		{messages.StoreWatch{}, 200, `{"epoch":4,"events":[]}`, fmt.Sprint(messages.WatchReply{Outcome: messages.OK, Revision: 4})},
 		{messages.StoreWatch{}, 200, `{"events":[]}`, fmt.Sprint(messages.WatchReply{Outcome: messages.UnknownOutcome})},
 	} {
-		answer := func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(c.status)
-			_, _ = w.Write([]byte(c.body))
+		respond := func(w http.ResponseWriter, _ *http.Request) {
+			w.WriteHeader(test.status)
+			_, _ = w.Write([]byte(test.body))
 		}
-		if got := fmt.Sprint(execute[any](t, answer, c.effect)); got != c.want {
-			t.Errorf("%T answered %d %s: got %s, want %s", c.effect, c.status, c.body, got, c.want)
+		if got := fmt.Sprint(execute[any](t, respond, test.effect)); got != test.want {
+			t.Errorf("%T answered %d %s: got %s, want %s", test.effect, test.status, test.body, got, test.want)
 		}
 	}
 }
 
-// TestWatchTooLarge: an answer to a watch may be of any size. One that is larger
-// than is read sends the reader to the keys themselves, which come by pages; cut
-// off and given up as unreadable, it would be asked for again for ever.
+// TestWatchTooLarge checks that the response to a watch, which may be of any size, counts
+// as compacted when it is larger than is read. The keys are then read by pages; with an
+// unknown outcome the same watch would be opened again for ever.
 func TestWatchTooLarge(t *testing.T) {
-	answer := func(w http.ResponseWriter, _ *http.Request) {
+	respond := func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"epoch":4,"events":[`))
 		_, _ = w.Write(make([]byte, wire.MaxResponseSize))
 	}
-	if reply := execute[messages.WatchReply](t, answer, messages.StoreWatch{}); reply.Outcome != messages.Compacted {
+	if reply := execute[messages.WatchReply](t, respond, messages.StoreWatch{}); reply.Outcome != messages.Compacted {
 		t.Errorf("read as %+v", reply)
 	}
-	if reply := execute[messages.ListReply](t, answer, messages.StoreList{}); reply.Outcome != messages.UnknownOutcome {
+	if reply := execute[messages.ListReply](t, respond, messages.StoreList{}); reply.Outcome != messages.UnknownOutcome {
 		t.Errorf("a list of that size was read as %+v", reply.Outcome)
 	}
 }
--- a/internal/wire/forms_test.go
+++ b/internal/wire/forms_test.go
@@ -7,14 +7,15 @@
 	"stairrelay/internal/messages"
 )
 
-// TestEncodedForms: what is sent stays byte for byte the same from release to release.
+// TestEncodedForms checks that what is sent stays the same, byte for byte, from version
+// to version.
 func TestEncodedForms(t *testing.T) {
-	rental := messages.CloudScaleOut{Name: "n0-b-1", Type: "g8", Zone: "a<b", Spot: true, Count: 3}
+	scaleOut := messages.CloudScaleOut{Name: "n0-b-1", Type: "g8", Zone: "a<b", Spot: true, Count: 3}
 	txn := messages.StoreTxn{
 		If:   []messages.Compare{{Key: "jobs/j-1", ModRevision: 0}, {Key: "parts/0", ModRevision: 7}},
 		Then: []messages.TxnOp{{Key: "jobs/j-1", Value: []byte(`{"a": 1}`)}, {Key: "groups/g"}},
 	}
-	orders := messages.PushCommands{
+	push := messages.PushCommands{
 		FencingToken: 41,
 		Incarnation:  2,
 		Commands:     []cluster.Command{{Kind: cluster.Stop, Task: cluster.TaskID{Job: "j-1", Index: 3}, Attempt: 9}},
@@ -23,14 +24,14 @@
 		sent []byte
 		want string
 	}{
-		"rental":             {EncodeScaleOut(rental), `{"charter":"n0-b-1","count":3,"fleet":"g8","standby":true,"yard":"a\u003cb"}`},
-		"return":             {EncodeScaleIn([]cluster.MachineID{"m-1", "m-2"}), `{"coaches":["m-1","m-2"]}`},
-		"return of nothing":  {EncodeScaleIn(nil), `{"coaches":null}`},
-		"transaction":        {EncodeTxn(txn), `{"then":[{"set":"jobs/j-1","value":{"a":1}},{"drop":"groups/g"}],"when":[{"key":"jobs/j-1","mark":0},{"key":"parts/0","mark":7}]}`},
-		"empty transaction":  {EncodeTxn(messages.StoreTxn{}), `{"then":[],"when":[]}`},
-		"orders":             {EncodePushCommands(orders), `{"baton":41,"shift":2,"dispatches":[{"verb":"halt","leg":"j-1/3","boarding":9,"layoverS":0}]}`},
-		"view":               {EncodeJobView(cluster.JobView{ID: "j-1", Status: cluster.JobRunning, Done: 1, Running: 2}), `{"id":"j-1","status":"running","done":1,"running":2}`},
-		"answer, no command": {EncodeHeartbeatResponse(200, messages.HeartbeatResponse{FencingToken: 5}), `{"baton":5,"dispatches":[]}`},
+		"scale-out":            {EncodeScaleOut(scaleOut), `{"charter":"n0-b-1","count":3,"fleet":"g8","standby":true,"yard":"a\u003cb"}`},
+		"scale-in":             {EncodeScaleIn([]cluster.MachineID{"m-1", "m-2"}), `{"coaches":["m-1","m-2"]}`},
+		"scale-in of nothing":  {EncodeScaleIn(nil), `{"coaches":null}`},
+		"transaction":          {EncodeTxn(txn), `{"then":[{"set":"jobs/j-1","value":{"a":1}},{"drop":"groups/g"}],"when":[{"key":"jobs/j-1","mark":0},{"key":"parts/0","mark":7}]}`},
+		"empty transaction":    {EncodeTxn(messages.StoreTxn{}), `{"then":[],"when":[]}`},
+		"pushed commands":      {EncodePushCommands(push), `{"baton":41,"shift":2,"dispatches":[{"verb":"halt","leg":"j-1/3","boarding":9,"layoverS":0}]}`},
+		"job view":             {EncodeJobView(cluster.JobView{ID: "j-1", Status: cluster.JobRunning, Done: 1, Running: 2}), `{"id":"j-1","status":"running","done":1,"running":2}`},
+		"response, no command": {EncodeHeartbeatResponse(200, messages.HeartbeatResponse{FencingToken: 5}), `{"baton":5,"dispatches":[]}`},
 	} {
 		if got := string(form.sent); got != form.want {
 			t.Errorf("%s: sent %s, want %s", name, got, form.want)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,58 +12,60 @@
  "vcpus":8.0,"accelerators":1.0,"memoryGb":64.0,"bundle":"img-07","sizeGb":6.2,"fleets":["g8"],"yard":null,
  "samePlace":true,"scatter":false,"standby":true,"runtimeS":240.0,"waypointS":30.0,"stowS":4.0,"dueS":900.0,"later":1}`
 
+// TestDecodeSubmission checks what is read of a submission. Unknown fields are ignored.
 func TestDecodeSubmission(t *testing.T) {
-	s, err := DecodeSubmission([]byte(validSubmission))
+	spec, err := DecodeSubmission([]byte(validSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := cluster.Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}
-	if s.ID != "j-000412" || s.Team != "vision" || s.Priority != cluster.Urgent || s.Tasks != 16 || s.ResourceRequest != want ||
-		!s.Colocate || s.Spread || !s.Spot || s.Zone != "" || s.DeadlineSeconds != 900 || s.MachineTypes[0] != "g8" {
-		t.Errorf("read %+v", s)
+	request := cluster.Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}
+	if spec.ID != "j-000412" || spec.Team != "vision" || spec.Priority != cluster.Urgent || spec.Tasks != 16 || spec.ResourceRequest != request ||
+		!spec.Colocate || spec.Spread || !spec.Spot || spec.Zone != "" || spec.DeadlineSeconds != 900 || spec.MachineTypes[0] != "g8" {
+		t.Errorf("read %+v", spec)
 	}
 }
 
-// TestBadSubmissions: each is refused; where the body names a well-formed id
-// the caller still gets it, since it may be a known job's.
+// TestBadSubmissions checks that each is refused, and that the caller still gets a
+// well-formed id, since it may be that of a known job.
 func TestBadSubmissions(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		from, to string
 		id       bool
 	}{
-		"not JSON":      {`{"id"`, `"id"`, false},
-		"array":         {validSubmission, `[1]`, false},
-		"null":          {validSubmission, `null`, false},
-		"bad id":        {"j-000412", "j-0004x2", false},
-		"id a number":   {`"j-000412"`, "412", false},
-		"other shape":   {"sweep", "gang", true},
-		"no urgency":    {`"urgency":"urgent",`, "", true},
-		"bad urgency":   {`"urgent"`, `"now"`, true},
-		"no legs":       {`"legs":16,`, "", true},
-		"legs 0":        {`"legs":16`, `"legs":0`, true},
-		"legs fraction": {`"legs":16`, `"legs":1.5`, true},
-		"legs too many": {`"legs":16`, `"legs":100001`, true},
-		"text for cpus": {`"vcpus":8.0`, `"vcpus":"8"`, true},
-		"cpus below 0":  {`"vcpus":8.0`, `"vcpus":-1`, true},
-		"null bool":     {`"samePlace":true`, `"samePlace":null`, true},
-		"no run time":   {`"runtimeS":240.0,`, "", true},
-		"due 0":         {`"dueS":900.0`, `"dueS":0`, true},
-		"long image":    {"img-07", strings.Repeat("x", 300), true},
-		"types a text":  {`["g8"]`, `"g8"`, true},
+		"not JSON":       {`{"id"`, `"id"`, false},
+		"array":          {validSubmission, `[1]`, false},
+		"null":           {validSubmission, `null`, false},
+		"bad id":         {"j-000412", "j-0004x2", false},
+		"id a number":    {`"j-000412"`, "412", false},
+		"other shape":    {"sweep", "gang", true},
+		"no urgency":     {`"urgency":"urgent",`, "", true},
+		"bad urgency":    {`"urgent"`, `"now"`, true},
+		"no tasks":       {`"legs":16,`, "", true},
+		"0 tasks":        {`"legs":16`, `"legs":0`, true},
+		"half a task":    {`"legs":16`, `"legs":1.5`, true},
+		"too many tasks": {`"legs":16`, `"legs":100001`, true},
+		"text for cpus":  {`"vcpus":8.0`, `"vcpus":"8"`, true},
+		"cpus below 0":   {`"vcpus":8.0`, `"vcpus":-1`, true},
+		"null bool":      {`"samePlace":true`, `"samePlace":null`, true},
+		"no run time":    {`"runtimeS":240.0,`, "", true},
+		"deadline 0":     {`"dueS":900.0`, `"dueS":0`, true},
+		"long image":     {"img-07", strings.Repeat("x", 300), true},
+		"types a text":   {`["g8"]`, `"g8"`, true},
 	} {
-		body := strings.Replace(validSubmission, c.from, c.to, 1)
-		s, err := DecodeSubmission([]byte(body))
+		body := strings.Replace(validSubmission, test.from, test.to, 1)
+		spec, err := DecodeSubmission([]byte(body))
 		if err == nil {
 			t.Errorf("%s: accepted", name)
 		}
-		if (s.ID != "") != c.id {
-			t.Errorf("%s: id %q", name, s.ID)
+		if (spec.ID != "") != test.id {
+			t.Errorf("%s: id %q", name, spec.ID)
 		}
 	}
 }
 
-// TestDependencies: missing, null and empty mean none; each job is listed once; a
-// malformed id, or the job's own, is refused, and the job's id is still given.
+// TestDependencies checks that missing, null and empty mean none, that each job is listed
+// once, and that a malformed id, or the job's own, is refused while the job's id is still
+// given.
 func TestDependencies(t *testing.T) {
 	for list, want := range map[string]string{
 		"":     "",
@@ -89,13 +91,13 @@
 		if list != "" {
 			body = strings.Replace(validSubmission, `"later":1`, `"awaits":`+list, 1)
 		}
-		s, err := DecodeSubmission([]byte(body))
-		if s.ID != "j-000412" || (err != nil) != (want == "refused") {
-			t.Errorf("%s: id %q, %v", list, s.ID, err)
+		spec, err := DecodeSubmission([]byte(body))
+		if spec.ID != "j-000412" || (err != nil) != (want == "refused") {
+			t.Errorf("%s: id %q, %v", list, spec.ID, err)
 			continue
 		}
 		var got []string
-		for _, id := range s.Dependencies {
+		for _, id := range spec.Dependencies {
 			got = append(got, string(id))
 		}
 		if err == nil && strings.Join(got, " ") != want {
@@ -104,17 +106,19 @@
 	}
 }
 
+// TestHeartbeatsAndResponses checks what is read of heartbeats, and the responses byte
+// for byte.
 func TestHeartbeatsAndResponses(t *testing.T) {
-	r, err := DecodeHeartbeatStatus([]byte(`{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,
+	status, err := DecodeHeartbeatStatus([]byte(`{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,
 	 "shift":1,"stamp":88,"baton":41,"recallS":12.5,"legs":[{"leg":"j-000412/3","boarding":2,"status":"running"},
 	 {"leg":"j-000398/0","boarding":1,"status":"ended","cause":"stopped","stored":true},
 	 {"leg":"j-000398/1","boarding":1,"status":"ended","cause":"melted"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Machine != "m-000231" || r.PreemptionNotice != 12.5 || r.FencingToken != 41 || len(r.Tasks) != 3 ||
-		r.Tasks[0].Task != (cluster.TaskID{Job: "j-000412", Index: 3}) || !r.Tasks[1].Checkpointed || r.Tasks[2].Cause != cluster.CauseFailed {
-		t.Errorf("read %+v", r)
+	if status.Machine != "m-000231" || status.PreemptionNotice != 12.5 || status.FencingToken != 41 || len(status.Tasks) != 3 ||
+		status.Tasks[0].Task != (cluster.TaskID{Job: "j-000412", Index: 3}) || !status.Tasks[1].Checkpointed || status.Tasks[2].Cause != cluster.CauseFailed {
+		t.Errorf("read %+v", status)
 	}
 	for _, bad := range []string{`{}`, `[]`, `{"coach":"m-1","shift":0}`, `{"coach":"m/1","shift":1}`,
 		`{"coach":"m-1","shift":1,"legs":[{"leg":"j-1","boarding":1,"status":"running"}]}`,
@@ -123,13 +127,13 @@
 			t.Errorf("%s: accepted", bad)
 		}
 	}
-	a := messages.HeartbeatResponse{FencingToken: 41, Commands: []cluster.Command{
+	response := messages.HeartbeatResponse{FencingToken: 41, Commands: []cluster.Command{
 		{Kind: cluster.Start, Task: cluster.TaskID{Job: "j-000412", Index: 4}, Attempt: 2},
 		{Kind: cluster.Stop, Task: cluster.TaskID{Job: "j-000377", Index: 1}, Attempt: 1, GraceSeconds: 10},
 		{Kind: cluster.Acknowledge, Task: cluster.TaskID{Job: "j-000398"}, Attempt: 1}}}
 	want := `{"baton":41,"dispatches":[{"verb":"start","leg":"j-000412/4","boarding":2},` +
 		`{"verb":"halt","leg":"j-000377/1","boarding":1,"layoverS":10},{"verb":"reap","leg":"j-000398/0","boarding":1}]}`
-	if got := string(EncodeHeartbeatResponse(200, a)); got != want {
+	if got := string(EncodeHeartbeatResponse(200, response)); got != want {
 		t.Errorf("wrote %s", got)
 	}
 	if got := string(EncodeHeartbeatResponse(421, messages.HeartbeatResponse{RedirectTo: "landing-2"})); got != `{"dispatcher":"landing-2"}` {
@@ -140,11 +144,11 @@
 	}
 }
 
-// TestTruncatedResponses: a cloud's or store's answer that makes no sense is an
-// error, never an empty success.
+// TestTruncatedResponses checks that a response of the cloud or the state service that
+// lacks what it must have is an error, never an empty success.
 func TestTruncatedResponses(t *testing.T) {
 	if _, err := DecodeScaleOut([]byte(`{}`)); err == nil {
-		t.Error("a rental without machines passed")
+		t.Error("a scale-out without machines passed")
 	}
 	if _, err := DecodeTxn([]byte(`{"failed":["a"]}`)); err == nil {
 		t.Error("a transaction without epoch passed")
