--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -11,10 +11,9 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
-// execute carries out an effect against a server and returns its reply.
-func execute[T any](t *testing.T, handler http.HandlerFunc, effect messages.Effect) T {
+// execute carries out an effect against the server at an address and returns its reply.
+func execute[T any](t *testing.T, address string, effect messages.Effect) T {
 	t.Helper()
-	address := wiretest.Serve(t, handler)
 	return wiretest.Execute[T](t, func(reply engine.ReplyFunc) { New(address, reply).Do(effect) })
 }
 
@@ -36,7 +35,7 @@
 		after, want cluster.MachineID
 		more        bool
 	}{{"", "m-1", true}, {"m-1", "m-2", true}, {"m-2", "m-3", false}} {
-		reply := execute[messages.CloudListReply](t, serve, messages.CloudList{After: page.after})
+		reply := execute[messages.CloudListReply](t, wiretest.Serve(t, http.HandlerFunc(serve)), messages.CloudList{After: page.after})
 		if reply.Outcome != messages.OK || len(reply.Items) != 1 || reply.Items[0].ID != page.want || reply.More != page.more {
 			t.Errorf("after %q: %+v", page.after, reply)
 		}
@@ -68,11 +67,7 @@
 		{messages.CloudList{}, 503, ``, fmt.Sprint(messages.CloudListReply{Outcome: messages.NotApplied})},
 		{messages.CloudList{}, 200, `[]`, fmt.Sprint(messages.CloudListReply{Outcome: messages.UnknownOutcome})},
 	} {
-		respond := func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(test.status)
-			_, _ = w.Write([]byte(test.body))
-		}
-		if got := fmt.Sprint(execute[any](t, respond, test.effect)); got != test.want {
+		if got := fmt.Sprint(execute[any](t, wiretest.ServeStatus(t, test.status, test.body), test.effect)); got != test.want {
 			t.Errorf("%T answered %d %s: got %s, want %s", test.effect, test.status, test.body, got, test.want)
 		}
 	}
--- a/internal/cloud/outcomes_test.go
+++ b/internal/cloud/outcomes_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"net/http"
-	"reflect"
-	"strconv"
 	"testing"
 
 	"stairrelay/internal/engine"
@@ -12,42 +10,54 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
+func newExecutor(address string, reply engine.ReplyFunc) func(messages.Effect) {
+	return New(address, reply).Do
+}
+
 // TestUndecodableResponses checks what each status means with a body that can't be read.
 // A scale-out or scale-in that may have been carried out never counts as not applied.
 func TestUndecodableResponses(t *testing.T) {
-	statuses := []int{200, 400, 404, 409, 429, 500, 503, 504}
 	const (
+		ok         = messages.OK
 		unknown    = messages.UnknownOutcome
 		invalid    = messages.Invalid
 		throttled  = messages.Throttled
 		notApplied = messages.NotApplied
 	)
-	for name, test := range map[string]struct {
-		effect messages.Effect
-		reply  func(messages.Outcome) any
-		want   []messages.Outcome // by status
-	}{
-		"machine types": {messages.CloudMachineTypes{}, func(o messages.Outcome) any { return messages.MachineTypesReply{Outcome: o} },
-			[]messages.Outcome{unknown, notApplied, notApplied, notApplied, notApplied, notApplied, notApplied, notApplied}},
-		"scale-out": {messages.CloudScaleOut{}, func(o messages.Outcome) any { return messages.ScaleOutReply{Outcome: o} },
-			[]messages.Outcome{unknown, invalid, unknown, unknown, throttled, unknown, notApplied, unknown}},
-		"scale-in": {messages.CloudScaleIn{}, func(o messages.Outcome) any { return messages.ScaleInReply{Outcome: o} },
-			[]messages.Outcome{messages.OK, unknown, unknown, unknown, unknown, unknown, unknown, unknown}},
-		"list": {messages.CloudList{}, func(o messages.Outcome) any { return messages.CloudListReply{Outcome: o} },
-			[]messages.Outcome{unknown, notApplied, notApplied, notApplied, throttled, notApplied, notApplied, notApplied}},
-	} {
-		for i, status := range statuses {
-			t.Run(name+" "+strconv.Itoa(status), func(t *testing.T) {
-				respond := func(w http.ResponseWriter, _ *http.Request) {
-					w.WriteHeader(status)
-					_, _ = w.Write([]byte("<html>"))
-				}
-				if got, want := execute[any](t, respond, test.effect), test.reply(test.want[i]); !reflect.DeepEqual(got, want) {
-					t.Errorf("reply %+v, want %+v", got, want)
-				}
-			})
-		}
-	}
+	wiretest.CheckStatuses(t, newExecutor, []wiretest.StatusTest{
+		{
+			Name:   "machine types",
+			Effect: messages.CloudMachineTypes{},
+			Reply:  func(outcome messages.Outcome) any { return messages.MachineTypesReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: notApplied, 404: notApplied, 409: notApplied, 429: notApplied, 500: notApplied, 503: notApplied, 504: notApplied,
+			},
+		},
+		{
+			Name:   "scale-out",
+			Effect: messages.CloudScaleOut{},
+			Reply:  func(outcome messages.Outcome) any { return messages.ScaleOutReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: invalid, 404: unknown, 409: unknown, 429: throttled, 500: unknown, 503: notApplied, 504: unknown,
+			},
+		},
+		{
+			Name:   "scale-in",
+			Effect: messages.CloudScaleIn{},
+			Reply:  func(outcome messages.Outcome) any { return messages.ScaleInReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: ok, 400: unknown, 404: unknown, 409: unknown, 429: unknown, 500: unknown, 503: unknown, 504: unknown,
+			},
+		},
+		{
+			Name:   "list",
+			Effect: messages.CloudList{},
+			Reply:  func(outcome messages.Outcome) any { return messages.CloudListReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: notApplied, 404: notApplied, 409: notApplied, 429: throttled, 500: notApplied, 503: notApplied, 504: notApplied,
+			},
+		},
+	})
 }
 
 // TestNoResponse checks what a missing or an oversized response means: a read can be
@@ -61,19 +71,13 @@
 		"closed":    wiretest.ClosingAddress(t),
 		"oversized": oversized,
 	} {
-		for _, test := range []struct {
-			effect messages.Effect
-			want   any
-		}{
-			{messages.CloudMachineTypes{}, messages.MachineTypesReply{Outcome: messages.NotApplied}},
-			{messages.CloudScaleOut{}, messages.ScaleOutReply{Outcome: messages.UnknownOutcome}},
-			{messages.CloudScaleIn{}, messages.ScaleInReply{Outcome: messages.UnknownOutcome}},
-			{messages.CloudList{}, messages.CloudListReply{Outcome: messages.NotApplied}},
-		} {
-			got := wiretest.Execute[any](t, func(reply engine.ReplyFunc) { New(address, reply).Do(test.effect) })
-			if !reflect.DeepEqual(got, test.want) {
-				t.Errorf("%s, %T: reply %+v, want %+v", name, test.effect, got, test.want)
-			}
-		}
+		t.Run(name, func(t *testing.T) {
+			wiretest.CheckReplies(t, newExecutor, address, []wiretest.ReplyTest{
+				{Effect: messages.CloudMachineTypes{}, Want: messages.MachineTypesReply{Outcome: messages.NotApplied}},
+				{Effect: messages.CloudScaleOut{}, Want: messages.ScaleOutReply{Outcome: messages.UnknownOutcome}},
+				{Effect: messages.CloudScaleIn{}, Want: messages.ScaleInReply{Outcome: messages.UnknownOutcome}},
+				{Effect: messages.CloudList{}, Want: messages.CloudListReply{Outcome: messages.NotApplied}},
+			})
+		})
 	}
 }
--- a/internal/peers/client_test.go
+++ b/internal/peers/client_test.go
@@ -47,17 +47,11 @@
 
 // TestFailedCalls checks that a message counts as not applied only if it was never sent.
 func TestFailedCalls(t *testing.T) {
-	refuse := func(status int, body string) http.HandlerFunc {
-		return func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(status)
-			_, _ = w.Write([]byte(body))
-		}
-	}
 	for name, address := range map[string]string{
 		"refused connection": wiretest.RefusingAddress(t),
 		"closed connection":  wiretest.ClosingAddress(t),
-		"refused message":    wiretest.Serve(t, refuse(400, "malformed")),
-		"malformed answer":   wiretest.Serve(t, refuse(200, "<html>")),
+		"refused message":    wiretest.ServeStatus(t, 400, "malformed"),
+		"malformed answer":   wiretest.ServeStatus(t, 200, "<html>"),
 	} {
 		want := messages.PeerReply{Outcome: messages.UnknownOutcome}
 		if got := callPeer(t, address, ping); !reflect.DeepEqual(got, want) {
--- a/internal/store/outcomes_test.go
+++ b/internal/store/outcomes_test.go
@@ -3,7 +3,6 @@
 import (
 	"net/http"
 	"reflect"
-	"strconv"
 	"testing"
 
 	"stairrelay/internal/engine"
@@ -11,10 +10,13 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
+func newExecutor(address string, reply engine.ReplyFunc) func(messages.Effect) {
+	return New(address, reply).Do
+}
+
 // TestUndecodableResponses checks what each status means with a body that can't be read.
 // Only a status that says so makes a transaction count as not applied.
 func TestUndecodableResponses(t *testing.T) {
-	statuses := []int{200, 400, 404, 409, 410, 429, 500, 503, 504}
 	const (
 		unknown    = messages.UnknownOutcome
 		invalid    = messages.Invalid
@@ -23,32 +25,40 @@
 		throttled  = messages.Throttled
 		notApplied = messages.NotApplied
 	)
-	for name, test := range map[string]struct {
-		effect messages.Effect
-		reply  func(messages.Outcome) any
-		want   []messages.Outcome // by status
-	}{
-		"transaction": {messages.StoreTxn{}, func(o messages.Outcome) any { return messages.TxnReply{Outcome: o} },
-			[]messages.Outcome{unknown, invalid, unknown, unknown, unknown, throttled, unknown, notApplied, unknown}},
-		"get": {messages.StoreGet{Key: "k"}, func(o messages.Outcome) any { return messages.GetReply{Outcome: o} },
-			[]messages.Outcome{unknown, invalid, notFound, unknown, unknown, throttled, unknown, notApplied, unknown}},
-		"list": {messages.StoreList{}, func(o messages.Outcome) any { return messages.ListReply{Outcome: o} },
-			[]messages.Outcome{unknown, invalid, unknown, unknown, unknown, throttled, unknown, notApplied, unknown}},
-		"watch": {messages.StoreWatch{}, func(o messages.Outcome) any { return messages.WatchReply{Outcome: o} },
-			[]messages.Outcome{unknown, invalid, unknown, unknown, compacted, throttled, unknown, notApplied, unknown}},
-	} {
-		for i, status := range statuses {
-			t.Run(name+" "+strconv.Itoa(status), func(t *testing.T) {
-				respond := func(w http.ResponseWriter, _ *http.Request) {
-					w.WriteHeader(status)
-					_, _ = w.Write([]byte("<html>"))
-				}
-				if got, want := execute[any](t, respond, test.effect), test.reply(test.want[i]); !reflect.DeepEqual(got, want) {
-					t.Errorf("reply %+v, want %+v", got, want)
-				}
-			})
-		}
-	}
+	wiretest.CheckStatuses(t, newExecutor, []wiretest.StatusTest{
+		{
+			Name:   "transaction",
+			Effect: messages.StoreTxn{},
+			Reply:  func(outcome messages.Outcome) any { return messages.TxnReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: invalid, 404: unknown, 409: unknown, 410: unknown, 429: throttled, 500: unknown, 503: notApplied, 504: unknown,
+			},
+		},
+		{
+			Name:   "get",
+			Effect: messages.StoreGet{Key: "k"},
+			Reply:  func(outcome messages.Outcome) any { return messages.GetReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: invalid, 404: notFound, 409: unknown, 410: unknown, 429: throttled, 500: unknown, 503: notApplied, 504: unknown,
+			},
+		},
+		{
+			Name:   "list",
+			Effect: messages.StoreList{},
+			Reply:  func(outcome messages.Outcome) any { return messages.ListReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: invalid, 404: unknown, 409: unknown, 410: unknown, 429: throttled, 500: unknown, 503: notApplied, 504: unknown,
+			},
+		},
+		{
+			Name:   "watch",
+			Effect: messages.StoreWatch{},
+			Reply:  func(outcome messages.Outcome) any { return messages.WatchReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: invalid, 404: unknown, 409: unknown, 410: compacted, 429: throttled, 500: unknown, 503: notApplied, 504: unknown,
+			},
+		},
+	})
 }
 
 // TestNoResponse checks that without a response the outcome is unknown, also when the
@@ -58,20 +68,14 @@
 		"refused": wiretest.RefusingAddress(t),
 		"closed":  wiretest.ClosingAddress(t),
 	} {
-		for _, test := range []struct {
-			effect messages.Effect
-			want   any
-		}{
-			{messages.StoreTxn{}, messages.TxnReply{Outcome: messages.UnknownOutcome}},
-			{messages.StoreGet{Key: "k"}, messages.GetReply{Outcome: messages.UnknownOutcome}},
-			{messages.StoreList{}, messages.ListReply{Outcome: messages.UnknownOutcome}},
-			{messages.StoreWatch{}, messages.WatchReply{Outcome: messages.UnknownOutcome}},
-		} {
-			got := wiretest.Execute[any](t, func(reply engine.ReplyFunc) { New(address, reply).Do(test.effect) })
-			if !reflect.DeepEqual(got, test.want) {
-				t.Errorf("%s, %T: reply %+v, want %+v", name, test.effect, got, test.want)
-			}
-		}
+		t.Run(name, func(t *testing.T) {
+			wiretest.CheckReplies(t, newExecutor, address, []wiretest.ReplyTest{
+				{Effect: messages.StoreTxn{}, Want: messages.TxnReply{Outcome: messages.UnknownOutcome}},
+				{Effect: messages.StoreGet{Key: "k"}, Want: messages.GetReply{Outcome: messages.UnknownOutcome}},
+				{Effect: messages.StoreList{}, Want: messages.ListReply{Outcome: messages.UnknownOutcome}},
+				{Effect: messages.StoreWatch{}, Want: messages.WatchReply{Outcome: messages.UnknownOutcome}},
+			})
+		})
 	}
 }
 
@@ -86,7 +90,7 @@
 		_, _ = w.Write([]byte(`{"items":[{"key":"a","value":1,"mark":3}],"truncated":true,"epoch":7}`))
 	}
 	want := messages.ListReply{Outcome: messages.NotApplied}
-	if got := execute[messages.ListReply](t, respond, messages.StoreList{}); !reflect.DeepEqual(got, want) {
+	if got := execute[messages.ListReply](t, wiretest.Serve(t, http.HandlerFunc(respond)), messages.StoreList{}); !reflect.DeepEqual(got, want) {
 		t.Errorf("reply %+v, want %+v", got, want)
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -9,15 +9,13 @@
 
 	"stairrelay/internal/engine"
 	"stairrelay/internal/messages"
-	"stairrelay/internal/wire/wiretest"
-
 	"stairrelay/internal/wire"
+	"stairrelay/internal/wire/wiretest"
 )
 
-// execute carries out an effect against a server and returns its reply.
-func execute[T any](t *testing.T, handler http.HandlerFunc, effect messages.Effect) T {
+// execute carries out an effect against the server at an address and returns its reply.
+func execute[T any](t *testing.T, address string, effect messages.Effect) T {
 	t.Helper()
-	address := wiretest.Serve(t, handler)
 	return wiretest.Execute[T](t, func(reply engine.ReplyFunc) { New(address, reply).Do(effect) })
 }
 
@@ -55,7 +53,7 @@
 // TestListPages checks that a list holds all pages as of the revision of the first one,
 // also when a page is throttled.
 func TestListPages(t *testing.T) {
-	reply := execute[messages.ListReply](t, servePages(t), messages.StoreList{Prefix: "jobs/"})
+	reply := execute[messages.ListReply](t, wiretest.Serve(t, servePages(t)), messages.StoreList{Prefix: "jobs/"})
 	var keys []string
 	for _, item := range reply.Items {
 		keys = append(keys, item.Key)
@@ -91,11 +89,7 @@
 		{messages.StoreWatch{}, 200, `{"epoch":4,"events":[]}`, fmt.Sprint(messages.WatchReply{Outcome: messages.OK, Revision: 4})},
 		{messages.StoreWatch{}, 200, `{"events":[]}`, fmt.Sprint(messages.WatchReply{Outcome: messages.UnknownOutcome})},
 	} {
-		respond := func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(test.status)
-			_, _ = w.Write([]byte(test.body))
-		}
-		if got := fmt.Sprint(execute[any](t, respond, test.effect)); got != test.want {
+		if got := fmt.Sprint(execute[any](t, wiretest.ServeStatus(t, test.status, test.body), test.effect)); got != test.want {
 			t.Errorf("%T answered %d %s: got %s, want %s", test.effect, test.status, test.body, got, test.want)
 		}
 	}
@@ -109,10 +103,10 @@
 		_, _ = w.Write([]byte(`{"epoch":4,"events":[`))
 		_, _ = w.Write(make([]byte, wire.MaxResponseSize))
 	}
-	if reply := execute[messages.WatchReply](t, respond, messages.StoreWatch{}); reply.Outcome != messages.Compacted {
+	if reply := execute[messages.WatchReply](t, wiretest.Serve(t, http.HandlerFunc(respond)), messages.StoreWatch{}); reply.Outcome != messages.Compacted {
 		t.Errorf("read as %+v", reply)
 	}
-	if reply := execute[messages.ListReply](t, respond, messages.StoreList{}); reply.Outcome != messages.UnknownOutcome {
+	if reply := execute[messages.ListReply](t, wiretest.Serve(t, http.HandlerFunc(respond)), messages.StoreList{}); reply.Outcome != messages.UnknownOutcome {
 		t.Errorf("a list of that size was read as %+v", reply.Outcome)
 	}
 }
--- /dev/null
+++ b/internal/wire/wiretest/clients.go
@@ -0,0 +1,125 @@
+package wiretest
+
+import (
+	"io"
+	"net/http"
+	"reflect"
+	"strconv"
+	"testing"
+
+	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
+)
+
+// NewExecutor makes a client of the service at an address and returns its method that
+// carries out effects.
+type NewExecutor func(address string, reply engine.ReplyFunc) func(messages.Effect)
+
+// execute has a client of the service at an address carry out an effect.
+func (n NewExecutor) execute(t *testing.T, address string, effect messages.Effect) any {
+	t.Helper()
+	return Execute[any](t, func(reply engine.ReplyFunc) { n(address, reply)(effect) })
+}
+
+// Request is what a test compares of a request.
+type Request struct {
+	Method      string
+	URI         string
+	ContentType string
+	Body        string
+}
+
+// RequestTest is an effect and the request that a service gets for it.
+type RequestTest struct {
+	Name   string
+	Effect messages.Effect
+	Want   Request
+}
+
+// CheckRequests checks the requests that a client sends for effects.
+func CheckRequests(t *testing.T, newExecutor NewExecutor, tests []RequestTest) {
+	t.Helper()
+	for _, test := range tests {
+		t.Run(test.Name, func(t *testing.T) {
+			address, requests := ServeAndRecord(t, "")
+			newExecutor.execute(t, address, test.Effect)
+			if got := <-requests; got != test.Want {
+				t.Errorf("sent %+v, want %+v", got, test.Want)
+			}
+		})
+	}
+}
+
+// maxRecorded is the number of requests that a server records.
+const maxRecorded = 16
+
+// ServeAndRecord starts a server that answers each request with 200 and the same body.
+// It returns the server's address and the requests that come.
+func ServeAndRecord(t *testing.T, responseBody string) (address string, requests <-chan Request) {
+	t.Helper()
+	recorded := make(chan Request, maxRecorded)
+	address = Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		recorded <- Request{
+			Method:      r.Method,
+			URI:         r.RequestURI,
+			ContentType: r.Header.Get("Content-Type"),
+			Body:        string(body),
+		}
+		_, _ = io.WriteString(w, responseBody)
+	}))
+	return address, recorded
+}
+
+// ServeStatus starts a server that answers each request with the same status and body,
+// and returns its address.
+func ServeStatus(t *testing.T, status int, body string) string {
+	t.Helper()
+	return Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(status)
+		_, _ = io.WriteString(w, body)
+	}))
+}
+
+// StatusTest is an effect and the outcomes that it has when the service answers with
+// each of some statuses and a body that can't be read.
+type StatusTest struct {
+	Name   string
+	Effect messages.Effect
+	Reply  func(messages.Outcome) any // the reply that has nothing but the outcome
+	Want   map[int]messages.Outcome   // by status
+}
+
+// CheckStatuses checks what each status with a body that can't be read means to a client.
+func CheckStatuses(t *testing.T, newExecutor NewExecutor, tests []StatusTest) {
+	t.Helper()
+	for _, test := range tests {
+		for status, outcome := range test.Want {
+			t.Run(test.Name+" "+strconv.Itoa(status), func(t *testing.T) {
+				got := newExecutor.execute(t, ServeStatus(t, status, "<html>"), test.Effect)
+				if want := test.Reply(outcome); !reflect.DeepEqual(got, want) {
+					t.Errorf("reply %+v, want %+v", got, want)
+				}
+			})
+		}
+	}
+}
+
+// ReplyTest is an effect and its reply.
+type ReplyTest struct {
+	Effect messages.Effect
+	Want   any
+}
+
+// CheckReplies checks the replies to effects of which the service at the address is asked.
+func CheckReplies(t *testing.T, newExecutor NewExecutor, address string, tests []ReplyTest) {
+	t.Helper()
+	for _, test := range tests {
+		if got := newExecutor.execute(t, address, test.Effect); !reflect.DeepEqual(got, test.Want) {
+			t.Errorf("%T: reply %+v, want %+v", test.Effect, got, test.Want)
+		}
+	}
+}
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -1,7 +1,6 @@
 package workers
 
 import (
-	"net/http"
 	"reflect"
 	"testing"
 
@@ -63,10 +62,7 @@
 		"unavailable":          {503, ``, messages.PushCommandsReply{Outcome: messages.UnknownOutcome}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := wiretest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				w.WriteHeader(test.status)
-				_, _ = w.Write([]byte(test.body))
-			}))
+			address := wiretest.ServeStatus(t, test.status, test.body)
 			if got := callWorker(t, messages.PushCommands{Addr: address}); !reflect.DeepEqual(got, test.want) {
 				t.Errorf("reply %+v, want %+v", got, test.want)
 			}
