--- a/internal/peers/handler.go
+++ b/internal/peers/handler.go
@@ -37,17 +37,17 @@
 		return
 	}
 	request := func(id messages.RequestID) messages.Event { return messages.PeerRequest{Request: id, Message: message} }
-	answer, answered := h.requester.Request(r.Context(), request)
-	if !answered || answer.Peer == nil {
-		http.Error(w, answer.Error, http.StatusBadRequest)
+	response, answered := h.requester.Request(r.Context(), request)
+	if !answered || response.Peer == nil {
+		http.Error(w, response.Error, http.StatusBadRequest)
 		return
 	}
-	response, err := Encode(*answer.Peer)
+	frame, err = Encode(*response.Peer)
 	if err != nil {
 		http.Error(w, "encoding", http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(response) // fails if the other controller has given the call up
+	_, _ = w.Write(frame) // fails if the other controller has given the call up
 }
 
 // logMalformed logs each kind of error once.
--- a/internal/users/users.go
+++ b/internal/users/users.go
@@ -96,23 +96,23 @@
 	return cluster.JobID(id), wire.IsValidJobID(id)
 }
 
-// serve hands a request to the controller and writes its answer.
+// serve hands a request to the controller and writes its response.
 func (h *handler) serve(w http.ResponseWriter, r *http.Request, event func(messages.RequestID) messages.Event) {
-	answer, answered := h.requester.Request(r.Context(), event)
+	response, answered := h.requester.Request(r.Context(), event)
 	if !answered {
-		answer = messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: retryAfterSeconds}
+		response = messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: retryAfterSeconds}
 	}
-	if answer.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(answer.RetryAfter))
+	if response.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(response.RetryAfter))
 	}
 	switch {
-	case answer.View != nil:
+	case response.View != nil:
 		w.Header().Set("Content-Type", wire.ContentTypeJSON)
-		w.WriteHeader(int(answer.Status))
-		_, _ = w.Write(wire.EncodeJobView(*answer.View)) // fails if the user has gone away
-	case answer.Status == messages.ReplyOK:
+		w.WriteHeader(int(response.Status))
+		_, _ = w.Write(wire.EncodeJobView(*response.View)) // fails if the user has gone away
+	case response.Status == messages.ReplyOK:
 		w.WriteHeader(http.StatusOK)
 	default:
-		http.Error(w, answer.Error, int(answer.Status))
+		http.Error(w, response.Error, int(response.Status))
 	}
 }
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -23,10 +23,10 @@
 var (
 	// ErrNoMachines is the fault of a response to a scale-out without machines.
 	ErrNoMachines = errors.New("no list of machines")
-	// ErrNoRevision is the fault of a response of the state service without its epoch.
-	ErrNoRevision = errors.New("no epoch")
-	// ErrNoValue is the fault of a key without value or mark.
-	ErrNoValue = errors.New("key without value or mark")
+	// ErrNoRevision is the fault of a response of the state service without a revision.
+	ErrNoRevision = errors.New("no revision")
+	// ErrNoValue is the fault of a key without value or mod revision.
+	ErrNoValue = errors.New("no value or mod revision")
 	// ErrNoIdentity is the fault of a heartbeat that does not say whose it is.
 	ErrNoIdentity = errors.New("no machine or incarnation")
 )
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -151,13 +151,13 @@
 		t.Error("a scale-out without machines passed")
 	}
 	if _, err := DecodeTxn([]byte(`{"failed":["a"]}`)); err == nil {
-		t.Error("a transaction without epoch passed")
+		t.Error("a transaction without revision passed")
 	}
 	if _, err := DecodeGet([]byte(`{"key":"a","mark":3}`)); err == nil {
 		t.Error("a key without value passed")
 	}
 	if _, err := DecodeItems([]byte(`{"items":[]}`)); err == nil {
-		t.Error("a page without epoch passed")
+		t.Error("a page without revision passed")
 	}
 	if _, err := DecodeTypes([]byte(`{"fleets":[{"name":"x","vcpus":0}]}`)); err == nil {
 		t.Error("a machine type without CPUs passed")
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -34,23 +34,23 @@
 	status, err := wire.DecodeHeartbeatStatus(body)
 	if err != nil {
 		h.logMalformed(r.RemoteAddr, err)
-		http.Error(w, "malformed report", http.StatusBadRequest)
+		http.Error(w, "malformed report", http.StatusBadRequest) // the text of all versions
 		return
 	}
 	heartbeat := func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: status} }
-	answer, answered := h.requester.Request(r.Context(), heartbeat)
+	response, answered := h.requester.Request(r.Context(), heartbeat)
 	if !answered {
 		http.Error(w, "given up", http.StatusServiceUnavailable)
 		return
 	}
-	if answer.Heartbeat == nil {
-		http.Error(w, answer.Error, int(answer.Status))
+	if response.Heartbeat == nil {
+		http.Error(w, response.Error, int(response.Status))
 		return
 	}
 	w.Header().Set("Content-Type", wire.ContentTypeJSON)
-	w.WriteHeader(int(answer.Status))
+	w.WriteHeader(int(response.Status))
 	// Writing fails if the worker has gone away; its next heartbeat gets the commands.
-	_, _ = w.Write(wire.EncodeHeartbeatResponse(answer.Status, *answer.Heartbeat))
+	_, _ = w.Write(wire.EncodeHeartbeatResponse(response.Status, *response.Heartbeat))
 }
 
 // logMalformed logs each error of a host once.
