--- a/internal/users/users_test.go
+++ b/internal/users/users_test.go
@@ -19,6 +19,9 @@
 	`"vcpus":8.0,"accelerators":1.0,"memoryGb":64.0,"bundle":"img-07","sizeGb":6.2,"fleets":["g8"],"yard":null,` +
 	`"samePlace":true,"scatter":false,"standby":true,"runtimeS":240.0,"waypointS":30.0,"stowS":4.0,"dueS":900.0}`
 
+// maxBodySize is the limit that the protocol sets for the body of a request.
+const maxBodySize = 64 << 10
+
 // The header by which a test tells which handler a request went through.
 const (
 	handledByHeader = "Handled-By"
@@ -154,10 +157,10 @@
 func TestBodyLimit(t *testing.T) {
 	padded := func(length int) string { return validSubmission + strings.Repeat(" ", length-len(validSubmission)) }
 	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyCreated}}
-	if got := serve(requester, http.MethodPost, "/v2/runs", padded(wire.MaxBodySize)); got.Code != http.StatusCreated {
+	if got := serve(requester, http.MethodPost, "/v2/runs", padded(maxBodySize)); got.Code != http.StatusCreated {
 		t.Errorf("the longest body: answered %d %q", got.Code, got.Body)
 	}
-	got := serve(requester, http.MethodPost, "/v2/runs", padded(wire.MaxBodySize+1))
+	got := serve(requester, http.MethodPost, "/v2/runs", padded(maxBodySize+1))
 	if got.Code != http.StatusBadRequest || got.Body.String() != "body unreadable or too large\n" {
 		t.Errorf("too long a body: answered %d %q", got.Code, got.Body)
 	}
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -68,7 +68,7 @@
 	r.events = append(r.events, event(requestID))
 	r.mu.Unlock()
 	if r.Silent {
-		<-ctx.Done()
+		waitForEnd(ctx)
 		return messages.Respond{}, false
 	}
 	return r.Response, true
@@ -117,11 +117,24 @@
 // Request waits until the context of the request has ended.
 func (r *disconnectRequester) Request(ctx context.Context, _ func(messages.RequestID) messages.Event) (messages.Respond, bool) {
 	close(r.waiting)
-	<-ctx.Done()
-	close(r.ended)
+	if waitForEnd(ctx) {
+		close(r.ended)
+	}
 	return messages.Respond{}, false
 }
 
+// waitForEnd waits until a context has ended, and tells whether it has. It gives up after
+// a while, so that a handler that does not pass its context on fails the test
+// instead of blocking it.
+func waitForEnd(ctx context.Context) bool {
+	select {
+	case <-ctx.Done():
+		return true
+	case <-time.After(replyTimeout):
+		return false
+	}
+}
+
 // RefusingAddress returns an address at which nothing listens.
 func RefusingAddress(t *testing.T) string {
 	t.Helper()
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -15,13 +15,15 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/engine"
 	"stairrelay/internal/messages"
-	"stairrelay/internal/wire"
 	"stairrelay/internal/wire/wiretest"
 )
 
 const validHeartbeat = `{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,` +
 	`"shift":1,"stamp":88,"baton":41,"recallS":null,"legs":[{"leg":"j-000412/3","boarding":2,"status":"running"}]}`
 
+// maxBodySize is the limit that the protocol sets for the body of a request.
+const maxBodySize = 64 << 10
+
 // validStatus is what validHeartbeat says.
 func validStatus() cluster.HeartbeatStatus {
 	return cluster.HeartbeatStatus{
@@ -92,7 +94,7 @@
 		"not JSON":     {"{", "malformed report\n"},
 		"no machine":   {`{"shift":1}`, "malformed report\n"},
 		"unknown task": {strings.Replace(validHeartbeat, "running", "flying", 1), "malformed report\n"},
-		"oversized":    {validHeartbeat + strings.Repeat(" ", wire.MaxBodySize), "body unreadable or too large\n"},
+		"oversized":    {validHeartbeat + strings.Repeat(" ", maxBodySize+1-len(validHeartbeat)), "body unreadable or too large\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
@@ -109,7 +111,7 @@
 
 // TestLongestHeartbeat checks that a body of the greatest length is taken.
 func TestLongestHeartbeat(t *testing.T) {
-	body := validHeartbeat + strings.Repeat(" ", wire.MaxBodySize-len(validHeartbeat))
+	body := validHeartbeat + strings.Repeat(" ", maxBodySize-len(validHeartbeat))
 	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK, Heartbeat: &messages.HeartbeatResponse{}}}
 	if got := serveHeartbeat(newTestHandler(requester), body); got.Code != http.StatusOK {
 		t.Errorf("answered %d %q", got.Code, got.Body)
