--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -1,124 +1,162 @@
 package controller_test
 
 import (
-	"encoding/json"
 	"testing"
 	"time"
 
-	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
+	"encoding/json"
+	"fmt"
 
+	"stairrelay/internal/cluster"
 	"stairrelay/internal/controller"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/simulation"
 )
 
-// testCluster is a calm cluster with some machines up and one long job that runs.
+const (
+	// waitStep is the simulated time between two checks of a condition.
+	waitStep = 2 * millisecond
+	// cancelRetryPause is the time between two requests for a cancellation.
+	cancelRetryPause = 100 * millisecond
+)
+
+// testCluster is a cluster without random faults, with some machines up.
 type testCluster struct {
 	*simulation.Simulator
 	t       *testing.T
 	config  controller.Config
-	longJob *simulation.Job
+	longJob *simulation.Job // runs from the start; nil in an idle cluster
 }
 
+// newTestCluster makes a cluster in which one long job runs.
 func newTestCluster(t *testing.T, machines int) *testCluster {
 	t.Helper()
 	return newTestClusterWithSeed(t, 1, machines)
 }
 
+// newTestClusterWithSeed is newTestCluster with a seed of its own.
 func newTestClusterWithSeed(t *testing.T, seed uint64, machines int) *testCluster {
 	t.Helper()
 	return newTestClusterWithConfig(t, testConfig(), seed, machines)
 }
 
-// newTestClusterWithConfig is newMeetingOf with settings of its own.
+// newTestClusterWithConfig is newTestClusterWithSeed with settings of its own.
 func newTestClusterWithConfig(t *testing.T, cfg controller.Config, seed uint64, machines int) *testCluster {
 	t.Helper()
-	m := &testCluster{t: t, config: cfg}
-	m.Simulator = simulation.NewSimulator(seed, cfg, testCloud(func() *simulation.Simulator { return m.Simulator }))
-	m.NoRandomFaults = true
-	for range machines {
-		m.AddMachine("small", "a", false)
+	c := newIdleClusterWithConfig(t, cfg, seed, machines)
+	c.longJob = c.submitJob("j-000001", 3, 300*second)
+	c.RunUntil(20 * second)
+	if c.longJob.FirstStartAt == 0 {
+		t.Fatal("the long job has not started")
 	}
-	m.RunUntil(10 * second)
-	m.longJob = m.submitJob("j-000001", 3, 300*second)
-	m.RunUntil(20 * second)
-	if m.longJob.FirstStartAt == 0 {
-		t.Fatal("the job has not begun")
+	return c
+}
+
+// newIdleCluster makes a cluster in which nothing runs.
+func newIdleCluster(t *testing.T, machines int) *testCluster {
+	t.Helper()
+	return newIdleClusterWithConfig(t, testConfig(), 1, machines)
+}
+
+func newIdleClusterWithConfig(t *testing.T, cfg controller.Config, seed uint64, machines int) *testCluster {
+	t.Helper()
+	c := &testCluster{t: t, config: cfg, Simulator: newSimulator(seed, cfg)}
+	c.NoRandomFaults = true
+	for range machines {
+		c.Machines.Add("small", "a", false)
 	}
-	return m
+	c.RunUntil(10 * second)
+	return c
 }
 
-// submitJob hands in a job of team red, whose part is n1's.
-func (m *testCluster) submitJob(id cluster.JobID, tasks int, run cluster.Time) *simulation.Job {
-	s := cluster.JobSpec{ID: id, Class: "c", Team: "red", Priority: cluster.Normal, Tasks: tasks, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu},
-		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: cluster.WallTime(m.Now / 1e6)}
-	j := &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
-	m.Submit(j)
-	return j
+// submitJob submits a job of team red, whose shard is n1's at first.
+func (c *testCluster) submitJob(id cluster.JobID, tasks int, run cluster.Time) *simulation.Job {
+	spec := newJobSpec(id, "red", tasks, run)
+	spec.SubmittedAt = wallTime(c.Now)
+	job := newJob(spec, run)
+	c.Users.Submit(job)
+	return job
 }
 
-// longJobOwner is the controller that the store shows as holder of part 1.
-func (m *testCluster) longJobOwner() cluster.NodeID {
-	var rec struct {
-		Holder cluster.NodeID `json:"holder"`
+// longJobOwner is the controller that owns the long job's shard by the store.
+func (c *testCluster) longJobOwner() cluster.NodeID {
+	c.t.Helper()
+	return c.shardOwner(shardOfTeam["red"])
+}
+
+// shardOfTeam is each team's shard under testConfig.
+var shardOfTeam = map[string]int{"green": 0, "red": 1, "blue": 2}
+
+// shardOwner is the controller that owns a shard by the store.
+func (c *testCluster) shardOwner(shard int) cluster.NodeID {
+	c.t.Helper()
+	var record struct {
+		Owner cluster.NodeID `json:"holder"`
 	}
-	if err := json.Unmarshal(m.StateService.Get("parts/1").KV.Value, &rec); err != nil {
-		m.t.Fatal(err)
+	if err := json.Unmarshal(c.StateService.Get(fmt.Sprint("parts/", shard)).KV.Value, &record); err != nil {
+		c.t.Fatal(err)
 	}
-	return rec.Holder
+	return record.Owner
 }
 
 // waitFor runs in small steps until something holds, or fails.
-func (m *testCluster) waitFor(what string, within cluster.Time, ok func() bool) {
-	m.t.Helper()
-	at := m.Now
-	for end := at + within; !ok(); m.RunUntil(at) {
-		if at += second / 500; at > end || len(m.Violations) > 0 {
-			m.t.Fatalf("not within %v: %s; broken: %v", time.Duration(within), what, m.Violations)
+func (c *testCluster) waitFor(what string, within cluster.Time, holds func() bool) {
+	c.t.Helper()
+	at := c.Now
+	for end := at + within; !holds(); c.RunUntil(at) {
+		at += waitStep
+		if at > end || len(c.Violations) > 0 {
+			c.t.Fatalf("not within %v: %s; violations: %v", time.Duration(within), what, c.Violations)
 		}
 	}
 }
 
-// cancelAt asks one controller to cancel the job until it is confirmed.
-func (m *testCluster) cancelAt(n *simulation.Node, j *simulation.Job) {
-	m.t.Helper()
-	j.CancelRequested = true
-	var ask func()
-	ask = func() {
-		m.SendRequest(n, func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: j.Spec.ID} }, func(r messages.Respond) {
-			if r.Status == 200 {
-				m.CheckReportedStatus(j, r.View.Status)
-			} else if j.CancelConfirmedAt == 0 {
-				m.After(second/10, ask)
+// cancelAt requests a job's cancellation of one controller until it is confirmed.
+func (c *testCluster) cancelAt(node *simulation.Node, job *simulation.Job) {
+	c.t.Helper()
+	job.CancelRequested = true
+	var request func()
+	request = func() {
+		node.SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
+			if answer.Status == messages.ReplyOK {
+				c.Users.CheckReportedStatus(job, answer.View.Status)
+			} else if job.CancelConfirmedAt == 0 {
+				c.After(cancelRetryPause, request)
 			}
 		})
 	}
-	ask()
-	m.waitFor("the cancellation is confirmed", 5*second, func() bool { return j.CancelConfirmedAt > 0 })
+	request()
+	c.waitFor("the cancellation is confirmed", 5*second, func() bool { return job.CancelConfirmedAt > 0 })
 }
 
 // countRunningTasks counts the job's tasks that run on machines.
-func (m *testCluster) countRunningTasks(j *simulation.Job) int {
-	n := 0
-	for _, l := range m.Workers {
-		for _, x := range l.Tasks {
-			if x.ID.Job == j.Spec.ID && (x.State == cluster.Running || x.State == cluster.Checkpointing) {
-				n++
+func (c *testCluster) countRunningTasks(job *simulation.Job) int {
+	count := 0
+	for _, worker := range c.Machines.Workers {
+		for _, task := range worker.Tasks {
+			if task.ID.Job == job.Spec.ID && (task.State == cluster.Running || task.State == cluster.Checkpointing) {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// runAndCheck plays on and checks that no rule broke and that no task of the job is
-// left once the cancellation's time is up.
-func (m *testCluster) runAndCheck(d cluster.Time) {
-	m.t.Helper()
-	m.RunUntil(m.Now + d)
-	for _, b := range m.Violations {
-		m.t.Error(b)
+// runAndCheck runs on, and checks that no rule is broken and that no task of the
+// long job is left once the time for its cancellation is over.
+func (c *testCluster) runAndCheck(duration cluster.Time) {
+	c.t.Helper()
+	c.RunUntil(c.Now + duration)
+	c.checkNoViolations()
+	if count := c.countRunningTasks(c.longJob); c.longJob.CancelConfirmedAt > 0 && count > 0 {
+		c.t.Errorf("%d tasks of the cancelled job still run", count)
 	}
-	if n := m.countRunningTasks(m.longJob); m.longJob.CancelConfirmedAt > 0 && n > 0 {
-		m.t.Errorf("%d tasks of the cancelled job still run", n)
+}
+
+// checkNoViolations fails when a rule was broken.
+func (c *testCluster) checkNoViolations() {
+	c.t.Helper()
+	for _, violation := range c.Violations {
+		c.t.Error(violation)
 	}
 }
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -2,16 +2,22 @@
 
 import (
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/provisioning"
+	"stairrelay/internal/state"
 )
 
-// shardLoad is the reading of the checkpoint of a part just claimed: the
-// records come first, what the workers say is compared with them afterwards.
+// loadRetryPause is the pause after a shard's records could not be read.
+const loadRetryPause = second / 3
+
+// shardLoad reads the records of a shard that was just acquired. They come first;
+// what the workers say is compared with them afterwards.
 //
-// It ends with its claim. Nothing is taken in before all records were read.
+// It ends with its claim. Nothing is applied before all records were read.
 type shardLoad struct {
 	controller           *Controller
-	shard                *shard
+	shard                *state.Shard
 	claimRevision        cluster.Revision
 	groups               *messages.ListReply
 	provisioningRequests *messages.ListReply
@@ -19,102 +25,111 @@
 	jobs                 *messages.ListReply
 }
 
-// loadShard reads the checkpoint of a part.
-func (c *Controller) loadShard(p *shard) {
-	l := &shardLoad{controller: c, shard: p, claimRevision: p.claimRevision}
-	l.read("groups/", &l.groups)
-	l.read("rentals/", &l.provisioningRequests)
-	// The accepts first: what is accepted in between comes by the watch.
-	l.read(admissionKeyPrefix, &l.admissions)
-	l.read(jobKeyPrefix, &l.jobs)
+// loadShard reads the records of a shard.
+func (c *Controller) loadShard(shard *state.Shard) {
+	load := &shardLoad{controller: c, shard: shard, claimRevision: shard.ClaimRevision}
+	load.read("groups/", &load.groups)
+	load.read(provisioning.RequestKeyPrefix, &load.provisioningRequests)
+	// The admissions before the jobs: what is admitted in between comes by the watch.
+	load.read(jobs.AdmissionKeyPrefix, &load.admissions)
+	load.read(state.JobKeyPrefix, &load.jobs)
 }
 
 // read lists the records with a prefix until that works.
-func (l *shardLoad) read(prefix string, to **messages.ListReply) {
-	l.controller.listPrefix(prefix, func(r messages.ListReply) {
-		if !l.shard.isOwnedUnder(l.claimRevision) {
+func (l *shardLoad) read(prefix string, result **messages.ListReply) {
+	l.controller.writeQueue.ListPrefix(prefix, func(reply messages.ListReply) {
+		if !l.shard.IsOwnedUnder(l.claimRevision) {
 			return
 		}
-		if r.Outcome != messages.OK {
-			l.controller.after(second/3, func() { l.read(prefix, to) })
+		if reply.Outcome != messages.OK {
+			l.controller.loop.After(loadRetryPause, func() { l.read(prefix, result) })
 			return
 		}
-		*to = &r
-		if l.groups != nil && l.provisioningRequests != nil && l.admissions != nil && l.jobs != nil {
+		*result = &reply
+		if l.isComplete() {
 			l.finish()
 		}
 	})
 }
 
-// finish takes the records in and begins to serve the part, unless they show
-// that it is lost or hold something that makes no sense.
+// isComplete tells whether all records were read.
+func (l *shardLoad) isComplete() bool {
+	return l.groups != nil && l.provisioningRequests != nil && l.admissions != nil && l.jobs != nil
+}
+
+// finish applies the records and begins to serve the shard, unless they show that it
+// is lost or some of them make no sense.
 func (l *shardLoad) finish() {
-	c, p := l.controller, l.shard
+	c, shard := l.controller, l.shard
 	l.applyRecords()
-	if !p.owned {
+	if !shard.Owned {
 		return
 	}
-	if len(p.quarantined) > 0 {
-		c.repairQuarantined(p)
+	if len(shard.Quarantined) > 0 {
+		c.inventory.RepairQuarantined(shard)
 		return
 	}
-	p.ready = true
-	c.ownedShardChanges++
-	early := p.earlyJobs
-	p.earlyJobs = nil
-	for _, kv := range early {
-		c.applyJobRecord(kv, nil)
-	}
+	c.ownership.MarkReady(shard)
+	l.applyEarlyJobs()
 	l.awaitAcknowledgements()
-	c.schedulingTrigger.request()
-	if len(p.machines)+len(p.provisioningRequests) > 0 {
-		c.cloudListing.nextReadAt = 0 // the cloud's list shows what the records may lack
+	c.scheduler.Trigger.Request()
+	if len(shard.Machines)+len(shard.ProvisioningRequests) > 0 {
+		c.provisioner.List.RequestRead() // the cloud's list shows what the records may lack
 	}
-	c.log(messages.LogInfo, "part ready",
-		"part", int(p.id),
-		"machines", len(p.machines),
-		"jobs", len(p.jobs),
-		"took_ms", int((c.now-p.ownershipChangedAt)/millisecond))
-	c.maintainMachines()
+	c.loop.Log(messages.LogInfo, "shard ready",
+		"shard", int(shard.ID),
+		"machines", len(shard.Machines),
+		"jobs", len(shard.Jobs),
+		"took_ms", l.millisSinceAcquire(c.loop.Now()))
+	c.reconciler.Maintenance.Run()
 }
 
+// applyRecords applies all records that were read.
 func (l *shardLoad) applyRecords() {
-	c, p := l.controller, l.shard
+	c, shard := l.controller, l.shard
 	for _, kv := range l.jobs.Items {
-		c.applyJobRecord(kv, p)
+		c.jobs.Records.Apply(kv, shard)
 	}
 	for _, kv := range l.admissions.Items { // after the jobs' own records, which count
-		c.applyAdmissionRecord(kv, p)
+		c.jobs.AdmissionRecords.Apply(kv, shard)
 	}
 	for _, kv := range l.groups.Items {
-		c.applyGroupRecord(kv, p)
+		c.inventory.ApplyRecord(kv, shard)
 	}
 	for _, kv := range l.provisioningRequests.Items {
-		c.applyProvisioningRecord(kv, p)
+		c.provisioner.Requests.ApplyRecord(kv, shard)
 	}
 }
 
-// awaitAcknowledgements notes which machines have yet to acknowledge this claim's token,
-// and logs after a lease how many did.
-func (l *shardLoad) awaitAcknowledgements() {
-	c, p := l.controller, l.shard
-	p.awaitingFirstAcknowledgement, p.lastAcknowledgedAt = 0, c.now
-	for _, m := range p.machines {
-		if m.awaitingFirstAcknowledgement = !m.booting; m.awaitingFirstAcknowledgement {
-			p.awaitingFirstAcknowledgement++
-		}
+// applyEarlyJobs applies the job records that were seen while the shard was loaded.
+func (l *shardLoad) applyEarlyJobs() {
+	early := l.shard.EarlyJobs
+	l.shard.EarlyJobs = nil
+	for _, kv := range early {
+		l.controller.jobs.Records.Apply(kv, nil)
 	}
-	taken := p.awaitingFirstAcknowledgement
-	if taken == 0 {
+}
+
+// awaitAcknowledgements notes which machines have yet to acknowledge this claim's
+// fencing token, and logs after a worker lease how many did.
+func (l *shardLoad) awaitAcknowledgements() {
+	c, shard := l.controller, l.shard
+	awaited := shard.AwaitFirstAcknowledgements(c.loop.Now())
+	if awaited == 0 {
 		return
 	}
-	c.after(c.config.WorkerLease, func() {
-		if p.isOwnedUnder(l.claimRevision) {
-			c.log(messages.LogInfo, "machines answered",
-				"part", int(p.id),
-				"machines", taken,
-				"silent", p.awaitingFirstAcknowledgement,
-				"took_ms", int((p.lastAcknowledgedAt-p.ownershipChangedAt)/millisecond))
+	c.loop.After(c.config.WorkerLease, func() {
+		if shard.IsOwnedUnder(l.claimRevision) {
+			c.loop.Log(messages.LogInfo, "machines acknowledged",
+				"shard", int(shard.ID),
+				"machines", awaited,
+				"silent", shard.AwaitingFirstAcknowledgementCount,
+				"took_ms", l.millisSinceAcquire(shard.LastAcknowledgedAt))
 		}
 	})
 }
+
+// millisSinceAcquire is how long after the acquire a time was.
+func (l *shardLoad) millisSinceAcquire(at cluster.Time) int {
+	return int((at - l.shard.OwnershipChangedAt) / millisecond)
+}
