--- /dev/null
+++ b/internal/cloud/outcomes_test.go
@@ -0,0 +1,83 @@
+package cloud
+
+import (
+	"net/http"
+	"testing"
+
+	"stairrelay/internal/engine"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/wire"
+	"stairrelay/internal/wire/wiretest"
+)
+
+func newExecutor(address string, reply engine.ReplyFunc) func(messages.Effect) {
+	return New(address, reply).Do
+}
+
+// TestUndecodableResponses checks what each status means with a body that can't be read.
+// A scale-out or scale-in that may have been carried out never counts as not applied.
+func TestUndecodableResponses(t *testing.T) {
+	const (
+		ok         = messages.OK
+		unknown    = messages.UnknownOutcome
+		invalid    = messages.Invalid
+		throttled  = messages.Throttled
+		notApplied = messages.NotApplied
+	)
+	wiretest.CheckStatuses(t, newExecutor, []wiretest.StatusTest{
+		{
+			Name:   "machine types",
+			Effect: messages.CloudMachineTypes{},
+			Reply:  func(outcome messages.Outcome) any { return messages.MachineTypesReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: notApplied, 404: notApplied, 409: notApplied, 429: notApplied, 500: notApplied, 503: notApplied, 504: notApplied,
+			},
+		},
+		{
+			Name:   "scale-out",
+			Effect: messages.CloudScaleOut{},
+			Reply:  func(outcome messages.Outcome) any { return messages.ScaleOutReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: invalid, 404: unknown, 409: unknown, 429: throttled, 500: unknown, 503: notApplied, 504: unknown,
+			},
+		},
+		{
+			Name:   "scale-in",
+			Effect: messages.CloudScaleIn{},
+			Reply:  func(outcome messages.Outcome) any { return messages.ScaleInReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: ok, 400: unknown, 404: unknown, 409: unknown, 429: unknown, 500: unknown, 503: unknown, 504: unknown,
+			},
+		},
+		{
+			Name:   "list",
+			Effect: messages.CloudList{},
+			Reply:  func(outcome messages.Outcome) any { return messages.CloudListReply{Outcome: outcome} },
+			Want: map[int]messages.Outcome{
+				200: unknown, 400: notApplied, 404: notApplied, 409: notApplied, 429: throttled, 500: notApplied, 503: notApplied, 504: notApplied,
+			},
+		},
+	})
+}
+
+// TestNoResponse checks what a missing or an oversized response means: a read can be
+// repeated, while a scale-out or scale-in may have been carried out.
+func TestNoResponse(t *testing.T) {
+	oversized := wiretest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = w.Write(make([]byte, wire.MaxResponseSize+1))
+	}))
+	for name, address := range map[string]string{
+		"refused":   wiretest.RefusingAddress(t),
+		"closed":    wiretest.ClosingAddress(t),
+		"oversized": oversized,
+	} {
+		t.Run(name, func(t *testing.T) {
+			wiretest.CheckReplies(t, newExecutor, address, []wiretest.ReplyTest{
+				{Effect: messages.CloudMachineTypes{}, Want: messages.MachineTypesReply{Outcome: messages.NotApplied}},
+				{Effect: messages.CloudScaleOut{}, Want: messages.ScaleOutReply{Outcome: messages.UnknownOutcome}},
+				{Effect: messages.CloudScaleIn{}, Want: messages.ScaleInReply{Outcome: messages.UnknownOutcome}},
+				{Effect: messages.CloudList{}, Want: messages.CloudListReply{Outcome: messages.NotApplied}},
+			})
+		})
+	}
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,11 +10,18 @@
 import (
 	"time"
 
+	"stairrelay/internal/inventory"
+	"stairrelay/internal/jobs"
+	"stairrelay/internal/provisioning"
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ownership"
+	"stairrelay/internal/reconcile"
 	"stairrelay/internal/writequeue"
 )
 
@@ -32,75 +39,57 @@
 
 	// What it wants done, and what it waits for.
 	writeQueue *writequeue.Queue
-	cloudRate  cloudRateShare
 	counters   Counters
 
 	// How this node fares.
-	processHealth      processHealth
-	livenessKey        nodeLiveness
-	workerReachability workerReachability
+	processHealth      *membership.ProcessHealth
+	workerReachability *membership.WorkerReachability
 
 	// The other controllers.
-	peers           map[cluster.NodeID]*peer
-	versionRegistry versionRegistry
-	ownerQueries    ownerQueries
+	members            *membership.Members
+	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	ownershipChecks   []ownershipChecks // by shard
-	progress          []shardProgress   // by shard
-	shardsRevision    cluster.Revision  // who holds which part is known up to this revision
-	ownedShardChanges int               // of the parts held here
-	jobReads          linearizableJobReads
-	admissions        admissionQueue
-	classStats        map[string]*classStats
-	loadCache         loadCache
-	schedulingTrigger schedulingTrigger
+	ownership *ownership.Manager
+	progress  []shardProgress // by shard
+	jobs      *jobs.Jobs
+	loadCache loadCache
+	scheduler *scheduling.Scheduler
 
 	// Machines.
-	recordNames       recordNames
-	machineOwners     machineOwners
-	orphanedMachines  orphanedMachines
-	machineTypeCache  machineTypeCache
-	cloudListing      cloudListing
-	scaleOutScheduled bool // a look for machines before the next regular one
-	machineReleases   scaleInBatch
-	spotInterruptions spotInterruptions
-	heldHeartbeats    heldHeartbeats
-	urgentPushes      []*state.Machine // whose commands can't wait for their reports
+	recordNames       *inventory.RecordNames
+	inventory         *inventory.Inventory
+	reconciler        *reconcile.Reconciler
+	provisioner       *provisioning.Provisioner
 }
 
 // New makes a Core. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
-		config:           cfg,
-		loop:             eventloop.New(),
-		state:            state.New(cfg.Nodes, cfg.Teams),
-		admissions:       admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:    machineOwners{},
-		orphanedMachines: newOrphanedMachines(),
-		peers:            map[cluster.NodeID]*peer{},
-		ownerQueries:     newOwnerQueries(),
-		classStats:       map[string]*classStats{},
+		config:             cfg,
+		loop:               eventloop.New(),
+		state:              state.New(cfg.Nodes, cfg.Teams),
+		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
+		attemptedTransfers: attemptedTransfers{},
+		processHealth:      &membership.ProcessHealth{},
 	}
-	c.versionRegistry = newVersionRegistry(cfg.Self)
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
-	c.ownershipChecks = make([]ownershipChecks, len(cfg.Nodes))
+	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
+	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.jobs = c.newJobs()
+	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
+	c.scheduler = c.newScheduler()
+	c.provisioner = c.newProvisioner()
+	c.reconciler = c.newReconciler()
 	c.progress = make([]shardProgress, len(cfg.Nodes))
-	for i := range cfg.Nodes {
-		if n := cfg.Nodes[i]; n != cfg.Self {
-			c.peers[n] = &peer{id: n}
-		}
-	}
-	c.updateCloudRate()
-	c.cloudRate.bucket.Fill()
-	c.cloudListing.nextReadAt = c.firstCloudListAt()
 	c.loop.After(0, c.startLoops)
 	return c
 }
 
 // Step takes one event and returns what is to be done about it.
 func (c *Controller) Step(now cluster.Time, wall cluster.WallTime, ev messages.Event) []messages.Effect {
-	paused := now-c.loop.Now() > processPauseThreshold
+	paused := membership.IsPause(now - c.loop.Now())
 	c.loop.Begin(now, wall)
 	if _, started := c.loop.NextWake(); paused && started {
 		c.handleProcessPause()
@@ -109,22 +98,22 @@
 	case messages.Tick:
 	case messages.Submit:
 		c.counters.Submissions++
-		c.handleSubmit(e)
+		c.jobs.Submissions.HandleSubmit(e)
 	case messages.Query:
 		c.counters.Queries++
-		c.handleQuery(e)
+		c.jobs.Queries.HandleQuery(e)
 	case messages.Cancel:
 		c.counters.Cancellations++
-		c.handleCancel(e.Request, e.ID, true)
+		c.jobs.Cancellations.HandleCancel(e)
 	case messages.Health:
 		c.handleHealth(e)
 	case messages.Heartbeat:
 		c.counters.Heartbeats++
-		c.handleHeartbeat(e)
+		c.reconciler.Heartbeats.Handle(e)
 	case messages.PeerRequest:
 		c.handlePeerRequest(e)
 	case messages.ProcessLoad:
-		c.processHealth.load = e
+		c.processHealth.RecordLoad(e)
 	case messages.Reply:
 		c.loop.Deliver(e)
 	}
@@ -138,16 +127,10 @@
 
 // flush decides once per step on all that the step has changed.
 func (c *Controller) flush() {
-	switch c.schedulingTrigger.check(c.loop.Now()) {
-	case scheduleNow:
-		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.stretchDelay(schedulingInterval))
-		c.scheduleOwnedShards()
-	case scheduleLater:
-		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
-	}
-	c.pushQueuedCommands()
+	c.scheduler.RunIfRequested()
+	c.reconciler.Commands.PushQueued()
 	c.writeQueue.Dispatch()
-	c.answerHeldHeartbeats()
+	c.reconciler.Heartbeats.AnswerReady()
 }
 
 // respondError answers at once that the request can't be taken now.
@@ -158,25 +141,20 @@
 // startLoops starts everything that runs on its own.
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
-	for _, n := range c.config.Nodes {
-		if p := c.peers[n]; p != nil {
-			c.startFailureDetector(p)
-		}
-	}
-	c.loadShards()
-	c.loadJobs()
-	c.loadAdmissions()
-	c.fetchMachineTypes()
-	c.loadMachineTypeCache()
+	c.members.Start()
+	c.ownership.Start()
+	c.jobs.Load()
+	c.provisioner.Types.Fetch()
+	c.provisioner.Types.Load()
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
-	c.loop.Every(eventloop.FixedInterval(second), c.measureCloudDemand)
-	c.loop.Every(eventloop.FixedInterval(maintenanceInterval), c.maintainMachines)
-	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
-	c.loop.Every(eventloop.FixedInterval(2*second), c.probeWorker)
-	c.loop.Every(eventloop.FixedInterval(2*second), c.refreshNodeLiveness)
+	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.Rate.MeasureDemand)
+	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
+	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.ScaleOut.Run)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
-	c.loop.Every(eventloop.FixedInterval(second), c.renewOwnership)
-	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
+	c.loop.Every(eventloop.FixedInterval(second), c.ownership.RenewLeases)
+	c.loop.Every(eventloop.FixedInterval(second/4), c.scheduler.Trigger.Request)
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/fairshare.go
+++ b/internal/controller/fairshare.go
@@ -3,9 +3,11 @@
 import (
 	"sort"
 
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 
 	"stairrelay/internal/fairshare"
 )
@@ -32,10 +34,10 @@
 
 // ownedShardLoads describes the parts held here.
 func (c *Controller) ownedShardLoads() []fairshare.ShardLoad {
-	if c.loadCache.isValid(c.loop.Now(), c.ownedShardChanges) {
+	if c.loadCache.isValid(c.loop.Now(), c.ownership.Changes()) {
 		return c.loadCache.loads
 	}
-	c.loadCache.computedAt, c.loadCache.ownershipChanges = c.loop.Now(), c.ownedShardChanges
+	c.loadCache.computedAt, c.loadCache.ownershipChanges = c.loop.Now(), c.ownership.Changes()
 	var out []fairshare.ShardLoad
 	for _, p := range c.state.Shards {
 		if p.Owned && p.Ready {
@@ -48,7 +50,7 @@
 
 func (c *Controller) computeShardLoad(p *state.Shard) fairshare.ShardLoad {
 	l := fairshare.ShardLoad{Shard: p.ID}
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if m.Releasing || m.Draining {
 			continue
@@ -64,12 +66,12 @@
 			}
 		}
 	}
-	for _, w := range c.listPendingWork(p) {
-		prio := w.job.EffectivePriority
-		if w.starving {
+	for _, w := range c.scheduler.Queue.PendingWork(p) {
+		prio := w.Job.EffectivePriority
+		if w.Starving {
 			prio = max(prio, cluster.Urgent) // it goes before all else
 		}
-		l.Demand[prio] += w.job.Spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
+		l.Demand[prio] += w.Job.Spec.ResourceRequest.CPU * cluster.Amount(w.Count)
 	}
 	return l
 }
@@ -77,12 +79,13 @@
 // allShardLoads is every part's load as far as it is known, by number.
 func (c *Controller) allShardLoads() fairshare.Snapshot {
 	out := fairshare.Snapshot{}
-	for _, id := range c.config.Nodes {
-		if p := c.peers[id]; p != nil && !p.failed && c.loop.Now()-p.lastPingAt < 3*second {
-			for _, l := range p.lastPing.ShardLoads {
-				if int(l.Shard) >= 0 && int(l.Shard) < len(c.state.Shards) && c.state.Shards[l.Shard].Owner == id {
-					out[l.Shard] = l
-				}
+	for _, peer := range c.members.Peers() {
+		if peer.IsUnreachable() || peer.PingAge() >= membership.PingFreshness {
+			continue
+		}
+		for _, l := range peer.LastPing().ShardLoads {
+			if int(l.Shard) >= 0 && int(l.Shard) < len(c.state.Shards) && c.state.Shards[l.Shard].Owner == peer.ID() {
+				out[l.Shard] = l
 			}
 		}
 	}
@@ -125,13 +128,13 @@
 // pick from.
 func (c *Controller) uncordonMachines(p *state.Shard, spare cluster.Amount) []*state.Machine {
 	var ms []*state.Machine
-	c.counters.addMachineScans(p.Machines)
+	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if m.Cordoned && spare <= 0 {
-			c.schedulingTrigger.request()
+			c.scheduler.Trigger.Request()
 		}
 		m.Cordoned, m.ScaleInCandidate = false, false
-		if c.isSchedulable(m) {
+		if c.scheduler.Eligibility.IsSchedulable(m) {
 			ms = append(ms, m)
 		}
 	}
@@ -144,7 +147,7 @@
 	for _, m := range ms {
 		for _, a := range m.Assignments {
 			if a.IsLive() {
-				rest[m] = max(rest[m], c.expectedRemainingSeconds(a))
+				rest[m] = max(rest[m], c.scheduler.RunTimes.ExpectedRemainingSeconds(a))
 			}
 		}
 	}
@@ -181,7 +184,7 @@
 	if need.CPU == 0 {
 		return price / float64(t.Capacity.CPU)
 	}
-	return price / float64(need.CPU*cluster.Amount(tasksPerMachine(t.Capacity, need)))
+	return price / float64(need.CPU*cluster.Amount(scheduling.TasksPerMachine(t.Capacity, need)))
 }
 
 // typicalRequest is what a somewhat larger than average task of a part takes.
@@ -207,13 +210,13 @@
 		return
 	}
 	for _, a := range m.Assignments {
-		if a.IsLive() && (a.Job.EffectivePriority >= top || a.Job.Spec.CheckpointSeconds == 0 || c.isPreemptionExempt(a.Job)) {
+		if a.IsLive() && (a.Job.EffectivePriority >= top || a.Job.Spec.CheckpointSeconds == 0 || c.scheduler.Queue.IsPreemptionExempt(a.Job)) {
 			return
 		}
 	}
 	for _, a := range m.SortedAssignments() {
 		if a.IsLive() && a.Phase == state.PhaseAcknowledged {
-			c.stopTask(m, a, a.Job.Spec.SaveSeconds+1)
+			c.reconciler.Stops.Preempt(m, a)
 		}
 	}
 }
--- /dev/null
+++ b/internal/controller/inventory_adapter.go
@@ -0,0 +1,75 @@
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/inventory"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/ownership"
+	"stairrelay/internal/provisioning"
+	"stairrelay/internal/state"
+)
+
+// inventoryConfig is what the inventory needs of the settings.
+func (c *Controller) inventoryConfig() inventory.Config {
+	return inventory.Config{
+		ValueLimit:         grouprecord.ValueLimit(c.config.MaxValueBytes),
+		MaxTxnOps:          c.config.MaxTxnOps,
+		CloudListLag:       c.config.CloudListLag,
+		MaxScaleInMachines: provisioning.MaxMachinesPerScaleIn,
+	}
+}
+
+// inventoryDependencies are the controller's parts that the inventory calls.
+func (c *Controller) inventoryDependencies() inventory.Dependencies {
+	return inventory.Dependencies{
+		Shards:    inventoryShards{Manager: c.ownership, shardStore: shardStore{c}},
+		Jobs:      c.jobs.Records,
+		Workers:   inventoryWorkers{controller: c},
+		Scheduler: inventoryScheduler{controller: c},
+		Cloud:     inventoryCloud{controller: c},
+	}
+}
+
+// inventoryShards implements inventory.Shards.
+type inventoryShards struct {
+	*ownership.Manager
+	shardStore
+}
+
+// inventoryWorkers implements inventory.Workers.
+type inventoryWorkers struct{ controller *Controller }
+
+func (a inventoryWorkers) ConfirmAbsent(machine *state.Machine, assignment *state.Assignment) {
+	a.controller.reconciler.ConfirmAbsent(machine, assignment)
+}
+
+func (a inventoryWorkers) QueueCommandPush(machine *state.Machine) {
+	a.controller.reconciler.Commands.QueuePush(machine)
+}
+
+func (a inventoryWorkers) RecheckHeldHeartbeat(machine *state.Machine) {
+	a.controller.reconciler.Heartbeats.Recheck(machine)
+}
+
+func (a inventoryWorkers) RedirectWorker(request messages.RequestID, node cluster.NodeID) {
+	a.controller.reconciler.Heartbeats.Redirect(request, node)
+}
+
+// inventoryScheduler implements inventory.Scheduler.
+type inventoryScheduler struct{ controller *Controller }
+
+func (a inventoryScheduler) RequestScheduling() { a.controller.scheduler.Trigger.Request() }
+
+func (a inventoryScheduler) MaintainMachines() { a.controller.reconciler.Maintenance.Run() }
+
+// inventoryCloud implements inventory.Cloud.
+type inventoryCloud struct{ controller *Controller }
+
+func (a inventoryCloud) ScheduleScaleIn() { a.controller.provisioner.ScaleIn.ScheduleCall() }
+
+func (a inventoryCloud) ForceCall() { a.controller.provisioner.Rate.ForceCall() }
+
+func (a inventoryCloud) ReadList(handle func(machines []cluster.ListedMachine, ok bool)) {
+	a.controller.provisioner.List.Read(handle)
+}
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -3,11 +3,9 @@
 import (
 	"slices"
 
-	"stairrelay/internal/state"
-
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
-
-	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
 )
 
 // stallThreshold is how many checkpoints in a row a part may go without
@@ -83,14 +81,14 @@
 // isServedByPeer tells whether the part's holder says that it holds it, or is
 // alive though its word does not come through.
 func (c *Controller) isServedByPeer(p *state.Shard) bool {
-	holder := c.peers[p.Owner]
-	if holder == nil {
+	owner := c.members.Peer(p.Owner)
+	if owner == nil {
 		return false
 	}
-	if c.loop.Now()-holder.lastPingAt > 3*second {
-		return !c.isFailed(p.Owner)
+	if owner.PingAge() > membership.PingFreshness {
+		return !c.members.IsFailed(p.Owner)
 	}
-	return slices.ContainsFunc(holder.lastPing.Shards, func(held messages.ShardTerm) bool { return held.Shard == p.ID })
+	return slices.ContainsFunc(owner.LastPing().Shards, func(held messages.ShardTerm) bool { return held.Shard == p.ID })
 }
 
 // hasStalledWrites tells whether records of the part's machines wait to be stored,
@@ -110,22 +108,7 @@
 // hasStalledStarts tells whether waiting tasks fit on the part's machines, and none
 // was given one since the last checkpoint.
 func (c *Controller) hasStalledStarts(p *state.Shard) bool {
-	if p.PlannedStarts != c.progress[p.ID].plannedStarts || !slices.ContainsFunc(p.Jobs, c.hasSchedulableTasks) {
-		return false
-	}
-	work := c.listPendingWork(p)
-	slots, _ := c.listFreeCapacity(p, 1)
-	for i := range slots {
-		s := &slots[i]
-		fits := func(j *state.Job) bool {
-			return c.isAllowedOn(j, s.machine) && c.canUseMachine(j, s.machine) && c.hasRoom(s.machine.Group, j) && s.imageState(j) != scheduling.ImageBlocked &&
-				isZoneAllowed(&j.Spec, c.countTasksByZone(j), s.machine.Zone)
-		}
-		if c.packWork(work, s.available, fits) > 0 {
-			return true
-		}
-	}
-	return false
+	return p.PlannedStarts == c.progress[p.ID].plannedStarts && c.scheduler.HasStartableTasks(p)
 }
 
 // stalledShardCount counts the parts that have not been served for so long that
--- /dev/null
+++ b/internal/controller/provisioning_adapter.go
@@ -0,0 +1,77 @@
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/fairshare"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/provisioning"
+	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
+)
+
+// provisioningConfig is what provisioning needs of the settings.
+func (c *Controller) provisioningConfig() provisioning.Config {
+	return provisioning.Config{
+		Self:                 c.config.Self,
+		Nodes:                c.config.Nodes,
+		HeartbeatInterval:    c.config.HeartbeatInterval,
+		CloudListLag:         c.config.CloudListLag,
+		CloudRPS:             c.config.CloudRPS,
+		BudgetShare:          c.config.Tuning.RateBudgetShare,
+		OutOfCapacityBackoff: c.config.Tuning.OutOfCapacityBackoff,
+		MaxValueBytes:        c.config.MaxValueBytes,
+		ShareByDemand: func(limit, demand float64) float64 {
+			return c.shareByDemand(limit, demand, c.writeQueue.LiveControllers(), func(ping *messages.Ping) float64 { return ping.CloudDemand })
+		},
+	}
+}
+
+// newProvisioner connects the provisioner to the other parts.
+func (c *Controller) newProvisioner() *provisioning.Provisioner {
+	return provisioning.New(c.loop, c.state, c.writeQueue, c.provisioningConfig(), provisioning.Dependencies{
+		Members:           c.members,
+		Ownership:         c.ownership,
+		Records:           c.inventory,
+		Names:             c.recordNames,
+		Orphans:           provisioningOrphans{controller: c},
+		Work:              c.scheduler.Queue,
+		Capacity:          c.scheduler,
+		Eligibility:       c.scheduler.Eligibility,
+		RunTimes:          c.scheduler.RunTimes,
+		Sharing:           machineSharing{controller: c},
+		RequestScheduling: c.scheduler.Trigger.Request,
+		CountMachineScans: c.counters.AddMachineScans,
+		StretchDelay:      c.processHealth.StretchDelay,
+	})
+}
+
+// provisioningOrphans shows listed machines without a record to the reconciler, which
+// is made after the provisioner.
+type provisioningOrphans struct{ controller *Controller }
+
+// HandleListed implements provisioning.Orphans.
+func (o provisioningOrphans) HandleListed(item cluster.ListedMachine) {
+	o.controller.reconciler.Orphans.HandleListed(item)
+}
+
+// ForgetUnlisted implements provisioning.Orphans.
+func (o provisioningOrphans) ForgetUnlisted(listed map[cluster.MachineID]bool) {
+	o.controller.reconciler.Orphans.ForgetUnlisted(listed)
+}
+
+// machineSharing shares the machines among the shards for provisioning.
+type machineSharing struct{ controller *Controller }
+
+// CordonSurplus implements provisioning.MachineSharing.
+func (s machineSharing) CordonSurplus() { s.controller.cordonSurplusMachines() }
+
+// AcceptOffers implements provisioning.MachineSharing.
+func (s machineSharing) AcceptOffers(shard *state.Shard, work scheduling.PendingWork) {
+	s.controller.acceptOffers(shard, work)
+}
+
+// CanScaleOut implements provisioning.MachineSharing.
+func (s machineSharing) CanScaleOut(shard *state.Shard) bool { return s.controller.canScaleOut(shard) }
+
+// ShardLoads implements provisioning.MachineSharing.
+func (s machineSharing) ShardLoads() fairshare.Snapshot { return s.controller.allShardLoads() }
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -4,11 +4,13 @@
 	"maps"
 	"slices"
 
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/writequeue"
 )
@@ -23,7 +25,7 @@
 		if g.Offer == nil || g.WritePending {
 			continue
 		}
-		if len(out) == maxOffers {
+		if len(out) == membership.MaxTransferOffers {
 			break
 		}
 		n := map[grouprecord.Kind]int{}
@@ -50,7 +52,7 @@
 	for _, g := range c.state.Groups {
 		if g.Offer != nil && c.loop.Now() > g.Offer.Until {
 			g.Offer = nil
-			c.schedulingTrigger.request()
+			c.scheduler.Trigger.Request()
 		}
 	}
 }
@@ -65,10 +67,10 @@
 	if len(idle) == 0 {
 		return
 	}
-	work := c.listPendingWork(p)
+	work := c.scheduler.Queue.PendingWork(p)
 	var spare []*state.Machine
 	for _, m := range idle {
-		if m.Cordoned || c.packWork(work, c.state.MachineTypes[m.MachineType].Capacity, func(j *state.Job) bool { return c.isAllowedOn(j, m) }) == 0 {
+		if m.Cordoned || work.Pack(c.state.MachineTypes[m.MachineType].Capacity, func(j *state.Job) bool { return c.scheduler.Eligibility.IsAllowedOn(j, m) }) == 0 {
 			spare = append(spare, m)
 		}
 	}
@@ -82,7 +84,7 @@
 		lack := recipient.Amount - offered[recipient.Shard]
 		var ms []*state.Machine
 		groups, bytes := map[*state.MachineGroup]bool{}, 0
-		for len(spare) > 0 && lack > 0 && len(ms) < c.groupMachines() {
+		for len(spare) > 0 && lack > 0 && len(ms) < c.inventory.TargetGroupSize() {
 			m := spare[0]
 			if !groups[m.Group] {
 				// All their records are rewritten in one transaction.
@@ -112,10 +114,26 @@
 		for _, m := range ms {
 			m.Cordoned = true
 		}
-		c.regroup(p, ms, nil, writequeue.Start, offer)
+		c.inventory.Regroup(p, ms, nil, writequeue.Start, offer)
 	}
 }
 
+// idleMachines lists the machines of a part that another may take.
+func (c *Controller) idleMachines(p *state.Shard) []*state.Machine {
+	var l []*state.Machine
+	if !p.Owned || !p.Ready {
+		return nil
+	}
+	c.counters.AddMachineScans(p.Machines)
+	for _, m := range p.Machines {
+		if c.scheduler.Eligibility.IsSchedulable(m) && len(m.Assignments) == 0 && m.RecordedTaskCount == 0 && !m.Group.WriteInFlight && m.Group.Offer == nil && m.Address != "" &&
+			len(m.UnrecordedToStop) == 0 && c.loop.Now()-m.IdleSince > second/2 {
+			l = append(l, m)
+		}
+	}
+	return l
+}
+
 // groupCPU is what a group's machines have in all.
 func (c *Controller) groupCPU(g *state.MachineGroup) cluster.Amount {
 	var sum cluster.Amount
@@ -126,37 +144,33 @@
 }
 
 // acceptOffers takes groups that others offer to a part, if it has a use for them.
-func (c *Controller) acceptOffers(p *state.Shard, work []pendingWork) {
+func (c *Controller) acceptOffers(p *state.Shard, work scheduling.PendingWork) {
 	use := func(o messages.TransferOffer) bool {
 		took := 0
 		for _, k := range o.Kinds {
 			for range k.Count {
-				took += c.packWork(work, c.state.MachineTypes[k.Type].Capacity, func(j *state.Job) bool {
-					return c.isOptionAllowed(j, state.ProvisioningOption{Type: k.Type, Zone: k.Zone, Spot: k.Spot})
+				took += work.Pack(c.state.MachineTypes[k.Type].Capacity, func(j *state.Job) bool {
+					return c.scheduler.Eligibility.IsOptionAllowed(j, state.ProvisioningOption{Type: k.Type, Zone: k.Zone, Spot: k.Spot})
 				})
 			}
 		}
 		return took > 0
 	}
-	for _, id := range c.config.Nodes {
-		q := c.peers[id]
-		if q == nil || q.failed || c.loop.Now()-q.lastPingAt > 3*second {
+	for _, peer := range c.members.Peers() {
+		if peer.IsUnreachable() || peer.PingAge() > membership.PingFreshness {
 			continue
 		}
-		for _, o := range q.lastPing.TransferOffers {
-			if o.Recipient != p.ID || q.attemptedTransfers[o.Key] == o.ModRevision || !use(o) {
+		for _, o := range peer.LastPing().TransferOffers {
+			if o.Recipient != p.ID || c.attemptedTransfers.contains(peer.ID(), o) || !use(o) {
 				continue
 			}
-			if q.attemptedTransfers == nil {
-				q.attemptedTransfers = map[string]cluster.ModRevision{}
-			}
-			q.attemptedTransfers[o.Key] = o.ModRevision
-			c.acquireGroup(p, o.Key, o.ModRevision)
+			c.attemptedTransfers.record(peer.ID(), o)
+			c.inventory.AcquireGroup(p, o.Key, o.ModRevision)
 		}
 	}
 	for _, o := range c.transferOffers() { // parts held here have nobody to ask
 		if o.Recipient == p.ID && use(o) {
-			c.acquireGroup(p, o.Key, o.ModRevision)
+			c.inventory.AcquireGroup(p, o.Key, o.ModRevision)
 		}
 	}
 }
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -14,14 +14,15 @@
 	Queries       int
 	Cancellations int
 	CommandPushes int
-	PeerCalls     int
-	CloudCalls    int
 	// MachineScans counts the machines that were looked at one by one, whatever for.
 	MachineScans int
 }
 
-// addMachineScans counts a look at each of so many machines.
-func (n *Counters) addMachineScans(machines []*state.Machine) { n.MachineScans += len(machines) }
+// AddCommandPush counts a call to a worker.
+func (n *Counters) AddCommandPush() { n.CommandPushes++ }
+
+// AddMachineScans counts a look at each of some machines.
+func (n *Counters) AddMachineScans(machines []*state.Machine) { n.MachineScans += len(machines) }
 
 // capacityUsage sums up what the machines of all parts have and what is done with
 // it, in processors.
@@ -80,8 +81,8 @@
 		if !p.Owned || !p.Ready {
 			continue
 		}
-		for _, w := range c.listPendingWork(p) {
-			use.pending += w.job.Spec.ResourceRequest.CPU * cluster.Amount(w.tasks)
+		for _, w := range c.scheduler.Queue.PendingWork(p) {
+			use.pending += w.Job.Spec.ResourceRequest.CPU * cluster.Amount(w.Count)
 		}
 	}
 	return use
@@ -128,8 +129,8 @@
 		"lazy", writes.PutsByPriority[writequeue.Background],
 		"conflicts", writes.Conflicts,
 		"gets", writes.Reads,
-		"peer_calls", counts.PeerCalls,
-		"cloud_calls", counts.CloudCalls,
+		"peer_calls", c.members.TakeCallCount(),
+		"cloud_calls", c.provisioner.Rate.TakeCallCount(),
 		"visits", counts.MachineScans,
 		"parts", c.ownedShardCount(),
 		"stalled_parts", c.stalledShardCount(),
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -4,7 +4,9 @@
 	"slices"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ratelimit"
 	"stairrelay/internal/writequeue"
 )
 
@@ -34,14 +36,14 @@
 }
 
 // HandleDeposed implements writequeue.ShardOwnership.
-func (o shardClaims) HandleDeposed(id cluster.ShardID) { o.controller.handleDeposed(id) }
+func (o shardClaims) HandleDeposed(id cluster.ShardID) { o.controller.ownership.HandleDeposed(id) }
 
 // HandleStored implements writequeue.ShardOwnership.
 func (o shardClaims) HandleStored(stored writequeue.StoredTransaction) {
 	shard := o.controller.state.Shards[stored.ShardID]
 	shard.StoredTransactions++
 	shard.LastStoredRevision = max(shard.LastStoredRevision, stored.Revision)
-	o.controller.recordConfirmation(shard, stored.Claim, stored.SentAt)
+	o.controller.ownership.RecordConfirmation(shard, stored.Claim, stored.SentAt)
 }
 
 // probeStore keeps in touch with the state service while it matters whether it
@@ -50,6 +52,23 @@
 // an outage. On an idle controller nothing else would ask for minutes.
 func (c *Controller) probeStore() {
 	if c.writeQueue.Health.ShouldProbe(c.loop.Now()) {
-		c.rereadShard(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
+		c.ownership.RereadClaim(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
 	}
 }
+
+// shareByDemand returns this controller's part of a limit that all live ones share.
+// reported picks the demand on it from another controller's ping.
+func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, reported func(*messages.Ping) float64) float64 {
+	if c.members == nil { // the write queue is made first, and asks at once
+		return ratelimit.Divide(limit, demand, liveControllers, nil)
+	}
+	peers := c.members.Peers()
+	others := make([]ratelimit.Demand, 0, len(peers))
+	for _, peer := range peers {
+		if !peer.IsUnreachable() {
+			known := peer.HasAnswered() && peer.PingAge() < membership.PingFreshness
+			others = append(others, ratelimit.Demand{Rate: reported(peer.LastPing()), Known: known})
+		}
+	}
+	return ratelimit.Divide(limit, demand, liveControllers, others)
+}
