--- a/internal/controller/acquire_conflict_test.go
+++ b/internal/controller/acquire_conflict_test.go
@@ -3,7 +3,6 @@
 import (
 	"testing"
 
-	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
 
@@ -18,7 +17,7 @@
 	shard := b.state.Shards[1]
 	shard.Owned, shard.Ready = false, false
 	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: []byte(`{"s":{"tm":"red","n":1},"w":"b1-1"}`), ModRevision: 31}
-	b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+	b.submit(1, "j-1")
 	b.ownership.Acquire(shard)
 	b.runFor(2 * second)
 
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -1,15 +1,17 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/writequeue"
 )
 
-// TestAdmissionInDoubtAnsweredAsRetry: an acceptance whose answer was lost, or that another
-// controller stored a moment ago in a record of several, is answered as a
-// repeat: others may have told more of the job since.
+// TestAdmissionInDoubtAnsweredAsRetry shows that an admission whose answer was lost, or
+// that another controller stored a moment ago in a record of several, is answered
+// as a retry: others may have told more of the job since.
 func TestAdmissionInDoubtAnsweredAsRetry(t *testing.T) {
 	for name, want := range map[string]messages.ReplyStatus{"new": 201, "answer lost": 200, "stored by another": 200} {
 		b := newControllerHarness()
@@ -19,10 +21,102 @@
 			b.store.revision = 40
 			b.store.keys["accepts/b1-1"] = messages.KV{Key: "accepts/b1-1", Value: []byte(`{"j":[{"id":"j-1","s":{"team":"red","tasks":1,"Team":"red","Tasks":1}}],"w":"b1-1"}`), ModRevision: 40}
 		}
-		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
+		b.submit(1, "j-1")
 		b.runFor(second)
 		if len(b.sentResponses) != 1 || b.sentResponses[0].Status != want || b.sentResponses[0].View == nil {
 			t.Errorf("%s: answered %+v, want %d", name, b.sentResponses, want)
 		}
 	}
 }
+
+// TestAdmissionResentAfterBatchConflict shows that the submissions of a transaction
+// that was refused because of another write in it are stored by the next.
+func TestAdmissionResentAfterBatchConflict(t *testing.T) {
+	b := newControllerHarness()
+	m, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
+	m.Group.ModRevision = 77 // another writer was there
+	b.inventory.WriteMachine(m, writequeue.Start)
+	b.submit(1, "j-1")
+	b.runFor(5 * second)
+	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
+		t.Fatal("the two writes did not share a transaction")
+	}
+	if len(b.sentResponses) != 1 || b.sentResponses[0].Status != 201 {
+		t.Errorf("answered %+v, want 201", b.sentResponses)
+	}
+	b.runFor(5 * second)
+	if n := len(b.writeQueue.Queued(writequeue.Admit)); n != 0 || b.jobs.Submissions.AdmissionKeyCount() > 3 {
+		t.Errorf("nothing waits to be admitted, but %d writes are queued, after %d", n, b.jobs.Submissions.AdmissionKeyCount())
+	}
+}
+
+// TestAdmissionWithUnreadableRecords shows that a job is not called new while it can't
+// be read whether another controller has admitted it before.
+func TestAdmissionWithUnreadableRecords(t *testing.T) {
+	b := newControllerHarness()
+	b.store.revision = 40
+	b.store.keys["accepts/b1-1"] = messages.KV{Key: "accepts/b1-1", Value: []byte(`{"j":[{"id":"j-1","s":{"Team":"red","Tasks":1}}],"w":"b1-1"}`), ModRevision: 40}
+	b.failsReads = true
+	b.submit(1, "j-1")
+	b.runFor(4 * second)
+	for _, r := range b.sentResponses {
+		if r.Status == 201 {
+			t.Errorf("answered %+v", r)
+		}
+	}
+}
+
+// TestDuplicateSubmissionInOneRecord shows that a submission that comes in twice before
+// either is written is stored once, and that one of the two is answered as a retry.
+func TestDuplicateSubmissionInOneRecord(t *testing.T) {
+	b := newControllerHarness()
+	for i := range messages.RequestID(2) {
+		b.submit(1+i, "j-1")
+	}
+	b.runFor(second)
+	n := map[messages.ReplyStatus]int{}
+	for _, r := range b.sentResponses {
+		n[r.Status]++
+	}
+	if n[201] != 1 || n[200] != 1 {
+		t.Errorf("answered %v, want one 201 and one 200", n)
+	}
+	for _, f := range b.sentTransactions {
+		keys := map[string]bool{}
+		for _, w := range f.If {
+			if keys[w.Key] {
+				t.Errorf("a transaction has two compares of %s", w.Key)
+			}
+			keys[w.Key] = true
+		}
+	}
+}
+
+// TestComparesOfBurstWithinLimit shows that submissions that pile up while the state
+// service is slow go out in transactions that it takes: compares are limited to four
+// times the puts.
+func TestComparesOfBurstWithinLimit(t *testing.T) {
+	b := newControllerHarness()
+	b.runFor(second)
+	// Nothing is dispatched meanwhile, as while the state service is slow.
+	for i := range messages.RequestID(60) {
+		b.submit(1+i, cluster.JobID(fmt.Sprintf("j-%03d", i)))
+	}
+	b.runFor(second)
+	for _, f := range b.sentTransactions {
+		if len(f.If) > 4*b.config.MaxTxnOps {
+			t.Errorf("a transaction of %d puts has %d compares", len(f.Then), len(f.If))
+		}
+	}
+	for _, r := range b.sentResponses {
+		if r.Status != 201 {
+			t.Errorf("answered %+v", r)
+		}
+	}
+}
+
+// submit hands in a job of one small task of the team red.
+func (b *controllerHarness) submit(request messages.RequestID, id cluster.JobID) {
+	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}
+	b.jobs.Submissions.HandleSubmit(messages.Submit{Request: request, Spec: spec})
+}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -13,20 +13,20 @@
 	"stairrelay/internal/simulation"
 )
 
-// Pipelines. Cycles can't arise: a job names only jobs that were accepted, and
-// a repeat of an accepted id never changes what that awaits
-// (TestAwaitsOfSubmissions), so each job is later than all that it names.
+// Dependencies have no cycles: a job names only jobs that were accepted, and a retry
+// of an accepted id never changes its dependencies (TestDependenciesOfSubmissions),
+// so each job is later than all that it names.
 
-// submitAfter hands in a job of a team that awaits others.
-func (m *testCluster) submitAfter(id cluster.JobID, team string, tasks int, run cluster.Time, awaits ...cluster.JobID) *simulation.Job {
-	j := newTestJob(m, id, team, tasks, run, awaits...)
+// submitAfter hands in a job of a team that depends on others.
+func (m *testCluster) submitAfter(id cluster.JobID, team string, tasks int, run cluster.Time, dependencies ...cluster.JobID) *simulation.Job {
+	j := newTestJob(m, id, team, tasks, run, dependencies...)
 	m.SubmitAfterDependencies(j, false)
 	return j
 }
 
-func newTestJob(m *testCluster, id cluster.JobID, team string, tasks int, run cluster.Time, awaits ...cluster.JobID) *simulation.Job {
+func newTestJob(m *testCluster, id cluster.JobID, team string, tasks int, run cluster.Time, dependencies ...cluster.JobID) *simulation.Job {
 	s := cluster.JobSpec{ID: id, Class: "c", Team: team, Priority: cluster.Normal, Tasks: tasks, ResourceRequest: cluster.Resources{CPU: cpu, Memory: cpu},
-		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: cluster.WallTime(m.Now / 1e6), Dependencies: awaits}
+		Image: "img", ImageGB: 1, RuntimeSeconds: float64(run) / 1e9, SubmittedAt: cluster.WallTime(m.Now / 1e6), Dependencies: dependencies}
 	return &simulation.Job{Spec: s, Info: simulation.JobInfo{ResourceRequest: s.ResourceRequest, RunDuration: run, TaskCount: tasks, Image: "img"}}
 }
 
@@ -49,7 +49,8 @@
 	return m.requestAnswer(n, func(r messages.RequestID) messages.Event { return messages.Submit{Request: r, Spec: j.Spec} })
 }
 
-// submitChain hands in jobs each of which awaits the one before, in turns of three teams.
+// submitChain hands in jobs each of which depends on the one before, in turns of three
+// teams.
 func (m *testCluster) submitChain(first *simulation.Job, n int, run cluster.Time) []*simulation.Job {
 	l := []*simulation.Job{first}
 	for i := 1; i < n; i++ {
@@ -74,22 +75,22 @@
 	return m
 }
 
-// shardOfTeam is each team's part under testConfig.
+// shardOfTeam is each team's shard under testConfig.
 var shardOfTeam = map[string]int{"green": 0, "red": 1, "blue": 2}
 
-// shardOwner is the controller that the store shows as holder of a part.
-func (m *testCluster) shardOwner(part int) cluster.NodeID {
+// shardOwner is the controller that the state service shows as owner of a shard.
+func (m *testCluster) shardOwner(shard int) cluster.NodeID {
 	m.t.Helper()
 	var rec struct {
 		Holder cluster.NodeID `json:"holder"`
 	}
-	if err := json.Unmarshal(m.StateService.Get(fmt.Sprint("parts/", part)).KV.Value, &rec); err != nil {
+	if err := json.Unmarshal(m.StateService.Get(fmt.Sprint("parts/", shard)).KV.Value, &rec); err != nil {
 		m.t.Fatal(err)
 	}
 	return rec.Holder
 }
 
-// storedFinalStatus is the final state in a job's own record; none: "".
+// storedFinalStatus is the final status in a job's own record; none: "".
 func (m *testCluster) storedFinalStatus(j *simulation.Job) cluster.JobStatus {
 	var rec struct {
 		State cluster.JobStatus `json:"st"`
@@ -110,7 +111,7 @@
 	}
 }
 
-// TestDependencyChain: fifty jobs of three teams, one after the other.
+// TestDependencyChain runs fifty jobs of three teams, each after the one before.
 func TestDependencyChain(t *testing.T) {
 	m := newIdleCluster(t, 3)
 	first := m.submitAfter("j-100000", "red", 1, 40*second)
@@ -130,8 +131,8 @@
 	m.checkNoViolations()
 }
 
-// TestDependencyChainCancelled: the first of fifty is cancelled. Within cancel_s every
-// controller tells so of each, and none has had a task.
+// TestDependencyChainCancelled cancels the first of fifty jobs. Within cancel_s every
+// controller calls each of them cancelled, and none but the first has had a task.
 func TestDependencyChainCancelled(t *testing.T) {
 	m := newIdleCluster(t, 3)
 	first := m.submitAfter("j-100000", "red", 1, 600*second)
@@ -157,14 +158,14 @@
 	m.checkNoViolations()
 }
 
-// TestDependenciesOfSubmissions: what a submission may name, and what it gets.
+// TestDependenciesOfSubmissions shows what a submission may name, and what it gets.
 func TestDependenciesOfSubmissions(t *testing.T) {
 	m := newTestCluster(t, 2)
 	expect := func(n *simulation.Node, j *simulation.Job, want messages.ReplyStatus) messages.Respond {
 		t.Helper()
 		r := m.submitAt(n, j)
 		if r.Status != want {
-			t.Errorf("%s, which awaits %v, gets %d %s, want %d", j.Spec.ID, j.Spec.Dependencies, r.Status, r.Error, want)
+			t.Errorf("%s, which depends on %v, gets %d %s, want %d", j.Spec.ID, j.Spec.Dependencies, r.Status, r.Error, want)
 		}
 		if j.Accepted = r.Status == 200 || r.Status == 201; j.Accepted {
 			m.Jobs[j.Spec.ID] = j
@@ -206,18 +207,18 @@
 			expect(n, newTestJob(m, cluster.JobID(fmt.Sprintf("j-40%d%03d", round, i)), "green", 1, second, ids...), 201)
 		}
 	}
-	// A repeat gets 200 whatever its list says, at every controller.
+	// A retry gets 200 whatever its list says, at every controller.
 	for _, n := range m.Nodes {
 		for _, list := range [][]cluster.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
 			again := newTestJob(m, "j-200000", "green", 1, second, list...)
 			if r := m.submitAt(n, again); r.Status != 200 {
-				t.Errorf("a repeat with %v gets %d at %s", list, r.Status, n.ID)
+				t.Errorf("a retry with %v gets %d at %s", list, r.Status, n.ID)
 			}
 		}
 	}
-	// So no cycle: the first job that a list names can't come to await a later one.
+	// So no cycle: the first job that a list names can't come to depend on a later one.
 	if r := m.submitAt(m.Nodes[0], newTestJob(m, "j-000001", "red", 3, 300*second, "j-200000")); r.Status != 200 {
-		t.Errorf("a repeat gets %d", r.Status)
+		t.Errorf("a retry gets %d", r.Status)
 	}
 	m.StoreDownUntil = m.Now + 20*second
 	m.RunUntil(m.Now + 2*second)
@@ -231,8 +232,8 @@
 	m.checkNoViolations()
 }
 
-// TestDependentOfCancelledJobCancelled: a job that names a cancelled one is accepted
-// and cancelled.
+// TestDependentOfCancelledJobCancelled shows that a job that names a cancelled one is
+// accepted and cancelled.
 func TestDependentOfCancelledJobCancelled(t *testing.T) {
 	m := newTestCluster(t, 2)
 	m.cancelAt(m.Nodes[1], m.longJob)
@@ -255,9 +256,9 @@
 	m.runAndCheck(60 * second)
 }
 
-// TestCancellationVisibleAtPartitionedController: a controller that is cut from the others and has
-// not yet seen the cancellation in its watch is asked about a dependent right
-// after another has told the cancellation. It reads first.
+// TestCancellationVisibleAtPartitionedController asks a controller that is cut off from
+// the others, and has not yet seen the cancellation in its watch, about a dependent
+// right after another has told the cancellation. It has to read first.
 func TestCancellationVisibleAtPartitionedController(t *testing.T) {
 	for i := range 3 {
 		for _, team := range []string{"red", "green", "blue"} {
@@ -266,17 +267,17 @@
 			e := m.submitAfter("j-200001", "blue", 1, second, "j-200000")
 			m.waitFor("accepted", 20*second, func() bool { return e.Accepted })
 			m.RunUntil(m.Now + 5*second)
-			deaf := m.Nodes[i]
+			isolated := m.Nodes[i]
 			at := m.Nodes[(i+1)%3]
 			if i != 1 {
 				at = m.Nodes[1]
 			}
-			deaf.PeersRefuseUntil = m.Now + 4*second
+			isolated.PeersRefuseUntil = m.Now + 4*second
 			m.cancelAt(at, m.longJob)
 			for range 10 {
 				for _, j := range []*simulation.Job{d, e} {
-					if r := m.queryAt(deaf, j.Spec.ID); r.Status == 200 && r.View.Status != cluster.JobCancelled {
-						t.Errorf("%s, cut off, calls %s of %s %s, told cancelled %v before", deaf.ID, j.Spec.ID, team, r.View.Status, time.Duration(m.Now-m.longJob.CancelConfirmedAt))
+					if r := m.queryAt(isolated, j.Spec.ID); r.Status == 200 && r.View.Status != cluster.JobCancelled {
+						t.Errorf("%s, cut off, calls %s of %s %s, told cancelled %v before", isolated.ID, j.Spec.ID, team, r.View.Status, time.Duration(m.Now-m.longJob.CancelConfirmedAt))
 					}
 				}
 			}
@@ -285,15 +286,15 @@
 	}
 }
 
-// TestDependentReadyAcrossShards: on a quiet day a dependent of another part is released
-// within a second of its predecessor's stored end, and not before. What it then
-// takes to start is what any job takes.
+// TestDependentReadyAcrossShards shows that in a calm cluster a dependent of another
+// shard is ready within a second of the stored end of its dependency, and not before.
+// What it then takes to start is what any job takes.
 func TestDependentReadyAcrossShards(t *testing.T) {
 	m := newIdleCluster(t, 3)
-	released := map[string]cluster.Time{}
+	readyAt := map[string]cluster.Time{}
 	m.Log = func(s string) {
 		if _, id, ok := strings.Cut(s, "job ready [job "); ok {
-			released[strings.Fields(id)[0]] = m.Now
+			readyAt[strings.Fields(id)[0]] = m.Now
 		}
 	}
 	worst := cluster.Time(0)
@@ -304,23 +305,23 @@
 		m.waitFor("accepted", 10*second, func() bool { return b.Accepted })
 		m.waitFor("the first is stored as done", 60*second, func() bool { return m.storedFinalStatus(a) == cluster.JobDone })
 		stored := m.Now
-		if b.FirstStartAt != 0 || released[string(b.Spec.ID)] != 0 {
+		if b.FirstStartAt != 0 || readyAt[string(b.Spec.ID)] != 0 {
 			t.Fatal("too early")
 		}
-		m.waitFor("the second is released", 5*second, func() bool { return released[string(b.Spec.ID)] > 0 })
+		m.waitFor("the second is ready", 5*second, func() bool { return readyAt[string(b.Spec.ID)] > 0 })
 		worst = max(worst, m.Now-stored)
 		m.waitFor("the second starts", 40*second, func() bool { return b.FirstStartAt > 0 })
-		t.Logf("%s after %s: released after %v, begun after %v", to, from, time.Duration(released[string(b.Spec.ID)]-stored), time.Duration(b.FirstStartAt-stored))
+		t.Logf("%s after %s: ready after %v, started after %v", to, from, time.Duration(readyAt[string(b.Spec.ID)]-stored), time.Duration(b.FirstStartAt-stored))
 		m.waitFor("the second is done", 60*second, func() bool { return b.ReportedStatus == cluster.JobDone })
 	}
 	if worst > second {
-		t.Errorf("released %v after the stored end", time.Duration(worst))
+		t.Errorf("ready %v after the stored end", time.Duration(worst))
 	}
 	m.checkNoViolations()
 }
 
-// TestDependentReadyAcrossFailover: the holder of the dependent's part ends, once while
-// the job waits and once right as its predecessor's end is stored.
+// TestDependentReadyAcrossFailover ends the owner of the dependent's shard, once while
+// the job waits and once right as the end of its dependency is stored.
 func TestDependentReadyAcrossFailover(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		for i, team := range []string{"red", "green", "blue"} {
@@ -341,7 +342,7 @@
 			}
 			m.waitFor(fmt.Sprintf("the dependent is done (%d, late %v)", i, late), 200*second, func() bool { return b.ReportedStatus == cluster.JobDone })
 			if c.FirstStartAt != 0 {
-				t.Error("what awaits the long job has begun")
+				t.Error("the dependent of the long job has started")
 			}
 			m.runAndCheck(30 * second)
 		}
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -8,9 +8,9 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestJobEndInDoubtConfirmedBeforeAnswer: the write of a job's end is carried out and its answer is
-// lost; others may have read and told it. Neither a question nor another
-// controller's may then get the owner's older view.
+// TestJobEndInDoubtConfirmedBeforeAnswer shows that after the write of a job's end was
+// carried out and its answer was lost, neither a user's query nor another
+// controller's gets the owner's older view: others may have read and told the end.
 func TestJobEndInDoubtConfirmedBeforeAnswer(t *testing.T) {
 	b := newControllerHarness()
 	j := b.addTestJob("j-1", 1)
@@ -21,13 +21,13 @@
 	if b.store.get("jobs/j-1").Outcome != messages.OK || j.FinalStatus != "" {
 		t.Fatal("the end is not stored, or its answer is not lost")
 	}
-	b.state.Jobs.Known["j-1"].FinalStatus = "" // nothing has told this controller
+	b.state.Jobs.Known["j-1"].FinalStatus = "" // this controller has not learned of it
 	b.jobs.Queries.HandleQuery(messages.Query{Request: 5, ID: "j-1"})
 	var views []cluster.JobView
 	b.jobs.Queries.AnswerPeer([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
 	b.runFor(300 * millisecond)
 	if len(b.sentResponses) != 1 || b.sentResponses[0].View == nil || b.sentResponses[0].View.Status != cluster.JobDone {
-		t.Errorf("a question gets %+v", b.sentResponses)
+		t.Errorf("a query gets %+v", b.sentResponses)
 	}
 	for _, v := range views {
 		if v.Status != cluster.JobDone {
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -10,9 +10,9 @@
 	"stairrelay/internal/messages"
 )
 
-// TestDependentJobNotProxiedToOldVersion: a controller that has lost the store never hands a
-// job that awaits others on to one of an earlier release, which would store it
-// without them and start it at once.
+// TestDependentJobNotProxiedToOldVersion shows that a controller that has lost the state
+// service never passes a job with dependencies to one of an earlier release, which
+// would store it without them and start it at once.
 func TestDependentJobNotProxiedToOldVersion(t *testing.T) {
 	for level, want := range map[int]bool{0: false, jobs.DependencyFeatureLevel: true} {
 		b := newControllerHarness()
@@ -31,7 +31,7 @@
 			}
 		}
 		if handed != want {
-			t.Errorf("level %d: handed on: %v, want %v", level, handed, want)
+			t.Errorf("level %d: passed on: %v, want %v", level, handed, want)
 		}
 	}
 }
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -9,9 +9,9 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestRejectedOutcomesNotResentUnchanged: the store calls the record of a job's outcomes malformed,
-// as the limit in force is below the one known. No part is given up for it, and
-// it isn't sent again unchanged.
+// TestRejectedOutcomesNotResentUnchanged shows that no shard is given up when the state
+// service calls the record of a job's outcomes malformed, as the limit in force is
+// below the one known, and that the record isn't sent again unchanged.
 func TestRejectedOutcomesNotResentUnchanged(t *testing.T) {
 	b := newControllerHarness()
 	dropTimers(b.Controller)
@@ -27,7 +27,7 @@
 	b.runFor(10 * second)
 	for _, p := range b.state.Shards {
 		if !p.Owned {
-			t.Errorf("part %d was given up", p.ID)
+			t.Errorf("shard %d was given up", p.ID)
 		}
 	}
 	sent := map[int]int{}
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"testing"
@@ -10,7 +9,6 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
-	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/grouprecord"
 )
@@ -51,89 +49,3 @@
 		t.Errorf("a late copy of the group's creation is carried out: %s is there again", key)
 	}
 }
-
-// TestAdmissionResentAfterBatchConflict: a transaction is refused because of another
-// write in it. The submissions that it took along are stored by the next.
-func TestAdmissionResentAfterBatchConflict(t *testing.T) {
-	b := newControllerHarness()
-	m, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
-	m.Group.ModRevision = 77 // another writer was there
-	b.inventory.WriteMachine(m, writequeue.Start)
-	b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
-	b.runFor(5 * second)
-	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
-		t.Fatal("the two writes did not share a transaction")
-	}
-	if len(b.sentResponses) != 1 || b.sentResponses[0].Status != 201 {
-		t.Errorf("answered %+v, want 201", b.sentResponses)
-	}
-	b.runFor(5 * second)
-	if n := len(b.writeQueue.Queued(writequeue.Admit)); n != 0 || b.jobs.Submissions.AdmissionKeyCount() > 3 {
-		t.Errorf("nothing waits to be accepted, but %d writes are queued, after %d", n, b.jobs.Submissions.AdmissionKeyCount())
-	}
-}
-
-// TestAdmissionWithUnreadableRecords: whether another controller accepted the job before can't
-// be read. Then it is not called new.
-func TestAdmissionWithUnreadableRecords(t *testing.T) {
-	b := newControllerHarness()
-	b.store.revision = 40
-	b.store.keys["accepts/b1-1"] = messages.KV{Key: "accepts/b1-1", Value: []byte(`{"j":[{"id":"j-1","s":{"Team":"red","Tasks":1}}],"w":"b1-1"}`), ModRevision: 40}
-	b.failsReads = true
-	b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
-	b.runFor(4 * second)
-	for _, r := range b.sentResponses {
-		if r.Status == 201 {
-			t.Errorf("answered %+v", r)
-		}
-	}
-}
-
-// TestDuplicateSubmissionInOneRecord: the same submission comes in twice before either is
-// written. It is stored once, and one of the two is answered as a repeat.
-func TestDuplicateSubmissionInOneRecord(t *testing.T) {
-	b := newControllerHarness()
-	for i := range messages.RequestID(2) {
-		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1 + i, Spec: cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
-	}
-	b.runFor(second)
-	n := map[messages.ReplyStatus]int{}
-	for _, r := range b.sentResponses {
-		n[r.Status]++
-	}
-	if n[201] != 1 || n[200] != 1 {
-		t.Errorf("answered %v, want one 201 and one 200", n)
-	}
-	for _, f := range b.sentTransactions {
-		keys := map[string]bool{}
-		for _, w := range f.If {
-			if keys[w.Key] {
-				t.Errorf("a transaction has two conditions on %s", w.Key)
-			}
-			keys[w.Key] = true
-		}
-	}
-}
-
-// TestComparesOfBurstWithinLimit: submissions that pile up while the store is slow go out
-// in transactions that the store takes: conditions are limited to four times
-// the puts.
-func TestComparesOfBurstWithinLimit(t *testing.T) {
-	b := newControllerHarness()
-	b.runFor(second)
-	// Nothing is dispatched meanwhile, as while the store is slow.
-	for i := range messages.RequestID(60) {
-		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1 + i, Spec: cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%03d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}})
-	}
-	b.runFor(second)
-	for _, f := range b.sentTransactions {
-		if len(f.If) > 4*b.config.MaxTxnOps {
-			t.Errorf("a transaction of %d puts has %d conditions", len(f.Then), len(f.If))
-		}
-	}
-	for _, r := range b.sentResponses {
-		if r.Status != 201 {
-			t.Errorf("answered %+v", r)
-		}
-	}
-}
--- a/internal/controller/urgency_test.go
+++ b/internal/controller/urgency_test.go
@@ -10,9 +10,9 @@
 	"stairrelay/internal/state"
 )
 
-// TestUrgencyPropagated: a job takes the highest priority and the tightest deadline of
-// all that need it, over teams and parts, in whichever order their records are
-// seen; what is over takes nothing more.
+// TestUrgencyPropagated shows that a job takes the highest priority and the tightest
+// deadline of all its dependents, over teams and shards, in whichever order their
+// records are seen, and that a job that has ended takes nothing more.
 func TestUrgencyPropagated(t *testing.T) {
 	// a (red) <- b (green) <- d (blue, production, due); a <- c (green, urgent); e (red) <- d
 	spec := func(id cluster.JobID, team string, prio cluster.Priority, due float64, awaits ...cluster.JobID) cluster.JobSpec {
@@ -51,7 +51,7 @@
 			}
 		}
 		if b.state.Jobs.Owned["a"] == nil || b.state.Jobs.Owned["b"] != nil {
-			t.Fatal("the wrong jobs are held")
+			t.Fatal("the wrong jobs are owned")
 		}
 		if start := b.latestStart(b.state.Jobs.Owned["a"]); start != due-2*(20_000+jobs.StageDelayMillis)-20_000 {
 			t.Errorf("%v: a is to start at %v", order, start)
@@ -69,7 +69,7 @@
 		v, _ = json.Marshal(jobs.Record{Spec: &later, WriteID: "x"})
 		b.jobs.Records.Apply(messages.KV{Key: "jobs/g", Value: v, ModRevision: 42}, nil)
 		if k := b.state.Jobs.Known["a"]; k.EffectiveDeadline != 1_100_000-2*(20_000+jobs.StageDelayMillis) {
-			t.Errorf("%v: what awaits a finished job changes a: %v", order, k.EffectiveDeadline)
+			t.Errorf("%v: what depends on a finished job changes a: %v", order, k.EffectiveDeadline)
 		}
 	}
 }
