--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,6 +13,7 @@
 	"stairrelay/internal/inventory"
 	"stairrelay/internal/jobs"
 	"stairrelay/internal/provisioning"
+	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
 
 	"stairrelay/internal/cluster"
@@ -49,19 +50,17 @@
 	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	ownership         *ownership.Manager
-	progress          []shardProgress // by shard
-	jobs              *jobs.Jobs
-	classStats        map[string]*classStats
-	loadCache         loadCache
-	schedulingTrigger schedulingTrigger
+	ownership *ownership.Manager
+	progress  []shardProgress // by shard
+	jobs      *jobs.Jobs
+	loadCache loadCache
+	scheduler *scheduling.Scheduler
 
 	// Machines.
 	recordNames       *inventory.RecordNames
 	inventory         *inventory.Inventory
 	reconciler        *reconcile.Reconciler
 	provisioner       *provisioning.Provisioner
-	scaleOutScheduled bool // a look for machines before the next regular one
 }
 
 // New makes a Core. Nothing happens before the first Step.
@@ -73,7 +72,6 @@
 		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
 		attemptedTransfers: attemptedTransfers{},
 		processHealth:      &membership.ProcessHealth{},
-		classStats:         map[string]*classStats{},
 	}
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
@@ -81,6 +79,7 @@
 	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
 	c.jobs = c.newJobs()
 	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
+	c.scheduler = c.newScheduler()
 	c.provisioner = c.newProvisioner()
 	c.reconciler = c.newReconciler()
 	c.progress = make([]shardProgress, len(cfg.Nodes))
@@ -128,13 +127,7 @@
 
 // flush decides once per step on all that the step has changed.
 func (c *Controller) flush() {
-	switch c.schedulingTrigger.check(c.loop.Now()) {
-	case scheduleNow:
-		c.schedulingTrigger.begin(c.loop.Now() + c.processHealth.StretchDelay(schedulingInterval))
-		c.scheduleOwnedShards()
-	case scheduleLater:
-		c.loop.After(c.schedulingTrigger.armTimer(c.loop.Now()), func() { c.schedulingTrigger.timerArmed = false })
-	}
+	c.scheduler.RunIfRequested()
 	c.reconciler.Commands.PushQueued()
 	c.writeQueue.Dispatch()
 	c.reconciler.Heartbeats.AnswerReady()
@@ -157,11 +150,11 @@
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.Rate.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
-	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
+	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.ScaleOut.Run)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
 	c.loop.Every(eventloop.FixedInterval(second), c.ownership.RenewLeases)
-	c.loop.Every(eventloop.FixedInterval(second/4), func() { c.schedulingTrigger.request() })
+	c.loop.Every(eventloop.FixedInterval(second/4), c.scheduler.Trigger.Request)
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -72,7 +72,7 @@
 	c.ownership.MarkReady(shard)
 	l.applyEarlyJobs()
 	l.awaitAcknowledgements()
-	c.schedulingTrigger.request()
+	c.scheduler.Trigger.Request()
 	if len(shard.Machines)+len(shard.ProvisioningRequests) > 0 {
 		c.provisioner.List.RequestRead() // the cloud's list shows what the records may lack
 	}
