--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -46,14 +46,12 @@
 	workerReachability *membership.WorkerReachability
 
 	// The other controllers.
-	members            *membership.Members
-	attemptedTransfers attemptedTransfers
+	members *membership.Members
 
 	// Parts, teams and jobs.
 	ownership *ownership.Manager
 	progress  []shardProgress // by shard
 	jobs      *jobs.Jobs
-	loadCache loadCache
 	scheduler *scheduling.Scheduler
 
 	// Machines.
@@ -67,12 +65,11 @@
 // New makes a Core. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
-		config:             cfg,
-		loop:               eventloop.New(),
-		state:              state.New(cfg.Nodes, cfg.Teams),
-		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
-		attemptedTransfers: attemptedTransfers{},
-		processHealth:      &membership.ProcessHealth{},
+		config:        cfg,
+		loop:          eventloop.New(),
+		state:         state.New(cfg.Nodes, cfg.Teams),
+		recordNames:   inventory.NewRecordNames(cfg.InstanceID),
+		processHealth: &membership.ProcessHealth{},
 	}
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -51,15 +51,15 @@
 func (h membershipHost) DescribeShards(to *membership.Peer, ping *messages.Ping) {
 	c := h.controller
 	c.ownership.DescribeOwnership(to, ping)
-	ping.TransferOffers = c.transferOffers()
+	ping.TransferOffers = c.scheduler.Rebalancer.TransferOffers()
 	ping.CloudDemand = c.provisioner.Rate.Demand()
-	ping.ShardLoads = c.ownedShardLoads()
+	ping.ShardLoads = c.scheduler.Loads.Owned()
 }
 
 // HandlePing implements membership.Host.
 func (h membershipHost) HandlePing(from *membership.Peer, ping *messages.Ping) {
 	c := h.controller
-	c.attemptedTransfers.retainOffered(from.ID(), ping.TransferOffers)
+	c.scheduler.Rebalancer.RetainOffered(from.ID(), ping.TransferOffers)
 	if len(ping.TransferOffers) > 0 {
 		c.scheduleScaleOut()
 	}
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -83,7 +83,7 @@
 
 // SurplusPredicate implements reconcile.MachineReleaser.
 func (r machineReleaser) SurplusPredicate() func(*state.Machine) bool {
-	return r.controller.surplusPredicate()
+	return r.controller.scheduler.Rebalancer.SurplusPredicate()
 }
 
 // machineDirectory tells the reconciler whose machines are that are not owned here.
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -28,7 +28,7 @@
 // already, then other parts' idle machines, then the cloud's.
 func (c *Controller) runScaleOut() {
 	c.provisioner.List.Poll()
-	c.cordonSurplusMachines()
+	c.scheduler.Rebalancer.CordonSurplus()
 	for _, p := range c.state.Shards {
 		if p.Owned && p.Ready && len(c.state.MachineTypes) > 0 && !c.writeQueue.IsUnavailableFor(second) {
 			c.scaleOutShard(p)
@@ -50,7 +50,7 @@
 		}
 	}
 	// Another part's idle machine serves at once, a booting one much later.
-	c.acceptOffers(p, work)
+	c.scheduler.Rebalancer.AcceptOffers(p, work)
 	c.counters.AddMachineScans(p.Machines)
 	for _, m := range p.Machines {
 		if m.Releasing || m.Draining || c.scheduler.Eligibility.IsSchedulable(m) {
@@ -66,27 +66,11 @@
 			work.Pack(c.state.MachineTypes[r.Option.Type].Capacity, func(j *state.Job) bool { return c.scheduler.Eligibility.IsOptionAllowed(j, r.Option) })
 		}
 	}
-	if c.canScaleOut(p) {
+	if c.scheduler.Rebalancer.MayScaleOut(p) {
 		c.requestMachines(p, work)
 	}
 }
 
-// idleMachines lists the machines of a part that another may take.
-func (c *Controller) idleMachines(p *state.Shard) []*state.Machine {
-	var l []*state.Machine
-	if !p.Owned || !p.Ready {
-		return nil
-	}
-	c.counters.AddMachineScans(p.Machines)
-	for _, m := range p.Machines {
-		if c.scheduler.Eligibility.IsSchedulable(m) && len(m.Assignments) == 0 && m.RecordedTaskCount == 0 && !m.Group.WriteInFlight && m.Group.Offer == nil && m.Address != "" &&
-			len(m.UnrecordedToStop) == 0 && c.loop.Now()-m.IdleSince > second/2 {
-			l = append(l, m)
-		}
-	}
-	return l
-}
-
 // requestMachines asks the cloud, cheapest per task first.
 func (c *Controller) requestMachines(p *state.Shard, work scheduling.PendingWork) {
 	flying := p.UnansweredRequests()
@@ -143,7 +127,7 @@
 	}
 	// A part with few machines gets its share of the others' as they empty.
 	var mine, all cluster.Amount
-	loads := c.allShardLoads()
+	loads := c.scheduler.Loads.All()
 	for q, l := range loads {
 		all += l.Available + l.Booting
 		if q == p.ID {
--- a/internal/controller/scheduling_adapter.go
+++ b/internal/controller/scheduling_adapter.go
@@ -9,10 +9,12 @@
 func (c *Controller) schedulingConfig() scheduling.Config {
 	tuning := &c.config.Tuning
 	return scheduling.Config{
-		HeartbeatInterval: c.config.HeartbeatInterval,
-		SLOs:              c.config.SLOs,
-		ShortJobWeight:    tuning.ShortJobWeight,
-		FirstTaskTarget:   tuning.FirstTaskTarget,
+		HeartbeatInterval:  c.config.HeartbeatInterval,
+		SLOs:               c.config.SLOs,
+		ShortJobWeight:     tuning.ShortJobWeight,
+		FirstTaskTarget:    tuning.FirstTaskTarget,
+		SpareCapacityShare: tuning.SpareCapacityShare,
+		MaxTxnOps:          c.config.MaxTxnOps,
 	}
 }
 
@@ -21,7 +23,10 @@
 	return scheduling.New(c.loop, c.state, c.schedulingConfig(), scheduling.Dependencies{
 		Stops:                taskStopper{controller: c},
 		Records:              c.inventory,
+		Groups:               c.inventory,
 		Store:                c.writeQueue,
+		Ownership:            c.ownership,
+		Peers:                c.members,
 		SpotInterruptionRate: c.provisioner.Spot.Rate,
 		CountMachineScans:    c.counters.AddMachineScans,
 		StretchDelay:         c.processHealth.StretchDelay,
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -22,6 +22,7 @@
 	b.writeQueue.Configure(b.writeQueueConfig())
 	b.jobs.Configure(b.jobsConfig())
 	b.inventory.Configure(b.inventoryConfig())
+	b.scheduler.Configure(b.schedulingConfig())
 	p := b.state.Shards[0]
 	for i := range groups {
 		g := b.state.AddGroup(p, fmt.Sprintf("g%02d", i), 31)
@@ -33,7 +34,7 @@
 			m.LastHeartbeat = b.loop.Now()
 		}
 	}
-	b.offerIdleMachines(p, fairshare.NewPlan(fairshare.Snapshot{
+	b.scheduler.Rebalancer.OfferIdleMachines(p, fairshare.NewPlan(fairshare.Snapshot{
 		0: {Shard: 0, Available: 96_000_000},
 		1: {Shard: 1, Demand: [4]cluster.Amount{0, 96_000_000}},
 	}))
--- a/internal/controller/attemptedtransfers.go
+++ b/internal/scheduling/attemptedtransfers.go
@@ -1,4 +1,4 @@
-package controller
+package scheduling
 
 import (
 	"maps"
--- a/internal/scheduling/fixture_test.go
+++ b/internal/scheduling/fixture_test.go
@@ -4,6 +4,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
@@ -18,6 +19,8 @@
 	config               Config
 	spotInterruptionRate float64 // per second
 	written              []*state.Machine
+	regrouped            [][]*state.Machine
+	acquired             []string // the keys of groups
 }
 
 func newFixture() *fixture {
@@ -33,7 +36,10 @@
 	f.Scheduler = New(f.loop, f.state, f.config, Dependencies{
 		Stops:                f,
 		Records:              f,
+		Groups:               f,
 		Store:                f,
+		Ownership:            f,
+		Peers:                f,
 		SpotInterruptionRate: func() float64 { return f.spotInterruptionRate },
 		CountMachineScans:    func([]*state.Machine) {},
 		StretchDelay:         func(delay cluster.Time) cluster.Time { return delay },
@@ -69,6 +75,26 @@
 	f.written = append(f.written, machine)
 }
 
+// TargetGroupSize implements MachineGroups.
+func (f *fixture) TargetGroupSize() int { return 50 }
+
+// Regroup implements MachineGroups: the write of the record is refused.
+func (f *fixture) Regroup(_ *state.Shard, machines []*state.Machine, _ *state.MachineGroup, _ writequeue.Priority, done func(*state.MachineGroup)) {
+	f.regrouped = append(f.regrouped, machines)
+	done(nil)
+}
+
+// AcquireGroup implements MachineGroups.
+func (f *fixture) AcquireGroup(_ *state.Shard, key string, _ cluster.ModRevision) {
+	f.acquired = append(f.acquired, key)
+}
+
+// Changes implements Ownership.
+func (f *fixture) Changes() int { return 0 }
+
+// Peers implements Peers.
+func (f *fixture) Peers() []*membership.Peer { return nil }
+
 // IsUnavailableFor implements Store.
 func (f *fixture) IsUnavailableFor(cluster.Time) bool { return false }
 
--- a/internal/scheduling/preempt.go
+++ b/internal/scheduling/preempt.go
@@ -125,7 +125,7 @@
 // more important urgent one, or, if it is beyond its own team's guaranteed quota, for
 // one within its team's.
 func (p *preemption) isPreemptibleFor(victim, job *state.Job) bool {
-	if p.Queue.IsPreemptionExempt(victim) {
+	if p.Queue.isPreemptionExempt(victim) {
 		return false
 	}
 	if job.EffectivePriority >= cluster.Urgent && victim.EffectivePriority < job.EffectivePriority {
@@ -165,5 +165,5 @@
 // givesWayWithinTeam tells whether a job's task may be stopped for another job of the
 // same team.
 func (p *preemption) givesWayWithinTeam(victim, job *state.Job) bool {
-	return victim.Spec.Team == job.Spec.Team && victim.EffectivePriority < job.EffectivePriority && !p.Queue.IsPreemptionExempt(victim)
+	return victim.Spec.Team == job.Spec.Team && victim.EffectivePriority < job.EffectivePriority && !p.Queue.isPreemptionExempt(victim)
 }
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -80,10 +80,10 @@
 	return job.FirstRunAt == 0 && job.CompletedCount == 0 && job.AssignedCount == 0 && q.hasWaitedLong(job)
 }
 
-// IsPreemptionExempt tells whether a job's only task must not be preempted: it was
+// isPreemptionExempt tells whether a job's only task must not be preempted: it was
 // started because the job had waited too long. Stopped at once it would put the job
 // back to waiting as one that has begun.
-func (q *JobQueue) IsPreemptionExempt(job *state.Job) bool {
+func (q *JobQueue) isPreemptionExempt(job *state.Job) bool {
 	return job.CompletedCount == 0 && job.AssignedCount == 1 && q.hasWaitedLong(job)
 }
 
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -3,6 +3,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
@@ -24,6 +25,10 @@
 	// FirstTaskTarget is how soon a job's first task should start: it goes before all
 	// others after half of this.
 	FirstTaskTarget cluster.Time
+	// SpareCapacityShare is which share of its demand a shard keeps as spare capacity.
+	SpareCapacityShare float64
+	// MaxTxnOps is how many changes a transaction may make.
+	MaxTxnOps int
 }
 
 // TaskStopper stops tasks and empties machines.
@@ -44,6 +49,29 @@
 	WriteMachine(machine *state.Machine, priority writequeue.Priority)
 }
 
+// MachineGroups moves machines between groups and shards.
+type MachineGroups interface {
+	// TargetGroupSize is how many machines a group should have at most.
+	TargetGroupSize() int
+	// Regroup moves machines into a group, or into one of their own, and then calls
+	// done with it, or with nil when that was not possible.
+	Regroup(shard *state.Shard, machines []*state.Machine, target *state.MachineGroup, priority writequeue.Priority, done func(*state.MachineGroup))
+	// AcquireGroup moves a group of another shard to a shard, on condition that its
+	// record is still that of a revision.
+	AcquireGroup(shard *state.Shard, key string, revision cluster.ModRevision)
+}
+
+// Ownership tells which shards are owned.
+type Ownership interface {
+	// Changes counts the changes of the set of owned shards.
+	Changes() int
+}
+
+// Peers lists the other controllers.
+type Peers interface {
+	Peers() []*membership.Peer
+}
+
 // Store tells whether records can be stored.
 type Store interface {
 	// IsUnavailableFor tells whether the state service has failed for longer than a
@@ -53,9 +81,12 @@
 
 // Dependencies are the other parts of the controller that the scheduler uses.
 type Dependencies struct {
-	Stops   TaskStopper
-	Records MachineRecords
-	Store   Store
+	Stops     TaskStopper
+	Records   MachineRecords
+	Groups    MachineGroups
+	Store     Store
+	Ownership Ownership
+	Peers     Peers
 	// SpotInterruptionRate is how often a spot machine is lost, per second.
 	SpotInterruptionRate func() float64
 	// CountMachineScans counts a look at each of some machines, for the periodic log
@@ -80,6 +111,10 @@
 	Eligibility *Eligibility
 	// Queue orders the pending jobs of a shard.
 	Queue *JobQueue
+	// Loads tells what the shards have and need.
+	Loads *ShardLoads
+	// Rebalancer splits the machines among the shards.
+	Rebalancer *Rebalancer
 
 	shared *shared
 }
@@ -102,6 +137,16 @@
 	s.Spot = &SpotPreference{shared: base, runTimes: s.RunTimes}
 	s.Eligibility = &Eligibility{shared: base, spot: s.Spot}
 	s.Queue = &JobQueue{shared: base, runTimes: s.RunTimes, spot: s.Spot}
+	s.Loads = &ShardLoads{shared: base, queue: s.Queue}
+	s.Rebalancer = &Rebalancer{
+		shared:      base,
+		trigger:     s.Trigger,
+		runTimes:    s.RunTimes,
+		eligibility: s.Eligibility,
+		queue:       s.Queue,
+		loads:       s.Loads,
+		attempted:   attemptedTransfers{},
+	}
 	return s
 }
 
