--- a/internal/controller/scheduling_adapter.go
+++ b/internal/controller/scheduling_adapter.go
@@ -27,7 +27,7 @@
 		Store:                c.writeQueue,
 		Ownership:            c.ownership,
 		Peers:                c.members,
-		SpotInterruptionRate: c.provisioner.Spot.Rate,
+		SpotInterruptionRate: func() float64 { return c.provisioner.Spot.Rate() }, // made after the scheduler
 		CountMachineScans:    c.counters.AddMachineScans,
 		StretchDelay:         c.processHealth.StretchDelay,
 	})
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -21,19 +21,23 @@
 	schedulingRequests int
 	written            []*state.Machine
 	listedOrphans      []cluster.ListedMachine
+	corruptKeys        []string
 }
 
 func (h *testHost) IsFirstReachable() bool             { return true }
-func (h *testHost) RequestScheduling()                 { h.schedulingRequests++ }
 func (h *testHost) CanAnswerWorkers(*state.Shard) bool { return true }
 func (h *testHost) HandleListed(m cluster.ListedMachine) {
 	h.listedOrphans = append(h.listedOrphans, m)
 }
 func (h *testHost) ForgetUnlisted(map[cluster.MachineID]bool)         {}
 func (h *testHost) HandleForeignWrite(*state.Shard, string, string)   {}
-func (h *testHost) GiveUpCorrupt(*state.Shard, string, string)        {}
+func (h *testHost) TargetGroupSize() int                              { return 10 }
 func (h *testHost) AddNewGroup(*inventory.NewGroup, cluster.Revision) {}
 
+func (h *testHost) GiveUpCorrupt(_ *state.Shard, key, _ string) {
+	h.corruptKeys = append(h.corruptKeys, key)
+}
+
 func (h *testHost) WriteMachine(machine *state.Machine, _ writequeue.Priority) {
 	h.written = append(h.written, machine)
 }
@@ -66,18 +70,26 @@
 		ShareByDemand: shareAmongUnknown,
 	}, h.host)
 	config := Config{
-		Self:              "n0",
-		Nodes:             nodes,
-		HeartbeatInterval: 5 * second,
-		CloudRPS:          5,
-		BudgetShare:       0.9,
-		MaxValueBytes:     4096,
+		Self:                 "n0",
+		Nodes:                nodes,
+		HeartbeatInterval:    5 * second,
+		CloudRPS:             5,
+		BudgetShare:          0.9,
+		MaxValueBytes:        4096,
+		OutOfCapacityBackoff: 15 * second,
 		ShareByDemand: func(limit, demand float64) float64 {
 			return shareAmongUnknown(limit, demand, testControllers)
 		},
 	}
-	deps := Dependencies{Members: h.host, Scheduler: h.host, Ownership: h.host, Records: h.host, Names: inventory.NewRecordNames("b0"), Orphans: h.host, RequestScaleOut: func() {}}
-	h.Provisioner = New(h.loop, h.state, queue, config, deps)
+	h.Provisioner = New(h.loop, h.state, queue, config, Dependencies{
+		Members:           h.host,
+		Ownership:         h.host,
+		Records:           h.host,
+		Names:             inventory.NewRecordNames("b0"),
+		Orphans:           h.host,
+		RequestScheduling: func() { h.host.schedulingRequests++ },
+		StretchDelay:      func(delay cluster.Time) cluster.Time { return delay },
+	})
 	return h
 }
 
--- a/internal/scheduling/rebalance.go
+++ b/internal/scheduling/rebalance.go
@@ -167,9 +167,9 @@
 	return job.EffectivePriority < priority && job.Spec.CheckpointSeconds > 0 && !r.queue.isPreemptionExempt(job)
 }
 
-// MayScaleOut holds back a shard that has its share already while others lack theirs:
+// CanScaleOut holds back a shard that has its share already while others lack theirs:
 // what the cloud still has should go to them first.
-func (r *Rebalancer) MayScaleOut(shard *state.Shard) bool {
+func (r *Rebalancer) CanScaleOut(shard *state.Shard) bool {
 	if r.loads.All().CanScaleOutFirst(shard.ID) {
 		return true
 	}
