--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -23,7 +23,7 @@
 // inventoryDependencies are the controller's parts that the inventory calls.
 func (c *Controller) inventoryDependencies() inventory.Dependencies {
 	return inventory.Dependencies{
-		Shards:    inventoryShards{Manager: c.ownership, controller: c},
+		Shards:    inventoryShards{Manager: c.ownership, shardStore: shardStore{c}},
 		Jobs:      c.jobs.Records,
 		Workers:   inventoryWorkers{controller: c},
 		Scheduler: inventoryScheduler{controller: c},
@@ -34,11 +34,9 @@
 // inventoryShards implements inventory.Shards.
 type inventoryShards struct {
 	*ownership.Manager
-	controller *Controller
+	shardStore
 }
 
-func (a inventoryShards) Load(shard *state.Shard) { a.controller.loadShard(shard) }
-
 // inventoryWorkers implements inventory.Workers.
 type inventoryWorkers struct{ controller *Controller }
 
