--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -22,7 +22,7 @@
 }
 
 // ReplyFunc passes the reply to an outgoing call to the controller.
-type ReplyFunc func(call messages.CallID, body any)
+type ReplyFunc func(call messages.CallID, body messages.ReplyBody)
 
 // Engine runs the state machine of a controller. Request and DeliverReply may be called
 // from any goroutine; everything else belongs to the goroutine of Run.
@@ -85,7 +85,7 @@
 
 // DeliverReply passes the reply to an outgoing call to the controller. It waits while
 // the inbox is full, and drops the reply once the engine has stopped.
-func (e *Engine) DeliverReply(call messages.CallID, body any) {
+func (e *Engine) DeliverReply(call messages.CallID, body messages.ReplyBody) {
 	makeEvent := func(messages.RequestID) messages.Event { return messages.Reply{Call: call, Body: body} }
 	select {
 	case e.inbox <- queuedEvent{makeEvent: makeEvent, enqueuedAt: time.Now()}:
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -23,12 +23,12 @@
 	timers   timerQueue
 
 	lastCall     messages.CallID
-	pendingCalls map[messages.CallID]func(body any)
+	pendingCalls map[messages.CallID]func(body messages.ReplyBody)
 }
 
 // New makes a loop whose time is 0.
 func New() *Loop {
-	return &Loop{pendingCalls: map[messages.CallID]func(any){}}
+	return &Loop{pendingCalls: map[messages.CallID]func(messages.ReplyBody){}}
 }
 
 // Begin starts a step: its effects are collected from now on. Time never goes
@@ -59,10 +59,10 @@
 // Call registers an outgoing call whose reply has the type R, and returns the id
 // that its effect must carry. A reply of another type is an error of an I/O
 // actor: it is logged and dropped.
-func Call[R any](l *Loop, handle func(R)) messages.CallID {
+func Call[R messages.ReplyBody](l *Loop, handle func(R)) messages.CallID {
 	l.lastCall++
 	call := l.lastCall
-	l.pendingCalls[call] = func(body any) {
+	l.pendingCalls[call] = func(body messages.ReplyBody) {
 		reply, ok := body.(R)
 		if !ok {
 			l.Log(messages.LogError, "reply of the wrong type", "call", uint64(call), "type", fmt.Sprintf("%T", body))
--- a/internal/messages/events.go
+++ b/internal/messages/events.go
@@ -58,7 +58,7 @@
 // Reply answers an outgoing call.
 type Reply struct {
 	Call CallID
-	Body any
+	Body ReplyBody
 }
 
 func (Tick) isEvent()        {}
--- /dev/null
+++ b/internal/messages/reply.go
@@ -0,0 +1,16 @@
+package messages
+
+// ReplyBody is what an outgoing call is answered with: one type for each kind of
+// call.
+type ReplyBody interface{ isReplyBody() }
+
+func (TxnReply) isReplyBody()          {}
+func (GetReply) isReplyBody()          {}
+func (ListReply) isReplyBody()         {}
+func (WatchReply) isReplyBody()        {}
+func (MachineTypesReply) isReplyBody() {}
+func (ScaleOutReply) isReplyBody()     {}
+func (ScaleInReply) isReplyBody()      {}
+func (CloudListReply) isReplyBody()    {}
+func (PushCommandsReply) isReplyBody() {}
+func (PeerReply) isReplyBody()         {}
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -133,7 +133,7 @@
 }
 
 // reply answers a request.
-func (m *testManager) reply(call messages.CallID, body any) {
+func (m *testManager) reply(call messages.CallID, body messages.ReplyBody) {
 	m.loop.Deliver(messages.Reply{Call: call, Body: body})
 }
 
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -151,12 +151,12 @@
 
 // replyAfter delivers the reply after a delay; a later process of the node never
 // gets it.
-func (c pendingCall) replyAfter(delay cluster.Time, body any) {
+func (c pendingCall) replyAfter(delay cluster.Time, body messages.ReplyBody) {
 	c.node.set.After(delay, func() { c.reply(body) })
 }
 
 // reply delivers the reply at once.
-func (c pendingCall) reply(body any) {
+func (c pendingCall) reply(body messages.ReplyBody) {
 	if c.isAwaited() {
 		c.node.step(messages.Reply{Call: c.id, Body: body})
 	}
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -51,9 +51,9 @@
 type storeCall struct {
 	pendingCall
 	write   bool
-	refused any // the reply of a service that is down
-	unknown any // what the controller gets when there is no reply
-	apply   func() any
+	refused messages.ReplyBody // the reply of a service that is down
+	unknown messages.ReplyBody // what the controller gets when there is no reply
+	apply   func() messages.ReplyBody
 }
 
 func (s *Store) transact(node *Node, txn messages.StoreTxn) {
@@ -62,7 +62,7 @@
 		write:       true,
 		refused:     messages.TxnReply{Outcome: messages.NotApplied},
 		unknown:     messages.TxnReply{Outcome: messages.UnknownOutcome},
-		apply:       func() any { return s.applyTxn(node, txn) },
+		apply:       func() messages.ReplyBody { return s.applyTxn(node, txn) },
 	})
 }
 
@@ -71,7 +71,7 @@
 		pendingCall: node.newCall(get.Call),
 		refused:     messages.GetReply{Outcome: messages.NotApplied},
 		unknown:     messages.GetReply{Outcome: messages.UnknownOutcome},
-		apply:       func() any { return s.service.Get(get.Key) },
+		apply:       func() messages.ReplyBody { return s.service.Get(get.Key) },
 	})
 }
 
@@ -80,7 +80,7 @@
 		pendingCall: node.newCall(list.Call),
 		refused:     messages.ListReply{Outcome: messages.NotApplied},
 		unknown:     messages.ListReply{Outcome: messages.UnknownOutcome},
-		apply:       func() any { return s.service.List(list.Prefix) },
+		apply:       func() messages.ReplyBody { return s.service.List(list.Prefix) },
 	})
 }
 
@@ -95,7 +95,7 @@
 		pendingCall: node.newCall(watch.Call),
 		refused:     messages.WatchReply{Outcome: messages.NotApplied},
 		unknown:     messages.WatchReply{Outcome: messages.UnknownOutcome},
-		apply:       func() any { return s.service.Changes(watch.Prefix, watch.SinceRevision) },
+		apply:       func() messages.ReplyBody { return s.service.Changes(watch.Prefix, watch.SinceRevision) },
 	})
 }
 
--- a/internal/simulation/version_filter.go
+++ b/internal/simulation/version_filter.go
@@ -73,7 +73,7 @@
 }
 
 // filterProductionReply is what the production version reads of a reply.
-func filterProductionReply(body any) any {
+func filterProductionReply(body messages.ReplyBody) messages.ReplyBody {
 	switch reply := body.(type) {
 	case messages.GetReply:
 		reply.KV.Value = FilterProductionRecord(reply.KV.Key, reply.KV.Value)
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -33,7 +33,7 @@
 func Execute[T any](t *testing.T, start func(engine.ReplyFunc)) T {
 	t.Helper()
 	replies := make(chan any, 1)
-	start(func(_ messages.CallID, body any) { replies <- body })
+	start(func(_ messages.CallID, body messages.ReplyBody) { replies <- body })
 	select {
 	case body := <-replies:
 		reply, ok := body.(T)
