--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -6,7 +6,6 @@
 	"stairrelay/internal/messages"
 	"stairrelay/internal/provisioning"
 	"stairrelay/internal/scheduling"
-	"stairrelay/internal/state"
 )
 
 // provisioningConfig is what provisioning needs of the settings.
@@ -38,7 +37,7 @@
 		Capacity:          c.scheduler,
 		Eligibility:       c.scheduler.Eligibility,
 		RunTimes:          c.scheduler.RunTimes,
-		Sharing:           machineSharing{controller: c},
+		Sharing:           machineSharing{c.scheduler.Rebalancer, c.scheduler.Loads},
 		RequestScheduling: c.scheduler.Trigger.Request,
 		CountMachineScans: c.counters.AddMachineScans,
 		StretchDelay:      c.processHealth.StretchDelay,
@@ -60,18 +59,10 @@
 }
 
 // machineSharing shares the machines among the shards for provisioning.
-type machineSharing struct{ controller *Controller }
-
-// CordonSurplus implements provisioning.MachineSharing.
-func (s machineSharing) CordonSurplus() { s.controller.cordonSurplusMachines() }
-
-// AcceptOffers implements provisioning.MachineSharing.
-func (s machineSharing) AcceptOffers(shard *state.Shard, work scheduling.PendingWork) {
-	s.controller.acceptOffers(shard, work)
+type machineSharing struct {
+	*scheduling.Rebalancer
+	loads *scheduling.ShardLoads
 }
 
-// CanScaleOut implements provisioning.MachineSharing.
-func (s machineSharing) CanScaleOut(shard *state.Shard) bool { return s.controller.canScaleOut(shard) }
-
 // ShardLoads implements provisioning.MachineSharing.
-func (s machineSharing) ShardLoads() fairshare.Snapshot { return s.controller.allShardLoads() }
+func (s machineSharing) ShardLoads() fairshare.Snapshot { return s.loads.All() }
