--- a/cmd/stairrelay/command.go
+++ b/cmd/stairrelay/command.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -84,9 +83,9 @@
 		return err
 	}
 	for _, warning := range loaded.Warnings {
-		fmt.Fprintln(command.ErrOrStderr(), "odd:", warning)
+		command.PrintErrln("odd:", warning)
 	}
-	fmt.Fprintln(command.OutOrStdout(), "ok")
+	command.Println("ok")
 	return nil
 }
 
@@ -101,5 +100,5 @@
 }
 
 func printVersion(command *cobra.Command, _ []string) {
-	fmt.Fprintln(command.OutOrStdout(), "stairrelay", version)
+	command.Println("stairrelay", version)
 }
--- a/cmd/stairrelay/main.go
+++ b/cmd/stairrelay/main.go
@@ -33,7 +33,7 @@
 	if err == nil {
 		return exitSuccess
 	}
-	fmt.Fprintln(stderr, "stairrelay:", err)
+	_, _ = fmt.Fprintln(stderr, "stairrelay:", err) // where stderr is closed, the exit status has to do
 	var settingsProblem *settingsError
 	if errors.As(err, &settingsProblem) {
 		return exitSettings
--- a/cmd/stairrelay/main_test.go
+++ b/cmd/stairrelay/main_test.go
@@ -120,7 +120,7 @@
 // occupy listens on a port until the test ends and returns its address.
 func occupy(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", freeAddress)
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", freeAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,7 +238,7 @@
 	keepProcessLimits(t)
 	t.Setenv(operatorsEnv, "")
 	t.Setenv(logLevelEnv, "error")
-	reserved, err := net.Listen("tcp", freeAddress)
+	reserved, err := new(net.ListenConfig).Listen(t.Context(), "tcp", freeAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,7 +261,8 @@
 	case <-time.After(patience):
 		t.Fatal("the controller still runs")
 	}
-	if _, err := net.Dial("tcp", address); err == nil {
+	if conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", address); err == nil {
+		_ = conn.Close()
 		t.Errorf("%s is still open", address)
 	}
 }
@@ -270,7 +271,7 @@
 func awaitConnection(t *testing.T, address string) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		conn, err := net.Dial("tcp", address)
+		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", address)
 		if err == nil {
 			_ = conn.Close()
 			return
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"net"
@@ -94,9 +95,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	programPath = filepath.Join(dir, "stairrelay")
-	build := exec.Command("go", "build", "-o", programPath, "stairrelay/cmd/stairrelay")
+	build := exec.CommandContext(context.Background(), "go", "build", "-o", programPath, "stairrelay/cmd/stairrelay")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
@@ -160,11 +161,11 @@
 	t.Helper()
 	var addresses []string
 	for range n {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer listener.Close()
+		defer func() { _ = listener.Close() }()
 		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses
@@ -212,7 +213,7 @@
 func (c *processCluster) startNode(node int) {
 	c.t.Helper()
 	log := &bytes.Buffer{}
-	process := exec.Command(programPath, "--config", c.settingsPaths[node])
+	process := exec.CommandContext(c.t.Context(), programPath, "--config", c.settingsPaths[node])
 	process.Stderr = log
 	if err := process.Start(); err != nil {
 		c.t.Fatal(err)
@@ -223,7 +224,12 @@
 }
 
 func (c *processCluster) isHealthy(node int) bool {
-	response, err := c.client.Get("http://" + c.frontAddresses[node] + "/healthz")
+	c.t.Helper()
+	request, err := http.NewRequestWithContext(c.t.Context(), http.MethodGet, "http://"+c.frontAddresses[node]+"/healthz", nil)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	response, err := c.client.Do(request)
 	if err != nil {
 		return false
 	}
@@ -300,7 +306,7 @@
 // status 0: there was no answer.
 func (c *processCluster) callUserAPI(method string, node int, path, body string) (int, string) {
 	c.t.Helper()
-	request, err := http.NewRequest(method, "http://"+c.frontAddresses[node]+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+c.frontAddresses[node]+path, strings.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -129,7 +129,7 @@
 func TestBadSettingsExit(t *testing.T) {
 	dir := t.TempDir()
 	for _, args := range [][]string{{"--config", filepath.Join(dir, "none.toml")}, {"check-config", filepath.Join(dir, "none.toml")}, {}} {
-		out, err := exec.Command(programPath, args...).CombinedOutput()
+		out, err := exec.CommandContext(t.Context(), programPath, args...).CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 2 || strings.Count(string(out), "\n") != 1 {
 			t.Errorf("%v: %v %q", args, err, out)
--- a/internal/e2e/heartbeat_bench_test.go
+++ b/internal/e2e/heartbeat_bench_test.go
@@ -52,7 +52,8 @@
 // startHeartbeatServer starts a controller whose state service refuses everything:
 // after half a second reports get their 503 at once. It has so many connections
 // for workers and users. It returns its address, and counts what is open.
-func startHeartbeatServer(b testing.TB, connections int) (string, *sockets.ConnectionLimiter) {
+func startHeartbeatServer(tb testing.TB, connections int) (string, *sockets.ConnectionLimiter) {
+	tb.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	config := controller.Config{
 		Self:              "n0",
@@ -81,16 +82,16 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b.Cleanup(cancel)
+	tb.Cleanup(cancel)
 	go eng.Run(ctx, engine.Executors{Store: refuse, Cloud: nothing, Workers: nothing, Peers: func(messages.PeerCall) {}})
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
 	front := sockets.NewConnectionLimiter(connections)
 	server := front.NewServer(users.Handler(eng, front.UserMiddleware, front.WorkerMiddleware(workers.Handler(eng, log))), time.Minute)
 	go func() { _ = server.Serve(listener) }()
-	b.Cleanup(func() { server.Close() })
+	tb.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String(), front
 }
 
@@ -102,12 +103,13 @@
 	closeAnnounced bool // the last answer said so
 }
 
-func dialHeartbeatSender(b testing.TB, addr string) *heartbeatSender {
-	conn, err := net.Dial("tcp", addr)
+func dialHeartbeatSender(tb testing.TB, addr string) *heartbeatSender {
+	tb.Helper()
+	conn, err := new(net.Dialer).DialContext(tb.Context(), "tcp", addr)
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	b.Cleanup(func() { conn.Close() })
+	tb.Cleanup(func() { _ = conn.Close() })
 	header := "POST /checkin HTTP/1.1\r\n" +
 		"Host: 10.0.0.1:8080\r\n" +
 		"Content-Type: application/json\r\n" +
@@ -119,9 +121,10 @@
 	}
 }
 
-func (s *heartbeatSender) mustSend(b testing.TB) {
+func (s *heartbeatSender) mustSend(tb testing.TB) {
+	tb.Helper()
 	if err := s.sendHeartbeat(); err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -11,15 +11,15 @@
 	"stairrelay/internal/simulation/httpfake"
 )
 
-// submitWithDependencies hands in a job of one task that awaits others, until it is taken:
-// in the first second after its start a controller may not know yet that all
-// the others run a release that understands pipelines.
-func (c *processCluster) submitWithDependencies(node int, id, team string, run time.Duration, awaits ...string) {
+// submitWithDependencies submits a job of one task of a second that depends on others,
+// until it is accepted: in the first second after its start a controller may not know
+// yet that all the others run a release that understands dependencies.
+func (c *processCluster) submitWithDependencies(node int, id, team string, dependencies ...string) {
 	c.t.Helper()
 	c.services.WithLock(func() {
-		c.services.Jobs[cluster.JobID(id)] = simulation.JobInfo{ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}, RunDuration: cluster.Time(run), TaskCount: 1, Image: "img"}
+		c.services.Jobs[cluster.JobID(id)] = simulation.JobInfo{ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}, RunDuration: cluster.Time(time.Second), TaskCount: 1, Image: "img"}
 	})
-	body := addDependencies(httpfake.Submission(id, team, 1), fmt.Sprintf(`["%s"]`, strings.Join(awaits, `","`)))
+	body := addDependencies(httpfake.Submission(id, team, 1), fmt.Sprintf(`["%s"]`, strings.Join(dependencies, `","`)))
 	c.waitFor(id+" accepted", func() bool {
 		status, _ := c.callUserAPI("POST", node, "/v2/runs", body)
 		return status == 200 || status == 201
@@ -45,8 +45,8 @@
 	if status := c.submit(0, "j-000051", "red", 1, 3*time.Second); status != 201 {
 		t.Fatalf("submitted: %d", status)
 	}
-	c.submitWithDependencies(1, "j-000052", "green", time.Second, "j-000051")
-	c.submitWithDependencies(2, "j-000053", "blue", time.Second, "j-000052", "j-000051")
+	c.submitWithDependencies(1, "j-000052", "green", "j-000051")
+	c.submitWithDependencies(2, "j-000053", "blue", "j-000052", "j-000051")
 	c.waitFor("first job runs", func() bool { return c.startCount("j-000051") == 1 })
 	if second, third := c.startCount("j-000052"), c.startCount("j-000053"); second+third > 0 {
 		t.Errorf("started before the first is done: %d and %d times", second, third)
@@ -61,8 +61,8 @@
 	if status := c.submit(1, "j-000061", "red", 1, 60*time.Second); status != 201 {
 		t.Fatalf("submitted: %d", status)
 	}
-	c.submitWithDependencies(2, "j-000062", "green", time.Second, "j-000061")
-	c.submitWithDependencies(0, "j-000063", "blue", time.Second, "j-000062")
+	c.submitWithDependencies(2, "j-000062", "green", "j-000061")
+	c.submitWithDependencies(0, "j-000063", "blue", "j-000062")
 	c.waitFor("first job is cancelled", func() bool {
 		status, state := c.callUserAPI("POST", 2, "/v2/runs/j-000061/cancel", "")
 		return status == 200 && state == "cancelled"
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -63,7 +63,8 @@
 		return slog.LevelDebug
 	case messages.LogError:
 		return slog.LevelError
-	default:
+	case messages.LogInfo:
 		return slog.LevelInfo
 	}
+	return slog.LevelInfo
 }
--- a/internal/peers/client_test.go
+++ b/internal/peers/client_test.go
@@ -75,7 +75,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	requester := &wiretest.Requester{Response: messages.Respond{Error: "unknown sender"}}
 	recorder := httptest.NewRecorder()
-	Handler(requester, log).ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, messagePath, strings.NewReader(string(frame))))
+	Handler(requester, log).ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodPost, messagePath, strings.NewReader(string(frame))))
 	if recorder.Code != http.StatusBadRequest || recorder.Body.String() != "unknown sender\n" {
 		t.Errorf("answered %d %q", recorder.Code, recorder.Body)
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"log/slog"
+	"net/http"
 	"net/http/httptest"
 	"reflect"
 	"strings"
@@ -31,7 +32,7 @@
 	handler := Handler(echoRequester{}, slog.New(slog.NewTextHandler(&bytes.Buffer{}, nil)))
 	post := func(body []byte) (int, []byte) {
 		recorder := httptest.NewRecorder()
-		handler.ServeHTTP(recorder, httptest.NewRequest("POST", messagePath, bytes.NewReader(body)))
+		handler.ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodPost, messagePath, bytes.NewReader(body)))
 		return recorder.Code, recorder.Body.Bytes()
 	}
 	offer := messages.TransferOffer{Key: "groups/g", ModRevision: 9, Recipient: 1, Kinds: []messages.MachineKindCount{{Type: "x", Count: 3}}}
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -118,6 +118,8 @@
 	case cluster.Checkpointing:
 		task.finish(cluster.CauseStopped)
 		task.Saved = true
+	case cluster.Ended:
+		// No state follows.
 	}
 }
 
--- a/internal/simulation/httpfake/services.go
+++ b/internal/simulation/httpfake/services.go
@@ -131,7 +131,7 @@
 
 // serve starts a server on loopback and returns its address.
 func (s *Services) serve(handler http.Handler) (string, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(s.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
--- a/internal/simulation/httpfake/worker.go
+++ b/internal/simulation/httpfake/worker.go
@@ -262,7 +262,12 @@
 	if err != nil {
 		return 0, heartbeatAnswerForm{}, fmt.Errorf("encoding a heartbeat: %w", err)
 	}
-	response, err := client.Post("http://"+address+"/checkin", "application/json", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address+"/checkin", bytes.NewReader(body))
+	if err != nil {
+		return 0, heartbeatAnswerForm{}, fmt.Errorf("a heartbeat to %s: %w", address, err)
+	}
+	request.Header.Set("Content-Type", "application/json")
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, heartbeatAnswerForm{}, fmt.Errorf("sending a heartbeat to %s: %w", address, err)
 	}
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -50,66 +50,74 @@
 	worker.startTask(cluster.Command{Kind: cluster.Start, Task: cluster.TaskID{Job: job.Spec.ID}, Attempt: 1})
 }
 
+// Two machines of newCheckedCluster.
+const (
+	firstMachine = cluster.MachineID("m-000001")
+	otherMachine = cluster.MachineID("m-000002")
+)
+
+// brokenRules names ways to break a rule, with what the checker has to report.
+var brokenRules = map[string]struct {
+	violate func(s *Simulator)
+	want    string
+}{
+	"a task runs twice": {func(s *Simulator) {
+		job := addTestJob(s, "j-1")
+		startOn(s, firstMachine, job)
+		startOn(s, otherMachine, job)
+	}, "ran_twice"},
+	"a task runs in a zone that its job excludes": {func(s *Simulator) {
+		job := addTestJob(s, "j-1")
+		job.Spec.Zone = "b"
+		startOn(s, firstMachine, job)
+	}, "wrong_place"},
+	"a task starts before a dependency is done": {func(s *Simulator) {
+		addTestJob(s, "j-1")
+		startOn(s, firstMachine, addTestJob(s, "j-2", "j-1"))
+	}, "too_early"},
+	"a team exceeds its quota limit": {func(s *Simulator) {
+		startOn(s, firstMachine, addTestJob(s, "j-1"))
+		startOn(s, otherMachine, addTestJob(s, "j-2"))
+		s.checker.checkAll()
+	}, "quota"},
+	"a cancelled job's task goes on": {func(s *Simulator) {
+		job := addTestJob(s, "j-1")
+		startOn(s, firstMachine, job)
+		job.CancelRequested = true
+		s.After(second, func() { s.Users.CheckReportedStatus(job, cluster.JobCancelled) })
+		s.After(second+s.config.CancelDeadline+millisecond, s.checker.checkAll)
+		s.RunUntil(100 * second)
+	}, "ran_cancelled"},
+	"a job is called done before it is": {func(s *Simulator) {
+		s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobDone)
+	}, "not_done"},
+	"a job is called cancelled unasked": {func(s *Simulator) {
+		s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobCancelled)
+	}, "went_back"},
+	"an ended job is called running": {func(s *Simulator) {
+		job := addTestJob(s, "j-1")
+		job.CancelRequested = true
+		s.Users.CheckReportedStatus(job, cluster.JobCancelled)
+		s.Users.CheckReportedStatus(job, cluster.JobRunning)
+	}, "went_back"},
+	"no query of a job is answered": {func(s *Simulator) {
+		addTestJob(s, "j-1")
+		s.FaultsOverAt = second
+		s.After(second+forgottenAfter+millisecond, s.checker.checkForgotten)
+		s.RunUntil(100 * second)
+	}, "forgotten"},
+	"a job waits while there is room": {func(s *Simulator) {
+		addTestJob(s, "j-1")
+		s.FaultsOverAt = second
+		s.repeatEvery(5*second, s.checker.starvation.check)
+		s.RunUntil(120 * second)
+	}, "left_waiting"},
+}
+
 // TestBrokenRulesAreReported: the checker finds each rule that is broken. A checker
 // that reports nothing would let every simulated day pass.
 func TestBrokenRulesAreReported(t *testing.T) {
-	const first, other = cluster.MachineID("m-000001"), cluster.MachineID("m-000002")
-	for name, test := range map[string]struct {
-		violate func(s *Simulator)
-		want    string
-	}{
-		"a task runs twice": {func(s *Simulator) {
-			job := addTestJob(s, "j-1")
-			startOn(s, first, job)
-			startOn(s, other, job)
-		}, "ran_twice"},
-		"a task runs in a zone that its job excludes": {func(s *Simulator) {
-			job := addTestJob(s, "j-1")
-			job.Spec.Zone = "b"
-			startOn(s, first, job)
-		}, "wrong_place"},
-		"a task starts before a dependency is done": {func(s *Simulator) {
-			addTestJob(s, "j-1")
-			startOn(s, first, addTestJob(s, "j-2", "j-1"))
-		}, "too_early"},
-		"a team exceeds its quota limit": {func(s *Simulator) {
-			startOn(s, first, addTestJob(s, "j-1"))
-			startOn(s, other, addTestJob(s, "j-2"))
-			s.checker.checkAll()
-		}, "quota"},
-		"a cancelled job's task goes on": {func(s *Simulator) {
-			job := addTestJob(s, "j-1")
-			startOn(s, first, job)
-			job.CancelRequested = true
-			s.After(second, func() { s.Users.CheckReportedStatus(job, cluster.JobCancelled) })
-			s.After(second+s.config.CancelDeadline+millisecond, s.checker.checkAll)
-			s.RunUntil(100 * second)
-		}, "ran_cancelled"},
-		"a job is called done before it is": {func(s *Simulator) {
-			s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobDone)
-		}, "not_done"},
-		"a job is called cancelled unasked": {func(s *Simulator) {
-			s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobCancelled)
-		}, "went_back"},
-		"an ended job is called running": {func(s *Simulator) {
-			job := addTestJob(s, "j-1")
-			job.CancelRequested = true
-			s.Users.CheckReportedStatus(job, cluster.JobCancelled)
-			s.Users.CheckReportedStatus(job, cluster.JobRunning)
-		}, "went_back"},
-		"no query of a job is answered": {func(s *Simulator) {
-			addTestJob(s, "j-1")
-			s.FaultsOverAt = second
-			s.After(second+forgottenAfter+millisecond, s.checker.checkForgotten)
-			s.RunUntil(100 * second)
-		}, "forgotten"},
-		"a job waits while there is room": {func(s *Simulator) {
-			addTestJob(s, "j-1")
-			s.FaultsOverAt = second
-			s.repeatEvery(5*second, s.checker.starvation.check)
-			s.RunUntil(120 * second)
-		}, "left_waiting"},
-	} {
+	for name, test := range brokenRules {
 		t.Run(name, func(t *testing.T) {
 			s := newCheckedCluster(t)
 			test.violate(s)
--- a/internal/simulation/odd_requests.go
+++ b/internal/simulation/odd_requests.go
@@ -92,19 +92,23 @@
 // checkStatusAnswer checks an answer that should bring the status of a job; the
 // status counts if it is current.
 func (o *OddRequests) checkStatusAnswer(kind FaultKind, job *Job, answer messages.Respond, current func() bool) {
-	switch answer.Status {
-	case messages.ReplyNone, messages.ReplyUnavailable:
-	case messages.ReplyOK:
-		if answer.View == nil {
-			o.reportViolation("%s get no state: %s", kind, job.Spec.ID)
-		} else if current() {
-			o.users.CheckReportedStatus(job, answer.View.Status)
-		}
-	default:
+	switch {
+	case isUndecided(answer.Status):
+	case answer.Status != messages.ReplyOK:
 		o.reportViolation("forgotten: %s get %d: %s", kind, answer.Status, job.Spec.ID)
+	case answer.View == nil:
+		o.reportViolation("%s get no state: %s", kind, job.Spec.ID)
+	case current():
+		o.users.CheckReportedStatus(job, answer.View.Status)
 	}
 }
 
+// isUndecided tells whether a request may succeed when it is made again: it had no
+// answer, or could not be decided.
+func isUndecided(status messages.ReplyStatus) bool {
+	return status == messages.ReplyNone || status == messages.ReplyUnavailable
+}
+
 // rejectedSubmission is a submission that the controllers have to reject.
 type rejectedSubmission struct {
 	kind      FaultKind
@@ -158,26 +162,21 @@
 }
 
 func (o *OddRequests) checkRejection(submission rejectedSubmission, answer messages.Respond) {
-	switch answer.Status {
-	case submission.want:
+	switch {
+	case answer.Status == submission.want:
 		o.FaultCounts[submission.kind]++
-		return
-	case messages.ReplyNone, messages.ReplyUnavailable:
-		return
-	case messages.ReplyTooManyRequests:
-		if submission.rejection == messages.ReplyNone {
-			return
-		}
+	case isUndecided(answer.Status):
+	case answer.Status == messages.ReplyTooManyRequests && submission.rejection == messages.ReplyNone:
+		// A controller with too much to do need not look at the job.
+	default:
+		o.reportViolation("%s get %d: %s", submission.kind, answer.Status, submission.spec.ID)
 	}
-	o.reportViolation("%s get %d: %s", submission.kind, answer.Status, submission.spec.ID)
 }
 
 func (o *OddRequests) queryRejected(submission rejectedSubmission) {
 	id := submission.spec.ID
 	o.nodes.random().SendRequest(queryRequest(id), func(answer messages.Respond) {
-		switch answer.Status {
-		case messages.ReplyNone, messages.ReplyUnavailable, messages.ReplyJobNotFound:
-		default:
+		if !isUndecided(answer.Status) && answer.Status != messages.ReplyJobNotFound {
 			o.reportViolation("invented: queries of %s, one of the %s, get %d", id, submission.kind, answer.Status)
 		}
 	})
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -63,7 +63,7 @@
 			u.handleAccepted(job, asked, answer.View.Status)
 		case messages.ReplyBadRequest, messages.ReplyUnschedulable:
 			u.reportViolation("%s refused with %d", job.Spec.ID, answer.Status)
-		default:
+		case messages.ReplyNone, messages.ReplyJobNotFound, messages.ReplyMisdirected, messages.ReplyTooManyRequests, messages.ReplyUnavailable:
 			if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
 				u.FaultCounts[FaultDependentRejectedInUpgrade]++
 			}
@@ -126,6 +126,9 @@
 		}
 	case messages.ReplyJobNotFound:
 		u.reportViolation("forgotten: %s", job.Spec.ID)
+	case messages.ReplyNone, messages.ReplyCreated, messages.ReplyBadRequest, messages.ReplyMisdirected,
+		messages.ReplyUnschedulable, messages.ReplyTooManyRequests, messages.ReplyUnavailable:
+		// The next poll asks again.
 	}
 }
 
--- a/internal/simulation/version_filter_test.go
+++ b/internal/simulation/version_filter_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestProductionVersionIgnoresNewFields: what that version does not know is gone
-// when it has read a record or a message, and all else is still there.
+// when it has read a record, and all else is still there.
 func TestProductionVersionIgnoresNewFields(t *testing.T) {
 	for key, test := range map[string]struct{ value, want string }{
 		"jobs/j-1":    {`{"s":{"c":"x","aw":["j-0"]},"w":"b1-1"}`, `{"s":{"c":"x"},"w":"b1-1"}`},
@@ -43,20 +43,44 @@
 			t.Errorf("%s: read as %s, want %s", key, got, test.want)
 		}
 	}
+}
+
+// TestProductionVersionSendsOldMessages: an upgraded peer gets from that version only what
+// it knows, and the message that was given to the filter stays as it is.
+func TestProductionVersionSendsOldMessages(t *testing.T) {
 	ping := messages.PeerCall{Message: messages.PeerMessage{Ping: &messages.Ping{InstanceID: "b1", FeatureLevel: 1}}}
-	sent := filterEffect(ProductionVersion, ping).(messages.PeerCall).Message.Ping
+	call, ok := filterEffect(ProductionVersion, ping).(messages.PeerCall)
+	if !ok {
+		t.Fatal("the filter changed the effect's type")
+	}
+	sent := call.Message.Ping
 	if sent.FeatureLevel != 0 || sent.InstanceID != "b1" {
 		t.Errorf("sent %+v", sent)
 	}
 	if ping.Message.Ping.FeatureLevel != 1 {
 		t.Error("the filter changed the message itself")
 	}
+}
+
+// TestProductionVersionReadsOldMessages: that version reads of a message only what it
+// knows; the current version reads all of it.
+func TestProductionVersionReadsOldMessages(t *testing.T) {
 	proxied := messages.PeerRequest{Message: messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: "j-1", Spec: cluster.JobSpec{Team: "red", Dependencies: []cluster.JobID{"j-0"}}}}}
-	read := filterEvent(ProductionVersion, proxied).(messages.PeerRequest).Message.Submission
+	read := filterSubmission(t, ProductionVersion, proxied)
 	if len(read.Spec.Dependencies) != 0 || read.Spec.Team != "red" {
 		t.Errorf("read %+v", read)
 	}
-	if same := filterEvent(CurrentVersion, proxied).(messages.PeerRequest).Message.Submission; len(same.Spec.Dependencies) != 1 {
+	if same := filterSubmission(t, CurrentVersion, proxied); len(same.Spec.Dependencies) != 1 {
 		t.Error("the current version is filtered")
 	}
 }
+
+// filterSubmission returns a proxied submission as a version reads it.
+func filterSubmission(t *testing.T, version Version, event messages.Event) *messages.ProxiedSubmission {
+	t.Helper()
+	request, ok := filterEvent(version, event).(messages.PeerRequest)
+	if !ok {
+		t.Fatal("the filter changed the event's type")
+	}
+	return request.Message.Submission
+}
--- a/internal/sockets/connectionlimiter.go
+++ b/internal/sockets/connectionlimiter.go
@@ -113,6 +113,8 @@
 		l.evictIdle()
 	case http.StateIdle:
 		l.addIdle(entry)
+	case http.StateActive:
+		// A connection in use is in no list of idle ones.
 	case http.StateClosed, http.StateHijacked:
 		delete(l.connections, conn)
 	}
@@ -126,6 +128,7 @@
 		l.idleUsers.add(entry)
 	case workerRole:
 		l.idleWorkers.add(entry)
+	case unknownRole:
 	}
 }
 
--- a/internal/sockets/connectionlimiter_test.go
+++ b/internal/sockets/connectionlimiter_test.go
@@ -18,7 +18,7 @@
 // address.
 func serve(t *testing.T, limiter *ConnectionLimiter, handler http.Handler, idleTimeout time.Duration) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 // dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", address)
+	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,12 +59,19 @@
 	return near, far
 }
 
-// sendRequest makes a request on a connection and returns the answer's headers.
-func sendRequest(t *testing.T, conn net.Conn, path string) (*http.Response, error) {
+// sendRequest makes a request on a connection. It tells whether the answer announces that
+// the server closes the connection.
+func sendRequest(t *testing.T, conn net.Conn, path string) (closeAnnounced bool, err error) {
 	t.Helper()
 	_ = conn.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path)
-	return http.ReadResponse(bufio.NewReader(conn), nil)
+	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path); err != nil {
+		return false, err
+	}
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return false, err
+	}
+	return response.Close, response.Body.Close()
 }
 
 // await waits until the condition holds; describe says what it is about.
@@ -127,11 +134,11 @@
 			if connections[worker] == nil {
 				connections[worker] = dial(t, address)
 			}
-			response, err := sendRequest(t, connections[worker], "/checkin")
+			closeAnnounced, err := sendRequest(t, connections[worker], "/checkin")
 			if err != nil {
 				t.Fatalf("worker %d: %v", worker, err)
 			}
-			if response.Close {
+			if closeAnnounced {
 				_ = connections[worker].Close()
 				delete(connections, worker)
 				awaitOpenConnections(t, limiter, len(connections))
@@ -169,11 +176,11 @@
 	}
 	for i := range 3 {
 		user := dial(t, address)
-		response, err := sendRequest(t, user, "/v2/x")
+		closeAnnounced, err := sendRequest(t, user, "/v2/x")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if response.Close {
+		if closeAnnounced {
 			t.Errorf("user %d was told to close while there was room", i)
 		}
 		// The server records that a connection is idle only after its answer has
@@ -181,8 +188,8 @@
 		awaitIdleUsers(t, limiter, i+1)
 		users = append(users, user)
 	}
-	response, err := sendRequest(t, dial(t, address), "/v2/x") // the eighth of eight
-	if err != nil || !response.Close {
+	closeAnnounced, err := sendRequest(t, dial(t, address), "/v2/x") // the eighth of eight
+	if err != nil || !closeAnnounced {
 		t.Errorf("the last user was not told to close: %v", err)
 	}
 	for range 3 { // with the one above closed, two too many: two idle users are evicted
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -61,7 +61,7 @@
 	Attempt cluster.Attempt
 }
 
-// TaskAttempt is the start of the task that the assignment stands for.
+// TaskAttempt returns the start of the task that the assignment stands for.
 func (a *Assignment) TaskAttempt() TaskAttempt { return TaskAttempt{a.Task, a.Attempt} }
 
 // IsCompleted tells whether a report has shown that the task has run to its end.
--- a/internal/state/provisioning.go
+++ b/internal/state/provisioning.go
@@ -4,8 +4,8 @@
 
 // IsProvisioningCurrent tells whether a provisioning request is still one of the
 // shard's: not when it is settled, or the shard was lost or loaded again meanwhile.
-func (p *Shard) IsProvisioningCurrent(request *ProvisioningRequest) bool {
-	return p.Owned && p.ProvisioningRequests[request.Name] == request
+func (s *Shard) IsProvisioningCurrent(request *ProvisioningRequest) bool {
+	return s.Owned && s.ProvisioningRequests[request.Name] == request
 }
 
 // UnansweredRequests counts the provisioning requests that the cloud has not answered.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -21,6 +21,7 @@
 
 // servePages serves a list in three pages, the second of which is throttled once.
 func servePages(t *testing.T) http.HandlerFunc {
+	t.Helper()
 	throttled := false
 	next := map[string]struct {
 		key       string
--- a/internal/users/users_test.go
+++ b/internal/users/users_test.go
@@ -44,9 +44,10 @@
 	return Handler(requester, middleware, heartbeats)
 }
 
-func serve(requester engine.Requester, method, path, body string) *httptest.ResponseRecorder {
+func serve(t *testing.T, requester engine.Requester, method, path, body string) *httptest.ResponseRecorder {
+	t.Helper()
 	recorder := httptest.NewRecorder()
-	newHandler(requester).ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
+	newHandler(requester).ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body)))
 	return recorder
 }
 
@@ -71,7 +72,7 @@
 		"unavailable":   {messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: 2}, 503, "text/plain; charset=utf-8", "2", "\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := serve(&wiretest.Requester{Response: test.response}, http.MethodGet, "/v2/runs/j-000412", "")
+			got := serve(t, &wiretest.Requester{Response: test.response}, http.MethodGet, "/v2/runs/j-000412", "")
 			if got.Code != test.status || got.Body.String() != test.body {
 				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.body)
 			}
@@ -118,7 +119,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
-			got := serve(requester, test.method, test.path, test.body)
+			got := serve(t, requester, test.method, test.path, test.body)
 			if got.Code != test.status || got.Body.String() != test.responseBody {
 				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.responseBody)
 			}
@@ -140,7 +141,7 @@
 // type. It holds the name of a Go type, which therefore must not change.
 func TestMistypedField(t *testing.T) {
 	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
-	serve(requester, http.MethodPost, "/v2/runs", strings.Replace(validSubmission, `"vcpus":8.0`, `"vcpus":"8"`, 1))
+	serve(t, requester, http.MethodPost, "/v2/runs", strings.Replace(validSubmission, `"vcpus":8.0`, `"vcpus":"8"`, 1))
 	want := messages.Submit{
 		Request:   1,
 		Spec:      cluster.JobSpec{ID: "j-000412"},
@@ -157,10 +158,10 @@
 func TestBodyLimit(t *testing.T) {
 	padded := func(length int) string { return validSubmission + strings.Repeat(" ", length-len(validSubmission)) }
 	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyCreated}}
-	if got := serve(requester, http.MethodPost, "/v2/runs", padded(maxBodySize)); got.Code != http.StatusCreated {
+	if got := serve(t, requester, http.MethodPost, "/v2/runs", padded(maxBodySize)); got.Code != http.StatusCreated {
 		t.Errorf("the longest body: answered %d %q", got.Code, got.Body)
 	}
-	got := serve(requester, http.MethodPost, "/v2/runs", padded(maxBodySize+1))
+	got := serve(t, requester, http.MethodPost, "/v2/runs", padded(maxBodySize+1))
 	if got.Code != http.StatusBadRequest || got.Body.String() != "body unreadable or too large\n" {
 		t.Errorf("too long a body: answered %d %q", got.Code, got.Body)
 	}
@@ -172,7 +173,7 @@
 // TestHeartbeatsBypassUsers checks that a worker's heartbeat goes to its own handler
 // and not through the users' middleware, which would count it as a user's.
 func TestHeartbeatsBypassUsers(t *testing.T) {
-	got := serve(&wiretest.Requester{}, http.MethodPost, "/checkin", "{}")
+	got := serve(t, &wiretest.Requester{}, http.MethodPost, "/checkin", "{}")
 	if handledBy := got.Header().Get(handledByHeader); handledBy != workerHandler {
 		t.Errorf("handled by %q, want %q", handledBy, workerHandler)
 	}
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -62,7 +62,7 @@
 
 // TestNotSent checks that only a call without a connection counts as not sent.
 func TestNotSent(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -138,7 +138,7 @@
 // RefusingAddress returns an address at which nothing listens.
 func RefusingAddress(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -46,9 +46,10 @@
 	return Handler(requester, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func serveHeartbeat(handler http.Handler, body string) *httptest.ResponseRecorder {
+func serveHeartbeat(t *testing.T, handler http.Handler, body string) *httptest.ResponseRecorder {
+	t.Helper()
 	recorder := httptest.NewRecorder()
-	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/checkin", strings.NewReader(body)))
+	handler.ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/checkin", strings.NewReader(body)))
 	return recorder
 }
 
@@ -71,7 +72,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			requester := &wiretest.Requester{Response: test.response}
-			got := serveHeartbeat(newTestHandler(requester), validHeartbeat)
+			got := serveHeartbeat(t, newTestHandler(requester), validHeartbeat)
 			if got.Code != test.status || got.Body.String() != test.body {
 				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.body)
 			}
@@ -98,7 +99,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
-			got := serveHeartbeat(newTestHandler(requester), test.body)
+			got := serveHeartbeat(t, newTestHandler(requester), test.body)
 			if got.Code != http.StatusBadRequest || got.Body.String() != test.responseBody {
 				t.Errorf("answered %d %q, want 400 %q", got.Code, got.Body, test.responseBody)
 			}
@@ -113,7 +114,7 @@
 func TestLongestHeartbeat(t *testing.T) {
 	body := validHeartbeat + strings.Repeat(" ", maxBodySize-len(validHeartbeat))
 	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK, Heartbeat: &messages.HeartbeatResponse{}}}
-	if got := serveHeartbeat(newTestHandler(requester), body); got.Code != http.StatusOK {
+	if got := serveHeartbeat(t, newTestHandler(requester), body); got.Code != http.StatusOK {
 		t.Errorf("answered %d %q", got.Code, got.Body)
 	}
 }
@@ -125,7 +126,7 @@
 	var log bytes.Buffer
 	handler := Handler(&wiretest.Requester{}, slog.New(slog.NewTextHandler(&log, nil)))
 	send := func(remoteAddress string) {
-		request := httptest.NewRequest(http.MethodPost, "/checkin", strings.NewReader("{"))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/checkin", strings.NewReader("{"))
 		request.RemoteAddr = remoteAddress
 		handler.ServeHTTP(httptest.NewRecorder(), request)
 	}
--- a/internal/writequeue/reply.go
+++ b/internal/writequeue/reply.go
@@ -39,13 +39,20 @@
 	case messages.Invalid:
 		q.finish(t)
 		q.handleInvalid(t)
+	case messages.UnknownOutcome, messages.NotFound, messages.Compacted:
+		q.retryInDoubt(t)
 	default:
-		t.inDoubt = true
-		q.refund(t)
-		q.retry(t)
+		q.retryInDoubt(t) // whatever it stands for, the transaction may have been applied
 	}
 }
 
+// retryInDoubt sends a transaction again that may have been applied.
+func (q *Queue) retryInDoubt(t *transaction) {
+	t.inDoubt = true
+	q.refund(t)
+	q.retry(t)
+}
+
 func (q *Queue) finish(t *transaction) {
 	q.inFlight--
 	for _, operation := range t.operations {
