--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -39,7 +39,7 @@
 func (r *Requests) ApplyRecord(kv messages.KV, shard *state.Shard) {
 	owner, request, err := decodeRequest(kv)
 	if err != nil {
-		r.deps.Ownership.GiveUpCorrupt(shard, kv.Key, "rental record")
+		r.deps.Ownership.GiveUpCorrupt(shard, kv.Key, err.Error())
 		return
 	}
 	if owner != shard.ID {
@@ -72,7 +72,7 @@
 		// second time. The key of its machines' group stays until the next claim
 		// fences off the copy.
 		ExtraCompares: []messages.Compare{{Key: state.GroupKey(request.GroupID), ModRevision: 0}},
-		OnConflict:    func() { r.deps.Ownership.HandleForeignWrite(shard, key, "name in use") },
+		OnConflict:    func() { r.deps.Ownership.HandleForeignWrite(shard, key, "name is in use") },
 	}
 	write.OnApplied = func(revision cluster.Revision) {
 		request.ModRevision, request.CreateInDoubt = cluster.ModRevision(revision), write.InDoubt
@@ -126,7 +126,7 @@
 // asked for.
 func (r *Requests) handleGranted(shard *state.Shard, request *state.ProvisioningRequest, ids []cluster.MachineID) {
 	option := request.Option
-	r.loop.Log(messages.LogDebug, "rented", "part", int(shard.ID), "type", option.Type, "zone", option.Zone, "spot", option.Spot, "asked", request.Count, "got", len(ids))
+	r.loop.Log(messages.LogDebug, "machines provisioned", "shard", int(shard.ID), "type", option.Type, "zone", option.Zone, "spot", option.Spot, "requested", request.Count, "granted", len(ids))
 	if len(ids) < request.Count {
 		r.backOff(shard, option, r.config.OutOfCapacityBackoff)
 	}
--- a/internal/provisioning/scalein.go
+++ b/internal/provisioning/scalein.go
@@ -75,7 +75,7 @@
 		return
 	}
 	tasks := machine.LiveTaskCount()
-	s.loop.Log(messages.LogDebug, "returning machine", "machine", string(machine.ID), "why", reason, "tasks", tasks)
+	s.loop.Log(messages.LogDebug, "releasing machine", "machine", string(machine.ID), "reason", reason, "tasks", tasks)
 	if s.unlogged.add(reason, tasks) {
 		s.loop.After(releaseLogDelay, s.logReleases)
 	}
@@ -84,7 +84,7 @@
 }
 
 func (s *ScaleIn) logReleases() {
-	s.loop.Log(messages.LogInfo, "returning machines", s.unlogged.takeLogArgs()...)
+	s.loop.Log(messages.LogInfo, "releasing machines", s.unlogged.takeLogArgs()...)
 }
 
 // ReleaseBeforeRecorded gives a machine back before its record says so: it has
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -93,13 +93,13 @@
 func (t *TypeCache) applyStored(kv messages.KV) {
 	t.loaded, t.modRevision = true, kv.ModRevision
 	var record MachineTypesRecord
-	if json.Unmarshal(kv.Value, &record) != nil {
-		t.loop.Log(messages.LogError, "unreadable record", "key", kv.Key)
+	if err := json.Unmarshal(kv.Value, &record); err != nil {
+		t.loop.Log(messages.LogError, "unreadable record", "key", kv.Key, "error", err.Error())
 		return
 	}
 	t.stored = record.Types
 	if len(t.state.MachineTypes) == 0 && len(record.Types) > 0 {
-		t.loop.Log(messages.LogInfo, "machine types from the store", "types", len(record.Types))
+		t.loop.Log(messages.LogInfo, "machine types loaded from the state service", "types", len(record.Types))
 		t.apply(record.Types)
 	}
 }
