--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -48,7 +48,7 @@
 	// The other controllers.
 	members *membership.Members
 
-	// Parts, teams and jobs.
+	// Shards, teams and jobs.
 	ownership *ownership.Manager
 	progress  []shardProgress // by shard
 	jobs      *jobs.Jobs
@@ -61,7 +61,7 @@
 	provisioner *provisioning.Provisioner
 }
 
-// New makes a Core. Nothing happens before the first Step.
+// New makes a Controller. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
 		config:        cfg,
@@ -130,9 +130,9 @@
 	c.reconciler.Heartbeats.AnswerReady()
 }
 
-// respondError answers at once that the request can't be taken now.
-func (c *Controller) respondError(req messages.RequestID, status messages.ReplyStatus, after int, why string) {
-	c.loop.Emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
+// respondError responds at once that a request can't be served, and why.
+func (c *Controller) respondError(request messages.RequestID, status messages.ReplyStatus, why string) {
+	c.loop.Emit(messages.Respond{Request: request, Status: status, Error: why})
 }
 
 // startLoops starts everything that runs on its own.
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -13,23 +13,25 @@
 	"stairrelay/internal/grouprecord"
 )
 
-// testStore is a store that a test plays by hand; what it carries out is real.
+// testStore is a state service in memory.
 type testStore struct {
 	keys     map[string]messages.KV
 	revision cluster.Revision
 }
 
-func (s *testStore) commit(f messages.StoreTxn) messages.TxnReply {
-	for _, w := range f.If {
-		if s.keys[w.Key].ModRevision != w.ModRevision {
-			return messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{w.Key}}
+func (s *testStore) commit(transaction messages.StoreTxn) messages.TxnReply {
+	for _, condition := range transaction.If {
+		if s.keys[condition.Key].ModRevision != condition.ModRevision {
+			return messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{condition.Key}}
 		}
 	}
 	s.revision++
-	for _, o := range f.Then {
-		if s.keys[o.Key] = (messages.KV{Key: o.Key, Value: o.Value, ModRevision: cluster.ModRevision(s.revision)}); o.Value == nil {
-			delete(s.keys, o.Key)
+	for _, operation := range transaction.Then {
+		if operation.Value == nil {
+			delete(s.keys, operation.Key)
+			continue
 		}
+		s.keys[operation.Key] = messages.KV{Key: operation.Key, Value: operation.Value, ModRevision: cluster.ModRevision(s.revision)}
 	}
 	return messages.TxnReply{Outcome: messages.OK, Revision: s.revision}
 }
@@ -42,16 +44,16 @@
 }
 
 func (s *testStore) list(prefix string, since cluster.Revision) []messages.KV {
-	var l []messages.KV
-	for _, k := range slices.Sorted(maps.Keys(s.keys)) {
-		if kv := s.keys[k]; strings.HasPrefix(k, prefix) && kv.ModRevision > cluster.ModRevision(since) {
-			l = append(l, kv)
+	var items []messages.KV
+	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
+		if kv := s.keys[key]; strings.HasPrefix(key, prefix) && kv.ModRevision > cluster.ModRevision(since) {
+			items = append(items, kv)
 		}
 	}
-	return l
+	return items
 }
 
-// controllerHarness is one controller among three, which holds part 0, with its store.
+// controllerHarness is one controller among three, which owns the shards, with its store.
 type controllerHarness struct {
 	*Controller
 	store            *testStore
@@ -94,68 +96,104 @@
 	setTime(c, 100*second)
 	c.jobs.AdmissionRecords.ApplyAll(nil, 0)
 	b := &controllerHarness{Controller: c, store: &testStore{keys: map[string]messages.KV{}, revision: 30}, losesReply: func(messages.StoreTxn) bool { return false }}
-	for _, p := range c.state.Shards {
-		p.Owned, p.Ready, p.Owner, p.ClaimRevision, p.ModRevision, p.Term, p.ConfirmedAt = true, true, "n0", 30, 30, 1, c.loop.Now()
-		p.ProvisioningRequests, p.OutOfCapacityUntil = map[string]*state.ProvisioningRequest{}, map[state.ProvisioningOption]cluster.Time{}
-		b.store.keys[p.Key()] = messages.KV{Key: p.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
+	for _, shard := range c.state.Shards {
+		b.ownShard(shard)
 	}
 	return b
 }
 
-// runFor lets time pass and the store answer; what it was asked for is kept.
-func (b *controllerHarness) runFor(d cluster.Time) {
-	for end := b.loop.Now() + d; b.loop.Now() <= end; setTime(b.Controller, b.loop.Now()+20*millisecond) {
+// ownShard makes a shard the controller's, without machines.
+func (b *controllerHarness) ownShard(shard *state.Shard) {
+	shard.Owned, shard.Ready, shard.Owner, shard.Term = true, true, "n0", 1
+	shard.ClaimRevision, shard.ModRevision, shard.ConfirmedAt = 30, 30, b.loop.Now()
+	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
+	shard.OutOfCapacityUntil = map[state.ProvisioningOption]cluster.Time{}
+	b.store.keys[shard.Key()] = messages.KV{Key: shard.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
+}
+
+// runFor lets time pass and the store reply; the responses and transactions are kept.
+func (b *controllerHarness) runFor(duration cluster.Time) {
+	for end := b.loop.Now() + duration; b.loop.Now() <= end; setTime(b.Controller, b.loop.Now()+20*millisecond) {
 		b.loop.RunTimers()
 		b.writeQueue.Dispatch()
-		out := takeEffects(b.Controller)
-		for _, f := range out {
-			switch f := f.(type) {
-			case messages.StoreTxn:
-				b.sentTransactions = append(b.sentTransactions, f)
-				if b.rejectsAsMalformed != nil && b.rejectsAsMalformed(f) {
-					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.TxnReply{Outcome: messages.Invalid}})
-				} else if b.throttles != nil && b.throttles(f) {
-					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.TxnReply{Outcome: messages.Throttled}})
-				} else if r := b.store.commit(f); b.losesReply(f) {
-					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.TxnReply{Outcome: messages.UnknownOutcome}})
-				} else {
-					b.loop.Deliver(messages.Reply{Call: f.Call, Body: r})
-				}
-			case messages.StoreGet:
-				b.loop.Deliver(messages.Reply{Call: f.Call, Body: b.store.get(f.Key)})
-			case messages.StoreList:
-				if b.failsReads {
-					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.ListReply{Outcome: messages.UnknownOutcome}})
-					continue
-				}
-				b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.ListReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, 0), Revision: b.store.revision}})
-			case messages.StoreWatch:
-				if f.Timeout == 0 && b.failsReads {
-					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.WatchReply{Outcome: messages.UnknownOutcome}})
-				} else if f.Timeout == 0 {
-					b.loop.Deliver(messages.Reply{Call: f.Call, Body: messages.WatchReply{Outcome: messages.OK, Items: b.store.list(f.Prefix, f.SinceRevision), Revision: b.store.revision}})
-				}
-			case messages.Respond:
-				b.sentResponses = append(b.sentResponses, f)
-			}
+		for _, effect := range takeEffects(b.Controller) {
+			b.carryOut(effect)
+		}
+	}
+}
+
+// carryOut keeps a response, and replies to a request of the store.
+func (b *controllerHarness) carryOut(effect messages.Effect) {
+	switch effect := effect.(type) {
+	case messages.StoreTxn:
+		b.sentTransactions = append(b.sentTransactions, effect)
+		b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.commit(effect)})
+	case messages.StoreGet:
+		b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.store.get(effect.Key)})
+	case messages.StoreList:
+		b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.list(effect)})
+	case messages.StoreWatch:
+		if effect.Timeout == 0 { // else it waits for changes
+			b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.readChanges(effect)})
 		}
+	case messages.Respond:
+		b.sentResponses = append(b.sentResponses, effect)
 	}
 }
 
+// commit applies a transaction unless the store is to refuse it.
+func (b *controllerHarness) commit(transaction messages.StoreTxn) messages.TxnReply {
+	if b.rejectsAsMalformed != nil && b.rejectsAsMalformed(transaction) {
+		return messages.TxnReply{Outcome: messages.Invalid}
+	}
+	if b.throttles != nil && b.throttles(transaction) {
+		return messages.TxnReply{Outcome: messages.Throttled}
+	}
+	reply := b.store.commit(transaction)
+	if b.losesReply(transaction) {
+		return messages.TxnReply{Outcome: messages.UnknownOutcome}
+	}
+	return reply
+}
+
+func (b *controllerHarness) list(request messages.StoreList) messages.ListReply {
+	if b.failsReads {
+		return messages.ListReply{Outcome: messages.UnknownOutcome}
+	}
+	return messages.ListReply{Outcome: messages.OK, Items: b.store.list(request.Prefix, 0), Revision: b.store.revision}
+}
+
+func (b *controllerHarness) readChanges(request messages.StoreWatch) messages.WatchReply {
+	if b.failsReads {
+		return messages.WatchReply{Outcome: messages.UnknownOutcome}
+	}
+	items := b.store.list(request.Prefix, request.SinceRevision)
+	return messages.WatchReply{Outcome: messages.OK, Items: items, Revision: b.store.revision}
+}
+
 func (b *controllerHarness) addTestJob(id cluster.JobID, tasks int) *state.Job {
 	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}}
-	j := state.NewJob(spec, 0, 0, b.loop.Now())
-	b.state.AddOwnedJob(j)
+	job := state.NewJob(spec, 0, 0, b.loop.Now())
+	b.state.AddOwnedJob(job)
 	b.state.Jobs.Known[id] = &state.KnownJob{ShardID: 0, Tasks: tasks, Team: "red"}
-	return j
+	return job
 }
 
-// addRunningMachine is a machine that runs the first task of a job.
-func (b *controllerHarness) addRunningMachine(j *state.Job) (*state.Machine, *state.Assignment) {
-	m := b.inventory.AddMachine(b.state.AddGroup(b.state.Shards[0], "g", 31), grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}, 31)
-	m.TokenAcknowledged, m.Incarnation, m.SequenceNumber, m.LastHeartbeat = true, 1, 1, b.loop.Now()
-	a := &state.Assignment{Task: cluster.TaskID{Job: j.Spec.ID, Index: 0}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: 7, Phase: state.PhaseAcknowledged, State: cluster.Running}
-	m.AddAssignment(a)
-	j.SetAssigned(0, a)
-	return m, a
+// addRunningMachine adds a machine that runs the first task of a job.
+func (b *controllerHarness) addRunningMachine(job *state.Job) (*state.Machine, *state.Assignment) {
+	group := b.state.AddGroup(b.state.Shards[0], "g", 31)
+	machine := b.inventory.AddMachine(group, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}, 31)
+	machine.TokenAcknowledged, machine.Incarnation, machine.SequenceNumber, machine.LastHeartbeat = true, 1, 1, b.loop.Now()
+	assignment := &state.Assignment{
+		Task:            cluster.TaskID{Job: job.Spec.ID, Index: 0},
+		Job:             job,
+		ResourceRequest: job.Spec.ResourceRequest,
+		MachineID:       machine.ID,
+		Attempt:         7,
+		Phase:           state.PhaseAcknowledged,
+		State:           cluster.Running,
+	}
+	machine.AddAssignment(assignment)
+	job.SetAssigned(0, assignment)
+	return machine, assignment
 }
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -79,16 +79,19 @@
 func (r *decisionRecorder) recordAll(t *testing.T) {
 	for seed := 1; seed <= recordedRandomDays; seed++ {
 		r.record(t, "random-"+strconv.Itoa(seed), func(t *testing.T, observed simulation.Option) {
+			t.Helper()
 			simulateDay(t, uint64(seed), testConfig(), observed)
 		})
 	}
 	for seed := 1; seed <= recordedSevenDays; seed++ {
 		r.record(t, "seven-"+strconv.Itoa(seed), func(t *testing.T, observed simulation.Option) {
+			t.Helper()
 			simulateDay(t, uint64(seed), sevenNodeConfig(), observed)
 		})
 	}
 	for seed := 1; seed <= recordedUpgradeDays; seed++ {
 		r.record(t, "upgrade-"+strconv.Itoa(seed), func(t *testing.T, observed simulation.Option) {
+			t.Helper()
 			simulateUpgrade(t, uint64(seed), observed)
 		})
 	}
@@ -99,6 +102,7 @@
 	for _, file := range traces {
 		name := strings.TrimSuffix(filepath.Base(file), ".txt")
 		r.record(t, "trace-"+name, func(t *testing.T, observed simulation.Option) {
+			t.Helper()
 			script, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
@@ -110,6 +114,7 @@
 
 // record plays a run beside the others and keeps its digest.
 func (r *decisionRecorder) record(t *testing.T, name string, play func(*testing.T, simulation.Option)) {
+	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
 		digest := newDecisionDigest(t, name)
@@ -232,7 +237,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	digests := map[string]string{}
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		name, digest, found := strings.Cut(lines.Text(), " ")
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -11,52 +11,70 @@
 // UsageMismatch says where the kept sums of tasks differ from the tasks
 // themselves, or returns "".
 func (c *Controller) UsageMismatch() string {
-	for _, p := range c.state.Shards {
-		teams := state.TeamUsage{}
-		for _, m := range p.Machines {
-			var sum cluster.Resources
-			n := 0
-			for _, a := range m.Assignments {
-				if a.IsLive() {
-					n++
-					sum = sum.Plus(a.ResourceRequest)
-					teams[a.Job.Spec.Team] = teams[a.Job.Spec.Team].Plus(a.ResourceRequest)
-				}
-			}
-			if sum != m.UsedResources() || n != m.LiveTaskCount() {
-				return fmt.Sprintf("%s: %d tasks take %v, counted are %d with %v", m.ID, n, sum, m.LiveTaskCount(), m.UsedResources())
-			}
+	for _, shard := range c.state.Shards {
+		if mismatch := shardUsageMismatch(shard); mismatch != "" {
+			return mismatch
 		}
-		for team, kept := range p.Usage {
-			if kept != teams[team] {
-				return fmt.Sprintf("part %d: %s takes %v, counted is %v", p.ID, team, teams[team], kept)
-			}
+	}
+	return ""
+}
+
+// shardUsageMismatch compares the sums of a shard's machines and of its teams.
+func shardUsageMismatch(shard *state.Shard) string {
+	teams := state.TeamUsage{}
+	for _, machine := range shard.Machines {
+		if mismatch := machineUsageMismatch(machine, teams); mismatch != "" {
+			return mismatch
 		}
-		for team, sum := range teams {
-			if sum != p.Usage[team] {
-				return fmt.Sprintf("part %d: %s takes %v, counted is %v", p.ID, team, sum, p.Usage[team])
-			}
+	}
+	for team, kept := range shard.Usage {
+		if kept != teams[team] {
+			return fmt.Sprintf("shard %d: %s takes %v, counted is %v", shard.ID, team, teams[team], kept)
+		}
+	}
+	for team, sum := range teams {
+		if sum != shard.Usage[team] {
+			return fmt.Sprintf("shard %d: %s takes %v, counted is %v", shard.ID, team, sum, shard.Usage[team])
 		}
 	}
 	return ""
 }
 
-// OwnedMachines counts the machines that are up of the parts held here, and those
-// of them whose workers have acknowledged their tokens.
+// machineUsageMismatch compares a machine's sums with its tasks, and adds these to
+// their teams' usage.
+func machineUsageMismatch(machine *state.Machine, teams state.TeamUsage) string {
+	var sum cluster.Resources
+	count := 0
+	for _, assignment := range machine.Assignments {
+		if assignment.IsLive() {
+			count++
+			sum = sum.Plus(assignment.ResourceRequest)
+			team := assignment.Job.Spec.Team
+			teams[team] = teams[team].Plus(assignment.ResourceRequest)
+		}
+	}
+	if sum != machine.UsedResources() || count != machine.LiveTaskCount() {
+		return fmt.Sprintf("%s: %d tasks take %v, counted are %d with %v", machine.ID, count, sum, machine.LiveTaskCount(), machine.UsedResources())
+	}
+	return ""
+}
+
+// OwnedMachines counts the machines that are up in the shards owned here, and those
+// of them whose workers have acknowledged their fencing tokens.
 func (c *Controller) OwnedMachines() (acknowledged, up int) {
-	for _, m := range c.state.Machines {
-		if m.Booting {
+	for _, machine := range c.state.Machines {
+		if machine.Booting {
 			continue
 		}
 		up++
-		if m.TokenAcknowledged {
+		if machine.TokenAcknowledged {
 			acknowledged++
 		}
 	}
 	return acknowledged, up
 }
 
-// StalledShards counts the parts without progress.
+// StalledShards counts the shards without progress.
 func (c *Controller) StalledShards() int { return c.stalledShardCount() }
 
 // Work is what a controller has counted since the last periodic log line.
@@ -66,7 +84,7 @@
 	PeerCalls    int
 }
 
-// Work returns it.
+// Work returns the counters since the last periodic log line.
 func (c *Controller) Work() Work {
 	return Work{
 		MachineScans: c.counters.MachineScans,
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -13,11 +13,11 @@
 	"stairrelay/internal/grouprecord"
 )
 
-// Machines that are up moments after they were rented, while writes lag.
+// Machines that are up moments after they were requested, while writes lag.
 
-const fastBootMachine = cluster.MachineID("m-3") // its number belongs to part 0
+const fastBootMachine = cluster.MachineID("m-3") // its number belongs to shard 0
 
-// countStarts counts the starts that are sent, by calls and in answers to reports.
+// countStarts counts the starts that are sent, by calls and in answers to heartbeats.
 func countStarts(effects []messages.Effect) int {
 	var sent []cluster.Command
 	for _, effect := range effects {
@@ -62,9 +62,20 @@
 	return effects
 }
 
+// lastTransaction returns the last transaction among the effects; nil: there is none.
+func lastTransaction(effects []messages.Effect) *messages.StoreTxn {
+	var last *messages.StoreTxn
+	for _, effect := range effects {
+		if transaction, ok := effect.(messages.StoreTxn); ok {
+			last = &transaction
+		}
+	}
+	return last
+}
+
 // TestStartWaitsForRecord: a machine comes up and gets a task at once, and the
-// write of the record that lists the task has no answer for long. Until the
-// store has confirmed it nothing is started: a successor that finds no record of
+// write of the record that lists the task has no reply for long. Until the
+// store has confirmed it nothing is started: a next owner that finds no record of
 // the task would start it on another machine as well.
 func TestStartWaitsForRecord(t *testing.T) {
 	for _, test := range []struct {
@@ -84,16 +95,11 @@
 			b.state.Groups["g"].RecordSize = 100
 			b.reconciler.Heartbeats.Handle(firstHeartbeat(fastBootMachine))
 			effects := flushEffects(b)
-			var record *messages.StoreTxn
-			for _, effect := range effects {
-				if transaction, ok := effect.(messages.StoreTxn); ok {
-					record = &transaction
-				}
-			}
+			record := lastTransaction(effects)
 			if record == nil || len(b.state.Machines[fastBootMachine].Assignments) != 1 {
 				t.Fatal("the machine got no task, or its record is not written")
 			}
-			for range 10 { // the answer to the report does not wait that long
+			for range 10 { // the answer to the heartbeat does not wait that long
 				setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold/4)
 				effects = append(effects, flushEffects(b)...)
 			}
@@ -108,12 +114,12 @@
 	}
 }
 
-// TestProvisionedMachineAlwaysRecorded: from the recording of a rental until its
-// machine is in a group, each state of the store shows one of the two, so that a
-// holder which follows at any moment repeats the request or has the machine.
+// TestProvisionedMachineAlwaysRecorded: from the recording of a provisioning request until
+// its machine is in a group, each state of the store shows one of the two, so that a next
+// owner repeats the request or has the machine, whenever it takes over.
 func TestProvisionedMachineAlwaysRecorded(t *testing.T) {
 	b := newControllerHarness()
-	part := b.state.Shards[0]
+	shard := b.state.Shards[0]
 	recorded := func() bool {
 		for _, kv := range b.store.list("groups/", 0) {
 			record, err := grouprecord.Decode(kv.Value)
@@ -129,45 +135,45 @@
 	states := 0
 	b.losesReply = func(messages.StoreTxn) bool { // called after each transaction
 		if states++; !recorded() {
-			t.Errorf("after transaction %d neither the rental nor its machine is recorded", states)
+			t.Errorf("after transaction %d neither the request nor its machine is recorded", states)
 		}
 		return false
 	}
-	b.provisioner.Requests.Create(part, state.ProvisioningOption{Type: "small", Zone: "a", Spot: false}, 1)
+	b.provisioner.Requests.Create(shard, state.ProvisioningOption{Type: "small", Zone: "a", Spot: false}, 1)
 	for _, effect := range effectsDuring(b, second) {
-		if rent, ok := effect.(messages.CloudScaleOut); ok {
-			b.loop.Deliver(messages.Reply{Call: rent.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}}})
+		if requested, ok := effect.(messages.CloudScaleOut); ok {
+			b.loop.Deliver(messages.Reply{Call: requested.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}}})
 		}
 	}
 	b.runFor(second)
-	if len(part.ProvisioningRequests) != 0 || b.state.Machines[fastBootMachine] == nil || states < 2 {
-		t.Errorf("%d rentals are open after %d transactions, the machine is %v", len(part.ProvisioningRequests), states, b.state.Machines[fastBootMachine])
+	if len(shard.ProvisioningRequests) != 0 || b.state.Machines[fastBootMachine] == nil || states < 2 {
+		t.Errorf("%d requests are open after %d transactions, the machine is %v", len(shard.ProvisioningRequests), states, b.state.Machines[fastBootMachine])
 	}
 }
 
-// TestMachineOfOpenProvisioningNotRegistered: a machine reports before the group that
-// lists it is stored. While a rental of its kind is open it is left alone: the
-// settlement of that one is about to list it, and it would be listed twice.
+// TestMachineOfOpenProvisioningNotRegistered: a machine sends a heartbeat before the group
+// that lists it is stored. While a provisioning request of its kind is open nothing is
+// done about it: the request is about to list it, and it would be listed twice.
 func TestMachineOfOpenProvisioningNotRegistered(t *testing.T) {
 	for _, test := range []struct {
 		name, zone string
-		inspected  bool
+		queried    bool
 	}{
-		{"a rental of its kind is open", "a", false},
-		{"a rental of another zone is open", "b", true},
+		{"a request of its kind is open", "a", false},
+		{"a request of another zone is open", "b", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			record := `{"p":1,"f":"small","y":"` + test.zone + `","n":1,"w":"b1-1"}`
 			b.store.keys["rentals/r-1"] = messages.KV{Key: "rentals/r-1", Value: []byte(record), ModRevision: 29}
 			b.reconciler.Orphans.HandleHeartbeat(firstHeartbeat(fastBootMachine))
-			inspected := false
+			queried := false
 			for _, effect := range effectsDuring(b, second) {
 				_, ok := effect.(messages.QueryWorkerStatus)
-				inspected = inspected || ok
+				queried = queried || ok
 			}
-			if inspected != test.inspected {
-				t.Errorf("inspected in order to be enlisted: %v, want %v", inspected, test.inspected)
+			if queried != test.queried {
+				t.Errorf("queried in order to be registered: %v, want %v", queried, test.queried)
 			}
 		})
 	}
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -11,9 +11,9 @@
 	"stairrelay/internal/messages"
 )
 
-// TestOversizedPeerRequestRejected: a call that lists more than there can be is refused,
-// once in the log, and the controller goes on. A count of machines is gone
-// through one by one where an offer is weighed.
+// TestOversizedPeerRequestRejected: a ping that lists more than there can be is rejected
+// and logged once, and the controller goes on. Where a transfer offer is considered, the
+// time taken grows with its count of machines.
 func TestOversizedPeerRequestRejected(t *testing.T) {
 	for name, ping := range map[string]messages.Ping{
 		"Parts":          {Shards: make([]messages.ShardTerm, 4)},
@@ -26,21 +26,8 @@
 		t.Run(name, func(t *testing.T) {
 			b := newControllerHarness()
 			lines := 0
-			for req := range 2 {
-				takeEffects(b.Controller)
-				message := b.members.WithSender(messages.PeerMessage{Ping: &ping})
-				message.From = "n1"
-				b.handlePeerRequest(messages.PeerRequest{Request: messages.RequestID(req + 1), Message: message})
-				for _, effect := range b.loop.Effects() {
-					switch effect := effect.(type) {
-					case messages.Respond:
-						if effect.Status != 400 || !strings.HasPrefix(effect.Error, name) {
-							t.Errorf("answered %d %q", effect.Status, effect.Error)
-						}
-					case messages.Log:
-						lines++
-					}
-				}
+			for request := range 2 {
+				lines += b.sendOversizedPing(t, messages.RequestID(request+1), &ping, name)
 			}
 			if lines != 1 {
 				t.Errorf("%d lines in the log, want 1", lines)
@@ -54,6 +41,28 @@
 	b := newControllerHarness()
 	peer := b.members.Peer("n1")
 	if err := b.members.HandlePing(peer, b.members.MakePing(peer)); err != nil {
-		t.Errorf("our own call: %v", err)
+		t.Errorf("our own ping: %v", err)
 	}
 }
+
+// sendOversizedPing delivers a ping of n1, whose answer must name a field as too large, and
+// returns how many lines were logged.
+func (b *controllerHarness) sendOversizedPing(t *testing.T, request messages.RequestID, ping *messages.Ping, field string) int {
+	t.Helper()
+	takeEffects(b.Controller)
+	message := b.members.WithSender(messages.PeerMessage{Ping: ping})
+	message.From = "n1"
+	b.handlePeerRequest(messages.PeerRequest{Request: request, Message: message})
+	lines := 0
+	for _, effect := range b.loop.Effects() {
+		switch effect := effect.(type) {
+		case messages.Respond:
+			if effect.Status != messages.ReplyBadRequest || !strings.HasPrefix(effect.Error, field) {
+				t.Errorf("answered %d %q", effect.Status, effect.Error)
+			}
+		case messages.Log:
+			lines++
+		}
+	}
+	return lines
+}
--- a/internal/controller/one_task_jobs_test.go
+++ b/internal/controller/one_task_jobs_test.go
@@ -23,6 +23,7 @@
 // and an end of its own, which is where a controller falls behind.
 func TestManyOneTaskJobs(t *testing.T) {
 	forEachSeed(t, 1, 4, func(t *testing.T, seed uint64) {
+		t.Helper()
 		cfg := testConfig()
 		sim := newSimulator(seed, cfg)
 		enableRandomMessageFaults(sim)
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -15,15 +15,14 @@
 )
 
 // TestOverloadedController: a process near its share of the processor decides less often,
-// refuses what it can't take in time, and sends starts by calls only to
-// machines that would else not report for a while.
+// refuses what it can't take in time, and pushes starts only to machines that would
+// otherwise send no heartbeat for a while.
 func TestOverloadedController(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
 		Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
-	p := c.state.Shards[0]
 	j := state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
 	c.state.AddOwnedJob(j)
-	g := c.state.AddGroup(p, "g", 1)
+	g := c.state.AddGroup(c.state.Shards[0], "g", 1)
 	put := func(m *state.Machine, i int, ph state.AssignmentPhase) {
 		a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: i}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Phase: ph}
 		m.AddAssignment(a)
@@ -37,28 +36,32 @@
 		ms = append(ms, m)
 	}
 	put(ms[0], 2, state.PhaseAcknowledged)
-	called := func(l messages.ProcessLoad) (to []string) {
+	pushedTo := func(load messages.ProcessLoad) (addresses []string) {
 		for _, m := range ms {
 			m.PushInFlight = false
 			m.Assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(ms, m)}].Phase = state.PhaseReady
 			c.reconciler.Commands.QueuePush(m)
 		}
 		takeEffects(c)
-		c.processHealth.RecordLoad(l)
+		c.processHealth.RecordLoad(load)
 		c.reconciler.Commands.PushQueued()
-		for _, f := range c.loop.Effects() {
-			to = append(to, f.(messages.PushCommands).Addr)
+		for _, effect := range c.loop.Effects() {
+			push, ok := effect.(messages.PushCommands)
+			if !ok {
+				t.Fatalf("effect %T", effect)
+			}
+			addresses = append(addresses, push.Addr)
 		}
-		return to
+		return addresses
 	}
-	if to := called(messages.ProcessLoad{CPUUsage: 0.4}); len(to) != 2 {
-		t.Errorf("at ease, starts are called to %v", to)
+	if addresses := pushedTo(messages.ProcessLoad{CPUUsage: 0.4}); len(addresses) != 2 {
+		t.Errorf("without load, starts are pushed to %v", addresses)
 	}
-	if to := called(messages.ProcessLoad{CPUUsage: 0.9}); len(to) != 1 || to[0] != "idle" {
-		t.Errorf("strained, starts are called to %v", to)
+	if addresses := pushedTo(messages.ProcessLoad{CPUUsage: 0.9}); len(addresses) != 1 || addresses[0] != "idle" {
+		t.Errorf("overloaded, starts are pushed to %v", addresses)
 	}
 	if d := c.processHealth.StretchDelay(scheduling.MinInterval); d <= scheduling.MinInterval || d > second {
-		t.Errorf("strained, placements are %v apart", time.Duration(d))
+		t.Errorf("overloaded, placements are %v apart", time.Duration(d))
 	}
 	c.processHealth.RecordLoad(messages.ProcessLoad{EventDelay: 2 * second})
 	if c.jobs.Submissions.OverloadRetryAfter(cluster.BestEffort) == 0 || c.jobs.Submissions.OverloadRetryAfter(cluster.Normal) == 0 || c.jobs.Submissions.OverloadRetryAfter(cluster.Production) != 0 {
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -11,7 +11,7 @@
 	message := &e.Message
 	from := c.members.Sender(message)
 	if from == nil {
-		c.respondError(e.Request, messages.ReplyBadRequest, 0, "unknown sender or version")
+		c.respondError(e.Request, messages.ReplyBadRequest, "unknown sender or version")
 		return
 	}
 	switch {
@@ -33,7 +33,7 @@
 			c.replyToPeer(e.Request, messages.PeerMessage{Status: status, Views: viewList(view)})
 		})
 	default:
-		c.respondError(e.Request, messages.ReplyBadRequest, 0, "empty message")
+		c.respondError(e.Request, messages.ReplyBadRequest, "empty message")
 	}
 }
 
@@ -46,7 +46,7 @@
 // answerPing takes in another controller's ping and answers with one of its own.
 func (c *Controller) answerPing(request messages.RequestID, from *membership.Peer, ping *messages.Ping) {
 	if err := c.members.HandlePing(from, ping); err != nil {
-		c.respondError(request, messages.ReplyBadRequest, 0, err.Error())
+		c.respondError(request, messages.ReplyBadRequest, err.Error())
 		return
 	}
 	c.replyToPeer(request, messages.PeerMessage{Ping: c.members.MakePing(from)})
@@ -57,7 +57,7 @@
 	spec := submission.Spec
 	spec.ID = submission.ID
 	if spec.ID == "" || spec.Tasks < 1 {
-		c.respondError(request, messages.ReplyBadRequest, 0, "no job")
+		c.respondError(request, messages.ReplyBadRequest, "no job")
 		return
 	}
 	c.jobs.Submissions.Submit(spec, func(outcome messages.Respond) {
@@ -81,11 +81,11 @@
 // handleHealth tells whether this node can take requests.
 func (c *Controller) handleHealth(e messages.Health) {
 	if c.writeQueue.Health.LastSuccess == 0 || len(c.state.MachineTypes) == 0 && c.loop.Now() < 10*second {
-		c.respondError(e.Request, messages.ReplyUnavailable, 0, "starting")
+		c.respondError(e.Request, messages.ReplyUnavailable, "starting")
 		return
 	}
 	if c.members.HasLostStore() && c.members.IsStoreReachableElsewhere() {
-		c.respondError(e.Request, messages.ReplyUnavailable, 0, "store out of reach")
+		c.respondError(e.Request, messages.ReplyUnavailable, "store out of reach")
 		return
 	}
 	c.loop.Emit(messages.Respond{Request: e.Request, Status: messages.ReplyOK})
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -31,137 +31,224 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := map[string]json.RawMessage{}
-	if err := json.Unmarshal(text, &out); err != nil {
+	records := map[string]json.RawMessage{}
+	if err := json.Unmarshal(text, &records); err != nil {
 		t.Fatal(err)
 	}
-	for k, v := range out { // indented in the file
-		var b bytes.Buffer
-		if err := json.Compact(&b, v); err != nil {
+	for key, value := range records { // indented in the file
+		var compact bytes.Buffer
+		if err := json.Compact(&compact, value); err != nil {
 			t.Fatal(err)
 		}
-		out[k] = b.Bytes()
+		records[key] = compact.Bytes()
 	}
-	return out
+	return records
 }
 
-// TestProductionRecordsRead: all that the version in production has written is
-// taken in as it was meant.
+// TestProductionRecordsRead: all that the version in production has written is read as it
+// was meant.
 func TestProductionRecordsRead(t *testing.T) {
-	recs := loadProductionRecords(t)
+	records := loadProductionRecords(t)
 	b := newControllerHarness()
 	dropTimers(b.Controller)
-	for _, k := range slices.Sorted(maps.Keys(recs)) {
-		kv := messages.KV{Key: k, Value: []byte(recs[k]), ModRevision: 31}
-		b.store.keys[k] = kv
+	b.applyJobRecords(records)
+	t.Run("active jobs", b.checkProductionJobs)
+	t.Run("ended jobs", b.checkProductionEndedJobs)
+	for _, key := range []string{"groups/b1-30-1", "groups/b1-30-2"} {
+		b.inventory.ApplyRecord(messages.KV{Key: key, Value: records[key], ModRevision: 31}, b.state.Shards[0])
+	}
+	t.Run("machines", b.checkProductionMachines)
+	t.Run("other records", func(t *testing.T) { checkProductionOtherRecords(t, records) })
+	for _, shard := range b.state.Shards {
+		if !shard.Owned {
+			t.Errorf("shard %d was given up", shard.ID)
+		}
+	}
+}
+
+// applyJobRecords stores all records, applies those of jobs and reads what belongs to them.
+func (b *controllerHarness) applyJobRecords(records map[string]json.RawMessage) {
+	for _, key := range slices.Sorted(maps.Keys(records)) {
+		kv := messages.KV{Key: key, Value: []byte(records[key]), ModRevision: 31}
+		b.store.keys[key] = kv
 		switch {
-		case strings.HasPrefix(k, "jobs/"):
+		case strings.HasPrefix(key, "jobs/"):
 			b.jobs.Records.Apply(kv, nil)
-		case strings.HasPrefix(k, "accepts/"):
+		case strings.HasPrefix(key, "accepts/"):
 			b.jobs.AdmissionRecords.Apply(kv, nil)
 		}
 	}
 	b.runFor(second)
+}
+
+func (b *controllerHarness) checkProductionJobs(t *testing.T) {
 	for id, done := range map[cluster.JobID]int{"j-000412": 4, "j-000413": 0, "j-000414": 5462 + 100, "j-000417": 0, "j-000418": 0} {
-		if j := b.state.Jobs.Owned[id]; j == nil || j.CompletedCount != done || len(j.Spec.Dependencies) > 0 || j.Blocked || !j.IsActive() || j.ChunksLoading > 0 {
-			t.Errorf("%s: %+v, want %d done", id, j, done)
+		job := b.state.Jobs.Owned[id]
+		if job == nil || job.CompletedCount != done || len(job.Spec.Dependencies) > 0 || job.Blocked || !job.IsActive() || job.ChunksLoading > 0 {
+			t.Errorf("%s: %+v, want %d done", id, job, done)
 		}
 	}
-	want := cluster.JobSpec{ID: "j-000412", Class: "train", Team: "red", Priority: cluster.Urgent, Tasks: 16, ResourceRequest: cluster.Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000}, MachineTypes: []string{"g8"}, Zone: "a",
-		Colocate: true, Spread: true, Spot: true, Image: "img-07", ImageGB: 6.2, RuntimeSeconds: 240, CheckpointSeconds: 30, SaveSeconds: 4, DeadlineSeconds: 900, SubmittedAt: 1_700_000_000_000}
-	if j := b.state.Jobs.Owned["j-000412"]; !reflect.DeepEqual(j.Spec, want) {
-		t.Errorf("read %+v", j.Spec)
+	want := cluster.JobSpec{
+		ID:                "j-000412",
+		Class:             "train",
+		Team:              "red",
+		Priority:          cluster.Urgent,
+		Tasks:             16,
+		ResourceRequest:   cluster.Resources{CPU: 8_000_000, GPU: 1_000_000, Memory: 64_000_000},
+		MachineTypes:      []string{"g8"},
+		Zone:              "a",
+		Colocate:          true,
+		Spread:            true,
+		Spot:              true,
+		Image:             "img-07",
+		ImageGB:           6.2,
+		RuntimeSeconds:    240,
+		CheckpointSeconds: 30,
+		SaveSeconds:       4,
+		DeadlineSeconds:   900,
+		SubmittedAt:       1_700_000_000_000,
+	}
+	if job := b.state.Jobs.Owned["j-000412"]; !reflect.DeepEqual(job.Spec, want) {
+		t.Errorf("read %+v", job.Spec)
 	}
-	for id, end := range map[cluster.JobID]cluster.JobStatus{"j-000415": cluster.JobDone, "j-000416": cluster.JobCancelled} {
-		if k := b.state.Jobs.Known[id]; k == nil || k.FinalStatus != end || k.Tasks != 4 || !k.FinalRecorded {
-			t.Errorf("%s: %+v, want %s", id, k, end)
+}
+
+func (b *controllerHarness) checkProductionEndedJobs(t *testing.T) {
+	for id, final := range map[cluster.JobID]cluster.JobStatus{"j-000415": cluster.JobDone, "j-000416": cluster.JobCancelled} {
+		if known := b.state.Jobs.Known[id]; known == nil || known.FinalStatus != final || known.Tasks != 4 || !known.FinalRecorded {
+			t.Errorf("%s: %+v, want %s", id, known, final)
 		}
 	}
 	if b.state.Jobs.Known["j-000416"].ResourceRequest.CPU != 2_000_000 {
-		t.Error("a cancelled job's need is lost")
-	}
-	for _, k := range []string{"groups/b1-30-1", "groups/b1-30-2"} {
-		b.inventory.ApplyRecord(messages.KV{Key: k, Value: recs[k], ModRevision: 31}, b.state.Shards[0])
+		t.Error("a cancelled job's resource request is lost")
 	}
+}
+
+func (b *controllerHarness) checkProductionMachines(t *testing.T) {
 	m1, m2, m3 := b.state.Machines["m-000001"], b.state.Machines["m-000002"], b.state.Machines["m-000003"]
-	if m1 == nil || m2 == nil || m3 == nil || len(m1.Assignments) != 3 || m1.Address != "10.1.0.232:9000" || !m1.Spot || m1.Zone != "a" || !m2.Booting || !m3.ReleaseConfirmed || len(m3.Assignments) != 1 {
-		t.Errorf("machines %+v, %+v, %+v", m1, m2, m3)
-	} else if a := m1.Assignments[cluster.TaskID{Job: "j-000412", Index: 4}]; a == nil || a.Attempt != 30<<20|2 {
-		t.Errorf("task 4 is listed as %+v", a)
-	}
-	var r provisioning.RequestRecord
-	if json.Unmarshal(recs["rentals/r-b1-30-1"], &r) != nil || r != (provisioning.RequestRecord{Shard: 0, Type: "small", Zone: "a", Spot: true, Count: 3, WriteID: "b1-12"}) {
-		t.Errorf("rental %+v", r)
-	}
-	var p ownership.ClaimRecord
-	if json.Unmarshal(recs["parts/0"], &p) != nil || !reflect.DeepEqual(p, ownership.ClaimRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}) {
-		t.Errorf("part %+v", p)
-	}
-	var c provisioning.MachineTypesRecord
-	if json.Unmarshal(recs["types"], &c) != nil || len(c.Types) != 1 || c.Types[0].SpotPrice != 0.07 || len(c.Types[0].Zones) != 2 || c.WriteID != "b1-14" {
-		t.Errorf("types %+v", c)
-	}
-	for _, p := range b.state.Shards {
-		if !p.Owned {
-			t.Errorf("part %d was given up", p.ID)
-		}
+	if m1 == nil || m2 == nil || m3 == nil {
+		t.Fatalf("machines %+v, %+v, %+v", m1, m2, m3)
+	}
+	if len(m1.Assignments) != 3 || m1.Address != "10.1.0.232:9000" || !m1.Spot || m1.Zone != "a" {
+		t.Errorf("machine %+v", m1)
+	}
+	if !m2.Booting {
+		t.Errorf("machine %+v", m2)
+	}
+	if !m3.ReleaseConfirmed || len(m3.Assignments) != 1 {
+		t.Errorf("machine %+v", m3)
+	}
+	if assignment := m1.Assignments[cluster.TaskID{Job: "j-000412", Index: 4}]; assignment == nil || assignment.Attempt != 30<<20|2 {
+		t.Errorf("task 4 is listed as %+v", assignment)
+	}
+}
+
+func checkProductionOtherRecords(t *testing.T, records map[string]json.RawMessage) {
+	t.Helper()
+	var request provisioning.RequestRecord
+	wantRequest := provisioning.RequestRecord{Shard: 0, Type: "small", Zone: "a", Spot: true, Count: 3, WriteID: "b1-12"}
+	if json.Unmarshal(records["rentals/r-b1-30-1"], &request) != nil || request != wantRequest {
+		t.Errorf("provisioning request %+v", request)
+	}
+	var claim ownership.ClaimRecord
+	wantClaim := ownership.ClaimRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}
+	if json.Unmarshal(records["parts/0"], &claim) != nil || !reflect.DeepEqual(claim, wantClaim) {
+		t.Errorf("claim %+v", claim)
+	}
+	var cache provisioning.MachineTypesRecord
+	if json.Unmarshal(records["types"], &cache) != nil || len(cache.Types) != 1 || cache.Types[0].SpotPrice != 0.07 || len(cache.Types[0].Zones) != 2 || cache.WriteID != "b1-14" {
+		t.Errorf("machine types %+v", cache)
 	}
 }
 
-// TestRecordsMatchProductionEncoding: what this version writes of jobs that await nothing is
-// byte for byte what the version in production writes.
+// productionOutcomes matches the forms of outcomes that the version in production reads:
+// ranges and a bitmap.
+var productionOutcomes = regexp.MustCompile(`^(|[0-9]+(-[0-9]+)?(,[0-9]+(-[0-9]+)?)*|b[A-Za-z0-9+/]+)$`)
+
+// TestRecordsMatchProductionEncoding: what this version writes of jobs without dependencies
+// is byte for byte what the version in production writes.
 // Of the two forms of outcomes that version reads, ranges and a bitmap, this one
 // writes the shorter, so a few outcomes may come as a bitmap.
 func TestRecordsMatchProductionEncoding(t *testing.T) {
-	productionForm := regexp.MustCompile(`^(|[0-9]+(-[0-9]+)?(,[0-9]+(-[0-9]+)?)*|b[A-Za-z0-9+/]+)$`)
-	forms := map[bool]bool{}
+	bitmapSeen := map[bool]bool{}
 	for key, old := range loadProductionRecords(t) {
-		var rec any
-		switch {
-		case strings.HasPrefix(key, "jobs/"), strings.HasPrefix(key, "done/"):
-			rec = &jobs.Record{}
-		case strings.HasPrefix(key, "accepts/"):
-			rec = &jobs.AdmissionRecord{}
-		case strings.HasPrefix(key, "rentals/"):
-			rec = &provisioning.RequestRecord{}
-		case strings.HasPrefix(key, "parts/"):
-			rec = &ownership.ClaimRecord{}
-		case key == "types":
-			rec = &provisioning.MachineTypesRecord{}
-		case strings.HasPrefix(key, "groups/"):
-			group, err := grouprecord.Decode(old)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if v := grouprecord.Encode(group); !bytes.Equal(v, old) {
-				t.Errorf("%s: wrote %s, was %s", key, v, old)
-			}
+		if again := reencode(t, key, old); !bytes.Equal(again, old) {
+			t.Errorf("%s: wrote %.300s, was %.300s", key, again, old)
+		}
+		if !strings.HasPrefix(key, "jobs/") {
 			continue
-		default:
-			t.Fatalf("unknown record %s", key)
 		}
-		if err := json.Unmarshal(old, rec); err != nil {
+		var record jobs.Record
+		if err := json.Unmarshal(old, &record); err != nil {
 			t.Fatalf("%s: %v", key, err)
 		}
-		if v, _ := json.Marshal(rec); !bytes.Equal(v, old) {
-			t.Errorf("%s: wrote %.300s, was %.300s", key, v, old)
-		}
-		if j, ok := rec.(*jobs.Record); ok && j.Spec != nil && strings.HasPrefix(key, "jobs/") {
-			taskStates := make([]uint8, min(j.Spec.Tasks, state.TasksPerChunk))
-			state.DecodeCompleted(j.CompletedIndexes, len(taskStates), func(i int) { taskStates[i] = state.TaskCompletionStored })
-			out, fits := state.EncodeCompleted(taskStates, 1<<20)
-			again := make([]uint8, len(taskStates))
-			if fits != len(taskStates) || !productionForm.MatchString(out) || !state.DecodeCompleted(out, len(taskStates), func(i int) { again[i] = state.TaskCompletionStored }) || !bytes.Equal(again, taskStates) {
-				t.Errorf("%s: outcomes %.80s, were %.80s", key, out, j.CompletedIndexes)
-			}
-			forms[strings.HasPrefix(j.CompletedIndexes, "b")] = true
+		if record.Spec != nil {
+			checkOutcomesEncoding(t, key, &record)
+			bitmapSeen[strings.HasPrefix(record.CompletedIndexes, "b")] = true
 		}
 	}
-	if len(forms) != 2 {
+	if len(bitmapSeen) != 2 {
 		t.Error("the records don't show both forms of outcomes")
 	}
-	v, _ := json.Marshal(jobs.Record{Spec: &cluster.JobSpec{Dependencies: []cluster.JobID{}}})
-	if strings.Contains(string(v), `"aw"`) {
-		t.Errorf("an empty list is written: %s", v)
+	value, err := json.Marshal(jobs.Record{Spec: &cluster.JobSpec{Dependencies: []cluster.JobID{}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if strings.Contains(string(value), `"aw"`) {
+		t.Errorf("an empty list is written: %s", value)
+	}
+}
+
+// reencode reads a record and returns it as this version writes it.
+func reencode(t *testing.T, key string, old []byte) []byte {
+	t.Helper()
+	if strings.HasPrefix(key, "groups/") {
+		group, err := grouprecord.Decode(old)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return grouprecord.Encode(group)
+	}
+	record := newRecord(t, key)
+	if err := json.Unmarshal(old, record); err != nil {
+		t.Fatalf("%s: %v", key, err)
+	}
+	value, err := json.Marshal(record)
+	if err != nil {
+		t.Fatalf("%s: %v", key, err)
+	}
+	return value
+}
+
+// newRecord returns an empty record of the type that a key has.
+func newRecord(t *testing.T, key string) any {
+	t.Helper()
+	switch prefix, _, _ := strings.Cut(key, "/"); prefix {
+	case "jobs", "done":
+		return &jobs.Record{}
+	case "accepts":
+		return &jobs.AdmissionRecord{}
+	case "rentals":
+		return &provisioning.RequestRecord{}
+	case "parts":
+		return &ownership.ClaimRecord{}
+	case "types":
+		return &provisioning.MachineTypesRecord{}
+	}
+	t.Fatalf("unknown record %s", key)
+	return nil
+}
+
+// checkOutcomesEncoding checks that the outcomes of a job's record are encoded in a form that
+// the version in production reads, and are the same when they are read again.
+func checkOutcomesEncoding(t *testing.T, key string, record *jobs.Record) {
+	t.Helper()
+	taskStates := make([]uint8, min(record.Spec.Tasks, state.TasksPerChunk))
+	state.DecodeCompleted(record.CompletedIndexes, len(taskStates), func(i int) { taskStates[i] = state.TaskCompletionStored })
+	encoded, fits := state.EncodeCompleted(taskStates, 1<<20)
+	again := make([]uint8, len(taskStates))
+	valid := state.DecodeCompleted(encoded, len(taskStates), func(i int) { again[i] = state.TaskCompletionStored })
+	if fits != len(taskStates) || !productionOutcomes.MatchString(encoded) || !valid || !bytes.Equal(again, taskStates) {
+		t.Errorf("%s: outcomes %.80s, were %.80s", key, encoded, record.CompletedIndexes)
 	}
 }
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -8,13 +8,13 @@
 	"stairrelay/internal/state"
 )
 
-// stallThreshold is how many checkpoints in a row a part may go without
-// progress before operators are told, and again after as many more.
+// stallThreshold is how many checkpoints in a row a shard may go without
+// progress before it is logged, and again after as many more.
 const stallThreshold = 15
 
-// shardProgress counts for how long a part has not been served, so that operators
+// shardProgress counts for how long a shard has not been served, so that operators
 // learn of a state that no failure detector sees: every controller is alive, yet
-// nobody holds the part, or its holder gets nowhere with it.
+// nobody owns the shard, or its owner makes no progress with it.
 type shardProgress struct {
 	stalledCheckpoints int    // checkpoints in a row
 	plannedStarts      uint64 // starts planned, as of the last checkpoint
@@ -31,92 +31,92 @@
 	stallNoWrites stallReason = "its writes are not stored"
 )
 
-// checkShardProgress notes at each checkpoint which parts are served.
+// checkShardProgress notes at each checkpoint which shards are served.
 func (c *Controller) checkShardProgress() {
-	for _, p := range c.state.Shards {
-		c.recordShardProgress(p, c.shardStallReason(p))
+	for _, shard := range c.state.Shards {
+		c.recordShardProgress(shard, c.shardStallReason(shard))
 	}
 }
 
 // recordShardProgress counts the checkpoints without progress, and logs each time that
 // there were too many.
-func (c *Controller) recordShardProgress(p *state.Shard, why stallReason) {
-	state := &c.progress[p.ID]
-	state.plannedStarts, state.storedTransactions = p.PlannedStarts, p.StoredTransactions
+func (c *Controller) recordShardProgress(shard *state.Shard, why stallReason) {
+	progress := &c.progress[shard.ID]
+	progress.plannedStarts, progress.storedTransactions = shard.PlannedStarts, shard.StoredTransactions
 	if why == stallNone {
-		state.stalledCheckpoints = 0
+		progress.stalledCheckpoints = 0
 		return
 	}
-	if state.stalledCheckpoints++; state.stalledCheckpoints%stallThreshold != 0 {
+	if progress.stalledCheckpoints++; progress.stalledCheckpoints%stallThreshold != 0 {
 		return
 	}
-	c.loop.Log(messages.LogInfo, "part makes no progress",
-		"part", int(p.ID),
+	c.loop.Log(messages.LogInfo, "shard makes no progress",
+		"shard", int(shard.ID),
 		"why", string(why),
-		"checkpoints", state.stalledCheckpoints,
-		"holder", string(p.Owner),
-		"claiming", p.Acquiring)
+		"checkpoints", progress.stalledCheckpoints,
+		"owner", string(shard.Owner),
+		"acquiring", shard.Acquiring)
 }
 
-// shardStallReason says whether a part is served, as far as this controller knows.
-func (c *Controller) shardStallReason(p *state.Shard) stallReason {
+// shardStallReason says whether a shard is served, as far as this controller knows.
+func (c *Controller) shardStallReason(shard *state.Shard) stallReason {
 	switch {
 	case c.writeQueue.IsUnavailableFor(second): // nobody can get on with anything
 		return stallNone
-	case !p.Owned:
-		if c.isServedByPeer(p) {
+	case !shard.Owned:
+		if c.isServedByPeer(shard) {
 			return stallNone
 		}
 		return stallNoOwner
-	case !p.Ready:
+	case !shard.Ready:
 		return stallNoOwner
-	case c.hasStalledWrites(p):
+	case c.hasStalledWrites(shard):
 		return stallNoWrites
-	case c.hasStalledStarts(p):
+	case c.hasStalledStarts(shard):
 		return stallNoStarts
 	}
 	return stallNone
 }
 
-// isServedByPeer tells whether the part's holder says that it holds it, or is
-// alive though its word does not come through.
-func (c *Controller) isServedByPeer(p *state.Shard) bool {
-	owner := c.members.Peer(p.Owner)
+// isServedByPeer tells whether the shard's owner says that it owns it, or is
+// alive though its pings do not arrive.
+func (c *Controller) isServedByPeer(shard *state.Shard) bool {
+	owner := c.members.Peer(shard.Owner)
 	if owner == nil {
 		return false
 	}
 	if owner.PingAge() > membership.PingFreshness {
-		return !c.members.IsFailed(p.Owner)
+		return !c.members.IsFailed(shard.Owner)
 	}
-	return slices.ContainsFunc(owner.LastPing().Shards, func(held messages.ShardTerm) bool { return held.Shard == p.ID })
+	return slices.ContainsFunc(owner.LastPing().Shards, func(owned messages.ShardTerm) bool { return owned.Shard == shard.ID })
 }
 
-// hasStalledWrites tells whether records of the part's machines wait to be stored,
-// and nothing of the part was stored since the last checkpoint.
-func (c *Controller) hasStalledWrites(p *state.Shard) bool {
-	if p.StoredTransactions != c.progress[p.ID].storedTransactions {
+// hasStalledWrites tells whether records of the shard's machines wait to be stored,
+// and nothing of the shard was stored since the last checkpoint.
+func (c *Controller) hasStalledWrites(shard *state.Shard) bool {
+	if shard.StoredTransactions != c.progress[shard.ID].storedTransactions {
 		return false
 	}
-	for _, g := range c.state.Groups {
-		if g.ShardID == p.ID && g.WritePending {
+	for _, group := range c.state.Groups {
+		if group.ShardID == shard.ID && group.WritePending {
 			return true
 		}
 	}
 	return false
 }
 
-// hasStalledStarts tells whether waiting tasks fit on the part's machines, and none
+// hasStalledStarts tells whether waiting tasks fit on the shard's machines, and none
 // was given one since the last checkpoint.
-func (c *Controller) hasStalledStarts(p *state.Shard) bool {
-	return p.PlannedStarts == c.progress[p.ID].plannedStarts && c.scheduler.HasStartableTasks(p)
+func (c *Controller) hasStalledStarts(shard *state.Shard) bool {
+	return shard.PlannedStarts == c.progress[shard.ID].plannedStarts && c.scheduler.HasStartableTasks(shard)
 }
 
-// stalledShardCount counts the parts that have not been served for so long that
-// operators were told.
+// stalledShardCount counts the shards that have not been served for so long that
+// it was logged.
 func (c *Controller) stalledShardCount() int {
 	stalled := 0
-	for _, p := range c.state.Shards {
-		if c.progress[p.ID].stalledCheckpoints >= stallThreshold {
+	for _, shard := range c.state.Shards {
+		if c.progress[shard.ID].stalledCheckpoints >= stallThreshold {
 			stalled++
 		}
 	}
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 
@@ -13,12 +14,12 @@
 	"stairrelay/internal/grouprecord"
 )
 
-// loggedStalls lists what the log says of parts without progress.
+// loggedStalls lists what the log says of shards without progress.
 func loggedStalls(effects []messages.Effect) []string {
 	var whys []string
 	for _, effect := range effects {
-		if line, ok := effect.(messages.Log); ok && line.Message == "part makes no progress" {
-			whys = append(whys, line.Args[3].(string))
+		if line, ok := effect.(messages.Log); ok && line.Message == "shard makes no progress" {
+			whys = append(whys, fmt.Sprint(line.Args[3]))
 		}
 	}
 	return whys
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -78,11 +78,13 @@
 	var seen faultTotals
 	t.Run("seeds", func(t *testing.T) {
 		forEachSeed(t, from, to, func(t *testing.T, seed uint64) {
+			t.Helper()
 			seen.add(simulateDay(t, seed, testConfig()))
 		})
 	})
 	t.Run("seven", func(t *testing.T) {
 		forEachSeed(t, from, from+(to-from)/2, func(t *testing.T, seed uint64) {
+			t.Helper()
 			simulateDay(t, seed, sevenNodeConfig())
 		})
 	})
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -43,23 +43,23 @@
 	// slow 500ms 30s: the state service replies that much later.
 	"slow": func(r *traceRunner, c traceCommand) { r.simulator.Store.Slow(c.duration(0), c.duration(1)) },
 	// hang m-000001 20s: it stands still.
-	"hang": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Hang(c.machine(0), c.duration(1)) },
+	"hang": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Hang(c.machine(), c.duration(1)) },
 	// deaf m-000001 20s: its heartbeats arrive, nothing reaches it.
 	"deaf": func(r *traceRunner, c traceCommand) {
-		r.simulator.Machines.MakeUnreachable(c.machine(0), c.duration(1))
+		r.simulator.Machines.MakeUnreachable(c.machine(), c.duration(1))
 	},
 	// mute m-000001 20s: it reaches no controller, command pushes reach it.
 	"mute": func(r *traceRunner, c traceCommand) {
-		r.simulator.Machines.BlockHeartbeats(c.machine(0), c.duration(1))
+		r.simulator.Machines.BlockHeartbeats(c.machine(), c.duration(1))
 	},
 	// copy m-000001 20s: its present heartbeat is delivered again later.
 	"copy": func(r *traceRunner, c traceCommand) {
-		r.simulator.Machines.DuplicateHeartbeat(c.machine(0), c.duration(1))
+		r.simulator.Machines.DuplicateHeartbeat(c.machine(), c.duration(1))
 	},
 	// reboot m-000001: its worker is back at once in its next incarnation.
-	"reboot": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Reboot(c.machine(0)) },
+	"reboot": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Reboot(c.machine()) },
 	// notice m-000001 20s: the cloud takes the machine after that.
-	"notice": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Preempt(c.machine(0), c.duration(1)) },
+	"notice": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Preempt(c.machine(), c.duration(1)) },
 }
 
 // applySetting applies a command about the settings; false: it is another one.
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -238,10 +238,10 @@
 // isSet tells whether an option is given.
 func (c traceCommand) isSet(name string) bool { return c.options[name] != "" }
 
-// machine is an argument that names a machine.
-func (c traceCommand) machine(index int) cluster.MachineID {
+// machine is the first argument, which names a machine.
+func (c traceCommand) machine() cluster.MachineID {
 	c.runner.t.Helper()
-	return cluster.MachineID(c.arg(index))
+	return cluster.MachineID(c.arg(0))
 }
 
 // node is an argument that names a controller.
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -42,6 +42,7 @@
 	var seen faultTotals
 	t.Run("seeds", func(t *testing.T) {
 		forEachSeed(t, from, to, func(t *testing.T, seed uint64) {
+			t.Helper()
 			seen.add(simulateUpgrade(t, seed))
 		})
 	})
--- a/internal/controller/urgency_test.go
+++ b/internal/controller/urgency_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"testing"
 
 	"stairrelay/internal/cluster"
@@ -14,62 +15,116 @@
 // deadline of all its dependents, over teams and shards, in whichever order their
 // records are seen, and that a job that has ended takes nothing more.
 func TestUrgencyPropagated(t *testing.T) {
-	// a (red) <- b (green) <- d (blue, production, due); a <- c (green, urgent); e (red) <- d
-	spec := func(id cluster.JobID, team string, prio cluster.Priority, due float64, awaits ...cluster.JobID) cluster.JobSpec {
-		return cluster.JobSpec{ID: id, Team: team, Class: "c-" + string(id), Priority: prio, Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, RuntimeSeconds: 20, DeadlineSeconds: due, SubmittedAt: 1_000_000, Dependencies: awaits}
-	}
-	specs := []cluster.JobSpec{spec("a", "red", cluster.BestEffort, 0), spec("b", "green", cluster.Normal, 0, "a"), spec("c", "green", cluster.Urgent, 0, "a"),
-		spec("d", "blue", cluster.Production, 300, "b", "e"), spec("e", "red", cluster.BestEffort, 100)}
-	orders := [][]int{{0, 1, 2, 3, 4}, {4, 3, 2, 1, 0}, {2, 0, 4, 3, 1}, {3, 1, 0, 2, 4}}
-	for _, order := range orders {
-		b := newControllerHarness()
-		for _, name := range []string{"green", "blue"} {
-			b.state.Teams[name] = &state.Team{Team: cluster.Team{Name: name, QuotaLimit: cluster.Resources{CPU: 100_000_000}}, ShardID: map[string]cluster.ShardID{"green": 1, "blue": 2}[name]}
-		}
-		b.state.Teams["red"].ShardID = 0
-		b.state.Shards[1].Owned, b.state.Shards[2].Owned = false, false
-		for _, i := range order {
-			v, _ := json.Marshal(jobs.Record{Spec: &specs[i], WriteID: "x"})
-			b.jobs.Records.Apply(messages.KV{Key: "jobs/" + string(specs[i].ID), Value: v, ModRevision: cluster.ModRevision(31 + i)}, nil)
-		}
-		due := 1_000_000 + 300_000.0
-		for id, want := range map[cluster.JobID]struct {
-			prio cluster.Priority
-			by   float64
-		}{
-			"d": {cluster.Production, due},
-			"b": {cluster.Production, due - 20_000 - jobs.StageDelayMillis},
-			"a": {cluster.Production, due - 2*(20_000+jobs.StageDelayMillis)},
-			"c": {cluster.Urgent, 0},
-			"e": {cluster.Production, 1_100_000}, // its own is the tighter
-		} {
-			if k := b.state.Jobs.Known[id]; k.EffectivePriority != want.prio || k.EffectiveDeadline != want.by {
-				t.Errorf("%v: %s has priority %d, due %v; want %d, %v", order, id, k.EffectivePriority, k.EffectiveDeadline, want.prio, want.by)
-			}
-			if j := b.state.Jobs.Owned[id]; j != nil && j.EffectivePriority != want.prio {
-				t.Errorf("%v: %s is served with priority %d, want %d", order, id, j.EffectivePriority, want.prio)
+	for _, order := range [][]int{{0, 1, 2, 3, 4}, {4, 3, 2, 1, 0}, {2, 0, 4, 3, 1}, {3, 1, 0, 2, 4}} {
+		t.Run(fmt.Sprint(order), func(t *testing.T) {
+			b := newUrgencyHarness()
+			for _, i := range order {
+				b.applyJobRecord(t, urgencyJobs[i].ID, jobs.Record{Spec: &urgencyJobs[i]}, cluster.ModRevision(31+i))
 			}
+			b.checkUrgencies(t)
+			b.checkLaterUrgencies(t)
+		})
+	}
+}
+
+const (
+	// urgencyDeadline is the deadline of job d, in milliseconds of the wall clock.
+	urgencyDeadline = 1_000_000 + 300_000.0
+	// urgencyRuntime is the run time of all jobs, in milliseconds.
+	urgencyRuntime = 20_000
+)
+
+// urgencyJobs depend on each other so:
+// a (red) <- b (green) <- d (blue, production, due); a <- c (green, urgent); e (red) <- d.
+var urgencyJobs = []cluster.JobSpec{
+	urgencyJob("a", "red", cluster.BestEffort, 0),
+	urgencyJob("b", "green", cluster.Normal, 0, "a"),
+	urgencyJob("c", "green", cluster.Urgent, 0, "a"),
+	urgencyJob("d", "blue", cluster.Production, 300, "b", "e"),
+	urgencyJob("e", "red", cluster.BestEffort, 100),
+}
+
+func urgencyJob(id cluster.JobID, team string, priority cluster.Priority, deadline float64, dependencies ...cluster.JobID) cluster.JobSpec {
+	return cluster.JobSpec{
+		ID:              id,
+		Team:            team,
+		Class:           "c-" + string(id),
+		Priority:        priority,
+		Tasks:           1,
+		ResourceRequest: cluster.Resources{CPU: 1_000_000},
+		RuntimeSeconds:  urgencyRuntime / 1000,
+		DeadlineSeconds: deadline,
+		SubmittedAt:     1_000_000,
+		Dependencies:    dependencies,
+	}
+}
+
+// newUrgencyHarness is a harness that owns the shard of team red only.
+func newUrgencyHarness() *controllerHarness {
+	b := newControllerHarness()
+	for name, shard := range map[string]cluster.ShardID{"green": 1, "blue": 2} {
+		b.state.Teams[name] = &state.Team{Team: cluster.Team{Name: name, QuotaLimit: cluster.Resources{CPU: 100_000_000}}, ShardID: shard}
+	}
+	b.state.Teams["red"].ShardID = 0
+	b.state.Shards[1].Owned, b.state.Shards[2].Owned = false, false
+	return b
+}
+
+// applyJobRecord applies a job's record as the watch shows it.
+func (b *controllerHarness) applyJobRecord(t *testing.T, id cluster.JobID, record jobs.Record, modRevision cluster.ModRevision) {
+	t.Helper()
+	record.WriteID = "x"
+	value, err := json.Marshal(record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.jobs.Records.Apply(messages.KV{Key: "jobs/" + string(id), Value: value, ModRevision: modRevision}, nil)
+}
+
+// checkUrgencies checks what the jobs take of their dependents.
+func (b *controllerHarness) checkUrgencies(t *testing.T) {
+	t.Helper()
+	for id, want := range map[cluster.JobID]struct {
+		priority cluster.Priority
+		deadline float64
+	}{
+		"d": {cluster.Production, urgencyDeadline},
+		"b": {cluster.Production, urgencyDeadline - urgencyRuntime - jobs.StageDelayMillis},
+		"a": {cluster.Production, urgencyDeadline - 2*(urgencyRuntime+jobs.StageDelayMillis)},
+		"c": {cluster.Urgent, 0},
+		"e": {cluster.Production, 1_100_000}, // its own is the tighter
+	} {
+		known := b.state.Jobs.Known[id]
+		if known.EffectivePriority != want.priority || known.EffectiveDeadline != want.deadline {
+			t.Errorf("%s has priority %d, due %v; want %d, %v", id, known.EffectivePriority, known.EffectiveDeadline, want.priority, want.deadline)
 		}
-		if b.state.Jobs.Owned["a"] == nil || b.state.Jobs.Owned["b"] != nil {
-			t.Fatal("the wrong jobs are owned")
-		}
-		if start := b.scheduler.Queue.LatestStart(b.state.Jobs.Owned["a"]); start != due-2*(20_000+jobs.StageDelayMillis)-20_000 {
-			t.Errorf("%v: a is to start at %v", order, start)
-		}
-		// One that comes later, and one after the end.
-		late := spec("f", "blue", cluster.Normal, 100, "b")
-		v, _ := json.Marshal(jobs.Record{Spec: &late, WriteID: "x"})
-		b.jobs.Records.Apply(messages.KV{Key: "jobs/f", Value: v, ModRevision: 40}, nil)
-		if k := b.state.Jobs.Known["a"]; k.EffectiveDeadline != 1_100_000-2*(20_000+jobs.StageDelayMillis) {
-			t.Errorf("%v: a tighter deadline does not reach a: %v", order, k.EffectiveDeadline)
-		}
-		done, _ := json.Marshal(jobs.Record{FinalStatus: cluster.JobDone, Team: "green", Tasks: 1, WriteID: "x"})
-		b.jobs.Records.Apply(messages.KV{Key: "jobs/b", Value: done, ModRevision: 41}, nil)
-		later := spec("g", "blue", cluster.Production, 50, "b")
-		v, _ = json.Marshal(jobs.Record{Spec: &later, WriteID: "x"})
-		b.jobs.Records.Apply(messages.KV{Key: "jobs/g", Value: v, ModRevision: 42}, nil)
-		if k := b.state.Jobs.Known["a"]; k.EffectiveDeadline != 1_100_000-2*(20_000+jobs.StageDelayMillis) {
-			t.Errorf("%v: what depends on a finished job changes a: %v", order, k.EffectiveDeadline)
+		if job := b.state.Jobs.Owned[id]; job != nil && job.EffectivePriority != want.priority {
+			t.Errorf("%s is served with priority %d, want %d", id, job.EffectivePriority, want.priority)
 		}
 	}
+	if b.state.Jobs.Owned["a"] == nil || b.state.Jobs.Owned["b"] != nil {
+		t.Fatal("the wrong jobs are owned")
+	}
+	start := b.scheduler.Queue.LatestStart(b.state.Jobs.Owned["a"])
+	if want := urgencyDeadline - 2*(urgencyRuntime+jobs.StageDelayMillis) - urgencyRuntime; start != want {
+		t.Errorf("a is to start at %v, want %v", start, want)
+	}
+}
+
+// checkLaterUrgencies checks that job a takes a tighter deadline of a dependent that comes
+// later, and none of one that comes after the end of the job between them.
+func (b *controllerHarness) checkLaterUrgencies(t *testing.T) {
+	t.Helper()
+	const want = 1_100_000 - 2*(urgencyRuntime+jobs.StageDelayMillis)
+	late := urgencyJob("f", "blue", cluster.Normal, 100, "b")
+	b.applyJobRecord(t, "f", jobs.Record{Spec: &late}, 40)
+	if known := b.state.Jobs.Known["a"]; known.EffectiveDeadline != want {
+		t.Errorf("a tighter deadline does not reach a: %v", known.EffectiveDeadline)
+	}
+	b.applyJobRecord(t, "b", jobs.Record{FinalStatus: cluster.JobDone, Team: "green", Tasks: 1}, 41)
+	later := urgencyJob("g", "blue", cluster.Production, 50, "b")
+	b.applyJobRecord(t, "g", jobs.Record{Spec: &later}, 42)
+	if known := b.state.Jobs.Known["a"]; known.EffectiveDeadline != want {
+		t.Errorf("what depends on a finished job changes a: %v", known.EffectiveDeadline)
+	}
 }
