--- a/internal/provisioning/requests_test.go
+++ b/internal/provisioning/requests_test.go
@@ -21,20 +21,14 @@
 	return shard, shard.ProvisioningRequests["r-1"]
 }
 
-// scaleOutCall returns the one call for machines that was made since effects were last
-// taken.
+// scaleOutCall returns the call for machines that was made since effects were last taken.
 func (h *harness) scaleOutCall(t *testing.T) messages.CloudScaleOut {
 	t.Helper()
-	var calls []messages.CloudScaleOut
-	for _, effect := range h.takeEffects() {
-		if call, ok := effect.(messages.CloudScaleOut); ok {
-			calls = append(calls, call)
-		}
-	}
-	if len(calls) != 1 {
-		t.Fatalf("%d calls for machines, want 1", len(calls))
+	call, sent := takeEffect[messages.CloudScaleOut](t, h)
+	if !sent {
+		t.Fatal("the cloud was not called for machines")
 	}
-	return calls[0]
+	return call
 }
 
 // TestRequestRepeatedUntilAnswered shows that a request whose outcome is not known is
@@ -49,7 +43,7 @@
 		{messages.Throttled, requestThrottledDelay},
 	} {
 		h := newHarness(t)
-		_, request := storedRequest(h)
+		shard, request := storedRequest(h)
 		first := h.scaleOutCall(t)
 		h.loop.Deliver(messages.Reply{Call: first.Call, Body: messages.ScaleOutReply{Outcome: test.outcome}})
 		h.setTime(h.loop.Now() + test.delay)
@@ -62,6 +56,10 @@
 		if !request.Answered || request.ExpectedMachines() != 2 || !h.ScaleOut.scheduled {
 			t.Errorf("outcome %d: the repeated request is not answered, or no other takes its place: %+v", test.outcome, request)
 		}
+		h.Requests.call(shard, request)
+		if call, sent := takeEffect[messages.CloudScaleOut](t, h); sent {
+			t.Errorf("outcome %d: an answered request is sent again as %+v", test.outcome, call)
+		}
 	}
 }
 
--- /dev/null
+++ b/internal/provisioning/scaleout_test.go
@@ -0,0 +1,148 @@
+package provisioning
+
+import (
+	"maps"
+	"slices"
+	"testing"
+
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/fairshare"
+	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
+)
+
+// newScaleOutHarness is a harness whose first shard is owned and has pending tasks of one
+// CPU. Four fit on a small machine and sixteen on a large one, which costs twice as much
+// per task; spot machines cost half.
+func newScaleOutHarness(t *testing.T, tasks int, spot bool) (*harness, *state.Shard) {
+	t.Helper()
+	h := newHarness(t)
+	small := cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}
+	h.state.MachineTypes["small"] = cluster.MachineType{Name: "small", Capacity: small, Zones: []string{"a", "b"}, OnDemandPrice: 4, SpotPrice: 2, BootSeconds: 30}
+	h.state.MachineTypes["large"] = cluster.MachineType{Name: "large", Capacity: small.Times(4), Zones: []string{"a"}, OnDemandPrice: 32, SpotPrice: 16, BootSeconds: 30}
+	shard := h.state.Shards[0]
+	shard.Owned, shard.Ready = true, true
+	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
+	shard.OutOfCapacityUntil = map[state.ProvisioningOption]cluster.Time{}
+	spec := cluster.JobSpec{ID: "j-1", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Spot: spot, RuntimeSeconds: 60}
+	h.host.work = scheduling.PendingWork{{Job: state.NewJob(spec, shard.ID, 1, h.loop.Now()), Count: tasks}}
+	h.Rate.bucket.SetRate(100, 100)
+	h.Rate.bucket.Fill()
+	return h, shard
+}
+
+// requested counts the machines of a shard's requests by option.
+func requested(shard *state.Shard) map[state.ProvisioningOption]int {
+	counts := map[state.ProvisioningOption]int{}
+	for _, request := range shard.ProvisioningRequests {
+		counts[request.Option] += request.Count
+	}
+	return counts
+}
+
+// TestRequestedOptions shows that as many machines are requested as the pending tasks
+// need beyond what is coming, each time the cheapest that the cloud may have.
+func TestRequestedOptions(t *testing.T) {
+	small := state.ProvisioningOption{Type: "small", Zone: "a"}
+	smallElsewhere := state.ProvisioningOption{Type: "small", Zone: "b"}
+	large := state.ProvisioningOption{Type: "large", Zone: "a"}
+	smallSpot := state.ProvisioningOption{Type: "small", Zone: "a", Spot: true}
+	backOff := func(options ...state.ProvisioningOption) func(*harness, *state.Shard) {
+		return func(h *harness, shard *state.Shard) {
+			for _, option := range options {
+				shard.OutOfCapacityUntil[option] = h.loop.Now() + second
+			}
+		}
+	}
+	for _, test := range []struct {
+		name    string
+		tasks   int
+		spot    bool
+		prepare func(*harness, *state.Shard)
+		want    map[state.ProvisioningOption]int
+	}{
+		{"cheapest per task", 9, false, nil, map[state.ProvisioningOption]int{small: 3}},
+		{"spot machines where allowed", 9, true, nil, map[state.ProvisioningOption]int{smallSpot: 3}},
+		{"another zone when one has none", 4, false, backOff(small), map[state.ProvisioningOption]int{smallElsewhere: 1}},
+		{"another type when one has none", 4, false, backOff(small, smallElsewhere), map[state.ProvisioningOption]int{large: 1}},
+		{"nothing when the cloud has none", 4, false, backOff(small, smallElsewhere, large), nil},
+		{"at most four requests of a group each", 400, false, nil, map[state.ProvisioningOption]int{small: 40}},
+		{"less what is booting", 9, false, func(h *harness, _ *state.Shard) {
+			h.addMachines(2)[0].Booting = true
+		}, map[state.ProvisioningOption]int{small: 1}},
+		{"not less what is being released", 4, false, func(h *harness, _ *state.Shard) {
+			machine := h.addMachines(1)[0]
+			machine.Booting = true
+			machine.BeginRelease()
+		}, map[state.ProvisioningOption]int{small: 1}},
+		{"less what is requested already", 9, false, func(h *harness, shard *state.Shard) {
+			h.Requests.Create(shard, smallElsewhere, 2)
+		}, map[state.ProvisioningOption]int{smallElsewhere: 2, small: 1}},
+		{"nothing while others go first", 9, false, func(h *harness, _ *state.Shard) {
+			h.host.canScaleOut = false
+		}, nil},
+		{"nothing without a share of the request rate", 9, false, func(h *harness, _ *state.Shard) {
+			h.Rate.HandleThrottled()
+		}, nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, shard := newScaleOutHarness(t, test.tasks, test.spot)
+			if test.prepare != nil {
+				test.prepare(h, shard)
+			}
+			h.ScaleOut.RunShard(shard)
+			if got := requested(shard); !maps.Equal(got, test.want) {
+				t.Errorf("requested %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// TestOnDemandInPlaceOfSpot shows that work for spot machines, of which the cloud has
+// none, gets on-demand machines only if what its shard has would be busy with it until
+// they have booted.
+func TestOnDemandInPlaceOfSpot(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		available cluster.Amount
+		want      int
+	}{
+		{"8 CPUs are busy for 60 s", 8_000_000, 2},
+		{"32 CPUs are busy for 15 s", 32_000_000, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h, shard := newScaleOutHarness(t, 8, true)
+			for _, machineType := range []string{"small", "large"} {
+				for _, zone := range []string{"a", "b"} {
+					option := state.ProvisioningOption{Type: machineType, Zone: zone, Spot: true}
+					shard.OutOfCapacityUntil[option] = h.loop.Now() + second
+				}
+			}
+			load := h.host.loads[shard.ID]
+			load.Available = test.available
+			h.host.loads = fairshare.Snapshot{shard.ID: load}
+			h.ScaleOut.RunShard(shard)
+			total := 0
+			for count := range maps.Values(requested(shard)) {
+				total += count
+			}
+			if total != test.want {
+				t.Errorf("%d machines are requested, want %d", total, test.want)
+			}
+		})
+	}
+}
+
+// TestScheduledScaleOutRunsOnce shows that several requests for a run share one.
+func TestScheduledScaleOutRunsOnce(t *testing.T) {
+	h, shard := newScaleOutHarness(t, 4, false)
+	h.ScaleOut.Schedule()
+	h.ScaleOut.Schedule()
+	h.pass(scaleOutDelay)
+	if names := slices.Collect(maps.Keys(shard.ProvisioningRequests)); len(names) != 1 {
+		t.Errorf("requests %v, want one", names)
+	}
+	if h.ScaleOut.scheduled {
+		t.Error("a run is scheduled still")
+	}
+}
