--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -8,38 +8,38 @@
 	"stairrelay/internal/state"
 )
 
-// TestScaleOutInZoneOfJob: machines for a job that is bound to a zone are asked for
-// in that zone alone, also where the cloud has refused them there. Placement
-// would not use any of another zone; they would be paid for, and counted as
-// coming, for nothing.
+// TestScaleOutInZoneOfJob: machines for a job that is bound to a zone are requested in
+// that zone alone, also when the cloud has none there. Its tasks could not be assigned
+// to machines of another zone, which would be paid for, and counted as coming, for
+// nothing.
 func TestScaleOutInZoneOfJob(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		zone    string
-		refused []string
-		rented  []string
+		name          string
+		zone          string
+		outOfCapacity []string
+		requested     []string
 	}{
 		{"bound to a zone", "b", nil, []string{"b"}},
 		{"bound to a zone that has none left", "b", []string{"b"}, nil},
 		{"not bound, one zone has none left", "", []string{"a"}, []string{"b"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
-			part := b.state.Shards[0]
-			small := b.state.MachineTypes["small"]
+			h := newControllerHarness()
+			shard := h.state.Shards[0]
+			small := h.state.MachineTypes["small"]
 			small.Zones = []string{"a", "b"}
-			b.state.MachineTypes["small"] = small
-			for _, zone := range test.refused {
-				part.OutOfCapacityUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = b.loop.Now() + 60*second
+			h.state.MachineTypes["small"] = small
+			for _, zone := range test.outOfCapacity {
+				shard.OutOfCapacityUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = h.loop.Now() + 60*second
 			}
-			b.addTestJob("j-1", 1).Spec.Zone = test.zone
-			b.provisioner.ScaleOut.RunShard(part)
-			var rented []string
-			for _, name := range slices.Sorted(maps.Keys(part.ProvisioningRequests)) {
-				rented = append(rented, part.ProvisioningRequests[name].Option.Zone)
+			h.addTestJob("j-1", 1).Spec.Zone = test.zone
+			h.provisioner.ScaleOut.RunShard(shard)
+			var requested []string
+			for _, name := range slices.Sorted(maps.Keys(shard.ProvisioningRequests)) {
+				requested = append(requested, shard.ProvisioningRequests[name].Option.Zone)
 			}
-			if len(rented) != len(test.rented) || len(rented) > 0 && rented[0] != test.rented[0] {
-				t.Errorf("rented in zones %v, want %v", rented, test.rented)
+			if len(requested) != len(test.requested) || len(requested) > 0 && requested[0] != test.requested[0] {
+				t.Errorf("requested in zones %v, want %v", requested, test.requested)
 			}
 		})
 	}
--- a/internal/provisioning/machinelist_test.go
+++ b/internal/provisioning/machinelist_test.go
@@ -83,3 +83,17 @@
 		t.Errorf("regular readings take %.1f of %.1f calls a second", rate, config.CloudRPS)
 	}
 }
+
+// TestThrottledPageEmptiesShare shows that after a page was refused for the rate no other
+// request goes out at once.
+func TestThrottledPageEmptiesShare(t *testing.T) {
+	h := newHarness(t)
+	h.Rate.bucket.SetRate(1, 10)
+	h.Rate.bucket.Fill()
+	h.List.Poll()
+	request := h.listRequests()[0]
+	h.loop.Deliver(messages.Reply{Call: request.Call, Body: messages.CloudListReply{Outcome: messages.Throttled}})
+	if h.Rate.TryCall() {
+		t.Error("a request went out right after one was refused for the rate")
+	}
+}
--- a/internal/provisioning/scaleout_test.go
+++ b/internal/provisioning/scaleout_test.go
@@ -68,8 +68,14 @@
 		{"nothing when the cloud has none", 4, false, backOff(small, smallElsewhere, large), nil},
 		{"at most four requests of a group each", 400, false, nil, map[state.ProvisioningOption]int{small: 40}},
 		{"less what is booting", 9, false, func(h *harness, _ *state.Shard) {
-			h.addMachines(2)[0].Booting = true
-		}, map[state.ProvisioningOption]int{small: 1}},
+			h.addMachines(1)[0].Booting = true
+		}, map[state.ProvisioningOption]int{small: 2}},
+		{"less what was just taken over", 9, false, func(h *harness, _ *state.Shard) {
+			h.addMachines(1)
+		}, map[state.ProvisioningOption]int{small: 2}},
+		{"not less what does not acknowledge its token", 9, false, func(h *harness, _ *state.Shard) {
+			h.addMachines(1)[0].OwnedSince -= acknowledgementPatience
+		}, map[state.ProvisioningOption]int{small: 3}},
 		{"not less what is being released", 4, false, func(h *harness, _ *state.Shard) {
 			machine := h.addMachines(1)[0]
 			machine.Booting = true
