--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -38,7 +38,7 @@
 		t.Fatalf("kept %v, unlisted %v, reaped %v before its outcome is stored", m.Assignments[a.Task] == a, a.RemovedFromRecord, m.EndedToAcknowledge)
 	}
 	written := m.Group.ModRevision
-	b.jobs.Records.Write(j, writequeue.Outcome)
+	b.jobs.Records.WriteJob(j, writequeue.Outcome)
 	b.runFor(100 * millisecond)
 	if m.Assignments[a.Task] != nil || !m.EndedToAcknowledge[a.TaskAttempt()] {
 		t.Error("its outcome is stored, and the worker is not told to forget it")
@@ -83,7 +83,7 @@
 			if len(m.EndedToAcknowledge) > 0 {
 				t.Error("the worker may forget it before it is stored")
 			}
-			b.jobs.Records.Write(j, writequeue.Outcome)
+			b.jobs.Records.WriteJob(j, writequeue.Outcome)
 			b.runFor(100 * millisecond)
 			if kv := b.store.get(j.ChunkKey(0)).KV; !strings.Contains(string(kv.Value), `"d":"1"`) {
 				t.Errorf("stored %s", kv.Value)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -57,10 +57,10 @@
 	scheduler *scheduling.Scheduler
 
 	// Machines.
-	recordNames       *inventory.RecordNames
-	inventory         *inventory.Inventory
-	reconciler        *reconcile.Reconciler
-	provisioner       *provisioning.Provisioner
+	recordNames *inventory.RecordNames
+	inventory   *inventory.Inventory
+	reconciler  *reconcile.Reconciler
+	provisioner *provisioning.Provisioner
 }
 
 // New makes a Core. Nothing happens before the first Step.
@@ -158,3 +158,11 @@
 	c.loop.Every(eventloop.FixedInterval(second/4), c.scheduler.Trigger.Request)
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
+
+// writeBackgroundState stores what can wait: outcomes of tasks whose jobs go on, and
+// machine records that list more than they need to.
+func (c *Controller) writeBackgroundState() {
+	c.jobs.Records.WriteOutcomes()
+	c.inventory.CleanUp()
+	c.checkShardProgress()
+}
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -16,7 +16,7 @@
 	j := b.addTestJob("j-1", 1)
 	j.SetCompleted(0)
 	b.losesReply = func(messages.StoreTxn) bool { return true }
-	b.jobs.Records.Write(j, writequeue.Admit)
+	b.jobs.Records.WriteJob(j, writequeue.Admit)
 	b.runFor(60 * millisecond)
 	if b.store.get("jobs/j-1").Outcome != messages.OK || j.FinalStatus != "" {
 		t.Fatal("the end is not stored, or its answer is not lost")
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -57,11 +57,3 @@
 func (s jobScheduler) RuntimeRatio(class string) float64 {
 	return s.controller.scheduler.RunTimes.Ratio(class)
 }
-
-// writeBackgroundState stores what can wait: outcomes of tasks whose jobs go on, and
-// machine records that list more than they need to.
-func (c *Controller) writeBackgroundState() {
-	c.jobs.Records.WriteOutcomes()
-	c.inventory.CleanUp()
-	c.checkShardProgress()
-}
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -5,7 +5,6 @@
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
-	"stairrelay/internal/writequeue"
 )
 
 // reconcileConfig is what the reconciler needs of the settings.
@@ -26,7 +25,7 @@
 	return reconcile.New(c.loop, c.state, c.writeQueue, c.reconcileConfig(), reconcile.Dependencies{
 		Ownership:         c.ownership,
 		Machines:          c.inventory,
-		Jobs:              jobRecords{controller: c},
+		Jobs:              c.jobs.Records,
 		Runtimes:          runtimes{c.scheduler.RunTimes, c.scheduler.Stragglers},
 		Reachability:      c.workerReachability,
 		Process:           c.processHealth,
@@ -51,14 +50,6 @@
 	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(patience) && !c.members.HasAnswerWithin(patience)
 }
 
-// jobRecords writes the jobs' records for the reconciler.
-type jobRecords struct{ controller *Controller }
-
-// WriteJob implements reconcile.JobRecords.
-func (r jobRecords) WriteJob(job *state.Job, priority writequeue.Priority) {
-	r.controller.jobs.Records.Write(job, priority)
-}
-
 // runtimes shows the reconciler how long tasks run.
 type runtimes struct {
 	*scheduling.RunTimes
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -23,7 +23,7 @@
 	for i := 0; i < 16_000; i += 3 {
 		j.SetCompleted(i)
 	}
-	b.jobs.Records.Write(j, writequeue.Background)
+	b.jobs.Records.WriteJob(j, writequeue.Background)
 	b.runFor(10 * second)
 	for _, p := range b.state.Shards {
 		if !p.Owned {
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -83,7 +83,7 @@
 		return n
 	}
 	for range 5 {
-		b.jobs.Records.Write(j, writequeue.Background)
+		b.jobs.Records.WriteJob(j, writequeue.Background)
 		b.runFor(2 * second)
 	}
 	if n := stored(); n != 33_334 {
@@ -92,7 +92,7 @@
 	for i := range 100_000 {
 		j.SetCompleted(i)
 	}
-	b.jobs.Records.Write(j, writequeue.Admit)
+	b.jobs.Records.WriteJob(j, writequeue.Admit)
 	b.runFor(20 * second)
 	for k := 1; k < state.ChunkCount(100_000); k++ {
 		if b.store.get(j.ChunkKey(k)).Outcome != messages.NotFound {
--- a/internal/jobs/checkpoints.go
+++ b/internal/jobs/checkpoints.go
@@ -22,7 +22,7 @@
 		}
 		if slices.Contains(job.DirtyChunks, true) {
 			job.NextCheckpointAt = r.loop.Now() + backgroundCheckpointIntervals*r.config.CheckpointInterval
-			r.Write(job, writequeue.Background)
+			r.WriteJob(job, writequeue.Background)
 		}
 	}
 }
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -26,9 +26,9 @@
 	finalStatus   cluster.JobStatus
 }
 
-// Write stores what has become of a job's tasks, or its end. While a write of the
+// WriteJob stores what has become of a job's tasks, or its end. While a write of the
 // job is under way, another follows it.
-func (r *Records) Write(job *state.Job, priority writequeue.Priority) {
+func (r *Records) WriteJob(job *state.Job, priority writequeue.Priority) {
 	if job.FinalStatus != "" {
 		return
 	}
@@ -148,7 +148,7 @@
 		w.records.deleteLeftoverChunks(job, w.writtenChunks)
 		w.records.handleEnd(job, w.finalStatus)
 	case job.RewriteNeeded:
-		w.records.Write(job, writequeue.Outcome)
+		w.records.WriteJob(job, writequeue.Outcome)
 	}
 }
 
@@ -206,7 +206,7 @@
 			r.giveUpShardOf(job)
 		default:
 			job.ModRevisions[0] = reply.KV.ModRevision
-			r.Write(job, priority)
+			r.WriteJob(job, priority)
 		}
 	})
 }
