--- a/cmd/stairrelay/controller.go
+++ b/cmd/stairrelay/controller.go
@@ -44,7 +44,7 @@
 	defer servers.close()
 	failed := servers.start(log)
 	for _, warning := range config.Warnings {
-		log.Warn("odd setting", "warning", warning)
+		log.Warn("questionable setting", "warning", warning)
 	}
 	log.Info("started", "version", version, "node", string(config.Controller.Self), "listen", config.ListenAddress)
 
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -26,7 +26,7 @@
 
 const (
 	stallNone     stallReason = ""
-	stallNoOwner  stallReason = "nobody serves it"
+	stallNoOwner  stallReason = "no owner serves it"
 	stallNoStarts stallReason = "waiting tasks fit on its machines and none is started"
 	stallNoWrites stallReason = "its writes are not stored"
 )
@@ -50,12 +50,12 @@
 	if state.stalledCheckpoints++; state.stalledCheckpoints%stallThreshold != 0 {
 		return
 	}
-	c.loop.Log(messages.LogInfo, "part makes no progress",
-		"part", int(p.ID),
-		"why", string(why),
+	c.loop.Log(messages.LogInfo, "shard makes no progress",
+		"shard", int(p.ID),
+		"reason", string(why),
 		"checkpoints", state.stalledCheckpoints,
-		"holder", string(p.Owner),
-		"claiming", p.Acquiring)
+		"owner", string(p.Owner),
+		"acquiring", p.Acquiring)
 }
 
 // shardStallReason says whether a part is served, as far as this controller knows.
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -17,7 +17,7 @@
 func loggedStalls(effects []messages.Effect) []string {
 	var whys []string
 	for _, effect := range effects {
-		if line, ok := effect.(messages.Log); ok && line.Message == "part makes no progress" {
+		if line, ok := effect.(messages.Log); ok && line.Message == "shard makes no progress" {
 			whys = append(whys, line.Args[3].(string))
 		}
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -65,7 +65,7 @@
 	l.pendingCalls[call] = func(body messages.ReplyBody) {
 		reply, ok := body.(R)
 		if !ok {
-			l.Log(messages.LogError, "reply of the wrong type", "call", uint64(call), "type", fmt.Sprintf("%T", body))
+			l.Log(messages.LogError, "reply of the wrong type", "call", uint64(call), "reply_type", fmt.Sprintf("%T", body))
 			return
 		}
 		handle(reply)
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -24,7 +24,7 @@
 	id := request.Spec.ID
 	answer := func(response messages.Respond) {
 		if response.View == nil {
-			s.loop.Log(messages.LogDebug, "submission refused", "job", string(id), "status", response.Status, "reason", response.Error)
+			s.loop.Log(messages.LogDebug, "submission refused", "job", string(id), "http_status", response.Status, "reason", response.Error)
 		}
 		response.Request = request.Request
 		s.loop.Emit(response)
--- a/internal/provisioning/scalein.go
+++ b/internal/provisioning/scalein.go
@@ -64,7 +64,7 @@
 	for _, reason := range slices.Sorted(maps.Keys(s.machinesByReason)) {
 		args = append(args, strings.ReplaceAll(reason, " ", "_"), s.machinesByReason[reason])
 	}
-	args = append(args, "tasks", s.taskCount)
+	args = append(args, "live_tasks", s.taskCount)
 	*s = releaseSummary{}
 	return args
 }
@@ -75,7 +75,7 @@
 		return
 	}
 	tasks := machine.LiveTaskCount()
-	s.loop.Log(messages.LogDebug, "releasing machine", "machine", string(machine.ID), "reason", reason, "tasks", tasks)
+	s.loop.Log(messages.LogDebug, "releasing machine", "machine", string(machine.ID), "reason", reason, "live_tasks", tasks)
 	if s.unlogged.add(reason, tasks) {
 		s.loop.After(releaseLogDelay, s.logReleases)
 	}
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -29,15 +29,15 @@
 
 // The reasons for which machines are released here.
 const (
-	ReleaseBootTimedOut           ReleaseReason = "never came up"
+	ReleaseBootTimedOut           ReleaseReason = "boot timed out"
 	ReleaseSilent                 ReleaseReason = "silent"
 	ReleaseSilentUnlisted         ReleaseReason = "silent and not listed"
 	ReleaseHungWithCancelledTasks ReleaseReason = "silent with cancelled tasks"
 	ReleaseIgnoresStop            ReleaseReason = "does not stop a cancelled task"
-	ReleaseUnreachable            ReleaseReason = "deaf"
+	ReleaseUnreachable            ReleaseReason = "unreachable for commands"
 	ReleaseDrained                ReleaseReason = "drained"
-	ReleasePreempted              ReleaseReason = "notice"
-	ReleaseCordoned               ReleaseReason = "retired"
+	ReleasePreempted              ReleaseReason = "preempted"
+	ReleaseCordoned               ReleaseReason = "cordoned"
 	ReleaseIdle                   ReleaseReason = "idle"
 
 	releaseNone ReleaseReason = ""
--- a/internal/reconcile/taskend.go
+++ b/internal/reconcile/taskend.go
@@ -69,7 +69,7 @@
 		job.BackoffUntil = r.loop.Now() + min(second<<doublings, maxJobBackoff)
 	}
 	if len(machine.FailedJobs) >= failingMachineJobs && !machine.Draining {
-		r.loop.Log(messages.LogInfo, "machine fails tasks", "machine", string(machine.ID), "errors", machine.TaskErrors)
+		r.loop.Log(messages.LogInfo, "machine fails tasks", "machine", string(machine.ID), "task_errors", machine.TaskErrors)
 		r.Stops.Drain(machine)
 	}
 }
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -10,7 +10,7 @@
 	// stallLogText is what a controller logs of a shard that is not served. It may
 	// do so for stallLogGracePeriod after the last fault, since the line is about
 	// the time before.
-	stallLogText        = "part makes no progress"
+	stallLogText        = "shard makes no progress"
 	stallLogGracePeriod = 60 * second
 )
 
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -60,7 +60,7 @@
 		host = remoteAddress
 	}
 	if h.loggedErrors.add(host + err.Error()) {
-		h.log.Info("malformed heartbeat", "host", host, "error", err)
+		h.log.Info("malformed heartbeat", "remote_host", host, "error", err)
 	}
 }
 
--- a/internal/writequeue/reply.go
+++ b/internal/writequeue/reply.go
@@ -79,7 +79,7 @@
 	if q.writeRPS <= q.config.WriteRPS {
 		return
 	}
-	q.loop.Log(messages.LogInfo, "store refuses the present write rate", "per_second", q.writeRPS, "from_now", q.config.WriteRPS)
+	q.loop.Log(messages.LogInfo, "store throttles the write rate", "write_rps", q.writeRPS, "lowered_to_rps", q.config.WriteRPS)
 	q.writeRPS = q.config.WriteRPS
 	q.divideWriteRate()
 }
@@ -88,7 +88,7 @@
 // were lowered and one of the records is too large. Each write is built anew, by
 // itself, so that this one shows.
 func (q *Queue) handleInvalid(t *transaction) {
-	q.loop.Log(messages.LogInfo, "store refuses our transaction as malformed", "keys", len(t.operations), "first", t.operations[0].Key, "writes", len(t.writes))
+	q.loop.Log(messages.LogInfo, "store rejects a transaction as malformed", "key_count", len(t.operations), "key", t.operations[0].Key, "write_count", len(t.writes))
 	for _, write := range t.writes {
 		switch {
 		case len(t.writes) > 1:
--- a/internal/writequeue/watch.go
+++ b/internal/writequeue/watch.go
@@ -43,7 +43,7 @@
 		case messages.Compacted:
 			q.loop.Log(messages.LogInfo, "changes missed, reading all keys again",
 				"prefix", watch.Prefix,
-				"since", uint64(*watch.Position))
+				"since_revision", uint64(*watch.Position))
 			q.loop.After(watch.Pause, watch.OnCompacted)
 		default:
 			q.loop.After(watchRetryPause, func() { q.Watch(watch) })
