--- a/internal/inventory/machines.go
+++ b/internal/inventory/machines.go
@@ -84,9 +84,7 @@
 // record. Whatever was sent under the lower one can't be executed any more once the
 // worker has acknowledged the new one.
 func (inv *Inventory) RaiseToken(machine *state.Machine) {
-	if machine.RaisingToken || machine.Releasing {
-		return
+	if machine.BeginTokenRaise() {
+		inv.WriteMachine(machine, writequeue.Start)
 	}
-	machine.RaisingToken = true
-	inv.WriteMachine(machine, writequeue.Start)
 }
--- a/internal/inventory/stored.go
+++ b/internal/inventory/stored.go
@@ -41,7 +41,7 @@
 		inv.RemoveAssignment(m, a)
 	}
 	for _, a := range s.completed {
-		if a.RemovedFromRecord = true; a.IsOutcomeStored() {
+		if a.MarkRemovedFromRecord() {
 			inv.RemoveAssignment(m, a)
 		}
 	}
@@ -49,7 +49,7 @@
 		m.MarkTokenRaised(cluster.FencingToken(revision), inv.loop.Now())
 	}
 	if s.releases && !m.ReleaseConfirmed {
-		m.ReleaseConfirmed = true
+		m.ConfirmRelease()
 		inv.cloud.ScheduleScaleIn()
 	}
 }
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -99,6 +99,14 @@
 	return true
 }
 
+// MarkRemovedFromRecord notes that the stored record no longer lists the task, which has
+// completed, and tells whether it may be forgotten. As long as its outcome is not stored
+// too, it may not: a second start would find nothing that says that it has completed.
+func (a *Assignment) MarkRemovedFromRecord() bool {
+	a.RemovedFromRecord = true
+	return a.IsOutcomeStored()
+}
+
 // SortedAttempts lists attempts by task and attempt.
 func SortedAttempts(m map[TaskAttempt]bool) []TaskAttempt {
 	l := make([]TaskAttempt, 0, len(m))
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -168,6 +168,16 @@
 	return true
 }
 
+// BeginTokenRaise notes that a higher token is to be stored with the machine's record;
+// false: one is already, or the machine is being released and needs none.
+func (m *Machine) BeginTokenRaise() bool {
+	if m.RaisingToken || m.Releasing {
+		return false
+	}
+	m.RaisingToken = true
+	return true
+}
+
 // MarkTokenRaised notes that a higher token is stored. Nothing but stops is sent until
 // the worker has acknowledged it: until then it would still execute commands of an
 // earlier owner.
--- a/internal/state/usage.go
+++ b/internal/state/usage.go
@@ -6,13 +6,13 @@
 	"stairrelay/internal/cluster"
 )
 
-// Sums of what tasks take, kept up to date as tasks come and go: placement asks
-// for them many times a second, and there may be thousands of tasks.
+// Sums of what tasks take, kept up to date as tasks come and go: scheduling asks for
+// them many times a second, and there may be thousands of tasks.
 //
-// A task counts while it is live on a machine held here: from when it is listed
-// there until a report shows that it has ended or that it is gone.
+// A task counts while it is live on an owned machine: from when it is listed there
+// until a heartbeat shows that it has ended or is absent.
 
-// TeamUsage sums what each team's live tasks take on the machines of a part.
+// TeamUsage sums what each team's live tasks take on the machines of a shard.
 type TeamUsage map[string]cluster.Resources
 
 // UsageByTeam returns what each team's live tasks take on the machines of the shard. The
@@ -23,7 +23,7 @@
 type MachineUsage struct {
 	TaskCount int
 	Resources cluster.Resources
-	ByTeam    TeamUsage // of the machine's part
+	ByTeam    TeamUsage // of the machine's shard
 }
 
 // Add takes in a task that has become live.
