--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -188,8 +188,8 @@
 	})
 }
 
-// recordWriter notes that the controller which wrote a record was alive: another that
-// cannot reach it must not take it for failed.
+// recordWriter notes that the controller which wrote a record is alive. One that this
+// controller can't call would else count as failed, and lose its shards.
 func (s *shared) recordWriter(kv messages.KV) {
 	if kv.Value != nil {
 		s.Members.RecordWrite(writequeue.WriterOf(kv.Value))
