--- a/internal/provisioning/scalein_test.go
+++ b/internal/provisioning/scalein_test.go
@@ -79,7 +79,7 @@
 	h.takeEffects() // the lines for each machine
 	h.pass(releaseLogDelay)
 	line, logged := takeEffect[messages.Log](t, h)
-	want := []any{"idle", 2, "silent_and_not_listed", 1, "tasks", 0}
+	want := []any{"idle", 2, "silent_and_not_listed", 1, "live_tasks", 0}
 	if !logged || line.Level != messages.LogInfo || !slices.Equal(line.Args, want) {
 		t.Errorf("logged %v, want %v", line.Args, want)
 	}
