--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -26,7 +26,7 @@
 
 const (
 	stallNone     stallReason = ""
-	stallNoOwner  stallReason = "nobody serves it"
+	stallNoOwner  stallReason = "no owner serves it"
 	stallNoStarts stallReason = "waiting tasks fit on its machines and none is started"
 	stallNoWrites stallReason = "its writes are not stored"
 )
@@ -52,7 +52,7 @@
 	}
 	c.loop.Log(messages.LogInfo, "shard makes no progress",
 		"shard", int(shard.ID),
-		"why", string(why),
+		"reason", string(why),
 		"checkpoints", progress.stalledCheckpoints,
 		"owner", string(shard.Owner),
 		"acquiring", shard.Acquiring)
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -83,7 +83,7 @@
 		job.SetCompleted(i)
 	}
 	for range 5 {
-		b.jobs.Records.Write(job, writequeue.Background)
+		b.jobs.Records.WriteJob(job, writequeue.Background)
 		b.runFor(2 * second)
 	}
 	if count := b.countStoredOutcomes(job); count != 33_334 {
@@ -92,7 +92,7 @@
 	for i := range tasks {
 		job.SetCompleted(i)
 	}
-	b.jobs.Records.Write(job, writequeue.Admit)
+	b.jobs.Records.WriteJob(job, writequeue.Admit)
 	b.runFor(20 * second)
 	for chunk := 1; chunk < state.ChunkCount(tasks); chunk++ {
 		if b.store.get(job.ChunkKey(chunk)).Outcome != messages.NotFound {
