--- a/internal/controller/ownership_adapter.go
+++ b/internal/controller/ownership_adapter.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"stairrelay/internal/membership"
 	"stairrelay/internal/ownership"
 	"stairrelay/internal/state"
 )
@@ -18,17 +17,6 @@
 	}
 }
 
-// ownershipPeers shows the other controllers to the ownership of shards.
-type ownershipPeers struct{ *membership.Members }
-
-// AppendAcknowledgements implements ownership.Peers.
-func (p ownershipPeers) AppendAcknowledgements(acknowledgements []ownership.Acknowledgement) []ownership.Acknowledgement {
-	for _, peer := range p.Peers() {
-		acknowledgements = append(acknowledgements, ownership.Acknowledgement(peer.Acknowledgement()))
-	}
-	return acknowledgements
-}
-
 // shardStore loads acquired shards and drops lost ones.
 type shardStore struct{ controller *Controller }
 
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"stairrelay/internal/inventory"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
@@ -29,7 +28,7 @@
 		Runtimes:          runtimes{c.scheduler.RunTimes, c.scheduler.Stragglers},
 		Reachability:      c.workerReachability,
 		Process:           c.processHealth,
-		Directory:         machineDirectory{c.inventory},
+		Directory:         c.inventory,
 		Registrar:         c.inventory,
 		Releaser:          machineReleaser{controller: c},
 		Spot:              c.provisioner.Spot,
@@ -76,13 +75,3 @@
 func (r machineReleaser) SurplusPredicate() func(*state.Machine) bool {
 	return r.controller.scheduler.Rebalancer.SurplusPredicate()
 }
-
-// machineDirectory tells the reconciler whose machines are that are not owned here.
-type machineDirectory struct{ *inventory.Inventory }
-
-// ReadRecordedMachines implements reconcile.MachineDirectory.
-func (d machineDirectory) ReadRecordedMachines(handle func(*reconcile.RecordedMachines)) {
-	d.Inventory.ReadRecordedMachines(func(recorded *inventory.RecordedMachines) {
-		handle((*reconcile.RecordedMachines)(recorded))
-	})
-}
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -28,7 +28,7 @@
 // loadShard reads the records of a shard.
 func (c *Controller) loadShard(shard *state.Shard) {
 	load := &shardLoad{controller: c, shard: shard, claimRevision: shard.ClaimRevision}
-	load.read("groups/", &load.groups)
+	load.read(state.GroupKeyPrefix, &load.groups)
 	load.read(provisioning.RequestKeyPrefix, &load.provisioningRequests)
 	// The admissions before the jobs: what is admitted in between comes by the watch.
 	load.read(jobs.AdmissionKeyPrefix, &load.admissions)
--- a/internal/inventory/recordedmachines.go
+++ b/internal/inventory/recordedmachines.go
@@ -9,15 +9,6 @@
 	"stairrelay/internal/state"
 )
 
-// RecordedMachines is what the records of provisioning requests and machine groups of
-// all shards list.
-type RecordedMachines struct {
-	// RequestedKinds are the kinds of the open provisioning requests.
-	RequestedKinds map[grouprecord.Kind]bool
-	// Listed are the machines that a group lists.
-	Listed map[cluster.MachineID]bool
-}
-
 // ReadRecordedMachines calls a function with what the records list, or with nil if the
 // state service doesn't answer or a record can't be read, so that nothing can be
 // concluded.
@@ -25,13 +16,13 @@
 // The provisioning requests are read first: a machine whose request is not settled yet
 // is in no group, but will be. So a machine that no group lists is an orphan if none of
 // the requests read before was open for its kind.
-func (inv *Inventory) ReadRecordedMachines(handle func(*RecordedMachines)) {
+func (inv *Inventory) ReadRecordedMachines(handle func(*state.RecordedMachines)) {
 	inv.writes.ListPrefix(provisioningPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
 			handle(nil)
 			return
 		}
-		recorded := &RecordedMachines{RequestedKinds: map[grouprecord.Kind]bool{}, Listed: map[cluster.MachineID]bool{}}
+		recorded := &state.RecordedMachines{RequestedKinds: map[grouprecord.Kind]bool{}, Listed: map[cluster.MachineID]bool{}}
 		for _, item := range reply.Items {
 			kind, err := requestedKind(item.Value)
 			if err != nil {
@@ -61,7 +52,7 @@
 }
 
 // readGroupedMachines adds the machines that groups list.
-func (inv *Inventory) readGroupedMachines(recorded *RecordedMachines, handle func(*RecordedMachines)) {
+func (inv *Inventory) readGroupedMachines(recorded *state.RecordedMachines, handle func(*state.RecordedMachines)) {
 	inv.writes.ListPrefix(state.GroupKeyPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK || !inv.applyListedMachines(reply.Items, recorded.Listed) {
 			handle(nil)
--- a/internal/inventory/recordedmachines_test.go
+++ b/internal/inventory/recordedmachines_test.go
@@ -6,6 +6,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // TestMachineOwnersReadInPages: groups read in several pages may miss a machine that
@@ -24,7 +25,7 @@
 			h := newHarness(t, "n0")
 			ended := false
 			var got map[cluster.MachineID]bool
-			h.ReadRecordedMachines(func(recorded *RecordedMachines) {
+			h.ReadRecordedMachines(func(recorded *state.RecordedMachines) {
 				ended = true
 				if recorded != nil {
 					got = recorded.Listed
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -61,6 +61,14 @@
 // Acknowledgement is what the peer's present process has last answered.
 func (p *Peer) Acknowledgement() Acknowledgement { return p.acknowledgement }
 
+// AppendAcknowledgements appends what the peers have last answered to a slice.
+func (m *Members) AppendAcknowledgements(acknowledgements []Acknowledgement) []Acknowledgement {
+	for _, peer := range m.Peers() {
+		acknowledgements = append(acknowledgements, peer.acknowledgement)
+	}
+	return acknowledgements
+}
+
 // IsSuspected tells whether the peer has not answered the last ping and its retries.
 func (p *Peer) IsSuspected() bool { return p.suspected }
 
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -2,6 +2,7 @@
 
 import (
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/state"
 )
 
@@ -60,35 +61,23 @@
 	ConfirmedAt cluster.Time
 }
 
-// Acknowledgement is a peer's last answer to a call.
-type Acknowledgement struct {
-	// SentAt is when that call was sent; 0 if the peer's present process has
-	// answered none.
-	SentAt cluster.Time
-	// InstanceSeenAt is when the peer's present process was first noticed.
-	InstanceSeenAt cluster.Time
-	// Terms holds the latest term that the peer knows of each shard, by ShardID. It
-	// is empty for a peer of a release that does not send terms.
-	Terms []cluster.Term
-}
-
-// covers reports whether the acknowledgement excludes a later claim: the peer knows
-// none, and its present process was noticed before the store was last read, so that
-// whatever an earlier process acquired would have shown there.
-func (a *Acknowledgement) covers(claim Claim) bool {
-	return int(claim.ShardID) < len(a.Terms) &&
-		a.Terms[claim.ShardID] <= claim.Term &&
-		a.InstanceSeenAt <= claim.ConfirmedAt
+// isCoveredBy reports whether a peer's acknowledgement excludes a later claim: the
+// peer knows none, and its present process was noticed before the store was last
+// read, so that whatever an earlier process acquired would have shown there.
+func (c Claim) isCoveredBy(acknowledgement *membership.Acknowledgement) bool {
+	return int(c.ShardID) < len(acknowledgement.Terms) &&
+		acknowledgement.Terms[c.ShardID] <= c.Term &&
+		acknowledgement.InstanceSeenAt <= c.ConfirmedAt
 }
 
 // LastConfirmedAt returns the last moment, at most now, at which it is certain that
 // nobody had acquired the shard after the claim. It follows from the acknowledgements
 // of all other controllers and from the store; one that does not cover the claim
 // leaves only what the store has confirmed.
-func (c Claim) LastConfirmedAt(now cluster.Time, acknowledgements []Acknowledgement) cluster.Time {
+func (c Claim) LastConfirmedAt(now cluster.Time, acknowledgements []membership.Acknowledgement) cluster.Time {
 	confirmedAt := now
 	for i := range acknowledgements {
-		if !acknowledgements[i].covers(c) {
+		if !c.isCoveredBy(&acknowledgements[i]) {
 			return c.ConfirmedAt
 		}
 		confirmedAt = min(confirmedAt, acknowledgements[i].SentAt)
--- a/internal/ownership/lease_test.go
+++ b/internal/ownership/lease_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/membership"
 )
 
 // TestAnswerWindow checks that the worker lease that the last answer renews expires
@@ -54,32 +55,32 @@
 	const now, storeConfirmedAt = 200 * second, 100 * second
 	claim := Claim{ShardID: 1, Term: 5, ConfirmedAt: storeConfirmedAt}
 	terms := func(ofShard cluster.Term) []cluster.Term { return []cluster.Term{9, ofShard, 9} }
-	good := Acknowledgement{SentAt: 190 * second, InstanceSeenAt: 50 * second, Terms: terms(5)}
-	older := Acknowledgement{SentAt: 180 * second, Terms: terms(5)}
-	laterTerm := Acknowledgement{SentAt: 180 * second, Terms: terms(6)}
+	good := membership.Acknowledgement{SentAt: 190 * second, InstanceSeenAt: 50 * second, Terms: terms(5)}
+	older := membership.Acknowledgement{SentAt: 180 * second, Terms: terms(5)}
+	laterTerm := membership.Acknowledgement{SentAt: 180 * second, Terms: terms(6)}
 	for _, test := range []struct {
 		name             string
-		acknowledgements []Acknowledgement
+		acknowledgements []membership.Acknowledgement
 		want             cluster.Time
 	}{
 		{"no peers", nil, now},
-		{"two peers", []Acknowledgement{good, older}, 180 * second},
-		{"two peers, the older first", []Acknowledgement{older, good}, 180 * second},
-		{"an earlier term known", []Acknowledgement{good, {SentAt: 180 * second, Terms: terms(4)}}, 180 * second},
-		{"older than the store's", []Acknowledgement{good, {SentAt: 90 * second, Terms: terms(5)}}, storeConfirmedAt},
-		{"no call answered by one", []Acknowledgement{good, {Terms: terms(5)}}, storeConfirmedAt},
-		{"a later term known", []Acknowledgement{good, laterTerm}, storeConfirmedAt},
-		{"a later term known by the first", []Acknowledgement{laterTerm, good}, storeConfirmedAt},
-		{"a release that sends no terms", []Acknowledgement{good, {SentAt: 180 * second}}, storeConfirmedAt},
-		{"fewer shards known", []Acknowledgement{good, {SentAt: 180 * second, Terms: []cluster.Term{5}}}, storeConfirmedAt},
+		{"two peers", []membership.Acknowledgement{good, older}, 180 * second},
+		{"two peers, the older first", []membership.Acknowledgement{older, good}, 180 * second},
+		{"an earlier term known", []membership.Acknowledgement{good, {SentAt: 180 * second, Terms: terms(4)}}, 180 * second},
+		{"older than the store's", []membership.Acknowledgement{good, {SentAt: 90 * second, Terms: terms(5)}}, storeConfirmedAt},
+		{"no call answered by one", []membership.Acknowledgement{good, {Terms: terms(5)}}, storeConfirmedAt},
+		{"a later term known", []membership.Acknowledgement{good, laterTerm}, storeConfirmedAt},
+		{"a later term known by the first", []membership.Acknowledgement{laterTerm, good}, storeConfirmedAt},
+		{"a release that sends no terms", []membership.Acknowledgement{good, {SentAt: 180 * second}}, storeConfirmedAt},
+		{"fewer shards known", []membership.Acknowledgement{good, {SentAt: 180 * second, Terms: []cluster.Term{5}}}, storeConfirmedAt},
 		{
 			"a process as old as the store's confirmation",
-			[]Acknowledgement{good, {SentAt: 180 * second, InstanceSeenAt: storeConfirmedAt, Terms: terms(5)}},
+			[]membership.Acknowledgement{good, {SentAt: 180 * second, InstanceSeenAt: storeConfirmedAt, Terms: terms(5)}},
 			180 * second,
 		},
 		{
 			"a process that started later",
-			[]Acknowledgement{good, {SentAt: 180 * second, InstanceSeenAt: storeConfirmedAt + 1, Terms: terms(5)}},
+			[]membership.Acknowledgement{good, {SentAt: 180 * second, InstanceSeenAt: storeConfirmedAt + 1, Terms: terms(5)}},
 			storeConfirmedAt,
 		},
 	} {
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -59,6 +59,7 @@
 import (
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
@@ -97,7 +98,7 @@
 	IsFailed(cluster.NodeID) bool
 	// AppendAcknowledgements appends what each other controller has last answered
 	// to a ping.
-	AppendAcknowledgements([]Acknowledgement) []Acknowledgement
+	AppendAcknowledgements([]membership.Acknowledgement) []membership.Acknowledgement
 	// RecordWrite is called when a record was seen that a process has written since
 	// it was last seen.
 	RecordWrite(instanceID string)
@@ -133,7 +134,7 @@
 	claimsRevision   cluster.Revision // up to which the claim records are known
 	checks           []check          // by shard
 	changes          int
-	acknowledgements []Acknowledgement // reused: every worker's heartbeat asks for them
+	acknowledgements []membership.Acknowledgement // reused: every worker's heartbeat asks for them
 }
 
 // New makes a manager to which no owner is known.
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -7,6 +7,7 @@
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
@@ -15,14 +16,14 @@
 // fakePeers are other controllers of which a test says what is known.
 type fakePeers struct {
 	failed           []cluster.NodeID
-	acknowledgements []Acknowledgement
+	acknowledgements []membership.Acknowledgement
 	upgraded         []cluster.NodeID
 	writers          []string // the processes whose writes were recorded
 }
 
 func (p *fakePeers) IsFailed(node cluster.NodeID) bool { return slices.Contains(p.failed, node) }
 
-func (p *fakePeers) AppendAcknowledgements(to []Acknowledgement) []Acknowledgement {
+func (p *fakePeers) AppendAcknowledgements(to []membership.Acknowledgement) []membership.Acknowledgement {
 	return append(to, p.acknowledgements...)
 }
 
@@ -569,7 +570,7 @@
 	m := newTestManager()
 	m.own(0).ConfirmedAt = m.loop.Now() - 2*second - 1
 	m.own(1).ConfirmedAt = m.loop.Now() - 2*second
-	m.peers.acknowledgements = []Acknowledgement{{}}
+	m.peers.acknowledgements = []membership.Acknowledgement{{}}
 	m.RenewLeases()
 	if read := onlyRequest[messages.StoreGet](t, m); read.Key != "parts/0" {
 		t.Errorf("reads %s", read.Key)
--- a/internal/reconcile/harness_test.go
+++ b/internal/reconcile/harness_test.go
@@ -28,9 +28,9 @@
 	overloaded       bool
 	workersReporting bool
 	resumedAt        cluster.Time
-	remainingSeconds float64           // of every task
-	recorded         *RecordedMachines // what the records list; nil: they can't be read
-	listingShard     cluster.ShardID   // of every machine that they list
+	remainingSeconds float64                 // of every task
+	recorded         *state.RecordedMachines // what the records list; nil: they can't be read
+	listingShard     cluster.ShardID         // of every machine that they list
 
 	releases      []ReleaseReason
 	spotLosses    int
@@ -116,7 +116,7 @@
 	return h.listingShard, true
 }
 
-func (h *harness) ReadRecordedMachines(handle func(*RecordedMachines)) {
+func (h *harness) ReadRecordedMachines(handle func(*state.RecordedMachines)) {
 	h.readings++
 	handle(h.recorded)
 }
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -29,15 +29,6 @@
 	adoptionStoreSilence = second
 )
 
-// RecordedMachines is what the stored provisioning requests and machine groups
-// list.
-type RecordedMachines struct {
-	// RequestedKinds are the kinds of machines of the open provisioning requests.
-	RequestedKinds map[grouprecord.Kind]bool
-	// Listed are the machines that a group of any shard lists.
-	Listed map[cluster.MachineID]bool
-}
-
 // MachineDirectory tells whose machines are that this controller does not own.
 type MachineDirectory interface {
 	// RecentShardOf returns the shard whose record was seen to list a machine within a
@@ -47,7 +38,7 @@
 	LastShardOf(id cluster.MachineID) (cluster.ShardID, bool)
 	// ReadRecordedMachines calls handle with what the records list; nil: the state
 	// service does not answer, or a record can't be read.
-	ReadRecordedMachines(handle func(*RecordedMachines))
+	ReadRecordedMachines(handle func(*state.RecordedMachines))
 }
 
 // MachineRegistrar writes machines into records.
@@ -126,7 +117,7 @@
 func (o *Orphans) search() {
 	heartbeats := o.heartbeats
 	o.heartbeats, o.lastSearchAt = nil, o.loop.Now()
-	o.deps.Directory.ReadRecordedMachines(func(recorded *RecordedMachines) {
+	o.deps.Directory.ReadRecordedMachines(func(recorded *state.RecordedMachines) {
 		o.searching, o.lastSearchAt = false, o.loop.Now()
 		for _, heartbeat := range heartbeats {
 			o.answer(heartbeat, recorded)
@@ -136,7 +127,7 @@
 }
 
 // answer answers a worker whose machine was looked for in the records.
-func (o *Orphans) answer(heartbeat messages.Heartbeat, recorded *RecordedMachines) {
+func (o *Orphans) answer(heartbeat messages.Heartbeat, recorded *state.RecordedMachines) {
 	id := heartbeat.Status.Machine
 	switch {
 	case o.state.Machines[id] != nil: // became known meanwhile
@@ -158,7 +149,7 @@
 // queryStatus asks an orphaned machine for its status, and registers it when it
 // answers. A heartbeat alone proves nothing: it may be an old copy from a machine
 // that is long gone.
-func (o *Orphans) queryStatus(shard *state.Shard, status *cluster.HeartbeatStatus, recorded *RecordedMachines) {
+func (o *Orphans) queryStatus(shard *state.Shard, status *cluster.HeartbeatStatus, recorded *state.RecordedMachines) {
 	id := status.Machine
 	kind := grouprecord.Kind{Type: status.Type, Zone: status.Zone, Spot: status.Spot}
 	if !shard.Ready || recorded.RequestedKinds[kind] || o.registering[id] || status.Addr == "" {
@@ -229,7 +220,7 @@
 func (o *Orphans) adoptCandidates() {
 	candidates := o.candidates
 	o.candidates = nil
-	o.deps.Directory.ReadRecordedMachines(func(recorded *RecordedMachines) {
+	o.deps.Directory.ReadRecordedMachines(func(recorded *state.RecordedMachines) {
 		for _, candidate := range candidates {
 			o.adopt(candidate, recorded)
 		}
@@ -237,7 +228,7 @@
 }
 
 // adopt registers a machine from the cloud's list if still no record lists it.
-func (o *Orphans) adopt(listed cluster.ListedMachine, recorded *RecordedMachines) {
+func (o *Orphans) adopt(listed cluster.ListedMachine, recorded *state.RecordedMachines) {
 	delete(o.registering, listed.ID)
 	shard := o.ShardFor(listed.ID)
 	kind := grouprecord.Kind{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}
--- a/internal/reconcile/orphans_test.go
+++ b/internal/reconcile/orphans_test.go
@@ -7,6 +7,7 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // unknownMachine is a machine that is not owned here; its number points to shard 0.
@@ -24,8 +25,8 @@
 }
 
 // recordedMachines is what records list that list some machines and no open request.
-func recordedMachines(listed ...cluster.MachineID) *RecordedMachines {
-	recorded := &RecordedMachines{RequestedKinds: map[grouprecord.Kind]bool{}, Listed: map[cluster.MachineID]bool{}}
+func recordedMachines(listed ...cluster.MachineID) *state.RecordedMachines {
+	recorded := &state.RecordedMachines{RequestedKinds: map[grouprecord.Kind]bool{}, Listed: map[cluster.MachineID]bool{}}
 	for _, id := range listed {
 		recorded.Listed[id] = true
 	}
@@ -53,7 +54,7 @@
 	requested.RequestedKinds[unknownKind] = true
 	for _, test := range []struct {
 		name       string
-		recorded   *RecordedMachines
+		recorded   *state.RecordedMachines
 		foreign    bool // shard 0 has another owner
 		status     messages.ReplyStatus
 		redirectTo cluster.NodeID
