--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -11,7 +11,7 @@
 
 // TestAdmissionInDoubtAnsweredAsRetry shows that an admission whose answer was lost, or
 // that another controller stored a moment ago in a record of several, is answered
-// as a retry: others may have told more of the job since.
+// as a retry: others may have reported more of the job since.
 func TestAdmissionInDoubtAnsweredAsRetry(t *testing.T) {
 	for name, want := range map[string]messages.ReplyStatus{"new": 201, "answer lost": 200, "stored by another": 200} {
 		b := newControllerHarness()
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -7,24 +7,24 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestAttemptNumbersBeyondOneRevision: a part that one controller holds for days numbers
+// TestAttemptNumbersBeyondOneRevision: a shard that one controller owns for days has
 // more starts than the count of an attempt has room for. Each number is new,
-// and belongs to a store change of the holder's own. Before, the count ran over
+// and belongs to a store change of the owner's own. Before, the count overflowed
 // into the claim's bits: the numbers of an odd claim came again.
 func TestAttemptNumbersBeyondOneRevision(t *testing.T) {
 	b := newControllerHarness()
-	p := b.state.Shards[0]
-	p.ClaimRevision, p.AttemptBase, p.LastStoredRevision = 31, 31, 31
-	first := p.NextAttempt()
+	shard := b.state.Shards[0]
+	shard.ClaimRevision, shard.AttemptBase, shard.LastStoredRevision = 31, 31, 31
+	first := shard.NextAttempt()
 	b.addTestJob("j-1", 1)
-	m, _ := b.addRunningMachine(b.state.Jobs.Owned["j-1"])
+	machine, _ := b.addRunningMachine(b.state.Jobs.Owned["j-1"])
 	b.store.revision = 50
-	m.Group.ModRevision = 0
-	b.inventory.WriteMachine(m, writequeue.Start)
+	machine.Group.ModRevision = 0
+	b.inventory.WriteMachine(machine, writequeue.Start)
 	b.runFor(100 * millisecond)
 
-	p.AttemptCount = cluster.MaxAttemptCount - 1
-	last, next := p.NextAttempt(), p.NextAttempt()
+	shard.AttemptCount = cluster.MaxAttemptCount - 1
+	last, next := shard.NextAttempt(), shard.NextAttempt()
 	if last.Claim() != 31 || last.Count() != cluster.MaxAttemptCount {
 		t.Errorf("the last of the claim is %d of %d", last.Count(), last.Claim())
 	}
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -20,16 +20,16 @@
 	BootTimeoutFactor    float64
 	RateBudgetShare      float64
 	FailbackDelay        cluster.Time
-	ShortJobWeight       float64      // a job moves back by this many times what its remaining work would take all of its part
+	ShortJobWeight       float64      // a job moves back by this many times what its remaining work would take all of its shard
 	SpareCapacityShare   float64      // room kept beyond the present need
 	FirstTaskTarget      cluster.Time // a job's first task goes before all others after half of this
 }
 
-// Config is all that a Core knows from the start.
+// Config is all that a Controller knows from the start.
 type Config struct {
 	Self              cluster.NodeID
 	Zone              string
-	Nodes             []cluster.NodeID // all, sorted; Nodes[i] is the home of part i
+	Nodes             []cluster.NodeID // all, sorted; Nodes[i] is the home of shard i
 	Teams             []cluster.Team
 	SLOs              []cluster.SLO
 	HeartbeatInterval cluster.Time
@@ -47,7 +47,7 @@
 	CurrentWriteRPS float64
 }
 
-// DefaultTuning holds the design's starting values.
+// DefaultTuning returns the design's starting values.
 func DefaultTuning() Tuning {
 	s := cluster.Time(time.Second)
 	return Tuning{
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// inventoryDependencies are the controller's parts that the inventory calls.
+// inventoryDependencies are the controller's components that the inventory calls.
 func (c *Controller) inventoryDependencies() inventory.Dependencies {
 	return inventory.Dependencies{
 		Shards:    inventoryShards{Manager: c.ownership, shardStore: shardStore{c}},
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -10,7 +10,7 @@
 
 // TestJobEndInDoubtConfirmedBeforeAnswer shows that after the write of a job's end was
 // carried out and its answer was lost, neither a user's query nor another
-// controller's gets the owner's older view: others may have read and told the end.
+// controller's gets the owner's older view: others may have read and reported the end.
 func TestJobEndInDoubtConfirmedBeforeAnswer(t *testing.T) {
 	b := newControllerHarness()
 	j := b.addTestJob("j-1", 1)
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// newJobs connects the jobs to the other parts.
+// newJobs connects the jobs to the other components.
 func (c *Controller) newJobs() *jobs.Jobs {
 	return jobs.New(c.loop, c.state, c.writeQueue, c.jobsConfig(), jobs.Collaborators{
 		Members:   c.members,
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -50,9 +50,9 @@
 		CloudRPS: 4, StoreRPS: 100, WriteRPS: 25, MaxTxnOps: 20, MaxValueBytes: 16384, WorkerLease: 14 * second, HeartbeatInterval: 5 * second / 2, Tuning: DefaultTuning()})
 }
 
-// TestFailbackOnlyRelievesLoad: a part goes back to its home only where that takes work
-// off a controller that has other work too; with all the work in one part it
-// would only change hands.
+// TestFailbackOnlyRelievesLoad: a shard goes back to its home only where that takes work
+// off a controller that has other work too; with all the work in one shard only its
+// owner would change.
 func TestFailbackOnlyRelievesLoad(t *testing.T) {
 	c := newSevenNodeController()
 	c.Step(second, 0, messages.Tick{})
@@ -63,62 +63,62 @@
 	answer()
 	c.Step(20*second, 0, messages.Tick{})
 	answer()
-	for _, p := range []*state.Shard{mine, theirs} {
-		p.Owned, p.Ready, p.Owner = true, true, "n0"
+	for _, shard := range []*state.Shard{mine, theirs} {
+		shard.Owned, shard.Ready, shard.Owner = true, true, "n0"
 	}
 	if len(c.members.MakePing(home).FailbackOffers) != 1 {
-		t.Error("a part without work is not offered to its home")
+		t.Error("a shard without work is not offered to its home")
 	}
 	c.state.AddOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.ID, 0, 0))
 	if len(c.members.MakePing(home).FailbackOffers) != 0 {
-		t.Error("the only part with work is offered to its home")
+		t.Error("the only shard with work is offered to its home")
 	}
 	c.state.AddOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.ID, 0, 0))
 	if len(c.members.MakePing(home).FailbackOffers) != 1 {
-		t.Error("one of two parts with work is not offered to its home")
+		t.Error("one of two shards with work is not offered to its home")
 	}
 }
 
-// TestReleasedMachineNotAdopted: a machine that was another part's until it was
-// returned is listed for a while longer; it is not taken in as nobody's because
+// TestReleasedMachineNotAdopted: a machine that was another shard's until it was
+// released is listed for a while longer; it is not adopted as an orphan because
 // it was first seen long ago.
 func TestReleasedMachineNotAdopted(t *testing.T) {
 	c := newSevenNodeController()
 	c.config.CloudListLag = 8 * second
 	c.reconciler.Configure(c.reconcileConfig())
 	c.Step(0, 0, messages.Tick{})
-	p := c.reconciler.Orphans.ShardFor("m-000007")
-	p.Owned, p.Ready = true, true
-	owned, enlisted, reads := true, false, 0
+	shard := c.reconciler.Orphans.ShardFor("m-000007")
+	shard.Owned, shard.Ready = true, true
+	owned, adopted, reads := true, false, 0
 	for c.loop.Now() < 300*second {
 		if c.loop.Now() > 70*second {
-			owned = false // returned; the list shows it for 16 s more
+			owned = false // released; the list shows it for 16 s more
 		}
 		if c.loop.Now() < 86*second && c.loop.Now()%(8*second) == 0 {
 			c.provisioner.List.Apply([]cluster.ListedMachine{{ID: "m-000007", Type: "small", Zone: "a", AgeSeconds: 500}})
 		}
 		queue := c.Step(c.loop.Now()+second/2, 0, messages.Tick{})
 		for len(queue) > 0 {
-			f := queue[0]
+			effect := queue[0]
 			queue = queue[1:]
-			switch f := f.(type) {
+			switch effect := effect.(type) {
 			case messages.StoreList:
 				reads++
-				r := messages.ListReply{Outcome: messages.OK}
-				if f.Prefix == "groups/" && owned {
-					r.Items = []messages.KV{{Key: "groups/x", Value: grouprecord.Encode(grouprecord.Record{ShardID: 3, Machines: []grouprecord.Machine{{ID: "m-000007", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}}, WriteID: "n"})}}
+				reply := messages.ListReply{Outcome: messages.OK}
+				if effect.Prefix == "groups/" && owned {
+					reply.Items = []messages.KV{{Key: "groups/x", Value: grouprecord.Encode(grouprecord.Record{ShardID: 3, Machines: []grouprecord.Machine{{ID: "m-000007", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}}, WriteID: "n"})}}
 				}
-				queue = append(queue, c.Step(c.loop.Now(), 0, messages.Reply{Call: f.Call, Body: r})...)
+				queue = append(queue, c.Step(c.loop.Now(), 0, messages.Reply{Call: effect.Call, Body: reply})...)
 			case messages.Log:
-				enlisted = enlisted || f.Message == "orphaned machine adopted"
+				adopted = adopted || effect.Message == "orphaned machine adopted"
 			}
 		}
 	}
 	if reads < 2 {
-		t.Error("nobody looked whose the machine is")
+		t.Error("nobody read which shard has the machine")
 	}
-	if enlisted || len(p.ToRegister) > 0 {
-		t.Error("a returned machine was adopted as an orphan")
+	if adopted || len(shard.ToRegister) > 0 {
+		t.Error("a released machine was adopted as an orphan")
 	}
 }
 
@@ -131,12 +131,12 @@
 	for now := cluster.Time(0); now <= 30*second; now += second { // a single step would be a process pause
 		c.Step(now, 0, messages.Tick{})
 	}
-	p := c.state.Shards[0]
-	p.Owned, p.Ready = true, true
-	g := c.state.AddGroup(p, "g", 1)
+	shard := c.state.Shards[0]
+	shard.Owned, shard.Ready = true, true
+	group := c.state.AddGroup(shard, "g", 1)
 	for i := range machines {
-		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
-		m.OwnedSince = 0
+		machine := c.inventory.AddMachine(group, grouprecord.Machine{ID: cluster.MachineID(rune('a' + i)), Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
+		machine.OwnedSince = 0
 	}
 	c.workerReachability.RecordOwnedHeartbeat()
 	setTime(c, c.loop.Now()+3*second)
@@ -148,14 +148,14 @@
 		t.Error("20 machines silent for 4 s, heartbeats each 2.5 s: the workers count as in reach")
 	}
 
-	o := newSevenNodeController()
-	o.Step(30*second, 0, messages.Tick{})
-	o.members.HandlePingReply(o.members.Peer("n1"), &messages.Ping{StoreReachable: true, WorkersReachable: false}, o.loop.Now())
-	if o.members.IsFailed("n1") {
+	observer := newSevenNodeController()
+	observer.Step(30*second, 0, messages.Tick{})
+	observer.members.HandlePingReply(observer.members.Peer("n1"), &messages.Ping{StoreReachable: true, WorkersReachable: false}, observer.loop.Now())
+	if observer.members.IsFailed("n1") {
 		t.Error("an owner without workers is lost to one that hears no worker either")
 	}
-	o.Step(o.loop.Now(), 0, messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: "m-1", Incarnation: 1, SequenceNumber: 1}})
-	if !o.members.IsFailed("n1") {
-		t.Error("an owner without workers is kept though its workers report here")
+	observer.Step(observer.loop.Now(), 0, messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: "m-1", Incarnation: 1, SequenceNumber: 1}})
+	if !observer.members.IsFailed("n1") {
+		t.Error("an owner without workers is kept though its workers send heartbeats here")
 	}
 }
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// newProvisioner connects the provisioner to the other parts.
+// newProvisioner connects the provisioner to the other components.
 func (c *Controller) newProvisioner() *provisioning.Provisioner {
 	return provisioning.New(c.loop, c.state, c.writeQueue, c.provisioningConfig(), provisioning.Dependencies{
 		Members:           c.members,
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// newReconciler connects the reconciler to the other parts.
+// newReconciler connects the reconciler to the other components.
 func (c *Controller) newReconciler() *reconcile.Reconciler {
 	return reconcile.New(c.loop, c.state, c.writeQueue, c.reconcileConfig(), reconcile.Dependencies{
 		Ownership:         c.ownership,
--- a/internal/controller/scheduling_adapter.go
+++ b/internal/controller/scheduling_adapter.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// newScheduler connects the scheduler to the other parts.
+// newScheduler connects the scheduler to the other components.
 func (c *Controller) newScheduler() *scheduling.Scheduler {
 	return scheduling.New(c.loop, c.state, c.schedulingConfig(), scheduling.Dependencies{
 		Stops:                taskStopper{controller: c},
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -18,13 +18,13 @@
 	MachineScans int
 }
 
-// AddCommandPush counts a call to a worker.
+// AddCommandPush counts a push of commands to a worker.
 func (n *Counters) AddCommandPush() { n.CommandPushes++ }
 
 // AddMachineScans counts a look at each of some machines.
 func (n *Counters) AddMachineScans(machines []*state.Machine) { n.MachineScans += len(machines) }
 
-// capacityUsage sums up what the machines of all parts have and what is done with
+// capacityUsage sums up what the machines of all owned shards have and what is done with
 // it, in processors.
 type capacityUsage struct {
 	total     cluster.Amount // of machines that are up
@@ -39,53 +39,53 @@
 	pending   cluster.Amount // of tasks without a machine
 }
 
-func (u *capacityUsage) addMachine(m *state.Machine, cpu cluster.Amount) {
-	if m.Booting {
+func (u *capacityUsage) addMachine(machine *state.Machine, cpu cluster.Amount) {
+	if machine.Booting {
 		u.booting += cpu
 		return
 	}
 	u.total += cpu
-	if m.Spot {
+	if machine.Spot {
 		u.spot += cpu
 	}
-	if m.LiveTaskCount() == 0 {
+	if machine.LiveTaskCount() == 0 {
 		u.idle += cpu
 	}
-	for _, a := range m.Assignments {
-		u.addTask(a)
+	for _, assignment := range machine.Assignments {
+		u.addTask(assignment)
 	}
 }
 
-func (u *capacityUsage) addTask(a *state.Assignment) {
+func (u *capacityUsage) addTask(assignment *state.Assignment) {
 	switch {
-	case a.Phase == state.PhaseEnded:
-		u.ended += a.ResourceRequest.CPU
-	case a.Phase == state.PhaseRecording:
-		u.recording += a.ResourceRequest.CPU
-	case a.Phase == state.PhaseReady:
-		u.ready += a.ResourceRequest.CPU
-	case a.RunningSince == 0:
-		u.fetching += a.ResourceRequest.CPU
+	case assignment.Phase == state.PhaseEnded:
+		u.ended += assignment.ResourceRequest.CPU
+	case assignment.Phase == state.PhaseRecording:
+		u.recording += assignment.ResourceRequest.CPU
+	case assignment.Phase == state.PhaseReady:
+		u.ready += assignment.ResourceRequest.CPU
+	case assignment.RunningSince == 0:
+		u.fetching += assignment.ResourceRequest.CPU
 	default:
-		u.running += a.ResourceRequest.CPU
+		u.running += assignment.ResourceRequest.CPU
 	}
 }
 
-// capacityUsage sums up the parts held here.
+// capacityUsage sums up the shards owned here.
 func (c *Controller) capacityUsage() capacityUsage {
-	var use capacityUsage
-	for _, p := range c.state.Shards {
-		for _, m := range p.Machines {
-			use.addMachine(m, c.state.MachineTypes[m.MachineType].Capacity.CPU)
+	var usage capacityUsage
+	for _, shard := range c.state.Shards {
+		for _, machine := range shard.Machines {
+			usage.addMachine(machine, c.state.MachineTypes[machine.MachineType].Capacity.CPU)
 		}
-		if !p.Owned || !p.Ready {
+		if !shard.Owned || !shard.Ready {
 			continue
 		}
-		for _, w := range c.scheduler.Queue.PendingWork(p) {
-			use.pending += w.Job.Spec.ResourceRequest.CPU * cluster.Amount(w.Count)
+		for _, work := range c.scheduler.Queue.PendingWork(shard) {
+			usage.pending += work.Job.Spec.ResourceRequest.CPU * cluster.Amount(work.Count)
 		}
 	}
-	return use
+	return usage
 }
 
 // logStats writes the periodic log lines.
@@ -93,23 +93,23 @@
 	counts := c.counters
 	c.counters = Counters{}
 	writes := c.writeQueue.TakeCounters()
-	use := c.capacityUsage()
+	usage := c.capacityUsage()
 	groupBytes := 0
-	for _, g := range c.state.Groups {
-		groupBytes += g.RecordSize
+	for _, group := range c.state.Groups {
+		groupBytes += group.RecordSize
 	}
-	cpus := func(a cluster.Amount) int { return int(a / 1_000_000) }
+	cpus := func(amount cluster.Amount) int { return int(amount / 1_000_000) }
 	c.loop.Log(messages.LogInfo, "load",
-		"cpus", cpus(use.total),
-		"spot", cpus(use.spot),
-		"idle", cpus(use.idle),
-		"running", cpus(use.running),
-		"fetching", cpus(use.fetching),
-		"ready", cpus(use.ready),
-		"recording", cpus(use.recording),
-		"ended", cpus(use.ended),
-		"pending", cpus(use.pending),
-		"booting", cpus(use.booting),
+		"cpus", cpus(usage.total),
+		"spot", cpus(usage.spot),
+		"idle", cpus(usage.idle),
+		"running", cpus(usage.running),
+		"fetching", cpus(usage.fetching),
+		"ready", cpus(usage.ready),
+		"recording", cpus(usage.recording),
+		"ended", cpus(usage.ended),
+		"pending", cpus(usage.pending),
+		"booting", cpus(usage.booting),
 		"groups", len(c.state.Groups),
 		"group_bytes", groupBytes/max(len(c.state.Groups), 1),
 		"puts_share", int(c.writeQueue.PutBudget().Rate()*10)/10)
@@ -140,13 +140,13 @@
 		"in_flight", c.writeQueue.InFlight())
 }
 
-// ownedShardCount counts the parts held here.
+// ownedShardCount counts the shards owned here.
 func (c *Controller) ownedShardCount() int {
-	held := 0
-	for _, p := range c.state.Shards {
-		if p.Owned {
-			held++
+	owned := 0
+	for _, shard := range c.state.Shards {
+		if shard.Owned {
+			owned++
 		}
 	}
-	return held
+	return owned
 }
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// shareByDemand returns this controller's part of a limit that all live ones share.
+// shareByDemand returns this controller's share of a limit that all live ones share.
 // reported picks the demand on it from another controller's ping.
 func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, reported func(*messages.Ping) float64) float64 {
 	if c.members == nil { // the write queue is made first, and asks at once
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -13,16 +13,16 @@
 	"stairrelay/internal/ratelimit"
 )
 
-// enforceWriteRate has the store refuse changes beyond a rate, as a bucket of one
-// second's worth, and returns how many transactions it has refused.
+// enforceWriteRate lets the store throttle changes beyond a rate, with a bucket of one
+// second, and returns how many transactions it has refused.
 func (b *controllerHarness) enforceWriteRate(rate float64) *int {
 	refused := 0
 	var allowed ratelimit.TokenBucket
 	allowed.SetRate(rate, rate)
 	allowed.Refill(b.loop.Now())
 	allowed.Fill()
-	b.throttles = func(x messages.StoreTxn) bool {
-		ok := allowed.Take(b.loop.Now(), float64(len(x.Then)))
+	b.throttles = func(transaction messages.StoreTxn) bool {
+		ok := allowed.Take(b.loop.Now(), float64(len(transaction.Then)))
 		if !ok {
 			refused++
 		}
@@ -31,49 +31,47 @@
 	return &refused
 }
 
-// newHarnessWithRates is a bench whose settings name a lower write rate for later.
+// newHarnessWithRates is a harness whose settings name a lower write rate for later.
 func newHarnessWithRates(present, later float64) *controllerHarness {
 	b := newControllerHarness()
-	b.config.CurrentWriteRPS, b.config.WriteRPS, b.config.MaxTxnOps = present, later, 4
-	dropTimers(b.Controller) // no tidying up, which would join the groups
-	b.writeQueue.Configure(b.writeQueueConfig())
-	b.jobs.Configure(b.jobsConfig())
-	b.inventory.Configure(b.inventoryConfig())
+	b.config.CurrentWriteRPS, b.config.WriteRPS = present, later
+	dropTimers(b.Controller) // no maintenance, which would merge the groups
+	b.configureLimits(4)
 	return b
 }
 
 // addGroupsAwaitingRecord makes groups of which each has starts that wait for its record.
-func (b *controllerHarness) addGroupsAwaitingRecord(name string, j *state.Job, groups, from int) []*state.MachineGroup {
+func (b *controllerHarness) addGroupsAwaitingRecord(name string, job *state.Job, groups, from int) []*state.MachineGroup {
 	var all []*state.MachineGroup
 	for i := range groups {
-		g := b.addGroupWithTasks(fmt.Sprintf("%s-%02d", name, i), j, 2, 2, from+10*i)
-		markTasksRecording(g, 4)
-		b.inventory.WriteGroup(g, writequeue.Start)
-		all = append(all, g)
+		group := b.addGroupWithTasks(fmt.Sprintf("%s-%02d", name, i), job, 2, 2, from+10*i)
+		markTasksRecording(group, 4)
+		b.inventory.WriteGroup(group, writequeue.Start)
+		all = append(all, group)
 	}
 	return all
 }
 
 // checkGroupsReady fails unless every group was stored with its tasks, which may
-// start now, and no part was given up.
+// start now, and no shard was given up.
 func (b *controllerHarness) checkGroupsReady(t *testing.T, groups []*state.MachineGroup) {
 	t.Helper()
-	for _, g := range groups {
-		record, err := grouprecord.Decode(b.store.keys[g.Key()].Value)
-		if err != nil || len(record.Machines) != 2 || b.countWrites(g.Key()) == 0 {
-			t.Errorf("%s: %d machines listed, %d writes, %v", g.ID, len(record.Machines), b.countWrites(g.Key()), err)
+	for _, group := range groups {
+		record, err := grouprecord.Decode(b.store.keys[group.Key()].Value)
+		if err != nil || len(record.Machines) != 2 || b.countWrites(group.Key()) == 0 {
+			t.Errorf("%s: %d machines listed, %d writes, %v", group.ID, len(record.Machines), b.countWrites(group.Key()), err)
 		}
-		for _, m := range g.SortedMachines() {
-			for _, a := range m.SortedAssignments() {
-				if a.Phase != state.PhaseReady {
-					t.Errorf("%s: task %d still waits for its record", g.ID, a.Task.Index)
+		for _, machine := range group.SortedMachines() {
+			for _, assignment := range machine.SortedAssignments() {
+				if assignment.Phase != state.PhaseReady {
+					t.Errorf("%s: task %d still waits for its record", group.ID, assignment.Task.Index)
 				}
 			}
 		}
 	}
-	for _, p := range b.state.Shards {
-		if !p.Owned {
-			t.Errorf("part %d was given up", p.ID)
+	for _, shard := range b.state.Shards {
+		if !shard.Owned {
+			t.Errorf("shard %d was given up", shard.ID)
 		}
 	}
 }
@@ -105,12 +103,12 @@
 
 // TestThrottledWriteRateLowered: once the store refuses the present rate the lower one
 // that the settings name is kept to. The refused writes are sent again, every
-// held start is recorded, and no part is lost.
+// start that waited is recorded, and no shard is lost.
 func TestThrottledWriteRateLowered(t *testing.T) {
 	b := newHarnessWithRates(60, 6)
 	refused := b.enforceWriteRate(6)
-	j := b.addTestJob("j-1", 2000)
-	groups := b.addGroupsAwaitingRecord("g", j, 20, 0)
+	job := b.addTestJob("j-1", 2000)
+	groups := b.addGroupsAwaitingRecord("g", job, 20, 0)
 	b.runFor(15 * second)
 	if *refused == 0 {
 		t.Fatal("nothing was refused: the test shows nothing")
@@ -122,14 +120,14 @@
 	limited := b.throttles
 	refusedAll := 0
 	b.throttles = func(messages.StoreTxn) bool { refusedAll++; return true }
-	more := b.addGroupsAwaitingRecord("h", j, 5, 500)
+	more := b.addGroupsAwaitingRecord("h", job, 5, 500)
 	b.runFor(3 * second)
 	if refusedAll == 0 {
 		t.Fatal("nothing was refused the second time: the test shows nothing")
 	}
-	for _, g := range more {
-		if b.store.keys[g.Key()].ModRevision != 20 {
-			t.Errorf("%s was stored though the store refused it", g.ID)
+	for _, group := range more {
+		if b.store.keys[group.Key()].ModRevision != 20 {
+			t.Errorf("%s was stored though the store refused it", group.ID)
 		}
 	}
 	b.throttles = limited
