--- a/internal/scheduling/fixture_test.go
+++ b/internal/scheduling/fixture_test.go
@@ -9,24 +9,25 @@
 	"stairrelay/internal/writequeue"
 )
 
-// fixture is a scheduler of one shard, whose team red may use 100 CPUs, with fakes of
-// the other parts of the controller.
+// fixture is a scheduler of two shards, the first of them owned, whose team red may use
+// 100 CPUs, with fakes of the other parts of the controller.
 type fixture struct {
 	*Scheduler
 	loop                 *eventloop.Loop
 	state                *state.State
-	shard                *state.Shard
+	shard                *state.Shard // owned
 	config               Config
 	spotInterruptionRate float64 // per second
 	written              []*state.Machine
 	regrouped            [][]*state.Machine
 	acquired             []string // the keys of groups
+	ownershipChanges     int
 }
 
 func newFixture() *fixture {
 	f := &fixture{
 		loop: eventloop.New(),
-		state: state.New([]cluster.NodeID{"n0"}, []cluster.Team{
+		state: state.New([]cluster.NodeID{"n0", "n1"}, []cluster.Team{
 			{Name: "red", QuotaLimit: cluster.Resources{CPU: 100 * cpu}},
 		}),
 		config: Config{HeartbeatInterval: 5 * second, ShortJobWeight: 32, FirstTaskTarget: 240 * second},
@@ -90,7 +91,7 @@
 }
 
 // Changes implements Ownership.
-func (f *fixture) Changes() int { return 0 }
+func (f *fixture) Changes() int { return f.ownershipChanges }
 
 // Peers implements Peers.
 func (f *fixture) Peers() []*membership.Peer { return nil }
--- a/internal/scheduling/preempt.go
+++ b/internal/scheduling/preempt.go
@@ -81,14 +81,11 @@
 		if !request.FitsIn(free) {
 			continue
 		}
-		for fitting < job.PendingCount() && request.FitsIn(free) {
-			quotaLeft = quotaLeft.Minus(request)
-			if quotaLeft.CPU < 0 || quotaLeft.GPU < 0 {
-				return false
-			}
-			free = free.Minus(request)
-			fitting++
+		added, withinQuota := takeFitting(request, free, job.PendingCount()-fitting, &quotaLeft)
+		if !withinQuota {
+			return false
 		}
+		fitting += added
 		for _, victim := range victims {
 			p.shared.deps.Stops.Preempt(machine, victim)
 		}
@@ -102,6 +99,21 @@
 	return true
 }
 
+// takeFitting counts how many times a request fits into the free resources of a
+// machine, up to a limit, and takes as much from what is left of the quota; false: that
+// is less.
+func takeFitting(request, free cluster.Resources, limit int, quotaLeft *cluster.Resources) (count int, withinQuota bool) {
+	for count < limit && request.FitsIn(free) {
+		*quotaLeft = quotaLeft.Minus(request)
+		if quotaLeft.CPU < 0 || quotaLeft.GPU < 0 {
+			return count, false
+		}
+		free = free.Minus(request)
+		count++
+	}
+	return count, true
+}
+
 // selectVictims picks the tasks on a machine that have to stop so that a job's task
 // fits, and returns what is free then.
 func (p *preemption) selectVictims(job *state.Job, machine *state.Machine) (victims []*state.Assignment, free cluster.Resources) {
--- a/internal/scheduling/jobs.go
+++ b/internal/scheduling/rank.go
@@ -1,6 +1,3 @@
-// Package scheduling orders the pending jobs of a shard and the machines that the
-// tasks of a job may be assigned to. Its functions are pure: they get the facts and
-// return an order.
 package scheduling
 
 import (
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -1,3 +1,22 @@
+// Package scheduling decides which pending task is started on which machine, which
+// tasks are preempted for others, and which machines the owned shards give up to each
+// other and to those of other controllers.
+//
+// The order of the jobs (rank.go) and of the machines for a job (candidates.go) are pure
+// functions of facts. The other parts gather the facts from the state of the shards:
+//
+//   - Trigger says when to schedule, the Scheduler's rounds do it (assign.go,
+//     preempt.go).
+//   - JobQueue orders a shard's jobs and lists what waits for machines.
+//   - Eligibility and SpotPreference say which machines a job may and should use.
+//   - RunTimes and Stragglers learn how long tasks run, and find what takes too long.
+//   - ShardLoads and Rebalancer split the machines among the shards by package
+//     fairshare.
+//
+// Invariants: a task is assigned only within its team's quota, and only to a machine
+// whose worker has acknowledged the fencing token and whose group is not offered to
+// another shard; nothing is assigned while the state service has failed for long. An
+// assignment is only planned here: it is started once its record is stored.
 package scheduling
 
 import (
