--- a/internal/scheduling/assign_test.go
+++ b/internal/scheduling/assign_test.go
@@ -78,6 +78,25 @@
 	}
 }
 
+// TestStarvingJobReservesQuota checks that smaller work of its team does not take the
+// part of the quota that a starving job waits for.
+func TestStarvingJobReservesQuota(t *testing.T) {
+	f := newFixture()
+	f.state.Teams["red"].QuotaLimit.CPU = 5 * cpu
+	running := f.addJob(cluster.JobSpec{ID: "running", Tasks: 1, SubmittedAt: 1_000_000})
+	running.Spec.ResourceRequest = cluster.Resources{CPU: 2 * cpu}
+	f.addRunningTask(running, f.addMachine("m-1"))
+	f.addMachine("m-2")
+	f.addMachine("m-3")
+	f.addJob(cluster.JobSpec{ID: "starving", Tasks: 1, SubmittedAt: 800_000})
+	filler := f.addJob(cluster.JobSpec{ID: "filler", Tasks: 9, SubmittedAt: 1_000_000})
+	filler.Spec.ResourceRequest = cluster.Resources{CPU: cpu}
+	f.ScheduleShard(f.shard)
+	if filler.AssignedCount != 0 {
+		t.Errorf("%d small tasks take what is left of the quota", filler.AssignedCount)
+	}
+}
+
 // TestZoneRules checks that the tasks of a job are spread over zones or kept in one.
 func TestZoneRules(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/scheduling/queue_test.go
+++ b/internal/scheduling/queue_test.go
@@ -64,6 +64,7 @@
 		{"no first task for longer", 120_001, func(*state.Job) {}, true},
 		{"it has run", 120_001, func(job *state.Job) { job.FirstRunAt = second }, false},
 		{"it has run, twice its horizon ago", 1_200_001, func(job *state.Job) { job.FirstRunAt = second }, true},
+		{"it has run, less than twice its horizon ago", 1_200_000, func(job *state.Job) { job.FirstRunAt = second }, false},
 		{"a task is assigned", 1_200_001, func(job *state.Job) { job.SetAssigned(0, &state.Assignment{}) }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/scheduling/rebalance_test.go
+++ b/internal/scheduling/rebalance_test.go
@@ -8,6 +8,7 @@
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
 )
 
 // addIdleMachine adds a machine that may be offered.
@@ -245,3 +246,79 @@
 		t.Error("not surplus though the only job avoids it")
 	}
 }
+
+// TestOfferWithinTransaction checks that machines are gathered only from so many groups
+// as one transaction can rewrite, by their number and the length of their records.
+func TestOfferWithinTransaction(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		recordSize int
+		want       int
+	}{
+		{"long records", writequeue.MaxBatchBytes / 3, 3},
+		{"short records", 1, 7},
+		{"one record of more than a transaction", writequeue.MaxBatchBytes + 1, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture()
+			f.config.MaxTxnOps = 8
+			f.Configure(f.config)
+			var machines []*state.Machine
+			for _, id := range []cluster.MachineID{"m-1", "m-2", "m-3", "m-4", "m-5", "m-6", "m-7", "m-8", "m-9"} {
+				machine := f.addIdleMachine(id)
+				machine.Group.RecordSize = test.recordSize
+				machines = append(machines, machine)
+			}
+			if got := f.Rebalancer.countToOffer(machines, 90*cpu); got != test.want {
+				t.Errorf("%d machines are gathered, want %d", got, test.want)
+			}
+		})
+	}
+}
+
+// TestScaleInCandidatesAreTheDearest checks which machines run empty when a shard has
+// more than it needs.
+func TestScaleInCandidatesAreTheDearest(t *testing.T) {
+	f := newFixture()
+	dear := f.state.MachineTypes["small"]
+	dear.Name, dear.OnDemandPrice = "dear", 2
+	f.state.MachineTypes["dear"] = dear
+	cheap := f.state.MachineTypes["small"]
+	cheap.OnDemandPrice = 1
+	f.state.MachineTypes["small"] = cheap
+	first, second, third := f.addMachine("m-1"), f.addMachine("m-2"), f.addMachine("m-3")
+	second.MachineType = "dear"
+	load := fairshare.ShardLoad{Shard: 0, Available: 12 * cpu} // 8 CPUs are kept in reserve
+	f.Rebalancer.selectScaleInCandidates(f.shard, []*state.Machine{first, second, third}, load)
+	if first.Cordoned || third.Cordoned || !second.ScaleInCandidate || !second.Cordoned {
+		t.Errorf("cordoned: %v, %v (dear), %v", first.Cordoned, second.Cordoned, third.Cordoned)
+	}
+}
+
+// TestCanScaleOut checks that a shard that has its share scales out less often while
+// another lacks its own.
+func TestCanScaleOut(t *testing.T) {
+	f := newFixture()
+	f.loop.Begin(10*second, 1_000_000)
+	for range 5 {
+		if !f.Rebalancer.CanScaleOut(f.shard) {
+			t.Fatal("held back though no other shard lacks machines")
+		}
+	}
+	other := f.state.Shards[1]
+	other.Owned, other.Ready = true, true
+	lacking := state.NewJob(cluster.JobSpec{ID: "lacking", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 4 * cpu}, SubmittedAt: 1_000_000}, other.ID, 0, 0)
+	f.state.AddOwnedJob(lacking)
+	for _, id := range []cluster.MachineID{"m-1", "m-2", "m-3", "m-4", "m-5", "m-6"} {
+		f.addMachine(id)
+	}
+	f.ownershipChanges++
+	var allowed []bool
+	for _, now := range []cluster.Time{10 * second, 11 * second, 14 * second, 15 * second} {
+		f.loop.Begin(now, 1_000_000)
+		allowed = append(allowed, f.Rebalancer.CanScaleOut(f.shard))
+	}
+	if !slices.Equal(allowed, []bool{true, false, true, false}) {
+		t.Errorf("allowed at 10, 11, 14 and 15 s: %v", allowed)
+	}
+}
