--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -15,8 +15,8 @@
 func TestAdmissionInDoubtAnsweredAsRetry(t *testing.T) {
 	for name, want := range map[string]messages.ReplyStatus{"new": 201, "answer lost": 200, "stored by another": 200} {
 		b := newControllerHarness()
-		n := 0
-		b.losesReply = func(messages.StoreTxn) bool { n++; return n == 1 && name == "answer lost" }
+		transactions := 0
+		b.losesReply = func(messages.StoreTxn) bool { transactions++; return transactions == 1 && name == "answer lost" }
 		if name == "stored by another" {
 			b.store.revision = 40
 			b.store.keys["accepts/b1-1"] = messages.KV{Key: "accepts/b1-1", Value: []byte(`{"j":[{"id":"j-1","s":{"team":"red","tasks":1,"Team":"red","Tasks":1}}],"w":"b1-1"}`), ModRevision: 40}
@@ -33,9 +33,9 @@
 // that was refused because of another write in it are stored by the next.
 func TestAdmissionResentAfterBatchConflict(t *testing.T) {
 	b := newControllerHarness()
-	m, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
-	m.Group.ModRevision = 77 // another writer was there
-	b.inventory.WriteMachine(m, writequeue.Start)
+	machine, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
+	machine.Group.ModRevision = 77 // another writer was there
+	b.inventory.WriteMachine(machine, writequeue.Start)
 	b.submit(1, "j-1")
 	b.runFor(5 * second)
 	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
@@ -59,9 +59,9 @@
 	b.failsReads = true
 	b.submit(1, "j-1")
 	b.runFor(4 * second)
-	for _, r := range b.sentResponses {
-		if r.Status == 201 {
-			t.Errorf("answered %+v", r)
+	for _, response := range b.sentResponses {
+		if response.Status == 201 {
+			t.Errorf("answered %+v", response)
 		}
 	}
 }
@@ -74,20 +74,20 @@
 		b.submit(1+i, "j-1")
 	}
 	b.runFor(second)
-	n := map[messages.ReplyStatus]int{}
-	for _, r := range b.sentResponses {
-		n[r.Status]++
+	counts := map[messages.ReplyStatus]int{}
+	for _, response := range b.sentResponses {
+		counts[response.Status]++
 	}
-	if n[201] != 1 || n[200] != 1 {
-		t.Errorf("answered %v, want one 201 and one 200", n)
+	if counts[201] != 1 || counts[200] != 1 {
+		t.Errorf("answered %v, want one 201 and one 200", counts)
 	}
-	for _, f := range b.sentTransactions {
+	for _, transaction := range b.sentTransactions {
 		keys := map[string]bool{}
-		for _, w := range f.If {
-			if keys[w.Key] {
-				t.Errorf("a transaction has two compares of %s", w.Key)
+		for _, condition := range transaction.If {
+			if keys[condition.Key] {
+				t.Errorf("a transaction has two compares of %s", condition.Key)
 			}
-			keys[w.Key] = true
+			keys[condition.Key] = true
 		}
 	}
 }
@@ -103,19 +103,19 @@
 		b.submit(1+i, cluster.JobID(fmt.Sprintf("j-%03d", i)))
 	}
 	b.runFor(second)
-	for _, f := range b.sentTransactions {
-		if len(f.If) > 4*b.config.MaxTxnOps {
-			t.Errorf("a transaction of %d puts has %d compares", len(f.Then), len(f.If))
+	for _, transaction := range b.sentTransactions {
+		if len(transaction.If) > 4*b.config.MaxTxnOps {
+			t.Errorf("a transaction of %d puts has %d compares", len(transaction.Then), len(transaction.If))
 		}
 	}
-	for _, r := range b.sentResponses {
-		if r.Status != 201 {
-			t.Errorf("answered %+v", r)
+	for _, response := range b.sentResponses {
+		if response.Status != 201 {
+			t.Errorf("answered %+v", response)
 		}
 	}
 }
 
-// submit hands in a job of one small task of the team red.
+// submit submits a job of one small task of the team red.
 func (b *controllerHarness) submit(request messages.RequestID, id cluster.JobID) {
 	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}
 	b.jobs.Submissions.HandleSubmit(messages.Submit{Request: request, Spec: spec})
--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -1,11 +1,10 @@
 package controller_test
 
 import (
-	"testing"
-	"time"
-
 	"encoding/json"
 	"fmt"
+	"testing"
+	"time"
 
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/controller"
--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -4,9 +4,8 @@
 	"strings"
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,18 +10,17 @@
 import (
 	"time"
 
-	"stairrelay/internal/inventory"
-	"stairrelay/internal/jobs"
-	"stairrelay/internal/provisioning"
-	"stairrelay/internal/scheduling"
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/inventory"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/ownership"
+	"stairrelay/internal/provisioning"
 	"stairrelay/internal/reconcile"
+	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
 
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -5,12 +5,10 @@
 	"slices"
 	"strings"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // testStore is a state service in memory.
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -16,11 +16,10 @@
 	"sync"
 	"testing"
 
-	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"github.com/fxamacker/cbor/v2"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/simulation"
 	"stairrelay/internal/wire"
 )
--- a/internal/controller/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -4,9 +4,8 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
 )
 
 // TestEmptyGroupKeptBesideUnseenAcquire: the record of an emptied group was made under
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -3,9 +3,8 @@
 import (
 	"fmt"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/state"
 )
 
 // UsageMismatch says where the kept sums of tasks differ from the tasks
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -3,14 +3,12 @@
 import (
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/inventory"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/state"
-
-	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
-	"stairrelay/internal/grouprecord"
 )
 
 // Machines that are up moments after they were requested, while writes lag.
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -13,12 +13,12 @@
 // controller's gets the owner's older view: others may have read and reported the end.
 func TestJobEndInDoubtConfirmedBeforeAnswer(t *testing.T) {
 	b := newControllerHarness()
-	j := b.addTestJob("j-1", 1)
-	j.SetCompleted(0)
+	job := b.addTestJob("j-1", 1)
+	job.SetCompleted(0)
 	b.losesReply = func(messages.StoreTxn) bool { return true }
-	b.jobs.Records.WriteJob(j, writequeue.Admit)
+	b.jobs.Records.WriteJob(job, writequeue.Admit)
 	b.runFor(60 * millisecond)
-	if b.store.get("jobs/j-1").Outcome != messages.OK || j.FinalStatus != "" {
+	if b.store.get("jobs/j-1").Outcome != messages.OK || job.FinalStatus != "" {
 		t.Fatal("the end is not stored, or its answer is not lost")
 	}
 	b.state.Jobs.Known["j-1"].FinalStatus = "" // this controller has not learned of it
--- a/internal/controller/machine_bytes_test.go
+++ b/internal/controller/machine_bytes_test.go
@@ -5,11 +5,9 @@
 	"runtime"
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/state"
 )
 
 // BenchmarkMachineBytes measures what a controller keeps of each machine with
@@ -34,24 +32,24 @@
 	return stats.HeapAlloc
 }
 
-// controllerWithMachines is a controller that holds so many machines, each with three
+// controllerWithMachines is a controller that owns so many machines, each with three
 // tasks of one of many jobs.
 func controllerWithMachines(machines int) *controllerHarness {
 	const groupSize, tasks = 51, 3
 	b := newControllerHarness()
-	p := b.state.Shards[0]
-	var g *state.MachineGroup
+	shard := b.state.Shards[0]
+	var group *state.MachineGroup
 	for i := range machines {
 		if i%groupSize == 0 {
-			g = b.state.AddGroup(p, fmt.Sprintf("g%05d", i), 31)
+			group = b.state.AddGroup(shard, fmt.Sprintf("g%05d", i), 31)
 		}
 		id := cluster.MachineID(fmt.Sprintf("m-%06d", i))
-		m := b.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "10.1.0.232:9000"}, 31)
-		j := b.addTestJob(cluster.JobID(fmt.Sprintf("j-%06d", i)), tasks)
-		for k := range tasks {
-			a := &state.Assignment{Task: cluster.TaskID{Job: j.Spec.ID, Index: k}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: p.NextAttempt(), Phase: state.PhaseAcknowledged, State: cluster.Running}
-			m.AddAssignment(a)
-			j.SetAssigned(k, a)
+		machine := b.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "10.1.0.232:9000"}, 31)
+		job := b.addTestJob(cluster.JobID(fmt.Sprintf("j-%06d", i)), tasks)
+		for task := range tasks {
+			assignment := &state.Assignment{Task: cluster.TaskID{Job: job.Spec.ID, Index: task}, Job: job, ResourceRequest: job.Spec.ResourceRequest, MachineID: machine.ID, Attempt: shard.NextAttempt(), Phase: state.PhaseAcknowledged, State: cluster.Running}
+			machine.AddAssignment(assignment)
+			job.SetAssigned(task, assignment)
 		}
 	}
 	return b
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -4,10 +4,9 @@
 	"slices"
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // TestOnlyStopsBeforeTokenAcknowledged: what is sent to a machine that waits for a higher
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -3,12 +3,10 @@
 import (
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // TestCloudRateSharedByDemand: where one of seven controllers has all the work it gets
@@ -32,12 +30,12 @@
 		t.Errorf("the one with work may call the cloud %.2f times a second of 3.6", busy)
 	}
 	sum := 0.0
-	for _, n := range newSevenNodeController().config.Nodes {
-		r := view(n, demand)
-		if r < 0.05 {
-			t.Errorf("%s could not even begin: %.3f calls a second", n, r)
+	for _, node := range newSevenNodeController().config.Nodes {
+		rate := view(node, demand)
+		if rate < 0.05 {
+			t.Errorf("%s could not even begin: %.3f calls a second", node, rate)
 		}
-		sum += r
+		sum += rate
 	}
 	if sum > 3.601 {
 		t.Errorf("together %.2f calls a second, over 3.6", sum)
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -5,13 +5,11 @@
 	"testing"
 	"time"
 
-	"stairrelay/internal/scheduling"
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
 )
 
 // TestOverloadedController: a process near its share of the processor decides less often,
@@ -20,27 +18,27 @@
 func TestOverloadedController(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
 		Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
-	j := state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
-	c.state.AddOwnedJob(j)
-	g := c.state.AddGroup(c.state.Shards[0], "g", 1)
-	put := func(m *state.Machine, i int, ph state.AssignmentPhase) {
-		a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: i}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Phase: ph}
-		m.AddAssignment(a)
-		j.SetAssigned(i, a)
+	job := state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
+	c.state.AddOwnedJob(job)
+	group := c.state.AddGroup(c.state.Shards[0], "g", 1)
+	assign := func(machine *state.Machine, index int, phase state.AssignmentPhase) {
+		assignment := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: index}, Job: job, ResourceRequest: job.Spec.ResourceRequest, MachineID: machine.ID, Phase: phase}
+		machine.AddAssignment(assignment)
+		job.SetAssigned(index, assignment)
 	}
-	var ms []*state.Machine
+	var machines []*state.Machine
 	for i, id := range []cluster.MachineID{"busy", "idle"} {
-		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 5)
-		m.TokenAcknowledged = true
-		put(m, i, state.PhaseReady)
-		ms = append(ms, m)
+		machine := c.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 5)
+		machine.TokenAcknowledged = true
+		assign(machine, i, state.PhaseReady)
+		machines = append(machines, machine)
 	}
-	put(ms[0], 2, state.PhaseAcknowledged)
+	assign(machines[0], 2, state.PhaseAcknowledged)
 	pushedTo := func(load messages.ProcessLoad) (addresses []string) {
-		for _, m := range ms {
-			m.PushInFlight = false
-			m.Assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(ms, m)}].Phase = state.PhaseReady
-			c.reconciler.Commands.QueuePush(m)
+		for _, machine := range machines {
+			machine.PushInFlight = false
+			machine.Assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(machines, machine)}].Phase = state.PhaseReady
+			c.reconciler.Commands.QueuePush(machine)
 		}
 		takeEffects(c)
 		c.processHealth.RecordLoad(load)
@@ -60,11 +58,12 @@
 	if addresses := pushedTo(messages.ProcessLoad{CPUUsage: 0.9}); len(addresses) != 1 || addresses[0] != "idle" {
 		t.Errorf("overloaded, starts are pushed to %v", addresses)
 	}
-	if d := c.processHealth.StretchDelay(scheduling.MinInterval); d <= scheduling.MinInterval || d > second {
-		t.Errorf("overloaded, placements are %v apart", time.Duration(d))
+	if delay := c.processHealth.StretchDelay(scheduling.MinInterval); delay <= scheduling.MinInterval || delay > second {
+		t.Errorf("overloaded, placements are %v apart", time.Duration(delay))
 	}
 	c.processHealth.RecordLoad(messages.ProcessLoad{EventDelay: 2 * second})
-	if c.jobs.Submissions.OverloadRetryAfter(cluster.BestEffort) == 0 || c.jobs.Submissions.OverloadRetryAfter(cluster.Normal) == 0 || c.jobs.Submissions.OverloadRetryAfter(cluster.Production) != 0 {
-		t.Errorf("2 s behind: refused for %d, %d, %d s", c.jobs.Submissions.OverloadRetryAfter(cluster.BestEffort), c.jobs.Submissions.OverloadRetryAfter(cluster.Normal), c.jobs.Submissions.OverloadRetryAfter(cluster.Production))
+	retryAfter := c.jobs.Submissions.OverloadRetryAfter
+	if retryAfter(cluster.BestEffort) == 0 || retryAfter(cluster.Normal) == 0 || retryAfter(cluster.Production) != 0 {
+		t.Errorf("2 s behind: refused for %d, %d, %d s", retryAfter(cluster.BestEffort), retryAfter(cluster.Normal), retryAfter(cluster.Production))
 	}
 }
--- a/internal/controller/ownership_gap_test.go
+++ b/internal/controller/ownership_gap_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestDeposedOwnerStopsAnsweringInOutage: the state service refuses the owner of a
-// shard alone; its successor acquires the shard, confirms a cancellation and ends
-// before it could tell another controller or reach a machine; then the service is
+// shard alone; the next owner acquires the shard, confirms a cancellation and ends
+// before it could notify another controller or reach a machine; then the service is
 // down for longer than cancel_s, while the workers send their heartbeats to the
 // former owner all along. It can't know, and stops answering them in time. The
 // controller that ended is back during the outage and knows nothing of what it did
@@ -21,7 +21,7 @@
 			owner, next, third := c.Nodes[1], c.Nodes[2], c.Nodes[0]
 			owner.StoreRefusesUntil = c.Now + 14*second
 			c.RunUntil(c.Now + 2*second)
-			third.StoreRefusesUntil = c.Now + 20*second // else it reads of the acquisition and tells the former owner
+			third.StoreRefusesUntil = c.Now + 20*second // else it reads of the acquisition and notifies the former owner
 			c.waitFor("acquired by the next", 10*second, func() bool { return c.longJobOwner() == next.ID })
 			next.WorkersPartitionedUntil, next.PeersPartitionedUntil = c.Now+300*second, c.Now+300*second
 			c.cancelAt(next, c.longJob)
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestDeposedOwnerLearnsFromThirdController: the former owner is partitioned from its
-// successor but not from the third controller, whose message is enough for it to
+// TestDeposedOwnerLearnsFromThirdController: the former owner is partitioned from the
+// next but not from the third controller, whose message is enough for it to
 // give the shard up.
 func TestDeposedOwnerLearnsFromThirdController(t *testing.T) {
 	c := newTestCluster(t, 2)
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -3,12 +3,10 @@
 import (
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // TestProcessPauseReleasesNoMachines: a controller that was paused for longer than a lease has
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -11,15 +11,13 @@
 	"strings"
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/jobs"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/ownership"
 	"stairrelay/internal/provisioning"
 	"stairrelay/internal/state"
-
-	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
-	"stairrelay/internal/grouprecord"
 )
 
 // Records of the version in production (deploy/service.toml), as its own code
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -5,24 +5,22 @@
 	"slices"
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
-
-	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/state"
 )
 
 // loggedStalls lists what the log says of shards without progress.
 func loggedStalls(effects []messages.Effect) []string {
-	var whys []string
+	var reasons []string
 	for _, effect := range effects {
 		if line, ok := effect.(messages.Log); ok && line.Message == "shard makes no progress" {
-			whys = append(whys, fmt.Sprint(line.Args[3]))
+			reasons = append(reasons, fmt.Sprint(line.Args[3]))
 		}
 	}
-	return whys
+	return reasons
 }
 
 // receivePing takes in a peer's ping, which must be valid.
@@ -66,28 +64,28 @@
 			b.addTestJob("j-2", 2)
 		}, "waiting tasks fit on its machines and none is started"},
 		{"waiting tasks that fit nowhere", func(b *controllerHarness) {
-			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			m.Draining = true
+			machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
+			machine.Draining = true
 			b.addTestJob("j-2", 2)
 		}, ""},
 		{"waiting tasks that may not go to the zone", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
 			far := b.inventory.AddMachine(b.state.AddGroup(b.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
-			j := b.addTestJob("j-2", 2)
-			j.Spec.Colocate = true
-			j.SetAssigned(0, &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: j, MachineID: far.ID, Phase: state.PhaseAcknowledged})
+			job := b.addTestJob("j-2", 2)
+			job.Spec.Colocate = true
+			job.SetAssigned(0, &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: job, MachineID: far.ID, Phase: state.PhaseAcknowledged})
 		}, ""},
 		{"a record that is never stored", func(b *controllerHarness) {
-			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			m.Group.WritePending = true
+			machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
+			machine.Group.WritePending = true
 		}, "its writes are not stored"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			test.prepare(b)
 			heartbeat := func() { // the machine sends heartbeats all along
-				for _, m := range b.state.Machines {
-					m.LastHeartbeat = b.loop.Now() + 2*second
+				for _, machine := range b.state.Machines {
+					machine.LastHeartbeat = b.loop.Now() + 2*second
 				}
 			}
 			var logged []string
@@ -115,8 +113,8 @@
 	b := newControllerHarness()
 	b.inventory.RegisterMachines(b.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
 	b.runFor(100 * millisecond)
-	m := b.state.Machines["m-1"]
-	m.Group.WritePending = true
+	machine := b.state.Machines["m-1"]
+	machine.Group.WritePending = true
 	b.runStallChecks(stallThreshold - 1)
 	b.state.Shards[0].StoredTransactions++
 	if logged := b.runStallChecks(stallThreshold - 1); len(logged) > 0 {
--- a/internal/controller/provisioning_late_write_test.go
+++ b/internal/controller/provisioning_late_write_test.go
@@ -3,10 +3,9 @@
 import (
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // TestLateProvisioningWriteRejected: a late copy of the transaction that recorded a
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -3,11 +3,10 @@
 import (
 	"testing"
 
-	"stairrelay/internal/jobs"
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // TestDependentJobNotProxiedToOldVersion shows that a controller that has lost the state
@@ -24,14 +23,14 @@
 		b.writeQueue.Health.MarkFailing(b.loop.Now() - 10*second)
 		b.state.Jobs.Known["j-1"] = &state.KnownJob{ShardID: 0, Tasks: 1, Team: "red"}
 		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
-		handed := false
-		for _, f := range b.loop.Effects() {
-			if c, ok := f.(messages.PeerCall); ok && c.Message.Submission != nil {
-				handed = true
+		proxied := false
+		for _, effect := range b.loop.Effects() {
+			if call, ok := effect.(messages.PeerCall); ok && call.Message.Submission != nil {
+				proxied = true
 			}
 		}
-		if handed != want {
-			t.Errorf("level %d: passed on: %v, want %v", level, handed, want)
+		if proxied != want {
+			t.Errorf("level %d: proxied: %v, want %v", level, proxied, want)
 		}
 	}
 }
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -16,31 +16,34 @@
 	b := newControllerHarness()
 	dropTimers(b.Controller)
 	b.rejectLongerValues(2000)
-	j := b.addTestJob("j-1", 16_000)
-	v, _ := json.Marshal(jobs.Record{Spec: &j.Spec, WriteID: "x"})
-	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: v, ModRevision: 20}
-	j.ModRevisions[0] = 20
+	job := b.addTestJob("j-1", 16_000)
+	value, err := json.Marshal(jobs.Record{Spec: &job.Spec, WriteID: "x"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: value, ModRevision: 20}
+	job.ModRevisions[0] = 20
 	for i := 0; i < 16_000; i += 3 {
-		j.SetCompleted(i)
+		job.SetCompleted(i)
 	}
-	b.jobs.Records.WriteJob(j, writequeue.Background)
+	b.jobs.Records.WriteJob(job, writequeue.Background)
 	b.runFor(10 * second)
-	for _, p := range b.state.Shards {
-		if !p.Owned {
-			t.Errorf("shard %d was given up", p.ID)
+	for _, shard := range b.state.Shards {
+		if !shard.Owned {
+			t.Errorf("shard %d was given up", shard.ID)
 		}
 	}
 	sent := map[int]int{}
-	for _, x := range b.sentTransactions {
-		for _, o := range x.Then {
-			if o.Key == "jobs/j-1" {
-				sent[len(o.Value)]++
+	for _, transaction := range b.sentTransactions {
+		for _, operation := range transaction.Then {
+			if operation.Key == "jobs/j-1" {
+				sent[len(operation.Value)]++
 			}
 		}
 	}
-	for size, n := range sent {
-		if size > 2000 && n > 1 {
-			t.Errorf("%d bytes were sent %d times", size, n)
+	for size, times := range sent {
+		if size > 2000 && times > 1 {
+			t.Errorf("%d bytes were sent %d times", size, times)
 		}
 	}
 }
--- a/internal/controller/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -3,9 +3,8 @@
 import (
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
 
@@ -17,20 +16,18 @@
 	dropTimers(b.Controller)
 	const limit = 1000
 	b.rejectLongerValues(limit)
-	j := b.addTestJob("j-1", 20_000)
-	g := b.addGroupWithTasks("large", j, 45, 3, 0)
-	var m *state.Machine
-	for _, x := range g.SortedMachines() {
-		m = x
-	}
-	a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: 15_000}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Attempt: 15_000, Phase: state.PhaseRecording}
-	m.AddAssignment(a)
-	j.SetAssigned(15_000, a)
-	b.inventory.WriteMachine(m, writequeue.Start)
+	job := b.addTestJob("j-1", 20_000)
+	group := b.addGroupWithTasks("large", job, 45, 3, 0)
+	machines := group.SortedMachines()
+	last := machines[len(machines)-1]
+	assignment := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: 15_000}, Job: job, ResourceRequest: job.Spec.ResourceRequest, MachineID: last.ID, Attempt: 15_000, Phase: state.PhaseRecording}
+	last.AddAssignment(assignment)
+	job.SetAssigned(15_000, assignment)
+	b.inventory.WriteMachine(last, writequeue.Start)
 	b.runFor(30 * second)
-	n, longest := b.countStoredMachines(t)
-	if len(n) != 45 || longest > limit || a.Phase == state.PhaseRecording {
+	listed, longest := b.countStoredMachines(t)
+	if len(listed) != 45 || longest > limit || assignment.Phase == state.PhaseRecording {
 		t.Errorf("after %d transactions %d of 45 machines are listed, the longest record has %d bytes, the start waits for its record: %v",
-			len(b.sentTransactions), len(n), longest, a.Phase == state.PhaseRecording)
+			len(b.sentTransactions), len(listed), longest, assignment.Phase == state.PhaseRecording)
 	}
 }
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -8,15 +8,13 @@
 	"strconv"
 	"testing"
 
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/inventory"
 	"stairrelay/internal/jobs"
-	"stairrelay/internal/state"
-
-	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
-
-	"stairrelay/internal/grouprecord"
 )
 
 // Limits of the store that are lower than those under which a record grew.
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -5,12 +5,10 @@
 	"slices"
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 )
 
 // TestLateGroupWriteAfterDropRejected: a group that one shard made and another took over
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -6,10 +6,9 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/state"
-
-	"stairrelay/internal/grouprecord"
 )
 
 // A shard that changes owners many times within minutes.
@@ -62,8 +61,8 @@
 
 // statusUnderToken is a heartbeat's status of the machine's present incarnation under
 // its present fencing token, which confirms absent what it does not list.
-func statusUnderToken(m *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
-	return &cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: m.Incarnation, SequenceNumber: sequence, FencingToken: m.Token, PreemptionNotice: -1, Tasks: tasks}
+func statusUnderToken(machine *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
+	return &cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: sequence, FencingToken: machine.Token, PreemptionNotice: -1, Tasks: tasks}
 }
 
 // TestEachOwnerRaisesToken: ten owners follow one another, and none changes the
@@ -84,23 +83,23 @@
 		deposeOwner(t, b)
 		earlierTerm := shard.Term
 		acquireAndLoadShard(t, b)
-		m := b.state.Machines["m-1"]
-		if m.Token <= earlierToken || shard.Term <= earlierTerm {
-			t.Errorf("token %d and term %d after %d and %d: not higher", m.Token, shard.Term, earlierToken, earlierTerm)
+		machine := b.state.Machines["m-1"]
+		if machine.Token <= earlierToken || shard.Term <= earlierTerm {
+			t.Errorf("token %d and term %d after %d and %d: not higher", machine.Token, shard.Term, earlierToken, earlierTerm)
 		}
-		m.Incarnation = 1
-		status := statusUnderToken(m, 1)
+		machine.Incarnation = 1
+		status := statusUnderToken(machine, 1)
 		status.FencingToken = earlierToken
-		b.reconciler.ApplyStatus(m, status, false)
-		if use := shard.UsageByTeam()["red"].CPU; use != request {
-			t.Errorf("after a heartbeat under token %d, with %d in force, the team uses %d, want %d", earlierToken, m.Token, use, request)
+		b.reconciler.ApplyStatus(machine, status, false)
+		if usage := shard.UsageByTeam()["red"].CPU; usage != request {
+			t.Errorf("after a heartbeat under token %d, with %d in force, the team uses %d, want %d", earlierToken, machine.Token, usage, request)
 		}
-		earlierToken = m.Token
+		earlierToken = machine.Token
 	}
-	m := b.state.Machines["m-1"]
-	b.reconciler.ApplyStatus(m, statusUnderToken(m, 2), false)
-	if use := shard.UsageByTeam()["red"].CPU; use != 0 {
-		t.Errorf("after a heartbeat under the token in force the team uses %d, want 0", use)
+	machine := b.state.Machines["m-1"]
+	b.reconciler.ApplyStatus(machine, statusUnderToken(machine, 2), false)
+	if usage := shard.UsageByTeam()["red"].CPU; usage != 0 {
+		t.Errorf("after a heartbeat under the token in force the team uses %d, want 0", usage)
 	}
 }
 
--- a/internal/controller/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -5,13 +5,11 @@
 	"slices"
 	"testing"
 
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/grouprecord"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
-
-	"stairrelay/internal/grouprecord"
 )
 
 // TestTransferAbortedWhenShardIsLost: this controller owns two shards, and one takes over
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -5,10 +5,9 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/writequeue"
-
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/writequeue"
 )
 
 // TestTransferOfferWithinTransaction: idle machines are spread over many groups with long
@@ -23,18 +22,18 @@
 	b.jobs.Configure(b.jobsConfig())
 	b.inventory.Configure(b.inventoryConfig())
 	b.scheduler.Configure(b.schedulingConfig())
-	p := b.state.Shards[0]
+	shard := b.state.Shards[0]
 	for i := range groups {
-		g := b.state.AddGroup(p, fmt.Sprintf("g%02d", i), 31)
-		g.RecordSize = length
-		for k := range 2 {
-			id := cluster.MachineID(fmt.Sprintf("m-%02d-%d", i, k))
-			m := b.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
-			m.TokenAcknowledged, m.Incarnation, m.IdleSince = true, 1, b.loop.Now()-second
-			m.LastHeartbeat = b.loop.Now()
+		group := b.state.AddGroup(shard, fmt.Sprintf("g%02d", i), 31)
+		group.RecordSize = length
+		for index := range 2 {
+			id := cluster.MachineID(fmt.Sprintf("m-%02d-%d", i, index))
+			machine := b.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
+			machine.TokenAcknowledged, machine.Incarnation, machine.IdleSince = true, 1, b.loop.Now()-second
+			machine.LastHeartbeat = b.loop.Now()
 		}
 	}
-	b.scheduler.Rebalancer.OfferIdleMachines(p, fairshare.NewPlan(fairshare.Snapshot{
+	b.scheduler.Rebalancer.OfferIdleMachines(shard, fairshare.NewPlan(fairshare.Snapshot{
 		0: {Shard: 0, Available: 96_000_000},
 		1: {Shard: 1, Demand: [4]cluster.Amount{0, 96_000_000}},
 	}))
--- a/internal/controller/write_id_test.go
+++ b/internal/controller/write_id_test.go
@@ -7,11 +7,11 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestWriteIDOfGroup: readBack finds a group's record by the nonce of the
-// transaction that wrote it.
+// TestWriteIDOfGroup: a transaction in doubt is found in a group's record by its write
+// id.
 func TestWriteIDOfGroup(t *testing.T) {
-	v := grouprecord.Encode(grouprecord.Record{ShardID: 2, WriteID: "n-1"})
-	if got := writequeue.WriteIDOf(v); got != "n-1" {
-		t.Errorf("the nonce is %q, not where readBack looks for it", got)
+	value := grouprecord.Encode(grouprecord.Record{ShardID: 2, WriteID: "n-1"})
+	if got := writequeue.WriteIDOf(value); got != "n-1" {
+		t.Errorf("the write id is %q", got)
 	}
 }
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -4,16 +4,15 @@
 	"testing"
 
 	"stairrelay/internal/state"
-
 	"stairrelay/internal/writequeue"
 )
 
 // markTasksRecording makes the first tasks of a group's machines wait for its record.
-func markTasksRecording(g *state.MachineGroup, n int) {
-	for _, m := range g.SortedMachines() {
-		for _, a := range m.SortedAssignments() {
-			if n > 0 {
-				a.Phase, n = state.PhaseRecording, n-1
+func markTasksRecording(group *state.MachineGroup, count int) {
+	for _, machine := range group.SortedMachines() {
+		for _, assignment := range machine.SortedAssignments() {
+			if count > 0 {
+				assignment.Phase, count = state.PhaseRecording, count-1
 			}
 		}
 	}
@@ -21,15 +20,15 @@
 
 // countWrites is how many of the transactions so far write a key.
 func (b *controllerHarness) countWrites(key string) int {
-	n := 0
-	for _, x := range b.sentTransactions {
-		for _, o := range x.Then {
-			if o.Key == key {
-				n++
+	count := 0
+	for _, transaction := range b.sentTransactions {
+		for _, operation := range transaction.Then {
+			if operation.Key == key {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
 // limitPutRate leaves the given number of puts a second and no more at once.
@@ -44,8 +43,8 @@
 // less to start was queued first, the other is written first; both are written.
 func TestMostWaitingCPUsAreRecordedFirst(t *testing.T) {
 	b := newControllerHarness()
-	j := b.addTestJob("j-1", 1000)
-	few, many := b.addGroupWithTasks("few", j, 3, 2, 0), b.addGroupWithTasks("many", j, 3, 2, 100)
+	job := b.addTestJob("j-1", 1000)
+	few, many := b.addGroupWithTasks("few", job, 3, 2, 0), b.addGroupWithTasks("many", job, 3, 2, 100)
 	markTasksRecording(few, 1)
 	markTasksRecording(many, 6)
 	b.limitPutRate(0.5)
@@ -53,12 +52,12 @@
 	setTime(b.Controller, b.loop.Now()+second/2)
 	b.inventory.WriteGroup(many, writequeue.Start)
 	b.runFor(second * 5 / 2)
-	if f, m := b.countWrites(few.Key()), b.countWrites(many.Key()); f != 0 || m != 1 {
-		t.Fatalf("after the first put the record with one start was written %d times, that with six %d times", f, m)
+	if fewWrites, manyWrites := b.countWrites(few.Key()), b.countWrites(many.Key()); fewWrites != 0 || manyWrites != 1 {
+		t.Fatalf("after the first put the record with one start was written %d times, that with six %d times", fewWrites, manyWrites)
 	}
 	b.runFor(2 * second)
-	if f := b.countWrites(few.Key()); f != 1 {
-		t.Errorf("the record with one start was written %d times", f)
+	if fewWrites := b.countWrites(few.Key()); fewWrites != 1 {
+		t.Errorf("the record with one start was written %d times", fewWrites)
 	}
 }
 
@@ -66,15 +65,15 @@
 // counts more than its size, as the leases of its tasks run on.
 func TestRaisedTokenIsRecordedBeforeStarts(t *testing.T) {
 	b := newControllerHarness()
-	j := b.addTestJob("j-1", 1000)
-	starts, bumped := b.addGroupWithTasks("starts", j, 4, 2, 0), b.addGroupWithTasks("bumped", j, 1, 2, 100)
+	job := b.addTestJob("j-1", 1000)
+	starts, raised := b.addGroupWithTasks("starts", job, 4, 2, 0), b.addGroupWithTasks("raised", job, 1, 2, 100)
 	markTasksRecording(starts, 8)
 	b.limitPutRate(0.5)
 	b.inventory.WriteGroup(starts, writequeue.Start)
-	b.inventory.RaiseToken(bumped.SortedMachines()[0])
+	b.inventory.RaiseToken(raised.SortedMachines()[0])
 	b.runFor(second * 5 / 2)
-	if s, r := b.countWrites(starts.Key()), b.countWrites(bumped.Key()); s != 0 || r != 1 {
-		t.Errorf("after the first put the record with eight starts was written %d times, that of the raised token %d times", s, r)
+	if startWrites, raisedWrites := b.countWrites(starts.Key()), b.countWrites(raised.Key()); startWrites != 0 || raisedWrites != 1 {
+		t.Errorf("after the first put the record with eight starts was written %d times, that of the raised token %d times", startWrites, raisedWrites)
 	}
 }
 
@@ -82,8 +81,8 @@
 // another has more to start each time that it was written.
 func TestLittleWaitingIsRecordedInTime(t *testing.T) {
 	b := newControllerHarness()
-	j := b.addTestJob("j-1", 1000)
-	few, many := b.addGroupWithTasks("few", j, 3, 2, 0), b.addGroupWithTasks("many", j, 3, 2, 100)
+	job := b.addTestJob("j-1", 1000)
+	few, many := b.addGroupWithTasks("few", job, 3, 2, 0), b.addGroupWithTasks("many", job, 3, 2, 100)
 	markTasksRecording(few, 1)
 	b.limitPutRate(1)
 	b.inventory.WriteGroup(few, writequeue.Start)
@@ -92,7 +91,7 @@
 		b.inventory.WriteGroup(many, writequeue.Start)
 		b.runFor(second)
 	}
-	if f, m := b.countWrites(few.Key()), b.countWrites(many.Key()); f != 1 || m < 5 {
-		t.Errorf("the record with one start was written %d times, that with more to start %d times", f, m)
+	if fewWrites, manyWrites := b.countWrites(few.Key()), b.countWrites(many.Key()); fewWrites != 1 || manyWrites < 5 {
+		t.Errorf("the record with one start was written %d times, that with more to start %d times", fewWrites, manyWrites)
 	}
 }
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -4,13 +4,11 @@
 	"fmt"
 	"testing"
 
-	"stairrelay/internal/state"
-
-	"stairrelay/internal/messages"
-	"stairrelay/internal/writequeue"
-
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/ratelimit"
+	"stairrelay/internal/state"
+	"stairrelay/internal/writequeue"
 )
 
 // enforceWriteRate lets the store throttle changes beyond a rate, with a bucket of one
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -3,14 +3,12 @@
 import (
 	"testing"
 
-	"stairrelay/internal/reconcile"
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
-	"stairrelay/internal/messages"
-
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/messages"
 	"stairrelay/internal/ownership"
+	"stairrelay/internal/reconcile"
+	"stairrelay/internal/state"
 )
 
 // The guards of a zone that is cut off with machines and controllers in it:
