--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -31,45 +31,54 @@
 	}
 }
 
-// inventoryShards implements inventory.Shards.
+// inventoryShards shows the inventory who owns the shards.
 type inventoryShards struct {
 	*ownership.Manager
 	shardStore
 }
 
-// inventoryWorkers implements inventory.Workers.
+// inventoryWorkers passes to the reconciler what the inventory has to do about workers.
 type inventoryWorkers struct{ controller *Controller }
 
+// ConfirmAbsent implements inventory.Workers.
 func (a inventoryWorkers) ConfirmAbsent(machine *state.Machine, assignment *state.Assignment) {
 	a.controller.reconciler.ConfirmAbsent(machine, assignment)
 }
 
+// QueueCommandPush implements inventory.Workers.
 func (a inventoryWorkers) QueueCommandPush(machine *state.Machine) {
 	a.controller.reconciler.Commands.QueuePush(machine)
 }
 
+// RecheckHeldHeartbeat implements inventory.Workers.
 func (a inventoryWorkers) RecheckHeldHeartbeat(machine *state.Machine) {
 	a.controller.reconciler.Heartbeats.Recheck(machine)
 }
 
+// RedirectWorker implements inventory.Workers.
 func (a inventoryWorkers) RedirectWorker(request messages.RequestID, node cluster.NodeID) {
 	a.controller.reconciler.Heartbeats.Redirect(request, node)
 }
 
-// inventoryScheduler implements inventory.Scheduler.
+// inventoryScheduler requests scheduling and maintenance for the inventory.
 type inventoryScheduler struct{ controller *Controller }
 
+// RequestScheduling implements inventory.Scheduler.
 func (a inventoryScheduler) RequestScheduling() { a.controller.scheduler.Trigger.Request() }
 
+// MaintainMachines implements inventory.Scheduler.
 func (a inventoryScheduler) MaintainMachines() { a.controller.reconciler.Maintenance.Run() }
 
-// inventoryCloud implements inventory.Cloud.
+// inventoryCloud calls the cloud for the inventory.
 type inventoryCloud struct{ controller *Controller }
 
+// ScheduleScaleIn implements inventory.Cloud.
 func (a inventoryCloud) ScheduleScaleIn() { a.controller.provisioner.ScaleIn.ScheduleCall() }
 
+// ForceCall implements inventory.Cloud.
 func (a inventoryCloud) ForceCall() { a.controller.provisioner.Rate.ForceCall() }
 
+// ReadList implements inventory.Cloud.
 func (a inventoryCloud) ReadList(handle func(machines []cluster.ListedMachine, ok bool)) {
 	a.controller.provisioner.List.Read(handle)
 }
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -6,34 +6,34 @@
 	"stairrelay/internal/messages"
 )
 
-// handlePeerRequest answers another controller's message.
-func (c *Controller) handlePeerRequest(e messages.PeerRequest) {
-	message := &e.Message
+// handlePeerRequest responds to another controller's message.
+func (c *Controller) handlePeerRequest(request messages.PeerRequest) {
+	message := &request.Message
 	from := c.members.Sender(message)
 	if from == nil {
-		c.respondError(e.Request, messages.ReplyBadRequest, "unknown sender or version")
+		c.respondError(request.Request, messages.ReplyBadRequest, "unknown sender or version")
 		return
 	}
 	switch {
 	case message.Ping != nil:
-		c.answerPing(e.Request, from, message.Ping)
+		c.answerPing(request.Request, from, message.Ping)
 	case message.Notice != nil:
 		for _, record := range message.Notice.Keys {
 			c.jobs.Records.Apply(record, nil)
 		}
-		c.replyToPeer(e.Request, messages.PeerMessage{Status: messages.ReplyOK})
+		c.replyToPeer(request.Request, messages.PeerMessage{Status: messages.ReplyOK})
 	case message.Query != nil:
 		c.jobs.Queries.AnswerPeer(message.Query.IDs, func(views []cluster.JobView) {
-			c.replyToPeer(e.Request, messages.PeerMessage{Views: views})
+			c.replyToPeer(request.Request, messages.PeerMessage{Views: views})
 		})
 	case message.Submission != nil:
-		c.answerSubmission(e.Request, message.Submission)
+		c.answerSubmission(request.Request, message.Submission)
 	case message.Cancel != "":
 		c.jobs.Cancellations.CancelOwned(message.Cancel, func(status messages.ReplyStatus, view *cluster.JobView) {
-			c.replyToPeer(e.Request, messages.PeerMessage{Status: status, Views: viewList(view)})
+			c.replyToPeer(request.Request, messages.PeerMessage{Status: status, Views: viewList(view)})
 		})
 	default:
-		c.respondError(e.Request, messages.ReplyBadRequest, "empty message")
+		c.respondError(request.Request, messages.ReplyBadRequest, "empty message")
 	}
 }
 
@@ -79,14 +79,14 @@
 }
 
 // handleHealth tells whether this node can take requests.
-func (c *Controller) handleHealth(e messages.Health) {
+func (c *Controller) handleHealth(request messages.Health) {
 	if c.writeQueue.Health.LastSuccess == 0 || len(c.state.MachineTypes) == 0 && c.loop.Now() < 10*second {
-		c.respondError(e.Request, messages.ReplyUnavailable, "starting")
+		c.respondError(request.Request, messages.ReplyUnavailable, "starting")
 		return
 	}
 	if c.members.HasLostStore() && c.members.IsStoreReachableElsewhere() {
-		c.respondError(e.Request, messages.ReplyUnavailable, "store out of reach")
+		c.respondError(request.Request, messages.ReplyUnavailable, "store out of reach")
 		return
 	}
-	c.loop.Emit(messages.Respond{Request: e.Request, Status: messages.ReplyOK})
+	c.loop.Emit(messages.Respond{Request: request.Request, Status: messages.ReplyOK})
 }
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -30,10 +30,11 @@
 	}
 }
 
-// runStallChecks lets so many checkpoints pass with nothing else happening.
-func (b *controllerHarness) runStallChecks(n int) []string {
+// runStallChecks lets so many checkpoints pass with nothing else happening, and returns
+// the reasons that are logged.
+func (b *controllerHarness) runStallChecks(count int) []string {
 	takeEffects(b.Controller)
-	for range n {
+	for range count {
 		setTime(b.Controller, b.loop.Now()+2*second)
 		for _, peer := range b.members.Peers() {
 			b.receivePing(peer, peer.LastPing())
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -1,4 +1,4 @@
-// Package e2e runs the real program, three processes of it, against stand-ins
+// Package e2e runs the real program, three processes of it, against fake services
 // on loopback.
 package e2e
 
@@ -280,7 +280,7 @@
 	c.t.Fatalf("waited in vain: %s", what)
 }
 
-// submit hands a job to a controller and returns the answer's status.
+// submit submits a job to a controller and returns the answer's status.
 func (c *processCluster) submit(node int, id, team string, tasks int, run time.Duration) int {
 	c.t.Helper()
 	info := simulation.JobInfo{
@@ -294,7 +294,7 @@
 	return code
 }
 
-// mustSubmit hands in a job that has to be accepted.
+// mustSubmit submits a job that has to be accepted.
 func (c *processCluster) mustSubmit(node int, id, team string, tasks int, run time.Duration) {
 	c.t.Helper()
 	if code := c.submit(node, id, team, tasks, run); code != http.StatusCreated {
--- a/internal/e2e/connections_test.go
+++ b/internal/e2e/connections_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// fleetWorkers is how many workers report to one controller.
+	// fleetWorkers is how many workers send heartbeats to one controller.
 	fleetWorkers = 4000
 	// workerAnswerTimeout is how long a worker waits for an answer.
 	workerAnswerTimeout = 4 * time.Second
@@ -17,7 +17,7 @@
 	reservedFiles = 200
 )
 
-// workersWithinFileLimit is how many workers' connections the box permits, both ends of
+// workersWithinFileLimit is how many workers' connections the machine permits, both ends of
 // which are this process's.
 func workersWithinFileLimit(t *testing.T) int {
 	t.Helper()
@@ -29,10 +29,10 @@
 	return min(fleetWorkers, (int(files.Cur)-reservedFiles)/ends)
 }
 
-// TestFleetHeartbeatsWithinConnectionLimit: all workers of a large fleet report to one controller at
-// once, round after round. It has a connection for each, or room for a quarter of
-// them. Each report is answered before its worker gives up and turns to another
-// controller.
+// TestFleetHeartbeatsWithinConnectionLimit: all workers of a large fleet send a heartbeat to one
+// controller at once, round after round. It has a connection for each, or room for a
+// quarter of them. Each heartbeat is answered before its worker gives up and turns to
+// another controller.
 func TestFleetHeartbeatsWithinConnectionLimit(t *testing.T) {
 	workers := workersWithinFileLimit(t)
 	for _, test := range []struct {
@@ -59,14 +59,14 @@
 	}
 }
 
-// sendAllHeartbeats has all workers report, at the same time as many as there are
-// connections for, and returns how long the slowest answer took. Those without a
+// sendAllHeartbeats lets all workers send a heartbeat, at the same time as many as there
+// are connections for, and returns how long the slowest answer took. Those without a
 // connection make one; those whose answer says so close theirs.
 func sendAllHeartbeats(t *testing.T, addr string, senders []*heartbeatSender, limit int) time.Duration {
 	t.Helper()
 	atOnce := len(senders)
 	if limit > 0 {
-		atOnce = limit / 2 // spread over the interval as reports are
+		atOnce = limit / 2 // spread over the interval as heartbeats are
 	}
 	var slowest time.Duration
 	var mu sync.Mutex
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -56,7 +56,7 @@
 	c.mustSubmit(0, "j-000019", "red", 4, 60*time.Second)
 	c.waitFor("running", func() bool { return c.jobStatus(1, "j-000019") == "running" })
 	c.killNode(0)
-	c.waitFor("asked while n0 is down", func() bool { return c.jobStatus(1, "j-000010") != "0" && c.jobStatus(1, "j-000010") != "503" })
+	c.waitFor("answered while n0 is down", func() bool { return c.jobStatus(1, "j-000010") != "0" && c.jobStatus(1, "j-000010") != "503" })
 	c.startNode(0)
 	c.services.WithLock(func() { c.services.StateServiceDown = true })
 	time.Sleep(2 * time.Second)
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestUnreachableMachineReplaced: a machine's reports arrive, but nothing reaches it. Its
+// TestUnreachableMachineReplaced: a machine's heartbeats arrive, but nothing reaches it. Its
 // tasks run elsewhere only after they can't run there any more, and it is
-// returned.
+// released.
 func TestUnreachableMachineReplaced(t *testing.T) {
 	c := startCluster(t)
 	c.mustSubmit(0, "j-000031", "red", 3, 8*time.Second)
@@ -96,7 +96,7 @@
 		return unreachable != ""
 	})
 	c.services.WithLock(func() { c.services.UnreachableMachines[unreachable] = true })
-	c.waitFor("returned", func() bool { return c.services.IsReleased(unreachable) })
+	c.waitFor("released", func() bool { return c.services.IsReleased(unreachable) })
 	c.waitFor("done elsewhere", func() bool { return c.jobStatus(1, "j-000031") == "done" })
 }
 
--- a/internal/e2e/heartbeat_bench_test.go
+++ b/internal/e2e/heartbeat_bench_test.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	// benchConnections is the number of workers that report in turn.
+	// benchConnections is the number of workers that send heartbeats in turn.
 	benchConnections = 200
-	// benchHeartbeat is a report with three tasks, as most are.
+	// benchHeartbeat is a heartbeat with three tasks, as most are.
 	benchHeartbeat = `{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,"shift":1,"stamp":88,"baton":41,"recallS":null,"legs":[` +
 		`{"leg":"j-000412/3","boarding":2097153,"status":"running"},{"leg":"j-000412/4","boarding":2097154,"status":"fetching"},{"leg":"j-000398/0","boarding":2097100,"status":"ended","cause":"done"}]}`
 )
 
-// BenchmarkHeartbeat measures the whole path of a worker's report on loopback:
-// HTTP, JSON, the engine and the core and back, on kept connections. The
-// sender's part is in it too, made as small as possible. The core knows none
-// of the machines: what it does with those it knows is BenchmarkFleet's.
+// BenchmarkHeartbeat measures the whole path of a worker's heartbeat on loopback:
+// HTTP, JSON, the engine and the controller and back, on kept connections. The
+// sender's work is in it too, made as small as possible. The controller knows none
+// of the machines: BenchmarkFleet measures what it does with those it knows.
 func BenchmarkHeartbeat(b *testing.B) {
 	addr, _ := startHeartbeatServer(b, 5*benchConnections)
 	var senders []*heartbeatSender
 	for range benchConnections {
 		senders = append(senders, dialHeartbeatSender(b, addr))
 	}
-	time.Sleep(time.Second) // for the core to find that it can't claim its part
+	time.Sleep(time.Second) // until the controller has found that it can't acquire its shard
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -50,7 +50,7 @@
 }
 
 // startHeartbeatServer starts a controller whose state service refuses everything:
-// after half a second reports get their 503 at once. It has so many connections
+// after half a second heartbeats get their 503 at once. It has so many connections
 // for workers and users. It returns its address, and counts what is open.
 func startHeartbeatServer(tb testing.TB, connections int) (string, *sockets.ConnectionLimiter) {
 	tb.Helper()
@@ -95,7 +95,7 @@
 	return listener.Addr().String(), front
 }
 
-// heartbeatSender sends the same report again and again on one connection.
+// heartbeatSender sends the same heartbeat again and again on one connection.
 type heartbeatSender struct {
 	connection     net.Conn
 	reader         *bufio.Reader
@@ -128,7 +128,7 @@
 	}
 }
 
-// sendHeartbeat sends the report and reads the answer.
+// sendHeartbeat sends the heartbeat and reads the answer.
 func (s *heartbeatSender) sendHeartbeat() error {
 	if _, err := s.connection.Write(s.request); err != nil {
 		return err
@@ -147,7 +147,7 @@
 }
 
 // isClosedByServer tells whether the server has closed the connection while it was
-// idle, as any client looks before it uses one again.
+// idle, as any client checks before it uses one again.
 func (s *heartbeatSender) isClosedByServer() bool {
 	_ = s.connection.SetReadDeadline(time.Now().Add(time.Millisecond))
 	defer func() { _ = s.connection.SetReadDeadline(time.Time{}) }()
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -64,7 +64,7 @@
 // TaskAttempt returns the start of the task that the assignment stands for.
 func (a *Assignment) TaskAttempt() TaskAttempt { return TaskAttempt{a.Task, a.Attempt} }
 
-// IsCompleted tells whether a report has shown that the task has run to its end.
+// IsCompleted tells whether a heartbeat has shown that the task has run to its end.
 func (a *Assignment) IsCompleted() bool {
 	return a.Phase == PhaseEnded && a.Cause == cluster.CauseCompleted
 }
@@ -72,7 +72,7 @@
 // IsLive tells whether the task takes room on its machine.
 func (a *Assignment) IsLive() bool { return a.Phase != PhaseEnded && !a.ConfirmedAbsent }
 
-// IsCheckpointable tells whether a report has shown the task running, and it can save.
+// IsCheckpointable tells whether a heartbeat has shown the task running, and it can save.
 func (a *Assignment) IsCheckpointable() bool {
 	return a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent && a.Job.Spec.CheckpointSeconds > 0
 }
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -93,7 +93,7 @@
 	SizeGB float64
 }
 
-// CommandState is what a worker is to be told, and the push that tells it.
+// CommandState is what is to be sent to a worker, and the push that sends it.
 type CommandState struct {
 	EndedToAcknowledge map[TaskAttempt]bool // ended, the record no longer lists it
 	UnrecordedToStop   map[TaskAttempt]bool // running without being recorded
@@ -131,7 +131,7 @@
 	LateChecks   int     // in a row that found a straggler
 }
 
-// Kind is what the machine has in common with others of its rental.
+// Kind is what the machine has in common with others of its provisioning request.
 func (m *Machine) Kind() grouprecord.Kind {
 	return grouprecord.Kind{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot}
 }
@@ -199,7 +199,7 @@
 	return l
 }
 
-// HasRunningTask tells whether a report has shown a task that is still running.
+// HasRunningTask tells whether a heartbeat has shown a task that is still running.
 func (m *Machine) HasRunningTask() bool {
 	for _, a := range m.Assignments {
 		if a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent {
@@ -234,7 +234,7 @@
 	return false
 }
 
-// ForgetCleared forgets the starts to be cleared away that a report shows no more.
+// ForgetCleared forgets the starts to be cleared away that a heartbeat shows no more.
 func (m *Machine) ForgetCleared(present map[TaskAttempt]bool) {
 	for s := range m.EndedToAcknowledge {
 		if !present[s] {
