--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,18 +10,17 @@
 import (
 	"time"
 
-	"stairrelay/internal/inventory"
-	"stairrelay/internal/jobs"
-	"stairrelay/internal/provisioning"
-	"stairrelay/internal/scheduling"
-	"stairrelay/internal/state"
-
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
+	"stairrelay/internal/inventory"
+	"stairrelay/internal/jobs"
 	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/ownership"
+	"stairrelay/internal/provisioning"
 	"stairrelay/internal/reconcile"
+	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
 
@@ -48,7 +47,7 @@
 	// The other controllers.
 	members *membership.Members
 
-	// Parts, teams and jobs.
+	// Shards, teams and jobs.
 	ownership *ownership.Manager
 	progress  []shardProgress // by shard
 	jobs      *jobs.Jobs
@@ -61,7 +60,7 @@
 	provisioner *provisioning.Provisioner
 }
 
-// New makes a Core. Nothing happens before the first Step.
+// New makes a Controller. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
 		config:        cfg,
@@ -73,7 +72,7 @@
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
-	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, c.members, shardStore{c})
 	c.jobs = c.newJobs()
 	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.scheduler = c.newScheduler()
@@ -130,9 +129,9 @@
 	c.reconciler.Heartbeats.AnswerReady()
 }
 
-// respondError answers at once that the request can't be taken now.
-func (c *Controller) respondError(req messages.RequestID, status messages.ReplyStatus, after int, why string) {
-	c.loop.Emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
+// respondError responds at once that a request can't be served, and why.
+func (c *Controller) respondError(request messages.RequestID, status messages.ReplyStatus, why string) {
+	c.loop.Emit(messages.Respond{Request: request, Status: status, Error: why})
 }
 
 // startLoops starts everything that runs on its own.
@@ -155,3 +154,11 @@
 	c.loop.Every(eventloop.FixedInterval(second/4), c.scheduler.Trigger.Request)
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
+
+// writeBackgroundState stores what can wait: outcomes of tasks whose jobs go on, and
+// machine records that list more than they need to.
+func (c *Controller) writeBackgroundState() {
+	c.jobs.Records.WriteOutcomes()
+	c.inventory.CleanUp()
+	c.checkShardProgress()
+}
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// newJobs connects the jobs to the other parts.
+// newJobs connects the jobs to the other components.
 func (c *Controller) newJobs() *jobs.Jobs {
 	return jobs.New(c.loop, c.state, c.writeQueue, c.jobsConfig(), jobs.Collaborators{
 		Members:   c.members,
@@ -57,11 +57,3 @@
 func (s jobScheduler) RuntimeRatio(class string) float64 {
 	return s.controller.scheduler.RunTimes.Ratio(class)
 }
-
-// writeBackgroundState stores what can wait: outcomes of tasks whose jobs go on, and
-// machine records that list more than they need to.
-func (c *Controller) writeBackgroundState() {
-	c.jobs.Records.WriteOutcomes()
-	c.inventory.CleanUp()
-	c.checkShardProgress()
-}
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -61,10 +61,10 @@
 	Attempt cluster.Attempt
 }
 
-// TaskAttempt is the start of the task that the assignment stands for.
+// TaskAttempt returns the start of the task that the assignment stands for.
 func (a *Assignment) TaskAttempt() TaskAttempt { return TaskAttempt{a.Task, a.Attempt} }
 
-// IsCompleted tells whether a report has shown that the task has run to its end.
+// IsCompleted tells whether a heartbeat has shown that the task has run to its end.
 func (a *Assignment) IsCompleted() bool {
 	return a.Phase == PhaseEnded && a.Cause == cluster.CauseCompleted
 }
@@ -72,7 +72,7 @@
 // IsLive tells whether the task takes room on its machine.
 func (a *Assignment) IsLive() bool { return a.Phase != PhaseEnded && !a.ConfirmedAbsent }
 
-// IsCheckpointable tells whether a report has shown the task running, and it can save.
+// IsCheckpointable tells whether a heartbeat has shown the task running, and it can save.
 func (a *Assignment) IsCheckpointable() bool {
 	return a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent && a.Job.Spec.CheckpointSeconds > 0
 }
@@ -99,6 +99,14 @@
 	return true
 }
 
+// MarkRemovedFromRecord notes that the stored record no longer lists the task, which has
+// completed, and tells whether it may be forgotten. As long as its outcome is not stored
+// too, it may not: a second start would find nothing that says that it has completed.
+func (a *Assignment) MarkRemovedFromRecord() bool {
+	a.RemovedFromRecord = true
+	return a.IsOutcomeStored()
+}
+
 // SortedAttempts lists attempts by task and attempt.
 func SortedAttempts(m map[TaskAttempt]bool) []TaskAttempt {
 	l := make([]TaskAttempt, 0, len(m))
