--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -66,7 +66,7 @@
 func (r *traceRunner) applySetting(command traceCommand) bool {
 	r.t.Helper()
 	switch {
-	case command.verb == "teams" && len(command.args) > 0 && strings.HasPrefix(command.args[0], "one-part"):
+	case command.verb == "teams" && len(command.args) > 0 && strings.HasPrefix(command.args[0], "one-shard"):
 		r.config.Teams = teamsWithSharedShard()
 	case command.verb == "aim" && len(command.args) == 2: // aim CLASS SECONDS: its jobs are done within that
 		within, err := strconv.ParseFloat(command.arg(1), 64)
