--- a/internal/messages/cloud.go
+++ b/internal/messages/cloud.go
@@ -4,10 +4,12 @@
 	"stairrelay/internal/cluster"
 )
 
-// CloudMachineTypes asks for the machine types.
+// CloudMachineTypes asks for the machine types. A MachineTypesReply answers it.
 type CloudMachineTypes struct{ Call CallID }
 
-// CloudScaleOut rents under a recorded name.
+// CloudScaleOut is a provisioning request. Its name was recorded before, and the
+// cloud carries out each name once, so that a request of unknown outcome can be
+// sent again. A ScaleOutReply answers it.
 type CloudScaleOut struct {
 	Call  CallID
 	Name  string
@@ -17,35 +19,36 @@
 	Count int
 }
 
-// CloudScaleIn gives machines back.
+// CloudScaleIn releases machines. A ScaleInReply answers it.
 type CloudScaleIn struct {
 	Call CallID
 	IDs  []cluster.MachineID
 }
 
-// CloudList reads the page of the machine list that follows a machine; the
-// first has no such machine.
+// CloudList reads the page of the machine list that follows the machine After;
+// After is empty for the first page. A CloudListReply answers it.
 type CloudList struct {
 	Call  CallID
 	After cluster.MachineID
 }
 
-// MachineTypesReply answers CloudTypes.
+// MachineTypesReply answers a CloudMachineTypes.
 type MachineTypesReply struct {
 	Outcome Outcome
 	Types   []cluster.MachineType
 }
 
-// ScaleOutReply answers CloudRent. Missing: no capacity.
+// ScaleOutReply answers a CloudScaleOut. Outcome NotFound means that the cloud
+// has no capacity of that kind.
 type ScaleOutReply struct {
 	Outcome Outcome
 	IDs     []cluster.MachineID
 }
 
-// ScaleInReply answers CloudReturn.
+// ScaleInReply answers a CloudScaleIn.
 type ScaleInReply struct{ Outcome Outcome }
 
-// CloudListReply answers CloudList.
+// CloudListReply answers a CloudList.
 type CloudListReply struct {
 	Outcome Outcome
 	Items   []cluster.ListedMachine
--- a/internal/messages/events.go
+++ b/internal/messages/events.go
@@ -1,25 +1,24 @@
-// Package messages holds what the controller's state machine and its I/O actors
-// tell each other: events that happen to a controller, effects that it wants
-// done, and the typed replies to those effects. It also has the messages between
-// controllers. It knows nothing of the state machine or of the actors.
 package messages
 
 import (
 	"stairrelay/internal/cluster"
 )
 
-// Event is anything that happens to a controller.
+// Event is anything that happens to a controller. The state machine takes one
+// event at a time.
 type Event interface{ isEvent() }
 
-// Tick says that the time asked for by NextWake has come.
+// Tick says that the time which the state machine asked to be woken at has come.
 type Tick struct{}
 
-// Submit is a user's checked submission.
+// Submit is a user's submission. Rejection and Reason are set when its body is
+// invalid but names a job's id: if that job is known already, the submission is
+// an idempotent retry and is answered like the first one.
 type Submit struct {
 	Request   RequestID
 	Spec      cluster.JobSpec
-	Rejection ReplyStatus // ReplyMalformed when the body is unusable but names an id, else 0
-	Reason    string      // what is wrong with it
+	Rejection ReplyStatus // ReplyBadRequest for an invalid body, else ReplyNone
+	Reason    string      // what is wrong with the body
 }
 
 // Query asks for a job's state.
@@ -34,28 +33,30 @@
 	ID      cluster.JobID
 }
 
-// Health asks whether this node can take requests.
+// Health asks whether this controller can serve requests.
 type Health struct{ Request RequestID }
 
-// Heartbeat is a worker's report that waits for an answer.
+// Heartbeat is a worker's heartbeat with its status.
 type Heartbeat struct {
 	Request RequestID
 	Status  cluster.HeartbeatStatus
 }
 
-// PeerRequest is another controller's message that waits for an answer.
+// PeerRequest is another controller's message, which waits for an answer.
 type PeerRequest struct {
 	Request RequestID
 	Message PeerMessage
 }
 
-// ProcessLoad tells how busy the process is, about once a second while that matters.
+// ProcessLoad says how busy the process is. The engine sends it about once a
+// second while the process is busy enough to matter.
 type ProcessLoad struct {
-	CPUUsage   float64      // processor time used of what is allowed
-	EventDelay cluster.Time // how late events were taken up at the worst
+	CPUUsage   float64      // share of the allowed processor time that was used
+	EventDelay cluster.Time // longest time that an event waited before it was taken
 }
 
-// Reply answers an outgoing call.
+// Reply answers an outgoing call. Body is the reply type of that call, such as
+// a TxnReply for a StoreTxn.
 type Reply struct {
 	Call CallID
 	Body any
--- a/internal/messages/log.go
+++ b/internal/messages/log.go
@@ -1,16 +1,17 @@
 package messages
 
-// LogLevel says how important a line of the log is.
+// LogLevel is the severity of a log line.
 type LogLevel string
 
-// The levels of the log, least important first.
+// The severities of log lines, least severe first.
 const (
 	LogDebug LogLevel = "debug"
 	LogInfo  LogLevel = "info"
 	LogError LogLevel = "error"
 )
 
-// Log is a line for the operators.
+// Log is a log line for the operators. Message is constant for each kind of
+// line; Args holds its keys and values in turn, as log/slog takes them.
 type Log struct {
 	Level   LogLevel
 	Message string
--- a/internal/messages/outcome.go
+++ b/internal/messages/outcome.go
@@ -1,23 +1,18 @@
 package messages
 
-// Outcome of a call.
+// Outcome is the result of an outgoing call. Callers have to tell apart calls
+// that were certainly not carried out, which may be sent again, and calls that
+// may have been, whose result has to be read back first.
 type Outcome int
 
+// The outcomes of calls.
 const (
-	// OK: carried out.
-	OK Outcome = iota
-	// Conflict: compared and refused, nothing carried out.
-	Conflict
-	// NotApplied: certainly not carried out; may be tried again.
-	NotApplied
-	// UnknownOutcome: may have been, or may yet be, carried out.
-	UnknownOutcome
-	// NotFound: the thing asked for does not exist.
-	NotFound
-	// Compacted: the position asked for is too old.
-	Compacted
-	// Throttled: over the request limit, not carried out.
-	Throttled
-	// Invalid: the other side calls the request malformed.
-	Invalid
+	OK             Outcome = iota // the call was carried out
+	Conflict                      // a compare failed, nothing was carried out
+	NotApplied                    // the call was certainly not carried out and may be sent again
+	UnknownOutcome                // the call may have been carried out, or may yet be
+	NotFound                      // what was asked for does not exist
+	Compacted                     // the store no longer keeps changes as old as the revision asked for
+	Throttled                     // the request limit was exceeded, the call was not carried out
+	Invalid                       // the other side refused the request as malformed
 )
--- a/internal/messages/peer.go
+++ b/internal/messages/peer.go
@@ -5,28 +5,42 @@
 	"stairrelay/internal/fairshare"
 )
 
+// PeerCall sends a message to another controller. A PeerReply answers it.
+type PeerCall struct {
+	Call    CallID
+	To      cluster.NodeID
+	Timeout cluster.Time
+	Message PeerMessage
+}
+
 // PeerReply answers a PeerCall.
 type PeerReply struct {
 	Outcome Outcome
 	Message PeerMessage
 }
 
-// PeerMessage is what controllers say to one another; exactly one pointer is set.
+// PeerMessage is what controllers send to each other. A call sets one of Ping,
+// Notice, Query, Cancel and Submission; an answer sets Ping, Views, or Status
+// with RetryAfter and Reason.
+//
+// Controllers of two releases work together during an upgrade, so the encoded
+// names of the fields, here and in the types below, must stay as they are.
 type PeerMessage struct {
 	Version    int                `cbor:"Version"`
 	From       cluster.NodeID     `cbor:"From"`
 	Ping       *Ping              `cbor:"Ping"`
 	Notice     *JobNotice         `cbor:"Tell"`
 	Query      *JobQuery          `cbor:"Ask"`
-	Views      []cluster.JobView  `cbor:"Views"`
+	Views      []cluster.JobView  `cbor:"Views"` // answers Query
 	Cancel     cluster.JobID      `cbor:"Cancel"`
 	Submission *ProxiedSubmission `cbor:"Submit"`
 	Status     ReplyStatus        `cbor:"Status"`
-	RetryAfter int                `cbor:"After"` // seconds until a refused submission should come again
-	Reason     string             `cbor:"Why"`
+	RetryAfter int                `cbor:"After"` // seconds after which a refused submission may be sent again
+	Reason     string             `cbor:"Why"`   // why a submission was refused
 }
 
-// ProxiedSubmission is a submission that its sender can't store now.
+// ProxiedSubmission is a submission that its sender cannot store now and passes
+// on to another controller.
 type ProxiedSubmission struct {
 	ID   cluster.JobID   `cbor:"ID"`
 	Spec cluster.JobSpec `cbor:"Spec"`
@@ -34,41 +48,43 @@
 
 // Ping is both the call and the answer of failure detection.
 type Ping struct {
-	InstanceID         string                   `cbor:"Boot"`
-	Shards             []ShardTerm              `cbor:"Parts"`
-	StoreReachable     bool                     `cbor:"StoreOK"`
-	StoreFailing       bool                     `cbor:"StoreBad"` // the last request failed; StoreOK follows if that lasts
-	WorkersReachable   bool                     `cbor:"WorkersOK"`
-	MillisSinceContact map[cluster.NodeID]int64 `cbor:"Heard"` // ms since each other node last answered
-	FailbackOffers     []cluster.ShardID        `cbor:"Offer"` // parts that their home may claim back now
-	TransferOffers     []TransferOffer          `cbor:"Groups"`
-	WriteDemand        float64                  `cbor:"Puts"`  // a second that the sender could use
-	CloudDemand        float64                  `cbor:"Cloud"` // calls of the cloud a second that the sender could use
-	ShardLoads         []fairshare.ShardLoad    `cbor:"Loads"`
-	FeatureLevel       int                      `cbor:"Level"` // of the sender's release; absent before pipelines
-	KnownTerms         []cluster.Term           `cbor:"Terms"` // the latest terms that the sender knows, by part
-}
+	InstanceID string      `cbor:"Boot"`  // of the sender's process
+	Shards     []ShardTerm `cbor:"Parts"` // the shards that the sender owns
 
-// ShardLoad is what a part has and what its jobs could use, by priority.
-type ShardLoad = fairshare.ShardLoad
+	StoreReachable   bool `cbor:"StoreOK"`
+	StoreFailing     bool `cbor:"StoreBad"` // the last request failed; StoreReachable becomes false if that lasts
+	WorkersReachable bool `cbor:"WorkersOK"`
+
+	MillisSinceContact map[cluster.NodeID]int64 `cbor:"Heard"`  // milliseconds since each other node last answered
+	FailbackOffers     []cluster.ShardID        `cbor:"Offer"`  // shards that their preferred owner may acquire again now
+	TransferOffers     []TransferOffer          `cbor:"Groups"` // idle machines that other shards may take
+
+	WriteDemand float64               `cbor:"Puts"`  // writes a second that the sender could use
+	CloudDemand float64               `cbor:"Cloud"` // cloud calls a second that the sender could use
+	ShardLoads  []fairshare.ShardLoad `cbor:"Loads"`
+
+	FeatureLevel int            `cbor:"Level"` // of the sender's release; releases without job dependencies send none
+	KnownTerms   []cluster.Term `cbor:"Terms"` // the latest term that the sender knows of each shard
+}
 
-// ShardTerm says that the sender holds a part.
+// ShardTerm says that the sender owns a shard, and under which term.
 type ShardTerm struct {
 	Shard cluster.ShardID `cbor:"Part"`
 	Term  cluster.Term    `cbor:"Term"`
 }
 
-// JobNotice passes on jobs that have just been stored.
+// JobNotice passes on the records of jobs that have just been stored.
 type JobNotice struct {
 	Keys []KV `cbor:"Keys"`
 }
 
-// JobQuery asks the owner about jobs.
+// JobQuery asks the owner of jobs for their state.
 type JobQuery struct {
 	IDs []cluster.JobID `cbor:"IDs"`
 }
 
-// TransferOffer tells a part of a group of idle machines that it may take.
+// TransferOffer offers a machine group with idle machines to another shard,
+// which takes it by a compare-and-swap on the group's record.
 type TransferOffer struct {
 	Key         string              `cbor:"Key"`
 	ModRevision cluster.ModRevision `cbor:"Mark"`
@@ -76,7 +92,7 @@
 	Kinds       []MachineKindCount  `cbor:"Kinds"`
 }
 
-// MachineKindCount counts like machines.
+// MachineKindCount counts the machines of one type and zone, on-demand or spot.
 type MachineKindCount struct {
 	Type  string `cbor:"Type"`
 	Zone  string `cbor:"Zone"`
--- a/internal/messages/worker.go
+++ b/internal/messages/worker.go
@@ -4,7 +4,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// PushCommands sends commands straight to a worker.
+// PushCommands sends commands to a worker without waiting for its next
+// heartbeat. A PushCommandsReply answers it.
 type PushCommands struct {
 	Call         CallID
 	Addr         string
@@ -13,14 +14,15 @@
 	Commands     []cluster.Command
 }
 
-// QueryWorkerStatus asks a worker for its report; answered by an OrdersReply.
+// QueryWorkerStatus asks a worker for its status, which changes nothing there. A
+// PushCommandsReply answers it.
 type QueryWorkerStatus struct {
 	Call CallID
 	Addr string
 }
 
-// PushCommandsReply answers Orders; Report is set for OK and Conflict.
+// PushCommandsReply answers a PushCommands or a QueryWorkerStatus.
 type PushCommandsReply struct {
 	Outcome Outcome
-	Status  cluster.HeartbeatStatus
+	Status  cluster.HeartbeatStatus // set with OK and Conflict
 }
