--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,11 +8,21 @@
 package controller
 
 import (
-	"sort"
 	"time"
 
+	"stairrelay/internal/inventory"
+	"stairrelay/internal/jobs"
+	"stairrelay/internal/provisioning"
+	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/eventloop"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/messages"
+	"stairrelay/internal/ownership"
+	"stairrelay/internal/reconcile"
+	"stairrelay/internal/writequeue"
 )
 
 const (
@@ -23,198 +33,129 @@
 // Controller is a controller's whole state, by owner: each type says what always
 // holds of its fields, in the file that it is named for.
 type Controller struct {
-	config   Config
-	now      cluster.Time
-	wallTime cluster.WallTime
+	config Config
+	loop   *eventloop.Loop
+	state  *state.State
 
 	// What it wants done, and what it waits for.
-	effects      []messages.Effect
-	lastCallID   messages.CallID
-	pendingCalls map[messages.CallID]func(any)
-	timers       timerQueue
-	writeQueue   writeQueue
-	cloudRate    cloudRateShare
-	counters     Counters
+	writeQueue *writequeue.Queue
+	counters   Counters
 
 	// How this node fares.
-	storeHealth        storeHealth
-	processHealth      processHealth
-	livenessKey        nodeLiveness
-	workerReachability workerReachability
+	processHealth      *membership.ProcessHealth
+	workerReachability *membership.WorkerReachability
 
 	// The other controllers.
-	peers           map[cluster.NodeID]*peer
-	versionRegistry versionRegistry
-	ownerQueries    ownerQueries
+	members            *membership.Members
+	attemptedTransfers attemptedTransfers
 
 	// Parts, teams and jobs.
-	shards            []*shard         // by number
-	shardsRevision    cluster.Revision // who holds which part is known up to this revision
-	ownedShardChanges int              // of the parts held here
-	teams             map[string]*team
-	jobs              jobRegistry
-	jobReads          linearizableJobReads
-	admissions        admissionQueue
-	classStats        map[string]*classStats
-	loadCache         loadCache
-	schedulingTrigger schedulingTrigger
+	ownership *ownership.Manager
+	progress  []shardProgress // by shard
+	jobs      *jobs.Jobs
+	loadCache loadCache
+	scheduler *scheduling.Scheduler
 
 	// Machines.
-	machines          map[cluster.MachineID]*machine // of parts held here
-	machineGroups     map[string]*machineGroup       // of parts held here
-	recordNames       recordNames
-	machineOwners     machineOwners
-	orphanedMachines  orphanedMachines
-	machineTypes      map[string]cluster.MachineType
-	machineTypeCache  machineTypeCache
-	cloudListing      cloudListing
+	recordNames       *inventory.RecordNames
+	inventory         *inventory.Inventory
+	reconciler        *reconcile.Reconciler
+	provisioner       *provisioning.Provisioner
 	scaleOutScheduled bool // a look for machines before the next regular one
-	machineReleases   scaleInBatch
-	spotInterruptions spotInterruptions
-	heldHeartbeats    heldHeartbeats
-	urgentPushes      []*machine // whose commands can't wait for their reports
 }
 
 // New makes a Core. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
-		config:           cfg,
-		pendingCalls:     map[messages.CallID]func(any){},
-		jobs:             newJobRegistry(),
-		machines:         map[cluster.MachineID]*machine{},
-		machineGroups:    map[string]*machineGroup{},
-		admissions:       admissionQueue{firstRevisions: map[cluster.JobID]cluster.ModRevision{}},
-		machineOwners:    machineOwners{},
-		orphanedMachines: newOrphanedMachines(),
-		peers:            map[cluster.NodeID]*peer{},
-		ownerQueries:     newOwnerQueries(),
-		teams:            map[string]*team{},
-		machineTypes:     map[string]cluster.MachineType{},
-		classStats:       map[string]*classStats{},
-	}
-	c.versionRegistry = newVersionRegistry(cfg.Self)
-	c.writeQueue.init(c)
-	for i := range cfg.Nodes {
-		c.shards = append(c.shards, &shard{id: cluster.ShardID(i), preferredOwner: cfg.Nodes[i], outOfCapacityCount: map[provisioningOption]int{}, usage: teamUsage{}})
-		if n := cfg.Nodes[i]; n != cfg.Self {
-			c.peers[n] = &peer{id: n}
-		}
+		config:             cfg,
+		loop:               eventloop.New(),
+		state:              state.New(cfg.Nodes, cfg.Teams),
+		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
+		attemptedTransfers: attemptedTransfers{},
+		processHealth:      &membership.ProcessHealth{},
 	}
-	partOf := assignTeamsToShards(cfg.Teams, len(cfg.Nodes))
-	for _, t := range cfg.Teams {
-		c.teams[t.Name] = &team{Team: t, shard: partOf[t.Name]}
-	}
-	c.updateCloudRate()
-	c.cloudRate.bucket.Fill()
-	c.cloudListing.nextReadAt = c.firstCloudListAt()
-	c.after(0, c.startLoops)
+	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
+	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
+	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.jobs = c.newJobs()
+	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
+	c.provisioner = c.newProvisioner()
+	c.scheduler = c.newScheduler()
+	c.reconciler = c.newReconciler()
+	c.progress = make([]shardProgress, len(cfg.Nodes))
+	c.loop.After(0, c.startLoops)
 	return c
 }
 
 // Step takes one event and returns what is to be done about it.
 func (c *Controller) Step(now cluster.Time, wall cluster.WallTime, ev messages.Event) []messages.Effect {
-	stood := now-c.now > processPauseThreshold
-	if now > c.now {
-		c.now = now
-	}
-	c.wallTime = wall
-	c.effects = nil
-	if stood && c.timers.len() > 0 {
+	paused := membership.IsPause(now - c.loop.Now())
+	c.loop.Begin(now, wall)
+	if _, started := c.loop.NextWake(); paused && started {
 		c.handleProcessPause()
 	}
 	switch e := ev.(type) {
 	case messages.Tick:
 	case messages.Submit:
 		c.counters.Submissions++
-		c.handleSubmit(e)
+		c.jobs.Submissions.HandleSubmit(e)
 	case messages.Query:
 		c.counters.Queries++
-		c.handleQuery(e)
+		c.jobs.Queries.HandleQuery(e)
 	case messages.Cancel:
 		c.counters.Cancellations++
-		c.handleCancel(e.Request, e.ID, true)
+		c.jobs.Cancellations.HandleCancel(e)
 	case messages.Health:
 		c.handleHealth(e)
 	case messages.Heartbeat:
 		c.counters.Heartbeats++
-		c.handleHeartbeat(e)
+		c.reconciler.Heartbeats.Handle(e)
 	case messages.PeerRequest:
 		c.handlePeerRequest(e)
 	case messages.ProcessLoad:
-		c.processHealth.load = e
+		c.processHealth.RecordLoad(e)
 	case messages.Reply:
-		if fn := c.pendingCalls[e.Call]; fn != nil {
-			delete(c.pendingCalls, e.Call)
-			fn(e.Body)
-		}
+		c.loop.Deliver(e)
 	}
-	c.runTimers()
+	c.loop.RunTimers()
 	c.flush()
-	return c.effects
+	return c.loop.Effects()
 }
 
+// NextWake is when the next Tick is due; false: no timer is set.
+func (c *Controller) NextWake() (cluster.Time, bool) { return c.loop.NextWake() }
+
 // flush decides once per step on all that the step has changed.
 func (c *Controller) flush() {
-	switch c.schedulingTrigger.check(c.now) {
-	case scheduleNow:
-		c.schedulingTrigger.begin(c.now + c.processHealth.stretchDelay(schedulingInterval))
-		c.scheduleOwnedShards()
-	case scheduleLater:
-		c.after(c.schedulingTrigger.armTimer(c.now), func() { c.schedulingTrigger.timerArmed = false })
-	}
-	c.pushQueuedCommands()
-	c.writeQueue.dispatch()
-	c.answerHeldHeartbeats()
-}
-
-func (c *Controller) emit(e messages.Effect) { c.effects = append(c.effects, e) }
-
-func (c *Controller) registerCall(fn func(any)) messages.CallID {
-	c.lastCallID++
-	c.pendingCalls[c.lastCallID] = fn
-	return c.lastCallID
-}
-
-func (c *Controller) log(level messages.LogLevel, text string, args ...any) {
-	c.emit(messages.Log{Level: level, Message: text, Args: args})
+	c.scheduler.RunIfRequested()
+	c.reconciler.Commands.PushQueued()
+	c.writeQueue.Dispatch()
+	c.reconciler.Heartbeats.AnswerReady()
 }
 
 // respondError answers at once that the request can't be taken now.
 func (c *Controller) respondError(req messages.RequestID, status messages.ReplyStatus, after int, why string) {
-	c.emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
+	c.loop.Emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
 }
 
 // startLoops starts everything that runs on its own.
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
-	for _, n := range c.config.Nodes {
-		if p := c.peers[n]; p != nil {
-			c.startFailureDetector(p)
-		}
-	}
-	c.loadShards()
-	c.loadJobs()
-	c.loadAdmissions()
-	c.fetchMachineTypes()
-	c.loadMachineTypeCache()
-	c.every(fixedInterval(t.CheckpointInterval), c.writeBackgroundState)
-	c.every(fixedInterval(second), c.writeQueue.measureDemand)
-	c.every(fixedInterval(second), c.measureCloudDemand)
-	c.every(fixedInterval(maintenanceInterval), c.maintainMachines)
-	c.every(fixedInterval(second), c.runScaleOut)
-	c.every(fixedInterval(2*second), c.probeWorker)
-	c.every(fixedInterval(2*second), c.refreshNodeLiveness)
-	c.every(fixedInterval(second/2), c.probeStore)
-	c.every(fixedInterval(second), c.renewOwnership)
-	c.every(fixedInterval(second/4), func() { c.schedulingTrigger.request() })
-	c.every(fixedInterval(30*second), c.logStats)
-}
-
-func sortedKeys[K ~string, V any](m map[K]V) []K {
-	ks := make([]K, 0, len(m))
-	for k := range m {
-		ks = append(ks, k)
-	}
-	sort.Slice(ks, func(i, j int) bool { return ks[i] < ks[j] })
-	return ks
+	c.members.Start()
+	c.ownership.Start()
+	c.jobs.Load()
+	c.provisioner.Types.Fetch()
+	c.provisioner.Types.Load()
+	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
+	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
+	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.Rate.MeasureDemand)
+	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
+	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
+	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
+	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
+	c.loop.Every(eventloop.FixedInterval(second), c.ownership.RenewLeases)
+	c.loop.Every(eventloop.FixedInterval(second/4), c.scheduler.Trigger.Request)
+	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -3,6 +3,10 @@
 import (
 	"testing"
 
+	"stairrelay/internal/inventory"
+	"stairrelay/internal/reconcile"
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -37,9 +41,9 @@
 
 // flushEffects decides on what has changed and returns what is to be done about it.
 func flushEffects(b *controllerHarness) []messages.Effect {
-	b.effects = nil
+	takeEffects(b.Controller)
 	b.flush()
-	return b.effects
+	return b.loop.Effects()
 }
 
 // firstHeartbeat is what a machine that has just come up sends.
@@ -51,9 +55,9 @@
 // brought about.
 func effectsDuring(b *controllerHarness, d cluster.Time) []messages.Effect {
 	var effects []messages.Effect
-	for end := b.now + d; b.now < end; {
+	for end := b.loop.Now() + d; b.loop.Now() < end; {
 		b.runFor(0)
-		effects = append(effects, b.effects...)
+		effects = append(effects, b.loop.Effects()...)
 	}
 	return effects
 }
@@ -75,8 +79,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			b.addTestJob("j-1", 1)
-			b.addRegisteredGroup(b.shards[0], "g", []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}, 100, 31)
-			b.handleHeartbeat(firstHeartbeat(fastBootMachine))
+			machines := []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}
+			b.inventory.AddNewGroup(&inventory.NewGroup{ID: "g", Shard: b.state.Shards[0], Machines: machines}, 31)
+			b.state.Groups["g"].RecordSize = 100
+			b.reconciler.Heartbeats.Handle(firstHeartbeat(fastBootMachine))
 			effects := flushEffects(b)
 			var record *messages.StoreTxn
 			for _, effect := range effects {
@@ -84,17 +90,17 @@
 					record = &transaction
 				}
 			}
-			if record == nil || len(b.machines[fastBootMachine].assignments) != 1 {
+			if record == nil || len(b.state.Machines[fastBootMachine].Assignments) != 1 {
 				t.Fatal("the machine got no task, or its record is not written")
 			}
 			for range 10 { // the answer to the report does not wait that long
-				b.now += maxHeartbeatHold / 4
+				setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold/4)
 				effects = append(effects, flushEffects(b)...)
 			}
 			if n := countStarts(effects); n != 0 {
 				t.Errorf("%d starts before the record is stored", n)
 			}
-			b.pendingCalls[record.Call](test.answer)
+			b.loop.Deliver(messages.Reply{Call: record.Call, Body: test.answer})
 			if n := countStarts(flushEffects(b)); n != test.starts {
 				t.Errorf("%d starts after the answer, want %d", n, test.starts)
 			}
@@ -107,7 +113,7 @@
 // holder which follows at any moment repeats the request or has the machine.
 func TestProvisionedMachineAlwaysRecorded(t *testing.T) {
 	b := newControllerHarness()
-	part := b.shards[0]
+	part := b.state.Shards[0]
 	recorded := func() bool {
 		for _, kv := range b.store.list("groups/", 0) {
 			record, err := grouprecord.Decode(kv.Value)
@@ -127,15 +133,15 @@
 		}
 		return false
 	}
-	b.createProvisioningRequest(part, provisioningOption{"small", "a", false}, 1)
+	b.provisioner.Requests.Create(part, state.ProvisioningOption{Type: "small", Zone: "a", Spot: false}, 1)
 	for _, effect := range effectsDuring(b, second) {
 		if rent, ok := effect.(messages.CloudScaleOut); ok {
-			b.pendingCalls[rent.Call](messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}})
+			b.loop.Deliver(messages.Reply{Call: rent.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}}})
 		}
 	}
 	b.runFor(second)
-	if len(part.provisioningRequests) != 0 || b.machines[fastBootMachine] == nil || states < 2 {
-		t.Errorf("%d rentals are open after %d transactions, the machine is %v", len(part.provisioningRequests), states, b.machines[fastBootMachine])
+	if len(part.ProvisioningRequests) != 0 || b.state.Machines[fastBootMachine] == nil || states < 2 {
+		t.Errorf("%d rentals are open after %d transactions, the machine is %v", len(part.ProvisioningRequests), states, b.state.Machines[fastBootMachine])
 	}
 }
 
@@ -154,7 +160,7 @@
 			b := newControllerHarness()
 			record := `{"p":1,"f":"small","y":"` + test.zone + `","n":1,"w":"b1-1"}`
 			b.store.keys["rentals/r-1"] = messages.KV{Key: "rentals/r-1", Value: []byte(record), ModRevision: 29}
-			b.handleUnknownHeartbeat(firstHeartbeat(fastBootMachine))
+			b.reconciler.Orphans.HandleHeartbeat(firstHeartbeat(fastBootMachine))
 			inspected := false
 			for _, effect := range effectsDuring(b, second) {
 				_, ok := effect.(messages.QueryWorkerStatus)
--- a/internal/controller/group_check_test.go
+++ b/internal/controller/group_check_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/writequeue"
 )
 
 // TestGroupRecordCheckTerminates: another writer has changed a group's record, and tasks
@@ -15,10 +16,10 @@
 func TestGroupRecordCheckTerminates(t *testing.T) {
 	b := newControllerHarness()
 	m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-	part := b.shards[0]
-	key := m.group.key()
-	b.writeMachine(m, priorityStart)
-	m.group.modRevision = 0 // as the store has none yet
+	part := b.state.Shards[0]
+	key := m.Group.Key()
+	b.inventory.WriteMachine(m, writequeue.Start)
+	m.Group.ModRevision = 0 // as the store has none yet
 	b.runFor(100 * millisecond)
 	kv := b.store.get(key).KV
 	kv.ModRevision++
@@ -27,10 +28,10 @@
 
 	sent := len(b.sentTransactions)
 	for range 50 {
-		b.writeMachine(m, priorityStart)
+		b.inventory.WriteMachine(m, writequeue.Start)
 		b.runFor(0) // one round of answers
 	}
-	if part.corruptRecordCount == 0 {
+	if part.CorruptRecordCount == 0 {
 		t.Errorf("no conclusion after %d refused writes", len(b.sentTransactions)-sent)
 	}
 }
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -4,36 +4,35 @@
 	"testing"
 
 	"stairrelay/internal/messages"
-
-	"stairrelay/internal/simulation"
 )
 
-// TestIsolatedControllerOwnershipExpires: a controller that keeps its workers but has lost
-// the store and the other controllers is entitled for a bounded time only. Here
-// nobody else reaches the worker either, so that no higher token tells.
+// TestIsolatedControllerOwnershipExpires: a controller that reaches its workers but
+// neither the store nor the other controllers has a valid ownership lease for a
+// bounded time only. Here no other controller reaches the worker either, so that no
+// newer fencing token shows it.
 func TestIsolatedControllerOwnershipExpires(t *testing.T) {
 	cfg := testConfig()
-	var w *simulation.Simulator
-	w = simulation.NewSimulator(1, cfg, testCloud(func() *simulation.Simulator { return w }))
-	w.NoRandomFaults = true
-	w.AddMachine("small", "a", false)
-	w.RunUntil(10 * second)
-	owner := w.Nodes[1] // of the part that the machine's number points to
-	owner.StoreCutUntil, owner.PeersCutUntil = w.Now+100*second, w.Now+100*second
-	w.Nodes[0].WorkersCutUntil, w.Nodes[2].WorkersCutUntil = w.Now+100*second, w.Now+100*second
+	sim := newSimulator(1, cfg)
+	sim.NoRandomFaults = true
+	sim.Machines.Add("small", "a", false)
+	sim.RunUntil(10 * second)
+	owner := sim.Nodes[1] // of the shard that the machine's number belongs to
+	until := sim.Now + 100*second
+	owner.StorePartitionedUntil, owner.PeersPartitionedUntil = until, until
+	sim.Nodes[0].WorkersPartitionedUntil, sim.Nodes[2].WorkersPartitionedUntil = until, until
 	answer := func() messages.ReplyStatus {
 		status := messages.ReplyNone
-		r := w.Workers["m-000001"].NextStatus()
-		w.SendRequest(owner, func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: r} }, func(a messages.Respond) { status = a.Status })
-		w.RunUntil(w.Now + second)
+		heartbeat := heartbeatRequest(sim.Machines.Workers["m-000001"].NextStatus())
+		owner.SendRequest(heartbeat, func(answer messages.Respond) { status = answer.Status })
+		sim.RunUntil(sim.Now + second)
 		return status
 	}
-	w.RunUntil(w.Now + 5*second)
-	if s := answer(); s != 200 {
-		t.Errorf("soon after the cut: %d", s)
+	sim.RunUntil(sim.Now + 5*second)
+	if status := answer(); status != messages.ReplyOK {
+		t.Errorf("soon after the partition: %d", status)
 	}
-	w.RunUntil(w.Now + cfg.WorkerLease + 5*second)
-	if s := answer(); s != 421 {
-		t.Errorf("a lease later: %d, which holds the worker", s)
+	sim.RunUntil(sim.Now + cfg.WorkerLease + 5*second)
+	if status := answer(); status != messages.ReplyMisdirected {
+		t.Errorf("a lease later: %d, which keeps the worker", status)
 	}
 }
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -19,80 +19,27 @@
 		c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 2 * second, WorkerLease: 14 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
 			CloudRPS: 4, CloudListLag: 8 * second, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: cluster.NoLimit}}}, Tuning: DefaultTuning()})
 		c.Step(0, 0, messages.Tick{})
-		p := c.shards[0]
-		p.owned, p.ready = true, true
-		g := c.newGroup(p, "g", 1)
-		m := c.addMachine(g, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
-		for c.now < 8*second {
-			c.workerReachability.lastOwnedHeartbeat = c.now
+		p := c.state.Shards[0]
+		p.Owned, p.Ready = true, true
+		g := c.state.AddGroup(p, "g", 1)
+		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}, 5)
+		for c.loop.Now() < 8*second {
+			c.workerReachability.RecordOwnedHeartbeat()
 			if !x.silent {
-				m.lastHeartbeat = c.now
+				m.LastHeartbeat = c.loop.Now()
 			}
-			for _, f := range c.Step(c.now+second/4, 0, messages.Tick{}) {
+			for _, f := range c.Step(c.loop.Now()+second/4, 0, messages.Tick{}) {
 				if f, ok := f.(messages.CloudList); ok {
 					r := messages.CloudListReply{Outcome: messages.OK}
 					if x.listed {
 						r.Items = []cluster.ListedMachine{{ID: "m-1", Status: "running", AgeSeconds: 100}}
 					}
-					c.pendingCalls[f.Call](r)
+					c.loop.Deliver(messages.Reply{Call: f.Call, Body: r})
 				}
 			}
 		}
-		if m.releasing != x.returned {
-			t.Errorf("listed %v, silent %v: returned %v", x.listed, x.silent, m.releasing)
-		}
-	}
-}
-
-// TestHungMachineReleasedAfterFailover: after a take-over an old copy of a report arrives from
-// a machine with cancelled tasks. It proves no life: unless the machine
-// acknowledges its token soon, it is returned; one without such tasks is not.
-func TestHungMachineReleasedAfterFailover(t *testing.T) {
-	for _, x := range []struct{ cancelled, acks, returned bool }{{true, false, true}, {true, true, false}, {false, false, false}} {
-		b := newControllerHarness()
-		j := b.addTestJob("j-1", 1)
-		m, a := b.addRunningMachine(j)
-		m.incarnation, m.sequenceNumber, m.tokenAcknowledged, m.awaitingFirstAcknowledgement, a.phase = 0, 0, false, true, phaseUnverified
-		if j.cancelling = x.cancelled; x.cancelled {
-			a.stopRequested = true
-		}
-		b.now += second
-		r := cluster.HeartbeatStatus{Machine: "m-1", Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1, Tasks: []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}}}
-		if x.acks {
-			r.FencingToken = m.token
-		}
-		b.reconcile(m, &r, false)
-		b.now += b.firstAcknowledgementTimeout() + second
-		b.maintainMachines()
-		if m.releasing != x.returned {
-			t.Errorf("cancelled %v, acknowledged %v: returned %v", x.cancelled, x.acks, m.releasing)
-		}
-	}
-}
-
-// TestMachinesWithCancelledTasksCalledFirst: machines with cancelled tasks that are silent, or
-// wait for a higher token that an outage keeps from being stored, are called
-// with the stops, before all others.
-func TestMachinesWithCancelledTasksCalledFirst(t *testing.T) {
-	for name, silent := range map[string]bool{"silent": true, "bumping": false} {
-		b := newControllerHarness()
-		m, a := b.addRunningMachine(b.addTestJob("j-1", 1))
-		a.stopRequested = true
-		a.job.cancelling = true
-		if m.lastHeartbeat = b.now; silent {
-			m.lastHeartbeat -= 2*b.config.HeartbeatInterval + second
-		} else {
-			m.raisingToken, m.tokenAcknowledged = true, false
-		}
-		b.pushMaintenanceCommands(b.shards[0].machines)
-		var got []cluster.Command
-		for _, f := range b.effects {
-			if o, ok := f.(messages.PushCommands); ok && o.Addr == m.address {
-				got = append(got, o.Commands...)
-			}
-		}
-		if len(got) != 1 || got[0].Kind != cluster.Stop {
-			t.Errorf("%s: called with %+v", name, got)
+		if m.Releasing != x.returned {
+			t.Errorf("listed %v, silent %v: returned %v", x.listed, x.silent, m.Releasing)
 		}
 	}
 }
--- /dev/null
+++ b/internal/controller/membership.go
@@ -0,0 +1,73 @@
+package controller
+
+import (
+	"stairrelay/internal/cluster"
+	"stairrelay/internal/jobs"
+	"stairrelay/internal/membership"
+	"stairrelay/internal/messages"
+)
+
+// membershipConfig is what the view of the other controllers needs of the settings.
+func (c *Controller) membershipConfig() membership.Config {
+	tuning := &c.config.Tuning
+	return membership.Config{
+		Self:                c.config.Self,
+		Nodes:               c.config.Nodes,
+		InstanceID:          c.config.InstanceID,
+		FeatureLevel:        jobs.DependencyFeatureLevel,
+		MaxValueBytes:       c.config.MaxValueBytes,
+		HeartbeatInterval:   c.config.HeartbeatInterval,
+		PingInterval:        tuning.PingInterval,
+		PingTimeout:         tuning.PingTimeout,
+		PingRetries:         tuning.PingRetries,
+		InitialRetryTimeout: tuning.InitialRetryTimeout,
+		ProbeCount:          tuning.ProbeCount,
+		ProbeInterval:       tuning.ProbeInterval,
+	}
+}
+
+// ownedFleet shows the machines of owned shards to the check whether workers can be
+// reached.
+type ownedFleet struct{ controller *Controller }
+
+// MachineCount implements membership.Fleet.
+func (f ownedFleet) MachineCount() int { return len(f.controller.state.Machines) }
+
+// VisitBooted implements membership.Fleet.
+func (f ownedFleet) VisitBooted(visit func(address string, ownedSince cluster.Time)) {
+	for _, shard := range f.controller.state.Shards {
+		for _, machine := range shard.Machines {
+			if !machine.Booting {
+				visit(machine.Address, machine.OwnedSince)
+			}
+		}
+	}
+}
+
+// membershipHost connects pings and the peers' reachability with shards and offers.
+type membershipHost struct{ controller *Controller }
+
+// DescribeShards implements membership.Host.
+func (h membershipHost) DescribeShards(to *membership.Peer, ping *messages.Ping) {
+	c := h.controller
+	c.ownership.DescribeOwnership(to, ping)
+	ping.TransferOffers = c.transferOffers()
+	ping.CloudDemand = c.provisioner.Rate.Demand()
+	ping.ShardLoads = c.ownedShardLoads()
+}
+
+// HandlePing implements membership.Host.
+func (h membershipHost) HandlePing(from *membership.Peer, ping *messages.Ping) {
+	c := h.controller
+	c.attemptedTransfers.retainOffered(from.ID(), ping.TransferOffers)
+	if len(ping.TransferOffers) > 0 {
+		c.scheduleScaleOut()
+	}
+	c.ownership.ApplyPing(from.ID(), ping)
+}
+
+// HandleReachabilityChange implements membership.Host.
+func (h membershipHost) HandleReachabilityChange() { h.controller.provisioner.Rate.Divide() }
+
+// ReviewOwnership implements membership.Host.
+func (h membershipHost) ReviewOwnership() { h.controller.ownership.ConsiderAcquires() }
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -5,6 +5,9 @@
 	"testing"
 	"time"
 
+	"stairrelay/internal/scheduling"
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -17,32 +20,33 @@
 func TestOverloadedController(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
 		Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
-	p := c.shards[0]
-	j := newJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
-	c.addOwnedJob(j)
-	g := c.newGroup(p, "g", 1)
-	put := func(m *machine, i int, ph assignmentPhase) {
-		a := &assignment{task: cluster.TaskID{Job: "j-1", Index: i}, job: j, resourceRequest: j.spec.ResourceRequest, machineID: m.id, phase: ph}
-		m.addAssignment(a)
-		j.setAssigned(i, a)
+	p := c.state.Shards[0]
+	j := state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 9, ResourceRequest: cluster.Resources{CPU: 1_000_000}}, 0, 0, 0)
+	c.state.AddOwnedJob(j)
+	g := c.state.AddGroup(p, "g", 1)
+	put := func(m *state.Machine, i int, ph state.AssignmentPhase) {
+		a := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: i}, Job: j, ResourceRequest: j.Spec.ResourceRequest, MachineID: m.ID, Phase: ph}
+		m.AddAssignment(a)
+		j.SetAssigned(i, a)
 	}
-	var ms []*machine
+	var ms []*state.Machine
 	for i, id := range []cluster.MachineID{"busy", "idle"} {
-		m := c.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 5)
-		m.tokenAcknowledged = true
-		put(m, i, phaseReady)
+		m := c.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}, 5)
+		m.TokenAcknowledged = true
+		put(m, i, state.PhaseReady)
 		ms = append(ms, m)
 	}
-	put(ms[0], 2, phaseAcknowledged)
+	put(ms[0], 2, state.PhaseAcknowledged)
 	called := func(l messages.ProcessLoad) (to []string) {
 		for _, m := range ms {
-			m.pushInFlight = false
-			m.assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(ms, m)}].phase = phaseReady
-			c.queueCommandPush(m)
+			m.PushInFlight = false
+			m.Assignments[cluster.TaskID{Job: "j-1", Index: slices.Index(ms, m)}].Phase = state.PhaseReady
+			c.reconciler.Commands.QueuePush(m)
 		}
-		c.effects, c.processHealth.load = nil, l
-		c.pushQueuedCommands()
-		for _, f := range c.effects {
+		takeEffects(c)
+		c.processHealth.RecordLoad(l)
+		c.reconciler.Commands.PushQueued()
+		for _, f := range c.loop.Effects() {
 			to = append(to, f.(messages.PushCommands).Addr)
 		}
 		return to
@@ -53,11 +57,11 @@
 	if to := called(messages.ProcessLoad{CPUUsage: 0.9}); len(to) != 1 || to[0] != "idle" {
 		t.Errorf("strained, starts are called to %v", to)
 	}
-	if d := c.processHealth.stretchDelay(schedulingInterval); d <= schedulingInterval || d > second {
+	if d := c.processHealth.StretchDelay(scheduling.MinInterval); d <= scheduling.MinInterval || d > second {
 		t.Errorf("strained, placements are %v apart", time.Duration(d))
 	}
-	c.processHealth.load = messages.ProcessLoad{EventDelay: 2 * second}
-	if c.overloadRetryAfter(cluster.BestEffort) == 0 || c.overloadRetryAfter(cluster.Normal) == 0 || c.overloadRetryAfter(cluster.Production) != 0 {
-		t.Errorf("2 s behind: refused for %d, %d, %d s", c.overloadRetryAfter(cluster.BestEffort), c.overloadRetryAfter(cluster.Normal), c.overloadRetryAfter(cluster.Production))
+	c.processHealth.RecordLoad(messages.ProcessLoad{EventDelay: 2 * second})
+	if c.jobs.Submissions.OverloadRetryAfter(cluster.BestEffort) == 0 || c.jobs.Submissions.OverloadRetryAfter(cluster.Normal) == 0 || c.jobs.Submissions.OverloadRetryAfter(cluster.Production) != 0 {
+		t.Errorf("2 s behind: refused for %d, %d, %d s", c.jobs.Submissions.OverloadRetryAfter(cluster.BestEffort), c.jobs.Submissions.OverloadRetryAfter(cluster.Normal), c.jobs.Submissions.OverloadRetryAfter(cluster.Production))
 	}
 }
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -3,6 +3,9 @@
 import (
 	"testing"
 
+	"stairrelay/internal/jobs"
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 )
@@ -11,17 +14,18 @@
 // job that awaits others on to one of an earlier release, which would store it
 // without them and start it at once.
 func TestDependentJobNotProxiedToOldVersion(t *testing.T) {
-	for level, want := range map[int]bool{0: false, dependencyFeatureLevel: true} {
+	for level, want := range map[int]bool{0: false, jobs.DependencyFeatureLevel: true} {
 		b := newControllerHarness()
-		b.timers, b.effects = timerQueue{}, nil
-		for _, p := range b.peers {
-			p.hasAnswered, p.lastPingAt, p.lastPing.StoreReachable, p.lastPing.FeatureLevel = true, b.now, true, level
+		dropTimers(b.Controller)
+		takeEffects(b.Controller)
+		for _, peer := range b.members.Peers() {
+			b.members.HandlePingReply(peer, &messages.Ping{StoreReachable: true, FeatureLevel: level}, b.loop.Now())
 		}
-		b.storeHealth.failing, b.storeHealth.failingSince = true, b.now-10*second
-		b.jobs.known["j-1"] = &knownJob{shard: 0, tasks: 1, team: "red"}
-		b.handleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
+		b.writeQueue.Health.MarkFailing(b.loop.Now() - 10*second)
+		b.state.Jobs.Known["j-1"] = &state.KnownJob{ShardID: 0, Tasks: 1, Team: "red"}
+		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
 		handed := false
-		for _, f := range b.effects {
+		for _, f := range b.loop.Effects() {
 			if c, ok := f.(messages.PeerCall); ok && c.Message.Submission != nil {
 				handed = true
 			}
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/writequeue"
 
 	"stairrelay/internal/fairshare"
 	"stairrelay/internal/grouprecord"
@@ -18,26 +19,29 @@
 	const groups, length, protocolLimit = 12, 12_000, 64 << 10
 	b := newControllerHarness()
 	b.config.MaxValueBytes, b.config.MaxTxnOps = 16_384, 20
-	p := b.shards[0]
+	b.writeQueue.Configure(b.writeQueueConfig())
+	b.jobs.Configure(b.jobsConfig())
+	b.inventory.Configure(b.inventoryConfig())
+	p := b.state.Shards[0]
 	for i := range groups {
-		g := b.newGroup(p, fmt.Sprintf("g%02d", i), 31)
-		g.recordSize = length
+		g := b.state.AddGroup(p, fmt.Sprintf("g%02d", i), 31)
+		g.RecordSize = length
 		for k := range 2 {
 			id := cluster.MachineID(fmt.Sprintf("m-%02d-%d", i, k))
-			m := b.addMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
-			m.tokenAcknowledged, m.incarnation, m.idleSince = true, 1, b.now-second
-			m.lastHeartbeat = b.now
+			m := b.inventory.AddMachine(g, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
+			m.TokenAcknowledged, m.Incarnation, m.IdleSince = true, 1, b.loop.Now()-second
+			m.LastHeartbeat = b.loop.Now()
 		}
 	}
 	b.offerIdleMachines(p, fairshare.NewPlan(fairshare.Snapshot{
 		0: {Shard: 0, Available: 96_000_000},
 		1: {Shard: 1, Demand: [4]cluster.Amount{0, 96_000_000}},
 	}))
-	queue := b.writeQueue.queues[priorityStart]
+	queue := b.writeQueue.Queued(writequeue.Start)
 	if len(queue) != 1 {
 		t.Fatalf("%d writes queued", len(queue))
 	}
-	rewritten := len(queue[0].keys) - 1 // beside the new group
+	rewritten := len(queue[0].Keys) - 1 // beside the new group
 	if rewritten < 2 || rewritten*length > protocolLimit {
 		t.Errorf("%d records of %d bytes in one transaction", rewritten, length)
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -1,18 +1,15 @@
 package controller_test
 
 import (
-	"strconv"
-	"sync"
 	"testing"
 
 	"stairrelay/internal/cluster"
-
 	"stairrelay/internal/controller"
 	"stairrelay/internal/simulation"
 )
 
-// limitsBeforeUpgrade are those that the store has until some moment after the
-// upgrade; upgradeConfig holds the lower ones.
+// limitsBeforeUpgrade are those that the state service has until some moment after
+// the upgrade; upgradeConfig has the lower ones.
 var limitsBeforeUpgrade = simulation.StoreLimits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
 
 func upgradeConfig() controller.Config {
@@ -21,104 +18,111 @@
 	return cfg
 }
 
-// TestRollingUpgrade plays seeded days that begin with the production release
-// everywhere. The controllers are replaced while jobs run, troubles come and
-// users already ask the new ones for pipelines; some old processes end and come
-// back old before their turn, in mid-take-over and several at once; the store's
-// limits are lowered at some moment after the upgrade. All rules are checked.
+// upgradeFaults are the kinds of faults that the upgrades must have.
+var upgradeFaults = []simulation.FaultKind{
+	simulation.FaultNodeUpgraded,
+	faultOldNodeRestarted,
+	faultOldNodeKilledAtAcquire,
+	faultUpgradedTogether,
+	faultOldNodePartitioned,
+	simulation.FaultStoreLimitsLowered,
+	faultWriteAboveLoweredRate,
+	simulation.FaultDependentRejectedInUpgrade,
+	simulation.FaultDependentStarted,
+}
+
+// TestRollingUpgrade runs seeded days that begin with the production version
+// everywhere. The controllers are replaced while jobs run, faults come and users
+// already ask the new ones for pipelines; some old processes end and come back
+// with the old version before their turn, during a failover and several at once;
+// the state service's limits are lowered at some moment after the upgrade. All
+// rules are checked.
 func TestRollingUpgrade(t *testing.T) {
 	from, to := seedRange(t, 1, 12)
-	var mu sync.Mutex
-	seen := map[string]int{}
+	var seen faultTotals
 	t.Run("seeds", func(t *testing.T) {
-		for seed := from; seed <= to; seed++ {
-			t.Run(strconv.Itoa(seed), func(t *testing.T) {
-				t.Parallel()
-				faults := simulateUpgrade(t, uint64(seed))
-				mu.Lock()
-				defer mu.Unlock()
-				for what, n := range faults {
-					seen[what] += n
-				}
-			})
-		}
+		forEachSeed(t, from, to, func(t *testing.T, seed uint64) {
+			seen.add(simulateUpgrade(t, seed))
+		})
 	})
-	for _, what := range []string{
-		"controllers upgraded",
-		"old controllers ended and back old",
-		"an old controller ended within a second of a claim",
-		"several controllers upgraded at once",
-		"an old controller apart while others are upgraded",
-		"limits of the store lowered",
-		"transactions above the lowered rate",
-		"jobs that await others refused in the upgrade",
-		"jobs started after those that they await",
-	} {
-		t.Logf("%s: %d", what, seen[what])
-		if seen[what] == 0 && to-from >= 10 {
-			t.Errorf("no day had %s", what)
-		}
-	}
+	seen.check(t, upgradeFaults, to-from >= 10)
 }
 
-func simulateUpgrade(t *testing.T, seed uint64, options ...simulation.Option) map[string]int {
+// simulateUpgrade runs a day with an upgrade and returns how often each fault took
+// effect.
+func simulateUpgrade(t *testing.T, seed uint64, options ...simulation.Option) map[simulation.FaultKind]int {
+	t.Helper()
 	cfg := upgradeConfig()
-	var w *simulation.Simulator
-	w = simulation.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, testCloud(func() *simulation.Simulator { return w }), options...)
-	addMachinePerZone(w)
-	runWithFaults(t, w, cfg, func(teams []string, until cluster.Time) {
-		planJobsAndFaults(w, teams, until)
-		planPipelines(w, teams, until)
-		planUpgrade(w)
+	var sim *simulation.Simulator
+	cloud := testCloud(func() *simulation.Simulator { return sim })
+	sim = simulation.NewUpgradeSimulator(seed, cfg, limitsBeforeUpgrade, cloud, options...)
+	addMachinesPerZone(sim, 1)
+	runWithFaults(t, sim, cfg, func(teams []string, until cluster.Time) {
+		planJobs(sim, teams, until)
+		planSingleFaults(sim, until)
+		planPipelines(sim, teams, until)
+		planUpgrade(sim)
 	})
-	if !w.IsUpgraded() {
-		t.Error("a controller was left on the production release")
+	if !sim.IsUpgraded() {
+		t.Error("a controller was left with the production version")
 	}
-	if n := w.StateService.Rejected.Size; n > 0 {
-		t.Errorf("%d transactions were above the lowered limits, which the settings name", n)
+	if rejected := sim.StateService.Rejected.Size; rejected > 0 {
+		t.Errorf("%d transactions were above the lowered limits, which the settings name", rejected)
 	}
-	w.FaultCounts["transactions above the lowered rate"] += w.StateService.Rejected.Rate
-	return w.FaultCounts
+	sim.FaultCounts[faultWriteAboveLoweredRate] += sim.StateService.Rejected.Rate
+	return sim.FaultCounts
 }
 
 // planUpgrade replaces the controllers in two turns, one and then two at once,
 // in a random order, with old ones ending before theirs.
-func planUpgrade(w *simulation.Simulator) {
-	order := w.Rand.Perm(len(w.Nodes))
-	first, rest := w.Nodes[order[0]], order[1:]
-	begin := w.RandomBetween(20*second, 60*second)
-	w.After(begin, func() { w.UpgradeNode(first, 6*second) })
+func planUpgrade(sim *simulation.Simulator) {
+	order := sim.Rand.Perm(len(sim.Nodes))
+	first, rest := sim.Nodes[order[0]], []*simulation.Node{}
+	for _, index := range order[1:] {
+		rest = append(rest, sim.Nodes[index])
+	}
+	begin := sim.RandomBetween(20*second, 60*second)
+	sim.After(begin, func() { first.Upgrade(6 * second) })
+	planOldNodeCrashes(sim, rest, begin)
+	last := begin + sim.RandomBetween(40*second, 70*second)
+	planOldNodePartition(sim, rest[1], begin, last)
+	sim.After(last, func() {
+		sim.FaultCounts[faultUpgradedTogether]++
+		for _, node := range rest {
+			node.Upgrade(sim.RandomBetween(5*second, 8*second))
+		}
+	})
+	sim.After(last+sim.RandomBetween(0, 60*second), sim.LowerStoreLimits)
+}
 
-	back := w.Nodes[rest[0]]
-	w.After(begin+w.RandomBetween(second, 15*second), func() {
-		w.FaultCounts["old controllers ended and back old"]++
-		restart(w, back, w.RandomBetween(second/10, 8*second))
+// planOldNodeCrashes crashes controllers that are not upgraded yet: one after the
+// upgrade has begun, and one within a second of the next change of a shard's
+// owner.
+func planOldNodeCrashes(sim *simulation.Simulator, old []*simulation.Node, begin cluster.Time) {
+	sim.After(begin+sim.RandomBetween(second, 15*second), func() {
+		sim.FaultCounts[faultOldNodeRestarted]++
+		restart(sim, old[0], sim.RandomBetween(second/10, 8*second))
 	})
-	w.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
-		ended := w.Nodes[rest[w.Rand.IntN(len(rest))]]
-		w.After(w.RandomBetween(0, second), func() {
-			if ended.Version == simulation.ProductionVersion {
-				w.FaultCounts["an old controller ended within a second of a claim"]++
-				crash(w, ended)
+	sim.Failovers.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
+		node := old[sim.Rand.IntN(len(old))]
+		sim.After(sim.RandomBetween(0, second), func() {
+			if node.Version == simulation.ProductionVersion {
+				sim.FaultCounts[faultOldNodeKilledAtAcquire]++
+				crash(sim, node)
 			}
 		})
 	})
+}
 
-	// One that is cut from the other controllers is not heard by those that
-	// start meanwhile, and serves on with what it knows.
-	apart := w.Nodes[rest[1]]
-	last := begin + w.RandomBetween(40*second, 70*second)
-	if w.Chance(0.6) {
-		w.After(begin-second, func() {
-			w.FaultCounts["an old controller apart while others are upgraded"]++
-			apart.PeersCutUntil = w.Now + w.RandomBetween(20*second, last-begin)
-		})
+// planOldNodePartition partitions a controller that is not upgraded yet from the
+// others. Those that start meanwhile do not hear of it, and it serves on with what
+// it knows.
+func planOldNodePartition(sim *simulation.Simulator, node *simulation.Node, begin, last cluster.Time) {
+	if !sim.Chance(0.6) {
+		return
 	}
-	w.After(last, func() {
-		w.FaultCounts["several controllers upgraded at once"]++
-		for _, i := range rest {
-			w.UpgradeNode(w.Nodes[i], w.RandomBetween(5*second, 8*second))
-		}
+	sim.After(begin-second, func() {
+		sim.FaultCounts[faultOldNodePartitioned]++
+		node.PeersPartitionedUntil = sim.Now + sim.RandomBetween(20*second, last-begin)
 	})
-	w.After(last+w.RandomBetween(0, 60*second), w.LowerStoreLimits)
 }
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -3,6 +3,9 @@
 import (
 	"testing"
 
+	"stairrelay/internal/reconcile"
+	"stairrelay/internal/state"
+
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/messages"
 
@@ -15,12 +18,12 @@
 // not started again.
 
 // heartbeatReplyStatus is the status with which a report of a machine is answered.
-func heartbeatReplyStatus(b *controllerHarness, m *machine) messages.ReplyStatus {
-	b.effects = nil
-	b.handleHeartbeat(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: m.id, Addr: m.address, Incarnation: m.incarnation, SequenceNumber: m.sequenceNumber + 1, FencingToken: m.token, PreemptionNotice: -1}})
-	b.now += maxHeartbeatHold
+func heartbeatReplyStatus(b *controllerHarness, m *state.Machine) messages.ReplyStatus {
+	takeEffects(b.Controller)
+	b.reconciler.Heartbeats.Handle(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: m.ID, Addr: m.Address, Incarnation: m.Incarnation, SequenceNumber: m.SequenceNumber + 1, FencingToken: m.Token, PreemptionNotice: -1}})
+	setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold)
 	b.flush()
-	for _, effect := range b.effects {
+	for _, effect := range b.loop.Effects() {
 		if answer, ok := effect.(messages.Respond); ok {
 			return answer.Status
 		}
@@ -35,10 +38,10 @@
 // time for a cancellation allows.
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newHolder := func() *controllerHarness {
-		b := newControllerHarness()
-		b.storeHealth.failing, b.storeHealth.failingSince = true, b.now
-		for _, peer := range b.peers {
-			answerProbe(b, peer.id, 1)
+		b := newHarnessWithKnownPeers()
+		b.writeQueue.Health.MarkFailing(b.loop.Now())
+		for _, peer := range b.members.Peers() {
+			answerProbe(b, peer.ID(), 1)
 		}
 		return b
 	}
@@ -61,7 +64,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newHolder()
 			m, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			b.now += test.after
+			setTime(b.Controller, b.loop.Now()+test.after)
 			if test.hears {
 				answerProbe(b, "n1", 1)
 			}
@@ -78,31 +81,31 @@
 // record says so.
 func TestTaskOfPartitionedZoneNotRestarted(t *testing.T) {
 	b := newControllerHarness()
-	part := b.shards[0]
+	part := b.state.Shards[0]
 	job := b.addTestJob("j-1", 1)
 	task := cluster.TaskID{Job: "j-1", Index: 0}
 	cut := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: task, Attempt: 7}}}
 	record := messages.KV{Key: "groups/cut", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{cut}, WriteID: "b9-1"}), ModRevision: 25}
 	b.store.keys[record.Key] = record
-	b.applyGroupRecord(record, part)
-	outside := b.addMachine(b.newGroup(part, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
+	b.inventory.ApplyRecord(record, part)
+	outside := b.inventory.AddMachine(b.state.AddGroup(part, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
 	b.store.keys["groups/outside"] = messages.KV{Key: "groups/outside", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), ModRevision: 26}
-	outside.tokenAcknowledged, outside.incarnation, outside.sequenceNumber = true, 1, 1
+	outside.TokenAcknowledged, outside.Incarnation, outside.SequenceNumber = true, 1, 1
 
 	startedOutside := func() bool {
-		b.scheduleShard(part)
-		return outside.assignments[task] != nil
+		b.scheduler.ScheduleShard(part)
+		return outside.Assignments[task] != nil
 	}
 	if startedOutside() {
 		t.Error("started outside while the record lists it on a machine of the zone")
 	}
-	b.handleMachineTerminated(b.machines["m-1"])
+	b.provisioner.ScaleIn.HandleTerminated(b.state.Machines["m-1"])
 	if startedOutside() {
 		t.Error("started outside before the record shows that the machine is gone")
 	}
 	b.runFor(second)
-	outside.lastHeartbeat = b.now
-	if !startedOutside() || job.pendingCount() != 0 {
+	outside.LastHeartbeat = b.loop.Now()
+	if !startedOutside() || job.PendingCount() != 0 {
 		t.Error("not started outside though the machine is gone and the record says so")
 	}
 }
