--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -46,42 +46,38 @@
 	workerReachability *membership.WorkerReachability
 
 	// The other controllers.
-	members            *membership.Members
-	attemptedTransfers attemptedTransfers
+	members *membership.Members
 
-	// Parts, teams and jobs.
+	// Shards, teams and jobs.
 	ownership *ownership.Manager
 	progress  []shardProgress // by shard
 	jobs      *jobs.Jobs
-	loadCache loadCache
 	scheduler *scheduling.Scheduler
 
 	// Machines.
-	recordNames       *inventory.RecordNames
-	inventory         *inventory.Inventory
-	reconciler        *reconcile.Reconciler
-	provisioner       *provisioning.Provisioner
-	scaleOutScheduled bool // a look for machines before the next regular one
+	recordNames *inventory.RecordNames
+	inventory   *inventory.Inventory
+	reconciler  *reconcile.Reconciler
+	provisioner *provisioning.Provisioner
 }
 
-// New makes a Core. Nothing happens before the first Step.
+// New makes a Controller. Nothing happens before the first Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
-		config:             cfg,
-		loop:               eventloop.New(),
-		state:              state.New(cfg.Nodes, cfg.Teams),
-		recordNames:        inventory.NewRecordNames(cfg.InstanceID),
-		attemptedTransfers: attemptedTransfers{},
-		processHealth:      &membership.ProcessHealth{},
+		config:        cfg,
+		loop:          eventloop.New(),
+		state:         state.New(cfg.Nodes, cfg.Teams),
+		recordNames:   inventory.NewRecordNames(cfg.InstanceID),
+		processHealth: &membership.ProcessHealth{},
 	}
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
-	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, ownershipPeers{c.members}, shardStore{c})
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, c.members, shardStore{c})
 	c.jobs = c.newJobs()
 	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
-	c.provisioner = c.newProvisioner()
 	c.scheduler = c.newScheduler()
+	c.provisioner = c.newProvisioner()
 	c.reconciler = c.newReconciler()
 	c.progress = make([]shardProgress, len(cfg.Nodes))
 	c.loop.After(0, c.startLoops)
@@ -134,9 +130,9 @@
 	c.reconciler.Heartbeats.AnswerReady()
 }
 
-// respondError answers at once that the request can't be taken now.
-func (c *Controller) respondError(req messages.RequestID, status messages.ReplyStatus, after int, why string) {
-	c.loop.Emit(messages.Respond{Request: req, Status: status, RetryAfter: after, Error: why})
+// respondError responds at once that a request can't be served, and why.
+func (c *Controller) respondError(request messages.RequestID, status messages.ReplyStatus, why string) {
+	c.loop.Emit(messages.Respond{Request: request, Status: status, Error: why})
 }
 
 // startLoops starts everything that runs on its own.
@@ -151,7 +147,7 @@
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.Rate.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
-	c.loop.Every(eventloop.FixedInterval(second), c.runScaleOut)
+	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.ScaleOut.Run)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.members.RefreshLiveness)
 	c.loop.Every(eventloop.FixedInterval(second/2), c.probeStore)
@@ -159,3 +155,11 @@
 	c.loop.Every(eventloop.FixedInterval(second/4), c.scheduler.Trigger.Request)
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
+
+// writeBackgroundState stores what can wait: outcomes of tasks whose jobs go on, and
+// machine records that list more than they need to.
+func (c *Controller) writeBackgroundState() {
+	c.jobs.Records.WriteOutcomes()
+	c.inventory.CleanUp()
+	c.checkShardProgress()
+}
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// newJobs connects the jobs to the other parts.
+// newJobs connects the jobs to the other components.
 func (c *Controller) newJobs() *jobs.Jobs {
 	return jobs.New(c.loop, c.state, c.writeQueue, c.jobsConfig(), jobs.Collaborators{
 		Members:   c.members,
@@ -51,17 +51,9 @@
 func (s jobScheduler) RequestScheduling() { s.controller.scheduler.Trigger.Request() }
 
 // RequestScaleOut implements jobs.Scheduler.
-func (s jobScheduler) RequestScaleOut() { s.controller.scheduleScaleOut() }
+func (s jobScheduler) RequestScaleOut() { s.controller.provisioner.ScaleOut.Schedule() }
 
 // RuntimeRatio implements jobs.Scheduler.
 func (s jobScheduler) RuntimeRatio(class string) float64 {
 	return s.controller.scheduler.RunTimes.Ratio(class)
 }
-
-// writeBackgroundState stores what can wait: outcomes of tasks whose jobs go on, and
-// machine records that list more than they need to.
-func (c *Controller) writeBackgroundState() {
-	c.jobs.Records.WriteOutcomes()
-	c.cleanUpGroups()
-	c.checkShardProgress()
-}
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -2,8 +2,10 @@
 
 import (
 	"stairrelay/internal/cluster"
+	"stairrelay/internal/fairshare"
 	"stairrelay/internal/messages"
 	"stairrelay/internal/provisioning"
+	"stairrelay/internal/scheduling"
 )
 
 // provisioningConfig is what provisioning needs of the settings.
@@ -23,25 +25,25 @@
 	}
 }
 
-// newProvisioner connects the provisioner to the other parts.
+// newProvisioner connects the provisioner to the other components.
 func (c *Controller) newProvisioner() *provisioning.Provisioner {
 	return provisioning.New(c.loop, c.state, c.writeQueue, c.provisioningConfig(), provisioning.Dependencies{
-		Members:         c.members,
-		Scheduler:       provisioningScheduler{controller: c},
-		Ownership:       c.ownership,
-		Records:         c.inventory,
-		Names:           c.recordNames,
-		Orphans:         provisioningOrphans{controller: c},
-		RequestScaleOut: c.scheduleScaleOut,
+		Members:           c.members,
+		Ownership:         c.ownership,
+		Records:           c.inventory,
+		Names:             c.recordNames,
+		Orphans:           provisioningOrphans{controller: c},
+		Work:              c.scheduler.Queue,
+		Capacity:          c.scheduler,
+		Eligibility:       c.scheduler.Eligibility,
+		RunTimes:          c.scheduler.RunTimes,
+		Sharing:           machineSharing{c.scheduler.Rebalancer, c.scheduler.Loads},
+		RequestScheduling: c.scheduler.Trigger.Request,
+		CountMachineScans: c.counters.AddMachineScans,
+		StretchDelay:      c.processHealth.StretchDelay,
 	})
 }
 
-// provisioningScheduler takes requests to schedule tasks.
-type provisioningScheduler struct{ controller *Controller }
-
-// RequestScheduling implements provisioning.Scheduler.
-func (s provisioningScheduler) RequestScheduling() { s.controller.scheduler.Trigger.Request() }
-
 // provisioningOrphans shows listed machines without a record to the reconciler, which
 // is made after the provisioner.
 type provisioningOrphans struct{ controller *Controller }
@@ -55,3 +57,12 @@
 func (o provisioningOrphans) ForgetUnlisted(listed map[cluster.MachineID]bool) {
 	o.controller.reconciler.Orphans.ForgetUnlisted(listed)
 }
+
+// machineSharing shares the machines among the shards for provisioning.
+type machineSharing struct {
+	*scheduling.Rebalancer
+	loads *scheduling.ShardLoads
+}
+
+// ShardLoads implements provisioning.MachineSharing.
+func (s machineSharing) ShardLoads() fairshare.Snapshot { return s.loads.All() }
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -1,11 +1,9 @@
 package controller
 
 import (
-	"stairrelay/internal/inventory"
 	"stairrelay/internal/reconcile"
 	"stairrelay/internal/scheduling"
 	"stairrelay/internal/state"
-	"stairrelay/internal/writequeue"
 )
 
 // reconcileConfig is what the reconciler needs of the settings.
@@ -21,16 +19,16 @@
 	}
 }
 
-// newReconciler connects the reconciler to the other parts.
+// newReconciler connects the reconciler to the other components.
 func (c *Controller) newReconciler() *reconcile.Reconciler {
 	return reconcile.New(c.loop, c.state, c.writeQueue, c.reconcileConfig(), reconcile.Dependencies{
 		Ownership:         c.ownership,
 		Machines:          c.inventory,
-		Jobs:              jobRecords{controller: c},
+		Jobs:              c.jobs.Records,
 		Runtimes:          runtimes{c.scheduler.RunTimes, c.scheduler.Stragglers},
 		Reachability:      c.workerReachability,
 		Process:           c.processHealth,
-		Directory:         machineDirectory{c.inventory},
+		Directory:         c.inventory,
 		Registrar:         c.inventory,
 		Releaser:          machineReleaser{controller: c},
 		Spot:              c.provisioner.Spot,
@@ -51,14 +49,6 @@
 	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(patience) && !c.members.HasAnswerWithin(patience)
 }
 
-// jobRecords writes the jobs' records for the reconciler.
-type jobRecords struct{ controller *Controller }
-
-// WriteJob implements reconcile.JobRecords.
-func (r jobRecords) WriteJob(job *state.Job, priority writequeue.Priority) {
-	r.controller.jobs.Records.Write(job, priority)
-}
-
 // runtimes shows the reconciler how long tasks run.
 type runtimes struct {
 	*scheduling.RunTimes
@@ -83,15 +73,5 @@
 
 // SurplusPredicate implements reconcile.MachineReleaser.
 func (r machineReleaser) SurplusPredicate() func(*state.Machine) bool {
-	return r.controller.surplusPredicate()
-}
-
-// machineDirectory tells the reconciler whose machines are that are not owned here.
-type machineDirectory struct{ *inventory.Inventory }
-
-// ReadRecordedMachines implements reconcile.MachineDirectory.
-func (d machineDirectory) ReadRecordedMachines(handle func(*reconcile.RecordedMachines)) {
-	d.Inventory.ReadRecordedMachines(func(recorded *inventory.RecordedMachines) {
-		handle((*reconcile.RecordedMachines)(recorded))
-	})
+	return r.controller.scheduler.Rebalancer.SurplusPredicate()
 }
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -19,7 +19,7 @@
 
 // quarantineRecord notes a group's record that makes no sense.
 func (inv *Inventory) quarantineRecord(shard *state.Shard, item messages.KV, reason error) {
-	inv.loop.Log(messages.LogInfo, "impossible record", "key", item.Key, "why", reason.Error())
+	inv.loop.Log(messages.LogInfo, "corrupt record quarantined", "key", item.Key, "error", reason.Error())
 	if shard.Quarantined == nil {
 		shard.Quarantined = map[string]cluster.ModRevision{}
 	}
@@ -161,7 +161,7 @@
 		},
 		OnApplied: func(cluster.Revision) {
 			if r.isCurrent() {
-				r.inventory.loop.Log(messages.LogInfo, "impossible records dropped", "part", int(r.shard.ID), "records", len(keys))
+				r.inventory.loop.Log(messages.LogInfo, "quarantined records deleted", "shard", int(r.shard.ID), "records", len(keys))
 				r.inventory.reload(r.shard)
 			}
 		},
@@ -176,17 +176,7 @@
 // reload forgets what was read of a shard's records and reads them again.
 func (inv *Inventory) reload(shard *state.Shard) {
 	shard.Quarantined = nil
-	for _, m := range slices.Clone(shard.Machines) {
-		inv.DropMachine(m)
-	}
-	for _, job := range slices.Clone(shard.Jobs) {
-		inv.jobs.Abandon(job)
-	}
-	for _, id := range slices.Sorted(maps.Keys(inv.state.Groups)) {
-		if inv.state.Groups[id].ShardID == shard.ID {
-			delete(inv.state.Groups, id)
-		}
-	}
+	inv.DropShard(shard)
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
-	inv.shards.Load(shard)
+	inv.shards.LoadShard(shard)
 }
--- a/internal/messages/events.go
+++ b/internal/messages/events.go
@@ -59,7 +59,7 @@
 // a TxnReply for a StoreTxn.
 type Reply struct {
 	Call CallID
-	Body any
+	Body ReplyBody
 }
 
 func (Tick) isEvent()        {}
--- a/internal/scheduling/fixture_test.go
+++ b/internal/scheduling/fixture_test.go
@@ -4,26 +4,30 @@
 	"stairrelay/internal/cluster"
 	"stairrelay/internal/eventloop"
 	"stairrelay/internal/grouprecord"
+	"stairrelay/internal/membership"
 	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
 
-// fixture is a scheduler of one shard, whose team red may use 100 CPUs, with fakes of
-// the other parts of the controller.
+// fixture is a scheduler of two shards, the first of them owned, whose team red may use
+// 100 CPUs, with fakes of the other parts of the controller.
 type fixture struct {
 	*Scheduler
 	loop                 *eventloop.Loop
 	state                *state.State
-	shard                *state.Shard
+	shard                *state.Shard // owned
 	config               Config
 	spotInterruptionRate float64 // per second
 	written              []*state.Machine
+	regrouped            [][]*state.Machine
+	acquired             []string // the keys of groups
+	ownershipChanges     int
 }
 
 func newFixture() *fixture {
 	f := &fixture{
 		loop: eventloop.New(),
-		state: state.New([]cluster.NodeID{"n0"}, []cluster.Team{
+		state: state.New([]cluster.NodeID{"n0", "n1"}, []cluster.Team{
 			{Name: "red", QuotaLimit: cluster.Resources{CPU: 100 * cpu}},
 		}),
 		config: Config{HeartbeatInterval: 5 * second, ShortJobWeight: 32, FirstTaskTarget: 240 * second},
@@ -33,7 +37,10 @@
 	f.Scheduler = New(f.loop, f.state, f.config, Dependencies{
 		Stops:                f,
 		Records:              f,
+		Groups:               f,
 		Store:                f,
+		Ownership:            f,
+		Peers:                f,
 		SpotInterruptionRate: func() float64 { return f.spotInterruptionRate },
 		CountMachineScans:    func([]*state.Machine) {},
 		StretchDelay:         func(delay cluster.Time) cluster.Time { return delay },
@@ -69,6 +76,26 @@
 	f.written = append(f.written, machine)
 }
 
+// TargetGroupSize implements MachineGroups.
+func (f *fixture) TargetGroupSize() int { return 50 }
+
+// Regroup implements MachineGroups: the write of the record is refused.
+func (f *fixture) Regroup(_ *state.Shard, machines []*state.Machine, _ *state.MachineGroup, _ writequeue.Priority, done func(*state.MachineGroup)) {
+	f.regrouped = append(f.regrouped, machines)
+	done(nil)
+}
+
+// AcquireGroup implements MachineGroups.
+func (f *fixture) AcquireGroup(_ *state.Shard, key string, _ cluster.ModRevision) {
+	f.acquired = append(f.acquired, key)
+}
+
+// Changes implements Ownership.
+func (f *fixture) Changes() int { return f.ownershipChanges }
+
+// Peers implements Peers.
+func (f *fixture) Peers() []*membership.Peer { return nil }
+
 // IsUnavailableFor implements Store.
 func (f *fixture) IsUnavailableFor(cluster.Time) bool { return false }
 
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -61,6 +61,7 @@
 	Attempt cluster.Attempt
 }
 
+// TaskAttempt returns the start of the task that the assignment stands for.
 func (a *Assignment) TaskAttempt() TaskAttempt { return TaskAttempt{a.Task, a.Attempt} }
 
 // IsCompleted tells whether a report has shown that the task has run to its end.
@@ -98,6 +99,14 @@
 	return true
 }
 
+// MarkRemovedFromRecord notes that the stored record no longer lists the task, which has
+// completed, and tells whether it may be forgotten. As long as its outcome is not stored
+// too, it may not: a second start would find nothing that says that it has completed.
+func (a *Assignment) MarkRemovedFromRecord() bool {
+	a.RemovedFromRecord = true
+	return a.IsOutcomeStored()
+}
+
 // SortedAttempts lists attempts by task and attempt.
 func SortedAttempts(m map[TaskAttempt]bool) []TaskAttempt {
 	l := make([]TaskAttempt, 0, len(m))
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -33,7 +33,7 @@
 func Execute[T any](t *testing.T, start func(engine.ReplyFunc)) T {
 	t.Helper()
 	replies := make(chan any, 1)
-	start(func(_ messages.CallID, body any) { replies <- body })
+	start(func(_ messages.CallID, body messages.ReplyBody) { replies <- body })
 	select {
 	case body := <-replies:
 		reply, ok := body.(T)
@@ -138,7 +138,7 @@
 // RefusingAddress returns an address at which nothing listens.
 func RefusingAddress(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
