--- a/internal/inventory/cleanup.go
+++ b/internal/inventory/cleanup.go
@@ -1,9 +1,6 @@
 package inventory
 
 import (
-	"maps"
-	"slices"
-
 	"stairrelay/internal/state"
 	"stairrelay/internal/writequeue"
 )
@@ -11,8 +8,8 @@
 // CleanUp stores the groups' records that list tasks which are confirmed absent, and
 // splits and merges records by their sizes.
 func (inv *Inventory) CleanUp() {
-	for _, id := range slices.Sorted(maps.Keys(inv.state.Groups)) {
-		if group := inv.state.Groups[id]; !group.WritePending && listsAbsentTask(group) {
+	for _, group := range inv.state.SortedGroups() {
+		if !group.WritePending && listsAbsentTask(group) {
 			inv.WriteGroup(group, writequeue.Background)
 		}
 	}
--- a/internal/inventory/merge.go
+++ b/internal/inventory/merge.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 
 	"stairrelay/internal/grouprecord"
@@ -15,8 +14,7 @@
 func (inv *Inventory) SplitAndMerge(shard *state.Shard) {
 	limit := inv.config.ValueLimit
 	var small []*state.MachineGroup
-	for _, id := range slices.Sorted(maps.Keys(inv.state.Groups)) {
-		group := inv.state.Groups[id]
+	for _, group := range inv.state.SortedGroups() {
 		if group.ShardID != shard.ID || group.WriteInFlight || group.Offer != nil || len(group.Machines) == 0 {
 			continue
 		}
--- a/internal/scheduling/offers.go
+++ b/internal/scheduling/offers.go
@@ -1,7 +1,6 @@
 package scheduling
 
 import (
-	"maps"
 	"slices"
 
 	"stairrelay/internal/cluster"
@@ -28,8 +27,7 @@
 // TransferOffers lists the groups that the owned shards offer to others.
 func (r *Rebalancer) TransferOffers() []messages.TransferOffer {
 	var offers []messages.TransferOffer
-	for _, id := range slices.Sorted(maps.Keys(r.state.Groups)) {
-		group := r.state.Groups[id]
+	for _, group := range r.state.SortedGroups() {
 		if group.Offer == nil || group.WritePending {
 			continue
 		}
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -100,7 +100,7 @@
 // class. It is Never when none can be met.
 func (q *JobQueue) LatestStart(job *state.Job) float64 {
 	ready, run := float64(job.ReadySince), q.runTimes.ExpectedSeconds(job)*millisPerSecond
-	starts := q.latestStartsByObjective(job, ready, run)
+	starts := q.appendLatestStarts(make([]float64, 0, typicalObjectives), job, ready, run)
 	if known := q.state.Jobs.Known[job.Spec.ID]; known != nil && known.EffectiveDeadline > 0 && known.EffectiveDeadline != job.Spec.Deadline() {
 		starts = append(starts, known.EffectiveDeadline-run)
 	}
@@ -116,11 +116,14 @@
 	return latest
 }
 
-// latestStartsByObjective lists when a job that was ready at a time must start to
-// meet each of the objectives of its class, given its run time. All times are in
+// typicalObjectives is how many objectives of a class are gone through without an
+// allocation: the order of the queue asks for those of every pending job.
+const typicalObjectives = 8
+
+// appendLatestStarts appends when a job that was ready at a time must start to meet
+// each of the objectives of its class, given its run time. All times are in
 // milliseconds.
-func (q *JobQueue) latestStartsByObjective(job *state.Job, ready, run float64) []float64 {
-	var starts []float64
+func (q *JobQueue) appendLatestStarts(starts []float64, job *state.Job, ready, run float64) []float64 {
 	for _, objective := range q.config.SLOs {
 		if objective.Class != job.Spec.Class {
 			continue
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,6 +1,7 @@
 package state
 
 import (
+	"cmp"
 	"slices"
 	"sort"
 
@@ -44,6 +45,16 @@
 	return s
 }
 
+// SortedGroups lists the groups of the owned shards by id.
+func (s *State) SortedGroups() []*MachineGroup {
+	groups := make([]*MachineGroup, 0, len(s.Groups))
+	for _, group := range s.Groups {
+		groups = append(groups, group)
+	}
+	slices.SortFunc(groups, func(a, b *MachineGroup) int { return cmp.Compare(a.ID, b.ID) })
+	return groups
+}
+
 // AddGroup adds a group without machines to an owned shard.
 func (s *State) AddGroup(shard *Shard, id string, modRevision cluster.ModRevision) *MachineGroup {
 	g := &MachineGroup{
