--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -5,25 +5,25 @@
 // JobSpec describes a job as its user submitted it. Its JSON form is stored under
 // jobs/<id>: the short field names keep the record small and must not change.
 type JobSpec struct {
-	ID                JobID     `json:"-"` // part of the key, not of the record
-	Class             string    `json:"c"` // service-level objectives apply to a class
-	Team              string    `json:"tm"`
-	Priority          Priority  `json:"pr"`
-	Tasks             int       `json:"n"`            // number of tasks, all alike
-	ResourceRequest   Resources `json:"r"`            // of each task
-	MachineTypes      []string  `json:"ty,omitempty"` // names of those that suit; none: all
-	Zone              string    `json:"z,omitempty"`
-	Colocate          bool      `json:"sp,omitempty"` // affinity: all tasks in the same zone
-	Spread            bool      `json:"sc,omitempty"` // anti-affinity: at most half of the tasks in one zone
-	Spot              bool      `json:"so,omitempty"` // may run on spot machines
-	Image             string    `json:"im"`
-	ImageGB           float64   `json:"gb"`
-	RuntimeSeconds    float64   `json:"rt"`           // of one task, as its user expects it
-	CheckpointSeconds float64   `json:"ck,omitempty"` // interval of task checkpoints; 0: none
-	SaveSeconds       float64   `json:"sv,omitempty"` // that writing a checkpoint takes
-	DeadlineSeconds   float64   `json:"dl,omitempty"` // after the submission; 0: none
-	SubmittedAt       WallTime  `json:"at"`
-	Dependencies      []JobID   `json:"aw,omitempty"` // jobs that must be done before a task of this one starts
+	ID                        JobID     `json:"-"` // part of the key, not of the record
+	Class                     string    `json:"c"` // service-level objectives apply to a class
+	Team                      string    `json:"tm"`
+	Priority                  Priority  `json:"pr"`
+	Tasks                     int       `json:"n"`            // number of tasks, all alike
+	ResourceRequest           Resources `json:"r"`            // of each task
+	MachineTypes              []string  `json:"ty,omitempty"` // names of those that suit; none: all
+	Zone                      string    `json:"z,omitempty"`
+	Colocate                  bool      `json:"sp,omitempty"` // affinity: all tasks in the same zone
+	Spread                    bool      `json:"sc,omitempty"` // anti-affinity: at most half of the tasks in one zone
+	Spot                      bool      `json:"so,omitempty"` // may run on spot machines
+	Image                     string    `json:"im"`
+	ImageGB                   float64   `json:"gb"`
+	RuntimeSeconds            float64   `json:"rt"`           // of one task, as its user expects it
+	CheckpointIntervalSeconds float64   `json:"ck,omitempty"` // interval of task checkpoints; 0: none
+	CheckpointWriteSeconds    float64   `json:"sv,omitempty"` // that writing a checkpoint takes
+	DeadlineSeconds           float64   `json:"dl,omitempty"` // after the submission; 0: none
+	SubmittedAt               WallTime  `json:"at"`
+	Dependencies              []JobID   `json:"aw,omitempty"` // jobs that must be done before a task of this one starts
 }
 
 // JobStatus is the state of a job as users see it. Its values are part of the
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -115,7 +115,7 @@
 	if reads < 2 {
 		t.Error("nobody read which shard has the machine")
 	}
-	if adopted || len(shard.ToRegister) > 0 {
+	if adopted || len(shard.PendingRegistrations) > 0 {
 		t.Error("a released machine was adopted as an orphan")
 	}
 }
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -61,8 +61,8 @@
 	}
 	job := newJob(spec, run)
 	if sim.Chance(0.3) {
-		job.Spec.CheckpointSeconds = 10
-		job.Spec.SaveSeconds = 2
+		job.Spec.CheckpointIntervalSeconds = 10
+		job.Spec.CheckpointWriteSeconds = 2
 		job.Info.CanCheckpoint = true
 		job.Info.SaveDuration = 2 * second
 	}
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -65,7 +65,7 @@
 	if !shard.Owned {
 		return
 	}
-	if len(shard.Quarantined) > 0 {
+	if len(shard.QuarantinedGroups) > 0 {
 		c.inventory.RepairQuarantined(shard)
 		return
 	}
@@ -103,8 +103,8 @@
 
 // applyEarlyJobs applies the job records that were seen while the shard was loaded.
 func (l *shardLoad) applyEarlyJobs() {
-	early := l.shard.EarlyJobs
-	l.shard.EarlyJobs = nil
+	early := l.shard.DeferredJobRecords
+	l.shard.DeferredJobRecords = nil
 	for _, kv := range early {
 		l.controller.jobs.Records.Apply(kv, nil)
 	}
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -132,7 +132,7 @@
 	}
 	job := newJob(spec, run)
 	if seconds := command.number("save", 0); seconds > 0 {
-		job.Spec.CheckpointSeconds, job.Spec.SaveSeconds = 5, seconds
+		job.Spec.CheckpointIntervalSeconds, job.Spec.CheckpointWriteSeconds = 5, seconds
 		job.Info.CanCheckpoint, job.Info.SaveDuration = true, cluster.Time(seconds*float64(second))
 	}
 	if r.simulator.Jobs[spec.ID] == nil {
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -20,10 +20,10 @@
 // quarantineRecord notes a group's record that makes no sense.
 func (inv *Inventory) quarantineRecord(shard *state.Shard, item messages.KV, reason error) {
 	inv.loop.Log(messages.LogInfo, "corrupt record quarantined", "key", item.Key, "error", reason.Error())
-	if shard.Quarantined == nil {
-		shard.Quarantined = map[string]cluster.ModRevision{}
+	if shard.QuarantinedGroups == nil {
+		shard.QuarantinedGroups = map[string]cluster.ModRevision{}
 	}
-	shard.Quarantined[item.Key] = item.ModRevision
+	shard.QuarantinedGroups[item.Key] = item.ModRevision
 	if group := inv.state.Groups[groupID(item.Key)]; group != nil {
 		inv.dropTransferred(group, cluster.NoShard)
 	}
@@ -105,7 +105,7 @@
 func (r *quarantineRepair) listedMachines(items []messages.KV) map[cluster.MachineID]bool {
 	listed := map[cluster.MachineID]bool{}
 	for _, item := range items {
-		if _, quarantined := r.shard.Quarantined[item.Key]; quarantined {
+		if _, quarantined := r.shard.QuarantinedGroups[item.Key]; quarantined {
 			continue
 		}
 		record, err := grouprecord.Decode(item.Value)
@@ -145,7 +145,7 @@
 // the shard again. So it does after a conflict: the owner of another shard was faster,
 // or an earlier copy of the transaction was carried out.
 func (r *quarantineRepair) deleteRecords() {
-	keys := slices.Sorted(maps.Keys(r.shard.Quarantined))
+	keys := slices.Sorted(maps.Keys(r.shard.QuarantinedGroups))
 	keys = keys[:min(len(keys), r.inventory.config.MaxTxnOps)]
 	r.inventory.writes.Enqueue(writequeue.ScaleOut, &writequeue.Write{
 		ShardID: r.shard.ID,
@@ -155,7 +155,7 @@
 			var modRevisions []cluster.ModRevision
 			for _, key := range keys {
 				operations = append(operations, messages.TxnOp{Key: key, Value: nil})
-				modRevisions = append(modRevisions, r.shard.Quarantined[key])
+				modRevisions = append(modRevisions, r.shard.QuarantinedGroups[key])
 			}
 			return operations, modRevisions
 		},
@@ -175,7 +175,7 @@
 
 // reload forgets what was read of a shard's records and reads them again.
 func (inv *Inventory) reload(shard *state.Shard) {
-	shard.Quarantined = nil
+	shard.QuarantinedGroups = nil
 	inv.DropShard(shard)
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
 	inv.shards.LoadShard(shard)
--- a/internal/inventory/regroup.go
+++ b/internal/inventory/regroup.go
@@ -104,14 +104,14 @@
 	var operations []messages.TxnOp
 	var modRevisions []cluster.ModRevision
 	for _, group := range r.sources {
-		group.MarkBuilt()
+		group.MarkRecordBuilt()
 		operations = append(operations, messages.TxnOp{Key: group.Key(), Value: r.encode(r.remaining(group), writeID)})
 		modRevisions = append(modRevisions, group.ModRevision)
 	}
 	modRevision := cluster.ModRevision(0) // of a new group's key: absent
 	if r.target != nil {
 		modRevision = r.target.ModRevision
-		r.target.MarkBuilt()
+		r.target.MarkRecordBuilt()
 	}
 	value := r.encode(r.machinesOfTarget(), writeID)
 	if !r.inventory.config.ValueLimit.WithinSoftLimit(len(value)) || len(r.moving) == 0 {
--- a/internal/inventory/split.go
+++ b/internal/inventory/split.go
@@ -25,7 +25,7 @@
 	if group.WriteInFlight || len(group.Machines) < 2 {
 		return
 	}
-	count := max(inv.config.ValueLimit.SplitCount(group.EstimatedSize()), group.MinPieces)
+	count := max(inv.config.ValueLimit.SplitCount(group.EstimatedSize()), group.MinSplitCount)
 	count = min(count, inv.config.MaxTxnOps, len(group.Machines))
 	inv.lock(group)
 	s := &groupSplit{groupClaim: inv.newGroupClaim(group), keys: []string{group.Key()}}
@@ -53,7 +53,7 @@
 		inv.writes.Cancel(group.QueuedWrite)
 		group.QueuedWrite = nil
 	}
-	group.Lock()
+	group.LockForTransaction()
 }
 
 func (s *groupSplit) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
@@ -62,7 +62,7 @@
 		group.EndWrite()
 		return nil, nil
 	}
-	group.MarkBuilt()
+	group.MarkRecordBuilt()
 	s.pieces, s.snapshots = grouprecord.Split(group.SortedMachines(), len(s.keys), (*state.Machine).TaskCount), nil
 	var operations []messages.TxnOp
 	var modRevisions []cluster.ModRevision
@@ -114,7 +114,7 @@
 // record gets shorter; what the state service takes now is less than the settings say.
 func (s *groupSplit) handleTooLarge() {
 	s.group.EndWrite()
-	s.group.MinPieces = 2 * len(s.keys)
+	s.group.MinSplitCount = 2 * len(s.keys)
 	s.inventory.loop.After(second, func() {
 		if s.isCurrent() {
 			s.inventory.WriteGroup(s.group, writequeue.Start)
--- a/internal/inventory/transfer.go
+++ b/internal/inventory/transfer.go
@@ -84,7 +84,7 @@
 		}
 	}
 	t.localGroup = group
-	group.Lock()
+	group.LockForTransaction()
 	return true
 }
 
--- a/internal/inventory/write.go
+++ b/internal/inventory/write.go
@@ -122,7 +122,7 @@
 		return nil, nil
 	}
 	group.WriteInFlight = true
-	group.MarkBuilt()
+	group.MarkRecordBuilt()
 	w.snapshot = newRecordSnapshot(group.SortedMachines())
 	value := w.snapshot.encode(group.ShardID, writeID)
 	group.RecordSize = w.snapshot.size
--- a/internal/jobs/checkpoints.go
+++ b/internal/jobs/checkpoints.go
@@ -21,14 +21,14 @@
 			continue
 		}
 		if slices.Contains(job.DirtyChunks, true) {
-			job.NextCheckpointAt = r.loop.Now() + backgroundCheckpointIntervals*r.config.CheckpointInterval
+			job.NextBackgroundWriteAt = r.loop.Now() + backgroundCheckpointIntervals*r.config.CheckpointInterval
 			r.WriteJob(job, writequeue.Background)
 		}
 	}
 }
 
 func (r *Records) mustWaitForStarts(job *state.Job) bool {
-	return r.loop.Now() < job.NextCheckpointAt && len(r.writeQueue.Queued(writequeue.Start)) > 0
+	return r.loop.Now() < job.NextBackgroundWriteAt && len(r.writeQueue.Queued(writequeue.Start)) > 0
 }
 
 // acknowledgeStoredTasks lets machine records drop the tasks whose outcomes are
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -105,7 +105,7 @@
 	if known.FinalStatus != "" {
 		return
 	}
-	known.FinalStatus, known.FinalSince, known.Spec = final, g.state.Jobs.ObservedAt(g.loop.Now()), nil
+	known.FinalStatus, known.FinalSince, known.Spec = final, g.state.Jobs.KnownSince(g.loop.Now()), nil
 	if job := g.state.Jobs.Owned[id]; job != nil && job.IsActive() && final == cluster.JobCancelled && len(known.Dependencies) > 0 {
 		g.cancel(job)
 	}
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -73,7 +73,7 @@
 			return
 		}
 		job := q.state.Jobs.Owned[id]
-		if !owned || job == nil || job.EndInFlight {
+		if !owned || job == nil || job.FinalWriteInFlight {
 			// Another may have read and told an end that is on its way here.
 			q.lookUpInStore(id, handle)
 			return
@@ -236,5 +236,5 @@
 // canVouchFor tells whether nobody can have been told another status of a job than
 // the one known here.
 func (a *peerAnswer) canVouchFor(job *state.Job) bool {
-	return a.confirmed[job.ShardID] && !job.EndInFlight && (a.changesRead || !a.queries.state.Jobs.IsBlocked(job.Spec.ID))
+	return a.confirmed[job.ShardID] && !job.FinalWriteInFlight && (a.changesRead || !a.queries.state.Jobs.IsBlocked(job.Spec.ID))
 }
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -74,7 +74,7 @@
 	if !shard.Ready && shard != loading {
 		// The shard is being read, but perhaps its jobs were read before this one
 		// was stored: it is applied again when the shard is ready.
-		shard.EarlyJobs = append(shard.EarlyJobs, kv)
+		shard.DeferredJobRecords = append(shard.DeferredJobRecords, kv)
 		return
 	}
 	job := r.newJob(kv, record, shard.ID)
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -59,7 +59,7 @@
 	job := w.job
 	job.RewriteNeeded = false
 	w.writtenChunks, w.writtenTasks, w.finalStatus = nil, nil, job.CurrentFinalStatus()
-	job.EndInFlight = w.finalStatus != ""
+	job.FinalWriteInFlight = w.finalStatus != ""
 	var operations []messages.TxnOp
 	var modRevisions []cluster.ModRevision
 	for _, chunk := range w.eligibleChunks {
@@ -172,7 +172,7 @@
 }
 
 // finish notes that the write is no longer under way.
-func (w *recordWrite) finish() { w.job.WriteQueued, w.job.EndInFlight = false, false }
+func (w *recordWrite) finish() { w.job.WriteQueued, w.job.FinalWriteInFlight = false, false }
 
 // giveUpShardOf gives up the shard of a job whose record an owner of the same term
 // must have changed.
--- a/internal/ownership/deposition.go
+++ b/internal/ownership/deposition.go
@@ -33,7 +33,7 @@
 // a pause and read anew. Meanwhile every controller answers from the state service.
 func (m *Manager) GiveUpCorrupt(shard *state.Shard, key, reason string) {
 	m.loop.Log(messages.LogError, "corrupt record, shard given up", "shard", int(shard.ID), "key", key, "reason", reason)
-	shard.PostponeAcquire(m.loop.Now())
+	shard.PostponeAcquisition(m.loop.Now())
 	m.HandleDeposed(shard.ID)
 }
 
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -190,7 +190,7 @@
 		{"acquire under way", 0, func(_ *testManager, shard *state.Shard) { shard.Acquiring = true }, false},
 		{"claim record not read yet", 0, func(_ *testManager, shard *state.Shard) { shard.RecordRead = false }, false},
 		{"given up as corrupt just now", 0, func(m *testManager, shard *state.Shard) {
-			shard.PostponeAcquire(m.loop.Now())
+			shard.PostponeAcquisition(m.loop.Now())
 		}, false},
 		{"during an outage of the state service", 0, func(m *testManager, _ *state.Shard) {
 			m.outageSince(m.loop.Now() - 2*second)
--- a/internal/provisioning/requests_test.go
+++ b/internal/provisioning/requests_test.go
@@ -53,7 +53,7 @@
 			t.Errorf("outcome %d: repeated as %+v, first sent as %+v", test.outcome, second, first)
 		}
 		h.loop.Deliver(messages.Reply{Call: second.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1", "m-2"}}})
-		if !request.Answered || request.ExpectedMachines() != 2 || !h.ScaleOut.scheduled {
+		if !request.Answered || request.ExpectedMachineCount() != 2 || !h.ScaleOut.scheduled {
 			t.Errorf("outcome %d: the repeated request is not answered, or no other takes its place: %+v", test.outcome, request)
 		}
 		h.Requests.call(shard, request)
--- a/internal/provisioning/scaleout.go
+++ b/internal/provisioning/scaleout.go
@@ -151,7 +151,7 @@
 func (s *ScaleOut) packRequested(shard *state.Shard, work scheduling.PendingWork) {
 	for _, name := range slices.Sorted(maps.Keys(shard.ProvisioningRequests)) {
 		request := shard.ProvisioningRequests[name]
-		for range request.ExpectedMachines() {
+		for range request.ExpectedMachineCount() {
 			s.packOption(request.Option, work)
 		}
 	}
@@ -166,7 +166,7 @@
 
 // requestMachines requests machines for the work, those of the lowest cost for each job.
 func (s *ScaleOut) requestMachines(shard *state.Shard, work scheduling.PendingWork) {
-	unanswered := shard.UnansweredRequests()
+	unanswered := shard.UnansweredRequestCount()
 	for unanswered < maxUnansweredRequests {
 		job := firstPending(work)
 		if job == nil {
--- a/internal/reconcile/absence.go
+++ b/internal/reconcile/absence.go
@@ -64,7 +64,7 @@
 // withdrawDispatched makes a dispatched start that was lost ready to be sent again,
 // or drops it if its job has ended meanwhile.
 func (r *Reconciler) withdrawDispatched(machine *state.Machine, assignment *state.Assignment) {
-	assignment.Redispatch()
+	assignment.MarkStartLost()
 	if !assignment.Job.IsActive() {
 		r.ConfirmAbsent(machine, assignment)
 	}
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -27,7 +27,7 @@
 		switch assignment.Phase {
 		case state.PhaseRecording:
 		case state.PhaseReady:
-			if mayStart && assignment.Job.IsActive() && !machine.HasUnclearedAttempt(assignment.Task) {
+			if mayStart && assignment.Job.IsActive() && !machine.HasStaleAttempt(assignment.Task) {
 				starts = append(starts, cluster.Command{Kind: cluster.Start, Task: assignment.Task, Attempt: assignment.Attempt})
 			}
 		case state.PhaseDispatched, state.PhaseAcknowledged, state.PhaseUnverified:
@@ -61,13 +61,13 @@
 	if !assignment.StopRequested || urgentOnly && assignment.StopSentAt > 0 {
 		return false
 	}
-	isSaving := assignment.State == cluster.Checkpointing && assignment.GracePeriod > 0
+	isSaving := assignment.State == cluster.Checkpointing && assignment.GraceSeconds > 0
 	return !isSaving || assignment.IsGraceExpired(c.loop.Now())
 }
 
 // stop makes the command that stops a task; without grace once that has expired.
 func (c *Commands) stop(assignment *state.Assignment) cluster.Command {
-	grace := assignment.GracePeriod
+	grace := assignment.GraceSeconds
 	if assignment.IsGraceExpired(c.loop.Now()) {
 		grace = 0
 	}
--- a/internal/reconcile/draining.go
+++ b/internal/reconcile/draining.go
@@ -46,13 +46,13 @@
 func (s *Stops) stopBeforePreemption(machine *state.Machine, assignment *state.Assignment, secondsLeft float64) {
 	remaining := s.deps.Runtimes.ExpectedRemainingSeconds(assignment)
 	spec := &assignment.Job.Spec
-	if spec.CheckpointSeconds <= 0 {
+	if spec.CheckpointIntervalSeconds <= 0 {
 		if remaining > secondsLeft*hopelessFactor+hopelessMarginSeconds {
 			s.stop(machine, assignment, 0)
 		}
 		return
 	}
-	if remaining > secondsLeft-noticeReserveSeconds && secondsLeft < spec.SaveSeconds+saveLeadSeconds {
-		s.stop(machine, assignment, spec.SaveSeconds+graceMarginSeconds)
+	if remaining > secondsLeft-noticeReserveSeconds && secondsLeft < spec.CheckpointWriteSeconds+saveLeadSeconds {
+		s.stop(machine, assignment, spec.CheckpointWriteSeconds+graceMarginSeconds)
 	}
 }
--- a/internal/reconcile/draining_test.go
+++ b/internal/reconcile/draining_test.go
@@ -29,12 +29,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
 			job := h.addJob()
-			job.Spec.CheckpointSeconds, job.Spec.SaveSeconds = test.checkpointSeconds, test.saveSeconds
+			job.Spec.CheckpointIntervalSeconds, job.Spec.CheckpointWriteSeconds = test.checkpointSeconds, test.saveSeconds
 			h.remainingSeconds = test.remainingSeconds
 			machine, running := h.addRunningMachine(job)
 			h.Stops.handlePreemptionNotice(machine, test.secondsLeft)
-			if running.StopRequested != test.stopped || running.GracePeriod != test.grace {
-				t.Errorf("stop requested %v with a grace of %g s, want %v with %g s", running.StopRequested, running.GracePeriod, test.stopped, test.grace)
+			if running.StopRequested != test.stopped || running.GraceSeconds != test.grace {
+				t.Errorf("stop requested %v with a grace of %g s, want %v with %g s", running.StopRequested, running.GraceSeconds, test.stopped, test.grace)
 			}
 			if !machine.Draining || h.spotLosses != 1 {
 				t.Errorf("draining %v, %d interruptions counted; want true and 1", machine.Draining, h.spotLosses)
--- a/internal/reconcile/heartbeats.go
+++ b/internal/reconcile/heartbeats.go
@@ -87,7 +87,7 @@
 	}
 	for _, command := range commands {
 		if command.Kind == cluster.Start {
-			machine.Assignments[command.Task].DispatchWithAnswer(machine.PendingSequenceNumber)
+			machine.Assignments[command.Task].MarkDispatchedInReply(machine.PendingSequenceNumber)
 		}
 	}
 	machine.PushQueued = false
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -252,8 +252,8 @@
 // stored or has failed, the machine is not registered a second time.
 func (o *Orphans) queueRegistration(shard *state.Shard, machine grouprecord.Machine) {
 	o.registering[machine.ID] = true
-	shard.ToRegister = append(shard.ToRegister, machine)
-	if len(shard.ToRegister) > 1 {
+	shard.PendingRegistrations = append(shard.PendingRegistrations, machine)
+	if len(shard.PendingRegistrations) > 1 {
 		return
 	}
 	claim := shard.ClaimRevision
@@ -263,8 +263,8 @@
 // registerQueued writes the gathered machines into records, a group of the
 // target size in each.
 func (o *Orphans) registerQueued(shard *state.Shard, claim cluster.Revision) {
-	waiting := shard.ToRegister
-	shard.ToRegister = nil
+	waiting := shard.PendingRegistrations
+	shard.PendingRegistrations = nil
 	for limit := o.deps.Registrar.TargetGroupSize(); len(waiting) > 0; {
 		machines := waiting[:min(limit, len(waiting))]
 		waiting = waiting[len(machines):]
--- a/internal/reconcile/push.go
+++ b/internal/reconcile/push.go
@@ -63,7 +63,7 @@
 	for _, command := range commands {
 		if command.Kind == cluster.Start {
 			assignment := machine.Assignments[command.Task]
-			assignment.DispatchWithPush()
+			assignment.MarkDispatchedByPush()
 			starts = append(starts, assignment)
 		}
 	}
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -41,7 +41,7 @@
 	if unreachable && machine.TokenAcknowledged {
 		r.deps.Machines.RaiseToken(machine)
 	}
-	machine.ForgetCleared(present)
+	machine.PruneStaleAttempts(present)
 	return true
 }
 
--- a/internal/reconcile/stops.go
+++ b/internal/reconcile/stops.go
@@ -32,7 +32,7 @@
 		}
 		assignment.StopRequested = false
 		s.stop(machine, assignment, 0)
-		assignment.GracePeriod, assignment.StopSentAt = 0, 0
+		assignment.GraceSeconds, assignment.StopSentAt = 0, 0
 	}
 }
 
@@ -47,14 +47,14 @@
 
 // Preempt stops a task to free its place for another, and gives it the time to save.
 func (s *Stops) Preempt(machine *state.Machine, assignment *state.Assignment) {
-	s.stop(machine, assignment, assignment.Job.Spec.SaveSeconds+graceMarginSeconds)
+	s.stop(machine, assignment, assignment.Job.Spec.CheckpointWriteSeconds+graceMarginSeconds)
 }
 
 // MoveOffSlowMachine stops a task so that it starts again on another machine. Saving
 // takes longer on a slow one.
 func (s *Stops) MoveOffSlowMachine(machine *state.Machine, assignment *state.Assignment) {
 	const slowSaveFactor = 4
-	s.stop(machine, assignment, assignment.Job.Spec.SaveSeconds*slowSaveFactor+graceMarginSeconds)
+	s.stop(machine, assignment, assignment.Job.Spec.CheckpointWriteSeconds*slowSaveFactor+graceMarginSeconds)
 }
 
 // stop has a task stopped, after a grace in seconds for a task checkpoint. A start that
--- a/internal/scheduling/preempt_test.go
+++ b/internal/scheduling/preempt_test.go
@@ -18,7 +18,7 @@
 		if waited {
 			submitted = f.loop.WallTime() - cluster.WallTime(f.config.FirstTaskTarget/millisecond)*3/4
 		}
-		victim := f.addJob(cluster.JobSpec{ID: "j-1", Tasks: 9, CheckpointSeconds: 10, SubmittedAt: submitted})
+		victim := f.addJob(cluster.JobSpec{ID: "j-1", Tasks: 9, CheckpointIntervalSeconds: 10, SubmittedAt: submitted})
 		urgent := f.addJob(cluster.JobSpec{ID: "j-2", Tasks: 1, Priority: cluster.Urgent, SubmittedAt: f.loop.WallTime()})
 		assignment := f.addRunningTask(victim, machine)
 		r := &round{Scheduler: f.Scheduler, shard: f.shard, jobs: []*state.Job{urgent}, guaranteed: map[*state.Job]bool{}, usage: f.shard.UsageByTeam()}
@@ -50,7 +50,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
-			victim := f.addJob(cluster.JobSpec{ID: "victim", Tasks: 9, Priority: test.victim, CheckpointSeconds: 10, SubmittedAt: 1_000_000})
+			victim := f.addJob(cluster.JobSpec{ID: "victim", Tasks: 9, Priority: test.victim, CheckpointIntervalSeconds: 10, SubmittedAt: 1_000_000})
 			assignment := f.addRunningTask(victim, f.addMachine("m-1"))
 			job := f.addJob(cluster.JobSpec{ID: "job", Tasks: 1, Priority: test.priority, SubmittedAt: 1_000_000})
 			f.preemptFor(nil, job)
@@ -82,7 +82,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
 			f.state.Teams["blue"] = &state.Team{Team: cluster.Team{Name: "blue", GuaranteedQuota: cluster.Resources{CPU: test.victimGuarantee * cpu}}}
-			victim := f.addJob(cluster.JobSpec{ID: "victim", Tasks: 9, CheckpointSeconds: 10, SubmittedAt: 1_000_000})
+			victim := f.addJob(cluster.JobSpec{ID: "victim", Tasks: 9, CheckpointIntervalSeconds: 10, SubmittedAt: 1_000_000})
 			victim.Spec.Team = "blue"
 			assignment := f.addRunningTask(victim, f.addMachine("m-1"))
 			job := f.addJob(cluster.JobSpec{ID: "job", Tasks: 1, SubmittedAt: 1_000_000})
@@ -112,7 +112,7 @@
 			f := newFixture()
 			f.state.Teams["red"].QuotaLimit.CPU = test.quotaCPUs * cpu
 			f.state.Teams["blue"] = &state.Team{Team: cluster.Team{Name: "blue"}}
-			victim := f.addJob(cluster.JobSpec{ID: "victim", Tasks: 9, CheckpointSeconds: 10, SubmittedAt: 1_000_000})
+			victim := f.addJob(cluster.JobSpec{ID: "victim", Tasks: 9, CheckpointIntervalSeconds: 10, SubmittedAt: 1_000_000})
 			victim.Spec.Team = test.team
 			victims := []*state.Assignment{f.addRunningTask(victim, f.addMachine("m-1")), f.addRunningTask(victim, f.addMachine("m-2"))}
 			f.preemptFor(nil, f.addJob(cluster.JobSpec{ID: "job", Tasks: 2, Priority: cluster.Urgent, SubmittedAt: 1_000_000}))
--- a/internal/scheduling/rebalance.go
+++ b/internal/scheduling/rebalance.go
@@ -164,7 +164,7 @@
 
 // isEvictable tells whether a job's task may give way to jobs of a priority.
 func (r *Rebalancer) isEvictable(job *state.Job, priority cluster.Priority) bool {
-	return job.EffectivePriority < priority && job.Spec.CheckpointSeconds > 0 && !r.queue.isPreemptionExempt(job)
+	return job.EffectivePriority < priority && job.Spec.CheckpointIntervalSeconds > 0 && !r.queue.isPreemptionExempt(job)
 }
 
 // CanScaleOut holds back a shard that has its share already while others lack theirs:
--- a/internal/scheduling/rebalance_test.go
+++ b/internal/scheduling/rebalance_test.go
@@ -184,7 +184,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
 			machine := f.addMachine("m-1")
-			job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, Priority: test.priority, CheckpointSeconds: test.checkpoint, SubmittedAt: 1_000_000})
+			job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, Priority: test.priority, CheckpointIntervalSeconds: test.checkpoint, SubmittedAt: 1_000_000})
 			assignment := f.addRunningTask(job, machine)
 			f.Rebalancer.evictForPriority(machine, test.shortfall)
 			if assignment.StopRequested != test.want {
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -91,7 +91,7 @@
 	fast, slow := f.addMachine("m-1"), f.addMachine("m-2")
 	f.loop.Begin(second, 1_000_000)
 	job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 99, RuntimeSeconds: 10})
-	saves := f.addJob(cluster.JobSpec{ID: "saves", Tasks: 1, CheckpointSeconds: 5})
+	saves := f.addJob(cluster.JobSpec{ID: "saves", Tasks: 1, CheckpointIntervalSeconds: 5})
 	running := f.addRunningTask(saves, slow)
 	for range 10 {
 		f.completeTask(job, fast, 10)
@@ -124,7 +124,7 @@
 	assignment.RunningSince = f.loop.Now()
 	f.loop.Begin(f.loop.Now()+30*second, 1_000_000) // 2.5 times the mean and 5 s
 	f.Stragglers.HandleSlowMachine(machine)
-	if machine.LateChecks != 0 {
+	if machine.ConsecutiveLateChecks != 0 {
 		t.Error("counts as late just at the limit")
 	}
 	f.loop.Begin(f.loop.Now()+1, 1_000_000)
--- a/internal/scheduling/spot.go
+++ b/internal/scheduling/spot.go
@@ -31,7 +31,7 @@
 // seconds: those that can't save a checkpoint lose half a run in the mean when their
 // machine is preempted.
 func (s *SpotPreference) expectedLoss(job *state.Job) float64 {
-	if !job.Spec.Spot || job.Spec.CheckpointSeconds > 0 {
+	if !job.Spec.Spot || job.Spec.CheckpointIntervalSeconds > 0 {
 		return 0
 	}
 	run := s.runTimes.ExpectedSeconds(job)
@@ -89,7 +89,7 @@
 // have an on-demand one; where the shard has such jobs, those that can save a
 // checkpoint leave these machines to them and use spot ones. Else neither matters.
 func (s *SpotPreference) IsMarketSuited(shard *state.Shard, job *state.Job, spot bool) bool {
-	if job.Spec.CheckpointSeconds > 0 {
+	if job.Spec.CheckpointIntervalSeconds > 0 {
 		return spot || !shard.AvoidSpot
 	}
 	return !spot || !s.prefersOnDemand(job)
--- a/internal/scheduling/spot_test.go
+++ b/internal/scheduling/spot_test.go
@@ -16,7 +16,7 @@
 	f.spotInterruptionRate = 11.0 / 23_600 // nearly two an hour
 	p, spot, onDemand := f.shard, true, false
 	jobWith := func(run, checkpoint float64) *state.Job {
-		return &state.Job{Spec: cluster.JobSpec{Spot: true, RuntimeSeconds: run, CheckpointSeconds: checkpoint, ImageGB: 1.5, Class: "c"}}
+		return &state.Job{Spec: cluster.JobSpec{Spot: true, RuntimeSeconds: run, CheckpointIntervalSeconds: checkpoint, ImageGB: 1.5, Class: "c"}}
 	}
 	isSuited := f.Spot.IsMarketSuited
 	short, long, saves := jobWith(15, 0), jobWith(60, 0), jobWith(60, 30)
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -45,8 +45,8 @@
 		}
 	}
 	if !slow {
-		machine.LateChecks++
-		if machine.LateChecks < maxLateChecks {
+		machine.ConsecutiveLateChecks++
+		if machine.ConsecutiveLateChecks < maxLateChecks {
 			return
 		}
 	}
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -51,7 +51,7 @@
 	StopRequested   bool         // it is to be stopped
 	StopRequestedAt cluster.Time // when that was decided
 	StopSentAt      cluster.Time
-	GracePeriod     float64 // in seconds, for a checkpoint
+	GraceSeconds    float64 // in seconds, for a checkpoint
 }
 
 // TaskAttempt is one start of a task. A worker may hold two at once: it refuses a
@@ -74,12 +74,12 @@
 
 // IsCheckpointable tells whether a heartbeat has shown the task running, and it can save.
 func (a *Assignment) IsCheckpointable() bool {
-	return a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent && a.Job.Spec.CheckpointSeconds > 0
+	return a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent && a.Job.Spec.CheckpointIntervalSeconds > 0
 }
 
 // IsGraceExpired tells whether the worker should have stopped the task by now.
 func (a *Assignment) IsGraceExpired(now cluster.Time) bool {
-	return a.StopSentAt > 0 && float64(now-a.StopSentAt)/float64(cluster.Second) > a.GracePeriod+2
+	return a.StopSentAt > 0 && float64(now-a.StopSentAt)/float64(cluster.Second) > a.GraceSeconds+2
 }
 
 // IsOutcomeStored tells whether the job's record says how the task ended.
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -27,9 +27,9 @@
 	NextWritePriority  writequeue.Priority // of the next write that is wanted, or writequeue.PriorityCount
 	RecordCheckPending bool                // the record is being read after a conflict
 
-	RecordSize int // of the record as last built, in bytes
-	AddedBytes int // that may have come on top since
-	MinPieces  int // into how many it is to be split at least, after a refusal
+	RecordSize    int // of the record as last built, in bytes
+	AddedBytes    int // that may have come on top since
+	MinSplitCount int // into how many it is to be split at least, after a refusal
 }
 
 // GroupOffer says that a shard may take the group. Until then nothing is started
@@ -64,13 +64,13 @@
 // Lock counts the group as being written until EndWrite, by a transaction that writes
 // other keys too. Until then nothing else writes its record and no machine joins or
 // leaves it.
-func (g *MachineGroup) Lock() {
+func (g *MachineGroup) LockForTransaction() {
 	g.WritePending, g.WriteInFlight, g.NextWritePriority = true, true, writequeue.PriorityCount
 }
 
 // MarkBuilt notes that the record now being built says all that is known: no further
 // write is wanted, and nothing comes on top of its size.
-func (g *MachineGroup) MarkBuilt() {
+func (g *MachineGroup) MarkRecordBuilt() {
 	g.NextWritePriority, g.AddedBytes = writequeue.PriorityCount, 0
 }
 
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -29,7 +29,7 @@
 	TaskProgress
 	JobRecordState
 	JobQueueState
-	RunTimes
+	RuntimeStats
 }
 
 // TaskProgress is how far a job's tasks have come.
@@ -47,16 +47,16 @@
 
 // JobRecordState is what is stored of a job and what is on its way there.
 type JobRecordState struct {
-	FinalStatus      cluster.JobStatus     // stored; empty: unfinished
-	Cancelling       bool                  // its user has asked for that, or it is stored
-	ModRevisions     []cluster.ModRevision // by chunk
-	DirtyChunks      []bool                // have outcomes that are not stored
-	ChunksLoading    int                   // still to be read; nothing is scheduled before
-	WriteQueued      bool
-	RewriteNeeded    bool
-	EndInFlight      bool         // a write of its end is in flight: it may be carried out already
-	RecordTooLarge   bool         // its record with what it asks for is more than the store takes now
-	NextCheckpointAt cluster.Time // not written before, while starts wait for their records: each interval's write would take their puts
+	FinalStatus           cluster.JobStatus     // stored; empty: unfinished
+	Cancelling            bool                  // its user has asked for that, or it is stored
+	ModRevisions          []cluster.ModRevision // by chunk
+	DirtyChunks           []bool                // have outcomes that are not stored
+	ChunksLoading         int                   // still to be read; nothing is scheduled before
+	WriteQueued           bool
+	RewriteNeeded         bool
+	FinalWriteInFlight    bool         // a write of its end is in flight: it may be carried out already
+	RecordTooLarge        bool         // its record with what it asks for is more than the store takes now
+	NextBackgroundWriteAt cluster.Time // not written before, while starts wait for their records: each interval's write would take their puts
 }
 
 // JobQueueState is a job's place in the queue.
@@ -73,7 +73,7 @@
 }
 
 // RunTimes sums up the run times of a job's completed tasks.
-type RunTimes struct {
+type RuntimeStats struct {
 	CompletedRuns   int // tasks that ran to their end here
 	TotalRunSeconds float64
 	FirstRunAt      cluster.Time
--- a/internal/state/jobregistry.go
+++ b/internal/state/jobregistry.go
@@ -66,7 +66,7 @@
 
 // ObservedAt is since when a state that is learnt now counts as known. What the
 // first read shows was stored before this process began, perhaps long before.
-func (r *JobRegistry) ObservedAt(now cluster.Time) cluster.Time {
+func (r *JobRegistry) KnownSince(now cluster.Time) cluster.Time {
 	if r.AppliedRevision == 0 {
 		return DistantPast
 	}
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -126,9 +126,9 @@
 
 // PaceEstimate compares a machine's speed with others'.
 type PaceEstimate struct {
-	PaceSamples  int     // tasks whose run time was compared with their job's others
-	RelativePace float64 // smoothed run time over theirs
-	LateChecks   int     // in a row that found a straggler
+	PaceSamples           int     // tasks whose run time was compared with their job's others
+	RelativePace          float64 // smoothed run time over theirs
+	ConsecutiveLateChecks int     // in a row that found a straggler
 }
 
 // Kind is what the machine has in common with others of its provisioning request.
@@ -220,7 +220,7 @@
 }
 
 // HasUnclearedAttempt tells whether an earlier start of a task is still being cleared away.
-func (m *Machine) HasUnclearedAttempt(t cluster.TaskID) bool {
+func (m *Machine) HasStaleAttempt(t cluster.TaskID) bool {
 	for s := range m.EndedToAcknowledge {
 		if s.Task == t {
 			return true
@@ -235,7 +235,7 @@
 }
 
 // ForgetCleared forgets the starts to be cleared away that a heartbeat shows no more.
-func (m *Machine) ForgetCleared(present map[TaskAttempt]bool) {
+func (m *Machine) PruneStaleAttempts(present map[TaskAttempt]bool) {
 	for s := range m.EndedToAcknowledge {
 		if !present[s] {
 			delete(m.EndedToAcknowledge, s)
--- a/internal/state/provisioning.go
+++ b/internal/state/provisioning.go
@@ -9,7 +9,7 @@
 }
 
 // UnansweredRequests counts the provisioning requests that the cloud has not answered.
-func (p *ShardProvisioning) UnansweredRequests() int {
+func (p *ShardProvisioning) UnansweredRequestCount() int {
 	count := 0
 	for _, request := range p.ProvisioningRequests {
 		if !request.Answered {
@@ -32,7 +32,7 @@
 }
 
 // ExpectedMachines is how many machines are still to come from the request.
-func (r *ProvisioningRequest) ExpectedMachines() int {
+func (r *ProvisioningRequest) ExpectedMachineCount() int {
 	if r.Answered {
 		return r.GrantedCount
 	}
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -47,10 +47,10 @@
 
 // ShardInventory is an owned shard's machines.
 type ShardInventory struct {
-	Machines    []*Machine // by id
-	Usage       TeamUsage  // of their tasks
-	ToRegister  []grouprecord.Machine
-	Quarantined map[string]cluster.ModRevision // group records that make no sense, being repaired
+	Machines             []*Machine // by id
+	Usage                TeamUsage  // of their tasks
+	PendingRegistrations []grouprecord.Machine
+	QuarantinedGroups    map[string]cluster.ModRevision // group records that make no sense, being repaired
 
 	AwaitingFirstAcknowledgementCount int          // machines taken over that have not acknowledged this claim's token
 	LastAcknowledgedAt                cluster.Time // when the last one did
@@ -58,14 +58,14 @@
 
 // ShardJobs is an owned shard's jobs and their order.
 type ShardJobs struct {
-	Jobs             []*Job        // by id
-	EarlyJobs        []messages.KV // jobs heard of while the shard was being loaded
-	QueueOrder       []*Job        // as they are served, as of queueOrderAt; nil: to be worked out
-	QueueOrderAt     cluster.Time
-	GuaranteedJobs   map[*Job]bool // those within their team's guaranteed quota, as of then
-	NextPreemptionAt cluster.Time
-	NextOfferAt      cluster.Time // of idle machines to other shards
-	AvoidSpot        bool         // a job of it would lose much on spot machines
+	Jobs               []*Job        // by id
+	DeferredJobRecords []messages.KV // jobs heard of while the shard was being loaded
+	QueueOrder         []*Job        // as they are served, as of queueOrderAt; nil: to be worked out
+	QueueOrderAt       cluster.Time
+	GuaranteedJobs     map[*Job]bool // those within their team's guaranteed quota, as of then
+	NextPreemptionAt   cluster.Time
+	NextOfferAt        cluster.Time // of idle machines to other shards
+	AvoidSpot          bool         // a job of it would lose much on spot machines
 }
 
 // ShardProvisioning is what an owned shard asks the cloud for.
--- a/internal/state/shardownership.go
+++ b/internal/state/shardownership.go
@@ -96,7 +96,7 @@
 // PostponeAcquire keeps the shard from being acquired again for a while after its
 // records were found corrupt. The pauses grow with each time, but are bounded, so
 // that no job of the shard goes unanswered for long.
-func (s *ShardOwnership) PostponeAcquire(now cluster.Time) {
+func (s *ShardOwnership) PostponeAcquisition(now cluster.Time) {
 	pause := firstCorruptPause << min(s.CorruptRecordCount, maxCorruptDoublings)
 	s.AcquireNotBefore = now + min(pause, maxCorruptPause)
 	s.CorruptRecordCount++
@@ -120,5 +120,5 @@
 func (s *Shard) EndOwnership(now cluster.Time) {
 	s.Owned, s.Ready = false, false
 	s.OwnershipChangedAt = now
-	s.Quarantined, s.EarlyJobs = nil, nil
+	s.QuarantinedGroups, s.DeferredJobRecords = nil, nil
 }
--- a/internal/state/shardownership_test.go
+++ b/internal/state/shardownership_test.go
@@ -72,7 +72,7 @@
 	const now = 100 * cluster.Second
 	shard := &Shard{}
 	for i, want := range []cluster.Time{2, 4, 8, 16, 20, 20, 20} {
-		shard.PostponeAcquire(now)
+		shard.PostponeAcquisition(now)
 		if got := shard.AcquireNotBefore - now; got != want*cluster.Second {
 			t.Errorf("pause %d is %d s, want %d s", i+1, got/cluster.Second, want)
 		}
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -9,7 +9,7 @@
 // DispatchWithAnswer records that the start goes with the answer to the heartbeat of
 // a sequence number. Only a later heartbeat was made after that answer arrived: an
 // earlier one that is delivered late does not show that the start was lost.
-func (a *Assignment) DispatchWithAnswer(sequence cluster.SequenceNumber) {
+func (a *Assignment) MarkDispatchedInReply(sequence cluster.SequenceNumber) {
 	a.Phase = PhaseDispatched
 	a.Pushed = false
 	a.DispatchedAtSequence = sequence
@@ -17,7 +17,7 @@
 
 // DispatchWithPush records that the start is pushed. Until the push is answered it
 // may still arrive, whatever heartbeats show.
-func (a *Assignment) DispatchWithPush() {
+func (a *Assignment) MarkDispatchedByPush() {
 	a.Phase = PhaseDispatched
 	a.Pushed = true
 }
@@ -25,7 +25,7 @@
 // Redispatch records that a dispatched start did not arrive and never will, so that
 // it may be sent again. To call this while the start may still arrive would run the
 // task twice.
-func (a *Assignment) Redispatch() { a.Phase = PhaseReady }
+func (a *Assignment) MarkStartLost() { a.Phase = PhaseReady }
 
 // Acknowledge records that a heartbeat has shown the task in a state.
 func (a *Assignment) Acknowledge(shown cluster.TaskState) {
@@ -52,7 +52,7 @@
 // task checkpoint. The time of the first request is kept when the stop is requested
 // anew: it tells how long the worker has ignored it.
 func (a *Assignment) RequestStop(grace float64, now cluster.Time) {
-	a.StopRequested, a.GracePeriod = true, grace
+	a.StopRequested, a.GraceSeconds = true, grace
 	if a.StopRequestedAt == 0 {
 		a.StopRequestedAt = now
 	}
--- a/internal/state/transitions_test.go
+++ b/internal/state/transitions_test.go
@@ -14,8 +14,8 @@
 	a.MarkStopSent(6 * cluster.Second)
 	a.RequestStop(0, 9*cluster.Second)
 	a.MarkStopSent(10 * cluster.Second)
-	if a.StopRequestedAt != 5*cluster.Second || a.StopSentAt != 6*cluster.Second || a.GracePeriod != 0 {
-		t.Errorf("requested at %d, sent at %d, grace %g s; want the first times and no grace", a.StopRequestedAt, a.StopSentAt, a.GracePeriod)
+	if a.StopRequestedAt != 5*cluster.Second || a.StopSentAt != 6*cluster.Second || a.GraceSeconds != 0 {
+		t.Errorf("requested at %d, sent at %d, grace %g s; want the first times and no grace", a.StopRequestedAt, a.StopSentAt, a.GraceSeconds)
 	}
 }
 
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -135,8 +135,8 @@
 	spec.Image = *s.Image
 	spec.ImageGB = *s.ImageGB
 	spec.RuntimeSeconds = *s.Runtime
-	spec.CheckpointSeconds = *s.Checkpoint
-	spec.SaveSeconds = *s.Save
+	spec.CheckpointIntervalSeconds = *s.Checkpoint
+	spec.CheckpointWriteSeconds = *s.Save
 	if s.Deadline != nil {
 		spec.DeadlineSeconds = *s.Deadline
 	}
