--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -10,43 +10,43 @@
 	"time"
 )
 
-// The identifiers, counters and quantities are types of their own, so that the
-// compiler refuses, for example, a fencing token where an attempt is expected.
+// Identifiers, counters and quantities have distinct types so that the compiler rejects,
+// for example, a fencing token where an attempt is expected.
 type (
-	// JobID is the id that a user chose for a job.
+	// JobID is the ID of a job, chosen by its user.
 	JobID string
-	// MachineID is the cloud's name for a machine.
+	// MachineID is the ID of a machine, assigned by the cloud.
 	MachineID string
 	// NodeID is the host name of a controller.
 	NodeID string
-	// ShardID is the number of a shard: a set of teams and machines that one
-	// controller owns at a time. Shards are numbered from 0.
+	// ShardID is the number of a shard, counted from 0. A shard is a set of teams and
+	// machines that one controller owns at a time.
 	ShardID int
-	// Revision is the state service's counter of changes.
+	// Revision is a revision of the state service, which increases with every change.
 	Revision uint64
-	// ModRevision is the revision of a key's last change; 0 means that the key is
+	// ModRevision is the revision at which a key was last modified, or 0 if the key is
 	// absent.
 	ModRevision uint64
-	// FencingToken tells a worker which controller may command it: a worker
-	// refuses commands with a lower token than the highest that it has seen.
+	// FencingToken increases with each new owner of a machine. A worker rejects commands
+	// with a lower token than the highest that it has seen.
 	FencingToken uint64
-	// Attempt identifies one start of a task. It consists of the shard claim under
-	// which the task was started and a count; see NewAttempt.
+	// Attempt identifies one start of a task. It combines the revision of the shard claim
+	// under which the task was started with a count; see NewAttempt.
 	Attempt uint64
-	// Incarnation distinguishes the lives of a worker: it rises when the worker's
-	// lease runs out.
+	// Incarnation identifies a period between two lease expiries of a worker. It
+	// increases whenever the worker's lease expires.
 	Incarnation uint64
 	// SequenceNumber orders the heartbeats of one incarnation of a worker.
 	SequenceNumber uint64
-	// Term counts the claims of a shard; a later owner has a higher term.
+	// Term numbers the claims of a shard. A later owner has a higher term.
 	Term uint64
-	// Time is the process's steady clock: nanoseconds since the process started.
+	// Time is a monotonic time: nanoseconds since the process started.
 	Time time.Duration
-	// WallTime is the time of day in milliseconds since 1970. It is used for
-	// display and ordering only, as the clocks of controllers may differ.
+	// WallTime is a Unix time in milliseconds. It is used only for display and ordering,
+	// as the clocks of controllers may differ.
 	WallTime int64
-	// Amount is a resource quantity in millionths of a CPU, GPU or GB. Whole
-	// numbers keep sums exact.
+	// Amount is a resource quantity in millionths of a CPU, GPU or GB. Integers keep sums
+	// exact.
 	Amount int64
 )
 
@@ -59,50 +59,49 @@
 // Seconds returns the time in seconds.
 func (t Time) Seconds() float64 { return time.Duration(t).Seconds() }
 
-// AttemptCountBits is the number of low bits of an Attempt that count the starts
-// under one shard claim. The bits above them hold the revision at which the shard
-// was acquired, or that of a later change by the same owner once the counts of the
-// claim are used up.
+// AttemptCountBits is the number of low bits of an Attempt that hold the count. The bits
+// above them hold the revision of the shard claim or, once the counts of the claim are
+// used up, of a later change by the same owner.
 const AttemptCountBits = 20
 
 // MaxAttemptCount is the largest count that an Attempt can hold.
 const MaxAttemptCount = 1<<AttemptCountBits - 1
 
-// NewAttempt returns the attempt with a count, from 0 to MaxAttemptCount, under the
-// shard claim that was made at a revision of the store.
+// NewAttempt returns the attempt with the given count, from 0 to MaxAttemptCount, under
+// the shard claim made at the given revision.
 func NewAttempt(claim, count uint64) Attempt { return Attempt(claim<<AttemptCountBits | count) }
 
-// Claim returns the revision of the shard claim under which the attempt was counted.
+// Claim returns the revision under which the attempt was counted.
 func (a Attempt) Claim() uint64 { return uint64(a) >> AttemptCountBits }
 
-// Count returns the attempt's count among those of its claim.
+// Count returns the attempt's count among the attempts of its claim.
 func (a Attempt) Count() uint64 { return uint64(a) & MaxAttemptCount }
 
-// NoShard stands for a write that belongs to no shard, so that no shard claim
-// guards it.
+// NoShard is the shard of a write that belongs to no shard and so depends on no shard
+// claim.
 const NoShard ShardID = -1
 
 // AmountsPerUnit is the number of Amounts in one CPU, GPU or GB.
 const AmountsPerUnit = 1_000_000
 
-// floorTolerance, in millionths, compensates for binary fractions: 0.3 CPUs are
-// 300,000 millionths although the product 0.3*1e6 may be a little less.
+// floorTolerance, in millionths, compensates for binary rounding: 0.3 CPUs are 300,000
+// millionths even if 0.3*1e6 is slightly less.
 const floorTolerance = 1e-4
 
-// FloorAmount converts a quantity in CPUs, GPUs or GB to an Amount and rounds down,
-// so that a stated limit is never exceeded.
+// FloorAmount converts a quantity in CPUs, GPUs or GB to an Amount. It rounds down, so
+// that a limit is never exceeded.
 func FloorAmount(quantity float64) Amount {
 	return Amount(math.Floor(quantity*AmountsPerUnit + floorTolerance))
 }
 
-// NoLimit is the quota limit of a team that has none. It is far enough below the
-// largest Amount that sums of a few limits do not overflow.
+// NoLimit is the quota limit of a team that has none. Sums of a few limits do not
+// overflow.
 const NoLimit Amount = math.MaxInt64 / 4
 
-// Priority is the importance of a job; a higher one is more important.
+// Priority is the importance of a job. Higher values are more important.
 type Priority int
 
-// The priorities, the least important first.
+// The priorities, from the lowest to the highest.
 const (
 	BestEffort Priority = iota
 	Normal
@@ -110,17 +109,17 @@
 	Production
 )
 
-// TaskID identifies one task of a job. Index counts from 0.
+// TaskID identifies a task of a job. The index counts from 0.
 type TaskID struct {
 	Job   JobID
 	Index int
 }
 
-// String returns the id in the form job/index.
+// String returns the ID in the form job/index.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID parses the form that String returns; it reports false for any other
-// text. A job's id may contain slashes, so the last one separates the index.
+// ParseTaskID parses the form that String returns. It returns false for any other text. A
+// job ID may contain slashes, so the last slash separates the index.
 func ParseTaskID(text string) (TaskID, bool) {
 	separator := strings.LastIndexByte(text, '/')
 	if separator <= 0 {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestParseTaskID checks that what String returns is parsed to the same id, also
-// where the job's id contains slashes, and that other texts are refused.
+// TestParseTaskID checks that ParseTaskID inverts String, also for job IDs with slashes,
+// and rejects malformed IDs.
 func TestParseTaskID(t *testing.T) {
 	for _, want := range []TaskID{{"j-1", 0}, {"a/b", 17}, {"/", 3}} {
 		if got, ok := ParseTaskID(want.String()); !ok || got != want {
@@ -17,8 +17,8 @@
 	}
 }
 
-// TestFloorAmount checks that decimal fractions keep their value and that nothing
-// is rounded up.
+// TestFloorAmount checks that decimal fractions are converted exactly and that nothing is
+// rounded up.
 func TestFloorAmount(t *testing.T) {
 	for quantity, want := range map[float64]Amount{
 		0:         0,
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestAttempt checks that an attempt contains its claim and its count, and that the
-// attempts of a later claim are higher than all of an earlier one.
+// TestAttempt checks that an attempt holds its claim and count, and that attempts of a
+// later claim are higher.
 func TestAttempt(t *testing.T) {
 	const maxCount = 1<<AttemptCountBits - 1
 	last, next := NewAttempt(41, maxCount), NewAttempt(42, 0)
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -3,34 +3,33 @@
 import "slices"
 
 // JobSpec describes a job as its user submitted it. Its JSON form is stored under
-// jobs/<id>: the short field names keep the record small and must not change.
+// jobs/<id>. The field names are short to keep the record small, and must not change.
 type JobSpec struct {
 	ID                        JobID     `json:"-"` // part of the key, not of the record
-	Class                     string    `json:"c"` // service-level objectives apply to a class
+	Class                     string    `json:"c"` // determines the SLOs
 	Team                      string    `json:"tm"`
 	Priority                  Priority  `json:"pr"`
-	Tasks                     int       `json:"n"`            // number of tasks, all alike
-	ResourceRequest           Resources `json:"r"`            // of each task
-	MachineTypes              []string  `json:"ty,omitempty"` // names of those that suit; none: all
+	Tasks                     int       `json:"n"`            // number of identical tasks
+	ResourceRequest           Resources `json:"r"`            // per task
+	MachineTypes              []string  `json:"ty,omitempty"` // names of the allowed types; all types if empty
 	Zone                      string    `json:"z,omitempty"`
 	Colocate                  bool      `json:"sp,omitempty"` // affinity: all tasks in the same zone
 	Spread                    bool      `json:"sc,omitempty"` // anti-affinity: at most half of the tasks in one zone
 	Spot                      bool      `json:"so,omitempty"` // may run on spot machines
 	Image                     string    `json:"im"`
 	ImageGB                   float64   `json:"gb"`
-	RuntimeSeconds            float64   `json:"rt"`           // of one task, as its user expects it
-	CheckpointIntervalSeconds float64   `json:"ck,omitempty"` // interval of task checkpoints; 0: none
-	CheckpointWriteSeconds    float64   `json:"sv,omitempty"` // that writing a checkpoint takes
-	DeadlineSeconds           float64   `json:"dl,omitempty"` // after the submission; 0: none
+	RuntimeSeconds            float64   `json:"rt"`           // run time of a task as expected by the user
+	CheckpointIntervalSeconds float64   `json:"ck,omitempty"` // between two task checkpoints; 0 if tasks write none
+	CheckpointWriteSeconds    float64   `json:"sv,omitempty"` // time that a task takes to write a checkpoint
+	DeadlineSeconds           float64   `json:"dl,omitempty"` // after the submission; 0 if there is none
 	SubmittedAt               WallTime  `json:"at"`
-	Dependencies              []JobID   `json:"aw,omitempty"` // jobs that must be done before a task of this one starts
+	Dependencies              []JobID   `json:"aw,omitempty"` // jobs that must be done before any task starts
 }
 
-// JobStatus is the state of a job as users see it. Its values are part of the
-// protocol.
+// JobStatus is the status of a job as shown to users. Its values are part of the API.
 type JobStatus string
 
-// The states of a job.
+// The statuses of a job.
 const (
 	JobPending   JobStatus = "pending"
 	JobRunning   JobStatus = "running"
@@ -41,8 +40,8 @@
 // IsFinal reports whether the status can never change again.
 func (s JobStatus) IsFinal() bool { return s == JobDone || s == JobCancelled }
 
-// JobView is the answer to a query of a job: its status and how many of its tasks
-// are done and running. Controllers send it to each other as CBOR.
+// JobView is the result of a query for a job: its status and the numbers of tasks that
+// are done and running. Controllers exchange it as CBOR.
 type JobView struct {
 	ID      JobID     `cbor:"ID"`
 	Status  JobStatus `cbor:"Status"`
@@ -50,31 +49,30 @@
 	Running int       `cbor:"Running"`
 }
 
-// Team is a tenant of the cluster. Jobs within its guaranteed quota are served
-// before those of teams beyond theirs; together they never use more than its quota
-// limit, which may be NoLimit.
+// Team is a tenant of the cluster. Jobs within a team's guaranteed quota take precedence
+// over jobs beyond their team's. The jobs of a team together never use more than the quota limit,
+// which may be NoLimit.
 type Team struct {
 	Name            string
 	GuaranteedQuota Resources
 	QuotaLimit      Resources
 }
 
-// SLO is a service-level objective for the jobs of a class, as the platform states
-// it.
+// SLO is a service-level objective for the jobs of a class.
 type SLO struct {
-	// Kind is "wait" (until the first start), "finished" or "deadline".
+	// Kind is "wait" (for the first start), "finished" or "deadline".
 	Kind string
 	// Class is the class of jobs to which the objective applies.
 	Class string
 	// WithinSeconds is the time allowed for the kinds "wait" and "finished".
 	WithinSeconds float64
-	// DeadlineFactor, for the kind "deadline", is the multiple of a job's own
-	// deadline within which the job has to be done.
+	// DeadlineFactor applies to the kind "deadline". A job has to be done within this
+	// multiple of its own deadline.
 	DeadlineFactor float64
 }
 
-// Deadline is when the job's user wants it done, in milliseconds of the time of
-// day; 0: there is no deadline.
+// Deadline returns the job's deadline as a Unix time in milliseconds, or 0 if it has
+// none.
 func (s *JobSpec) Deadline() float64 {
 	if s.DeadlineSeconds <= 0 {
 		return 0
@@ -82,8 +80,8 @@
 	return float64(s.SubmittedAt) + s.DeadlineSeconds*1000
 }
 
-// AllowsMachineType tells whether a machine of a type in a zone may run the job's
-// tasks and is large enough for one. Without a zone, any zone of the type counts.
+// AllowsMachineType reports whether the job's tasks may run on machines of a type in a
+// zone and fit on one. If zone is empty, one allowed zone of the type is enough.
 func (s *JobSpec) AllowsMachineType(t MachineType, zone string) bool {
 	if !s.ResourceRequest.FitsIn(t.Capacity) {
 		return false
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -1,6 +1,6 @@
 package cluster
 
-// MachineType is a type of machine that the cloud offers. Its JSON form is stored.
+// MachineType is a machine type that the cloud offers. Its JSON form is stored.
 type MachineType struct {
 	Name             string    `json:"Name"`
 	Capacity         Resources `json:"Cap"`
@@ -12,8 +12,8 @@
 	Zones            []string  `json:"Zones"`
 }
 
-// HourlyPrice returns the price per hour of a spot or an on-demand machine of the
-// type, in the cloud's currency.
+// HourlyPrice returns the hourly price of a spot or on-demand machine of the type, in the
+// cloud's currency.
 func (t MachineType) HourlyPrice(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -21,13 +21,13 @@
 	return t.OnDemandPrice
 }
 
-// ListedMachine is an entry of the cloud's list of machines.
+// ListedMachine is an entry in the cloud's list of machines.
 type ListedMachine struct {
 	ID         MachineID
 	Addr       string // host and port of its worker
 	Type       string
 	Zone       string
 	Spot       bool
-	Status     string  // in the cloud's words
+	Status     string  // as reported by the cloud
 	AgeSeconds float64 // since the cloud created the machine
 }
--- a/internal/cluster/resources.go
+++ b/internal/cluster/resources.go
@@ -1,7 +1,7 @@
 package cluster
 
-// Resources is what a task requests or a machine has. Its JSON form is part of the
-// stored record of a job.
+// Resources holds the resources that a task requests or a machine has. Its JSON form is
+// part of the stored record of a job.
 type Resources struct {
 	CPU    Amount `json:"CPU"`
 	GPU    Amount `json:"GPU"`
@@ -29,11 +29,11 @@
 	return r.CPU <= available.CPU && r.GPU <= available.GPU && r.Memory <= available.Memory
 }
 
-// maxFitCount is the largest result of FitCount, as for a request of nothing.
+// maxFitCount is the maximum of FitCount, which it returns for an empty request.
 const maxFitCount = 1 << 20
 
-// FitCount returns how many times a request fits into r, at most 1<<20; 0 when an
-// amount that it asks for is negative in r.
+// FitCount returns how many times a request fits into r, at most 1<<20. It is 0 if r has
+// a negative amount of a requested resource.
 func (r Resources) FitCount(request Resources) int {
 	count := Amount(maxFitCount)
 	if request.CPU > 0 {
--- a/internal/cluster/resources_test.go
+++ b/internal/cluster/resources_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestFitCount checks that the scarcest resource decides, and that a request of
-// nothing has a bound.
+// TestFitCount checks that the scarcest resource determines the count, and that the count
+// of an empty request is bounded.
 func TestFitCount(t *testing.T) {
 	available := Resources{CPU: 8, GPU: 2, Memory: 100}
 	for _, test := range []struct {
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestFitsIn checks that multiples fit as long as no resource is exceeded.
+// TestFitsIn checks that multiples of a request fit until a resource is exceeded.
 func TestFitsIn(t *testing.T) {
 	available := Resources{CPU: 8, GPU: 2, Memory: 100}
 	request := Resources{CPU: 4, GPU: 1, Memory: 50}
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -3,53 +3,53 @@
 // TaskState is the state of a task in a worker's heartbeat.
 type TaskState int
 
-// The states of a task, in the order in which it passes through them.
+// The states of a task, in order.
 const (
-	Fetching TaskState = iota // its image is being fetched
+	Fetching TaskState = iota // fetching its image
 	Running
-	Checkpointing // it writes a checkpoint because it is to be stopped
+	Checkpointing // writing a checkpoint before it stops
 	Ended
 )
 
-// Cause says why a task ended.
+// Cause is the reason why a task ended.
 type Cause int
 
-// The causes of a task's end.
+// The causes of the end of a task.
 const (
 	CauseNone             Cause = iota // it has not ended
 	CauseCompleted                     // it ran to completion
 	CauseStopped                       // a command stopped it
 	CauseFailed                        // it ended with an error
-	CauseNoCapacity                    // the machine has not enough free resources
-	CauseDuplicateAttempt              // another attempt of it is on the machine
-	CauseUnknownTask                   // the worker knows no such task
+	CauseNoCapacity                    // the machine does not have enough free resources
+	CauseDuplicateAttempt              // another attempt of the task is on the machine
+	CauseUnknownTask                   // the worker does not know the task
 )
 
-// TaskStatus is the account of one task in a worker's heartbeat.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
 	Task         TaskID
 	Attempt      Attempt
 	State        TaskState
-	Cause        Cause // CauseNone until it has ended
-	Checkpointed bool  // a checkpoint was written before it ended
+	Cause        Cause // CauseNone unless the task has ended
+	Checkpointed bool  // a checkpoint was written before the task ended
 }
 
-// HeartbeatStatus is what a worker reports of itself in a heartbeat: identity, the
-// highest fencing token that it has seen, and every task that it knows.
+// HeartbeatStatus is the status of a worker in a heartbeat: its identity, the highest
+// fencing token that it has seen, and all tasks that it knows.
 type HeartbeatStatus struct {
 	Machine          MachineID
-	Addr             string // host and port at which it takes commands
+	Addr             string // host and port at which the worker accepts commands
 	Type             string
 	Zone             string
 	Spot             bool
 	Incarnation      Incarnation
 	SequenceNumber   SequenceNumber
 	FencingToken     FencingToken
-	PreemptionNotice float64 // seconds until the cloud takes the machine; negative: no notice
+	PreemptionNotice float64 // seconds until the cloud preempts the machine; negative if there is no notice
 	Tasks            []TaskStatus
 }
 
-// CommandKind says what a command tells a worker to do.
+// CommandKind is the kind of a command.
 type CommandKind int
 
 // The kinds of commands.
@@ -59,7 +59,7 @@
 	Acknowledge                    // stop reporting an attempt that has ended
 )
 
-// Command is one instruction to a worker. GraceSeconds applies to Stop only.
+// Command is an instruction to a worker. GraceSeconds applies only to Stop.
 type Command struct {
 	Kind         CommandKind
 	Task         TaskID
--- a/internal/grouprecord/address.go
+++ b/internal/grouprecord/address.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// An IPv4 address with its port is stored as 8 characters of base64; any other
-// address as it is, behind a prefix.
+// An IPv4 address with a port is stored as 8 characters of base64. Any other address is
+// stored as text with a prefix.
 const (
 	noAddress    = "."
 	plainPrefix  = "="
 	packedLength = 6 // bytes of an IPv4 address and a port
 )
 
-// packAddress returns the stored form of a machine's address. An address with a space
-// or a line feed would break the machine's line and is stored as none.
+// packAddress returns the stored form of an address. An address with a space or a line
+// feed would corrupt the machine's line and is stored as none.
 func packAddress(address string) string {
 	parsed, err := netip.ParseAddrPort(address)
 	if err == nil && parsed.Addr().Is4() && roundTrips(parsed, address) {
@@ -33,17 +33,18 @@
 	return plainPrefix + address
 }
 
-// maxIPv4Length is the length of the longest text of an IPv4 address with its port.
+// maxIPv4Length is the maximum length of an IPv4 address with a port.
 const maxIPv4Length = len("255.255.255.255:65535")
 
-// roundTrips reports whether an IPv4 address is formatted as it was given, so that
-// unpacking restores the same text.
+// roundTrips reports whether an IPv4 address is formatted as the text from which it was
+// parsed, so that unpacking restores the text.
 func roundTrips(parsed netip.AddrPort, address string) bool {
 	var buffer [maxIPv4Length]byte // avoids an allocation for each machine
 	return string(parsed.AppendTo(buffer[:0])) == address
 }
 
-// unpackAddress returns the address of a stored form, or ErrInvalidAddress.
+// unpackAddress returns the address with the given stored form. It returns
+// ErrInvalidAddress if the form is malformed.
 func unpackAddress(text string) (string, error) {
 	if text == noAddress {
 		return "", nil
--- a/internal/grouprecord/decode.go
+++ b/internal/grouprecord/decode.go
@@ -11,54 +11,53 @@
 )
 
 // Errors of malformed records. ErrInvalidKind and ErrInvalidAddress are wrapped in a
-// MachineError, which quotes the line.
+// MachineError.
 var (
-	// ErrNoMachines: the record has no list of machines.
-	ErrNoMachines = errors.New("group without machines")
-	// ErrInvalidKind: a line's kind is not in the record's table of kinds.
-	ErrInvalidKind = errors.New("kind")
-	// ErrInvalidAddress: a line's address is not in a form that packAddress writes.
-	ErrInvalidAddress = errors.New("address")
+	// ErrNoMachines means that the record has no list of machines.
+	ErrNoMachines = errors.New("record has no list of machines")
+	// ErrInvalidKind means that a machine's kind is not in the record's table of kinds.
+	ErrInvalidKind = errors.New("kind is not in the table of kinds")
+	// ErrInvalidAddress means that a machine's address has none of the stored forms.
+	ErrInvalidAddress = errors.New("invalid address")
 )
 
 // MachineError is an error in the line of a machine.
 type MachineError struct {
 	Line string
-	Err  error // nil: the line has too few fields or no id
+	Err  error // nil if the line has too few fields or no ID
 }
 
-// Error returns the line, quoted, and what is wrong with it.
+// Error returns the error's text, which quotes the line.
 func (e *MachineError) Error() string {
 	if e.Err == nil {
-		return fmt.Sprintf("machine %q", e.Line)
+		return fmt.Sprintf("invalid machine line %q: too few fields or no ID", e.Line)
 	}
-	return fmt.Sprintf("machine %q: %v", e.Line, e.Err)
+	return fmt.Sprintf("invalid machine line %q: %v", e.Line, e.Err)
 }
 
-// Unwrap returns the cause, if there is one.
+// Unwrap returns the error in the line, or nil if the line has too few fields or no ID.
 func (e *MachineError) Unwrap() error { return e.Err }
 
 // RangeError is a malformed range of tasks in the line of a machine.
 type RangeError struct{ Text string }
 
-// Error returns the range, quoted.
-func (e *RangeError) Error() string { return fmt.Sprintf("tasks %q", e.Text) }
+// Error returns the error's text, which quotes the range.
+func (e *RangeError) Error() string { return fmt.Sprintf("invalid task range %q", e.Text) }
 
-// minLineFields is the number of fields before the ranges of tasks: id, kind and
-// address.
+// minLineFields is the number of fields before the task ranges: ID, kind and address.
 const minLineFields = 3
 
-// maxTaskIndex is larger than the index of any task. Without this bound, a short
-// record with a large range would fill the memory.
+// maxTaskIndex is an upper bound of task indexes. Without it, a short record with a huge
+// range would exhaust the memory.
 const maxTaskIndex = 100_000
 
-// Decode parses the JSON form. It returns an error for anything malformed: a
-// *MachineError for a machine's line, which may wrap a *RangeError, ErrInvalidKind or
-// ErrInvalidAddress; ErrNoMachines; or an error of package json.
+// Decode parses the JSON form of a record. It returns an error if the record is
+// malformed: ErrNoMachines, an error that wraps one of package json, or a *MachineError,
+// which may wrap a *RangeError, ErrInvalidKind or ErrInvalidAddress.
 func Decode(value []byte) (Record, error) {
 	var form storedForm
 	if err := json.Unmarshal(value, &form); err != nil {
-		return Record{}, fmt.Errorf("reading group: %w", err)
+		return Record{}, fmt.Errorf("decoding machine group record: %w", err)
 	}
 	if form.Machines == nil {
 		return Record{}, ErrNoMachines
@@ -74,8 +73,8 @@
 	return Record{ShardID: form.ShardID, Machines: machines, WriteID: form.WriteID}, nil
 }
 
-// ShardOf parses only the shard of a record, which may be readable in one that Decode
-// refuses. It reports false if it is not.
+// ShardOf returns the shard of a record, which may be readable even if Decode rejects the
+// record. It returns false if the shard cannot be read.
 func ShardOf(value []byte) (cluster.ShardID, bool) {
 	var form struct {
 		ShardID *cluster.ShardID `json:"p"`
@@ -86,7 +85,7 @@
 	return *form.ShardID, true
 }
 
-// parseMachine parses the line of a machine. Its errors are MachineErrors.
+// parseMachine parses the line of a machine. Its errors are of type *MachineError.
 func (f *storedForm) parseMachine(line string) (Machine, error) {
 	fields := strings.Split(line, " ")
 	if len(fields) < minLineFields || fields[0] == "" {
@@ -108,7 +107,7 @@
 	return machine, nil
 }
 
-// parseKind parses the kind and flags of a machine and sets them.
+// parseKind parses the kind index and flags of a machine and sets its fields.
 func (f *storedForm) parseKind(machine *Machine, text string) error {
 	machine.Releasing = strings.ContainsRune(text, releasingFlag)
 	machine.Booting = strings.ContainsRune(text, bootingFlag)
@@ -121,8 +120,8 @@
 	return nil
 }
 
-// appendRange parses job:first-last@attempt and appends its tasks. Its errors are
-// RangeErrors.
+// appendRange parses a range of the form job:first-last@attempt and appends its tasks. Its
+// errors are of type *RangeError.
 func (f *storedForm) appendRange(tasks []Task, text string) ([]Task, error) {
 	jobAndIndexes, attemptText, hasAttempt := strings.Cut(text, "@")
 	jobText, indexes, hasIndexes := strings.Cut(jobAndIndexes, ":")
@@ -142,8 +141,8 @@
 	return tasks, nil
 }
 
-// parseIndexes parses first-last, or a single index. As a dash separates them,
-// neither can be negative.
+// parseIndexes parses first-last, or a single index. A negative index is an
+// error, as the dash is the separator.
 func parseIndexes(text string) (first, last int, err error) {
 	low, high, isRange := strings.Cut(text, "-")
 	if first, err = strconv.Atoi(low); err != nil {
@@ -156,8 +155,8 @@
 	return first, last, err
 }
 
-// parseAttempt parses claim.count, or only the count under the first claim of the
-// table.
+// parseAttempt parses claim.count, or a count alone, which belongs to the first claim of
+// the table.
 func (f *storedForm) parseAttempt(text string) (cluster.Attempt, error) {
 	claim, countText := 0, text
 	if before, after, found := strings.Cut(text, "."); found {
@@ -167,7 +166,7 @@
 		}
 		countText = after
 	}
-	count, err := strconv.ParseUint(countText, attemptBase, cluster.AttemptCountBits)
+	count, err := strconv.ParseUint(countText, attemptRadix, cluster.AttemptCountBits)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/grouprecord/encode.go
+++ b/internal/grouprecord/encode.go
@@ -7,11 +7,10 @@
 	"stairrelay/internal/cluster"
 )
 
-// storedForm is the JSON form. Kinds, jobs and shard claims are listed once in tables
-// and referred to by their position. Each machine is one line of fields separated by
-// spaces: id, kind with flags, address, then ranges of tasks in the form
-// job:first-last@claim.count. Along a range the count of the attempts rises with the
-// task's index.
+// storedForm is the JSON form of a record. Kinds, jobs and shard claims are stored once, in
+// tables, and referred to by index. Each machine is a line of fields separated by spaces:
+// ID, kind with flags, address, and task ranges of the form job:first-last@claim.count.
+// The counts of the attempts in a range increase with the task index.
 type storedForm struct {
 	ShardID  cluster.ShardID `json:"p"`
 	Claims   []uint64        `json:"c,omitempty"`
@@ -21,19 +20,19 @@
 	WriteID  string          `json:"w"`
 }
 
-// The flags that follow the kind in a machine's line.
+// The flags that follow the kind index in the line of a machine.
 const (
 	releasingFlag = 'r'
 	bootingFlag   = 'b'
 )
 
-// attemptBase is the base in which the count of an attempt is written.
-const attemptBase = 36
+// attemptRadix is the numeric base of the count of a stored attempt.
+const attemptRadix = 36
 
-// encoder builds a stored form machine by machine.
+// encoder builds the stored form of a record.
 type encoder struct {
 	form storedForm
-	jobs map[cluster.JobID]int // positions in form.Jobs
+	jobs map[cluster.JobID]int // indexes in form.Jobs
 }
 
 // Encode returns the JSON form of a record.
@@ -42,7 +41,7 @@
 		form: storedForm{
 			ShardID:  record.ShardID,
 			WriteID:  record.WriteID,
-			Machines: make([]string, 0, len(record.Machines)), // stored as [] when empty
+			Machines: make([]string, 0, len(record.Machines)), // encoded as [] if empty
 		},
 		jobs: map[cluster.JobID]int{},
 	}
@@ -53,7 +52,7 @@
 	}
 	value, err := json.Marshal(e.form)
 	if err != nil {
-		panic(err) // never happens: the form holds only strings and numbers
+		panic(err) // unreachable: the form holds only strings, numbers and booleans
 	}
 	return value
 }
@@ -79,7 +78,7 @@
 	return line
 }
 
-// rangeLength returns how many tasks from the first on form one range.
+// rangeLength returns the number of leading tasks that form one range.
 func rangeLength(tasks []Task) int {
 	length := 1
 	for length < len(tasks) && tasks[length].follows(&tasks[length-1]) {
@@ -99,17 +98,17 @@
 	}
 	line = append(line, '@')
 	claim := tableIndex(&e.form.Claims, first.Attempt.Claim())
-	if claim > 0 { // the first of the table is the default
+	if claim > 0 { // the first claim of the table is the default
 		line = appendInt(line, claim)
 		line = append(line, '.')
 	}
-	return strconv.AppendUint(line, first.Attempt.Count(), attemptBase)
+	return strconv.AppendUint(line, first.Attempt.Count(), attemptRadix)
 }
 
 func appendInt(line []byte, value int) []byte { return strconv.AppendInt(line, int64(value), 10) }
 
-// tableIndex returns the position of a value in a table, to which it is appended if it
-// is missing. It searches the whole table, as a record has few kinds and claims.
+// tableIndex returns the index of a value in a table. It appends the value if it is missing.
+// The search is linear, as a record has few kinds and claims.
 func tableIndex[T comparable](table *[]T, value T) int {
 	for i := range *table {
 		if (*table)[i] == value {
@@ -120,8 +119,8 @@
 	return len(*table) - 1
 }
 
-// jobIndex returns the position of a job in the table of jobs, to which it is appended
-// if it is missing. A record may have many jobs, so their positions are kept in a map.
+// jobIndex returns the index of a job in the table of jobs. It appends the job if it is
+// missing. A map speeds up the search, as a record may have many jobs.
 func (e *encoder) jobIndex(job cluster.JobID) int {
 	index, known := e.jobs[job]
 	if !known {
--- a/internal/grouprecord/record.go
+++ b/internal/grouprecord/record.go
@@ -1,14 +1,14 @@
-// Package grouprecord defines the node inventory record, which lists the machines of
-// a machine group and the tasks that may be on them: its typed form, the JSON form
-// that the state service stores, and how many machines and tasks go into one record.
+// Package grouprecord defines the stored record of a machine group, which lists the
+// machines of the group and the tasks that may be on them. It converts records to and
+// from the JSON form that the state service stores, and defines their size limits.
 //
-// A task may only be started after a record that lists it is stored. So decoding is
-// strict: a task that is overlooked could run twice.
+// A task may be started only after a record that lists it is stored. Decoding is strict
+// because a task that is overlooked could run twice.
 package grouprecord
 
 import "stairrelay/internal/cluster"
 
-// Record is the content of the key groups/<id>.
+// Record is the value of the key groups/<id>.
 type Record struct {
 	// ShardID is the shard that the machines belong to.
 	ShardID  cluster.ShardID
@@ -21,13 +21,13 @@
 type Machine struct {
 	ID        cluster.MachineID
 	Kind      Kind
-	Address   string // host and port of its worker; empty while it is not known
-	Releasing bool   // it is being scaled in: the cloud is asked to take it back
+	Address   string // host and port of its worker; empty if unknown
+	Releasing bool   // it is being scaled in
 	Booting   bool   // its worker has not sent a heartbeat yet
 	Tasks     []Task
 }
 
-// Kind is what machines of one provisioning request have in common. Its JSON form is
+// Kind is what the machines of a provisioning request have in common. Its JSON form is
 // part of the record.
 type Kind struct {
 	Type string `json:"f"`
@@ -35,7 +35,7 @@
 	Spot bool   `json:"s,omitempty"`
 }
 
-// Task is one start of a task that may be on a machine.
+// Task is an attempt of a task that may be on a machine.
 type Task struct {
 	ID      cluster.TaskID
 	Attempt cluster.Attempt
--- a/internal/grouprecord/record_test.go
+++ b/internal/grouprecord/record_test.go
@@ -9,27 +9,28 @@
 	"stairrelay/internal/cluster"
 )
 
-// start returns one start of a task, under a shard claim.
-func start(job cluster.JobID, index int, claim, count uint64) Task {
+// newTask returns a task with the attempt of the given claim and count.
+func newTask(job cluster.JobID, index int, claim, count uint64) Task {
 	return Task{ID: cluster.TaskID{Job: job, Index: index}, Attempt: cluster.NewAttempt(claim, count)}
 }
 
-// sampleRecord has ranges, attempts of two claims, all flags and forms of addresses.
+// sampleRecord returns a record with ranges, attempts of two claims, all flags and all
+// forms of addresses.
 func sampleRecord() Record {
 	const lastCount = 1<<cluster.AttemptCountBits - 1
 	return Record{ShardID: 2, WriteID: "n-1", Machines: []Machine{
 		{ID: "m-000001", Kind: Kind{"small", "a", true}, Address: "10.1.0.232:9000", Tasks: []Task{
-			start("j-1", 0, 41, 7), start("j-1", 1, 41, 8), start("j-1", 2, 41, 9), // one range
-			start("j-1", 3, 41, 11),            // a count that does not continue the range
-			start("j-2", 4, 41, 12),            // another job
-			start("j-2", 99_999, 7, lastCount), // another claim
+			newTask("j-1", 0, 41, 7), newTask("j-1", 1, 41, 8), newTask("j-1", 2, 41, 9), // one range
+			newTask("j-1", 3, 41, 11),            // a count that does not continue the range
+			newTask("j-2", 4, 41, 12),            // another job
+			newTask("j-2", 99_999, 7, lastCount), // another claim
 		}},
 		{ID: "m-000002", Kind: Kind{"big", "b", false}, Releasing: true},
 		{ID: "m-000003", Kind: Kind{"small", "a", true}, Address: "host:1", Booting: true},
 	}}
 }
 
-// TestRoundTrip checks that an encoded record is decoded to the same.
+// TestRoundTrip checks that decoding inverts encoding.
 func TestRoundTrip(t *testing.T) {
 	record := sampleRecord()
 	if decoded, err := Decode(Encode(record)); err != nil || !reflect.DeepEqual(record, decoded) {
@@ -37,7 +38,7 @@
 	}
 }
 
-// TestStoredForm compares the stored bytes, which controllers of other releases read.
+// TestStoredForm checks the stored bytes, which controllers of other releases also read.
 func TestStoredForm(t *testing.T) {
 	const want = `{"p":2,"c":[41,7],"k":[{"f":"small","y":"a","s":true},{"f":"big","y":"b"}],"j":["j-1","j-2"],` +
 		`"m":["m-000001 0 CgEA6CMo 0:0-2@7 0:3@b 1:4@c 1:99999@1.mh33","m-000002 1r .","m-000003 0b =host:1"],"w":"n-1"}`
@@ -49,14 +50,14 @@
 	}
 }
 
-// recordWithTasks returns the stored form of a record with one job, claim and machine,
-// which lists the given ranges of tasks.
+// recordWithTasks returns the stored form of a record with one job, one claim and one
+// machine with the given task ranges.
 func recordWithTasks(ranges string) []byte {
 	return fmt.Appendf(nil, `{"p":1,"c":[5],"k":[{"f":"s","y":"a"}],"j":["j-1"],"m":["m-1 0 . %s"]}`, ranges)
 }
 
-// TestMalformedRanges checks that a range of tasks which makes no sense is an error: a
-// task that is overlooked could run twice.
+// TestMalformedRanges checks that malformed task ranges are rejected, as a task that is
+// overlooked could run twice.
 func TestMalformedRanges(t *testing.T) {
 	if record, err := Decode(recordWithTasks("0:1-3@a")); err != nil || len(record.Machines[0].Tasks) != 3 {
 		t.Fatalf("well-formed record: %+v, %v", record, err)
@@ -84,7 +85,7 @@
 	}
 }
 
-// TestMalformedRecords checks that records which make no sense are refused.
+// TestMalformedRecords checks that malformed records are rejected.
 func TestMalformedRecords(t *testing.T) {
 	for _, record := range []string{
 		``,
@@ -101,16 +102,15 @@
 	}
 }
 
-// TestErrorTexts checks the texts that operators find in the log, with the line at
-// fault.
+// TestErrorTexts checks that the texts of errors identify the malformed part of a record.
 func TestErrorTexts(t *testing.T) {
 	for record, want := range map[string]string{
-		`{"p":1}`:                 `group without machines`,
-		`{"p":1,"m":["m-1"]}`:     `machine "m-1"`,
-		`{"p":1,"m":[" 0 ."]}`:    `machine " 0 ."`,
-		`{"p":1,"m":["m-1 0 ."]}`: `machine "m-1 0 .": kind`,
-		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 !"]}`:       `machine "m-1 0 !": address`,
-		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 . 0:1@1"]}`: `machine "m-1 0 . 0:1@1": tasks "0:1@1"`,
+		`{"p":1}`:                 `record has no list of machines`,
+		`{"p":1,"m":["m-1"]}`:     `invalid machine line "m-1": too few fields or no ID`,
+		`{"p":1,"m":[" 0 ."]}`:    `invalid machine line " 0 .": too few fields or no ID`,
+		`{"p":1,"m":["m-1 0 ."]}`: `invalid machine line "m-1 0 .": kind is not in the table of kinds`,
+		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 !"]}`:       `invalid machine line "m-1 0 !": invalid address`,
+		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 . 0:1@1"]}`: `invalid machine line "m-1 0 . 0:1@1": invalid task range "0:1@1"`,
 	} {
 		if _, err := Decode([]byte(record)); err == nil || err.Error() != want {
 			t.Errorf("%s: %v, want %s", record, err, want)
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestShardOf checks that the shard can be read where the rest makes no sense.
+// TestShardOf checks that the shard of an otherwise malformed record can be read.
 func TestShardOf(t *testing.T) {
 	for record, want := range map[string]cluster.ShardID{`{"p":3}`: 3, `{"p":0,"m":["?"]}`: 0} {
 		if shard, ok := ShardOf([]byte(record)); !ok || shard != want {
@@ -132,8 +132,8 @@
 	}
 }
 
-// TestAddress checks that every address is restored from its stored form, which is
-// short for an IPv4 address only.
+// TestAddress checks that addresses are restored from their stored form, and that only IPv4
+// addresses are stored in the short form.
 func TestAddress(t *testing.T) {
 	for address, want := range map[string]string{
 		"":                   ".",
@@ -151,7 +151,7 @@
 		}
 	}
 	if got := packAddress("a b"); got != "." {
-		t.Errorf("an address that would break the line is packed as %q", got)
+		t.Errorf("an address with a space is packed as %q, want none", got)
 	}
 	for _, malformed := range []string{"", "!", "CgEA6CM", "CgEA6CMoAA"} {
 		if _, err := unpackAddress(malformed); !errors.Is(err, ErrInvalidAddress) {
--- a/internal/grouprecord/size_test.go
+++ b/internal/grouprecord/size_test.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// fullRecord lists as many machines as a record is made for, with three tasks
-// of three jobs each, of an earlier claim and this one.
+// fullRecord returns a record with the target number of machines. Each has three tasks of
+// different jobs, under two claims.
 func fullRecord(limit ValueLimit) Record {
 	record := Record{ShardID: 1, WriteID: "0123456789ab-1234"}
 	for i := range limit.TargetMachines() {
@@ -20,29 +20,29 @@
 		}
 		for k := range 3 {
 			job := cluster.JobID(fmt.Sprintf("j-%06d", (i+k)%30))
-			machine.Tasks = append(machine.Tasks, start(job, 100+i*3+k, 40+uint64(k%2), uint64(20_000+i*7+k)))
+			machine.Tasks = append(machine.Tasks, newTask(job, 100+i*3+k, 40+uint64(k%2), uint64(20_000+i*7+k)))
 		}
 		record.Machines = append(record.Machines, machine)
 	}
 	return record
 }
 
-// TestTargetMachines checks that a full record of small machines stays well below the
-// value limit from which its number of machines follows.
+// TestTargetMachines checks that a record with the target number of machines is within the
+// soft limit.
 func TestTargetMachines(t *testing.T) {
 	for _, limit := range []ValueLimit{4096, 8192} {
 		record := fullRecord(limit)
 		if size := len(Encode(record)); !limit.WithinSoftLimit(size) || size > int(limit)*17/20 {
-			t.Errorf("limit %d: %d machines take %d bytes", limit, len(record.Machines), size)
+			t.Errorf("limit %d: a record of %d machines takes %d bytes, want at most 17/20 of the limit", limit, len(record.Machines), size)
 		}
 	}
 	if count := ValueLimit(100).TargetMachines(); count != 4 {
-		t.Errorf("the smallest records are made for %d machines, want 4", count)
+		t.Errorf("TargetMachines = %d under the smallest limit, want 4", count)
 	}
 }
 
-// TestLimits checks at which sizes records are merged, split and full, under a limit
-// of 1000 bytes.
+// TestLimits checks the sizes at which records are merged, split and full under a limit of
+// 1000 bytes.
 func TestLimits(t *testing.T) {
 	const limit ValueLimit = 1000
 	for _, test := range []struct {
@@ -78,30 +78,30 @@
 			}
 		})
 	}
-	// 817 bytes are 850 less maxTaskBytes and the 5 bytes of the job's id.
+	// 817 bytes is the soft limit of 850 less maxTaskBytes and the 5 bytes of the job ID.
 	if !limit.HasRoom(817, "j-123") || limit.HasRoom(818, "j-123") {
-		t.Error("there is not room for a task up to 817 bytes exactly")
+		t.Error("HasRoom does not change between 817 and 818 bytes")
 	}
 }
 
-// TestRoomSuffices checks that a task for which HasRoom finds room never takes more
-// bytes than HasRoom allows for.
+// TestRoomSuffices checks that a task accepted by HasRoom never takes more bytes than
+// HasRoom assumes.
 func TestRoomSuffices(t *testing.T) {
 	const limit ValueLimit = 4096
 	record := fullRecord(limit)
 	before := len(Encode(record))
 	job := cluster.JobID("a-job-of-its-own")
 	machine := &record.Machines[0]
-	machine.Tasks = append(machine.Tasks, start(job, 99_999, 41, cluster.MaxAttemptCount))
+	machine.Tasks = append(machine.Tasks, newTask(job, 99_999, 41, cluster.MaxAttemptCount))
 	if added := len(Encode(record)) - before; added > len(job)+maxTaskBytes {
-		t.Errorf("a task took %d bytes, want at most %d", added, len(job)+maxTaskBytes)
+		t.Errorf("the task adds %d bytes, want at most %d", added, len(job)+maxTaskBytes)
 	}
 }
 
-// TestMergeableCount checks that records are merged from the first on while their sum
-// is at most seven tenths of the limit, and fewer than a transaction can write.
+// TestMergeableCount checks that leading records are merged up to seven tenths of the
+// limit and up to fewer records than a transaction can write.
 func TestMergeableCount(t *testing.T) {
-	const limit ValueLimit = 1000 // records are made for 12 machines
+	const limit ValueLimit = 1000 // a target of 12 machines per record
 	for _, test := range []struct {
 		name      string
 		sizes     []Size
@@ -111,32 +111,32 @@
 		{"none", nil, 8, 0},
 		{"all", []Size{{100, 1}, {200, 1}, {400, 1}}, 8, 3},
 		{"too many bytes", []Size{{100, 1}, {200, 1}, {401, 1}}, 8, 2},
-		{"the first too long", []Size{{701, 1}}, 8, 0},
+		{"first record too large", []Size{{701, 1}}, 8, 0},
 		{"too many machines", []Size{{10, 12}, {10, 12}, {10, 1}}, 8, 2},
 		{"too many writes", []Size{{10, 1}, {10, 1}, {10, 1}, {10, 1}}, 3, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := limit.MergeableCount(test.sizes, test.maxWrites); got != test.want {
-				t.Errorf("%d records, want %d", got, test.want)
+				t.Errorf("MergeableCount = %d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// TestAddedBytes checks that the estimate is at most 12 bytes more than what a task
-// adds, and never less.
+// TestAddedBytes checks that the estimate is never too small and at most 12 bytes too
+// large.
 func TestAddedBytes(t *testing.T) {
-	record := Record{Machines: []Machine{{ID: "m-1", Tasks: []Task{start("j-1", 100, 41, 20_000)}}}}
+	record := Record{Machines: []Machine{{ID: "m-1", Tasks: []Task{newTask("j-1", 100, 41, 20_000)}}}}
 	for _, test := range []struct {
 		name      string
 		task      Task
 		continues bool
 		jobListed bool
 	}{
-		{"first of a range", start("j-1", 101, 41, 20_001), false, true},
-		{"continues it", start("j-1", 102, 41, 20_002), true, true},
-		{"range of its own", start("j-1", 200, 41, 20_009), false, true},
-		{"another job", start("j-other", 7, 41, 20_010), false, false},
+		{"first of a range", newTask("j-1", 101, 41, 20_001), false, true},
+		{"continues the range", newTask("j-1", 102, 41, 20_002), true, true},
+		{"new range", newTask("j-1", 200, 41, 20_009), false, true},
+		{"another job", newTask("j-other", 7, 41, 20_010), false, false},
 	} {
 		before := len(Encode(record))
 		machine := &record.Machines[0]
@@ -144,13 +144,13 @@
 		added := len(Encode(record)) - before
 		estimate := AddedBytes(test.task.ID.Job, test.continues, test.jobListed)
 		if added > estimate || added < estimate-12 {
-			t.Errorf("%s: %d bytes, estimated %d", test.name, added, estimate)
+			t.Errorf("%s: task adds %d bytes, estimated %d", test.name, added, estimate)
 		}
 	}
 }
 
-// TestSplit checks that every machine is in one list, in order, and that the lists are
-// about equally long.
+// TestSplit checks that every machine is in one list, in order, and that the lists have
+// about the same size.
 func TestSplit(t *testing.T) {
 	taskCount := func(machine int) int { return machine }
 	for _, test := range []struct {
@@ -167,12 +167,12 @@
 		{[]int{7, 8}, 1, [][]int{{7, 8}}},
 	} {
 		if got := Split(test.machines, test.records, taskCount); !reflect.DeepEqual(got, test.want) {
-			t.Errorf("%v into %d: %v, want %v", test.machines, test.records, got, test.want)
+			t.Errorf("Split(%v, %d) = %v, want %v", test.machines, test.records, got, test.want)
 		}
 	}
 }
 
-// BenchmarkEncode encodes a full record, as every write of a machine group does.
+// BenchmarkEncode measures the encoding of a full record.
 func BenchmarkEncode(b *testing.B) {
 	record := fullRecord(8192)
 	b.ReportAllocs()
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -6,25 +6,26 @@
 	"stairrelay/internal/cluster"
 )
 
-// AssignmentPhase is how far a task has come on its machine. The machine's stored
-// record lists every task from phaseReady on; an assignment ends only after a stored
-// record without it.
+// AssignmentPhase is the progress of an assignment. The stored record of the machine's
+// group lists the task from PhaseReady on. An assignment is removed only after a record
+// without it has been stored.
 type AssignmentPhase uint8
 
-// The phases of an assignment, in the order in which it goes through them.
+// The phases of an assignment. It goes through the first five in order; one that is
+// restored from the record of an earlier owner begins with PhaseUnverified.
 const (
-	// PhaseRecording: the record that lists it is not stored yet.
+	// PhaseRecording means that no stored record lists the task yet.
 	PhaseRecording AssignmentPhase = iota
-	// PhaseReady: recorded, the start may be sent.
+	// PhaseReady means that the task is recorded and its start may be sent.
 	PhaseReady
-	// PhaseDispatched: the start was sent, no heartbeat has shown the task.
+	// PhaseDispatched means that the start was sent but no heartbeat has shown the task.
 	PhaseDispatched
-	// PhaseAcknowledged: a heartbeat has shown the task.
+	// PhaseAcknowledged means that a heartbeat has shown the task.
 	PhaseAcknowledged
-	// PhaseEnded: a heartbeat has shown that it ended.
+	// PhaseEnded means that a heartbeat has shown that the task ended.
 	PhaseEnded
-	// PhaseUnverified: listed by an earlier owner's record, not compared with a
-	// heartbeat yet.
+	// PhaseUnverified means that the record of an earlier owner lists the task and that
+	// it has not been compared with a heartbeat yet.
 	PhaseUnverified
 )
 
@@ -36,61 +37,63 @@
 	Attempt         cluster.Attempt
 	ResourceRequest cluster.Resources
 	Phase           AssignmentPhase
-	Cause           cluster.Cause     // of its end
-	State           cluster.TaskState // by the last heartbeat that showed it
+	Cause           cluster.Cause     // why the task ended
+	State           cluster.TaskState // from the last heartbeat that showed the task
 	RunningSince    cluster.Time
 
-	ConfirmedAbsent   bool // proven not to be on the machine; waits for the record to say so
-	RemovedFromRecord bool // completed, and the stored record does not list it any more
-	CountedInUsage    bool // in its machine's usage
-	StartUnobserved   bool // this controller did not see its start
+	ConfirmedAbsent   bool // proven not to be on the machine; the stored record may still list it
+	RemovedFromRecord bool // completed, and no longer listed by the stored record
+	CountedInUsage    bool // included in the usage of its machine
+	StartUnobserved   bool // an earlier owner of the shard sent the start
 
-	Pushed               bool                   // its start was pushed, not sent with a heartbeat's answer
-	DispatchedAtSequence cluster.SequenceNumber // of the worker's last heartbeat when the start was sent
+	Pushed               bool                   // the start was pushed, not sent in a heartbeat reply
+	DispatchedAtSequence cluster.SequenceNumber // of the heartbeat in whose reply the start was sent
 
-	StopRequested   bool         // it is to be stopped
-	StopRequestedAt cluster.Time // when that was decided
+	StopRequested   bool
+	StopRequestedAt cluster.Time // time of the first request
 	StopSentAt      cluster.Time
-	GraceSeconds    float64 // in seconds, for a checkpoint
+	GraceSeconds    float64 // time for a checkpoint before the stop
 }
 
-// TaskAttempt is one start of a task. A worker may hold two at once: it refuses a
-// second attempt as busy and reports both.
+// TaskAttempt identifies an attempt of a task. A worker may report two attempts of a
+// task at once: it refuses the second with CauseDuplicateAttempt.
 type TaskAttempt struct {
 	Task    cluster.TaskID
 	Attempt cluster.Attempt
 }
 
-// TaskAttempt returns the start of the task that the assignment stands for.
+// TaskAttempt returns the task and attempt of the assignment.
 func (a *Assignment) TaskAttempt() TaskAttempt { return TaskAttempt{a.Task, a.Attempt} }
 
-// IsCompleted tells whether a heartbeat has shown that the task has run to its end.
+// IsCompleted reports whether a heartbeat has shown that the task ran to completion.
 func (a *Assignment) IsCompleted() bool {
 	return a.Phase == PhaseEnded && a.Cause == cluster.CauseCompleted
 }
 
-// IsLive tells whether the task takes room on its machine.
+// IsLive reports whether the task uses resources of its machine.
 func (a *Assignment) IsLive() bool { return a.Phase != PhaseEnded && !a.ConfirmedAbsent }
 
-// IsCheckpointable tells whether a heartbeat has shown the task running, and it can save.
+// IsCheckpointable reports whether a heartbeat has shown the task, it has not ended, and
+// its job writes checkpoints.
 func (a *Assignment) IsCheckpointable() bool {
 	return a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent && a.Job.Spec.CheckpointIntervalSeconds > 0
 }
 
-// IsGraceExpired tells whether the worker should have stopped the task by now.
+// IsGraceExpired reports whether the worker should have stopped the task by now: the
+// grace period and a margin of 2 seconds have passed since the stop was sent.
 func (a *Assignment) IsGraceExpired(now cluster.Time) bool {
 	return a.StopSentAt > 0 && float64(now-a.StopSentAt)/float64(cluster.Second) > a.GraceSeconds+2
 }
 
-// IsOutcomeStored tells whether the job's record says how the task ended.
+// IsOutcomeStored reports whether the job's stored record contains the task's outcome.
 func (a *Assignment) IsOutcomeStored() bool {
 	return a.Job.FinalStatus != "" || a.Job.TaskStates[a.Task.Index] == TaskCompletionStored
 }
 
-// MarkRecorded notes that the stored record lists the task, and tells whether that was
-// waited for. Only from here on its start may be sent: an owner that takes the shard
-// over learns from the record alone what may be running, and would start a task again
-// that the record does not list.
+// MarkRecorded records that the stored record lists the task. It reports whether the
+// assignment was in PhaseRecording. The start must not be sent earlier: after a
+// failover, the new owner learns only from the record which tasks may be running, and
+// would start an unlisted task a second time.
 func (a *Assignment) MarkRecorded() bool {
 	if a.Phase != PhaseRecording {
 		return false
@@ -99,26 +102,26 @@
 	return true
 }
 
-// MarkRemovedFromRecord notes that the stored record no longer lists the task, which has
-// completed, and tells whether it may be forgotten. As long as its outcome is not stored
-// too, it may not: a second start would find nothing that says that it has completed.
+// MarkRemovedFromRecord records that the stored record no longer lists the completed
+// task. It reports whether the assignment may be removed. It may not be until the task's
+// outcome is stored, as nothing else keeps the task from being started again.
 func (a *Assignment) MarkRemovedFromRecord() bool {
 	a.RemovedFromRecord = true
 	return a.IsOutcomeStored()
 }
 
-// SortedAttempts lists attempts by task and attempt.
-func SortedAttempts(m map[TaskAttempt]bool) []TaskAttempt {
-	l := make([]TaskAttempt, 0, len(m))
-	for t := range m {
-		l = append(l, t)
+// SortedAttempts returns the attempts sorted by task and attempt.
+func SortedAttempts(attempts map[TaskAttempt]bool) []TaskAttempt {
+	sorted := make([]TaskAttempt, 0, len(attempts))
+	for t := range attempts {
+		sorted = append(sorted, t)
 	}
-	sort.Slice(l, func(i, k int) bool {
-		a, b := l[i], l[k]
+	sort.Slice(sorted, func(i, k int) bool {
+		a, b := sorted[i], sorted[k]
 		if a.Task != b.Task {
 			return a.Task.Job < b.Task.Job || a.Task.Job == b.Task.Job && a.Task.Index < b.Task.Index
 		}
 		return a.Attempt < b.Attempt
 	})
-	return l
+	return sorted
 }
--- a/internal/state/completedindexes.go
+++ b/internal/state/completedindexes.go
@@ -6,35 +6,35 @@
 	"strings"
 )
 
-// Which of a chunk's tasks are done is stored as ranges, "0-3,7", or as a bitmap
-// in base64 after a "b", whichever is shorter.
+// The completed tasks of a chunk are stored as index ranges, such as "0-3,7", or as a
+// base64 bitmap with the prefix "b", whichever is shorter.
 
-// bitmapPrefix begins a bitmap.
+// bitmapPrefix marks a bitmap.
 const bitmapPrefix = "b"
 
-// maxRangeBytes is what one more range may take at most.
+// maxRangeBytes is the maximum length of a range with its separator.
 const maxRangeBytes = 12
 
-// EncodeCompleted writes which of a chunk's tasks are done, in at most so many bytes:
-// from the index it returns on, what is done did not fit. To list fewer is safe,
-// as a task that is started again after it was done ends at once.
-func EncodeCompleted(state []uint8, limit int) (string, int) {
-	ranges, fits := encodeRanges(state, limit)
-	bitmap := base64.RawStdEncoding.EncodedLen((len(state)+7)/8) + len(bitmapPrefix)
-	if fits == len(state) && len(ranges) <= bitmap || bitmap > limit {
-		return ranges, fits
+// EncodeCompleted encodes which tasks of a chunk are completed in at most limit bytes.
+// It also returns the number of tasks covered: completed tasks from that index on did
+// not fit. Omitting them is safe, as a completed task that is started again ends at once.
+func EncodeCompleted(states []uint8, limit int) (string, int) {
+	ranges, covered := encodeRanges(states, limit)
+	bitmapLength := base64.RawStdEncoding.EncodedLen((len(states)+7)/8) + len(bitmapPrefix)
+	if covered == len(states) && len(ranges) <= bitmapLength || bitmapLength > limit {
+		return ranges, covered
 	}
-	return encodeBitmap(state), len(state)
+	return encodeBitmap(states), len(states)
 }
 
-func encodeRanges(state []uint8, limit int) (string, int) {
+func encodeRanges(states []uint8, limit int) (string, int) {
 	var b strings.Builder
-	for i := 0; i < len(state); i++ {
-		if state[i] < TaskCompleted {
+	for i := 0; i < len(states); i++ {
+		if states[i] < TaskCompleted {
 			continue
 		}
 		last := i
-		for last+1 < len(state) && state[last+1] >= TaskCompleted {
+		for last+1 < len(states) && states[last+1] >= TaskCompleted {
 			last++
 		}
 		if b.Len()+maxRangeBytes > limit {
@@ -50,12 +50,12 @@
 		}
 		i = last
 	}
-	return b.String(), len(state)
+	return b.String(), len(states)
 }
 
-func encodeBitmap(state []uint8) string {
-	bits := make([]byte, (len(state)+7)/8)
-	for i, s := range state {
+func encodeBitmap(states []uint8) string {
+	bits := make([]byte, (len(states)+7)/8)
+	for i, s := range states {
 		if s >= TaskCompleted {
 			bits[i/8] |= 1 << (i % 8)
 		}
@@ -63,8 +63,8 @@
 	return bitmapPrefix + base64.RawStdEncoding.EncodeToString(bits)
 }
 
-// DecodeCompleted calls set for each of n tasks that is done; false: the text makes
-// no sense.
+// DecodeCompleted calls set with the index of each completed task of a chunk of n tasks.
+// It returns false if the text is malformed, possibly after some calls of set.
 func DecodeCompleted(text string, n int, set func(int)) bool {
 	if text == "" {
 		return true
@@ -97,7 +97,7 @@
 	return true
 }
 
-// parseRange reads "first" or "first-last".
+// parseRange parses "first" or "first-last". It returns false for any other text.
 func parseRange(text string) (first, last int, ok bool) {
 	lo, hi, isRange := strings.Cut(text, "-")
 	first, err := strconv.Atoi(lo)
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -7,77 +7,81 @@
 	"stairrelay/internal/writequeue"
 )
 
-// MachineGroup is some machines of a shard whose tasks one record lists.
+// MachineGroup is a set of machines of a shard that share one stored record, which lists
+// their tasks.
 //
-// A record of its own per machine would cost a put per wave of starts on each; with
-// hundreds of machines that is many times the store's write rate. A machine is
-// listed in exactly one group. It changes groups only by a transaction that writes
-// both, and changes shards only with its whole group, by a write on condition that
-// the group's record has not changed since it listed no task.
+// A record per machine would cost one write per machine for each wave of starts. With
+// hundreds of machines, that is many times the write rate of the store.
+//
+// A machine is listed in exactly one group. It moves between groups only in a
+// transaction that writes both records, and between shards only with its whole group, in
+// a transaction on condition that the group's record has not changed since it listed no
+// tasks.
 type MachineGroup struct {
 	ID          string
 	ShardID     cluster.ShardID
 	ModRevision cluster.ModRevision
 	Machines    map[cluster.MachineID]*Machine
-	Offer       *GroupOffer // to another shard; nil: none
+	Offer       *GroupOffer // to another shard; nil if there is none
 
 	WritePending       bool                // a write is queued or in flight
-	WriteInFlight      bool                // what it lists is settled until it is answered
-	QueuedWrite        *writequeue.Write   // while it is queued
-	NextWritePriority  writequeue.Priority // of the next write that is wanted, or writequeue.PriorityCount
+	WriteInFlight      bool                // the pending write was sent; its content is fixed until its result is known
+	QueuedWrite        *writequeue.Write   // the pending write while it is queued
+	NextWritePriority  writequeue.Priority // priority of the next write, or writequeue.PriorityCount if none is needed
 	RecordCheckPending bool                // the record is being read after a conflict
 
-	RecordSize    int // of the record as last built, in bytes
-	AddedBytes    int // that may have come on top since
-	MinSplitCount int // into how many it is to be split at least, after a refusal
+	RecordSize    int // size of the record in bytes, as last built
+	AddedBytes    int // estimated growth of the record since then
+	MinSplitCount int // minimum number of records to split into, after one was refused as too large
 }
 
-// GroupOffer says that a shard may take the group. Until then nothing is started
-// on its machines; a write of ours after that makes a late transfer fail.
+// GroupOffer allows a shard to take over the group until a deadline. Until then, no
+// tasks are started on the group's machines. A write by the owner after the deadline
+// makes a late transfer fail.
 type GroupOffer struct {
 	ToShard cluster.ShardID
 	Until   cluster.Time
 }
 
-// GroupKeyPrefix is where the machine groups' records are stored.
+// GroupKeyPrefix is the key prefix of the machine group records.
 const GroupKeyPrefix = "groups/"
 
-// GroupKey is where the record of a group is stored.
+// GroupKey returns the key of a group's record.
 func GroupKey(id string) string { return GroupKeyPrefix + id }
 
-// Key is where the group's record is stored.
+// Key returns the key of the group's record.
 func (g *MachineGroup) Key() string { return GroupKey(g.ID) }
 
-// SortedMachines lists the machines by id.
+// SortedMachines returns the machines sorted by ID.
 func (g *MachineGroup) SortedMachines() []*Machine {
-	l := make([]*Machine, 0, len(g.Machines))
+	sorted := make([]*Machine, 0, len(g.Machines))
 	for _, m := range g.Machines {
-		l = append(l, m)
+		sorted = append(sorted, m)
 	}
-	sort.Slice(l, func(i, k int) bool { return l[i].ID < l[k].ID })
-	return l
+	sort.Slice(sorted, func(i, k int) bool { return sorted[i].ID < sorted[k].ID })
+	return sorted
 }
 
-// EstimatedSize is how long the group's record may be by now.
+// EstimatedSize returns the estimated current size of the group's record in bytes.
 func (g *MachineGroup) EstimatedSize() int { return g.RecordSize + g.AddedBytes }
 
-// Lock counts the group as being written until EndWrite, by a transaction that writes
-// other keys too. Until then nothing else writes its record and no machine joins or
-// leaves it.
+// LockForTransaction reserves the group's record for a transaction that also writes
+// other keys. Until EndWrite, nothing else writes the record and no machine joins or
+// leaves the group.
 func (g *MachineGroup) LockForTransaction() {
 	g.WritePending, g.WriteInFlight, g.NextWritePriority = true, true, writequeue.PriorityCount
 }
 
-// MarkBuilt notes that the record now being built says all that is known: no further
-// write is wanted, and nothing comes on top of its size.
+// MarkRecordBuilt records that a write with the current content of the group has been
+// built. No further write is needed, and no growth has to be added to the record's size.
 func (g *MachineGroup) MarkRecordBuilt() {
 	g.NextWritePriority, g.AddedBytes = writequeue.PriorityCount, 0
 }
 
-// EndWrite notes that no write of the record is under way any more.
+// EndWrite records that no write of the record is queued or in flight.
 func (g *MachineGroup) EndWrite() { g.WritePending, g.WriteInFlight = false, false }
 
-// MoveIn moves a machine here from the group that it is in.
+// MoveIn moves a machine from its current group into g.
 func (g *MachineGroup) MoveIn(m *Machine) {
 	delete(m.Group.Machines, m.ID)
 	m.Group = g
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -9,22 +9,22 @@
 
 // The states of a task within its job.
 const (
-	TaskPending          uint8 = iota
-	TaskAssigned               // on, or on its way to, or perhaps still on, a machine
-	TaskCompleted              // completed, not stored yet
-	TaskCompletionStored       // completed and stored
+	TaskPending   uint8 = iota
+	TaskAssigned        // assigned to a machine on which it may be running
+	TaskCompleted       // completed, but not stored yet
+	TaskCompletionStored
 )
 
-// TasksPerChunk is how many tasks' outcomes one key holds. Chunk 0 lives in the
-// job's own record, the others beside it, so that 100,000 tasks fit under any
-// value limit from 4 KiB on.
+// TasksPerChunk is the number of tasks whose outcomes are stored under one key. Chunk 0
+// is part of the job's own record and the others have keys of their own, so that a job
+// of 100,000 tasks fits under any value limit of at least 4 KiB.
 const TasksPerChunk = 16384
 
 // Job is a job of an owned shard.
 type Job struct {
 	Spec    cluster.JobSpec
 	ShardID cluster.ShardID
-	Waiters []func(cluster.JobStatus) // called when the job's end is stored
+	Waiters []func(cluster.JobStatus) // called when the job's final status is stored
 
 	TaskProgress
 	JobRecordState
@@ -32,61 +32,61 @@
 	RuntimeStats
 }
 
-// TaskProgress is how far a job's tasks have come.
+// TaskProgress is the progress of a job's tasks.
 type TaskProgress struct {
 	TaskStates        []uint8
 	AssignedCount     int
 	CompletedCount    int
-	FirstPendingHint  int // no pending task lies below
+	FirstPendingHint  int // no task with a lower index is pending
 	Assignments       map[int]*Assignment
-	ListedAssignments map[*Assignment]bool // all that machines list of it, ended and doubly listed tasks too
-	RestartedTasks    map[int]bool         // that did not end at their first start
+	ListedAssignments map[*Assignment]bool // all that machines list, including ended tasks and a second listing of a task
+	RestartedTasks    map[int]bool         // tasks that became pending again after they were assigned
 	TaskErrors        int
 	FailedMachines    map[cluster.MachineID]bool
 }
 
-// JobRecordState is what is stored of a job and what is on its way there.
+// JobRecordState tracks what is stored of a job and which writes are pending.
 type JobRecordState struct {
-	FinalStatus           cluster.JobStatus     // stored; empty: unfinished
-	Cancelling            bool                  // its user has asked for that, or it is stored
+	FinalStatus           cluster.JobStatus     // as stored; empty while unfinished
+	Cancelling            bool                  // cancellation has been requested or is stored
 	ModRevisions          []cluster.ModRevision // by chunk
-	DirtyChunks           []bool                // have outcomes that are not stored
-	ChunksLoading         int                   // still to be read; nothing is scheduled before
+	DirtyChunks           []bool                // chunks with outcomes that are not stored yet
+	ChunksLoading         int                   // number of chunks still to be read; nothing is scheduled until it is 0
 	WriteQueued           bool
 	RewriteNeeded         bool
-	FinalWriteInFlight    bool         // a write of its end is in flight: it may be carried out already
-	RecordTooLarge        bool         // its record with what it asks for is more than the store takes now
-	NextBackgroundWriteAt cluster.Time // not written before, while starts wait for their records: each interval's write would take their puts
+	FinalWriteInFlight    bool         // a write of the final status is in flight and may have been applied already
+	RecordTooLarge        bool         // the store refused the record with its outcomes as too large
+	NextBackgroundWriteAt cluster.Time // earliest next background write while starts wait for their records
 }
 
-// JobQueueState is a job's place in the queue.
+// JobQueueState is what determines a job's place in the queue.
 type JobQueueState struct {
-	EffectivePriority   cluster.Priority // its own, or that of a job that depends on it
+	EffectivePriority   cluster.Priority // its own or that of a dependent job, whichever is higher
 	ArrivedAt           cluster.Time
-	Blocked             bool             // by dependencies that are not met
-	ReadySince          cluster.WallTime // its objectives' times count from then: its submission, or when its dependencies were met
+	Blocked             bool             // by unmet dependencies
+	ReadySince          cluster.WallTime // when it was submitted or its dependencies were met; SLO times count from here
 	BackoffUntil        cluster.Time
-	NextPreemptionAt    cluster.Time      // no preemption for it before
-	ReservedMachine     cluster.MachineID // kept free for it while it starves
-	GuaranteeChecked    bool
-	InitiallyGuaranteed bool // it fitted into its team's guaranteed quota when it came; for the log
+	NextPreemptionAt    cluster.Time      // earliest next preemption in favor of the job
+	ReservedMachine     cluster.MachineID // kept free for the job while it is starving
+	GuaranteeChecked    bool              // InitiallyGuaranteed is set
+	InitiallyGuaranteed bool              // it fitted into its team's guaranteed quota when it was first schedulable; for logging
 }
 
-// RunTimes sums up the run times of a job's completed tasks.
+// RuntimeStats summarizes the run times of a job's completed tasks.
 type RuntimeStats struct {
-	CompletedRuns   int // tasks that ran to their end here
+	CompletedRuns   int // tasks whose whole run was observed by this controller
 	TotalRunSeconds float64
 	FirstRunAt      cluster.Time
 	LastRunAt       cluster.Time
 }
 
-// JobKeyPrefix is where the jobs' own records are stored.
+// JobKeyPrefix is the key prefix of the jobs' own records.
 const JobKeyPrefix = "jobs/"
 
-// JobKey is the key of a job's own record.
+// JobKey returns the key of a job's own record.
 func JobKey(id cluster.JobID) string { return JobKeyPrefix + string(id) }
 
-// ChunkKey is where the outcomes of a chunk of tasks are stored.
+// ChunkKey returns the key under which the outcomes of a chunk of tasks are stored.
 func (j *Job) ChunkKey(chunk int) string {
 	if chunk == 0 {
 		return JobKey(j.Spec.ID)
@@ -94,10 +94,10 @@
 	return "done/" + string(j.Spec.ID) + "/" + strconv.Itoa(chunk)
 }
 
-// ChunkCount is the number of chunks of so many tasks.
+// ChunkCount returns the number of chunks of a job with the given number of tasks.
 func ChunkCount(tasks int) int { return (tasks + TasksPerChunk - 1) / TasksPerChunk }
 
-// NewJob makes a job none of whose tasks has been started.
+// NewJob returns a job none of whose tasks has been started.
 func NewJob(spec cluster.JobSpec, shard cluster.ShardID, modRevision cluster.ModRevision, now cluster.Time) *Job {
 	chunks := ChunkCount(spec.Tasks)
 	j := &Job{
@@ -124,8 +124,8 @@
 	return j
 }
 
-// RestoreCompleted takes in which tasks of a chunk are completed by its stored record;
-// false: the text makes no sense, and what precedes the fault was taken in.
+// RestoreCompleted marks the tasks that the stored record of a chunk lists as completed.
+// It returns false if the list is malformed; the tasks before the error are marked.
 func (j *Job) RestoreCompleted(chunk int, completedIndexes string) bool {
 	taskStates := j.ChunkStates(chunk)
 	return DecodeCompleted(completedIndexes, len(taskStates), func(i int) {
@@ -136,13 +136,13 @@
 	})
 }
 
-// PendingCount is the number of tasks that are on no machine and not completed.
+// PendingCount returns the number of tasks that are neither assigned nor completed.
 func (j *Job) PendingCount() int { return j.Spec.Tasks - j.AssignedCount - j.CompletedCount }
 
-// IsActive tells whether the job is neither finished nor being cancelled.
+// IsActive reports whether the job is neither finished nor being cancelled.
 func (j *Job) IsActive() bool { return j.FinalStatus == "" && !j.Cancelling }
 
-// NextPendingTask is the first task that waits for a machine; -1: none does.
+// NextPendingTask returns the index of the first pending task, or -1 if there is none.
 func (j *Job) NextPendingTask() int {
 	for j.FirstPendingHint < len(j.TaskStates) && j.TaskStates[j.FirstPendingHint] != TaskPending {
 		j.FirstPendingHint++
@@ -153,14 +153,15 @@
 	return j.FirstPendingHint
 }
 
-// SetAssigned records that a task is assigned to a machine.
+// SetAssigned records the assignment of a task to a machine.
 func (j *Job) SetAssigned(i int, a *Assignment) {
 	j.TaskStates[i] = TaskAssigned
 	j.AssignedCount++
 	j.Assignments[i] = a
 }
 
-// SetPending makes a task that is on no machine any more wait again.
+// SetPending makes an assigned task pending again. It does nothing if the task
+// is not assigned.
 func (j *Job) SetPending(i int) {
 	if j.TaskStates[i] != TaskAssigned {
 		return
@@ -172,8 +173,8 @@
 	j.FirstPendingHint = min(j.FirstPendingHint, i)
 }
 
-// Unassign notes that a machine no longer lists a task of the job. Two machines may be
-// listed with one task after a failover: then it waits for the other one too.
+// Unassign records that a machine no longer lists a task of the job. After a failover,
+// two machines may list the same task; it then stays assigned to the other one.
 func (j *Job) Unassign(a *Assignment) {
 	delete(j.ListedAssignments, a)
 	if j.Assignments[a.Task.Index] != a {
@@ -191,7 +192,7 @@
 	}
 }
 
-// SetCompleted records that a task has run to its end.
+// SetCompleted records that a task ran to completion.
 func (j *Job) SetCompleted(i int) {
 	switch j.TaskStates[i] {
 	case TaskAssigned:
@@ -206,7 +207,7 @@
 	j.DirtyChunks[i/TasksPerChunk] = true
 }
 
-// View is the job's state as users see it.
+// View returns the job as shown to users.
 func (j *Job) View() cluster.JobView {
 	v := cluster.JobView{ID: j.Spec.ID, Status: cluster.JobPending, Done: j.CompletedCount}
 	switch {
@@ -226,12 +227,13 @@
 	return v
 }
 
-// ChunkStates are the states of a chunk's tasks.
-func (j *Job) ChunkStates(k int) []uint8 {
-	return j.TaskStates[k*TasksPerChunk : min((k+1)*TasksPerChunk, len(j.TaskStates))]
+// ChunkStates returns the states of a chunk's tasks.
+func (j *Job) ChunkStates(chunk int) []uint8 {
+	return j.TaskStates[chunk*TasksPerChunk : min((chunk+1)*TasksPerChunk, len(j.TaskStates))]
 }
 
-// CurrentFinalStatus is the final state that a job is in by what is known here, or "".
+// CurrentFinalStatus returns the final status that the job has reached, whether stored
+// or not, or "" if it has reached none.
 func (j *Job) CurrentFinalStatus() cluster.JobStatus {
 	switch {
 	case j.CompletedCount == j.Spec.Tasks:
@@ -242,7 +244,7 @@
 	return ""
 }
 
-// RecomputeDirtyChunks works out which chunks have outcomes that are not stored.
+// RecomputeDirtyChunks determines which chunks have outcomes that are not stored.
 func (j *Job) RecomputeDirtyChunks() {
 	for chunk := range j.DirtyChunks {
 		j.DirtyChunks[chunk] = false
@@ -254,30 +256,30 @@
 	}
 }
 
-// SelectWriteKeys picks the keys that a write of a job may set, within the changes that
-// a transaction may have: its own record, and further chunks that have changed or
-// exist. What does not fit has its turn in the next write.
-func (j *Job) SelectWriteKeys(ops int) ([]string, []int) {
+// SelectWriteKeys returns the keys that a write of the job sets and the chunks stored
+// under them, at most maxOps: the job's own record, then the changed chunks, then other
+// chunks that exist. Chunks that do not fit are left to the next write.
+func (j *Job) SelectWriteKeys(maxOps int) ([]string, []int) {
 	keys, chunks := []string{j.ChunkKey(0)}, []int{0}
 	for _, changed := range []bool{true, false} {
-		for k := 1; k < len(j.ModRevisions) && len(keys) < ops; k++ {
-			if j.DirtyChunks[k] == changed && (changed || j.ModRevisions[k] != 0) {
-				keys, chunks = append(keys, j.ChunkKey(k)), append(chunks, k)
+		for chunk := 1; chunk < len(j.ModRevisions) && len(keys) < maxOps; chunk++ {
+			if j.DirtyChunks[chunk] == changed && (changed || j.ModRevisions[chunk] != 0) {
+				keys, chunks = append(keys, j.ChunkKey(chunk)), append(chunks, chunk)
 			}
 		}
 	}
 	return keys, chunks
 }
 
-// SortedAssignments lists a job's tasks that are, or may be, on machines.
+// SortedAssignments returns the job's listed assignments sorted by task and machine.
 func (j *Job) SortedAssignments() []*Assignment {
-	l := make([]*Assignment, 0, len(j.ListedAssignments))
+	sorted := make([]*Assignment, 0, len(j.ListedAssignments))
 	for a := range j.ListedAssignments {
-		l = append(l, a)
+		sorted = append(sorted, a)
 	}
-	sort.Slice(l, func(i, k int) bool {
-		a, b := l[i], l[k]
+	sort.Slice(sorted, func(i, k int) bool {
+		a, b := sorted[i], sorted[k]
 		return a.Task.Index < b.Task.Index || a.Task.Index == b.Task.Index && a.MachineID < b.MachineID
 	})
-	return l
+	return sorted
 }
--- a/internal/state/jobregistry.go
+++ b/internal/state/jobregistry.go
@@ -6,43 +6,43 @@
 	"stairrelay/internal/cluster"
 )
 
-// JobRegistry is what this controller knows of all jobs.
+// JobRegistry holds the jobs of all shards that this controller knows.
 //
-// Every owned job is known. A final status once known never changes, and a known
-// job is never forgotten. A job is among another's dependents exactly once, and
-// only if its record names that one.
+// Every owned job is known. A final status never changes once it is known, and a known
+// job is never removed. A job is listed as a dependent of another job at most once, and
+// only if its record names that job as a dependency.
 type JobRegistry struct {
-	// Known are all jobs of which anything was heard, whoever owns their shards.
+	// Known holds all known jobs, whichever controller owns their shards.
 	Known map[cluster.JobID]*KnownJob
-	// Owned are the jobs of the owned shards, until no machine lists a task of them.
+	// Owned holds the jobs of the owned shards, each until no machine lists a task of it.
 	Owned map[cluster.JobID]*Job
-	// Dependents are the jobs whose records name a job as a dependency.
+	// Dependents maps a job to the jobs whose records name it as a dependency.
 	Dependents map[cluster.JobID][]cluster.JobID
-	// AppliedRevision is up to which revision of the state service the jobs' own
-	// records are known; 0: nothing was read yet.
+	// AppliedRevision is the store revision up to which the jobs' own records have been
+	// applied. It is 0 before the first read.
 	AppliedRevision cluster.Revision
 }
 
-// KnownJob is what is known of a job, whoever owns its shard.
+// KnownJob is a known job of any shard.
 type KnownJob struct {
 	ShardID         cluster.ShardID
-	FinalStatus     cluster.JobStatus // or "" while it is unfinished
-	FinalSince      cluster.Time      // since when this process has known its final status; DistantPast: since it began
-	FinalRecorded   bool              // its own record says so; else it follows from that of a dependency
+	FinalStatus     cluster.JobStatus // empty while unfinished
+	FinalSince      cluster.Time      // when this process learned the final status; DistantPast if from its first read
+	FinalRecorded   bool              // the job's own record contains the final status; otherwise it follows from a dependency's
 	Tasks           int
 	Team            string
 	ResourceRequest cluster.Resources // of a cancelled job
-	Spec            *cluster.JobSpec  // while it is unfinished, and its record was seen
+	Spec            *cluster.JobSpec  // nil if the job is finished or its record has not been read
 	Dependencies    []cluster.JobID
 
-	// EffectivePriority and EffectiveDeadline are the most urgent of its own and of
-	// those of all its dependents. The deadline is in milliseconds of the time of
-	// day; 0: there is none.
+	// EffectivePriority and EffectiveDeadline are the highest priority and the earliest
+	// deadline among the job and all its dependents. The deadline is a Unix time in
+	// milliseconds, or 0 if there is none.
 	EffectivePriority cluster.Priority
 	EffectiveDeadline float64
 }
 
-// NewJobRegistry makes a registry that knows no job.
+// NewJobRegistry returns an empty registry.
 func NewJobRegistry() JobRegistry {
 	return JobRegistry{
 		Known:      map[cluster.JobID]*KnownJob{},
@@ -51,7 +51,7 @@
 	}
 }
 
-// Register returns what is known of a job, and registers it when it is new.
+// Register returns the entry of a job. It adds the entry if the job is not known yet.
 func (r *JobRegistry) Register(id cluster.JobID, shard cluster.ShardID, team string, tasks int) *KnownJob {
 	known := r.Known[id]
 	if known == nil {
@@ -61,11 +61,12 @@
 	return known
 }
 
-// DistantPast is before any time that this process has seen.
+// DistantPast is earlier than any time that this process observes.
 const DistantPast = -cluster.Time(1) << 62
 
-// ObservedAt is since when a state that is learnt now counts as known. What the
-// first read shows was stored before this process began, perhaps long before.
+// KnownSince returns the time from which a status that is learned now counts as known. It
+// is DistantPast during the first read, whose results may have been stored long before
+// this process started.
 func (r *JobRegistry) KnownSince(now cluster.Time) cluster.Time {
 	if r.AppliedRevision == 0 {
 		return DistantPast
@@ -73,7 +74,7 @@
 	return now
 }
 
-// FinalJob returns what is known of a job in a final status, or nil.
+// FinalJob returns the entry of a job, or nil if it is not known to have a final status.
 func (r *JobRegistry) FinalJob(id cluster.JobID) *KnownJob {
 	if known := r.Known[id]; known != nil && known.FinalStatus != "" {
 		return known
@@ -81,18 +82,18 @@
 	return nil
 }
 
-// Owns tells whether a job is still the one that is served under its id: its shard may
-// have been lost, and acquired again, since the job was read.
+// Owns reports whether job is the current object of an owned job. It is not if its shard
+// was lost since the job was read, even if the shard has been acquired again.
 func (r *JobRegistry) Owns(job *Job) bool { return r.Owned[job.Spec.ID] == job }
 
-// AddDependent notes that a job depends on another.
+// AddDependent records that the job id depends on dependency.
 func (r *JobRegistry) AddDependent(dependency, id cluster.JobID) {
 	if !slices.Contains(r.Dependents[dependency], id) {
 		r.Dependents[dependency] = append(r.Dependents[dependency], id)
 	}
 }
 
-// UnmetDependencies tells which of a job's dependencies are not known to be done.
+// UnmetDependencies returns the dependencies of a job that are not known to be done.
 func (r *JobRegistry) UnmetDependencies(known *KnownJob) []cluster.JobID {
 	var unmet []cluster.JobID
 	for _, id := range known.Dependencies {
@@ -103,14 +104,14 @@
 	return unmet
 }
 
-// IsBlocked tells whether a job is known to wait for others.
+// IsBlocked reports whether a job is known, unfinished and has unmet dependencies.
 func (r *JobRegistry) IsBlocked(id cluster.JobID) bool {
 	known := r.Known[id]
 	return known != nil && known.FinalStatus == "" && len(r.UnmetDependencies(known)) > 0
 }
 
-// InheritUrgency takes over a priority and the time by which the job has to be done;
-// false: nothing is more urgent than before.
+// InheritUrgency raises the effective priority and advances the effective deadline to
+// the given values if they are more urgent. It reports whether either has changed.
 func (k *KnownJob) InheritUrgency(priority cluster.Priority, deadline float64) bool {
 	changed := false
 	if priority > k.EffectivePriority {
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -12,17 +12,17 @@
 type Machine struct {
 	ID          cluster.MachineID
 	ShardID     cluster.ShardID
-	Group       *MachineGroup // whose record lists it
+	Group       *MachineGroup // the group whose record lists the machine
 	Address     string
 	MachineType string
 	Zone        string
 	Spot        bool
 
-	OwnedSince        cluster.Time // when this controller began to own it
+	OwnedSince        cluster.Time // when this controller acquired the machine
 	Booting           bool
 	Assignments       map[cluster.TaskID]*Assignment
 	Usage             MachineUsage
-	RecordedTaskCount int // tasks in the stored record
+	RecordedTaskCount int // number of tasks in the stored record
 	IdleSince         cluster.Time
 
 	TokenState
@@ -33,19 +33,19 @@
 	PaceEstimate
 }
 
-// NewMachine makes the machine that a line of a group's record describes, owned
-// from now on under a token.
-func NewMachine(group *MachineGroup, line grouprecord.Machine, token cluster.FencingToken, now cluster.Time) *Machine {
+// NewMachine returns the machine described by an entry of a group's record, owned from
+// now on under the given fencing token.
+func NewMachine(group *MachineGroup, entry grouprecord.Machine, token cluster.FencingToken, now cluster.Time) *Machine {
 	return &Machine{
-		ID:          line.ID,
+		ID:          entry.ID,
 		ShardID:     group.ShardID,
 		Group:       group,
-		Address:     line.Address,
-		MachineType: line.Kind.Type,
-		Zone:        line.Kind.Zone,
-		Spot:        line.Kind.Spot,
+		Address:     entry.Address,
+		MachineType: entry.Kind.Type,
+		Zone:        entry.Kind.Zone,
+		Spot:        entry.Kind.Spot,
 		OwnedSince:  now,
-		Booting:     line.Booting,
+		Booting:     entry.Booting,
 		IdleSince:   now,
 		Assignments: map[cluster.TaskID]*Assignment{},
 		TokenState:  TokenState{Token: token, UnacknowledgedSince: now},
@@ -58,31 +58,31 @@
 	}
 }
 
-// TokenState is the fencing token of a machine, under which its worker takes
+// TokenState is the state of a machine's fencing token, which its worker requires of
 // commands.
 //
-// Nothing but stops is sent before the worker has acknowledged the token: under a
-// lower one, commands of an earlier owner may still arrive.
+// Only stops are sent until the worker has acknowledged the token, as it may still
+// receive commands of an earlier owner with a lower token.
 type TokenState struct {
 	Token                        cluster.FencingToken
-	TokenAcknowledged            bool                 // the worker's highest token is ours
-	UnacknowledgedSince          cluster.Time         // since when it is not
-	AwaitingFirstAcknowledgement bool                 // taken over with its shard, and not acknowledged since
-	InitialToken                 cluster.FencingToken // of a machine that only this claim has ever owned: its token; else 0
-	FencedOff                    bool                 // its worker has seen a higher token
+	TokenAcknowledged            bool                 // the highest token that the worker has seen is Token
+	UnacknowledgedSince          cluster.Time         // start of the time without acknowledgement
+	AwaitingFirstAcknowledgement bool                 // acquired with its shard and not acknowledged since
+	InitialToken                 cluster.FencingToken // Token of a machine that no other claim has owned; otherwise 0
+	FencedOff                    bool                 // the worker has seen a higher token
 	RaisingToken                 bool                 // a higher token is to be stored
 }
 
-// WorkerState is what a machine's worker has last said, and what it waits for.
+// WorkerState is the last reported state of a machine's worker and its open heartbeat.
 type WorkerState struct {
 	Incarnation    cluster.Incarnation
 	SequenceNumber cluster.SequenceNumber
 	LastHeartbeat  cluster.Time
 
-	PendingHeartbeat      messages.RequestID // that waits for its answer; 0: none
+	PendingHeartbeat      messages.RequestID // the heartbeat that awaits a reply; 0 if there is none
 	PendingSequenceNumber cluster.SequenceNumber
-	ReplyDeadline         cluster.Time // until when it is answered at the latest
-	HeartbeatHeld         bool         // among the heartbeats that wait for the next scan of all
+	ReplyDeadline         cluster.Time // latest time for the reply
+	HeartbeatHeld         bool         // the heartbeat awaits the next scan of held heartbeats
 
 	CachedImages []CachedImage // least recently used first
 }
@@ -93,55 +93,56 @@
 	SizeGB float64
 }
 
-// CommandState is what is to be sent to a worker, and the push that sends it.
+// CommandState holds the commands for a worker and the state of their push.
 type CommandState struct {
-	EndedToAcknowledge map[TaskAttempt]bool // ended, the record no longer lists it
-	UnrecordedToStop   map[TaskAttempt]bool // running without being recorded
-	StartInDoubt       bool                 // a pushed start may yet arrive
+	EndedToAcknowledge map[TaskAttempt]bool // ended attempts that the record no longer lists
+	UnrecordedToStop   map[TaskAttempt]bool // running attempts that the record does not list
+	StartInDoubt       bool                 // a pushed start with unknown outcome may still arrive
 
-	PushQueued   bool // its commands can't wait for its next heartbeat
+	PushQueued   bool // commands are to be pushed before the next heartbeat
 	PushInFlight bool
 	LastPushAt   cluster.Time
 }
 
-// StartLimits keep new tasks away from a machine.
+// StartLimits restricts the start of new tasks on a machine.
 type StartLimits struct {
-	NoStartsBefore   cluster.Time // after an error
+	NoStartsBefore   cluster.Time // set after a refused start
 	TaskErrors       int
-	FailedJobs       map[cluster.JobID]bool // whose tasks failed here
-	Cordoned         bool                   // gets nothing new: another shard needs it more
-	ScaleInCandidate bool                   // cordoned, but only because it costs more than others
+	FailedJobs       map[cluster.JobID]bool // jobs whose tasks failed on the machine
+	Cordoned         bool                   // gets no new tasks
+	ScaleInCandidate bool                   // cordoned only because it costs more than others
 }
 
-// RemovalState is how a machine leaves: preempted by the cloud, or released.
+// RemovalState tracks the preemption or release of a machine.
 type RemovalState struct {
 	Draining             bool
-	PreemptionDeadline   cluster.Time // when the cloud takes it
-	MissingFromCloudList bool         // not in the cloud's list when it was last read
-	Terminated           bool         // the cloud has taken it back; the record has to say so
-	Releasing            bool         // it is to be given back; the record has to say so
-	ReleaseConfirmed     bool         // the record says so, the cloud may be called
+	PreemptionDeadline   cluster.Time // when the cloud preempts the machine
+	MissingFromCloudList bool         // absent from the cloud's list when it was last read
+	Terminated           bool         // the cloud has terminated it, which is yet to be recorded
+	Releasing            bool         // to be returned to the cloud once that is recorded
+	ReleaseConfirmed     bool         // the release is recorded, so that the cloud may be called
 	ScaleInCallInFlight  bool
 }
 
-// PaceEstimate compares a machine's speed with others'.
+// PaceEstimate compares the run times on a machine with those on other machines.
 type PaceEstimate struct {
-	PaceSamples           int     // tasks whose run time was compared with their job's others
-	RelativePace          float64 // smoothed run time over theirs
-	ConsecutiveLateChecks int     // in a row that found a straggler
+	PaceSamples           int     // number of tasks compared with other tasks of their jobs
+	RelativePace          float64 // smoothed ratio of its run times to the average of the jobs; above 1 is slow
+	ConsecutiveLateChecks int     // consecutive checks that found a straggler
 }
 
-// Kind is what the machine has in common with others of its provisioning request.
+// Kind returns the machine's type and zone, and whether it is a spot machine.
 func (m *Machine) Kind() grouprecord.Kind {
 	return grouprecord.Kind{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot}
 }
 
-// TaskCount is how many tasks the machine's record lists.
+// TaskCount returns the number of tasks assigned to the machine.
 func (m *Machine) TaskCount() int { return len(m.Assignments) }
 
-// AddAssignment lists a task on the machine.
+// AddAssignment adds an assignment to the machine and to its job. It replaces an
+// assignment of the same task.
 func (m *Machine) AddAssignment(a *Assignment) {
-	if old := m.Assignments[a.Task]; old != nil { // the same task listed twice
+	if old := m.Assignments[a.Task]; old != nil { // the record lists the task twice
 		m.Usage.Remove(old)
 	}
 	m.Assignments[a.Task] = a
@@ -149,10 +150,10 @@
 	m.Usage.Add(a)
 }
 
-// RemoveAssignment takes a task off the machine after a stored record that no longer
-// lists it; false: it was off already. Before that record is stored the task must stay,
-// as it could be started elsewhere while an owner that takes the shard over still finds
-// it recorded here.
+// RemoveAssignment removes an assignment after a record without it has been stored. It
+// returns false if the machine does not have the assignment. Removing it earlier could
+// run the task twice: it might be started elsewhere while a new owner of the shard still
+// finds it recorded here.
 func (m *Machine) RemoveAssignment(a *Assignment, now cluster.Time) bool {
 	if m.Assignments[a.Task] != a {
 		return false
@@ -168,8 +169,9 @@
 	return true
 }
 
-// BeginTokenRaise notes that a higher token is to be stored with the machine's record;
-// false: one is already, or the machine is being released and needs none.
+// BeginTokenRaise records that a higher token is to be stored with the machine's record.
+// It returns false if that is already so, or if the machine is being released and needs
+// no new token.
 func (m *Machine) BeginTokenRaise() bool {
 	if m.RaisingToken || m.Releasing {
 		return false
@@ -178,28 +180,28 @@
 	return true
 }
 
-// MarkTokenRaised notes that a higher token is stored. Nothing but stops is sent until
-// the worker has acknowledged it: until then it would still execute commands of an
-// earlier owner.
+// MarkTokenRaised records that a higher token is stored. Only stops are sent until the
+// worker has acknowledged it, as it still executes commands of an earlier owner until
+// then.
 func (m *Machine) MarkTokenRaised(token cluster.FencingToken, now cluster.Time) {
 	m.RaisingToken = false
 	m.Token, m.TokenAcknowledged, m.UnacknowledgedSince = token, false, now
 }
 
-// SortedAssignments lists the machine's assignments by task.
+// SortedAssignments returns the machine's assignments sorted by task.
 func (m *Machine) SortedAssignments() []*Assignment {
-	l := make([]*Assignment, 0, len(m.Assignments))
+	sorted := make([]*Assignment, 0, len(m.Assignments))
 	for _, a := range m.Assignments {
-		l = append(l, a)
+		sorted = append(sorted, a)
 	}
-	sort.Slice(l, func(i, k int) bool {
-		a, b := l[i].Task, l[k].Task
+	sort.Slice(sorted, func(i, k int) bool {
+		a, b := sorted[i].Task, sorted[k].Task
 		return a.Job < b.Job || a.Job == b.Job && a.Index < b.Index
 	})
-	return l
+	return sorted
 }
 
-// HasRunningTask tells whether a heartbeat has shown a task that is still running.
+// HasRunningTask reports whether a heartbeat has shown a task that has not ended since.
 func (m *Machine) HasRunningTask() bool {
 	for _, a := range m.Assignments {
 		if a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent {
@@ -209,7 +211,8 @@
 	return false
 }
 
-// HasCheckpointableTask tells whether a task that can save is running on the machine.
+// HasCheckpointableTask reports whether the machine has a task that can write a
+// checkpoint.
 func (m *Machine) HasCheckpointableTask() bool {
 	for _, a := range m.Assignments {
 		if a.IsCheckpointable() {
@@ -219,66 +222,68 @@
 	return false
 }
 
-// HasUnclearedAttempt tells whether an earlier start of a task is still being cleared away.
-func (m *Machine) HasStaleAttempt(t cluster.TaskID) bool {
-	for s := range m.EndedToAcknowledge {
-		if s.Task == t {
+// HasStaleAttempt reports whether an earlier attempt of the task has yet to be
+// acknowledged or stopped.
+func (m *Machine) HasStaleAttempt(task cluster.TaskID) bool {
+	for attempt := range m.EndedToAcknowledge {
+		if attempt.Task == task {
 			return true
 		}
 	}
-	for s := range m.UnrecordedToStop {
-		if s.Task == t {
+	for attempt := range m.UnrecordedToStop {
+		if attempt.Task == task {
 			return true
 		}
 	}
 	return false
 }
 
-// ForgetCleared forgets the starts to be cleared away that a heartbeat shows no more.
+// PruneStaleAttempts removes the attempts to be acknowledged or stopped that a heartbeat
+// no longer shows.
 func (m *Machine) PruneStaleAttempts(present map[TaskAttempt]bool) {
-	for s := range m.EndedToAcknowledge {
-		if !present[s] {
-			delete(m.EndedToAcknowledge, s)
+	for attempt := range m.EndedToAcknowledge {
+		if !present[attempt] {
+			delete(m.EndedToAcknowledge, attempt)
 		}
 	}
-	for s := range m.UnrecordedToStop {
-		if !present[s] {
-			delete(m.UnrecordedToStop, s)
+	for attempt := range m.UnrecordedToStop {
+		if !present[attempt] {
+			delete(m.UnrecordedToStop, attempt)
 		}
 	}
 }
 
-// AddCachedImage records that the worker has fetched or used a job's image, in a
-// cache of so many GB.
-func (m *Machine) AddCachedImage(j *Job, cache float64) {
-	for i, im := range m.CachedImages {
-		if im.Name == j.Spec.Image {
-			m.CachedImages = append(append(m.CachedImages[:i:i], m.CachedImages[i+1:]...), im)
+// AddCachedImage records that the worker has fetched or used a job's image. It removes
+// the least recently used images that no longer fit into a cache of cacheGB.
+func (m *Machine) AddCachedImage(j *Job, cacheGB float64) {
+	for i, image := range m.CachedImages {
+		if image.Name == j.Spec.Image {
+			m.CachedImages = append(append(m.CachedImages[:i:i], m.CachedImages[i+1:]...), image)
 			return
 		}
 	}
 	m.CachedImages = append(m.CachedImages, CachedImage{j.Spec.Image, j.Spec.ImageGB})
-	sum := 0.0
-	for _, im := range m.CachedImages {
-		sum += im.SizeGB
+	totalGB := 0.0
+	for _, image := range m.CachedImages {
+		totalGB += image.SizeGB
 	}
-	for len(m.CachedImages) > 1 && sum > cache {
-		sum -= m.CachedImages[0].SizeGB
+	for len(m.CachedImages) > 1 && totalGB > cacheGB {
+		totalGB -= m.CachedImages[0].SizeGB
 		m.CachedImages = m.CachedImages[1:]
 	}
 }
 
-// HasCachedImage tells whether the worker has an image.
+// HasCachedImage reports whether the worker has the image in its cache.
 func (m *Machine) HasCachedImage(name string) bool {
-	for _, im := range m.CachedImages {
-		if im.Name == name {
+	for _, image := range m.CachedImages {
+		if image.Name == name {
 			return true
 		}
 	}
 	return false
 }
 
-// ResetSentStops notes that the stops sent may not have arrived.
+// ResetSentStops records that the stops that were sent may not have arrived.
 func (m *Machine) ResetSentStops() {
 	for _, a := range m.Assignments {
 		a.StopSentAt = 0
--- a/internal/state/ownedjobs.go
+++ b/internal/state/ownedjobs.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// AddOwnedJob adds a job to those of its owned shard, which are sorted by id.
+// AddOwnedJob adds a job to its shard, whose jobs stay sorted by ID.
 func (s *State) AddOwnedJob(job *Job) {
 	s.Jobs.Owned[job.Spec.ID] = job
 	shard := s.Shards[job.ShardID]
@@ -14,8 +14,8 @@
 	shard.QueueOrder = nil
 }
 
-// RemoveOwnedJob removes a job from its shard. The shard's lists are copied first,
-// as a caller may be iterating over the old ones.
+// RemoveOwnedJob removes a job from its shard. It replaces the shard's slices instead of
+// changing them, as a caller may be ranging over the old ones.
 func (s *State) RemoveOwnedJob(job *Job) {
 	delete(s.Jobs.Owned, job.Spec.ID)
 	shard := s.Shards[job.ShardID]
@@ -27,7 +27,7 @@
 	shard.QueueOrder = slices.DeleteFunc(slices.Clone(shard.QueueOrder), func(other *Job) bool { return other == job })
 }
 
-// OwnedJobs lists the jobs of all owned shards, by shard and id.
+// OwnedJobs returns the jobs of all owned shards, sorted by shard and ID.
 func (s *State) OwnedJobs() []*Job {
 	var jobs []*Job
 	for _, shard := range s.Shards {
--- a/internal/state/provisioning.go
+++ b/internal/state/provisioning.go
@@ -2,13 +2,14 @@
 
 import "stairrelay/internal/cluster"
 
-// IsProvisioningCurrent tells whether a provisioning request is still one of the
-// shard's: not when it is settled, or the shard was lost or loaded again meanwhile.
+// IsProvisioningCurrent reports whether request is still an open request of the shard. It
+// is not if it was settled, or if the shard was lost or loaded again in the meantime.
 func (s *Shard) IsProvisioningCurrent(request *ProvisioningRequest) bool {
 	return s.Owned && s.ProvisioningRequests[request.Name] == request
 }
 
-// UnansweredRequests counts the provisioning requests that the cloud has not answered.
+// UnansweredRequestCount returns the number of provisioning requests that the cloud has
+// not answered.
 func (p *ShardProvisioning) UnansweredRequestCount() int {
 	count := 0
 	for _, request := range p.ProvisioningRequests {
@@ -19,19 +20,20 @@
 	return count
 }
 
-// IsBackedOff tells whether an option is not to be requested yet, because the cloud had
-// not enough machines of it.
+// IsBackedOff reports whether an option must not be requested yet because the cloud was
+// out of capacity.
 func (p *ShardProvisioning) IsBackedOff(option ProvisioningOption, now cluster.Time) bool {
 	return now < p.OutOfCapacityUntil[option]
 }
 
-// MarkAnswered records that the cloud has answered the request with so many machines. An
+// MarkAnswered records that the cloud has granted the given number of machines. An
 // answered request is not repeated.
 func (r *ProvisioningRequest) MarkAnswered(granted int) {
 	r.Answered, r.GrantedCount = true, granted
 }
 
-// ExpectedMachines is how many machines are still to come from the request.
+// ExpectedMachineCount returns the number of machines granted or, while the request is
+// unanswered, the number requested.
 func (r *ProvisioningRequest) ExpectedMachineCount() int {
 	if r.Answered {
 		return r.GrantedCount
--- a/internal/state/recordedmachines.go
+++ b/internal/state/recordedmachines.go
@@ -5,11 +5,11 @@
 	"stairrelay/internal/grouprecord"
 )
 
-// RecordedMachines is what the records of provisioning requests and machine groups of
-// all shards list.
+// RecordedMachines summarizes the stored provisioning requests and machine groups of all
+// shards.
 type RecordedMachines struct {
-	// RequestedKinds are the kinds of the open provisioning requests.
+	// RequestedKinds holds the kinds of machines of the open provisioning requests.
 	RequestedKinds map[grouprecord.Kind]bool
-	// Listed are the machines that a group lists.
+	// Listed holds the machines that a group's record lists.
 	Listed map[cluster.MachineID]bool
 }
--- a/internal/state/removal.go
+++ b/internal/state/removal.go
@@ -1,15 +1,15 @@
 package state
 
-// BeginRelease records that the machine is to be given back to the cloud. Its record
-// has to say so before the cloud is called: otherwise another shard might take the
-// machine meanwhile.
+// BeginRelease records that the machine is to be returned to the cloud. That has to be
+// stored before the cloud is called; otherwise another shard might take over the machine
+// in the meantime.
 func (m *Machine) BeginRelease() { m.Releasing = true }
 
-// ConfirmRelease records that the cloud may be called to take the machine back.
+// ConfirmRelease records that the release is stored, so that the cloud may be called.
 func (m *Machine) ConfirmRelease() { m.ReleaseConfirmed = true }
 
-// AwaitsScaleInCall tells whether the cloud is to be called to take the machine back,
-// and is not being called already.
+// AwaitsScaleInCall reports whether the cloud has to be called to terminate the machine
+// and no such call is in flight.
 func (m *Machine) AwaitsScaleInCall() bool {
 	return m.ReleaseConfirmed && !m.ScaleInCallInFlight && !m.Terminated
 }
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -1,12 +1,11 @@
-// Package state holds what a controller knows in memory of the shards: their
-// machines, machine groups, jobs, assignments and provisioning requests, and the
-// sums kept over them. Its methods keep these consistent with each other; it
-// decides nothing, sends nothing and has no clock.
+// Package state holds what a controller knows of the shards: their machines, machine
+// groups, jobs, assignments and provisioning requests, and the resource usage derived
+// from them. Its methods keep these consistent with each other. The package makes no
+// scheduling decisions, performs no I/O and has no clock.
 //
-// Invariants: an assignment is listed by its machine and by its job, or by neither;
-// a task is assigned at most once in its job's view, however many machines list it;
-// usage sums are those of the live assignments; a final status once known never
-// changes.
+// Invariants: an assignment is listed by both its machine and its job, or by neither; a
+// job assigns a task to at most one machine, even if several machines list it; usage is
+// the sum over the live assignments; a final status never changes once it is known.
 package state
 
 import (
@@ -15,8 +14,8 @@
 	"stairrelay/internal/messages"
 )
 
-// Shard is a set of teams with their jobs, and some machines, with one owner at a
-// time. What it holds is known only while this controller owns it.
+// Shard is a partition of the cluster: a set of teams with their jobs, and some machines.
+// It has one owner at a time. Its contents are known only while this controller owns it.
 type Shard struct {
 	ShardOwnership
 	AttemptNumbers
@@ -25,7 +24,7 @@
 	ShardProvisioning
 }
 
-// NewShard makes a shard of which nothing is known.
+// NewShard returns a shard without a known owner or contents.
 func NewShard(id cluster.ShardID, preferredOwner cluster.NodeID) *Shard {
 	return &Shard{
 		ShardOwnership:    ShardOwnership{ID: id, PreferredOwner: preferredOwner},
@@ -34,70 +33,71 @@
 	}
 }
 
-// AttemptNumbers number the starts of a shard's tasks.
+// AttemptNumbers holds the state from which the attempts of a shard's tasks are numbered.
 type AttemptNumbers struct {
-	AttemptCount uint64 // starts numbered under attemptBase
-	// AttemptBase is a store change of this owner's that no other numbers starts by:
-	// its claim, or a later one once the claim's numbers are used up.
+	AttemptCount uint64 // attempts numbered under AttemptBase
+	// AttemptBase is a store revision that is the base of no other attempts: the
+	// revision of the owner's claim or, once the counts of the claim are used up, of a
+	// later transaction of the same owner.
 	AttemptBase        cluster.Revision
-	LastStoredRevision cluster.Revision // change of the last transaction of the shard under the claim
-	PlannedStarts      uint64           // starts numbered since the claim
-	StoredTransactions uint64           // transactions of the shard that were stored
+	LastStoredRevision cluster.Revision // of the last transaction of the shard under the claim
+	PlannedStarts      uint64           // number of attempts numbered; never reset
+	StoredTransactions uint64           // number of transactions of the shard that were stored; never reset
 }
 
-// ShardInventory is an owned shard's machines.
+// ShardInventory holds the machines of an owned shard.
 type ShardInventory struct {
-	Machines             []*Machine // by id
-	Usage                TeamUsage  // of their tasks
-	PendingRegistrations []grouprecord.Machine
-	QuarantinedGroups    map[string]cluster.ModRevision // group records that make no sense, being repaired
+	Machines             []*Machine                     // sorted by ID
+	Usage                TeamUsage                      // of the tasks on the machines
+	PendingRegistrations []grouprecord.Machine          // machines that the next batch adds to the records
+	QuarantinedGroups    map[string]cluster.ModRevision // malformed group records under repair, by key
 
-	AwaitingFirstAcknowledgementCount int          // machines taken over that have not acknowledged this claim's token
-	LastAcknowledgedAt                cluster.Time // when the last one did
+	AwaitingFirstAcknowledgementCount int          // machines acquired with the shard that have not acknowledged the token of this claim
+	LastAcknowledgedAt                cluster.Time // when one of them last acknowledged it; initially when the shard was loaded
 }
 
-// ShardJobs is an owned shard's jobs and their order.
+// ShardJobs holds the jobs of an owned shard and their queue.
 type ShardJobs struct {
-	Jobs               []*Job        // by id
-	DeferredJobRecords []messages.KV // jobs heard of while the shard was being loaded
-	QueueOrder         []*Job        // as they are served, as of queueOrderAt; nil: to be worked out
+	Jobs               []*Job        // sorted by ID
+	DeferredJobRecords []messages.KV // job records seen while the shard was loading, to be applied afterwards
+	QueueOrder         []*Job        // in scheduling order, as of QueueOrderAt; nil if it has to be recomputed
 	QueueOrderAt       cluster.Time
-	GuaranteedJobs     map[*Job]bool // those within their team's guaranteed quota, as of then
-	NextPreemptionAt   cluster.Time
-	NextOfferAt        cluster.Time // of idle machines to other shards
-	AvoidSpot          bool         // a job of it would lose much on spot machines
+	GuaranteedJobs     map[*Job]bool // jobs within their team's guaranteed quota, as of QueueOrderAt
+	NextPreemptionAt   cluster.Time  // earliest time of the next preemption
+	NextOfferAt        cluster.Time  // earliest time to offer idle machines to other shards
+	AvoidSpot          bool          // a job of the shard would lose much work on spot machines
 }
 
-// ShardProvisioning is what an owned shard asks the cloud for.
+// ShardProvisioning tracks the machines that an owned shard requests from the cloud.
 type ShardProvisioning struct {
 	ProvisioningRequests map[string]*ProvisioningRequest
 	OutOfCapacityUntil   map[ProvisioningOption]cluster.Time
-	OutOfCapacityCount   map[ProvisioningOption]int // in a row
+	OutOfCapacityCount   map[ProvisioningOption]int // consecutive refusals for lack of capacity
 	LastScaleOutAt       cluster.Time
 }
 
-// ProvisioningOption is something that the cloud may have.
+// ProvisioningOption is a kind of machine that can be requested from the cloud.
 type ProvisioningOption struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// ProvisioningRequest is a recorded request; it is repeated under its name until its
-// answer is known.
+// ProvisioningRequest is a recorded request for machines. It is repeated under its name
+// until its answer is known.
 type ProvisioningRequest struct {
 	Name          string
 	Option        ProvisioningOption
 	Count         int
 	ModRevision   cluster.ModRevision
 	Answered      bool
-	GrantedCount  int // machines of an answer that is not recorded yet
+	GrantedCount  int // machines granted by an answer that is not recorded yet
 	Attempts      int
-	GroupID       string // that its machines go into, when this claim has made it
-	CreateInDoubt bool   // a late copy of its creation may yet be carried out
+	GroupID       string // group that its machines join, if the request was made under this claim
+	CreateInDoubt bool   // a write that creates its record may still be applied
 }
 
-// NextAttempt numbers a start. A number is never given twice: an attempt that a
-// worker still remembers would not be started again.
+// NextAttempt returns a new attempt number. Numbers are never reused: a worker that
+// remembers an attempt would not start it again.
 func (s *Shard) NextAttempt() cluster.Attempt {
 	if s.AttemptCount == cluster.MaxAttemptCount && s.LastStoredRevision > s.AttemptBase {
 		s.AttemptBase, s.AttemptCount = s.LastStoredRevision, 0
--- a/internal/state/shardownership.go
+++ b/internal/state/shardownership.go
@@ -7,56 +7,55 @@
 )
 
 const (
-	// ownerChangeWindow is how long a change of owners lengthens the back-off.
+	// ownerChangeWindow is the time during which an owner change lengthens the backoff.
 	ownerChangeWindow = 60 * cluster.Second
-	// backoffBase is doubled for each recent change of owners, maxBackoffDoublings
-	// times at most, up to maxBackoff.
+	// backoffBase is doubled for each recent owner change, at most maxBackoffDoublings
+	// times and up to maxBackoff.
 	backoffBase         = cluster.Second
 	maxBackoffDoublings = 5
 	maxBackoff          = 30 * cluster.Second
-	// firstCorruptPause is how long a shard is not acquired again after its records
-	// were found corrupt once. Each time doubles it, maxCorruptDoublings times at
-	// most, up to maxCorruptPause.
+	// firstCorruptPause is the pause before a shard is acquired again after its records
+	// were found corrupt. It doubles each time, at most maxCorruptDoublings times and up
+	// to maxCorruptPause.
 	firstCorruptPause   = 2 * cluster.Second
 	maxCorruptDoublings = 4
 	maxCorruptPause     = 20 * cluster.Second
 )
 
-// ShardOwnership is who owns a shard, as far as this controller knows. Package
-// ownership decides on it.
+// ShardOwnership is this controller's view of the ownership of a shard. Decisions on
+// ownership are made in package ownership.
 type ShardOwnership struct {
 	ID             cluster.ShardID
 	PreferredOwner cluster.NodeID
 	Owner          cluster.NodeID
 	Term           cluster.Term
-	ModRevision    cluster.ModRevision // of the claim record as last seen; this controller's while owned
-	RecordRead     bool                // from the store, at least once
+	ModRevision    cluster.ModRevision // of the claim record as last seen
+	RecordRead     bool                // the claim record was read from the store at least once
 
 	Owned         bool // by this controller
 	Ready         bool // owned, and its records have been read
 	Acquiring     bool
 	ClaimRevision cluster.Revision
-	ConfirmedAt   cluster.Time // when the last exchange with the store began that showed the claim in force
+	ConfirmedAt   cluster.Time // start of the last store request that showed the claim to be in force
 
-	CorruptRecordCount int          // how often its records made no sense
-	AcquireNotBefore   cluster.Time // not acquired again before
-	FailbackOffered    bool         // its owner is willing to hand it back to us
+	CorruptRecordCount int          // how often its records were found corrupt
+	AcquireNotBefore   cluster.Time // earliest time to acquire it again
+	FailbackOffered    bool         // its owner offers to hand it back to this controller
 	OwnershipChangedAt cluster.Time
-	OwnerChanges       []cluster.Time // when it changed owners, the last minute's
+	OwnerChanges       []cluster.Time // times of the owner changes within ownerChangeWindow
 }
 
-// Key is where the claim record of the shard is stored.
+// Key returns the key of the shard's claim record.
 func (s *ShardOwnership) Key() string { return "parts/" + strconv.Itoa(int(s.ID)) }
 
-// IsOwnedUnder tells whether the shard is still owned under a claim. Whatever
-// waits for a reply asks this first: the shard may have been lost and acquired
-// again meanwhile, and what it knew of the shard is then another owner's.
+// IsOwnedUnder reports whether the shard is still owned under a claim. A handler of an
+// asynchronous reply must check it first: the shard may have been lost and acquired again
+// since the request, and what the reply refers to may belong to an earlier claim.
 func (s *ShardOwnership) IsOwnedUnder(claim cluster.Revision) bool {
 	return s.Owned && s.ClaimRevision == claim
 }
 
-// RecordOwner takes in a later claim record of another controller, or of an
-// earlier process of this one.
+// RecordOwner records the owner, term and mod revision of a newer claim record.
 func (s *ShardOwnership) RecordOwner(owner cluster.NodeID, term cluster.Term, modRevision cluster.ModRevision, now cluster.Time) {
 	s.Owner, s.Term, s.ModRevision = owner, term, modRevision
 	s.FailbackOffered = false
@@ -75,10 +74,9 @@
 	s.OwnerChanges = append(recent, now)
 }
 
-// IsBackoffOver tells whether the shard may be acquired from another owner again.
-// Nodes that each believe the other to have failed would otherwise acquire a shard
-// from one another several times a second. Every change of owners within a minute
-// doubles the pause before the next.
+// IsBackoffOver reports whether the shard may be acquired from another owner again. Each
+// recent owner change doubles the backoff. Without it, nodes that believe each other to
+// have failed would acquire the shard from one another several times a second.
 func (s *ShardOwnership) IsBackoffOver(now cluster.Time) bool {
 	recentChanges := 0
 	for _, changedAt := range s.OwnerChanges {
@@ -93,18 +91,18 @@
 	return now-s.OwnershipChangedAt > backoff
 }
 
-// PostponeAcquire keeps the shard from being acquired again for a while after its
-// records were found corrupt. The pauses grow with each time, but are bounded, so
-// that no job of the shard goes unanswered for long.
+// PostponeAcquisition delays the next acquisition of the shard after its records were
+// found corrupt. The delay grows each time but is bounded, so that the shard's jobs are
+// not without an owner for long.
 func (s *ShardOwnership) PostponeAcquisition(now cluster.Time) {
 	pause := firstCorruptPause << min(s.CorruptRecordCount, maxCorruptDoublings)
 	s.AcquireNotBefore = now + min(pause, maxCorruptPause)
 	s.CorruptRecordCount++
 }
 
-// BeginOwnership records that this controller has acquired the shard. Nothing that
-// it knew of the shard under an earlier claim is taken over: its records are read
-// anew. Starts of tasks are numbered from the claim on.
+// BeginOwnership records that this controller has acquired the shard. Nothing known
+// under an earlier claim is kept, as the shard's records are read again. Attempts are
+// numbered from the claim on.
 func (s *Shard) BeginOwnership(self cluster.NodeID, term cluster.Term, claim cluster.Revision, now cluster.Time) {
 	s.Owned, s.Ready = true, false
 	s.ClaimRevision = claim
@@ -115,8 +113,8 @@
 	s.OutOfCapacityCount = map[ProvisioningOption]int{}
 }
 
-// EndOwnership records that this controller does not own the shard any more. Its
-// machines and jobs are dropped by those who keep them.
+// EndOwnership records that this controller no longer owns the shard. It does not remove
+// the shard's machines and jobs.
 func (s *Shard) EndOwnership(now cluster.Time) {
 	s.Owned, s.Ready = false, false
 	s.OwnershipChangedAt = now
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -10,23 +10,23 @@
 	"stairrelay/internal/writequeue"
 )
 
-// State is all that a controller knows of the shards.
+// State is what a controller knows of all shards.
 type State struct {
-	// Shards are all shards, by number.
+	// Shards holds all shards, indexed by their ID.
 	Shards []*Shard
-	// Machines and Groups are those of the owned shards.
+	// Machines and Groups hold those of the owned shards.
 	Machines map[cluster.MachineID]*Machine
 	Groups   map[string]*MachineGroup
-	// Jobs are those of all shards, as far as they are known.
+	// Jobs holds the known jobs of all shards.
 	Jobs JobRegistry
-	// Teams are those of the settings, with the shards that serve them.
+	// Teams holds the configured teams and the shards that serve them.
 	Teams map[string]*Team
-	// MachineTypes are those of the cloud, as last heard.
+	// MachineTypes holds the machine types that the cloud last reported.
 	MachineTypes map[string]cluster.MachineType
 }
 
-// New makes the state of a cluster of which nothing is known but its nodes and
-// teams. The node of a number is the preferred owner of the shard of that number.
+// New returns the state of a cluster of which only the nodes and teams are known. Each
+// node is the preferred owner of the shard with the same index.
 func New(nodes []cluster.NodeID, teams []cluster.Team) *State {
 	s := &State{
 		Machines:     map[cluster.MachineID]*Machine{},
@@ -45,7 +45,7 @@
 	return s
 }
 
-// SortedGroups lists the groups of the owned shards by id.
+// SortedGroups returns the groups of the owned shards sorted by ID.
 func (s *State) SortedGroups() []*MachineGroup {
 	groups := make([]*MachineGroup, 0, len(s.Groups))
 	for _, group := range s.Groups {
@@ -68,11 +68,11 @@
 	return g
 }
 
-// AddMachine adds the machine that a line of a group's record describes, owned from now
-// on under a token. It replaces an earlier entry for the same machine, whose
-// assignments it keeps.
-func (s *State) AddMachine(g *MachineGroup, line grouprecord.Machine, token cluster.FencingToken, now cluster.Time) *Machine {
-	m := NewMachine(g, line, token, now)
+// AddMachine adds the machine described by an entry of a group's record, owned from now
+// on under the given fencing token. It replaces an existing machine with the same ID and
+// keeps its assignments.
+func (s *State) AddMachine(g *MachineGroup, entry grouprecord.Machine, token cluster.FencingToken, now cluster.Time) *Machine {
+	m := NewMachine(g, entry, token, now)
 	if old := s.Machines[m.ID]; old != nil {
 		s.RemoveMachine(old)
 		m.Assignments = old.Assignments
@@ -89,8 +89,8 @@
 	return m
 }
 
-// RemoveMachine takes a machine out of its group and its shard. Its assignments stay
-// with it; they are not counted in any usage any more.
+// RemoveMachine removes a machine from its group and its shard. The machine keeps its
+// assignments, but they no longer count in any usage.
 func (s *State) RemoveMachine(m *Machine) {
 	if s.Machines[m.ID] == m {
 		delete(s.Machines, m.ID)
--- a/internal/state/team.go
+++ b/internal/state/team.go
@@ -13,8 +13,8 @@
 	ShardID cluster.ShardID
 }
 
-// AssignTeamsToShards spreads the teams over the shards by guaranteed quota, largest
-// first. It depends on the settings alone, so that every node finds the same.
+// AssignTeamsToShards distributes the teams over the shards by guaranteed quota, largest
+// first. The result depends only on the settings, so that all nodes compute the same one.
 func AssignTeamsToShards(teams []cluster.Team, shards int) map[string]cluster.ShardID {
 	sorted := slices.Clone(teams)
 	sort.SliceStable(sorted, func(i, j int) bool {
@@ -39,7 +39,8 @@
 	return shardOf
 }
 
-// quotaWeight compares guaranteed quotas: a GPU counts like eight processors.
+// quotaWeight returns a number by which guaranteed quotas are compared. A GPU counts as
+// much as eight CPUs.
 func quotaWeight(t cluster.Team) cluster.Amount {
 	return t.GuaranteedQuota.CPU + t.GuaranteedQuota.GPU*8
 }
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -2,40 +2,38 @@
 
 import "stairrelay/internal/cluster"
 
-// The transitions of assignments and machines that follow what a worker was sent and
-// has shown. Recorded, ended and proven absent are beside the records and the sums that
-// depend on them: MarkRecorded, MarkEnded, MarkConfirmedAbsent.
+// The methods below record what was sent to a worker and what its heartbeats show. See
+// also MarkRecorded, MarkEnded and MarkConfirmedAbsent.
 
-// DispatchWithAnswer records that the start goes with the answer to the heartbeat of
-// a sequence number. Only a later heartbeat was made after that answer arrived: an
-// earlier one that is delivered late does not show that the start was lost.
+// MarkDispatchedInReply records that the start is sent in the reply to the heartbeat with
+// the given sequence number. Only a later heartbeat without the task shows that the start
+// was lost: the worker sends it after the reply has arrived or was given up.
 func (a *Assignment) MarkDispatchedInReply(sequence cluster.SequenceNumber) {
 	a.Phase = PhaseDispatched
 	a.Pushed = false
 	a.DispatchedAtSequence = sequence
 }
 
-// DispatchWithPush records that the start is pushed. Until the push is answered it
-// may still arrive, whatever heartbeats show.
+// MarkDispatchedByPush records that the start is pushed. It may still arrive until the
+// push is answered, whatever heartbeats show.
 func (a *Assignment) MarkDispatchedByPush() {
 	a.Phase = PhaseDispatched
 	a.Pushed = true
 }
 
-// Redispatch records that a dispatched start did not arrive and never will, so that
-// it may be sent again. To call this while the start may still arrive would run the
-// task twice.
+// MarkStartLost records that a dispatched start did not arrive and never will, so that it
+// may be sent again. Calling it while the start may still arrive would run the task twice.
 func (a *Assignment) MarkStartLost() { a.Phase = PhaseReady }
 
-// Acknowledge records that a heartbeat has shown the task in a state.
+// Acknowledge records that a heartbeat has shown the task in the given state.
 func (a *Assignment) Acknowledge(shown cluster.TaskState) {
 	a.StartUnobserved = a.StartUnobserved || a.Phase == PhaseUnverified
 	a.Phase = PhaseAcknowledged
 	a.State = shown
 }
 
-// RecordRunning records that a heartbeat has shown the task running; true: it was the
-// first to do so.
+// RecordRunning records that a heartbeat has shown the task running. It reports whether
+// that heartbeat was the first to do so.
 func (a *Assignment) RecordRunning(now cluster.Time) bool {
 	if a.RunningSince != 0 {
 		return false
@@ -48,27 +46,26 @@
 	return true
 }
 
-// RequestStop records that the task is to be stopped, after a grace in seconds for a
-// task checkpoint. The time of the first request is kept when the stop is requested
-// anew: it tells how long the worker has ignored it.
-func (a *Assignment) RequestStop(grace float64, now cluster.Time) {
-	a.StopRequested, a.GraceSeconds = true, grace
+// RequestStop records that the task is to be stopped after a grace period for a
+// checkpoint. A repeated request keeps the time of the first one, from which the time
+// that the worker has ignored the stop is measured.
+func (a *Assignment) RequestStop(graceSeconds float64, now cluster.Time) {
+	a.StopRequested, a.GraceSeconds = true, graceSeconds
 	if a.StopRequestedAt == 0 {
 		a.StopRequestedAt = now
 	}
 }
 
-// MarkStopSent records when the stop was first sent. The worker's grace counts from
-// then.
+// MarkStopSent records when the stop was first sent. The grace period begins then.
 func (a *Assignment) MarkStopSent(now cluster.Time) {
 	if a.StopSentAt == 0 {
 		a.StopSentAt = now
 	}
 }
 
-// AwaitFirstAcknowledgements records that none of the shard's machines has
-// acknowledged the fencing token of a new claim, and returns how many have to:
-// one that is still booting has had no other token.
+// AwaitFirstAcknowledgements marks the shard's machines as not having acknowledged the
+// fencing token of a new claim, and returns their number. Machines that are booting are
+// excluded, as they have had no other token.
 func (s *Shard) AwaitFirstAcknowledgements(now cluster.Time) int {
 	s.AwaitingFirstAcknowledgementCount, s.LastAcknowledgedAt = 0, now
 	for _, machine := range s.Machines {
@@ -80,31 +77,31 @@
 	return s.AwaitingFirstAcknowledgementCount
 }
 
-// RecordFirstAcknowledgement records that a machine taken over with the shard has
-// acknowledged this owner's token.
+// RecordFirstAcknowledgement records that a machine acquired with the shard has
+// acknowledged the token of this claim.
 func (s *Shard) RecordFirstAcknowledgement(m *Machine, now cluster.Time) {
 	m.AwaitingFirstAcknowledgement = false
 	s.AwaitingFirstAcknowledgementCount--
 	s.LastAcknowledgedAt = now
 }
 
-// MarkBooted records a machine's first heartbeat. It has not been idle while it booted.
+// MarkBooted records a machine's first heartbeat. Its idle time begins then.
 func (m *Machine) MarkBooted(now cluster.Time) {
 	m.Booting = false
 	m.IdleSince = now
 }
 
-// BeginPush records that commands are being pushed to the machine. While they are, no
-// others are pushed: they might overtake the first.
+// BeginPush records that commands are being pushed to the machine. No other push may
+// begin until EndPush, as it might overtake this one.
 func (m *Machine) BeginPush(now cluster.Time) {
 	m.PushInFlight = true
 	m.LastPushAt = now
 }
 
-// EndPush records that the outcome of the push is there.
+// EndPush records that the outcome of the push is known.
 func (m *Machine) EndPush() { m.PushInFlight = false }
 
 // MarkStartInDoubt records that the outcome of pushed starts is unknown. They may arrive
-// minutes late, when the tasks run elsewhere. Only a higher token ends that, once it is
-// acknowledged; until then nothing more is started here and no end is acknowledged.
+// minutes late, when the tasks already run elsewhere. Until the worker has acknowledged a
+// higher token, nothing else is started on the machine and no end is acknowledged.
 func (m *Machine) MarkStartInDoubt() { m.StartInDoubt = true }
--- a/internal/state/transitions_test.go
+++ b/internal/state/transitions_test.go
@@ -6,8 +6,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestRequestStopKeepsFirstTime: a stop that is requested anew, with less grace, leaves the
-// time of the first request: how long the worker has ignored it counts from then.
+// TestRequestStopKeepsFirstTime checks that a repeated request with a shorter grace period
+// keeps the times of the first one, from which an ignored stop is detected.
 func TestRequestStopKeepsFirstTime(t *testing.T) {
 	var a Assignment
 	a.RequestStop(30, 5*cluster.Second)
@@ -15,12 +15,12 @@
 	a.RequestStop(0, 9*cluster.Second)
 	a.MarkStopSent(10 * cluster.Second)
 	if a.StopRequestedAt != 5*cluster.Second || a.StopSentAt != 6*cluster.Second || a.GraceSeconds != 0 {
-		t.Errorf("requested at %d, sent at %d, grace %g s; want the first times and no grace", a.StopRequestedAt, a.StopSentAt, a.GraceSeconds)
+		t.Errorf("requested at %d, sent at %d, grace period %g s; want the first times and no grace period", a.StopRequestedAt, a.StopSentAt, a.GraceSeconds)
 	}
 }
 
-// TestAcknowledgeUnverified: a task that an earlier owner started counts as one whose start
-// was not observed, also after a heartbeat has shown it.
+// TestAcknowledgeUnverified checks that a task started by an earlier owner is still marked
+// as such after a heartbeat has shown it.
 func TestAcknowledgeUnverified(t *testing.T) {
 	for phase, unobserved := range map[AssignmentPhase]bool{PhaseUnverified: true, PhaseDispatched: false} {
 		a := Assignment{Phase: phase}
@@ -32,15 +32,15 @@
 	}
 }
 
-// TestRecordRunning: the first heartbeat that shows a task running sets the times of its
-// job's runs; later ones change nothing.
+// TestRecordRunning checks that only the first heartbeat that shows a task running sets
+// the run times of its job.
 func TestRecordRunning(t *testing.T) {
 	job := NewJob(cluster.JobSpec{ID: "j-1", Tasks: 2}, 0, 0, 0)
 	first, second := &Assignment{Job: job}, &Assignment{Job: job}
 	if !first.RecordRunning(3) || first.RecordRunning(4) || !second.RecordRunning(5) {
-		t.Error("the first heartbeat that shows a task running is not told from later ones")
+		t.Error("RecordRunning does not return true for the first call only")
 	}
 	if first.RunningSince != 3 || job.FirstRunAt != 3 || job.LastRunAt != 5 {
-		t.Errorf("running since %d, the job's first at %d, its last at %d; want 3, 3, 5", first.RunningSince, job.FirstRunAt, job.LastRunAt)
+		t.Errorf("running since %d, first run of the job at %d, last at %d; want 3, 3, 5", first.RunningSince, job.FirstRunAt, job.LastRunAt)
 	}
 }
--- a/internal/state/usage.go
+++ b/internal/state/usage.go
@@ -6,27 +6,26 @@
 	"stairrelay/internal/cluster"
 )
 
-// Sums of what tasks take, kept up to date as tasks come and go: scheduling asks for
-// them many times a second, and there may be thousands of tasks.
+// Usage is updated whenever a task starts or stops being live, because scheduling reads
+// it many times a second and there may be thousands of tasks.
 //
-// A task counts while it is live on an owned machine: from when it is listed there
-// until a heartbeat shows that it has ended or is absent.
+// A task counts while it is live on an owned machine: from when it is listed there until
+// a heartbeat shows that it has ended or is absent.
 
-// TeamUsage sums what each team's live tasks take on the machines of a shard.
+// TeamUsage is the resources used by each team's live tasks on the machines of a shard.
 type TeamUsage map[string]cluster.Resources
 
-// UsageByTeam returns what each team's live tasks take on the machines of the shard. The
-// caller may change it.
+// UsageByTeam returns a copy of the resource usage of each team on the shard's machines.
 func (i *ShardInventory) UsageByTeam() TeamUsage { return maps.Clone(i.Usage) }
 
-// MachineUsage sums what the live tasks of a machine take.
+// MachineUsage is the number and the resource usage of a machine's live tasks.
 type MachineUsage struct {
 	TaskCount int
 	Resources cluster.Resources
-	ByTeam    TeamUsage // of the machine's shard
+	ByTeam    TeamUsage // shared by all machines of the shard
 }
 
-// Add takes in a task that has become live.
+// Add counts a task if it is live and not counted yet.
 func (u *MachineUsage) Add(a *Assignment) {
 	if a.CountedInUsage || !a.IsLive() {
 		return
@@ -37,7 +36,7 @@
 	u.ByTeam[a.Job.Spec.Team] = u.ByTeam[a.Job.Spec.Team].Plus(a.ResourceRequest)
 }
 
-// Remove leaves out a task that is not live any more, or whose machine goes.
+// Remove stops counting a task that is no longer live or whose machine is removed.
 func (u *MachineUsage) Remove(a *Assignment) {
 	if !a.CountedInUsage {
 		return
@@ -48,20 +47,20 @@
 	u.ByTeam[a.Job.Spec.Team] = u.ByTeam[a.Job.Spec.Team].Minus(a.ResourceRequest)
 }
 
-// MarkConfirmedAbsent notes that a task is proven not to be on the machine.
+// MarkConfirmedAbsent records that a task is proven not to be on the machine.
 func (m *Machine) MarkConfirmedAbsent(a *Assignment) {
 	a.ConfirmedAbsent = true
 	m.Usage.Remove(a)
 }
 
-// MarkEnded notes that a task has ended on the machine.
+// MarkEnded records that a task has ended on the machine.
 func (m *Machine) MarkEnded(a *Assignment, cause cluster.Cause) {
 	a.Phase, a.Cause = PhaseEnded, cause
 	m.Usage.Remove(a)
 }
 
-// UsedResources is what the machine's live tasks take.
+// UsedResources returns the resources used by the machine's live tasks.
 func (m *Machine) UsedResources() cluster.Resources { return m.Usage.Resources }
 
-// LiveTaskCount counts them.
+// LiveTaskCount returns the number of the machine's live tasks.
 func (m *Machine) LiveTaskCount() int { return m.Usage.TaskCount }
