--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -33,7 +33,7 @@
 
 // WithdrawUnsentStarts implements jobs.TaskStopper.
 func (t jobTasks) WithdrawUnsentStarts(job *state.Job) {
-	t.controller.reconciler.Stops.WithdrawUnsent(job)
+	t.controller.reconciler.Stops.WithdrawUnsentStarts(job)
 }
 
 // StopAll implements jobs.TaskStopper.
--- a/internal/reconcile/stops.go
+++ b/internal/reconcile/stops.go
@@ -37,7 +37,7 @@
 }
 
 // WithdrawUnsent withdraws the starts of a job that were not sent.
-func (s *Stops) WithdrawUnsent(job *state.Job) {
+func (s *Stops) WithdrawUnsentStarts(job *state.Job) {
 	for _, assignment := range job.SortedAssignments() {
 		if machine := s.state.Machines[assignment.MachineID]; machine != nil && assignment.Phase == state.PhaseReady {
 			s.reconciler.ConfirmAbsent(machine, assignment)
