--- a/internal/reconcile/absence.go
+++ b/internal/reconcile/absence.go
@@ -20,8 +20,8 @@
 // It may be called only when the worker has acknowledged our token: else the status
 // may be minutes old, or a start that an earlier owner sent may still be carried out
 // after it.
-func (r *Reconciler) applyAbsent(machine *state.Machine, present map[state.TaskAttempt]bool, evidence absenceEvidence) bool {
-	lostInAnswer := false
+func (r *Reconciler) applyMissingTasks(machine *state.Machine, present map[state.TaskAttempt]bool, evidence absenceEvidence) bool {
+	startLostInResponse := false
 	for _, assignment := range machine.SortedAssignments() {
 		if present[assignment.TaskAttempt()] || assignment.ConfirmedAbsent {
 			continue
@@ -34,15 +34,15 @@
 			if !evidence.provesStartLost(machine, assignment) {
 				continue
 			}
-			lostInAnswer = lostInAnswer || !assignment.Pushed
-			r.withdrawDispatched(machine, assignment)
+			startLostInResponse = startLostInResponse || !assignment.Pushed
+			r.requeueLostStart(machine, assignment)
 		case state.PhaseEnded:
 			if assignment.Cause != cluster.CauseCompleted || assignment.IsOutcomeStored() {
 				r.ConfirmAbsent(machine, assignment)
 			}
 		}
 	}
-	return lostInAnswer
+	return startLostInResponse
 }
 
 // provesStartLost tells whether a dispatched start that the status does not show was
@@ -63,7 +63,7 @@
 
 // withdrawDispatched makes a dispatched start that was lost ready to be sent again,
 // or drops it if its job has ended meanwhile.
-func (r *Reconciler) withdrawDispatched(machine *state.Machine, assignment *state.Assignment) {
+func (r *Reconciler) requeueLostStart(machine *state.Machine, assignment *state.Assignment) {
 	assignment.Redispatch()
 	if !assignment.Job.IsActive() {
 		r.ConfirmAbsent(machine, assignment)
--- a/internal/reconcile/absence_test.go
+++ b/internal/reconcile/absence_test.go
@@ -17,16 +17,16 @@
 // lostStartCase is a status that does not show a task whose start was sent with the
 // answer to the last heartbeat.
 type lostStartCase struct {
-	name    string
-	prepare func(*state.Machine, *state.Assignment)
-	status  func(*cluster.HeartbeatStatus)
-	pushed  bool // the status answers a push
-	lost    bool
-	raises  bool // the token, as answers seem not to reach the machine
+	name        string
+	prepare     func(*state.Machine, *state.Assignment)
+	status      func(*cluster.HeartbeatStatus)
+	pushed      bool // the status answers a push
+	lost        bool
+	raisesToken bool // the token, as answers seem not to reach the machine
 }
 
 var lostStartCases = []lostStartCase{
-	{name: "sent with the answer to an earlier heartbeat", lost: true, raises: true},
+	{name: "sent with the answer to an earlier heartbeat", lost: true, raisesToken: true},
 	{
 		name:   "sent with the answer to this heartbeat, which answers a push",
 		pushed: true,
@@ -39,7 +39,7 @@
 	{
 		name:   "the worker has begun a new incarnation",
 		status: func(status *cluster.HeartbeatStatus) { status.Incarnation = lastIncarnation + 1 },
-		lost:   true, raises: true,
+		lost:   true, raisesToken: true,
 	},
 	{
 		name:    "pushed, answered",
@@ -66,7 +66,7 @@
 
 // TestStartLostOnlyWithProof: a start is sent again only when the first one can't arrive
 // any more; else the task might run twice.
-func TestStartLostOnlyWithProof(t *testing.T) {
+func TestLostStartRequeuedOnlyWithProof(t *testing.T) {
 	for _, test := range lostStartCases {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
@@ -76,7 +76,7 @@
 			if test.prepare != nil {
 				test.prepare(machine, assignment)
 			}
-			status := statusUnderToken(machine, dispatchedAt+1)
+			status := statusWithCurrentToken(machine, dispatchedAt+1)
 			if test.status != nil {
 				test.status(status)
 			}
@@ -88,8 +88,8 @@
 			if assignment.Phase != want || assignment.ConfirmedAbsent {
 				t.Errorf("phase %d, absent %v; want phase %d", assignment.Phase, assignment.ConfirmedAbsent, want)
 			}
-			if raised := slices.Contains(h.raisedTokens, machine.ID); raised != test.raises {
-				t.Errorf("raised the token: %v, want %v", raised, test.raises)
+			if raised := slices.Contains(h.raisedTokens, machine.ID); raised != test.raisesToken {
+				t.Errorf("raised the token: %v, want %v", raised, test.raisesToken)
 			}
 		})
 	}
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if !urgentOnly {
-		commands = append(commands, clearingCommands(machine)...)
+		commands = append(commands, cleanupCommands(machine)...)
 	}
 	return append(commands, starts...)
 }
@@ -79,7 +79,7 @@
 // ended and is not recorded any more. While a start is in doubt nothing is
 // acknowledged: a worker that has dropped an attempt can't tell a late copy of its start
 // from a new one.
-func clearingCommands(machine *state.Machine) []cluster.Command {
+func cleanupCommands(machine *state.Machine) []cluster.Command {
 	var commands []cluster.Command
 	for _, attempt := range state.SortedAttempts(machine.UnrecordedToStop) {
 		commands = append(commands, cluster.Command{Kind: cluster.Stop, Task: attempt.Task, Attempt: attempt.Attempt})
--- a/internal/reconcile/draining.go
+++ b/internal/reconcile/draining.go
@@ -8,14 +8,14 @@
 
 const (
 	// noticeReserveSeconds is kept of the time that a preemption notice leaves.
-	noticeReserveSeconds = 2
+	preemptionReserveSeconds = 2
 	// saveLeadSeconds is how long before it must have begun a task checkpoint begins.
-	saveLeadSeconds = 10
+	checkpointLeadSeconds = 10
 	// hopelessFactor and hopelessMarginSeconds: a task that can't save is started
 	// anew elsewhere at once if it needs this much more than the time that is left.
 	// The estimate may be wrong, so a task that might finish is left alone.
-	hopelessFactor        = 1.5
-	hopelessMarginSeconds = 5
+	overrunFactor        = 1.5
+	overrunMarginSeconds = 5
 )
 
 // Drain keeps new tasks away from a machine; it is released once it is empty.
@@ -47,12 +47,12 @@
 	remaining := s.deps.Runtimes.ExpectedRemainingSeconds(assignment)
 	spec := &assignment.Job.Spec
 	if spec.CheckpointSeconds <= 0 {
-		if remaining > secondsLeft*hopelessFactor+hopelessMarginSeconds {
+		if remaining > secondsLeft*overrunFactor+overrunMarginSeconds {
 			s.stop(machine, assignment, 0)
 		}
 		return
 	}
-	if remaining > secondsLeft-noticeReserveSeconds && secondsLeft < spec.SaveSeconds+saveLeadSeconds {
+	if remaining > secondsLeft-preemptionReserveSeconds && secondsLeft < spec.SaveSeconds+checkpointLeadSeconds {
 		s.stop(machine, assignment, spec.SaveSeconds+graceMarginSeconds)
 	}
 }
--- a/internal/reconcile/draining_test.go
+++ b/internal/reconcile/draining_test.go
@@ -36,8 +36,8 @@
 			if running.StopRequested != test.stopped || running.GracePeriod != test.grace {
 				t.Errorf("stop requested %v with a grace of %g s, want %v with %g s", running.StopRequested, running.GracePeriod, test.stopped, test.grace)
 			}
-			if !machine.Draining || h.spotLosses != 1 {
-				t.Errorf("draining %v, %d interruptions counted; want true and 1", machine.Draining, h.spotLosses)
+			if !machine.Draining || h.interruptions != 1 {
+				t.Errorf("draining %v, %d interruptions counted; want true and 1", machine.Draining, h.interruptions)
 			}
 		})
 	}
--- a/internal/reconcile/harness_test.go
+++ b/internal/reconcile/harness_test.go
@@ -33,10 +33,10 @@
 	listingShard     cluster.ShardID         // of every machine that they list
 
 	releases      []ReleaseReason
-	spotLosses    int
+	interruptions int
 	raisedTokens  []cluster.MachineID
 	checkedOwners []cluster.MachineID
-	readings      int // of all records
+	recordReads   int // of all records
 	registered    []cluster.MachineID
 }
 
@@ -103,7 +103,7 @@
 func (h *harness) TargetGroupSize() int                               { return 10 }
 func (h *harness) ReleaseBeforeRecorded(*state.Machine)               {}
 func (h *harness) ScheduleCall()                                      {}
-func (h *harness) RecordInterruption()                                { h.spotLosses++ }
+func (h *harness) RecordInterruption()                                { h.interruptions++ }
 func (h *harness) AddServed(cluster.Time)                             {}
 func (h *harness) AddMachineScans([]*state.Machine)                   {}
 func (h *harness) AddCommandPush()                                    {}
@@ -117,7 +117,7 @@
 }
 
 func (h *harness) ReadRecordedMachines(handle func(*state.RecordedMachines)) {
-	h.readings++
+	h.recordReads++
 	handle(h.recorded)
 }
 
@@ -226,7 +226,7 @@
 
 // statusUnderToken is a status of the machine's present incarnation under its present
 // token, which is proof of what it does not show.
-func statusUnderToken(machine *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
+func statusWithCurrentToken(machine *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
 	return &cluster.HeartbeatStatus{
 		Machine:          machine.ID,
 		Addr:             machine.Address,
--- a/internal/reconcile/heartbeats_test.go
+++ b/internal/reconcile/heartbeats_test.go
@@ -41,7 +41,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
 			machine := h.addMachine()
-			status := statusUnderToken(machine, machine.SequenceNumber+1)
+			status := statusWithCurrentToken(machine, machine.SequenceNumber+1)
 			test.prepare(h, machine)
 			h.Heartbeats.Handle(messages.Heartbeat{Request: testRequest, Status: *status})
 			h.Heartbeats.AnswerReady()
@@ -58,11 +58,11 @@
 
 // hold sends a heartbeat of a machine with a start that is being recorded, and checks that
 // it is not answered yet.
-func (h *harness) hold() (*state.Machine, *state.Assignment) {
+func (h *harness) holdHeartbeat() (*state.Machine, *state.Assignment) {
 	h.t.Helper()
 	machine := h.addMachine()
 	assignment := h.assign(machine, h.addJob(), state.PhaseRecording)
-	h.Heartbeats.Handle(messages.Heartbeat{Request: testRequest, Status: *statusUnderToken(machine, machine.SequenceNumber+1)})
+	h.Heartbeats.Handle(messages.Heartbeat{Request: testRequest, Status: *statusWithCurrentToken(machine, machine.SequenceNumber+1)})
 	h.Heartbeats.AnswerReady()
 	if h.response() != nil {
 		h.t.Fatal("answered before the record is stored")
@@ -74,7 +74,7 @@
 // that it carries the start.
 func TestHeartbeatHeldForRecord(t *testing.T) {
 	h := newHarness(t)
-	machine, assignment := h.hold()
+	machine, assignment := h.holdHeartbeat()
 	assignment.MarkRecorded()
 	h.Heartbeats.Recheck(machine)
 	h.Heartbeats.AnswerReady()
@@ -92,14 +92,14 @@
 // wait, and a start whose record is not stored does not go with its answer.
 func TestHeldHeartbeatAnsweredInTime(t *testing.T) {
 	h := newHarness(t)
-	h.hold()
+	h.holdHeartbeat()
 	begin := h.loop.Now()
 	for h.response() == nil && h.loop.Now() < begin+second {
 		h.setTime(h.loop.Now() + 50*millisecond)
 		h.loop.RunTimers()
 		h.Heartbeats.AnswerReady()
 	}
-	if held := h.loop.Now() - begin; held < MaxHeartbeatHold || held > MaxHeartbeatHold+heldHeartbeatInterval {
+	if held := h.loop.Now() - begin; held < MaxHeartbeatHold || held > MaxHeartbeatHold+heldHeartbeatScanInterval {
 		t.Errorf("held for %d ms", held/millisecond)
 	}
 	if response := h.response(); response == nil || len(response.Heartbeat.Commands) != 0 {
--- a/internal/reconcile/held.go
+++ b/internal/reconcile/heldheartbeats.go
@@ -4,10 +4,10 @@
 
 const (
 	// heldHeartbeatInterval is the time between two scans of all held heartbeats.
-	heldHeartbeatInterval = 100 * millisecond
+	heldHeartbeatScanInterval = 100 * millisecond
 	// recordWaitStoreSilence is how long the state service may be silent before
 	// heartbeats are answered without the records that they wait for.
-	recordWaitStoreSilence = 500 * millisecond
+	heldHeartbeatStoreTimeout = 500 * millisecond
 )
 
 // heldHeartbeats lists the machines whose heartbeats have no answer yet, in the order
@@ -55,7 +55,7 @@
 		return
 	}
 	h.held.scanScheduled = true
-	h.loop.After(heldHeartbeatInterval, h.scan)
+	h.loop.After(heldHeartbeatScanInterval, h.scan)
 }
 
 func (h *Heartbeats) scan() {
@@ -71,7 +71,7 @@
 // awaitsRecord tells whether the answer to a machine's heartbeat waits for the record
 // of a start.
 func (h *Heartbeats) awaitsRecord(machine *state.Machine) bool {
-	if h.loop.Now() >= machine.ReplyDeadline || h.queue.IsUnavailableFor(recordWaitStoreSilence) {
+	if h.loop.Now() >= machine.ReplyDeadline || h.queue.IsUnavailableFor(heldHeartbeatStoreTimeout) {
 		return false
 	}
 	for _, assignment := range machine.Assignments {
--- a/internal/reconcile/machine_maintenance_test.go
+++ b/internal/reconcile/machine_maintenance_test.go
@@ -22,14 +22,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
 			job := h.addJob()
-			machine, listed := h.addRunningMachine(job)
+			machine, assignment := h.addRunningMachine(job)
 			machine.Incarnation, machine.SequenceNumber, machine.TokenAcknowledged, machine.AwaitingFirstAcknowledgement = 0, 0, false, true
-			listed.Phase = state.PhaseUnverified
-			job.Cancelling, listed.StopRequested = test.cancelled, test.cancelled
+			assignment.Phase = state.PhaseUnverified
+			job.Cancelling, assignment.StopRequested = test.cancelled, test.cancelled
 			h.setTime(h.loop.Now() + second)
 			status := cluster.HeartbeatStatus{
 				Machine: machine.ID, Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1,
-				Tasks: []cluster.TaskStatus{{Task: listed.Task, Attempt: listed.Attempt, State: cluster.Running}},
+				Tasks: []cluster.TaskStatus{{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Running}},
 			}
 			if test.acknowledges {
 				status.FencingToken = machine.Token
@@ -47,7 +47,7 @@
 // TestMachinesWithCancelledTasksCalledFirst: machines with cancelled tasks that are
 // silent, or wait for a higher token that an outage keeps from being stored, are called
 // with the stops, before all others.
-func TestMachinesWithCancelledTasksCalledFirst(t *testing.T) {
+func TestStopsPushedToMachinesWithCancelledTasks(t *testing.T) {
 	for name, silent := range map[string]bool{"silent": true, "token being raised": false} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -12,12 +12,12 @@
 	// maxTokenCalls bounds how many workers are called at once to raise their tokens,
 	// so that a failover of hundreds does not use up sockets and processor: the
 	// others get theirs in the answers to their heartbeats.
-	maxTokenCalls = 40
+	maxPushesPerScan = 40
 	// pushRepeatInterval is the least time between two maintenance calls to a machine.
-	pushRepeatInterval = 1500 * millisecond
+	minPushInterval = 1500 * millisecond
 	// maintenanceStoreSilence is how long the state service may be silent before no
 	// machine is released: the record that says so could not be written.
-	maintenanceStoreSilence = second
+	releaseStoreTimeout = second
 	// bootMarginSeconds is added to the time that a machine has for booting.
 	bootMarginSeconds = 5
 	// cordonedIdleTime is how long a cordoned machine is idle before it is released.
@@ -97,28 +97,28 @@
 // still be reached. Machines with cancelled tasks come first: after a failover in an
 // outage nothing but these calls may reach them.
 func (m *Maintenance) pushCommands(machines []*state.Machine) {
-	calls := 0
+	pushes := 0
 	for _, machine := range machines {
-		if calls < maxTokenCalls && m.isCallable(machine) && m.needsStops(machine) {
-			calls++
+		if pushes < maxPushesPerScan && m.isPushAllowed(machine) && m.needsStops(machine) {
+			pushes++
 			m.commands.push(machine, onlyStops(m.commands.For(machine, true)))
 		}
 	}
 	for _, machine := range machines {
-		if calls < maxTokenCalls && m.isCallable(machine) && needsToken(machine) {
-			calls++
+		if pushes < maxPushesPerScan && m.isPushAllowed(machine) && needsToken(machine) {
+			pushes++
 			m.commands.push(machine, nil)
 		}
 	}
 }
 
 // isCallable tells whether a machine may be called, and was not called lately.
-func (m *Maintenance) isCallable(machine *state.Machine) bool {
+func (m *Maintenance) isPushAllowed(machine *state.Machine) bool {
 	return !machine.ReleaseConfirmed &&
 		!machine.PushInFlight &&
 		machine.Address != "" &&
 		!machine.Booting &&
-		m.loop.Now()-machine.LastPushAt > pushRepeatInterval
+		m.loop.Now()-machine.LastPushAt > minPushInterval
 }
 
 // needsStops tells whether a machine with cancelled tasks may not have got its stops.
@@ -143,7 +143,7 @@
 	if machine.Spot && !machine.Booting {
 		s.deps.Spot.AddServed(MaintenanceInterval)
 	}
-	storeUnavailable := s.queue.IsUnavailableFor(maintenanceStoreSilence)
+	storeUnavailable := s.queue.IsUnavailableFor(releaseStoreTimeout)
 	if storeUnavailable && !machine.ReleaseConfirmed && (s.hangsWithCancelledTasks(machine) || s.ignoresStop(machine)) {
 		s.deps.Releaser.ReleaseBeforeRecorded(machine)
 	}
@@ -185,8 +185,8 @@
 // isBootTimedOut tells whether a machine has taken too long to boot.
 func (s *maintenanceScan) isBootTimedOut(machine *state.Machine) bool {
 	bootSeconds := s.state.MachineTypes[machine.MachineType].BootSeconds
-	patience := cluster.Time((bootSeconds*s.config.BootTimeoutFactor + bootMarginSeconds) * float64(second))
-	return bootSeconds > 0 && s.loop.Now()-machine.OwnedSince > patience
+	timeout := cluster.Time((bootSeconds*s.config.BootTimeoutFactor + bootMarginSeconds) * float64(second))
+	return bootSeconds > 0 && s.loop.Now()-machine.OwnedSince > timeout
 }
 
 // scaleInReason says why a machine without tasks is to be released, if it is.
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -13,20 +13,20 @@
 
 const (
 	// ownerHintFresh is how long a note of a machine's owner answers its heartbeats.
-	ownerHintFresh = 15 * second
+	redirectHintMaxAge = 15 * second
 	// ownerHintRetention is how long such a note shows that it is somebody's.
-	ownerHintRetention = 60 * second
+	adoptionHintMaxAge = 60 * second
 	// ownerSearchDelay is how long heartbeats are gathered for one search.
-	ownerSearchDelay = 50 * millisecond
+	ownerSearchBatchDelay = 50 * millisecond
 	// ownerSearchInterval is the least time between two searches.
 	ownerSearchInterval = 500 * millisecond
 	// registrationDelay is how long orphans are gathered for one record.
-	registrationDelay = 100 * millisecond
+	registrationBatchDelay = 100 * millisecond
 	// storeSilence is how long the state service may be silent before a worker
 	// that needs it for its answer is told to ask again.
-	storeSilence = 500 * millisecond
+	ownerSearchStoreTimeout = 500 * millisecond
 	// adoptionStoreSilence is the same for the adoption of orphans.
-	adoptionStoreSilence = second
+	adoptionStoreTimeout = second
 )
 
 // MachineDirectory tells whose machines are that this controller does not own.
@@ -60,12 +60,12 @@
 	*shared
 	reconciler *Reconciler
 
-	unrecordedSince map[cluster.MachineID]cluster.Time // in the cloud's list and in no record, since when
-	candidates      []cluster.ListedMachine            // in the cloud's list, to be looked for in the records
-	heartbeats      []messages.Heartbeat               // from machines whose owner is to be looked for
-	searching       bool
-	lastSearchAt    cluster.Time
-	registering     map[cluster.MachineID]bool
+	unrecordedSince   map[cluster.MachineID]cluster.Time // in the cloud's list and in no record, since when
+	candidates        []cluster.ListedMachine            // in the cloud's list, to be looked for in the records
+	pendingHeartbeats []messages.Heartbeat               // from machines whose owner is to be looked for
+	searching         bool
+	lastSearchAt      cluster.Time
+	registering       map[cluster.MachineID]bool
 }
 
 func newOrphans(s *shared, r *Reconciler) *Orphans {
@@ -80,15 +80,15 @@
 // HandleHeartbeat answers a worker whose machine this controller does not own. The
 // records show who does; one reading of them serves all workers that ask meanwhile.
 func (o *Orphans) HandleHeartbeat(heartbeat messages.Heartbeat) {
-	if shard, ok := o.deps.Directory.RecentShardOf(heartbeat.Status.Machine, ownerHintFresh); ok {
+	if shard, ok := o.deps.Directory.RecentShardOf(heartbeat.Status.Machine, redirectHintMaxAge); ok {
 		o.redirectToOwner(heartbeat.Request, shard)
 		return
 	}
-	if o.queue.IsUnavailableFor(storeSilence) {
+	if o.queue.IsUnavailableFor(ownerSearchStoreTimeout) {
 		o.respondUnavailable(heartbeat.Request)
 		return
 	}
-	o.heartbeats = append(o.heartbeats, heartbeat)
+	o.pendingHeartbeats = append(o.pendingHeartbeats, heartbeat)
 	o.startSearch()
 }
 
@@ -106,17 +106,17 @@
 // already. Only the owner of the shard that an orphan's number points to may
 // register it, so that nobody else does at the same time.
 func (o *Orphans) startSearch() {
-	if o.searching || len(o.heartbeats) == 0 {
+	if o.searching || len(o.pendingHeartbeats) == 0 {
 		return
 	}
 	o.searching = true
-	delay := max(ownerSearchDelay, o.lastSearchAt+ownerSearchInterval-o.loop.Now())
+	delay := max(ownerSearchBatchDelay, o.lastSearchAt+ownerSearchInterval-o.loop.Now())
 	o.loop.After(delay, o.search)
 }
 
 func (o *Orphans) search() {
-	heartbeats := o.heartbeats
-	o.heartbeats, o.lastSearchAt = nil, o.loop.Now()
+	heartbeats := o.pendingHeartbeats
+	o.pendingHeartbeats, o.lastSearchAt = nil, o.loop.Now()
 	o.deps.Directory.ReadRecordedMachines(func(recorded *state.RecordedMachines) {
 		o.searching, o.lastSearchAt = false, o.loop.Now()
 		for _, heartbeat := range heartbeats {
@@ -186,11 +186,11 @@
 	if listed.AgeSeconds < 3*float64(o.config.CloudListLag)/float64(second)+20 {
 		return
 	}
-	if _, ok := o.deps.Directory.RecentShardOf(listed.ID, ownerHintRetention); ok {
+	if _, ok := o.deps.Directory.RecentShardOf(listed.ID, adoptionHintMaxAge); ok {
 		return
 	}
 	shard := o.ShardFor(listed.ID)
-	if !shard.Owned || !shard.Ready || o.queue.IsUnavailableFor(adoptionStoreSilence) {
+	if !shard.Owned || !shard.Ready || o.queue.IsUnavailableFor(adoptionStoreTimeout) {
 		return
 	}
 	if o.isTooNew(listed.ID) || o.registering[listed.ID] {
@@ -257,7 +257,7 @@
 		return
 	}
 	claim := shard.ClaimRevision
-	o.loop.After(registrationDelay, func() { o.registerQueued(shard, claim) })
+	o.loop.After(registrationBatchDelay, func() { o.registerQueued(shard, claim) })
 }
 
 // registerQueued writes the gathered machines into records, a group of the
--- a/internal/reconcile/orphans_test.go
+++ b/internal/reconcile/orphans_test.go
@@ -49,35 +49,35 @@
 // TestUnknownHeartbeat: a worker whose machine is not owned here is sent to the owner if a
 // record lists the machine. Only if none does, and no open provisioning request may be
 // about to, is the machine asked for its status in order to be registered.
-func TestUnknownHeartbeat(t *testing.T) {
+func TestHeartbeatFromUnknownMachine(t *testing.T) {
 	requested := recordedMachines()
 	requested.RequestedKinds[unknownKind] = true
 	for _, test := range []struct {
-		name       string
-		recorded   *state.RecordedMachines
-		foreign    bool // shard 0 has another owner
-		status     messages.ReplyStatus
-		redirectTo cluster.NodeID
-		queries    int
+		name           string
+		recorded       *state.RecordedMachines
+		ownedElsewhere bool // shard 0 has another owner
+		status         messages.ReplyStatus
+		redirectTo     cluster.NodeID
+		queries        int
 	}{
 		{name: "records can't be read", status: messages.ReplyUnavailable},
 		{name: "listed", recorded: recordedMachines(unknownMachine), status: messages.ReplyMisdirected, redirectTo: "n1"},
 		{name: "an open request of its kind", recorded: requested, status: messages.ReplyUnavailable},
 		{name: "orphan", recorded: recordedMachines(), status: messages.ReplyUnavailable, queries: 1},
-		{name: "orphan of another shard", recorded: recordedMachines(), foreign: true, status: messages.ReplyMisdirected, redirectTo: "n2"},
+		{name: "orphan of another shard", recorded: recordedMachines(), ownedElsewhere: true, status: messages.ReplyMisdirected, redirectTo: "n2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
 			h.recorded, h.listingShard = test.recorded, 1
 			h.state.Shards[1].Owner = "n1"
-			if test.foreign {
+			if test.ownedElsewhere {
 				h.state.Shards[0].Owned, h.state.Shards[0].Owner = false, "n2"
 			}
 			h.Heartbeats.Handle(unknownHeartbeat(1))
 			h.Heartbeats.Handle(unknownHeartbeat(2))
 			responses, queries := responsesAndQueries(h.runFor(second))
-			if len(responses) != 2 || h.readings != 1 {
-				t.Fatalf("%d answers after %d readings, want 2 after 1", len(responses), h.readings)
+			if len(responses) != 2 || h.recordReads != 1 {
+				t.Fatalf("%d answers after %d readings, want 2 after 1", len(responses), h.recordReads)
 			}
 			response := responses[0]
 			if response.Status != test.status {
--- a/internal/reconcile/push.go
+++ b/internal/reconcile/push.go
@@ -88,7 +88,7 @@
 	case messages.OK:
 		c.applyReplyStatus(machine, &reply.Status)
 	case messages.Conflict:
-		c.withdraw(machine, starts)
+		c.requeueLostStarts(machine, starts)
 		if reply.Status.FencingToken > machine.Token {
 			c.deps.Machines.CheckOwner(machine)
 			return
@@ -96,7 +96,7 @@
 		c.applyReplyStatus(machine, &reply.Status)
 	case messages.NotApplied:
 		machine.ResetSentStops()
-		c.withdraw(machine, starts)
+		c.requeueLostStarts(machine, starts)
 	case messages.UnknownOutcome, messages.NotFound, messages.Compacted, messages.Throttled, messages.Invalid:
 		machine.ResetSentStops()
 		if len(starts) > 0 {
@@ -107,10 +107,10 @@
 }
 
 // withdraw makes starts that were certainly not carried out ready to be sent again.
-func (c *Commands) withdraw(machine *state.Machine, starts []*state.Assignment) {
+func (c *Commands) requeueLostStarts(machine *state.Machine, starts []*state.Assignment) {
 	for _, assignment := range starts {
 		if assignment.Phase == state.PhaseDispatched {
-			c.reconciler.withdrawDispatched(machine, assignment)
+			c.reconciler.requeueLostStart(machine, assignment)
 		}
 	}
 }
--- a/internal/reconcile/stale_heartbeat_test.go
+++ b/internal/reconcile/stale_heartbeat_test.go
@@ -9,16 +9,16 @@
 
 const (
 	earlierAttempt = cluster.Attempt(7)
-	presentAttempt = cluster.Attempt(8)
+	currentAttempt = cluster.Attempt(8)
 )
 
 // addMachineRunningPresentAttempt adds a machine on which the present attempt of a task
 // runs.
-func addMachineRunningPresentAttempt(h *harness) (*state.Machine, *state.Assignment) {
+func addMachineRunningCurrentAttempt(h *harness) (*state.Machine, *state.Assignment) {
 	h.t.Helper()
-	machine, present := h.addRunningMachine(h.addJob())
-	present.Attempt = presentAttempt
-	return machine, present
+	machine, current := h.addRunningMachine(h.addJob())
+	current.Attempt = currentAttempt
+	return machine, current
 }
 
 // TestEarlierAttemptEndIgnored: a worker still shows the end of an earlier attempt of a
@@ -26,13 +26,13 @@
 // task, and it would start elsewhere while it runs here.
 func TestEarlierAttemptEndIgnored(t *testing.T) {
 	h := newHarness(t)
-	machine, present := addMachineRunningPresentAttempt(h)
-	task := present.Task
-	h.ApplyStatus(machine, statusUnderToken(machine, machine.SequenceNumber+1,
+	machine, current := addMachineRunningCurrentAttempt(h)
+	task := current.Task
+	h.ApplyStatus(machine, statusWithCurrentToken(machine, machine.SequenceNumber+1,
 		cluster.TaskStatus{Task: task, Attempt: earlierAttempt, State: cluster.Ended, Cause: cluster.CauseStopped},
-		cluster.TaskStatus{Task: task, Attempt: presentAttempt, State: cluster.Running}), false)
-	if present.ConfirmedAbsent || present.Phase != state.PhaseAcknowledged {
-		t.Errorf("the present attempt: absent %v, phase %d; want it running", present.ConfirmedAbsent, present.Phase)
+		cluster.TaskStatus{Task: task, Attempt: currentAttempt, State: cluster.Running}), false)
+	if current.ConfirmedAbsent || current.Phase != state.PhaseAcknowledged {
+		t.Errorf("the present attempt: absent %v, phase %d; want it running", current.ConfirmedAbsent, current.Phase)
 	}
 	if !machine.EndedToAcknowledge[state.TaskAttempt{Task: task, Attempt: earlierAttempt}] {
 		t.Error("the end of the earlier attempt is not acknowledged to the worker")
@@ -44,15 +44,15 @@
 // could not be stopped: commands name the attempt that they mean.
 func TestRunningEarlierAttemptStopped(t *testing.T) {
 	h := newHarness(t)
-	machine, present := addMachineRunningPresentAttempt(h)
-	present.Phase, present.DispatchedAtSequence = state.PhaseDispatched, machine.SequenceNumber
-	h.ApplyStatus(machine, statusUnderToken(machine, machine.SequenceNumber+1,
-		cluster.TaskStatus{Task: present.Task, Attempt: earlierAttempt, State: cluster.Running}), false)
-	if !machine.UnrecordedToStop[state.TaskAttempt{Task: present.Task, Attempt: earlierAttempt}] {
+	machine, current := addMachineRunningCurrentAttempt(h)
+	current.Phase, current.DispatchedAtSequence = state.PhaseDispatched, machine.SequenceNumber
+	h.ApplyStatus(machine, statusWithCurrentToken(machine, machine.SequenceNumber+1,
+		cluster.TaskStatus{Task: current.Task, Attempt: earlierAttempt, State: cluster.Running}), false)
+	if !machine.UnrecordedToStop[state.TaskAttempt{Task: current.Task, Attempt: earlierAttempt}] {
 		t.Error("the earlier attempt is not stopped")
 	}
-	if present.Phase != state.PhaseReady {
-		t.Errorf("the present attempt is in phase %d, want %d: its start did not arrive", present.Phase, state.PhaseReady)
+	if current.Phase != state.PhaseReady {
+		t.Errorf("the present attempt is in phase %d, want %d: its start did not arrive", current.Phase, state.PhaseReady)
 	}
 }
 
@@ -68,7 +68,7 @@
 		name        string
 		incarnation cluster.Incarnation
 		sequence    cluster.SequenceNumber
-		proof       bool
+		applied     bool
 	}{
 		{"newer", lastIncarnation, lastSequence + 1, true},
 		{"the same heartbeat again", lastIncarnation, lastSequence, false},
@@ -77,15 +77,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
-			machine, present := addMachineRunningPresentAttempt(h)
+			machine, current := addMachineRunningCurrentAttempt(h)
 			machine.Incarnation, machine.SequenceNumber = lastIncarnation, lastSequence
-			status := statusUnderToken(machine, test.sequence)
+			status := statusWithCurrentToken(machine, test.sequence)
 			status.Incarnation = test.incarnation
-			if applied := h.ApplyStatus(machine, status, false); applied != test.proof {
-				t.Errorf("applied %v, want %v", applied, test.proof)
+			if applied := h.ApplyStatus(machine, status, false); applied != test.applied {
+				t.Errorf("applied %v, want %v", applied, test.applied)
 			}
-			if present.ConfirmedAbsent != test.proof {
-				t.Errorf("the task counts as absent: %v, want %v", present.ConfirmedAbsent, test.proof)
+			if current.ConfirmedAbsent != test.applied {
+				t.Errorf("the task counts as absent: %v, want %v", current.ConfirmedAbsent, test.applied)
 			}
 		})
 	}
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -33,10 +33,10 @@
 	if status.PreemptionNotice >= 0 {
 		r.Stops.handlePreemptionNotice(machine, status.PreemptionNotice)
 	}
-	present := r.applyPresent(machine, status)
+	present := r.applyReportedTasks(machine, status)
 	if machine.TokenAcknowledged {
 		evidence := absenceEvidence{sequence: status.SequenceNumber, newIncarnation: newIncarnation, pushed: pushed}
-		unreachable = r.applyAbsent(machine, present, evidence) || unreachable
+		unreachable = r.applyMissingTasks(machine, present, evidence) || unreachable
 	}
 	if unreachable && machine.TokenAcknowledged {
 		r.deps.Machines.RaiseToken(machine)
@@ -56,7 +56,7 @@
 // applyPresent applies the tasks that a status shows, and returns them. It goes by
 // attempt, not by task: an old status may show an earlier attempt of a task that runs
 // here now, and must not make that one look absent.
-func (r *Reconciler) applyPresent(machine *state.Machine, status *cluster.HeartbeatStatus) map[state.TaskAttempt]bool {
+func (r *Reconciler) applyReportedTasks(machine *state.Machine, status *cluster.HeartbeatStatus) map[state.TaskAttempt]bool {
 	present := make(map[state.TaskAttempt]bool, len(status.Tasks))
 	for i := range status.Tasks {
 		task := &status.Tasks[i]
--- a/internal/reconcile/taskend.go
+++ b/internal/reconcile/taskend.go
@@ -10,13 +10,13 @@
 const (
 	// refusedStartPause is how long a machine that refused a start gets no other, and
 	// a job that a worker did not know is not started again.
-	refusedStartPause = 3 * second
+	rejectedStartBackoff = 3 * second
 	// failingJobMachines is on how many machines a job's tasks must fail before the
 	// job counts as faulty.
-	failingJobMachines = 2
+	faultyJobMachineCount = 2
 	// failingMachineJobs is how many jobs' tasks must fail on a machine before the
 	// machine counts as faulty.
-	failingMachineJobs = 2
+	faultyMachineJobCount = 2
 	// maxJobBackoff is the longest pause between two attempts of a faulty job.
 	maxJobBackoff = 60 * second
 	// maxBackoffDoublings bounds how often the pause is doubled.
@@ -35,9 +35,9 @@
 	case cluster.CauseFailed:
 		r.handleTaskFailed(machine, assignment)
 	case cluster.CauseNoCapacity, cluster.CauseDuplicateAttempt:
-		machine.NoStartsBefore = r.loop.Now() + refusedStartPause
+		machine.NoStartsBefore = r.loop.Now() + rejectedStartBackoff
 	case cluster.CauseUnknownTask:
-		job.BackoffUntil = r.loop.Now() + refusedStartPause
+		job.BackoffUntil = r.loop.Now() + rejectedStartBackoff
 	case cluster.CauseNone, cluster.CauseStopped:
 	}
 	r.ConfirmAbsent(machine, assignment)
@@ -64,11 +64,11 @@
 	machine.FailedJobs[job.Spec.ID] = true
 	job.TaskErrors++
 	job.FailedMachines[machine.ID] = true
-	if len(job.FailedMachines) >= failingJobMachines {
+	if len(job.FailedMachines) >= faultyJobMachineCount {
 		doublings := min(len(job.FailedMachines)+job.TaskErrors/2, maxBackoffDoublings)
 		job.BackoffUntil = r.loop.Now() + min(second<<doublings, maxJobBackoff)
 	}
-	if len(machine.FailedJobs) >= failingMachineJobs && !machine.Draining {
+	if len(machine.FailedJobs) >= faultyMachineJobCount && !machine.Draining {
 		r.loop.Log(messages.LogInfo, "machine fails tasks", "machine", string(machine.ID), "task_errors", machine.TaskErrors)
 		r.Stops.Drain(machine)
 	}
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -7,11 +7,11 @@
 
 const (
 	// leaseMargin is added to the worker's lease before a machine counts as hung.
-	leaseMargin = 2 * second
+	hangMargin = 2 * second
 	// lossMargin is added to the worker's lease before a machine counts as lost.
 	lossMargin = 5 * second
 	// slowPushThreshold is well above what a call takes to a machine that runs.
-	slowPushThreshold = 1500 * millisecond
+	unansweredPushTimeout = 1500 * millisecond
 	// minFirstAcknowledgementTimeout bounds firstAcknowledgementTimeout from below.
 	minFirstAcknowledgementTimeout = 5 * second
 )
@@ -19,8 +19,8 @@
 // elapsedSince is how long ago something was, counted from the end of the last process
 // pause at the earliest: that nothing was heard during the pause says nothing about
 // the machines.
-func (s *shared) elapsedSince(time cluster.Time) cluster.Time {
-	return s.loop.Now() - max(time, s.deps.Process.ResumedAt())
+func (s *shared) elapsedSince(start cluster.Time) cluster.Time {
+	return s.loop.Now() - max(start, s.deps.Process.ResumedAt())
 }
 
 // heartbeatAge is how long a machine could have been heard and was not.
@@ -82,7 +82,7 @@
 	if !hasCancelledTask(machine) {
 		return false
 	}
-	if m.heartbeatAge(machine) > m.config.WorkerLease+leaseMargin {
+	if m.heartbeatAge(machine) > m.config.WorkerLease+hangMargin {
 		return true
 	}
 	if !machine.AwaitingFirstAcknowledgement {
@@ -91,7 +91,7 @@
 	if m.elapsedSince(machine.OwnedSince) > m.firstAcknowledgementTimeout() {
 		return true
 	}
-	return m.hasLongCancelledTask(machine) && machine.PushInFlight && m.elapsedSince(machine.LastPushAt) > slowPushThreshold
+	return m.hasLongCancelledTask(machine) && machine.PushInFlight && m.elapsedSince(machine.LastPushAt) > unansweredPushTimeout
 }
 
 // hasLongCancelledTask tells whether half of the time for a cancellation has passed
@@ -122,10 +122,10 @@
 // ignoresStop tells whether a cancelled task goes on in spite of stop commands: perhaps
 // they don't reach the machine.
 func (m *Maintenance) ignoresStop(machine *state.Machine) bool {
-	patience := min(m.config.WorkerLease+leaseMargin, m.config.CancelDeadline/2)
+	timeout := min(m.config.WorkerLease+hangMargin, m.config.CancelDeadline/2)
 	for _, assignment := range machine.Assignments {
 		if assignment.IsLive() && assignment.Job.Cancelling && assignment.StopRequestedAt > 0 &&
-			m.loop.Now()-assignment.StopRequestedAt > patience {
+			m.loop.Now()-assignment.StopRequestedAt > timeout {
 			return true
 		}
 	}
