--- a/internal/reconcile/absence.go
+++ b/internal/reconcile/absence.go
@@ -6,28 +6,28 @@
 	"stairrelay/internal/writequeue"
 )
 
-// absenceEvidence is what makes a status that does not show a task a proof that it is
-// not on the machine.
+// absenceEvidence describes a status that does not list a task. It decides whether the
+// status proves that the task is not on the machine.
 type absenceEvidence struct {
 	sequence       cluster.SequenceNumber
-	newIncarnation bool // the first status of an incarnation, which starts without tasks
-	pushed         bool // the status answers a push
+	newIncarnation bool // first status of a new incarnation, which starts without tasks
+	pushed         bool // the status is the reply to a push
 }
 
-// applyAbsent applies that a status does not show the other tasks of the record. It
-// tells whether a start was lost that went with the answer to a heartbeat.
+// applyMissingTasks handles the tasks of the machine's record that a status does not
+// list. It reports whether a start sent in a heartbeat response was lost.
 //
-// It may be called only when the worker has acknowledged our token: else the status
-// may be minutes old, or a start that an earlier owner sent may still be carried out
-// after it.
-func (r *Reconciler) applyMissingTasks(machine *state.Machine, present map[state.TaskAttempt]bool, evidence absenceEvidence) bool {
+// It must be called only if the worker has acknowledged the machine's current token.
+// Otherwise the status may be stale, or the worker may still execute a start sent by a
+// previous owner.
+func (r *Reconciler) applyMissingTasks(machine *state.Machine, reported map[state.TaskAttempt]bool, evidence absenceEvidence) bool {
 	startLostInResponse := false
 	for _, assignment := range machine.SortedAssignments() {
-		if present[assignment.TaskAttempt()] || assignment.ConfirmedAbsent {
+		if reported[assignment.TaskAttempt()] || assignment.ConfirmedAbsent {
 			continue
 		}
 		switch assignment.Phase {
-		case state.PhaseRecording, state.PhaseReady: // not sent
+		case state.PhaseRecording, state.PhaseReady: // the start was not sent
 		case state.PhaseUnverified, state.PhaseAcknowledged:
 			r.ConfirmAbsent(machine, assignment)
 		case state.PhaseDispatched:
@@ -45,12 +45,14 @@
 	return startLostInResponse
 }
 
-// provesStartLost tells whether a dispatched start that the status does not show was
-// lost for good. A start that went with an answer is lost if a later heartbeat does not
-// show it, as the worker sends that only when it waits for the answer no more; the status
-// that answers a push says nothing about it. A pushed start is lost if its push was
-// answered. Taking a start for lost any earlier would run the task a second time while
-// the first start is still on its way.
+// provesStartLost reports whether a dispatched start that the status does not list can
+// no longer reach the worker. Requeueing a start that is still in flight would run the
+// task twice.
+//
+// A start sent in a heartbeat response is lost if a later heartbeat does not list the
+// task, because the worker sends the next heartbeat only after it has received the
+// response or stopped waiting for it. The reply to a push does not prove this. A pushed
+// start is lost if the push has completed with a known outcome.
 func (e absenceEvidence) provesStartLost(machine *state.Machine, assignment *state.Assignment) bool {
 	if e.newIncarnation {
 		return true
@@ -61,8 +63,8 @@
 	return !e.pushed && e.sequence > assignment.DispatchedAtSequence
 }
 
-// withdrawDispatched makes a dispatched start that was lost ready to be sent again,
-// or drops it if its job has ended meanwhile.
+// requeueLostStart makes a lost start ready to be sent again. If its job is no longer
+// active, the task is marked as absent instead.
 func (r *Reconciler) requeueLostStart(machine *state.Machine, assignment *state.Assignment) {
 	assignment.Redispatch()
 	if !assignment.Job.IsActive() {
@@ -70,10 +72,10 @@
 	}
 }
 
-// ConfirmAbsent records that a task is proven not to be on its machine. The stored
-// record must say so before the task may start elsewhere: a successor that reads an
-// older record would believe that it still runs here. When no task waits for that,
-// the next checkpoint takes it along.
+// ConfirmAbsent marks a task as proven not to be on its machine. If the task is to
+// start again, the machine's record is written at once, because a new owner that reads
+// an outdated record would assume that the task still runs here. Otherwise the change is
+// included in the next write of the record.
 func (r *Reconciler) ConfirmAbsent(machine *state.Machine, assignment *state.Assignment) {
 	if assignment.ConfirmedAbsent {
 		return
--- a/internal/reconcile/absence_test.go
+++ b/internal/reconcile/absence_test.go
@@ -8,46 +8,46 @@
 	"stairrelay/internal/state"
 )
 
-// The last heartbeat that was applied before the status of a lostStartCase.
+// The last heartbeat applied before the status of a lostStartCase.
 const (
 	dispatchedAt    = cluster.SequenceNumber(5)
 	lastIncarnation = cluster.Incarnation(2)
 )
 
-// lostStartCase is a status that does not show a task whose start was sent with the
-// answer to the last heartbeat.
+// lostStartCase is a status that does not list a task whose start was sent in the
+// response to the last heartbeat.
 type lostStartCase struct {
 	name        string
 	prepare     func(*state.Machine, *state.Assignment)
 	status      func(*cluster.HeartbeatStatus)
-	pushed      bool // the status answers a push
+	pushed      bool // the status is the reply to a push
 	lost        bool
-	raisesToken bool // the token, as answers seem not to reach the machine
+	raisesToken bool // a higher token is requested, as responses may not reach the machine
 }
 
 var lostStartCases = []lostStartCase{
-	{name: "sent with the answer to an earlier heartbeat", lost: true, raisesToken: true},
+	{name: "sent in the response to an earlier heartbeat", lost: true, raisesToken: true},
 	{
-		name:   "sent with the answer to this heartbeat, which answers a push",
+		name:   "status is the reply to a push",
 		pushed: true,
 	},
 	{
-		name:    "sent with the answer to this heartbeat",
+		name:    "sent in the response to this heartbeat",
 		prepare: func(machine *state.Machine, _ *state.Assignment) { machine.SequenceNumber = dispatchedAt - 1 },
 		status:  func(status *cluster.HeartbeatStatus) { status.SequenceNumber = dispatchedAt },
 	},
 	{
-		name:   "the worker has begun a new incarnation",
+		name:   "new incarnation of the worker",
 		status: func(status *cluster.HeartbeatStatus) { status.Incarnation = lastIncarnation + 1 },
 		lost:   true, raisesToken: true,
 	},
 	{
-		name:    "pushed, answered",
+		name:    "pushed, reply received",
 		prepare: func(_ *state.Machine, assignment *state.Assignment) { assignment.Pushed = true },
 		lost:    true,
 	},
 	{
-		name: "pushed, not answered yet",
+		name: "pushed, no reply yet",
 		prepare: func(machine *state.Machine, assignment *state.Assignment) {
 			assignment.Pushed, machine.PushInFlight = true, true
 		},
@@ -59,13 +59,13 @@
 		},
 	},
 	{
-		name:   "the worker has not acknowledged the token",
+		name:   "token not acknowledged",
 		status: func(status *cluster.HeartbeatStatus) { status.FencingToken-- },
 	},
 }
 
-// TestStartLostOnlyWithProof: a start is sent again only when the first one can't arrive
-// any more; else the task might run twice.
+// TestLostStartRequeuedOnlyWithProof checks that a start is requeued only when the first
+// one can no longer arrive. Otherwise the task might run twice.
 func TestLostStartRequeuedOnlyWithProof(t *testing.T) {
 	for _, test := range lostStartCases {
 		t.Run(test.name, func(t *testing.T) {
@@ -86,10 +86,10 @@
 				want = state.PhaseReady
 			}
 			if assignment.Phase != want || assignment.ConfirmedAbsent {
-				t.Errorf("phase %d, absent %v; want phase %d", assignment.Phase, assignment.ConfirmedAbsent, want)
+				t.Errorf("phase %d, confirmed absent %v; want phase %d, not absent", assignment.Phase, assignment.ConfirmedAbsent, want)
 			}
 			if raised := slices.Contains(h.raisedTokens, machine.ID); raised != test.raisesToken {
-				t.Errorf("raised the token: %v, want %v", raised, test.raisesToken)
+				t.Errorf("token raised: %v, want %v", raised, test.raisesToken)
 			}
 		})
 	}
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -7,16 +7,17 @@
 	"stairrelay/internal/state"
 )
 
-// Commands works out what machines are to do, and pushes what can't wait for their
-// next heartbeats.
+// Commands determines the commands for each machine and pushes the urgent ones, which
+// can't wait for the next heartbeat.
 type Commands struct {
 	*shared
 	reconciler *Reconciler
-	queued     []*state.Machine // to be pushed to in this step
+	queued     []*state.Machine // machines to push to at the end of this event loop step
 }
 
-// For lists what a machine is to do now, starts last. urgentOnly leaves out what can
-// wait for its next heartbeat, and stops that were sent already.
+// For returns the commands to send to a machine now, with the starts last. If urgentOnly
+// is true, it omits the commands that can wait for the machine's next heartbeat and the
+// stops that were already sent.
 func (c *Commands) For(machine *state.Machine, urgentOnly bool) []cluster.Command {
 	var commands, starts []cluster.Command
 	mayStart := c.mayStartOn(machine)
@@ -46,8 +47,9 @@
 	return append(commands, starts...)
 }
 
-// mayStartOn tells whether starts may be sent to a machine now. While one is in doubt the
-// machine gets no new work: what is sent to it may not reach it.
+// mayStartOn reports whether starts may be sent to a machine now. While the outcome of
+// a pushed start is unknown, the machine gets no new tasks, because it may be
+// unreachable.
 func (c *Commands) mayStartOn(machine *state.Machine) bool {
 	if machine.StartInDoubt || machine.Releasing || c.loop.Now() < machine.NoStartsBefore {
 		return false
@@ -55,17 +57,18 @@
 	return c.deps.Ownership.CanStartTasks(c.state.Shards[machine.ShardID])
 }
 
-// isStopDue tells whether a task's stop is to be sent now. A task that is saving is
-// left alone until its grace is over.
+// isStopDue reports whether the stop of a task is to be sent now. A task that is writing
+// a checkpoint is not interrupted before its grace period has expired.
 func (c *Commands) isStopDue(assignment *state.Assignment, urgentOnly bool) bool {
 	if !assignment.StopRequested || urgentOnly && assignment.StopSentAt > 0 {
 		return false
 	}
-	isSaving := assignment.State == cluster.Checkpointing && assignment.GracePeriod > 0
-	return !isSaving || assignment.IsGraceExpired(c.loop.Now())
+	isCheckpointing := assignment.State == cluster.Checkpointing && assignment.GracePeriod > 0
+	return !isCheckpointing || assignment.IsGraceExpired(c.loop.Now())
 }
 
-// stop makes the command that stops a task; without grace once that has expired.
+// stop returns the command that stops a task and records that it was sent. The command
+// has no grace period if the task's has already expired.
 func (c *Commands) stop(assignment *state.Assignment) cluster.Command {
 	grace := assignment.GracePeriod
 	if assignment.IsGraceExpired(c.loop.Now()) {
@@ -75,10 +78,10 @@
 	return cluster.Command{Kind: cluster.Stop, Task: assignment.Task, Attempt: assignment.Attempt, GraceSeconds: grace}
 }
 
-// clearingCommands stop what runs without being recorded, and acknowledge what has
-// ended and is not recorded any more. While a start is in doubt nothing is
-// acknowledged: a worker that has dropped an attempt can't tell a late copy of its start
-// from a new one.
+// cleanupCommands returns the commands that stop unrecorded tasks and acknowledge ended
+// attempts that the record no longer lists. While the outcome of a pushed start is
+// unknown, no end is acknowledged: the worker forgets an acknowledged attempt and would
+// execute a delayed copy of its start.
 func cleanupCommands(machine *state.Machine) []cluster.Command {
 	var commands []cluster.Command
 	for _, attempt := range state.SortedAttempts(machine.UnrecordedToStop) {
@@ -97,14 +100,13 @@
 	return cluster.Command{Kind: cluster.Acknowledge, Task: attempt.Task, Attempt: attempt.Attempt}
 }
 
-// onlyStops leaves what may be sent under any token that the worker takes: a task that
-// is to be stopped must not go on until a higher token is stored, which in an outage
-// takes longer than a cancellation may.
+// onlyStops keeps only the stops, which are safe to send before the worker has
+// acknowledged the current token. If stops had to wait until a higher token is stored,
+// an outage of the state service could delay a cancellation past its deadline.
 func onlyStops(commands []cluster.Command) []cluster.Command {
 	return slices.DeleteFunc(commands, func(command cluster.Command) bool { return command.Kind != cluster.Stop })
 }
 
-// withoutStarts leaves out the starts.
 func withoutStarts(commands []cluster.Command) []cluster.Command {
 	return slices.DeleteFunc(commands, func(command cluster.Command) bool { return command.Kind == cluster.Start })
 }
--- a/internal/reconcile/draining.go
+++ b/internal/reconcile/draining.go
@@ -7,30 +7,33 @@
 )
 
 const (
-	// noticeReserveSeconds is kept of the time that a preemption notice leaves.
+	// preemptionReserveSeconds is how long before a preemption a task with checkpoints
+	// must be expected to finish so that it is not stopped.
 	preemptionReserveSeconds = 2
-	// saveLeadSeconds is how long before it must have begun a task checkpoint begins.
+	// checkpointLeadSeconds is how much earlier than necessary a checkpoint begins before
+	// a preemption.
 	checkpointLeadSeconds = 10
-	// hopelessFactor and hopelessMarginSeconds: a task that can't save is started
-	// anew elsewhere at once if it needs this much more than the time that is left.
-	// The estimate may be wrong, so a task that might finish is left alone.
+	// overrunFactor and overrunMarginSeconds allow for errors of the estimated run time: a
+	// task without checkpoints is stopped only if it is expected to need more than the time
+	// before the preemption multiplied by overrunFactor plus overrunMarginSeconds.
 	overrunFactor        = 1.5
 	overrunMarginSeconds = 5
 )
 
-// Drain keeps new tasks away from a machine; it is released once it is empty.
+// Drain keeps new tasks off a machine. The machine is released when its last task has
+// ended.
 func (s *Stops) Drain(machine *state.Machine) {
 	machine.Draining = true
 	s.deps.RequestScheduling()
 }
 
-// handlePreemptionNotice follows a notice that the cloud takes a machine in so many
-// seconds. A task that can save does so in time, one that can't finish starts anew
-// elsewhere, and one that can finish is left alone.
+// handlePreemptionNotice handles a notice that the cloud preempts a machine in
+// secondsLeft seconds. It drains the machine and stops the tasks that are not expected
+// to finish in time.
 func (s *Stops) handlePreemptionNotice(machine *state.Machine, secondsLeft float64) {
 	if !machine.Draining {
 		s.deps.Spot.RecordInterruption()
-		s.loop.Log(messages.LogDebug, "preemption notice", "machine", string(machine.ID), "left_s", secondsLeft)
+		s.loop.Log(messages.LogDebug, "preemption notice received; draining the machine", "machine", string(machine.ID), "left_s", secondsLeft)
 		machine.Draining = true
 	}
 	machine.PreemptionDeadline = s.loop.Now() + cluster.Time(secondsLeft*float64(second))
@@ -41,8 +44,9 @@
 	}
 }
 
-// stopBeforePreemption stops a task if it won't finish before the cloud takes its
-// machine: one that can save as late as possible, any other at once.
+// stopBeforePreemption stops a task that is not expected to finish before its machine is
+// preempted. A task with checkpoints is stopped as late as writing a checkpoint allows,
+// any other task at once so that it restarts elsewhere.
 func (s *Stops) stopBeforePreemption(machine *state.Machine, assignment *state.Assignment, secondsLeft float64) {
 	remaining := s.deps.Runtimes.ExpectedRemainingSeconds(assignment)
 	spec := &assignment.Job.Spec
--- a/internal/reconcile/draining_test.go
+++ b/internal/reconcile/draining_test.go
@@ -6,9 +6,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestPreemptionNotice: of the tasks on a machine that the cloud takes, one that can
-// finish goes on, one that can save does so as late as possible, and one that can do
-// neither starts anew elsewhere at once.
+// TestPreemptionNotice checks that a preemption notice stops neither a task that can
+// finish in time nor, too early, a task that can still write a checkpoint.
 func TestPreemptionNotice(t *testing.T) {
 	for _, test := range []struct {
 		name              string
@@ -21,10 +20,10 @@
 	}{
 		{name: "finishes in time", remainingSeconds: 20, secondsLeft: 30},
 		{name: "might finish", remainingSeconds: 45, secondsLeft: 30},
-		{name: "can't finish", remainingSeconds: 51, secondsLeft: 30, stopped: true},
-		{name: "can save and finishes", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 9, secondsLeft: 12},
-		{name: "can save, has time yet", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 100, secondsLeft: 15},
-		{name: "can save, must begin", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 100, secondsLeft: 14, stopped: true, grace: 6},
+		{name: "cannot finish", remainingSeconds: 51, secondsLeft: 30, stopped: true},
+		{name: "with checkpoints, finishes in time", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 9, secondsLeft: 12},
+		{name: "with checkpoints, too early to stop", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 100, secondsLeft: 15},
+		{name: "with checkpoints, time to stop", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 100, secondsLeft: 14, stopped: true, grace: 6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
@@ -34,7 +33,7 @@
 			machine, running := h.addRunningMachine(job)
 			h.Stops.handlePreemptionNotice(machine, test.secondsLeft)
 			if running.StopRequested != test.stopped || running.GracePeriod != test.grace {
-				t.Errorf("stop requested %v with a grace of %g s, want %v with %g s", running.StopRequested, running.GracePeriod, test.stopped, test.grace)
+				t.Errorf("stop requested %v with a grace period of %g s, want %v with %g s", running.StopRequested, running.GracePeriod, test.stopped, test.grace)
 			}
 			if !machine.Draining || h.interruptions != 1 {
 				t.Errorf("draining %v, %d interruptions counted; want true and 1", machine.Draining, h.interruptions)
@@ -43,9 +42,8 @@
 	}
 }
 
-// TestUnsentStartNotStopped: a start that was not sent needs no stop. One that is recorded
-// is withdrawn; one whose record is being written stays until that is stored, as a record
-// that lists it may be stored at any moment.
+// TestUnsentStartNotStopped checks that a recorded start that was not sent is withdrawn.
+// While its record is being written it must stay, as the write may still succeed.
 func TestUnsentStartNotStopped(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/reconcile/harness_test.go
+++ b/internal/reconcile/harness_test.go
@@ -11,12 +11,11 @@
 	"stairrelay/internal/writequeue"
 )
 
-// testAttempt is the attempt of every task that a test assigns.
+// testAttempt is the attempt number of every task assigned by a test.
 const testAttempt = cluster.Attempt(7)
 
-// harness is a reconciler with the loop, the state and the queue that it works on. The
-// other parts of a controller are played by the harness, which notes what it is asked
-// for.
+// harness is a reconciler with its event loop, state and write queue. It is also a fake of
+// the reconciler's dependencies that records the calls.
 type harness struct {
 	*Reconciler
 	t     *testing.T
@@ -29,19 +28,19 @@
 	workersReporting bool
 	resumedAt        cluster.Time
 	remainingSeconds float64                 // of every task
-	recorded         *state.RecordedMachines // what the records list; nil: they can't be read
-	listingShard     cluster.ShardID         // of every machine that they list
+	recorded         *state.RecordedMachines // result of reading the records; nil if they can't be read
+	listingShard     cluster.ShardID         // shard whose record lists the recorded machines
 
 	releases      []ReleaseReason
 	interruptions int
 	raisedTokens  []cluster.MachineID
 	checkedOwners []cluster.MachineID
-	recordReads   int // of all records
+	recordReads   int // calls of ReadRecordedMachines
 	registered    []cluster.MachineID
 }
 
-// newHarness makes the reconciler of one of three controllers, which owns shard 0 and
-// has a team and a type of machines.
+// newHarness returns the reconciler of one of three controllers. It owns shard 0 and has
+// one team and one machine type.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	nodes := []cluster.NodeID{"n0", "n1", "n2"}
@@ -146,7 +145,7 @@
 	return func(*state.Machine) bool { return true }
 }
 
-// claims shows the queue the claims in a state.
+// claims gives the write queue access to the claims in a state.
 type claims struct{ state *state.State }
 
 func (c claims) ClaimOf(id cluster.ShardID) writequeue.Claim {
@@ -158,10 +157,11 @@
 
 func (c claims) HandleStored(writequeue.StoredTransaction) {}
 
-// setTime begins a step at a time.
+// setTime begins an event loop step at the given time.
 func (h *harness) setTime(now cluster.Time) { h.loop.Begin(now, h.loop.WallTime()) }
 
-// runFor lets time pass, and returns the effects of its steps.
+// runFor advances the time by a duration, runs the timers that are due and returns the
+// effects.
 func (h *harness) runFor(duration cluster.Time) []messages.Effect {
 	var effects []messages.Effect
 	for end := h.loop.Now() + duration; h.loop.Now() < end; {
@@ -172,7 +172,7 @@
 	return effects
 }
 
-// pushes lists the pushes of the present step.
+// pushes returns the pushes of the current step.
 func (h *harness) pushes() []messages.PushCommands {
 	var pushes []messages.PushCommands
 	for _, effect := range h.loop.Effects() {
@@ -183,7 +183,7 @@
 	return pushes
 }
 
-// addJob adds a job of one task to the owned shard.
+// addJob adds a job with one task to the owned shard.
 func (h *harness) addJob() *state.Job {
 	const id = cluster.JobID("j-1")
 	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}}
@@ -202,7 +202,7 @@
 	return machine
 }
 
-// assign lists the task of a job on a machine.
+// assign assigns the task of a job to a machine.
 func (h *harness) assign(machine *state.Machine, job *state.Job, phase state.AssignmentPhase) *state.Assignment {
 	assignment := &state.Assignment{
 		Task:            cluster.TaskID{Job: job.Spec.ID, Index: 0},
@@ -218,14 +218,14 @@
 	return assignment
 }
 
-// addRunningMachine adds a machine on which the task of a job runs.
+// addRunningMachine adds a machine that runs the task of a job.
 func (h *harness) addRunningMachine(job *state.Job) (*state.Machine, *state.Assignment) {
 	machine := h.addMachine()
 	return machine, h.assign(machine, job, state.PhaseAcknowledged)
 }
 
-// statusUnderToken is a status of the machine's present incarnation under its present
-// token, which is proof of what it does not show.
+// statusWithCurrentToken returns a status of the machine's current incarnation that
+// acknowledges its current token, so that tasks missing from it are proven absent.
 func statusWithCurrentToken(machine *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
 	return &cluster.HeartbeatStatus{
 		Machine:          machine.ID,
--- a/internal/reconcile/heartbeats.go
+++ b/internal/reconcile/heartbeats.go
@@ -6,26 +6,26 @@
 	"stairrelay/internal/state"
 )
 
-// MaxHeartbeatHold is how long the answer to a heartbeat waits for the record that
-// lists the starts it is to carry. The worker waits 4 s for the answer, and its lease
-// counts from the sending.
+// MaxHeartbeatHold is the maximum time for which the response to a heartbeat is held until
+// the record that lists its starts is stored. It must be shorter than the 4 s after which
+// a worker gives up on a response.
 const MaxHeartbeatHold = 600 * millisecond
 
-// Heartbeats answers the workers' heartbeats.
+// Heartbeats handles and answers the heartbeats of workers.
 type Heartbeats struct {
 	*shared
 	reconciler *Reconciler
 	held       heldHeartbeats
 }
 
-// Handle applies a heartbeat to the state. The answer follows with AnswerReady, in
-// the same step unless the machine awaits a record.
+// Handle applies a heartbeat to the state. AnswerReady sends the response, in the same
+// event loop step unless the response has to wait for a record.
 func (h *Heartbeats) Handle(heartbeat messages.Heartbeat) {
 	status := &heartbeat.Status
 	h.deps.Reachability.RecordHeartbeat()
 	if h.deps.IsIsolated() {
-		// An answer that accepts the heartbeat would keep the worker here, though
-		// another controller may own the shard by now.
+		// Accepting the heartbeat would keep the worker connected to this controller
+		// although another one may own the shard by now.
 		h.redirect(heartbeat.Request, "")
 		return
 	}
@@ -38,7 +38,7 @@
 		return
 	}
 	if machine.PendingHeartbeat != 0 {
-		h.redirect(machine.PendingHeartbeat, "") // only the latest heartbeat is answered
+		h.redirect(machine.PendingHeartbeat, "") // superseded by the new heartbeat
 	}
 	machine.PendingHeartbeat = heartbeat.Request
 	machine.PendingSequenceNumber = status.SequenceNumber
@@ -50,20 +50,19 @@
 	h.held.toCheck = append(h.held.toCheck, machine)
 }
 
-// accept tells whether this controller may answer a machine's heartbeat. If not, it
-// has told the worker where to go.
+// accept reports whether this controller may apply and answer the heartbeat of a
+// machine. If not, it rejects the heartbeat or redirects the worker.
 func (h *Heartbeats) accept(machine *state.Machine, request messages.RequestID, status *cluster.HeartbeatStatus) bool {
 	shard := h.state.Shards[machine.ShardID]
 	switch {
 	case !shard.Owned || !shard.Ready:
 		h.respondUnavailable(request)
 	case !h.deps.Ownership.CanAnswerWorkers(shard):
-		// Another controller may have acquired the shard unnoticed, and cancelled
-		// jobs of it.
+		// Another controller may have acquired the shard and cancelled some of its jobs.
 		h.redirect(request, "")
 	case status.FencingToken > machine.Token:
-		// A later owner has reached the worker: it would drop an answer with our
-		// token, and wait here while its lease runs out.
+		// The worker has seen the token of a newer owner. It would discard a response
+		// with the older token, and its lease would expire.
 		h.deps.Machines.CheckOwner(machine)
 		h.redirect(request, h.state.Shards[machine.ShardID].Owner)
 	case status.Incarnation < machine.Incarnation:
@@ -74,10 +73,11 @@
 	return false
 }
 
-// Redirect answers a heartbeat with the controller to turn to; empty: any other.
+// Redirect answers a heartbeat with a redirect to a controller, or to any other
+// controller if to is empty.
 func (h *Heartbeats) Redirect(request messages.RequestID, to cluster.NodeID) { h.redirect(request, to) }
 
-// Answer answers a machine's heartbeat with what it is to do.
+// Answer sends the response to a machine's pending heartbeat, with its commands.
 func (h *Heartbeats) Answer(machine *state.Machine) {
 	request := machine.PendingHeartbeat
 	machine.PendingHeartbeat = 0
--- a/internal/reconcile/heartbeats_test.go
+++ b/internal/reconcile/heartbeats_test.go
@@ -9,10 +9,11 @@
 	"stairrelay/internal/state"
 )
 
-// testRequest is the request of every heartbeat that a test sends.
+// testRequest is the request ID of the heartbeats in these tests.
 const testRequest = messages.RequestID(1)
 
-// response returns the answer to a heartbeat in the present step; nil: there is none.
+// response returns the response to the heartbeat sent in the current step, or nil if
+// there is none.
 func (h *harness) response() *messages.Respond {
 	h.t.Helper()
 	for _, effect := range h.loop.Effects() {
@@ -23,8 +24,8 @@
 	return nil
 }
 
-// TestHeartbeatNotAccepted: a controller that may not be the owner of a machine any more
-// gives its worker no answer that would keep it here.
+// TestHeartbeatNotAccepted checks that a controller that may no longer own a machine does
+// not accept its heartbeats, which would keep the worker from reaching the new owner.
 func TestHeartbeatNotAccepted(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -36,7 +37,7 @@
 		{"ownership lease expired", func(h *harness, _ *state.Machine) { h.cannotAnswer = true }, messages.ReplyMisdirected},
 		{"shard not loaded yet", func(h *harness, _ *state.Machine) { h.state.Shards[0].Ready = false }, messages.ReplyUnavailable},
 		{"fenced off by a newer token", func(_ *harness, machine *state.Machine) { machine.Token -= 2 }, messages.ReplyMisdirected},
-		{"of an earlier incarnation", func(_ *harness, machine *state.Machine) { machine.Incarnation++ }, messages.ReplyMisdirected},
+		{"earlier incarnation", func(_ *harness, machine *state.Machine) { machine.Incarnation++ }, messages.ReplyMisdirected},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
@@ -50,14 +51,14 @@
 				t.Fatalf("answered with %+v, want status %v", response, test.status)
 			}
 			if fenced := status.FencingToken > machine.Token; fenced != (len(h.checkedOwners) == 1) {
-				t.Errorf("owners checked of %v", h.checkedOwners)
+				t.Errorf("owners checked for machines %v", h.checkedOwners)
 			}
 		})
 	}
 }
 
-// hold sends a heartbeat of a machine with a start that is being recorded, and checks that
-// it is not answered yet.
+// holdHeartbeat sends a heartbeat from a machine with a start that is being recorded, and
+// checks that it is not answered yet.
 func (h *harness) holdHeartbeat() (*state.Machine, *state.Assignment) {
 	h.t.Helper()
 	machine := h.addMachine()
@@ -65,13 +66,13 @@
 	h.Heartbeats.Handle(messages.Heartbeat{Request: testRequest, Status: *statusWithCurrentToken(machine, machine.SequenceNumber+1)})
 	h.Heartbeats.AnswerReady()
 	if h.response() != nil {
-		h.t.Fatal("answered before the record is stored")
+		h.t.Fatal("heartbeat answered before the record was stored")
 	}
 	return machine, assignment
 }
 
-// TestHeartbeatHeldForRecord: the answer to a heartbeat waits for the record of a start, so
-// that it carries the start.
+// TestHeartbeatHeldForRecord checks that the response to a heartbeat is held until the
+// record of a start is stored, so that the response contains the start.
 func TestHeartbeatHeldForRecord(t *testing.T) {
 	h := newHarness(t)
 	machine, assignment := h.holdHeartbeat()
@@ -80,7 +81,7 @@
 	h.Heartbeats.AnswerReady()
 	response := h.response()
 	if response == nil {
-		t.Fatal("no answer after the record is stored")
+		t.Fatal("no response after the record was stored")
 	}
 	want := []cluster.Command{{Kind: cluster.Start, Task: assignment.Task, Attempt: assignment.Attempt}}
 	if got := response.Heartbeat.Commands; !slices.Equal(got, want) {
@@ -88,8 +89,8 @@
 	}
 }
 
-// TestHeldHeartbeatAnsweredInTime: a heartbeat is not held for longer than the worker can
-// wait, and a start whose record is not stored does not go with its answer.
+// TestHeldHeartbeatAnsweredInTime checks that a heartbeat is not held past its deadline,
+// and that the response does not contain a start whose record is not stored.
 func TestHeldHeartbeatAnsweredInTime(t *testing.T) {
 	h := newHarness(t)
 	h.holdHeartbeat()
--- a/internal/reconcile/heldheartbeats.go
+++ b/internal/reconcile/heldheartbeats.go
@@ -3,36 +3,36 @@
 import "stairrelay/internal/state"
 
 const (
-	// heldHeartbeatInterval is the time between two scans of all held heartbeats.
+	// heldHeartbeatScanInterval is the interval at which all held heartbeats are checked.
 	heldHeartbeatScanInterval = 100 * millisecond
-	// recordWaitStoreSilence is how long the state service may be silent before
-	// heartbeats are answered without the records that they wait for.
+	// heldHeartbeatStoreTimeout is how long the state service may be unavailable before
+	// held heartbeats are answered without waiting for records.
 	heldHeartbeatStoreTimeout = 500 * millisecond
 )
 
-// heldHeartbeats lists the machines whose heartbeats have no answer yet, in the order
-// in which they came in. A machine whose heartbeat was answered otherwise has no
-// pending request, and is left out at the next scan.
+// heldHeartbeats tracks the machines whose heartbeats are not answered yet, in order of
+// arrival. A machine without a pending heartbeat was already answered and is dropped at
+// the next scan.
 //
-// All held heartbeats are scanned ten times a second; in between only those that have
-// come in or whose record was stored since the last scan.
+// All held heartbeats are checked every heldHeartbeatScanInterval. Between the scans only
+// new heartbeats and those of machines whose record was stored are checked.
 type heldHeartbeats struct {
-	machines      []*state.Machine // held at the last scan
-	toCheck       []*state.Machine // to be checked in this step
-	scanScheduled bool             // of all
+	machines      []*state.Machine // machines with held heartbeats, checked by the next scan
+	toCheck       []*state.Machine // machines to check in this event loop step
+	scanScheduled bool
 }
 
-// Recheck has a machine's held heartbeat checked in this step, as its record was
-// stored.
+// Recheck schedules a check of a machine's held heartbeat in this event loop step. It is
+// called when the machine's record was stored.
 func (h *Heartbeats) Recheck(machine *state.Machine) {
 	if machine.PendingHeartbeat != 0 {
 		h.held.toCheck = append(h.held.toCheck, machine)
 	}
 }
 
-// AnswerReady answers the heartbeats whose machine has no start on its way to the
-// record. The others wait a moment for the record, so that the answer carries the
-// start.
+// AnswerReady answers the heartbeats of machines that have no start being recorded. The
+// other heartbeats are held until the record is stored, at most until ReplyDeadline, so
+// that the response contains the start.
 func (h *Heartbeats) AnswerReady() {
 	toCheck := h.held.toCheck
 	h.held.toCheck = nil
@@ -49,7 +49,7 @@
 	h.scheduleScan()
 }
 
-// scheduleScan has all held heartbeats checked after a pause.
+// scheduleScan schedules the next check of all held heartbeats, unless none is held.
 func (h *Heartbeats) scheduleScan() {
 	if len(h.held.machines) == 0 || h.held.scanScheduled {
 		return
@@ -68,8 +68,8 @@
 	h.held.machines = h.held.machines[:0]
 }
 
-// awaitsRecord tells whether the answer to a machine's heartbeat waits for the record
-// of a start.
+// awaitsRecord reports whether the response to a machine's heartbeat has to wait until
+// the record of a start is stored.
 func (h *Heartbeats) awaitsRecord(machine *state.Machine) bool {
 	if h.loop.Now() >= machine.ReplyDeadline || h.queue.IsUnavailableFor(heldHeartbeatStoreTimeout) {
 		return false
--- a/internal/reconcile/machine_maintenance_test.go
+++ b/internal/reconcile/machine_maintenance_test.go
@@ -7,16 +7,15 @@
 	"stairrelay/internal/state"
 )
 
-// TestHungMachineReleasedAfterFailover: after a failover an old copy of a heartbeat
-// arrives from a machine with cancelled tasks. It proves no life: unless the machine
-// acknowledges its token soon, it is released; one without such tasks is not.
+// TestHungMachineReleasedAfterFailover checks that a delayed heartbeat that arrives after
+// a failover does not keep a hung machine with cancelled tasks from being released.
 func TestHungMachineReleasedAfterFailover(t *testing.T) {
 	for _, test := range []struct {
 		name                              string
 		cancelled, acknowledges, released bool
 	}{
-		{"cancelled, no acknowledgement", true, false, true},
-		{"cancelled, acknowledged", true, true, false},
+		{"cancelled, token not acknowledged", true, false, true},
+		{"cancelled, token acknowledged", true, true, false},
 		{"not cancelled", false, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -38,17 +37,16 @@
 			h.setTime(h.loop.Now() + h.Maintenance.firstAcknowledgementTimeout() + second)
 			h.Maintenance.Run()
 			if machine.Releasing != test.released {
-				t.Errorf("released %v, want %v", machine.Releasing, test.released)
+				t.Errorf("released: %v, want %v", machine.Releasing, test.released)
 			}
 		})
 	}
 }
 
-// TestMachinesWithCancelledTasksCalledFirst: machines with cancelled tasks that are
-// silent, or wait for a higher token that an outage keeps from being stored, are called
-// with the stops, before all others.
+// TestStopsPushedToMachinesWithCancelledTasks checks that stops of cancelled tasks are
+// pushed even if the machine sends no heartbeats or its token is still being raised.
 func TestStopsPushedToMachinesWithCancelledTasks(t *testing.T) {
-	for name, silent := range map[string]bool{"silent": true, "token being raised": false} {
+	for name, silent := range map[string]bool{"no heartbeats": true, "token being raised": false} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			machine, running := h.addRunningMachine(h.addJob())
@@ -67,7 +65,7 @@
 				}
 			}
 			if len(got) != 1 || got[0].Kind != cluster.Stop {
-				t.Errorf("called with %+v, want one stop", got)
+				t.Errorf("pushed %+v, want one stop", got)
 			}
 		})
 	}
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -5,29 +5,29 @@
 	"stairrelay/internal/state"
 )
 
-// MaintenanceInterval is how often Maintenance.Run is to be called.
+// MaintenanceInterval is the interval at which Maintenance.Run must be called.
 const MaintenanceInterval = second / 2
 
 const (
-	// maxTokenCalls bounds how many workers are called at once to raise their tokens,
-	// so that a failover of hundreds does not use up sockets and processor: the
-	// others get theirs in the answers to their heartbeats.
+	// maxPushesPerScan limits the pushes of one maintenance run, so that a failover of
+	// hundreds of machines does not exhaust sockets or CPU. The other machines get their
+	// tokens in the responses to their heartbeats.
 	maxPushesPerScan = 40
-	// pushRepeatInterval is the least time between two maintenance calls to a machine.
+	// minPushInterval is the minimum time between two maintenance pushes to a machine.
 	minPushInterval = 1500 * millisecond
-	// maintenanceStoreSilence is how long the state service may be silent before no
-	// machine is released: the record that says so could not be written.
+	// releaseStoreTimeout is how long the state service may be unavailable before
+	// machines are no longer released, as their release can't be recorded.
 	releaseStoreTimeout = second
-	// bootMarginSeconds is added to the time that a machine has for booting.
+	// bootMarginSeconds is added to the boot timeout of a machine.
 	bootMarginSeconds = 5
-	// cordonedIdleTime is how long a cordoned machine is idle before it is released.
+	// cordonedIdleTime is how long a cordoned machine must be idle before it is released.
 	cordonedIdleTime = 4 * second
 )
 
-// ReleaseReason says in the logs why a machine is given back to the cloud.
+// ReleaseReason is the logged reason for returning a machine to the cloud.
 type ReleaseReason string
 
-// The reasons for which machines are released here.
+// The reasons for which Maintenance releases machines.
 const (
 	ReleaseBootTimedOut           ReleaseReason = "boot timed out"
 	ReleaseSilent                 ReleaseReason = "silent"
@@ -43,36 +43,39 @@
 	releaseNone ReleaseReason = ""
 )
 
-// MachineReleaser gives machines back to the cloud.
+// MachineReleaser returns machines to the cloud.
 type MachineReleaser interface {
-	// Release has the record say that a machine is released, and the cloud called
-	// once that is stored.
+	// Release records that a machine is to be released. The cloud is called after the
+	// record is stored.
 	Release(machine *state.Machine, reason ReleaseReason)
-	// ReleaseBeforeRecorded has the cloud called while the record can't be written.
+	// ReleaseBeforeRecorded releases a machine without waiting for its record, for use
+	// while the state service is unavailable.
 	ReleaseBeforeRecorded(machine *state.Machine)
-	// ScheduleCall has the cloud called for the machines whose release is recorded.
+	// ScheduleCall schedules the call to the cloud that returns the machines whose
+	// release is confirmed.
 	ScheduleCall()
-	// SurplusPredicate returns a function that tells whether an idle machine is of no
-	// use to any shard.
+	// SurplusPredicate returns a function that reports whether no shard needs an idle
+	// machine.
 	SurplusPredicate() func(*state.Machine) bool
 }
 
-// SpotHistory counts how spot machines have fared.
+// SpotHistory records how often spot machines are interrupted.
 type SpotHistory interface {
-	// RecordInterruption counts a spot machine that was taken back or lost.
+	// RecordInterruption counts a spot machine that was preempted or lost.
 	RecordInterruption()
-	// AddServed counts for how long a spot machine has served.
+	// AddServed adds to the total time that spot machines were in service.
 	AddServed(duration cluster.Time)
 }
 
-// Maintenance looks after the owned machines: it has tokens acknowledged, releases the
-// silent and the idle, and replaces those that don't boot.
+// Maintenance periodically checks the owned machines. It pushes to machines that have not
+// acknowledged their fencing token, and releases those that are unresponsive, idle or
+// fail to boot.
 type Maintenance struct {
 	*shared
 	commands *Commands
 }
 
-// Run looks after all owned machines.
+// Run checks all owned machines once.
 func (m *Maintenance) Run() {
 	scan := maintenanceScan{
 		Maintenance:      m,
@@ -92,10 +95,10 @@
 	}
 }
 
-// pushCommands calls the machines that have not acknowledged their token, and those
-// that run cancelled tasks and are silent: they may be unable to send heartbeats and
-// still be reached. Machines with cancelled tasks come first: after a failover in an
-// outage nothing but these calls may reach them.
+// pushCommands pushes stops to machines that run cancelled tasks and whose heartbeats may
+// not get through, and then the token to machines that have not acknowledged it. Stops
+// come first because after a failover these pushes may be the only way to reach a
+// machine before the cancellation deadline.
 func (m *Maintenance) pushCommands(machines []*state.Machine) {
 	pushes := 0
 	for _, machine := range machines {
@@ -112,7 +115,8 @@
 	}
 }
 
-// isCallable tells whether a machine may be called, and was not called lately.
+// isPushAllowed reports whether a maintenance push may be sent to a machine now. Pushes to
+// the same machine are at least minPushInterval apart.
 func (m *Maintenance) isPushAllowed(machine *state.Machine) bool {
 	return !machine.ReleaseConfirmed &&
 		!machine.PushInFlight &&
@@ -121,24 +125,25 @@
 		m.loop.Now()-machine.LastPushAt > minPushInterval
 }
 
-// needsStops tells whether a machine with cancelled tasks may not have got its stops.
+// needsStops reports whether a machine has cancelled tasks and may not have received
+// their stops.
 func (m *Maintenance) needsStops(machine *state.Machine) bool {
 	return hasCancelledTask(machine) && (!machine.TokenAcknowledged || m.heartbeatAge(machine) > 2*m.config.HeartbeatInterval)
 }
 
-// needsToken tells whether a machine has yet to acknowledge its token.
+// needsToken reports whether a machine has yet to acknowledge its token.
 func needsToken(machine *state.Machine) bool {
 	return !machine.TokenAcknowledged && !machine.RaisingToken && !machine.Releasing
 }
 
-// maintenanceScan is one look at the owned machines.
+// maintenanceScan is one run over all owned machines.
 type maintenanceScan struct {
 	*Maintenance
-	workersReporting bool                      // heartbeats of some machines come in
-	isSurplus        func(*state.Machine) bool // an idle machine is of no use to any shard
+	workersReporting bool                      // an owned machine has sent a heartbeat recently
+	isSurplus        func(*state.Machine) bool // reports whether no shard needs an idle machine
 }
 
-// maintain looks after one machine.
+// maintain checks one machine and releases it if there is a reason to.
 func (s *maintenanceScan) maintain(machine *state.Machine) {
 	if machine.Spot && !machine.Booting {
 		s.deps.Spot.AddServed(MaintenanceInterval)
@@ -162,7 +167,7 @@
 	}
 }
 
-// releaseReason says why a machine is to be released, if it is.
+// releaseReason returns the reason to release a machine, or releaseNone.
 func (s *maintenanceScan) releaseReason(machine *state.Machine) ReleaseReason {
 	if machine.Booting {
 		if s.isBootTimedOut(machine) {
@@ -173,8 +178,8 @@
 	if reason := s.stopFailureReason(machine); reason != releaseNone {
 		return reason
 	}
-	if reason := s.silenceReason(machine); reason != releaseNone {
-		if machine.Spot && !machine.Draining { // it went without notice
+	if reason := s.missingHeartbeatReason(machine); reason != releaseNone {
+		if machine.Spot && !machine.Draining { // lost without a preemption notice
 			s.deps.Spot.RecordInterruption()
 		}
 		return reason
@@ -182,14 +187,16 @@
 	return s.scaleInReason(machine)
 }
 
-// isBootTimedOut tells whether a machine has taken too long to boot.
+// isBootTimedOut reports whether a machine has exceeded its boot timeout. There is none
+// if the boot time of the machine type is unknown.
 func (s *maintenanceScan) isBootTimedOut(machine *state.Machine) bool {
 	bootSeconds := s.state.MachineTypes[machine.MachineType].BootSeconds
 	timeout := cluster.Time((bootSeconds*s.config.BootTimeoutFactor + bootMarginSeconds) * float64(second))
 	return bootSeconds > 0 && s.loop.Now()-machine.OwnedSince > timeout
 }
 
-// scaleInReason says why a machine without tasks is to be released, if it is.
+// scaleInReason returns the reason to release a machine without live tasks, or
+// releaseNone.
 func (s *maintenanceScan) scaleInReason(machine *state.Machine) ReleaseReason {
 	idleFor := s.loop.Now() - machine.IdleSince
 	switch {
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -12,57 +12,63 @@
 )
 
 const (
-	// ownerHintFresh is how long a note of a machine's owner answers its heartbeats.
+	// redirectHintMaxAge is the maximum age of an owner hint that is used to redirect a
+	// worker without reading the records.
 	redirectHintMaxAge = 15 * second
-	// ownerHintRetention is how long such a note shows that it is somebody's.
+	// adoptionHintMaxAge is the maximum age of an owner hint that prevents the adoption
+	// of a machine.
 	adoptionHintMaxAge = 60 * second
-	// ownerSearchDelay is how long heartbeats are gathered for one search.
+	// ownerSearchBatchDelay is how long heartbeats are collected for one search.
 	ownerSearchBatchDelay = 50 * millisecond
-	// ownerSearchInterval is the least time between two searches.
+	// ownerSearchInterval is the minimum time between two searches.
 	ownerSearchInterval = 500 * millisecond
-	// registrationDelay is how long orphans are gathered for one record.
+	// registrationBatchDelay is how long orphans are collected for one registration.
 	registrationBatchDelay = 100 * millisecond
-	// storeSilence is how long the state service may be silent before a worker
-	// that needs it for its answer is told to ask again.
+	// ownerSearchStoreTimeout is how long the state service may be unavailable before a
+	// heartbeat that requires a search is rejected with ReplyUnavailable.
 	ownerSearchStoreTimeout = 500 * millisecond
-	// adoptionStoreSilence is the same for the adoption of orphans.
+	// adoptionStoreTimeout is how long the state service may be unavailable before no
+	// orphans are adopted.
 	adoptionStoreTimeout = second
 )
 
-// MachineDirectory tells whose machines are that this controller does not own.
+// MachineDirectory finds the shards of machines that this controller does not own.
 type MachineDirectory interface {
-	// RecentShardOf returns the shard whose record was seen to list a machine within a
-	// time.
+	// RecentShardOf returns the shard whose record was last seen to list a machine. The
+	// result is false if that was not within the given time.
 	RecentShardOf(id cluster.MachineID, within cluster.Time) (cluster.ShardID, bool)
-	// LastShardOf returns the shard whose record was last seen to list a machine.
+	// LastShardOf returns the shard whose record was last seen to list a machine. The
+	// result is false if no record has listed it.
 	LastShardOf(id cluster.MachineID) (cluster.ShardID, bool)
-	// ReadRecordedMachines calls handle with what the records list; nil: the state
-	// service does not answer, or a record can't be read.
+	// ReadRecordedMachines reads the records of all shards and calls handle with the
+	// machines and provisioning requests that they list, or with nil if the state service
+	// does not respond or a record can't be decoded.
 	ReadRecordedMachines(handle func(*state.RecordedMachines))
 }
 
-// MachineRegistrar writes machines into records.
+// MachineRegistrar adds machines to the records.
 type MachineRegistrar interface {
-	// TargetGroupSize is how many machines are put into one record.
+	// TargetGroupSize returns how many machines one group's record should list.
 	TargetGroupSize() int
-	// RegisterMachines writes machines that no record lists into a new group of a
-	// shard. It calls done when that is stored, or has failed.
+	// RegisterMachines adds machines that no record lists to a new group of a shard. It
+	// calls done when the write has succeeded or failed.
 	RegisterMachines(shard *state.Shard, machines []grouprecord.Machine, done func())
 }
 
-// Orphans are the machines that no record known here lists: another owner's, one of
-// a provisioning request answered late, or one whose record a crash prevented.
+// Orphans handles machines that this controller does not know. Such a machine belongs to
+// another owner, or no record lists it because the reply to a provisioning request came
+// late or a controller crashed before it wrote the record.
 //
-// At most one search for owners runs at a time, and it serves all heartbeats that
-// came in before it began. A machine in registering is being queried or written
-// into a record here, and is not taken up a second time meanwhile.
+// At most one search for owners runs at a time. It covers all heartbeats that arrived
+// before it began. A machine in registering is being queried or registered and must not
+// be registered a second time.
 type Orphans struct {
 	*shared
 	reconciler *Reconciler
 
-	unrecordedSince   map[cluster.MachineID]cluster.Time // in the cloud's list and in no record, since when
-	candidates        []cluster.ListedMachine            // in the cloud's list, to be looked for in the records
-	pendingHeartbeats []messages.Heartbeat               // from machines whose owner is to be looked for
+	unrecordedSince   map[cluster.MachineID]cluster.Time // when first seen in the cloud's list but in no record
+	candidates        []cluster.ListedMachine            // in the cloud's list, to be checked against the records
+	pendingHeartbeats []messages.Heartbeat               // from machines whose owner the next search looks up
 	searching         bool
 	lastSearchAt      cluster.Time
 	registering       map[cluster.MachineID]bool
@@ -77,8 +83,9 @@
 	}
 }
 
-// HandleHeartbeat answers a worker whose machine this controller does not own. The
-// records show who does; one reading of them serves all workers that ask meanwhile.
+// HandleHeartbeat handles the heartbeat of a machine that this controller does not own.
+// It redirects the worker to the owner, which it looks up in the records unless a recent
+// owner hint exists.
 func (o *Orphans) HandleHeartbeat(heartbeat messages.Heartbeat) {
 	if shard, ok := o.deps.Directory.RecentShardOf(heartbeat.Status.Machine, redirectHintMaxAge); ok {
 		o.redirectToOwner(heartbeat.Request, shard)
@@ -92,8 +99,8 @@
 	o.startSearch()
 }
 
-// redirectToOwner sends a worker to the owner of a shard. While that is this
-// controller, the machine is about to become known here.
+// redirectToOwner redirects a worker to the owner of a shard. If this controller owns the
+// shard, it is about to load or register the machine, and the worker has to retry.
 func (o *Orphans) redirectToOwner(request messages.RequestID, id cluster.ShardID) {
 	if shard := o.state.Shards[id]; !shard.Owned {
 		o.redirect(request, shard.Owner)
@@ -102,9 +109,8 @@
 	o.respondUnavailable(request)
 }
 
-// startSearch reads which machines the records list, unless that is being done
-// already. Only the owner of the shard that an orphan's number points to may
-// register it, so that nobody else does at the same time.
+// startSearch schedules a search for the owners of the machines with pending heartbeats,
+// unless there are none or a search is already running.
 func (o *Orphans) startSearch() {
 	if o.searching || len(o.pendingHeartbeats) == 0 {
 		return
@@ -126,16 +132,18 @@
 	})
 }
 
-// answer answers a worker whose machine was looked for in the records.
+// answer answers a heartbeat after a search. The argument recorded is nil if the records could
+// not be read. A machine that no record lists is registered only by the owner of ShardFor, so
+// that two controllers never register the same machine.
 func (o *Orphans) answer(heartbeat messages.Heartbeat, recorded *state.RecordedMachines) {
 	id := heartbeat.Status.Machine
 	switch {
-	case o.state.Machines[id] != nil: // became known meanwhile
+	case o.state.Machines[id] != nil: // became known during the search
 		o.reconciler.Heartbeats.Handle(heartbeat)
 	case recorded == nil:
 		o.respondUnavailable(heartbeat.Request)
 	case recorded.Listed[id]:
-		shard, _ := o.deps.Directory.LastShardOf(id) // the record that lists it was just read
+		shard, _ := o.deps.Directory.LastShardOf(id) // found, as the record was just read
 		o.redirectToOwner(heartbeat.Request, shard)
 	default:
 		shard := o.ShardFor(id)
@@ -146,9 +154,9 @@
 	}
 }
 
-// queryStatus asks an orphaned machine for its status, and registers it when it
-// answers. A heartbeat alone proves nothing: it may be an old copy from a machine
-// that is long gone.
+// queryStatus requests the status of an orphaned machine and registers the machine if it
+// responds. The heartbeat alone is not sufficient, because it may be a delayed copy from
+// a machine that no longer exists.
 func (o *Orphans) queryStatus(shard *state.Shard, status *cluster.HeartbeatStatus, recorded *state.RecordedMachines) {
 	id := status.Machine
 	kind := grouprecord.Kind{Type: status.Type, Zone: status.Zone, Spot: status.Spot}
@@ -167,21 +175,20 @@
 	o.loop.Emit(messages.QueryWorkerStatus{Addr: address, Call: call})
 }
 
-// minAge is how long a machine must have been in the cloud's list and in no record
-// before it is adopted: the list still shows for a while what has been released or
-// has died.
+// minAge returns how long a machine must have been in the cloud's list but in no record
+// before it is adopted. The list lags, so it still contains machines that were released
+// or have failed.
 func (o *Orphans) minAge() cluster.Time { return 3*o.config.CloudListLag + 45*second }
 
-// isTooNew tells whether a machine was first listed without a record less than the
-// minimum age ago.
+// isTooNew reports whether a machine was first seen without a record less than minAge
+// ago.
 func (o *Orphans) isTooNew(id cluster.MachineID) bool {
 	first, ok := o.unrecordedSince[id]
 	return ok && o.loop.Now()-first < o.minAge()
 }
 
-// HandleListed follows a machine in the cloud's list that is not known here. It must
-// be older than the list may be behind, or a record that is being written would be
-// missed.
+// HandleListed considers a machine for adoption that is in the cloud's list but not known
+// to this controller. It ignores new machines, whose records may not be written yet.
 func (o *Orphans) HandleListed(listed cluster.ListedMachine) {
 	if listed.AgeSeconds < 3*float64(o.config.CloudListLag)/float64(second)+20 {
 		return
@@ -203,8 +210,8 @@
 	}
 }
 
-// ForgetUnlisted forgets the orphans that the cloud's list shows no more, and those
-// that have become known.
+// ForgetUnlisted discards the times at which orphans were first seen for machines that
+// are no longer in the cloud's list or have become known.
 func (o *Orphans) ForgetUnlisted(listed map[cluster.MachineID]bool) {
 	for id := range o.unrecordedSince {
 		if !listed[id] || o.state.Machines[id] != nil {
@@ -213,10 +220,9 @@
 	}
 }
 
-// adoptCandidates looks whether records list the machines that the cloud shows, and
-// adopts those that no record has listed for long enough. That the cloud listed them
-// long ago says nothing: another shard may have owned them until now, and then a
-// machine just released would be adopted though it is gone.
+// adoptCandidates reads the records and adopts the candidates that no record has listed
+// for at least minAge. Their age in the cloud's list is not sufficient: a machine that
+// another shard has just released is still in the list but no longer exists.
 func (o *Orphans) adoptCandidates() {
 	candidates := o.candidates
 	o.candidates = nil
@@ -227,7 +233,8 @@
 	})
 }
 
-// adopt registers a machine from the cloud's list if still no record lists it.
+// adopt registers a machine from the cloud's list if no record has listed it for at least
+// minAge.
 func (o *Orphans) adopt(listed cluster.ListedMachine, recorded *state.RecordedMachines) {
 	delete(o.registering, listed.ID)
 	shard := o.ShardFor(listed.ID)
@@ -248,8 +255,8 @@
 	o.queueRegistration(shard, grouprecord.Machine{ID: listed.ID, Kind: kind, Address: listed.Addr})
 }
 
-// queueRegistration gathers what is to be registered within a moment. Until that is
-// stored or has failed, the machine is not registered a second time.
+// queueRegistration adds a machine to the next registration of a shard. The machine stays
+// in registering until the registration has succeeded or failed.
 func (o *Orphans) queueRegistration(shard *state.Shard, machine grouprecord.Machine) {
 	o.registering[machine.ID] = true
 	shard.ToRegister = append(shard.ToRegister, machine)
@@ -260,8 +267,9 @@
 	o.loop.After(registrationBatchDelay, func() { o.registerQueued(shard, claim) })
 }
 
-// registerQueued writes the gathered machines into records, a group of the
-// target size in each.
+// registerQueued registers the queued machines of a shard, in groups of at most the
+// target size. If the shard is no longer owned under the given claim, the machines are
+// dropped from the queue instead.
 func (o *Orphans) registerQueued(shard *state.Shard, claim cluster.Revision) {
 	waiting := shard.ToRegister
 	shard.ToRegister = nil
@@ -282,7 +290,8 @@
 	}
 }
 
-// ShardFor spreads unknown machines over the shards by the number in their name.
+// ShardFor returns the shard that is responsible for an unknown machine. It distributes
+// the machines by the trailing number of their IDs.
 func (o *Orphans) ShardFor(id cluster.MachineID) *state.Shard {
 	const maxDigits = 10
 	number := 0
--- a/internal/reconcile/orphans_test.go
+++ b/internal/reconcile/orphans_test.go
@@ -10,12 +10,13 @@
 	"stairrelay/internal/state"
 )
 
-// unknownMachine is a machine that is not owned here; its number points to shard 0.
+// unknownMachine is a machine that the controller does not know. ShardFor maps it to
+// shard 0.
 const unknownMachine = cluster.MachineID("m-000003")
 
 var unknownKind = grouprecord.Kind{Type: "small", Zone: "a"}
 
-// unknownHeartbeat is a heartbeat of unknownMachine.
+// unknownHeartbeat returns a heartbeat from unknownMachine.
 func unknownHeartbeat(request messages.RequestID) messages.Heartbeat {
 	status := cluster.HeartbeatStatus{
 		Machine: unknownMachine, Type: unknownKind.Type, Zone: unknownKind.Zone, Addr: "m-3",
@@ -24,7 +25,8 @@
 	return messages.Heartbeat{Request: request, Status: status}
 }
 
-// recordedMachines is what records list that list some machines and no open request.
+// recordedMachines returns the contents of records that list the given machines and no
+// provisioning request.
 func recordedMachines(listed ...cluster.MachineID) *state.RecordedMachines {
 	recorded := &state.RecordedMachines{RequestedKinds: map[grouprecord.Kind]bool{}, Listed: map[cluster.MachineID]bool{}}
 	for _, id := range listed {
@@ -33,7 +35,8 @@
 	return recorded
 }
 
-// responsesAndQueries picks the answers out of effects, and counts the queries of workers.
+// responsesAndQueries returns the responses among effects and the number of queries to
+// workers.
 func responsesAndQueries(effects []messages.Effect) (responses []messages.Respond, queries int) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -46,23 +49,22 @@
 	return responses, queries
 }
 
-// TestUnknownHeartbeat: a worker whose machine is not owned here is sent to the owner if a
-// record lists the machine. Only if none does, and no open provisioning request may be
-// about to, is the machine asked for its status in order to be registered.
+// TestHeartbeatFromUnknownMachine checks that a worker is redirected to the owner of its
+// machine, and that the machine is queried only if no record lists or is about to list it.
 func TestHeartbeatFromUnknownMachine(t *testing.T) {
 	requested := recordedMachines()
 	requested.RequestedKinds[unknownKind] = true
 	for _, test := range []struct {
 		name           string
 		recorded       *state.RecordedMachines
-		ownedElsewhere bool // shard 0 has another owner
+		ownedElsewhere bool // another controller owns shard 0
 		status         messages.ReplyStatus
 		redirectTo     cluster.NodeID
 		queries        int
 	}{
 		{name: "records can't be read", status: messages.ReplyUnavailable},
 		{name: "listed", recorded: recordedMachines(unknownMachine), status: messages.ReplyMisdirected, redirectTo: "n1"},
-		{name: "an open request of its kind", recorded: requested, status: messages.ReplyUnavailable},
+		{name: "open provisioning request of its kind", recorded: requested, status: messages.ReplyUnavailable},
 		{name: "orphan", recorded: recordedMachines(), status: messages.ReplyUnavailable, queries: 1},
 		{name: "orphan of another shard", recorded: recordedMachines(), ownedElsewhere: true, status: messages.ReplyMisdirected, redirectTo: "n2"},
 	} {
@@ -77,7 +79,7 @@
 			h.Heartbeats.Handle(unknownHeartbeat(2))
 			responses, queries := responsesAndQueries(h.runFor(second))
 			if len(responses) != 2 || h.recordReads != 1 {
-				t.Fatalf("%d answers after %d readings, want 2 after 1", len(responses), h.recordReads)
+				t.Fatalf("%d responses after %d reads of the records, want 2 after 1", len(responses), h.recordReads)
 			}
 			response := responses[0]
 			if response.Status != test.status {
@@ -93,9 +95,8 @@
 	}
 }
 
-// TestOrphanAdoptedAfterMinimumAge: a machine in the cloud's list is adopted when no record
-// has listed it for long enough, counted from the first reading of the records without
-// it. A machine just released is still in the list for a while.
+// TestOrphanAdoptedAfterMinimumAge checks that a machine that was just released, but is
+// still in the cloud's list, is adopted only after minAge without a record that lists it.
 func TestOrphanAdoptedAfterMinimumAge(t *testing.T) {
 	h := newHarness(t)
 	h.recorded = recordedMachines(unknownMachine)
@@ -109,14 +110,14 @@
 		h.runFor(second)
 	}
 	if !slices.Equal(h.registered, []cluster.MachineID{unknownMachine}) {
-		t.Fatalf("registered %v, want the machine once", h.registered)
+		t.Fatalf("registered %v, want the orphan once", h.registered)
 	}
 	if age := h.loop.Now() - begin; age < h.Orphans.minAge() {
-		t.Errorf("adopted after %d s, want %d s at least", age/second, h.Orphans.minAge()/second)
+		t.Errorf("adopted after %d s, want at least %d s", age/second, h.Orphans.minAge()/second)
 	}
 }
 
-// TestShardForMachine: unknown machines are spread over the shards by their number.
+// TestShardForMachine checks that unknown machines are mapped to shards by their number.
 func TestShardForMachine(t *testing.T) {
 	h := newHarness(t)
 	for id, want := range map[cluster.MachineID]cluster.ShardID{
@@ -125,7 +126,7 @@
 		"i-5":           2,
 		"machine":       0,
 		"m-1-2":         2,
-		"m-20000000001": 1, // its last ten digits count
+		"m-20000000001": 1, // only the last ten digits are used
 	} {
 		if got := h.Orphans.ShardFor(id).ID; got != want {
 			t.Errorf("%s: shard %d, want %d", id, got, want)
--- a/internal/reconcile/push.go
+++ b/internal/reconcile/push.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/state"
 )
 
-// QueuePush has a machine's commands pushed at the end of this step: they can't wait
-// for its next heartbeat.
+// QueuePush schedules a push of a machine's urgent commands at the end of this event loop
+// step.
 func (c *Commands) QueuePush(machine *state.Machine) {
 	if !machine.PushQueued {
 		machine.PushQueued = true
@@ -16,7 +16,8 @@
 	}
 }
 
-// PushQueued pushes what can't wait for the machines' next heartbeats.
+// PushQueued pushes the urgent commands of the machines that QueuePush was called for. It
+// is called at the end of each event loop step.
 func (c *Commands) PushQueued() {
 	queued := c.queued
 	c.queued = nil
@@ -31,8 +32,9 @@
 	}
 }
 
-// canPushTo tells whether a push to a machine makes sense: one that has a heartbeat
-// waiting gets its commands in the answer, and one that is silent would not answer.
+// canPushTo reports whether commands can be pushed to a machine. A machine with a pending
+// heartbeat gets its commands in the response instead, and one without recent heartbeats
+// is unlikely to reply.
 func (c *Commands) canPushTo(machine *state.Machine) bool {
 	return c.state.Machines[machine.ID] == machine &&
 		machine.PendingHeartbeat == 0 &&
@@ -41,21 +43,22 @@
 		c.loop.Now()-machine.LastHeartbeat <= 2*c.config.HeartbeatInterval
 }
 
-// pushable lists the urgent commands that may be pushed to a machine.
+// pushable returns the urgent commands that may be pushed to a machine.
 func (c *Commands) pushable(machine *state.Machine) []cluster.Command {
 	commands := c.For(machine, true)
 	if !machine.TokenAcknowledged || machine.RaisingToken {
 		commands = onlyStops(commands)
 	}
 	if c.deps.Process.IsOverloaded() && machine.HasRunningTask() {
-		// A call costs more than an answer. Where tasks run, heartbeats come with
-		// every change and at least each interval: starts go with their answers.
+		// A push costs more CPU than a heartbeat response. A machine with running
+		// tasks sends heartbeats often enough to get its starts in the responses.
 		commands = withoutStarts(commands)
 	}
 	return commands
 }
 
-// push calls a worker with commands, perhaps none: then only the token is sent.
+// push sends commands and the fencing token to a worker. If there are no commands, it
+// sends only the token.
 func (c *Commands) push(machine *state.Machine, commands []cluster.Command) {
 	machine.BeginPush(c.loop.Now())
 	c.deps.Metrics.AddCommandPush()
@@ -82,7 +85,7 @@
 	})
 }
 
-// handlePushReply follows the outcome of a push that carried starts.
+// handlePushReply handles the outcome of a push that contained the given starts.
 func (c *Commands) handlePushReply(machine *state.Machine, starts []*state.Assignment, reply messages.PushCommandsReply) {
 	switch reply.Outcome {
 	case messages.OK:
@@ -106,7 +109,7 @@
 	}
 }
 
-// withdraw makes starts that were certainly not carried out ready to be sent again.
+// requeueLostStarts requeues starts that the worker is known not to have executed.
 func (c *Commands) requeueLostStarts(machine *state.Machine, starts []*state.Assignment) {
 	for _, assignment := range starts {
 		if assignment.Phase == state.PhaseDispatched {
@@ -115,8 +118,8 @@
 	}
 }
 
-// applyReplyStatus applies the status that answers a push. Another machine may answer
-// at an address that has been given to it since.
+// applyReplyStatus applies the status in the reply to a push. It ignores the status of
+// another machine, which may have been assigned the address since.
 func (c *Commands) applyReplyStatus(machine *state.Machine, status *cluster.HeartbeatStatus) {
 	if status.Machine == machine.ID && c.reconciler.ApplyStatus(machine, status, true) {
 		c.deps.RequestScheduling()
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,26 +1,24 @@
-// Package reconcile keeps the workers in line with the stored records of their
-// machines. It compares each heartbeat with the records, answers it with commands,
-// pushes those that can't wait, stops tasks, looks after machines that are silent or
-// not needed, and adopts machines that no record lists.
+// Package reconcile reconciles the tasks on the workers with the stored records of
+// their machines. It compares each heartbeat with the records, responds with commands,
+// pushes urgent commands, stops tasks, releases machines that are unresponsive or not
+// needed, and adopts machines that no record lists.
 //
-// A heartbeat proves only what its incarnation, sequence number and fencing token
-// say: it may be an old copy, and commands of an earlier owner may still be on their
-// way to the worker. So:
+// A heartbeat may be delayed or duplicated, and commands of a previous owner may still
+// be in flight to the worker. The package therefore relies on these rules:
 //
-//   - A heartbeat older than one already applied is dropped.
-//   - That a task is missing from a heartbeat proves that it is not on the machine
-//     only if the worker has acknowledged this owner's token (absence.go).
-//   - A start is sent only after the record that lists it is stored; the answer to a
-//     heartbeat waits a moment for that (held.go).
-//   - A start of unknown outcome is in doubt until a higher token, once acknowledged,
-//     proves that it can't be carried out any more (push.go, token.go).
+//   - A heartbeat older than the last one applied is dropped.
+//   - A task missing from a heartbeat is proven absent only if the worker has
+//     acknowledged the current owner's fencing token (absence.go).
+//   - A start is sent only after the record that lists the task is stored. The response
+//     to a heartbeat is held briefly for this (heldheartbeats.go).
+//   - A pushed start of unknown outcome is in doubt until the worker acknowledges a
+//     higher token, which proves that the start can no longer be executed (push.go,
+//     token.go).
 //   - The end of a task is acknowledged to its worker only after it is stored.
 //
-// Why a task was stopped: stops.go lists all causes. Those found here are in
-// stops.go (its job was cancelled, another task needs its place, its machine is
-// slow), draining.go (preemption notice of the cloud) and unrecorded.go (no record
-// lists it). A task also ends when its whole machine is released: maintenance.go and
-// unresponsive.go say why that is.
+// The type Stops lists the reasons for which a task is stopped. A task also ends when
+// its machine is released. The reasons for that are in maintenance.go and
+// unresponsive.go.
 package reconcile
 
 import (
@@ -36,86 +34,88 @@
 	millisecond = cluster.Millisecond
 )
 
-// Config is what the reconciler knows from the start.
+// Config is the configuration of a Reconciler.
 type Config struct {
 	// Self is this controller's node.
 	Self cluster.NodeID
-	// HeartbeatInterval is how often a worker sends a heartbeat at least.
+	// HeartbeatInterval is the maximum time between two heartbeats of a worker.
 	HeartbeatInterval cluster.Time
-	// WorkerLease is how long a worker goes on without an answer.
+	// WorkerLease is how long a worker runs its tasks without a response.
 	WorkerLease cluster.Time
-	// CancelDeadline is how soon a cancelled job's tasks must have stopped.
+	// CancelDeadline is the time within which the tasks of a cancelled job must stop.
 	CancelDeadline cluster.Time
-	// CloudListLag is how far the cloud's machine list may be behind.
+	// CloudListLag is the maximum lag of the cloud's machine list.
 	CloudListLag cluster.Time
-	// BootTimeoutFactor times the boot time of its type is how long a machine has for
-	// booting.
+	// BootTimeoutFactor is multiplied by the boot time of a machine type to get its boot
+	// timeout.
 	BootTimeoutFactor float64
-	// ScaleInIdleTime is how long a machine is idle before it is released.
+	// ScaleInIdleTime is how long a machine must be idle before it is released.
 	ScaleInIdleTime cluster.Time
 }
 
-// ShardOwnership tells what this controller may do as the owner of a shard.
+// ShardOwnership determines what this controller may do as the owner of a shard.
 type ShardOwnership interface {
-	// CanAnswerWorkers tells whether it may still answer the shard's workers.
+	// CanAnswerWorkers reports whether the controller may answer the shard's workers.
 	CanAnswerWorkers(shard *state.Shard) bool
-	// CanStartTasks tells whether it may send starts to the shard's machines.
+	// CanStartTasks reports whether the controller may send starts to the shard's
+	// machines.
 	CanStartTasks(shard *state.Shard) bool
 }
 
 // MachineRecords writes and checks the records of machines.
 type MachineRecords interface {
-	// WriteMachine has the record that lists a machine written.
+	// WriteMachine writes the record that lists a machine.
 	WriteMachine(machine *state.Machine, priority writequeue.Priority)
-	// RaiseToken has a higher fencing token of a machine written.
+	// RaiseToken stores a higher fencing token for a machine.
 	RaiseToken(machine *state.Machine)
-	// CheckOwner finds out whether another shard has taken over a machine.
+	// CheckOwner checks whether a machine was transferred to another shard.
 	CheckOwner(machine *state.Machine)
 }
 
 // JobRecords writes the records of jobs.
 type JobRecords interface {
-	// WriteJob has a job's record written.
+	// WriteJob writes a job's record.
 	WriteJob(job *state.Job, priority writequeue.Priority)
 }
 
-// Runtimes compares run times with those of completed tasks.
+// Runtimes estimates the run times of tasks from those of completed tasks.
 type Runtimes interface {
-	// RecordRuntime takes in the run time of a task that has completed.
+	// RecordRuntime adds the run time of a completed task to the statistics.
 	RecordRuntime(machine *state.Machine, assignment *state.Assignment)
-	// ExpectedRemainingSeconds is how long a task is expected to run on.
+	// ExpectedRemainingSeconds returns the expected remaining run time of a task.
 	ExpectedRemainingSeconds(assignment *state.Assignment) float64
-	// HandleSlowMachine drains a machine whose tasks take much longer than elsewhere.
+	// HandleSlowMachine drains a machine on which tasks take much longer than on others.
 	HandleSlowMachine(machine *state.Machine)
 }
 
-// WorkerReachability keeps in view whether workers reach this controller.
+// WorkerReachability tracks whether workers can reach this controller.
 type WorkerReachability interface {
-	// RecordHeartbeat records a heartbeat of any worker.
+	// RecordHeartbeat records a heartbeat from any worker.
 	RecordHeartbeat()
-	// RecordOwnedHeartbeat records a new heartbeat of an owned machine.
+	// RecordOwnedHeartbeat records a new heartbeat from an owned machine.
 	RecordOwnedHeartbeat()
-	// HasOwnedHeartbeatWithin tells whether an owned machine was heard within a time.
+	// HasOwnedHeartbeatWithin reports whether an owned machine has sent a heartbeat
+	// within the given time.
 	HasOwnedHeartbeatWithin(duration cluster.Time) bool
 }
 
-// ProcessHealth tells how the process is served by the machine it runs on.
+// ProcessHealth detects overload and pauses of this process.
 type ProcessHealth interface {
-	// IsOverloaded tells whether the process is short of processor time.
+	// IsOverloaded reports whether the process is short of CPU time.
 	IsOverloaded() bool
-	// ResumedAt is when the last process pause ended; 0: there was none.
+	// ResumedAt returns when the last pause of the process ended, or 0 if there was none.
 	ResumedAt() cluster.Time
 }
 
-// Metrics counts what the reconciler does.
+// Metrics counts operations of the reconciler.
 type Metrics interface {
-	// AddMachineScans counts a look at each of some machines.
+	// AddMachineScans counts a scan of the given machines.
 	AddMachineScans(machines []*state.Machine)
-	// AddCommandPush counts a call to a worker.
+	// AddCommandPush counts a push of commands to a worker.
 	AddCommandPush()
 }
 
-// Dependencies are the other parts of the controller that the reconciler uses.
+// Dependencies are the other components of the controller that the reconciler uses.
 type Dependencies struct {
 	Ownership    ShardOwnership
 	Machines     MachineRecords
@@ -129,15 +129,15 @@
 	Spot         SpotHistory
 	Metrics      Metrics
 
-	// IsIsolated tells whether this controller has had neither the state service nor
-	// any other controller for so long that another may own its shards.
+	// IsIsolated reports whether this controller has reached neither the state service
+	// nor any other controller for so long that another controller may own its shards.
 	IsIsolated func() bool
-	// RequestScheduling has tasks placed soon, as something has changed that
-	// scheduling depends on.
+	// RequestScheduling requests a scheduling run after a change that affects
+	// scheduling.
 	RequestScheduling func()
 }
 
-// Reconciler compares the workers with the records.
+// Reconciler reconciles the tasks on the workers with the stored records.
 type Reconciler struct {
 	*shared
 
@@ -148,7 +148,7 @@
 	Maintenance *Maintenance
 }
 
-// shared is what all parts of the reconciler use.
+// shared holds what all components of the reconciler use.
 type shared struct {
 	loop   *eventloop.Loop
 	state  *state.State
@@ -157,8 +157,8 @@
 	deps   Dependencies
 }
 
-// New makes a reconciler. It sets no timers of its own: its periodic methods are
-// to be called by the owner of the loop.
+// New returns a Reconciler. The caller must call its periodic methods; New starts no
+// timers.
 func New(loop *eventloop.Loop, st *state.State, queue *writequeue.Queue, config Config, deps Dependencies) *Reconciler {
 	s := &shared{loop: loop, state: st, queue: queue, config: config, deps: deps}
 	r := &Reconciler{shared: s}
@@ -170,11 +170,11 @@
 	return r
 }
 
-// Configure takes over other settings.
+// Configure replaces the configuration.
 func (r *Reconciler) Configure(config Config) { r.config = config }
 
-// redirect sends a worker to another controller; empty: to any other. This controller
-// is not named, as the worker would come back at once.
+// redirect answers a heartbeat with a redirect to a controller, or to any other
+// controller if to is empty or this controller.
 func (s *shared) redirect(request messages.RequestID, to cluster.NodeID) {
 	if to == s.config.Self {
 		to = ""
@@ -183,7 +183,8 @@
 	s.loop.Emit(messages.Respond{Request: request, Status: messages.ReplyMisdirected, Heartbeat: response})
 }
 
-// respondUnavailable tells a worker to ask again later.
+// respondUnavailable answers a heartbeat with ReplyUnavailable, so that the worker retries
+// later.
 func (s *shared) respondUnavailable(request messages.RequestID) {
 	s.loop.Emit(messages.Respond{Request: request, Status: messages.ReplyUnavailable})
 }
--- a/internal/reconcile/stale_heartbeat_test.go
+++ b/internal/reconcile/stale_heartbeat_test.go
@@ -12,8 +12,7 @@
 	currentAttempt = cluster.Attempt(8)
 )
 
-// addMachineRunningPresentAttempt adds a machine on which the present attempt of a task
-// runs.
+// addMachineRunningCurrentAttempt adds a machine that runs the current attempt of a task.
 func addMachineRunningCurrentAttempt(h *harness) (*state.Machine, *state.Assignment) {
 	h.t.Helper()
 	machine, current := h.addRunningMachine(h.addJob())
@@ -21,9 +20,8 @@
 	return machine, current
 }
 
-// TestEarlierAttemptEndIgnored: a worker still shows the end of an earlier attempt of a
-// task beside the present one. Taken for the present attempt's, that end would free the
-// task, and it would start elsewhere while it runs here.
+// TestEarlierAttemptEndIgnored checks that the end of an earlier attempt is not applied to
+// the current one. Otherwise the task would start elsewhere while it runs here.
 func TestEarlierAttemptEndIgnored(t *testing.T) {
 	h := newHarness(t)
 	machine, current := addMachineRunningCurrentAttempt(h)
@@ -32,16 +30,15 @@
 		cluster.TaskStatus{Task: task, Attempt: earlierAttempt, State: cluster.Ended, Cause: cluster.CauseStopped},
 		cluster.TaskStatus{Task: task, Attempt: currentAttempt, State: cluster.Running}), false)
 	if current.ConfirmedAbsent || current.Phase != state.PhaseAcknowledged {
-		t.Errorf("the present attempt: absent %v, phase %d; want it running", current.ConfirmedAbsent, current.Phase)
+		t.Errorf("current attempt: confirmed absent %v, phase %d; want it running", current.ConfirmedAbsent, current.Phase)
 	}
 	if !machine.EndedToAcknowledge[state.TaskAttempt{Task: task, Attempt: earlierAttempt}] {
-		t.Error("the end of the earlier attempt is not acknowledged to the worker")
+		t.Error("end of the earlier attempt is not acknowledged to the worker")
 	}
 }
 
-// TestRunningEarlierAttemptStopped: a worker shows that an earlier attempt runs, and
-// nothing of the present one, whose start was sent. Taken for the present attempt, it
-// could not be stopped: commands name the attempt that they mean.
+// TestRunningEarlierAttemptStopped checks that a running earlier attempt is stopped and
+// not mistaken for the current one, whose start was lost.
 func TestRunningEarlierAttemptStopped(t *testing.T) {
 	h := newHarness(t)
 	machine, current := addMachineRunningCurrentAttempt(h)
@@ -49,16 +46,15 @@
 	h.ApplyStatus(machine, statusWithCurrentToken(machine, machine.SequenceNumber+1,
 		cluster.TaskStatus{Task: current.Task, Attempt: earlierAttempt, State: cluster.Running}), false)
 	if !machine.UnrecordedToStop[state.TaskAttempt{Task: current.Task, Attempt: earlierAttempt}] {
-		t.Error("the earlier attempt is not stopped")
+		t.Error("earlier attempt is not stopped")
 	}
 	if current.Phase != state.PhaseReady {
-		t.Errorf("the present attempt is in phase %d, want %d: its start did not arrive", current.Phase, state.PhaseReady)
+		t.Errorf("current attempt is in phase %d, want %d, as its start was lost", current.Phase, state.PhaseReady)
 	}
 }
 
-// TestAbsenceInStaleHeartbeatIgnored: a heartbeat that lacks a task proves it absent only
-// if it is newer than the last one applied. One of an earlier incarnation proves nothing
-// whatever its sequence number, as these begin anew with each incarnation.
+// TestAbsenceInStaleHeartbeatIgnored checks that a task missing from a stale heartbeat is
+// not taken as absent. Sequence numbers restart with each incarnation.
 func TestAbsenceInStaleHeartbeatIgnored(t *testing.T) {
 	const (
 		lastIncarnation = cluster.Incarnation(2)
@@ -70,10 +66,10 @@
 		sequence    cluster.SequenceNumber
 		applied     bool
 	}{
-		{"newer", lastIncarnation, lastSequence + 1, true},
-		{"the same heartbeat again", lastIncarnation, lastSequence, false},
-		{"an older one of this incarnation", lastIncarnation, lastSequence - 1, false},
-		{"an earlier incarnation's, with a higher sequence number", lastIncarnation - 1, lastSequence + 50, false},
+		{"newer heartbeat", lastIncarnation, lastSequence + 1, true},
+		{"duplicate heartbeat", lastIncarnation, lastSequence, false},
+		{"older heartbeat of this incarnation", lastIncarnation, lastSequence - 1, false},
+		{"earlier incarnation with a higher sequence number", lastIncarnation - 1, lastSequence + 50, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
@@ -82,10 +78,10 @@
 			status := statusWithCurrentToken(machine, test.sequence)
 			status.Incarnation = test.incarnation
 			if applied := h.ApplyStatus(machine, status, false); applied != test.applied {
-				t.Errorf("applied %v, want %v", applied, test.applied)
+				t.Errorf("applied: %v, want %v", applied, test.applied)
 			}
 			if current.ConfirmedAbsent != test.applied {
-				t.Errorf("the task counts as absent: %v, want %v", current.ConfirmedAbsent, test.applied)
+				t.Errorf("task confirmed absent: %v, want %v", current.ConfirmedAbsent, test.applied)
 			}
 		})
 	}
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -6,18 +6,17 @@
 	"stairrelay/internal/state"
 )
 
-// ApplyStatus compares a worker's status with what is known of its machine. pushed:
-// it came as the answer to a push, not as a heartbeat. It returns false for a status
-// that is not newer than the last one applied.
+// ApplyStatus applies a worker's status to its machine. The argument pushed is true if the
+// status came in the reply to a push and not in a heartbeat. ApplyStatus returns false if
+// the status is not newer than the last one applied.
 func (r *Reconciler) ApplyStatus(machine *state.Machine, status *cluster.HeartbeatStatus, pushed bool) bool {
 	newIncarnation := status.Incarnation > machine.Incarnation
 	if status.Incarnation < machine.Incarnation || !newIncarnation && status.SequenceNumber <= machine.SequenceNumber {
 		return false
 	}
-	// A lease that ran out, or a start in an answer without effect, may mean that
-	// nothing sent to the machine reaches it though its heartbeats come. A higher
-	// token, once acknowledged, proves that it does; until then the machine gets no
-	// new work, and in the end it is released.
+	// After a lease expiry or a lost start, messages to the machine may be lost although
+	// its heartbeats arrive. The token is raised to find out: until the worker
+	// acknowledges it, the machine gets no new tasks, and in the end it is released.
 	unreachable := newIncarnation && machine.Incarnation > 0
 	machine.Incarnation, machine.SequenceNumber, machine.LastHeartbeat = status.Incarnation, status.SequenceNumber, r.loop.Now()
 	if machine.Booting {
@@ -33,19 +32,19 @@
 	if status.PreemptionNotice >= 0 {
 		r.Stops.handlePreemptionNotice(machine, status.PreemptionNotice)
 	}
-	present := r.applyReportedTasks(machine, status)
+	reported := r.applyReportedTasks(machine, status)
 	if machine.TokenAcknowledged {
 		evidence := absenceEvidence{sequence: status.SequenceNumber, newIncarnation: newIncarnation, pushed: pushed}
-		unreachable = r.applyMissingTasks(machine, present, evidence) || unreachable
+		unreachable = r.applyMissingTasks(machine, reported, evidence) || unreachable
 	}
 	if unreachable && machine.TokenAcknowledged {
 		r.deps.Machines.RaiseToken(machine)
 	}
-	machine.ForgetCleared(present)
+	machine.ForgetCleared(reported)
 	return true
 }
 
-// handleBooted follows a machine's first heartbeat.
+// handleBooted handles the first heartbeat of a machine.
 func (r *Reconciler) handleBooted(machine *state.Machine) {
 	bootSeconds := int((r.loop.Now() - machine.OwnedSince) / second)
 	r.loop.Log(messages.LogDebug, "machine booted", "machine", string(machine.ID), "type", machine.MachineType, "after_s", bootSeconds)
@@ -53,14 +52,14 @@
 	r.deps.RequestScheduling()
 }
 
-// applyPresent applies the tasks that a status shows, and returns them. It goes by
-// attempt, not by task: an old status may show an earlier attempt of a task that runs
-// here now, and must not make that one look absent.
+// applyReportedTasks applies the tasks that a status lists and returns their attempts. It
+// matches attempts rather than tasks, because the worker may still report an earlier
+// attempt of a task, which must not be taken for the current one.
 func (r *Reconciler) applyReportedTasks(machine *state.Machine, status *cluster.HeartbeatStatus) map[state.TaskAttempt]bool {
-	present := make(map[state.TaskAttempt]bool, len(status.Tasks))
+	reported := make(map[state.TaskAttempt]bool, len(status.Tasks))
 	for i := range status.Tasks {
 		task := &status.Tasks[i]
-		present[state.TaskAttempt{Task: task.Task, Attempt: task.Attempt}] = true
+		reported[state.TaskAttempt{Task: task.Task, Attempt: task.Attempt}] = true
 		assignment := machine.Assignments[task.Task]
 		if assignment == nil || assignment.Attempt != task.Attempt {
 			r.handleUnrecorded(machine, task)
@@ -68,10 +67,10 @@
 		}
 		r.applyTaskStatus(machine, assignment, task)
 	}
-	return present
+	return reported
 }
 
-// applyTaskStatus applies the state of a task that the record lists.
+// applyTaskStatus applies the reported state of a task that the machine's record lists.
 func (r *Reconciler) applyTaskStatus(machine *state.Machine, assignment *state.Assignment, task *cluster.TaskStatus) {
 	if assignment.Phase == state.PhaseEnded {
 		return
--- a/internal/reconcile/stops.go
+++ b/internal/reconcile/stops.go
@@ -4,26 +4,26 @@
 	"stairrelay/internal/state"
 )
 
-// graceMarginSeconds is added to the time that a task takes to save.
+// graceMarginSeconds is added to the time that a task needs to write a checkpoint.
 const graceMarginSeconds = 1
 
-// Stops stops tasks. Each cause has its method:
+// Stops stops tasks. It has a method for each reason:
 //
-//   - StopJob: the task's job was cancelled, or failed with one that it needs.
-//   - Preempt: scheduling needs the place for a task of higher priority or of a team
-//     below its fair share, or another shard needs the machine more.
-//   - MoveOffSlowMachine: the machine is slow, or the task runs late on it.
-//   - handlePreemptionNotice (draining.go): the cloud takes the machine.
+//   - StopJob: the job was cancelled, or a job that it depends on did not succeed.
+//   - Preempt: the resources are needed for a task of higher priority or of a team below
+//     its fair share, or another shard needs the machine.
+//   - MoveOffSlowMachine: the machine is slow, or the task is a straggler on it.
+//   - handlePreemptionNotice (draining.go): the cloud preempts the machine.
 //
-// Tasks that no record lists are stopped by unrecorded.go. All other ends of a task
-// are its own, or that of its machine (ReleaseReason).
+// Tasks that no record lists are stopped by unrecorded.go. In all other cases, a task
+// ends by itself or with its machine (see ReleaseReason).
 type Stops struct {
 	*shared
 	reconciler *Reconciler
 }
 
-// StopJob stops every task of a job that is cancelled, without grace, also those that
-// were to save: their result is not needed any more.
+// StopJob stops all tasks of a cancelled job without a grace period. This includes tasks
+// that are already being stopped with one, as their checkpoints are no longer needed.
 func (s *Stops) StopJob(job *state.Job) {
 	for _, assignment := range job.SortedAssignments() {
 		machine := s.state.Machines[assignment.MachineID]
@@ -36,7 +36,7 @@
 	}
 }
 
-// WithdrawUnsent withdraws the starts of a job that were not sent.
+// WithdrawUnsentStarts withdraws the recorded starts of a job that were not sent yet.
 func (s *Stops) WithdrawUnsentStarts(job *state.Job) {
 	for _, assignment := range job.SortedAssignments() {
 		if machine := s.state.Machines[assignment.MachineID]; machine != nil && assignment.Phase == state.PhaseReady {
@@ -45,21 +45,21 @@
 	}
 }
 
-// Preempt stops a task to free its place for another, and gives it the time to save.
+// Preempt stops a task to free its resources, with a grace period for a checkpoint.
 func (s *Stops) Preempt(machine *state.Machine, assignment *state.Assignment) {
 	s.stop(machine, assignment, assignment.Job.Spec.SaveSeconds+graceMarginSeconds)
 }
 
-// MoveOffSlowMachine stops a task so that it starts again on another machine. Saving
-// takes longer on a slow one.
+// MoveOffSlowMachine stops a task so that it restarts on another machine. The grace period
+// is longer because writing a checkpoint takes longer on a slow machine.
 func (s *Stops) MoveOffSlowMachine(machine *state.Machine, assignment *state.Assignment) {
-	const slowSaveFactor = 4
-	s.stop(machine, assignment, assignment.Job.Spec.SaveSeconds*slowSaveFactor+graceMarginSeconds)
+	const slowCheckpointFactor = 4
+	s.stop(machine, assignment, assignment.Job.Spec.SaveSeconds*slowCheckpointFactor+graceMarginSeconds)
 }
 
-// stop has a task stopped, after a grace in seconds for a task checkpoint. A start that
-// was not sent is withdrawn instead; one whose record is being written stays, and is
-// dropped once that is stored if its job is over.
+// stop requests the stop of a task with a grace period in seconds. A start that was not
+// sent is withdrawn instead. A task whose record is being written is left as it is; if
+// its job has ended, it is withdrawn when the record is stored.
 func (s *Stops) stop(machine *state.Machine, assignment *state.Assignment, grace float64) {
 	if assignment.StopRequested || assignment.Phase == state.PhaseRecording {
 		return
--- a/internal/reconcile/taskend.go
+++ b/internal/reconcile/taskend.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// refusedStartPause is how long a machine that refused a start gets no other, and
-	// a job that a worker did not know is not started again.
+	// rejectedStartBackoff is how long no tasks are started on a machine that rejected a
+	// start, or for a job whose task a worker did not know.
 	rejectedStartBackoff = 3 * second
-	// failingJobMachines is on how many machines a job's tasks must fail before the
-	// job counts as faulty.
+	// faultyJobMachineCount is the number of machines on which tasks of a job must fail
+	// before the job is considered faulty.
 	faultyJobMachineCount = 2
-	// failingMachineJobs is how many jobs' tasks must fail on a machine before the
-	// machine counts as faulty.
+	// faultyMachineJobCount is the number of jobs whose tasks must fail on a machine
+	// before the machine is considered faulty.
 	faultyMachineJobCount = 2
-	// maxJobBackoff is the longest pause between two attempts of a faulty job.
+	// maxJobBackoff is the maximum delay before tasks of a faulty job are retried.
 	maxJobBackoff = 60 * second
-	// maxBackoffDoublings bounds how often the pause is doubled.
+	// maxBackoffDoublings limits how often the delay is doubled.
 	maxBackoffDoublings = 6
 )
 
-// handleTaskEnded follows a status that shows that a task of the record has ended.
+// handleTaskEnded handles the reported end of a task that the machine's record lists.
 func (r *Reconciler) handleTaskEnded(machine *state.Machine, assignment *state.Assignment, cause cluster.Cause) {
 	job := assignment.Job
 	machine.MarkEnded(assignment, cause)
@@ -46,8 +46,8 @@
 	}
 }
 
-// recordTaskCompleted records that a task has run to its end; with the last of its job
-// that is stored at once.
+// recordTaskCompleted records the completion of a task. After the last task of a job, the
+// job's record is written at once.
 func (r *Reconciler) recordTaskCompleted(job *state.Job, index int) {
 	job.SetCompleted(index)
 	if job.FinalStatus == "" && job.ChunksLoading == 0 && job.CompletedCount == job.Spec.Tasks {
@@ -55,9 +55,9 @@
 	}
 }
 
-// handleTaskFailed tells a faulty machine from a faulty job: several jobs that fail on
-// one machine speak against the machine, one job that fails on several machines
-// against the job, which is then retried ever more slowly.
+// handleTaskFailed counts a task failure and determines whether the machine or the job is
+// faulty. If tasks of several jobs fail on one machine, the machine is drained. If tasks
+// of one job fail on several machines, the job is retried with exponential backoff.
 func (r *Reconciler) handleTaskFailed(machine *state.Machine, assignment *state.Assignment) {
 	job := assignment.Job
 	machine.TaskErrors++
@@ -69,7 +69,7 @@
 		job.BackoffUntil = r.loop.Now() + min(second<<doublings, maxJobBackoff)
 	}
 	if len(machine.FailedJobs) >= faultyMachineJobCount && !machine.Draining {
-		r.loop.Log(messages.LogInfo, "machine fails tasks", "machine", string(machine.ID), "task_errors", machine.TaskErrors)
+		r.loop.Log(messages.LogInfo, "tasks of several jobs failed on the machine; draining it", "machine", string(machine.ID), "task_errors", machine.TaskErrors)
 		r.Stops.Drain(machine)
 	}
 }
--- a/internal/reconcile/token.go
+++ b/internal/reconcile/token.go
@@ -5,7 +5,7 @@
 	"stairrelay/internal/state"
 )
 
-// applyToken applies which fencing token a worker has seen last.
+// applyToken applies the highest fencing token that a worker has seen.
 func (r *Reconciler) applyToken(machine *state.Machine, seen cluster.FencingToken) {
 	acknowledged := seen == machine.Token || seen == 0 && hasNoEarlierCommands(machine)
 	if machine.TokenAcknowledged && !acknowledged {
@@ -20,9 +20,9 @@
 	}
 }
 
-// hasNoEarlierCommands tells whether no older command can be on its way to a worker
-// that has seen no token at all: the machine has never been owned under another claim,
-// and no start of ours is in doubt.
+// hasNoEarlierCommands reports whether no command under an older token can be in flight
+// to a worker that has not seen any token. This is the case if the machine was never
+// owned under another claim and the outcome of no pushed start is unknown.
 func hasNoEarlierCommands(machine *state.Machine) bool {
 	return machine.Token == machine.InitialToken && !machine.StartInDoubt && !machine.RaisingToken
 }
--- a/internal/reconcile/unanswered_push_test.go
+++ b/internal/reconcile/unanswered_push_test.go
@@ -7,22 +7,20 @@
 	"stairrelay/internal/state"
 )
 
-// TestUnansweredCallWithCancelledTasks: a machine that was just taken over with a task of
-// a cancelled job, and leaves its first call unanswered, is released at once only if half
-// of the cancellation's time has passed since this controller learnt of it. Else it gets
-// the time that any machine gets which was taken over.
+// TestUnansweredPushWithCancelledTasks checks that a machine taken over with a cancelled
+// task is released for an unanswered push only after half of the cancellation deadline.
 func TestUnansweredPushWithCancelledTasks(t *testing.T) {
 	half := newHarness(t).config.CancelDeadline / 2
 	for _, test := range []struct {
 		name       string
-		knownFor   cluster.Time // how long the cancellation has been known
-		unanswered cluster.Time // since when a call has no answer; 0: none is in flight
+		knownFor   cluster.Time // time since the controller learned of the cancellation
+		unanswered cluster.Time // time since the push; 0 if none is in flight
 		released   bool
 	}{
-		{"known for long, no answer", half + second, unansweredPushTimeout + 100*millisecond, true},
-		{"known for long, called a moment ago", half + second, unansweredPushTimeout - 100*millisecond, false},
-		{"known for long, not called", half + second, 0, false},
-		{"known for a short time, no answer", half - second, unansweredPushTimeout + 100*millisecond, false},
+		{"known for long, no reply", half + second, unansweredPushTimeout + 100*millisecond, true},
+		{"known for long, just pushed", half + second, unansweredPushTimeout - 100*millisecond, false},
+		{"known for long, no push", half + second, 0, false},
+		{"known for a short time, no reply", half - second, unansweredPushTimeout + 100*millisecond, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
@@ -38,7 +36,7 @@
 			}
 			h.Maintenance.Run()
 			if machine.Releasing != test.released {
-				t.Errorf("released %v, want %v", machine.Releasing, test.released)
+				t.Errorf("released: %v, want %v", machine.Releasing, test.released)
 			}
 		})
 	}
--- a/internal/reconcile/unrecorded.go
+++ b/internal/reconcile/unrecorded.go
@@ -6,9 +6,8 @@
 	"stairrelay/internal/state"
 )
 
-// handleUnrecorded follows a status that shows a task which the machine's record does
-// not list. It is stopped: its record was lost or removed, so the same task may be
-// started elsewhere.
+// handleUnrecorded handles a reported task that the machine's record does not list. The
+// task is stopped, because it may already be starting on another machine.
 func (r *Reconciler) handleUnrecorded(machine *state.Machine, task *cluster.TaskStatus) {
 	attempt := state.TaskAttempt{Task: task.Task, Attempt: task.Attempt}
 	if r.applyUnrecordedCompletion(machine, task) {
@@ -20,15 +19,15 @@
 		return
 	}
 	if !machine.UnrecordedToStop[attempt] {
-		r.loop.Log(messages.LogInfo, "unrecorded task", "machine", string(machine.ID), "task", task.Task.String(), "attempt", uint64(task.Attempt))
+		r.loop.Log(messages.LogInfo, "worker runs a task that the machine's record does not list; stopping it", "machine", string(machine.ID), "task", task.Task.String(), "attempt", uint64(task.Attempt))
 	}
 	machine.UnrecordedToStop[attempt] = true
 }
 
-// applyUnrecordedCompletion records that a task has run to its end under an earlier
-// owner of its shard, who had not stored that yet. Without this the task would run
-// again; the worker shows it until it is stored. It returns false where the task is
-// not needed any more.
+// applyUnrecordedCompletion records the completion of a task under a previous owner of its
+// shard that did not store it. Otherwise the task would run again. The worker reports the
+// task until its completion is stored and acknowledged. The result is false if the status
+// reports no completion or the job does not need it; the caller then handles the status.
 func (r *Reconciler) applyUnrecordedCompletion(machine *state.Machine, task *cluster.TaskStatus) bool {
 	if task.State != cluster.Ended || task.Cause != cluster.CauseCompleted || machine.Assignments[task.Task] != nil {
 		return false
@@ -37,7 +36,7 @@
 	if job == nil || !job.IsActive() || task.Task.Index >= len(job.TaskStates) {
 		return false
 	}
-	if job.ChunksLoading > 0 { // perhaps it is stored already
+	if job.ChunksLoading > 0 { // the completion may already be stored
 		return true
 	}
 	if job.TaskStates[task.Task.Index] != state.TaskPending {
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// leaseMargin is added to the worker's lease before a machine counts as hung.
+	// hangMargin is added to the worker lease before a machine is considered hung.
 	hangMargin = 2 * second
-	// lossMargin is added to the worker's lease before a machine counts as lost.
+	// lossMargin is added to the worker lease before a machine is considered lost.
 	lossMargin = 5 * second
-	// slowPushThreshold is well above what a call takes to a machine that runs.
+	// unansweredPushTimeout is the time without a reply to a push after which a machine
+	// with cancelled tasks may be considered hung.
 	unansweredPushTimeout = 1500 * millisecond
-	// minFirstAcknowledgementTimeout bounds firstAcknowledgementTimeout from below.
+	// minFirstAcknowledgementTimeout is the minimum of firstAcknowledgementTimeout.
 	minFirstAcknowledgementTimeout = 5 * second
 )
 
-// elapsedSince is how long ago something was, counted from the end of the last process
-// pause at the earliest: that nothing was heard during the pause says nothing about
-// the machines.
+// elapsedSince returns the time since start, or since the end of the last process pause if
+// that is later. No heartbeat can be received during a pause, so the pause must not count
+// against the machines.
 func (s *shared) elapsedSince(start cluster.Time) cluster.Time {
 	return s.loop.Now() - max(start, s.deps.Process.ResumedAt())
 }
 
-// heartbeatAge is how long a machine could have been heard and was not.
+// heartbeatAge returns the time since the last heartbeat of a machine, or since the end of
+// the last process pause if that is later.
 func (s *shared) heartbeatAge(machine *state.Machine) cluster.Time {
 	return s.elapsedSince(machine.LastHeartbeat)
 }
 
-// stopFailureReason says why a machine can't be relied on to stop tasks, if it can't.
-// One that hangs with a cancelled job's tasks must be gone before its cancellation's
-// time is up.
+// stopFailureReason returns the reason to release a machine that may fail to stop its
+// tasks, or releaseNone. A hung machine with tasks of a cancelled job has to be released
+// before the cancellation deadline.
 func (m *Maintenance) stopFailureReason(machine *state.Machine) ReleaseReason {
 	switch {
 	case m.hangsWithCancelledTasks(machine):
@@ -43,8 +45,8 @@
 	return releaseNone
 }
 
-// isUnreachableForCommands tells whether a machine's heartbeats come, but nothing that
-// is sent to it has an effect.
+// isUnreachableForCommands reports whether a machine sends heartbeats but has not
+// acknowledged its token for so long that it seems to receive no commands.
 func (m *Maintenance) isUnreachableForCommands(machine *state.Machine) bool {
 	if machine.TokenAcknowledged || machine.RaisingToken || machine.Incarnation == 0 {
 		return false
@@ -55,29 +57,29 @@
 		m.loop.Now()-machine.OwnedSince > lease
 }
 
-// silenceReason says why a machine that is not heard any more counts as lost, if it
-// does. When no worker is heard, the fault is more likely on this controller's side,
-// and the machines have longer.
-func (s *maintenanceScan) silenceReason(machine *state.Machine) ReleaseReason {
-	silence, lease := s.heartbeatAge(machine), s.config.WorkerLease
+// missingHeartbeatReason returns the reason to release a machine that has stopped sending
+// heartbeats, or releaseNone. If no worker sends heartbeats, the cause is more likely on
+// this controller's side, and the timeout is longer.
+func (s *maintenanceScan) missingHeartbeatReason(machine *state.Machine) ReleaseReason {
+	age, lease := s.heartbeatAge(machine), s.config.WorkerLease
 	switch {
-	case machine.MissingFromCloudList && silence > 5*s.config.HeartbeatInterval/2 && s.workersReporting:
+	case machine.MissingFromCloudList && age > 5*s.config.HeartbeatInterval/2 && s.workersReporting:
 		return ReleaseSilentUnlisted
-	case silence > lease+lossMargin && (s.workersReporting || silence > 3*lease) && s.loop.Now()-machine.OwnedSince > lease:
+	case age > lease+lossMargin && (s.workersReporting || age > 3*lease) && s.loop.Now()-machine.OwnedSince > lease:
 		return ReleaseSilent
 	}
 	return releaseNone
 }
 
-// firstAcknowledgementTimeout is how long a machine taken over with cancelled tasks may
-// take to acknowledge its token. That a heartbeat of it came says nothing by itself: it
-// may be a copy that was held up until now, while the machine hangs.
+// firstAcknowledgementTimeout returns how long a machine taken over with cancelled tasks
+// may take to acknowledge its token. Heartbeats alone do not prove that it is responsive,
+// as they may have been delayed.
 func (m *Maintenance) firstAcknowledgementTimeout() cluster.Time {
 	return max(minFirstAcknowledgementTimeout, 2*m.config.HeartbeatInterval)
 }
 
-// hangsWithCancelledTasks tells whether a machine that may run tasks of a cancelled job
-// seems to hang, so that it has to be released before the cancellation's time is up.
+// hangsWithCancelledTasks reports whether a machine that may run tasks of a cancelled job
+// seems to hang, so that it has to be released before the cancellation deadline.
 func (m *Maintenance) hangsWithCancelledTasks(machine *state.Machine) bool {
 	if !hasCancelledTask(machine) {
 		return false
@@ -94,10 +96,10 @@
 	return m.hasLongCancelledTask(machine) && machine.PushInFlight && m.elapsedSince(machine.LastPushAt) > unansweredPushTimeout
 }
 
-// hasLongCancelledTask tells whether half of the time for a cancellation has passed
-// since this process learnt of one whose tasks may be on a machine. Where each owner
-// of the shard was deposed before firstAcknowledgementTimeout was over, the rest may
-// not be enough for that either.
+// hasLongCancelledTask reports whether a machine may run a task that this process has
+// known to be cancelled for more than half of the cancellation deadline. If the shard
+// changed owners several times since, the rest of the deadline may be shorter than
+// firstAcknowledgementTimeout.
 func (m *Maintenance) hasLongCancelledTask(machine *state.Machine) bool {
 	for _, assignment := range machine.Assignments {
 		known := m.state.Jobs.FinalJob(assignment.Task.Job)
@@ -109,7 +111,7 @@
 	return false
 }
 
-// hasCancelledTask tells whether a task of a cancelled job may be on a machine.
+// hasCancelledTask reports whether a machine may run a task of a cancelled job.
 func hasCancelledTask(machine *state.Machine) bool {
 	for _, assignment := range machine.Assignments {
 		if assignment.IsLive() && assignment.Job.Cancelling {
@@ -119,8 +121,8 @@
 	return false
 }
 
-// ignoresStop tells whether a cancelled task goes on in spite of stop commands: perhaps
-// they don't reach the machine.
+// ignoresStop reports whether a cancelled task is still running long after its stop was
+// requested. The stops may not reach the machine.
 func (m *Maintenance) ignoresStop(machine *state.Machine) bool {
 	timeout := min(m.config.WorkerLease+hangMargin, m.config.CancelDeadline/2)
 	for _, assignment := range machine.Assignments {
