--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -24,7 +24,7 @@
 	b.state.Jobs.Known["j-1"].FinalStatus = "" // this controller has not learned of it
 	b.jobs.Queries.HandleQuery(messages.Query{Request: 5, ID: "j-1"})
 	var views []cluster.JobView
-	b.jobs.Queries.AnswerPeer([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
+	b.jobs.Queries.HandlePeerQuery([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
 	b.runFor(300 * millisecond)
 	if len(b.sentResponses) != 1 || b.sentResponses[0].View == nil || b.sentResponses[0].View.Status != cluster.JobDone {
 		t.Errorf("a query gets %+v", b.sentResponses)
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -23,7 +23,7 @@
 		}
 		c.replyToPeer(request.Request, messages.PeerMessage{Status: messages.ReplyOK})
 	case message.Query != nil:
-		c.jobs.Queries.AnswerPeer(message.Query.IDs, func(views []cluster.JobView) {
+		c.jobs.Queries.HandlePeerQuery(message.Query.IDs, func(views []cluster.JobView) {
 			c.replyToPeer(request.Request, messages.PeerMessage{Views: views})
 		})
 	case message.Submission != nil:
@@ -60,7 +60,7 @@
 		c.respondError(request, messages.ReplyBadRequest, "no job")
 		return
 	}
-	c.jobs.Submissions.Submit(spec, func(outcome messages.Respond) {
+	c.jobs.Submissions.HandleProxied(spec, func(outcome messages.Respond) {
 		c.replyToPeer(request, messages.PeerMessage{
 			Status:     outcome.Status,
 			RetryAfter: outcome.RetryAfter,
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -330,7 +330,7 @@
 	answered := 0
 	for i := range 20 {
 		spec := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, RuntimeSeconds: 5}
-		b.jobs.Submissions.Submit(spec, func(answer messages.Respond) {
+		b.jobs.Submissions.HandleProxied(spec, func(answer messages.Respond) {
 			if answered++; answer.Status != messages.ReplyCreated {
 				t.Errorf("%s gets %d", spec.ID, answer.Status)
 			}
--- a/internal/controller/urgency_test.go
+++ b/internal/controller/urgency_test.go
@@ -89,8 +89,8 @@
 		deadline float64
 	}{
 		"d": {cluster.Production, urgencyDeadline},
-		"b": {cluster.Production, urgencyDeadline - urgencyRuntime - jobs.StageDelayMillis},
-		"a": {cluster.Production, urgencyDeadline - 2*(urgencyRuntime+jobs.StageDelayMillis)},
+		"b": {cluster.Production, urgencyDeadline - urgencyRuntime - jobs.DependentStartDelayMillis},
+		"a": {cluster.Production, urgencyDeadline - 2*(urgencyRuntime+jobs.DependentStartDelayMillis)},
 		"c": {cluster.Urgent, 0},
 		"e": {cluster.Production, 1_100_000}, // its own is the tighter
 	} {
@@ -106,7 +106,7 @@
 		t.Fatal("the wrong jobs are owned")
 	}
 	start := b.scheduler.Queue.LatestStart(b.state.Jobs.Owned["a"])
-	if want := urgencyDeadline - 2*(urgencyRuntime+jobs.StageDelayMillis) - urgencyRuntime; start != want {
+	if want := urgencyDeadline - 2*(urgencyRuntime+jobs.DependentStartDelayMillis) - urgencyRuntime; start != want {
 		t.Errorf("a is to start at %v, want %v", start, want)
 	}
 }
@@ -115,7 +115,7 @@
 // later, and none of one that comes after the end of the job between them.
 func (b *controllerHarness) checkLaterUrgencies(t *testing.T) {
 	t.Helper()
-	const want = 1_100_000 - 2*(urgencyRuntime+jobs.StageDelayMillis)
+	const want = 1_100_000 - 2*(urgencyRuntime+jobs.DependentStartDelayMillis)
 	late := urgencyJob("f", "blue", cluster.Normal, 100, "b")
 	b.applyJobRecord(t, "f", jobs.Record{Spec: &late}, 40)
 	if known := b.state.Jobs.Known["a"]; known.EffectiveDeadline != want {
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -13,9 +13,9 @@
 // knows dependencies. The pings of earlier releases have none.
 const DependencyFeatureLevel = 1
 
-// StageDelayMillis is roughly what passes between the end of a job and the start of
+// DependentStartDelayMillis is roughly what passes between the end of a job and the start of
 // one that depends on it, in milliseconds.
-const StageDelayMillis = 2000
+const DependentStartDelayMillis = 2000
 
 // dependencyGraph follows the dependencies between jobs. What a job depends on is
 // part of its record; everything else follows from the records of the jobs that it
@@ -84,7 +84,7 @@
 	deadline := 0.0
 	if known.EffectiveDeadline > 0 {
 		runMillis := g.Scheduler.RuntimeRatio(known.Spec.Class) * known.Spec.RuntimeSeconds * 1000
-		deadline = known.EffectiveDeadline - runMillis - StageDelayMillis
+		deadline = known.EffectiveDeadline - runMillis - DependentStartDelayMillis
 	}
 	for _, id := range known.Dependencies {
 		dependency := g.state.Jobs.Known[id]
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -168,9 +168,9 @@
 	})
 }
 
-// AnswerPeer answers another controller's query with the jobs that this controller
+// HandlePeerQuery answers another controller's query with the jobs that this controller
 // can vouch for, and leaves out the others.
-func (q *Queries) AnswerPeer(ids []cluster.JobID, handle func([]cluster.JobView)) {
+func (q *Queries) HandlePeerQuery(ids []cluster.JobID, handle func([]cluster.JobView)) {
 	answer := &peerAnswer{queries: q, ids: ids, handle: handle, confirmed: map[cluster.ShardID]bool{}, unanswered: 1}
 	if slices.ContainsFunc(ids, answer.isBlockedOwned) {
 		answer.unanswered++
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -43,8 +43,8 @@
 	attempt.evaluate(false)
 }
 
-// Submit judges a submission that another controller has passed on.
-func (s *Submissions) Submit(spec cluster.JobSpec, answer func(messages.Respond)) {
+// HandleProxied judges a submission that another controller has passed on.
+func (s *Submissions) HandleProxied(spec cluster.JobSpec, answer func(messages.Respond)) {
 	attempt := &submission{submissions: s, spec: spec, answer: answer}
 	attempt.evaluate(false)
 }
