--- a/internal/jobs/admissionqueue.go
+++ b/internal/jobs/admissionqueue.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// admissionTimeout is how long a submission may wait for its record.
+	// admissionTimeout is how long a submission may wait to be stored.
 	admissionTimeout = 3500 * millisecond
-	// proxyDelay is after which time another controller is asked to store a
-	// submission, if the state service has not answered this one until then.
+	// proxyDelay is the time after which a submission is forwarded to another
+	// controller if the state service has stopped responding to this one.
 	proxyDelay = writequeue.SlowThreshold + 50*millisecond
-	// duplicateCheckDelay is how long submissions are gathered whose earlier
-	// admission by another controller is looked for with one read.
+	// duplicateCheckDelay is how long submissions are collected that share one
+	// duplicate check.
 	duplicateCheckDelay = 5 * millisecond
-	// admittedJobOverhead is what a job takes of a record besides its id and
-	// specification, in bytes.
+	// admittedJobOverhead is the size of a job in an admission record without its ID
+	// and specification, in bytes.
 	admittedJobOverhead = 20
 )
 
-// admissionQueue stores submissions. A submission is accepted by a record in the
-// state service; those that come in together share one: a record each would cost a
-// put each, and when many come at once their users would wait for the write rate.
+// admissionQueue stores submissions in the state service. Submissions that arrive at
+// about the same time share a record and so a put; with a put each, a burst of
+// submissions would exceed the write rate.
 //
-// A submission that has no answer yet is in waiting or belongs to one write. While
-// any is waiting, at least one write is queued that will take it.
+// An unanswered submission either is in waiting or belongs to one write. While any is
+// waiting, at least one write is queued that will take it.
 type admissionQueue struct {
 	*shared
 
@@ -37,35 +37,37 @@
 	admissionRecords *AdmissionRecords
 	queries          *Queries
 	proxy            *submissionProxy
-	notices          *notices
+	notices          *noticeSender
 
-	waiting      []*pendingAdmission // not taken into a write yet
-	unchecked    []*pendingAdmission // to be looked for in other controllers' records
-	queuedWrites int                 // that have not taken their submissions yet
-	keysIssued   int                 // record names given so far
+	waiting                []*pendingAdmission // not taken by a write yet
+	awaitingDuplicateCheck []*pendingAdmission
+	queuedWrites           int // writes that have not taken their submissions yet
+	keysIssued             int // keys of admission records generated so far
 }
 
-// pendingAdmission is a submission that waits for its record.
+// pendingAdmission is a submission that waits to be stored.
 type pendingAdmission struct {
 	spec     cluster.JobSpec
 	respond  func(messages.Respond)
-	deadline cluster.Time // too late after that
+	deadline cluster.Time // the submission is not stored after this time
 	answered bool
 
-	duplicateChecked     bool                     // whether another controller admitted the job
-	duplicateCheckFailed bool                     // that could not be read
-	idempotentRetries    []func(messages.Respond) // the same id once more, in the same record
-	answerStored         func()                   // answers, once it is stored
+	duplicateChecked     bool                     // the duplicate check is complete
+	duplicateCheckFailed bool                     // the admission records could not be read
+	idempotentRetries    []func(messages.Respond) // responders of submissions with the same ID
+	answerStored         func()                   // set when the submission is stored
 }
 
-// answerIfReady answers when the job is stored and was looked for.
+// answerIfReady answers the submission if it is stored and its duplicate check is
+// complete.
 func (a *pendingAdmission) answerIfReady() {
 	if a.duplicateChecked && a.answerStored != nil {
 		a.answerStored()
 	}
 }
 
-// answer answers the user, once.
+// answer answers the submission and its idempotent retries. Only the first call has an
+// effect.
 func (a *pendingAdmission) answer(response messages.Respond) {
 	if a.answered {
 		return
@@ -77,7 +79,8 @@
 	}
 }
 
-// add has a job stored and answers its submission then, or says that it took too long.
+// add queues a job to be stored. The submission is answered when the job is stored, or
+// refused after admissionTimeout.
 func (q *admissionQueue) add(spec cluster.JobSpec, answer func(messages.Respond)) {
 	admission := &pendingAdmission{spec: spec, respond: answer, deadline: q.loop.Now() + admissionTimeout}
 	q.loop.After(admissionTimeout, func() {
@@ -85,7 +88,7 @@
 	})
 	q.loop.After(proxyDelay, func() {
 		if !admission.answered && q.writeQueue.Health.IsUnresponsive(q.loop.Now()) {
-			q.proxy.pass(admission.spec, admission.answer)
+			q.proxy.forward(admission.spec, admission.answer)
 		}
 	})
 	q.waiting = append(q.waiting, admission)
@@ -95,18 +98,19 @@
 	q.checkDuplicate(admission)
 }
 
-// checkDuplicate finds out whether another controller has admitted the job in a record
-// of several, while its record here is being written: then this is a retry, and is
-// answered as one. A read begun now shows all that its user can have been told. One
-// serves the submissions of some milliseconds.
+// checkDuplicate checks, while the submission is being stored, whether another
+// controller has admitted the job in an admission record. If so, the submission is
+// answered as an idempotent retry. The read begins after the submission has arrived, so
+// it shows every admission that was reported before. Submissions that arrive within
+// duplicateCheckDelay share a read.
 func (q *admissionQueue) checkDuplicate(admission *pendingAdmission) {
-	q.unchecked = append(q.unchecked, admission)
-	if len(q.unchecked) > 1 {
+	q.awaitingDuplicateCheck = append(q.awaitingDuplicateCheck, admission)
+	if len(q.awaitingDuplicateCheck) > 1 {
 		return
 	}
 	q.loop.After(duplicateCheckDelay, func() {
-		batch := q.unchecked
-		q.unchecked = nil
+		batch := q.awaitingDuplicateCheck
+		q.awaitingDuplicateCheck = nil
 		q.admissionRecords.readChanges(func(ok bool) {
 			for _, admission := range batch {
 				admission.duplicateChecked, admission.duplicateCheckFailed = true, !ok
@@ -116,8 +120,8 @@
 	})
 }
 
-// takeBatch takes the submissions that still wait for an answer, as many as go into
-// one record.
+// takeBatch removes submissions from the queue and returns those to be stored together,
+// as many as fit into one record. It drops answered and expired ones.
 func (q *admissionQueue) takeBatch() []*pendingAdmission {
 	var batch []*pendingAdmission
 	size := 0
@@ -135,21 +139,22 @@
 	return batch
 }
 
-// sizeInRecord is how many bytes of an admission record a job takes.
+// sizeInRecord returns the size of a job in an admission record, in bytes.
 func (q *admissionQueue) sizeInRecord(spec *cluster.JobSpec) int {
 	value, _ := json.Marshal(spec) // a struct of plain fields can always be marshaled
 	return len(value) + len(spec.ID) + admittedJobOverhead
 }
 
-// maxSpecBytes is how much of a record jobs' specifications may take: outcomes need
-// room beside them.
+// maxSpecBytes returns how much of a record specifications may take. The rest is left
+// for completed tasks.
 func (s *shared) maxSpecBytes() int { return s.config.MaxValueBytes * 4 / 5 }
 
-// joinIdempotentRetry answers a submission whose job is known meanwhile, or has it
-// answered with the same id's submission of a batch; false: it is neither.
+// joinIdempotentRetry reports whether a submission need not be stored. Either its job is
+// known by now, and the submission is answered, or the batch has a submission with the
+// same ID, and both are answered together.
 func (q *admissionQueue) joinIdempotentRetry(admission *pendingAdmission, batch []*pendingAdmission) bool {
 	id := admission.spec.ID
-	if q.state.Jobs.Known[id] != nil { // the same id came in twice at once
+	if q.state.Jobs.Known[id] != nil { // stored by another submission with the same ID
 		q.queries.answerIdempotentRetry(id, admission.answer)
 		return true
 	}
@@ -167,20 +172,20 @@
 	return true
 }
 
-// putsNeeded is how many puts the waiting submissions need when each takes as many
-// as a transaction may have.
+// putsNeeded returns how many puts the waiting submissions need if each stores as many
+// as a transaction allows.
 func (q *admissionQueue) putsNeeded() float64 {
 	return float64(len(q.waiting)) / float64(q.config.MaxTxnOps)
 }
 
-// nextKey names the next record. The name is used once, as no other process has the
-// same instance id.
+// nextKey returns the key of the next admission record. It is never used twice, as no
+// other process has the same instance ID.
 func (q *admissionQueue) nextKey() string {
 	q.keysIssued++
 	return AdmissionKeyPrefix + q.config.InstanceID + "-" + strconv.Itoa(q.keysIssued)
 }
 
-// enqueueWrite queues a write of the next waiting submissions.
+// enqueueWrite enqueues a write that takes submissions when it is sent.
 func (q *admissionQueue) enqueueWrite() {
 	q.queuedWrites++
 	key := q.nextKey()
@@ -196,8 +201,8 @@
 	q.writeQueue.Enqueue(writequeue.Admit, write.write)
 }
 
-// answerAdmitted answers a submission that was stored with a revision: as new, unless
-// an earlier record admitted it or that could not be read.
+// answerAdmitted answers a submission that was stored at a revision. It is answered as
+// new unless an earlier record has admitted the job or the duplicate check has failed.
 func (q *admissionQueue) answerAdmitted(admission *pendingAdmission, revision cluster.ModRevision) {
 	id := admission.spec.ID
 	if admission.duplicateCheckFailed || q.admissionRecords.wasAdmittedBefore(id, revision) {
@@ -211,8 +216,8 @@
 	admission.answer(messages.Respond{Status: messages.ReplyCreated, View: &view})
 }
 
-// retryUnlessKnown answers a submission whose job has a record; otherwise it is
-// stored with a later write.
+// retryUnlessKnown answers a submission whose job is stored already. Otherwise it queues
+// the submission again.
 func (q *admissionQueue) retryUnlessKnown(admission *pendingAdmission) {
 	q.queries.lookUpInStore(admission.spec.ID, func(status messages.ReplyStatus, view cluster.JobView) {
 		switch {
--- a/internal/jobs/admissionqueue_test.go
+++ b/internal/jobs/admissionqueue_test.go
@@ -9,7 +9,8 @@
 	"stairrelay/internal/messages"
 )
 
-// enqueueTestAdmissions has jobs wait for their records, without a write of their own.
+// enqueueTestAdmissions adds submissions to the queue without enqueuing a write. The
+// returned map collects their answers.
 func enqueueTestAdmissions(jobs *testJobs, specs ...cluster.JobSpec) (*admissionQueue, map[cluster.JobID][]messages.Respond) {
 	queue := jobs.Submissions.queue
 	answers := map[cluster.JobID][]messages.Respond{}
@@ -20,15 +21,15 @@
 	return queue, answers
 }
 
-// TestAdmissionBatchWithinLimits shows that a batch has no more jobs than a transaction
-// may compare, and no more bytes than go into a record; a single job always goes.
+// TestAdmissionBatchWithinLimits checks that a batch exceeds neither the transaction limit
+// nor the record size limit, and that a single oversized job does not block the queue.
 func TestAdmissionBatchWithinLimits(t *testing.T) {
 	large := strings.Repeat("x", 1500)
 	for _, test := range []struct {
-		name string
-		jobs int
-		text string
-		want []int
+		name  string
+		jobs  int
+		image string
+		want  []int
 	}{
 		{"small", 6, "", []int{4, 2}},
 		{"large", 3, large, []int{2, 1}},
@@ -36,7 +37,7 @@
 	} {
 		var specs []cluster.JobSpec
 		for i := range test.jobs {
-			specs = append(specs, cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%d", i)), Team: "red", Tasks: 1, Image: test.text})
+			specs = append(specs, cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%d", i)), Team: "red", Tasks: 1, Image: test.image})
 		}
 		queue, _ := enqueueTestAdmissions(newTestJobs(t), specs...)
 		for i, want := range test.want {
@@ -45,34 +46,34 @@
 			}
 		}
 		if len(queue.waiting) != 0 {
-			t.Errorf("%s: %d submissions are left", test.name, len(queue.waiting))
+			t.Errorf("%s: %d submissions are left in the queue, want none", test.name, len(queue.waiting))
 		}
 	}
 }
 
-// TestAdmissionBatchSkipsAnsweredAndLate shows that a submission is not stored after
-// its user was answered, nor after its time is over.
-func TestAdmissionBatchSkipsAnsweredAndLate(t *testing.T) {
+// TestAdmissionBatchSkipsAnsweredAndExpired checks that a submission is not stored after it
+// was answered or its deadline has passed.
+func TestAdmissionBatchSkipsAnsweredAndExpired(t *testing.T) {
 	jobs := newTestJobs(t)
 	queue, _ := enqueueTestAdmissions(jobs, cluster.JobSpec{ID: "j-1"}, cluster.JobSpec{ID: "j-2"}, cluster.JobSpec{ID: "j-3"})
 	queue.waiting[0].answered = true
 	queue.waiting[1].deadline = jobs.loop.Now() - 1
 	if batch := queue.takeBatch(); len(batch) != 1 || batch[0].spec.ID != "j-3" {
-		t.Errorf("a batch of %d jobs, want j-3 alone", len(batch))
+		t.Errorf("batch has %d jobs, want only j-3", len(batch))
 	}
 }
 
-// TestIdempotentRetryJoinsBatch shows that the same id twice in a batch is stored once,
-// and that both submissions are answered.
+// TestIdempotentRetryJoinsBatch checks that two submissions with the same ID in a batch are
+// stored once and both answered.
 func TestIdempotentRetryJoinsBatch(t *testing.T) {
 	jobs := newTestJobs(t)
 	queue, answers := enqueueTestAdmissions(jobs, cluster.JobSpec{ID: "j-1"}, cluster.JobSpec{ID: "j-1"})
 	batch := queue.takeBatch()
 	if len(batch) != 1 {
-		t.Fatalf("a batch of %d jobs, want 1", len(batch))
+		t.Fatalf("batch has %d jobs, want 1", len(batch))
 	}
 	batch[0].answer(messages.Respond{Status: messages.ReplyUnavailable})
 	if len(answers["j-1"]) != 2 {
-		t.Errorf("%d answers, want 2", len(answers["j-1"]))
+		t.Errorf("got %d answers, want 2", len(answers["j-1"]))
 	}
 }
--- a/internal/jobs/admissionrecords.go
+++ b/internal/jobs/admissionrecords.go
@@ -9,20 +9,18 @@
 	"stairrelay/internal/writequeue"
 )
 
-// AdmissionKeyPrefix is where the records of jobs admitted together are stored.
+// AdmissionKeyPrefix is the prefix of the keys of admission records.
 const AdmissionKeyPrefix = "accepts/"
 
-// AdmissionRecords is what is known of the records that admitted several jobs at
-// once, whichever controller wrote them.
-//
-// The revision kept of a job is that of the first record that admitted it.
+// AdmissionRecords applies the stored admission records, whichever controller wrote
+// them, and tracks which jobs they list.
 type AdmissionRecords struct {
 	*shared
 
 	records         *Records
-	firstRevisions  map[cluster.JobID]cluster.ModRevision
-	appliedRevision cluster.Revision // what was stored until then is known
-	loaded          bool             // all records were read at least once
+	firstRevisions  map[cluster.JobID]cluster.ModRevision // of the first record that lists the job
+	appliedRevision cluster.Revision                      // changes up to this revision are applied
+	loaded          bool                                  // all records were read at least once
 }
 
 func newAdmissionRecords(common *shared, records *Records) *AdmissionRecords {
@@ -33,27 +31,27 @@
 	}
 }
 
-// Apply takes in an admission record. With loading set, that shard has just been
-// acquired, and the record is part of its checkpoint.
+// Apply applies an admission record. If it was read to load a shard that this controller
+// has acquired, loading is that shard; otherwise it is nil.
 func (a *AdmissionRecords) Apply(kv messages.KV, loading *state.Shard) {
 	if kv.Value == nil {
 		return
 	}
-	a.recordWriter(kv)
+	a.markWriterAlive(kv)
 	var record AdmissionRecord
 	if err := json.Unmarshal(kv.Value, &record); err != nil {
-		a.loop.Log(messages.LogError, "unreadable record", "key", kv.Key, "error", err.Error())
+		a.loop.Log(messages.LogError, "cannot decode admission record; ignoring it", "key", kv.Key, "error", err.Error())
 		return
 	}
 	for i := range record.Jobs {
 		job := &record.Jobs[i]
 		a.add(job.ID, kv.ModRevision)
-		own := Record{Spec: &job.Spec}
-		a.records.Apply(messages.KV{Key: state.JobKey(job.ID), Value: own.encode()}, loading)
+		jobRecord := Record{Spec: &job.Spec}
+		a.records.Apply(messages.KV{Key: state.JobKey(job.ID), Value: jobRecord.encode()}, loading)
 	}
 }
 
-// ApplyAll takes in all admission records as they were at a revision.
+// ApplyAll applies all admission records as of a revision.
 func (a *AdmissionRecords) ApplyAll(items []messages.KV, revision cluster.Revision) {
 	for _, kv := range items {
 		a.Apply(kv, nil)
@@ -61,7 +59,7 @@
 	a.appliedRevision, a.loaded = revision, true
 }
 
-// load reads all admission records, then follows their changes.
+// load reads all admission records, and then follows their changes.
 func (a *AdmissionRecords) load() {
 	a.writeQueue.ListPrefix(AdmissionKeyPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
@@ -79,8 +77,8 @@
 	})
 }
 
-// readChanges reads at once what was stored since the last watch; handle gets whether
-// that could be read.
+// readChanges applies the changes since the applied revision without waiting for the
+// next watch, and calls handle with whether they could be read.
 func (a *AdmissionRecords) readChanges(handle func(ok bool)) {
 	a.writeQueue.ReadChanges(AdmissionKeyPrefix, a.appliedRevision, func(reply messages.WatchReply) {
 		for _, kv := range reply.Items {
@@ -90,8 +88,8 @@
 	})
 }
 
-// lookUp finds out whether an admission record lists a job, as the state service
-// shows it now; ok is false when that could not be read.
+// lookUp calls handle with whether an admission record lists a job. Unless that is known
+// already, it reads the changes from the state service; ok is false if that fails.
 func (a *AdmissionRecords) lookUp(id cluster.JobID, handle func(admitted, ok bool)) {
 	switch {
 	case a.isAdmitted(id):
@@ -103,18 +101,18 @@
 	}
 }
 
-// isAdmitted tells whether an admission record is known to list a job.
+// isAdmitted reports whether an applied admission record lists a job.
 func (a *AdmissionRecords) isAdmitted(id cluster.JobID) bool { return a.firstRevisions[id] > 0 }
 
-// add takes in that an admission record with a revision lists a job.
+// add records that the admission record with a mod revision lists a job.
 func (a *AdmissionRecords) add(id cluster.JobID, revision cluster.ModRevision) {
 	if first := a.firstRevisions[id]; first == 0 || revision < first {
 		a.firstRevisions[id] = revision
 	}
 }
 
-// wasAdmittedBefore tells whether an earlier record than that with a revision
-// admitted a job.
+// wasAdmittedBefore reports whether an admission record with a lower mod revision lists
+// a job.
 func (a *AdmissionRecords) wasAdmittedBefore(id cluster.JobID, revision cluster.ModRevision) bool {
 	return a.isAdmitted(id) && a.firstRevisions[id] < revision
 }
--- a/internal/jobs/admissionwrite.go
+++ b/internal/jobs/admissionwrite.go
@@ -9,20 +9,20 @@
 	"stairrelay/internal/writequeue"
 )
 
-// admissionWrite is a write that admits the submissions that wait when its turn
-// comes: a single one by the job's own record, several by an admission record.
+// admissionWrite is a write that stores the submissions that are waiting when it is
+// sent: a single one as the job's own record, several as an admission record.
 type admissionWrite struct {
 	queue    *admissionQueue
 	write    *writequeue.Write
-	batchKey string // of the record of several
+	batchKey string // key of the admission record, if there is one
 
 	built      bool
 	batch      []*pendingAdmission
-	jobRecords [][]byte // the batch's records of their own, stored or implied
+	jobRecords [][]byte // the jobs' own records, stored only if the batch has a single job
 }
 
-// build takes the submissions and makes their record. It is called again where
-// another write of its transaction was refused.
+// build takes submissions and returns the record that admits them. It is called again if
+// the transaction fails because of another write in it.
 func (w *admissionWrite) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 	queue := w.queue
 	if !w.built {
@@ -51,8 +51,8 @@
 	return []messages.TxnOp{{Key: w.write.Keys[0], Value: value}}, []cluster.ModRevision{0}
 }
 
-// buildBatchRecord makes the record of several jobs, on condition that none of them
-// has a record of its own.
+// buildBatchRecord returns the admission record of several jobs. It makes the write
+// conditional on none of them having a record of its own.
 func (w *admissionWrite) buildBatchRecord(writeID string) []byte {
 	record := AdmissionRecord{WriteID: writeID}
 	for _, admission := range w.batch {
@@ -63,14 +63,14 @@
 	return value
 }
 
-// handleStored takes in the jobs that were admitted, and answers their users.
+// handleStored applies the records of the admitted jobs and answers their submissions.
 func (w *admissionWrite) handleStored(stored cluster.Revision) {
 	revision := cluster.ModRevision(stored)
 	for i, admission := range w.batch {
 		w.applyAdmitted(admission, w.jobRecords[i], revision)
 		if w.write.InDoubt {
-			// It may have been carried out long before this answer, and others may
-			// have told more of it since.
+			// The write may have been applied long before its reply, and another
+			// controller may have reported a later status of the job since.
 			w.queue.queries.answerIdempotentRetry(admission.spec.ID, admission.answer)
 		}
 	}
@@ -83,22 +83,22 @@
 	}
 }
 
-// applyAdmitted takes in one of the admitted jobs, and tells the owners of the shards
-// concerned of it.
+// applyAdmitted applies the record of an admitted job, and sends it to the owners of its
+// shard and of the jobs that it depends on.
 func (w *admissionWrite) applyAdmitted(admission *pendingAdmission, record []byte, revision cluster.ModRevision) {
 	queue, spec := w.queue, &admission.spec
 	kv := messages.KV{Key: state.JobKey(spec.ID), Value: record, ModRevision: revision}
 	if len(w.batch) > 1 {
 		queue.admissionRecords.add(spec.ID, revision)
-		kv.ModRevision = 0 // of its own record, which does not exist yet
+		kv.ModRevision = 0 // the job has no record of its own yet
 	}
 	queue.records.Apply(kv, nil)
 	queue.notices.send(queue.state.Teams[spec.Team].ShardID, kv)
 	queue.notices.sendToDependencyOwners(spec, kv)
 }
 
-// handleConflict resolves a conflict: some jobs of the batch are known. Each submission
-// learns by itself whether its own is.
+// handleConflict handles a write that failed because some of its jobs are stored already.
+// Each submission is answered or queued again, depending on its own job.
 func (w *admissionWrite) handleConflict() {
 	for _, admission := range w.batch {
 		switch {
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// cancelTimeout is how long a cancellation may wait until it is stored.
+	// cancelTimeout is how long a cancellation may take to be stored.
 	cancelTimeout = 2800 * millisecond
-	// cancelCallTimeout is how long the owner of the job's shard may take to answer.
+	// cancelCallTimeout is the timeout of a cancellation that is forwarded to the owner
+	// of the job's shard.
 	cancelCallTimeout = 3 * second
 )
 
-// Cancellations cancels jobs for users and other controllers. A cancellation is
-// answered only after it is stored.
+// Cancellations cancels jobs for users and other controllers. A request is answered with
+// a final status only after that status is stored.
 type Cancellations struct {
 	*shared
 
@@ -23,25 +24,26 @@
 	queries *Queries
 }
 
-// HandleCancel answers a user's cancellation.
+// HandleCancel handles a user's request to cancel a job.
 func (c *Cancellations) HandleCancel(request messages.Cancel) {
 	(&cancellation{cancellations: c, request: request.Request, id: request.ID}).evaluate(true)
 }
 
-// cancellation is a user's cancellation that is not answered yet.
+// cancellation is an unanswered request of a user to cancel a job.
 type cancellation struct {
 	cancellations *Cancellations
 	request       messages.RequestID
 	id            cluster.JobID
 }
 
-// evaluate cancels the job here or has its owner do so. A job that is not known here
-// is looked up once, where that is still possible.
-func (c *cancellation) evaluate(mayLookUp bool) {
+// evaluate cancels the job if its shard is owned, and otherwise forwards the request to
+// the owner. An unknown job is looked up first; mayRetry is whether the lookup may call
+// evaluate again.
+func (c *cancellation) evaluate(mayRetry bool) {
 	known := c.cancellations.state.Jobs.Known[c.id]
 	switch {
 	case known == nil:
-		c.lookUp(mayLookUp)
+		c.lookUp(mayRetry)
 	case known.FinalStatus != "":
 		c.answer(known.FinalStatus)
 	case c.cancellations.state.Shards[known.ShardID].Owned:
@@ -57,7 +59,8 @@
 	}
 }
 
-// answer tells the user the job's final status; "": it is not known now.
+// answer sends the user the job's final status. If final is empty, the status could not be
+// determined, and the user is asked to retry.
 func (c *cancellation) answer(final cluster.JobStatus) {
 	response := messages.Respond{Request: c.request, Status: messages.ReplyOK}
 	if final == "" {
@@ -68,7 +71,7 @@
 	c.cancellations.loop.Emit(response)
 }
 
-// askOwner has the job cancelled by the owner of its shard.
+// askOwner forwards the request to the owner of the job's shard.
 func (c *cancellation) askOwner(known *state.KnownJob) {
 	members := c.cancellations.Members
 	owner := members.Peer(c.cancellations.state.Shards[known.ShardID].Owner)
@@ -87,7 +90,7 @@
 	})
 }
 
-// lookUp looks for a job that is not known here in the state service.
+// lookUp looks up an unknown job in the state service.
 func (c *cancellation) lookUp(mayRetry bool) {
 	c.cancellations.queries.lookUpInStore(c.id, func(status messages.ReplyStatus, view cluster.JobView) {
 		switch {
@@ -103,9 +106,9 @@
 	})
 }
 
-// CancelOwned cancels a job of an owned shard. The handler gets the job's final
-// status after that is stored, and nil when it was not stored in time or the job is
-// not served here.
+// CancelOwned cancels a job of an owned shard. It calls handle with the job's final status
+// once that is stored, or with ReplyUnavailable and nil if it is not stored in time or
+// this controller does not own the job.
 func (c *Cancellations) CancelOwned(id cluster.JobID, handle func(messages.ReplyStatus, *cluster.JobView)) {
 	if known := c.state.Jobs.FinalJob(id); known != nil {
 		handle(messages.ReplyOK, &cluster.JobView{ID: id, Status: known.FinalStatus})
@@ -131,8 +134,8 @@
 	c.loop.After(cancelTimeout, func() { answer("") })
 	job.Waiters = append(job.Waiters, answer)
 	if !job.Cancelling {
-		// Its tasks are of no use from now on, and the answer of the write may be
-		// lost though others read, and tell, that the job is cancelled.
+		// The tasks are stopped before the write is confirmed: its reply may be lost
+		// while other controllers already read and report the cancellation.
 		job.Cancelling = true
 		c.Tasks.WithdrawUnsentStarts(job)
 		c.Tasks.StopAll(job)
--- a/internal/jobs/checkpoints.go
+++ b/internal/jobs/checkpoints.go
@@ -9,15 +9,16 @@
 	"stairrelay/internal/writequeue"
 )
 
-// backgroundCheckpointIntervals is how many checkpoint intervals pass between two
-// background writes of a job while starts wait for their records: the write of each
-// interval would take their puts.
+// backgroundCheckpointIntervals is the number of checkpoint intervals between two
+// background writes of a job while task starts are queued. Writing in each interval
+// would use up the write budget that the starts need.
 const backgroundCheckpointIntervals = 4
 
-// WriteOutcomes stores in the background the outcomes of tasks whose jobs go on.
+// WriteOutcomes enqueues background writes of the newly completed tasks of unfinished
+// jobs.
 func (r *Records) WriteOutcomes() {
 	for _, job := range r.state.OwnedJobs() {
-		if job.WriteQueued || job.FinalStatus != "" || job.RecordTooLarge || r.mustWaitForStarts(job) {
+		if job.WriteQueued || job.FinalStatus != "" || job.RecordTooLarge || r.isCheckpointDeferred(job) {
 			continue
 		}
 		if slices.Contains(job.DirtyChunks, true) {
@@ -27,12 +28,14 @@
 	}
 }
 
-func (r *Records) mustWaitForStarts(job *state.Job) bool {
+// isCheckpointDeferred reports whether a job's next background write has to wait because
+// task starts are queued.
+func (r *Records) isCheckpointDeferred(job *state.Job) bool {
 	return r.loop.Now() < job.NextCheckpointAt && len(r.writeQueue.Queued(writequeue.Start)) > 0
 }
 
-// acknowledgeStoredTasks lets machine records drop the tasks whose outcomes are
-// stored: they have exited, and whoever owns the machine may acknowledge them.
+// acknowledgeStoredTasks lets the machine records drop the tasks whose completion is
+// stored. These tasks have exited, so their ends may be acknowledged to the workers.
 func (r *Records) acknowledgeStoredTasks(job *state.Job) {
 	for assignment := range job.ListedAssignments {
 		machine := r.state.Machines[assignment.MachineID]
@@ -50,8 +53,10 @@
 	}
 }
 
-// handleEnd takes in that a job's final status is stored.
-func (r *Records) handleEnd(job *state.Job, final cluster.JobStatus) {
+// handleFinalStatusStored updates a job after its final status is stored: it updates and
+// notifies the dependents, answers the waiters, and removes the job from the owned ones
+// unless tasks of it are still assigned.
+func (r *Records) handleFinalStatusStored(job *state.Job, final cluster.JobStatus) {
 	job.FinalStatus = final
 	if known := r.state.Jobs.Known[job.Spec.ID]; known != nil {
 		known.FinalRecorded = true
@@ -72,7 +77,7 @@
 	}
 }
 
-// logEnd logs how long a job took, next to what its user asked for.
+// logEnd logs how long a job took, together with what its user requested.
 func (r *Records) logEnd(job *state.Job, final cluster.JobStatus) {
 	spec := &job.Spec
 	secondsSinceArrival := func(at cluster.Time) int { return int((at - job.ArrivedAt) / second) }
@@ -91,15 +96,15 @@
 		"guaranteed", job.InitiallyGuaranteed)
 }
 
-// Abandon stops serving a job whose shard is no longer owned. Those who wait for its
-// end learn that it is not known here.
+// Abandon removes a job whose shard is no longer owned. Its waiters are called with an
+// empty status.
 func (r *Records) Abandon(job *state.Job) {
 	r.state.RemoveOwnedJob(job)
 	answerWaiters(job, "")
 }
 
-// answerWaiters tells those who wait for a job's end its final status, or "" when
-// that will not be known here.
+// answerWaiters calls the waiters of a job with its final status, or with an empty status
+// if the job's shard was lost.
 func answerWaiters(job *state.Job, final cluster.JobStatus) {
 	for _, answer := range job.Waiters {
 		answer(final)
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -9,38 +9,39 @@
 	"stairrelay/internal/writequeue"
 )
 
-// DependencyFeatureLevel is the feature level from which on a controller's release
-// knows dependencies. The pings of earlier releases have none.
+// DependencyFeatureLevel is the lowest feature level of a release that supports
+// dependencies. Pings of earlier releases carry no feature level.
 const DependencyFeatureLevel = 1
 
-// DependentStartDelayMillis is roughly what passes between the end of a job and the start of
-// one that depends on it, in milliseconds.
+// DependentStartDelayMillis is the approximate delay between the end of a job and the
+// start of one that depends on it, in milliseconds.
 const DependentStartDelayMillis = 2000
 
-// dependencyGraph follows the dependencies between jobs. What a job depends on is
-// part of its record; everything else follows from the records of the jobs that it
-// names, and is stored nowhere a second time.
+// dependencyGraph tracks the dependencies between jobs. A job's record lists the jobs
+// that it depends on. Whether it is ready or cancelled because of them is derived from
+// their records.
 //
-// A job is ready once all that it depends on is stored as done. The stored
-// cancellation of a job implies that of all its dependents, direct or not, as none
-// of those can be done before it: every controller may tell and act on it from that
-// fact alone, and the dependents' own records follow. So whoever calls a blocked
-// job unfinished must first have read what was stored until then.
+// A job is ready when all its dependencies are stored as done. The stored cancellation
+// of a job implies the cancellation of all its direct and indirect dependents, as none
+// of them can be done before it. A controller may report and act on an implied
+// cancellation before the dependent's own record shows it. A blocked job may therefore
+// be reported as unfinished only after all changes stored before the request were read.
 type dependencyGraph struct {
 	*shared
 
 	records *Records
-	notices *notices
+	notices *noticeSender
 }
 
-// add takes in what a job depends on, when its record is first seen.
+// add adds the dependencies of a job whose record is seen for the first time, and
+// propagates its urgency to them. The job is cancelled if one of them is.
 func (g *dependencyGraph) add(id cluster.JobID, known *state.KnownJob, spec *cluster.JobSpec) {
 	if known.Spec != nil {
 		return
 	}
 	known.Spec = spec
 	known.InheritUrgency(spec.Priority, spec.Deadline())
-	for _, dependent := range g.state.Jobs.Dependents[id] { // whose records were seen before
+	for _, dependent := range g.state.Jobs.Dependents[id] { // dependents whose records were seen first
 		g.propagateUrgency(dependent)
 	}
 	if len(spec.Dependencies) == 0 {
@@ -60,8 +61,9 @@
 	}
 }
 
-// notifyOfEarlierEnd tells the owner of a dependent that a job of ours has ended: when
-// that was stored, it was not known here that the other depends on it.
+// notifyOfEarlierEnd notifies the owner of a dependent if the job is finished and its
+// shard is owned. The dependent was not known when the final status was stored, so its
+// owner was not notified then.
 func (g *dependencyGraph) notifyOfEarlierEnd(id cluster.JobID, dependent *state.KnownJob) {
 	known := g.state.Jobs.FinalJob(id)
 	if known != nil && g.state.Shards[known.ShardID].Owned && known.ShardID != dependent.ShardID {
@@ -69,13 +71,14 @@
 	}
 }
 
-// finalNotice tells another controller of a job's final status.
+// finalNotice returns the notice of a job's final status for other controllers.
 func finalNotice(id cluster.JobID, known *state.KnownJob) messages.KV {
 	return messages.KV{Key: state.JobKey(id), Value: finalRecord(known).encode()}
 }
 
-// propagateUrgency gives a job's priority and deadline, less its estimated run time,
-// to those that it depends on, and on to those that they depend on.
+// propagateUrgency passes a job's effective priority and deadline on to its direct and
+// indirect dependencies. The deadline is reduced by the job's expected run time and
+// DependentStartDelayMillis.
 func (g *dependencyGraph) propagateUrgency(id cluster.JobID) {
 	known := g.state.Jobs.Known[id]
 	if known == nil || known.Spec == nil {
@@ -99,8 +102,8 @@
 	}
 }
 
-// applyFinalStatus takes in a job's stored final status, or the one implied by that of
-// a job that it depends on, and what follows from it for its dependents.
+// applyFinalStatus sets the final status of a job, which is either stored or implied by the
+// cancellation of a dependency, and updates the job's dependents.
 func (g *dependencyGraph) applyFinalStatus(id cluster.JobID, known *state.KnownJob, final cluster.JobStatus) {
 	if known.FinalStatus != "" {
 		return
@@ -122,7 +125,8 @@
 	}
 }
 
-// cancel stops a job that is cancelled with one that it depends on, and stores that.
+// cancel stops the tasks of a job that is cancelled because of a dependency, and stores
+// the cancellation.
 func (g *dependencyGraph) cancel(job *state.Job) {
 	job.Cancelling = true
 	g.Tasks.WithdrawUnsentStarts(job)
@@ -130,7 +134,8 @@
 	g.records.WriteJob(job, writequeue.Outcome)
 }
 
-// updateReadiness lets a job's tasks start once all its dependencies are met.
+// updateReadiness updates whether a job is blocked, and requests scheduling once all its
+// dependencies are met.
 func (g *dependencyGraph) updateReadiness(job *state.Job) {
 	known := g.state.Jobs.Known[job.Spec.ID]
 	blocked := known != nil && len(g.state.Jobs.UnmetDependencies(known)) > 0
@@ -148,8 +153,9 @@
 	g.Scheduler.RequestScaleOut()
 }
 
-// notifyDependentOwners passes a job's stored end on to the owners of all its
-// dependents. Their watches are the safety net.
+// notifyDependentOwners sends a job's stored final status to the owners of its dependents;
+// for a cancelled job, also to those of the indirect ones. If a notice is lost, the
+// owner's watch delivers the change.
 func (g *dependencyGraph) notifyDependentOwners(id cluster.JobID, known *state.KnownJob) {
 	notified := map[cluster.ShardID]bool{}
 	var visit func(cluster.JobID)
@@ -171,19 +177,19 @@
 	visit(id)
 }
 
-// pruneDependencies drops the dependencies that a record need not name: repeated
-// ones, and jobs that are done. Of a list with a cancelled job that one is enough.
+// pruneDependencies removes the dependencies that a record need not list: duplicates and
+// jobs that are done. If one of the dependencies is cancelled, only that one is kept.
 func pruneDependencies(jobs *state.JobRegistry, spec *cluster.JobSpec) {
-	var open []cluster.JobID
+	var unfinished []cluster.JobID
 	for _, id := range spec.Dependencies {
 		known := jobs.FinalJob(id)
 		if known != nil && known.FinalStatus == cluster.JobCancelled {
 			spec.Dependencies = []cluster.JobID{id}
 			return
 		}
-		if known == nil && !slices.Contains(open, id) {
-			open = append(open, id)
+		if known == nil && !slices.Contains(unfinished, id) {
+			unfinished = append(unfinished, id)
 		}
 	}
-	spec.Dependencies = open
+	spec.Dependencies = unfinished
 }
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -11,8 +11,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// testJobs is the package in controller n0 of two; shard 0 is owned here and serves
-// the team red, shard 1 belongs to n1 and serves the team green.
+// testJobs runs the package in controller n0 of two. Shard 0 with team red is owned by
+// n0, shard 1 with team green by n1.
 type testJobs struct {
 	*Jobs
 	t         *testing.T
@@ -22,7 +22,7 @@
 	tasks     *fakeTasks
 }
 
-// fakeOwnership owns every shard whose state says so, and is never deposed.
+// fakeOwnership takes the ownership of shards from the state, and is never deposed.
 type fakeOwnership struct{ state *state.State }
 
 func (f fakeOwnership) ClaimOf(id cluster.ShardID) writequeue.Claim {
@@ -34,14 +34,14 @@
 func (fakeOwnership) Confirm(shard *state.Shard, handle func(owned bool)) { handle(shard.Owned) }
 func (fakeOwnership) GiveUpCorrupt(shard *state.Shard, _, _ string)       { shard.Owned = false }
 
-// fakeTasks notes whose tasks were stopped.
+// fakeTasks records the jobs whose tasks were stopped.
 type fakeTasks struct{ stopped []cluster.JobID }
 
 func (*fakeTasks) WithdrawUnsentStarts(*state.Job)                    {}
 func (f *fakeTasks) StopAll(job *state.Job)                           { f.stopped = append(f.stopped, job.Spec.ID) }
 func (*fakeTasks) RemoveAssignment(*state.Machine, *state.Assignment) {}
 
-// fakeScheduler counts what it is asked for.
+// fakeScheduler counts the requests to schedule.
 type fakeScheduler struct{ schedulingRequests int }
 
 func (f *fakeScheduler) RequestScheduling()        { f.schedulingRequests++ }
@@ -54,16 +54,16 @@
 	loop := eventloop.New()
 	loop.Begin(100*second, 0)
 	quota := cluster.Resources{CPU: 10_000_000}
-	shards := state.New(nodes, []cluster.Team{{Name: "red", QuotaLimit: quota}, {Name: "green", QuotaLimit: quota}})
-	shards.Teams["red"].ShardID, shards.Teams["green"].ShardID = 0, 1
-	shards.Shards[0].Owned, shards.Shards[0].Ready, shards.Shards[0].Owner = true, true, "n0"
-	shards.Shards[1].Owner = "n1"
-	shards.MachineTypes["small"] = cluster.MachineType{
+	clusterState := state.New(nodes, []cluster.Team{{Name: "red", QuotaLimit: quota}, {Name: "green", QuotaLimit: quota}})
+	clusterState.Teams["red"].ShardID, clusterState.Teams["green"].ShardID = 0, 1
+	clusterState.Shards[0].Owned, clusterState.Shards[0].Ready, clusterState.Shards[0].Owner = true, true, "n0"
+	clusterState.Shards[1].Owner = "n1"
+	clusterState.MachineTypes["small"] = cluster.MachineType{
 		Name:     "small",
 		Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000},
 		Zones:    []string{"a"},
 	}
-	ownership := fakeOwnership{state: shards}
+	ownership := fakeOwnership{state: clusterState}
 	queue := writequeue.New(loop, writequeue.Config{
 		InstanceID:    "b0",
 		RequestRPS:    1000,
@@ -78,10 +78,10 @@
 	return &testJobs{
 		t:         t,
 		loop:      loop,
-		state:     shards,
+		state:     clusterState,
 		scheduler: scheduler,
 		tasks:     tasks,
-		Jobs: New(loop, shards, queue, config, Collaborators{
+		Jobs: New(loop, clusterState, queue, config, Collaborators{
 			Members:   membership.New(loop, membership.Config{Self: "n0", Nodes: nodes}, queue, nil, nil),
 			Process:   &membership.ProcessHealth{},
 			Ownership: ownership,
@@ -91,19 +91,19 @@
 	}
 }
 
-// apply takes in a job's record.
+// apply applies a job's record.
 func (j *testJobs) apply(id cluster.JobID, record Record) {
 	j.t.Helper()
 	j.Records.Apply(messages.KV{Key: state.JobKey(id), Value: record.encode(), ModRevision: 20}, nil)
 }
 
-// applySpec takes in the record of an unfinished job.
+// applySpec applies the record of an unfinished job.
 func (j *testJobs) applySpec(id cluster.JobID, team string, dependencies ...cluster.JobID) {
 	j.t.Helper()
 	j.apply(id, Record{Spec: &cluster.JobSpec{Team: team, Tasks: 1, Dependencies: dependencies}})
 }
 
-// runFor lets time pass, and returns the effects of it.
+// runFor advances the time, runs the timers that are due and returns the effects.
 func (j *testJobs) runFor(duration cluster.Time) []messages.Effect {
 	j.t.Helper()
 	j.loop.Begin(j.loop.Now()+duration, 0)
@@ -111,7 +111,7 @@
 	return j.loop.Effects()
 }
 
-// noticesTo lists the keys of the records that a controller is sent.
+// noticesTo returns the keys of the records that were sent to a controller.
 func noticesTo(node cluster.NodeID, effects []messages.Effect) []string {
 	var keys []string
 	for _, effect := range effects {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,23 +1,28 @@
-// Package jobs keeps the jobs of all shards: it admits what users submit, stores
-// what becomes of the owned shards' jobs, follows the dependencies between jobs, and
-// answers queries and cancellations.
+// Package jobs manages the jobs of all shards: it admits submissions, stores the
+// completed tasks and the final status of the jobs of owned shards, tracks the
+// dependencies between jobs, and answers queries and cancellations.
 //
-// Its parts, each with the state that it needs alone:
+// Its components, each with its own state:
 //
-//   - Submissions judges submissions, and admits them or passes them to another
-//     controller; admissionQueue stores several of them by one record.
-//   - AdmissionRecords and Records take in what is stored of jobs, whoever wrote it;
-//     Records also writes the outcomes and ends of the owned shards' jobs.
-//   - dependencyGraph derives from the records which jobs are ready, and which are
-//     cancelled with one that they depend on.
+//   - Submissions evaluates submissions, and admits them or forwards them to another
+//     controller. admissionQueue stores admitted submissions in batches.
+//   - AdmissionRecords and Records apply the stored records of jobs, whichever
+//     controller wrote them. Records also writes the records of the jobs of owned
+//     shards.
+//   - dependencyGraph derives from the records which jobs are ready to run, and which
+//     are cancelled because a job that they depend on was cancelled.
 //   - Queries and Cancellations answer users and other controllers.
-//   - notices tells the owners of shards of jobs that this controller has stored.
+//   - noticeSender sends the job records that this controller has stored to the owners
+//     of the shards concerned.
 //
-// Invariants: a submission is answered as accepted only after its record is stored;
-// an accepted id is never answered with 400, 404 or 422 afterwards; a final status
-// that was told to anybody never changes; nobody is told that a job is unfinished
-// after anybody was told its end. So the answer for an unfinished job needs either a
-// confirmed ownership of its shard or a read begun after the question.
+// Invariants:
+//
+//   - A submission is answered as accepted only after its record is stored.
+//   - A request for the ID of an accepted job is never answered with 400, 404 or 422.
+//   - A final status that was reported never changes.
+//   - A job is not reported as unfinished after its final status was reported. An
+//     unfinished status is therefore returned only after the ownership of the job's
+//     shard was confirmed, or from a read that began after the request.
 package jobs
 
 import (
@@ -34,71 +39,72 @@
 )
 
 const (
-	// shortRetryAfterSeconds is how many seconds a user waits whose request may
-	// succeed at once.
+	// shortRetryAfterSeconds is the Retry-After of requests that may succeed as soon
+	// as they are repeated.
 	shortRetryAfterSeconds = 1
-	// storeRetryAfterSeconds is how many seconds a user waits when this controller
-	// lacks the state service or the machine types.
+	// storeRetryAfterSeconds is the Retry-After while the state service is unavailable
+	// or the machine types are not known.
 	storeRetryAfterSeconds = 2
-	// maxRetryAfterSeconds is the longest that a user is told to wait.
+	// maxRetryAfterSeconds is the longest Retry-After.
 	maxRetryAfterSeconds = 30
 )
 
 const (
-	// watchPause is the pause between two watches of the jobs' records. They are
-	// the safety net under the messages between controllers, so it may be long.
+	// watchPause is the pause between two watch requests for job records. It may be
+	// long, since notices between controllers deliver most changes sooner.
 	watchPause = 2 * second
-	// storeTimeout is how long the state service may not have served this
-	// controller before requests that need it are refused at once.
+	// storeTimeout is how long the state service may be unavailable before requests
+	// that need it are refused without being tried.
 	storeTimeout = second
 )
 
-// Config is what the package knows from the settings.
+// Config holds the settings that the package uses.
 type Config struct {
 	Self cluster.NodeID
-	// Nodes are all controllers, sorted.
+	// Nodes lists all controllers, sorted.
 	Nodes []cluster.NodeID
 	// InstanceID is unique to this process.
 	InstanceID string
-	// MaxValueBytes is the largest record that the state service takes.
+	// MaxValueBytes is the size limit of a record in the state service.
 	MaxValueBytes int
-	// MaxTxnOps is the largest number of changes in a transaction.
+	// MaxTxnOps is the maximum number of operations in a transaction.
 	MaxTxnOps int
-	// CheckpointInterval is the time between two looks for outcomes to store.
+	// CheckpointInterval is the interval at which Records.WriteOutcomes is called.
 	CheckpointInterval cluster.Time
 }
 
 // ShardOwnership confirms and gives up the ownership of shards.
 type ShardOwnership interface {
-	// Confirm finds out with a read begun after the call whether this controller
-	// still owns a shard.
+	// Confirm calls handle with whether this controller still owns the shard,
+	// according to a read that begins after the call.
 	Confirm(shard *state.Shard, handle func(owned bool))
-	// GiveUpCorrupt gives up a shard after a record that makes no sense.
+	// GiveUpCorrupt gives up a shard because the record under key is corrupt.
 	GiveUpCorrupt(shard *state.Shard, key, reason string)
 }
 
-// TaskStopper ends what a job has on machines.
+// TaskStopper stops the tasks of jobs.
 type TaskStopper interface {
-	// WithdrawUnsentStarts takes back the starts that no machine has been sent.
+	// WithdrawUnsentStarts withdraws the starts of a job's tasks that were not sent to
+	// a machine yet.
 	WithdrawUnsentStarts(job *state.Job)
 	// StopAll stops all tasks of a job.
 	StopAll(job *state.Job)
-	// RemoveAssignment removes an assignment that its machine's stored record does
-	// not list any more.
+	// RemoveAssignment removes an assignment that the stored record of its machine no
+	// longer lists.
 	RemoveAssignment(machine *state.Machine, assignment *state.Assignment)
 }
 
-// Scheduler starts tasks and looks for machines for them.
+// Scheduler places tasks on machines and scales out when machines are missing.
 type Scheduler interface {
-	// RequestScheduling has tasks scheduled soon.
+	// RequestScheduling requests a scheduling pass.
 	RequestScheduling()
-	// RequestScaleOut has the need for machines worked out soon.
+	// RequestScaleOut requests a check whether more machines are needed.
 	RequestScaleOut()
-	// RuntimeRatio is how long tasks of a class run, over their estimates.
+	// RuntimeRatio returns the ratio of actual to estimated run time of a class.
 	RuntimeRatio(class string) float64
 }
 
-// Collaborators are the other parts of the controller that the package calls.
+// Collaborators are the other components of the controller that the package calls.
 type Collaborators struct {
 	Members   *membership.Members
 	Process   *membership.ProcessHealth
@@ -107,7 +113,7 @@
 	Scheduler Scheduler
 }
 
-// shared is what all parts of the package use.
+// shared holds what all components of the package use.
 type shared struct {
 	Collaborators
 
@@ -117,7 +123,7 @@
 	config     Config
 }
 
-// Jobs are the parts of the package that the controller calls.
+// Jobs holds the components of the package that the controller calls.
 type Jobs struct {
 	Records          *Records
 	AdmissionRecords *AdmissionRecords
@@ -128,16 +134,16 @@
 	shared *shared
 }
 
-// New makes the parts and connects them. Nothing is known of any job yet.
-func New(loop *eventloop.Loop, shards *state.State, queue *writequeue.Queue, config Config, collaborators Collaborators) *Jobs {
-	common := &shared{Collaborators: collaborators, loop: loop, state: shards, writeQueue: queue, config: config}
-	sender := newNotices(common)
-	records := newRecords(common, sender)
+// New creates and connects the components. They know no job until Load is called.
+func New(loop *eventloop.Loop, clusterState *state.State, queue *writequeue.Queue, config Config, collaborators Collaborators) *Jobs {
+	common := &shared{Collaborators: collaborators, loop: loop, state: clusterState, writeQueue: queue, config: config}
+	notices := newNoticeSender(common)
+	records := newRecords(common, notices)
 	admissionRecords := newAdmissionRecords(common, records)
 	reads := &linearizableReads{shared: common, records: records, admissionRecords: admissionRecords}
 	queries := newQueries(common, records, admissionRecords, reads)
 	proxy := &submissionProxy{shared: common}
-	admissions := &admissionQueue{shared: common, records: records, admissionRecords: admissionRecords, queries: queries, proxy: proxy, notices: sender}
+	admissions := &admissionQueue{shared: common, records: records, admissionRecords: admissionRecords, queries: queries, proxy: proxy, notices: notices}
 	return &Jobs{
 		Records:          records,
 		AdmissionRecords: admissionRecords,
@@ -148,10 +154,11 @@
 	}
 }
 
-// Configure takes over settings that have changed.
+// Configure applies changed settings.
 func (j *Jobs) Configure(config Config) { j.shared.config = config }
 
-// Load reads all jobs from the state service, and follows their changes then.
+// Load starts to read the records of all jobs from the state service, and then follows
+// their changes.
 func (j *Jobs) Load() {
 	j.Records.load()
 	j.AdmissionRecords.load()
--- a/internal/jobs/linearizablereads.go
+++ b/internal/jobs/linearizablereads.go
@@ -2,27 +2,28 @@
 
 import "stairrelay/internal/cluster"
 
-// linearizableReadInterval is the least time between the beginnings of two reads of
-// the jobs' changes: those who ask in between share the next one.
+// linearizableReadInterval is the minimum time between the starts of two linearizable
+// reads. Requests that arrive in between share the next read.
 const linearizableReadInterval = 100 * millisecond
 
-// linearizableReads reads all that was stored of jobs, for those who must not answer
-// before they know it.
+// linearizableReads provides reads of the job records that cover every change stored
+// before the read was requested.
 //
-// A read serves only those who asked before it began, and no two run at a time.
+// A read serves only the requests made before it started, and at most one read is in
+// flight.
 type linearizableReads struct {
 	*shared
 
 	records          *Records
 	admissionRecords *AdmissionRecords
 
-	waiting   []func(ok bool)
-	scheduled bool // a read runs, or is about to
-	startedAt cluster.Time
+	waiting       []func(ok bool)
+	scheduled     bool // a read is scheduled or in flight
+	lastStartedAt cluster.Time
 }
 
-// read calls handle after all was applied that was stored of jobs before this call,
-// from reads begun after it; false: that could not be read.
+// read calls handle with true after all changes stored before this call are applied, or
+// with false if they could not be read.
 func (l *linearizableReads) read(handle func(ok bool)) {
 	if l.writeQueue.IsUnavailableFor(storeTimeout) || l.state.Jobs.AppliedRevision == 0 || !l.admissionRecords.loaded {
 		handle(false)
@@ -34,24 +35,26 @@
 	}
 }
 
-// schedule has the next read begin when the interval since the last one is over.
+// schedule starts the next read as soon as linearizableReadInterval has passed since the
+// last start.
 func (l *linearizableReads) schedule() {
 	l.scheduled = true
-	l.loop.After(max(0, l.startedAt+linearizableReadInterval-l.loop.Now()), l.readChanges)
+	l.loop.After(max(0, l.lastStartedAt+linearizableReadInterval-l.loop.Now()), l.readChanges)
 }
 
-// readChanges reads the changes of the jobs' own records and of the admission records.
+// readChanges reads the changes of the jobs' own records and of the admission records,
+// and then calls the waiting handlers.
 func (l *linearizableReads) readChanges() {
-	served := l.waiting
-	l.waiting, l.startedAt = nil, l.loop.Now()
-	unanswered, allRead := 2, true
+	handlers := l.waiting
+	l.waiting, l.lastStartedAt = nil, l.loop.Now()
+	outstanding, allRead := 2, true
 	done := func(ok bool) {
 		allRead = allRead && ok
-		unanswered--
-		if unanswered > 0 {
+		outstanding--
+		if outstanding > 0 {
 			return
 		}
-		for _, handle := range served {
+		for _, handle := range handlers {
 			handle(allRead)
 		}
 		l.scheduled = false
--- a/internal/jobs/linearizablereads_test.go
+++ b/internal/jobs/linearizablereads_test.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/messages"
 )
 
-// watchCalls lists the reads of changes among some effects.
+// watchCalls returns the calls that read changes.
 func watchCalls(effects []messages.Effect) []messages.CallID {
 	var calls []messages.CallID
 	for _, effect := range effects {
@@ -18,9 +18,9 @@
 	return calls
 }
 
-// TestLinearizableReadBeginsAfterTheQuestion shows that a read answers only those who
-// asked before it began; the others share one that begins after the interval.
-func TestLinearizableReadBeginsAfterTheQuestion(t *testing.T) {
+// TestLinearizableReadStartsAfterRequest checks that a read serves only requests made before
+// it started, that later ones share the next read, and that a partial failure is reported.
+func TestLinearizableReadStartsAfterRequest(t *testing.T) {
 	jobs := newTestJobs(t)
 	jobs.state.Jobs.AppliedRevision = 20
 	jobs.AdmissionRecords.ApplyAll(nil, 20)
@@ -36,20 +36,20 @@
 	ask("first")
 	first := watchCalls(jobs.runFor(0))
 	if len(first) != 2 {
-		t.Fatalf("%d reads, want one of the jobs' records and one of the admission records", len(first))
+		t.Fatalf("%d reads, want one of the jobs' own records and one of the admission records", len(first))
 	}
 	ask("second")
 	finish(first[:1], messages.OK)
 	if len(answers) != 0 {
-		t.Error("answered before both reads have ended")
+		t.Error("answered before both reads were finished")
 	}
 	finish(first[1:], messages.OK)
 	if ok, answered := answers["first"]; !ok || !answered || len(answers) != 1 {
-		t.Errorf("answers after the first read: %v", answers)
+		t.Errorf("answers after the first read: %v, want first alone", answers)
 	}
 
 	if calls := watchCalls(jobs.runFor(linearizableReadInterval - 1)); len(calls) != 0 {
-		t.Errorf("%d reads before the interval is over", len(calls))
+		t.Errorf("%d reads before the interval has passed, want none", len(calls))
 	}
 	ask("third")
 	second := watchCalls(jobs.runFor(1))
@@ -57,31 +57,31 @@
 	finish(second[1:], messages.OK)
 	for _, name := range []string{"second", "third"} {
 		if ok, answered := answers[name]; ok || !answered {
-			t.Errorf("%s: answered %v, with %v, by a read of which half has failed", name, answered, ok)
+			t.Errorf("%s: answered %v with ok %v, want ok false after one of the two reads failed", name, answered, ok)
 		}
 	}
 }
 
-// TestLinearizableReadNeedsFirstReading shows that nothing is vouched for before all
+// TestLinearizableReadFailsBeforeInitialLoad checks that a read does not succeed before all
 // records were read once.
-func TestLinearizableReadNeedsFirstReading(t *testing.T) {
+func TestLinearizableReadFailsBeforeInitialLoad(t *testing.T) {
 	for _, test := range []struct {
-		name             string
-		jobsRead         cluster.Revision
-		admissionsLoaded bool
+		name                string
+		jobsAppliedRevision cluster.Revision
+		admissionsLoaded    bool
 	}{
 		{"the jobs' own records", 0, true},
 		{"the admission records", 20, false},
 	} {
 		jobs := newTestJobs(t)
-		jobs.state.Jobs.AppliedRevision = test.jobsRead
+		jobs.state.Jobs.AppliedRevision = test.jobsAppliedRevision
 		if test.admissionsLoaded {
 			jobs.AdmissionRecords.ApplyAll(nil, 20)
 		}
 		answered, result := false, true
 		jobs.Queries.reads.read(func(ok bool) { answered, result = true, ok })
 		if !answered || result {
-			t.Errorf("without %s: answered %v, with %v", test.name, answered, result)
+			t.Errorf("without %s: answered %v with ok %v, want ok false", test.name, answered, result)
 		}
 	}
 }
--- a/internal/jobs/notices.go
+++ b/internal/jobs/notices.go
@@ -9,42 +9,41 @@
 )
 
 const (
-	// noticeDelay is how long the notices for a controller are gathered.
+	// noticeDelay is how long the notices for a controller are collected.
 	noticeDelay = 20 * millisecond
-	// noticeTimeout is how long its answer may take, and noticeRetries how often a
-	// message that was lost is sent again.
+	// noticeTimeout is the timeout of a message with notices, and noticeRetries how
+	// often a failed one is sent again.
 	noticeTimeout = second
 	noticeRetries = 3
-	// A message tells of at most maxNotices jobs, and has about maxNoticeBytes of
-	// records: a quarter of what a controller takes. One record of any size always
-	// goes.
+	// maxNotices limits the number of records in a message, and maxNoticeBytes their
+	// size, to a quarter of the size limit of messages. A single record of any size is
+	// sent.
 	maxNotices     = 50
 	maxNoticeBytes = 256 << 10
 )
 
-// notices tells the owners of shards of stored jobs, so that they need not wait for
-// their watches; those are the safety net.
-type notices struct {
+// noticeSender sends stored job records to the owners of shards, so that these need not
+// wait for their watches. If a notice is lost, the watch delivers the change.
+type noticeSender struct {
 	*shared
 
 	queues map[cluster.NodeID]*noticeQueue
 }
 
-// noticeQueue gathers the stored jobs that a controller is to be told of, so that
-// those of some milliseconds share a message.
+// noticeQueue collects the records for a controller, so that several share a message.
 //
-// A message is scheduled or under way while any wait. Those of a message that was
-// lost go out again, a few times.
+// While records are waiting, a message is scheduled or in flight. The records of a
+// failed message are sent again, up to noticeRetries times.
 type noticeQueue struct {
 	waiting   []messages.KV
 	scheduled bool
 }
 
-func newNotices(common *shared) *notices {
-	return &notices{shared: common, queues: map[cluster.NodeID]*noticeQueue{}}
+func newNoticeSender(common *shared) *noticeSender {
+	return &noticeSender{shared: common, queues: map[cluster.NodeID]*noticeQueue{}}
 }
 
-// nextBatch lists the records of the next message.
+// nextBatch returns the records of the next message. They stay in the queue.
 func (q *noticeQueue) nextBatch() []messages.KV {
 	size := 0
 	for i, kv := range q.waiting {
@@ -56,16 +55,17 @@
 	return q.waiting
 }
 
-// queueFor returns the queue of a controller.
-func (n *notices) queueFor(to cluster.NodeID) *noticeQueue {
+// queueFor returns the queue for a controller, and creates it if necessary.
+func (n *noticeSender) queueFor(to cluster.NodeID) *noticeQueue {
 	if n.queues[to] == nil {
 		n.queues[to] = &noticeQueue{}
 	}
 	return n.queues[to]
 }
 
-// send passes a job's stored record to the owner of a shard.
-func (n *notices) send(shard cluster.ShardID, kv messages.KV) {
+// send queues a job's stored record for the owner of a shard. It does nothing if the owner
+// is unknown, unreachable or this controller.
+func (n *noticeSender) send(shard cluster.ShardID, kv messages.KV) {
 	owner := n.Members.Peer(n.state.Shards[shard].Owner)
 	if owner == nil || owner.IsUnreachable() {
 		return
@@ -78,7 +78,7 @@
 	}
 }
 
-func (n *notices) sendBatch(queue *noticeQueue, owner *membership.Peer, retry int) {
+func (n *noticeSender) sendBatch(queue *noticeQueue, owner *membership.Peer, retry int) {
 	batch := queue.nextBatch()
 	message := messages.PeerMessage{Notice: &messages.JobNotice{Keys: batch}}
 	n.Members.Call(owner.ID(), noticeTimeout, message, func(reply messages.PeerReply) {
@@ -95,9 +95,9 @@
 	})
 }
 
-// sendToDependencyOwners lets the owners of the jobs that a new job depends on know
-// of it, so that they tell its owner of their ends.
-func (n *notices) sendToDependencyOwners(spec *cluster.JobSpec, kv messages.KV) {
+// sendToDependencyOwners sends the record of a new job to the owners of the jobs that it
+// depends on, so that they notify its owner when those jobs end.
+func (n *noticeSender) sendToDependencyOwners(spec *cluster.JobSpec, kv messages.KV) {
 	notified := map[cluster.ShardID]bool{n.state.Teams[spec.Team].ShardID: true}
 	for _, id := range spec.Dependencies {
 		if known := n.state.Jobs.Known[id]; known != nil && !notified[known.ShardID] {
--- a/internal/jobs/notices_test.go
+++ b/internal/jobs/notices_test.go
@@ -6,9 +6,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestJobNoticesWithinMessageLimit: records near the largest value of the state
-// service are sent in several messages, each within what a controller takes; one
-// that is larger goes alone.
+// TestJobNoticesWithinMessageLimit checks that large records are split across messages
+// within the size limit, and that an oversized one is sent alone.
 func TestJobNoticesWithinMessageLimit(t *testing.T) {
 	large := messages.KV{Key: "jobs/j", Value: make([]byte, 64<<10)}
 	huge := messages.KV{Key: "jobs/h", Value: make([]byte, 2*maxNoticeBytes)}
--- a/internal/jobs/ownerqueries.go
+++ b/internal/jobs/ownerqueries.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// ownerQueryDelay is how long the queries to a controller are gathered.
+	// ownerQueryDelay is how long the queries to a controller are collected.
 	ownerQueryDelay = 50 * millisecond
-	// ownerQueryTimeout is how long its answer may take.
+	// ownerQueryTimeout is the timeout of a message with queries.
 	ownerQueryTimeout = 800 * millisecond
-	// maxQueriesPerMessage is how many jobs a message asks about.
+	// maxQueriesPerMessage is the maximum number of jobs in a message.
 	maxQueriesPerMessage = 1000
 )
 
-// ownerQueries gathers the queries for jobs of shards that other controllers own, so
-// that those of some milliseconds share one message.
+// ownerQueries collects the queries for jobs of shards that other controllers own, so
+// that several share a message.
 //
-// A controller with queries waiting has a message scheduled.
+// While queries to a controller are waiting, a message to it is scheduled.
 type ownerQueries struct {
 	*shared
 
@@ -26,7 +26,7 @@
 	scheduled map[cluster.NodeID]bool
 }
 
-// ownerQuery is a query that waits for the answer of the job's owner.
+// ownerQuery is a query that waits for the answer of the owner of the job's shard.
 type ownerQuery struct {
 	id     cluster.JobID
 	handle viewHandler
@@ -41,7 +41,7 @@
 	}
 }
 
-// add asks the owner of a job's shard for the job's status.
+// add queues a query for a job's status to the owner of its shard.
 func (o *ownerQueries) add(owner cluster.NodeID, id cluster.JobID, handle viewHandler) {
 	o.waiting[owner] = append(o.waiting[owner], ownerQuery{id: id, handle: handle})
 	if !o.scheduled[owner] {
@@ -50,8 +50,8 @@
 	}
 }
 
-// takeBatch returns the queries of the message that is sent now; more: others wait
-// for another message.
+// takeBatch removes and returns the queries of the next message. more reports whether
+// other queries are left.
 func (o *ownerQueries) takeBatch(owner cluster.NodeID) (batch []ownerQuery, more bool) {
 	waiting := o.waiting[owner]
 	if len(waiting) > maxQueriesPerMessage {
@@ -76,8 +76,8 @@
 	o.Members.Call(owner, ownerQueryTimeout, message, func(reply messages.PeerReply) { o.handleReply(batch, reply) })
 }
 
-// handleReply passes the owner's answers on. What it could not vouch for is looked up
-// in the state service.
+// handleReply passes the owner's answers to the handlers. Jobs without an answer are
+// looked up in the state service.
 func (o *ownerQueries) handleReply(batch []ownerQuery, reply messages.PeerReply) {
 	views := map[cluster.JobID]cluster.JobView{}
 	if reply.Outcome == messages.OK {
--- a/internal/jobs/ownerqueries_test.go
+++ b/internal/jobs/ownerqueries_test.go
@@ -10,10 +10,10 @@
 	"stairrelay/internal/state"
 )
 
-// TestJobQueriesSplitAcrossMessages: queries beyond what one message asks wait for
-// the next, and all are answered.
+// TestJobQueriesSplitAcrossMessages checks that queries beyond the limit of a message are
+// sent with the next ones, and that all are answered.
 func TestJobQueriesSplitAcrossMessages(t *testing.T) {
-	const questions = 2*maxQueriesPerMessage + 1
+	const queryCount = 2*maxQueriesPerMessage + 1
 	nodes := []cluster.NodeID{"n0", "n1"}
 	loop := eventloop.New()
 	common := &shared{
@@ -25,7 +25,7 @@
 	}
 	queries := newOwnerQueries(&Queries{shared: common})
 	answered := 0
-	for range questions {
+	for range queryCount {
 		queries.add("n1", "j-1", func(messages.ReplyStatus, cluster.JobView) { answered++ })
 	}
 	sentMessages := 0
@@ -39,14 +39,14 @@
 			}
 			sentMessages++
 			if len(call.Message.Query.IDs) > maxQueriesPerMessage {
-				t.Errorf("a message asks %d questions", len(call.Message.Query.IDs))
+				t.Errorf("message has %d queries, want at most maxQueriesPerMessage", len(call.Message.Query.IDs))
 			}
 			view := cluster.JobView{ID: "j-1", Status: cluster.JobRunning}
 			reply := messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Views: []cluster.JobView{view}}}
 			loop.Deliver(messages.Reply{Call: call.Call, Body: reply})
 		}
 	}
-	if sentMessages != 3 || answered != questions {
-		t.Errorf("%d messages, %d answers", sentMessages, answered)
+	if sentMessages != 3 || answered != queryCount {
+		t.Errorf("%d messages and %d answers, want 3 messages and an answer to each query", sentMessages, answered)
 	}
 }
--- a/internal/jobs/proxy.go
+++ b/internal/jobs/proxy.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// proxyTimeout is how long another controller may take to store a submission.
+	// proxyTimeout is the timeout of a submission that is forwarded to another
+	// controller.
 	proxyTimeout = 2500 * millisecond
-	// proxyPingFreshness is how old a peer's last ping may be that says that it
-	// reaches the state service.
+	// proxyPingFreshness is the maximum age of the ping that shows that a peer can reach
+	// the state service.
 	proxyPingFreshness = 2 * second
 )
 
-// submissionProxy passes submissions to another controller, where this one has lost
-// the state service or does not know the machine types yet: any of them may store a
-// submission, and its user would else come back to this one until the load balancer
-// has noticed. A submission that was stored twice finds its job known.
+// submissionProxy forwards submissions to another controller when the state service does
+// not respond to this one or the machine types are not known yet. Without it, the user's
+// retries would fail here until the load balancer removes this controller. If both
+// controllers store the submission, the later one is answered as an idempotent retry.
 type submissionProxy struct {
 	*shared
 }
 
-// pass passes a submission to the next controller that can store it, and answers as
-// that one says; false: no other controller can.
-func (p *submissionProxy) pass(spec cluster.JobSpec, answer func(messages.Respond)) bool {
+// forward forwards a submission to the next controller that can store it, and passes that
+// controller's response to answer. It returns false if there is no such controller.
+func (p *submissionProxy) forward(spec cluster.JobSpec, answer func(messages.Respond)) bool {
 	nodes := p.config.Nodes
 	self := slices.Index(nodes, p.config.Self)
 	for i := 1; i < len(nodes); i++ {
@@ -41,8 +42,9 @@
 	return false
 }
 
-// canStore tells whether a peer can store a submission, as far as it has said. A
-// release without dependencies would start a job that has any at once.
+// canStore reports whether a peer can store a submission, according to its last ping. A
+// release without support for dependencies is excluded for jobs that have any, as it
+// would start them at once.
 func canStore(peer *membership.Peer, spec *cluster.JobSpec) bool {
 	if peer.IsUnreachable() || peer.IsSuspected() || !peer.HasAnswered() {
 		return false
@@ -53,7 +55,8 @@
 	return len(spec.Dependencies) == 0 || peer.LastPing().FeatureLevel >= DependencyFeatureLevel
 }
 
-// answer answers a submission as the controller says that it went to.
+// answer answers a submission with the response of the controller that it was forwarded
+// to.
 func (p *submissionProxy) answer(spec *cluster.JobSpec, reply messages.PeerReply, answer func(messages.Respond)) {
 	switch {
 	case reply.Outcome != messages.OK:
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -9,10 +9,11 @@
 	"stairrelay/internal/state"
 )
 
-// viewHandler gets a job's status with ReplyOK, or why it is not known.
+// viewHandler is called with ReplyOK and a job's status, or with another reply status if
+// the job's status is not known.
 type viewHandler func(status messages.ReplyStatus, view cluster.JobView)
 
-// Queries finds out the status of jobs, for users and other controllers.
+// Queries looks up the status of jobs for users and other controllers.
 type Queries struct {
 	*shared
 
@@ -28,11 +29,11 @@
 	return queries
 }
 
-// HandleQuery answers a user's query.
+// HandleQuery answers a user's query for a job's status.
 func (q *Queries) HandleQuery(query messages.Query) {
 	q.lookUp(query.ID, func(status messages.ReplyStatus, view cluster.JobView) {
 		response := messages.Respond{Request: query.Request, Status: status}
-		switch status { //nolint:exhaustive // any other status says all by itself
+		switch status { //nolint:exhaustive // other statuses need no further fields
 		case messages.ReplyOK:
 			response.View = &view
 		case messages.ReplyUnavailable:
@@ -42,8 +43,9 @@
 	})
 }
 
-// lookUp finds out a job's status: a final one from memory, else from its owner, else
-// from the state service, which alone can say that there is no such job.
+// lookUp looks up a job's status. A final status is answered from memory, an unfinished
+// one by the owner of the job's shard. Otherwise the state service is read, which alone
+// can show that a job does not exist.
 func (q *Queries) lookUp(id cluster.JobID, handle viewHandler) {
 	known := q.state.Jobs.Known[id]
 	if known != nil && known.FinalStatus != "" {
@@ -64,7 +66,8 @@
 	q.lookUpInStore(id, handle)
 }
 
-// lookUpOwned finds out the status of a job of an owned shard.
+// lookUpOwned looks up the status of a job of an owned shard, after confirming that the
+// shard is still owned.
 func (q *Queries) lookUpOwned(job *state.Job, handle viewHandler) {
 	id := job.Spec.ID
 	q.Ownership.Confirm(q.state.Shards[job.ShardID], func(owned bool) {
@@ -74,7 +77,8 @@
 		}
 		job := q.state.Jobs.Owned[id]
 		if !owned || job == nil || job.EndInFlight {
-			// Another may have read and told an end that is on its way here.
+			// The final status may be stored already, and another controller may have
+			// reported it.
 			q.lookUpInStore(id, handle)
 			return
 		}
@@ -82,8 +86,8 @@
 	})
 }
 
-// lookUpInStore finds out a job's status from its own record, else from the admission
-// records.
+// lookUpInStore looks up a job's status in its own record in the state service, or in the
+// admission records if it has none.
 func (q *Queries) lookUpInStore(id cluster.JobID, handle viewHandler) {
 	if q.writeQueue.IsUnavailableFor(storeTimeout) || q.writeQueue.IsOverdrawn() {
 		handle(messages.ReplyUnavailable, cluster.JobView{})
@@ -102,7 +106,7 @@
 	})
 }
 
-// answerFromRecord answers with what a job's own record says.
+// answerFromRecord answers with the status in a job's own record.
 func (q *Queries) answerFromRecord(id cluster.JobID, kv messages.KV, handle viewHandler) {
 	var record Record
 	if json.Unmarshal(kv.Value, &record) != nil {
@@ -120,7 +124,7 @@
 	}
 }
 
-// lookUpAdmission finds out whether a job without a record of its own was admitted.
+// lookUpAdmission looks up whether a job without a record of its own was admitted.
 func (q *Queries) lookUpAdmission(id cluster.JobID, handle viewHandler) {
 	q.admissionRecords.lookUp(id, func(admitted, ok bool) {
 		switch {
@@ -134,9 +138,9 @@
 	})
 }
 
-// answerUnfinished answers with a job's unfinished status. That of a blocked job is
-// told only after all that was stored until now was read: a job that it depends on
-// may have been cancelled, and others may have told what follows.
+// answerUnfinished answers with the status of an unfinished job. For a blocked job it does
+// so only after a linearizable read: a dependency may have been cancelled, and another
+// controller may have reported that the job is cancelled with it.
 func (q *Queries) answerUnfinished(id cluster.JobID, view cluster.JobView, handle viewHandler) {
 	if known := q.state.Jobs.FinalJob(id); known != nil {
 		handle(messages.ReplyOK, finalView(id, known))
@@ -157,7 +161,7 @@
 	})
 }
 
-// answerIdempotentRetry answers a submission of a job that is known already.
+// answerIdempotentRetry answers a submission whose job is already known.
 func (q *Queries) answerIdempotentRetry(id cluster.JobID, answer func(messages.Respond)) {
 	q.lookUp(id, func(status messages.ReplyStatus, view cluster.JobView) {
 		if status == messages.ReplyOK {
@@ -168,46 +172,46 @@
 	})
 }
 
-// HandlePeerQuery answers another controller's query with the jobs that this controller
-// can vouch for, and leaves out the others.
+// HandlePeerQuery answers another controller's query with the status of the jobs for which
+// this controller is authoritative, and omits the others.
 func (q *Queries) HandlePeerQuery(ids []cluster.JobID, handle func([]cluster.JobView)) {
-	answer := &peerAnswer{queries: q, ids: ids, handle: handle, confirmed: map[cluster.ShardID]bool{}, unanswered: 1}
+	answer := &peerAnswer{queries: q, ids: ids, handle: handle, confirmed: map[cluster.ShardID]bool{}, outstanding: 1}
 	if slices.ContainsFunc(ids, answer.isBlockedOwned) {
-		answer.unanswered++
+		answer.outstanding++
 		q.reads.read(func(ok bool) {
-			answer.changesRead = ok
-			answer.finish()
+			answer.linearizableReadOK = ok
+			answer.finishOne()
 		})
 	}
-	asked := map[cluster.ShardID]bool{}
+	shardsToConfirm := map[cluster.ShardID]bool{}
 	for _, id := range ids {
 		if job := q.state.Jobs.Owned[id]; job != nil {
-			asked[job.ShardID] = true
+			shardsToConfirm[job.ShardID] = true
 		}
 	}
 	for _, shard := range q.state.Shards {
-		if !asked[shard.ID] {
+		if !shardsToConfirm[shard.ID] {
 			continue
 		}
-		answer.unanswered++
+		answer.outstanding++
 		q.Ownership.Confirm(shard, func(owned bool) {
 			answer.confirmed[shard.ID] = owned
-			answer.finish()
+			answer.finishOne()
 		})
 	}
-	answer.finish()
+	answer.finishOne()
 }
 
-// peerAnswer is the answer to another controller's query while the confirmations that
-// it needs are outstanding.
+// peerAnswer is the answer to another controller's query, which waits for ownership
+// confirmations and, if there are blocked jobs, for a linearizable read.
 type peerAnswer struct {
 	queries *Queries
 	ids     []cluster.JobID
 	handle  func([]cluster.JobView)
 
-	unanswered  int                      // confirmations, and one until all were asked for
-	confirmed   map[cluster.ShardID]bool // shards that are still owned
-	changesRead bool                     // for the blocked jobs
+	outstanding        int                      // confirmations and reads in progress, plus one while they are started
+	confirmed          map[cluster.ShardID]bool // whether the shard is still owned
+	linearizableReadOK bool                     // the read for the blocked jobs succeeded
 }
 
 func (a *peerAnswer) isBlockedOwned(id cluster.JobID) bool {
@@ -215,10 +219,11 @@
 	return jobs.Owned[id] != nil && jobs.IsBlocked(id)
 }
 
-// finish answers after the last confirmation.
-func (a *peerAnswer) finish() {
-	a.unanswered--
-	if a.unanswered > 0 {
+// finishOne records that a confirmation or read has finished, and answers after the last
+// one.
+func (a *peerAnswer) finishOne() {
+	a.outstanding--
+	if a.outstanding > 0 {
 		return
 	}
 	jobs := &a.queries.state.Jobs
@@ -226,15 +231,15 @@
 	for _, id := range a.ids {
 		if known := jobs.FinalJob(id); known != nil {
 			views = append(views, finalView(id, known))
-		} else if job := jobs.Owned[id]; job != nil && a.canVouchFor(job) {
+		} else if job := jobs.Owned[id]; job != nil && a.isAuthoritative(job) {
 			views = append(views, job.View())
 		}
 	}
 	a.handle(views)
 }
 
-// canVouchFor tells whether nobody can have been told another status of a job than
-// the one known here.
-func (a *peerAnswer) canVouchFor(job *state.Job) bool {
-	return a.confirmed[job.ShardID] && !job.EndInFlight && (a.changesRead || !a.queries.state.Jobs.IsBlocked(job.Spec.ID))
+// isAuthoritative reports whether the status of a job known here is current: no other
+// controller can have reported a later one.
+func (a *peerAnswer) isAuthoritative(job *state.Job) bool {
+	return a.confirmed[job.ShardID] && !job.EndInFlight && (a.linearizableReadOK || !a.queries.state.Jobs.IsBlocked(job.Spec.ID))
 }
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -7,41 +7,42 @@
 	"stairrelay/internal/state"
 )
 
-// Record is what jobs/<id> holds of a job: its specification and the outcomes of
-// its first tasks while it is unfinished, its final status afterwards. The keys of
-// further chunks of tasks hold their outcomes only.
+// Record is the value stored under jobs/<id>. While the job is unfinished, it holds the
+// specification and the completed tasks of the first chunk; afterwards it holds the
+// final status. Each further chunk of tasks has a key of its own, with a record that
+// holds only completed tasks.
 type Record struct {
 	Spec             *cluster.JobSpec  `json:"s,omitempty"`
 	CompletedIndexes string            `json:"d,omitempty"`
 	FinalStatus      cluster.JobStatus `json:"st,omitempty"`
 	Team             string            `json:"tm,omitempty"`
 	Tasks            int               `json:"n,omitempty"`
-	// ResourceRequest is that of a cancelled job, whose tasks may still use quota.
+	// ResourceRequest is set for a cancelled job, whose tasks may still use quota.
 	ResourceRequest *cluster.Resources `json:"r,omitempty"`
 	WriteID         string             `json:"w"`
 }
 
-// AdmissionRecord is what accepts/<name> holds: jobs that were admitted together.
-// From its first outcome on a job has a record of its own, which counts where both
-// exist.
+// AdmissionRecord is the value stored under accepts/<name>: the jobs of one batch. A job
+// gets a record of its own when its progress or its end is first stored. Where both
+// exist, the job's own record takes precedence.
 type AdmissionRecord struct {
 	Jobs    []AdmittedJob `json:"j"`
 	WriteID string        `json:"w"`
 }
 
-// AdmittedJob is one of the jobs of an AdmissionRecord.
+// AdmittedJob is a job in an AdmissionRecord.
 type AdmittedJob struct {
 	ID   cluster.JobID   `json:"id"`
 	Spec cluster.JobSpec `json:"s"`
 }
 
-// encode is the stored form of a record.
+// encode returns the stored form of a record.
 func (r *Record) encode() []byte {
 	value, _ := json.Marshal(r) // a struct of plain fields can always be marshaled
 	return value
 }
 
-// teamAndTasks are the job's team and number of tasks.
+// teamAndTasks returns the job's team and number of tasks.
 func (r *Record) teamAndTasks() (string, int) {
 	if r.Spec != nil {
 		return r.Spec.Team, r.Spec.Tasks
@@ -49,7 +50,8 @@
 	return r.Team, r.Tasks
 }
 
-// view is the job's status by its own record; false: the record makes no sense.
+// view returns the job's status according to its own record. It returns false if the
+// record has neither a final status nor a specification.
 func (r *Record) view(id cluster.JobID) (cluster.JobView, bool) {
 	view := cluster.JobView{ID: id, Status: cluster.JobPending}
 	if r.FinalStatus.IsFinal() {
@@ -69,7 +71,7 @@
 	return view, true
 }
 
-// finalRecord is the record of a job's final status, as other controllers learn it.
+// finalRecord returns the record that tells other controllers a job's final status.
 func finalRecord(known *state.KnownJob) *Record {
 	record := &Record{FinalStatus: known.FinalStatus, Team: known.Team, Tasks: known.Tasks}
 	if known.FinalStatus == cluster.JobCancelled {
@@ -78,7 +80,7 @@
 	return record
 }
 
-// finalView is the status of a job that is known to have ended.
+// finalView returns the status of a finished job.
 func finalView(id cluster.JobID, known *state.KnownJob) cluster.JobView {
 	view := cluster.JobView{ID: id, Status: known.FinalStatus}
 	if known.FinalStatus == cluster.JobDone {
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -6,7 +6,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestRecordView shows which status a job has by its own record alone.
+// TestRecordView checks the status of a job according to its own record.
 func TestRecordView(t *testing.T) {
 	spec := &cluster.JobSpec{Team: "red", Tasks: 5}
 	for _, test := range []struct {
@@ -24,7 +24,7 @@
 		test.want.ID = "j-1"
 		got, ok := test.record.view("j-1")
 		if ok != test.ok || ok && got != test.want {
-			t.Errorf("%s: %+v, %v; want %+v, %v", test.name, got, ok, test.want, test.ok)
+			t.Errorf("%s: got %+v, %v; want %+v, %v", test.name, got, ok, test.want, test.ok)
 		}
 	}
 }
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -10,39 +10,39 @@
 	"stairrelay/internal/writequeue"
 )
 
-// readRetryPause is the pause before a failed read of a job's records is repeated.
+// readRetryPause is the pause before a failed read of a job's records is retried.
 const readRetryPause = second / 2
 
-// Records takes in the stored records of jobs, and writes those of the owned
-// shards' jobs.
+// Records applies the stored records of jobs, and writes those of the jobs of owned
+// shards.
 type Records struct {
 	*shared
 
 	dependencies *dependencyGraph
 }
 
-func newRecords(common *shared, sender *notices) *Records {
+func newRecords(common *shared, notices *noticeSender) *Records {
 	records := &Records{shared: common}
-	records.dependencies = &dependencyGraph{shared: common, records: records, notices: sender}
+	records.dependencies = &dependencyGraph{shared: common, records: records, notices: notices}
 	return records
 }
 
-// Apply takes in a job's record from the state service, another controller or a
-// watch. With loading set, that shard has just been acquired, and the record is
-// part of its checkpoint.
+// Apply applies a job's record, which was read from the state service, delivered by a
+// watch or sent by another controller. If the record was read to load a shard that this
+// controller has acquired, loading is that shard; otherwise it is nil.
 func (r *Records) Apply(kv messages.KV, loading *state.Shard) {
 	if kv.Value == nil {
 		return
 	}
 	var record Record
 	if err := json.Unmarshal(kv.Value, &record); err != nil {
-		r.loop.Log(messages.LogError, "unreadable record", "key", kv.Key, "error", err.Error())
+		r.loop.Log(messages.LogError, "cannot decode job record; ignoring it", "key", kv.Key, "error", err.Error())
 		return
 	}
 	teamName, tasks := record.teamAndTasks()
 	team := r.state.Teams[teamName]
 	if team == nil || tasks < 1 {
-		r.loop.Log(messages.LogError, "job record names no known team", "key", kv.Key)
+		r.loop.Log(messages.LogError, "ignoring job record with an unknown team or without tasks", "key", kv.Key)
 		return
 	}
 	id := cluster.JobID(strings.TrimPrefix(kv.Key, state.JobKeyPrefix))
@@ -59,28 +59,29 @@
 			r.dependencies.add(id, known, record.Spec)
 		}
 		record.Spec.ID = id
-		r.serveUnfinished(kv, &record, known, r.state.Shards[team.ShardID], loading)
+		r.addOwnedJob(kv, &record, known, r.state.Shards[team.ShardID], loading)
 	}
 }
 
-// serveUnfinished begins to serve a job of an owned shard, unless it is served
-// already or is known to have ended.
-func (r *Records) serveUnfinished(kv messages.KV, record *Record, known *state.KnownJob, shard, loading *state.Shard) {
-	// The end of a job that is cancelled with a dependency has to be stored yet.
-	impliedEnd := known.FinalStatus == cluster.JobCancelled && !known.FinalRecorded && len(known.Dependencies) > 0
-	if known.FinalStatus != "" && !impliedEnd || !shard.Owned || r.state.Jobs.Owned[record.Spec.ID] != nil {
+// addOwnedJob adds an unfinished job to the owned jobs if its shard is owned. It does
+// nothing if the job is among them already or is known to have finished.
+func (r *Records) addOwnedJob(kv messages.KV, record *Record, known *state.KnownJob, shard, loading *state.Shard) {
+	// A job that is cancelled because of a dependency is added nevertheless, so that
+	// its own record is written.
+	impliedCancellation := known.FinalStatus == cluster.JobCancelled && !known.FinalRecorded && len(known.Dependencies) > 0
+	if known.FinalStatus != "" && !impliedCancellation || !shard.Owned || r.state.Jobs.Owned[record.Spec.ID] != nil {
 		return
 	}
 	if !shard.Ready && shard != loading {
-		// The shard is being read, but perhaps its jobs were read before this one
-		// was stored: it is applied again when the shard is ready.
+		// The shard is being loaded, and its jobs may have been read before this one was
+		// stored. The record is applied again when the shard is ready.
 		shard.EarlyJobs = append(shard.EarlyJobs, kv)
 		return
 	}
 	job := r.newJob(kv, record, shard.ID)
 	job.EffectivePriority = max(job.EffectivePriority, known.EffectivePriority)
 	r.state.AddOwnedJob(job)
-	if impliedEnd {
+	if impliedCancellation {
 		r.dependencies.cancel(job)
 		return
 	}
@@ -94,29 +95,29 @@
 	r.writeEndIfComplete(job)
 }
 
-// newJob makes a job of its own record.
+// newJob creates a job from its own record.
 func (r *Records) newJob(kv messages.KV, record *Record, shard cluster.ShardID) *state.Job {
 	job := state.NewJob(*record.Spec, shard, kv.ModRevision, r.loop.Now())
 	if job.RestoreCompleted(0, record.CompletedIndexes) {
 		return job
 	}
-	// A task that is started again after it was done ends at once, so it is safe
-	// to take all of them as not done.
+	// It is safe to treat all tasks as not completed: a completed task that is started
+	// again exits at once.
 	r.logCorruptOutcomes(kv.Key)
 	return state.NewJob(*record.Spec, shard, kv.ModRevision, r.loop.Now())
 }
 
-// loadChunk reads the outcomes of a further chunk of tasks. Nothing of the job is
-// scheduled before all are known.
+// loadChunk reads the completed tasks of a further chunk. No task of the job is scheduled
+// until all chunks are read.
 func (r *Records) loadChunk(job *state.Job, chunk int) {
 	r.writeQueue.ReadKey(job.ChunkKey(chunk), func(reply messages.GetReply) {
 		if !r.state.Jobs.Owns(job) {
 			return
 		}
-		switch reply.Outcome { //nolint:exhaustive // any other outcome is a failure, after which the read is repeated
+		switch reply.Outcome { //nolint:exhaustive // any other outcome is a failure, after which the read is retried
 		case messages.OK:
 			r.applyChunk(job, chunk, reply.KV)
-		case messages.NotFound: // no outcome of it was stored yet
+		case messages.NotFound: // no completed task of the chunk was stored yet
 		default:
 			r.loop.After(readRetryPause, func() {
 				if r.state.Jobs.Owns(job) {
@@ -140,18 +141,18 @@
 }
 
 func (r *Records) logCorruptOutcomes(key string) {
-	r.loop.Log(messages.LogInfo, "corrupt record of completed tasks", "key", key)
+	r.loop.Log(messages.LogInfo, "cannot decode completed tasks of job; rerunning those not known to be completed", "key", key)
 }
 
-// writeEndIfComplete stores the end of a job all of whose tasks were done when its
-// shard was acquired.
+// writeEndIfComplete writes the final status of a job whose tasks were all completed
+// when its shard was acquired.
 func (r *Records) writeEndIfComplete(job *state.Job) {
 	if job.ChunksLoading == 0 && job.CompletedCount == job.Spec.Tasks {
 		r.WriteJob(job, writequeue.Admit)
 	}
 }
 
-// load reads all jobs' own records, then follows their changes.
+// load reads all jobs' own records, and then follows their changes.
 func (r *Records) load() {
 	r.writeQueue.ListPrefix(state.JobKeyPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
@@ -173,12 +174,12 @@
 }
 
 func (r *Records) applyWatched(kv messages.KV) {
-	r.recordWriter(kv)
+	r.markWriterAlive(kv)
 	r.Apply(kv, nil)
 }
 
-// readChanges reads at once what has changed since the last watch; handle gets
-// whether that could be read.
+// readChanges applies the changes since the applied revision without waiting for the
+// next watch, and calls handle with whether they could be read.
 func (r *Records) readChanges(handle func(ok bool)) {
 	r.writeQueue.ReadChanges(state.JobKeyPrefix, r.state.Jobs.AppliedRevision, func(reply messages.WatchReply) {
 		for _, kv := range reply.Items {
@@ -188,9 +189,10 @@
 	})
 }
 
-// recordWriter notes that the controller which wrote a record is alive. One that this
-// controller can't call would else count as failed, and lose its shards.
-func (s *shared) recordWriter(kv messages.KV) {
+// markWriterAlive records that the controller that wrote a record is alive. Otherwise a
+// live controller that does not answer calls from here would be considered failed, and
+// lose its shards.
+func (s *shared) markWriterAlive(kv messages.KV) {
 	if kv.Value != nil {
 		s.Members.RecordWrite(writequeue.WriterOf(kv.Value))
 	}
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -10,24 +10,26 @@
 	"stairrelay/internal/writequeue"
 )
 
-// recordWrite is a write of what has become of a job: of its tasks, or its end.
+// recordWrite is a write of a job's completed tasks or of its final status. A job has at
+// most one write at a time.
 //
-// Its record is built when its turn comes, and anew when its transaction was
-// refused for another write's sake. The fields written* and finalStatus say what the
-// last record built holds. A job has one write at a time.
+// The record is built when the write is sent, and rebuilt if the transaction fails
+// because of another write in it. The fields written* and finalStatus describe the
+// record that was built last.
 type recordWrite struct {
 	records        *Records
 	job            *state.Job
 	priority       writequeue.Priority
-	eligibleChunks []int // that it may set
+	eligibleChunks []int // chunks that the write may set
 
-	writtenChunks []int // that it sets
-	writtenTasks  []int // whose outcomes it stores
+	writtenChunks []int // chunks that the write sets
+	writtenTasks  []int // tasks that the write stores as completed
 	finalStatus   cluster.JobStatus
 }
 
-// WriteJob stores what has become of a job's tasks, or its end. While a write of the
-// job is under way, another follows it.
+// WriteJob enqueues a write of a job's completed tasks or of its final status. A write of
+// the job that is queued already includes the changes and takes over a more urgent
+// priority; one in flight is followed by another.
 func (r *Records) WriteJob(job *state.Job, priority writequeue.Priority) {
 	if job.FinalStatus != "" {
 		return
@@ -53,8 +55,9 @@
 	})
 }
 
-// build makes the records of the chunks that have changed; of a job that ends, its
-// own record and the deletion of all others.
+// build returns the records of the chunks that have changed. For a job that ends it
+// returns the record of the final status and the deletion of the further chunks. The
+// result is nil if nothing has to be written.
 func (w *recordWrite) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 	job := w.job
 	job.RewriteNeeded = false
@@ -77,8 +80,9 @@
 	return operations, modRevisions
 }
 
-// isChunkUnchanged tells whether a chunk needs no write: while the job goes on, one
-// without new outcomes; at its end, one that was never stored.
+// isChunkUnchanged reports whether a chunk need not be written. For an unfinished job
+// that is a chunk without newly completed tasks, for a finished one a further chunk that
+// was never stored.
 func (w *recordWrite) isChunkUnchanged(chunk int) bool {
 	if w.finalStatus == "" {
 		return !w.job.DirtyChunks[chunk]
@@ -86,18 +90,18 @@
 	return chunk > 0 && w.job.ModRevisions[chunk] == 0
 }
 
-// buildChunk is what a chunk's key is set to; nil: it is deleted. It notes the
-// outcomes that the record holds.
+// buildChunk returns the new value of a chunk's key, or nil if the key is to be deleted.
+// It adds the completed tasks that the write covers to writtenTasks.
 func (w *recordWrite) buildChunk(chunk int, writeID string) []byte {
 	record := Record{WriteID: writeID}
-	fitting := state.TasksPerChunk
+	encodedTasks := state.TasksPerChunk
 	if w.finalStatus != "" {
 		w.fillFinalStatus(&record)
 	} else {
-		fitting = w.fillCompletedIndexes(&record, chunk)
+		encodedTasks = w.fillCompletedIndexes(&record, chunk)
 	}
 	for i, taskState := range w.job.ChunkStates(chunk) {
-		if taskState == state.TaskCompleted && i < fitting {
+		if taskState == state.TaskCompleted && i < encodedTasks {
 			w.writtenTasks = append(w.writtenTasks, chunk*state.TasksPerChunk+i)
 		}
 	}
@@ -115,20 +119,21 @@
 	}
 }
 
-// fillCompletedIndexes lists a chunk's completed tasks in nine tenths of the largest
-// record. From the index that it returns on, they did not fit.
+// fillCompletedIndexes adds a chunk's completed tasks to the record, up to nine tenths of
+// the size limit. It returns how many of the chunk's tasks are covered: the completed
+// ones from that index on did not fit.
 func (w *recordWrite) fillCompletedIndexes(record *Record, chunk int) int {
-	room := w.records.config.MaxValueBytes * 9 / 10
+	maxBytes := w.records.config.MaxValueBytes * 9 / 10
 	if chunk == 0 {
 		record.Spec = &w.job.Spec
-		room -= len(record.encode())
+		maxBytes -= len(record.encode())
 	}
-	var fitting int
-	record.CompletedIndexes, fitting = state.EncodeCompleted(w.job.ChunkStates(chunk), room)
-	return fitting
+	var encodedTasks int
+	record.CompletedIndexes, encodedTasks = state.EncodeCompleted(w.job.ChunkStates(chunk), maxBytes)
+	return encodedTasks
 }
 
-// handleStored takes in that the last record built is stored.
+// handleStored updates the job after the record that was built last is stored.
 func (w *recordWrite) handleStored(revision cluster.Revision) {
 	job := w.job
 	w.finish()
@@ -138,7 +143,8 @@
 	for _, task := range w.writtenTasks {
 		job.TaskStates[task] = state.TaskCompletionStored
 	}
-	// Only now: after a failed transaction the same record must be built again.
+	// Chunks stay dirty until they are stored, as build must return them again after a
+	// failed transaction.
 	job.RecomputeDirtyChunks()
 	if w.records.state.Jobs.Owns(job) {
 		w.records.acknowledgeStoredTasks(job)
@@ -146,13 +152,14 @@
 	switch {
 	case w.finalStatus != "":
 		w.records.deleteLeftoverChunks(job, w.writtenChunks)
-		w.records.handleEnd(job, w.finalStatus)
+		w.records.handleFinalStatusStored(job, w.finalStatus)
 	case job.RewriteNeeded:
 		w.records.WriteJob(job, writequeue.Outcome)
 	}
 }
 
-// handleConflict resolves a conflict with another writer.
+// handleConflict handles a write that failed because another writer changed a key of the
+// job.
 func (w *recordWrite) handleConflict() {
 	w.finish()
 	switch {
@@ -164,24 +171,25 @@
 	}
 }
 
-// handleTooLarge handles the refusal of a record by its length. The job was admitted
-// under higher limits: its outcomes wait for its end, whose record is short.
+// handleTooLarge handles a record that exceeds the size limit, because the limit was
+// higher when the job was admitted. The job's progress is no longer stored in the
+// background; the record of the final status is short enough.
 func (w *recordWrite) handleTooLarge() {
 	w.finish()
 	w.job.RecordTooLarge = true
 }
 
-// finish notes that the write is no longer under way.
+// finish records that the job has no write queued or in flight.
 func (w *recordWrite) finish() { w.job.WriteQueued, w.job.EndInFlight = false, false }
 
-// giveUpShardOf gives up the shard of a job whose record an owner of the same term
-// must have changed.
+// giveUpShardOf gives up the shard of a job whose record was changed by another writer
+// although this controller's claim to the shard was in force.
 func (r *Records) giveUpShardOf(job *state.Job) {
 	r.Ownership.GiveUpCorrupt(r.state.Shards[job.ShardID], job.ChunkKey(0), "changed by another writer")
 }
 
-// deleteLeftoverChunks deletes the outcomes of a finished job that its last write had
-// no room to delete.
+// deleteLeftoverChunks deletes the chunks of a finished job that did not fit into the
+// transaction of its last write.
 func (r *Records) deleteLeftoverChunks(job *state.Job, written []int) {
 	for chunk := 1; chunk < len(job.ModRevisions); chunk++ {
 		if job.ModRevisions[chunk] != 0 && !slices.Contains(written, chunk) {
@@ -190,9 +198,10 @@
 	}
 }
 
-// resolveFirstRecordConflict resolves the conflict of a job's first record of its own:
-// the job was submitted twice at once, and the other admission has written one. That
-// says no more than the admission here.
+// resolveFirstRecordConflict handles a conflict on a job's first record of its own. If the
+// job was submitted twice at the same time, the other admission may have written that
+// record: it holds nothing new, and the write is repeated on top of it. After any other
+// record the shard is given up.
 func (r *Records) resolveFirstRecordConflict(job *state.Job, priority writequeue.Priority) {
 	r.writeQueue.ReadKey(job.ChunkKey(0), func(reply messages.GetReply) {
 		if !r.state.Jobs.Owns(job) || job.WriteQueued || job.ModRevisions[0] != 0 {
@@ -211,7 +220,7 @@
 	})
 }
 
-// isAdmission tells whether a record says no more than that its job was admitted.
+// isAdmission reports whether a record shows only that its job was admitted.
 func (r *Record) isAdmission() bool {
 	return r.Spec != nil && r.CompletedIndexes == "" && r.FinalStatus == ""
 }
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/writequeue"
 )
 
-// Submissions decides whether submitted jobs can be admitted, and by which controller.
+// Submissions decides whether submitted jobs are admitted, and by which controller.
 type Submissions struct {
 	*shared
 
@@ -19,7 +19,8 @@
 	queue   *admissionQueue
 }
 
-// HandleSubmit judges a user's submission, or passes it to another controller.
+// HandleSubmit evaluates a user's submission, or forwards it to another controller if
+// this one cannot store it now.
 func (s *Submissions) HandleSubmit(request messages.Submit) {
 	id := request.Spec.ID
 	answer := func(response messages.Respond) {
@@ -29,8 +30,8 @@
 		response.Request = request.Request
 		s.loop.Emit(response)
 	}
-	unknown := s.state.Jobs.Known[id] == nil
-	if unknown && request.Rejection == 0 && s.cannotAdmit() && s.proxy.pass(request.Spec, answer) {
+	isNew := s.state.Jobs.Known[id] == nil
+	if isNew && request.Rejection == 0 && s.cannotAdmit() && s.proxy.forward(request.Spec, answer) {
 		return
 	}
 	attempt := &submission{
@@ -43,24 +44,24 @@
 	attempt.evaluate(false)
 }
 
-// HandleProxied judges a submission that another controller has passed on.
+// HandleProxied evaluates a submission that another controller has forwarded.
 func (s *Submissions) HandleProxied(spec cluster.JobSpec, answer func(messages.Respond)) {
 	attempt := &submission{submissions: s, spec: spec, answer: answer}
 	attempt.evaluate(false)
 }
 
-// cannotAdmit tells whether this controller has lost the state service or does not
-// know the machine types yet.
+// cannotAdmit reports whether the state service does not respond to this controller, or
+// the machine types are not known yet.
 func (s *Submissions) cannotAdmit() bool {
 	return s.writeQueue.Health.IsUnresponsive(s.loop.Now()) || len(s.state.MachineTypes) == 0
 }
 
-// AdmissionKeyCount is how many names of admission records were used up so far.
+// AdmissionKeyCount returns how many keys of admission records were generated so far.
 func (s *Submissions) AdmissionKeyCount() int { return s.queue.keysIssued }
 
-// Limits of the seconds that a submission may have to wait for the write budget, by
-// priority: the longer those admitted wait, the more priorities are refused, least
-// important first.
+// maxAdmissionWaitSeconds is the longest expected wait for the write budget at which
+// submissions are still admitted, by priority. Under growing load, submissions of lower
+// priorities are refused first.
 var maxAdmissionWaitSeconds = [...]float64{
 	cluster.BestEffort: 1,
 	cluster.Normal:     1.5,
@@ -68,13 +69,13 @@
 	cluster.Production: 3,
 }
 
-// OverloadRetryAfter decides for all jobs of a priority alike whether submissions can
-// be admitted now. It returns after how many seconds to come back, 0 if they can.
+// OverloadRetryAfter returns 0 if submissions of a priority can be admitted now, or the
+// number of seconds after which they should be retried.
 func (s *Submissions) OverloadRetryAfter(priority cluster.Priority) int {
-	// A put takes several when many wait.
+	// Waiting submissions share puts.
 	putsQueued := float64(len(s.writeQueue.Queued(writequeue.Admit))) + s.queue.putsNeeded()
 	wait := putsQueued / max(s.writeQueue.PutBudget().Rate(), 1)
-	// A process that falls behind takes on no more.
+	// A process that handles its events late is overloaded, too.
 	wait = max(wait, s.Process.EventDelay().Seconds())
 	if wait <= maxAdmissionWaitSeconds[priority] {
 		return 0
@@ -82,28 +83,28 @@
 	return min(maxRetryAfterSeconds, 1+int(2*wait))
 }
 
-// isSchedulable tells whether any machine type and the team's quota could ever take
-// a job.
-func isSchedulable(known *state.State, spec *cluster.JobSpec) bool {
-	team := known.Teams[spec.Team]
+// isSchedulable reports whether a job could ever run: its team exists, a task fits into
+// the team's quota limit, and a machine type meets the job's constraints.
+func isSchedulable(clusterState *state.State, spec *cluster.JobSpec) bool {
+	team := clusterState.Teams[spec.Team]
 	if team == nil || spec.ResourceRequest.CPU > team.QuotaLimit.CPU || spec.ResourceRequest.GPU > team.QuotaLimit.GPU {
 		return false
 	}
-	for _, name := range slices.Sorted(maps.Keys(known.MachineTypes)) {
-		if spec.AllowsMachineType(known.MachineTypes[name], "") {
+	for _, name := range slices.Sorted(maps.Keys(clusterState.MachineTypes)) {
+		if spec.AllowsMachineType(clusterState.MachineTypes[name], "") {
 			return true
 		}
 	}
 	return false
 }
 
-// submission is one that is being judged: it is admitted, or refused with a status
-// and a reason.
+// submission is a submission that is being evaluated. It is either admitted, or refused
+// with a status and a reason.
 type submission struct {
 	submissions   *Submissions
 	spec          cluster.JobSpec
-	invalidStatus messages.ReplyStatus // 400 or 422 where no retry could be accepted, else 0
-	invalidReason string               // why it is invalid
+	invalidStatus messages.ReplyStatus // 400 or 422 if no retry can be accepted, else 0
+	invalidReason string
 	answer        func(messages.Respond)
 }
 
@@ -111,11 +112,11 @@
 	s.answer(messages.Respond{Status: status, RetryAfter: retryAfter, Error: reason})
 }
 
-// evaluate decides on the submission; dependenciesChecked: what the job depends on was
-// looked up.
+// evaluate admits or refuses the submission. dependenciesChecked is whether the jobs that
+// it depends on were looked up already.
 func (s *submission) evaluate(dependenciesChecked bool) {
-	known := s.submissions.state
-	if known.Jobs.Known[s.spec.ID] != nil {
+	clusterState := s.submissions.state
+	if clusterState.Jobs.Known[s.spec.ID] != nil {
 		s.submissions.queries.answerIdempotentRetry(s.spec.ID, s.answer)
 		return
 	}
@@ -124,11 +125,11 @@
 		return
 	}
 	if s.invalidStatus == 0 {
-		if len(known.MachineTypes) == 0 {
+		if len(clusterState.MachineTypes) == 0 {
 			s.refuse(messages.ReplyUnavailable, storeRetryAfterSeconds, "machine types not known yet")
 			return
 		}
-		if !isSchedulable(known, &s.spec) {
+		if !isSchedulable(clusterState, &s.spec) {
 			s.invalidStatus = messages.ReplyUnschedulable
 		}
 	}
@@ -142,8 +143,9 @@
 	}
 }
 
-// refuseInvalid refuses a submission that can't be accepted, unless its id was: an
-// accepted id never gets 400 or 422 later, whatever the retry says.
+// refuseInvalid refuses an invalid submission unless a job with its ID was accepted
+// before: an accepted ID must never be answered with 400 or 422, even if the retry
+// differs from the accepted submission.
 func (s *submission) refuseInvalid() {
 	s.submissions.queries.lookUpInStore(s.spec.ID, func(status messages.ReplyStatus, view cluster.JobView) {
 		switch status { //nolint:exhaustive // any other status means that the state service did not answer
@@ -157,13 +159,14 @@
 	})
 }
 
-// checkDependencies looks up the jobs that the job depends on and goes on.
+// checkDependencies looks up the jobs that the submission depends on, and then resumes
+// its evaluation.
 func (s *submission) checkDependencies() {
 	s.submissions.checkDependencies(&s.spec, func(status messages.ReplyStatus) {
-		switch status { //nolint:exhaustive // dependencyStatus gives these and ReplyUnavailable
+		switch status { //nolint:exhaustive // the only other status is ReplyUnavailable
 		case messages.ReplyNone:
 			s.evaluate(true)
-		case messages.ReplyUnschedulable: // unless its id was accepted before
+		case messages.ReplyUnschedulable: // refused, unless its ID was accepted before
 			s.invalidStatus, s.invalidReason = messages.ReplyUnschedulable, "awaits a job that was never accepted"
 			s.evaluate(true)
 		default:
@@ -172,20 +175,21 @@
 	})
 }
 
-// checkDependencies finds out whether all jobs that a submission names were accepted:
-// ReplyNone, or the status that it gets instead. Only the state service can show that
-// one never was. While a controller may be of an earlier release, which would start
-// the job at once, it can't be admitted.
+// checkDependencies calls handle with ReplyNone if all jobs that a submission depends on
+// were accepted, otherwise with the status to refuse it with. Only the state service can
+// show that a job was never accepted. While a controller may still run a release without
+// support for dependencies, the submission is refused, as that release would start the
+// job at once.
 func (s *Submissions) checkDependencies(spec *cluster.JobSpec, handle func(messages.ReplyStatus)) {
 	if !s.Members.AllUpgraded() {
 		handle(messages.ReplyUnavailable)
 		return
 	}
-	unanswered, worst := 1, messages.ReplyNone
+	outstanding, worst := 1, messages.ReplyNone
 	done := func(status messages.ReplyStatus) {
 		worst = max(worst, status)
-		unanswered--
-		if unanswered == 0 {
+		outstanding--
+		if outstanding == 0 {
 			handle(worst)
 		}
 	}
@@ -193,7 +197,7 @@
 		if s.state.Jobs.Known[id] != nil {
 			continue
 		}
-		unanswered++
+		outstanding++
 		s.queries.lookUpInStore(id, func(status messages.ReplyStatus, _ cluster.JobView) {
 			done(dependencyStatus(status))
 		})
@@ -201,7 +205,8 @@
 	done(messages.ReplyNone)
 }
 
-// dependencyStatus is what the look-up of a dependency means for the submission.
+// dependencyStatus converts the result of looking up a dependency to the status of the
+// submission: ReplyNone if the dependency exists.
 func dependencyStatus(lookedUp messages.ReplyStatus) messages.ReplyStatus {
 	switch lookedUp { //nolint:exhaustive // any other status means that the state service did not answer
 	case messages.ReplyOK:
@@ -213,8 +218,8 @@
 	}
 }
 
-// admit has the job stored, unless there is too much of its priority or its record
-// would be too long.
+// admit queues the job to be stored, unless the controller is overloaded for its
+// priority or its record would be too large.
 func (s *submission) admit() {
 	submissions := s.submissions
 	if retryAfter := submissions.OverloadRetryAfter(s.spec.Priority); retryAfter > 0 {
--- a/internal/jobs/submissions_test.go
+++ b/internal/jobs/submissions_test.go
@@ -6,9 +6,9 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestIsSchedulable shows which jobs are refused for good.
+// TestIsSchedulable checks which jobs are refused because they can never run.
 func TestIsSchedulable(t *testing.T) {
-	shards := newTestJobs(t).state
+	clusterState := newTestJobs(t).state
 	fitting := cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}
 	for _, test := range []struct {
 		name string
@@ -25,8 +25,8 @@
 		{"unknown zone", cluster.JobSpec{Team: "red", ResourceRequest: fitting, Zone: "b"}, false},
 		{"unknown type", cluster.JobSpec{Team: "red", ResourceRequest: fitting, MachineTypes: []string{"other"}}, false},
 	} {
-		if got := isSchedulable(shards, &test.spec); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		if got := isSchedulable(clusterState, &test.spec); got != test.want {
+			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
