--- a/internal/controller/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -28,7 +28,7 @@
 	var corruptPause cluster.Time
 	for range 20 {
 		shard.Owned = true
-		c.ownership.GiveUpCorrupt(shard, "k", "test")
+		c.ownership.DropCorruptShard(shard, "k", "test")
 		corruptPause = max(corruptPause, shard.AcquireNotBefore-c.loop.Now())
 	}
 	const isolated = 8 * second // a node that hears no other waits this long after its own partition
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -70,4 +70,4 @@
 func (h membershipHost) HandleReachabilityChange() { h.controller.provisioner.Rate.Divide() }
 
 // ReviewOwnership implements membership.Host.
-func (h membershipHost) ReviewOwnership() { h.controller.ownership.ConsiderAcquires() }
+func (h membershipHost) ReviewOwnership() { h.controller.ownership.AcquireEligibleShards() }
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -84,7 +84,7 @@
 		c.respondError(request.Request, messages.ReplyUnavailable, "starting")
 		return
 	}
-	if c.members.HasLostStore() && c.members.IsStoreReachableElsewhere() {
+	if c.members.IsStoreUnreachable() && c.members.IsStoreReachableElsewhere() {
 		c.respondError(request.Request, messages.ReplyUnavailable, "store out of reach")
 		return
 	}
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -85,7 +85,7 @@
 	if owner == nil {
 		return false
 	}
-	if owner.PingAge() > membership.PingFreshness {
+	if owner.PingAge() > membership.MaxPingAge {
 		return !c.members.IsFailed(shard.Owner)
 	}
 	return slices.ContainsFunc(owner.LastPing().Shards, func(owned messages.ShardTerm) bool { return owned.Shard == shard.ID })
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -66,7 +66,7 @@
 	others := make([]ratelimit.Demand, 0, len(peers))
 	for _, peer := range peers {
 		if !peer.IsUnreachable() {
-			known := peer.HasAnswered() && peer.PingAge() < membership.PingFreshness
+			known := peer.HasAnswered() && peer.PingAge() < membership.MaxPingAge
 			others = append(others, ratelimit.Demand{Rate: reported(peer.LastPing()), Known: known})
 		}
 	}
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -169,7 +169,7 @@
 		if outage {
 			b.writeQueue.Health.MarkFailing(b.loop.Now() - 2*second)
 		}
-		b.ownership.ConsiderAcquire(shard)
+		b.ownership.AcquireIfEligible(shard)
 		if shard.Acquiring == outage {
 			t.Errorf("outage %v: acquires %v", outage, shard.Acquiring)
 		}
--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -49,7 +49,7 @@
 	record, err := grouprecord.Decode(reply.KV.Value)
 	switch {
 	case err != nil:
-		inv.shards.GiveUpCorrupt(shard, group.Key(), err.Error())
+		inv.shards.DropCorruptShard(shard, group.Key(), err.Error())
 	case record.ShardID != group.ShardID:
 		inv.handleTransferredAway(group, record.ShardID)
 	case reply.KV.ModRevision > group.ModRevision && !group.WritePending:
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -46,7 +46,7 @@
 	// another writer than its owner.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
 	// GiveUpCorrupt gives up a shard that a record makes no sense of.
-	GiveUpCorrupt(shard *state.Shard, key, reason string)
+	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
 // Jobs is what the inventory needs of the jobs of the owned shards.
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -31,8 +31,10 @@
 func (fakeOwnership) HandleDeposed(cluster.ShardID)             {}
 func (fakeOwnership) HandleStored(writequeue.StoredTransaction) {}
 
-func (fakeOwnership) Confirm(shard *state.Shard, handle func(owned bool)) { handle(shard.Owned) }
-func (fakeOwnership) GiveUpCorrupt(shard *state.Shard, _, _ string)       { shard.Owned = false }
+func (fakeOwnership) ConfirmOwnership(shard *state.Shard, handle func(owned bool)) {
+	handle(shard.Owned)
+}
+func (fakeOwnership) DropCorruptShard(shard *state.Shard, _, _ string) { shard.Owned = false }
 
 // fakeTasks notes whose tasks were stopped.
 type fakeTasks struct{ stopped []cluster.JobID }
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -72,9 +72,9 @@
 type ShardOwnership interface {
 	// Confirm finds out with a read begun after the call whether this controller
 	// still owns a shard.
-	Confirm(shard *state.Shard, handle func(owned bool))
+	ConfirmOwnership(shard *state.Shard, handle func(owned bool))
 	// GiveUpCorrupt gives up a shard after a record that makes no sense.
-	GiveUpCorrupt(shard *state.Shard, key, reason string)
+	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
 // TaskStopper ends what a job has on machines.
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -67,7 +67,7 @@
 // lookUpOwned finds out the status of a job of an owned shard.
 func (q *Queries) lookUpOwned(job *state.Job, handle viewHandler) {
 	id := job.Spec.ID
-	q.Ownership.Confirm(q.state.Shards[job.ShardID], func(owned bool) {
+	q.Ownership.ConfirmOwnership(q.state.Shards[job.ShardID], func(owned bool) {
 		if known := q.state.Jobs.FinalJob(id); known != nil {
 			handle(messages.ReplyOK, finalView(id, known))
 			return
@@ -190,7 +190,7 @@
 			continue
 		}
 		answer.unanswered++
-		q.Ownership.Confirm(shard, func(owned bool) {
+		q.Ownership.ConfirmOwnership(shard, func(owned bool) {
 			answer.confirmed[shard.ID] = owned
 			answer.finish()
 		})
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -177,7 +177,7 @@
 // giveUpShardOf gives up the shard of a job whose record an owner of the same term
 // must have changed.
 func (r *Records) giveUpShardOf(job *state.Job) {
-	r.Ownership.GiveUpCorrupt(r.state.Shards[job.ShardID], job.ChunkKey(0), "changed by another writer")
+	r.Ownership.DropCorruptShard(r.state.Shards[job.ShardID], job.ChunkKey(0), "changed by another writer")
 }
 
 // deleteLeftoverChunks deletes the outcomes of a finished job that its last write had
--- a/internal/membership/failure.go
+++ b/internal/membership/failure.go
@@ -26,7 +26,7 @@
 		return false
 	case peer.unreachable:
 		return !m.isSeenAlive(peer)
-	case !peer.hasAnswered || peer.PingAge() > PingFreshness:
+	case !peer.hasAnswered || peer.PingAge() > MaxPingAge:
 		return false
 	}
 	return m.saysItCannotServe(peer)
@@ -54,7 +54,7 @@
 func (m *Members) askOthersAbout(peer *Peer) (hearsOthers, othersHearIt bool) {
 	hearsOthers = len(m.peers) == 1 // there is no other to hear
 	for _, other := range m.peers {
-		if other == peer || other.unreachable || other.PingAge() > PingFreshness {
+		if other == peer || other.unreachable || other.PingAge() > MaxPingAge {
 			continue
 		}
 		hearsOthers = true
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -31,7 +31,7 @@
 
 // PingFreshness is how long what a peer's last ping said counts: pings come each
 // second, so two have been missed by then.
-const PingFreshness = 3 * second
+const MaxPingAge = 3 * second
 
 // Config is what the package knows from the start.
 type Config struct {
@@ -168,7 +168,7 @@
 // state service serves it.
 func (m *Members) IsStoreReachableElsewhere() bool {
 	return slices.ContainsFunc(m.peers, func(peer *Peer) bool {
-		return !peer.unreachable && peer.lastPing.StoreReachable && peer.PingAge() < PingFreshness
+		return !peer.unreachable && peer.lastPing.StoreReachable && peer.PingAge() < MaxPingAge
 	})
 }
 
--- a/internal/membership/pings.go
+++ b/internal/membership/pings.go
@@ -20,13 +20,13 @@
 
 // HasLostStore tells whether the state service has not served this controller for
 // so long that others should know.
-func (m *Members) HasLostStore() bool { return m.store.IsUnavailableFor(storeUnreachableAfter) }
+func (m *Members) IsStoreUnreachable() bool { return m.store.IsUnavailableFor(storeUnreachableAfter) }
 
 // MakePing makes a ping, or the answer to one.
 func (m *Members) MakePing(to *Peer) *messages.Ping {
 	ping := &messages.Ping{
 		InstanceID:         m.config.InstanceID,
-		StoreReachable:     !m.HasLostStore() && (m.store.Health.LastSuccess > 0 || m.loop.Now() < startupGrace),
+		StoreReachable:     !m.IsStoreUnreachable() && (m.store.Health.LastSuccess > 0 || m.loop.Now() < startupGrace),
 		StoreFailing:       m.store.Health.IsFailing(),
 		WorkersReachable:   m.workers.CanReachWorkers(),
 		MillisSinceContact: map[cluster.NodeID]int64{},
--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -12,15 +12,15 @@
 
 // ConsiderAcquires considers for each shard whether this controller should acquire
 // it.
-func (m *Manager) ConsiderAcquires() {
+func (m *Manager) AcquireEligibleShards() {
 	for _, shard := range m.shards {
-		m.ConsiderAcquire(shard)
+		m.AcquireIfEligible(shard)
 	}
 }
 
 // ConsiderAcquire acquires a shard if this controller should own it. Nothing here
 // is needed for safety: a wrong acquire costs a pause, never a rule.
-func (m *Manager) ConsiderAcquire(shard *state.Shard) {
+func (m *Manager) AcquireIfEligible(shard *state.Shard) {
 	if shard.Owned || shard.Acquiring || !shard.RecordRead || m.loop.Now() < shard.AcquireNotBefore {
 		return
 	}
--- a/internal/ownership/check.go
+++ b/internal/ownership/check.go
@@ -31,7 +31,7 @@
 // Confirm calls answer after the state service has shown whether the shard is still
 // owned, by a read begun after this call. Without it an owner that was deposed
 // without knowing could answer with an older state than its successor.
-func (m *Manager) Confirm(shard *state.Shard, answer func(owned bool)) {
+func (m *Manager) ConfirmOwnership(shard *state.Shard, answer func(owned bool)) {
 	if m.isStoreOut() {
 		answer(false)
 		return
@@ -66,7 +66,7 @@
 			answer(owned)
 		}
 		for _, answer := range check.takeWaiting() {
-			m.Confirm(shard, answer)
+			m.ConfirmOwnership(shard, answer)
 		}
 	})
 }
--- a/internal/ownership/claims.go
+++ b/internal/ownership/claims.go
@@ -62,7 +62,7 @@
 			m.ApplyClaim(kv)
 		}
 		m.claimsRevision = reply.Revision
-		m.ConsiderAcquires()
+		m.AcquireEligibleShards()
 		m.queue.Watch(writequeue.PrefixWatch{
 			Prefix:      claimKeyPrefix,
 			Position:    &m.claimsRevision,
--- a/internal/ownership/deposition.go
+++ b/internal/ownership/deposition.go
@@ -31,7 +31,7 @@
 // GiveUpCorrupt gives up a shard whose records were changed in a way that this
 // process can't account for: nothing is guessed, the shard is acquired again after
 // a pause and read anew. Meanwhile every controller answers from the state service.
-func (m *Manager) GiveUpCorrupt(shard *state.Shard, key, reason string) {
+func (m *Manager) DropCorruptShard(shard *state.Shard, key, reason string) {
 	m.loop.Log(messages.LogError, "corrupt record, shard given up", "shard", int(shard.ID), "key", key, "reason", reason)
 	shard.PostponeAcquire(m.loop.Now())
 	m.HandleDeposed(shard.ID)
@@ -52,7 +52,7 @@
 		}
 		m.ApplyClaim(reply.KV)
 		if shard.IsOwnedUnder(claim) {
-			m.GiveUpCorrupt(shard, key, reason)
+			m.DropCorruptShard(shard, key, reason)
 		}
 	})
 }
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -200,7 +200,7 @@
 			m := newTestManager()
 			shard := m.shards[test.id]
 			test.prepare(m, shard)
-			m.ConsiderAcquire(shard)
+			m.AcquireIfEligible(shard)
 			if got := len(requests[messages.StoreTxn](m)) > 0; got != test.want {
 				t.Errorf("acquires: %v, want %v", got, test.want)
 			}
@@ -301,7 +301,7 @@
 			})
 			m.ApplyClaim(claimOf(3, "n1", 9, "b1-7", 31))
 		}, false},
-		{"a corrupt record", func(m *testManager) { m.GiveUpCorrupt(m.shards[0], "groups/g", "test") }, true},
+		{"a corrupt record", func(m *testManager) { m.DropCorruptShard(m.shards[0], "groups/g", "test") }, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := newTestManager()
@@ -326,7 +326,7 @@
 // watchLoss lets an ownership check and a write wait while shard 0 is lost.
 func (m *testManager) watchLoss(shard *state.Shard) *observedLoss {
 	loss := &observedLoss{changesBefore: m.Changes()}
-	m.Confirm(shard, func(owned bool) { loss.checkAnswers = append(loss.checkAnswers, owned) })
+	m.ConfirmOwnership(shard, func(owned bool) { loss.checkAnswers = append(loss.checkAnswers, owned) })
 	m.queue.Enqueue(writequeue.Start, &writequeue.Write{
 		Keys:            []string{"groups/g"},
 		Build:           func(string) ([]messages.TxnOp, []cluster.ModRevision) { return nil, nil },
@@ -518,7 +518,7 @@
 	shard := m.own(0)
 	var answered []string
 	ask := func(name string) {
-		m.Confirm(shard, func(owned bool) { answered = append(answered, fmt.Sprint(name, " ", owned)) })
+		m.ConfirmOwnership(shard, func(owned bool) { answered = append(answered, fmt.Sprint(name, " ", owned)) })
 	}
 	ask("first")
 	ask("second")
@@ -553,7 +553,7 @@
 	shard := m.own(0)
 	m.outageSince(m.loop.Now() - 2*second)
 	answers := 0
-	m.Confirm(shard, func(owned bool) {
+	m.ConfirmOwnership(shard, func(owned bool) {
 		answers++
 		if owned {
 			t.Error("confirmed")
--- a/internal/ownership/pings.go
+++ b/internal/ownership/pings.go
@@ -82,7 +82,7 @@
 		}
 	}
 	m.applyTerms(ping.KnownTerms)
-	m.ConsiderAcquires()
+	m.AcquireEligibleShards()
 }
 
 // applyPeerClaim takes in that a peer says that it owns a shard under a term.
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -42,7 +42,7 @@
 func (h *testHost) TargetGroupSize() int                              { return 10 }
 func (h *testHost) AddNewGroup(*inventory.NewGroup, cluster.Revision) {}
 
-func (h *testHost) GiveUpCorrupt(_ *state.Shard, key, _ string) {
+func (h *testHost) DropCorruptShard(_ *state.Shard, key, _ string) {
 	h.corruptKeys = append(h.corruptKeys, key)
 }
 
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -61,7 +61,7 @@
 	// another writer than its owner.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
 	// GiveUpCorrupt gives up a shard with a record that makes no sense.
-	GiveUpCorrupt(shard *state.Shard, key, reason string)
+	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
 // MachineRecords writes the records of machines.
--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -39,7 +39,7 @@
 func (r *Requests) ApplyRecord(kv messages.KV, shard *state.Shard) {
 	owner, request, err := decodeRequest(kv)
 	if err != nil {
-		r.deps.Ownership.GiveUpCorrupt(shard, kv.Key, err.Error())
+		r.deps.Ownership.DropCorruptShard(shard, kv.Key, err.Error())
 		return
 	}
 	if owner != shard.ID {
--- a/internal/scheduling/loads.go
+++ b/internal/scheduling/loads.go
@@ -44,7 +44,7 @@
 func (l *ShardLoads) All() fairshare.Snapshot {
 	loads := fairshare.Snapshot{}
 	for _, peer := range l.deps.Peers.Peers() {
-		if peer.IsUnreachable() || peer.PingAge() >= membership.PingFreshness {
+		if peer.IsUnreachable() || peer.PingAge() >= membership.MaxPingAge {
 			continue
 		}
 		for _, load := range peer.LastPing().ShardLoads {
--- a/internal/scheduling/offers.go
+++ b/internal/scheduling/offers.go
@@ -204,7 +204,7 @@
 // them, and takes from the work what they will do.
 func (r *Rebalancer) AcceptOffers(shard *state.Shard, work PendingWork) {
 	for _, peer := range r.deps.Peers.Peers() {
-		if peer.IsUnreachable() || peer.PingAge() > membership.PingFreshness {
+		if peer.IsUnreachable() || peer.PingAge() > membership.MaxPingAge {
 			continue
 		}
 		for _, offer := range peer.LastPing().TransferOffers {
