--- a/internal/membership/calls.go
+++ b/internal/membership/calls.go
@@ -6,10 +6,12 @@
 	"stairrelay/internal/messages"
 )
 
-// protocolVersion guards against messages of another release.
+// protocolVersion is the version of the protocol between controllers. Messages of
+// another version are rejected.
 const protocolVersion = 2
 
-// Call sends a message to a peer and hands its reply on.
+// Call sends a message to a peer. It calls handle with the reply, or with a failure
+// outcome if none arrives within the timeout.
 func (m *Members) Call(to cluster.NodeID, timeout cluster.Time, message messages.PeerMessage, handle func(messages.PeerReply)) {
 	m.callCount++
 	m.loop.Emit(messages.PeerCall{
@@ -20,14 +22,15 @@
 	})
 }
 
-// WithSender returns a message that names this controller as its sender.
+// WithSender returns a copy of a message with this controller as its sender and the
+// current protocol version.
 func (m *Members) WithSender(message messages.PeerMessage) messages.PeerMessage {
 	message.Version, message.From = protocolVersion, m.config.Self
 	return message
 }
 
-// Sender returns the peer that has sent a message; nil: it is unknown, or its
-// release speaks another version of the protocol.
+// Sender returns the peer that sent a message. The result is nil if the sender is
+// unknown or uses another version of the protocol.
 func (m *Members) Sender(message *messages.PeerMessage) *Peer {
 	if message.Version != protocolVersion {
 		return nil
@@ -35,10 +38,10 @@
 	return m.Peer(message.From)
 }
 
-// CallCount is the number of calls to peers since it was last taken.
+// CallCount returns the number of calls to peers since the last TakeCallCount.
 func (m *Members) CallCount() int { return m.callCount }
 
-// TakeCallCount returns the number of calls to peers since it was last taken.
+// TakeCallCount returns CallCount and resets it to zero.
 func (m *Members) TakeCallCount() int {
 	count := m.callCount
 	m.callCount = 0
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -5,43 +5,43 @@
 	"stairrelay/internal/messages"
 )
 
-// minProbePause separates two calls to a peer whatever their timeouts.
-const minProbePause = 5 * millisecond
+// minProbeDelay is the minimum delay between two calls to a peer.
+const minProbeDelay = 5 * millisecond
 
-// failureDetector calls a peer: a ping each second, then retries with exponential
-// back-off, then probes at a steady pace.
+// failureDetector monitors a peer by periodic pings. An unanswered ping is followed by
+// retries with exponential backoff and then by probes at a fixed interval.
 //
-// One call is under way or scheduled at any time. missedProbes counts the calls
-// without a valid answer since the last that had one.
+// Exactly one call is in flight or scheduled at any time. missedProbes counts the
+// calls since the last valid answer.
 type failureDetector struct {
 	members      *Members
 	peer         *Peer
 	missedProbes int
 }
 
-// probe calls the peer, and schedules the next call once the outcome is known.
+// probe calls the peer and schedules the next call when the outcome is known.
 func (d *failureDetector) probe() {
 	m, peer := d.members, d.peer
-	timeout, begun := d.timeout(), m.loop.Now()
+	timeout, sentAt := d.timeout(), m.loop.Now()
 	m.Call(peer.id, timeout, messages.PeerMessage{Ping: m.MakePing(peer)}, func(reply messages.PeerReply) {
 		if reply.Outcome == messages.OK && reply.Message.Ping != nil && m.checkPing(peer, reply.Message.Ping) == nil {
 			d.missedProbes = 0
-			m.HandlePingReply(peer, reply.Message.Ping, begun)
+			m.HandlePingReply(peer, reply.Message.Ping, sentAt)
 			m.loop.After(m.config.PingInterval, d.probe)
 			return
 		}
 		d.handleMissedProbe()
-		// A refused connection comes back at once and proves nothing: it
-		// must not shorten the detection, so the full interval passes.
-		pause := begun + timeout - m.loop.Now()
+		// A refused connection fails immediately. Waiting for the rest of the
+		// timeout keeps it from shortening the detection time.
+		delay := sentAt + timeout - m.loop.Now()
 		if d.isExhausted() {
-			pause = max(pause, m.config.ProbeInterval)
+			delay = max(delay, m.config.ProbeInterval)
 		}
-		m.loop.After(max(pause, minProbePause), d.probe)
+		m.loop.After(max(delay, minProbeDelay), d.probe)
 	})
 }
 
-// timeout is how long the next call may take.
+// timeout returns the timeout of the next call.
 func (d *failureDetector) timeout() cluster.Time {
 	config := &d.members.config
 	switch {
@@ -54,13 +54,13 @@
 	}
 }
 
-// isExhausted tells whether the ping, all retries and all probes were in vain.
+// isExhausted reports whether the ping, all retries and all probes were unanswered.
 func (d *failureDetector) isExhausted() bool {
 	config := &d.members.config
 	return d.missedProbes > config.PingRetries+config.ProbeCount
 }
 
-// handleMissedProbe follows a call without a valid answer.
+// handleMissedProbe updates the peer's state after a call without a valid answer.
 func (d *failureDetector) handleMissedProbe() {
 	m, peer := d.members, d.peer
 	d.missedProbes++
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -7,53 +7,52 @@
 	"stairrelay/internal/messages"
 )
 
-// TestFailureDetection: a peer that answers nothing is suspected after the ping and
-// five retries, and unreachable after five probes more; refused calls, which come
-// back at once, do not shorten that. It is reachable again with its first answer.
+// TestFailureDetection guards against a detection time shortened by refused calls, and
+// against a peer that stays unreachable after an answer.
 func TestFailureDetection(t *testing.T) {
 	m := newTestMembers()
 	peer := m.Peer("n1")
 	m.Start()
-	began := m.loop.Now()
+	startedAt := m.loop.Now()
 	var suspectedAfter, unreachableAfter cluster.Time
-	for m.loop.Now() < began+10*second {
-		m.deliverPings("n1")
+	for m.loop.Now() < startedAt+10*second {
+		m.answerPings("n1")
 		if suspectedAfter == 0 && peer.IsSuspected() {
-			suspectedAfter = m.loop.Now() - began
+			suspectedAfter = m.loop.Now() - startedAt
 		}
 		if unreachableAfter == 0 && peer.IsUnreachable() {
-			unreachableAfter = m.loop.Now() - began
+			unreachableAfter = m.loop.Now() - startedAt
 		}
 	}
-	// The ping's second, and 0.1 + 0.2 + 0.4 + 0.8 s of the first retries.
+	// Timeouts of 1 s for the ping and 0.1 + 0.2 + 0.4 + 0.8 s for four retries.
 	if suspectedAfter < 5*second/2 || suspectedAfter > 3*second {
-		t.Errorf("suspected after %d ms", suspectedAfter/millisecond)
+		t.Errorf("suspected after %d ms, want 2500 to 3000 ms", suspectedAfter/millisecond)
 	}
-	// Then 1.6 s of the last retry, and four probes' 0.5 s.
+	// Then 1.6 s for the last retry and 0.5 s for each of four probes.
 	if unreachableAfter < 6*second || unreachableAfter > 13*second/2 {
-		t.Errorf("unreachable after %d ms", unreachableAfter/millisecond)
+		t.Errorf("unreachable after %d ms, want 6000 to 6500 ms", unreachableAfter/millisecond)
 	}
 	if m.host.reachabilityChanges != 1 || m.host.reviews < 2 {
-		t.Errorf("%d changes, %d reviews", m.host.reachabilityChanges, m.host.reviews)
+		t.Errorf("%d reachability changes and %d ownership reviews, want 1 and at least 2", m.host.reachabilityChanges, m.host.reviews)
 	}
 	if live := m.store.LiveControllers(); live != 6 {
-		t.Errorf("%d live controllers of 7", live)
+		t.Errorf("%d live controllers of 7, want 6", live)
 	}
 
 	for range 100 {
-		m.deliverPings("")
+		m.answerPings("")
 	}
 	if peer.IsUnreachable() || peer.IsSuspected() {
-		t.Errorf("after its answer: unreachable %v, suspected %v", peer.IsUnreachable(), peer.IsSuspected())
+		t.Errorf("after an answer: unreachable %v, suspected %v", peer.IsUnreachable(), peer.IsSuspected())
 	}
 	if live := m.store.LiveControllers(); live != 7 {
-		t.Errorf("%d live controllers after all have answered", live)
+		t.Errorf("%d live controllers after all have answered, want 7", live)
 	}
 }
 
-// deliverPings lets some time pass and all peers answer what they were sent, but for
-// one, which refuses its calls.
-func (m *testMembers) deliverPings(refusing cluster.NodeID) {
+// answerPings advances the time by 10 ms and delivers the answers of all peers to the
+// last pings. Calls to the refusing peer fail.
+func (m *testMembers) answerPings(refusing cluster.NodeID) {
 	effects := m.loop.Effects()
 	m.advance(10 * millisecond)
 	for _, effect := range effects {
--- a/internal/membership/failure.go
+++ b/internal/membership/failure.go
@@ -3,85 +3,85 @@
 import "stairrelay/internal/cluster"
 
 const (
-	// recoveryWindow is how long a change of an unreachable peer's liveness key
-	// shows that the peer serves.
-	recoveryWindow = 6 * second
-	// contactFreshness is how recent another peer's contact with an unreachable one
-	// must be to show that only the link from here is cut.
-	contactFreshness = 3 * second
-	// isolatedPatience is how long a node that hears no peer waits before it counts
-	// an unreachable one as failed, and how long that one's writes must be missing.
-	isolatedPatience = 6 * second
-	// isolatedStorePatience is how long the state service must have served such a
-	// node, so that it would have seen those writes.
-	isolatedStorePatience = 8 * second
+	// livenessWindow is how long a peer counts as alive after a change of its
+	// liveness key was seen.
+	livenessWindow = 6 * second
+	// maxContactAge is the maximum age of another peer's contact with an unreachable
+	// one for that peer to count as alive.
+	maxContactAge = 3 * second
+	// isolatedFailureTimeout is how long a peer must have been unreachable, and no
+	// write of it seen, before a node that reaches no peer considers it failed.
+	isolatedFailureTimeout = 6 * second
+	// isolatedStoreHealthyTime is how long the state service must have been available
+	// to such a node, which otherwise could have missed those writes.
+	isolatedStoreHealthyTime = 8 * second
 )
 
-// IsFailed tells whether a node can't own its shards: calls don't reach it and no
-// other node hears it either, or it says itself that it can't serve.
+// IsFailed reports whether a peer is considered unable to serve its shards: it is
+// unreachable without evidence that it may be alive, or it reports that it can't reach
+// the state service or its workers. The result is false for this node and for unknown
+// nodes.
 func (m *Members) IsFailed(id cluster.NodeID) bool {
 	peer := m.Peer(id)
 	switch {
 	case peer == nil:
 		return false
 	case peer.unreachable:
-		return !m.isSeenAlive(peer)
+		return !m.mayBeAlive(peer)
 	case !peer.hasAnswered || peer.PingAge() > MaxPingAge:
 		return false
 	}
-	return m.saysItCannotServe(peer)
+	return m.reportsUnableToServe(peer)
 }
 
-// isSeenAlive tells whether anything shows that an unreachable peer may serve.
-func (m *Members) isSeenAlive(peer *Peer) bool {
-	// Where all links between controllers were refused, the first to be heard again
-	// would otherwise acquire the shards of those that are not heard yet.
-	if peer.recoverySeenAt > 0 && m.loop.Now()-peer.recoverySeenAt < recoveryWindow {
+// mayBeAlive reports whether an unreachable peer may still be serving its shards.
+func (m *Members) mayBeAlive(peer *Peer) bool {
+	// After an outage of the whole network between controllers, the first peers to
+	// reconnect would otherwise acquire the shards of those not yet reachable.
+	if peer.livenessChangedAt > 0 && m.loop.Now()-peer.livenessChangedAt < livenessWindow {
 		return true
 	}
-	hearsOthers, othersHearIt := m.askOthersAbout(peer)
-	if othersHearIt {
-		return true // only our own link to it is cut
+	reachesOthers, othersReachIt := m.indirectContact(peer)
+	if othersReachIt {
+		return true // only the link from this node is down
 	}
-	// A node that hears no other is more likely cut off than the last one alive: it
-	// waits longer and takes records being written as a sign of life. After its own
-	// partition it must have had the state service for a while to see those.
-	return !hearsOthers && !m.isSilentInStore(peer)
+	// A node that reaches no other peer is probably partitioned itself, so it waits
+	// longer and also considers the peer's writes to the state service.
+	return !reachesOthers && !m.hasStoppedWriting(peer)
 }
 
-// askOthersAbout looks at what the other peers say of an unreachable one: whether
-// any is heard here, and whether one of those hears it.
-func (m *Members) askOthersAbout(peer *Peer) (hearsOthers, othersHearIt bool) {
-	hearsOthers = len(m.peers) == 1 // there is no other to hear
+// indirectContact evaluates the last pings of the other peers: whether this node
+// reaches any of them, and whether one of those recently reached the unreachable peer.
+func (m *Members) indirectContact(peer *Peer) (reachesOthers, othersReachIt bool) {
+	reachesOthers = len(m.peers) == 1 // there are no other peers
 	for _, other := range m.peers {
 		if other == peer || other.unreachable || other.PingAge() > MaxPingAge {
 			continue
 		}
-		hearsOthers = true
+		reachesOthers = true
 		millis, known := other.lastPing.MillisSinceContact[peer.id]
-		if known && millis < int64(contactFreshness/millisecond) {
+		if known && millis < int64(maxContactAge/millisecond) {
 			return true, true
 		}
 	}
-	return hearsOthers, false
+	return reachesOthers, false
 }
 
-// isSilentInStore tells whether the state service has shown no write of an
-// unreachable peer for so long that it must have stopped.
-func (m *Members) isSilentInStore(peer *Peer) bool {
+// hasStoppedWriting reports whether an unreachable peer has written nothing to the
+// state service for so long that it counts as failed.
+func (m *Members) hasStoppedWriting(peer *Peer) bool {
 	now := m.loop.Now()
-	return now-peer.unreachableSince > isolatedPatience &&
-		now-peer.lastWriteSeenAt > isolatedPatience &&
-		now-m.store.Health.HealthySince > isolatedStorePatience
+	return now-peer.unreachableSince > isolatedFailureTimeout &&
+		now-peer.lastWriteSeenAt > isolatedFailureTimeout &&
+		now-m.store.Health.HealthySince > isolatedStoreHealthyTime
 }
 
-// saysItCannotServe tells whether a peer says that it has lost the state service or
-// its workers, while this node has them.
+// reportsUnableToServe reports whether a peer has reported that it can't reach the state
+// service or its workers, while this node can reach them.
 //
-// The state service counts as lost to the peer alone only if it has served this
-// node all along: after an outage the first node to be served would otherwise
-// acquire all shards. What an idle controller heard of it long ago says nothing.
-func (m *Members) saysItCannotServe(peer *Peer) bool {
+// This node's own access to the state service must be stable. Otherwise the first
+// controller to reconnect after an outage would acquire all shards.
+func (m *Members) reportsUnableToServe(peer *Peer) bool {
 	if !peer.lastPing.StoreReachable && m.store.Health.IsStable(m.loop.Now()) {
 		return true
 	}
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -6,11 +6,10 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestUnreachablePeerSeenAlive: an unreachable peer counts as failed unless another
-// peer hears it, or the state service shows that it lives; a node that hears nobody
-// waits longer.
-func TestUnreachablePeerSeenAlive(t *testing.T) {
-	hearsAll := func(m *testMembers, contact map[cluster.NodeID]int64) {
+// TestUnreachablePeerMayBeAlive guards against failing over an unreachable peer that
+// other peers reach or that writes to the state service.
+func TestUnreachablePeerMayBeAlive(t *testing.T) {
+	pingFromReachable := func(m *testMembers, contact map[cluster.NodeID]int64) {
 		for _, peer := range m.Peers() {
 			if !peer.IsUnreachable() {
 				ping := healthyPing()
@@ -25,21 +24,21 @@
 		after   cluster.Time
 		want    bool
 	}{
-		{"others do not hear it", func(m *testMembers) { hearsAll(m, nil) }, 0, true},
-		{"others heard it long ago", func(m *testMembers) { hearsAll(m, map[cluster.NodeID]int64{"n1": 3000}) }, 0, true},
-		{"others hear it", func(m *testMembers) { hearsAll(m, map[cluster.NodeID]int64{"n1": 2999}) }, 0, false},
+		{"others do not reach it", func(m *testMembers) { pingFromReachable(m, nil) }, 0, true},
+		{"others reached it too long ago", func(m *testMembers) { pingFromReachable(m, map[cluster.NodeID]int64{"n1": 3000}) }, 0, true},
+		{"others reach it", func(m *testMembers) { pingFromReachable(m, map[cluster.NodeID]int64{"n1": 2999}) }, 0, false},
 		{"its liveness key has changed", func(m *testMembers) {
-			m.Peer("n1").recoverySeenAt = m.loop.Now()
-			hearsAll(m, nil)
+			m.Peer("n1").livenessChangedAt = m.loop.Now()
+			pingFromReachable(m, nil)
 		}, 0, false},
-		{"nobody is heard, at once", func(*testMembers) {}, 0, false},
-		{"nobody is heard for a while", func(*testMembers) {}, 7 * second, true},
-		{"nobody is heard, and its writes are seen", func(m *testMembers) {
+		{"no peer reachable, immediately", func(*testMembers) {}, 0, false},
+		{"no peer reachable, after the timeout", func(*testMembers) {}, 7 * second, true},
+		{"no peer reachable, recent writes seen", func(m *testMembers) {
 			m.Peer("n1").instanceID = "b1"
 			m.advance(3 * second)
 			m.RecordWrite("b1")
 		}, 4 * second, false},
-		{"nobody is heard, and the state service serves since a moment", func(m *testMembers) {
+		{"no peer reachable, state service healthy only recently", func(m *testMembers) {
 			m.store.Health.HealthySince = m.loop.Now()
 		}, 7 * second, false},
 	} {
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -8,26 +8,26 @@
 	"stairrelay/internal/writequeue"
 )
 
-// nodeLiveness is this node's own liveness key in the state service, nodes/<id>.
-//
-// At most one write of it is under way.
+// nodeLiveness is the state of this node's liveness key in the state service,
+// nodes/<id>. At most one write of the key is in flight.
 type nodeLiveness struct {
 	writing     bool
-	modRevision cluster.ModRevision // of the record as last seen
+	modRevision cluster.ModRevision // last known revision of the record
 }
 
-// livenessRecord is the record under a node's liveness key. Every write changes it.
+// livenessRecord is the record under a node's liveness key. Each write has a new ID,
+// so that it changes the record.
 type livenessRecord struct {
 	WriteID string `json:"w"`
 }
 
-// livenessKey is a node's liveness key.
+// livenessKey returns the key of a node's liveness record.
 func livenessKey(id cluster.NodeID) string { return "nodes/" + string(id) }
 
-// RefreshLiveness writes this node's liveness key and reads those of the
-// unreachable peers, while there are any: where only the links between controllers
-// are cut, both sides see the other's and leave its shards alone. In ordinary times
-// nothing is written.
+// RefreshLiveness writes this node's liveness key and reads those of the unreachable
+// peers. If only the network between controllers is partitioned, both sides see the
+// other's key change and don't acquire its shards. While all peers are reachable,
+// nothing is written or read.
 func (m *Members) RefreshLiveness() {
 	anyUnreachable := false
 	for _, peer := range m.peers {
@@ -39,25 +39,28 @@
 	if !anyUnreachable || m.liveness.writing || m.store.IsUnavailableFor(second) {
 		return
 	}
-	if m.workers.CanReachWorkers() { // without workers it serves nobody
+	if m.workers.CanReachWorkers() { // a node without workers can't serve its shards
 		m.writeLiveness()
 	}
 }
 
-// readLiveness looks for a sign of life of an unreachable peer.
+// readLiveness reads the liveness key of an unreachable peer and records a change since
+// the last read.
 func (m *Members) readLiveness(peer *Peer) {
 	m.store.ReadKey(livenessKey(peer.id), func(reply messages.GetReply) {
 		if reply.Outcome != messages.OK && reply.Outcome != messages.NotFound {
 			return
 		}
-		// The first reading only shows what was written before it became unreachable.
+		// The first read is the baseline: the peer may have written that record
+		// before it became unreachable.
 		if peer.livenessRead && reply.KV.ModRevision != peer.livenessModRevision {
-			peer.lastWriteSeenAt, peer.recoverySeenAt = m.loop.Now(), m.loop.Now()
+			peer.lastWriteSeenAt, peer.livenessChangedAt = m.loop.Now(), m.loop.Now()
 		}
 		peer.livenessRead, peer.livenessModRevision = true, reply.KV.ModRevision
 	})
 }
 
+// writeLiveness writes this node's liveness key by a compare-and-swap.
 func (m *Members) writeLiveness() {
 	key := livenessKey(m.config.Self)
 	m.liveness.writing = true
@@ -71,7 +74,7 @@
 		OnApplied: func(revision cluster.Revision) {
 			m.liveness = nodeLiveness{modRevision: cluster.ModRevision(revision)}
 		},
-		OnConflict: func() { // written by an earlier process, or by a late copy of a write
+		OnConflict: func() { // written by an earlier process or by a duplicate of an earlier write
 			m.store.ReadKey(key, func(reply messages.GetReply) {
 				m.liveness.writing = false
 				if reply.Outcome == messages.OK {
--- a/internal/membership/liveness_test.go
+++ b/internal/membership/liveness_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/messages"
 )
 
-// refreshLiveness refreshes the liveness keys and returns what the state service is
-// asked for.
+// refreshLiveness calls RefreshLiveness and returns the resulting requests to the state
+// service.
 func (m *testMembers) refreshLiveness() (reads []messages.StoreGet, writes []messages.StoreTxn) {
 	m.advance(2 * second)
 	m.RefreshLiveness()
@@ -24,28 +24,27 @@
 	return reads, writes
 }
 
-// TestLivenessKeyWrittenWhilePeerUnreachable: in ordinary times nothing is written
-// nor read. While a peer is unreachable its key is read, and this node's written
-// unless the last write has no outcome yet.
+// TestLivenessKeyWrittenWhilePeerUnreachable guards against liveness traffic while all
+// peers are reachable, and against concurrent writes of the key.
 func TestLivenessKeyWrittenWhilePeerUnreachable(t *testing.T) {
 	m := newTestMembers()
 	if reads, writes := m.refreshLiveness(); len(reads)+len(writes) > 0 {
-		t.Fatalf("with all peers reachable: %d reads, %d writes", len(reads), len(writes))
+		t.Fatalf("with all peers reachable: %d reads and %d writes, want none", len(reads), len(writes))
 	}
 
 	m.Peer("n1").unreachable = true
 	reads, writes := m.refreshLiveness()
 	if len(reads) != 1 || reads[0].Key != "nodes/n1" {
-		t.Errorf("reads %v", reads)
+		t.Errorf("reads %v, want one of nodes/n1", reads)
 	}
 	if len(writes) != 1 || writes[0].Then[0].Key != "nodes/n0" {
-		t.Fatalf("writes %v", writes)
+		t.Fatalf("writes %v, want one of nodes/n0", writes)
 	}
 	for _, read := range reads {
 		m.loop.Deliver(messages.Reply{Call: read.Call, Body: messages.GetReply{Outcome: messages.NotFound}})
 	}
 	if _, again := m.refreshLiveness(); len(again) > 0 {
-		t.Errorf("written again before the outcome is known: %v", again)
+		t.Errorf("written again while the first write is in flight: %v", again)
 	}
 
 	m.loop.Deliver(messages.Reply{Call: writes[0].Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 7}})
@@ -55,9 +54,9 @@
 	}
 }
 
-// TestLivenessKeyShowsRecovery: the first reading of an unreachable peer's liveness
-// key shows only what was written before; a change after that shows that it lives.
-func TestLivenessKeyShowsRecovery(t *testing.T) {
+// TestLivenessKeyChange checks that only a change of an unreachable peer's liveness key
+// after the first read counts as a sign of life.
+func TestLivenessKeyChange(t *testing.T) {
 	m := newTestMembers()
 	peer := m.Peer("n1")
 	peer.unreachable = true
@@ -67,12 +66,12 @@
 	}{{5, false}, {5, false}, {8, true}} {
 		reads, _ := m.refreshLiveness()
 		if len(reads) != 1 {
-			t.Fatalf("reading %d: %v", i, reads)
+			t.Fatalf("read %d: %v, want one request", i, reads)
 		}
 		record := messages.KV{Key: reads[0].Key, ModRevision: test.modRevision}
 		m.loop.Deliver(messages.Reply{Call: reads[0].Call, Body: messages.GetReply{Outcome: messages.OK, KV: record}})
-		if got := peer.recoverySeenAt > 0; got != test.want {
-			t.Errorf("reading %d: recovered %v, want %v", i, got, test.want)
+		if got := peer.livenessChangedAt > 0; got != test.want {
+			t.Errorf("read %d: change seen %v, want %v", i, got, test.want)
 		}
 	}
 }
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,18 +1,18 @@
-// Package membership is one controller's view of the cluster: which of the other
-// controllers are alive, what they last said of themselves, and how this node
-// fares itself.
+// Package membership tracks the state of the other controllers: which of them are
+// reachable, what they last reported about themselves, and whether one has failed. It
+// also tracks whether this controller reaches its workers and is overloaded.
 //
-// Every peer is pinged each second. A peer whose ping goes unanswered is called
-// again with growing timeouts, then probed at a steady pace, and counts as
-// unreachable after that. An unreachable peer may still serve its shards, as when
-// only the link from here is cut; IsFailed weighs what other peers and the state
-// service say of it, and decides whether its shards may be acquired by another
-// controller. A wrong decision costs a pause, never a safety rule: an acquisition is
-// a transaction in the state service, and the fencing tokens hold off the former
-// owner.
+// Every peer is pinged once a second. An unanswered ping is retried with growing
+// timeouts and then followed by probes at a fixed interval; if none is answered, the
+// peer counts as unreachable. An unreachable peer may still serve its shards, for
+// example if only the link from this node is down. IsFailed therefore also considers
+// the pings of other peers and the state service, and decides whether other
+// controllers may acquire the peer's shards. A wrong decision only interrupts service:
+// an acquisition is a compare-and-swap in the state service, and fencing tokens
+// exclude the former owner.
 //
-// What a ping says of shards, offers and demands belongs to other packages. The
-// Host adds it to the pings that go out, and takes it from those that come in.
+// The contents of pings that concern shards, offers and demand belong to other
+// packages. The Host sets them in outgoing pings and handles those of incoming pings.
 package membership
 
 import (
@@ -29,57 +29,55 @@
 	second      = cluster.Second
 )
 
-// PingFreshness is how long what a peer's last ping said counts: pings come each
-// second, so two have been missed by then.
+// MaxPingAge is the age up to which a peer's last ping counts as current. Peers send
+// a ping every second.
 const MaxPingAge = 3 * second
 
-// Config is what the package knows from the start.
+// Config configures Members.
 type Config struct {
 	Self cluster.NodeID
-	// Nodes are all controllers, sorted; each is the preferred owner of one shard.
+	// Nodes lists all controllers, sorted. Each is the preferred owner of one shard.
 	Nodes []cluster.NodeID
-	// InstanceID is unique to this process.
+	// InstanceID identifies this process.
 	InstanceID string
-	// FeatureLevel is that of this release. A controller whose pings have at least
-	// this level is upgraded.
+	// FeatureLevel is the feature level of this release. A controller whose pings have
+	// at least this level counts as upgraded.
 	FeatureLevel int
-	// MaxValueBytes is the largest record that the state service takes.
+	// MaxValueBytes is the maximum size of a record in the state service.
 	MaxValueBytes int
-	// HeartbeatInterval is the time between two heartbeats of a worker.
+	// HeartbeatInterval is the interval between the heartbeats of a worker.
 	HeartbeatInterval cluster.Time
 
-	// PingInterval is the time between the answer to a ping and the next ping.
+	// PingInterval is the delay between the answer to a ping and the next ping.
 	PingInterval cluster.Time
-	// PingTimeout is how long the answer to a first call may take.
+	// PingTimeout is the timeout of a ping that follows an answered one.
 	PingTimeout cluster.Time
-	// PingRetries is how many calls follow an unanswered ping with timeouts that
-	// double, the first of them InitialRetryTimeout.
+	// PingRetries is the number of retries after an unanswered ping. The first has a
+	// timeout of InitialRetryTimeout, which doubles with each retry.
 	PingRetries         int
 	InitialRetryTimeout cluster.Time
-	// ProbeCount is how many probes, ProbeInterval apart, follow the retries.
+	// ProbeCount is the number of probes, ProbeInterval apart, after the retries.
 	ProbeCount    int
 	ProbeInterval cluster.Time
 }
 
-// Host is what the peers' state means to the rest of the controller.
+// Host connects Members with the rest of the controller.
 type Host interface {
-	// DescribeShards adds to a ping what the peer should know of this controller's
-	// shards, offers and demands.
+	// DescribeShards sets the fields of a ping that concern this controller's shards,
+	// offers and demand.
 	DescribeShards(to *Peer, ping *messages.Ping)
-	// HandlePing takes in what a peer's ping says of shards and offers.
+	// HandlePing handles the fields of a peer's ping that concern shards and offers.
 	HandlePing(from *Peer, ping *messages.Ping)
-	// HandleReachabilityChange is called when a peer has become unreachable, or
-	// reachable again.
+	// HandleReachabilityChange is called when a peer becomes unreachable or reachable
+	// again.
 	HandleReachabilityChange()
-	// ReviewOwnership is called after each missed probe of an unreachable peer:
-	// its shards may have to be acquired.
+	// ReviewOwnership is called after each missed probe of an unreachable peer. The
+	// host may have to acquire the peer's shards.
 	ReviewOwnership()
 }
 
-// Members holds the state of all other controllers.
-//
-// One call of the failure detector is scheduled or waits for its answer for each
-// peer at any time, once Start was called.
+// Members holds the state of all other controllers. After Start, a failure detector
+// runs for each of them.
 type Members struct {
 	loop    *eventloop.Loop
 	config  Config
@@ -93,7 +91,7 @@
 	callCount int
 }
 
-// New makes the state of peers that were not heard yet.
+// New returns Members for the controllers in config. No peer has answered yet.
 func New(loop *eventloop.Loop, config Config, store *writequeue.Queue, workers *WorkerReachability, host Host) *Members {
 	m := &Members{
 		loop:     loop,
@@ -111,7 +109,7 @@
 	return m
 }
 
-// Start begins to ping the peers.
+// Start starts pinging all peers.
 func (m *Members) Start() {
 	for _, peer := range m.peers {
 		detector := &failureDetector{members: m, peer: peer}
@@ -119,11 +117,12 @@
 	}
 }
 
-// Peers lists the other controllers, sorted by their ids. The list must not be
-// changed.
+// Peers returns the other controllers, sorted by ID. Callers must not modify the
+// slice.
 func (m *Members) Peers() []*Peer { return m.peers }
 
-// Peer returns another controller; nil: the node is this one or unknown.
+// Peer returns the peer with the given ID. The result is nil if the ID is unknown or
+// that of this node.
 func (m *Members) Peer(id cluster.NodeID) *Peer {
 	for _, peer := range m.peers {
 		if peer.id == id {
@@ -133,8 +132,8 @@
 	return nil
 }
 
-// RecordWrite records that a record which a process has written was seen: a sign of
-// life of that process where pings do not reach it.
+// RecordWrite records that a new write by a process was seen in the state service. It
+// shows that the process is alive even if it is unreachable.
 func (m *Members) RecordWrite(instanceID string) {
 	for _, peer := range m.peers {
 		if peer.instanceID == instanceID {
@@ -143,8 +142,8 @@
 	}
 }
 
-// IsFirstReachable tells whether no controller listed before this one is
-// reachable: of all controllers that could do a task, one should.
+// IsFirstReachable reports whether all controllers before this one in Config.Nodes are
+// unreachable. Callers use it to let a single controller do work that any could do.
 func (m *Members) IsFirstReachable() bool {
 	for _, id := range m.config.Nodes {
 		if id == m.config.Self {
@@ -157,23 +156,23 @@
 	return true
 }
 
-// HasAnswerWithin tells whether any peer has answered a call within a time.
+// HasAnswerWithin reports whether any peer has answered a ping within the given duration.
 func (m *Members) HasAnswerWithin(duration cluster.Time) bool {
 	return slices.ContainsFunc(m.peers, func(peer *Peer) bool {
 		return peer.hasAnswered && m.loop.Now()-peer.lastAnswerAt < duration
 	})
 }
 
-// IsStoreReachableElsewhere tells whether a reachable peer has said lately that the
-// state service serves it.
+// IsStoreReachableElsewhere reports whether a reachable peer recently reported that it
+// reaches the state service.
 func (m *Members) IsStoreReachableElsewhere() bool {
 	return slices.ContainsFunc(m.peers, func(peer *Peer) bool {
 		return !peer.unreachable && peer.lastPing.StoreReachable && peer.PingAge() < MaxPingAge
 	})
 }
 
-// handleReachabilityChange divides the state service's limits among the
-// controllers that can be reached.
+// handleReachabilityChange updates the number of live controllers, among which the
+// request limits of the state service are divided, and notifies the host.
 func (m *Members) handleReachabilityChange() {
 	live := 1
 	for _, peer := range m.peers {
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/writequeue"
 )
 
-// fakeHost counts what it is told.
+// fakeHost records the calls of Members.
 type fakeHost struct {
 	reachabilityChanges int
 	reviews             int
@@ -24,7 +24,7 @@
 
 func (h *fakeHost) ReviewOwnership() { h.reviews++ }
 
-// fakeFleet is machines that have booted, owned since a time.
+// fakeFleet is a fleet of booted machines, all owned since the same time.
 type fakeFleet struct {
 	machines   int
 	ownedSince cluster.Time
@@ -38,7 +38,7 @@
 	}
 }
 
-// testMembers is the view of n0, one of seven controllers, at 30 s.
+// testMembers is the Members of n0, one of seven controllers. It starts at 30 s.
 type testMembers struct {
 	*Members
 	loop  *eventloop.Loop
@@ -78,10 +78,10 @@
 	return &testMembers{Members: New(loop, config, store, workers, host), loop: loop, host: host, fleet: fleet}
 }
 
-// healthyPing is that of a peer which reaches the state service and its workers.
+// healthyPing returns the ping of a peer that reaches the state service and its workers.
 func healthyPing() *messages.Ping {
 	return &messages.Ping{StoreReachable: true, WorkersReachable: true}
 }
 
-// advance lets time pass without running timers.
+// advance advances the clock without running timers.
 func (m *testMembers) advance(duration cluster.Time) { m.loop.Begin(m.loop.Now()+duration, 0) }
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -6,10 +6,10 @@
 	"stairrelay/internal/messages"
 )
 
-// Peer is another controller as seen from here.
+// Peer is the state of another controller as known by this one.
 //
-// What it said of an earlier process of its own is forgotten with the first ping of
-// the next, but for the fact that it answered.
+// The first ping of a new process of the peer discards what was known of the earlier
+// process, except whether and when the peer last answered.
 type Peer struct {
 	id   cluster.NodeID
 	loop *eventloop.Loop
@@ -17,51 +17,52 @@
 	instanceID      string
 	lastPing        messages.Ping
 	lastPingAt      cluster.Time
-	healthySince    cluster.Time // since when it has said that it reaches the state service and its workers; 0: it has not
-	lastPingError   string       // what was wrong with its last invalid ping
-	lastWriteSeenAt cluster.Time // when a record that it wrote was last seen
+	healthySince    cluster.Time // since when it has reported that it reaches the state service and its workers, or 0
+	lastPingError   string       // validation error of its last invalid ping
+	lastWriteSeenAt cluster.Time // when a write by it to the state service was last seen
 
 	hasAnswered     bool
 	lastAnswerAt    cluster.Time // when it last answered a ping
 	acknowledgement Acknowledgement
 
-	suspected        bool // it has answered neither a ping nor the retries
-	unreachable      bool // nor the probes after them
+	suspected        bool // the last ping and its retries were not answered
+	unreachable      bool // the subsequent probes were not answered either
 	unreachableSince cluster.Time
 
-	livenessRead        bool // since it became unreachable
+	livenessRead        bool // the liveness key was read since it became unreachable
 	livenessModRevision cluster.ModRevision
-	recoverySeenAt      cluster.Time // when its liveness key was last seen to change while it was unreachable
+	livenessChangedAt   cluster.Time // when a change of its liveness key was last seen
 }
 
-// Acknowledgement is what a peer has last answered to a ping.
+// Acknowledgement describes the last answer of a peer's current process to a ping.
 type Acknowledgement struct {
-	// SentAt is when that ping was sent; 0: the peer's present process has answered
-	// none.
+	// SentAt is when the answered ping was sent. It is zero if the current process has
+	// not answered any.
 	SentAt cluster.Time
-	// InstanceSeenAt is when the peer's present process was first heard of.
+	// InstanceSeenAt is when the first ping or answer of the current process arrived.
 	InstanceSeenAt cluster.Time
-	// Terms are the latest that the peer knew, by shard; none from an older release.
+	// Terms lists the latest terms known to the peer, indexed by shard ID. It is empty
+	// if the peer runs a release that does not send terms.
 	Terms []cluster.Term
 }
 
-// ID is the peer's node.
+// ID returns the peer's node ID.
 func (p *Peer) ID() cluster.NodeID { return p.id }
 
-// LastPing is what the peer last said, by a ping or the answer to one; the zero
-// Ping until then. It must not be changed.
+// LastPing returns the last ping received from the peer, or the last answer to a ping,
+// whichever is later. It is a zero Ping until one arrives. Callers must not modify it.
 func (p *Peer) LastPing() *messages.Ping { return &p.lastPing }
 
-// PingAge is how long ago the peer said that.
+// PingAge returns the time since LastPing was received.
 func (p *Peer) PingAge() cluster.Time { return p.loop.Now() - p.lastPingAt }
 
-// HasAnswered tells whether the peer has ever answered a ping.
+// HasAnswered reports whether the peer has ever answered a ping.
 func (p *Peer) HasAnswered() bool { return p.hasAnswered }
 
-// Acknowledgement is what the peer's present process has last answered.
+// Acknowledgement returns the last acknowledgement of the peer's current process.
 func (p *Peer) Acknowledgement() Acknowledgement { return p.acknowledgement }
 
-// AppendAcknowledgements appends what the peers have last answered to a slice.
+// AppendAcknowledgements appends the acknowledgements of all peers to a slice.
 func (m *Members) AppendAcknowledgements(acknowledgements []Acknowledgement) []Acknowledgement {
 	for _, peer := range m.Peers() {
 		acknowledgements = append(acknowledgements, peer.acknowledgement)
@@ -69,27 +70,28 @@
 	return acknowledgements
 }
 
-// IsSuspected tells whether the peer has not answered the last ping and its retries.
+// IsSuspected reports whether the peer has not answered the last ping and its retries.
 func (p *Peer) IsSuspected() bool { return p.suspected }
 
-// IsUnreachable tells whether the peer has not answered the probes after that
-// either. Whether it has failed is decided by Members.IsFailed.
+// IsUnreachable reports whether the peer has not answered the subsequent probes either.
+// An unreachable peer has not necessarily failed; see Members.IsFailed.
 func (p *Peer) IsUnreachable() bool { return p.unreachable }
 
-// IsHealthyFor tells whether the peer has said for longer than a time that it
-// reaches the state service and its workers.
+// IsHealthyFor reports whether the peer has reported for longer than the given duration
+// that it reaches the state service and its workers.
 func (p *Peer) IsHealthyFor(duration cluster.Time) bool {
 	return p.healthySince > 0 && p.loop.Now()-p.healthySince > duration
 }
 
-// beginInstance forgets what an earlier process of the peer has acknowledged: the
-// next one may have acquired shards and forgotten it.
+// beginInstance resets the state kept for a process of the peer. Acknowledgements of the
+// earlier process don't count for the new one, which does not know the claims that the
+// earlier process may have made since.
 func (p *Peer) beginInstance(instanceID string) {
 	p.instanceID, p.healthySince = instanceID, 0
 	p.acknowledgement = Acknowledgement{InstanceSeenAt: p.loop.Now()}
 }
 
-// recordPing takes in what the peer says of itself.
+// recordPing records what the peer reports about itself in a ping or an answer.
 func (p *Peer) recordPing(ping *messages.Ping) {
 	if p.instanceID != ping.InstanceID {
 		p.beginInstance(ping.InstanceID)
--- a/internal/membership/pings.go
+++ b/internal/membership/pings.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// storeUnreachableAfter is how long the state service may not serve this
-	// controller before its pings and health checks say so.
+	// storeUnreachableAfter is how long the state service must be unavailable before
+	// this controller's pings and health checks report it as unreachable.
 	storeUnreachableAfter = 2500 * millisecond
-	// startupGrace is how long a new process may take to reach the state service
-	// before it counts as unable to: one that is back within a fraction of a second
-	// should acquire its own shard again, not lose it to the peer that it tells so.
-	startupGrace = 3 * second
-	// storeProbeWindow is how long this controller keeps in touch with the state
-	// service after a peer has said that it is not served.
+	// startupGracePeriod is how long a new process reports the state service as
+	// reachable before its first successful request. Otherwise a peer could take over
+	// the shards of a process that restarts quickly.
+	startupGracePeriod = 3 * second
+	// storeProbeWindow is how long this controller probes the state service after a
+	// peer has reported a failure of it.
 	storeProbeWindow = 3 * second
 )
 
-// HasLostStore tells whether the state service has not served this controller for
-// so long that others should know.
+// IsStoreUnreachable reports whether the state service has been unavailable to this
+// controller for longer than storeUnreachableAfter.
 func (m *Members) IsStoreUnreachable() bool { return m.store.IsUnavailableFor(storeUnreachableAfter) }
 
-// MakePing makes a ping, or the answer to one.
+// MakePing returns a ping for a peer. It also serves as the answer to a peer's ping.
 func (m *Members) MakePing(to *Peer) *messages.Ping {
 	ping := &messages.Ping{
 		InstanceID:         m.config.InstanceID,
-		StoreReachable:     !m.IsStoreUnreachable() && (m.store.Health.LastSuccess > 0 || m.loop.Now() < startupGrace),
+		StoreReachable:     !m.IsStoreUnreachable() && (m.store.Health.LastSuccess > 0 || m.loop.Now() < startupGracePeriod),
 		StoreFailing:       m.store.Health.IsFailing(),
 		WorkersReachable:   m.workers.CanReachWorkers(),
 		MillisSinceContact: map[cluster.NodeID]int64{},
@@ -42,8 +42,8 @@
 	return ping
 }
 
-// HandlePing takes in a peer's own ping. An invalid one is refused with a
-// *PingError.
+// HandlePing handles a ping sent by a peer. It returns a *PingError, and ignores the
+// ping, if the ping is invalid.
 func (m *Members) HandlePing(from *Peer, ping *messages.Ping) error {
 	if err := m.checkPing(from, ping); err != nil {
 		return err
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// HandlePingReply takes in a peer's valid answer to a ping that was sent at a time.
-// Only answers acknowledge terms: a peer's own pings may have been held up for
-// minutes.
+// HandlePingReply handles a peer's valid answer to a ping sent at sentAt. Only answers
+// acknowledge terms, because a ping sent by the peer may have been delayed for an
+// unknown time.
 func (m *Members) HandlePingReply(from *Peer, ping *messages.Ping, sentAt cluster.Time) {
 	from.hasAnswered, from.lastAnswerAt, from.suspected = true, m.loop.Now(), false
 	if from.unreachable {
@@ -66,6 +66,7 @@
 	from.acknowledgement.SentAt, from.acknowledgement.Terms = sentAt, ping.KnownTerms
 }
 
+// applyPing updates the peer's state from its ping or answer and passes it to the host.
 func (m *Members) applyPing(from *Peer, ping *messages.Ping) {
 	from.recordPing(ping)
 	if ping.FeatureLevel >= m.config.FeatureLevel {
--- a/internal/membership/pings_test.go
+++ b/internal/membership/pings_test.go
@@ -8,9 +8,9 @@
 	"stairrelay/internal/messages"
 )
 
-// TestAcknowledgementOfPresentProcess: only an answer acknowledges terms, and only
-// for the process that gave it.
-func TestAcknowledgementOfPresentProcess(t *testing.T) {
+// TestAcknowledgementOfCurrentProcess checks that only answers acknowledge terms, and
+// only for the process that sent them.
+func TestAcknowledgementOfCurrentProcess(t *testing.T) {
 	m := newTestMembers()
 	peer := m.Peer("n1")
 	ping := &messages.Ping{InstanceID: "b1", KnownTerms: []cluster.Term{4}}
@@ -18,38 +18,38 @@
 		t.Fatal(err)
 	}
 	if got := peer.Acknowledgement(); got.SentAt != 0 || got.Terms != nil || got.InstanceSeenAt != 30*second {
-		t.Errorf("after its own ping: %+v", got)
+		t.Errorf("after a ping of the peer: %+v", got)
 	}
 	m.advance(2 * second)
 	m.HandlePingReply(peer, ping, 31*second)
 	if got := peer.Acknowledgement(); got.SentAt != 31*second || len(got.Terms) != 1 || got.InstanceSeenAt != 30*second {
-		t.Errorf("after its answer: %+v", got)
+		t.Errorf("after an answer of the peer: %+v", got)
 	}
 	if err := m.HandlePing(peer, &messages.Ping{InstanceID: "b2", KnownTerms: []cluster.Term{4}}); err != nil {
 		t.Fatal(err)
 	}
 	if got := peer.Acknowledgement(); got.SentAt != 0 || got.Terms != nil || got.InstanceSeenAt != 32*second {
-		t.Errorf("after its next process's ping: %+v", got)
+		t.Errorf("after a ping of the peer's next process: %+v", got)
 	}
 }
 
-// TestInvalidPingRefused: nothing of an invalid ping is taken in, and as an answer it
-// counts as a missed probe.
-func TestInvalidPingRefused(t *testing.T) {
+// TestInvalidPingRejected checks that an invalid ping is ignored, and that it counts as
+// a missed probe if it is an answer.
+func TestInvalidPingRejected(t *testing.T) {
 	m := newTestMembers()
 	invalid := &messages.Ping{InstanceID: "b1", KnownTerms: make([]cluster.Term, 8)}
 	var pingError *PingError
 	if err := m.HandlePing(m.Peer("n1"), invalid); !errors.As(err, &pingError) || pingError.Max != 7 {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a *PingError with a maximum of 7", err)
 	}
 	if len(m.host.pingsFrom) > 0 || m.Peer("n1").instanceID != "" {
-		t.Error("an invalid ping was taken in")
+		t.Error("an invalid ping was applied")
 	}
 
 	m.Start()
-	call, ok := m.loop.Effects()[1].(messages.PeerCall) // after the log line
+	call, ok := m.loop.Effects()[1].(messages.PeerCall) // the first effect is the log line
 	if !ok || call.To != "n1" {
-		t.Fatalf("effects %v", m.loop.Effects())
+		t.Fatalf("effects %v, want a call to n1", m.loop.Effects())
 	}
 	reply := messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Ping: invalid}}
 	m.loop.Deliver(messages.Reply{Call: call.Call, Body: reply})
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestSenderOfOtherProtocolVersion: a message counts as a peer's only if it has this
-// release's protocol version and names a known node.
+// TestSenderOfOtherProtocolVersion checks that a message of another protocol version or
+// of an unknown node has no sender.
 func TestSenderOfOtherProtocolVersion(t *testing.T) {
 	m := newTestMembers()
 	for _, test := range []struct {
--- a/internal/membership/pingvalidation.go
+++ b/internal/membership/pingvalidation.go
@@ -6,28 +6,29 @@
 	"stairrelay/internal/messages"
 )
 
-// PingError says which field of a ping exceeds its bound.
+// PingError reports a field of a ping whose count is out of range. Field is the name of
+// the field on the wire.
 type PingError struct {
 	Field string
 	Count int
 	Max   int
 }
 
-// Error names the field and how much it may hold.
+// Error implements the error interface.
 func (e *PingError) Error() string {
 	return fmt.Sprintf("%s: %d, at most %d make sense", e.Field, e.Count, e.Max)
 }
 
-// MaxTransferOffers is how many machine groups a ping offers; the others follow once
-// those were acquired or have lapsed.
+// MaxTransferOffers is the maximum number of machine groups that a ping offers. Further
+// groups are offered once these are taken or their offers have expired.
 const MaxTransferOffers = 256
 
-// validatePing refuses a ping that lists more than there can be. The lists are
-// gone through, and counts in them are gone through one by one, so that an absurd
-// one would hold up everything else.
+// validatePing returns a *PingError if a list or count in a ping exceeds what is
+// possible. Handling a ping takes time proportional to these, so an excessive one
+// would block the event loop.
 func (m *Members) validatePing(ping *messages.Ping) error {
 	nodes := len(m.config.Nodes)
-	shards := nodes // each node is the preferred owner of one
+	shards := nodes // one per node, its preferred owner
 	for _, list := range []PingError{
 		{"Parts", len(ping.Shards), shards},
 		{"Offer", len(ping.FailbackOffers), shards},
@@ -48,24 +49,26 @@
 	return nil
 }
 
-// validateOffer refuses a group with more machines than a record can list.
+// validateOffer returns a *PingError if a group has more machines than fit into a
+// record, or a negative count.
 func (m *Members) validateOffer(offer *messages.TransferOffer) error {
-	machines, most := 0, m.config.MaxValueBytes
+	machines, limit := 0, m.config.MaxValueBytes
 	for _, kind := range offer.Kinds {
-		if kind.Count < 0 || kind.Count > most || machines > most {
-			return &PingError{"Groups.Kinds.N", kind.Count, most}
+		if kind.Count < 0 || kind.Count > limit || machines > limit {
+			return &PingError{"Groups.Kinds.N", kind.Count, limit}
 		}
 		machines += kind.Count
 	}
 	return nil
 }
 
-// checkPing validates a peer's ping. What is wrong with it is logged once.
+// checkPing validates a peer's ping. It logs an error unless the peer's last invalid
+// ping had the same one.
 func (m *Members) checkPing(from *Peer, ping *messages.Ping) error {
 	err := m.validatePing(ping)
 	if err != nil && from.lastPingError != err.Error() {
 		from.lastPingError = err.Error()
-		m.loop.Log(messages.LogInfo, "invalid ping", "node", string(from.id), "error", err.Error())
+		m.loop.Log(messages.LogInfo, "ignoring invalid ping", "node", string(from.id), "error", err.Error())
 	}
 	return err
 }
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -6,54 +6,53 @@
 )
 
 const (
-	// processPauseThreshold is the gap between two events from which on the process
-	// must have been paused while its clocks ran on: timers are due several times a
-	// second.
+	// processPauseThreshold is the time between two events above which the process
+	// must have been paused. Timers normally fire several times a second.
 	processPauseThreshold = 3 * second
-	// cpuUsageLimit is the share of the allowed processor time, and eventDelayLimit
-	// the delay of events, above which the process is overloaded.
+	// The process is overloaded if it uses more than cpuUsageLimit of its CPU quota or
+	// handles events later than eventDelayLimit.
 	cpuUsageLimit   = 0.75
 	eventDelayLimit = 150 * millisecond
-	// overloadStretch is by how much an overloaded process stretches its pauses, and
-	// maxStretchedDelay bounds them.
-	overloadStretch   = 5
-	maxStretchedDelay = second
+	// overloadDelayFactor multiplies the delays of an overloaded process, up to
+	// maxOverloadDelay.
+	overloadDelayFactor = 5
+	maxOverloadDelay    = second
 )
 
-// ProcessHealth tells how the process itself is served by its machine.
+// ProcessHealth tracks the load and the pauses of this process.
 type ProcessHealth struct {
-	load      messages.ProcessLoad // as last measured
-	resumedAt cluster.Time         // when the process last went on after a pause
+	load      messages.ProcessLoad // last measurement
+	resumedAt cluster.Time         // end of the last pause
 }
 
-// RecordLoad takes in a measurement.
+// RecordLoad records a measurement of the load.
 func (h *ProcessHealth) RecordLoad(load messages.ProcessLoad) { h.load = load }
 
-// EventDelay is how late events were handled when that was last measured.
+// EventDelay returns the last measured delay of events.
 func (h *ProcessHealth) EventDelay() cluster.Time { return h.load.EventDelay }
 
-// IsOverloaded tells whether the process is about to use more than its share of
-// the processor. What comes in late then are leases, admissions and calls of
-// other controllers; scheduling and scaling out less often leaves time for those.
+// IsOverloaded reports whether the process is close to its CPU quota or handles events
+// late. Lease renewals, job submissions and calls of other controllers would then be
+// delayed, so less urgent work such as scheduling and scaling out should run less often.
 func (h *ProcessHealth) IsOverloaded() bool {
 	return h.load.CPUUsage > cpuUsageLimit || h.load.EventDelay > eventDelayLimit
 }
 
-// StretchDelay stretches the time between two decisions that can wait while the
-// process is overloaded.
+// StretchDelay returns the delay to use between two runs of deferrable work. It is
+// longer than the given one while the process is overloaded.
 func (h *ProcessHealth) StretchDelay(delay cluster.Time) cluster.Time {
 	if !h.IsOverloaded() {
 		return delay
 	}
-	return min(overloadStretch*delay+h.load.EventDelay/2, maxStretchedDelay)
+	return min(overloadDelayFactor*delay+h.load.EventDelay/2, maxOverloadDelay)
 }
 
-// IsPause tells whether the process must have been paused in a gap between events.
+// IsPause reports whether a gap between two events means that the process was paused.
 func IsPause(gap cluster.Time) bool { return gap > processPauseThreshold }
 
-// RecordPause records that the process has gone on after a pause.
+// RecordPause records that the process resumed after a pause.
 func (h *ProcessHealth) RecordPause(now cluster.Time) { h.resumedAt = now }
 
-// ResumedAt is when the process last went on after a pause; 0: it was never paused.
-// That nothing was heard before then says nothing about who was silent.
+// ResumedAt returns when the process last resumed after a pause, or 0 if it was never
+// paused. Missing heartbeats before that time don't indicate a failure of the sender.
 func (h *ProcessHealth) ResumedAt() cluster.Time { return h.resumedAt }
--- a/internal/membership/process_test.go
+++ b/internal/membership/process_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestOverloadStretchesDelays: an overloaded process decides less often, but at least
-// each second.
+// TestOverloadStretchesDelays checks that an overloaded process runs deferrable work
+// less often, but at least once a second.
 func TestOverloadStretchesDelays(t *testing.T) {
 	const delay = 100 * millisecond
 	for _, test := range []struct {
@@ -17,9 +17,9 @@
 		want cluster.Time
 	}{
 		{"at the limits", messages.ProcessLoad{CPUUsage: 0.75, EventDelay: 150 * millisecond}, delay},
-		{"above that of the processor", messages.ProcessLoad{CPUUsage: 0.76}, 500 * millisecond},
-		{"above that of events", messages.ProcessLoad{EventDelay: 200 * millisecond}, 600 * millisecond},
-		{"far above", messages.ProcessLoad{EventDelay: 20 * second}, second},
+		{"above the CPU limit", messages.ProcessLoad{CPUUsage: 0.76}, 500 * millisecond},
+		{"above the event delay limit", messages.ProcessLoad{EventDelay: 200 * millisecond}, 600 * millisecond},
+		{"far above the event delay limit", messages.ProcessLoad{EventDelay: 20 * second}, second},
 	} {
 		health := ProcessHealth{}
 		health.RecordLoad(test.load)
--- a/internal/membership/upgrades.go
+++ b/internal/membership/upgrades.go
@@ -7,36 +7,36 @@
 	"stairrelay/internal/cluster"
 )
 
-// Rolling upgrades. A controller of the release before pipelines would start a job
-// at once that depends on others, as it ignores that field of the job's record.
-// Such a record may therefore be stored only once every controller is known to
-// run a release that understands it.
+// Rolling upgrades. A controller of a release without job dependencies ignores that
+// field of a job's record and would start the job before its dependencies have
+// completed. Such a record may therefore be stored only after all controllers are known
+// to be upgraded to a release that supports dependencies.
 //
-// A controller is known to be upgraded when a ping of its own has said so, or when a
-// shard's claim record lists it: each lists its owner and all controllers that the
-// owner knew to be upgraded. An upgraded controller is not replaced by an earlier
-// release again, so the knowledge stays true and only grows.
+// A controller is known to be upgraded if one of its pings reports the feature level or
+// a claim record lists it. A claim record lists the owner and all controllers that the
+// owner knew to be upgraded. Controllers are never downgraded, so the set of upgraded
+// controllers only grows.
 
-// RecordUpgraded adds controllers that are known to be upgraded.
+// RecordUpgraded adds controllers to those known to be upgraded.
 func (m *Members) RecordUpgraded(ids ...cluster.NodeID) {
 	for _, id := range ids {
 		m.upgraded[id] = true
 	}
 }
 
-// UpgradedNodes lists the controllers that are known to be upgraded, sorted; this
-// one is among them.
+// UpgradedNodes returns the controllers known to be upgraded, including this one,
+// sorted.
 func (m *Members) UpgradedNodes() []cluster.NodeID {
 	return slices.Sorted(maps.Keys(m.upgraded))
 }
 
-// AllUpgraded tells whether all controllers are certainly upgraded.
+// AllUpgraded reports whether all controllers are known to be upgraded.
 func (m *Members) AllUpgraded() bool {
 	return !slices.ContainsFunc(m.peers, func(peer *Peer) bool { return !m.isUpgraded(peer) })
 }
 
-// isUpgraded tells whether a peer is certainly upgraded. What it said last to this
-// process counts most.
+// isUpgraded reports whether a peer is known to be upgraded. Its last ping takes
+// precedence over claim records.
 func (m *Members) isUpgraded(peer *Peer) bool {
 	if peer.lastPingAt > 0 {
 		return peer.lastPing.FeatureLevel >= m.config.FeatureLevel
--- a/internal/membership/upgrades_test.go
+++ b/internal/membership/upgrades_test.go
@@ -6,20 +6,20 @@
 	"stairrelay/internal/messages"
 )
 
-// TestAllUpgraded: what a peer says itself counts before what claim records list.
+// TestAllUpgraded checks that a peer's own ping takes precedence over claim records.
 func TestAllUpgraded(t *testing.T) {
 	m := newTestMembers()
 	if m.AllUpgraded() {
-		t.Error("peers that were never heard of count as upgraded")
+		t.Error("peers without a ping or claim record count as upgraded")
 	}
 	m.RecordUpgraded("n1", "n2", "n3", "n4", "n5", "n6")
 	if !m.AllUpgraded() {
-		t.Error("peers that claim records list count as not upgraded")
+		t.Error("peers listed in claim records do not count as upgraded")
 	}
 	if err := m.HandlePing(m.Peer("n3"), &messages.Ping{InstanceID: "b3"}); err != nil {
 		t.Fatal(err)
 	}
 	if m.AllUpgraded() {
-		t.Error("a peer whose pings are of an earlier release counts as upgraded")
+		t.Error("a peer whose ping is of an earlier release counts as upgraded")
 	}
 }
--- a/internal/membership/workers.go
+++ b/internal/membership/workers.go
@@ -7,96 +7,98 @@
 )
 
 const (
-	// patienceIntervals is for how many heartbeat intervals all workers may be
-	// silent before they count as out of reach.
-	patienceIntervals = 3
-	// largeFleetSize is from how many machines on half of that is enough: they send
-	// heartbeats so often between them, and a short lease leaves a successor little
-	// time to answer them.
+	// heartbeatTimeoutIntervals is the number of heartbeat intervals without any
+	// heartbeat after which the workers count as unreachable.
+	heartbeatTimeoutIntervals = 3
+	// largeFleetSize is the number of machines from which half of that time is enough.
+	// Heartbeats of a large fleet arrive frequently, and a failover must complete before
+	// the leases of its workers expire.
 	largeFleetSize = 20
 )
 
-// Fleet shows the machines of the shards that this controller owns.
+// Fleet provides the machines of the shards that this controller owns.
 type Fleet interface {
-	// MachineCount is the number of machines.
+	// MachineCount returns the number of machines.
 	MachineCount() int
-	// VisitBooted calls a function for each machine that has booted, with its
-	// address and since when this controller has owned it.
+	// VisitBooted calls visit for each machine that has booted, with its address and
+	// the time since which this controller has owned it.
 	VisitBooted(visit func(address string, ownedSince cluster.Time))
 }
 
-// WorkerReachability tells whether workers reach this node, and the node them.
+// WorkerReachability tracks whether this node and its workers reach each other.
 //
-// unreachable is set only while this node owns machines that should send
-// heartbeats, and is cleared only by a heartbeat or by a worker that has answered.
+// unreachable is set only while this node owns machines that should send heartbeats. It
+// is cleared only by a heartbeat of an owned machine or an answer to Probe.
 type WorkerReachability struct {
 	loop              *eventloop.Loop
 	heartbeatInterval cluster.Time
 	process           *ProcessHealth
 	fleet             Fleet
 
-	lastOwnedHeartbeat cluster.Time // of a machine owned here
-	lastHeartbeat      cluster.Time // also of another's
+	lastOwnedHeartbeat cluster.Time // from a machine owned here
+	lastHeartbeat      cluster.Time // from any machine
 	unreachable        bool
-	probeAddress       string // of a silent worker, to find out whether it can be reached
+	probeAddress       string // address of a silent worker
 }
 
-// NewWorkerReachability counts the workers as in reach until they are silent for
-// too long.
+// NewWorkerReachability returns a WorkerReachability. Workers count as reachable until
+// their heartbeats time out.
 func NewWorkerReachability(loop *eventloop.Loop, heartbeatInterval cluster.Time, process *ProcessHealth, fleet Fleet) *WorkerReachability {
 	return &WorkerReachability{loop: loop, heartbeatInterval: heartbeatInterval, process: process, fleet: fleet}
 }
 
-// RecordHeartbeat records that a worker, of whatever owner, has sent a heartbeat here.
+// RecordHeartbeat records a heartbeat from a worker of any owner.
 func (w *WorkerReachability) RecordHeartbeat() { w.lastHeartbeat = w.loop.Now() }
 
-// RecordOwnedHeartbeat records that the worker of a machine owned here has sent a
-// heartbeat.
+// RecordOwnedHeartbeat records a heartbeat from the worker of a machine owned here.
 func (w *WorkerReachability) RecordOwnedHeartbeat() { w.lastOwnedHeartbeat = w.loop.Now() }
 
-// HasHeartbeatWithin tells whether any worker has sent a heartbeat here within a time.
+// HasHeartbeatWithin reports whether a heartbeat from any worker arrived within the
+// given duration.
 func (w *WorkerReachability) HasHeartbeatWithin(duration cluster.Time) bool {
 	return w.lastHeartbeat > 0 && w.loop.Now()-w.lastHeartbeat < duration
 }
 
-// HasOwnedHeartbeatWithin tells whether the worker of a machine owned here has sent a
-// heartbeat within a time.
+// HasOwnedHeartbeatWithin reports whether a heartbeat from the worker of a machine owned
+// here arrived within the given duration.
 func (w *WorkerReachability) HasOwnedHeartbeatWithin(duration cluster.Time) bool {
 	return w.lastOwnedHeartbeat > 0 && w.loop.Now()-w.lastOwnedHeartbeat < duration
 }
 
-// patience is how long all workers may be silent before they count as out of reach.
-func (w *WorkerReachability) patience() cluster.Time {
-	patience := patienceIntervals * w.heartbeatInterval
+// heartbeatTimeout returns the time without any heartbeat after which the workers count
+// as unreachable.
+func (w *WorkerReachability) heartbeatTimeout() cluster.Time {
+	timeout := heartbeatTimeoutIntervals * w.heartbeatInterval
 	if w.fleet.MachineCount() >= largeFleetSize {
-		patience /= 2
+		timeout /= 2
 	}
-	return patience
+	return timeout
 }
 
-// CanReachWorkers is false when this node owns machines but no worker has sent a
-// heartbeat for several intervals, as when it is cut off from the workers. It stays
-// false until a worker has been reached again, also after the shards are given up.
+// CanReachWorkers reports whether this node reaches its workers. The result becomes
+// false when this node owns several machines and their heartbeats have timed out, for
+// example because of a network partition. It stays false until a heartbeat or an answer
+// to Probe arrives, even if the shards are lost in the meantime.
 func (w *WorkerReachability) CanReachWorkers() bool {
-	patience := w.patience()
-	if w.loop.Now()-w.lastOwnedHeartbeat < patience {
+	timeout := w.heartbeatTimeout()
+	if w.loop.Now()-w.lastOwnedHeartbeat < timeout {
 		w.unreachable = false
 		return true
 	}
 	silent, lastAddress := 0, ""
 	w.fleet.VisitBooted(func(address string, ownedSince cluster.Time) {
-		if w.loop.Now()-max(ownedSince, w.process.ResumedAt()) > patience {
+		if w.loop.Now()-max(ownedSince, w.process.ResumedAt()) > timeout {
 			silent++
 			lastAddress = address
 		}
 	})
-	if silent > 1 { // a single one may just hang
+	if silent > 1 { // a single silent worker may just hang
 		w.unreachable, w.probeAddress = true, lastAddress
 	}
 	return !w.unreachable
 }
 
-// Probe asks a worker for its state while the workers seem out of reach.
+// Probe queries the status of a silent worker while the workers count as unreachable.
 func (w *WorkerReachability) Probe() {
 	if !w.unreachable || w.probeAddress == "" {
 		return
--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -10,30 +10,32 @@
 	"stairrelay/internal/writequeue"
 )
 
-// ConsiderAcquires considers for each shard whether this controller should acquire
-// it.
+// AcquireEligibleShards acquires every shard that this controller should own and
+// does not own yet.
 func (m *Manager) AcquireEligibleShards() {
 	for _, shard := range m.shards {
 		m.AcquireIfEligible(shard)
 	}
 }
 
-// ConsiderAcquire acquires a shard if this controller should own it. Nothing here
-// is needed for safety: a wrong acquire costs a pause, never a rule.
+// AcquireIfEligible starts to acquire a shard if this controller should own it. The
+// decision is not safety-critical: an unnecessary acquisition only interrupts the
+// service of the shard, because the compare-and-swap on the claim record and the
+// fencing tokens exclude the previous owner.
 func (m *Manager) AcquireIfEligible(shard *state.Shard) {
 	if shard.Owned || shard.Acquiring || !shard.RecordRead || m.loop.Now() < shard.AcquireNotBefore {
 		return
 	}
-	if m.isStoreOut() {
-		return // an acquire that waited for the end of the outage could depose an owner that is back
+	if m.isStoreUnavailable() {
+		return // the write would stay queued during the outage and could then depose a recovered owner
 	}
 	if m.shouldOwn(shard) {
 		m.Acquire(shard)
 	}
 }
 
-// shouldOwn tells whether this controller should own a shard that another one, an
-// earlier process of this one, or nobody owns.
+// shouldOwn reports whether this controller should acquire a shard that has no
+// owner or is owned by another controller or by an earlier process of this one.
 func (m *Manager) shouldOwn(shard *state.Shard) bool {
 	self := m.config.Self
 	switch {
@@ -51,8 +53,8 @@
 	return m.isFailoverTarget(shard.Owner)
 }
 
-// isFailoverTarget tells whether a node has failed, and this one is the first in
-// the ring after it that has not.
+// isFailoverTarget reports whether a node has failed and this controller is its
+// first successor in the ring that has not failed.
 func (m *Manager) isFailoverTarget(failed cluster.NodeID) bool {
 	if !m.peers.IsFailed(failed) {
 		return false
@@ -71,8 +73,8 @@
 	return false
 }
 
-// Acquire writes a claim record of this controller's on condition that the shard's
-// present one has not changed.
+// Acquire claims a shard for this controller by a compare-and-swap of its claim
+// record. On a conflict the record is read again.
 func (m *Manager) Acquire(shard *state.Shard) {
 	shard.Acquiring = true
 	previousOwner, term := shard.Owner, shard.Term+1
@@ -91,7 +93,7 @@
 		OnApplied: func(claim cluster.Revision) {
 			shard.Acquiring = false
 			if cluster.ModRevision(claim) < shard.ModRevision {
-				return // deposed already
+				return // a later claim is already known
 			}
 			m.beginOwnership(shard, term, claim, previousOwner)
 		},
@@ -102,7 +104,7 @@
 	})
 }
 
-// beginOwnership begins to load a shard that was acquired.
+// beginOwnership records a successful acquisition and starts to load the shard.
 func (m *Manager) beginOwnership(shard *state.Shard, term cluster.Term, claim cluster.Revision, previousOwner cluster.NodeID) {
 	shard.BeginOwnership(m.config.Self, term, claim, m.loop.Now())
 	m.loop.Log(messages.LogInfo, "shard acquired",
--- a/internal/ownership/claims.go
+++ b/internal/ownership/claims.go
@@ -15,44 +15,45 @@
 
 const (
 	claimKeyPrefix = "parts/"
-	// claimWatchPause is the time between two requests of the watch on the claim
-	// records: a former owner should learn of its successor soon.
-	claimWatchPause = second / 10
-	// claimListRetryPause is the pause after the claim records could not be read.
-	claimListRetryPause = second / 2
+	// claimWatchDelay is the delay between two watch requests for the claim records.
+	// It is short so that a former owner notices its successor early.
+	claimWatchDelay = second / 10
+	// claimListRetryDelay is the delay before a failed read of all claim records is
+	// retried.
+	claimListRetryDelay = second / 2
 )
 
-// ClaimRecord is the record under a shard's key.
+// ClaimRecord is the claim record of a shard as stored in the state service.
 type ClaimRecord struct {
 	Owner   cluster.NodeID `json:"holder"`
 	Term    cluster.Term   `json:"term"`
 	WriteID string         `json:"w"`
-	// Upgraded lists the controllers known to run a release that understands
-	// jobs with dependencies. Absent in releases before these.
+	// Upgraded lists the controllers known to run a release that supports job
+	// dependencies. Earlier releases do not write it.
 	Upgraded []cluster.NodeID `json:"up,omitempty"`
 }
 
-// errNoOwner says that a claim record does not name an owner.
-var errNoOwner = errors.New("no owner")
+var errNoOwner = errors.New("owner is missing")
 
-// DecodeClaim reads a claim record.
+// DecodeClaim decodes a claim record. A record without an owner is an error.
 func DecodeClaim(value []byte) (ClaimRecord, error) {
 	var record ClaimRecord
 	if err := json.Unmarshal(value, &record); err != nil {
-		return ClaimRecord{}, fmt.Errorf("claim record: %w", err)
+		return ClaimRecord{}, fmt.Errorf("decode claim record: %w", err)
 	}
 	if record.Owner == "" {
-		return ClaimRecord{}, fmt.Errorf("claim record: %w", errNoOwner)
+		return ClaimRecord{}, fmt.Errorf("decode claim record: %w", errNoOwner)
 	}
 	return record, nil
 }
 
-// Start reads all claim records, acquires what it may, and follows the changes from
-// then on.
+// Start reads all claim records, acquires the eligible shards and watches the claim
+// records from then on. If the revision to watch from has been compacted, it starts
+// over.
 func (m *Manager) Start() {
 	m.queue.ListPrefix(claimKeyPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
-			m.loop.After(claimListRetryPause, m.Start)
+			m.loop.After(claimListRetryDelay, m.Start)
 			return
 		}
 		for _, shard := range m.shards {
@@ -66,15 +67,16 @@
 		m.queue.Watch(writequeue.PrefixWatch{
 			Prefix:      claimKeyPrefix,
 			Position:    &m.claimsRevision,
-			Pause:       claimWatchPause,
+			Pause:       claimWatchDelay,
 			OnChange:    m.ApplyClaim,
 			OnCompacted: m.Start,
 		})
 	})
 }
 
-// RereadOwnClaims reads the claim records of the shards that are owned, as far as is
-// known: after the process was paused, other controllers may have acquired them.
+// RereadOwnClaims reads the claim records of all shards that this controller believes
+// it owns. It is called after a pause of the process, during which other controllers
+// may have acquired them.
 func (m *Manager) RereadOwnClaims() {
 	for _, shard := range m.shards {
 		if shard.Owned {
@@ -83,7 +85,7 @@
 	}
 }
 
-// RereadClaim reads a shard's claim record.
+// RereadClaim reads a shard's claim record and applies it.
 func (m *Manager) RereadClaim(shard *state.Shard) {
 	sentAt := m.loop.Now()
 	m.queue.ReadKey(shard.Key(), func(reply messages.GetReply) {
@@ -93,26 +95,29 @@
 	})
 }
 
-// applyRead takes in a claim record as a read has shown it that was sent at a time.
+// applyRead applies a claim record returned by a read that was sent at sentAt.
 func (m *Manager) applyRead(shard *state.Shard, kv messages.KV, sentAt cluster.Time) {
 	m.ApplyClaim(kv)
 	m.RecordConfirmation(shard, kv.ModRevision, sentAt)
 }
 
-// ApplyClaim takes in a claim record as the state service has shown it.
+// ApplyClaim updates a shard's ownership from its claim record in the state service.
+// It ignores missing records and keys that belong to no shard. A record that can't be
+// decoded is logged and otherwise ignored. A record that is not newer than the known
+// one only adds to the upgraded controllers.
 func (m *Manager) ApplyClaim(kv messages.KV) {
-	number, err := strconv.Atoi(strings.TrimPrefix(kv.Key, claimKeyPrefix))
-	if err != nil || !m.isNumber(cluster.ShardID(number)) || kv.Value == nil {
+	id, err := strconv.Atoi(strings.TrimPrefix(kv.Key, claimKeyPrefix))
+	if err != nil || !m.isShardID(cluster.ShardID(id)) || kv.Value == nil {
 		return
 	}
-	shard := m.shards[number]
+	shard := m.shards[id]
 	isNew := kv.ModRevision > shard.ModRevision
 	if isNew {
 		m.peers.RecordWrite(writequeue.WriterOf(kv.Value))
 	}
 	record, err := DecodeClaim(kv.Value)
 	if err != nil {
-		m.loop.Log(messages.LogError, "unreadable record", "key", kv.Key, "error", err.Error())
+		m.loop.Log(messages.LogError, "cannot decode claim record; ignoring it", "key", kv.Key, "error", err.Error())
 		return
 	}
 	m.peers.RecordUpgraded(record.Upgraded...)
@@ -121,14 +126,14 @@
 	}
 }
 
-// applyNewClaim takes in a claim that is later than all that was known.
+// applyNewClaim applies a claim that is later than the known one.
 func (m *Manager) applyNewClaim(shard *state.Shard, record ClaimRecord, modRevision cluster.ModRevision) {
 	isOwnWrite := writequeue.InstanceOf(record.WriteID) == m.config.InstanceID
 	if shard.Owned && !isOwnWrite {
 		m.HandleDeposed(shard.ID)
 	}
 	if shard.Acquiring && isOwnWrite {
-		return // our own acquire, seen before its answer
+		return // this acquisition; its reply has not arrived yet
 	}
 	shard.RecordOwner(record.Owner, record.Term, modRevision, m.loop.Now())
 }
--- a/internal/ownership/lease_test.go
+++ b/internal/ownership/lease_test.go
@@ -7,50 +7,49 @@
 	"stairrelay/internal/membership"
 )
 
-// TestAnswerWindow checks that the worker lease that the last answer renews expires
-// within cancelWithin, whatever the clocks do within the protocol's drift.
+// TestAnswerWindow checks that tasks end within the cancel deadline after the last
+// answer within the window, even with the maximum clock drift.
 func TestAnswerWindow(t *testing.T) {
-	for _, test := range []struct{ cancelWithin, lease, want cluster.Time }{
+	for _, test := range []struct{ cancelDeadline, lease, want cluster.Time }{
 		{37 * second, 22 * second, 13*second - 59*cluster.Millisecond},
 		{18 * second, 12 * second, 4*second - 30*cluster.Millisecond},
 		{20 * second, 20 * second, -2*second - 40*cluster.Millisecond},
 	} {
-		got := AnswerWindow(test.cancelWithin, test.lease)
+		got := AnswerWindow(test.cancelDeadline, test.lease)
 		if got != test.want {
-			t.Errorf("cancel within %.0f s, lease %.0f s: %.3f s, want %.3f s",
-				test.cancelWithin.Seconds(), test.lease.Seconds(), got.Seconds(), test.want.Seconds())
+			t.Errorf("AnswerWindow with cancel deadline %.0f s and lease %.0f s = %.3f s, want %.3f s",
+				test.cancelDeadline.Seconds(), test.lease.Seconds(), got.Seconds(), test.want.Seconds())
 		}
 		const protocolDrift = 0.0005
 		slowest := cluster.Time(float64(got+test.lease) * (1 + 2*protocolDrift))
-		if end := slowest + stopMargin; end > test.cancelWithin {
-			t.Errorf("a task may run for %.3f s, longer than %.0f s", end.Seconds(), test.cancelWithin.Seconds())
+		if end := slowest + taskStopTime; end > test.cancelDeadline {
+			t.Errorf("a task may run for %.3f s, want at most %.0f s", end.Seconds(), test.cancelDeadline.Seconds())
 		}
 	}
 }
 
-// TestWindows checks up to which age of the last confirmation answers and starts are
-// allowed, and from which on the store is read.
+// TestWindows checks the maximum age of the last confirmation for answers, for starts
+// and for skipping the lease renewal.
 func TestWindows(t *testing.T) {
-	const cancelWithin, lease = 37 * second, 22 * second
-	window := AnswerWindow(cancelWithin, lease)
-	if !CanAnswer(window, cancelWithin, lease) || CanAnswer(window+1, cancelWithin, lease) {
-		t.Error("answers are not allowed up to the window exactly")
+	const cancelDeadline, lease = 37 * second, 22 * second
+	window := AnswerWindow(cancelDeadline, lease)
+	if !CanAnswer(window, cancelDeadline, lease) || CanAnswer(window+1, cancelDeadline, lease) {
+		t.Error("answers must be allowed up to the answer window and not beyond")
 	}
-	// With settings that leave too little, peer calls each second must suffice.
+	// The settings leave less than the minimum window.
 	if !CanAnswer(4*second, 20*second, 20*second) || CanAnswer(4*second+1, 20*second, 20*second) {
-		t.Error("with settings that leave no window, answers are not allowed up to MinAnswerWindow exactly")
+		t.Error("with settings that leave no window, answers must be allowed up to MinAnswerWindow and not beyond")
 	}
 	if !CanStart(5*second) || CanStart(5*second+1) {
-		t.Error("starts are not allowed up to five seconds exactly")
+		t.Error("starts must be allowed up to five seconds and not beyond")
 	}
 	if NeedsRenewal(2*second) || !NeedsRenewal(2*second+1) {
-		t.Error("the store is not read from two seconds on")
+		t.Error("a renewal must be needed after two seconds and not before")
 	}
 }
 
-// TestLastConfirmedAt checks that a confirmation is as old as the oldest
-// acknowledgement, unless the store has shown the claim later, and that an
-// acknowledgement which does not cover the claim leaves only the store.
+// TestLastConfirmedAt checks that the oldest acknowledgement counts unless the store
+// confirmed the claim later or an acknowledgement does not confirm the claim.
 func TestLastConfirmedAt(t *testing.T) {
 	const now, storeConfirmedAt = 200 * second, 100 * second
 	claim := Claim{ShardID: 1, Term: 5, ConfirmedAt: storeConfirmedAt}
@@ -65,21 +64,21 @@
 	}{
 		{"no peers", nil, now},
 		{"two peers", []membership.Acknowledgement{good, older}, 180 * second},
-		{"two peers, the older first", []membership.Acknowledgement{older, good}, 180 * second},
-		{"an earlier term known", []membership.Acknowledgement{good, {SentAt: 180 * second, Terms: terms(4)}}, 180 * second},
-		{"older than the store's", []membership.Acknowledgement{good, {SentAt: 90 * second, Terms: terms(5)}}, storeConfirmedAt},
-		{"no call answered by one", []membership.Acknowledgement{good, {Terms: terms(5)}}, storeConfirmedAt},
-		{"a later term known", []membership.Acknowledgement{good, laterTerm}, storeConfirmedAt},
-		{"a later term known by the first", []membership.Acknowledgement{laterTerm, good}, storeConfirmedAt},
-		{"a release that sends no terms", []membership.Acknowledgement{good, {SentAt: 180 * second}}, storeConfirmedAt},
-		{"fewer shards known", []membership.Acknowledgement{good, {SentAt: 180 * second, Terms: []cluster.Term{5}}}, storeConfirmedAt},
+		{"two peers, older acknowledgement first", []membership.Acknowledgement{older, good}, 180 * second},
+		{"earlier term known", []membership.Acknowledgement{good, {SentAt: 180 * second, Terms: terms(4)}}, 180 * second},
+		{"acknowledgement older than the store's confirmation", []membership.Acknowledgement{good, {SentAt: 90 * second, Terms: terms(5)}}, storeConfirmedAt},
+		{"peer without an answer", []membership.Acknowledgement{good, {Terms: terms(5)}}, storeConfirmedAt},
+		{"later term known", []membership.Acknowledgement{good, laterTerm}, storeConfirmedAt},
+		{"later term known by the first peer", []membership.Acknowledgement{laterTerm, good}, storeConfirmedAt},
+		{"release that sends no terms", []membership.Acknowledgement{good, {SentAt: 180 * second}}, storeConfirmedAt},
+		{"terms of fewer shards", []membership.Acknowledgement{good, {SentAt: 180 * second, Terms: []cluster.Term{5}}}, storeConfirmedAt},
 		{
-			"a process as old as the store's confirmation",
+			"process first seen at the store's confirmation",
 			[]membership.Acknowledgement{good, {SentAt: 180 * second, InstanceSeenAt: storeConfirmedAt, Terms: terms(5)}},
 			180 * second,
 		},
 		{
-			"a process that started later",
+			"process first seen after the store's confirmation",
 			[]membership.Acknowledgement{good, {SentAt: 180 * second, InstanceSeenAt: storeConfirmedAt + 1, Terms: terms(5)}},
 			storeConfirmedAt,
 		},
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -1,59 +1,69 @@
-// Package ownership decides which shards this controller owns, and bounds how long
-// it may act on that.
+// Package ownership decides which shards this controller owns, and how long it may
+// act as the owner without a new confirmation.
 //
-// # Who owns a shard
+// # Claims
 //
-// The owner of shard n is the controller that wrote the record parts/<n> of the
-// state service last, its claim record. A claim record names the owner and a term
-// that grows by one with each claim; the revision of its write is the claim
-// revision, which the fencing tokens of the shard's machines are made of. Each
-// node is the preferred owner of one shard.
+// The owner of shard n is the controller that last wrote the shard's claim record,
+// parts/<n> in the state service. A claim record names the owner and a term that
+// grows by one with each claim. The revision of its write is the claim revision, from
+// which the fencing tokens of the shard's machines are derived. Each node is the
+// preferred owner of one shard.
 //
-// A controller acquires a shard by writing the claim record, on condition that it
-// has not changed since it was last read (Manager.Acquire). It tries that for a
-// shard that nobody owns, or whose owner is an earlier process of its own, has
-// failed while this controller is the next alive one after it (failover), or
-// offers to hand it back to its preferred owner (failback). Nothing of this is
-// needed for safety: a wrong acquire costs a pause, never a rule. After changes of
-// owners in quick succession each controller waits longer and longer before it
-// acquires the shard from another (state.ShardOwnership.IsBackoffOver).
+// A controller acquires a shard by a compare-and-swap of the claim record
+// (Manager.Acquire). It does so if the shard
+//   - has no owner and this controller is the preferred owner, or the first live
+//     successor of a preferred owner that has failed,
+//   - is owned by an earlier process of this controller,
+//   - is owned by a controller that has failed, and this controller is that one's
+//     first live successor in the ring (failover), or
+//   - is offered back by its owner and this controller is the preferred owner
+//     (failback).
 //
-// # How an owner loses a shard
+// These rules are not safety-critical: an unnecessary acquisition only interrupts the
+// service of the shard, because the compare-and-swap and the fencing tokens exclude
+// the previous owner. When a shard changes owners repeatedly, an exponential backoff
+// delays its acquisition from another owner (state.ShardOwnership.IsBackoffOver).
 //
-// Every write of a shard is conditional on the owner's claim record, so an owner
-// that was succeeded can't change the shard's records any more. It learns of that
-// and drops all that it knew of the shard (Manager.HandleDeposed) when
-//   - the watch or a read shows another controller's claim record,
-//   - the claim makes one of its own transactions fail,
-//   - another controller's ping names a later term, or
-//   - a record of the shard makes no sense (Manager.GiveUpCorrupt): then nothing is
-//     guessed, and the shard is acquired again after a pause and read anew.
+// # Loss of ownership
 //
-// # How long an owner may act
+// Every write to a shard's records is conditional on the owner's claim record, so a
+// deposed owner can't modify them. An owner drops the shard's state
+// (Manager.HandleDeposed) when
+//   - a watch or a read returns another controller's claim record,
+//   - one of its transactions fails because the claim record has changed,
+//   - another controller's ping contains a later term, or
+//   - a record of the shard is corrupt (Manager.DropCorruptShard). The shard is then
+//     acquired again after a delay and its records are reloaded.
 //
-// Until it learns of that, an owner could act on an older state than its
-// successor. Two things prevent it. Before it answers a question about a job from
-// memory it reads the claim record (Manager.Confirm): a linearizable read. And it
-// answers the shard's workers and starts tasks only for a while after the last
-// moment at which it was certain that nobody had acquired the shard after it: the
-// ownership lease (Claim, AnswerWindow and StartWindow).
+// # Ownership lease
 //
-// While the state service does not answer, an owner can't see that another
-// controller has acquired its shard. The new owner may have confirmed cancellations
-// of jobs whose tasks run on machines which still send heartbeats to the former
-// owner, and each answer of the former owner would renew the lease of those
-// machines. So it stops answering the shard's workers early enough that their
-// leases expire in time (docs/safety.md, "Gap").
+// A deposed owner that has not noticed yet has stale state. Two mechanisms keep it
+// from acting on that. It reads the claim record before it answers a query for a job
+// from memory, which makes these reads linearizable (Manager.ConfirmOwnership). And it
+// answers the shard's workers and starts tasks only for a limited time after the last
+// confirmation that no other controller had acquired the shard: the ownership lease
+// (Claim, AnswerWindow and StartWindow).
 //
-// Two things confirm ownership. Every exchange with the state service that shows
-// the claim in force confirms it as of the beginning of that exchange. Peer
-// acknowledgements confirm it as of the sending of the pings, once every other
-// controller has answered one with the terms that it knows, none of them later.
-// A controller that acquires a shard knows its term from then on, and acts on it
-// only after that. An acknowledgement counts only for the peer's present process,
-// as an earlier process may have acquired the shard and forgotten it: such a claim
-// shows in the state service alone, so that must have been read since. While all
-// peers acknowledge, an outage of the state service costs nothing.
+// During an outage of the state service an owner can't see that another controller
+// has acquired its shard. The new owner may confirm the cancellation of a job whose
+// tasks run on machines that still send heartbeats to the former owner. Each answer of
+// the former owner would renew the leases of these machines and keep the tasks
+// running. It therefore stops answering early enough for the leases to expire before
+// the cancel deadline (docs/safety.md, "Gap").
+//
+// Ownership is confirmed in two ways:
+//   - A reply of the state service that shows the claim in force confirms ownership
+//     as of the time when the request was sent.
+//   - Peer acknowledgements confirm ownership as of the time when the oldest of the
+//     pings was sent, once every other controller has answered a ping and none of
+//     them knows of a later term. This is sufficient because a controller that
+//     acquires a shard knows its new term before it acts as the owner.
+//
+// An acknowledgement counts only for the peer's current process: an earlier process
+// may have acquired the shard, and its successor does not know of that claim until it
+// reads the state service. The state service must therefore have confirmed the claim
+// after the current process was first seen. While all peers acknowledge, ownership
+// leases are renewed even during an outage of the state service.
 package ownership
 
 import (
@@ -69,75 +79,72 @@
 	second      = cluster.Second
 )
 
-// storeOutageAfter is how long the state service may not serve this controller
-// before it asks nothing of it that can wait: acquires, ownership checks and reads
-// that renew the lease.
-const storeOutageAfter = second
+// storeOutageThreshold is how long the state service must be unavailable before this
+// controller suspends acquisitions, ownership checks and reads for lease renewal.
+const storeOutageThreshold = second
 
-// Config is what the package knows from the start.
+// Config configures a Manager.
 type Config struct {
 	Self cluster.NodeID
-	// Nodes are all controllers, sorted. The shards of a failed one are acquired by
-	// the next in this ring.
+	// Nodes lists all controllers, sorted. They form a ring: the shards of a failed
+	// controller are acquired by its next live successor.
 	Nodes []cluster.NodeID
-	// InstanceID is unique to this process; its write ids begin with it.
+	// InstanceID identifies this process. Its write IDs begin with it.
 	InstanceID string
-	// CancelDeadline is within what time the tasks of a cancelled job must have ended.
+	// CancelDeadline is the maximum time between the confirmation of a cancellation and
+	// the end of the job's tasks.
 	CancelDeadline cluster.Time
-	// WorkerLease is how long a worker's tasks may run after its last answered
-	// heartbeat.
+	// WorkerLease is how long a worker's tasks may run after it sent the last heartbeat
+	// that was answered.
 	WorkerLease cluster.Time
-	// FailbackDelay is how long a shard and its preferred owner must have been
-	// settled before the shard is offered back.
+	// FailbackDelay is how long a shard must have kept its owner, and the preferred
+	// owner must have been healthy, before the shard is offered back.
 	FailbackDelay cluster.Time
 }
 
-// Peers is what is known of the other controllers.
+// Peers provides the state of the other controllers.
 type Peers interface {
-	// IsFailed tells whether a node can't own its shards.
+	// IsFailed reports whether a node is considered unable to serve its shards.
 	IsFailed(cluster.NodeID) bool
-	// AppendAcknowledgements appends what each other controller has last answered
-	// to a ping.
+	// AppendAcknowledgements appends the last acknowledgement of each peer.
 	AppendAcknowledgements([]membership.Acknowledgement) []membership.Acknowledgement
-	// RecordWrite is called when a record was seen that a process has written since
-	// it was last seen.
+	// RecordWrite records that a new write by a process was seen.
 	RecordWrite(instanceID string)
-	// RecordUpgraded is called with the controllers that a claim record lists as
-	// upgraded.
+	// RecordUpgraded records the controllers that a claim record lists as upgraded.
 	RecordUpgraded(...cluster.NodeID)
-	// UpgradedNodes lists the controllers that are known to be upgraded, sorted.
+	// UpgradedNodes returns the controllers known to be upgraded, sorted.
 	UpgradedNodes() []cluster.NodeID
 }
 
 // ShardStore keeps the machines, jobs and machine groups of owned shards.
 type ShardStore interface {
-	// LoadShard begins to read the records of a shard that was acquired.
-	// Manager.MarkReady is called in the end.
+	// LoadShard starts to load the records of an acquired shard. It calls
+	// Manager.MarkReady once they are loaded.
 	LoadShard(*state.Shard)
-	// DropShard forgets the machines, jobs and machine groups of a shard that is
-	// not owned any more.
+	// DropShard drops the machines, jobs and machine groups of a shard that is no
+	// longer owned.
 	DropShard(*state.Shard)
 }
 
-// Manager acquires and gives up shards.
+// Manager acquires and releases shards.
 //
-// It alone changes the shards' state.ShardOwnership. At most one acquire of a shard
-// and one read for its ownership checks are under way at a time.
+// Only the Manager modifies the shards' state.ShardOwnership. For each shard, at most
+// one acquisition and one read for ownership checks are in flight at a time.
 type Manager struct {
 	loop   *eventloop.Loop
 	config Config
-	shards []*state.Shard // by number
+	shards []*state.Shard // indexed by shard ID
 	queue  *writequeue.Queue
 	peers  Peers
 	store  ShardStore
 
-	claimsRevision   cluster.Revision // up to which the claim records are known
-	checks           []check          // by shard
+	claimsRevision   cluster.Revision // revision up to which claim records are applied
+	checks           []ownershipCheck // indexed by shard ID
 	changes          int
-	acknowledgements []membership.Acknowledgement // reused: every worker's heartbeat asks for them
+	acknowledgements []membership.Acknowledgement // reused buffer; needed for every heartbeat
 }
 
-// New makes a manager to which no owner is known.
+// New returns a Manager that owns no shards and does not know their owners yet.
 func New(loop *eventloop.Loop, config Config, shards []*state.Shard, queue *writequeue.Queue, peers Peers, store ShardStore) *Manager {
 	return &Manager{
 		loop:   loop,
@@ -146,25 +153,27 @@
 		queue:  queue,
 		peers:  peers,
 		store:  store,
-		checks: make([]check, len(shards)),
+		checks: make([]ownershipCheck, len(shards)),
 	}
 }
 
-// Changes counts how often a shard became ready or was lost; what was worked out
-// from the owned shards is out of date when it has changed.
+// Changes returns how many times a shard has become ready or was lost. Callers use it
+// to invalidate values derived from the set of owned shards.
 func (m *Manager) Changes() int { return m.changes }
 
-// MarkReady records that the records of an acquired shard have been read: from now
-// on the shard is served.
+// MarkReady records that the records of an acquired shard are loaded, so that the
+// shard can be served.
 func (m *Manager) MarkReady(shard *state.Shard) {
 	shard.Ready = true
 	m.changes++
 }
 
-// isStoreOut tells whether the state service does not serve this controller.
-func (m *Manager) isStoreOut() bool { return m.queue.IsUnavailableFor(storeOutageAfter) }
+// isStoreUnavailable reports whether the state service has been unavailable to this
+// controller for longer than storeOutageThreshold.
+func (m *Manager) isStoreUnavailable() bool { return m.queue.IsUnavailableFor(storeOutageThreshold) }
 
-// isNumber tells whether a number from outside is that of a shard.
-func (m *Manager) isNumber(id cluster.ShardID) bool {
+// isShardID reports whether an ID received from a peer or read from the state service
+// is that of a shard.
+func (m *Manager) isShardID(id cluster.ShardID) bool {
 	return int(id) >= 0 && int(id) < len(m.shards)
 }
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -13,12 +13,12 @@
 	"stairrelay/internal/writequeue"
 )
 
-// fakePeers are other controllers of which a test says what is known.
+// fakePeers provides the state of the other controllers as set by a test.
 type fakePeers struct {
 	failed           []cluster.NodeID
 	acknowledgements []membership.Acknowledgement
 	upgraded         []cluster.NodeID
-	writers          []string // the processes whose writes were recorded
+	writers          []string // instance IDs passed to RecordWrite
 }
 
 func (p *fakePeers) IsFailed(node cluster.NodeID) bool { return slices.Contains(p.failed, node) }
@@ -35,15 +35,14 @@
 
 func (p *fakePeers) UpgradedNodes() []cluster.NodeID { return p.upgraded }
 
-// fakeShardStore lists the shards that were to be loaded and dropped.
+// fakeShardStore records the shards loaded and dropped.
 type fakeShardStore struct{ loaded, dropped []cluster.ShardID }
 
 func (s *fakeShardStore) LoadShard(shard *state.Shard) { s.loaded = append(s.loaded, shard.ID) }
 
 func (s *fakeShardStore) DropShard(shard *state.Shard) { s.dropped = append(s.dropped, shard.ID) }
 
-// queueOwnership shows the write queue the shards of a manager, as the controller
-// does.
+// queueOwnership connects a manager to its write queue as the controller does.
 type queueOwnership struct{ manager *Manager }
 
 func (o *queueOwnership) ClaimOf(id cluster.ShardID) writequeue.Claim {
@@ -57,8 +56,8 @@
 	o.manager.RecordConfirmation(o.manager.shards[stored.ShardID], stored.Claim, stored.SentAt)
 }
 
-// testManager is the manager of n0, the preferred owner of shard 0, one of three
-// controllers, at 100 s. No owner is known.
+// testManager is the manager of n0, which is one of three controllers and the
+// preferred owner of shard 0. It starts at 100 s, with no known owners.
 type testManager struct {
 	*Manager
 	loop  *eventloop.Loop
@@ -97,22 +96,22 @@
 	return m
 }
 
-// advanceTo begins a step at a time and runs the timers that are due.
+// advanceTo starts a step of the event loop at now and runs the timers that are due.
 func (m *testManager) advanceTo(now cluster.Time) {
 	m.loop.Begin(now, 0)
 	m.loop.RunTimers()
 }
 
-// own makes a shard owned and ready, under claim revision 30 and term 1.
-func (m *testManager) own(id cluster.ShardID) *state.Shard {
+// ownShard makes a shard owned and ready, with claim revision 30 and term 1.
+func (m *testManager) ownShard(id cluster.ShardID) *state.Shard {
 	shard := m.shards[id]
 	shard.BeginOwnership("n0", 1, 30, m.loop.Now())
 	m.MarkReady(shard)
 	return shard
 }
 
-// requests lists the effects of a type of the present step.
-func requests[E messages.Effect](m *testManager) []E {
+// effectsOf returns the effects of type E of the current step.
+func effectsOf[E messages.Effect](m *testManager) []E {
 	m.queue.Dispatch()
 	var found []E
 	for _, effect := range m.loop.Effects() {
@@ -123,77 +122,77 @@
 	return found
 }
 
-// onlyRequest returns the one effect of a type of the present step.
-func onlyRequest[E messages.Effect](t *testing.T, m *testManager) E {
+// onlyEffect returns the effect of type E of the current step, which must be the only
+// one.
+func onlyEffect[E messages.Effect](t *testing.T, m *testManager) E {
 	t.Helper()
-	found := requests[E](m)
+	found := effectsOf[E](m)
 	if len(found) != 1 {
-		t.Fatalf("%d requests %T, want 1", len(found), *new(E))
+		t.Fatalf("%d effects of type %T, want 1", len(found), *new(E))
 	}
 	return found[0]
 }
 
-// reply answers a request.
+// reply delivers the reply to a request.
 func (m *testManager) reply(call messages.CallID, body messages.ReplyBody) {
 	m.loop.Deliver(messages.Reply{Call: call, Body: body})
 }
 
-// claimOf is a claim record as the state service shows it.
-func claimOf(id cluster.ShardID, owner cluster.NodeID, term cluster.Term, writeID string, revision cluster.ModRevision) messages.KV {
+// claimKV returns a claim record as stored in the state service.
+func claimKV(id cluster.ShardID, owner cluster.NodeID, term cluster.Term, writeID string, revision cluster.ModRevision) messages.KV {
 	value := fmt.Appendf(nil, `{"holder":%q,"term":%d,"w":%q}`, owner, term, writeID)
 	return messages.KV{Key: fmt.Sprintf("parts/%d", id), Value: value, ModRevision: revision}
 }
 
-// outageSince lets the state service fail from a time on.
-func (m *testManager) outageSince(at cluster.Time) { m.queue.Health.MarkFailing(at) }
+// failStoreSince makes the state service count as failing since a time.
+func (m *testManager) failStoreSince(at cluster.Time) { m.queue.Health.MarkFailing(at) }
 
-// TestConsiderAcquire shows which shards a controller acquires, and which it leaves
-// to others.
-func TestConsiderAcquire(t *testing.T) {
+// TestAcquireIfEligible checks which shards a controller acquires.
+func TestAcquireIfEligible(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		id      cluster.ShardID
 		prepare func(m *testManager, shard *state.Shard)
 		want    bool
 	}{
-		{"nobody's, preferred owner", 0, func(*testManager, *state.Shard) {}, true},
-		{"nobody's, another preferred", 1, func(*testManager, *state.Shard) {}, false},
-		{"nobody's, the preferred owner failed, next in the ring", 2, func(m *testManager, _ *state.Shard) {
+		{"no owner, preferred here", 0, func(*testManager, *state.Shard) {}, true},
+		{"no owner, preferred elsewhere", 1, func(*testManager, *state.Shard) {}, false},
+		{"no owner, preferred owner failed, next in the ring", 2, func(m *testManager, _ *state.Shard) {
 			m.peers.failed = []cluster.NodeID{"n2"}
 		}, true},
-		{"nobody's, the preferred owner failed, another is next", 1, func(m *testManager, _ *state.Shard) {
+		{"no owner, preferred owner failed, another node is next", 1, func(m *testManager, _ *state.Shard) {
 			m.peers.failed = []cluster.NodeID{"n1"}
 		}, false},
-		{"an earlier process's", 1, func(_ *testManager, shard *state.Shard) { shard.Owner = "n0" }, true},
-		{"another's", 0, func(_ *testManager, shard *state.Shard) { shard.Owner = "n1" }, false},
-		{"another's that failed, next in the ring", 0, func(m *testManager, shard *state.Shard) {
+		{"owned by an earlier process", 1, func(_ *testManager, shard *state.Shard) { shard.Owner = "n0" }, true},
+		{"owned by another node", 0, func(_ *testManager, shard *state.Shard) { shard.Owner = "n1" }, false},
+		{"owner failed, next in the ring", 0, func(m *testManager, shard *state.Shard) {
 			shard.Owner, m.peers.failed = "n2", []cluster.NodeID{"n2"}
 		}, true},
-		{"another's that failed, another is next", 0, func(m *testManager, shard *state.Shard) {
+		{"owner failed, another node is next", 0, func(m *testManager, shard *state.Shard) {
 			shard.Owner, m.peers.failed = "n1", []cluster.NodeID{"n1"}
 		}, false},
-		{"another's that failed as did the next", 0, func(m *testManager, shard *state.Shard) {
+		{"owner and its successor failed", 0, func(m *testManager, shard *state.Shard) {
 			shard.Owner, m.peers.failed = "n1", []cluster.NodeID{"n1", "n2"}
 		}, true},
-		{"another's that failed, acquired by it just now", 0, func(m *testManager, shard *state.Shard) {
+		{"owner failed right after acquiring it", 0, func(m *testManager, shard *state.Shard) {
 			shard.RecordOwner("n2", 4, 30, m.loop.Now())
 			m.peers.failed = []cluster.NodeID{"n2"}
 		}, false},
 		{"offered back", 0, func(_ *testManager, shard *state.Shard) {
 			shard.Owner, shard.FailbackOffered = "n1", true
 		}, true},
-		{"offered back, acquired by the other just now", 0, func(m *testManager, shard *state.Shard) {
+		{"offered back right after a change of owners", 0, func(m *testManager, shard *state.Shard) {
 			shard.RecordOwner("n1", 4, 30, m.loop.Now())
 			shard.FailbackOffered = true
 		}, false},
-		{"owned here", 0, func(m *testManager, _ *state.Shard) { m.own(0) }, false},
-		{"acquire under way", 0, func(_ *testManager, shard *state.Shard) { shard.Acquiring = true }, false},
+		{"owned here", 0, func(m *testManager, _ *state.Shard) { m.ownShard(0) }, false},
+		{"acquisition in flight", 0, func(_ *testManager, shard *state.Shard) { shard.Acquiring = true }, false},
 		{"claim record not read yet", 0, func(_ *testManager, shard *state.Shard) { shard.RecordRead = false }, false},
-		{"given up as corrupt just now", 0, func(m *testManager, shard *state.Shard) {
+		{"dropped as corrupt recently", 0, func(m *testManager, shard *state.Shard) {
 			shard.PostponeAcquire(m.loop.Now())
 		}, false},
-		{"during an outage of the state service", 0, func(m *testManager, _ *state.Shard) {
-			m.outageSince(m.loop.Now() - 2*second)
+		{"state service unavailable", 0, func(m *testManager, _ *state.Shard) {
+			m.failStoreSince(m.loop.Now() - 2*second)
 		}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -201,113 +200,113 @@
 			shard := m.shards[test.id]
 			test.prepare(m, shard)
 			m.AcquireIfEligible(shard)
-			if got := len(requests[messages.StoreTxn](m)) > 0; got != test.want {
-				t.Errorf("acquires: %v, want %v", got, test.want)
+			if got := len(effectsOf[messages.StoreTxn](m)) > 0; got != test.want {
+				t.Errorf("acquires the shard: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestAcquire shows what an acquire writes, on which condition, and what follows from
-// its outcome.
+// TestAcquire checks the compare-and-swap of an acquisition and the ownership that
+// follows from its reply.
 func TestAcquire(t *testing.T) {
 	m := newTestManager()
 	shard := m.shards[1]
-	m.ApplyClaim(claimOf(1, "n1", 4, "b1-7", 20))
+	m.ApplyClaim(claimKV(1, "n1", 4, "b1-7", 20))
 	m.Acquire(shard)
-	txn := onlyRequest[messages.StoreTxn](t, m)
+	txn := onlyEffect[messages.StoreTxn](t, m)
 	const want = `{"holder":"n0","term":5,"w":"b0-1","up":["n0","n2"]}`
 	if len(txn.Then) != 1 || txn.Then[0].Key != "parts/1" || string(txn.Then[0].Value) != want {
-		t.Errorf("writes %s, want %s", txn.Then, want)
+		t.Errorf("wrote %s, want %s", txn.Then, want)
 	}
 	if wantIf := (messages.Compare{Key: "parts/1", ModRevision: 20}); len(txn.If) != 1 || txn.If[0] != wantIf {
-		t.Errorf("on condition of %v, want %v", txn.If, wantIf)
+		t.Errorf("conditions %v, want %v", txn.If, wantIf)
 	}
 
-	m.ApplyClaim(claimOf(1, "n0", 5, "b0-1", 31)) // the watch is faster than the answer
+	m.ApplyClaim(claimKV(1, "n0", 5, "b0-1", 31)) // the watch reports the write before its reply arrives
 	if shard.Owned || shard.ModRevision != 20 {
-		t.Errorf("before the answer: owned %v, mod revision %d", shard.Owned, shard.ModRevision)
+		t.Errorf("before the reply: owned %v, mod revision %d", shard.Owned, shard.ModRevision)
 	}
 	m.reply(txn.Call, messages.TxnReply{Outcome: messages.OK, Revision: 31})
 	if !shard.Owned || shard.Ready || shard.Term != 5 || shard.ModRevision != 31 || shard.ClaimRevision != 31 {
-		t.Errorf("after the answer: %+v", shard.ShardOwnership)
+		t.Errorf("after the reply: %+v", shard.ShardOwnership)
 	}
 	if shard.ConfirmedAt != m.loop.Now() {
-		t.Errorf("confirmed as of %v, want the sending of the transaction", shard.ConfirmedAt)
+		t.Errorf("confirmed as of %v, want the time when the transaction was sent", shard.ConfirmedAt)
 	}
 	if !slices.Equal(m.store.loaded, []cluster.ShardID{1}) {
-		t.Errorf("loads shards %v", m.store.loaded)
+		t.Errorf("loaded shards %v, want shard 1", m.store.loaded)
 	}
 }
 
-// TestAcquireOvertaken shows that an acquire whose answer comes after a later claim of
-// another controller does not make this one the owner.
-func TestAcquireOvertaken(t *testing.T) {
+// TestAcquireReplyAfterLaterClaim guards against taking ownership when the reply to an
+// acquisition arrives after a later claim of another controller.
+func TestAcquireReplyAfterLaterClaim(t *testing.T) {
 	m := newTestManager()
 	shard := m.shards[0]
 	m.Acquire(shard)
-	txn := onlyRequest[messages.StoreTxn](t, m)
-	m.ApplyClaim(claimOf(0, "n1", 2, "b1-7", 32))
+	txn := onlyEffect[messages.StoreTxn](t, m)
+	m.ApplyClaim(claimKV(0, "n1", 2, "b1-7", 32))
 	m.reply(txn.Call, messages.TxnReply{Outcome: messages.OK, Revision: 31})
 	if shard.Owned || shard.Acquiring || shard.Owner != "n1" || len(m.store.loaded) > 0 {
-		t.Errorf("%+v, loads shards %v", shard.ShardOwnership, m.store.loaded)
+		t.Errorf("%+v, loaded shards %v; want the claim of n1 and no shard", shard.ShardOwnership, m.store.loaded)
 	}
 }
 
-// TestAcquireConflict shows that a controller whose acquire comes too late reads who
-// was first.
+// TestAcquireConflict checks that an acquisition that fails on a conflict reads the
+// claim record.
 func TestAcquireConflict(t *testing.T) {
 	m := newTestManager()
 	shard := m.shards[0]
 	m.Acquire(shard)
-	txn := onlyRequest[messages.StoreTxn](t, m)
+	txn := onlyEffect[messages.StoreTxn](t, m)
 	m.reply(txn.Call, messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{"parts/0"}})
-	read := onlyRequest[messages.StoreGet](t, m)
-	m.reply(read.Call, messages.GetReply{Outcome: messages.OK, KV: claimOf(0, "n2", 1, "b2-1", 31)})
+	read := onlyEffect[messages.StoreGet](t, m)
+	m.reply(read.Call, messages.GetReply{Outcome: messages.OK, KV: claimKV(0, "n2", 1, "b2-1", 31)})
 	if shard.Owned || shard.Acquiring || shard.Owner != "n2" || shard.Term != 1 {
 		t.Errorf("%+v", shard.ShardOwnership)
 	}
 }
 
-// TestDeposed shows from what an owner learns that it has lost a shard, and that it
-// gives up all that depends on it.
-func TestDeposed(t *testing.T) {
+// TestOwnershipLost checks which events end the ownership of a shard, and that pending
+// ownership checks and writes fail then.
+func TestOwnershipLost(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		learn func(m *testManager)
+		event func(m *testManager)
 		want  bool
 	}{
-		{"another's claim record", func(m *testManager) { m.ApplyClaim(claimOf(0, "n1", 2, "b1-7", 31)) }, true},
-		{"an earlier process's claim record", func(m *testManager) { m.ApplyClaim(claimOf(0, "n0", 2, "b9-7", 31)) }, true},
-		{"this process's claim record", func(m *testManager) { m.ApplyClaim(claimOf(0, "n0", 2, "b0-7", 31)) }, false},
-		{"a claim record before ours", func(m *testManager) { m.ApplyClaim(claimOf(0, "n1", 2, "b1-7", 29)) }, false},
-		{"a peer owns it under a later term", func(m *testManager) {
+		{"claim record of another node", func(m *testManager) { m.ApplyClaim(claimKV(0, "n1", 2, "b1-7", 31)) }, true},
+		{"claim record of an earlier process", func(m *testManager) { m.ApplyClaim(claimKV(0, "n0", 2, "b9-7", 31)) }, true},
+		{"claim record of this process", func(m *testManager) { m.ApplyClaim(claimKV(0, "n0", 2, "b0-7", 31)) }, false},
+		{"claim record older than ours", func(m *testManager) { m.ApplyClaim(claimKV(0, "n1", 2, "b1-7", 29)) }, false},
+		{"peer owns it with a later term", func(m *testManager) {
 			m.ApplyPing("n1", &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 2}}})
 		}, true},
-		{"a peer owns it under our term", func(m *testManager) {
+		{"peer owns it with our term", func(m *testManager) {
 			m.ApplyPing("n1", &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 1}}})
 		}, false},
-		{"a peer knows a later term", func(m *testManager) {
+		{"peer knows a later term", func(m *testManager) {
 			m.ApplyPing("n1", &messages.Ping{KnownTerms: []cluster.Term{2, 0, 0}})
 		}, true},
-		{"a peer knows our term", func(m *testManager) {
+		{"peer knows our term", func(m *testManager) {
 			m.ApplyPing("n1", &messages.Ping{KnownTerms: []cluster.Term{1, 0, 0}})
 		}, false},
-		{"numbers of no shard", func(m *testManager) {
+		{"invalid shard IDs", func(m *testManager) {
 			m.ApplyPing("n1", &messages.Ping{
 				Shards:         []messages.ShardTerm{{Shard: -1, Term: 9}, {Shard: 3, Term: 9}},
 				FailbackOffers: []cluster.ShardID{-1, 3},
 				KnownTerms:     []cluster.Term{1, 0, 0, 9},
 			})
-			m.ApplyClaim(claimOf(3, "n1", 9, "b1-7", 31))
+			m.ApplyClaim(claimKV(3, "n1", 9, "b1-7", 31))
 		}, false},
-		{"a corrupt record", func(m *testManager) { m.DropCorruptShard(m.shards[0], "groups/g", "test") }, true},
+		{"corrupt record", func(m *testManager) { m.DropCorruptShard(m.shards[0], "groups/g", "test") }, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := newTestManager()
-			shard := m.own(0)
-			loss := m.watchLoss(shard)
-			test.learn(m)
+			shard := m.ownShard(0)
+			loss := m.observeLoss(shard)
+			test.event(m)
 			if shard.Owned == test.want || shard.Ready == test.want {
 				t.Fatalf("owned %v, ready %v", shard.Owned, shard.Ready)
 			}
@@ -316,15 +315,16 @@
 	}
 }
 
-// observedLoss is what was seen of the loss of shard 0.
+// observedLoss records the effects of the loss of shard 0.
 type observedLoss struct {
-	checkAnswers  []bool // of an ownership check that waited
-	lostWrites    int    // queued writes that were told of it
+	checkAnswers  []bool // results of the pending ownership check
+	lostWrites    int    // queued writes that failed because of it
 	changesBefore int
 }
 
-// watchLoss lets an ownership check and a write wait while shard 0 is lost.
-func (m *testManager) watchLoss(shard *state.Shard) *observedLoss {
+// observeLoss starts an ownership check and a write that are pending when shard 0 is
+// lost.
+func (m *testManager) observeLoss(shard *state.Shard) *observedLoss {
 	loss := &observedLoss{changesBefore: m.Changes()}
 	m.ConfirmOwnership(shard, func(owned bool) { loss.checkAnswers = append(loss.checkAnswers, owned) })
 	m.queue.Enqueue(writequeue.Start, &writequeue.Write{
@@ -335,7 +335,7 @@
 	return loss
 }
 
-// check compares what was seen with what should follow from a loss, or from none.
+// check compares the observed effects with those expected of a loss, or of none.
 func (o *observedLoss) check(t *testing.T, m *testManager, lost bool) {
 	t.Helper()
 	var wantAnswers []bool
@@ -345,27 +345,27 @@
 		wantAnswers, wantDropped, wantWrites, wantChanges = []bool{false}, []cluster.ShardID{0}, 1, 1
 	}
 	if !slices.Equal(o.checkAnswers, wantAnswers) {
-		t.Errorf("the ownership check was answered %v, want %v", o.checkAnswers, wantAnswers)
+		t.Errorf("results of the ownership check %v, want %v", o.checkAnswers, wantAnswers)
 	}
 	if !slices.Equal(m.store.dropped, wantDropped) {
 		t.Errorf("dropped shards %v, want %v", m.store.dropped, wantDropped)
 	}
 	if o.lostWrites != wantWrites {
-		t.Errorf("%d writes were told of the loss, want %d", o.lostWrites, wantWrites)
+		t.Errorf("%d writes failed because of the loss, want %d", o.lostWrites, wantWrites)
 	}
 	if changes := m.Changes() - o.changesBefore; changes != wantChanges {
-		t.Errorf("%d changes were counted, want %d", changes, wantChanges)
+		t.Errorf("%d changes counted, want %d", changes, wantChanges)
 	}
-	readsClaim := slices.ContainsFunc(requests[messages.StoreGet](m), func(read messages.StoreGet) bool {
+	readsClaim := slices.ContainsFunc(effectsOf[messages.StoreGet](m), func(read messages.StoreGet) bool {
 		return read.Key == "parts/0"
 	})
 	if lost && !readsClaim {
-		t.Error("does not read who owns the shard now")
+		t.Error("the claim record is not read after the loss")
 	}
 }
 
-// TestPeerClaim shows what follows from a peer's ping that names a later term of a
-// shard which is not owned here.
+// TestPeerClaim checks that a later term in a peer's ping updates the owner of a shard
+// that is not owned here, unless an acquisition is in flight.
 func TestPeerClaim(t *testing.T) {
 	for _, acquiring := range []bool{false, true} {
 		m := newTestManager()
@@ -374,44 +374,44 @@
 		shard.Acquiring = acquiring
 		m.ApplyPing("n2", &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 5}}})
 		owner, term, reads := cluster.NodeID("n2"), cluster.Term(5), 1
-		if acquiring { // the acquire's outcome will tell
+		if acquiring { // left to the reply to the acquisition
 			owner, term, reads = "n1", 4, 0
 		}
 		if shard.Owner != owner || shard.Term != term || shard.ModRevision != 20 {
 			t.Errorf("acquiring %v: %+v", acquiring, shard.ShardOwnership)
 		}
-		if got := len(requests[messages.StoreGet](m)); got != reads {
+		if got := len(effectsOf[messages.StoreGet](m)); got != reads {
 			t.Errorf("acquiring %v: %d reads of the claim record, want %d", acquiring, got, reads)
 		}
 	}
 }
 
-// TestRecordConfirmation shows that a confirmation counts only for the claim in force,
-// and never moves back.
+// TestRecordConfirmation checks that a confirmation counts only for the current claim
+// and never moves ConfirmedAt back.
 func TestRecordConfirmation(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		owned   bool
-		claim   cluster.ModRevision
-		begunAt cluster.Time
-		want    cluster.Time
+		name   string
+		owned  bool
+		claim  cluster.ModRevision
+		sentAt cluster.Time
+		want   cluster.Time
 	}{
 		{"later", true, 30, 91 * second, 91 * second},
 		{"earlier", true, 30, 89 * second, 90 * second},
-		{"another claim", true, 29, 91 * second, 90 * second},
+		{"other claim", true, 29, 91 * second, 90 * second},
 		{"not owned", false, 30, 91 * second, 90 * second},
 	} {
 		m := newTestManager()
-		shard := m.own(0)
+		shard := m.ownShard(0)
 		shard.Owned, shard.ConfirmedAt = test.owned, 90*second
-		m.RecordConfirmation(shard, test.claim, test.begunAt)
+		m.RecordConfirmation(shard, test.claim, test.sentAt)
 		if shard.ConfirmedAt != test.want {
 			t.Errorf("%s: confirmed as of %v, want %v", test.name, shard.ConfirmedAt, test.want)
 		}
 	}
 }
 
-// TestHandleForeignWrite shows that a record which another writer changed is found
+// TestHandleForeignWrite checks that a record modified by another writer counts as
 // corrupt only if this controller still owns the shard.
 func TestHandleForeignWrite(t *testing.T) {
 	for _, test := range []struct {
@@ -419,55 +419,55 @@
 		claim       messages.KV
 		wantCorrupt int
 	}{
-		{"acquired by another", claimOf(0, "n1", 2, "b1-7", 31), 0},
-		{"still ours", claimOf(0, "n0", 1, "b0-1", 30), 1},
+		{"acquired by another node", claimKV(0, "n1", 2, "b1-7", 31), 0},
+		{"still owned here", claimKV(0, "n0", 1, "b0-1", 30), 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := newTestManager()
-			shard := m.own(0)
+			shard := m.ownShard(0)
 			m.HandleForeignWrite(shard, "groups/g", "test")
-			failed := onlyRequest[messages.StoreGet](t, m)
+			failed := onlyEffect[messages.StoreGet](t, m)
 			m.reply(failed.Call, messages.GetReply{Outcome: messages.UnknownOutcome})
 			if !shard.Owned {
-				t.Fatal("given up though nothing was read")
+				t.Fatal("shard dropped after a failed read")
 			}
-			m.advanceTo(m.loop.Now() + foreignWriteRetryPause)
-			read := onlyRequest[messages.StoreGet](t, m)
+			m.advanceTo(m.loop.Now() + foreignWriteRetryDelay)
+			read := onlyEffect[messages.StoreGet](t, m)
 			m.reply(read.Call, messages.GetReply{Outcome: messages.OK, KV: test.claim})
 			if shard.Owned || shard.CorruptRecordCount != test.wantCorrupt {
-				t.Errorf("owned %v, %d times corrupt, want %d", shard.Owned, shard.CorruptRecordCount, test.wantCorrupt)
+				t.Errorf("owned %v, corrupt record count %d, want %d", shard.Owned, shard.CorruptRecordCount, test.wantCorrupt)
 			}
 		})
 	}
 }
 
-// TestFailbackOffered shows when a shard is offered back to its preferred owner.
+// TestFailbackOffered checks when a shard is offered back to its preferred owner.
 func TestFailbackOffered(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		prepare func(m *testManager, shard *state.Shard, to *fakePeer)
 		want    bool
 	}{
-		{"idle, both settled", func(*testManager, *state.Shard, *fakePeer) {}, true},
-		{"not its preferred owner", func(_ *testManager, _ *state.Shard, to *fakePeer) { to.id = "n2" }, false},
-		{"not ready", func(_ *testManager, shard *state.Shard, _ *fakePeer) { shard.Ready = false }, false},
-		{"not owned", func(_ *testManager, shard *state.Shard, _ *fakePeer) { shard.Owned = false }, false},
+		{"idle shard, healthy peer", func(*testManager, *state.Shard, *fakePeer) {}, true},
+		{"peer is not the preferred owner", func(_ *testManager, _ *state.Shard, to *fakePeer) { to.id = "n2" }, false},
+		{"shard not ready", func(_ *testManager, shard *state.Shard, _ *fakePeer) { shard.Ready = false }, false},
+		{"shard not owned", func(_ *testManager, shard *state.Shard, _ *fakePeer) { shard.Owned = false }, false},
 		{"peer unreachable", func(_ *testManager, _ *state.Shard, to *fakePeer) { to.unreachable = true }, false},
-		{"peer not healthy for long", func(_ *testManager, _ *state.Shard, to *fakePeer) { to.healthyFor = 4 * second }, false},
-		{"owned not for long", func(m *testManager, shard *state.Shard, _ *fakePeer) {
+		{"peer healthy only recently", func(_ *testManager, _ *state.Shard, to *fakePeer) { to.healthyFor = 4 * second }, false},
+		{"owner changed recently", func(m *testManager, shard *state.Shard, _ *fakePeer) {
 			shard.OwnershipChangedAt = m.loop.Now() - 4*second
 		}, false},
-		{"all the work", func(_ *testManager, shard *state.Shard, _ *fakePeer) {
+		{"the only busy shard", func(_ *testManager, shard *state.Shard, _ *fakePeer) {
 			shard.Jobs = []*state.Job{{}}
 		}, false},
-		{"some of the work", func(m *testManager, shard *state.Shard, _ *fakePeer) {
+		{"one of two busy shards", func(m *testManager, shard *state.Shard, _ *fakePeer) {
 			shard.Jobs = []*state.Job{{}}
-			m.own(0).Machines = []*state.Machine{{}}
+			m.ownShard(0).Machines = []*state.Machine{{}}
 		}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := newTestManager()
-			shard, to := m.own(1), &fakePeer{id: "n1", healthyFor: 5 * second}
+			shard, to := m.ownShard(1), &fakePeer{id: "n1", healthyFor: 5 * second}
 			m.advanceTo(m.loop.Now() + 10*second)
 			test.prepare(m, shard, to)
 			ping := &messages.Ping{}
@@ -479,7 +479,7 @@
 	}
 }
 
-// fakePeer is a peer that a ping goes to.
+// fakePeer is the recipient of a ping.
 type fakePeer struct {
 	id          cluster.NodeID
 	unreachable bool
@@ -492,8 +492,8 @@
 
 func (p *fakePeer) IsHealthyFor(duration cluster.Time) bool { return p.healthyFor > duration }
 
-// TestFailbackOfferApplied shows that an offer counts only from the shard's owner to
-// its preferred owner, and until that owner changes its mind.
+// TestFailbackOfferApplied checks that an offer counts only from the shard's owner to
+// its preferred owner, and only until the owner's next ping without it.
 func TestFailbackOfferApplied(t *testing.T) {
 	m := newTestManager()
 	for id, owner := range []cluster.NodeID{"n1", "n2", "n1"} {
@@ -507,15 +507,15 @@
 	}
 	m.ApplyPing("n1", &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 4}}})
 	if m.shards[0].FailbackOffered {
-		t.Error("still counts as offered back")
+		t.Error("shard 0 still offered back after a ping without the offer")
 	}
 }
 
-// TestConfirmSharesReads shows that a read of the claim record serves all ownership
-// checks that were asked for before it began, and none asked for later.
-func TestConfirmSharesReads(t *testing.T) {
+// TestOwnershipChecksShareReads checks that pending ownership checks share a read, and
+// guards against answering a check from a read that started before it.
+func TestOwnershipChecksShareReads(t *testing.T) {
 	m := newTestManager()
-	shard := m.own(0)
+	shard := m.ownShard(0)
 	var answered []string
 	ask := func(name string) {
 		m.ConfirmOwnership(shard, func(owned bool) { answered = append(answered, fmt.Sprint(name, " ", owned)) })
@@ -523,104 +523,104 @@
 	ask("first")
 	ask("second")
 	m.advanceTo(m.loop.Now())
-	read := onlyRequest[messages.StoreGet](t, m)
+	read := onlyEffect[messages.StoreGet](t, m)
 	ask("third")
-	kv := claimOf(0, "n0", 1, "b0-1", 30)
+	kv := claimKV(0, "n0", 1, "b0-1", 30)
 	m.reply(read.Call, messages.GetReply{Outcome: messages.OK, KV: kv})
 	if want := []string{"first true", "second true"}; !slices.Equal(answered, want) {
 		t.Errorf("answered %v, want %v", answered, want)
 	}
 	if shard.ConfirmedAt != m.loop.Now() {
-		t.Errorf("confirmed as of %v", shard.ConfirmedAt)
+		t.Errorf("confirmed as of %v, want now", shard.ConfirmedAt)
 	}
 
-	m.advanceTo(m.loop.Now() + checkInterval - 1)
-	if early := requests[messages.StoreGet](m); len(early) > 0 {
-		t.Error("read again before the interval has passed")
+	m.advanceTo(m.loop.Now() + minCheckInterval - 1)
+	if early := effectsOf[messages.StoreGet](m); len(early) > 0 {
+		t.Error("read again before the minimum interval has passed")
 	}
 	m.advanceTo(m.loop.Now() + 1)
-	read = onlyRequest[messages.StoreGet](t, m)
+	read = onlyEffect[messages.StoreGet](t, m)
 	m.reply(read.Call, messages.GetReply{Outcome: messages.UnknownOutcome})
 	if want := []string{"first true", "second true", "third false"}; !slices.Equal(answered, want) {
 		t.Errorf("answered %v, want %v", answered, want)
 	}
 }
 
-// TestConfirmDuringOutage shows that an ownership check fails at once while the state
-// service does not serve this controller.
-func TestConfirmDuringOutage(t *testing.T) {
+// TestOwnershipCheckDuringOutage checks that an ownership check fails immediately,
+// without a read, while the state service is unavailable.
+func TestOwnershipCheckDuringOutage(t *testing.T) {
 	m := newTestManager()
-	shard := m.own(0)
-	m.outageSince(m.loop.Now() - 2*second)
+	shard := m.ownShard(0)
+	m.failStoreSince(m.loop.Now() - 2*second)
 	answers := 0
 	m.ConfirmOwnership(shard, func(owned bool) {
 		answers++
 		if owned {
-			t.Error("confirmed")
+			t.Error("ownership confirmed")
 		}
 	})
-	if answers != 1 || len(requests[messages.StoreGet](m)) > 0 {
-		t.Errorf("%d answers, %d reads", answers, len(requests[messages.StoreGet](m)))
+	if answers != 1 || len(effectsOf[messages.StoreGet](m)) > 0 {
+		t.Errorf("%d answers and %d reads, want one answer and no read", answers, len(effectsOf[messages.StoreGet](m)))
 	}
 }
 
-// TestRenewLeases shows that the claim records are read of just those owned shards
-// whose last confirmation is old.
+// TestRenewLeases checks that only claim records whose last confirmation is too old are
+// read.
 func TestRenewLeases(t *testing.T) {
 	m := newTestManager()
-	m.own(0).ConfirmedAt = m.loop.Now() - 2*second - 1
-	m.own(1).ConfirmedAt = m.loop.Now() - 2*second
+	m.ownShard(0).ConfirmedAt = m.loop.Now() - 2*second - 1
+	m.ownShard(1).ConfirmedAt = m.loop.Now() - 2*second
 	m.peers.acknowledgements = []membership.Acknowledgement{{}}
 	m.RenewLeases()
-	if read := onlyRequest[messages.StoreGet](t, m); read.Key != "parts/0" {
-		t.Errorf("reads %s", read.Key)
+	if read := onlyEffect[messages.StoreGet](t, m); read.Key != "parts/0" {
+		t.Errorf("read %s, want parts/0", read.Key)
 	}
 }
 
-// TestStartFollowsClaims shows that a new process reads all claim records, acquires
-// what it may and follows the changes, and reads all again after it has missed some.
+// TestStartFollowsClaims checks that a new process reads all claim records, acquires
+// its shards and watches the records, and starts over after a compaction.
 func TestStartFollowsClaims(t *testing.T) {
 	m := newTestManager()
 	m.Start()
-	list := onlyRequest[messages.StoreList](t, m)
+	list := onlyEffect[messages.StoreList](t, m)
 	m.reply(list.Call, messages.ListReply{Outcome: messages.UnknownOutcome})
-	m.advanceTo(m.loop.Now() + claimListRetryPause)
-	list = onlyRequest[messages.StoreList](t, m)
+	m.advanceTo(m.loop.Now() + claimListRetryDelay)
+	list = onlyEffect[messages.StoreList](t, m)
 	m.reply(list.Call, messages.ListReply{
 		Outcome:  messages.OK,
 		Revision: 40,
-		Items:    []messages.KV{claimOf(0, "n0", 3, "b9-7", 20), claimOf(1, "n1", 4, "b1-7", 21)},
+		Items:    []messages.KV{claimKV(0, "n0", 3, "b9-7", 20), claimKV(1, "n1", 4, "b1-7", 21)},
 	})
-	if got := onlyRequest[messages.StoreTxn](t, m).Then[0].Key; got != "parts/0" {
-		t.Errorf("acquires %s, want the shard of its earlier process", got)
+	if got := onlyEffect[messages.StoreTxn](t, m).Then[0].Key; got != "parts/0" {
+		t.Errorf("acquires %s, want the shard of the earlier process, parts/0", got)
 	}
 	if m.shards[1].Owner != "n1" || m.shards[1].Term != 4 {
-		t.Errorf("shard 1: %+v", m.shards[1].ShardOwnership)
+		t.Errorf("shard 1: %+v, want owner n1 and term 4", m.shards[1].ShardOwnership)
 	}
 	if want := []string{"b9", "b1"}; !slices.Equal(m.peers.writers, want) {
-		t.Errorf("writes of %v recorded, want %v", m.peers.writers, want)
+		t.Errorf("recorded writes of %v, want %v", m.peers.writers, want)
 	}
 
-	watch := onlyRequest[messages.StoreWatch](t, m)
+	watch := onlyEffect[messages.StoreWatch](t, m)
 	if watch.SinceRevision != 40 {
-		t.Errorf("follows the changes after %d", watch.SinceRevision)
+		t.Errorf("watches since revision %d, want 40", watch.SinceRevision)
 	}
 	m.reply(watch.Call, messages.WatchReply{Outcome: messages.Compacted})
-	m.advanceTo(m.loop.Now() + claimWatchPause)
-	onlyRequest[messages.StoreList](t, m)
+	m.advanceTo(m.loop.Now() + claimWatchDelay)
+	onlyEffect[messages.StoreList](t, m)
 }
 
-// TestUnreadableClaim shows that a claim record which makes no sense changes nothing.
-func TestUnreadableClaim(t *testing.T) {
+// TestInvalidClaim checks that an invalid claim record is logged and ignored.
+func TestInvalidClaim(t *testing.T) {
 	for _, value := range []string{`{`, `{"term":7}`, `{"holder":7}`} {
 		m := newTestManager()
-		shard := m.own(0)
+		shard := m.ownShard(0)
 		m.ApplyClaim(messages.KV{Key: shard.Key(), Value: []byte(value), ModRevision: 31})
 		if !shard.Owned || shard.Term != 1 || shard.ModRevision != 30 {
 			t.Errorf("%s: %+v", value, shard.ShardOwnership)
 		}
-		if lines := requests[messages.Log](m); len(lines) != 1 || lines[0].Level != messages.LogError {
-			t.Errorf("%s: logged %v", value, lines)
+		if lines := effectsOf[messages.Log](m); len(lines) != 1 || lines[0].Level != messages.LogError {
+			t.Errorf("%s: logged %v, want one error", value, lines)
 		}
 	}
 }
--- a/internal/ownership/pings.go
+++ b/internal/ownership/pings.go
@@ -6,18 +6,18 @@
 	"stairrelay/internal/state"
 )
 
-// Peer is another controller that a ping goes to.
+// Peer is the recipient of a ping.
 type Peer interface {
 	ID() cluster.NodeID
-	// IsUnreachable tells whether the peer does not answer calls.
+	// IsUnreachable reports whether the peer does not answer calls.
 	IsUnreachable() bool
-	// IsHealthyFor tells whether the peer has said for longer than a time that it
-	// reaches the state service and its workers.
+	// IsHealthyFor reports whether the peer has reported for longer than the given
+	// duration that it reaches the state service and its workers.
 	IsHealthyFor(cluster.Time) bool
 }
 
-// DescribeOwnership adds to a ping which shards this controller owns, which of them
-// it offers to hand back to the peer, and the latest terms that it knows.
+// DescribeOwnership sets the fields of a ping that list the shards this controller
+// owns, those of them that it offers back to the peer, and the latest known terms.
 func (m *Manager) DescribeOwnership(to Peer, ping *messages.Ping) {
 	for _, shard := range m.shards {
 		if !shard.Owned {
@@ -31,8 +31,9 @@
 	ping.KnownTerms = m.knownTerms()
 }
 
-// offersFailback tells whether a peer may acquire a shard that it is the preferred
-// owner of: both have been settled for a while.
+// offersFailback reports whether a shard should be offered back to a peer. The peer
+// must be its preferred owner and healthy, and the shard must not have changed owners
+// recently.
 func (m *Manager) offersFailback(shard *state.Shard, to Peer) bool {
 	delay := m.config.FailbackDelay
 	return shard.PreferredOwner == to.ID() && shard.Ready &&
@@ -41,9 +42,10 @@
 		m.failbackRelievesLoad(shard)
 }
 
-// failbackRelievesLoad tells whether handing a shard back would take work off this
-// controller that it does beside other work. A shard that has all the work would
-// only change owners: its machines and users would wait for that for nothing.
+// failbackRelievesLoad reports whether handing back a shard would reduce the load of
+// this controller or cost nothing: the shard is idle, or this controller owns another
+// shard that is not. Otherwise the move would interrupt the shard's users and machines
+// and only shift the whole load to another controller.
 func (m *Manager) failbackRelievesLoad(returned *state.Shard) bool {
 	if isIdle(returned) {
 		return true
@@ -56,28 +58,28 @@
 	return false
 }
 
-// isIdle tells whether a shard has neither jobs nor machines.
+// isIdle reports whether a shard has neither jobs nor machines.
 func isIdle(shard *state.Shard) bool { return len(shard.Jobs)+len(shard.Machines) == 0 }
 
-// knownTerms lists the latest terms known here, by shard.
+// knownTerms returns the latest known term of each shard, indexed by shard ID.
 func (m *Manager) knownTerms() []cluster.Term {
 	terms := make([]cluster.Term, len(m.shards))
-	for number, shard := range m.shards {
-		terms[number] = shard.Term
+	for id, shard := range m.shards {
+		terms[id] = shard.Term
 	}
 	return terms
 }
 
-// ApplyPing takes in what a peer's ping, or its answer to one, says of the shards'
-// owners, and acquires what should be owned here after that.
+// ApplyPing updates the shards' ownership from a peer's ping or its reply to one, and
+// acquires the shards that this controller should own as a result.
 func (m *Manager) ApplyPing(from cluster.NodeID, ping *messages.Ping) {
 	for _, owned := range ping.Shards {
-		if m.isNumber(owned.Shard) {
+		if m.isShardID(owned.Shard) {
 			m.applyPeerClaim(from, m.shards[owned.Shard], owned.Term)
 		}
 	}
 	for _, id := range ping.FailbackOffers {
-		if m.isNumber(id) {
+		if m.isShardID(id) {
 			m.applyFailbackOffer(from, m.shards[id])
 		}
 	}
@@ -85,36 +87,36 @@
 	m.AcquireEligibleShards()
 }
 
-// applyPeerClaim takes in that a peer says that it owns a shard under a term.
+// applyPeerClaim applies a peer's report that it owns a shard under a term.
 func (m *Manager) applyPeerClaim(from cluster.NodeID, shard *state.Shard, term cluster.Term) {
 	if term > shard.Term && shard.Owned {
 		m.HandleDeposed(shard.ID)
 	}
 	if term > shard.Term && !shard.Acquiring {
-		// The claim's mod revision is not in the ping, so the claim record has to be
-		// read before an acquire from here can succeed.
+		// A ping does not contain the mod revision of the claim record, which the
+		// compare-and-swap of an acquisition needs.
 		shard.Owner, shard.Term = from, term
 		m.RereadClaim(shard)
 	}
 	shard.FailbackOffered = shard.FailbackOffered && shard.Owner != from
 }
 
-// applyFailbackOffer takes in that the owner of a shard would hand it back to this
-// controller, if that is its preferred owner.
+// applyFailbackOffer records that a peer offers a shard back. The offer is ignored
+// unless the peer owns the shard and this controller is its preferred owner.
 func (m *Manager) applyFailbackOffer(from cluster.NodeID, shard *state.Shard) {
 	if shard.PreferredOwner == m.config.Self && shard.Owner == from {
 		shard.FailbackOffered = true
 	}
 }
 
-// applyTerms takes in what another controller knows of the shards' terms. A later
-// one is enough to give a shard up: while the state service is out of reach here,
-// nothing else would tell, and the workers would be kept by answers that have no
-// validity.
+// applyTerms applies the terms that another controller knows, indexed by shard ID. A
+// later term ends the ownership of a shard. While the state service is unreachable
+// from here, this may be the only sign of a new owner, and further answers would
+// keep renewing the leases of the shard's workers.
 func (m *Manager) applyTerms(terms []cluster.Term) {
-	for number, term := range terms {
-		if number < len(m.shards) && m.shards[number].Owned && term > m.shards[number].Term {
-			m.HandleDeposed(m.shards[number].ID)
+	for id, term := range terms {
+		if id < len(m.shards) && m.shards[id].Owned && term > m.shards[id].Term {
+			m.HandleDeposed(m.shards[id].ID)
 		}
 	}
 }
