--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -110,13 +110,14 @@
 	return shard
 }
 
-// effectsOf returns the effects of type E of the current step.
+// effectsOf dispatches the write queue and returns the effects of type E of the current
+// step.
 func effectsOf[E messages.Effect](m *testManager) []E {
 	m.queue.Dispatch()
 	var found []E
 	for _, effect := range m.loop.Effects() {
-		if request, ok := effect.(E); ok {
-			found = append(found, request)
+		if match, ok := effect.(E); ok {
+			found = append(found, match)
 		}
 	}
 	return found
