--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -75,11 +75,11 @@
 
 // ShardOwnership confirms and gives up the ownership of shards.
 type ShardOwnership interface {
-	// Confirm calls handle with whether this controller still owns the shard,
+	// ConfirmOwnership calls handle with whether this controller still owns the shard,
 	// according to a read that begins after the call.
-	Confirm(shard *state.Shard, handle func(owned bool))
-	// GiveUpCorrupt gives up a shard because the record under key is corrupt.
-	GiveUpCorrupt(shard *state.Shard, key, reason string)
+	ConfirmOwnership(shard *state.Shard, handle func(owned bool))
+	// DropCorruptShard gives up a shard because the record under key is corrupt.
+	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
 // TaskStopper stops the tasks of jobs.
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -70,7 +70,7 @@
 // shard is still owned.
 func (q *Queries) lookUpOwned(job *state.Job, handle viewHandler) {
 	id := job.Spec.ID
-	q.Ownership.Confirm(q.state.Shards[job.ShardID], func(owned bool) {
+	q.Ownership.ConfirmOwnership(q.state.Shards[job.ShardID], func(owned bool) {
 		if known := q.state.Jobs.FinalJob(id); known != nil {
 			handle(messages.ReplyOK, finalView(id, known))
 			return
@@ -194,7 +194,7 @@
 			continue
 		}
 		answer.outstanding++
-		q.Ownership.Confirm(shard, func(owned bool) {
+		q.Ownership.ConfirmOwnership(shard, func(owned bool) {
 			answer.confirmed[shard.ID] = owned
 			answer.finishOne()
 		})
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -185,7 +185,7 @@
 // giveUpShardOf gives up the shard of a job whose record was changed by another writer
 // although this controller's claim to the shard was in force.
 func (r *Records) giveUpShardOf(job *state.Job) {
-	r.Ownership.GiveUpCorrupt(r.state.Shards[job.ShardID], job.ChunkKey(0), "changed by another writer")
+	r.Ownership.DropCorruptShard(r.state.Shards[job.ShardID], job.ChunkKey(0), "changed by another writer")
 }
 
 // deleteLeftoverChunks deletes the chunks of a finished job that did not fit into the
