--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -45,7 +45,7 @@
 	// HandleForeignWrite is called when a record of an owned shard was changed by
 	// another writer than its owner.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
-	// GiveUpCorrupt gives up a shard that a record makes no sense of.
+	// DropCorruptShard gives up a shard that a record makes no sense of.
 	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -60,7 +60,7 @@
 	// HandleForeignWrite is called when a record of an owned shard was changed by
 	// another writer than its owner.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
-	// GiveUpCorrupt gives up a shard with a record that makes no sense.
+	// DropCorruptShard gives up a shard with a record that makes no sense.
 	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
