--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -59,7 +59,7 @@
 // HandlePing implements membership.Host.
 func (h membershipHost) HandlePing(from *membership.Peer, ping *messages.Ping) {
 	c := h.controller
-	c.scheduler.Rebalancer.RetainOffered(from.ID(), ping.TransferOffers)
+	c.scheduler.Rebalancer.ForgetWithdrawnOffers(from.ID(), ping.TransferOffers)
 	if len(ping.TransferOffers) > 0 {
 		c.provisioner.ScaleOut.Schedule()
 	}
--- a/internal/scheduling/offers.go
+++ b/internal/scheduling/offers.go
@@ -235,8 +235,8 @@
 	return packed > 0
 }
 
-// RetainOffered forgets the attempts to acquire groups that a controller does not
+// ForgetWithdrawnOffers forgets the attempts to acquire groups that a controller does not
 // offer any more.
-func (r *Rebalancer) RetainOffered(from cluster.NodeID, offers []messages.TransferOffer) {
+func (r *Rebalancer) ForgetWithdrawnOffers(from cluster.NodeID, offers []messages.TransferOffer) {
 	r.attempted.retainOffered(from, offers)
 }
--- a/internal/scheduling/runtimes.go
+++ b/internal/scheduling/runtimes.go
@@ -50,12 +50,12 @@
 	return class
 }
 
-// Ratio is how much longer the tasks of a class run than their users estimate.
-func (r *RunTimes) Ratio(class string) float64 { return r.class(class).ratio }
+// RuntimeRatio is how much longer the tasks of a class run than their users estimate.
+func (r *RunTimes) RuntimeRatio(class string) float64 { return r.class(class).ratio }
 
 // ExpectedSeconds is a job's run time per task as far as is known.
 func (r *RunTimes) ExpectedSeconds(job *state.Job) float64 {
-	return job.Spec.RuntimeSeconds * r.Ratio(job.Spec.Class)
+	return job.Spec.RuntimeSeconds * r.RuntimeRatio(job.Spec.Class)
 }
 
 // ExpectedRemainingSeconds is how long an assigned task will still take.
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -28,13 +28,13 @@
 		t.Errorf("%v s expected before anything ran", got)
 	}
 	f.completeTask(job, machine, 30)
-	if got := f.RunTimes.Ratio("c"); got != 2 {
+	if got := f.RunTimes.RuntimeRatio("c"); got != 2 {
 		t.Errorf("ratio %v after one run of three times the estimate, want the mean with the estimate", got)
 	}
 	if got := f.RunTimes.ExpectedSeconds(job); got != 20 {
 		t.Errorf("%v s expected", got)
 	}
-	if got := f.RunTimes.Ratio("other"); got != 1 {
+	if got := f.RunTimes.RuntimeRatio("other"); got != 1 {
 		t.Errorf("ratio %v of another class", got)
 	}
 }
@@ -56,7 +56,7 @@
 			f.loop.Begin(31*second, 1_000_000)
 			change(assignment)
 			f.RunTimes.RecordRuntime(machine, assignment)
-			if ratio := f.RunTimes.Ratio("c"); ratio != 1 || job.CompletedRuns != 0 {
+			if ratio := f.RunTimes.RuntimeRatio("c"); ratio != 1 || job.CompletedRuns != 0 {
 				t.Errorf("ratio %v, %d runs", ratio, job.CompletedRuns)
 			}
 		})
