--- a/internal/scheduling/assign.go
+++ b/internal/scheduling/assign.go
@@ -25,7 +25,7 @@
 // its time has come.
 func (s *Scheduler) RunIfRequested() {
 	now := s.shared.loop.Now()
-	switch s.Trigger.check(now) {
+	switch s.Trigger.decide(now) {
 	case runNow:
 		s.Trigger.begin(now + s.shared.deps.StretchDelay(MinInterval))
 		for _, shard := range s.shared.state.Shards {
@@ -66,7 +66,7 @@
 	}
 	r := &round{Scheduler: s, shard: shard, jobs: jobs, guaranteed: guaranteed, usage: shard.UsageByTeam(), reserved: state.TeamUsage{}}
 	r.capacities, r.kinds = s.listFreeCapacity(shard, minCPU)
-	r.assignStarving()
+	r.assignStarvingJobs()
 	for _, job := range jobs {
 		if len(r.capacities) > 0 {
 			r.assignJob(job, r.reserved[job.Spec.Team], job.PendingCount())
@@ -81,7 +81,7 @@
 // assignStarving starts one task of each starving job. Where that does not fit yet,
 // smaller work must not take again and again what it waits for: a part of its team's
 // quota and a machine are kept free for it.
-func (r *round) assignStarving() {
+func (r *round) assignStarvingJobs() {
 	for _, job := range r.jobs {
 		if !r.Queue.isStarving(job) {
 			continue
@@ -101,7 +101,7 @@
 // was kept for it already, else the one with most free CPUs.
 func (r *round) reserveMachine(job *state.Job) *state.Machine {
 	var best *state.Machine
-	var most cluster.Amount
+	var mostFree cluster.Amount
 	r.shared.deps.CountMachineScans(r.shard.Machines)
 	for _, machine := range r.shard.Machines {
 		if !r.Eligibility.IsSchedulable(machine) || machine.Cordoned || machine.Group.Offer != nil || !r.Eligibility.IsAllowedOn(job, machine) {
@@ -110,8 +110,8 @@
 		if machine.ID == job.ReservedMachine {
 			return machine
 		}
-		if free := r.shared.freeResources(machine).CPU; best == nil || free > most {
-			best, most = machine, free
+		if free := r.shared.freeResources(machine).CPU; best == nil || free > mostFree {
+			best, mostFree = machine, free
 		}
 	}
 	if best != nil {
@@ -131,13 +131,13 @@
 
 // assignJob starts up to a number of tasks of a job: on machines that have its image,
 // else are getting it, else have most free CPUs.
-func (r *round) assignJob(job *state.Job, reserved cluster.Resources, count int) {
+func (r *round) assignJob(job *state.Job, reserved cluster.Resources, limit int) {
 	allowed := make([]bool, len(r.kinds))
 	for i, kind := range r.kinds {
 		allowed[i] = r.Eligibility.isKindAllowed(job, kind.Type, kind.Zone, kind.Spot)
 	}
 	quota := r.shared.state.Teams[job.Spec.Team].QuotaLimit.Minus(reserved)
-	assigner := &jobAssigner{round: r, job: job, quota: quota, remaining: count}
+	assigner := &jobAssigner{round: r, job: job, quota: quota, remaining: limit}
 	if !slices.Contains(allowed, true) || !assigner.isWithinQuota() {
 		return
 	}
@@ -159,7 +159,7 @@
 // have no more anywhere.
 func (a *jobAssigner) fillMachine(candidate machineCandidate) bool {
 	job, machine := a.job, candidate.capacity.machine
-	last := cluster.TaskID{}
+	previous := cluster.TaskID{}
 	for a.remaining > 0 && job.PendingCount() > 0 && a.hasRoom(candidate.capacity) {
 		if !a.isWithinQuota() {
 			return false
@@ -173,8 +173,8 @@
 		if !isZoneAllowed(&job.Spec, a.tasksByZone, machine.Zone) || machine.Assignments[task] != nil {
 			return true
 		}
-		a.assignTask(candidate, task, last)
-		last = task
+		a.assignTask(candidate, task, previous)
+		previous = task
 	}
 	return true
 }
@@ -187,12 +187,12 @@
 
 // assignTask assigns a task to a machine; last is the task that was assigned there
 // just before.
-func (a *jobAssigner) assignTask(candidate machineCandidate, task, last cluster.TaskID) {
+func (a *jobAssigner) assignTask(candidate machineCandidate, task, previous cluster.TaskID) {
 	job, capacity := a.job, candidate.capacity
 	machine, request := capacity.machine, job.Spec.ResourceRequest
 	assignment := &state.Assignment{Task: task, Job: job, Attempt: a.shard.NextAttempt(), ResourceRequest: request, MachineID: machine.ID}
 	machine.AddAssignment(assignment)
-	machine.Group.AddedBytes += addedRecordBytes(job, machine, task, last)
+	machine.Group.AddedBytes += addedRecordBytes(job, machine, task, previous)
 	job.SetAssigned(task.Index, assignment)
 	a.tasksByZone[machine.Zone]++
 	a.usage[job.Spec.Team] = a.usage[job.Spec.Team].Plus(request)
@@ -206,8 +206,8 @@
 
 // addedRecordBytes is about how much longer a group's record gets by a task: one that
 // follows on the task assigned before to the same machine only widens its range.
-func addedRecordBytes(job *state.Job, machine *state.Machine, task, last cluster.TaskID) int {
-	if last.Job == task.Job && last.Index+1 == task.Index {
+func addedRecordBytes(job *state.Job, machine *state.Machine, task, previous cluster.TaskID) int {
+	if previous.Job == task.Job && previous.Index+1 == task.Index {
 		return grouprecord.AddedBytes(task.Job, true, false)
 	}
 	jobListed := false
@@ -241,14 +241,14 @@
 			candidates = append(candidates, machineCandidate{candidate, capacity})
 		}
 	}
-	spotSuits, onDemandSuits := r.Spot.IsMarketSuited(r.shard, job, true), r.Spot.IsMarketSuited(r.shard, job, false)
+	spotPreferred, onDemandPreferred := r.Spot.IsPreferredMarket(r.shard, job, true), r.Spot.IsPreferredMarket(r.shard, job, false)
 	for i := range candidates {
-		if candidates[i].Suitable = onDemandSuits; candidates[i].Spot {
-			candidates[i].Suitable = spotSuits
+		if candidates[i].PreferredMarket = onDemandPreferred; candidates[i].Spot {
+			candidates[i].PreferredMarket = spotPreferred
 		}
 	}
-	spotIsRisk := r.Spot.IsOnDemandWorthFetching(job)
-	slices.SortStableFunc(candidates, func(a, b machineCandidate) int { return a.Compare(&b.Candidate, spotIsRisk) })
+	spotIsRisky := r.Spot.IsOnDemandWorthImageFetch(job)
+	slices.SortStableFunc(candidates, func(a, b machineCandidate) int { return a.Compare(&b.Candidate, spotIsRisky) })
 	return candidates
 }
 
@@ -259,5 +259,5 @@
 	return job.Spec.ResourceRequest.FitsIn(capacity.available) &&
 		r.shared.deps.Records.HasRoom(machine.Group, job) &&
 		!avoids(job, machine) &&
-		r.Eligibility.CanUseMachine(job, machine)
+		r.Eligibility.IsAllowedDespiteScaleIn(job, machine)
 }
--- a/internal/scheduling/attemptedtransfers.go
+++ b/internal/scheduling/attemptedtransfers.go
@@ -27,7 +27,7 @@
 }
 
 // retainOffered forgets the groups that a controller offers no longer.
-func (a attemptedTransfers) retainOffered(from cluster.NodeID, offers []messages.TransferOffer) {
+func (a attemptedTransfers) forgetWithdrawn(from cluster.NodeID, offers []messages.TransferOffer) {
 	maps.DeleteFunc(a[from], func(key string, _ cluster.ModRevision) bool {
 		return !slices.ContainsFunc(offers, func(offer messages.TransferOffer) bool { return offer.Key == key })
 	})
--- a/internal/scheduling/candidates.go
+++ b/internal/scheduling/candidates.go
@@ -27,7 +27,7 @@
 	nearlyIdleDivisor = 8
 	// manyTasks is how many tasks of a job a machine must have room for to begin a
 	// second fetch while it is nearly idle.
-	manyTasks = 16
+	minTasksForSecondFetch = 16
 )
 
 // ImageFetches holds the images that a machine is fetching. The zero value has none.
@@ -56,16 +56,16 @@
 // State returns how soon a machine with machineCPU CPUs, which does not have the
 // image, could start a task that needs taskCPU.
 func (f *ImageFetches) State(image string, priority cluster.Priority, taskCPU, machineCPU cluster.Amount) ImageState {
-	otherFirst := false // another image is fetched for tasks that are urgent or as important
+	otherHasPrecedence := false // another image is fetched for tasks that are urgent or as important
 	for _, fetch := range f.images {
 		if fetch.image == image {
 			return ImageFetching
 		}
-		otherFirst = otherFirst || fetch.priority >= min(priority, cluster.Urgent)
+		otherHasPrecedence = otherHasPrecedence || fetch.priority >= min(priority, cluster.Urgent)
 	}
-	takesManyTasks := machineCPU >= manyTasks*taskCPU
+	takesManyTasks := machineCPU >= minTasksForSecondFetch*taskCPU
 	isNearlyIdle := f.waitingCPU*nearlyIdleDivisor < machineCPU
-	if otherFirst && !(takesManyTasks && isNearlyIdle) {
+	if otherHasPrecedence && !(takesManyTasks && isNearlyIdle) {
 		return ImageBlocked
 	}
 	return ImageAbsent
@@ -73,24 +73,24 @@
 
 // Candidate is a machine that the tasks of a job may be assigned to.
 type Candidate struct {
-	Image    ImageState
-	Spot     bool
-	Suitable bool // the machine's type suits the job
-	FreeCPU  cluster.Amount
+	Image           ImageState
+	Spot            bool
+	PreferredMarket bool // the machine's type suits the job
+	FreeCPU         cluster.Amount
 }
 
 // Compare returns a negative number when c should get tasks before the other
 // candidate: the one with the better image state first, then one of a suitable type,
 // then the one with more free CPUs. Where a spot machine is a risk to the job, an
 // on-demand machine comes before all of these.
-func (c *Candidate) Compare(other *Candidate, spotIsRisk bool) int {
+func (c *Candidate) Compare(other *Candidate, spotIsRisky bool) int {
 	switch {
-	case spotIsRisk && c.Spot != other.Spot:
+	case spotIsRisky && c.Spot != other.Spot:
 		return trueFirst(!c.Spot)
 	case c.Image != other.Image:
 		return cmp.Compare(other.Image, c.Image)
-	case c.Suitable != other.Suitable:
-		return trueFirst(c.Suitable)
+	case c.PreferredMarket != other.PreferredMarket:
+		return trueFirst(c.PreferredMarket)
 	}
 	return cmp.Compare(other.FreeCPU, c.FreeCPU)
 }
--- a/internal/scheduling/capacity.go
+++ b/internal/scheduling/capacity.go
@@ -39,7 +39,7 @@
 		if capacity.available.CPU < minCPU {
 			continue
 		}
-		capacity.addStartingFetches()
+		capacity.addPendingFetches()
 		if capacity.kindIndex = slices.Index(kinds, machine.Kind()); capacity.kindIndex < 0 {
 			capacity.kindIndex = len(kinds)
 			kinds = append(kinds, machine.Kind())
@@ -50,7 +50,7 @@
 }
 
 // addStartingFetches records the images that tasks on the machine wait for.
-func (c *freeCapacity) addStartingFetches() {
+func (c *freeCapacity) addPendingFetches() {
 	for _, assignment := range c.machine.Assignments {
 		if assignment.IsLive() && assignment.RunningSince == 0 && !c.machine.HasCachedImage(assignment.Job.Spec.Image) {
 			c.addFetch(assignment.Job)
@@ -78,7 +78,7 @@
 	for i := range capacities {
 		capacity := &capacities[i]
 		work.Pack(capacity.available, func(job *state.Job) bool {
-			return s.Eligibility.IsAllowedOn(job, capacity.machine) && s.Eligibility.CanUseMachine(job, capacity.machine)
+			return s.Eligibility.IsAllowedOn(job, capacity.machine) && s.Eligibility.IsAllowedDespiteScaleIn(job, capacity.machine)
 		})
 	}
 }
@@ -104,7 +104,7 @@
 func (s *Scheduler) isStartable(job *state.Job, capacity *freeCapacity) bool {
 	machine := capacity.machine
 	return s.Eligibility.IsAllowedOn(job, machine) &&
-		s.Eligibility.CanUseMachine(job, machine) &&
+		s.Eligibility.IsAllowedDespiteScaleIn(job, machine) &&
 		s.shared.deps.Records.HasRoom(machine.Group, job) &&
 		capacity.imageState(job) != ImageBlocked &&
 		isZoneAllowed(&job.Spec, s.Eligibility.countTasksByZone(job), machine.Zone)
--- a/internal/scheduling/eligibility.go
+++ b/internal/scheduling/eligibility.go
@@ -32,7 +32,7 @@
 
 // IsOptionAllowed tells whether a job may use a machine that the cloud may have.
 func (e *Eligibility) IsOptionAllowed(job *state.Job, option state.ProvisioningOption) bool {
-	return e.isZoneReachable(job, option.Zone) && e.isKindAllowed(job, option.Type, option.Zone, option.Spot)
+	return e.satisfiesColocation(job, option.Zone) && e.isKindAllowed(job, option.Type, option.Zone, option.Spot)
 }
 
 // isKindAllowed tells whether a job may use machines of a type in a zone.
@@ -42,13 +42,13 @@
 
 // CanUseMachine tells whether a job may use a machine as far as that is to be emptied
 // because of its price: only a job to which the cheaper ones are a risk may.
-func (e *Eligibility) CanUseMachine(job *state.Job, machine *state.Machine) bool {
-	return !machine.ScaleInCandidate || !machine.Spot && e.spot.IsOnDemandWorthFetching(job)
+func (e *Eligibility) IsAllowedDespiteScaleIn(job *state.Job, machine *state.Machine) bool {
+	return !machine.ScaleInCandidate || !machine.Spot && e.spot.IsOnDemandWorthImageFetch(job)
 }
 
 // isZoneReachable tells whether the tasks that a job has allow more of them in a zone,
 // as far as they have to be in one.
-func (e *Eligibility) isZoneReachable(job *state.Job, zone string) bool {
+func (e *Eligibility) satisfiesColocation(job *state.Job, zone string) bool {
 	return !job.Spec.Colocate || isOnlyZone(e.countTasksByZone(job), zone)
 }
 
--- a/internal/scheduling/offers.go
+++ b/internal/scheduling/offers.go
@@ -238,5 +238,5 @@
 // ForgetWithdrawnOffers forgets the attempts to acquire groups that a controller does not
 // offer any more.
 func (r *Rebalancer) ForgetWithdrawnOffers(from cluster.NodeID, offers []messages.TransferOffer) {
-	r.attempted.retainOffered(from, offers)
+	r.attempted.forgetWithdrawn(from, offers)
 }
--- a/internal/scheduling/preempt.go
+++ b/internal/scheduling/preempt.go
@@ -10,7 +10,7 @@
 const preemptionBackoff = 8 * second
 
 // preemptorClass is what jobs have in common whose preemptions are decided alike.
-type preemptorClass struct {
+type preemptorKey struct {
 	class, team string
 	guaranteed  bool // within the team's guaranteed quota
 }
@@ -18,8 +18,8 @@
 // preemption is one search for tasks that have to give way to a shard's pending jobs.
 type preemption struct {
 	*round
-	machines      []*state.Machine // with tasks that could give way
-	failedClasses map[preemptorClass]bool
+	machines         []*state.Machine // with tasks that could give way
+	failedPreemptors map[preemptorKey]bool
 }
 
 // preempt stops less important tasks that can save a checkpoint when an urgent job
@@ -27,16 +27,16 @@
 // The preempting job must rank before its victim: else the room would go to the
 // victim again, for ever.
 func (r *round) preempt() {
-	p := &preemption{round: r, machines: r.preemptibleMachines(), failedClasses: map[preemptorClass]bool{}}
+	p := &preemption{round: r, machines: r.preemptibleMachines(), failedPreemptors: map[preemptorKey]bool{}}
 	if len(p.machines) == 0 {
 		return
 	}
 	for _, job := range r.jobs {
-		class := preemptorClass{job.Spec.Class, job.Spec.Team, r.guaranteed[job]}
-		if !p.mayPreempt(job) || p.failedClasses[class] {
+		key := preemptorKey{job.Spec.Class, job.Spec.Team, r.guaranteed[job]}
+		if !p.mayPreempt(job) || p.failedPreemptors[key] {
 			continue
 		}
-		if !p.preemptFor(job, class) {
+		if !p.preemptFor(job, key) {
 			return
 		}
 	}
@@ -63,7 +63,7 @@
 
 // preemptFor makes room for a job; false: its team's quota is used up, and nothing
 // more is preempted now.
-func (p *preemption) preemptFor(job *state.Job, class preemptorClass) bool {
+func (p *preemption) preemptFor(job *state.Job, key preemptorKey) bool {
 	request := job.Spec.ResourceRequest
 	quotaLeft := p.shared.state.Teams[job.Spec.Team].QuotaLimit.Minus(p.usage[job.Spec.Team])
 	if !isWithinQuota(request, quotaLeft) {
@@ -74,14 +74,14 @@
 	}
 	fitting := 0 // tasks of the job that fit by now
 	for _, machine := range p.machines {
-		if !p.Eligibility.IsAllowedOn(job, machine) || !p.Eligibility.isZoneReachable(job, machine.Zone) {
+		if !p.Eligibility.IsAllowedOn(job, machine) || !p.Eligibility.satisfiesColocation(job, machine.Zone) {
 			continue
 		}
 		victims, free := p.selectVictims(job, machine)
 		if !request.FitsIn(free) {
 			continue
 		}
-		added, withinQuota := takeFitting(request, free, job.PendingCount()-fitting, &quotaLeft)
+		added, withinQuota := fitWithinQuota(request, free, job.PendingCount()-fitting, &quotaLeft)
 		if !withinQuota {
 			return false
 		}
@@ -93,7 +93,7 @@
 			break
 		}
 	}
-	if p.failedClasses[class] = fitting == 0; fitting > 0 {
+	if p.failedPreemptors[key] = fitting == 0; fitting > 0 {
 		job.NextPreemptionAt = p.shared.loop.Now() + preemptionBackoff
 	}
 	return true
@@ -102,7 +102,7 @@
 // takeFitting counts how many times a request fits into the free resources of a
 // machine, up to a limit, and takes as much from what is left of the quota; false: that
 // is less.
-func takeFitting(request, free cluster.Resources, limit int, quotaLeft *cluster.Resources) (count int, withinQuota bool) {
+func fitWithinQuota(request, free cluster.Resources, limit int, quotaLeft *cluster.Resources) (count int, withinQuota bool) {
 	for count < limit && request.FitsIn(free) {
 		*quotaLeft = quotaLeft.Minus(request)
 		if quotaLeft.CPU < 0 || quotaLeft.GPU < 0 {
@@ -162,7 +162,7 @@
 			if isWithinQuota(need, quotaLeft) {
 				return
 			}
-			if !assignment.IsCheckpointable() || !p.givesWayWithinTeam(assignment.Job, job) {
+			if !assignment.IsCheckpointable() || !p.isPreemptibleWithinTeam(assignment.Job, job) {
 				continue
 			}
 			quotaLeft = quotaLeft.Plus(assignment.ResourceRequest)
@@ -176,6 +176,6 @@
 
 // givesWayWithinTeam tells whether a job's task may be stopped for another job of the
 // same team.
-func (p *preemption) givesWayWithinTeam(victim, job *state.Job) bool {
+func (p *preemption) isPreemptibleWithinTeam(victim, job *state.Job) bool {
 	return victim.Spec.Team == job.Spec.Team && victim.EffectivePriority < job.EffectivePriority && !p.Queue.isPreemptionExempt(victim)
 }
--- a/internal/scheduling/preempt_test.go
+++ b/internal/scheduling/preempt_test.go
@@ -10,7 +10,7 @@
 // TestPreemptionSparesFirstTask checks that the first task of a job that had waited
 // too long is not stopped for an urgent job, and that one of a job that has not waited
 // is.
-func TestPreemptionSparesFirstTask(t *testing.T) {
+func TestFirstTaskIsPreemptionExempt(t *testing.T) {
 	for _, waited := range []bool{true, false} {
 		f := newFixture()
 		machine := f.addMachine("m-1")
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -25,7 +25,7 @@
 	defaultObjectiveSeconds = 600
 	// missedTolerance is how long, in milliseconds, after its latest start a job is
 	// still taken to meet an objective.
-	missedTolerance = 500
+	missedToleranceMillis = 500
 	// starvingHorizons is after how many horizons a job of which nothing runs is
 	// starving.
 	starvingHorizons = 2
@@ -99,17 +99,17 @@
 // deadline, that of a job that depends on it, or what the objectives say of its
 // class. It is Never when none can be met.
 func (q *JobQueue) LatestStart(job *state.Job) float64 {
-	ready, run := float64(job.ReadySince), q.runTimes.ExpectedSeconds(job)*millisPerSecond
-	starts := q.appendLatestStarts(make([]float64, 0, typicalObjectives), job, ready, run)
+	readyMillis, runMillis := float64(job.ReadySince), q.runTimes.ExpectedSeconds(job)*millisPerSecond
+	starts := q.appendLatestStarts(make([]float64, 0, typicalObjectiveCount), job, readyMillis, runMillis)
 	if known := q.state.Jobs.Known[job.Spec.ID]; known != nil && known.EffectiveDeadline > 0 && known.EffectiveDeadline != job.Spec.Deadline() {
-		starts = append(starts, known.EffectiveDeadline-run)
+		starts = append(starts, known.EffectiveDeadline-runMillis)
 	}
 	if len(starts) == 0 {
-		starts = append(starts, ready+max(job.Spec.DeadlineSeconds, defaultObjectiveSeconds)*millisPerSecond-run)
+		starts = append(starts, readyMillis+max(job.Spec.DeadlineSeconds, defaultObjectiveSeconds)*millisPerSecond-runMillis)
 	}
-	latest := float64(Never)
+	latest := float64(NoLatestStart)
 	for _, start := range starts {
-		if start >= float64(q.loop.WallTime())-missedTolerance {
+		if start >= float64(q.loop.WallTime())-missedToleranceMillis {
 			latest = min(latest, start)
 		}
 	}
@@ -118,12 +118,12 @@
 
 // typicalObjectives is how many objectives of a class are gone through without an
 // allocation: the order of the queue asks for those of every pending job.
-const typicalObjectives = 8
+const typicalObjectiveCount = 8
 
 // appendLatestStarts appends when a job that was ready at a time must start to meet
 // each of the objectives of its class, given its run time. All times are in
 // milliseconds.
-func (q *JobQueue) appendLatestStarts(starts []float64, job *state.Job, ready, run float64) []float64 {
+func (q *JobQueue) appendLatestStarts(starts []float64, job *state.Job, readyMillis, runMillis float64) []float64 {
 	for _, objective := range q.config.SLOs {
 		if objective.Class != job.Spec.Class {
 			continue
@@ -132,12 +132,12 @@
 		case sloDeadline:
 			if job.Spec.DeadlineSeconds > 0 {
 				deadline := job.Spec.DeadlineSeconds * millisPerSecond * max(objective.DeadlineFactor, minDeadlineFactor)
-				starts = append(starts, float64(job.Spec.SubmittedAt)+deadline-run)
+				starts = append(starts, float64(job.Spec.SubmittedAt)+deadline-runMillis)
 			}
 		case sloFinished:
-			starts = append(starts, ready+objective.WithinSeconds*millisPerSecond-run)
+			starts = append(starts, readyMillis+objective.WithinSeconds*millisPerSecond-runMillis)
 		case sloWait:
-			starts = append(starts, ready+objective.WithinSeconds*millisPerSecond)
+			starts = append(starts, readyMillis+objective.WithinSeconds*millisPerSecond)
 		}
 	}
 	return starts
@@ -181,11 +181,11 @@
 		if !job.IsActive() || job.Blocked || job.PendingCount() == 0 && job.AssignedCount == 0 {
 			continue
 		}
-		facts := q.rankFacts(job, shard.GuaranteedJobs[job], shardCPU)
+		input := q.rankInput(job, shard.GuaranteedJobs[job], shardCPU)
 		if !job.GuaranteeChecked && q.hasSchedulableTasks(job) {
-			job.GuaranteeChecked, job.InitiallyGuaranteed = true, facts.WithinGuarantee
+			job.GuaranteeChecked, job.InitiallyGuaranteed = true, input.WithinGuarantee
 		}
-		ranked = append(ranked, rankedJob{job, RankJob(facts, q.config.ShortJobWeight)})
+		ranked = append(ranked, rankedJob{job, RankJob(input, q.config.ShortJobWeight)})
 	}
 	slices.SortStableFunc(ranked, func(a, b rankedJob) int { return a.rank.Compare(b.rank) })
 	shard.QueueOrder, shard.QueueOrderAt = make([]*state.Job, len(ranked)), q.loop.Now()
@@ -205,15 +205,15 @@
 }
 
 // rankFacts gathers what a job's rank follows from.
-func (q *JobQueue) rankFacts(job *state.Job, withinGuarantee bool, shardCPU cluster.Amount) JobFacts {
-	return JobFacts{
-		Priority:         job.EffectivePriority,
-		WithinGuarantee:  withinGuarantee,
-		Now:              float64(q.loop.WallTime()),
-		ReadySince:       float64(job.ReadySince),
-		LatestStart:      q.LatestStart(job),
-		Horizon:          q.horizon(job),
-		ExclusiveSeconds: float64(job.PendingCount()) * float64(job.Spec.ResourceRequest.CPU) / float64(shardCPU) * q.runTimes.ExpectedSeconds(job),
+func (q *JobQueue) rankInput(job *state.Job, withinGuarantee bool, shardCPU cluster.Amount) RankInput {
+	return RankInput{
+		Priority:          job.EffectivePriority,
+		WithinGuarantee:   withinGuarantee,
+		Now:               float64(q.loop.WallTime()),
+		ReadySince:        float64(job.ReadySince),
+		LatestStart:       q.LatestStart(job),
+		Horizon:           q.horizon(job),
+		WholeShardSeconds: float64(job.PendingCount()) * float64(job.Spec.ResourceRequest.CPU) / float64(shardCPU) * q.runTimes.ExpectedSeconds(job),
 	}
 }
 
@@ -231,8 +231,8 @@
 	guaranteed := make(map[*state.Job]bool, len(unfinished))
 	for _, job := range unfinished {
 		team, request := job.Spec.Team, job.Spec.ResourceRequest
-		left := cluster.Amount(job.Spec.Tasks - job.CompletedCount)
-		requested[team] = requested[team].Plus(cluster.Resources{CPU: request.CPU * left, GPU: request.GPU * left})
+		unfinishedTasks := cluster.Amount(job.Spec.Tasks - job.CompletedCount)
+		requested[team] = requested[team].Plus(cluster.Resources{CPU: request.CPU * unfinishedTasks, GPU: request.GPU * unfinishedTasks})
 		guaranteed[job] = isWithinQuota(requested[team], q.state.Teams[team].GuaranteedQuota)
 	}
 	return guaranteed
--- a/internal/scheduling/queue_test.go
+++ b/internal/scheduling/queue_test.go
@@ -9,7 +9,7 @@
 
 // TestLatestStart checks which objective decides when a job must start.
 func TestLatestStart(t *testing.T) {
-	const ready, run = 1_000_000, 20_000 // milliseconds
+	const readyMillis, runMillis = 1_000_000, 20_000 // milliseconds
 	slos := []cluster.SLO{
 		{Kind: sloDeadline, Class: "deadline", DeadlineFactor: 2},
 		{Kind: sloFinished, Class: "finished", WithinSeconds: 100},
@@ -25,26 +25,26 @@
 		waited            cluster.WallTime // since the job was ready
 		want              float64
 	}{
-		{"its own deadline", "deadline", 100, 0, 0, ready + 200_000 - run},
-		{"done within a time", "finished", 0, 0, 0, ready + 100_000 - run},
-		{"started within a time", "wait", 0, 0, 0, ready + 30_000},
-		{"the first of two", "both", 0, 0, 0, ready + 30_000},
-		{"the second once the first is missed", "both", 0, 0, 31_000, ready + 100_000 - run},
-		{"just missed", "wait", 0, 0, 30_500, ready + 30_000},
-		{"all missed", "both", 0, 0, 81_000, Never},
-		{"a dependent job's deadline", "finished", 0, ready + 50_000, 0, ready + 50_000 - run},
-		{"no objective", "none", 0, 0, 0, ready + 600_000 - run},
-		{"no objective but a long deadline", "none", 900, 0, 0, ready + 900_000 - run},
+		{"its own deadline", "deadline", 100, 0, 0, readyMillis + 200_000 - runMillis},
+		{"done within a time", "finished", 0, 0, 0, readyMillis + 100_000 - runMillis},
+		{"started within a time", "wait", 0, 0, 0, readyMillis + 30_000},
+		{"the first of two", "both", 0, 0, 0, readyMillis + 30_000},
+		{"the second once the first is missed", "both", 0, 0, 31_000, readyMillis + 100_000 - runMillis},
+		{"just missed", "wait", 0, 0, 30_500, readyMillis + 30_000},
+		{"all missed", "both", 0, 0, 81_000, NoLatestStart},
+		{"a dependent job's deadline", "finished", 0, readyMillis + 50_000, 0, readyMillis + 50_000 - runMillis},
+		{"no objective", "none", 0, 0, 0, readyMillis + 600_000 - runMillis},
+		{"no objective but a long deadline", "none", 900, 0, 0, readyMillis + 900_000 - runMillis},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
 			f.config.SLOs = slos
 			f.Configure(f.config)
-			job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, Class: test.class, RuntimeSeconds: run / millisPerSecond, DeadlineSeconds: test.deadlineSeconds, SubmittedAt: ready})
+			job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, Class: test.class, RuntimeSeconds: runMillis / millisPerSecond, DeadlineSeconds: test.deadlineSeconds, SubmittedAt: readyMillis})
 			if test.effectiveDeadline > 0 {
 				f.state.Jobs.Known["j"] = &state.KnownJob{EffectiveDeadline: test.effectiveDeadline}
 			}
-			f.loop.Begin(0, ready+test.waited)
+			f.loop.Begin(0, readyMillis+test.waited)
 			if got := f.Queue.LatestStart(job); got != test.want {
 				t.Errorf("latest start %.0f, want %.0f", got, test.want)
 			}
@@ -53,7 +53,7 @@
 }
 
 // TestStarving checks from when on a job of which nothing runs goes before all others.
-func TestStarving(t *testing.T) {
+func TestIsStarving(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		waited cluster.WallTime
--- a/internal/scheduling/rank.go
+++ b/internal/scheduling/rank.go
@@ -8,7 +8,7 @@
 
 // Never is the latest start, in milliseconds, of a job that can't meet any of its
 // objectives any more.
-const Never = 1e18
+const NoLatestStart = 1e18
 
 // overdueHorizons is the number of horizons after which a job that has missed its
 // objectives is served as if it were urgent. Without it, large and less important
@@ -23,14 +23,14 @@
 
 // JobFacts is what the rank of a job follows from. Times of day are milliseconds
 // since 1970.
-type JobFacts struct {
-	Priority         cluster.Priority
-	WithinGuarantee  bool    // the job and the team's earlier unfinished ones are within the guaranteed quota
-	Now              float64 // time of day
-	ReadySince       float64 // time of day from which the job could start
-	LatestStart      float64 // time of day by which it must start to meet the next objective that it still can, or Never
-	Horizon          float64 // the longest time that its objectives allow, in milliseconds
-	ExclusiveSeconds float64 // how long its pending work would occupy all machines of the shard, in seconds
+type RankInput struct {
+	Priority          cluster.Priority
+	WithinGuarantee   bool    // the job and the team's earlier unfinished ones are within the guaranteed quota
+	Now               float64 // time of day
+	ReadySince        float64 // time of day from which the job could start
+	LatestStart       float64 // time of day by which it must start to meet the next objective that it still can, or Never
+	Horizon           float64 // the longest time that its objectives allow, in milliseconds
+	WholeShardSeconds float64 // how long its pending work would occupy all machines of the shard, in seconds
 }
 
 // JobRank is the place of a job in the queue order of its shard.
@@ -45,18 +45,18 @@
 // is within its team's guaranteed quota, then what can still meet an objective, each
 // by latest start. A job's latest start is moved back by smallFirst times what its
 // work would occupy the shard, so that small jobs come before large ones.
-func RankJob(facts JobFacts, smallFirst float64) JobRank {
-	rank := JobRank{withinGuarantee: facts.WithinGuarantee, latestStart: facts.LatestStart}
-	if facts.Priority >= cluster.Urgent {
-		rank.tier = facts.Priority
+func RankJob(input RankInput, shortJobWeight float64) JobRank {
+	rank := JobRank{withinGuarantee: input.WithinGuarantee, latestStart: input.LatestStart}
+	if input.Priority >= cluster.Urgent {
+		rank.tier = input.Priority
 	}
-	if facts.LatestStart != Never {
-		delay := smallFirst * millisPerSecond * facts.ExclusiveSeconds
-		rank.latestStart += min(delay, maxDelayHorizons*facts.Horizon)
+	if input.LatestStart != NoLatestStart {
+		delay := shortJobWeight * millisPerSecond * input.WholeShardSeconds
+		rank.latestStart += min(delay, maxDelayHorizons*input.Horizon)
 		return rank
 	}
-	rank.latestStart = facts.ReadySince
-	rank.missedSLO = facts.Now < facts.ReadySince+overdueHorizons*facts.Horizon
+	rank.latestStart = input.ReadySince
+	rank.missedSLO = input.Now < input.ReadySince+overdueHorizons*input.Horizon
 	if !rank.missedSLO {
 		rank.tier = max(rank.tier, cluster.Urgent)
 	}
@@ -79,8 +79,8 @@
 
 // trueFirst compares two items that differ in a property: the one that has it comes
 // first.
-func trueFirst(firstHasIt bool) int {
-	if firstHasIt {
+func trueFirst(first bool) int {
+	if first {
 		return -1
 	}
 	return 1
--- a/internal/scheduling/rank_test.go
+++ b/internal/scheduling/rank_test.go
@@ -11,33 +11,33 @@
 // served.
 func TestJobOrder(t *testing.T) {
 	const now, horizon = 1_000_000, 100_000
-	facts := func(change func(*JobFacts)) JobFacts {
-		f := JobFacts{Priority: cluster.Normal, Now: now, ReadySince: now - 10_000, LatestStart: now + 50_000, Horizon: horizon}
+	input := func(change func(*RankInput)) RankInput {
+		f := RankInput{Priority: cluster.Normal, Now: now, ReadySince: now - 10_000, LatestStart: now + 50_000, Horizon: horizon}
 		change(&f)
 		return f
 	}
-	overdue := func(f *JobFacts) { f.LatestStart, f.ReadySince = Never, now-4*horizon }
+	overdue := func(f *RankInput) { f.LatestStart, f.ReadySince = NoLatestStart, now-4*horizon }
 	order := []struct {
 		name  string
-		facts JobFacts
+		input RankInput
 	}{
-		{"production", facts(func(f *JobFacts) { f.Priority = cluster.Production })},
-		{"urgent and within the guarantee", facts(func(f *JobFacts) { f.Priority, f.WithinGuarantee = cluster.Urgent, true })},
-		{"overdue, so urgent since it was ready", facts(overdue)},
-		{"urgent", facts(func(f *JobFacts) { f.Priority = cluster.Urgent })},
-		{"urgent, a little later", facts(func(f *JobFacts) { f.Priority = cluster.Urgent; f.LatestStart++ })},
-		{"within the guarantee", facts(func(f *JobFacts) { f.WithinGuarantee = true })},
-		{"within the guarantee, objectives missed", facts(func(f *JobFacts) { f.WithinGuarantee = true; f.LatestStart = Never })},
-		{"small", facts(func(f *JobFacts) { f.ExclusiveSeconds = 1 })},
-		{"larger", facts(func(f *JobFacts) { f.ExclusiveSeconds = 2 })},
-		{"so large that the delay is capped", facts(func(f *JobFacts) { f.ExclusiveSeconds = 1000 })},
-		{"later than the capped delay", facts(func(f *JobFacts) { f.LatestStart += 2*horizon + 1 })},
-		{"objectives missed", facts(func(f *JobFacts) { f.LatestStart = Never })},
-		{"objectives missed, and newer", facts(func(f *JobFacts) { f.LatestStart = Never; f.ReadySince++ })},
+		{"production", input(func(f *RankInput) { f.Priority = cluster.Production })},
+		{"urgent and within the guarantee", input(func(f *RankInput) { f.Priority, f.WithinGuarantee = cluster.Urgent, true })},
+		{"overdue, so urgent since it was ready", input(overdue)},
+		{"urgent", input(func(f *RankInput) { f.Priority = cluster.Urgent })},
+		{"urgent, a little later", input(func(f *RankInput) { f.Priority = cluster.Urgent; f.LatestStart++ })},
+		{"within the guarantee", input(func(f *RankInput) { f.WithinGuarantee = true })},
+		{"within the guarantee, objectives missed", input(func(f *RankInput) { f.WithinGuarantee = true; f.LatestStart = NoLatestStart })},
+		{"small", input(func(f *RankInput) { f.WholeShardSeconds = 1 })},
+		{"larger", input(func(f *RankInput) { f.WholeShardSeconds = 2 })},
+		{"so large that the delay is capped", input(func(f *RankInput) { f.WholeShardSeconds = 1000 })},
+		{"later than the capped delay", input(func(f *RankInput) { f.LatestStart += 2*horizon + 1 })},
+		{"objectives missed", input(func(f *RankInput) { f.LatestStart = NoLatestStart })},
+		{"objectives missed, and newer", input(func(f *RankInput) { f.LatestStart = NoLatestStart; f.ReadySince++ })},
 	}
 	for i, first := range order {
 		for k, second := range order {
-			got := RankJob(first.facts, 32).Compare(RankJob(second.facts, 32))
+			got := RankJob(first.input, 32).Compare(RankJob(second.input, 32))
 			if !hasSignOf(got, i-k) {
 				t.Errorf("%q compared with %q: %d", first.name, second.name, got)
 			}
@@ -54,17 +54,17 @@
 // from four horizons on.
 func TestOverdue(t *testing.T) {
 	const horizon = 100_000
-	facts := JobFacts{Priority: cluster.BestEffort, LatestStart: Never, ReadySince: 5000, Horizon: horizon}
-	facts.Now = facts.ReadySince + 4*horizon - 1
-	if rank := RankJob(facts, 32); !rank.missedSLO || rank.tier >= cluster.Urgent {
+	input := RankInput{Priority: cluster.BestEffort, LatestStart: NoLatestStart, ReadySince: 5000, Horizon: horizon}
+	input.Now = input.ReadySince + 4*horizon - 1
+	if rank := RankJob(input, 32); !rank.missedSLO || rank.tier >= cluster.Urgent {
 		t.Errorf("just before four horizons: %+v", rank)
 	}
-	facts.Now++
-	if rank := RankJob(facts, 32); rank.missedSLO || rank.tier != cluster.Urgent || rank.latestStart != facts.ReadySince {
+	input.Now++
+	if rank := RankJob(input, 32); rank.missedSLO || rank.tier != cluster.Urgent || rank.latestStart != input.ReadySince {
 		t.Errorf("after four horizons: %+v", rank)
 	}
-	facts.Priority = cluster.Production
-	if rank := RankJob(facts, 32); rank.tier != cluster.Production {
+	input.Priority = cluster.Production
+	if rank := RankJob(input, 32); rank.tier != cluster.Production {
 		t.Errorf("production work after four horizons: %+v", rank)
 	}
 }
--- a/internal/scheduling/rebalance.go
+++ b/internal/scheduling/rebalance.go
@@ -11,9 +11,9 @@
 const (
 	// scaleOutDelay is how long a shard that has its share already waits before it
 	// scales out while others lack theirs.
-	scaleOutDelay = 4 * second
+	yieldingScaleOutInterval = 4 * second
 	// typicalMarginPercent is what the typical request of a shard is of the mean.
-	typicalMarginPercent = 115
+	typicalRequestPercent = 115
 )
 
 // Rebalancer splits the machines among the shards. Their teams need them unevenly:
@@ -36,13 +36,13 @@
 	plan := fairshare.NewPlan(r.loads.All())
 	for _, shard := range r.state.Shards {
 		if load, known := plan.Loads[shard.ID]; known && shard.Owned && shard.Ready {
-			r.cordonSurplusOf(shard, load, plan)
+			r.cordonShardSurplus(shard, load, plan)
 		}
 	}
 }
 
 // cordonSurplusOf picks the machines that one shard gives up.
-func (r *Rebalancer) cordonSurplusOf(shard *state.Shard, load fairshare.ShardLoad, plan *fairshare.Plan) {
+func (r *Rebalancer) cordonShardSurplus(shard *state.Shard, load fairshare.ShardLoad, plan *fairshare.Plan) {
 	spare := plan.Spare(shard.ID)
 	machines := r.uncordonMachines(shard, spare)
 	r.sortByRemainingTime(machines)
@@ -103,7 +103,7 @@
 func (r *Rebalancer) selectScaleInCandidates(shard *state.Shard, machines []*state.Machine, load fairshare.ShardLoad) {
 	request := typicalRequest(shard)
 	sort.SliceStable(machines, func(i, j int) bool {
-		return r.costPerUsefulCPU(machines[i], request) > r.costPerUsefulCPU(machines[j], request)
+		return r.pricePerUsableCPU(machines[i], request) > r.pricePerUsableCPU(machines[j], request)
 	})
 	for _, i := range fairshare.PickWithin(r.machineCPUs(machines), load.Surplus(r.config.SpareCapacityShare)) {
 		machines[i].CordonForScaleIn()
@@ -112,7 +112,7 @@
 
 // costPerUsefulCPU is a machine's price per CPU that tasks with a request can use: a
 // small machine wastes what is left beside tasks that don't divide it.
-func (r *Rebalancer) costPerUsefulCPU(machine *state.Machine, request cluster.Resources) float64 {
+func (r *Rebalancer) pricePerUsableCPU(machine *state.Machine, request cluster.Resources) float64 {
 	machineType := r.state.MachineTypes[machine.MachineType]
 	if machineType.Capacity.CPU == 0 {
 		return 0
@@ -138,9 +138,9 @@
 		return cluster.Resources{}
 	}
 	return cluster.Resources{
-		CPU:    sum.CPU / tasks * typicalMarginPercent / 100,
+		CPU:    sum.CPU / tasks * typicalRequestPercent / 100,
 		GPU:    sum.GPU / tasks,
-		Memory: sum.Memory / tasks * typicalMarginPercent / 100,
+		Memory: sum.Memory / tasks * typicalRequestPercent / 100,
 	}
 }
 
@@ -174,7 +174,7 @@
 		return true
 	}
 	now := r.loop.Now()
-	if now-shard.LastScaleOutAt < scaleOutDelay {
+	if now-shard.LastScaleOutAt < yieldingScaleOutInterval {
 		return false
 	}
 	shard.LastScaleOutAt = now
@@ -195,8 +195,8 @@
 		if loads.OthersHaveShortfall(machine.ShardID) {
 			return false
 		}
-		work, listed := workByShard[machine.ShardID]
-		if !listed {
+		work, computed := workByShard[machine.ShardID]
+		if !computed {
 			work = r.queue.PendingWork(r.state.Shards[machine.ShardID])
 			workByShard[machine.ShardID] = work
 		}
--- a/internal/scheduling/rebalance_test.go
+++ b/internal/scheduling/rebalance_test.go
@@ -100,7 +100,7 @@
 	}
 	f.loop.Begin(offerDuration+1, 1_000_000)
 	f.Rebalancer.CordonSurplus()
-	if group.Offer != nil || f.Trigger.check(f.loop.Now()) != runNow {
+	if group.Offer != nil || f.Trigger.decide(f.loop.Now()) != runNow {
 		t.Error("not withdrawn, or scheduling is not requested")
 	}
 }
@@ -127,7 +127,7 @@
 
 // TestAcceptOfferOfOwnShard checks that a shard with pending work acquires what another
 // owned shard offers to it, and that the work counts as served.
-func TestAcceptOfferOfOwnShard(t *testing.T) {
+func TestAcceptOfferBetweenOwnedShards(t *testing.T) {
 	f := newFixture()
 	group := f.addIdleMachine("m-1").Group
 	group.OfferTo(1, offerDuration)
@@ -155,12 +155,12 @@
 	busy, idle, kept := f.addMachine("m-1"), f.addMachine("m-2"), f.addMachine("m-3")
 	f.addRunningTask(f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, RuntimeSeconds: 100}), busy)
 	load := fairshare.ShardLoad{Shard: 0, Available: 12 * cpu, Demand: [4]cluster.Amount{0, 4 * cpu}}
-	lacking := fairshare.ShardLoad{Shard: 1, Demand: [4]cluster.Amount{0, 4 * cpu}}
-	f.Rebalancer.cordonSurplusOf(f.shard, load, fairshare.NewPlan(fairshare.Snapshot{0: load, 1: lacking}))
+	shortfall := fairshare.ShardLoad{Shard: 1, Demand: [4]cluster.Amount{0, 4 * cpu}}
+	f.Rebalancer.cordonShardSurplus(f.shard, load, fairshare.NewPlan(fairshare.Snapshot{0: load, 1: shortfall}))
 	if busy.Cordoned || kept.Cordoned || !idle.Cordoned || idle.ScaleInCandidate {
 		t.Errorf("cordoned: busy %v, idle %v, another %v", busy.Cordoned, idle.Cordoned, kept.Cordoned)
 	}
-	f.Rebalancer.cordonSurplusOf(f.shard, load, fairshare.NewPlan(fairshare.Snapshot{0: load}))
+	f.Rebalancer.cordonShardSurplus(f.shard, load, fairshare.NewPlan(fairshare.Snapshot{0: load}))
 	if busy.Cordoned || idle.Cordoned {
 		t.Errorf("still cordoned: busy %v, idle %v", busy.Cordoned, idle.Cordoned)
 	}
@@ -170,11 +170,11 @@
 // and when all of its tasks may give way.
 func TestEvictForPriority(t *testing.T) {
 	for _, test := range []struct {
-		name       string
-		checkpoint float64
-		priority   cluster.Priority // of the task
-		shortfall  cluster.Priority
-		want       bool
+		name              string
+		checkpointSeconds float64
+		priority          cluster.Priority // of the task
+		shortfall         cluster.Priority
+		want              bool
 	}{
 		{"urgent work lacks it", 10, cluster.Normal, cluster.Urgent, true},
 		{"normal work lacks it", 10, cluster.BestEffort, cluster.Normal, false},
@@ -184,7 +184,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
 			machine := f.addMachine("m-1")
-			job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, Priority: test.priority, CheckpointSeconds: test.checkpoint, SubmittedAt: 1_000_000})
+			job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, Priority: test.priority, CheckpointSeconds: test.checkpointSeconds, SubmittedAt: 1_000_000})
 			assignment := f.addRunningTask(job, machine)
 			f.Rebalancer.evictForPriority(machine, test.shortfall)
 			if assignment.StopRequested != test.want {
@@ -249,7 +249,7 @@
 
 // TestOfferWithinTransaction checks that machines are gathered only from so many groups
 // as one transaction can rewrite, by their number and the length of their records.
-func TestOfferWithinTransaction(t *testing.T) {
+func TestOfferFitsTransaction(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		recordSize int
@@ -278,11 +278,11 @@
 
 // TestScaleInCandidatesAreTheDearest checks which machines run empty when a shard has
 // more than it needs.
-func TestScaleInCandidatesAreTheDearest(t *testing.T) {
+func TestScaleInMostExpensiveFirst(t *testing.T) {
 	f := newFixture()
-	dear := f.state.MachineTypes["small"]
-	dear.Name, dear.OnDemandPrice = "dear", 2
-	f.state.MachineTypes["dear"] = dear
+	expensive := f.state.MachineTypes["small"]
+	expensive.Name, expensive.OnDemandPrice = "dear", 2
+	f.state.MachineTypes["dear"] = expensive
 	cheap := f.state.MachineTypes["small"]
 	cheap.OnDemandPrice = 1
 	f.state.MachineTypes["small"] = cheap
@@ -307,8 +307,8 @@
 	}
 	other := f.state.Shards[1]
 	other.Owned, other.Ready = true, true
-	lacking := state.NewJob(cluster.JobSpec{ID: "lacking", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 4 * cpu}, SubmittedAt: 1_000_000}, other.ID, 0, 0)
-	f.state.AddOwnedJob(lacking)
+	shortfallJob := state.NewJob(cluster.JobSpec{ID: "lacking", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 4 * cpu}, SubmittedAt: 1_000_000}, other.ID, 0, 0)
+	f.state.AddOwnedJob(shortfallJob)
 	for _, id := range []cluster.MachineID{"m-1", "m-2", "m-3", "m-4", "m-5", "m-6"} {
 		f.addMachine(id)
 	}
--- a/internal/scheduling/runtimes.go
+++ b/internal/scheduling/runtimes.go
@@ -60,12 +60,12 @@
 
 // ExpectedRemainingSeconds is how long an assigned task will still take.
 func (r *RunTimes) ExpectedRemainingSeconds(assignment *state.Assignment) float64 {
-	run := r.ExpectedSeconds(assignment.Job)
+	expected := r.ExpectedSeconds(assignment.Job)
 	if assignment.RunningSince == 0 {
-		return run + unstartedAllowanceSeconds
+		return expected + unstartedAllowanceSeconds
 	}
 	elapsed := (r.loop.Now() - assignment.RunningSince).Seconds()
-	return max(run-elapsed, run*minRemainingShare)
+	return max(expected-elapsed, expected*minRemainingShare)
 }
 
 // RecordRuntime takes in the run time of a task that has completed on a machine.
@@ -77,17 +77,17 @@
 	if assignment.RunningSince == 0 || job.Spec.RuntimeSeconds <= 0 || assignment.StartUnobserved || job.RestartedTasks[assignment.Task.Index] {
 		return
 	}
-	took := (r.loop.Now() - assignment.RunningSince).Seconds()
+	runSeconds := (r.loop.Now() - assignment.RunningSince).Seconds()
 	if job.CompletedRuns >= minRunsToComparePace {
 		// Against its own job's other tasks a machine's speed shows best.
 		weight := max(minPaceWeight, 1/float64(machine.PaceSamples+1))
-		machine.RelativePace += weight * (min(took/(job.TotalRunSeconds/float64(job.CompletedRuns)), maxPace) - machine.RelativePace)
+		machine.RelativePace += weight * (min(runSeconds/(job.TotalRunSeconds/float64(job.CompletedRuns)), maxPace) - machine.RelativePace)
 		machine.PaceSamples++
 	}
 	job.CompletedRuns++
-	job.TotalRunSeconds += took
+	job.TotalRunSeconds += runSeconds
 	class := r.class(job.Spec.Class)
 	class.runs++
 	weight := max(minRatioWeight, 1/float64(class.runs+1))
-	class.ratio += weight * (min(took/job.Spec.RuntimeSeconds, maxRatio) - class.ratio)
+	class.ratio += weight * (min(runSeconds/job.Spec.RuntimeSeconds, maxRatio) - class.ratio)
 }
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestRunTimesOfPartialRuns checks that only whole runs seen from their start count.
-func TestRunTimesOfPartialRuns(t *testing.T) {
+func TestPartialRunsAreIgnored(t *testing.T) {
 	for name, change := range map[string]func(*state.Assignment){
 		"never seen running": func(a *state.Assignment) { a.RunningSince = 0 },
 		"start not observed": func(a *state.Assignment) { a.StartUnobserved = true },
@@ -64,7 +64,7 @@
 }
 
 // TestExpectedRemaining checks how long a task is expected to run on.
-func TestExpectedRemaining(t *testing.T) {
+func TestExpectedRemainingSeconds(t *testing.T) {
 	f := newFixture()
 	job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, RuntimeSeconds: 20})
 	assignment := f.addRunningTask(job, f.addMachine("m-1"))
@@ -91,8 +91,8 @@
 	fast, slow := f.addMachine("m-1"), f.addMachine("m-2")
 	f.loop.Begin(second, 1_000_000)
 	job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 99, RuntimeSeconds: 10})
-	saves := f.addJob(cluster.JobSpec{ID: "saves", Tasks: 1, CheckpointSeconds: 5})
-	running := f.addRunningTask(saves, slow)
+	checkpointing := f.addJob(cluster.JobSpec{ID: "saves", Tasks: 1, CheckpointSeconds: 5})
+	runningTask := f.addRunningTask(checkpointing, slow)
 	for range 10 {
 		f.completeTask(job, fast, 10)
 	}
@@ -105,8 +105,8 @@
 	}
 	f.Stragglers.HandleSlowMachine(fast)
 	f.Stragglers.HandleSlowMachine(slow)
-	if fast.Draining || !slow.Draining || !running.StopRequested {
-		t.Errorf("fast machine draining %v, slow one %v (pace %v), its task stopped %v", fast.Draining, slow.Draining, slow.RelativePace, running.StopRequested)
+	if fast.Draining || !slow.Draining || !runningTask.StopRequested {
+		t.Errorf("fast machine draining %v, slow one %v (pace %v), its task stopped %v", fast.Draining, slow.Draining, slow.RelativePace, runningTask.StopRequested)
 	}
 }
 
@@ -128,7 +128,7 @@
 		t.Error("counts as late just at the limit")
 	}
 	f.loop.Begin(f.loop.Now()+1, 1_000_000)
-	for check := 1; check <= maxLateChecks; check++ {
+	for check := 1; check <= lateChecksBeforeDrain; check++ {
 		if assignment.StopRequested {
 			t.Fatalf("stopped before check %d", check)
 		}
--- a/internal/scheduling/spot.go
+++ b/internal/scheduling/spot.go
@@ -5,10 +5,10 @@
 const (
 	// spotLossLimit is the expected loss, in seconds, from which a job should rather
 	// have on-demand machines, however much time its objectives give it.
-	spotLossLimit = 2
+	maxSpotLossSeconds = 2
 	// taskLossThreshold is how many of its tasks a job must expect to lose on spot
 	// machines for its deadline to be at risk: a few small tasks are hardly ever hit.
-	taskLossThreshold = 0.1
+	minExpectedLostTasks = 0.1
 	// lossWeight is how much a loss counts: a job of many tasks waits for its
 	// unluckiest.
 	lossWeight = 4
@@ -17,7 +17,7 @@
 	minDeadlineFactor = 0.1
 	// tightObjectiveRuns is how many run times an objective must leave so that a
 	// restarted task can still meet it.
-	tightObjectiveRuns = 3
+	tightObjectiveRunTimes = 3
 )
 
 // SpotPreference tells which jobs should have on-demand machines rather than spot
@@ -30,12 +30,12 @@
 // expectedLoss is what a job's tasks must expect to lose on spot machines, in
 // seconds: those that can't save a checkpoint lose half a run in the mean when their
 // machine is preempted.
-func (s *SpotPreference) expectedLoss(job *state.Job) float64 {
+func (s *SpotPreference) expectedLossSeconds(job *state.Job) float64 {
 	if !job.Spec.Spot || job.Spec.CheckpointSeconds > 0 {
 		return 0
 	}
-	run := s.runTimes.ExpectedSeconds(job)
-	return lossWeight * s.deps.SpotInterruptionRate() * run * run / 2
+	runSeconds := s.runTimes.ExpectedSeconds(job)
+	return lossWeight * s.deps.SpotInterruptionRate() * runSeconds * runSeconds / 2
 }
 
 // prefersOnDemand tells whether a job should rather have on-demand machines: much
@@ -44,21 +44,21 @@
 // would only scatter their tasks over machines with little room, each of which has
 // to fetch the image.
 func (s *SpotPreference) prefersOnDemand(job *state.Job) bool {
-	loss := s.expectedLoss(job)
-	if loss == 0 || loss > spotLossLimit {
+	loss := s.expectedLossSeconds(job)
+	if loss == 0 || loss > maxSpotLossSeconds {
 		return loss > 0
 	}
-	run := s.runTimes.ExpectedSeconds(job)
-	if s.deps.SpotInterruptionRate()*run*float64(job.Spec.Tasks) < taskLossThreshold {
+	runSeconds := s.runTimes.ExpectedSeconds(job)
+	if s.deps.SpotInterruptionRate()*runSeconds*float64(job.Spec.Tasks) < minExpectedLostTasks {
 		return false
 	}
-	tightest := s.tightestObjective(job)
-	return tightest > 0 && tightest < tightObjectiveRuns*run
+	tightest := s.tightestObjectiveSeconds(job)
+	return tightest > 0 && tightest < tightObjectiveRunTimes*runSeconds
 }
 
 // tightestObjective is the shortest time, in seconds, in which an objective wants the
 // job done; 0: there is none.
-func (s *SpotPreference) tightestObjective(job *state.Job) float64 {
+func (s *SpotPreference) tightestObjectiveSeconds(job *state.Job) float64 {
 	tightest := 0.0
 	for _, objective := range s.config.SLOs {
 		within := objective.WithinSeconds
@@ -74,21 +74,21 @@
 
 // IsOnDemandWorthFetching tells whether so much loss is to be expected that an
 // on-demand machine is worth fetching the image anew.
-func (s *SpotPreference) IsOnDemandWorthFetching(job *state.Job) bool {
-	fetch := 0.0
+func (s *SpotPreference) IsOnDemandWorthImageFetch(job *state.Job) bool {
+	fetchSeconds := 0.0
 	for _, machineType := range s.state.MachineTypes {
 		if machineType.FetchGBPerSecond > 0 {
-			fetch = max(fetch, job.Spec.ImageGB/machineType.FetchGBPerSecond)
+			fetchSeconds = max(fetchSeconds, job.Spec.ImageGB/machineType.FetchGBPerSecond)
 		}
 	}
-	return s.expectedLoss(job) > max(fetch, spotLossLimit)
+	return s.expectedLossSeconds(job) > max(fetchSeconds, maxSpotLossSeconds)
 }
 
 // IsMarketSuited tells whether a job should have a spot machine, or an on-demand one,
 // rather than another that is equal otherwise. A job that can't afford a loss should
 // have an on-demand one; where the shard has such jobs, those that can save a
 // checkpoint leave these machines to them and use spot ones. Else neither matters.
-func (s *SpotPreference) IsMarketSuited(shard *state.Shard, job *state.Job, spot bool) bool {
+func (s *SpotPreference) IsPreferredMarket(shard *state.Shard, job *state.Job, spot bool) bool {
 	if job.Spec.CheckpointSeconds > 0 {
 		return spot || !shard.AvoidSpot
 	}
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -22,7 +22,7 @@
 	stragglerAllowanceSeconds = 5
 	// maxLateChecks is in how many checks in a row a straggler must be found: the
 	// heartbeats may be late, not the task.
-	maxLateChecks = 4
+	lateChecksBeforeDrain = 4
 )
 
 // Stragglers finds the machines and tasks that take far longer than others.
@@ -38,26 +38,26 @@
 	if !slow && !s.hasStraggler(machine) {
 		return
 	}
-	var late []*state.Assignment
+	var toMove []*state.Assignment
 	for _, assignment := range machine.SortedAssignments() {
 		if s.isStraggler(assignment) {
-			late = append(late, assignment)
+			toMove = append(toMove, assignment)
 		}
 	}
 	if !slow {
 		machine.LateChecks++
-		if machine.LateChecks < maxLateChecks {
+		if machine.LateChecks < lateChecksBeforeDrain {
 			return
 		}
 	}
-	s.loop.Log(messages.LogInfo, "machine is slow", "machine", string(machine.ID), "pace", machine.RelativePace, "late_tasks", len(late))
+	s.loop.Log(messages.LogInfo, "machine is slow", "machine", string(machine.ID), "pace", machine.RelativePace, "late_tasks", len(toMove))
 	s.deps.Stops.Drain(machine)
 	for _, assignment := range machine.SortedAssignments() {
 		if assignment.IsCheckpointable() {
-			late = append(late, assignment)
+			toMove = append(toMove, assignment)
 		}
 	}
-	for _, assignment := range late {
+	for _, assignment := range toMove {
 		s.deps.Stops.MoveOffSlowMachine(machine, assignment)
 	}
 }
--- a/internal/scheduling/trigger.go
+++ b/internal/scheduling/trigger.go
@@ -24,7 +24,7 @@
 // Request asks for tasks to be assigned, as something has changed that it depends on.
 func (t *Trigger) Request() { t.requested = true }
 
-func (t *Trigger) check(now cluster.Time) triggerDecision {
+func (t *Trigger) decide(now cluster.Time) triggerDecision {
 	switch {
 	case !t.requested:
 		return runNone
--- a/internal/scheduling/trigger_test.go
+++ b/internal/scheduling/trigger_test.go
@@ -8,7 +8,7 @@
 
 // TestTriggerPause checks that requests within the pause are answered together at its
 // end, with one timer.
-func TestTriggerPause(t *testing.T) {
+func TestTriggerInterval(t *testing.T) {
 	f := newFixture()
 	f.addMachine("m-1")
 	run := func(now cluster.Time) int {
