--- a/internal/scheduling/assign.go
+++ b/internal/scheduling/assign.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// MinInterval is the least time between two rounds of scheduling: what happens
-	// within it is decided together.
+	// MinInterval is the minimum time between two scheduling runs. Requests that arrive
+	// in the meantime are handled by one run.
 	MinInterval = 40 * millisecond
-	// preemptionInterval is the least time between two searches for tasks of a shard
-	// to preempt.
+	// preemptionInterval is the minimum time between two searches for preemption
+	// victims in a shard.
 	preemptionInterval = second / 2
-	// maxStoreOutage is how long the state service may fail before nothing new is
-	// started: the records could not be stored.
+	// maxStoreOutage is how long the state service may be unavailable before
+	// scheduling stops. Assignments can't be stored during an outage.
 	maxStoreOutage = second
 )
 
-// RunIfRequested starts pending tasks of the owned shards if that was requested and
-// its time has come.
+// RunIfRequested runs a scheduling round for each owned shard if one was requested and
+// MinInterval has passed since the last one. If it is too early, it sets a timer.
 func (s *Scheduler) RunIfRequested() {
 	now := s.shared.loop.Now()
 	switch s.Trigger.decide(now) {
@@ -39,19 +39,21 @@
 	}
 }
 
-// round is one round of scheduling of a shard.
+// round is one scheduling round of a shard.
 type round struct {
 	*Scheduler
 	shard      *state.Shard
-	jobs       []*state.Job        // with pending tasks, in the order of the queue
-	guaranteed map[*state.Job]bool // within their teams' guaranteed quotas
+	jobs       []*state.Job        // jobs with pending tasks, in queue order
+	guaranteed map[*state.Job]bool // jobs within their team's guaranteed quota
 	capacities []freeCapacity
-	kinds      []grouprecord.Kind // of the machines with free resources
-	usage      state.TeamUsage    // kept up to date
-	reserved   state.TeamUsage    // kept free of the teams' quotas for their starving jobs
+	kinds      []grouprecord.Kind // kinds of the machines in capacities
+	usage      state.TeamUsage    // includes the tasks assigned in this round
+	reserved   state.TeamUsage    // quota reserved for each team's starving jobs
 }
 
-// ScheduleShard starts pending tasks of a shard, and preempts others to make room.
+// ScheduleShard assigns a shard's pending tasks to its machines and, at most once per
+// preemptionInterval, preempts running tasks for jobs that are still pending. It does
+// nothing while the state service is unavailable.
 func (s *Scheduler) ScheduleShard(shard *state.Shard) {
 	if s.shared.deps.Store.IsUnavailableFor(maxStoreOutage) {
 		return
@@ -78,9 +80,9 @@
 	}
 }
 
-// assignStarving starts one task of each starving job. Where that does not fit yet,
-// smaller work must not take again and again what it waits for: a part of its team's
-// quota and a machine are kept free for it.
+// assignStarvingJobs assigns one task of each starving job. If the task fits on no
+// machine or into no quota yet, it reserves a machine and part of the team's quota for
+// the job. Otherwise smaller tasks would keep taking the freed resources.
 func (r *round) assignStarvingJobs() {
 	for _, job := range r.jobs {
 		if !r.Queue.isStarving(job) {
@@ -97,8 +99,9 @@
 	}
 }
 
-// reserveMachine picks the machine that is kept free for a starving job: the one that
-// was kept for it already, else the one with most free CPUs.
+// reserveMachine returns the machine to reserve for a starving job: the one that is
+// already reserved for it, or else the one with the most free CPUs. The result is nil
+// if the job may use none of the shard's machines.
 func (r *round) reserveMachine(job *state.Job) *state.Machine {
 	var best *state.Machine
 	var mostFree cluster.Amount
@@ -120,17 +123,17 @@
 	return best
 }
 
-// jobAssigner starts tasks of one job on the machines that suit it.
+// jobAssigner assigns tasks of one job to machines.
 type jobAssigner struct {
 	*round
 	job         *state.Job
-	quota       cluster.Resources // of the team, less what is reserved for starving jobs
-	tasksByZone map[string]int    // the job's tasks
-	remaining   int               // how many tasks may still be started
+	quota       cluster.Resources // team quota minus what is reserved for starving jobs
+	tasksByZone map[string]int    // number of the job's tasks in each zone
+	remaining   int               // number of tasks that may still be assigned
 }
 
-// assignJob starts up to a number of tasks of a job: on machines that have its image,
-// else are getting it, else have most free CPUs.
+// assignJob assigns up to limit tasks of a job to the best candidate machines. reserved
+// is the part of the team's quota that the job must not use.
 func (r *round) assignJob(job *state.Job, reserved cluster.Resources, limit int) {
 	allowed := make([]bool, len(r.kinds))
 	for i, kind := range r.kinds {
@@ -150,13 +153,14 @@
 	}
 }
 
-// isWithinQuota tells whether the team may have one more of the job's tasks.
+// isWithinQuota reports whether the team's quota allows one more task of the job.
 func (a *jobAssigner) isWithinQuota() bool {
 	return isWithinQuota(a.usage[a.job.Spec.Team].Plus(a.job.Spec.ResourceRequest), a.quota)
 }
 
-// fillMachine starts tasks on a machine as long as there is room; false: the job can
-// have no more anywhere.
+// fillMachine assigns tasks of the job to a machine until it is full. It returns false
+// if no more tasks of the job can be assigned to any machine, because the team's quota
+// is used up or no task is pending.
 func (a *jobAssigner) fillMachine(candidate machineCandidate) bool {
 	job, machine := a.job, candidate.capacity.machine
 	previous := cluster.TaskID{}
@@ -169,7 +173,7 @@
 			return false
 		}
 		task := cluster.TaskID{Job: job.Spec.ID, Index: index}
-		// An earlier attempt may still be being cleared away there.
+		// The machine may still list an earlier attempt of the same task.
 		if !isZoneAllowed(&job.Spec, a.tasksByZone, machine.Zone) || machine.Assignments[task] != nil {
 			return true
 		}
@@ -179,14 +183,15 @@
 	return true
 }
 
-// hasRoom tells whether a machine and its group's record have room for one more task
-// of the job.
+// hasRoom reports whether one more task of the job fits on a machine and into its
+// group's record.
 func (a *jobAssigner) hasRoom(capacity *freeCapacity) bool {
 	return a.job.Spec.ResourceRequest.FitsIn(capacity.available) && a.shared.deps.Records.HasRoom(capacity.machine.Group, a.job)
 }
 
-// assignTask assigns a task to a machine; last is the task that was assigned there
-// just before.
+// assignTask assigns a task to a machine and queues the write of its group's record.
+// previous is the task of the job that was last assigned to the same machine in this
+// round, or the zero value.
 func (a *jobAssigner) assignTask(candidate machineCandidate, task, previous cluster.TaskID) {
 	job, capacity := a.job, candidate.capacity
 	machine, request := capacity.machine, job.Spec.ResourceRequest
@@ -204,8 +209,8 @@
 	a.shared.deps.Records.WriteMachine(machine, writequeue.Start)
 }
 
-// addedRecordBytes is about how much longer a group's record gets by a task: one that
-// follows on the task assigned before to the same machine only widens its range.
+// addedRecordBytes estimates by how many bytes a task enlarges its group's record. A
+// task whose index follows that of the previous task only extends a range.
 func addedRecordBytes(job *state.Job, machine *state.Machine, task, previous cluster.TaskID) int {
 	if previous.Job == task.Job && previous.Index+1 == task.Index {
 		return grouprecord.AddedBytes(task.Job, true, false)
@@ -220,15 +225,14 @@
 	return grouprecord.AddedBytes(task.Job, false, jobListed)
 }
 
-// machineCandidate is a machine with free resources that a job's tasks may be
-// assigned to.
+// machineCandidate is a Candidate with the free capacity of its machine.
 type machineCandidate struct {
 	Candidate
 	capacity *freeCapacity
 }
 
-// rankCandidates lists the machines that a job's tasks may be assigned to, the best
-// first. allowed says by kind which ones the job may use.
+// rankCandidates returns the machines that a job's tasks may be assigned to, best
+// first. allowed holds, for each of r.kinds, whether the job may use that kind.
 func (r *round) rankCandidates(job *state.Job, allowed []bool) []machineCandidate {
 	var candidates []machineCandidate
 	for i := range r.capacities {
@@ -252,8 +256,8 @@
 	return candidates
 }
 
-// isCandidate tells whether a machine has room for a task of a job that may use
-// machines of its kind.
+// isCandidate reports whether a task of a job can be assigned to a machine. The caller
+// has checked that the job may use the machine's kind.
 func (r *round) isCandidate(job *state.Job, capacity *freeCapacity) bool {
 	machine := capacity.machine
 	return job.Spec.ResourceRequest.FitsIn(capacity.available) &&
--- a/internal/scheduling/assign_test.go
+++ b/internal/scheduling/assign_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestAssignWithinQuota checks that tasks are assigned to free machines as far as the
-// team's quota allows.
+// TestAssignWithinQuota checks that no more tasks are assigned than the team's quota
+// allows.
 func TestAssignWithinQuota(t *testing.T) {
 	f := newFixture()
 	f.state.Teams["red"].QuotaLimit.CPU = 11 * cpu
@@ -18,12 +18,12 @@
 	job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 5, SubmittedAt: 1_000_000})
 	f.ScheduleShard(f.shard)
 	if job.AssignedCount != 2 || len(f.written) != 2 {
-		t.Errorf("%d tasks assigned and %d records written; 11 CPUs are enough for two", job.AssignedCount, len(f.written))
+		t.Errorf("%d tasks assigned and %d records written, want 2 of each: the quota is 11 CPUs, and a task requests 4", job.AssignedCount, len(f.written))
 	}
 }
 
-// TestUnschedulableMachinesGetNoTasks checks each reason for which a machine gets no
-// new task.
+// TestUnschedulableMachinesGetNoTasks checks that no task is assigned to a machine that
+// can't run it or may be owned by someone else.
 func TestUnschedulableMachinesGetNoTasks(t *testing.T) {
 	for name, change := range map[string]func(*state.Machine){
 		"token not acknowledged": func(m *state.Machine) { m.TokenAcknowledged = false },
@@ -31,11 +31,11 @@
 		"draining":               func(m *state.Machine) { m.Draining = true },
 		"releasing":              func(m *state.Machine) { m.Releasing = true },
 		"start in doubt":         func(m *state.Machine) { m.StartInDoubt = true },
-		"token being raised":     func(m *state.Machine) { m.RaisingToken = true },
+		"raising token":          func(m *state.Machine) { m.RaisingToken = true },
 		"after an error":         func(m *state.Machine) { m.NoStartsBefore = second },
-		"silent":                 func(m *state.Machine) { m.LastHeartbeat = -11 * second },
+		"missed heartbeats":      func(m *state.Machine) { m.LastHeartbeat = -11 * second },
 		"cordoned":               func(m *state.Machine) { m.Cordon() },
-		"to be scaled in":        func(m *state.Machine) { m.CordonForScaleIn() },
+		"scale-in candidate":     func(m *state.Machine) { m.CordonForScaleIn() },
 		"offered":                func(m *state.Machine) { m.Group.OfferTo(1, second) },
 		"unknown type":           func(m *state.Machine) { m.MachineType = "unknown" },
 	} {
@@ -45,14 +45,14 @@
 			change(f.addMachine("m-1"))
 			f.ScheduleShard(f.shard)
 			if job.AssignedCount != 0 {
-				t.Error("a task is assigned to it")
+				t.Error("a task was assigned to the machine")
 			}
 		})
 	}
 }
 
-// TestStarvingJobReservesMachine checks that what a starving job waits for is not taken
-// by smaller work: a machine, and a part of the team's quota.
+// TestStarvingJobReservesMachine checks that smaller tasks are not assigned to the
+// machine that is reserved for a starving job.
 func TestStarvingJobReservesMachine(t *testing.T) {
 	f := newFixture()
 	small := cluster.Resources{CPU: cpu}
@@ -66,20 +66,20 @@
 	filler.Spec.ResourceRequest = small
 	f.ScheduleShard(f.shard)
 	if starving.ReservedMachine == "" || starving.AssignedCount != 0 {
-		t.Fatalf("reserved %q, assigned %d", starving.ReservedMachine, starving.AssignedCount)
+		t.Fatalf("reserved machine %q, %d tasks assigned; want a reserved machine and no assigned task", starving.ReservedMachine, starving.AssignedCount)
 	}
 	if filler.AssignedCount != 3 {
-		t.Errorf("%d small tasks assigned, want those that fit on the other machine", filler.AssignedCount)
+		t.Errorf("%d small tasks assigned, want the 3 that fit on the other machine", filler.AssignedCount)
 	}
 	for _, assignment := range filler.Assignments {
 		if assignment.MachineID == starving.ReservedMachine {
-			t.Error("a small task is assigned to the reserved machine")
+			t.Error("a small task was assigned to the reserved machine")
 		}
 	}
 }
 
-// TestStarvingJobReservesQuota checks that smaller work of its team does not take the
-// part of the quota that a starving job waits for.
+// TestStarvingJobReservesQuota checks that smaller tasks of the same team do not use the
+// quota that is reserved for a starving job.
 func TestStarvingJobReservesQuota(t *testing.T) {
 	f := newFixture()
 	f.state.Teams["red"].QuotaLimit.CPU = 5 * cpu
@@ -93,12 +93,13 @@
 	filler.Spec.ResourceRequest = cluster.Resources{CPU: cpu}
 	f.ScheduleShard(f.shard)
 	if filler.AssignedCount != 0 {
-		t.Errorf("%d small tasks take what is left of the quota", filler.AssignedCount)
+		t.Errorf("%d small tasks assigned, want none because the remaining quota is reserved", filler.AssignedCount)
 	}
 }
 
-// TestZoneRules checks that the tasks of a job are spread over zones or kept in one.
-func TestZoneRules(t *testing.T) {
+// TestZoneConstraints checks that the tasks of a job are spread over zones or colocated
+// in one zone, as its spec requires.
+func TestZoneConstraints(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		spec cluster.JobSpec
@@ -127,19 +128,20 @@
 	}
 }
 
-// TestHasStartableTasks checks that work counts as startable only where it fits.
+// TestHasStartableTasks checks that pending tasks count as startable only if they fit on
+// a machine.
 func TestHasStartableTasks(t *testing.T) {
 	f := newFixture()
 	machine := f.addMachine("m-1")
 	if f.HasStartableTasks(f.shard) {
-		t.Error("startable without jobs")
+		t.Error("startable tasks without any job")
 	}
 	job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 2, SubmittedAt: 1_000_000})
 	if !f.HasStartableTasks(f.shard) {
-		t.Error("not startable on a free machine")
+		t.Error("no startable task though a machine is free")
 	}
 	f.addRunningTask(job, machine)
 	if f.HasStartableTasks(f.shard) {
-		t.Error("startable on a full machine")
+		t.Error("startable tasks though the only machine is full")
 	}
 }
--- a/internal/scheduling/attemptedtransfers.go
+++ b/internal/scheduling/attemptedtransfers.go
@@ -8,17 +8,17 @@
 	"stairrelay/internal/messages"
 )
 
-// attemptedTransfers are the machine groups offered by other controllers that this
-// one has tried to acquire, by the controller and the record's key, with the mod
-// revision of the record then. Each offer is tried once.
+// attemptedTransfers holds the transfer offers of other controllers that this controller
+// has already tried to accept, so that each is tried once. It maps the offering
+// controller and the key of the group's record to the mod revision in the offer.
 type attemptedTransfers map[cluster.NodeID]map[string]cluster.ModRevision
 
-// contains tells whether an offer was tried.
+// contains reports whether an offer has been tried.
 func (a attemptedTransfers) contains(from cluster.NodeID, offer messages.TransferOffer) bool {
 	return a[from][offer.Key] == offer.ModRevision
 }
 
-// record records that an offer was tried.
+// record adds an offer that is being tried.
 func (a attemptedTransfers) record(from cluster.NodeID, offer messages.TransferOffer) {
 	if a[from] == nil {
 		a[from] = map[string]cluster.ModRevision{}
@@ -26,7 +26,7 @@
 	a[from][offer.Key] = offer.ModRevision
 }
 
-// retainOffered forgets the groups that a controller offers no longer.
+// forgetWithdrawn removes the groups that a controller no longer offers.
 func (a attemptedTransfers) forgetWithdrawn(from cluster.NodeID, offers []messages.TransferOffer) {
 	maps.DeleteFunc(a[from], func(key string, _ cluster.ModRevision) bool {
 		return !slices.ContainsFunc(offers, func(offer messages.TransferOffer) bool { return offer.Key == key })
--- a/internal/scheduling/candidates.go
+++ b/internal/scheduling/candidates.go
@@ -6,42 +6,43 @@
 	"stairrelay/internal/cluster"
 )
 
-// ImageState says how soon a machine that lacks or has a job's image can start a
-// task of it. It is one byte because candidates are copied while they are sorted.
+// ImageState is the state of a job's container image on a machine. It is one byte
+// because candidates are copied while they are sorted.
 type ImageState int8
 
-// The image states, the worst first.
+// The image states, from worst to best.
 const (
-	ImageBlocked  ImageState = iota - 1 // it is not there and should not be fetched now
-	ImageAbsent                         // it is not there and can be fetched
-	ImageFetching                       // it is being fetched
-	ImageCached                         // it is there
+	ImageBlocked  ImageState = iota - 1 // not cached, and must not be fetched yet
+	ImageAbsent                         // not cached, and can be fetched now
+	ImageFetching                       // being fetched
+	ImageCached                         // in the machine's image cache
 )
 
-// Two concurrent fetches share the bandwidth of a machine: one after the other lets
-// the first task start sooner and the second no later. But a machine that takes many
-// tasks would be nearly idle while a few tasks of one job wait for their image.
+// Concurrent image fetches share a machine's bandwidth, so that fetching in sequence
+// starts the first task sooner and the second no later. A large machine may still
+// fetch a second image if it would otherwise be nearly idle until the first arrives.
 const (
-	// nearlyIdleDivisor: a machine counts as nearly idle while the tasks that wait
-	// for images take less than one eighth of its CPUs.
+	// nearlyIdleDivisor defines a nearly idle machine: the tasks that wait for images
+	// use less than 1/nearlyIdleDivisor of its CPUs.
 	nearlyIdleDivisor = 8
-	// manyTasks is how many tasks of a job a machine must have room for to begin a
-	// second fetch while it is nearly idle.
+	// minTasksForSecondFetch is how many tasks of a job an empty machine must have
+	// room for to start a second fetch while it is nearly idle.
 	minTasksForSecondFetch = 16
 )
 
-// ImageFetches holds the images that a machine is fetching. The zero value has none.
+// ImageFetches is the set of images that a machine is fetching. The zero value is an
+// empty set.
 type ImageFetches struct {
 	images     []imageFetch
-	waitingCPU cluster.Amount // CPUs of the tasks that wait for an image
+	waitingCPU cluster.Amount // total CPUs of the tasks that wait for an image
 }
 
 type imageFetch struct {
 	image    string
-	priority cluster.Priority // the highest of the tasks that wait for it
+	priority cluster.Priority // highest priority of the tasks that wait for the image
 }
 
-// Add records that a task of a priority, with its CPUs, waits for an image.
+// Add records that a task with the given priority and CPUs waits for an image.
 func (f *ImageFetches) Add(image string, priority cluster.Priority, cpu cluster.Amount) {
 	f.waitingCPU += cpu
 	for i := range f.images {
@@ -53,10 +54,11 @@
 	f.images = append(f.images, imageFetch{image: image, priority: priority})
 }
 
-// State returns how soon a machine with machineCPU CPUs, which does not have the
-// image, could start a task that needs taskCPU.
+// State returns the state of an image that is not cached, for a task that requests
+// taskCPU on a machine with machineCPU. The result is ImageFetching, ImageAbsent or
+// ImageBlocked.
 func (f *ImageFetches) State(image string, priority cluster.Priority, taskCPU, machineCPU cluster.Amount) ImageState {
-	otherHasPrecedence := false // another image is fetched for tasks that are urgent or as important
+	otherHasPrecedence := false // another image is being fetched for urgent tasks or tasks of at least this priority
 	for _, fetch := range f.images {
 		if fetch.image == image {
 			return ImageFetching
@@ -71,18 +73,18 @@
 	return ImageAbsent
 }
 
-// Candidate is a machine that the tasks of a job may be assigned to.
+// Candidate describes a machine that a job's tasks may be assigned to.
 type Candidate struct {
 	Image           ImageState
 	Spot            bool
-	PreferredMarket bool // the machine's type suits the job
+	PreferredMarket bool // see SpotPreference.IsPreferredMarket
 	FreeCPU         cluster.Amount
 }
 
-// Compare returns a negative number when c should get tasks before the other
-// candidate: the one with the better image state first, then one of a suitable type,
-// then the one with more free CPUs. Where a spot machine is a risk to the job, an
-// on-demand machine comes before all of these.
+// Compare returns a negative number if c ranks before other, a positive number if it
+// ranks after it, and 0 if they are equal. Candidates are ordered by image state, then
+// by preferred market, then by free CPUs, most first. If spotIsRisky is set, on-demand
+// machines rank before all spot machines.
 func (c *Candidate) Compare(other *Candidate, spotIsRisky bool) int {
 	switch {
 	case spotIsRisky && c.Spot != other.Spot:
--- a/internal/scheduling/candidates_test.go
+++ b/internal/scheduling/candidates_test.go
@@ -8,65 +8,64 @@
 
 const cpu = cluster.AmountsPerUnit
 
-// TestImageFetches checks that a second image is fetched beside another only for
-// more important work, or where the machine would be nearly idle.
+// TestImageFetches checks that a second image is fetched concurrently only for tasks of
+// a higher priority, or if the machine would otherwise be nearly idle.
 func TestImageFetches(t *testing.T) {
 	for _, test := range []struct {
 		name                string
-		waitingPriority     cluster.Priority // of the tasks that wait for another image
-		waitingCPUs         cluster.Amount
+		waitingPriority     cluster.Priority // priority of the tasks that wait for another image
+		waitingCPUs         cluster.Amount   // CPUs of these tasks
 		priority            cluster.Priority
 		taskCPU, machineCPU cluster.Amount
 		want                ImageState
 	}{
-		{"as important", cluster.Normal, 4, cluster.Normal, 1, 8, ImageBlocked},
-		{"more important", cluster.Normal, 4, cluster.Urgent, 1, 8, ImageAbsent},
-		{"urgent tasks wait for the other", cluster.Urgent, 4, cluster.Production, 1, 8, ImageBlocked},
-		{"a large machine nearly idle", cluster.Normal, 1, cluster.Normal, 1, 16, ImageAbsent},
-		{"a large machine, an eighth of it waits", cluster.Normal, 2, cluster.Normal, 1, 16, ImageBlocked},
+		{"equal priority", cluster.Normal, 4, cluster.Normal, 1, 8, ImageBlocked},
+		{"higher priority", cluster.Normal, 4, cluster.Urgent, 1, 8, ImageAbsent},
+		{"urgent tasks wait for the other image", cluster.Urgent, 4, cluster.Production, 1, 8, ImageBlocked},
+		{"large machine, nearly idle", cluster.Normal, 1, cluster.Normal, 1, 16, ImageAbsent},
+		{"large machine, one eighth of its CPUs waits", cluster.Normal, 2, cluster.Normal, 1, 16, ImageBlocked},
 		{"room for too few tasks of the job", cluster.Normal, 1, cluster.Normal, 2, 31, ImageBlocked},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			taskCPU, machineCPU := test.taskCPU*cpu, test.machineCPU*cpu
 			var fetches ImageFetches
 			if got := fetches.State("new", test.priority, taskCPU, machineCPU); got != ImageAbsent {
-				t.Errorf("state %d while nothing is fetched, want %d", got, ImageAbsent)
+				t.Errorf("state %d while no image is being fetched, want %d", got, ImageAbsent)
 			}
 			fetches.Add("other", test.waitingPriority, test.waitingCPUs*cpu)
 			if got := fetches.State("new", test.priority, taskCPU, machineCPU); got != test.want {
 				t.Errorf("state %d, want %d", got, test.want)
 			}
 			if got := fetches.State("other", test.priority, taskCPU, machineCPU); got != ImageFetching {
-				t.Errorf("state %d of the image that is fetched, want %d", got, ImageFetching)
+				t.Errorf("state %d of the image that is being fetched, want %d", got, ImageFetching)
 			}
 		})
 	}
 }
 
-// TestImageFetchesOfSeveralTasks checks that the highest priority of the tasks that
-// wait counts, and all their CPUs.
+// TestImageFetchesOfSeveralTasks checks that the highest priority and the total CPUs of
+// all waiting tasks decide.
 func TestImageFetchesOfSeveralTasks(t *testing.T) {
 	var fetches ImageFetches
 	fetches.Add("other", cluster.Urgent, cpu)
 	fetches.Add("other", cluster.BestEffort, cpu)
 	if got := fetches.State("new", cluster.Urgent, cpu, 16*cpu); got != ImageBlocked {
-		t.Errorf("two tasks wait: %d", got)
+		t.Errorf("two tasks wait for an image: state %d", got)
 	}
 	if got := fetches.State("new", cluster.Urgent, cpu, 17*cpu); got != ImageAbsent {
-		t.Errorf("two tasks wait on a larger machine: %d", got)
+		t.Errorf("two tasks wait for an image on a larger machine: state %d", got)
 	}
 	if got := fetches.State("new", cluster.Normal, cpu, 16*cpu); got != ImageBlocked {
-		t.Errorf("less important than one that waits: %d", got)
+		t.Errorf("lower priority than a waiting task: state %d", got)
 	}
-	// Any of several images that are fetched blocks a less important one.
+	// Each image that is being fetched blocks images for tasks of a lower priority.
 	fetches.Add("third", cluster.BestEffort, 0)
 	if got := fetches.State("new", cluster.Normal, cpu, 16*cpu); got != ImageBlocked {
-		t.Errorf("less important than the first of two images: %d", got)
+		t.Errorf("lower priority than the tasks that wait for the first of two images: state %d", got)
 	}
 }
 
-// TestCandidateOrder compares each two of a list of machines in the order in which
-// they get tasks.
+// TestCandidateOrder checks Compare for all pairs of candidates in a sorted list.
 func TestCandidateOrder(t *testing.T) {
 	order := []Candidate{
 		{ImageCached, true, true, 1},
@@ -80,15 +79,15 @@
 		for k := range order {
 			got := order[i].Compare(&order[k], false)
 			if !hasSignOf(got, i-k) {
-				t.Errorf("candidate %d compared with %d: %d", i, k, got)
+				t.Errorf("candidate %d compared with candidate %d: %d", i, k, got)
 			}
 		}
 	}
 	spot, onDemand := &order[0], &order[3]
 	if onDemand.Compare(spot, true) >= 0 || spot.Compare(onDemand, true) <= 0 {
-		t.Error("a spot machine that is a risk comes before an on-demand one")
+		t.Error("a risky spot machine ranks before an on-demand machine")
 	}
 	if spot.Compare(&order[2], true) >= 0 {
-		t.Error("the image state does not count among spot machines")
+		t.Error("the image state does not decide between two spot machines")
 	}
 }
--- a/internal/scheduling/capacity.go
+++ b/internal/scheduling/capacity.go
@@ -12,13 +12,14 @@
 type freeCapacity struct {
 	machine      *state.Machine
 	available    cluster.Resources
-	kindIndex    int // its index among the kinds of the machines with free resources
+	kindIndex    int // index in the list of kinds that listFreeCapacity returns
 	imageFetches ImageFetches
-	machineCPU   cluster.Amount // CPUs of the whole machine
+	machineCPU   cluster.Amount // total CPUs of the machine
 }
 
-// listFreeCapacity lists the machines of a shard with at least minCPU free, and their
-// kinds: what a job may use is decided once for all machines of a kind.
+// listFreeCapacity returns the schedulable machines of a shard with at least minCPU
+// free, and their distinct kinds. The kinds let the caller check once per kind, rather
+// than once per machine, what a job may use.
 func (s *Scheduler) listFreeCapacity(shard *state.Shard, minCPU cluster.Amount) ([]freeCapacity, []grouprecord.Kind) {
 	var capacities []freeCapacity
 	var kinds []grouprecord.Kind
@@ -49,7 +50,7 @@
 	return capacities, kinds
 }
 
-// addStartingFetches records the images that tasks on the machine wait for.
+// addPendingFetches records the images that tasks on the machine wait for.
 func (c *freeCapacity) addPendingFetches() {
 	for _, assignment := range c.machine.Assignments {
 		if assignment.IsLive() && assignment.RunningSince == 0 && !c.machine.HasCachedImage(assignment.Job.Spec.Image) {
@@ -58,12 +59,12 @@
 	}
 }
 
-// addFetch records that a task of a job waits for its image there.
+// addFetch records that a task of a job waits for its image on the machine.
 func (c *freeCapacity) addFetch(job *state.Job) {
 	c.imageFetches.Add(job.Spec.Image, job.EffectivePriority, job.Spec.ResourceRequest.CPU)
 }
 
-// imageState says how soon the machine can start a job for its image.
+// imageState returns the state of a job's image on the machine.
 func (c *freeCapacity) imageState(job *state.Job) ImageState {
 	if c.machine.HasCachedImage(job.Spec.Image) {
 		return ImageCached
@@ -71,8 +72,8 @@
 	return c.imageFetches.State(job.Spec.Image, job.EffectivePriority, job.Spec.ResourceRequest.CPU, c.machineCPU)
 }
 
-// PackFreeCapacity takes from the work what fits into the free resources of a shard's
-// machines.
+// PackFreeCapacity removes from work the tasks that fit into the free resources of a
+// shard's machines.
 func (s *Scheduler) PackFreeCapacity(shard *state.Shard, work PendingWork) {
 	capacities, _ := s.listFreeCapacity(shard, 1)
 	for i := range capacities {
@@ -83,7 +84,8 @@
 	}
 }
 
-// HasStartableTasks tells whether pending tasks of a shard fit on its machines.
+// HasStartableTasks reports whether any pending task of a shard could be assigned to
+// one of its machines now.
 func (s *Scheduler) HasStartableTasks(shard *state.Shard) bool {
 	if !slices.ContainsFunc(shard.Jobs, s.Queue.hasSchedulableTasks) {
 		return false
@@ -99,8 +101,8 @@
 	return false
 }
 
-// isStartable tells whether a task of a job could be started on a machine with free
-// resources.
+// isStartable reports whether a job's constraints, its image and the group's record
+// allow a task on a machine. It doesn't check the resource request.
 func (s *Scheduler) isStartable(job *state.Job, capacity *freeCapacity) bool {
 	machine := capacity.machine
 	return s.Eligibility.IsAllowedOn(job, machine) &&
--- a/internal/scheduling/eligibility.go
+++ b/internal/scheduling/eligibility.go
@@ -5,17 +5,19 @@
 	"stairrelay/internal/state"
 )
 
-// maxFailedMachines is on how many machines a job must have failed for the fault to
-// be its own: from then on it avoids none.
+// maxFailedMachines limits how many machines a job avoids because its tasks failed there.
+// A job that has failed on this many machines is assumed to be faulty itself and avoids
+// none of them.
 const maxFailedMachines = 3
 
-// Eligibility tells which machines may get tasks, and which of them a job may use.
+// Eligibility decides which machines may get new tasks and which of them a job may use.
 type Eligibility struct {
 	*shared
 	spot *SpotPreference
 }
 
-// IsSchedulable tells whether new tasks may be started on a machine.
+// IsSchedulable reports whether a machine may get new tasks. It doesn't check whether
+// the machine is cordoned or its group is offered to another shard.
 func (e *Eligibility) IsSchedulable(machine *state.Machine) bool {
 	now := e.loop.Now()
 	return machine.TokenAcknowledged &&
@@ -25,35 +27,39 @@
 		now-machine.LastHeartbeat < 2*e.config.HeartbeatInterval+second
 }
 
-// IsAllowedOn tells whether a job may use a machine.
+// IsAllowedOn reports whether a job may use a machine of this type, zone and market,
+// and has not failed on it.
 func (e *Eligibility) IsAllowedOn(job *state.Job, machine *state.Machine) bool {
 	return e.isKindAllowed(job, machine.MachineType, machine.Zone, machine.Spot) && !avoids(job, machine)
 }
 
-// IsOptionAllowed tells whether a job may use a machine that the cloud may have.
+// IsOptionAllowed reports whether a job may use the machines of a provisioning option.
 func (e *Eligibility) IsOptionAllowed(job *state.Job, option state.ProvisioningOption) bool {
 	return e.satisfiesColocation(job, option.Zone) && e.isKindAllowed(job, option.Type, option.Zone, option.Spot)
 }
 
-// isKindAllowed tells whether a job may use machines of a type in a zone.
+// isKindAllowed reports whether a job may use machines of a type in a zone, spot or
+// on-demand.
 func (e *Eligibility) isKindAllowed(job *state.Job, machineType, zone string, spot bool) bool {
 	return (job.Spec.Spot || !spot) && job.Spec.AllowsMachineType(e.state.MachineTypes[machineType], zone)
 }
 
-// CanUseMachine tells whether a job may use a machine as far as that is to be emptied
-// because of its price: only a job to which the cheaper ones are a risk may.
+// IsAllowedDespiteScaleIn reports whether scale-in allows a job to use a machine. A
+// scale-in candidate may be used only if it is an on-demand machine and spot machines
+// are too risky for the job.
 func (e *Eligibility) IsAllowedDespiteScaleIn(job *state.Job, machine *state.Machine) bool {
 	return !machine.ScaleInCandidate || !machine.Spot && e.spot.IsOnDemandWorthImageFetch(job)
 }
 
-// isZoneReachable tells whether the tasks that a job has allow more of them in a zone,
-// as far as they have to be in one.
+// satisfiesColocation reports whether a job may get tasks in a zone. A job with
+// colocated tasks may not if any of its tasks is in another zone.
 func (e *Eligibility) satisfiesColocation(job *state.Job, zone string) bool {
 	return !job.Spec.Colocate || isOnlyZone(e.countTasksByZone(job), zone)
 }
 
-// countTasksByZone counts a job's tasks by zone, where its rules ask for that. Those
-// that are confirmed absent don't count, though a record may still list them.
+// countTasksByZone returns the number of a job's live tasks in each zone. The result is
+// empty if the job has no zone constraint. Tasks that are confirmed to be absent from
+// their machine don't count, even if a record still lists them.
 func (e *Eligibility) countTasksByZone(job *state.Job) map[string]int {
 	zones := map[string]int{}
 	if job.Spec.Colocate || job.Spec.Spread {
@@ -66,13 +72,14 @@
 	return zones
 }
 
-// avoids tells whether a job has failed on a machine and may try others.
+// avoids reports whether a job must not use a machine because it has failed there. The
+// result is false once the job has failed on maxFailedMachines machines.
 func avoids(job *state.Job, machine *state.Machine) bool {
 	return len(job.FailedMachines) > 0 && len(job.FailedMachines) < maxFailedMachines && job.FailedMachines[machine.ID]
 }
 
-// isZoneAllowed tells whether a job's rules allow one more of its tasks in a zone,
-// given its tasks by zone.
+// isZoneAllowed reports whether a job's zone constraint allows one more task in a zone,
+// given the number of its tasks in each zone.
 func isZoneAllowed(spec *cluster.JobSpec, tasksByZone map[string]int, zone string) bool {
 	if spec.Colocate && !isOnlyZone(tasksByZone, zone) {
 		return false
@@ -80,7 +87,7 @@
 	return !spec.Spread || tasksByZone[zone] < (spec.Tasks+1)/2
 }
 
-// isOnlyZone tells whether no other zone has tasks.
+// isOnlyZone reports whether no zone other than zone has tasks.
 func isOnlyZone(tasksByZone map[string]int, zone string) bool {
 	for other, tasks := range tasksByZone {
 		if tasks > 0 && other != zone {
--- a/internal/scheduling/fixture_test.go
+++ b/internal/scheduling/fixture_test.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// fixture is a scheduler of two shards, the first of them owned, whose team red may use
-// 100 CPUs, with fakes of the other parts of the controller.
+// fixture is a scheduler with two shards, the first of which is owned, and the team red
+// with a quota of 100 CPUs. It implements the scheduler's dependencies as fakes.
 type fixture struct {
 	*Scheduler
 	loop                 *eventloop.Loop
@@ -20,7 +20,7 @@
 	spotInterruptionRate float64 // per second
 	written              []*state.Machine
 	regrouped            [][]*state.Machine
-	acquired             []string // the keys of groups
+	acquired             []string // keys of the acquired groups
 	ownershipChanges     int
 }
 
@@ -79,7 +79,7 @@
 // TargetGroupSize implements MachineGroups.
 func (f *fixture) TargetGroupSize() int { return 50 }
 
-// Regroup implements MachineGroups: the write of the record is refused.
+// Regroup implements MachineGroups. It always fails.
 func (f *fixture) Regroup(_ *state.Shard, machines []*state.Machine, _ *state.MachineGroup, _ writequeue.Priority, done func(*state.MachineGroup)) {
 	f.regrouped = append(f.regrouped, machines)
 	done(nil)
@@ -99,7 +99,8 @@
 // IsUnavailableFor implements Store.
 func (f *fixture) IsUnavailableFor(cluster.Time) bool { return false }
 
-// addMachine adds a machine of the type small whose worker has acknowledged its token.
+// addMachine adds a machine of the type small, in a group of its own, whose worker has
+// acknowledged the fencing token.
 func (f *fixture) addMachine(id cluster.MachineID) *state.Machine {
 	group := &state.MachineGroup{ID: "g-" + string(id), Machines: map[cluster.MachineID]*state.Machine{}, NextWritePriority: writequeue.PriorityCount}
 	f.state.Groups[group.ID] = group
@@ -113,7 +114,7 @@
 	return machine
 }
 
-// addJob adds a job of the team red whose tasks need a machine each.
+// addJob adds a job of the team red. Each of its tasks requests a whole machine.
 func (f *fixture) addJob(spec cluster.JobSpec) *state.Job {
 	spec.Team, spec.ResourceRequest = "red", cluster.Resources{CPU: 4 * cpu}
 	job := state.NewJob(spec, f.shard.ID, 0, f.loop.Now())
@@ -121,7 +122,7 @@
 	return job
 }
 
-// addRunningTask assigns the job's next pending task to a machine, on which it runs.
+// addRunningTask adds the job's next pending task to a machine as a running task.
 func (f *fixture) addRunningTask(job *state.Job, machine *state.Machine) *state.Assignment {
 	task := cluster.TaskID{Job: job.Spec.ID, Index: job.NextPendingTask()}
 	assignment := &state.Assignment{
--- a/internal/scheduling/loads.go
+++ b/internal/scheduling/loads.go
@@ -7,23 +7,21 @@
 	"stairrelay/internal/state"
 )
 
-// loadsInterval is how long the loads of the owned shards are kept: many ask for them
-// within it.
+// loadsInterval is how long the loads of the owned shards are cached.
 const loadsInterval = second / 4
 
-// ShardLoads tells what the machines of each shard are, and what its jobs could use.
-// Those of the owned shards are kept for a while, but not once the owned shards have
-// changed.
+// ShardLoads computes the capacity and the demand of each shard. The loads of the owned
+// shards are cached until loadsInterval has passed or the set of owned shards changes.
 type ShardLoads struct {
 	*shared
 	queue *JobQueue
 
 	owned            []fairshare.ShardLoad
-	computedAt       cluster.Time // when those of the owned shards were computed; 0: never
-	ownershipChanges int          // of the owned shards until then
+	computedAt       cluster.Time // when owned was computed, or 0
+	ownershipChanges int          // value of Ownership.Changes at that time
 }
 
-// Owned describes the owned shards.
+// Owned returns the loads of the owned shards that are ready.
 func (l *ShardLoads) Owned() []fairshare.ShardLoad {
 	now, changes := l.loop.Now(), l.deps.Ownership.Changes()
 	if l.computedAt > 0 && now-l.computedAt < loadsInterval && l.ownershipChanges == changes {
@@ -40,7 +38,8 @@
 	return loads
 }
 
-// All is the load of every shard as far as it is known.
+// All returns the load of every shard that is owned by this controller or by a reachable
+// peer with a recent ping.
 func (l *ShardLoads) All() fairshare.Snapshot {
 	loads := fairshare.Snapshot{}
 	for _, peer := range l.deps.Peers.Peers() {
@@ -59,7 +58,7 @@
 	return loads
 }
 
-// compute describes an owned shard.
+// compute returns the load of an owned shard.
 func (l *ShardLoads) compute(shard *state.Shard) fairshare.ShardLoad {
 	load := fairshare.ShardLoad{Shard: shard.ID}
 	l.deps.CountMachineScans(shard.Machines)
@@ -81,7 +80,7 @@
 	for _, pending := range l.queue.PendingWork(shard) {
 		priority := pending.Job.EffectivePriority
 		if pending.Starving {
-			priority = max(priority, cluster.Urgent) // it goes before all else
+			priority = max(priority, cluster.Urgent) // scheduled before all other work
 		}
 		load.Demand[priority] += pending.Job.Spec.ResourceRequest.CPU * cluster.Amount(pending.Count)
 	}
--- a/internal/scheduling/offers.go
+++ b/internal/scheduling/offers.go
@@ -12,19 +12,21 @@
 	"stairrelay/internal/writequeue"
 )
 
-// Idle machines move between shards by groups: the owner of one offers them, that of
-// the other acquires them.
+// Idle machines are transferred between shards in groups: the owner of one shard offers
+// a group, and the owner of the other shard acquires it.
 
 const (
-	// offerDuration is how long an offer stands; the machines get no tasks until then.
+	// offerDuration is how long an offer is valid. Offered machines get no tasks.
 	offerDuration = 5 * second
-	// offerInterval is the least time between two looks for machines to offer.
+	// offerInterval is the minimum time between two offers of a shard.
 	offerInterval = second
 	// minIdleTime is how long a machine must have been idle to be offered.
 	minIdleTime = second / 2
 )
 
-// TransferOffers lists the groups that the owned shards offer to others.
+// TransferOffers returns the groups that the owned shards offer to others, at most
+// membership.MaxTransferOffers. Groups whose record is being written are left out, as
+// their mod revision is about to change.
 func (r *Rebalancer) TransferOffers() []messages.TransferOffer {
 	var offers []messages.TransferOffer
 	for _, group := range r.state.SortedGroups() {
@@ -44,7 +46,8 @@
 	return offers
 }
 
-// countKinds counts a group's machines by kind, in the order of the machines.
+// countKinds returns the number of a group's machines of each kind, in the order in
+// which the kinds first occur.
 func countKinds(group *state.MachineGroup) []messages.MachineKindCount {
 	counts := map[grouprecord.Kind]int{}
 	var kinds []grouprecord.Kind
@@ -62,8 +65,8 @@
 	return kindCounts
 }
 
-// expireOffers takes back what was not acquired in time, whether or not another shard
-// still lacks machines: an offered group gets no tasks.
+// expireOffers withdraws the offers that were not accepted in time. An offered group
+// gets no tasks, so this must not depend on whether a shard still has a shortfall.
 func (r *Rebalancer) expireOffers() {
 	for _, group := range r.state.Groups {
 		if group.Offer != nil && r.loop.Now() > group.Offer.Until {
@@ -73,8 +76,8 @@
 	}
 }
 
-// OfferIdleMachines offers a shard's idle machines to those that lack some. They are
-// gathered into groups of their own, so that one write moves many.
+// OfferIdleMachines offers a shard's idle machines to shards with a shortfall. The
+// machines are regrouped first if necessary, so that one write transfers many.
 func (r *Rebalancer) OfferIdleMachines(shard *state.Shard, plan *fairshare.Plan) {
 	if r.loop.Now() < shard.NextOfferAt {
 		return
@@ -95,7 +98,8 @@
 	}
 }
 
-// spareMachines lists a shard's idle machines that its own pending tasks don't need.
+// spareMachines returns a shard's idle machines that are cordoned or that its own
+// pending tasks don't need.
 func (r *Rebalancer) spareMachines(shard *state.Shard) []*state.Machine {
 	idle := r.idleMachines(shard)
 	if len(idle) == 0 {
@@ -112,7 +116,7 @@
 	return spare
 }
 
-// idleMachines lists the machines of a shard that another may acquire.
+// idleMachines returns the machines of a shard that can be transferred to another.
 func (r *Rebalancer) idleMachines(shard *state.Shard) []*state.Machine {
 	if !shard.Owned || !shard.Ready {
 		return nil
@@ -127,8 +131,8 @@
 	return idle
 }
 
-// isTransferable tells whether a machine is idle, and neither its record nor its
-// worker shows anything that is still to be cleared away.
+// isTransferable reports whether a machine has been idle for minIdleTime, neither its
+// record nor its worker lists a task, and its group is neither being written nor offered.
 func (r *Rebalancer) isTransferable(machine *state.Machine) bool {
 	return len(machine.Assignments) == 0 && machine.RecordedTaskCount == 0 &&
 		!machine.Group.WriteInFlight && machine.Group.Offer == nil &&
@@ -136,7 +140,7 @@
 		r.loop.Now()-machine.IdleSince > minIdleTime
 }
 
-// offeredCPU sums up what a shard offers already, by the recipient.
+// offeredCPU returns the CPUs that a shard already offers to each recipient.
 func (r *Rebalancer) offeredCPU(shard *state.Shard) map[cluster.ShardID]cluster.Amount {
 	offered := map[cluster.ShardID]cluster.Amount{}
 	for _, group := range r.state.Groups {
@@ -147,7 +151,7 @@
 	return offered
 }
 
-// groupCPU is what a group's machines have in all.
+// groupCPU returns the total CPUs of a group's machines.
 func (r *Rebalancer) groupCPU(group *state.MachineGroup) cluster.Amount {
 	var sum cluster.Amount
 	for _, machine := range group.Machines {
@@ -156,9 +160,9 @@
 	return sum
 }
 
-// countToOffer tells how many of the machines, from the first on, are offered to a
-// shard with a shortfall: no more than go into one group, and than are listed by
-// records that can all be rewritten in one transaction.
+// countToOffer returns how many machines, from the front of the list, to offer to a shard
+// with a shortfall. They must fit into one group, and the records of their current
+// groups into one transaction.
 func (r *Rebalancer) countToOffer(machines []*state.Machine, shortfall cluster.Amount) int {
 	count, groups, bytes := 0, map[*state.MachineGroup]bool{}, 0
 	for count < len(machines) && shortfall > 0 && count < r.deps.Groups.TargetGroupSize() {
@@ -177,8 +181,8 @@
 	return count
 }
 
-// offer offers machines to another shard: as the group that they are, or else as a
-// group of their own once its record is stored.
+// offer offers machines to another shard. If they aren't a whole group, they are
+// cordoned and moved to a new group, which is offered once its record is stored.
 func (r *Rebalancer) offer(shard *state.Shard, machines []*state.Machine, recipient cluster.ShardID) {
 	if group := machines[0].Group; isWholeGroup(group, machines) {
 		group.OfferTo(recipient, r.loop.Now()+offerDuration)
@@ -194,14 +198,14 @@
 	})
 }
 
-// isWholeGroup tells whether machines are all those of a group.
+// isWholeGroup reports whether machines are exactly the machines of a group.
 func isWholeGroup(group *state.MachineGroup, machines []*state.Machine) bool {
 	isOther := func(machine *state.Machine) bool { return machine.Group != group }
 	return len(machines) == len(group.Machines) && !slices.ContainsFunc(machines, isOther)
 }
 
-// AcceptOffers acquires groups that other shards offer to a shard if it has a use for
-// them, and takes from the work what they will do.
+// AcceptOffers acquires the groups offered to a shard that can run some of its pending
+// work, and removes from work the tasks that fit on them.
 func (r *Rebalancer) AcceptOffers(shard *state.Shard, work PendingWork) {
 	for _, peer := range r.deps.Peers.Peers() {
 		if peer.IsUnreachable() || peer.PingAge() > membership.PingFreshness {
@@ -222,7 +226,8 @@
 	}
 }
 
-// packOffer takes from the work what the offered machines can do; false: nothing.
+// packOffer removes from work the tasks that fit on the offered machines. It reports
+// whether there were any.
 func (r *Rebalancer) packOffer(offer messages.TransferOffer, work PendingWork) bool {
 	packed := 0
 	for _, kind := range offer.Kinds {
@@ -235,8 +240,8 @@
 	return packed > 0
 }
 
-// ForgetWithdrawnOffers forgets the attempts to acquire groups that a controller does not
-// offer any more.
+// ForgetWithdrawnOffers forgets the attempts to accept offers that a controller no longer
+// makes. offers holds those in its latest ping.
 func (r *Rebalancer) ForgetWithdrawnOffers(from cluster.NodeID, offers []messages.TransferOffer) {
 	r.attempted.forgetWithdrawn(from, offers)
 }
--- a/internal/scheduling/pendingwork.go
+++ b/internal/scheduling/pendingwork.go
@@ -5,24 +5,23 @@
 	"stairrelay/internal/state"
 )
 
-// PendingTasks are tasks of one job that wait for machines.
+// PendingTasks counts pending tasks of one job.
 type PendingTasks struct {
 	Job      *state.Job
 	Count    int
-	Starving bool // the next task of a starving job
+	Starving bool // whether this is the next task of a starving job
 }
 
-// PendingWork is what waits for machines in a shard, in the order in which it is
-// served.
+// PendingWork is the pending tasks of a shard, in scheduling order.
 type PendingWork []PendingTasks
 
-// PendingWork lists the pending tasks that the teams' quotas would let run at once.
+// PendingWork returns the pending tasks of a shard that fit into their teams' quotas.
 func (q *JobQueue) PendingWork(shard *state.Shard) PendingWork {
 	usage := shard.UsageByTeam()
 	var work PendingWork
 	jobs, _ := q.Jobs(shard)
-	// The next task of a starving job comes first here as it does when tasks are
-	// assigned: else no machine of the kind that it needs would ever be requested.
+	// The next task of each starving job comes first, as in assignStarvingJobs.
+	// Otherwise machines of the kind that it needs might never be requested.
 	listed := map[*state.Job]int{}
 	for _, job := range jobs {
 		if q.isStarving(job) {
@@ -44,8 +43,8 @@
 	return work
 }
 
-// Pack takes from the work what fits into the resources of one machine that the jobs
-// may use, and returns how many tasks that are.
+// Pack removes from w the tasks that fit into the free resources of one machine, in
+// order, and returns their number. Jobs for which isAllowed returns false are skipped.
 func (w PendingWork) Pack(free cluster.Resources, isAllowed func(*state.Job) bool) int {
 	packed := 0
 	for i := range w {
@@ -62,8 +61,8 @@
 	return packed
 }
 
-// TasksPerMachine counts how many tasks with a request an empty machine takes; at
-// least one, as it divides prices.
+// TasksPerMachine returns how many tasks with a request fit on an empty machine. The
+// result is at least 1, because callers divide by it.
 func TasksPerMachine(capacity, request cluster.Resources) int {
 	return max(capacity.FitCount(request), 1)
 }
--- a/internal/scheduling/pendingwork_test.go
+++ b/internal/scheduling/pendingwork_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestPendingWorkWithinQuota checks that only so many tasks are listed as the team's
-// quota lets run at once, and that a starving job's next task comes first.
+// TestPendingWorkWithinQuota checks that no more tasks are listed than the team's quota
+// allows, and that the next task of a starving job comes first.
 func TestPendingWorkWithinQuota(t *testing.T) {
 	f := newFixture()
 	f.state.Teams["red"].QuotaLimit.CPU = 20 * cpu
@@ -17,14 +17,14 @@
 	f.addJob(cluster.JobSpec{ID: "starving", Tasks: 9, SubmittedAt: 800_000})
 	work := f.Queue.PendingWork(f.shard)
 	if len(work) != 2 || work[0].Job.Spec.ID != "starving" || !work[0].Starving || work[0].Count != 1 {
-		t.Fatalf("the starving job does not come first: %+v", work)
+		t.Fatalf("work %+v, want one task of the starving job first", work)
 	}
 	if work[1].Job.Spec.ID != "urgent" || work[1].Starving || work[1].Count != 3 {
-		t.Errorf("12 of 20 CPUs are left for the urgent job: %+v", work[1])
+		t.Errorf("%+v, want 3 tasks of the urgent job: 12 of 20 CPUs are left", work[1])
 	}
 }
 
-// TestPack checks that packing takes what fits and is allowed, in order.
+// TestPack checks that Pack removes, in order, only tasks that fit and are allowed.
 func TestPack(t *testing.T) {
 	jobOf := func(id cluster.JobID, cpus cluster.Amount) *state.Job {
 		return &state.Job{Spec: cluster.JobSpec{ID: id, ResourceRequest: cluster.Resources{CPU: cpus * cpu}}}
@@ -33,12 +33,12 @@
 	allowed := func(job *state.Job) bool { return job.Spec.ID != "forbidden" }
 	machine := cluster.Resources{CPU: 16 * cpu}
 	if packed := work.Pack(machine, allowed); packed != 6 {
-		t.Errorf("%d tasks packed, want two large and four small ones", packed)
+		t.Errorf("%d tasks packed, want 2 large and 4 small ones", packed)
 	}
 	if work[0].Count != 3 || work[1].Count != 5 || work[2].Count != 1 {
-		t.Errorf("left: %d, %d, %d", work[0].Count, work[1].Count, work[2].Count)
+		t.Errorf("%d large, %d forbidden and %d small tasks left, want 3, 5 and 1", work[0].Count, work[1].Count, work[2].Count)
 	}
 	if packed := work.Pack(cluster.Resources{}, allowed); packed != 0 {
-		t.Errorf("%d tasks packed on a full machine", packed)
+		t.Errorf("%d tasks packed on a full machine, want 0", packed)
 	}
 }
--- a/internal/scheduling/preempt.go
+++ b/internal/scheduling/preempt.go
@@ -5,27 +5,28 @@
 	"stairrelay/internal/state"
 )
 
-// preemptionBackoff is how long a job waits for the room that was made for it before
-// more is made.
+// preemptionBackoff is the minimum time between two preemptions for the same job, in
+// which the preempted tasks can stop and the job's tasks can be assigned.
 const preemptionBackoff = 8 * second
 
-// preemptorClass is what jobs have in common whose preemptions are decided alike.
+// preemptorKey identifies jobs that are treated alike as preemptors: if no victims are
+// found for one of them, the others are skipped.
 type preemptorKey struct {
 	class, team string
-	guaranteed  bool // within the team's guaranteed quota
+	guaranteed  bool // whether the job is within the team's guaranteed quota
 }
 
-// preemption is one search for tasks that have to give way to a shard's pending jobs.
+// preemption is one search for tasks to preempt for a shard's pending jobs.
 type preemption struct {
 	*round
-	machines         []*state.Machine // with tasks that could give way
+	machines         []*state.Machine // machines with preemptible tasks
 	failedPreemptors map[preemptorKey]bool
 }
 
-// preempt stops less important tasks that can save a checkpoint when an urgent job
-// found no room, and what other teams borrow when a team lacks its guaranteed quota.
-// The preempting job must rank before its victim: else the room would go to the
-// victim again, for ever.
+// preempt stops checkpointable tasks for pending jobs: tasks of lower priority for an
+// urgent job, and tasks beyond their team's guaranteed quota for a job within that of
+// its own team. The preempting job must rank before its victim. Otherwise the victim
+// would be assigned to the freed resources again, and be preempted forever.
 func (r *round) preempt() {
 	p := &preemption{round: r, machines: r.preemptibleMachines(), failedPreemptors: map[preemptorKey]bool{}}
 	if len(p.machines) == 0 {
@@ -42,14 +43,14 @@
 	}
 }
 
-// mayPreempt tells whether other tasks may be preempted for a job now.
+// mayPreempt reports whether tasks may be preempted for a job now.
 func (p *preemption) mayPreempt(job *state.Job) bool {
 	return job.PendingCount() > 0 &&
 		(job.EffectivePriority >= cluster.Urgent || p.guaranteed[job]) &&
 		p.shared.loop.Now() >= job.NextPreemptionAt
 }
 
-// preemptibleMachines lists a shard's machines with tasks that could give way.
+// preemptibleMachines returns a shard's schedulable machines with checkpointable tasks.
 func (r *round) preemptibleMachines() []*state.Machine {
 	var machines []*state.Machine
 	r.shared.deps.CountMachineScans(r.shard.Machines)
@@ -61,8 +62,8 @@
 	return machines
 }
 
-// preemptFor makes room for a job; false: its team's quota is used up, and nothing
-// more is preempted now.
+// preemptFor stops tasks to free resources for a job. It returns false if the team's
+// quota is used up before all pending tasks of the job fit; the search ends then.
 func (p *preemption) preemptFor(job *state.Job, key preemptorKey) bool {
 	request := job.Spec.ResourceRequest
 	quotaLeft := p.shared.state.Teams[job.Spec.Team].QuotaLimit.Minus(p.usage[job.Spec.Team])
@@ -72,7 +73,7 @@
 		}
 		return true
 	}
-	fitting := 0 // tasks of the job that fit by now
+	fitting := 0 // number of the job's tasks that fit so far
 	for _, machine := range p.machines {
 		if !p.Eligibility.IsAllowedOn(job, machine) || !p.Eligibility.satisfiesColocation(job, machine.Zone) {
 			continue
@@ -99,9 +100,9 @@
 	return true
 }
 
-// takeFitting counts how many times a request fits into the free resources of a
-// machine, up to a limit, and takes as much from what is left of the quota; false: that
-// is less.
+// fitWithinQuota returns how many times a request fits into the free resources of a
+// machine, up to limit, and subtracts these requests from quotaLeft. withinQuota is
+// false if quotaLeft runs out before that.
 func fitWithinQuota(request, free cluster.Resources, limit int, quotaLeft *cluster.Resources) (count int, withinQuota bool) {
 	for count < limit && request.FitsIn(free) {
 		*quotaLeft = quotaLeft.Minus(request)
@@ -114,8 +115,8 @@
 	return count, true
 }
 
-// selectVictims picks the tasks on a machine that have to stop so that a job's task
-// fits, and returns what is free then.
+// selectVictims returns the tasks to stop on a machine so that one task of a job fits,
+// and the resources that are free once they have stopped. These may be too few.
 func (p *preemption) selectVictims(job *state.Job, machine *state.Machine) (victims []*state.Assignment, free cluster.Resources) {
 	free = p.shared.freeResources(machine)
 	for _, assignment := range machine.SortedAssignments() {
@@ -125,7 +126,7 @@
 		if !assignment.IsCheckpointable() || !p.isPreemptibleFor(assignment.Job, job) {
 			continue
 		}
-		if !assignment.StopRequested { // else it is stopping already
+		if !assignment.StopRequested { // otherwise the task is already stopping
 			victims = append(victims, assignment)
 		}
 		free = free.Plus(assignment.ResourceRequest)
@@ -133,9 +134,9 @@
 	return victims, free
 }
 
-// isPreemptibleFor tells whether a job's task may be stopped for another job: for a
-// more important urgent one, or, if it is beyond its own team's guaranteed quota, for
-// one within its team's.
+// isPreemptibleFor reports whether tasks of victim may be preempted for job: either job
+// is urgent and has a higher priority, or it is within its team's guaranteed quota while
+// victim belongs to another team and is beyond that team's guaranteed quota.
 func (p *preemption) isPreemptibleFor(victim, job *state.Job) bool {
 	if p.Queue.isPreemptionExempt(victim) {
 		return false
@@ -149,8 +150,8 @@
 		p.usage[team.Name].CPU > team.GuaranteedQuota.CPU
 }
 
-// preemptWithinTeam makes room under a team's quota: its own less important tasks
-// that can save a checkpoint give way.
+// preemptWithinTeam frees quota for an urgent job by preempting checkpointable tasks of
+// lower priority of the same team.
 func (p *preemption) preemptWithinTeam(job *state.Job, quotaLeft cluster.Resources) {
 	pending := cluster.Amount(job.PendingCount())
 	need := cluster.Resources{CPU: job.Spec.ResourceRequest.CPU * pending, GPU: job.Spec.ResourceRequest.GPU * pending}
@@ -174,8 +175,8 @@
 	}
 }
 
-// givesWayWithinTeam tells whether a job's task may be stopped for another job of the
-// same team.
+// isPreemptibleWithinTeam reports whether tasks of victim may be preempted for job to
+// free quota of their common team.
 func (p *preemption) isPreemptibleWithinTeam(victim, job *state.Job) bool {
 	return victim.Spec.Team == job.Spec.Team && victim.EffectivePriority < job.EffectivePriority && !p.Queue.isPreemptionExempt(victim)
 }
--- a/internal/scheduling/preempt_test.go
+++ b/internal/scheduling/preempt_test.go
@@ -7,9 +7,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestPreemptionSparesFirstTask checks that the first task of a job that had waited
-// too long is not stopped for an urgent job, and that one of a job that has not waited
-// is.
+// TestFirstTaskIsPreemptionExempt checks that the first task of a job is not preempted
+// for an urgent job if it had to wait too long.
 func TestFirstTaskIsPreemptionExempt(t *testing.T) {
 	for _, waited := range []bool{true, false} {
 		f := newFixture()
@@ -24,18 +23,19 @@
 		r := &round{Scheduler: f.Scheduler, shard: f.shard, jobs: []*state.Job{urgent}, guaranteed: map[*state.Job]bool{}, usage: f.shard.UsageByTeam()}
 		r.preempt()
 		if assignment.StopRequested == waited {
-			t.Errorf("waited %v: stopped %v", waited, assignment.StopRequested)
+			t.Errorf("job has waited too long: %v, stopped: %v", waited, assignment.StopRequested)
 		}
 	}
 }
 
-// preemptFor searches for tasks to preempt for pending jobs.
+// preemptFor runs one search for tasks to preempt for the given pending jobs.
 func (f *fixture) preemptFor(guaranteed map[*state.Job]bool, jobs ...*state.Job) {
 	r := &round{Scheduler: f.Scheduler, shard: f.shard, jobs: jobs, guaranteed: guaranteed, usage: f.shard.UsageByTeam()}
 	r.preempt()
 }
 
-// TestPreemptionByPriority checks which tasks of the same team give way to a job.
+// TestPreemptionByPriority checks that, within a team, tasks are preempted only for
+// urgent jobs of a higher priority.
 func TestPreemptionByPriority(t *testing.T) {
 	for _, test := range []struct {
 		name             string
@@ -58,26 +58,26 @@
 				t.Errorf("stopped: %v, want %v", assignment.StopRequested, test.want)
 			}
 			if backedOff := job.NextPreemptionAt == preemptionBackoff; backedOff != test.want {
-				t.Errorf("no preemption before %v", job.NextPreemptionAt)
+				t.Errorf("next preemption not before %v", job.NextPreemptionAt)
 			}
 		})
 	}
 }
 
-// TestPreemptionForGuarantee checks that what a team borrows beyond its guaranteed quota
-// gives way to another team that lacks its own.
+// TestPreemptionForGuarantee checks that tasks beyond their team's guaranteed quota are
+// preempted for a job within the guaranteed quota of another team, and no others.
 func TestPreemptionForGuarantee(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		victimGuarantee  cluster.Amount // CPUs of the victim's team
-		guaranteed       bool           // the preempting job
+		victimGuarantee  cluster.Amount // guaranteed CPUs of the victim's team
+		guaranteed       bool           // whether the preempting job is within its team's guaranteed quota
 		victimGuaranteed bool
 		want             bool
 	}{
-		{"borrowed", 0, true, false, true},
-		{"not beyond its team's guarantee", 4, true, false, false},
+		{"beyond the guarantee", 0, true, false, true},
+		{"the victim's team is within its guarantee", 4, true, false, false},
 		{"the victim is within the guarantee", 0, true, true, false},
-		{"the job is not", 0, false, false, false},
+		{"the job is not within the guarantee", 0, false, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
@@ -94,19 +94,19 @@
 	}
 }
 
-// TestPreemptionWithinQuota checks that no more is preempted than the team's quota lets
-// the job use, and that within a used-up quota the team's own tasks give way.
+// TestPreemptionWithinQuota checks that no more tasks are preempted than the quota of the
+// job's team allows, and that tasks of the same team are preempted if it is used up.
 func TestPreemptionWithinQuota(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		quotaCPUs cluster.Amount
-		team      string // of the victims
+		team      string // team of the victims
 		want      int
 	}{
-		{"enough for both tasks", 8, "blue", 2},
-		{"enough for one", 4, "blue", 1},
-		{"used up by the team's own less important tasks", 8, "red", 2},
-		{"used up by others' tasks in a job of no more importance", 0, "blue", 0},
+		{"quota for both tasks", 8, "blue", 2},
+		{"quota for one task", 4, "blue", 1},
+		{"used up by lower-priority tasks of the same team", 8, "red", 2},
+		{"no quota, and only tasks of another team", 0, "blue", 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -8,7 +8,7 @@
 	"stairrelay/internal/state"
 )
 
-// The kinds of objectives.
+// The kinds of service-level objectives (SLOs).
 const (
 	sloWait     = "wait"
 	sloFinished = "finished"
@@ -16,38 +16,32 @@
 )
 
 const (
-	// queueOrderInterval is how long the order of a shard's jobs is kept unless jobs
-	// come or go: it depends on times of seconds and more, and hundreds of jobs are
-	// ranked.
+	// queueOrderInterval is how long the order of a shard's jobs is cached unless jobs
+	// are added, removed or unblocked, because ranking hundreds of jobs is expensive.
 	queueOrderInterval = 200 * millisecond
-	// defaultObjectiveSeconds is the least time in which a job without objectives
-	// should be done.
+	// defaultObjectiveSeconds is the time within which a job without objectives should
+	// finish, unless its deadline is longer.
 	defaultObjectiveSeconds = 600
-	// missedTolerance is how long, in milliseconds, after its latest start a job is
-	// still taken to meet an objective.
+	// missedToleranceMillis is how long after its latest start a job is still expected
+	// to meet an objective.
 	missedToleranceMillis = 500
-	// starvingHorizons is after how many horizons a job of which nothing runs is
-	// starving.
+	// starvingHorizons is the number of horizons after which a job without assigned
+	// tasks is starving.
 	starvingHorizons = 2
-	// minShardCPU keeps the ranks of the jobs of a shard without machines finite.
+	// minShardCPU avoids a division by zero for shards without machines.
 	minShardCPU = cluster.AmountsPerUnit
 )
 
-// JobQueue is the order in which the jobs of each shard are served. It gathers the
-// facts by which RankJob ranks them.
+// JobQueue orders the jobs of each shard. It collects the input of RankJob.
 type JobQueue struct {
 	*shared
 	runTimes *RunTimes
 	spot     *SpotPreference
 }
 
-// Jobs lists a shard's jobs with pending tasks in the order in which they are served,
-// and those that are within their team's guaranteed quota. Urgent ones come first,
-// then the others by their latest start, so that less important work gets its turn
-// before its time is up. What is too late for all its objectives waits behind what
-// can still meet one, but not for ever: after four times its horizon it goes before
-// newer urgent work, so that the large and the less important are served even if
-// small and urgent work keeps coming.
+// Jobs returns a shard's jobs with schedulable tasks in scheduling order, which RankJob
+// defines, and the set of jobs within their team's guaranteed quota. The order and the
+// set are cached for queueOrderInterval.
 func (q *JobQueue) Jobs(shard *state.Shard) ([]*state.Job, map[*state.Job]bool) {
 	if shard.QueueOrder == nil || q.loop.Now() >= shard.QueueOrderAt+queueOrderInterval {
 		q.rankJobs(shard)
@@ -61,43 +55,45 @@
 	return jobs, shard.GuaranteedJobs
 }
 
-// hasSchedulableTasks tells whether a job has tasks that could be assigned now.
+// hasSchedulableTasks reports whether a job has pending tasks and is neither blocked,
+// still being loaded nor backing off.
 func (q *JobQueue) hasSchedulableTasks(job *state.Job) bool {
 	return job.IsActive() && !job.Blocked && job.ChunksLoading == 0 && job.PendingCount() > 0 && q.loop.Now() >= job.BackoffUntil
 }
 
-// isStarving tells whether a job has waited too long without anything of it running:
-// its first task, or, when it is older than twice its horizon, its next.
+// isStarving reports whether a job has waited too long without an assigned task: for its
+// first task by isFirstStartOverdue, or for any task once starvingHorizons horizons have
+// passed since it became ready.
 func (q *JobQueue) isStarving(job *state.Job) bool {
 	return q.isFirstStartOverdue(job) ||
 		job.AssignedCount == 0 && float64(q.loop.WallTime()) > float64(job.ReadySince)+starvingHorizons*q.horizon(job)
 }
 
-// isFirstStartOverdue tells whether a job has waited for its first task for so long
-// that this goes before everything else: small and urgent work that keeps coming
-// would else starve the large.
+// isFirstStartOverdue reports whether a job has waited so long for its first task that
+// this task is scheduled before all other work. Without this, large jobs would starve
+// under a steady load of small and urgent ones.
 func (q *JobQueue) isFirstStartOverdue(job *state.Job) bool {
 	return job.FirstRunAt == 0 && job.CompletedCount == 0 && job.AssignedCount == 0 && q.hasWaitedLong(job)
 }
 
-// isPreemptionExempt tells whether a job's only task must not be preempted: it was
-// started because the job had waited too long. Stopped at once it would put the job
-// back to waiting as one that has begun.
+// isPreemptionExempt reports whether a job's only task must not be preempted because the
+// job has waited too long for it. If it were preempted, the job would have to wait
+// again, without the precedence of a first task.
 func (q *JobQueue) isPreemptionExempt(job *state.Job) bool {
 	return job.CompletedCount == 0 && job.AssignedCount == 1 && q.hasWaitedLong(job)
 }
 
-// hasWaitedLong tells whether half of the target for first tasks has passed since a
-// job was ready.
+// hasWaitedLong reports whether half of the first-task target has passed since a job
+// became ready.
 func (q *JobQueue) hasWaitedLong(job *state.Job) bool {
 	waited := float64(q.loop.WallTime()) - float64(job.ReadySince)
 	return waited > float64(q.config.FirstTaskTarget/millisecond)/2
 }
 
-// LatestStart is when a job's pending tasks must start to meet the first of its
-// objectives that can still be met, as milliseconds of the time of day: its own
-// deadline, that of a job that depends on it, or what the objectives say of its
-// class. It is Never when none can be met.
+// LatestStart returns when a job's pending tasks must start to meet the earliest
+// objective that can still be met, in milliseconds of Unix time. Objectives are those of
+// its class, its deadline and the deadlines of jobs that depend on it. The result is
+// NoLatestStart if none can be met.
 func (q *JobQueue) LatestStart(job *state.Job) float64 {
 	readyMillis, runMillis := float64(job.ReadySince), q.runTimes.ExpectedSeconds(job)*millisPerSecond
 	starts := q.appendLatestStarts(make([]float64, 0, typicalObjectiveCount), job, readyMillis, runMillis)
@@ -116,13 +112,13 @@
 	return latest
 }
 
-// typicalObjectives is how many objectives of a class are gone through without an
-// allocation: the order of the queue asks for those of every pending job.
+// typicalObjectiveCount is the initial capacity of the slice of latest starts, so that
+// LatestStart, which ranking calls for every job, rarely has to grow it.
 const typicalObjectiveCount = 8
 
-// appendLatestStarts appends when a job that was ready at a time must start to meet
-// each of the objectives of its class, given its run time. All times are in
-// milliseconds.
+// appendLatestStarts appends the latest start for each objective of a job's class, in
+// milliseconds of Unix time. readyMillis is when the job became ready, and runMillis is
+// its expected run time.
 func (q *JobQueue) appendLatestStarts(starts []float64, job *state.Job, readyMillis, runMillis float64) []float64 {
 	for _, objective := range q.config.SLOs {
 		if objective.Class != job.Spec.Class {
@@ -143,8 +139,8 @@
 	return starts
 }
 
-// horizon is the longest time, in milliseconds, that the objectives give a job. It
-// bounds how far pending jobs can be moved back.
+// horizon returns the longest time that the objectives allow a job, in milliseconds. It
+// is the unit of the limits on how long a job may be delayed.
 func (q *JobQueue) horizon(job *state.Job) float64 {
 	horizon := 0.0
 	for _, objective := range q.config.SLOs {
@@ -162,13 +158,14 @@
 	return horizon
 }
 
-// rankedJob is a job with its place in the order.
+// rankedJob is a job with its rank.
 type rankedJob struct {
 	job  *state.Job
 	rank JobRank
 }
 
-// rankJobs works out the order in which a shard's jobs are served.
+// rankJobs recomputes the order of a shard's jobs, the jobs within their guaranteed
+// quota, and whether any job should avoid spot machines.
 func (q *JobQueue) rankJobs(shard *state.Shard) {
 	shardCPU := q.totalCPU(shard)
 	shard.GuaranteedJobs = q.jobsWithinGuarantee(shard)
@@ -177,7 +174,8 @@
 	})
 	ranked := make([]rankedJob, 0, len(shard.Jobs))
 	for _, job := range shard.Jobs {
-		// What waits for a backoff to pass may be schedulable before the next ranking.
+		// Jobs that are backing off are ranked too: they may become schedulable before
+		// the next ranking.
 		if !job.IsActive() || job.Blocked || job.PendingCount() == 0 && job.AssignedCount == 0 {
 			continue
 		}
@@ -194,7 +192,7 @@
 	}
 }
 
-// totalCPU is what all machines of a shard have, at least minShardCPU.
+// totalCPU returns the total CPUs of a shard's machines plus minShardCPU.
 func (q *JobQueue) totalCPU(shard *state.Shard) cluster.Amount {
 	total := cluster.Amount(minShardCPU)
 	q.deps.CountMachineScans(shard.Machines)
@@ -204,7 +202,7 @@
 	return total
 }
 
-// rankFacts gathers what a job's rank follows from.
+// rankInput collects the input of RankJob for a job.
 func (q *JobQueue) rankInput(job *state.Job, withinGuarantee bool, shardCPU cluster.Amount) RankInput {
 	return RankInput{
 		Priority:          job.EffectivePriority,
@@ -217,8 +215,8 @@
 	}
 }
 
-// jobsWithinGuarantee tells which jobs fit into their team's guaranteed quota along
-// with the team's earlier unfinished ones: they need not wait for other teams.
+// jobsWithinGuarantee maps each unfinished job to whether it fits into its team's
+// guaranteed quota together with the team's unfinished jobs that became ready earlier.
 func (q *JobQueue) jobsWithinGuarantee(shard *state.Shard) map[*state.Job]bool {
 	var unfinished []*state.Job
 	for _, job := range shard.Jobs {
@@ -238,7 +236,8 @@
 	return guaranteed
 }
 
-// isWithinQuota tells whether a team's usage is within a quota. Memory has none.
+// isWithinQuota reports whether a team's usage is within a quota. Quotas don't limit
+// memory.
 func isWithinQuota(usage, quota cluster.Resources) bool {
 	return usage.CPU <= quota.CPU && usage.GPU <= quota.GPU
 }
--- a/internal/scheduling/queue_test.go
+++ b/internal/scheduling/queue_test.go
@@ -7,9 +7,9 @@
 	"stairrelay/internal/state"
 )
 
-// TestLatestStart checks which objective decides when a job must start.
+// TestLatestStart checks which objective determines the latest start of a job.
 func TestLatestStart(t *testing.T) {
-	const readyMillis, runMillis = 1_000_000, 20_000 // milliseconds
+	const readyMillis, runMillis = 1_000_000, 20_000
 	slos := []cluster.SLO{
 		{Kind: sloDeadline, Class: "deadline", DeadlineFactor: 2},
 		{Kind: sloFinished, Class: "finished", WithinSeconds: 100},
@@ -21,18 +21,18 @@
 		name              string
 		class             string
 		deadlineSeconds   float64
-		effectiveDeadline float64          // of a dependent job, as time of day
-		waited            cluster.WallTime // since the job was ready
+		effectiveDeadline float64          // deadline of a dependent job, in milliseconds of Unix time
+		waited            cluster.WallTime // time since the job became ready
 		want              float64
 	}{
-		{"its own deadline", "deadline", 100, 0, 0, readyMillis + 200_000 - runMillis},
-		{"done within a time", "finished", 0, 0, 0, readyMillis + 100_000 - runMillis},
+		{"deadline of the job", "deadline", 100, 0, 0, readyMillis + 200_000 - runMillis},
+		{"finished within a time", "finished", 0, 0, 0, readyMillis + 100_000 - runMillis},
 		{"started within a time", "wait", 0, 0, 0, readyMillis + 30_000},
-		{"the first of two", "both", 0, 0, 0, readyMillis + 30_000},
-		{"the second once the first is missed", "both", 0, 0, 31_000, readyMillis + 100_000 - runMillis},
-		{"just missed", "wait", 0, 0, 30_500, readyMillis + 30_000},
-		{"all missed", "both", 0, 0, 81_000, NoLatestStart},
-		{"a dependent job's deadline", "finished", 0, readyMillis + 50_000, 0, readyMillis + 50_000 - runMillis},
+		{"earlier of two objectives", "both", 0, 0, 0, readyMillis + 30_000},
+		{"later objective after the earlier one is missed", "both", 0, 0, 31_000, readyMillis + 100_000 - runMillis},
+		{"missed within the tolerance", "wait", 0, 0, 30_500, readyMillis + 30_000},
+		{"all objectives missed", "both", 0, 0, 81_000, NoLatestStart},
+		{"deadline of a dependent job", "finished", 0, readyMillis + 50_000, 0, readyMillis + 50_000 - runMillis},
 		{"no objective", "none", 0, 0, 0, readyMillis + 600_000 - runMillis},
 		{"no objective but a long deadline", "none", 900, 0, 0, readyMillis + 900_000 - runMillis},
 	} {
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestStarving checks from when on a job of which nothing runs goes before all others.
+// TestIsStarving checks after which time a job without assigned tasks is starving.
 func TestIsStarving(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -61,10 +61,10 @@
 		want   bool
 	}{
 		{"no first task for half of the target", 120_000, func(*state.Job) {}, false},
-		{"no first task for longer", 120_001, func(*state.Job) {}, true},
-		{"it has run", 120_001, func(job *state.Job) { job.FirstRunAt = second }, false},
-		{"it has run, twice its horizon ago", 1_200_001, func(job *state.Job) { job.FirstRunAt = second }, true},
-		{"it has run, less than twice its horizon ago", 1_200_000, func(job *state.Job) { job.FirstRunAt = second }, false},
+		{"no first task for more than half of the target", 120_001, func(*state.Job) {}, true},
+		{"a task has run before", 120_001, func(job *state.Job) { job.FirstRunAt = second }, false},
+		{"a task has run before, ready for more than two horizons", 1_200_001, func(job *state.Job) { job.FirstRunAt = second }, true},
+		{"a task has run before, ready for two horizons", 1_200_000, func(job *state.Job) { job.FirstRunAt = second }, false},
 		{"a task is assigned", 1_200_001, func(job *state.Job) { job.SetAssigned(0, &state.Assignment{}) }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestQueueListsSchedulableJobs checks which jobs are served, and in which order.
+// TestQueueListsSchedulableJobs checks that only jobs with schedulable tasks are listed,
+// in scheduling order.
 func TestQueueListsSchedulableJobs(t *testing.T) {
 	f := newFixture()
 	f.addJob(cluster.JobSpec{ID: "late", Tasks: 1, SubmittedAt: 1_000_001})
@@ -93,13 +94,13 @@
 	jobs, _ := f.Queue.Jobs(f.shard)
 	expectJobs(t, jobs, "urgent", "first", "late")
 
-	// The order stands for a while, but what is in it is judged anew.
+	// The order is cached, but whether a job is schedulable is checked at each call.
 	f.loop.Begin(second, 1_001_000)
 	jobs, _ = f.Queue.Jobs(f.shard)
 	expectJobs(t, jobs, "urgent", "first", "late", "backed-off")
 }
 
-// expectJobs checks the ids of jobs.
+// expectJobs fails the test if jobs don't have the wanted IDs in this order.
 func expectJobs(t *testing.T, jobs []*state.Job, want ...cluster.JobID) {
 	t.Helper()
 	var got []cluster.JobID
@@ -116,8 +117,8 @@
 	}
 }
 
-// TestGuaranteeCoversEarlierJobsFirst checks that a team's guaranteed quota is given to
-// its unfinished jobs in the order in which they became ready.
+// TestGuaranteeCoversEarlierJobsFirst checks that a team's unfinished jobs count against
+// its guaranteed quota in the order in which they became ready.
 func TestGuaranteeCoversEarlierJobsFirst(t *testing.T) {
 	f := newFixture()
 	f.state.Teams["red"].GuaranteedQuota = cluster.Resources{CPU: 12 * cpu}
@@ -125,10 +126,10 @@
 	earlier := f.addJob(cluster.JobSpec{ID: "b", Tasks: 2, SubmittedAt: 1_000_000})
 	guaranteed := f.Queue.jobsWithinGuarantee(f.shard)
 	if !guaranteed[earlier] || guaranteed[later] {
-		t.Errorf("8 of 12 CPUs are requested earlier, 16 with the later job: %v, %v", guaranteed[earlier], guaranteed[later])
+		t.Errorf("within the guarantee of 12 CPUs: earlier job, 8 CPUs: %v; later job, 8 more CPUs: %v", guaranteed[earlier], guaranteed[later])
 	}
 	earlier.SetCompleted(0)
 	if guaranteed = f.Queue.jobsWithinGuarantee(f.shard); !guaranteed[later] {
-		t.Error("a completed task still counts")
+		t.Error("a completed task still counts against the guaranteed quota")
 	}
 }
--- a/internal/scheduling/rank.go
+++ b/internal/scheduling/rank.go
@@ -6,45 +6,47 @@
 	"stairrelay/internal/cluster"
 )
 
-// Never is the latest start, in milliseconds, of a job that can't meet any of its
-// objectives any more.
+// NoLatestStart is the latest start, in milliseconds, of a job that can no longer meet
+// any of its objectives.
 const NoLatestStart = 1e18
 
 // overdueHorizons is the number of horizons after which a job that has missed its
-// objectives is served as if it were urgent. Without it, large and less important
-// jobs would starve while small and urgent ones keep coming.
+// objectives is scheduled as if it were urgent. Otherwise large jobs and jobs of low
+// priority would starve under a steady load of small and urgent ones.
 const overdueHorizons = 4
 
-// maxDelayHorizons is the largest number of horizons by which a job is moved back in
-// favour of smaller ones.
+// maxDelayHorizons is the maximum number of horizons by which a job is delayed in favor
+// of smaller ones.
 const maxDelayHorizons = 2
 
 const millisPerSecond = 1000
 
-// JobFacts is what the rank of a job follows from. Times of day are milliseconds
-// since 1970.
+// RankInput is the input of RankJob. Points in time are in milliseconds of Unix time.
 type RankInput struct {
 	Priority          cluster.Priority
-	WithinGuarantee   bool    // the job and the team's earlier unfinished ones are within the guaranteed quota
-	Now               float64 // time of day
-	ReadySince        float64 // time of day from which the job could start
-	LatestStart       float64 // time of day by which it must start to meet the next objective that it still can, or Never
-	Horizon           float64 // the longest time that its objectives allow, in milliseconds
-	WholeShardSeconds float64 // how long its pending work would occupy all machines of the shard, in seconds
+	WithinGuarantee   bool    // whether the job and the team's earlier unfinished jobs fit into the guaranteed quota
+	Now               float64 // current time
+	ReadySince        float64 // when the job became ready
+	LatestStart       float64 // when it must start to meet the earliest objective that it still can, or NoLatestStart
+	Horizon           float64 // longest time that its objectives allow, in milliseconds
+	WholeShardSeconds float64 // how long its pending tasks would occupy all machines of the shard
 }
 
-// JobRank is the place of a job in the queue order of its shard.
+// JobRank determines the position of a job in the queue of its shard.
 type JobRank struct {
-	tier            cluster.Priority // at least Urgent: before all other work; else 0
+	tier            cluster.Priority // priority of urgent and overdue jobs, 0 for all others
 	withinGuarantee bool
-	missedSLO       bool    // no objective can be met any more, and it is not overdue yet
-	latestStart     float64 // time of day in milliseconds, moved back for large jobs
+	missedSLO       bool    // whether no objective can be met and the job is not overdue yet
+	latestStart     float64 // milliseconds of Unix time, including the delay of large jobs
 }
 
-// RankJob returns the rank of a job. Urgent and overdue work comes first, then what
-// is within its team's guaranteed quota, then what can still meet an objective, each
-// by latest start. A job's latest start is moved back by smallFirst times what its
-// work would occupy the shard, so that small jobs come before large ones.
+// RankJob returns the rank of a job. Urgent and overdue jobs come first, by priority, then
+// jobs within their team's guaranteed quota, then jobs that can still meet an objective.
+// Equal jobs are ordered by latest start, or by when they became ready if they have
+// missed all objectives.
+//
+// The latest start is delayed by shortJobWeight times WholeShardSeconds, so that small
+// jobs come before large ones.
 func RankJob(input RankInput, shortJobWeight float64) JobRank {
 	rank := JobRank{withinGuarantee: input.WithinGuarantee, latestStart: input.LatestStart}
 	if input.Priority >= cluster.Urgent {
@@ -63,8 +65,8 @@
 	return rank
 }
 
-// Compare returns a negative number when a job of rank r is served before one of
-// rank other, a positive one when it is served after it, and 0 for equal ranks.
+// Compare returns a negative number if a job of rank r comes before a job of rank other,
+// a positive number if it comes after it, and 0 if the ranks are equal.
 func (r JobRank) Compare(other JobRank) int {
 	switch {
 	case r.tier != other.tier:
@@ -77,8 +79,8 @@
 	return cmp.Compare(r.latestStart, other.latestStart)
 }
 
-// trueFirst compares two items that differ in a property: the one that has it comes
-// first.
+// trueFirst compares two items that differ in a boolean property. It returns -1 if the
+// first one has the property, and 1 otherwise.
 func trueFirst(first bool) int {
 	if first {
 		return -1
--- a/internal/scheduling/rank_test.go
+++ b/internal/scheduling/rank_test.go
@@ -7,8 +7,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestJobOrder compares each two of a list of jobs in the order in which they are
-// served.
+// TestJobOrder checks Compare for all pairs of jobs in a sorted list.
 func TestJobOrder(t *testing.T) {
 	const now, horizon = 1_000_000, 100_000
 	input := func(change func(*RankInput)) RankInput {
@@ -23,17 +22,17 @@
 	}{
 		{"production", input(func(f *RankInput) { f.Priority = cluster.Production })},
 		{"urgent and within the guarantee", input(func(f *RankInput) { f.Priority, f.WithinGuarantee = cluster.Urgent, true })},
-		{"overdue, so urgent since it was ready", input(overdue)},
+		{"overdue, so urgent, by the time at which it became ready", input(overdue)},
 		{"urgent", input(func(f *RankInput) { f.Priority = cluster.Urgent })},
 		{"urgent, a little later", input(func(f *RankInput) { f.Priority = cluster.Urgent; f.LatestStart++ })},
 		{"within the guarantee", input(func(f *RankInput) { f.WithinGuarantee = true })},
 		{"within the guarantee, objectives missed", input(func(f *RankInput) { f.WithinGuarantee = true; f.LatestStart = NoLatestStart })},
 		{"small", input(func(f *RankInput) { f.WholeShardSeconds = 1 })},
 		{"larger", input(func(f *RankInput) { f.WholeShardSeconds = 2 })},
-		{"so large that the delay is capped", input(func(f *RankInput) { f.WholeShardSeconds = 1000 })},
-		{"later than the capped delay", input(func(f *RankInput) { f.LatestStart += 2*horizon + 1 })},
+		{"large, with the maximum delay", input(func(f *RankInput) { f.WholeShardSeconds = 1000 })},
+		{"later than the maximum delay", input(func(f *RankInput) { f.LatestStart += 2*horizon + 1 })},
 		{"objectives missed", input(func(f *RankInput) { f.LatestStart = NoLatestStart })},
-		{"objectives missed, and newer", input(func(f *RankInput) { f.LatestStart = NoLatestStart; f.ReadySince++ })},
+		{"objectives missed, became ready later", input(func(f *RankInput) { f.LatestStart = NoLatestStart; f.ReadySince++ })},
 	}
 	for i, first := range order {
 		for k, second := range order {
@@ -45,26 +44,26 @@
 	}
 }
 
-// hasSignOf reports whether a comparison has the sign that is wanted.
+// hasSignOf reports whether got and want have the same sign.
 func hasSignOf(got, want int) bool {
 	return cmp.Compare(got, 0) == cmp.Compare(want, 0)
 }
 
-// TestOverdue checks that a job which has missed its objectives is served as urgent
-// from four horizons on.
+// TestOverdue checks that a job that has missed its objectives is ranked as urgent after
+// four horizons, so that it doesn't starve.
 func TestOverdue(t *testing.T) {
 	const horizon = 100_000
 	input := RankInput{Priority: cluster.BestEffort, LatestStart: NoLatestStart, ReadySince: 5000, Horizon: horizon}
 	input.Now = input.ReadySince + 4*horizon - 1
 	if rank := RankJob(input, 32); !rank.missedSLO || rank.tier >= cluster.Urgent {
-		t.Errorf("just before four horizons: %+v", rank)
+		t.Errorf("rank %+v just before four horizons", rank)
 	}
 	input.Now++
 	if rank := RankJob(input, 32); rank.missedSLO || rank.tier != cluster.Urgent || rank.latestStart != input.ReadySince {
-		t.Errorf("after four horizons: %+v", rank)
+		t.Errorf("rank %+v after four horizons", rank)
 	}
 	input.Priority = cluster.Production
 	if rank := RankJob(input, 32); rank.tier != cluster.Production {
-		t.Errorf("production work after four horizons: %+v", rank)
+		t.Errorf("rank %+v of a production job after four horizons", rank)
 	}
 }
--- a/internal/scheduling/rebalance.go
+++ b/internal/scheduling/rebalance.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// scaleOutDelay is how long a shard that has its share already waits before it
-	// scales out while others lack theirs.
+	// yieldingScaleOutInterval is the minimum time between two scale-outs of a shard
+	// while a much smaller shard has a shortfall.
 	yieldingScaleOutInterval = 4 * second
-	// typicalMarginPercent is what the typical request of a shard is of the mean.
+	// typicalRequestPercent is the typical CPU and memory request of a shard's tasks in
+	// percent of the mean.
 	typicalRequestPercent = 115
 )
 
-// Rebalancer splits the machines among the shards. Their teams need them unevenly:
-// package fairshare says how much of all machines each shard should have. The
-// rebalancer lets an owned shard that has more give machines up: these get no new
-// tasks, and are offered to other shards once they are idle.
+// Rebalancer moves machines between shards according to their demand. Package fairshare
+// computes the capacity that each shard should have. The rebalancer cordons machines of
+// owned shards that have more and offers them to other shards once they are idle.
 type Rebalancer struct {
 	*shared
 	trigger     *Trigger
@@ -30,7 +30,8 @@
 	attempted   attemptedTransfers
 }
 
-// CordonSurplus picks the machines that the owned shards give up.
+// CordonSurplus cordons the machines that the owned shards should give up, and offers
+// those that are idle to shards with a shortfall.
 func (r *Rebalancer) CordonSurplus() {
 	r.expireOffers()
 	plan := fairshare.NewPlan(r.loads.All())
@@ -41,7 +42,8 @@
 	}
 }
 
-// cordonSurplusOf picks the machines that one shard gives up.
+// cordonShardSurplus cordons the machines that one shard should give up. If no shard has
+// a shortfall, it cordons machines for scale-in instead.
 func (r *Rebalancer) cordonShardSurplus(shard *state.Shard, load fairshare.ShardLoad, plan *fairshare.Plan) {
 	spare := plan.Spare(shard.ID)
 	machines := r.uncordonMachines(shard, spare)
@@ -58,8 +60,9 @@
 	}
 }
 
-// uncordonMachines takes back what was picked before, and returns the machines to
-// pick from.
+// uncordonMachines uncordons all machines of a shard, so that the caller can select again
+// which to cordon, and returns those that are schedulable. It requests a scheduling run
+// if a machine was cordoned and the shard has no spare capacity to give up.
 func (r *Rebalancer) uncordonMachines(shard *state.Shard, spare cluster.Amount) []*state.Machine {
 	var schedulable []*state.Machine
 	r.deps.CountMachineScans(shard.Machines)
@@ -75,7 +78,8 @@
 	return schedulable
 }
 
-// sortByRemainingTime puts the machines first that will be free soonest.
+// sortByRemainingTime sorts machines by the time until all their tasks have finished,
+// shortest first.
 func (r *Rebalancer) sortByRemainingTime(machines []*state.Machine) {
 	remaining := map[*state.Machine]float64{}
 	for _, machine := range machines {
@@ -88,7 +92,7 @@
 	sort.SliceStable(machines, func(i, j int) bool { return remaining[machines[i]] < remaining[machines[j]] })
 }
 
-// machineCPUs lists the machines' CPUs.
+// machineCPUs returns the total CPUs of each machine.
 func (r *Rebalancer) machineCPUs(machines []*state.Machine) []cluster.Amount {
 	cpus := make([]cluster.Amount, len(machines))
 	for i, machine := range machines {
@@ -97,9 +101,9 @@
 	return cpus
 }
 
-// selectScaleInCandidates picks the machines that a shard can do without, dearest
-// first. They run empty and are released, so that the tasks gather on the cheaper
-// ones.
+// selectScaleInCandidates cordons the machines that a shard doesn't need, most expensive
+// first. They are released once their tasks have finished, and new tasks use the cheaper
+// machines.
 func (r *Rebalancer) selectScaleInCandidates(shard *state.Shard, machines []*state.Machine, load fairshare.ShardLoad) {
 	request := typicalRequest(shard)
 	sort.SliceStable(machines, func(i, j int) bool {
@@ -110,8 +114,8 @@
 	}
 }
 
-// costPerUsefulCPU is a machine's price per CPU that tasks with a request can use: a
-// small machine wastes what is left beside tasks that don't divide it.
+// pricePerUsableCPU returns a machine's price per CPU that tasks with a request can use.
+// CPUs that remain free when the machine is full of such tasks are not counted.
 func (r *Rebalancer) pricePerUsableCPU(machine *state.Machine, request cluster.Resources) float64 {
 	machineType := r.state.MachineTypes[machine.MachineType]
 	if machineType.Capacity.CPU == 0 {
@@ -124,7 +128,8 @@
 	return price / float64(request.CPU*cluster.Amount(TasksPerMachine(machineType.Capacity, request)))
 }
 
-// typicalRequest is what a somewhat larger than average task of a shard requests.
+// typicalRequest returns the resource request of a somewhat larger than average task of
+// a shard. It is zero if the shard has no unfinished tasks.
 func typicalRequest(shard *state.Shard) cluster.Resources {
 	var sum cluster.Resources
 	var tasks cluster.Amount
@@ -144,8 +149,9 @@
 	}
 }
 
-// evictForPriority empties a cordoned machine of tasks that can save a checkpoint,
-// when the jobs of other shards that lack it are urgent and more important.
+// evictForPriority preempts the tasks of a cordoned machine if shards with a shortfall
+// have urgent work of a higher priority. It does nothing if any of the tasks is not
+// evictable, because the machine can only be transferred when it is idle.
 func (r *Rebalancer) evictForPriority(machine *state.Machine, shortfallPriority cluster.Priority) {
 	if shortfallPriority < cluster.Urgent {
 		return
@@ -162,13 +168,15 @@
 	}
 }
 
-// isEvictable tells whether a job's task may give way to jobs of a priority.
+// isEvictable reports whether tasks of a job may be preempted for work of a priority.
 func (r *Rebalancer) isEvictable(job *state.Job, priority cluster.Priority) bool {
 	return job.EffectivePriority < priority && job.Spec.CheckpointSeconds > 0 && !r.queue.isPreemptionExempt(job)
 }
 
-// CanScaleOut holds back a shard that has its share already while others lack theirs:
-// what the cloud still has should go to them first.
+// CanScaleOut reports whether a shard may request machines now. While a much smaller
+// shard has a shortfall, it returns true only once per yieldingScaleOutInterval, so that
+// the cloud's remaining capacity goes to that shard first. Returning true in this case
+// starts a new interval.
 func (r *Rebalancer) CanScaleOut(shard *state.Shard) bool {
 	if r.loads.All().CanScaleOutFirst(shard.ID) {
 		return true
@@ -181,10 +189,10 @@
 	return true
 }
 
-// SurplusPredicate returns a function that tells whether an idle machine is of no use
-// to any shard. A machine is better offered to another shard with too few machines
-// than released while that one scales out. What all machines share is worked out at
-// most once.
+// SurplusPredicate returns a function that reports whether an idle machine is of no use
+// to any shard and can be released. A machine is not surplus while another shard has a
+// shortfall, because that shard can acquire it. The function caches the loads and the
+// pending work, so it is valid only for the current event.
 func (r *Rebalancer) SurplusPredicate() func(*state.Machine) bool {
 	var loads fairshare.Snapshot
 	workByShard := map[cluster.ShardID]PendingWork{}
--- a/internal/scheduling/rebalance_test.go
+++ b/internal/scheduling/rebalance_test.go
@@ -11,14 +11,15 @@
 	"stairrelay/internal/writequeue"
 )
 
-// addIdleMachine adds a machine that may be offered.
+// addIdleMachine adds a machine that can be transferred to another shard.
 func (f *fixture) addIdleMachine(id cluster.MachineID) *state.Machine {
 	machine := f.addMachine(id)
 	machine.Address, machine.IdleSince = string(id), f.loop.Now()-second
 	return machine
 }
 
-// shortfallOf is a plan by which the second shard lacks some CPUs that the first has.
+// shortfallOf returns a plan in which the second shard has a shortfall of some CPUs and
+// the first one has CPUs to spare.
 func shortfallOf(cpus cluster.Amount) *fairshare.Plan {
 	return fairshare.NewPlan(fairshare.Snapshot{
 		0: {Shard: 0, Available: 96 * cpu},
@@ -26,43 +27,44 @@
 	})
 }
 
-// TestOfferIdleMachines checks that idle machines are offered as the groups that they
-// are in, or gathered into a new group, as far as they are lacked.
+// TestOfferIdleMachines checks that idle machines are offered as a whole group or else
+// regrouped first, and no more of them than the shortfall requires.
 func TestOfferIdleMachines(t *testing.T) {
 	f := newFixture()
 	whole := f.addIdleMachine("m-1")
 	f.Rebalancer.OfferIdleMachines(f.shard, shortfallOf(4))
 	if offer := whole.Group.Offer; offer == nil || offer.ToShard != 1 || offer.Until != offerDuration {
-		t.Fatalf("a group of one idle machine: offer %+v", offer)
+		t.Fatalf("offer of a group of one idle machine: %+v", offer)
 	}
 	if len(f.regrouped) != 0 {
-		t.Error("a whole group is regrouped")
+		t.Error("a whole group was regrouped")
 	}
 
 	f.loop.Begin(offerInterval, 1_000_000)
 	second, third := f.addIdleMachine("m-2"), f.addIdleMachine("m-3")
 	f.addIdleMachine("m-4")
-	f.Rebalancer.OfferIdleMachines(f.shard, shortfallOf(12)) // 4 of them are offered already
+	f.Rebalancer.OfferIdleMachines(f.shard, shortfallOf(12)) // 4 CPUs are already offered
 	if len(f.regrouped) != 1 || !slices.Equal(f.regrouped[0], []*state.Machine{second, third}) {
-		t.Fatalf("regrouped: %v", f.regrouped)
+		t.Fatalf("regrouped %v, want m-2 and m-3", f.regrouped)
 	}
 	if !second.Cordoned || !third.Cordoned {
-		t.Error("a machine that is being regrouped may get tasks")
+		t.Error("a machine that is being regrouped is not cordoned")
 	}
 
 	f.Rebalancer.OfferIdleMachines(f.shard, shortfallOf(90))
 	if len(f.regrouped) != 1 {
-		t.Error("offered again within the pause")
+		t.Error("offered again within the offer interval")
 	}
 }
 
-// TestOfferOnlyIdleMachines checks each reason for which a machine is not offered.
+// TestOfferOnlyIdleMachines checks that a machine is not offered if it is in use or can't
+// be transferred.
 func TestOfferOnlyIdleMachines(t *testing.T) {
 	for name, change := range map[string]func(*fixture, *state.Machine){
 		"not schedulable":  func(_ *fixture, m *state.Machine) { m.TokenAcknowledged = false },
 		"just became idle": func(f *fixture, m *state.Machine) { m.IdleSince = f.loop.Now() },
 		"recorded task":    func(_ *fixture, m *state.Machine) { m.RecordedTaskCount = 1 },
-		"record in flight": func(_ *fixture, m *state.Machine) { m.Group.WriteInFlight = true },
+		"write in flight":  func(_ *fixture, m *state.Machine) { m.Group.WriteInFlight = true },
 		"offered already":  func(_ *fixture, m *state.Machine) { m.Group.OfferTo(1, 0) },
 		"no address":       func(_ *fixture, m *state.Machine) { m.Address = "" },
 		"unrecorded task":  func(_ *fixture, m *state.Machine) { m.UnrecordedToStop[state.TaskAttempt{}] = true },
@@ -81,14 +83,14 @@
 			before := machine.Group.Offer
 			f.Rebalancer.OfferIdleMachines(f.shard, shortfallOf(90))
 			if machine.Group.Offer != before || len(f.regrouped) != 0 {
-				t.Error("offered")
+				t.Error("the machine was offered or regrouped")
 			}
 		})
 	}
 }
 
-// TestOffersExpire checks that an offer that was not accepted in time is withdrawn, so
-// that the machines get tasks again.
+// TestOffersExpire checks that an offer that is not accepted in time is withdrawn.
+// Otherwise the offered machines would never get tasks again.
 func TestOffersExpire(t *testing.T) {
 	f := newFixture()
 	group := f.addIdleMachine("m-1").Group
@@ -96,17 +98,17 @@
 	f.loop.Begin(offerDuration, 1_000_000)
 	f.Rebalancer.CordonSurplus()
 	if group.Offer == nil {
-		t.Fatal("withdrawn early")
+		t.Fatal("offer withdrawn before it expired")
 	}
 	f.loop.Begin(offerDuration+1, 1_000_000)
 	f.Rebalancer.CordonSurplus()
 	if group.Offer != nil || f.Trigger.decide(f.loop.Now()) != runNow {
-		t.Error("not withdrawn, or scheduling is not requested")
+		t.Error("expired offer not withdrawn, or no scheduling run requested")
 	}
 }
 
-// TestTransferOffers checks what is told of an offered group, and that nothing is while
-// its record is being written.
+// TestTransferOffers checks the contents of an offer, and that a group is not offered
+// with an outdated mod revision while its record is being written.
 func TestTransferOffers(t *testing.T) {
 	f := newFixture()
 	group := f.addIdleMachine("m-1").Group
@@ -125,8 +127,8 @@
 	}
 }
 
-// TestAcceptOfferOfOwnShard checks that a shard with pending work acquires what another
-// owned shard offers to it, and that the work counts as served.
+// TestAcceptOfferBetweenOwnedShards checks that a shard with pending work acquires a group
+// that another owned shard offers to it, and that the work that fits is removed.
 func TestAcceptOfferBetweenOwnedShards(t *testing.T) {
 	f := newFixture()
 	group := f.addIdleMachine("m-1").Group
@@ -134,22 +136,22 @@
 	recipient := f.state.Shards[1]
 	f.Rebalancer.AcceptOffers(recipient, nil)
 	if len(f.acquired) != 0 {
-		t.Error("acquired without work")
+		t.Error("a group was acquired without pending work")
 	}
 	job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 2})
 	work := PendingWork{{Job: job, Count: 2}}
 	f.Rebalancer.AcceptOffers(f.shard, work)
 	if len(f.acquired) != 0 {
-		t.Error("a shard acquires what is offered to another")
+		t.Error("a shard acquired a group that is offered to another shard")
 	}
 	f.Rebalancer.AcceptOffers(recipient, work)
 	if !slices.Equal(f.acquired, []string{group.Key()}) || work[0].Count != 1 {
-		t.Errorf("acquired %v, %d tasks left", f.acquired, work[0].Count)
+		t.Errorf("acquired %v with %d tasks left, want the offered group and 1 task left", f.acquired, work[0].Count)
 	}
 }
 
-// TestCordonSurplus checks that a shard cordons what another lacks, the machines that
-// are free soonest first, and uncordons it when nothing is lacking any more.
+// TestCordonSurplus checks that a shard cordons the machines that will be idle soonest
+// while another shard has a shortfall, and uncordons them afterwards.
 func TestCordonSurplus(t *testing.T) {
 	f := newFixture()
 	busy, idle, kept := f.addMachine("m-1"), f.addMachine("m-2"), f.addMachine("m-3")
@@ -166,19 +168,19 @@
 	}
 }
 
-// TestEvictForPriority checks that a cordoned machine is emptied only for urgent work
-// and when all of its tasks may give way.
+// TestEvictForPriority checks that the tasks of a cordoned machine are preempted only for
+// urgent work of a higher priority, and only if they can save a checkpoint.
 func TestEvictForPriority(t *testing.T) {
 	for _, test := range []struct {
 		name              string
 		checkpointSeconds float64
-		priority          cluster.Priority // of the task
-		shortfall         cluster.Priority
+		priority          cluster.Priority // priority of the task
+		shortfall         cluster.Priority // highest priority in shards with a shortfall
 		want              bool
 	}{
-		{"urgent work lacks it", 10, cluster.Normal, cluster.Urgent, true},
-		{"normal work lacks it", 10, cluster.BestEffort, cluster.Normal, false},
-		{"as important", 10, cluster.Urgent, cluster.Urgent, false},
+		{"shortfall of urgent work", 10, cluster.Normal, cluster.Urgent, true},
+		{"shortfall of normal work", 10, cluster.BestEffort, cluster.Normal, false},
+		{"equal priority", 10, cluster.Urgent, cluster.Urgent, false},
 		{"can't save a checkpoint", 0, cluster.Normal, cluster.Urgent, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -194,7 +196,8 @@
 	}
 }
 
-// TestOwnedLoads checks what is told of an owned shard, and when it is computed anew.
+// TestOwnedLoads checks the load of an owned shard, and when the cached load is
+// recomputed.
 func TestOwnedLoads(t *testing.T) {
 	f := newFixture()
 	f.loop.Begin(second, 1_000_000)
@@ -206,36 +209,36 @@
 	f.addJob(cluster.JobSpec{ID: "starving", Tasks: 1, SubmittedAt: 1})
 	want := fairshare.ShardLoad{Shard: 0, Available: 4 * cpu, Booting: 4 * cpu}
 	want.Demand[cluster.Production] = 4 * cpu
-	want.Demand[cluster.Urgent] = 4 * cpu // the starving job, which goes before all else
+	want.Demand[cluster.Urgent] = 4 * cpu // the starving job counts as urgent
 	want.Demand[cluster.BestEffort] = 8 * cpu
 	if loads := f.Loads.Owned(); len(loads) != 1 || loads[0] != want {
 		t.Fatalf("loads %+v, want %+v", loads, want)
 	}
 	machine.Draining = true
 	if loads := f.Loads.Owned(); loads[0] != want {
-		t.Errorf("computed anew at once: %+v", loads)
+		t.Errorf("recomputed within the interval: %+v", loads)
 	}
 	f.ownershipChanges++
 	if loads := f.Loads.Owned(); loads[0].Available != 0 {
-		t.Errorf("not computed anew when the owned shards changed: %+v", loads)
+		t.Errorf("not recomputed after the set of owned shards changed: %+v", loads)
 	}
 	machine.Draining = false
 	f.loop.Begin(second+loadsInterval, 1_000_000)
 	if loads := f.Loads.Owned(); loads[0].Available != 4*cpu {
-		t.Errorf("not computed anew after a while: %+v", loads)
+		t.Errorf("not recomputed after the interval: %+v", loads)
 	}
 	if all := f.Loads.All(); len(all) != 1 || all[0].Available != 4*cpu {
-		t.Errorf("all loads: %+v", all)
+		t.Errorf("loads of all shards: %+v", all)
 	}
 }
 
-// TestSurplusPredicate checks that an idle machine is surplus unless pending work of
-// its own shard may use it.
+// TestSurplusPredicate checks that an idle machine is not surplus while a job with pending
+// tasks in its shard may use it.
 func TestSurplusPredicate(t *testing.T) {
 	f := newFixture()
 	machine := f.addIdleMachine("m-1")
 	if !f.Rebalancer.SurplusPredicate()(machine) {
-		t.Error("not surplus without any work")
+		t.Error("not surplus without any job")
 	}
 	job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, SubmittedAt: 1_000_000})
 	if f.Rebalancer.SurplusPredicate()(machine) {
@@ -247,8 +250,8 @@
 	}
 }
 
-// TestOfferWithinTransaction checks that machines are gathered only from so many groups
-// as one transaction can rewrite, by their number and the length of their records.
+// TestOfferFitsTransaction checks that the machines to regroup come from no more groups
+// than one transaction can rewrite, by number and by size of their records.
 func TestOfferFitsTransaction(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -257,7 +260,7 @@
 	}{
 		{"long records", writequeue.MaxBatchBytes / 3, 3},
 		{"short records", 1, 7},
-		{"one record of more than a transaction", writequeue.MaxBatchBytes + 1, 1},
+		{"one record larger than a transaction", writequeue.MaxBatchBytes + 1, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
@@ -270,44 +273,44 @@
 				machines = append(machines, machine)
 			}
 			if got := f.Rebalancer.countToOffer(machines, 90*cpu); got != test.want {
-				t.Errorf("%d machines are gathered, want %d", got, test.want)
+				t.Errorf("%d machines to offer, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// TestScaleInCandidatesAreTheDearest checks which machines run empty when a shard has
-// more than it needs.
+// TestScaleInMostExpensiveFirst checks that a shard with a surplus cordons its most
+// expensive machines.
 func TestScaleInMostExpensiveFirst(t *testing.T) {
 	f := newFixture()
 	expensive := f.state.MachineTypes["small"]
-	expensive.Name, expensive.OnDemandPrice = "dear", 2
-	f.state.MachineTypes["dear"] = expensive
+	expensive.Name, expensive.OnDemandPrice = "expensive", 2
+	f.state.MachineTypes["expensive"] = expensive
 	cheap := f.state.MachineTypes["small"]
 	cheap.OnDemandPrice = 1
 	f.state.MachineTypes["small"] = cheap
 	first, second, third := f.addMachine("m-1"), f.addMachine("m-2"), f.addMachine("m-3")
-	second.MachineType = "dear"
-	load := fairshare.ShardLoad{Shard: 0, Available: 12 * cpu} // 8 CPUs are kept in reserve
+	second.MachineType = "expensive"
+	load := fairshare.ShardLoad{Shard: 0, Available: 12 * cpu} // 8 CPUs are kept as a reserve
 	f.Rebalancer.selectScaleInCandidates(f.shard, []*state.Machine{first, second, third}, load)
 	if first.Cordoned || third.Cordoned || !second.ScaleInCandidate || !second.Cordoned {
-		t.Errorf("cordoned: %v, %v (dear), %v", first.Cordoned, second.Cordoned, third.Cordoned)
+		t.Errorf("cordoned: %v, %v (expensive), %v", first.Cordoned, second.Cordoned, third.Cordoned)
 	}
 }
 
-// TestCanScaleOut checks that a shard that has its share scales out less often while
-// another lacks its own.
+// TestCanScaleOut checks that a shard scales out less often while a much smaller shard has
+// a shortfall.
 func TestCanScaleOut(t *testing.T) {
 	f := newFixture()
 	f.loop.Begin(10*second, 1_000_000)
 	for range 5 {
 		if !f.Rebalancer.CanScaleOut(f.shard) {
-			t.Fatal("held back though no other shard lacks machines")
+			t.Fatal("scale-out not allowed though no other shard has a shortfall")
 		}
 	}
 	other := f.state.Shards[1]
 	other.Owned, other.Ready = true, true
-	shortfallJob := state.NewJob(cluster.JobSpec{ID: "lacking", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 4 * cpu}, SubmittedAt: 1_000_000}, other.ID, 0, 0)
+	shortfallJob := state.NewJob(cluster.JobSpec{ID: "shortfall", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 4 * cpu}, SubmittedAt: 1_000_000}, other.ID, 0, 0)
 	f.state.AddOwnedJob(shortfallJob)
 	for _, id := range []cluster.MachineID{"m-1", "m-2", "m-3", "m-4", "m-5", "m-6"} {
 		f.addMachine(id)
@@ -319,6 +322,6 @@
 		allowed = append(allowed, f.Rebalancer.CanScaleOut(f.shard))
 	}
 	if !slices.Equal(allowed, []bool{true, false, true, false}) {
-		t.Errorf("allowed at 10, 11, 14 and 15 s: %v", allowed)
+		t.Errorf("scale-out allowed at 10, 11, 14 and 15 s: %v, want at 10 and 14 s only", allowed)
 	}
 }
--- a/internal/scheduling/runtimes.go
+++ b/internal/scheduling/runtimes.go
@@ -5,35 +5,35 @@
 	"stairrelay/internal/state"
 )
 
-// The weights of a new run time in the smoothed ratios do not fall below these, so
-// that the estimates follow changes; the ratios are capped, so that one run does not
-// spoil them.
+// Limits for smoothing the relative pace of a machine and the run time ratio of a class.
+// The minimum weight of a sample lets the averages follow changes, and the maximum value
+// of a sample limits the effect of outliers.
 const (
 	minPaceWeight        = 0.3
 	maxPace              = 10
 	minRatioWeight       = 0.05
 	maxRatio             = 5
-	minRunsToComparePace = 2
+	minRunsToComparePace = 2 // completed tasks of the job
 )
 
-// unstartedAllowanceSeconds is added to the run time of a task that is not running
-// yet.
+// unstartedAllowanceSeconds is added to the expected run time of a task that is not
+// running yet.
 const unstartedAllowanceSeconds = 2
 
-// minRemainingShare is the share of its expected run time that a task is taken to
-// have left at least.
+// minRemainingShare is the minimum remaining time of a task as a fraction of its expected
+// run time.
 const minRemainingShare = 0.1
 
-// RunTimes estimates how long tasks run, from those that have run. The estimates
-// that users give are often wrong in the same way for a whole day, by class.
+// RunTimes predicts how long tasks run. It corrects the users' estimates by the ratio of
+// actual to estimated run times, which tends to be similar within a class of jobs.
 type RunTimes struct {
 	loop    *eventloop.Loop
 	classes map[string]*classRunTimes
 }
 
-// classRunTimes is what is learned of a class of jobs.
+// classRunTimes holds the statistics of a class of jobs.
 type classRunTimes struct {
-	ratio float64 // run time over estimate, smoothed
+	ratio float64 // actual to estimated run time, smoothed
 	runs  int
 }
 
@@ -50,15 +50,16 @@
 	return class
 }
 
-// RuntimeRatio is how much longer the tasks of a class run than their users estimate.
+// RuntimeRatio returns the smoothed ratio of actual to estimated run times of a class. It
+// is 1 if no task of the class has completed.
 func (r *RunTimes) RuntimeRatio(class string) float64 { return r.class(class).ratio }
 
-// ExpectedSeconds is a job's run time per task as far as is known.
+// ExpectedSeconds returns the expected run time of a task of a job.
 func (r *RunTimes) ExpectedSeconds(job *state.Job) float64 {
 	return job.Spec.RuntimeSeconds * r.RuntimeRatio(job.Spec.Class)
 }
 
-// ExpectedRemainingSeconds is how long an assigned task will still take.
+// ExpectedRemainingSeconds returns how much longer an assigned task is expected to run.
 func (r *RunTimes) ExpectedRemainingSeconds(assignment *state.Assignment) float64 {
 	expected := r.ExpectedSeconds(assignment.Job)
 	if assignment.RunningSince == 0 {
@@ -68,18 +69,19 @@
 	return max(expected-elapsed, expected*minRemainingShare)
 }
 
-// RecordRuntime takes in the run time of a task that has completed on a machine.
+// RecordRuntime updates the statistics of a machine, a job and its class when a task has
+// completed.
 func (r *RunTimes) RecordRuntime(machine *state.Machine, assignment *state.Assignment) {
 	job := assignment.Job
-	// Only whole runs that were seen from their start tell anything: a task that
-	// resumes from a checkpoint has less to do, and the start of one that an earlier
-	// owner started was not seen.
+	// Only complete runs with an observed start count. A task that resumes from a
+	// checkpoint runs for a shorter time, and the start time of a task that an earlier
+	// owner started is unknown.
 	if assignment.RunningSince == 0 || job.Spec.RuntimeSeconds <= 0 || assignment.StartUnobserved || job.RestartedTasks[assignment.Task.Index] {
 		return
 	}
 	runSeconds := (r.loop.Now() - assignment.RunningSince).Seconds()
 	if job.CompletedRuns >= minRunsToComparePace {
-		// Against its own job's other tasks a machine's speed shows best.
+		// Tasks of the same job are the best comparison for a machine's speed.
 		weight := max(minPaceWeight, 1/float64(machine.PaceSamples+1))
 		machine.RelativePace += weight * (min(runSeconds/(job.TotalRunSeconds/float64(job.CompletedRuns)), maxPace) - machine.RelativePace)
 		machine.PaceSamples++
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/state"
 )
 
-// completeTask starts the job's next pending task on a machine and lets it complete
-// after some seconds.
+// completeTask runs the job's next pending task on a machine until it completes after
+// some seconds.
 func (f *fixture) completeTask(job *state.Job, machine *state.Machine, seconds cluster.Time) {
 	assignment := f.addRunningTask(job, machine)
 	assignment.RunningSince = f.loop.Now()
@@ -18,31 +18,33 @@
 	job.SetCompleted(assignment.Task.Index)
 }
 
-// TestRunTimeRatio checks that the estimates of a class follow its run times.
+// TestRunTimeRatio checks that the expected run time of a class follows the actual run
+// times of its tasks.
 func TestRunTimeRatio(t *testing.T) {
 	f := newFixture()
 	machine := f.addMachine("m-1")
 	f.loop.Begin(second, 1_000_000)
 	job := f.addJob(cluster.JobSpec{ID: "j", Class: "c", Tasks: 9, RuntimeSeconds: 10})
 	if got := f.RunTimes.ExpectedSeconds(job); got != 10 {
-		t.Errorf("%v s expected before anything ran", got)
+		t.Errorf("%v s expected before any task has completed, want the estimate of 10 s", got)
 	}
 	f.completeTask(job, machine, 30)
 	if got := f.RunTimes.RuntimeRatio("c"); got != 2 {
-		t.Errorf("ratio %v after one run of three times the estimate, want the mean with the estimate", got)
+		t.Errorf("ratio %v after one run of three times the estimate, want 2, the mean of 1 and 3", got)
 	}
 	if got := f.RunTimes.ExpectedSeconds(job); got != 20 {
-		t.Errorf("%v s expected", got)
+		t.Errorf("%v s expected, want 20", got)
 	}
 	if got := f.RunTimes.RuntimeRatio("other"); got != 1 {
-		t.Errorf("ratio %v of another class", got)
+		t.Errorf("ratio %v of another class, want 1", got)
 	}
 }
 
-// TestRunTimesOfPartialRuns checks that only whole runs seen from their start count.
+// TestPartialRunsAreIgnored checks that runs that are incomplete or whose start was not
+// observed don't affect the expected run times.
 func TestPartialRunsAreIgnored(t *testing.T) {
 	for name, change := range map[string]func(*state.Assignment){
-		"never seen running": func(a *state.Assignment) { a.RunningSince = 0 },
+		"not observed":       func(a *state.Assignment) { a.RunningSince = 0 },
 		"start not observed": func(a *state.Assignment) { a.StartUnobserved = true },
 		"restarted":          func(a *state.Assignment) { a.Job.RestartedTasks[a.Task.Index] = true },
 		"no estimate":        func(a *state.Assignment) { a.Job.Spec.RuntimeSeconds = 0 },
@@ -57,13 +59,14 @@
 			change(assignment)
 			f.RunTimes.RecordRuntime(machine, assignment)
 			if ratio := f.RunTimes.RuntimeRatio("c"); ratio != 1 || job.CompletedRuns != 0 {
-				t.Errorf("ratio %v, %d runs", ratio, job.CompletedRuns)
+				t.Errorf("ratio %v with %d completed runs, want 1 with none", ratio, job.CompletedRuns)
 			}
 		})
 	}
 }
 
-// TestExpectedRemaining checks how long a task is expected to run on.
+// TestExpectedRemainingSeconds checks the expected remaining run time of tasks that have
+// not started yet, run as expected or run longer.
 func TestExpectedRemainingSeconds(t *testing.T) {
 	f := newFixture()
 	job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 1, RuntimeSeconds: 20})
@@ -72,9 +75,9 @@
 		runningSince, now cluster.Time
 		want              float64
 	}{
-		{0, 2 * second, 22},               // not running yet
-		{second, 6 * second, 15},          // of 20 s
-		{second, 100 * second, 20.0 / 10}, // longer than expected
+		{0, 2 * second, 22},               // not started yet
+		{second, 6 * second, 15},          // expected to run for 20 s
+		{second, 100 * second, 20.0 / 10}, // runs longer than expected
 	} {
 		assignment.RunningSince = test.runningSince
 		f.loop.Begin(test.now, 1_000_000)
@@ -84,14 +87,14 @@
 	}
 }
 
-// TestSlowMachineIsDrained checks that a machine on which a job's tasks run much longer
-// than elsewhere is drained, and that its tasks that can save a checkpoint are stopped.
+// TestSlowMachineIsDrained checks that a machine is drained if tasks run much longer on it
+// than on others, and that its tasks that can save a checkpoint are stopped.
 func TestSlowMachineIsDrained(t *testing.T) {
 	f := newFixture()
 	fast, slow := f.addMachine("m-1"), f.addMachine("m-2")
 	f.loop.Begin(second, 1_000_000)
 	job := f.addJob(cluster.JobSpec{ID: "j", Tasks: 99, RuntimeSeconds: 10})
-	checkpointing := f.addJob(cluster.JobSpec{ID: "saves", Tasks: 1, CheckpointSeconds: 5})
+	checkpointing := f.addJob(cluster.JobSpec{ID: "checkpointing", Tasks: 1, CheckpointSeconds: 5})
 	runningTask := f.addRunningTask(checkpointing, slow)
 	for range 10 {
 		f.completeTask(job, fast, 10)
@@ -110,8 +113,8 @@
 	}
 }
 
-// TestStragglerIsRestarted checks that a task which runs far longer than its job's
-// others is stopped, but only after it was found so several times.
+// TestStragglerIsRestarted checks that a task that runs far longer than other tasks of its
+// job is stopped, but only after several checks have found it.
 func TestStragglerIsRestarted(t *testing.T) {
 	f := newFixture()
 	machine := f.addMachine("m-1")
@@ -122,19 +125,19 @@
 	}
 	assignment := f.addRunningTask(job, machine)
 	assignment.RunningSince = f.loop.Now()
-	f.loop.Begin(f.loop.Now()+30*second, 1_000_000) // 2.5 times the mean and 5 s
+	f.loop.Begin(f.loop.Now()+30*second, 1_000_000) // 2.5 times the mean plus 5 s
 	f.Stragglers.HandleSlowMachine(machine)
 	if machine.LateChecks != 0 {
-		t.Error("counts as late just at the limit")
+		t.Error("a task at the limit counts as a straggler")
 	}
 	f.loop.Begin(f.loop.Now()+1, 1_000_000)
 	for check := 1; check <= lateChecksBeforeDrain; check++ {
 		if assignment.StopRequested {
-			t.Fatalf("stopped before check %d", check)
+			t.Fatalf("task stopped before check %d", check)
 		}
 		f.Stragglers.HandleSlowMachine(machine)
 	}
 	if !assignment.StopRequested || !machine.Draining {
-		t.Errorf("stopped %v, machine draining %v", assignment.StopRequested, machine.Draining)
+		t.Errorf("task stopped: %v, machine draining: %v; want both", assignment.StopRequested, machine.Draining)
 	}
 }
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -1,22 +1,21 @@
-// Package scheduling decides which pending task is started on which machine, which
-// tasks are preempted for others, and which machines the owned shards give up to each
-// other and to those of other controllers.
+// Package scheduling assigns pending tasks to machines, preempts running tasks for
+// others, and transfers machines between shards.
 //
-// The order of the jobs (rank.go) and of the machines for a job (candidates.go) are pure
-// functions of facts. The other parts gather the facts from the state of the shards:
+// The order of jobs (RankJob) and of the candidate machines for a job
+// (Candidate.Compare) are pure functions. The other types work on the state of the
+// owned shards:
 //
-//   - Trigger says when to schedule, the Scheduler's rounds do it (assign.go,
-//     preempt.go).
-//   - JobQueue orders a shard's jobs and lists what waits for machines.
-//   - Eligibility and SpotPreference say which machines a job may and should use.
-//   - RunTimes and Stragglers learn how long tasks run, and find what takes too long.
-//   - ShardLoads and Rebalancer split the machines among the shards by package
-//     fairshare.
+//   - Trigger decides when Scheduler runs a scheduling round for each owned shard.
+//   - JobQueue orders a shard's jobs and lists their pending tasks.
+//   - Eligibility and SpotPreference decide which machines a job may and should use.
+//   - RunTimes predicts run times. Stragglers detects slow machines and tasks.
+//   - ShardLoads and Rebalancer divide the machines among the shards according to
+//     package fairshare.
 //
 // Invariants: a task is assigned only within its team's quota, and only to a machine
 // whose worker has acknowledged the fencing token and whose group is not offered to
-// another shard; nothing is assigned while the state service has failed for long. An
-// assignment is only planned here: it is started once its record is stored.
+// another shard. Nothing is assigned during an outage of the state service. This package
+// only plans an assignment: the task is started once the assignment is stored.
 package scheduling
 
 import (
@@ -32,57 +31,58 @@
 	millisecond = cluster.Millisecond
 )
 
-// Config is what the scheduler knows from the start.
+// Config holds the settings of the scheduler.
 type Config struct {
-	// HeartbeatInterval is how often workers report.
+	// HeartbeatInterval is the time between two heartbeats of a worker.
 	HeartbeatInterval cluster.Time
-	// SLOs are the objectives of all classes of jobs.
+	// SLOs holds the service-level objectives of all classes of jobs.
 	SLOs []cluster.SLO
-	// ShortJobWeight is how many times a job's latest start is moved back by what its
-	// remaining work would take all of its shard.
+	// ShortJobWeight is multiplied by the time that a job's pending tasks would occupy
+	// the whole shard. The product delays the job's latest start in the queue order.
 	ShortJobWeight float64
-	// FirstTaskTarget is how soon a job's first task should start: it goes before all
-	// others after half of this.
+	// FirstTaskTarget is the time within which a job's first task should start. After
+	// half of it, the task is scheduled before all other work.
 	FirstTaskTarget cluster.Time
-	// SpareCapacityShare is which share of its demand a shard keeps as spare capacity.
+	// SpareCapacityShare is the fraction of its demand that a shard keeps as spare
+	// capacity.
 	SpareCapacityShare float64
-	// MaxTxnOps is how many changes a transaction may make.
+	// MaxTxnOps is the maximum number of changes in a transaction.
 	MaxTxnOps int
 }
 
-// TaskStopper stops tasks and empties machines.
+// TaskStopper stops tasks and drains machines.
 type TaskStopper interface {
-	// Preempt stops a task so that others get its room.
+	// Preempt stops a task so that others can use its resources.
 	Preempt(machine *state.Machine, assignment *state.Assignment)
-	// MoveOffSlowMachine stops a task so that it starts again on another machine.
+	// MoveOffSlowMachine stops a task so that it restarts on another machine.
 	MoveOffSlowMachine(machine *state.Machine, assignment *state.Assignment)
-	// Drain lets a machine run empty, so that it is released.
+	// Drain keeps new tasks away from a machine and releases it once it is idle.
 	Drain(machine *state.Machine)
 }
 
-// MachineRecords is what the scheduler needs of the records of the machine groups.
+// MachineRecords accesses the stored records of the machine groups.
 type MachineRecords interface {
-	// HasRoom tells whether a group's record can list one more task of a job.
+	// HasRoom reports whether a group's record can list one more task of a job.
 	HasRoom(group *state.MachineGroup, job *state.Job) bool
-	// WriteMachine stores the record that lists a machine's tasks.
+	// WriteMachine queues a write of the record that lists a machine's tasks.
 	WriteMachine(machine *state.Machine, priority writequeue.Priority)
 }
 
 // MachineGroups moves machines between groups and shards.
 type MachineGroups interface {
-	// TargetGroupSize is how many machines a group should have at most.
+	// TargetGroupSize returns the maximum number of machines that a group should have.
 	TargetGroupSize() int
-	// Regroup moves machines into a group, or into one of their own, and then calls
-	// done with it, or with nil when that was not possible.
+	// Regroup moves machines into the target group, or into a new one if target is nil.
+	// It then calls done with the group, or with nil if the machines could not be moved.
 	Regroup(shard *state.Shard, machines []*state.Machine, target *state.MachineGroup, priority writequeue.Priority, done func(*state.MachineGroup))
-	// AcquireGroup moves a group of another shard to a shard, on condition that its
-	// record is still that of a revision.
+	// AcquireGroup moves a group from another shard to a shard, provided that the
+	// group's record still has the given mod revision (compare-and-swap).
 	AcquireGroup(shard *state.Shard, key string, revision cluster.ModRevision)
 }
 
-// Ownership tells which shards are owned.
+// Ownership observes the set of owned shards.
 type Ownership interface {
-	// Changes counts the changes of the set of owned shards.
+	// Changes returns how many times the set of owned shards has changed.
 	Changes() int
 }
 
@@ -91,14 +91,14 @@
 	Peers() []*membership.Peer
 }
 
-// Store tells whether records can be stored.
+// Store reports the availability of the state service.
 type Store interface {
-	// IsUnavailableFor tells whether the state service has failed for longer than a
-	// time.
+	// IsUnavailableFor reports whether the state service has been unavailable for longer
+	// than duration.
 	IsUnavailableFor(duration cluster.Time) bool
 }
 
-// Dependencies are the other parts of the controller that the scheduler uses.
+// Dependencies holds the other components of the controller that the scheduler uses.
 type Dependencies struct {
 	Stops     TaskStopper
 	Records   MachineRecords
@@ -106,39 +106,40 @@
 	Store     Store
 	Ownership Ownership
 	Peers     Peers
-	// SpotInterruptionRate is how often a spot machine is lost, per second.
+	// SpotInterruptionRate returns the expected number of interruptions of a spot machine
+	// per second.
 	SpotInterruptionRate func() float64
-	// CountMachineScans counts a look at each of some machines, for the periodic log
-	// line.
+	// CountMachineScans adds the number of machines to the count of machine scans in the
+	// periodic log line.
 	CountMachineScans func([]*state.Machine)
-	// StretchDelay lengthens a pause while the process is overloaded.
+	// StretchDelay returns the given delay, lengthened while the process is overloaded.
 	StretchDelay func(cluster.Time) cluster.Time
 }
 
-// Scheduler assigns pending tasks to machines. Its parts can be asked for what the
-// other parts of the controller need to know.
+// Scheduler assigns pending tasks to machines. Its exported components are also used by
+// other packages of the controller.
 type Scheduler struct {
-	// Trigger says when tasks are assigned.
+	// Trigger decides when scheduling runs.
 	Trigger *Trigger
-	// RunTimes estimates how long tasks run.
+	// RunTimes predicts how long tasks run.
 	RunTimes *RunTimes
-	// Stragglers replaces slow machines and restarts tasks that take too long.
+	// Stragglers drains slow machines and restarts straggling tasks.
 	Stragglers *Stragglers
-	// Spot weighs spot machines against on-demand ones.
+	// Spot decides which jobs should use on-demand machines.
 	Spot *SpotPreference
-	// Eligibility tells which machines a job may use.
+	// Eligibility decides which machines a job may use.
 	Eligibility *Eligibility
-	// Queue orders the pending jobs of a shard.
+	// Queue orders the jobs of a shard.
 	Queue *JobQueue
-	// Loads tells what the shards have and need.
+	// Loads computes the capacity and the demand of the shards.
 	Loads *ShardLoads
-	// Rebalancer splits the machines among the shards.
+	// Rebalancer moves machines between shards.
 	Rebalancer *Rebalancer
 
 	shared *shared
 }
 
-// shared is what all parts of the scheduler use.
+// shared holds what all components of the scheduler use.
 type shared struct {
 	loop   *eventloop.Loop
 	state  *state.State
@@ -146,8 +147,8 @@
 	deps   Dependencies
 }
 
-// New makes a scheduler. It sets no timers of its own: its periodic methods are to
-// be called by the owner of the loop.
+// New returns a new scheduler. It starts no timers: the owner of the loop must call
+// RunIfRequested and the other periodic methods.
 func New(loop *eventloop.Loop, st *state.State, config Config, deps Dependencies) *Scheduler {
 	base := &shared{loop: loop, state: st, config: config, deps: deps}
 	s := &Scheduler{shared: base, Trigger: &Trigger{}}
@@ -169,20 +170,21 @@
 	return s
 }
 
-// Configure takes over other settings.
+// Configure replaces the settings.
 func (s *Scheduler) Configure(config Config) { s.shared.config = config }
 
-// machineCapacity is what a machine of the type has in all.
+// machineCapacity returns the total resources of a machine, or zero if its type is
+// unknown.
 func (s *shared) machineCapacity(machine *state.Machine) cluster.Resources {
 	return s.state.MachineTypes[machine.MachineType].Capacity
 }
 
-// freeResources is what is free on a machine.
+// freeResources returns the resources of a machine that its tasks don't use.
 func (s *shared) freeResources(machine *state.Machine) cluster.Resources {
 	return s.machineCapacity(machine).Minus(machine.UsedResources())
 }
 
-// secondsSince is how long ago a time was.
+// secondsSince returns the time elapsed since start, in seconds.
 func (s *shared) secondsSince(start cluster.Time) float64 {
 	return (s.loop.Now() - start).Seconds()
 }
--- a/internal/scheduling/spot.go
+++ b/internal/scheduling/spot.go
@@ -3,33 +3,33 @@
 import "stairrelay/internal/state"
 
 const (
-	// spotLossLimit is the expected loss, in seconds, from which a job should rather
-	// have on-demand machines, however much time its objectives give it.
+	// maxSpotLossSeconds is the expected loss above which a job should use on-demand
+	// machines, regardless of its objectives.
 	maxSpotLossSeconds = 2
-	// taskLossThreshold is how many of its tasks a job must expect to lose on spot
-	// machines for its deadline to be at risk: a few small tasks are hardly ever hit.
+	// minExpectedLostTasks is the expected number of interrupted tasks from which a
+	// job's objectives are at risk on spot machines.
 	minExpectedLostTasks = 0.1
-	// lossWeight is how much a loss counts: a job of many tasks waits for its
-	// unluckiest.
+	// lossWeight multiplies the expected loss per task, because a job finishes only when
+	// the last of its tasks does.
 	lossWeight = 4
-	// minDeadlineFactor is the least part of a job's own deadline that an objective
-	// may ask for.
+	// minDeadlineFactor is the minimum fraction of a job's deadline that an objective
+	// may require.
 	minDeadlineFactor = 0.1
-	// tightObjectiveRuns is how many run times an objective must leave so that a
-	// restarted task can still meet it.
+	// tightObjectiveRunTimes is the number of run times that an objective must allow so
+	// that a restarted task can still meet it.
 	tightObjectiveRunTimes = 3
 )
 
-// SpotPreference tells which jobs should have on-demand machines rather than spot
-// ones.
+// SpotPreference decides which jobs should use on-demand machines rather than spot ones.
 type SpotPreference struct {
 	*shared
 	runTimes *RunTimes
 }
 
-// expectedLoss is what a job's tasks must expect to lose on spot machines, in
-// seconds: those that can't save a checkpoint lose half a run in the mean when their
-// machine is preempted.
+// expectedLossSeconds returns the weighted run time that a task of a job is expected to
+// lose on a spot machine. A task without checkpoints loses half its run time on average
+// when it is interrupted. The result is 0 for jobs that save checkpoints and for jobs
+// that may not use spot machines.
 func (s *SpotPreference) expectedLossSeconds(job *state.Job) float64 {
 	if !job.Spec.Spot || job.Spec.CheckpointSeconds > 0 {
 		return 0
@@ -38,11 +38,10 @@
 	return lossWeight * s.deps.SpotInterruptionRate() * runSeconds * runSeconds / 2
 }
 
-// prefersOnDemand tells whether a job should rather have on-demand machines: much
-// loss is to be expected, or it is likely to lose a task and its first objective
-// gives it so little time that a restarted task would miss it. For others the choice
-// would only scatter their tasks over machines with little room, each of which has
-// to fetch the image.
+// prefersOnDemand reports whether a job should use on-demand machines: its expected loss
+// is too high, or it is likely to lose a task and has an objective that a restarted task
+// would miss. For other jobs a preference would only spread the tasks over more
+// machines, each of which has to fetch the image.
 func (s *SpotPreference) prefersOnDemand(job *state.Job) bool {
 	loss := s.expectedLossSeconds(job)
 	if loss == 0 || loss > maxSpotLossSeconds {
@@ -56,8 +55,8 @@
 	return tightest > 0 && tightest < tightObjectiveRunTimes*runSeconds
 }
 
-// tightestObjective is the shortest time, in seconds, in which an objective wants the
-// job done; 0: there is none.
+// tightestObjectiveSeconds returns the shortest time within which an objective requires
+// a job to finish. The result is 0 if there is no such objective.
 func (s *SpotPreference) tightestObjectiveSeconds(job *state.Job) float64 {
 	tightest := 0.0
 	for _, objective := range s.config.SLOs {
@@ -72,8 +71,9 @@
 	return tightest
 }
 
-// IsOnDemandWorthFetching tells whether so much loss is to be expected that an
-// on-demand machine is worth fetching the image anew.
+// IsOnDemandWorthImageFetch reports whether a job's expected loss on spot machines
+// exceeds the time to fetch its image, so that an on-demand machine without the image is
+// better than a spot machine with it.
 func (s *SpotPreference) IsOnDemandWorthImageFetch(job *state.Job) bool {
 	fetchSeconds := 0.0
 	for _, machineType := range s.state.MachineTypes {
@@ -84,10 +84,10 @@
 	return s.expectedLossSeconds(job) > max(fetchSeconds, maxSpotLossSeconds)
 }
 
-// IsMarketSuited tells whether a job should have a spot machine, or an on-demand one,
-// rather than another that is equal otherwise. A job that can't afford a loss should
-// have an on-demand one; where the shard has such jobs, those that can save a
-// checkpoint leave these machines to them and use spot ones. Else neither matters.
+// IsPreferredMarket reports whether a job prefers machines of a market, spot or
+// on-demand, among candidates that are otherwise equal. Jobs for which prefersOnDemand
+// is true prefer on-demand machines. If the shard has such jobs, jobs that save
+// checkpoints prefer spot machines. All other jobs accept both markets equally.
 func (s *SpotPreference) IsPreferredMarket(shard *state.Shard, job *state.Job, spot bool) bool {
 	if job.Spec.CheckpointSeconds > 0 {
 		return spot || !shard.AvoidSpot
--- a/internal/scheduling/spot_test.go
+++ b/internal/scheduling/spot_test.go
@@ -7,13 +7,11 @@
 	"stairrelay/internal/state"
 )
 
-// TestSpotPreference checks that of two machines that are equal otherwise, a job that
-// would lose much on a spot machine gets the on-demand one, and one that saves
-// checkpoints leaves it that; where no great loss is to be expected the market does
-// not matter.
+// TestSpotPreference checks that only jobs with a high expected loss or a tight objective
+// prefer on-demand machines, and that jobs with checkpoints then leave these to them.
 func TestSpotPreference(t *testing.T) {
 	f := newFixture()
-	f.spotInterruptionRate = 11.0 / 23_600 // nearly two an hour
+	f.spotInterruptionRate = 11.0 / 23_600 // nearly two interruptions per hour
 	shard, spot, onDemand := f.shard, true, false
 	jobWith := func(runSeconds, checkpointSeconds float64) *state.Job {
 		return &state.Job{Spec: cluster.JobSpec{Spot: true, RuntimeSeconds: runSeconds, CheckpointSeconds: checkpointSeconds, ImageGB: 1.5, Class: "c"}}
@@ -21,10 +19,10 @@
 	isPreferred := f.Spot.IsPreferredMarket
 	short, long, checkpointing := jobWith(15, 0), jobWith(60, 0), jobWith(60, 30)
 	if !isPreferred(shard, long, onDemand) || isPreferred(shard, long, spot) {
-		t.Error("60 s that can't be saved are sent to a spot machine")
+		t.Error("a job with tasks of 60 s and no checkpoints prefers a spot machine")
 	}
 	if isPreferred(shard, short, onDemand) != isPreferred(shard, short, spot) || isPreferred(shard, checkpointing, onDemand) != isPreferred(shard, checkpointing, spot) {
-		t.Error("the kind of machine matters where no loss is to be expected")
+		t.Error("a job with a low expected loss has a preferred market")
 	}
 	f.config.SLOs = []cluster.SLO{{Kind: "deadline", Class: "tight", DeadlineFactor: 1}, {Kind: "finished", Class: "c", WithinSeconds: 80}}
 	f.Configure(f.config)
@@ -33,15 +31,15 @@
 	fewTasks := jobWith(15, 0)
 	fewTasks.Spec.Class, fewTasks.Spec.DeadlineSeconds, fewTasks.Spec.Tasks = "tight", 40, 3
 	if !isPreferred(shard, fewTasks, spot) {
-		t.Error("three short tasks, of which hardly ever one is lost, are scattered over on-demand machines")
+		t.Error("a job with a tight deadline but only three short tasks avoids spot machines")
 	}
 	if tight.Spec.Class, tight.Spec.DeadlineSeconds = "tight", 40; isPreferred(shard, tight, spot) || !isPreferred(shard, short, spot) {
-		t.Error("a job that could not make its deadline with a restarted task goes to spot machines, or one with time to spare does not")
+		t.Error("a job that would miss its deadline with a restarted task does not avoid spot machines, or a job with enough time does")
 	}
 	if shard.AvoidSpot = true; isPreferred(shard, checkpointing, onDemand) || !isPreferred(shard, checkpointing, spot) {
-		t.Error("a job that saves checkpoints does not leave the on-demand machine to others")
+		t.Error("a job that saves checkpoints does not prefer spot machines while another job needs on-demand ones")
 	}
 	if f.Spot.IsOnDemandWorthImageFetch(long) || !f.Spot.IsOnDemandWorthImageFetch(jobWith(150, 0)) {
-		t.Error("a new fetch of 6 s is not weighed against the expected loss")
+		t.Error("the expected loss is not compared with the 6 s of an image fetch")
 	}
 }
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -7,29 +7,31 @@
 )
 
 const (
-	// slowMachineRatio is how many times slower than its like a machine may be.
-	// Machines of a type differ by a tenth; faulty ones by factors.
+	// slowMachineRatio is the relative pace above which a machine is slow: the smoothed
+	// ratio of its run times to those of the same jobs' other tasks. It is far above the
+	// usual differences between machines of a type.
 	slowMachineRatio = 2.2
-	// minPaceSamples is how many run times must have been compared before a machine
-	// counts as slow.
+	// minPaceSamples is the minimum number of run times needed to classify a machine as
+	// slow.
 	minPaceSamples = 3
-	// minRunsToFindStragglers is how many tasks of a job must have completed before
-	// another of them counts as a straggler.
+	// minRunsToFindStragglers is the minimum number of completed tasks of a job needed
+	// to identify others as stragglers.
 	minRunsToFindStragglers = 3
-	// A straggler has run for stragglerFactor times the mean run time of its job's
-	// tasks and stragglerAllowanceSeconds more.
+	// A straggler has run for longer than stragglerFactor times the mean run time of its
+	// job's completed tasks plus stragglerAllowanceSeconds.
 	stragglerFactor           = 2.5
 	stragglerAllowanceSeconds = 5
-	// maxLateChecks is in how many checks in a row a straggler must be found: the
-	// heartbeats may be late, not the task.
+	// lateChecksBeforeDrain is the number of checks that must find a straggler before
+	// its machine is drained. A single one may be due to a delayed heartbeat.
 	lateChecksBeforeDrain = 4
 )
 
-// Stragglers finds the machines and tasks that take far longer than others.
+// Stragglers detects slow machines and straggling tasks.
 type Stragglers struct{ *shared }
 
-// HandleSlowMachine drains a machine that is much slower than its like, and restarts
-// elsewhere what has already taken far longer than the job's other tasks.
+// HandleSlowMachine drains a machine if it is much slower than others or repeatedly has
+// stragglers. The stragglers and the tasks that can save a checkpoint are stopped, so
+// that they restart on other machines.
 func (s *Stragglers) HandleSlowMachine(machine *state.Machine) {
 	if machine.Draining || machine.Releasing {
 		return
@@ -50,7 +52,7 @@
 			return
 		}
 	}
-	s.loop.Log(messages.LogInfo, "machine is slow", "machine", string(machine.ID), "pace", machine.RelativePace, "late_tasks", len(toMove))
+	s.loop.Log(messages.LogInfo, "machine is slow or has stragglers; draining it", "machine", string(machine.ID), "pace", machine.RelativePace, "late_tasks", len(toMove))
 	s.deps.Stops.Drain(machine)
 	for _, assignment := range machine.SortedAssignments() {
 		if assignment.IsCheckpointable() {
@@ -62,7 +64,8 @@
 	}
 }
 
-// isStraggler tells whether a task has run far longer than its job's others.
+// isStraggler reports whether a running task takes far longer than its job's completed
+// tasks. A task that has been restarted before is never a straggler.
 func (s *Stragglers) isStraggler(assignment *state.Assignment) bool {
 	job := assignment.Job
 	if assignment.Phase != state.PhaseAcknowledged || assignment.ConfirmedAbsent ||
@@ -74,7 +77,7 @@
 	return s.secondsSince(assignment.RunningSince) > stragglerFactor*mean+stragglerAllowanceSeconds
 }
 
-// hasStraggler tells whether any task of a machine is a straggler.
+// hasStraggler reports whether any task of a machine is a straggler.
 func (s *Stragglers) hasStraggler(machine *state.Machine) bool {
 	for _, assignment := range machine.Assignments {
 		if s.isStraggler(assignment) {
--- a/internal/scheduling/trigger.go
+++ b/internal/scheduling/trigger.go
@@ -2,26 +2,26 @@
 
 import "stairrelay/internal/cluster"
 
-// Trigger says when tasks are assigned: once per step at most, and not more often
-// than the pause after the last time allows.
-//
-// While a request waits for that pause, a timer is set for its end.
+// Trigger rate-limits scheduling runs. Requests are coalesced: a run starts when one is
+// requested, but not before the minimum interval since the last run has passed. A timer
+// is set for a request that arrives earlier.
 type Trigger struct {
 	requested  bool
 	notBefore  cluster.Time
 	timerArmed bool
 }
 
-// triggerDecision says what follows from the requests so far.
+// triggerDecision is the result of Trigger.decide.
 type triggerDecision int
 
 const (
-	runNone  triggerDecision = iota
-	runNow                   // tasks are to be assigned now
-	runLater                 // a timer has to be set for it
+	runNone  triggerDecision = iota // no run is requested, or a timer is already set
+	runNow                          // start a run now
+	runLater                        // set a timer for the run
 )
 
-// Request asks for tasks to be assigned, as something has changed that it depends on.
+// Request requests a scheduling run. It is called when something changes that may let
+// pending tasks start.
 func (t *Trigger) Request() { t.requested = true }
 
 func (t *Trigger) decide(now cluster.Time) triggerDecision {
@@ -37,16 +37,16 @@
 	}
 }
 
-// begin records that tasks are assigned now, and when that may be done again.
+// begin records that a run starts, and the earliest time of the next one.
 func (t *Trigger) begin(notBefore cluster.Time) {
 	t.requested, t.notBefore = false, notBefore
 }
 
-// armTimer records that a timer is set, and returns its delay.
+// armTimer records that a timer is being set, and returns its delay.
 func (t *Trigger) armTimer(now cluster.Time) cluster.Time {
 	t.timerArmed = true
 	return t.notBefore - now
 }
 
-// handleTimer records that the timer has run.
+// handleTimer records that the timer has fired.
 func (t *Trigger) handleTimer() { t.timerArmed = false }
--- a/internal/scheduling/trigger_test.go
+++ b/internal/scheduling/trigger_test.go
@@ -6,8 +6,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestTriggerPause checks that requests within the pause are answered together at its
-// end, with one timer.
+// TestTriggerInterval checks that requests within the minimum interval are handled by one
+// run at its end, with one timer.
 func TestTriggerInterval(t *testing.T) {
 	f := newFixture()
 	f.addMachine("m-1")
@@ -24,24 +24,24 @@
 	}
 	f.Trigger.Request()
 	if started := run(second); started != 1 {
-		t.Errorf("%d tasks started", started)
+		t.Errorf("%d tasks started, want 1", started)
 	}
 	if _, set := f.loop.NextWake(); set {
-		t.Error("a timer is set without a request")
+		t.Error("a timer is set though no request is pending")
 	}
 	f.addMachine("m-2")
 	job.Spec.Tasks, job.TaskStates = 2, append(job.TaskStates, 0)
 	f.Trigger.Request()
 	for range 2 {
 		if started := run(second + MinInterval/2); started != 0 {
-			t.Errorf("%d tasks started within the pause", started)
+			t.Errorf("%d tasks started within the interval, want none", started)
 		}
 		f.Trigger.Request()
 	}
 	if next, set := f.loop.NextWake(); !set || next != second+MinInterval {
-		t.Errorf("next wake %v, %v", next, set)
+		t.Errorf("next wake-up at %v, timer set: %v; want one at the end of the interval", next, set)
 	}
 	if started := run(second + MinInterval); started != 1 {
-		t.Errorf("%d tasks started after the pause", started)
+		t.Errorf("%d tasks started after the interval, want 1", started)
 	}
 }
