--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -35,7 +35,7 @@
 	b := newControllerHarness()
 	machine, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
 	machine.Group.ModRevision = 77 // another writer was there
-	b.inventory.WriteMachine(machine, writequeue.Start)
+	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
 	b.submit(1, "j-1")
 	b.runFor(5 * second)
 	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
@@ -45,7 +45,7 @@
 		t.Errorf("answered %+v, want 201", b.sentResponses)
 	}
 	b.runFor(5 * second)
-	if n := len(b.writeQueue.Queued(writequeue.Admit)); n != 0 || b.jobs.Submissions.AdmissionKeyCount() > 3 {
+	if n := len(b.writeQueue.Queued(writequeue.PriorityAdmission)); n != 0 || b.jobs.Submissions.AdmissionKeyCount() > 3 {
 		t.Errorf("nothing waits to be admitted, but %d writes are queued, after %d", n, b.jobs.Submissions.AdmissionKeyCount())
 	}
 }
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -20,7 +20,7 @@
 	machine, _ := b.addRunningMachine(b.state.Jobs.Owned["j-1"])
 	b.store.revision = 50
 	machine.Group.ModRevision = 0
-	b.inventory.WriteMachine(machine, writequeue.Start)
+	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
 	b.runFor(100 * millisecond)
 
 	shard.AttemptCount = cluster.MaxAttemptCount - 1
--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -26,7 +26,7 @@
 	job.RecordTooLarge = true // no checkpoint stores its outcomes
 	machine.Group.ModRevision = 0
 	b.deliverStatus(machine, cluster.TaskStatus{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Ended, Cause: cluster.CauseCompleted})
-	b.inventory.WriteMachine(machine, writequeue.Start)
+	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
 	b.runFor(100 * millisecond)
 
 	record := string(b.store.get(machine.Group.Key()).KV.Value)
@@ -37,7 +37,7 @@
 		t.Fatalf("kept %v, unlisted %v, acknowledged %v before its outcome is stored", machine.Assignments[assignment.Task] == assignment, assignment.RemovedFromRecord, machine.EndedToAcknowledge)
 	}
 	written := machine.Group.ModRevision
-	b.jobs.Records.WriteJob(job, writequeue.Outcome)
+	b.jobs.Records.WriteJob(job, writequeue.PriorityOutcome)
 	b.runFor(100 * millisecond)
 	if machine.Assignments[assignment.Task] != nil || !machine.EndedToAcknowledge[assignment.TaskAttempt()] {
 		t.Error("its outcome is stored, and the worker gets no acknowledgement")
@@ -84,7 +84,7 @@
 			if len(machine.EndedToAcknowledge) > 0 {
 				t.Error("it is acknowledged to the worker before it is stored")
 			}
-			b.jobs.Records.WriteJob(job, writequeue.Outcome)
+			b.jobs.Records.WriteJob(job, writequeue.PriorityOutcome)
 			b.runFor(100 * millisecond)
 			if kv := b.store.get(job.ChunkKey(0)).KV; !strings.Contains(string(kv.Value), `"d":"1"`) {
 				t.Errorf("stored %s", kv.Value)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -159,6 +159,6 @@
 // machine records that list more than they need to.
 func (c *Controller) writeBackgroundState() {
 	c.jobs.Records.WriteOutcomes()
-	c.inventory.CleanUp()
+	c.inventory.MaintainRecords()
 	c.checkShardProgress()
 }
--- a/internal/controller/group_check_test.go
+++ b/internal/controller/group_check_test.go
@@ -18,7 +18,7 @@
 	machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
 	shard := b.state.Shards[0]
 	key := machine.Group.Key()
-	b.inventory.WriteMachine(machine, writequeue.Start)
+	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
 	machine.Group.ModRevision = 0 // as the store has none yet
 	b.runFor(100 * millisecond)
 	kv := b.store.get(key).KV
@@ -28,7 +28,7 @@
 
 	sent := len(b.sentTransactions)
 	for range 50 {
-		b.inventory.WriteMachine(machine, writequeue.Start)
+		b.inventory.WriteMachine(machine, writequeue.PriorityStart)
 		b.runFor(0) // one round of answers
 	}
 	if shard.CorruptRecordCount == 0 {
--- a/internal/controller/group_writes_test.go
+++ b/internal/controller/group_writes_test.go
@@ -17,8 +17,8 @@
 		built++
 		return []messages.TxnOp{{Key: "b", Value: []byte(`{}`)}}, []cluster.ModRevision{0}
 	}}
-	c.writeQueue.Enqueue(writequeue.Start, &writequeue.Write{ShardID: cluster.NoShard, Keys: []string{"a"}, Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
-		c.writeQueue.Enqueue(writequeue.Start, second)
+	c.writeQueue.Enqueue(writequeue.PriorityStart, &writequeue.Write{ShardID: cluster.NoShard, Keys: []string{"a"}, Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+		c.writeQueue.Enqueue(writequeue.PriorityStart, second)
 		return nil, nil // no longer wanted
 	}})
 	c.writeQueue.Dispatch()
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -76,9 +76,9 @@
 func (a inventoryCloud) ScheduleScaleIn() { a.controller.provisioner.ScaleIn.ScheduleCall() }
 
 // ForceCall implements inventory.Cloud.
-func (a inventoryCloud) ForceCall() { a.controller.provisioner.Rate.ForceCall() }
+func (a inventoryCloud) ChargeCall() { a.controller.provisioner.Rate.ForceCall() }
 
 // ReadList implements inventory.Cloud.
-func (a inventoryCloud) ReadList(handle func(machines []cluster.ListedMachine, ok bool)) {
+func (a inventoryCloud) ListMachines(handle func(machines []cluster.ListedMachine, ok bool)) {
 	a.controller.provisioner.List.Read(handle)
 }
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -16,7 +16,7 @@
 	job := b.addTestJob("j-1", 1)
 	job.SetCompleted(0)
 	b.losesReply = func(messages.StoreTxn) bool { return true }
-	b.jobs.Records.WriteJob(job, writequeue.Admit)
+	b.jobs.Records.WriteJob(job, writequeue.PriorityAdmission)
 	b.runFor(60 * millisecond)
 	if b.store.get("jobs/j-1").Outcome != messages.OK || job.FinalStatus != "" {
 		t.Fatal("the end is not stored, or its answer is not lost")
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -26,7 +26,7 @@
 	for i := 0; i < 16_000; i += 3 {
 		job.SetCompleted(i)
 	}
-	b.jobs.Records.WriteJob(job, writequeue.Background)
+	b.jobs.Records.WriteJob(job, writequeue.PriorityBackground)
 	b.runFor(10 * second)
 	for _, shard := range b.state.Shards {
 		if !shard.Owned {
--- a/internal/controller/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -23,7 +23,7 @@
 	assignment := &state.Assignment{Task: cluster.TaskID{Job: "j-1", Index: 15_000}, Job: job, ResourceRequest: job.Spec.ResourceRequest, MachineID: last.ID, Attempt: 15_000, Phase: state.PhaseRecording}
 	last.AddAssignment(assignment)
 	job.SetAssigned(15_000, assignment)
-	b.inventory.WriteMachine(last, writequeue.Start)
+	b.inventory.WriteMachine(last, writequeue.PriorityStart)
 	b.runFor(30 * second)
 	listed, longest := b.countStoredMachines(t)
 	if len(listed) != 45 || longest > limit || assignment.Phase == state.PhaseRecording {
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -81,7 +81,7 @@
 		job.SetCompleted(i)
 	}
 	for range 5 {
-		b.jobs.Records.WriteJob(job, writequeue.Background)
+		b.jobs.Records.WriteJob(job, writequeue.PriorityBackground)
 		b.runFor(2 * second)
 	}
 	if count := b.countStoredOutcomes(job); count != 33_334 {
@@ -90,7 +90,7 @@
 	for i := range tasks {
 		job.SetCompleted(i)
 	}
-	b.jobs.Records.WriteJob(job, writequeue.Admit)
+	b.jobs.Records.WriteJob(job, writequeue.PriorityAdmission)
 	b.runFor(20 * second)
 	for chunk := 1; chunk < state.ChunkCount(tasks); chunk++ {
 		if b.store.get(job.ChunkKey(chunk)).Outcome != messages.NotFound {
@@ -249,7 +249,7 @@
 	}
 	before := map[string]cluster.ModRevision{small.Key(): small.ModRevision, other.Key(): other.ModRevision}
 	for _, group := range []*state.MachineGroup{large, small, other} {
-		b.inventory.WriteGroup(group, writequeue.Start)
+		b.inventory.WriteGroup(group, writequeue.PriorityStart)
 	}
 	b.runFor(3 * second)
 	if len(b.sentTransactions) < 4 || len(b.sentTransactions[0].Then) != 3 {
--- a/internal/controller/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -41,7 +41,7 @@
 	if group.WritePending || group.WriteInFlight {
 		t.Error("the group still counts as being written")
 	}
-	b.inventory.WriteMachine(machine, writequeue.Start)
+	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
 	b.runFor(200 * millisecond)
 	if kv := b.store.get(group.Key()).KV; group.ModRevision != kv.ModRevision || group.ModRevision <= 31 {
 		t.Errorf("its record can't be written any more: mod revision %d, stored %d", group.ModRevision, kv.ModRevision)
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -37,7 +37,7 @@
 		0: {Shard: 0, Available: 96_000_000},
 		1: {Shard: 1, Demand: [4]cluster.Amount{0, 96_000_000}},
 	}))
-	queue := b.writeQueue.Queued(writequeue.Start)
+	queue := b.writeQueue.Queued(writequeue.PriorityStart)
 	if len(queue) != 1 {
 		t.Fatalf("%d writes queued", len(queue))
 	}
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -48,9 +48,9 @@
 	markTasksRecording(few, 1)
 	markTasksRecording(many, 6)
 	b.limitPutRate(0.5)
-	b.inventory.WriteGroup(few, writequeue.Start)
+	b.inventory.WriteGroup(few, writequeue.PriorityStart)
 	setTime(b.Controller, b.loop.Now()+second/2)
-	b.inventory.WriteGroup(many, writequeue.Start)
+	b.inventory.WriteGroup(many, writequeue.PriorityStart)
 	b.runFor(second * 5 / 2)
 	if fewWrites, manyWrites := b.countWrites(few.Key()), b.countWrites(many.Key()); fewWrites != 0 || manyWrites != 1 {
 		t.Fatalf("after the first put the record with one start was written %d times, that with six %d times", fewWrites, manyWrites)
@@ -69,7 +69,7 @@
 	starts, raised := b.addGroupWithTasks("starts", job, 4, 2, 0), b.addGroupWithTasks("raised", job, 1, 2, 100)
 	markTasksRecording(starts, 8)
 	b.limitPutRate(0.5)
-	b.inventory.WriteGroup(starts, writequeue.Start)
+	b.inventory.WriteGroup(starts, writequeue.PriorityStart)
 	b.inventory.RaiseToken(raised.SortedMachines()[0])
 	b.runFor(second * 5 / 2)
 	if startWrites, raisedWrites := b.countWrites(starts.Key()), b.countWrites(raised.Key()); startWrites != 0 || raisedWrites != 1 {
@@ -85,10 +85,10 @@
 	few, many := b.addGroupWithTasks("few", job, 3, 2, 0), b.addGroupWithTasks("many", job, 3, 2, 100)
 	markTasksRecording(few, 1)
 	b.limitPutRate(1)
-	b.inventory.WriteGroup(few, writequeue.Start)
+	b.inventory.WriteGroup(few, writequeue.PriorityStart)
 	for range 8 {
 		markTasksRecording(many, 6)
-		b.inventory.WriteGroup(many, writequeue.Start)
+		b.inventory.WriteGroup(many, writequeue.PriorityStart)
 		b.runFor(second)
 	}
 	if fewWrites, manyWrites := b.countWrites(few.Key()), b.countWrites(many.Key()); fewWrites != 1 || manyWrites < 5 {
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -44,7 +44,7 @@
 	for i := range groups {
 		group := b.addGroupWithTasks(fmt.Sprintf("%s-%02d", name, i), job, 2, 2, from+10*i)
 		markTasksRecording(group, 4)
-		b.inventory.WriteGroup(group, writequeue.Start)
+		b.inventory.WriteGroup(group, writequeue.PriorityStart)
 		all = append(all, group)
 	}
 	return all
--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -70,7 +70,7 @@
 			inv.RaiseToken(m)
 		}
 	}
-	inv.WriteGroup(group, writequeue.Start)
+	inv.WriteGroup(group, writequeue.PriorityStart)
 }
 
 // handleTransferredAway drops a group that another shard has taken, or whose record is
--- a/internal/inventory/cleanup.go
+++ b/internal/inventory/cleanup.go
@@ -7,10 +7,10 @@
 
 // CleanUp stores the groups' records that list tasks which are confirmed absent, and
 // splits and merges records by their sizes.
-func (inv *Inventory) CleanUp() {
+func (inv *Inventory) MaintainRecords() {
 	for _, group := range inv.state.SortedGroups() {
 		if !group.WritePending && listsAbsentTask(group) {
-			inv.WriteGroup(group, writequeue.Background)
+			inv.WriteGroup(group, writequeue.PriorityBackground)
 		}
 	}
 	for _, shard := range inv.state.Shards {
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -81,9 +81,9 @@
 	// ScheduleScaleIn returns the machines whose records say that they are released.
 	ScheduleScaleIn()
 	// ForceCall charges a call to the cloud's rate whether or not there is room.
-	ForceCall()
+	ChargeCall()
 	// ReadList reads the cloud's list of machines; false: it gave none.
-	ReadList(handle func(machines []cluster.ListedMachine, ok bool))
+	ListMachines(handle func(machines []cluster.ListedMachine, ok bool))
 }
 
 // Dependencies are the parts of the controller that the inventory calls.
--- a/internal/inventory/load.go
+++ b/internal/inventory/load.go
@@ -177,5 +177,5 @@
 		}
 		return []messages.TxnOp{{Key: item.Key, Value: nil}}, []cluster.ModRevision{item.ModRevision}
 	}
-	inv.writes.Enqueue(writequeue.Background, w)
+	inv.writes.Enqueue(writequeue.PriorityBackground, w)
 }
--- a/internal/inventory/load_test.go
+++ b/internal/inventory/load_test.go
@@ -24,7 +24,7 @@
 	}
 	shard.Owned, shard.ClaimRevision, shard.ModRevision = true, 30, 30
 	h.ApplyRecord(messages.KV{Key: "groups/b1-12-1", Value: value, ModRevision: 20}, shard)
-	queued := h.writes.Queued(writequeue.Background)
+	queued := h.writes.Queued(writequeue.PriorityBackground)
 	if len(queued) != 1 || queued[0].Keys[0] != "groups/b1-12-1" || len(h.state.Groups) != 0 {
 		t.Fatalf("the next claim queues %d writes and knows %d groups", len(queued), len(h.state.Groups))
 	}
@@ -34,7 +34,7 @@
 	// The claim that created it is in force, or the key doesn't say which that was.
 	h.ApplyRecord(messages.KV{Key: "groups/b1-30-1", Value: value, ModRevision: 20}, shard)
 	h.ApplyRecord(messages.KV{Key: "groups/g", Value: value, ModRevision: 20}, shard)
-	for _, write := range h.writes.Queued(writequeue.Background)[1:] {
+	for _, write := range h.writes.Queued(writequeue.PriorityBackground)[1:] {
 		if operations, _ := write.Build("n-3"); operations != nil {
 			t.Errorf("%v is deleted though a copy of its creation may come", operations)
 		}
--- a/internal/inventory/machines.go
+++ b/internal/inventory/machines.go
@@ -85,6 +85,6 @@
 // worker has acknowledged the new one.
 func (inv *Inventory) RaiseToken(machine *state.Machine) {
 	if machine.BeginTokenRaise() {
-		inv.WriteMachine(machine, writequeue.Start)
+		inv.WriteMachine(machine, writequeue.PriorityStart)
 	}
 }
--- a/internal/inventory/merge.go
+++ b/internal/inventory/merge.go
@@ -45,5 +45,5 @@
 	}
 	// With the starts' priority: most of these groups have a write waiting, which this
 	// one makes needless, and each group less saves a put per wave of starts from now on.
-	inv.Regroup(shard, moving, target, writequeue.Start, func(*state.MachineGroup) {})
+	inv.Regroup(shard, moving, target, writequeue.PriorityStart, func(*state.MachineGroup) {})
 }
--- a/internal/inventory/newgroup.go
+++ b/internal/inventory/newgroup.go
@@ -46,7 +46,7 @@
 func (inv *Inventory) RegisterMachines(shard *state.Shard, machines []grouprecord.Machine, done func()) {
 	claimRevision := shard.ClaimRevision
 	group := &NewGroup{ID: inv.names.NextGroup(shard), Shard: shard, Machines: machines}
-	inv.writes.Enqueue(writequeue.ScaleOut, &writequeue.Write{
+	inv.writes.Enqueue(writequeue.PriorityScaleOut, &writequeue.Write{
 		ShardID: shard.ID,
 		Keys:    []string{state.GroupKey(group.ID)},
 		Build: func(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -61,8 +61,8 @@
 		r.beginAgain(wait)
 		return
 	}
-	inv.cloud.ForceCall()
-	inv.cloud.ReadList(func(machines []cluster.ListedMachine, ok bool) {
+	inv.cloud.ChargeCall()
+	inv.cloud.ListMachines(func(machines []cluster.ListedMachine, ok bool) {
 		if !ok {
 			r.beginAgain(cloudRetryDelay)
 			return
@@ -131,7 +131,7 @@
 	}
 	inv := r.inventory
 	count := min(len(machines), inv.config.MaxScaleInMachines)
-	inv.cloud.ForceCall()
+	inv.cloud.ChargeCall()
 	inv.loop.Emit(messages.CloudScaleIn{IDs: machines[:count], Call: eventloop.Call(inv.loop, func(reply messages.ScaleInReply) {
 		if reply.Outcome != messages.OK {
 			r.beginAgain(cloudRetryDelay)
@@ -147,7 +147,7 @@
 func (r *quarantineRepair) deleteRecords() {
 	keys := slices.Sorted(maps.Keys(r.shard.Quarantined))
 	keys = keys[:min(len(keys), r.inventory.config.MaxTxnOps)]
-	r.inventory.writes.Enqueue(writequeue.ScaleOut, &writequeue.Write{
+	r.inventory.writes.Enqueue(writequeue.PriorityScaleOut, &writequeue.Write{
 		ShardID: r.shard.ID,
 		Keys:    keys,
 		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
--- a/internal/inventory/regroup.go
+++ b/internal/inventory/regroup.go
@@ -161,7 +161,7 @@
 func (r *regrouping) abandon() {
 	r.unlock()
 	for _, group := range r.affected {
-		r.inventory.WriteGroup(group, writequeue.Start)
+		r.inventory.WriteGroup(group, writequeue.PriorityStart)
 	}
 	r.done(nil)
 }
--- a/internal/inventory/split.go
+++ b/internal/inventory/split.go
@@ -34,7 +34,7 @@
 		s.newIDs = append(s.newIDs, id)
 		s.keys = append(s.keys, state.GroupKey(id))
 	}
-	inv.writes.Enqueue(writequeue.Start, &writequeue.Write{
+	inv.writes.Enqueue(writequeue.PriorityStart, &writequeue.Write{
 		ShardID:         s.shard.ID,
 		Keys:            s.keys,
 		CPUsWaiting:     func() float64 { return inv.cpusWaiting(group) },
@@ -117,7 +117,7 @@
 	s.group.MinPieces = 2 * len(s.keys)
 	s.inventory.loop.After(second, func() {
 		if s.isCurrent() {
-			s.inventory.WriteGroup(s.group, writequeue.Start)
+			s.inventory.WriteGroup(s.group, writequeue.PriorityStart)
 		}
 	})
 }
--- a/internal/inventory/stored_test.go
+++ b/internal/inventory/stored_test.go
@@ -69,12 +69,12 @@
 	assignments := m.SortedAssignments()
 	late := assignments[1]
 	delete(m.Assignments, late.Task)
-	h.WriteMachine(m, writequeue.Start)
+	h.WriteMachine(m, writequeue.PriorityStart)
 	write := m.Group.QueuedWrite
 	h.writes.Cancel(write)
 	write.Build("w")
 	m.AddAssignment(late)
-	h.WriteMachine(m, writequeue.Start)
+	h.WriteMachine(m, writequeue.PriorityStart)
 	if len(workers.pushed) != 0 || assignments[0].Phase != state.PhaseRecording {
 		t.Fatal("started before the record was stored")
 	}
@@ -94,7 +94,7 @@
 	h, _, m := newHarnessWithMachine(t, state.PhaseAcknowledged)
 	a := m.SortedAssignments()[0]
 	m.MarkConfirmedAbsent(a)
-	h.WriteMachine(m, writequeue.Start)
+	h.WriteMachine(m, writequeue.PriorityStart)
 	if a.Job.PendingCount() != 0 {
 		t.Fatal("waits for a machine while a record lists it")
 	}
@@ -111,7 +111,7 @@
 	a := m.SortedAssignments()[0]
 	m.MarkEnded(a, cluster.CauseCompleted)
 	a.Job.SetCompleted(a.Task.Index)
-	h.WriteMachine(m, writequeue.Start)
+	h.WriteMachine(m, writequeue.PriorityStart)
 	h.store(t, m.Group, 40)
 	if len(m.Assignments) != 1 || !a.RemovedFromRecord {
 		t.Errorf("%d assignments, removed from the record: %v", len(m.Assignments), a.RemovedFromRecord)
--- a/internal/inventory/transfer.go
+++ b/internal/inventory/transfer.go
@@ -55,7 +55,7 @@
 	if slices.ContainsFunc(t.machines, isInUse) || !t.lock() {
 		return
 	}
-	t.inventory.writes.Enqueue(writequeue.ScaleOut, &writequeue.Write{
+	t.inventory.writes.Enqueue(writequeue.PriorityScaleOut, &writequeue.Write{
 		ShardID:         t.shard.ID,
 		Keys:            []string{state.GroupKey(t.groupID)},
 		Build:           t.build,
--- a/internal/jobs/admissionqueue.go
+++ b/internal/jobs/admissionqueue.go
@@ -193,7 +193,7 @@
 		OnApplied:        write.handleStored,
 		OnConflict:       write.handleConflict,
 	}
-	q.writeQueue.Enqueue(writequeue.Admit, write.write)
+	q.writeQueue.Enqueue(writequeue.PriorityAdmission, write.write)
 }
 
 // answerAdmitted answers a submission that was stored with a revision: as new, unless
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -137,5 +137,5 @@
 		c.Tasks.WithdrawUnsentStarts(job)
 		c.Tasks.StopAll(job)
 	}
-	c.records.WriteJob(job, writequeue.Admit)
+	c.records.WriteJob(job, writequeue.PriorityAdmission)
 }
--- a/internal/jobs/checkpoints.go
+++ b/internal/jobs/checkpoints.go
@@ -22,13 +22,13 @@
 		}
 		if slices.Contains(job.DirtyChunks, true) {
 			job.NextCheckpointAt = r.loop.Now() + backgroundCheckpointIntervals*r.config.CheckpointInterval
-			r.WriteJob(job, writequeue.Background)
+			r.WriteJob(job, writequeue.PriorityBackground)
 		}
 	}
 }
 
 func (r *Records) mustWaitForStarts(job *state.Job) bool {
-	return r.loop.Now() < job.NextCheckpointAt && len(r.writeQueue.Queued(writequeue.Start)) > 0
+	return r.loop.Now() < job.NextCheckpointAt && len(r.writeQueue.Queued(writequeue.PriorityStart)) > 0
 }
 
 // acknowledgeStoredTasks lets machine records drop the tasks whose outcomes are
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -127,7 +127,7 @@
 	job.Cancelling = true
 	g.Tasks.WithdrawUnsentStarts(job)
 	g.Tasks.StopAll(job)
-	g.records.WriteJob(job, writequeue.Outcome)
+	g.records.WriteJob(job, writequeue.PriorityOutcome)
 }
 
 // updateReadiness lets a job's tasks start once all its dependencies are met.
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -85,7 +85,7 @@
 // lookUpInStore finds out a job's status from its own record, else from the admission
 // records.
 func (q *Queries) lookUpInStore(id cluster.JobID, handle viewHandler) {
-	if q.writeQueue.IsUnavailableFor(storeTimeout) || q.writeQueue.IsOverdrawn() {
+	if q.writeQueue.IsUnavailableFor(storeTimeout) || q.writeQueue.IsRequestBudgetOverdrawn() {
 		handle(messages.ReplyUnavailable, cluster.JobView{})
 		return
 	}
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -147,7 +147,7 @@
 // shard was acquired.
 func (r *Records) writeEndIfComplete(job *state.Job) {
 	if job.ChunksLoading == 0 && job.CompletedCount == job.Spec.Tasks {
-		r.WriteJob(job, writequeue.Admit)
+		r.WriteJob(job, writequeue.PriorityAdmission)
 	}
 }
 
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -34,7 +34,7 @@
 	}
 	if job.WriteQueued {
 		job.RewriteNeeded = true
-		if priority < writequeue.Background {
+		if priority < writequeue.PriorityBackground {
 			r.writeQueue.RaisePriority(job.ChunkKey(0), priority)
 		}
 		return
@@ -148,7 +148,7 @@
 		w.records.deleteLeftoverChunks(job, w.writtenChunks)
 		w.records.handleEnd(job, w.finalStatus)
 	case job.RewriteNeeded:
-		w.records.WriteJob(job, writequeue.Outcome)
+		w.records.WriteJob(job, writequeue.PriorityOutcome)
 	}
 }
 
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -72,7 +72,7 @@
 // be admitted now. It returns after how many seconds to come back, 0 if they can.
 func (s *Submissions) OverloadRetryAfter(priority cluster.Priority) int {
 	// A put takes several when many wait.
-	putsQueued := float64(len(s.writeQueue.Queued(writequeue.Admit))) + s.queue.putsNeeded()
+	putsQueued := float64(len(s.writeQueue.Queued(writequeue.PriorityAdmission))) + s.queue.putsNeeded()
 	wait := putsQueued / max(s.writeQueue.PutBudget().Rate(), 1)
 	// A process that falls behind takes on no more.
 	wait = max(wait, s.Process.EventDelay().Seconds())
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -61,7 +61,7 @@
 func (m *Members) writeLiveness() {
 	key := livenessKey(m.config.Self)
 	m.liveness.writing = true
-	m.store.Enqueue(writequeue.Outcome, &writequeue.Write{
+	m.store.Enqueue(writequeue.PriorityOutcome, &writequeue.Write{
 		ShardID: cluster.NoShard,
 		Keys:    []string{key},
 		Build: func(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -76,7 +76,7 @@
 func (m *Manager) Acquire(shard *state.Shard) {
 	shard.Acquiring = true
 	previousOwner, term := shard.Owner, shard.Term+1
-	m.queue.Enqueue(writequeue.Acquire, &writequeue.Write{
+	m.queue.Enqueue(writequeue.PriorityClaim, &writequeue.Write{
 		ShardID: shard.ID,
 		Keys:    []string{shard.Key()},
 		Build: func(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -327,7 +327,7 @@
 func (m *testManager) watchLoss(shard *state.Shard) *observedLoss {
 	loss := &observedLoss{changesBefore: m.Changes()}
 	m.Confirm(shard, func(owned bool) { loss.checkAnswers = append(loss.checkAnswers, owned) })
-	m.queue.Enqueue(writequeue.Start, &writequeue.Write{
+	m.queue.Enqueue(writequeue.PriorityStart, &writequeue.Write{
 		Keys:            []string{"groups/g"},
 		Build:           func(string) ([]messages.TxnOp, []cluster.ModRevision) { return nil, nil },
 		OnOwnershipLost: func() { loss.lostWrites++ },
--- a/internal/provisioning/completion.go
+++ b/internal/provisioning/completion.go
@@ -53,12 +53,12 @@
 
 func (c *completion) enqueue() {
 	key := requestKey(c.request.Name)
-	keys, priority := []string{key}, writequeue.Background
+	keys, priority := []string{key}, writequeue.PriorityBackground
 	if c.createsGroup() {
 		keys = append(keys, state.GroupKey(c.group.ID))
 	}
 	if len(c.machines) > 0 {
-		priority = writequeue.ScaleOut
+		priority = writequeue.PriorityScaleOut
 	}
 	c.requests.queue.Enqueue(priority, &writequeue.Write{
 		ShardID:   c.shard.ID,
--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -78,7 +78,7 @@
 		request.ModRevision, request.CreateInDoubt = cluster.ModRevision(revision), write.InDoubt
 		r.call(shard, request)
 	}
-	r.queue.Enqueue(writequeue.ScaleOut, write)
+	r.queue.Enqueue(writequeue.PriorityScaleOut, write)
 }
 
 // call asks the cloud for the machines of a recorded request.
--- a/internal/provisioning/scalein.go
+++ b/internal/provisioning/scalein.go
@@ -80,7 +80,7 @@
 		s.loop.After(releaseLogDelay, s.logReleases)
 	}
 	machine.BeginRelease()
-	s.deps.Records.WriteMachine(machine, writequeue.Outcome)
+	s.deps.Records.WriteMachine(machine, writequeue.PriorityOutcome)
 }
 
 func (s *ScaleIn) logReleases() {
@@ -169,5 +169,5 @@
 	for _, assignment := range machine.Assignments {
 		machine.MarkConfirmedAbsent(assignment)
 	}
-	s.deps.Records.WriteMachine(machine, writequeue.Start)
+	s.deps.Records.WriteMachine(machine, writequeue.PriorityStart)
 }
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -118,7 +118,7 @@
 		return
 	}
 	t.writing = true
-	t.queue.Enqueue(writequeue.Background, &writequeue.Write{
+	t.queue.Enqueue(writequeue.PriorityBackground, &writequeue.Write{
 		ShardID: cluster.NoShard,
 		Keys:    []string{machineTypesKey},
 		Build: func(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
--- a/internal/reconcile/absence.go
+++ b/internal/reconcile/absence.go
@@ -81,6 +81,6 @@
 	machine.MarkConfirmedAbsent(assignment)
 	job := assignment.Job
 	if job.Assignments[assignment.Task.Index] == assignment && job.IsActive() {
-		r.deps.Machines.WriteMachine(machine, writequeue.Start)
+		r.deps.Machines.WriteMachine(machine, writequeue.PriorityStart)
 	}
 }
--- a/internal/reconcile/taskend.go
+++ b/internal/reconcile/taskend.go
@@ -51,7 +51,7 @@
 func (r *Reconciler) recordTaskCompleted(job *state.Job, index int) {
 	job.SetCompleted(index)
 	if job.FinalStatus == "" && job.ChunksLoading == 0 && job.CompletedCount == job.Spec.Tasks {
-		r.deps.Jobs.WriteJob(job, writequeue.Admit)
+		r.deps.Jobs.WriteJob(job, writequeue.PriorityAdmission)
 	}
 }
 
--- a/internal/scheduling/assign.go
+++ b/internal/scheduling/assign.go
@@ -201,7 +201,7 @@
 		capacity.addFetch(job)
 	}
 	a.remaining--
-	a.shared.deps.Records.WriteMachine(machine, writequeue.Start)
+	a.shared.deps.Records.WriteMachine(machine, writequeue.PriorityStart)
 }
 
 // addedRecordBytes is about how much longer a group's record gets by a task: one that
--- a/internal/scheduling/offers.go
+++ b/internal/scheduling/offers.go
@@ -187,7 +187,7 @@
 	for _, machine := range machines {
 		machine.Cordon()
 	}
-	r.deps.Groups.Regroup(shard, machines, nil, writequeue.Start, func(group *state.MachineGroup) {
+	r.deps.Groups.Regroup(shard, machines, nil, writequeue.PriorityStart, func(group *state.MachineGroup) {
 		if group != nil {
 			group.OfferTo(recipient, r.loop.Now()+offerDuration)
 		}
--- a/internal/writequeue/batch.go
+++ b/internal/writequeue/batch.go
@@ -54,9 +54,9 @@
 	q.sortStarts()
 	q.advanceBackground()
 	b := q.newBatch()
-	for priority := Acquire; priority < PriorityCount; priority++ {
+	for priority := PriorityClaim; priority < PriorityCount; priority++ {
 		// Background writes leave some of the budget to what may come next.
-		if priority == Background && b.budget < q.putBudget.Capacity()/3 {
+		if priority == PriorityBackground && b.budget < q.putBudget.Capacity()/3 {
 			if len(q.queues[priority]) > 0 {
 				q.wakeAfter(putBudgetPause)
 			}
@@ -108,7 +108,7 @@
 	if len(b.transaction.operations) >= b.queue.config.MaxTxnOps {
 		return true
 	}
-	return b.transaction.priority != PriorityCount && priority > max(b.transaction.priority, Admit)+1
+	return b.transaction.priority != PriorityCount && priority > max(b.transaction.priority, PriorityAdmission)+1
 }
 
 // conflictsWith tells whether a write can't be in the same transaction as those
@@ -139,7 +139,7 @@
 func (b *batch) add(write *Write, priority Priority) {
 	// Without the claim there is no mod revision of ours to make the write
 	// conditional on: the one that is known is the new owner's.
-	if write.ShardID != cluster.NoShard && priority != Acquire && !b.queue.ownership.ClaimOf(write.ShardID).Owned {
+	if write.ShardID != cluster.NoShard && priority != PriorityClaim && !b.queue.ownership.ClaimOf(write.ShardID).Owned {
 		write.loseOwnership()
 		return
 	}
@@ -171,7 +171,7 @@
 	if len(t.writes) == 0 {
 		return nil
 	}
-	if t.shardID != cluster.NoShard && t.priority != Acquire {
+	if t.shardID != cluster.NoShard && t.priority != PriorityClaim {
 		claim := b.queue.ownership.ClaimOf(t.shardID)
 		t.claim = claim.ModRevision
 		t.compares = append(t.compares, messages.Compare{Key: claim.Key, ModRevision: claim.ModRevision})
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -203,11 +203,11 @@
 // once. An acquire stays one, since any other write is dropped while its shard is
 // not owned.
 func (q *Queue) requeue(write *Write) {
-	if write.priority == Acquire {
-		q.Enqueue(Acquire, write)
+	if write.priority == PriorityClaim {
+		q.Enqueue(PriorityClaim, write)
 		return
 	}
-	q.Enqueue(min(write.priority+1, Background), write)
+	q.Enqueue(min(write.priority+1, PriorityBackground), write)
 }
 
 // RaisePriority moves the queued write of a key to a more urgent priority.
@@ -256,7 +256,7 @@
 // longest, by put: a record with little to start waits until more can share its
 // put. Each ages, so none waits for ever.
 func (q *Queue) sortStarts() {
-	queue := q.queues[Start]
+	queue := q.queues[PriorityStart]
 	if len(queue) < 2 || q.putBudget.Level() < 1 {
 		return
 	}
@@ -273,13 +273,13 @@
 
 // advanceBackground puts a background write before the starts when it is owed.
 func (q *Queue) advanceBackground() {
-	background := q.queues[Background]
+	background := q.queues[PriorityBackground]
 	if q.backgroundDeficit < 1 || len(background) == 0 {
 		return
 	}
 	q.backgroundDeficit = 0
-	q.queues[Background] = background[1:]
-	q.queues[Start] = append([]*Write{background[0]}, q.queues[Start]...)
+	q.queues[PriorityBackground] = background[1:]
+	q.queues[PriorityStart] = append([]*Write{background[0]}, q.queues[PriorityStart]...)
 }
 
 // Dispatch sends what the budgets and the keys in flight allow.
@@ -325,7 +325,7 @@
 // DeleteInBackground removes a key of a shard, unless it has changed since a mod
 // revision. Nothing follows from the outcome.
 func (q *Queue) DeleteInBackground(shard cluster.ShardID, key string, modRevision cluster.ModRevision) {
-	q.Enqueue(Background, &Write{
+	q.Enqueue(PriorityBackground, &Write{
 		ShardID: shard,
 		Keys:    []string{key},
 		Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
--- a/internal/writequeue/reads.go
+++ b/internal/writequeue/reads.go
@@ -22,7 +22,7 @@
 
 // IsOverdrawn tells whether reads have spent more than a whole budget of requests
 // in advance.
-func (q *Queue) IsOverdrawn() bool {
+func (q *Queue) IsRequestBudgetOverdrawn() bool {
 	return q.requestBudget.Level() < -q.requestBudget.Capacity()
 }
 
--- a/internal/writequeue/reply.go
+++ b/internal/writequeue/reply.go
@@ -111,7 +111,7 @@
 		return
 	}
 	claim := t.claim
-	if t.priority == Acquire {
+	if t.priority == PriorityClaim {
 		claim = cluster.ModRevision(revision)
 	}
 	q.ownership.HandleStored(StoredTransaction{ShardID: t.shardID, Claim: claim, Revision: revision, SentAt: t.firstSentAt})
--- a/internal/writequeue/transactions_test.go
+++ b/internal/writequeue/transactions_test.go
@@ -88,9 +88,9 @@
 // first, those of one priority in their order.
 func TestMostUrgentWriteFirst(t *testing.T) {
 	loop, q, _ := newTestQueue()
-	q.Enqueue(Start, &newTestWrite("groups/a").Write)
-	q.Enqueue(Admit, &newTestWrite("jobs/b").Write)
-	q.Enqueue(Admit, &newTestWrite("jobs/c").Write)
+	q.Enqueue(PriorityStart, &newTestWrite("groups/a").Write)
+	q.Enqueue(PriorityAdmission, &newTestWrite("jobs/b").Write)
+	q.Enqueue(PriorityAdmission, &newTestWrite("jobs/c").Write)
 	var keys []string
 	for _, operation := range sendOne(t, loop, q).Then {
 		keys = append(keys, operation.Key)
@@ -105,7 +105,7 @@
 // was lost before its turn.
 func TestShardWriteIsConditionalOnItsClaim(t *testing.T) {
 	loop, q, ownership := newTestQueue()
-	q.Enqueue(Start, &newTestWrite("groups/a").Write)
+	q.Enqueue(PriorityStart, &newTestWrite("groups/a").Write)
 	compares := sendOne(t, loop, q).If
 	want := []messages.Compare{{Key: "groups/a", ModRevision: 3}, {Key: "parts/0", ModRevision: 7}}
 	if len(compares) != len(want) || compares[0] != want[0] || compares[1] != want[1] {
@@ -114,7 +114,7 @@
 
 	ownership.claim.Owned = false
 	late := newTestWrite("groups/b")
-	q.Enqueue(Start, &late.Write)
+	q.Enqueue(PriorityStart, &late.Write)
 	if sent := dispatched(loop, q); len(sent) > 0 {
 		t.Errorf("sent without a claim: %v", sent)
 	}
@@ -126,8 +126,8 @@
 func TestKeyInOneTransactionAtATime(t *testing.T) {
 	loop, q, _ := newTestQueue()
 	first, second := newTestWrite("groups/a"), newTestWrite("groups/a")
-	q.Enqueue(Start, &first.Write)
-	q.Enqueue(Start, &second.Write)
+	q.Enqueue(PriorityStart, &first.Write)
+	q.Enqueue(PriorityStart, &second.Write)
 	transaction := sendOne(t, loop, q)
 	if len(transaction.Then) != 1 {
 		t.Fatalf("%d changes of one key in a transaction", len(transaction.Then))
@@ -142,8 +142,8 @@
 func TestConflictSortsWrites(t *testing.T) {
 	loop, q, ownership := newTestQueue()
 	changed, innocent := newTestWrite("groups/a"), newTestWrite("groups/b")
-	q.Enqueue(Start, &changed.Write)
-	q.Enqueue(Start, &innocent.Write)
+	q.Enqueue(PriorityStart, &changed.Write)
+	q.Enqueue(PriorityStart, &innocent.Write)
 	transaction := sendOne(t, loop, q)
 	reply(loop, transaction, messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{"groups/a"}})
 	changed.check(t, 0, 1, 0, 0)
@@ -161,7 +161,7 @@
 func TestChangedClaimDeposesOwner(t *testing.T) {
 	loop, q, ownership := newTestQueue()
 	write := newTestWrite("groups/a")
-	q.Enqueue(Start, &write.Write)
+	q.Enqueue(PriorityStart, &write.Write)
 	transaction := sendOne(t, loop, q)
 	reply(loop, transaction, messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{"parts/0"}})
 	write.check(t, 0, 0, 0, 1)
@@ -175,7 +175,7 @@
 // one was carried out.
 func sendInDoubt(t *testing.T, loop *eventloop.Loop, q *Queue, write *testWrite) (messages.StoreTxn, messages.StoreGet) {
 	t.Helper()
-	q.Enqueue(Start, &write.Write)
+	q.Enqueue(PriorityStart, &write.Write)
 	first := sendOne(t, loop, q)
 	reply(loop, first, messages.TxnReply{Outcome: messages.UnknownOutcome})
 	again := resend(t, loop)
@@ -226,7 +226,7 @@
 	loop, q, _ := newTestQueue()
 	writes := []*testWrite{newTestWrite("groups/a"), newTestWrite("groups/b")}
 	for _, write := range writes {
-		q.Enqueue(Start, &write.Write)
+		q.Enqueue(PriorityStart, &write.Write)
 	}
 	reply(loop, sendOne(t, loop, q), messages.TxnReply{Outcome: messages.Invalid})
 	apart := dispatched(loop, q)
--- a/internal/writequeue/write.go
+++ b/internal/writequeue/write.go
@@ -22,12 +22,12 @@
 
 // The priorities, most urgent first.
 const (
-	Acquire    Priority = iota // a shard's claim
-	ScaleOut                   // provisioning requests: few, and what waits for them waits for a whole boot
-	Admit                      // submissions
-	Start                      // assignments of tasks
-	Outcome                    // ended tasks and jobs
-	Background                 // what may wait: checkpoints and repairs
+	PriorityClaim      Priority = iota // a shard's claim
+	PriorityScaleOut                   // provisioning requests: few, and what waits for them waits for a whole boot
+	PriorityAdmission                  // submissions
+	PriorityStart                      // assignments of tasks
+	PriorityOutcome                    // ended tasks and jobs
+	PriorityBackground                 // what may wait: checkpoints and repairs
 	// PriorityCount is the number of priorities; as a priority, lower than all.
 	PriorityCount
 )
