--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -8,15 +8,16 @@
 	"stairrelay/internal/writequeue"
 )
 
-// CheckOwner finds out whether a machine was transferred to another shard, after its
-// worker has seen a higher token than this controller's.
+// CheckOwner checks whether a machine was transferred to another shard. It is called
+// when the machine's worker has seen a higher fencing token than this controller's.
 func (inv *Inventory) CheckOwner(machine *state.Machine) {
 	machine.FencedOff = true
 	inv.checkRecord(machine.Group)
 }
 
-// checkRecord reads a group's record after a conflict on it, or after a worker has seen
-// a higher token than its machine's.
+// checkRecord reads a group's record to find out whether this controller still owns
+// the group. It is called after a conflict on the record, or when a worker has seen a
+// higher fencing token than its machine's.
 func (inv *Inventory) checkRecord(group *state.MachineGroup) {
 	if group.RecordCheckPending {
 		return
@@ -24,22 +25,23 @@
 	group.RecordCheckPending = true
 	inv.writes.ReadKey(group.Key(), func(reply messages.GetReply) {
 		group.RecordCheckPending = false
-		if !inv.has(group) {
+		if !inv.ownsGroup(group) {
 			return
 		}
-		inv.applyCheck(group, reply)
+		inv.applyRecordCheck(group, reply)
 		inv.queueNextWrite(group)
 	})
 }
 
-func (inv *Inventory) applyCheck(group *state.MachineGroup, reply messages.GetReply) {
+// applyRecordCheck handles the reply to the read of checkRecord.
+func (inv *Inventory) applyRecordCheck(group *state.MachineGroup, reply messages.GetReply) {
 	if reply.Outcome == messages.NotFound {
 		inv.handleTransferredAway(group, cluster.NoShard)
 		return
 	}
 	if reply.Outcome != messages.OK {
 		inv.loop.After(second, func() {
-			if inv.has(group) {
+			if inv.ownsGroup(group) {
 				inv.checkRecord(group)
 			}
 		})
@@ -59,9 +61,10 @@
 	}
 }
 
-// raiseFencedOffTokens raises the tokens of the machines whose workers have seen higher
-// ones although the group is still the shard's: an owner that has since lost the group
-// had a later token, and the present one must rise above it.
+// raiseFencedOffTokens raises the tokens of the machines whose workers have seen a
+// higher one, although the group still belongs to the shard. The higher token is that
+// of an owner which has since lost the group, so the worker rejects commands under a
+// lower one.
 func (inv *Inventory) raiseFencedOffTokens(shard *state.Shard, group *state.MachineGroup) {
 	inv.shards.RereadClaim(shard)
 	for _, m := range group.SortedMachines() {
@@ -73,25 +76,28 @@
 	inv.WriteGroup(group, writequeue.PriorityStart)
 }
 
-// handleTransferredAway drops a group that another shard has taken, or whose record is
-// gone. A group is taken only while its record lists no task: if one was listed here,
-// the record was changed by a writer that had no right to, and the shard is loaded anew.
+// handleTransferredAway drops a group that was transferred to another shard, or whose
+// record was deleted. A group is transferred only while its record lists no task. If
+// the stored record listed one, a writer other than the owner changed it, and the
+// change is reported as a foreign write.
 func (inv *Inventory) handleTransferredAway(group *state.MachineGroup, to cluster.ShardID) {
 	for _, m := range group.SortedMachines() {
 		for _, a := range m.SortedAssignments() {
 			if a.Phase != state.PhaseRecording && !a.ConfirmedAbsent {
-				inv.shards.HandleForeignWrite(inv.state.Shards[group.ShardID], group.Key(), "moved while it listed tasks")
+				inv.shards.HandleForeignWrite(inv.state.Shards[group.ShardID], group.Key(), "transferred to another shard while it listed tasks")
 				return
 			}
 		}
 	}
-	inv.dropTransferred(group, to)
+	inv.dropGroup(group, to)
 }
 
-// dropTransferred forgets a group that another shard has taken. Its record listed no
-// task, so what was planned for it was never sent.
-func (inv *Inventory) dropTransferred(group *state.MachineGroup, to cluster.ShardID) {
-	inv.loop.Log(messages.LogDebug, "machine group transferred away", "group", group.ID, "machines", len(group.Machines), "to_shard", int(to))
+// dropGroup removes a group that was transferred to another shard or whose record was
+// quarantined, and makes the tasks assigned to its machines pending again. No task is
+// started twice by that: the record of a transferred group lists none, so no start was
+// sent, and a shard with a quarantined record starts nothing before it is repaired.
+func (inv *Inventory) dropGroup(group *state.MachineGroup, to cluster.ShardID) {
+	inv.loop.Log(messages.LogDebug, "machine group dropped", "group", group.ID, "machines", len(group.Machines), "to_shard", int(to))
 	delete(inv.state.Groups, group.ID)
 	for _, m := range group.SortedMachines() {
 		inv.dropMachine(m)
@@ -99,7 +105,7 @@
 			inv.unassign(a)
 		}
 		if inv.isShard(to) {
-			inv.owners.record(m.ID, to, inv.loop.Now())
+			inv.ownerHints.add(m.ID, to, inv.loop.Now())
 		}
 	}
 }
--- a/internal/inventory/harness_test.go
+++ b/internal/inventory/harness_test.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// harness is an inventory with the loop, the state and the queue that it works on, and
-// none of the other parts of a controller.
+// harness is an inventory with an event loop, a state and a write queue, but without
+// the other components of a controller.
 type harness struct {
 	*Inventory
 	loop   *eventloop.Loop
@@ -18,8 +18,8 @@
 	writes *writequeue.Queue
 }
 
-// newHarness makes an inventory of a cluster of the given nodes, none of whose shards is
-// owned.
+// newHarness returns the inventory of a controller in a cluster of the given nodes. It
+// owns none of the shards.
 func newHarness(t *testing.T, nodes ...cluster.NodeID) *harness {
 	t.Helper()
 	const maxTxnOps = 12
@@ -41,7 +41,7 @@
 	return h
 }
 
-// claims shows the queue the claims in a state.
+// claims implements writequeue.ShardOwnership with the claims in a state.
 type claims struct{ state *state.State }
 
 func (c claims) ClaimOf(id cluster.ShardID) writequeue.Claim {
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,14 +1,17 @@
-// Package inventory keeps the stored records of the machine groups of the owned
-// shards in step with what is to run on their machines: it writes, checks, splits,
-// merges, transfers and repairs these records, and applies what a stored record
-// says to the machines and assignments.
+// Package inventory maintains the stored records of the machine groups of the owned
+// shards. A record lists the machines of a group and the tasks assigned to them. The
+// package writes, checks, splits, merges, transfers and repairs the records, and
+// updates machines and assignments once a record is stored.
 //
-// Invariants: a machine is listed by the record of one group; a task is started on a
-// machine only after the stored record lists it there, and elsewhere only after a
-// stored record no longer does; a machine's fencing token is the revision of a write
-// of its group's record, or of the claim under which its shard was loaded; at most one
-// write of a group's record is in flight, and each is on condition of the mod
-// revision that was last seen.
+// Invariants:
+//
+//   - A machine is listed by the record of exactly one group.
+//   - A task is started on a machine only after the stored record lists it there, and
+//     on another machine only after a stored record no longer lists it.
+//   - A machine's fencing token is the revision of a write of its group's record, or
+//     of the claim under which its shard was loaded.
+//   - At most one write of a group's record is in flight. It is conditional on the mod
+//     revision that was last read or written.
 package inventory
 
 import (
@@ -24,69 +27,75 @@
 
 const second = cluster.Time(time.Second)
 
-// Config is what the inventory knows from the start.
+// Config is the configuration of an Inventory.
 type Config struct {
-	// ValueLimit is how many bytes the state service takes as a value.
+	// ValueLimit is the maximum size of a stored value.
 	ValueLimit grouprecord.ValueLimit
-	// MaxTxnOps is how many changes a transaction may make.
+	// MaxTxnOps is the maximum number of operations of a transaction.
 	MaxTxnOps int
-	// CloudListLag is how far the cloud's list of machines may lag behind.
+	// CloudListLag is the maximum delay until a change of the machines shows in the
+	// cloud's list.
 	CloudListLag cluster.Time
-	// MaxScaleInMachines is how many machines one call may return to the cloud.
+	// MaxScaleInMachines is the maximum number of machines that one call to the
+	// cloud may terminate.
 	MaxScaleInMachines int
 }
 
-// Shards is what the inventory needs of the ownership of shards.
+// Shards manages the ownership of shards.
 type Shards interface {
-	// RereadClaim reads a shard's claim from the state service.
+	// RereadClaim reads a shard's claim from the store.
 	RereadClaim(*state.Shard)
 	// LoadShard reads the records of an owned shard.
 	LoadShard(*state.Shard)
-	// HandleForeignWrite is called when a record of an owned shard was changed by
-	// another writer than its owner.
+	// HandleForeignWrite is called when a record of an owned shard was changed by a
+	// writer other than its owner.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
-	// GiveUpCorrupt gives up a shard that a record makes no sense of.
+	// GiveUpCorrupt gives up the ownership of a shard that has a corrupt record.
 	GiveUpCorrupt(shard *state.Shard, key, reason string)
 }
 
-// Jobs is what the inventory needs of the jobs of the owned shards.
+// Jobs manages the jobs of the owned shards.
 type Jobs interface {
-	// Abandon forgets a job whose shard is not owned, or is loaded again.
+	// Abandon removes a job whose shard is no longer owned or is loaded again.
 	Abandon(*state.Job)
 }
 
-// Workers is what the inventory needs of the exchange with the workers.
+// Workers communicates with the workers.
 type Workers interface {
-	// ConfirmAbsent notes that a task is proven not to be on a machine.
+	// ConfirmAbsent records that a task is proven not to be on a machine.
 	ConfirmAbsent(*state.Machine, *state.Assignment)
-	// QueueCommandPush has the commands for a machine sent before its next heartbeat.
+	// QueueCommandPush queues a push of the commands for a machine, which doesn't
+	// wait for the machine's next heartbeat.
 	QueueCommandPush(*state.Machine)
-	// RecheckHeldHeartbeat has it decided again whether a machine's heartbeat is
-	// answered now.
+	// RecheckHeldHeartbeat checks again whether a machine's held heartbeat can be
+	// answered.
 	RecheckHeldHeartbeat(*state.Machine)
-	// RedirectWorker answers a heartbeat with the node to turn to; empty: unknown.
+	// RedirectWorker answers a heartbeat with the node that the worker should use
+	// instead. The node is empty if it is not known.
 	RedirectWorker(messages.RequestID, cluster.NodeID)
 }
 
-// Scheduler is what the inventory needs of scheduling and maintenance.
+// Scheduler requests scheduling and the maintenance of machines.
 type Scheduler interface {
-	// RequestScheduling has it looked for machines for the pending tasks.
+	// RequestScheduling requests a scheduling run for the pending tasks.
 	RequestScheduling()
-	// MaintainMachines looks after the machines before the next regular time.
+	// MaintainMachines runs the periodic maintenance of the machines ahead of time.
 	MaintainMachines()
 }
 
-// Cloud is what the inventory needs of the cloud.
+// Cloud calls the cloud provider.
 type Cloud interface {
-	// ScheduleScaleIn returns the machines whose records say that they are released.
+	// ScheduleScaleIn schedules a call that terminates the machines whose stored
+	// records mark them as released.
 	ScheduleScaleIn()
-	// ForceCall charges a call to the cloud's rate whether or not there is room.
+	// ChargeCall charges a call to the cloud's rate limit even if that is exhausted.
 	ChargeCall()
-	// ReadList reads the cloud's list of machines; false: it gave none.
+	// ListMachines calls handle with the cloud's list of machines. ok is false if the
+	// list could not be read.
 	ListMachines(handle func(machines []cluster.ListedMachine, ok bool))
 }
 
-// Dependencies are the parts of the controller that the inventory calls.
+// Dependencies are the components of the controller that the inventory calls.
 type Dependencies struct {
 	Shards    Shards
 	Jobs      Jobs
@@ -95,14 +104,14 @@
 	Cloud     Cloud
 }
 
-// Inventory owns the records of the machine groups of the owned shards.
+// Inventory manages the records of the machine groups of the owned shards.
 type Inventory struct {
-	config Config
-	loop   *eventloop.Loop
-	state  *state.State
-	writes *writequeue.Queue
-	names  *RecordNames
-	owners ownerHints
+	config     Config
+	loop       *eventloop.Loop
+	state      *state.State
+	writes     *writequeue.Queue
+	names      *RecordNames
+	ownerHints ownerHints
 
 	shards    Shards
 	jobs      Jobs
@@ -111,30 +120,30 @@
 	cloud     Cloud
 }
 
-// New makes an inventory of the groups in a state. It does nothing by itself.
+// New returns an inventory of the machine groups in st. It starts no timers.
 func New(loop *eventloop.Loop, config Config, st *state.State, writes *writequeue.Queue, names *RecordNames, dependencies Dependencies) *Inventory {
 	return &Inventory{
-		config:    config,
-		loop:      loop,
-		state:     st,
-		writes:    writes,
-		names:     names,
-		owners:    ownerHints{},
-		shards:    dependencies.Shards,
-		jobs:      dependencies.Jobs,
-		workers:   dependencies.Workers,
-		scheduler: dependencies.Scheduler,
-		cloud:     dependencies.Cloud,
+		config:     config,
+		loop:       loop,
+		state:      st,
+		writes:     writes,
+		names:      names,
+		ownerHints: ownerHints{},
+		shards:     dependencies.Shards,
+		jobs:       dependencies.Jobs,
+		workers:    dependencies.Workers,
+		scheduler:  dependencies.Scheduler,
+		cloud:      dependencies.Cloud,
 	}
 }
 
-// Configure takes over limits.
+// Configure replaces the configuration.
 func (inv *Inventory) Configure(config Config) { inv.config = config }
 
-// TargetGroupSize is how many machines a group's record is made for.
+// TargetGroupSize returns the number of machines that a new group should have.
 func (inv *Inventory) TargetGroupSize() int { return inv.config.ValueLimit.TargetMachines() }
 
-// HasRoom tells whether a group's record can list one more task of a job.
+// HasRoom reports whether a group's record can list one more task of a job.
 func (inv *Inventory) HasRoom(group *state.MachineGroup, job *state.Job) bool {
 	return inv.config.ValueLimit.HasRoom(group.EstimatedSize(), job.Spec.ID)
 }
--- a/internal/inventory/load.go
+++ b/internal/inventory/load.go
@@ -10,30 +10,32 @@
 	"stairrelay/internal/writequeue"
 )
 
-// What may make no sense about a group's record that can be decoded.
+// Errors of group records that can be decoded but are invalid.
 var (
-	errUnknownShard  = errors.New("belongs to no known shard")
-	errUnknownJob    = errors.New("lists a task of no known job")
-	errTaskBeyondJob = errors.New("lists a task beyond its job")
+	errUnknownShard        = errors.New("group record belongs to an unknown shard")
+	errUnknownJob          = errors.New("group record lists a task of an unknown job")
+	errTaskIndexOutOfRange = errors.New("group record lists a task index beyond the job's task count")
 )
 
-// ApplyRecord takes in a group's record while a shard is loaded: as one of the shard's
-// groups, or as a hint to which shard its machines belong.
+// ApplyRecord applies a group's record while a shard is loaded. A record of the shard is
+// loaded as one of its groups. A record of another shard is kept as a hint to the owner
+// of its machines. An invalid record is quarantined.
 func (inv *Inventory) ApplyRecord(item messages.KV, shard *state.Shard) {
 	record, err := grouprecord.Decode(item.Value)
 	if err == nil && !inv.isShard(record.ShardID) {
 		err = errUnknownShard
 	}
 	if err != nil {
-		// The shard may be unreadable too; then each shard that is loaded repairs the
-		// record, and the first to do so is enough.
+		// If the record's shard can't be determined, every shard that is loaded
+		// quarantines the record. The first repair succeeds, and the others find the
+		// record gone.
 		if of, ok := grouprecord.ShardOf(item.Value); !ok || !inv.isShard(of) || of == shard.ID {
 			inv.quarantineRecord(shard, item, err)
 		}
 		return
 	}
 	if record.ShardID != shard.ID {
-		inv.recordOwners(record.ShardID, record.Machines)
+		inv.addOwnerHints(record.ShardID, record.Machines)
 		return
 	}
 	if !inv.dropOlderGroup(item, shard) {
@@ -49,9 +51,9 @@
 	inv.loadGroup(item, record.Machines, shard)
 }
 
-// dropOlderGroup drops the group of a record from another shard that is owned here too,
-// and from which it was transferred. It returns false if the transfer was the other
-// way and the record was read before it.
+// dropOlderGroup drops the known group of a record that is being loaded, if it belongs
+// to another shard owned here and the record is later. It returns false if the record
+// must be ignored, since the group is known in the same or a later state.
 func (inv *Inventory) dropOlderGroup(item messages.KV, shard *state.Shard) bool {
 	group := inv.state.Groups[groupID(item.Key)]
 	if group == nil {
@@ -60,39 +62,43 @@
 	if group.ModRevision >= item.ModRevision || group.ShardID == shard.ID {
 		return false
 	}
-	inv.dropTransferred(group, shard.ID)
+	inv.dropGroup(group, shard.ID)
 	return true
 }
 
-// dropOlderMachines does the same by machine: another shard that is owned here may have
-// taken the group and merged it with others since it was read. The later write counts.
-func (inv *Inventory) dropOlderMachines(item messages.KV, lines []grouprecord.Machine, shard *state.Shard) bool {
-	for i := range lines {
-		m := inv.state.Machines[lines[i].ID]
+// dropOlderMachines drops the known groups that list machines of a record that is being
+// loaded, if they belong to another shard owned here and the record is later. Such a
+// group may have another ID than the record's, since the other shard may have merged
+// groups after a transfer. It returns false if the record must be ignored, since one of
+// its machines has a fencing token that is later than the record.
+func (inv *Inventory) dropOlderMachines(item messages.KV, entries []grouprecord.Machine, shard *state.Shard) bool {
+	for i := range entries {
+		m := inv.state.Machines[entries[i].ID]
 		if m == nil || m.ShardID == shard.ID {
 			continue
 		}
 		if uint64(m.Token) > uint64(item.ModRevision) {
 			return false
 		}
-		inv.dropTransferred(m.Group, shard.ID)
+		inv.dropGroup(m.Group, shard.ID)
 	}
 	return true
 }
 
-// loadGroup adds the group that a record describes. The claim under which the shard is
-// loaded is later than every transfer of a machine to it, so it serves as their token.
-func (inv *Inventory) loadGroup(item messages.KV, lines []grouprecord.Machine, shard *state.Shard) {
+// loadGroup adds the group that a record describes. The revision of the claim under
+// which the shard is loaded becomes the machines' fencing token. It is higher than all
+// earlier ones, since the claim is later than every transfer of a machine to the shard.
+func (inv *Inventory) loadGroup(item messages.KV, entries []grouprecord.Machine, shard *state.Shard) {
 	group := inv.state.AddGroup(shard, groupID(item.Key), item.ModRevision)
 	group.RecordSize = len(item.Value)
-	for _, line := range lines {
-		m := inv.state.Machines[line.ID]
-		if m == nil { // else it is listed twice, and whatever either record lists counts
-			m = inv.AddMachine(group, line, cluster.FencingToken(shard.ClaimRevision))
+	for _, entry := range entries {
+		m := inv.state.Machines[entry.ID]
+		if m == nil { // otherwise two records list the machine: the tasks of both count
+			m = inv.AddMachine(group, entry, cluster.FencingToken(shard.ClaimRevision))
 		}
-		m.Releasing = m.Releasing || line.Releasing
-		m.ReleaseConfirmed = m.ReleaseConfirmed || line.Releasing
-		for _, task := range line.Tasks {
+		m.Releasing = m.Releasing || entry.Releasing
+		m.ReleaseConfirmed = m.ReleaseConfirmed || entry.Releasing
+		for _, task := range entry.Tasks {
 			if err := inv.loadTask(m, task, shard); err != nil {
 				inv.quarantineRecord(shard, item, err)
 				return
@@ -101,8 +107,8 @@
 	}
 }
 
-// loadTask takes in a task that an earlier owner's record lists. It returns what makes
-// no sense about it.
+// loadTask adds the assignment of a task that a previous owner's record lists, unless
+// the task or its job has finished. It returns an error if the task is invalid.
 func (inv *Inventory) loadTask(m *state.Machine, task grouprecord.Task, shard *state.Shard) error {
 	m.RecordedTaskCount++
 	job := inv.state.Jobs.Owned[task.ID.Job]
@@ -112,12 +118,12 @@
 			return errUnknownJob
 		}
 		if known.FinalStatus != cluster.JobCancelled {
-			return nil // finished: what the worker still shows is acknowledged
+			return nil // the job has finished: the worker's status of the task will be acknowledged
 		}
-		job = inv.addCancelledJob(known, task.ID.Job, shard)
+		job = inv.restoreCancelledJob(known, task.ID.Job, shard)
 	}
 	if task.ID.Index >= len(job.TaskStates) {
-		return errTaskBeyondJob
+		return errTaskIndexOutOfRange
 	}
 	if job.TaskStates[task.ID.Index] >= state.TaskCompleted {
 		return nil
@@ -138,9 +144,9 @@
 	return nil
 }
 
-// addCancelledJob makes a cancelled job again whose tasks a record still lists, so that
-// they are stopped.
-func (inv *Inventory) addCancelledJob(known *state.KnownJob, id cluster.JobID, shard *state.Shard) *state.Job {
+// restoreCancelledJob restores a cancelled job of which a record still lists tasks, so
+// that they are stopped.
+func (inv *Inventory) restoreCancelledJob(known *state.KnownJob, id cluster.JobID, shard *state.Shard) *state.Job {
 	spec := cluster.JobSpec{ID: id, Team: known.Team, ResourceRequest: known.ResourceRequest, Tasks: known.Tasks}
 	job := state.NewJob(spec, shard.ID, 0, inv.loop.Now())
 	job.FinalStatus, job.Cancelling = cluster.JobCancelled, true
@@ -148,11 +154,13 @@
 	return job
 }
 
-// deleteEmptyGroup removes an emptied group that an earlier claim left behind. The
-// claim that created it may be another shard's and still in force, since groups are
-// transferred: a late copy of its creation would then be carried out once the key is
-// absent. So the key is deleted only while no shard's claim is the one in its name, on
-// condition of all their mod revisions; else it stays until the next claim.
+// deleteEmptyGroup enqueues the deletion of the record of an empty group.
+//
+// Once the key is absent, a delayed copy of the transaction that created the group could
+// be applied if the claim that guards it is still in force. That may be the claim of any
+// shard, since groups are transferred. So the record is deleted only if no shard has the
+// claim under which the group was created, and if no other shard's claim changes
+// meanwhile. Otherwise the record is kept until a later load.
 func (inv *Inventory) deleteEmptyGroup(shard *state.Shard, item messages.KV) {
 	createdUnder, ok := claimRevisionFromKey(item.Key)
 	if !ok {
--- a/internal/inventory/machines.go
+++ b/internal/inventory/machines.go
@@ -10,21 +10,21 @@
 	"stairrelay/internal/writequeue"
 )
 
-// AddMachine adds the machine that a line of a group's record describes, owned from now
-// on under a token.
-func (inv *Inventory) AddMachine(group *state.MachineGroup, line grouprecord.Machine, token cluster.FencingToken) *state.Machine {
-	delete(inv.owners, line.ID)
-	return inv.state.AddMachine(group, line, token, inv.loop.Now())
+// AddMachine adds the machine that an entry of a group's record describes, with the
+// given fencing token.
+func (inv *Inventory) AddMachine(group *state.MachineGroup, entry grouprecord.Machine, token cluster.FencingToken) *state.Machine {
+	delete(inv.ownerHints, entry.ID)
+	return inv.state.AddMachine(group, entry, token, inv.loop.Now())
 }
 
-// dropMachine forgets a machine that is no longer owned here, and sends its worker to
-// the owner of its shard.
+// dropMachine removes a machine that this controller no longer owns, and redirects its
+// worker to the owner of its shard.
 func (inv *Inventory) dropMachine(machine *state.Machine) {
 	inv.state.RemoveMachine(machine)
 	inv.redirectPendingHeartbeat(machine, inv.state.Shards[machine.ShardID].Owner)
 }
 
-// DropShard forgets the machines, jobs and groups of a shard that is not owned any more,
+// DropShard removes the machines, jobs and groups of a shard that is no longer owned,
 // or whose records are read again.
 func (inv *Inventory) DropShard(shard *state.Shard) {
 	for _, m := range slices.Clone(shard.Machines) {
@@ -38,8 +38,8 @@
 	})
 }
 
-// removeTerminated forgets a machine that the cloud has taken back, once its record no
-// longer lists it. Its tasks may be started elsewhere.
+// removeTerminated removes a machine that the cloud has terminated, after its record was
+// stored without it. Its tasks may then be started on other machines.
 func (inv *Inventory) removeTerminated(machine *state.Machine) {
 	if inv.state.Machines[machine.ID] != machine {
 		return
@@ -52,8 +52,8 @@
 	inv.redirectPendingHeartbeat(machine, "")
 }
 
-// redirectPendingHeartbeat answers the heartbeat that waits, if there is one, with the
-// node to turn to.
+// redirectPendingHeartbeat answers the machine's pending heartbeat, if there is one, with
+// the node that the worker should use instead.
 func (inv *Inventory) redirectPendingHeartbeat(machine *state.Machine, to cluster.NodeID) {
 	if machine.PendingHeartbeat != 0 {
 		inv.workers.RedirectWorker(machine.PendingHeartbeat, to)
@@ -61,16 +61,16 @@
 	}
 }
 
-// RemoveAssignment follows a stored record that no longer lists a task: from here on it
-// may be started elsewhere.
+// RemoveAssignment removes an assignment that the stored record no longer lists. The
+// task may then be started on another machine.
 func (inv *Inventory) RemoveAssignment(machine *state.Machine, assignment *state.Assignment) {
 	if machine.RemoveAssignment(assignment, inv.loop.Now()) {
 		inv.unassign(assignment)
 	}
 }
 
-// unassign makes a task that a machine no longer lists wait again, and forgets its job
-// if that has finished and waited only for this.
+// unassign makes a task pending again that a machine no longer lists. It removes the
+// task's job if that has finished and this was its last assignment.
 func (inv *Inventory) unassign(assignment *state.Assignment) {
 	job := assignment.Job
 	job.Unassign(assignment)
@@ -80,9 +80,9 @@
 	inv.scheduler.RequestScheduling()
 }
 
-// RaiseToken raises a machine's fencing token, which is the revision of the write of its
-// record. Whatever was sent under the lower one can't be executed any more once the
-// worker has acknowledged the new one.
+// RaiseToken raises a machine's fencing token by writing its record: the token is the
+// revision of the write. After the worker has acknowledged the new token, it no longer
+// executes commands sent under a lower one.
 func (inv *Inventory) RaiseToken(machine *state.Machine) {
 	if machine.BeginTokenRaise() {
 		inv.WriteMachine(machine, writequeue.PriorityStart)
--- a/internal/inventory/cleanup.go
+++ b/internal/inventory/maintenance.go
@@ -5,8 +5,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// CleanUp stores the groups' records that list tasks which are confirmed absent, and
-// splits and merges records by their sizes.
+// MaintainRecords writes the records that still list tasks which are confirmed absent,
+// and splits and merges records by size.
 func (inv *Inventory) MaintainRecords() {
 	for _, group := range inv.state.SortedGroups() {
 		if !group.WritePending && listsAbsentTask(group) {
--- a/internal/inventory/merge.go
+++ b/internal/inventory/merge.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// SplitAndMerge keeps the records of a shard's groups well under the value limit, and
-// few: every group with a change costs a put.
+// SplitAndMerge splits the groups of a shard whose records approach the value limit, and
+// merges small ones, since each changed group costs a put.
 func (inv *Inventory) SplitAndMerge(shard *state.Shard) {
 	limit := inv.config.ValueLimit
 	var small []*state.MachineGroup
@@ -27,7 +27,7 @@
 	inv.merge(shard, small)
 }
 
-// merge moves the machines of the smallest groups into one, as many as it takes well.
+// merge merges the smallest groups into one, as many as fit well below the value limit.
 func (inv *Inventory) merge(shard *state.Shard, small []*state.MachineGroup) {
 	slices.SortStableFunc(small, func(a, b *state.MachineGroup) int { return cmp.Compare(a.EstimatedSize(), b.EstimatedSize()) })
 	sizes := make([]grouprecord.Size, len(small))
@@ -43,7 +43,7 @@
 	for _, group := range small[:count-1] {
 		moving = append(moving, group.SortedMachines()...)
 	}
-	// With the starts' priority: most of these groups have a write waiting, which this
-	// one makes needless, and each group less saves a put per wave of starts from now on.
+	// The priority is that of starts, since this write replaces the queued writes of
+	// the groups, and fewer groups need fewer puts when further tasks are started.
 	inv.Regroup(shard, moving, target, writequeue.PriorityStart, func(*state.MachineGroup) {})
 }
--- a/internal/inventory/newgroup.go
+++ b/internal/inventory/newgroup.go
@@ -10,39 +10,40 @@
 	"stairrelay/internal/writequeue"
 )
 
-// NewGroup is a group of machines that no record has listed before, until its first
-// record is stored.
+// NewGroup is a group of newly provisioned or registered machines whose first record is
+// not stored yet.
 type NewGroup struct {
 	ID       string
 	Shard    *state.Shard
 	Machines []grouprecord.Machine
 
-	recordSize int // as last built
+	recordSize int // of the last encoded record, in bytes
 }
 
-// Operation returns the change that creates the group's record; the key must be absent.
+// Operation returns the operation that creates the group's record, and the mod revision
+// 0, which requires that the key is absent.
 func (g *NewGroup) Operation(writeID string) (messages.TxnOp, cluster.ModRevision) {
 	value := grouprecord.Encode(grouprecord.Record{ShardID: g.Shard.ID, Machines: g.Machines, WriteID: writeID})
 	g.recordSize = len(value)
 	return messages.TxnOp{Key: state.GroupKey(g.ID), Value: value}, 0
 }
 
-// AddNewGroup follows the first record of a group, whose machines only the present claim
-// of the shard has ever owned.
+// AddNewGroup adds a group after its first record was stored at the given revision. The
+// current claim of the shard is the first to own its machines.
 func (inv *Inventory) AddNewGroup(group *NewGroup, revision cluster.Revision) {
 	added := inv.state.AddGroup(group.Shard, group.ID, cluster.ModRevision(revision))
 	added.RecordSize = group.recordSize
-	for _, line := range group.Machines {
-		if inv.state.Machines[line.ID] == nil {
-			m := inv.AddMachine(added, line, cluster.FencingToken(revision))
+	for _, entry := range group.Machines {
+		if inv.state.Machines[entry.ID] == nil {
+			m := inv.AddMachine(added, entry, cluster.FencingToken(revision))
 			m.InitialToken = m.Token
 		}
 	}
 	inv.scheduler.RequestScheduling()
 }
 
-// RegisterMachines writes machines that no record lists into a new group of a shard.
-// done is called when that is stored, or has failed.
+// RegisterMachines stores machines that no record lists in a new group of a shard. done
+// is called when the record was stored, or when that failed.
 func (inv *Inventory) RegisterMachines(shard *state.Shard, machines []grouprecord.Machine, done func()) {
 	claimRevision := shard.ClaimRevision
 	group := &NewGroup{ID: inv.names.NextGroup(shard), Shard: shard, Machines: machines}
@@ -50,8 +51,8 @@
 		ShardID: shard.ID,
 		Keys:    []string{state.GroupKey(group.ID)},
 		Build: func(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
-			group.Machines = slices.DeleteFunc(group.Machines, func(line grouprecord.Machine) bool {
-				return inv.state.Machines[line.ID] != nil
+			group.Machines = slices.DeleteFunc(group.Machines, func(entry grouprecord.Machine) bool {
+				return inv.state.Machines[entry.ID] != nil
 			})
 			if len(group.Machines) == 0 {
 				done()
--- a/internal/inventory/ownerhints.go
+++ b/internal/inventory/ownerhints.go
@@ -5,9 +5,9 @@
 	"stairrelay/internal/grouprecord"
 )
 
-// ownerHints say which shards' records list machines that are not owned here, as last
-// read. A machine leaves them when it becomes owned here. A hint may be out of date,
-// so it only says whom to ask.
+// ownerHints records, for machines that this controller doesn't own, the shard whose
+// record was last seen to list the machine. A hint may be out of date, so it may be used
+// only to redirect workers. It is deleted when this controller adds the machine.
 type ownerHints map[cluster.MachineID]ownerHint
 
 type ownerHint struct {
@@ -15,26 +15,27 @@
 	seenAt  cluster.Time
 }
 
-func (h ownerHints) record(machine cluster.MachineID, shard cluster.ShardID, now cluster.Time) {
+func (h ownerHints) add(machine cluster.MachineID, shard cluster.ShardID, now cluster.Time) {
 	h[machine] = ownerHint{shardID: shard, seenAt: now}
 }
 
-// LastShardOf returns the shard whose record was last seen to list a machine that is
-// not owned here; false: none was.
+// LastShardOf returns the shard whose record was last seen to list a machine that this
+// controller doesn't own. It returns false if there is none.
 func (inv *Inventory) LastShardOf(machine cluster.MachineID) (cluster.ShardID, bool) {
-	hint, ok := inv.owners[machine]
+	hint, ok := inv.ownerHints[machine]
 	return hint.shardID, ok
 }
 
-// RecentShardOf is LastShardOf for a record that was seen less than a time ago.
+// RecentShardOf is like LastShardOf, but returns false if the record was seen longer ago
+// than the given duration.
 func (inv *Inventory) RecentShardOf(machine cluster.MachineID, within cluster.Time) (cluster.ShardID, bool) {
-	hint, ok := inv.owners[machine]
+	hint, ok := inv.ownerHints[machine]
 	return hint.shardID, ok && inv.loop.Now()-hint.seenAt < within
 }
 
-// recordOwners notes that a shard's record lists machines.
-func (inv *Inventory) recordOwners(shard cluster.ShardID, machines []grouprecord.Machine) {
+// addOwnerHints records that a shard's record lists the given machines.
+func (inv *Inventory) addOwnerHints(shard cluster.ShardID, machines []grouprecord.Machine) {
 	for i := range machines {
-		inv.owners.record(machines[i].ID, shard, inv.loop.Now())
+		inv.ownerHints.add(machines[i].ID, shard, inv.loop.Now())
 	}
 }
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -12,12 +12,13 @@
 	"stairrelay/internal/writequeue"
 )
 
-// What a record that makes no sense lists is unknown, and guessing could run a task
-// twice. The shard's other records are kept; the record's machines are returned to the
-// cloud, after which nothing that ran on them can still run, and the record is
-// deleted. Until then users are answered from the state service.
+// A group record that can't be read is quarantined: which tasks run on its machines is
+// unknown, and starting them elsewhere could run a task twice. To repair the shard, the
+// machines that no readable record lists are terminated, which stops their tasks. Then
+// the quarantined records are deleted and the shard is loaded again. Until then the
+// requests of users are answered from the store.
 
-// quarantineRecord notes a group's record that makes no sense.
+// quarantineRecord quarantines an invalid group record.
 func (inv *Inventory) quarantineRecord(shard *state.Shard, item messages.KV, reason error) {
 	inv.loop.Log(messages.LogInfo, "corrupt record quarantined", "key", item.Key, "error", reason.Error())
 	if shard.Quarantined == nil {
@@ -25,69 +26,70 @@
 	}
 	shard.Quarantined[item.Key] = item.ModRevision
 	if group := inv.state.Groups[groupID(item.Key)]; group != nil {
-		inv.dropTransferred(group, cluster.NoShard)
+		inv.dropGroup(group, cluster.NoShard)
 	}
 }
 
 const (
-	// cloudListMargin is added to the time after which the cloud's list shows all
-	// that existed at a moment.
+	// cloudListMargin is a safety margin on the lag of the cloud's list.
 	cloudListMargin = 3 * second
-	// cloudRetryDelay is the pause after the cloud gave no answer.
+	// cloudRetryDelay is the delay before a retry after a failed call to the cloud.
 	cloudRetryDelay = 2 * second
-	// listRetryDelay is the pause after the state service gave no answer.
+	// listRetryDelay is the delay before a retry after a failed read of the records.
 	listRetryDelay = second
 )
 
-// quarantineRepair repairs the quarantined records of a shard under one claim.
+// quarantineRepair is the repair of a shard's quarantined records under one claim.
 type quarantineRepair struct {
 	inventory     *Inventory
 	shard         *state.Shard
 	claimRevision cluster.Revision
 }
 
-// RepairQuarantined returns every machine that the cloud lists and no readable record
+// RepairQuarantined terminates every machine that the cloud lists but no readable record
 // does, then deletes the quarantined records and loads the shard again.
 func (inv *Inventory) RepairQuarantined(shard *state.Shard) {
 	r := &quarantineRepair{inventory: inv, shard: shard, claimRevision: shard.ClaimRevision}
-	r.begin()
+	r.start()
 }
 
-// begin reads the cloud's list. The list may be as old as twice its lag: only one that
-// must show all that existed at the claim will do.
-func (r *quarantineRepair) begin() {
+// start reads the cloud's list of machines, which may be outdated by up to twice its
+// lag. It waits until the list is certain to show all machines that existed when the
+// shard was claimed.
+func (r *quarantineRepair) start() {
 	inv := r.inventory
 	if wait := r.shard.OwnershipChangedAt + 2*inv.config.CloudListLag + cloudListMargin - inv.loop.Now(); wait > 0 {
-		r.beginAgain(wait)
+		r.restartAfter(wait)
 		return
 	}
 	inv.cloud.ChargeCall()
 	inv.cloud.ListMachines(func(machines []cluster.ListedMachine, ok bool) {
 		if !ok {
-			r.beginAgain(cloudRetryDelay)
+			r.restartAfter(cloudRetryDelay)
 			return
 		}
-		r.readRecords(machines)
+		r.releaseUnlisted(machines)
 	})
 }
 
-// beginAgain begins anew after a pause, unless the shard is lost or loaded by then.
-func (r *quarantineRepair) beginAgain(delay cluster.Time) {
+// restartAfter starts the repair again after a delay, unless the shard is lost or loaded
+// by then.
+func (r *quarantineRepair) restartAfter(delay cluster.Time) {
 	r.inventory.loop.After(delay, func() {
 		if r.isCurrent() && !r.shard.Ready {
-			r.begin()
+			r.start()
 		}
 	})
 }
 
-// isCurrent tells whether the shard is still owned under the claim of the repair.
+// isCurrent reports whether the shard is still owned under the claim of the repair.
 func (r *quarantineRepair) isCurrent() bool { return r.shard.IsOwnedUnder(r.claimRevision) }
 
-// readRecords returns those of the cloud's machines that no readable record lists.
-func (r *quarantineRepair) readRecords(machines []cluster.ListedMachine) {
+// releaseUnlisted terminates those of the given machines that no readable record lists.
+func (r *quarantineRepair) releaseUnlisted(machines []cluster.ListedMachine) {
 	r.inventory.writes.ListPrefix(state.GroupKeyPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
-			r.beginAgain(listRetryDelay)
+			r.restartAfter(listRetryDelay)
 			return
 		}
 		listed := r.listedMachines(reply.Items)
@@ -101,7 +103,7 @@
 	})
 }
 
-// listedMachines are the machines that the readable records list.
+// listedMachines returns the machines that the readable records list.
 func (r *quarantineRepair) listedMachines(items []messages.KV) map[cluster.MachineID]bool {
 	listed := map[cluster.MachineID]bool{}
 	for _, item := range items {
@@ -119,8 +121,8 @@
 	return listed
 }
 
-// release returns machines to the cloud, as many at a time as a call may, and then
-// deletes the records.
+// release terminates machines in batches of the size that a call to the cloud allows,
+// and then deletes the quarantined records.
 func (r *quarantineRepair) release(machines []cluster.MachineID) {
 	if !r.isCurrent() {
 		return
@@ -134,16 +136,16 @@
 	inv.cloud.ChargeCall()
 	inv.loop.Emit(messages.CloudScaleIn{IDs: machines[:count], Call: eventloop.Call(inv.loop, func(reply messages.ScaleInReply) {
 		if reply.Outcome != messages.OK {
-			r.beginAgain(cloudRetryDelay)
+			r.restartAfter(cloudRetryDelay)
 			return
 		}
 		r.release(machines[count:])
 	})})
 }
 
-// deleteRecords deletes the quarantined records, as many as a transaction may, and loads
-// the shard again. So it does after a conflict: the owner of another shard was faster,
-// or an earlier copy of the transaction was carried out.
+// deleteRecords deletes the quarantined records, up to the limit of a transaction, and
+// loads the shard again. It also does so after a conflict, which occurs if the owner of
+// another shard has repaired a record first.
 func (r *quarantineRepair) deleteRecords() {
 	keys := slices.Sorted(maps.Keys(r.shard.Quarantined))
 	keys = keys[:min(len(keys), r.inventory.config.MaxTxnOps)]
@@ -161,7 +163,7 @@
 		},
 		OnApplied: func(cluster.Revision) {
 			if r.isCurrent() {
-				r.inventory.loop.Log(messages.LogInfo, "quarantined records deleted", "shard", int(r.shard.ID), "records", len(keys))
+				r.inventory.loop.Log(messages.LogInfo, "quarantined records deleted; reloading the shard", "shard", int(r.shard.ID), "records", len(keys))
 				r.inventory.reload(r.shard)
 			}
 		},
@@ -173,7 +175,7 @@
 	})
 }
 
-// reload forgets what was read of a shard's records and reads them again.
+// reload drops all that was loaded from a shard's records and loads the shard again.
 func (inv *Inventory) reload(shard *state.Shard) {
 	shard.Quarantined = nil
 	inv.DropShard(shard)
--- a/internal/inventory/record.go
+++ b/internal/inventory/record.go
@@ -8,25 +8,26 @@
 	"stairrelay/internal/state"
 )
 
-// recordSnapshot is what a built record says, to be applied once it is stored: what
-// changed while it was in flight belongs to the next one.
+// recordSnapshot is the content of a group's record as it was built. It is applied once
+// the record is stored. Changes made while the write is in flight are not part of it.
 type recordSnapshot struct {
 	machines   []machineSnapshot
-	terminated []*state.Machine // the cloud has taken them back: not listed any more
-	size       int
+	terminated []*state.Machine // terminated by the cloud, no longer listed
+	size       int              // of the encoded record, in bytes
 }
 
-// machineSnapshot is what a built record says of one machine.
+// machineSnapshot is the content of a record for one machine.
 type machineSnapshot struct {
 	machine     *state.Machine
 	listed      []*state.Assignment
-	removed     []*state.Assignment // confirmed absent
-	completed   []*state.Assignment // not listed either, but kept until their outcomes are stored
+	removed     []*state.Assignment // no longer listed, since they are confirmed absent
+	completed   []*state.Assignment // no longer listed, but kept until their outcomes are stored
 	raisesToken bool
 	releases    bool
 }
 
-// newRecordSnapshot sorts out what the next record lists of the given machines.
+// newRecordSnapshot returns the content of the next record of a group that consists of
+// the given machines.
 func newRecordSnapshot(machines []*state.Machine) *recordSnapshot {
 	snapshot := &recordSnapshot{machines: make([]machineSnapshot, 0, len(machines))}
 	for _, m := range machines {
@@ -46,8 +47,9 @@
 		case a.ConfirmedAbsent:
 			snapshot.removed = append(snapshot.removed, a)
 		case a.IsCompleted():
-			// It is not on the machine any more, and the worker goes on showing
-			// it until its outcome is stored: a successor learns it from there.
+			// The record need not list it, since the worker reports a completed
+			// task until its outcome is stored. A new owner of the shard learns of
+			// it from the worker's heartbeat.
 			snapshot.completed = append(snapshot.completed, a)
 		default:
 			snapshot.listed = append(snapshot.listed, a)
@@ -56,35 +58,36 @@
 	return snapshot
 }
 
-// encode returns the record, under the id of the write that stores it.
+// encode returns the encoded record, which contains the ID of the write that stores it.
 //
-// The record of an emptied group is written too, with nothing listed: were its key
-// absent, a late copy of the transaction that created it would be carried out again.
-// The next claim, which fences such copies off, deletes it.
+// A record that lists no machine is stored too. If its key were deleted, a delayed copy
+// of the transaction that created the group could be applied and list its machines
+// again. deleteEmptyGroup deletes the record under a later claim.
 func (s *recordSnapshot) encode(shard cluster.ShardID, writeID string) []byte {
-	lines := make([]grouprecord.Machine, 0, len(s.machines))
+	entries := make([]grouprecord.Machine, 0, len(s.machines))
 	for i := range s.machines {
-		lines = append(lines, s.machines[i].line())
+		entries = append(entries, s.machines[i].entry())
 	}
-	value := grouprecord.Encode(grouprecord.Record{ShardID: shard, Machines: lines, WriteID: writeID})
+	value := grouprecord.Encode(grouprecord.Record{ShardID: shard, Machines: entries, WriteID: writeID})
 	s.size = len(value)
 	return value
 }
 
-// line is how the record lists the machine.
-func (s *machineSnapshot) line() grouprecord.Machine {
+// entry returns the machine's entry in the record.
+func (s *machineSnapshot) entry() grouprecord.Machine {
 	m := s.machine
-	line := grouprecord.Machine{ID: m.ID, Kind: m.Kind(), Address: m.Address, Releasing: s.releases, Booting: m.Booting}
+	entry := grouprecord.Machine{ID: m.ID, Kind: m.Kind(), Address: m.Address, Releasing: s.releases, Booting: m.Booting}
 	for _, a := range s.listed {
-		line.Tasks = append(line.Tasks, grouprecord.Task{ID: a.Task, Attempt: a.Attempt})
+		entry.Tasks = append(entry.Tasks, grouprecord.Task{ID: a.Task, Attempt: a.Attempt})
 	}
-	return line
+	return entry
 }
 
-// EncodeRecord returns the record of a group that consists of the given machines.
+// EncodeRecord returns the encoded record of a group that consists of the given
+// machines.
 func EncodeRecord(shard cluster.ShardID, machines []*state.Machine, writeID string) []byte {
 	return newRecordSnapshot(machines).encode(shard, writeID)
 }
 
-// groupID reads a group's id from the key of its record.
+// groupID returns the ID of the group whose record has the given key.
 func groupID(key string) string { return strings.TrimPrefix(key, state.GroupKeyPrefix) }
--- a/internal/inventory/recordedmachines.go
+++ b/internal/inventory/recordedmachines.go
@@ -9,13 +9,13 @@
 	"stairrelay/internal/state"
 )
 
-// ReadRecordedMachines calls a function with what the records list, or with nil if the
-// state service doesn't answer or a record can't be read, so that nothing can be
-// concluded.
+// ReadRecordedMachines reads the records of all shards and calls handle with the machines
+// that they list and the kinds of machines that provisioning requests are open for. It
+// calls handle with nil if a read fails or a record is invalid.
 //
-// The provisioning requests are read first: a machine whose request is not settled yet
-// is in no group, but will be. So a machine that no group lists is an orphan if none of
-// the requests read before was open for its kind.
+// The provisioning requests are read before the groups, since the machines of an open
+// request are not in a group yet. So a machine that no group lists is an orphan unless a
+// request was open for its kind.
 func (inv *Inventory) ReadRecordedMachines(handle func(*state.RecordedMachines)) {
 	inv.writes.ListPrefix(provisioningPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
@@ -35,11 +35,11 @@
 	})
 }
 
-// provisioningPrefix is where the provisioning requests are stored.
+// provisioningPrefix is the prefix of the keys of provisioning requests.
 const provisioningPrefix = "rentals/"
 
-// requestedKind reads the kind of machine from the record of a provisioning request. The
-// other fields are read to find a record that makes no sense.
+// requestedKind returns the kind of machine of a stored provisioning request. It decodes
+// the other fields only to return an error if one is invalid.
 func requestedKind(value []byte) (grouprecord.Kind, error) {
 	var record struct {
 		grouprecord.Kind
@@ -51,10 +51,11 @@
 	return record.Kind, err
 }
 
-// readGroupedMachines adds the machines that groups list.
+// readGroupedMachines adds the machines that group records list and calls handle with
+// the result.
 func (inv *Inventory) readGroupedMachines(recorded *state.RecordedMachines, handle func(*state.RecordedMachines)) {
 	inv.writes.ListPrefix(state.GroupKeyPrefix, func(reply messages.ListReply) {
-		if reply.Outcome != messages.OK || !inv.applyListedMachines(reply.Items, recorded.Listed) {
+		if reply.Outcome != messages.OK || !inv.addListedMachines(reply.Items, recorded.Listed) {
 			handle(nil)
 			return
 		}
@@ -62,10 +63,10 @@
 			handle(recorded)
 			return
 		}
-		// A machine that changed groups between two pages may be on neither. The
-		// record that lists it now was written after the first page was read.
+		// A machine that changed groups while the pages were read may be missing from
+		// all of them. The record that lists it now is among the later changes.
 		inv.writes.ReadChanges(state.GroupKeyPrefix, reply.Revision, func(reply messages.WatchReply) {
-			if reply.Outcome != messages.OK || !inv.applyListedMachines(reply.Items, recorded.Listed) {
+			if reply.Outcome != messages.OK || !inv.addListedMachines(reply.Items, recorded.Listed) {
 				handle(nil)
 				return
 			}
@@ -74,9 +75,10 @@
 	})
 }
 
-// applyListedMachines adds the machines that groups' records list, and notes to which
-// shards they belong. It returns false when a record can't be read.
-func (inv *Inventory) applyListedMachines(items []messages.KV, listed map[cluster.MachineID]bool) bool {
+// addListedMachines adds the machines that group records list, and keeps hints to the
+// owners of those that this controller doesn't own. It returns false if a record is
+// invalid.
+func (inv *Inventory) addListedMachines(items []messages.KV, listed map[cluster.MachineID]bool) bool {
 	for _, item := range items {
 		if item.Value == nil {
 			continue
@@ -89,14 +91,14 @@
 			id := record.Machines[i].ID
 			listed[id] = true
 			if inv.state.Machines[id] == nil {
-				inv.owners.record(id, record.ShardID, inv.loop.Now())
+				inv.ownerHints.add(id, record.ShardID, inv.loop.Now())
 			}
 		}
 	}
 	return true
 }
 
-// isShard tells whether a number read from a record is that of a shard.
+// isShard reports whether an ID from a record is that of an existing shard.
 func (inv *Inventory) isShard(id cluster.ShardID) bool {
 	return id >= 0 && int(id) < len(inv.state.Shards)
 }
--- a/internal/inventory/recordedmachines_test.go
+++ b/internal/inventory/recordedmachines_test.go
@@ -9,46 +9,45 @@
 	"stairrelay/internal/state"
 )
 
-// TestMachineOwnersReadInPages: groups read in several pages may miss a machine that
-// changed groups meanwhile; taken for an orphan, it would be listed twice. The changes
-// since the first page show it, and without them nothing is concluded.
-func TestMachineOwnersReadInPages(t *testing.T) {
+// TestRecordedMachinesReadInPages guards against taking a machine for an orphan that
+// changed groups while the groups were read in pages.
+func TestRecordedMachinesReadInPages(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		watched messages.Outcome
-		listed  bool
+		name           string
+		changesOutcome messages.Outcome
+		listed         bool
 	}{
 		{"changes read", messages.OK, true},
 		{"changes not read", messages.NotApplied, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, "n0")
-			ended := false
+			called := false
 			var got map[cluster.MachineID]bool
 			h.ReadRecordedMachines(func(recorded *state.RecordedMachines) {
-				ended = true
+				called = true
 				if recorded != nil {
 					got = recorded.Listed
 				}
 			})
-			if asked := h.answerReads(t, test.watched); !asked || !ended {
-				t.Fatalf("asked %v, ended %v", asked, ended)
+			if changesRead := h.answerReads(t, test.changesOutcome); !changesRead || !called {
+				t.Fatalf("changes read: %v, handler called: %v", changesRead, called)
 			}
 			if test.listed && !(got["m-1"] && got["m-2"]) {
-				t.Errorf("listed: %v", got)
+				t.Errorf("listed machines are %v, want m-1 and m-2", got)
 			}
 			if !test.listed && got != nil {
-				t.Errorf("concluded %v without the changes", got)
+				t.Errorf("listed machines are %v although the changes were not read", got)
 			}
 		})
 	}
 }
 
-// answerReads answers all reads: the groups come in pages, of which the first lists m-1,
-// and the changes since then list m-2. It tells whether the changes were asked for.
-func (h *harness) answerReads(t *testing.T, watched messages.Outcome) bool {
+// answerReads answers all reads. The list of groups is paginated and contains m-1, and the
+// changes since its first page contain m-2. It reports whether the changes were read.
+func (h *harness) answerReads(t *testing.T, changesOutcome messages.Outcome) bool {
 	t.Helper()
-	asked := false
+	changesRead := false
 	for i := 0; i < len(h.loop.Effects()); i++ {
 		switch effect := h.loop.Effects()[i].(type) {
 		case messages.StoreList:
@@ -58,29 +57,28 @@
 			}
 			h.loop.Deliver(messages.Reply{Call: effect.Call, Body: reply})
 		case messages.StoreWatch:
-			if asked = true; effect.SinceRevision != 5 || effect.Prefix != "groups/" {
-				t.Errorf("asked for changes of %s since %d", effect.Prefix, effect.SinceRevision)
+			if changesRead = true; effect.SinceRevision != 5 || effect.Prefix != "groups/" {
+				t.Errorf("read changes of %s since revision %d, want groups/ since 5", effect.Prefix, effect.SinceRevision)
 			}
 			items := []messages.KV{groupItem("a", "m-2"), {Key: "groups/x"}}
-			h.loop.Deliver(messages.Reply{Call: effect.Call, Body: messages.WatchReply{Outcome: watched, Items: items, Revision: 9}})
+			h.loop.Deliver(messages.Reply{Call: effect.Call, Body: messages.WatchReply{Outcome: changesOutcome, Items: items, Revision: 9}})
 		}
 	}
-	return asked
+	return changesRead
 }
 
-// groupItem is the stored record of a group of shard 0 with the given machines.
+// groupItem returns the stored record of a group of shard 0 with the given machines.
 func groupItem(id string, machines ...cluster.MachineID) messages.KV {
-	var lines []grouprecord.Machine
+	var entries []grouprecord.Machine
 	for _, m := range machines {
-		lines = append(lines, grouprecord.Machine{ID: m, Kind: grouprecord.Kind{Type: "small", Zone: "a"}})
+		entries = append(entries, grouprecord.Machine{ID: m, Kind: grouprecord.Kind{Type: "small", Zone: "a"}})
 	}
-	value := grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: lines, WriteID: "w"})
+	value := grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: entries, WriteID: "w"})
 	return messages.KV{Key: "groups/" + id, Value: value, ModRevision: 7}
 }
 
-// TestRequestedKind: the kind of a provisioning request is read from its record as it is
-// stored; a record any field of which makes no sense is an error, as then nothing can be
-// concluded from it.
+// TestRequestedKind checks that the kind is decoded from stored provisioning requests, and
+// that an invalid value of any field is an error.
 func TestRequestedKind(t *testing.T) {
 	for _, test := range []struct {
 		record string
--- a/internal/inventory/recordnames.go
+++ b/internal/inventory/recordnames.go
@@ -8,35 +8,36 @@
 	"stairrelay/internal/state"
 )
 
-// RecordNames gives names to new records. One process never gives a name twice; the
-// names of several processes and claims differ by the instance and the claim in them.
+// RecordNames generates unique names for new records. A name contains the instance ID of
+// the process, the revision of the shard's claim and a counter.
 type RecordNames struct {
-	instanceID           string
-	machineGroups        int
-	provisioningRequests int
+	instanceID              string
+	lastGroup               int
+	lastProvisioningRequest int
 }
 
-// NewRecordNames makes the names of a process with an id of its own.
+// NewRecordNames returns a generator for the process with the given instance ID, which
+// must be unique.
 func NewRecordNames(instanceID string) *RecordNames { return &RecordNames{instanceID: instanceID} }
 
-// NextGroup names a new machine group of a shard.
+// NextGroup returns the name of a new machine group of a shard.
 func (n *RecordNames) NextGroup(shard *state.Shard) string {
-	n.machineGroups++
-	return n.format(shard, n.machineGroups)
+	n.lastGroup++
+	return n.format(shard, n.lastGroup)
 }
 
-// NextProvisioningRequest names a new provisioning request of a shard.
+// NextProvisioningRequest returns the name of a new provisioning request of a shard.
 func (n *RecordNames) NextProvisioningRequest(shard *state.Shard) string {
-	n.provisioningRequests++
-	return "r-" + n.format(shard, n.provisioningRequests)
+	n.lastProvisioningRequest++
+	return "r-" + n.format(shard, n.lastProvisioningRequest)
 }
 
 func (n *RecordNames) format(shard *state.Shard, number int) string {
 	return n.instanceID + "-" + strconv.FormatUint(uint64(shard.ClaimRevision), 10) + "-" + strconv.Itoa(number)
 }
 
-// claimRevisionFromKey reads from a group's key the claim under which it was created;
-// false: the key has another form.
+// claimRevisionFromKey returns the revision of the claim under which a group was created,
+// which is part of its key. It returns false if the key does not contain one.
 func claimRevisionFromKey(key string) (cluster.Revision, bool) {
 	fields := strings.Split(key, "-")
 	if len(fields) < 3 {
--- a/internal/inventory/recordnames_test.go
+++ b/internal/inventory/recordnames_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestRecordNames: no name is given twice, and the claim under which a group was created
-// can be read back from its key.
+// TestRecordNames checks that names are unique, and that the revision of the claim can be
+// parsed from the key of a group.
 func TestRecordNames(t *testing.T) {
 	shard := state.NewShard(1, "n1")
 	shard.ClaimRevision = 40
@@ -19,11 +19,11 @@
 		{names.NextProvisioningRequest(shard), "r-b1-40-1"},
 	} {
 		if test.got != test.want {
-			t.Errorf("named %q, want %q", test.got, test.want)
+			t.Errorf("name is %q, want %q", test.got, test.want)
 		}
 	}
 	if revision, ok := claimRevisionFromKey(state.GroupKey(names.NextGroup(shard))); !ok || revision != 40 {
-		t.Errorf("created under %d, %v", revision, ok)
+		t.Errorf("claim revision is %d, %v; want 40, true", revision, ok)
 	}
 }
 
@@ -34,7 +34,7 @@
 		ok       bool
 	}{
 		{"groups/b1-40-1", 40, true},
-		{"groups/host-7-40-1", 40, true}, // an instance id with dashes
+		{"groups/host-7-40-1", 40, true}, // an instance ID with dashes
 		{"groups/g", 0, false},
 		{"groups/b1-x-1", 0, false},
 	} {
--- a/internal/inventory/regroup.go
+++ b/internal/inventory/regroup.go
@@ -10,26 +10,27 @@
 	"stairrelay/internal/writequeue"
 )
 
-// regrouping moves machines of a shard into one group by one transaction on all the
-// groups concerned. From its queueing to its end all these groups count as being
-// written, so nothing else changes their records.
+// regrouping moves machines of a shard into one group by a transaction that writes the
+// records of all affected groups. The groups are locked from when the write is queued
+// until it has ended, so that no other write changes their records.
 type regrouping struct {
 	inventory     *Inventory
 	shard         *state.Shard
 	claimRevision cluster.Revision
-	machines      []*state.Machine // that are to be moved
+	machines      []*state.Machine // to be moved
 	sources       []*state.MachineGroup
-	target        *state.MachineGroup   // nil: a new one, not stored yet
-	targetID      string                // of the target
+	target        *state.MachineGroup // nil until a new group is stored
+	targetID      string
 	affected      []*state.MachineGroup // the sources, and the target if it exists
 	done          func(*state.MachineGroup)
 
-	moving    []*state.Machine  // by the last records built
-	snapshots []*recordSnapshot // of the sources and the target, in these records
+	moving    []*state.Machine  // moved by the records as last built
+	snapshots []*recordSnapshot // of the sources and the target, as last built
 }
 
-// Regroup moves machines of a shard into one group, a new one if target is nil. done
-// gets the group, or nil if they could not be moved.
+// Regroup moves machines of a shard into the group target, or into a new group if target
+// is nil. It calls done with the group after its record was stored, or with nil if the
+// machines could not be moved.
 func (inv *Inventory) Regroup(shard *state.Shard, machines []*state.Machine, target *state.MachineGroup, priority writequeue.Priority, done func(*state.MachineGroup)) {
 	sources, ok := sourceGroups(machines, target)
 	if !ok || len(sources) == 0 || len(sources)+1 > inv.config.MaxTxnOps || target != nil && target.WriteInFlight {
@@ -62,8 +63,8 @@
 	})
 }
 
-// sourceGroups lists the groups that machines are in; false: one of them is in the
-// target already, or its record is on its way to the state service.
+// sourceGroups returns the groups of the given machines. It returns false if one of the
+// machines is in the target already, or if a write of one of the groups is in flight.
 func sourceGroups(machines []*state.Machine, target *state.MachineGroup) ([]*state.MachineGroup, bool) {
 	var sources []*state.MachineGroup
 	for _, m := range machines {
@@ -77,7 +78,7 @@
 	return sources, true
 }
 
-// lock counts the groups as being written, and returns the keys of all records.
+// lock locks the affected groups and returns the keys of all records to be written.
 func (r *regrouping) lock() []string {
 	var keys []string
 	for _, group := range r.affected {
@@ -96,24 +97,25 @@
 	}
 }
 
-// build makes the records of the groups that are left and of the one that the machines
-// move to.
+// build returns the writes of the sources' records without the moving machines, and of the
+// target's record with them. It returns none if the target's record would be too large or
+// none of the machines can be moved.
 func (r *regrouping) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 	r.snapshots = nil
-	r.moving = r.stillToMove()
+	r.moving = r.machinesToMove()
 	var operations []messages.TxnOp
 	var modRevisions []cluster.ModRevision
 	for _, group := range r.sources {
 		group.MarkBuilt()
-		operations = append(operations, messages.TxnOp{Key: group.Key(), Value: r.encode(r.remaining(group), writeID)})
+		operations = append(operations, messages.TxnOp{Key: group.Key(), Value: r.encode(r.remainingMachines(group), writeID)})
 		modRevisions = append(modRevisions, group.ModRevision)
 	}
-	modRevision := cluster.ModRevision(0) // of a new group's key: absent
+	modRevision := cluster.ModRevision(0) // the key of a new group must be absent
 	if r.target != nil {
 		modRevision = r.target.ModRevision
 		r.target.MarkBuilt()
 	}
-	value := r.encode(r.machinesOfTarget(), writeID)
+	value := r.encode(r.targetMachines(), writeID)
 	if !r.inventory.config.ValueLimit.WithinSoftLimit(len(value)) || len(r.moving) == 0 {
 		r.abandon()
 		return nil, nil
@@ -122,21 +124,21 @@
 	return operations, append(modRevisions, modRevision)
 }
 
-// encode returns the record of a group that consists of the given machines, and keeps
-// what it says for when it is stored.
+// encode returns the record of a group that consists of the given machines, and appends
+// its content to the snapshots.
 func (r *regrouping) encode(machines []*state.Machine, writeID string) []byte {
 	snapshot := newRecordSnapshot(machines)
 	r.snapshots = append(r.snapshots, snapshot)
 	return snapshot.encode(r.shard.ID, writeID)
 }
 
-// remaining lists the machines that stay in a source.
-func (r *regrouping) remaining(group *state.MachineGroup) []*state.Machine {
+// remainingMachines returns the machines that stay in a source.
+func (r *regrouping) remainingMachines(group *state.MachineGroup) []*state.Machine {
 	return slices.DeleteFunc(group.SortedMachines(), func(m *state.Machine) bool { return slices.Contains(r.moving, m) })
 }
 
-// machinesOfTarget lists the machines of the target after the move, by id.
-func (r *regrouping) machinesOfTarget() []*state.Machine {
+// targetMachines returns the machines of the target after the move, sorted by ID.
+func (r *regrouping) targetMachines() []*state.Machine {
 	machines := slices.Clone(r.moving)
 	if r.target != nil {
 		machines = append(machines, r.target.SortedMachines()...)
@@ -145,8 +147,8 @@
 	return machines
 }
 
-// stillToMove lists the machines that are where they were.
-func (r *regrouping) stillToMove() []*state.Machine {
+// machinesToMove returns those of the machines that still are in one of the sources.
+func (r *regrouping) machinesToMove() []*state.Machine {
 	var moving []*state.Machine
 	for _, m := range r.machines {
 		if r.inventory.state.Machines[m.ID] == m && m.Group != r.target && slices.Contains(r.sources, m.Group) {
@@ -156,8 +158,8 @@
 	return moving
 }
 
-// abandon leaves the groups as they are. Their own writes may have been cancelled for
-// this one.
+// abandon unlocks the groups without moving machines. It enqueues a write of each group,
+// since lock may have cancelled the queued ones.
 func (r *regrouping) abandon() {
 	r.unlock()
 	for _, group := range r.affected {
@@ -166,7 +168,7 @@
 	r.done(nil)
 }
 
-// handleStored moves the machines as the records now say.
+// handleStored moves the machines after the records were stored.
 func (r *regrouping) handleStored(revision cluster.Revision) {
 	inv := r.inventory
 	r.unlock()
@@ -181,7 +183,7 @@
 	for _, m := range r.moving {
 		r.target.MoveIn(m)
 	}
-	next := writequeue.PriorityCount // what was asked of one group may now concern another
+	next := writequeue.PriorityCount // a write wanted for one group may now concern another one
 	for _, group := range r.affected {
 		next = min(next, group.NextWritePriority)
 	}
@@ -191,18 +193,18 @@
 	r.done(r.target)
 }
 
-// handleConflict follows a conflict with another writer.
+// handleConflict checks the records of the groups after a conflict with another writer.
 func (r *regrouping) handleConflict() {
 	r.unlock()
 	for _, group := range r.affected {
-		if r.inventory.has(group) {
+		if r.inventory.ownsGroup(group) {
 			r.inventory.checkRecord(group)
 		}
 	}
 	r.done(nil)
 }
 
-// handleOwnershipLost follows the loss of the shard.
+// handleOwnershipLost unlocks the groups after the shard was lost.
 func (r *regrouping) handleOwnershipLost() {
 	r.unlock()
 	r.done(nil)
--- a/internal/inventory/split.go
+++ b/internal/inventory/split.go
@@ -8,19 +8,20 @@
 	"stairrelay/internal/writequeue"
 )
 
-// groupSplit moves machines of a group into new ones by one transaction on all of
-// them. From its queueing to its end the group counts as being written.
+// groupSplit moves machines of a group into new groups by a transaction that writes all
+// their records. The group is locked from when the write is queued until it has ended.
 type groupSplit struct {
 	groupClaim
 	newIDs []string // of the new groups
 	keys   []string // of the group and the new ones
 
-	pieces    [][]*state.Machine // by the last records built; the first one stays
+	pieces    [][]*state.Machine // as last built; the first one stays in the group
 	snapshots []*recordSnapshot  // of the pieces
 }
 
-// Split splits a group into two, or into as many as a transaction may write where the
-// record is far too large, as one may be that was written under higher limits.
+// Split splits a group in two, or into more groups if its record is much too large, which
+// may happen after the value limit was lowered. MaxTxnOps limits the number of groups,
+// since one transaction writes all their records.
 func (inv *Inventory) Split(group *state.MachineGroup) {
 	if group.WriteInFlight || len(group.Machines) < 2 {
 		return
@@ -46,8 +47,8 @@
 	})
 }
 
-// lock counts a group as being written by a transaction on several groups. A write of
-// its own that still waits its turn says nothing that the transaction won't.
+// lock locks a group for a transaction on several groups. It cancels a queued write of the
+// group's record, since the transaction writes the record too.
 func (inv *Inventory) lock(group *state.MachineGroup) {
 	if group.QueuedWrite != nil {
 		inv.writes.Cancel(group.QueuedWrite)
@@ -56,9 +57,10 @@
 	group.Lock()
 }
 
+// build returns the writes of the records of all pieces.
 func (s *groupSplit) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 	group := s.group
-	if !s.inventory.has(group) {
+	if !s.inventory.ownsGroup(group) {
 		group.EndWrite()
 		return nil, nil
 	}
@@ -68,7 +70,7 @@
 	var modRevisions []cluster.ModRevision
 	for i, machines := range s.pieces {
 		snapshot := newRecordSnapshot(machines)
-		modRevision := cluster.ModRevision(0) // of a new group's key: absent
+		modRevision := cluster.ModRevision(0) // the key of a new group must be absent
 		if i == 0 {
 			modRevision = group.ModRevision
 		}
@@ -79,14 +81,14 @@
 	return operations, modRevisions
 }
 
-// handleStored moves the machines as the records now say.
+// handleStored moves the machines after the records were stored.
 func (s *groupSplit) handleStored(revision cluster.Revision) {
 	inv := s.inventory
 	s.group.EndWrite()
 	if !s.isCurrent() {
 		return
 	}
-	next := s.group.NextWritePriority // what was asked of the whole may concern each piece
+	next := s.group.NextWritePriority // a write wanted for the group may concern any piece
 	for i, machines := range s.pieces {
 		target := s.group
 		if i > 0 {
@@ -99,8 +101,8 @@
 	}
 }
 
-// applyRegrouped follows the record of one of the groups that a transaction has stored,
-// and queues the write that was wanted meanwhile.
+// applyRegrouped applies the record of one of the groups that a transaction has stored. It
+// then queues the group's next write with the priority next, if one is wanted.
 func (inv *Inventory) applyRegrouped(group *state.MachineGroup, snapshot *recordSnapshot, revision cluster.Revision, next writequeue.Priority) {
 	group.ModRevision, group.RecordSize = cluster.ModRevision(revision), snapshot.size
 	inv.applyStored(group, snapshot, revision)
@@ -110,8 +112,9 @@
 	}
 }
 
-// handleTooLarge follows the refusal of the records by their length. Tasks end, and the
-// record gets shorter; what the state service takes now is less than the settings say.
+// handleTooLarge retries the split with more pieces after the store has rejected the
+// records as too large: its limit is lower than the one in the settings. It waits before
+// the retry, since the record also gets shorter as tasks end.
 func (s *groupSplit) handleTooLarge() {
 	s.group.EndWrite()
 	s.group.MinPieces = 2 * len(s.keys)
--- a/internal/inventory/stored.go
+++ b/internal/inventory/stored.go
@@ -5,8 +5,8 @@
 	"stairrelay/internal/state"
 )
 
-// applyStored follows a stored record: what it lists may be started, and what it no
-// longer lists may be started elsewhere.
+// applyStored applies a record that was stored. The tasks that it lists may be started,
+// and those that it no longer lists may be started on other machines.
 func (inv *Inventory) applyStored(group *state.MachineGroup, snapshot *recordSnapshot, revision cluster.Revision) {
 	for i := range snapshot.machines {
 		if s := &snapshot.machines[i]; inv.state.Machines[s.machine.ID] == s.machine {
@@ -34,7 +34,7 @@
 		if a.Job.IsActive() {
 			inv.workers.QueueCommandPush(m)
 		} else {
-			inv.workers.ConfirmAbsent(m, a) // cancelled meanwhile: the start was never sent
+			inv.workers.ConfirmAbsent(m, a) // the job has ended: the start was never sent
 		}
 	}
 	for _, a := range s.removed {
--- a/internal/inventory/stored_test.go
+++ b/internal/inventory/stored_test.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/writequeue"
 )
 
-// fakeWorkers notes for which machines commands are pushed.
+// fakeWorkers records the machines to which commands are pushed.
 type fakeWorkers struct{ pushed []cluster.MachineID }
 
 func (w *fakeWorkers) ConfirmAbsent(m *state.Machine, a *state.Assignment) { m.MarkConfirmedAbsent(a) }
@@ -28,16 +28,16 @@
 
 func (fakeScheduler) MaintainMachines() {}
 
-// newHarnessWithMachine is an owned shard with a machine that is listed with a task per
-// given phase.
+// newHarnessWithMachine returns a harness with an owned shard and a machine, which has one
+// assignment in each of the given phases.
 func newHarnessWithMachine(t *testing.T, phases ...state.AssignmentPhase) (*harness, *fakeWorkers, *state.Machine) {
 	t.Helper()
 	h, workers := newHarness(t, "n0"), &fakeWorkers{}
 	h.workers, h.scheduler = workers, fakeScheduler{}
 	shard := h.state.Shards[0]
 	shard.Owned, shard.ClaimRevision, shard.ModRevision = true, 30, 30
-	line := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}}
-	m := h.AddMachine(h.state.AddGroup(shard, "g", 31), line, 31)
+	entry := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}}
+	m := h.AddMachine(h.state.AddGroup(shard, "g", 31), entry, 31)
 	job := state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: len(phases)}, shard.ID, 0, 0)
 	h.state.AddOwnedJob(job)
 	for i, phase := range phases {
@@ -48,8 +48,9 @@
 	return h, workers, m
 }
 
-// store has the group's queued write built and stored at a revision.
-func (h *harness) store(t *testing.T, group *state.MachineGroup, revision cluster.Revision) {
+// storeQueuedWrite builds the group's queued write and reports it as applied at the given
+// revision.
+func (h *harness) storeQueuedWrite(t *testing.T, group *state.MachineGroup, revision cluster.Revision) {
 	t.Helper()
 	write := group.QueuedWrite
 	if write == nil {
@@ -57,13 +58,13 @@
 	}
 	h.writes.Cancel(write)
 	if operations, _ := write.Build("w"); len(operations) != 1 {
-		t.Fatalf("%d changes", len(operations))
+		t.Fatalf("write has %d operations, want 1", len(operations))
 	}
 	write.OnApplied(revision)
 }
 
-// TestStartFollowsStoredRecord: a task may be started only once the stored record lists
-// it. One that was assigned while the record was in flight waits for the next record.
+// TestStartFollowsStoredRecord guards against starting a task before the stored record
+// lists it, also if it was assigned while a write of the record was in flight.
 func TestStartFollowsStoredRecord(t *testing.T) {
 	h, workers, m := newHarnessWithMachine(t, state.PhaseRecording, state.PhaseRecording)
 	assignments := m.SortedAssignments()
@@ -76,59 +77,59 @@
 	m.AddAssignment(late)
 	h.WriteMachine(m, writequeue.PriorityStart)
 	if len(workers.pushed) != 0 || assignments[0].Phase != state.PhaseRecording {
-		t.Fatal("started before the record was stored")
+		t.Fatal("task was started before the record was stored")
 	}
 	write.OnApplied(40)
 	if assignments[0].Phase != state.PhaseReady || late.Phase != state.PhaseRecording || len(workers.pushed) != 1 {
-		t.Fatalf("phases %d and %d, %d pushes", assignments[0].Phase, late.Phase, len(workers.pushed))
+		t.Fatalf("phases are %d and %d after %d pushes, want ready and recording after 1", assignments[0].Phase, late.Phase, len(workers.pushed))
 	}
-	h.store(t, m.Group, 41)
+	h.storeQueuedWrite(t, m.Group, 41)
 	if late.Phase != state.PhaseReady || m.Group.ModRevision != 41 {
-		t.Errorf("phase %d, mod revision %d", late.Phase, m.Group.ModRevision)
+		t.Errorf("phase is %d at mod revision %d, want ready at 41", late.Phase, m.Group.ModRevision)
 	}
 }
 
-// TestAbsentTaskFreedByStoredRecord: a task that is confirmed absent may be started
-// elsewhere only once the stored record no longer lists it.
+// TestAbsentTaskFreedByStoredRecord guards against starting an absent task on another
+// machine while the stored record still lists it.
 func TestAbsentTaskFreedByStoredRecord(t *testing.T) {
 	h, _, m := newHarnessWithMachine(t, state.PhaseAcknowledged)
 	a := m.SortedAssignments()[0]
 	m.MarkConfirmedAbsent(a)
 	h.WriteMachine(m, writequeue.PriorityStart)
 	if a.Job.PendingCount() != 0 {
-		t.Fatal("waits for a machine while a record lists it")
+		t.Fatal("task is pending while the record lists it")
 	}
-	h.store(t, m.Group, 40)
+	h.storeQueuedWrite(t, m.Group, 40)
 	if len(m.Assignments) != 0 || a.Job.PendingCount() != 1 {
-		t.Errorf("%d assignments, %d pending tasks", len(m.Assignments), a.Job.PendingCount())
+		t.Errorf("%d assignments and %d pending tasks, want 0 and 1", len(m.Assignments), a.Job.PendingCount())
 	}
 }
 
-// TestCompletedTaskKeptUntilOutcomeStored: a completed task is not listed any more, but
-// it is known until its outcome is stored too.
+// TestCompletedTaskKeptUntilOutcomeStored guards against dropping a completed task, and
+// starting it again, before its outcome is stored.
 func TestCompletedTaskKeptUntilOutcomeStored(t *testing.T) {
 	h, _, m := newHarnessWithMachine(t, state.PhaseAcknowledged)
 	a := m.SortedAssignments()[0]
 	m.MarkEnded(a, cluster.CauseCompleted)
 	a.Job.SetCompleted(a.Task.Index)
 	h.WriteMachine(m, writequeue.PriorityStart)
-	h.store(t, m.Group, 40)
+	h.storeQueuedWrite(t, m.Group, 40)
 	if len(m.Assignments) != 1 || !a.RemovedFromRecord {
-		t.Errorf("%d assignments, removed from the record: %v", len(m.Assignments), a.RemovedFromRecord)
+		t.Errorf("%d assignments, removed from the record: %v; want 1, true", len(m.Assignments), a.RemovedFromRecord)
 	}
 }
 
-// TestTokenIsRevisionOfItsRecord: the raised token is the revision of the write, and is
-// in force from then on, without the worker's acknowledgement.
+// TestTokenIsRevisionOfItsRecord checks that a raised token is the revision of the write
+// of the record, and that the worker must acknowledge it again.
 func TestTokenIsRevisionOfItsRecord(t *testing.T) {
 	h, _, m := newHarnessWithMachine(t, state.PhaseAcknowledged)
 	m.TokenAcknowledged = true
 	h.RaiseToken(m)
 	if m.Token != 31 || !m.RaisingToken {
-		t.Fatalf("token %d before its record is stored", m.Token)
+		t.Fatalf("token is %d before the record is stored, want 31 and marked as being raised", m.Token)
 	}
-	h.store(t, m.Group, 40)
+	h.storeQueuedWrite(t, m.Group, 40)
 	if m.Token != 40 || m.TokenAcknowledged || m.RaisingToken {
-		t.Errorf("token %d, acknowledged %v, raising %v", m.Token, m.TokenAcknowledged, m.RaisingToken)
+		t.Errorf("token is %d, acknowledged %v, raising %v; want 40, false, false", m.Token, m.TokenAcknowledged, m.RaisingToken)
 	}
 }
--- a/internal/inventory/transfer.go
+++ b/internal/inventory/transfer.go
@@ -10,26 +10,26 @@
 	"stairrelay/internal/writequeue"
 )
 
-// groupTransfer moves a group of idle machines to a shard owned here, by a conditional
-// write on a record that lists no task. The revision of this write is the machines'
-// fencing token: it lies above all earlier ones.
+// groupTransfer moves a group of idle machines to a shard owned here, by a write that is
+// conditional on the mod revision of a record that lists no task. The revision of the
+// write becomes the machines' fencing token. It is higher than all earlier ones.
 //
-// Where the shard that offers the group is owned here too, the group stays with it
-// until the write is stored, and counts as being written until then.
+// If the shard that offers the group is owned here too, the group stays with it and is
+// locked until the write is applied.
 type groupTransfer struct {
 	inventory       *Inventory
 	shard           *state.Shard
 	claimRevision   cluster.Revision
 	groupID         string
-	offeredRevision cluster.ModRevision // of the record when it was offered
+	offeredRevision cluster.ModRevision // of the record when the group was offered
 	fromShard       cluster.ShardID
 	machines        []grouprecord.Machine
-	localGroup      *state.MachineGroup // of a shard owned here; nil: another controller's
-	recordSize      int                 // of the record as last built
+	localGroup      *state.MachineGroup // nil if another controller owns the group
+	recordSize      int                 // of the last encoded record, in bytes
 }
 
-// AcquireGroup takes a group that was offered to a shard at a mod revision of its
-// record.
+// AcquireGroup acquires a group that was offered to a shard when its record had the given
+// mod revision. It does nothing if the record has changed since.
 func (inv *Inventory) AcquireGroup(shard *state.Shard, key string, modRevision cluster.ModRevision) {
 	t := &groupTransfer{
 		inventory:       inv,
@@ -45,7 +45,7 @@
 	})
 }
 
-// begin queues the write if the record lists machines that may be taken.
+// begin enqueues the write if the record lists machines that may be transferred.
 func (t *groupTransfer) begin(value []byte) {
 	record, err := grouprecord.Decode(value)
 	if err != nil || record.ShardID == t.shard.ID || len(record.Machines) == 0 {
@@ -65,11 +65,11 @@
 	})
 }
 
-// isInUse tells whether a machine must stay with its shard.
-func isInUse(line grouprecord.Machine) bool { return len(line.Tasks) > 0 || line.Releasing }
+// isInUse reports whether a machine must stay with its shard.
+func isInUse(entry grouprecord.Machine) bool { return len(entry.Tasks) > 0 || entry.Releasing }
 
-// lock counts a group that is owned here as being written; false: it can't be taken
-// any more.
+// lock locks the group if it is owned here. It returns false if the group can no longer be
+// transferred.
 func (t *groupTransfer) lock() bool {
 	group := t.inventory.state.Groups[t.groupID]
 	if group == nil {
@@ -88,7 +88,7 @@
 	return true
 }
 
-// unlock leaves the group with the shard that offered it.
+// unlock unlocks the group, which stays with the shard that offered it.
 func (t *groupTransfer) unlock() {
 	if t.localGroup != nil {
 		t.localGroup.EndWrite()
@@ -102,20 +102,20 @@
 	return []messages.TxnOp{{Key: state.GroupKey(t.groupID), Value: value}}, []cluster.ModRevision{t.offeredRevision}
 }
 
-// handleStored follows the write: the machines belong to the shard now.
+// handleStored adds the group to the shard after the write was applied.
 func (t *groupTransfer) handleStored(revision cluster.Revision) {
 	inv := t.inventory
-	if t.localGroup != nil && inv.has(t.localGroup) {
-		inv.dropTransferred(t.localGroup, t.shard.ID)
+	if t.localGroup != nil && inv.ownsGroup(t.localGroup) {
+		inv.dropGroup(t.localGroup, t.shard.ID)
 	}
 	if !t.shard.IsOwnedUnder(t.claimRevision) || inv.state.Groups[t.groupID] != nil {
 		return
 	}
 	group := inv.state.AddGroup(t.shard, t.groupID, cluster.ModRevision(revision))
 	group.RecordSize = t.recordSize
-	for _, line := range t.machines {
-		if inv.state.Machines[line.ID] == nil {
-			inv.AddMachine(group, line, cluster.FencingToken(revision))
+	for _, entry := range t.machines {
+		if inv.state.Machines[entry.ID] == nil {
+			inv.AddMachine(group, entry, cluster.FencingToken(revision))
 		}
 	}
 	inv.loop.Log(messages.LogDebug, "machine group acquired", "group", t.groupID, "machines", len(t.machines), "shard", int(t.shard.ID), "from_shard", int(t.fromShard))
@@ -123,13 +123,14 @@
 	inv.scheduler.MaintainMachines()
 }
 
-// handleConflict follows a conflict with another writer of the record.
+// handleConflict checks the record of a group owned here after a conflict with another
+// writer.
 func (t *groupTransfer) handleConflict() {
 	if t.localGroup == nil {
 		return
 	}
 	t.localGroup.EndWrite()
-	if t.inventory.has(t.localGroup) {
+	if t.inventory.ownsGroup(t.localGroup) {
 		t.inventory.checkRecord(t.localGroup)
 	}
 }
--- a/internal/inventory/write.go
+++ b/internal/inventory/write.go
@@ -7,13 +7,13 @@
 	"stairrelay/internal/writequeue"
 )
 
-// tokenRaiseWeight is how many times its size a machine counts whose token is to be
-// raised: it starts nothing until then, and the leases of its tasks run on.
+// tokenRaiseWeight is the factor by which the CPUs of a machine count whose token is to be
+// raised. Until then it starts no tasks, while the leases of its tasks run on.
 const tokenRaiseWeight = 4
 
-// cpusWaiting counts the CPUs that wait for the groups' records: of tasks that may
-// start, here or elsewhere, once the record says so, and of machines that can be used,
-// or offered, only after it.
+// cpusWaiting returns the number of CPUs that wait for the records of the given groups:
+// those of tasks that may start, on the same or another machine, once the record is
+// stored, and those of machines that can be used or offered only then.
 func (inv *Inventory) cpusWaiting(groups ...*state.MachineGroup) float64 {
 	var sum cluster.Amount
 	for _, g := range groups {
@@ -41,13 +41,14 @@
 	return sum
 }
 
-// WriteMachine stores which tasks may be on a machine, with the rest of its group. All
-// that changes while the write waits its turn goes into the same put.
+// WriteMachine enqueues a write of the record that lists a machine, which is that of its
+// group.
 func (inv *Inventory) WriteMachine(machine *state.Machine, priority writequeue.Priority) {
 	inv.WriteGroup(machine.Group, priority)
 }
 
-// groupClaim is a group as it is owned when a write of its record is queued.
+// groupClaim is a group and the claim under which it was owned when a write of its record
+// was queued.
 type groupClaim struct {
 	inventory     *Inventory
 	shard         *state.Shard
@@ -60,35 +61,35 @@
 	return groupClaim{inventory: inv, shard: shard, claimRevision: shard.ClaimRevision, group: group}
 }
 
-// isCurrent tells whether the group is still owned under the same claim.
+// isCurrent reports whether the group is still owned under the same claim.
 func (c *groupClaim) isCurrent() bool {
-	return c.inventory.has(c.group) && c.shard.IsOwnedUnder(c.claimRevision)
+	return c.inventory.ownsGroup(c.group) && c.shard.IsOwnedUnder(c.claimRevision)
 }
 
-// handleConflict follows a conflict with another writer.
+// handleConflict checks the group's record after a conflict with another writer.
 func (c *groupClaim) handleConflict() {
 	c.group.EndWrite()
-	if c.inventory.has(c.group) {
+	if c.inventory.ownsGroup(c.group) {
 		c.inventory.checkRecord(c.group)
 	}
 }
 
-// has tells whether a group is still among those of the owned shards.
-func (inv *Inventory) has(group *state.MachineGroup) bool {
+// ownsGroup reports whether a group still belongs to an owned shard.
+func (inv *Inventory) ownsGroup(group *state.MachineGroup) bool {
 	return inv.state.Groups[group.ID] == group
 }
 
-// groupWrite is the write of one group's record.
+// groupWrite is a write of one group's record.
 type groupWrite struct {
 	groupClaim
 	priority writequeue.Priority
 	snapshot *recordSnapshot // of the last record built
 }
 
-// WriteGroup stores a group's record. One that is in flight already is followed by
-// another. While the record is being read after a conflict nothing is written: a write
-// at a mod revision that is known to be wrong would conflict again, its check would
-// find nothing for the next one, and so on without end.
+// WriteGroup enqueues a write of a group's record. If a write is queued already, it raises
+// the priority of that one. If a write is in flight, another one follows it. If the record
+// is being read after a conflict, the write follows the read: a write at the outdated mod
+// revision would conflict again, without end.
 func (inv *Inventory) WriteGroup(group *state.MachineGroup, priority writequeue.Priority) {
 	if group.RecordCheckPending {
 		group.NextWritePriority = min(group.NextWritePriority, priority)
@@ -117,7 +118,7 @@
 func (w *groupWrite) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 	group := w.group
 	group.QueuedWrite = nil
-	if !w.inventory.has(group) {
+	if !w.inventory.ownsGroup(group) {
 		group.WritePending = false
 		return nil, nil
 	}
@@ -139,8 +140,8 @@
 	w.inventory.queueNextWrite(w.group)
 }
 
-// handleTooLarge follows the refusal of a record by its length: the group is split, or
-// written again later where it has one machine.
+// handleTooLarge splits the group after the store has rejected its record as too large. A
+// group of one machine can't be split and is written again after a delay.
 func (w *groupWrite) handleTooLarge() {
 	inv, group := w.inventory, w.group
 	group.EndWrite()
@@ -157,9 +158,10 @@
 	inv.loop.After(second, func() { inv.queueNextWrite(group) })
 }
 
-// queueNextWrite queues the write that was wanted while one was in flight.
+// queueNextWrite enqueues the write that was wanted while another one was in flight, if
+// there is one.
 func (inv *Inventory) queueNextWrite(group *state.MachineGroup) {
-	if group.NextWritePriority < writequeue.PriorityCount && inv.has(group) {
+	if group.NextWritePriority < writequeue.PriorityCount && inv.ownsGroup(group) {
 		inv.WriteGroup(group, group.NextWritePriority)
 	}
 }
--- a/internal/writequeue/batch.go
+++ b/internal/writequeue/batch.go
@@ -8,38 +8,37 @@
 )
 
 const (
-	// ComparesPerOperation is how many conditions the protocol allows for each
-	// change that a transaction may make.
+	// ComparesPerOperation is the number of compares that the store's protocol
+	// allows per operation of a transaction.
 	ComparesPerOperation = 4
-	// MaxBatchBytes is how much a transaction may hold before nothing is added.
-	// The protocol takes 64 KiB.
+	// MaxBatchBytes is the size above which no more writes are added to a
+	// transaction. The protocol allows 64 KiB.
 	MaxBatchBytes = 40_000
-	// operationOverhead is what a change takes beside its key and value, in bytes,
-	// roughly.
-	operationOverhead = 80
+	// operationOverheadBytes is the estimated encoding overhead of an operation.
+	operationOverheadBytes = 80
 )
 
-// The pauses before the queues are looked at again when a budget is spent.
+// The delays before the next dispatch after a budget is exhausted.
 const (
 	requestBudgetPause = second / 20
 	putBudgetPause     = second / 10
 )
 
-// batch is a transaction while writes are added to it, most urgent first.
+// batch is a transaction that is being filled, in the order of priority.
 //
-// It writes no key twice and none that another transaction in flight writes, holds
-// writes of one shard at most, and stays within the limits of the protocol and
-// what is left of the write rate.
+// It writes each key at most once, and none that a transaction in flight writes. It
+// contains writes of at most one shard, and stays within the limits of the protocol
+// and the remaining write budget.
 type batch struct {
 	queue       *Queue
 	transaction *transaction
-	budget      float64 // puts that may still be spent
+	budget      float64 // remaining puts
 	bytes       int
 	keys        map[string]bool
 }
 
-// nextTransaction makes a transaction of the writes whose turn has come; nil: of
-// none.
+// nextTransaction returns the next transaction to send, or nil if no queued write
+// can be sent now.
 func (q *Queue) nextTransaction() *transaction {
 	now := q.loop.Now()
 	q.putBudget.Refill(now)
@@ -52,10 +51,11 @@
 		return nil
 	}
 	q.sortStarts()
-	q.advanceBackground()
+	q.promoteBackground()
 	b := q.newBatch()
 	for priority := PriorityClaim; priority < PriorityCount; priority++ {
-		// Background writes leave some of the budget to what may come next.
+		// Background writes leave part of the budget to more urgent ones that may
+		// be queued next.
 		if priority == PriorityBackground && b.budget < q.putBudget.Capacity()/3 {
 			if len(q.queues[priority]) > 0 {
 				q.wakeAfter(putBudgetPause)
@@ -63,8 +63,8 @@
 			break
 		}
 		queue := q.queues[priority]
-		q.queues[priority] = nil // what a Build enqueues comes behind the rest
-		rest := b.takeFrom(queue, priority)
+		q.queues[priority] = nil // writes enqueued by a Build go behind the rest
+		rest := b.fillFrom(queue, priority)
 		q.queues[priority] = append(rest, q.queues[priority]...)
 	}
 	return b.finish()
@@ -81,11 +81,12 @@
 	}
 }
 
-// takeFrom adds what it can of a queue, and returns the rest in its order.
-func (b *batch) takeFrom(queue []*Write, priority Priority) []*Write {
+// fillFrom adds the writes of a queue that fit, and returns the others in their
+// order.
+func (b *batch) fillFrom(queue []*Write, priority Priority) []*Write {
 	var rest []*Write
 	for i, write := range queue {
-		if b.isClosedTo(priority) {
+		if b.isFullFor(priority) {
 			return append(rest, queue[i:]...)
 		}
 		if float64(len(write.Keys)) > b.budget {
@@ -101,18 +102,18 @@
 	return rest
 }
 
-// isClosedTo tells whether nothing of a priority may be added any more: the
-// transaction is full, or what it holds is so much more urgent that it goes
-// without.
-func (b *batch) isClosedTo(priority Priority) bool {
+// isFullFor reports whether no write of the given priority may be added, because the
+// transaction is full or its writes are too much more urgent to be sent with it.
+func (b *batch) isFullFor(priority Priority) bool {
 	if len(b.transaction.operations) >= b.queue.config.MaxTxnOps {
 		return true
 	}
 	return b.transaction.priority != PriorityCount && priority > max(b.transaction.priority, PriorityAdmission)+1
 }
 
-// conflictsWith tells whether a write can't be in the same transaction as those
-// that it has already, or not yet.
+// conflictsWith reports whether a write can't be added to the transaction, because
+// it belongs to another shard, exceeds a limit of the protocol, must be sent alone,
+// or has a key that this transaction or one in flight writes.
 func (b *batch) conflictsWith(write *Write) bool {
 	t, maxOps := b.transaction, b.queue.config.MaxTxnOps
 	compares := len(t.compares) + len(write.Keys) + max(write.MaxExtraCompares, len(write.ExtraCompares)) + 1
@@ -134,13 +135,13 @@
 	return false
 }
 
-// add builds a write and adds it, unless its shard's claim was lost or it is no
-// longer wanted.
+// add builds a write and adds it, unless the claim of its shard was lost or it has
+// no operations.
 func (b *batch) add(write *Write, priority Priority) {
-	// Without the claim there is no mod revision of ours to make the write
-	// conditional on: the one that is known is the new owner's.
+	// After the claim is lost, the known mod revision is that of the new owner's
+	// claim, which must not guard a write of this controller.
 	if write.ShardID != cluster.NoShard && priority != PriorityClaim && !b.queue.ownership.ClaimOf(write.ShardID).Owned {
-		write.loseOwnership()
+		write.notifyOwnershipLost()
 		return
 	}
 	t := b.transaction
@@ -151,7 +152,7 @@
 	for i, operation := range operations {
 		t.compares = append(t.compares, messages.Compare{Key: operation.Key, ModRevision: modRevisions[i]})
 		b.keys[operation.Key] = true
-		b.bytes += len(operation.Value) + len(operation.Key) + operationOverhead
+		b.bytes += len(operation.Value) + len(operation.Key) + operationOverheadBytes
 	}
 	t.operations = append(t.operations, operations...)
 	t.compares = append(t.compares, write.ExtraCompares...)
@@ -164,8 +165,8 @@
 	t.priority = min(t.priority, priority)
 }
 
-// finish makes the transaction conditional on its shard's claim and marks its keys
-// as in flight; nil: there is nothing in it.
+// finish makes the transaction conditional on its shard's claim, marks its keys as in
+// flight and returns it. It returns nil if the transaction is empty.
 func (b *batch) finish() *transaction {
 	t := b.transaction
 	if len(t.writes) == 0 {
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -15,28 +15,28 @@
 const second = cluster.Second
 
 const (
-	// maxTransactionsInFlight bounds the transactions that wait for their answers.
+	// maxTransactionsInFlight is the maximum number of transactions in flight.
 	maxTransactionsInFlight = 6
-	// backgroundShare is how many background writes go out for each more urgent
-	// put even when those would take the whole rate: ended tasks are acknowledged
-	// only after them, and heartbeats and records grow until then.
-	backgroundShare = 0.25
-	// maxBackgroundDeficit bounds the background writes that are owed after a
-	// time without any.
-	maxBackgroundDeficit = 2
-	// demandSmoothing is the weight of the last second in the smoothed demand.
+	// backgroundCreditPerPut is the credit for background writes that each put earns.
+	// It prevents the starvation of background writes. Ended tasks are acknowledged
+	// only after such writes, so without them heartbeats and records would grow.
+	backgroundCreditPerPut = 0.25
+	// maxBackgroundCredit limits the credit for background writes.
+	maxBackgroundCredit = 2
+	// demandSmoothing is the weight of the latest sample in the moving average of
+	// the demand.
 	demandSmoothing = 0.4
 )
 
-// Claim is a shard's claim record as this controller last saw it.
+// Claim is a shard's claim record as this controller last read or wrote it.
 type Claim struct {
 	Key         string
 	ModRevision cluster.ModRevision
 	Owned       bool // by this controller
 }
 
-// StoredTransaction says that a transaction of a shard was carried out, so that
-// the claim which guarded it, or which it made, was in force when it was sent.
+// StoredTransaction describes an applied transaction of a shard. It proves that the
+// claim which guarded it, or which it wrote, was in force at SentAt.
 type StoredTransaction struct {
 	ShardID  cluster.ShardID
 	Claim    cluster.ModRevision
@@ -44,40 +44,42 @@
 	SentAt   cluster.Time
 }
 
-// ShardOwnership is what the queue needs of the shards' ownership.
+// ShardOwnership provides the claims of shards and is notified when writes confirm
+// or refute them.
 type ShardOwnership interface {
 	// ClaimOf returns a shard's claim.
 	ClaimOf(cluster.ShardID) Claim
 	// HandleDeposed is called when another controller has acquired a shard.
 	HandleDeposed(cluster.ShardID)
-	// HandleStored is called after the writes of a shard's transaction were
-	// reported as applied.
+	// HandleStored is called after OnApplied was called for the writes of a
+	// shard's transaction.
 	HandleStored(StoredTransaction)
 }
 
-// Config is what the queue knows from the start.
+// Config is the configuration of a Queue.
 type Config struct {
-	// InstanceID begins the ids of all writes; unique to this process.
+	// InstanceID is the prefix of all write IDs. It must be unique to this process.
 	InstanceID string
-	// RequestRPS is the limit on requests a second of all controllers together.
+	// RequestRPS is the limit on requests per second, shared by all controllers.
 	RequestRPS float64
-	// WriteRPS is the lowest limit on puts a second, of all controllers together,
-	// that the settings name for now or later.
+	// WriteRPS is the limit on puts per second, shared by all controllers. If the
+	// settings announce a change of the limit it is the lower of the two.
 	WriteRPS float64
-	// CurrentWriteRPS is used in place of a lower WriteRPS until it is refused.
+	// CurrentWriteRPS is the limit at present. It is used instead of a lower WriteRPS
+	// until the store throttles this controller.
 	CurrentWriteRPS float64
-	// BudgetShare is how much of a limit is used.
+	// BudgetShare is the fraction of each limit that the controllers use.
 	BudgetShare float64
-	// MaxTxnOps is how many changes a transaction may make.
+	// MaxTxnOps is the maximum number of operations of a transaction.
 	MaxTxnOps int
 	// Controllers is the number of all controllers.
 	Controllers int
-	// ShareByDemand returns this controller's part of a limit on puts a second that
-	// so many live controllers share, given what it could use itself.
+	// ShareByDemand returns this controller's share of a limit on puts per second,
+	// given its demand in puts per second and the number of live controllers.
 	ShareByDemand func(limit, demand float64, liveControllers int) float64
 }
 
-// Counters count what was asked of the state service since they were last taken.
+// Counters counts the requests sent to the store, by kind, since they were last reset.
 type Counters struct {
 	PutsByPriority [PriorityCount]int
 	Transactions   int
@@ -86,10 +88,12 @@
 	Reads          int
 }
 
-// Queue spends the state service's write budget. A transaction whose outcome is
-// unknown is sent again unchanged: its conditions on the mod revisions of the keys
-// that it sets make a late copy harmless, and its write id shows whether it was
-// applied.
+// Queue sends reads and writes to the store within this controller's share of the
+// store's rate limits.
+//
+// A transaction whose outcome is unknown is sent again unchanged. It is conditional
+// on the mod revisions of the keys that it sets, so at most one copy of it is
+// applied, and the write ID in its records shows whether one was.
 type Queue struct {
 	Health Health
 
@@ -104,23 +108,23 @@
 	lastWriteNumber int
 	wakeScheduled   bool
 
-	putBudget         ratelimit.TokenBucket
-	requestBudget     ratelimit.TokenBucket
-	writeRPS          float64 // that the state service allows all controllers together, as far as is known
-	liveControllers   int
-	demand            float64 // puts a second that this controller could use, smoothed
-	putsSent          int     // since the demand was last measured
-	backgroundDeficit float64 // background writes that are owed
+	putBudget        ratelimit.TokenBucket
+	requestBudget    ratelimit.TokenBucket
+	writeRPS         float64 // limit on puts per second, shared by all controllers
+	liveControllers  int
+	demand           float64 // smoothed, in puts per second
+	putsSent         int     // since the last call of MeasureDemand
+	backgroundCredit float64 // credit for background writes
 }
 
-// New makes a queue with full budgets. Dispatch sends what was enqueued.
+// New returns a queue with full budgets. Enqueued writes are sent by Dispatch.
 func New(loop *eventloop.Loop, config Config, ownership ShardOwnership) *Queue {
 	q := &Queue{loop: loop, ownership: ownership, inFlightKeys: map[string]bool{}}
 	q.Configure(config)
 	return q
 }
 
-// Configure takes over limits, and fills the budgets.
+// Configure replaces the configuration and fills the budgets.
 func (q *Queue) Configure(config Config) {
 	q.config = config
 	q.writeRPS = max(config.WriteRPS, config.CurrentWriteRPS)
@@ -129,7 +133,7 @@
 	q.requestBudget.Fill()
 }
 
-// SetLiveControllers divides the limits among the controllers that are alive.
+// SetLiveControllers sets the number of live controllers, which share the limits.
 func (q *Queue) SetLiveControllers(live int) {
 	q.liveControllers = max(live, 1)
 	requests := q.config.RequestRPS * (q.config.BudgetShare / float64(q.liveControllers))
@@ -137,11 +141,11 @@
 	q.divideWriteRate()
 }
 
-// LiveControllers is how many controllers share the limits.
+// LiveControllers returns the number of controllers that share the limits.
 func (q *Queue) LiveControllers() int { return q.liveControllers }
 
-// MeasureDemand works out how many puts this controller could use; to be called
-// once a second.
+// MeasureDemand updates the demand and the share of the write rate that follows from
+// it. It must be called once per second.
 func (q *Queue) MeasureDemand() {
 	want := float64(q.putsSent) + float64(q.Depth())/2
 	q.putsSent = 0
@@ -149,25 +153,26 @@
 	q.divideWriteRate()
 }
 
-// Demand is how many puts a second this controller could use.
+// Demand returns the smoothed number of puts per second that this controller could use.
 func (q *Queue) Demand() float64 { return q.demand }
 
-// divideWriteRate gives each controller its share of the write rate by what it
-// could use: teams, and so work, are spread unevenly, and an even division would
-// leave most of the rate idle while one shard's starts wait. All know each other's
-// demand from their pings; where they differ for a moment the state service refuses.
+// divideWriteRate sets the put budget to this controller's share of the write rate.
+// The shares follow the demand, since work is spread unevenly over the shards: with
+// equal shares most of the rate would be unused while the starts of one shard wait.
+// Controllers learn each other's demand from pings. While they disagree, the store
+// throttles what exceeds the limit.
 func (q *Queue) divideWriteRate() {
 	rate := q.config.ShareByDemand(q.writeRPS*q.config.BudgetShare, q.demand, q.liveControllers)
 	q.putBudget.SetRate(rate, max(rate, float64(q.config.MaxTxnOps)))
 }
 
-// PutBudget is what this controller may write.
+// PutBudget returns the token bucket that limits the puts of this controller.
 func (q *Queue) PutBudget() *ratelimit.TokenBucket { return &q.putBudget }
 
-// SharedWriteRPS is the rate of puts that all controllers share.
+// SharedWriteRPS returns the limit on puts per second that all controllers share.
 func (q *Queue) SharedWriteRPS() float64 { return q.writeRPS }
 
-// Depth is the number of writes that wait for their turn.
+// Depth returns the number of queued writes.
 func (q *Queue) Depth() int {
 	depth := 0
 	for _, queue := range q.queues {
@@ -176,32 +181,32 @@
 	return depth
 }
 
-// Queued lists the writes of a priority that wait for their turn.
+// Queued returns the queued writes of a priority.
 func (q *Queue) Queued(priority Priority) []*Write { return q.queues[priority] }
 
-// InFlight is the number of transactions that wait for their answers.
+// InFlight returns the number of transactions in flight.
 func (q *Queue) InFlight() int { return q.inFlight }
 
-// Counters returns what was counted since the counters were last taken.
+// Counters returns the counters.
 func (q *Queue) Counters() Counters { return q.counters }
 
-// TakeCounters returns what was counted since they were last taken.
+// TakeCounters returns the counters and resets them.
 func (q *Queue) TakeCounters() Counters {
 	counters := q.counters
 	q.counters = Counters{}
 	return counters
 }
 
-// Enqueue adds a write behind those of its priority.
+// Enqueue appends a write to the queue of a priority.
 func (q *Queue) Enqueue(priority Priority, write *Write) {
 	write.priority, write.queuedAt = priority, q.loop.Now()
 	q.queues[priority] = append(q.queues[priority], write)
 }
 
-// requeue adds a write again that was refused because of another in its
-// transaction: one step behind, so that the other one does not take it along at
-// once. An acquire stays one, since any other write is dropped while its shard is
-// not owned.
+// requeue enqueues a write again whose transaction failed because of another write.
+// It lowers the priority by one step, so that the two don't fail together again in
+// the next transaction. The write of a claim keeps its priority, since writes of
+// lower priority are dropped while the shard is not owned.
 func (q *Queue) requeue(write *Write) {
 	if write.priority == PriorityClaim {
 		q.Enqueue(PriorityClaim, write)
@@ -210,7 +215,8 @@
 	q.Enqueue(min(write.priority+1, PriorityBackground), write)
 }
 
-// RaisePriority moves the queued write of a key to a more urgent priority.
+// RaisePriority moves the queued write that key identifies to a higher priority. It
+// has no effect if there is none with a lower priority.
 func (q *Queue) RaisePriority(key string, priority Priority) {
 	for lower := priority + 1; lower < PriorityCount; lower++ {
 		for i, write := range q.queues[lower] {
@@ -223,7 +229,7 @@
 	}
 }
 
-// Cancel takes back a write whose turn has not come.
+// Cancel removes a write from its queue. It has no effect if the write is not queued.
 func (q *Queue) Cancel(write *Write) {
 	for priority, queue := range q.queues {
 		if i := slices.Index(queue, write); i >= 0 {
@@ -233,7 +239,8 @@
 	}
 }
 
-// DropShard drops the queued writes of a shard whose claim was lost.
+// DropShard removes the queued writes of a shard whose claim was lost, and calls
+// their OnOwnershipLost.
 func (q *Queue) DropShard(shard cluster.ShardID) {
 	var lost []*Write
 	for priority, queue := range q.queues {
@@ -247,14 +254,14 @@
 		}
 		q.queues[priority] = kept
 	}
-	for _, write := range lost { // these may enqueue writes of other shards
+	for _, write := range lost { // the callbacks may enqueue writes of other shards
 		write.OnOwnershipLost()
 	}
 }
 
-// sortStarts puts those writes of starts first for which most CPUs have waited
-// longest, by put: a record with little to start waits until more can share its
-// put. Each ages, so none waits for ever.
+// sortStarts sorts the writes of starts by the CPU time lost per put, largest first,
+// so that the write budget starts as much work as possible. The rank of each write
+// grows while it is queued, so none starves.
 func (q *Queue) sortStarts() {
 	queue := q.queues[PriorityStart]
 	if len(queue) < 2 || q.putBudget.Level() < 1 {
@@ -271,18 +278,20 @@
 	slices.SortStableFunc(queue, func(a, b *Write) int { return cmp.Compare(rank[b], rank[a]) })
 }
 
-// advanceBackground puts a background write before the starts when it is owed.
-func (q *Queue) advanceBackground() {
+// promoteBackground moves a background write before the starts if there is credit for
+// one.
+func (q *Queue) promoteBackground() {
 	background := q.queues[PriorityBackground]
-	if q.backgroundDeficit < 1 || len(background) == 0 {
+	if q.backgroundCredit < 1 || len(background) == 0 {
 		return
 	}
-	q.backgroundDeficit = 0
+	q.backgroundCredit = 0
 	q.queues[PriorityBackground] = background[1:]
 	q.queues[PriorityStart] = append([]*Write{background[0]}, q.queues[PriorityStart]...)
 }
 
-// Dispatch sends what the budgets and the keys in flight allow.
+// Dispatch sends queued writes as far as the budgets, the maximum number of
+// transactions in flight and the keys in flight allow.
 func (q *Queue) Dispatch() {
 	for q.inFlight < maxTransactionsInFlight {
 		next := q.nextTransaction()
@@ -293,7 +302,8 @@
 	}
 }
 
-// wakeAfter has Dispatch called again after a time: a timer makes a step.
+// wakeAfter starts a timer, unless one is running, so that the controller calls Dispatch
+// again after the delay.
 func (q *Queue) wakeAfter(delay cluster.Time) {
 	if q.wakeScheduled {
 		return
@@ -307,7 +317,7 @@
 	q.inFlight++
 	q.putBudget.Spend(float64(puts))
 	q.putsSent += puts
-	q.backgroundDeficit = min(q.backgroundDeficit+backgroundShare*float64(puts), maxBackgroundDeficit)
+	q.backgroundCredit = min(q.backgroundCredit+backgroundCreditPerPut*float64(puts), maxBackgroundCredit)
 	q.requestBudget.Spend(1)
 	if t.sendCount++; t.sendCount == 1 {
 		t.firstSentAt = q.loop.Now()
@@ -322,8 +332,8 @@
 	q.loop.Emit(messages.StoreTxn{Call: call, If: t.compares, Then: t.operations})
 }
 
-// DeleteInBackground removes a key of a shard, unless it has changed since a mod
-// revision. Nothing follows from the outcome.
+// DeleteInBackground enqueues the deletion of a key of a shard, on condition that the
+// key still has the given mod revision. The outcome is ignored.
 func (q *Queue) DeleteInBackground(shard cluster.ShardID, key string, modRevision cluster.ModRevision) {
 	q.Enqueue(PriorityBackground, &Write{
 		ShardID: shard,
--- a/internal/writequeue/queue_test.go
+++ b/internal/writequeue/queue_test.go
@@ -8,7 +8,7 @@
 	"stairrelay/internal/messages"
 )
 
-// fakeOwnership owns every shard under the same claim, and notes what it is told.
+// fakeOwnership returns the same claim for every shard and records its calls.
 type fakeOwnership struct {
 	claim   Claim
 	deposed []cluster.ShardID
@@ -24,7 +24,7 @@
 
 func (f *fakeOwnership) HandleStored(stored StoredTransaction) { f.stored = append(f.stored, stored) }
 
-// newTestQueue is the queue of one of seven controllers.
+// newTestQueue returns the queue of one of seven controllers.
 func newTestQueue() (*eventloop.Loop, *Queue, *fakeOwnership) {
 	loop := eventloop.New()
 	ownership := &fakeOwnership{claim: Claim{Key: "parts/0", ModRevision: 7, Owned: true}}
@@ -42,19 +42,19 @@
 	return loop, New(loop, config, ownership), ownership
 }
 
-// TestNoRateDebtAfterStorePartition: what is sent again and again while the store is out of
-// reach does not keep the controller from writing when it is back.
-func TestNoRateDebtAfterStorePartition(t *testing.T) {
+// TestRetriesDoNotOverdrawPutBudget guards against retries during a network partition
+// that use up the put budget, so that the controller can't write afterwards.
+func TestRetriesDoNotOverdrawPutBudget(t *testing.T) {
 	_, q, _ := newTestQueue()
 	pending := &transaction{operations: make([]messages.TxnOp, 20), shardID: cluster.NoShard}
 	before := q.putBudget.Level()
 	q.send(pending)
-	for i, out := range []messages.Outcome{messages.UnknownOutcome, messages.NotApplied, messages.UnknownOutcome, messages.Throttled, messages.UnknownOutcome} {
-		q.handleReply(pending, messages.TxnReply{Outcome: out})
+	for i, outcome := range []messages.Outcome{messages.UnknownOutcome, messages.NotApplied, messages.UnknownOutcome, messages.Throttled, messages.UnknownOutcome} {
+		q.handleReply(pending, messages.TxnReply{Outcome: outcome})
 		q.inFlight--
 		q.send(pending)
 		if q.putBudget.Level() < before-21 {
-			t.Fatalf("after %d tries %.0f puts in debt", i+2, -q.putBudget.Level())
+			t.Fatalf("after %d attempts the put budget is overdrawn by %.0f", i+2, -q.putBudget.Level())
 		}
 	}
 }
--- a/internal/writequeue/reads.go
+++ b/internal/writequeue/reads.go
@@ -6,7 +6,7 @@
 	"stairrelay/internal/messages"
 )
 
-// recordOutcome takes in the outcome of a request.
+// recordOutcome updates the health and the request budget after a request.
 func (q *Queue) recordOutcome(outcome messages.Outcome) {
 	q.Health.recordOutcome(q.loop.Now(), outcome)
 	if outcome == messages.Throttled {
@@ -14,19 +14,19 @@
 	}
 }
 
-// IsUnavailableFor tells whether the state service has not served this controller
-// for longer than a time.
+// IsUnavailableFor reports whether requests have been failing for longer than the
+// given duration.
 func (q *Queue) IsUnavailableFor(duration cluster.Time) bool {
 	return q.Health.IsUnavailableFor(q.loop.Now(), duration)
 }
 
-// IsOverdrawn tells whether reads have spent more than a whole budget of requests
-// in advance.
+// IsRequestBudgetOverdrawn reports whether the request budget is overdrawn by more
+// than its capacity. Reads may overdraw it.
 func (q *Queue) IsRequestBudgetOverdrawn() bool {
 	return q.requestBudget.Level() < -q.requestBudget.Capacity()
 }
 
-// ReadKey reads a key. It is charged to the request budget, but never held back.
+// ReadKey reads a key. Reads are charged to the request budget but never delayed.
 func (q *Queue) ReadKey(key string, handle func(messages.GetReply)) {
 	q.requestBudget.Refill(q.loop.Now())
 	q.requestBudget.Spend(1)
@@ -39,7 +39,7 @@
 	q.loop.Emit(messages.StoreGet{Call: call, Key: key})
 }
 
-// ListPrefix reads all keys with a prefix; charged as ReadKey is.
+// ListPrefix reads all keys with a prefix. It is charged like ReadKey.
 func (q *Queue) ListPrefix(prefix string, handle func(messages.ListReply)) {
 	q.requestBudget.Spend(1)
 	q.counters.Reads++
@@ -51,9 +51,9 @@
 	q.loop.Emit(messages.StoreList{Call: call, Prefix: prefix})
 }
 
-// ReadChanges reads at once what changed under a prefix after a revision; charged
-// as ReadKey is. Its outcome says nothing of the state service's health, as a
-// position may be too old.
+// ReadChanges reads the changes of the keys with a prefix after a revision, without
+// waiting for further ones. It is charged like ReadKey. The outcome doesn't count for
+// the health of the store, since the revision may have been compacted.
 func (q *Queue) ReadChanges(prefix string, since cluster.Revision, handle func(messages.WatchReply)) {
 	q.requestBudget.Spend(1)
 	q.counters.Reads++
--- a/internal/writequeue/reply.go
+++ b/internal/writequeue/reply.go
@@ -5,17 +5,16 @@
 	"stairrelay/internal/messages"
 )
 
-// The pauses before a transaction is sent again: the first, doubled with each
-// sending up to maxRetryDoublings times.
+// The delay before a transaction is sent again is retryBackoffBase, doubled with each
+// attempt up to maxBackoffDoublings times.
 const (
-	firstRetryPause   = 100 * millisecond
-	maxRetryDoublings = 4
-	// resolveRetryPause is the pause before a key is read again that may show the
-	// outcome of a transaction in doubt.
+	retryBackoffBase    = 100 * millisecond
+	maxBackoffDoublings = 4
+	// resolveRetryPause is the delay before a failed read is repeated that is to
+	// show whether a transaction was applied.
 	resolveRetryPause = 300 * millisecond
 )
 
-// handleReply follows the answer to a transaction.
 func (q *Queue) handleReply(t *transaction, reply messages.TxnReply) {
 	q.recordOutcome(reply.Outcome)
 	switch reply.Outcome {
@@ -34,7 +33,7 @@
 		if reply.Outcome == messages.Throttled {
 			q.lowerWriteRate()
 		}
-		q.refund(t) // not carried out: it cost nothing
+		q.refund(t)
 		q.retry(t)
 	case messages.Invalid:
 		q.finish(t)
@@ -42,11 +41,12 @@
 	case messages.UnknownOutcome, messages.NotFound, messages.Compacted:
 		q.retryInDoubt(t)
 	default:
-		q.retryInDoubt(t) // whatever it stands for, the transaction may have been applied
+		q.retryInDoubt(t) // an unexpected outcome: the transaction may have been applied
 	}
 }
 
-// retryInDoubt sends a transaction again that may have been applied.
+// retryInDoubt sends a transaction again of which it is unknown whether it was
+// applied.
 func (q *Queue) retryInDoubt(t *transaction) {
 	t.inDoubt = true
 	q.refund(t)
@@ -60,35 +60,35 @@
 	}
 }
 
-// refund gives back what a sending took that is going to be repeated. Charged for
-// each, a controller that was cut off from the state service for half a minute came
-// back with a debt of hundreds of puts and stored no submission for a minute.
+// refund returns the puts of a transaction to the budget before it is sent again.
+// Otherwise the retries during a network partition would overdraw the budget, and
+// the controller couldn't write for some time afterwards.
 func (q *Queue) refund(t *transaction) { q.putBudget.Refund(float64(len(t.operations))) }
 
 func (q *Queue) retry(t *transaction) {
-	pause := firstRetryPause << min(t.sendCount, maxRetryDoublings)
+	pause := retryBackoffBase << min(t.sendCount, maxBackoffDoublings)
 	q.loop.After(pause, func() {
 		q.inFlight--
 		q.send(t)
 	})
 }
 
-// lowerWriteRate keeps to the lower of the limits that the settings name, once the
-// state service has refused more than that.
+// lowerWriteRate switches from CurrentWriteRPS to a lower WriteRPS after the store has
+// throttled this controller.
 func (q *Queue) lowerWriteRate() {
 	if q.writeRPS <= q.config.WriteRPS {
 		return
 	}
-	q.loop.Log(messages.LogInfo, "store throttles the write rate", "write_rps", q.writeRPS, "lowered_to_rps", q.config.WriteRPS)
+	q.loop.Log(messages.LogInfo, "store throttled a request; lowering the write rate", "write_rps", q.writeRPS, "lowered_to_rps", q.config.WriteRPS)
 	q.writeRPS = q.config.WriteRPS
 	q.divideWriteRate()
 }
 
-// handleInvalid follows a refusal as malformed: perhaps the state service's limits
-// were lowered and one of the records is too large. Each write is built anew, by
-// itself, so that this one shows.
+// handleInvalid handles the rejection of a transaction as malformed. One of its
+// records may exceed the size limit of the store, so each write is retried in a
+// transaction of its own. A write that was rejected alone is reported to its owner.
 func (q *Queue) handleInvalid(t *transaction) {
-	q.loop.Log(messages.LogInfo, "store rejects a transaction as malformed", "key_count", len(t.operations), "key", t.operations[0].Key, "write_count", len(t.writes))
+	q.loop.Log(messages.LogInfo, "store rejected a transaction as malformed", "key_count", len(t.operations), "key", t.operations[0].Key, "write_count", len(t.writes))
 	for _, write := range t.writes {
 		switch {
 		case len(t.writes) > 1:
@@ -117,9 +117,9 @@
 	q.ownership.HandleStored(StoredTransaction{ShardID: t.shardID, Claim: claim, Revision: revision, SentAt: t.firstSentAt})
 }
 
-// handleConflict sorts the writes of a refused transaction into those whose own
-// keys were changed by another writer, those whose shard was lost, and the rest,
-// which are queued again.
+// handleConflict handles the failure of a compare. It reports a conflict to the
+// writes whose keys another writer changed, and the loss of ownership to those whose
+// shard's claim was replaced. The other writes are queued again.
 func (q *Queue) handleConflict(t *transaction, failedKeys []string) {
 	changed := make(map[string]bool, len(failedKeys))
 	for _, key := range failedKeys {
@@ -127,7 +127,8 @@
 	}
 	deposed := t.claim != 0 && changed[q.ownership.ClaimOf(t.shardID).Key]
 	if deposed {
-		// A transaction under an earlier claim may come back after a new one.
+		// The reply to a transaction under an earlier claim doesn't refute a later
+		// claim of this controller.
 		if claim := q.ownership.ClaimOf(t.shardID); claim.Owned && claim.ModRevision == t.claim {
 			q.ownership.HandleDeposed(t.shardID)
 		}
@@ -135,7 +136,7 @@
 	for _, write := range t.writes {
 		switch {
 		case deposed && write.ShardID == t.shardID:
-			write.loseOwnership()
+			write.notifyOwnershipLost()
 		case write.conflictsIn(changed):
 			write.OnConflict()
 		default:
@@ -144,10 +145,10 @@
 	}
 }
 
-// resolveInDoubt finds out whether a transaction that failed when it was sent again
-// had been applied before. It is atomic, so any key that still shows its write id
-// tells; one alone may have been changed since, as a new job's record is by the
-// job's owner.
+// resolveInDoubt finds out whether a transaction whose retry failed with a conflict
+// was applied by an earlier attempt. Since transactions are atomic, one key that has
+// the transaction's write ID is sufficient. All keys are tried, since a later write
+// may have changed some of them.
 func (q *Queue) resolveInDoubt(t *transaction, failedKeys []string) {
 	var keys []string
 	for _, operation := range t.operations {
@@ -155,11 +156,12 @@
 			keys = append(keys, operation.Key)
 		}
 	}
-	q.resolveFrom(t, keys, failedKeys)
+	q.findWriteID(t, keys, failedKeys)
 }
 
-// resolveFrom reads the keys that may show the write id, one after the other.
-func (q *Queue) resolveFrom(t *transaction, keys, failedKeys []string) {
+// findWriteID reads the keys one after the other until one has the write ID of the
+// transaction, which then was applied. If none has, the conflict is final.
+func (q *Queue) findWriteID(t *transaction, keys, failedKeys []string) {
 	if len(keys) == 0 {
 		q.finish(t)
 		q.handleConflict(t, failedKeys)
@@ -171,9 +173,9 @@
 			q.finish(t)
 			q.handleApplied(t, cluster.Revision(reply.KV.ModRevision))
 		case reply.Outcome == messages.OK || reply.Outcome == messages.NotFound:
-			q.resolveFrom(t, keys[1:], failedKeys)
+			q.findWriteID(t, keys[1:], failedKeys)
 		default:
-			q.loop.After(resolveRetryPause, func() { q.resolveFrom(t, keys, failedKeys) })
+			q.loop.After(resolveRetryPause, func() { q.findWriteID(t, keys, failedKeys) })
 		}
 	})
 }
--- a/internal/writequeue/watch.go
+++ b/internal/writequeue/watch.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	// watchTimeout is how long the state service may take to answer a watch.
+	// watchTimeout is the maximum time that the store waits for changes before it
+	// replies to a watch request.
 	watchTimeout = 20 * second
-	// watchRetryPause is the pause after a watch that failed.
+	// watchRetryPause is the delay before a failed watch request is repeated.
 	watchRetryPause = second
 )
 
-// PrefixWatch follows the keys with a prefix.
+// PrefixWatch describes a watch on the keys with a prefix.
 type PrefixWatch struct {
 	Prefix string
-	// Position is the revision up to which the changes are known. The watch moves
-	// it on; its owner may do so as well, after reading further by other means.
+	// Position is the revision up to which the changes are known. The watch advances
+	// it. Its owner may also advance it after reading later changes by other means.
 	Position *cluster.Revision
-	// Pause is the time between two requests, in which changes gather.
+	// Pause is the delay between a reply and the next request. Changes made in the
+	// meantime arrive in one reply.
 	Pause cluster.Time
 	// OnChange is called with each key that was changed or deleted.
 	OnChange func(messages.KV)
-	// OnCompacted is called, and the watch ends, when the state service does not
-	// know the changes after the position any more: all keys have to be read again.
+	// OnCompacted is called when the store no longer keeps the changes after
+	// Position, so that all keys must be read again. The watch ends with it.
 	OnCompacted func()
 }
 
-// Watch follows the keys with a prefix until it is told that its position is too
-// old. Watches are not charged to the request budget, and their outcomes say nothing
-// of the state service's health, as they wait there most of the time.
+// Watch watches the keys with a prefix until its position has been compacted. Watch
+// requests are not charged to the request budget. They are long polls, so their
+// outcomes don't count for the health of the store.
 func (q *Queue) Watch(watch PrefixWatch) {
 	call := eventloop.Call(q.loop, func(reply messages.WatchReply) {
 		switch reply.Outcome { //nolint:exhaustive // any other outcome is a failure, after which the watch goes on
@@ -41,7 +43,7 @@
 			*watch.Position = max(*watch.Position, reply.Revision)
 			q.loop.After(watch.Pause, func() { q.Watch(watch) })
 		case messages.Compacted:
-			q.loop.Log(messages.LogInfo, "changes missed, reading all keys again",
+			q.loop.Log(messages.LogInfo, "watch position was compacted; reading all keys again",
 				"prefix", watch.Prefix,
 				"since_revision", uint64(*watch.Position))
 			q.loop.After(watch.Pause, watch.OnCompacted)
--- a/internal/writequeue/write.go
+++ b/internal/writequeue/write.go
@@ -1,12 +1,16 @@
-// Package writequeue is the controller's way to the state service: it queues
-// writes by priority, joins them into transactions, spends the write and request
-// budgets, retries what may not have been carried out, and knows whether the
-// state service serves this controller.
+// Package writequeue is the controller's client of the consensus-backed key-value
+// store. It queues writes by priority, batches them into compare-and-swap
+// transactions, enforces the write and request budgets, retries failed
+// transactions, and tracks whether the store serves this controller.
 //
-// Invariants: a key is in one transaction in flight at most; a write of a shard
-// goes out only on condition of the shard's claim; a write is reported as applied,
-// in conflict or lost to another owner exactly once, also where the outcome of
-// its transaction was in doubt.
+// Invariants:
+//
+//   - A key is in at most one transaction in flight.
+//   - A write of a shard, other than that of its claim, is sent only in a transaction
+//     that is conditional on the claim.
+//   - A write that was sent is reported exactly once, as applied, conflicting, too
+//     large or lost to another owner, even if the outcome of its transaction was in
+//     doubt.
 package writequeue
 
 import (
@@ -17,56 +21,62 @@
 	"stairrelay/internal/messages"
 )
 
-// Priority orders writes: the write rate is spent on the most urgent first.
+// Priority is the priority of a write. Writes of a higher priority get the write
+// budget first.
 type Priority int
 
-// The priorities, most urgent first.
+// The priorities, highest first.
 const (
-	PriorityClaim      Priority = iota // a shard's claim
-	PriorityScaleOut                   // provisioning requests: few, and what waits for them waits for a whole boot
-	PriorityAdmission                  // submissions
-	PriorityStart                      // assignments of tasks
-	PriorityOutcome                    // ended tasks and jobs
-	PriorityBackground                 // what may wait: checkpoints and repairs
-	// PriorityCount is the number of priorities; as a priority, lower than all.
+	PriorityClaim      Priority = iota // claims of shards
+	PriorityScaleOut                   // provisioning requests and changes of a shard's machines
+	PriorityAdmission                  // admissions of submitted jobs
+	PriorityStart                      // assignments of tasks to machines
+	PriorityOutcome                    // outcomes of tasks and jobs
+	PriorityBackground                 // checkpoints, repairs and other deferrable writes
+	// PriorityCount is the number of priorities. As a priority it is lower than
+	// every other one.
 	PriorityCount
 )
 
-// Write is a change that is built when its turn comes, so that everything that
-// happens to a record while it waits shares one put.
+// Write is a queued change of one or more records. Its contents are built when it is
+// added to a transaction, so that one put stores all changes made while it was
+// queued.
 type Write struct {
 	// ShardID is the shard whose claim guards the write, or cluster.NoShard.
 	ShardID cluster.ShardID
-	// Keys are those that Build returns changes of; the first identifies the write.
+	// Keys are the keys that Build may change. The first one identifies the write.
 	Keys []string
-	// Build returns the changes and the mod revisions that their keys must have.
-	// Without changes the write is no longer wanted, and nothing is called.
+	// Build returns the operations and, for each of them, the mod revision that its
+	// key must have. If it returns no operations the write is dropped and none of
+	// the callbacks is called.
 	Build func(writeID string) ([]messages.TxnOp, []cluster.ModRevision)
-	// ExtraCompares are further conditions, which Build may set.
+	// ExtraCompares are additional conditions. Build may set them.
 	ExtraCompares []messages.Compare
-	// MaxExtraCompares is how many of them Build may come to set.
+	// MaxExtraCompares is the maximum number of ExtraCompares that Build sets.
 	MaxExtraCompares int
-	// CPUsWaiting counts the CPUs that stand idle until the write is done; nil: none.
+	// CPUsWaiting returns the number of CPUs that are idle until the write is
+	// applied. If it is nil there are none.
 	CPUsWaiting func() float64
-	// OnApplied is called when the write was carried out, with its revision.
+	// OnApplied is called with the revision of the write after it was applied.
 	OnApplied func(cluster.Revision)
-	// InDoubt is set before OnApplied when a late copy of the write may yet arrive.
+	// InDoubt is set before OnApplied is called if a delayed copy of the write may
+	// still reach the store.
 	InDoubt bool
-	// OnTooLarge is called when the state service refuses the write by itself as
-	// malformed; nil: OnConflict is called instead.
+	// OnTooLarge is called if the store rejects the write as malformed when it is
+	// sent in a transaction of its own. If it is nil, OnConflict is called instead.
 	OnTooLarge func()
-	// OnConflict is called when another writer changed one of the keys.
+	// OnConflict is called if another writer changed one of the keys.
 	OnConflict func()
-	// OnOwnershipLost is called when the shard's claim was lost; nil: nothing is.
+	// OnOwnershipLost is called if the shard's claim was lost. It may be nil.
 	OnOwnershipLost func()
 
-	priority  Priority // of the queue that it was last added to
+	priority  Priority // of the queue to which it was last added
 	queuedAt  cluster.Time
-	sendAlone bool // the state service called a transaction with it malformed
+	sendAlone bool // the store rejected a transaction that contained it as malformed
 }
 
-// conflictsIn tells whether a key that the write sets or compares is among those
-// that another writer changed.
+// conflictsIn reports whether changed, the keys that other writers have changed,
+// contains a key that the write sets or compares.
 func (w *Write) conflictsIn(changed map[string]bool) bool {
 	for _, key := range w.Keys {
 		if changed[key] {
@@ -81,14 +91,15 @@
 	return false
 }
 
-// loseOwnership tells the write's owner that the claim which guards it is gone.
-func (w *Write) loseOwnership() {
+// notifyOwnershipLost calls OnOwnershipLost, if it is set.
+func (w *Write) notifyOwnershipLost() {
 	if w.OnOwnershipLost != nil {
 		w.OnOwnershipLost()
 	}
 }
 
-// WriteIDOf reads the id of the write that stored a record; empty: it has none.
+// WriteIDOf returns the ID of the write that stored a record. It returns an empty
+// string if the record has no write ID or can't be decoded.
 func WriteIDOf(value []byte) string {
 	var record struct {
 		WriteID string `json:"w"`
@@ -99,11 +110,12 @@
 	return record.WriteID
 }
 
-// WriterOf reads the instance of the process that stored a record; empty: the
-// record has no write id.
+// WriterOf returns the instance ID of the process that stored a record. It returns
+// an empty string if the record has no write ID.
 func WriterOf(value []byte) string { return InstanceOf(WriteIDOf(value)) }
 
-// InstanceOf is the instance of the controller process that made a write id.
+// InstanceOf returns the instance ID of the controller process that generated a
+// write ID.
 func InstanceOf(writeID string) string {
 	if i := strings.LastIndexByte(writeID, '-'); i > 0 {
 		return writeID[:i]
@@ -111,17 +123,17 @@
 	return writeID
 }
 
-// transaction is what is sent to the state service: writes with one outcome.
+// transaction is a batch of writes that the store applies atomically.
 type transaction struct {
 	writes         []*Write
-	priority       Priority // the most urgent of its writes'
+	priority       Priority // the highest priority of its writes
 	writeID        string
 	compares       []messages.Compare
 	operations     []messages.TxnOp
-	inDoubt        bool // an earlier sending may have been, or may yet be, carried out
+	inDoubt        bool // an earlier attempt may have been applied, or may still be
 	sendCount      int
 	firstSentAt    cluster.Time
 	putsByPriority [PriorityCount]int
-	shardID        cluster.ShardID     // whose claim guards it, or cluster.NoShard
-	claim          cluster.ModRevision // of that claim; 0 for an acquire
+	shardID        cluster.ShardID     // the shard whose claim guards it, or cluster.NoShard
+	claim          cluster.ModRevision // of that claim, or 0 if the transaction writes the claim
 }
