--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -131,7 +131,7 @@
 	job.Cancelling = true
 	g.Tasks.WithdrawUnsentStarts(job)
 	g.Tasks.StopAll(job)
-	g.records.WriteJob(job, writequeue.Outcome)
+	g.records.WriteJob(job, writequeue.PriorityOutcome)
 }
 
 // updateReadiness updates whether a job is blocked, and requests scheduling once all its
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -73,7 +73,7 @@
 // number of seconds after which they should be retried.
 func (s *Submissions) OverloadRetryAfter(priority cluster.Priority) int {
 	// Waiting submissions share puts.
-	putsQueued := float64(len(s.writeQueue.Queued(writequeue.Admit))) + s.queue.putsNeeded()
+	putsQueued := float64(len(s.writeQueue.Queued(writequeue.PriorityAdmission))) + s.queue.putsNeeded()
 	wait := putsQueued / max(s.writeQueue.PutBudget().Rate(), 1)
 	// A process that handles its events late is overloaded, too.
 	wait = max(wait, s.Process.EventDelay().Seconds())
--- a/internal/scheduling/assign.go
+++ b/internal/scheduling/assign.go
@@ -206,7 +206,7 @@
 		capacity.addFetch(job)
 	}
 	a.remaining--
-	a.shared.deps.Records.WriteMachine(machine, writequeue.Start)
+	a.shared.deps.Records.WriteMachine(machine, writequeue.PriorityStart)
 }
 
 // addedRecordBytes estimates by how many bytes a task enlarges its group's record. A
