--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -78,7 +78,7 @@
 // ForceCall implements inventory.Cloud.
 func (a inventoryCloud) ChargeCall() { a.controller.provisioner.Rate.ForceCall() }
 
-// ReadList implements inventory.Cloud.
+// ListMachines implements inventory.Cloud.
 func (a inventoryCloud) ListMachines(handle func(machines []cluster.ListedMachine, ok bool)) {
 	a.controller.provisioner.List.Read(handle)
 }
