--- a/internal/reconcile/machine_maintenance_test.go
+++ b/internal/reconcile/machine_maintenance_test.go
@@ -7,29 +7,28 @@
 	"stairrelay/internal/state"
 )
 
-// TestHungMachineReleasedAfterFailover: after a failover an old copy of a heartbeat
-// arrives from a machine with cancelled tasks. It proves no life: unless the machine
-// acknowledges its token soon, it is released; one without such tasks is not.
+// TestHungMachineReleasedAfterFailover checks that a delayed heartbeat that arrives after
+// a failover does not keep a hung machine with cancelled tasks from being released.
 func TestHungMachineReleasedAfterFailover(t *testing.T) {
 	for _, test := range []struct {
 		name                              string
 		cancelled, acknowledges, released bool
 	}{
-		{"cancelled, no acknowledgement", true, false, true},
-		{"cancelled, acknowledged", true, true, false},
+		{"cancelled, token not acknowledged", true, false, true},
+		{"cancelled, token acknowledged", true, true, false},
 		{"not cancelled", false, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
 			job := h.addJob()
-			machine, listed := h.addRunningMachine(job)
+			machine, assignment := h.addRunningMachine(job)
 			machine.Incarnation, machine.SequenceNumber, machine.TokenAcknowledged, machine.AwaitingFirstAcknowledgement = 0, 0, false, true
-			listed.Phase = state.PhaseUnverified
-			job.Cancelling, listed.StopRequested = test.cancelled, test.cancelled
+			assignment.Phase = state.PhaseUnverified
+			job.Cancelling, assignment.StopRequested = test.cancelled, test.cancelled
 			h.setTime(h.loop.Now() + second)
 			status := cluster.HeartbeatStatus{
 				Machine: machine.ID, Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1,
-				Tasks: []cluster.TaskStatus{{Task: listed.Task, Attempt: listed.Attempt, State: cluster.Running}},
+				Tasks: []cluster.TaskStatus{{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Running}},
 			}
 			if test.acknowledges {
 				status.FencingToken = machine.Token
@@ -38,17 +37,16 @@
 			h.setTime(h.loop.Now() + h.Maintenance.firstAcknowledgementTimeout() + second)
 			h.Maintenance.Run()
 			if machine.Releasing != test.released {
-				t.Errorf("released %v, want %v", machine.Releasing, test.released)
+				t.Errorf("released: %v, want %v", machine.Releasing, test.released)
 			}
 		})
 	}
 }
 
-// TestMachinesWithCancelledTasksCalledFirst: machines with cancelled tasks that are
-// silent, or wait for a higher token that an outage keeps from being stored, are called
-// with the stops, before all others.
-func TestMachinesWithCancelledTasksCalledFirst(t *testing.T) {
-	for name, silent := range map[string]bool{"silent": true, "token being raised": false} {
+// TestStopsPushedToMachinesWithCancelledTasks checks that stops of cancelled tasks are
+// pushed even if the machine sends no heartbeats or its token is still being raised.
+func TestStopsPushedToMachinesWithCancelledTasks(t *testing.T) {
+	for name, silent := range map[string]bool{"no heartbeats": true, "token being raised": false} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			machine, running := h.addRunningMachine(h.addJob())
@@ -67,7 +65,7 @@
 				}
 			}
 			if len(got) != 1 || got[0].Kind != cluster.Stop {
-				t.Errorf("called with %+v, want one stop", got)
+				t.Errorf("pushed %+v, want one stop", got)
 			}
 		})
 	}
--- a/internal/scheduling/spot_test.go
+++ b/internal/scheduling/spot_test.go
@@ -7,41 +7,39 @@
 	"stairrelay/internal/state"
 )
 
-// TestSpotPreference checks that of two machines that are equal otherwise, a job that
-// would lose much on a spot machine gets the on-demand one, and one that saves
-// checkpoints leaves it that; where no great loss is to be expected the market does
-// not matter.
+// TestSpotPreference checks that only jobs with a high expected loss or a tight objective
+// prefer on-demand machines, and that jobs with checkpoints then leave these to them.
 func TestSpotPreference(t *testing.T) {
 	f := newFixture()
-	f.spotInterruptionRate = 11.0 / 23_600 // nearly two an hour
-	p, spot, onDemand := f.shard, true, false
-	jobWith := func(run, checkpoint float64) *state.Job {
-		return &state.Job{Spec: cluster.JobSpec{Spot: true, RuntimeSeconds: run, CheckpointIntervalSeconds: checkpoint, ImageGB: 1.5, Class: "c"}}
+	f.spotInterruptionRate = 11.0 / 23_600 // nearly two interruptions per hour
+	shard, spot, onDemand := f.shard, true, false
+	jobWith := func(runSeconds, checkpointSeconds float64) *state.Job {
+		return &state.Job{Spec: cluster.JobSpec{Spot: true, RuntimeSeconds: runSeconds, CheckpointIntervalSeconds: checkpointSeconds, ImageGB: 1.5, Class: "c"}}
 	}
-	isSuited := f.Spot.IsMarketSuited
-	short, long, saves := jobWith(15, 0), jobWith(60, 0), jobWith(60, 30)
-	if !isSuited(p, long, onDemand) || isSuited(p, long, spot) {
-		t.Error("60 s that can't be saved are sent to a spot machine")
+	isPreferred := f.Spot.IsPreferredMarket
+	short, long, checkpointing := jobWith(15, 0), jobWith(60, 0), jobWith(60, 30)
+	if !isPreferred(shard, long, onDemand) || isPreferred(shard, long, spot) {
+		t.Error("a job with tasks of 60 s and no checkpoints prefers a spot machine")
 	}
-	if isSuited(p, short, onDemand) != isSuited(p, short, spot) || isSuited(p, saves, onDemand) != isSuited(p, saves, spot) {
-		t.Error("the kind of machine matters where no loss is to be expected")
+	if isPreferred(shard, short, onDemand) != isPreferred(shard, short, spot) || isPreferred(shard, checkpointing, onDemand) != isPreferred(shard, checkpointing, spot) {
+		t.Error("a job with a low expected loss has a preferred market")
 	}
 	f.config.SLOs = []cluster.SLO{{Kind: "deadline", Class: "tight", DeadlineFactor: 1}, {Kind: "finished", Class: "c", WithinSeconds: 80}}
 	f.Configure(f.config)
-	due := jobWith(15, 0)
-	due.Spec.Tasks = 20
-	few := jobWith(15, 0)
-	few.Spec.Class, few.Spec.DeadlineSeconds, few.Spec.Tasks = "tight", 40, 3
-	if !isSuited(p, few, spot) {
-		t.Error("three short tasks, of which hardly ever one is lost, are scattered over on-demand machines")
+	tight := jobWith(15, 0)
+	tight.Spec.Tasks = 20
+	fewTasks := jobWith(15, 0)
+	fewTasks.Spec.Class, fewTasks.Spec.DeadlineSeconds, fewTasks.Spec.Tasks = "tight", 40, 3
+	if !isPreferred(shard, fewTasks, spot) {
+		t.Error("a job with a tight deadline but only three short tasks avoids spot machines")
 	}
-	if due.Spec.Class, due.Spec.DeadlineSeconds = "tight", 40; isSuited(p, due, spot) || !isSuited(p, short, spot) {
-		t.Error("a job that could not make its deadline with a restarted task goes to spot machines, or one with time to spare does not")
+	if tight.Spec.Class, tight.Spec.DeadlineSeconds = "tight", 40; isPreferred(shard, tight, spot) || !isPreferred(shard, short, spot) {
+		t.Error("a job that would miss its deadline with a restarted task does not avoid spot machines, or a job with enough time does")
 	}
-	if p.AvoidSpot = true; isSuited(p, saves, onDemand) || !isSuited(p, saves, spot) {
-		t.Error("a job that saves checkpoints does not leave the on-demand machine to others")
+	if shard.AvoidSpot = true; isPreferred(shard, checkpointing, onDemand) || !isPreferred(shard, checkpointing, spot) {
+		t.Error("a job that saves checkpoints does not prefer spot machines while another job needs on-demand ones")
 	}
-	if f.Spot.IsOnDemandWorthFetching(long) || !f.Spot.IsOnDemandWorthFetching(jobWith(150, 0)) {
-		t.Error("a new fetch of 6 s is not weighed against the expected loss")
+	if f.Spot.IsOnDemandWorthImageFetch(long) || !f.Spot.IsOnDemandWorthImageFetch(jobWith(150, 0)) {
+		t.Error("the expected loss is not compared with the 6 s of an image fetch")
 	}
 }
