--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -144,7 +144,7 @@
 	c.provisioner.Types.Load()
 	c.loop.Every(eventloop.FixedInterval(t.CheckpointInterval), c.writeBackgroundState)
 	c.loop.Every(eventloop.FixedInterval(second), c.writeQueue.MeasureDemand)
-	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.Rate.MeasureDemand)
+	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.RateLimiter.MeasureDemand)
 	c.loop.Every(eventloop.FixedInterval(reconcile.MaintenanceInterval), c.reconciler.Maintenance.Run)
 	c.loop.Every(eventloop.FixedInterval(second), c.provisioner.ScaleOut.Run)
 	c.loop.Every(eventloop.FixedInterval(2*second), c.workerReachability.Probe)
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -76,7 +76,7 @@
 func (a inventoryCloud) ScheduleScaleIn() { a.controller.provisioner.ScaleIn.ScheduleCall() }
 
 // ForceCall implements inventory.Cloud.
-func (a inventoryCloud) ForceCall() { a.controller.provisioner.Rate.ForceCall() }
+func (a inventoryCloud) ForceCall() { a.controller.provisioner.RateLimiter.ForceAcquire() }
 
 // ReadList implements inventory.Cloud.
 func (a inventoryCloud) ReadList(handle func(machines []cluster.ListedMachine, ok bool)) {
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -21,8 +21,8 @@
 		for _, peer := range c.members.Peers() {
 			c.members.HandlePingReply(peer, &messages.Ping{CloudDemand: demand[peer.ID()]}, c.loop.Now())
 		}
-		c.provisioner.Rate.SetDemand(demand[self])
-		return c.provisioner.Rate.Share()
+		c.provisioner.RateLimiter.SetDemand(demand[self])
+		return c.provisioner.RateLimiter.Share()
 	}
 	demand := map[cluster.NodeID]float64{"n0": 4}
 	busy := view("n0", demand)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -52,7 +52,7 @@
 	c := h.controller
 	c.ownership.DescribeOwnership(to, ping)
 	ping.TransferOffers = c.scheduler.Rebalancer.TransferOffers()
-	ping.CloudDemand = c.provisioner.Rate.Demand()
+	ping.CloudDemand = c.provisioner.RateLimiter.Demand()
 	ping.ShardLoads = c.scheduler.Loads.Owned()
 }
 
@@ -67,7 +67,9 @@
 }
 
 // HandleReachabilityChange implements membership.Host.
-func (h membershipHost) HandleReachabilityChange() { h.controller.provisioner.Rate.Divide() }
+func (h membershipHost) HandleReachabilityChange() {
+	h.controller.provisioner.RateLimiter.UpdateShare()
+}
 
 // ReviewOwnership implements membership.Host.
 func (h membershipHost) ReviewOwnership() { h.controller.ownership.ConsiderAcquires() }
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -130,7 +130,7 @@
 		"conflicts", writes.Conflicts,
 		"reads", writes.Reads,
 		"peer_calls", c.members.TakeCallCount(),
-		"cloud_calls", c.provisioner.Rate.TakeCallCount(),
+		"cloud_calls", c.provisioner.RateLimiter.TakeCallCount(),
 		"machine_scans", counts.MachineScans,
 		"shards", c.ownedShardCount(),
 		"stalled_shards", c.stalledShardCount(),
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -60,7 +60,7 @@
 // reported picks the demand on it from another controller's ping.
 func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, reported func(*messages.Ping) float64) float64 {
 	if c.members == nil { // the write queue is made first, and asks at once
-		return ratelimit.Divide(limit, demand, liveControllers, nil)
+		return ratelimit.ShareByDemand(limit, demand, liveControllers, nil)
 	}
 	peers := c.members.Peers()
 	others := make([]ratelimit.Demand, 0, len(peers))
@@ -70,5 +70,5 @@
 			others = append(others, ratelimit.Demand{Rate: reported(peer.LastPing()), Known: known})
 		}
 	}
-	return ratelimit.Divide(limit, demand, liveControllers, others)
+	return ratelimit.ShareByDemand(limit, demand, liveControllers, others)
 }
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -36,7 +36,7 @@
 	dropTimers(b.Controller) // no new division of the rate
 	b.writeQueue.PutBudget().SetRate(rate, 1)
 	b.writeQueue.PutBudget().Refill(b.loop.Now())
-	b.writeQueue.PutBudget().Lower(0)
+	b.writeQueue.PutBudget().LowerTo(0)
 }
 
 // TestMostWaitingCPUsAreRecordedFirst: of two records of which the one with
--- a/internal/fairshare/load.go
+++ b/internal/fairshare/load.go
@@ -45,7 +45,7 @@
 // Surplus returns what the shard can release when it keeps spareShare of its demand
 // as spare capacity, and the fixed reserve. It is negative when the shard has less
 // than that.
-func (l ShardLoad) Surplus(spareShare float64) cluster.Amount {
+func (l ShardLoad) ReleasableCapacity(spareShare float64) cluster.Amount {
 	demand := l.TotalDemand()
 	spare := cluster.Amount(float64(demand) * spareShare)
 	return l.Available - demand - spare - scaleInReserve
--- a/internal/fairshare/plan.go
+++ b/internal/fairshare/plan.go
@@ -80,7 +80,7 @@
 // Between shards that all lack machines, demands change every second. A machine that
 // is transferred has to be drained first and then fetches its images anew, so only
 // what exceeds the target by a margin is given up, and no more than others lack.
-func (p *Plan) Spare(shard cluster.ShardID) cluster.Amount {
+func (p *Plan) TransferableCapacity(shard cluster.ShardID) cluster.Amount {
 	if p.TotalShortfall <= 0 {
 		return 0
 	}
@@ -129,7 +129,7 @@
 
 // PickWithin chooses, in order, the sizes that fit into what remains of a budget and
 // returns their positions. Sizes of 0 are skipped.
-func PickWithin(sizes []cluster.Amount, budget cluster.Amount) []int {
+func SelectWithinBudget(sizes []cluster.Amount, budget cluster.Amount) []int {
 	var picked []int
 	for i, size := range sizes {
 		if size == 0 || size > budget {
--- a/internal/fairshare/plan_test.go
+++ b/internal/fairshare/plan_test.go
@@ -77,7 +77,7 @@
 		{"within the margin", Snapshot{0: load(55, 0, 0, 100), 1: load(45, 0, 0, 100)}, 5*cpu - 50*cpu/6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := NewPlan(test.loads).Spare(0); got != test.want {
+			if got := NewPlan(test.loads).TransferableCapacity(0); got != test.want {
 				t.Errorf("spare %d, want %d", got, test.want)
 			}
 		})
@@ -161,7 +161,7 @@
 	if l.TotalDemand() != 40*cpu {
 		t.Errorf("total demand %d, want %d", l.TotalDemand(), 40*cpu)
 	}
-	if got := l.Surplus(0.5); got != 32*cpu {
+	if got := l.ReleasableCapacity(0.5); got != 32*cpu {
 		t.Errorf("surplus %d, want %d", got, 32*cpu)
 	}
 }
@@ -180,7 +180,7 @@
 		24:   {0, 1},
 		1000: {0, 1, 3, 4, 5},
 	} {
-		if got := PickWithin(sizes, budget); !reflect.DeepEqual(got, want) {
+		if got := SelectWithinBudget(sizes, budget); !reflect.DeepEqual(got, want) {
 			t.Errorf("budget %d: picked %v, want %v", budget, got, want)
 		}
 	}
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -122,7 +122,7 @@
 
 // shareAmongUnknown shares a limit with controllers whose demand is not known.
 func shareAmongUnknown(limit, demand float64, live int) float64 {
-	return ratelimit.Divide(limit, demand, live, make([]ratelimit.Demand, live-1))
+	return ratelimit.ShareByDemand(limit, demand, live, make([]ratelimit.Demand, live-1))
 }
 
 // setTime moves the time on within a step.
--- a/internal/provisioning/machinelist.go
+++ b/internal/provisioning/machinelist.go
@@ -43,16 +43,16 @@
 // have failed, and orphans that no record lists. One regular reading runs at a time.
 type MachineList struct {
 	*shared
-	rate    *RequestRate
-	scaleIn *ScaleIn
+	rateLimiter *CloudRateLimiter
+	scaleIn     *ScaleIn
 
 	reading       bool
 	nextReadAt    cluster.Time // no reading begins before
 	lastPageCount int          // of the last whole list
 }
 
-func newMachineList(base *shared, rate *RequestRate, scaleIn *ScaleIn) *MachineList {
-	l := &MachineList{shared: base, rate: rate, scaleIn: scaleIn}
+func newMachineList(base *shared, rate *CloudRateLimiter, scaleIn *ScaleIn) *MachineList {
+	l := &MachineList{shared: base, rateLimiter: rate, scaleIn: scaleIn}
 	l.nextReadAt = l.firstReadAt()
 	return l
 }
@@ -78,7 +78,7 @@
 
 // Poll reads the list if that is due and the share of requests allows it.
 func (l *MachineList) Poll() {
-	if l.reading || l.loop.Now() < l.nextReadAt || !l.rate.TryCall() {
+	if l.reading || l.loop.Now() < l.nextReadAt || !l.rateLimiter.TryAcquire() {
 		return
 	}
 	l.nextReadAt = l.loop.Now() + l.interval()
@@ -159,7 +159,7 @@
 
 // requestPageWhenAllowed asks for a page as soon as the share of requests allows it.
 func (r *machineListReading) requestPageWhenAllowed(after cluster.MachineID) {
-	if !r.list.rate.TryCall() {
+	if !r.list.rateLimiter.TryAcquire() {
 		r.list.loop.After(listRetryDelay, func() { r.requestPageWhenAllowed(after) })
 		return
 	}
@@ -170,7 +170,7 @@
 func (r *machineListReading) handlePage(after cluster.MachineID, page messages.CloudListReply) {
 	switch {
 	case page.Outcome == messages.Throttled:
-		r.list.rate.HandleThrottled()
+		r.list.rateLimiter.HandleThrottled()
 		r.list.loop.After(listThrottledDelay, func() { r.requestPageWhenAllowed(after) })
 		return
 	case page.Outcome != messages.OK:
--- a/internal/provisioning/machinelist_test.go
+++ b/internal/provisioning/machinelist_test.go
@@ -51,7 +51,7 @@
 func TestMachineListWithinCloudRate(t *testing.T) {
 	const throttledCall = 3 // refused once: the page is asked for again
 	h := newHarness(t)
-	h.Rate.bucket.Fill()
+	h.RateLimiter.bucket.Fill()
 	calls, listed := 0, false
 	begin := h.loop.Now()
 	h.List.Poll()
@@ -88,12 +88,12 @@
 // request goes out at once.
 func TestThrottledPageEmptiesShare(t *testing.T) {
 	h := newHarness(t)
-	h.Rate.bucket.SetRate(1, 10)
-	h.Rate.bucket.Fill()
+	h.RateLimiter.bucket.SetRate(1, 10)
+	h.RateLimiter.bucket.Fill()
 	h.List.Poll()
 	request := h.listRequests()[0]
 	h.loop.Deliver(messages.Reply{Call: request.Call, Body: messages.CloudListReply{Outcome: messages.Throttled}})
-	if h.Rate.TryCall() {
+	if h.RateLimiter.TryAcquire() {
 		t.Error("a request went out right after one was refused for the rate")
 	}
 }
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -107,7 +107,7 @@
 // periodic methods are first called by the owner of the loop.
 type Provisioner struct {
 	// Rate is this controller's share of the cloud's request rate.
-	Rate *RequestRate
+	RateLimiter *CloudRateLimiter
 	// Types keeps the cloud's machine types.
 	Types *TypeCache
 	// Spot measures how often spot machines are lost.
@@ -134,12 +134,12 @@
 // New makes a provisioner that knows of no machine types.
 func New(loop *eventloop.Loop, st *state.State, queue *writequeue.Queue, config Config, deps Dependencies) *Provisioner {
 	base := &shared{loop: loop, state: st, queue: queue, config: &config, deps: deps}
-	p := &Provisioner{Rate: newRequestRate(loop, &config), Spot: &SpotInterruptions{}}
-	p.Types = &TypeCache{shared: base, rate: p.Rate}
-	p.ScaleIn = &ScaleIn{shared: base, rate: p.Rate}
-	p.List = newMachineList(base, p.Rate, p.ScaleIn)
-	p.Requests = &Requests{shared: base, rate: p.Rate}
-	p.ScaleOut = &ScaleOut{shared: base, rate: p.Rate, list: p.List, requests: p.Requests}
+	p := &Provisioner{RateLimiter: newCloudRateLimiter(loop, &config), Spot: &SpotInterruptions{}}
+	p.Types = &TypeCache{shared: base, rateLimiter: p.RateLimiter}
+	p.ScaleIn = &ScaleIn{shared: base, rateLimiter: p.RateLimiter}
+	p.List = newMachineList(base, p.RateLimiter, p.ScaleIn)
+	p.Requests = &Requests{shared: base, rateLimiter: p.RateLimiter}
+	p.ScaleOut = &ScaleOut{shared: base, rateLimiter: p.RateLimiter, list: p.List, requests: p.Requests}
 	p.Requests.handleAnswer = p.ScaleOut.Schedule
 	return p
 }
--- a/internal/provisioning/rate.go
+++ b/internal/provisioning/ratelimiter.go
@@ -18,7 +18,7 @@
 // the state service's write rate: the owner of the only shard with work would
 // otherwise request a fleet at a fraction of the rate, while controllers without need
 // had the rest.
-type RequestRate struct {
+type CloudRateLimiter struct {
 	loop   *eventloop.Loop
 	config *Config
 
@@ -30,16 +30,16 @@
 }
 
 // newRequestRate makes a rate whose burst is available in full.
-func newRequestRate(loop *eventloop.Loop, config *Config) *RequestRate {
-	r := &RequestRate{loop: loop, config: config}
-	r.Divide()
+func newCloudRateLimiter(loop *eventloop.Loop, config *Config) *CloudRateLimiter {
+	r := &CloudRateLimiter{loop: loop, config: config}
+	r.UpdateShare()
 	r.bucket.Fill()
 	return r
 }
 
 // MeasureDemand works out what this controller could use; to be called once a second.
 // A need shows at once and fades slowly.
-func (r *RequestRate) MeasureDemand() {
+func (r *CloudRateLimiter) MeasureDemand() {
 	want := float64(r.recentCalls)
 	if r.wasDenied {
 		want = r.config.CloudRPS
@@ -49,28 +49,28 @@
 }
 
 // SetDemand takes over how many requests a second this controller could use.
-func (r *RequestRate) SetDemand(demand float64) {
+func (r *CloudRateLimiter) SetDemand(demand float64) {
 	r.demand = demand
-	r.Divide()
+	r.UpdateShare()
 }
 
 // Demand is how many requests a second this controller could use.
-func (r *RequestRate) Demand() float64 { return r.demand }
+func (r *CloudRateLimiter) Demand() float64 { return r.demand }
 
 // Divide works out this controller's share anew; to be called when the demand or the
 // reachability of another controller has changed.
-func (r *RequestRate) Divide() {
+func (r *CloudRateLimiter) UpdateShare() {
 	r.bucket.Refill(r.loop.Now())
 	rate := r.config.ShareByDemand(r.config.CloudRPS*r.config.BudgetShare, r.demand)
 	r.bucket.SetRate(rate, max(burstSeconds*rate, 1))
 }
 
 // Share is how many requests a second this controller may make.
-func (r *RequestRate) Share() float64 { return r.bucket.Rate() }
+func (r *CloudRateLimiter) Share() float64 { return r.bucket.Rate() }
 
 // TryCall takes a request out of the share. If there is none left it records that a
 // request had to wait, and returns false.
-func (r *RequestRate) TryCall() bool {
+func (r *CloudRateLimiter) TryAcquire() bool {
 	if !r.bucket.Take(r.loop.Now(), 1) {
 		r.wasDenied = true
 		return false
@@ -81,13 +81,13 @@
 
 // ForceCall counts a request that waits for nothing: without the machine types nothing
 // runs, and a request that is repeated was taken out of the share once.
-func (r *RequestRate) ForceCall() {
+func (r *CloudRateLimiter) ForceAcquire() {
 	r.bucket.Refill(r.loop.Now())
 	r.bucket.Spend(1)
 	r.countCall()
 }
 
-func (r *RequestRate) countCall() {
+func (r *CloudRateLimiter) countCall() {
 	r.recentCalls++
 	r.countedCalls++
 }
@@ -95,10 +95,10 @@
 // HandleThrottled is called when the cloud has refused a request for its rate: the
 // controllers' views of their shares differ for a moment, and this one has used more
 // than there was.
-func (r *RequestRate) HandleThrottled() { r.bucket.Lower(0) }
+func (r *CloudRateLimiter) HandleThrottled() { r.bucket.LowerTo(0) }
 
 // TakeCallCount returns the requests made since the count was last taken.
-func (r *RequestRate) TakeCallCount() int {
+func (r *CloudRateLimiter) TakeCallCount() int {
 	count := r.countedCalls
 	r.countedCalls = 0
 	return count
--- a/internal/provisioning/rate_test.go
+++ b/internal/provisioning/ratelimiter_test.go
@@ -5,9 +5,9 @@
 // TestDeniedCallRaisesDemand shows that a call that had to wait shows as demand at
 // once.
 func TestDeniedCallRaisesDemand(t *testing.T) {
-	rate := newHarness(t).Rate
+	rate := newHarness(t).RateLimiter
 	rate.HandleThrottled()
-	if rate.TryCall() || !rate.wasDenied {
+	if rate.TryAcquire() || !rate.wasDenied {
 		t.Error("a call without a share was let through, or not noted")
 	}
 	before := rate.Share()
--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -27,7 +27,7 @@
 // machines of a name once, however often it is asked for them.
 type Requests struct {
 	*shared
-	rate *RequestRate
+	rateLimiter *CloudRateLimiter
 
 	// handleAnswer is called when the cloud has answered a request, so that another
 	// one may take its place.
@@ -87,7 +87,7 @@
 		return
 	}
 	if request.Attempts++; request.Attempts > 1 {
-		r.rate.ForceCall()
+		r.rateLimiter.ForceAcquire()
 	}
 	call := eventloop.Call(r.loop, func(reply messages.ScaleOutReply) {
 		if shard.IsProvisioningCurrent(request) {
@@ -115,7 +115,7 @@
 		request.MarkAnswered(0)
 		r.complete(shard, request, nil)
 	case messages.Throttled:
-		r.rate.HandleThrottled()
+		r.rateLimiter.HandleThrottled()
 		r.loop.After(requestThrottledDelay, func() { r.call(shard, request) })
 	default:
 		r.loop.After(requestRetryDelay, func() { r.call(shard, request) })
--- a/internal/provisioning/scalein.go
+++ b/internal/provisioning/scalein.go
@@ -34,7 +34,7 @@
 // ScaleIn gives machines back to the cloud. Many share one call and one log line.
 type ScaleIn struct {
 	*shared
-	rate *RequestRate
+	rateLimiter *CloudRateLimiter
 
 	callScheduled bool
 	unlogged      releaseSummary
@@ -114,7 +114,7 @@
 // call tells the cloud of the machines whose release is recorded.
 func (s *ScaleIn) call() {
 	machines := s.confirmedReleases()
-	if len(machines) == 0 || !s.rate.TryCall() {
+	if len(machines) == 0 || !s.rateLimiter.TryAcquire() {
 		return
 	}
 	ids := make([]cluster.MachineID, len(machines))
--- a/internal/provisioning/scalein_test.go
+++ b/internal/provisioning/scalein_test.go
@@ -45,7 +45,7 @@
 		machine.ConfirmRelease()
 	}
 	nextCall := func() messages.CloudScaleIn {
-		h.Rate.bucket.Fill() // the share of requests is not what is tested
+		h.RateLimiter.bucket.Fill() // the share of requests is not what is tested
 		h.ScaleIn.ScheduleCall()
 		h.pass(scaleInDelay)
 		call, _ := takeEffect[messages.CloudScaleIn](t, h)
--- a/internal/provisioning/scaleout.go
+++ b/internal/provisioning/scaleout.go
@@ -71,9 +71,9 @@
 // beyond what is free, coming or offered by other shards.
 type ScaleOut struct {
 	*shared
-	rate     *RequestRate
-	list     *MachineList
-	requests *Requests
+	rateLimiter *CloudRateLimiter
+	list        *MachineList
+	requests    *Requests
 
 	scheduled bool // a run before the next regular one
 }
@@ -178,7 +178,7 @@
 			continue
 		}
 		count := s.countNeeded(option, work)
-		if count == 0 || !s.rate.TryCall() {
+		if count == 0 || !s.rateLimiter.TryAcquire() {
 			return
 		}
 		unanswered++
--- a/internal/provisioning/scaleout_test.go
+++ b/internal/provisioning/scaleout_test.go
@@ -26,8 +26,8 @@
 	shard.OutOfCapacityUntil = map[state.ProvisioningOption]cluster.Time{}
 	spec := cluster.JobSpec{ID: "j-1", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Spot: spot, RuntimeSeconds: 60}
 	h.host.work = scheduling.PendingWork{{Job: state.NewJob(spec, shard.ID, 1, h.loop.Now()), Count: tasks}}
-	h.Rate.bucket.SetRate(100, 100)
-	h.Rate.bucket.Fill()
+	h.RateLimiter.bucket.SetRate(100, 100)
+	h.RateLimiter.bucket.Fill()
 	return h, shard
 }
 
@@ -88,7 +88,7 @@
 			h.host.canScaleOut = false
 		}, nil},
 		{"nothing without a share of the request rate", 9, false, func(h *harness, _ *state.Shard) {
-			h.Rate.HandleThrottled()
+			h.RateLimiter.HandleThrottled()
 		}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -42,7 +42,7 @@
 // them is in progress.
 type TypeCache struct {
 	*shared
-	rate *RequestRate
+	rateLimiter *CloudRateLimiter
 
 	stored      []cluster.MachineType // by name, as last read or written
 	modRevision cluster.ModRevision   // of the stored types
@@ -52,7 +52,7 @@
 
 // Fetch asks the cloud for its machine types, and goes on to do so regularly.
 func (t *TypeCache) Fetch() {
-	t.rate.ForceCall()
+	t.rateLimiter.ForceAcquire()
 	call := eventloop.Call(t.loop, func(reply messages.MachineTypesReply) {
 		if reply.Outcome != messages.OK || len(reply.Types) == 0 {
 			t.loop.After(typesFetchRetryDelay, t.Fetch)
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -60,4 +60,4 @@
 
 // Lower reduces the level to at most the given one. It is used when a server has
 // refused a request, which shows that fewer tokens are left than the bucket counts.
-func (b *TokenBucket) Lower(level float64) { b.level = min(b.level, level) }
+func (b *TokenBucket) LowerTo(level float64) { b.level = min(b.level, level) }
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -62,11 +62,11 @@
 	var bucket TokenBucket
 	bucket.SetRate(1, 5)
 	bucket.Fill()
-	if bucket.Lower(0); bucket.Level() != 0 {
+	if bucket.LowerTo(0); bucket.Level() != 0 {
 		t.Errorf("lowered to 0, holds %v", bucket.Level())
 	}
 	bucket.Spend(3)
-	if bucket.Lower(-1); bucket.Level() != -3 {
+	if bucket.LowerTo(-1); bucket.Level() != -3 {
 		t.Errorf("in debt by 3, lowered to -1 and holds %v", bucket.Level())
 	}
 }
--- a/internal/ratelimit/divide.go
+++ b/internal/ratelimit/share.go
@@ -25,7 +25,7 @@
 // divided evenly too. A controller whose demand is not known counts with an even
 // share of the rest. The shares of controllers that know the same add up to the
 // limit.
-func Divide(limit, demand float64, live int, others []Demand) float64 {
+func ShareByDemand(limit, demand float64, live int, others []Demand) float64 {
 	members := float64(live)
 	evenShare := limit / evenDivisor / members
 	rest := limit * (evenDivisor - 1) / evenDivisor
--- a/internal/ratelimit/divide_test.go
+++ b/internal/ratelimit/share_test.go
@@ -25,7 +25,7 @@
 		{"more live controllers reduce the even share", 0, 4, []Demand{idle}, 0.5 + 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := Divide(10, test.demand, test.live, test.others); !near(got, test.want) {
+			if got := ShareByDemand(10, test.demand, test.live, test.others); !near(got, test.want) {
 				t.Errorf("share %v, want %v", got, test.want)
 			}
 		})
@@ -45,7 +45,7 @@
 					others = append(others, Demand{Rate: rate, Known: true})
 				}
 			}
-			share := Divide(limit, demand, len(demands), others)
+			share := ShareByDemand(limit, demand, len(demands), others)
 			if share < limit/5/3-1e-9 {
 				t.Errorf("demands %v: controller %d gets %v, less than its even share", demands, self, share)
 			}
--- a/internal/scheduling/rebalance.go
+++ b/internal/scheduling/rebalance.go
@@ -43,11 +43,11 @@
 
 // cordonSurplusOf picks the machines that one shard gives up.
 func (r *Rebalancer) cordonSurplusOf(shard *state.Shard, load fairshare.ShardLoad, plan *fairshare.Plan) {
-	spare := plan.Spare(shard.ID)
+	spare := plan.TransferableCapacity(shard.ID)
 	machines := r.uncordonMachines(shard, spare)
 	r.sortByRemainingTime(machines)
 	shortfallPriority := plan.ShortfallPriority(shard.ID)
-	for _, i := range fairshare.PickWithin(r.machineCPUs(machines), spare) {
+	for _, i := range fairshare.SelectWithinBudget(r.machineCPUs(machines), spare) {
 		machines[i].Cordon()
 		r.evictForPriority(machines[i], shortfallPriority)
 	}
@@ -105,7 +105,7 @@
 	sort.SliceStable(machines, func(i, j int) bool {
 		return r.costPerUsefulCPU(machines[i], request) > r.costPerUsefulCPU(machines[j], request)
 	})
-	for _, i := range fairshare.PickWithin(r.machineCPUs(machines), load.Surplus(r.config.SpareCapacityShare)) {
+	for _, i := range fairshare.SelectWithinBudget(r.machineCPUs(machines), load.ReleasableCapacity(r.config.SpareCapacityShare)) {
 		machines[i].CordonForScaleIn()
 	}
 }
--- a/internal/writequeue/reads.go
+++ b/internal/writequeue/reads.go
@@ -10,7 +10,7 @@
 func (q *Queue) recordOutcome(outcome messages.Outcome) {
 	q.Health.recordOutcome(q.loop.Now(), outcome)
 	if outcome == messages.Throttled {
-		q.requestBudget.Lower(-1)
+		q.requestBudget.LowerTo(-1)
 	}
 }
 
