--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,11 +1,11 @@
-// Package eventloop is the deterministic frame in which the controller's state
-// machine runs: the time of the present step, timers, outgoing calls that wait
-// for their replies, and the effects that a step asks for.
+// Package eventloop provides the deterministic event loop that runs the controller's
+// state machine. It keeps the time of the current step, the timers, the outgoing calls
+// that wait for their replies, and the effects that the step emits.
 //
-// It has no clock and no goroutine of its own. Time stands still within a step
-// and never goes back between steps; timers run in the order of their times, and
-// those of one time in the order in which they were set. A reply is delivered to
-// the one call that it answers, and once.
+// The loop has no clock and no goroutine of its own. Time is constant within a step and
+// never decreases between steps. Timers run in the order of their due times, and timers
+// with the same due time in the order in which they were set. A reply is delivered at
+// most once, and only to the call that it answers.
 package eventloop
 
 import (
@@ -15,7 +15,8 @@
 	"stairrelay/internal/messages"
 )
 
-// Loop is the frame of one state machine. Its components share it.
+// Loop is the event loop of one state machine. All components of the state machine
+// share it.
 type Loop struct {
 	now      cluster.Time
 	wallTime cluster.WallTime
@@ -26,46 +27,46 @@
 	pendingCalls map[messages.CallID]func(body messages.ReplyBody)
 }
 
-// New makes a loop whose time is 0.
+// New returns a loop whose time is 0.
 func New() *Loop {
 	return &Loop{pendingCalls: map[messages.CallID]func(messages.ReplyBody){}}
 }
 
-// Begin starts a step: its effects are collected from now on. Time never goes
-// back, so an earlier now than that of the last step is taken for the latter.
+// Begin starts a step and discards the effects of the previous one. Time never
+// decreases: if now is earlier than the time of the previous step, that time is kept.
 func (l *Loop) Begin(now cluster.Time, wallTime cluster.WallTime) {
 	l.now = max(l.now, now)
 	l.wallTime = wallTime
 	l.effects = nil
 }
 
-// Now is the time of the present step, from the process's start.
+// Now returns the time of the current step, measured from the start of the process.
 func (l *Loop) Now() cluster.Time { return l.now }
 
-// WallTime is the time of day of the present step.
+// WallTime returns the wall-clock time of the current step.
 func (l *Loop) WallTime() cluster.WallTime { return l.wallTime }
 
-// Emit adds an effect to those of the present step.
+// Emit adds an effect to the current step.
 func (l *Loop) Emit(effect messages.Effect) { l.effects = append(l.effects, effect) }
 
-// Effects lists what was emitted since the step began.
+// Effects returns the effects emitted since the step began.
 func (l *Loop) Effects() []messages.Effect { return l.effects }
 
-// Log emits a line for the operators, with keys and values in turn.
+// Log emits a log line with alternating keys and values.
 func (l *Loop) Log(level messages.LogLevel, message string, keysAndValues ...any) {
 	l.Emit(messages.Log{Level: level, Message: message, Args: keysAndValues})
 }
 
-// Call registers an outgoing call whose reply has the type R, and returns the id
-// that its effect must carry. A reply of another type is an error of an I/O
-// actor: it is logged and dropped.
+// Call registers handle for the reply to an outgoing call and returns the id that the
+// effect of the call must carry. The reply must have type R. A reply of another type is
+// a bug in the code that carried out the call; it is logged and dropped.
 func Call[R messages.ReplyBody](l *Loop, handle func(R)) messages.CallID {
 	l.lastCall++
 	call := l.lastCall
 	l.pendingCalls[call] = func(body messages.ReplyBody) {
 		reply, ok := body.(R)
 		if !ok {
-			l.Log(messages.LogError, "reply of the wrong type", "call", uint64(call), "reply_type", fmt.Sprintf("%T", body))
+			l.Log(messages.LogError, "reply has an unexpected type; dropping it", "call", uint64(call), "reply_type", fmt.Sprintf("%T", body))
 			return
 		}
 		handle(reply)
@@ -73,8 +74,8 @@
 	return call
 }
 
-// Deliver hands a reply to the call that it answers. A reply to a call that is
-// not pending, as to one that was answered already, is dropped.
+// Deliver passes a reply to the handler of the call that it answers. It drops the reply
+// if the call is not pending, as after an earlier reply.
 func (l *Loop) Deliver(reply messages.Reply) {
 	handle := l.pendingCalls[reply.Call]
 	if handle == nil {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -9,17 +9,17 @@
 	"stairrelay/internal/messages"
 )
 
-// TestTimersRunInOrder shows that timers run by their time, and those of one
-// time as they were set, also one that a timer sets for the same time.
+// TestTimersRunInOrder checks that timers run by due time and then in the order in
+// which they were set, including a timer that is set while timers run.
 func TestTimersRunInOrder(t *testing.T) {
 	loop := eventloop.New()
 	var ran []string
-	note := func(name string) func() { return func() { ran = append(ran, name) } }
-	loop.After(2*cluster.Second, note("late"))
-	loop.After(cluster.Second, note("first"))
+	record := func(name string) func() { return func() { ran = append(ran, name) } }
+	loop.After(2*cluster.Second, record("late"))
+	loop.After(cluster.Second, record("first"))
 	loop.After(cluster.Second, func() {
 		ran = append(ran, "second")
-		loop.After(0, note("third"))
+		loop.After(0, record("third"))
 	})
 
 	loop.Begin(cluster.Second, 0)
@@ -28,12 +28,13 @@
 		t.Errorf("ran %v, want %v", ran, want)
 	}
 	if next, set := loop.NextWake(); !set || next != 2*cluster.Second {
-		t.Errorf("next wake %v, %v", next, set)
+		t.Errorf("next timer at %v (set: %v), want 2 s", next, set)
 	}
 }
 
-// TestEveryAsksForItsInterval shows that the interval is asked for after each run.
-func TestEveryAsksForItsInterval(t *testing.T) {
+// TestEveryReevaluatesInterval checks that a changed interval applies from the next run
+// on.
+func TestEveryReevaluatesInterval(t *testing.T) {
 	loop := eventloop.New()
 	interval, runs := cluster.Second, 0
 	loop.Every(func() cluster.Time { return interval }, func() { runs++ })
@@ -43,23 +44,24 @@
 		loop.RunTimers()
 	}
 	if runs != 3 { // at 0, 1 and 4 s
-		t.Errorf("%d runs", runs)
+		t.Errorf("%d runs, want 3", runs)
 	}
 }
 
-// TestTimeNeverGoesBack shows that an earlier time than the last step's is not taken.
-func TestTimeNeverGoesBack(t *testing.T) {
+// TestTimeIsMonotonic checks that a step with an earlier time than the previous step
+// does not set the time back.
+func TestTimeIsMonotonic(t *testing.T) {
 	loop := eventloop.New()
 	loop.Begin(5*cluster.Second, 0)
 	loop.Begin(3*cluster.Second, 0)
 	if loop.Now() != 5*cluster.Second {
-		t.Errorf("now is %v", loop.Now())
+		t.Errorf("time is %v, want 5 s", loop.Now())
 	}
 }
 
-// TestReplyReachesItsCallOnce shows that a reply is delivered typed, once, and
-// only to the call that it answers.
-func TestReplyReachesItsCallOnce(t *testing.T) {
+// TestReplyDeliveredOnce checks that a reply is delivered once, and only to the call
+// that it answers.
+func TestReplyDeliveredOnce(t *testing.T) {
 	loop := eventloop.New()
 	var got []messages.GetReply
 	call := eventloop.Call(loop, func(reply messages.GetReply) { got = append(got, reply) })
@@ -71,22 +73,22 @@
 	loop.Deliver(reply)
 	loop.Deliver(reply)
 	if len(got) != 1 || got[0].Outcome != messages.NotFound {
-		t.Errorf("delivered %v", got)
+		t.Errorf("delivered %v, want one reply", got)
 	}
 }
 
-// TestReplyOfTheWrongTypeIsLogged shows that a reply of another type than the
-// call's never reaches it.
-func TestReplyOfTheWrongTypeIsLogged(t *testing.T) {
+// TestUnexpectedReplyTypeLogged checks that a reply of another type than the call
+// expects is logged and does not reach its handler.
+func TestUnexpectedReplyTypeLogged(t *testing.T) {
 	loop := eventloop.New()
-	call := eventloop.Call(loop, func(messages.GetReply) { t.Error("delivered") })
+	call := eventloop.Call(loop, func(messages.GetReply) { t.Error("reply of another type was delivered") })
 	loop.Begin(0, 0)
 	loop.Deliver(messages.Reply{Call: call, Body: messages.ListReply{}})
 	effects := loop.Effects()
 	if len(effects) != 1 {
-		t.Fatalf("effects: %v", effects)
+		t.Fatalf("effects %v, want one log line", effects)
 	}
 	if line, ok := effects[0].(messages.Log); !ok || line.Level != messages.LogError {
-		t.Errorf("effect %v", effects[0])
+		t.Errorf("effect %v, want an error log line", effects[0])
 	}
 }
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -6,11 +6,11 @@
 	"stairrelay/internal/cluster"
 )
 
-// timerQueue orders timers by their time, and those of one time in the order in
-// which they were added.
+// timerQueue orders timers by due time, and timers with the same due time by the order
+// in which they were added.
 type timerQueue struct {
 	heap         timerHeap
-	lastSequence uint64 // of the timer added last
+	lastSequence uint64 // sequence number of the timer added last
 }
 
 type timer struct {
@@ -34,13 +34,13 @@
 	return popped
 }
 
-// add runs a function at a time.
+// add schedules a call of run at the given time.
 func (q *timerQueue) add(at cluster.Time, run func()) {
 	q.lastSequence++
 	heap.Push(&q.heap, timer{due: at, sequence: q.lastSequence, run: run})
 }
 
-// next is when the next timer is due; false: there is none.
+// next returns when the next timer is due. It reports false if there is none.
 func (q *timerQueue) next() (cluster.Time, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -48,7 +48,7 @@
 	return q.heap[0].due, true
 }
 
-// runDue runs what is due, also what that adds if it is due at once.
+// runDue runs the timers that are due, including those that are added meanwhile.
 func (q *timerQueue) runDue(now cluster.Time) {
 	for len(q.heap) > 0 && q.heap[0].due <= now {
 		due := q.heap[0]
@@ -57,11 +57,11 @@
 	}
 }
 
-// After runs a function when a time has passed.
+// After calls run once delay has passed.
 func (l *Loop) After(delay cluster.Time, run func()) { l.timers.add(l.now+delay, run) }
 
-// Every runs a function at once, and again each time that the interval has
-// passed; the interval is asked for anew after each run.
+// Every calls run at once, and then again each time the interval has passed. It calls
+// interval after each run to get the time until the next one.
 func (l *Loop) Every(interval func() cluster.Time, run func()) {
 	var repeat func()
 	repeat = func() {
@@ -71,13 +71,14 @@
 	repeat()
 }
 
-// FixedInterval is an interval for Every that stays the same.
+// FixedInterval returns a function for Every that always returns the same interval.
 func FixedInterval(interval cluster.Time) func() cluster.Time {
 	return func() cluster.Time { return interval }
 }
 
-// NextWake is when the next timer is due; false: none is set.
+// NextWake returns when the next timer is due. It reports false if no timer is set.
 func (l *Loop) NextWake() (cluster.Time, bool) { return l.timers.next() }
 
-// RunTimers runs all timers that are due, also those that these set for now.
+// RunTimers runs all timers that are due, including those that they set for the current
+// time.
 func (l *Loop) RunTimers() { l.timers.runDue(l.now) }
--- a/internal/fairshare/load.go
+++ b/internal/fairshare/load.go
@@ -1,7 +1,7 @@
-// Package fairshare decides how much of the whole fleet's capacity each shard
-// should have: what it gives up to shards that lack machines, to which of them,
-// and whether it may scale out. It is given a snapshot of every shard's load and
-// returns decisions.
+// Package fairshare decides how the capacity of the whole fleet is shared among the
+// shards: how much capacity each shard should have, how much it transfers to which
+// shards with a shortfall, and whether it may scale out. It keeps no state; its input
+// is a snapshot of the load of every shard.
 package fairshare
 
 import "stairrelay/internal/cluster"
@@ -9,24 +9,26 @@
 // cpu is one CPU as an Amount.
 const cpu = cluster.AmountsPerUnit
 
-// scaleInReserve is what a shard keeps beyond its demand and spare share before it
-// releases machines for their price: a job or two of usual size.
+// scaleInReserve is the capacity that a shard keeps beyond its demand and its spare
+// share when it releases machines to save cost. It is enough for one or two typical
+// jobs.
 const scaleInReserve = 8 * cpu
 
-// scaleOutLead is how much less capacity another shard with a shortfall must have to
-// scale out before this one. A smaller difference is not worth a delay.
-const scaleOutLead = 16 * cpu
+// scaleOutYieldMargin is how much less capacity another shard with a shortfall must
+// have for this shard to let it scale out first. A smaller difference is not worth a
+// delay.
+const scaleOutYieldMargin = 16 * cpu
 
-// ShardLoad is the capacity of a shard and what its jobs could use, by priority. All
+// ShardLoad is the capacity of a shard and the demand of its jobs by priority. All
 // amounts are CPUs. Controllers send it to each other.
 type ShardLoad struct {
 	Shard     cluster.ShardID                        `cbor:"Part"`
-	Available cluster.Amount                         `cbor:"Have"`   // on machines that are up
+	Available cluster.Amount                         `cbor:"Have"`   // on running machines
 	Booting   cluster.Amount                         `cbor:"Coming"` // on machines that are booting
 	Demand    [cluster.Production + 1]cluster.Amount `cbor:"Demand"` // by cluster.Priority
 }
 
-// TotalDemand returns what the shard's jobs of all priorities could use.
+// TotalDemand returns the demand of the shard's jobs of all priorities.
 func (l ShardLoad) TotalDemand() cluster.Amount {
 	var sum cluster.Amount
 	for _, demand := range l.Demand {
@@ -35,23 +37,23 @@
 	return sum
 }
 
-// totalCapacity returns what the shard has, booting machines included.
+// totalCapacity returns the capacity of the shard, including machines that are booting.
 func (l ShardLoad) totalCapacity() cluster.Amount { return l.Available + l.Booting }
 
-// hasShortfall reports whether the shard's jobs could use more than its capacity
-// once all machines are up.
+// hasShortfall reports whether the shard's demand exceeds its capacity, including
+// machines that are booting.
 func (l ShardLoad) hasShortfall() bool { return l.TotalDemand() > l.totalCapacity() }
 
-// Surplus returns what the shard can release when it keeps spareShare of its demand
-// as spare capacity, and the fixed reserve. It is negative when the shard has less
-// than that.
+// ReleasableCapacity returns the capacity that the shard can release if it keeps its
+// demand, spareShare of its demand as spare capacity, and scaleInReserve. It is
+// negative if the shard has less than that.
 func (l ShardLoad) ReleasableCapacity(spareShare float64) cluster.Amount {
 	demand := l.TotalDemand()
 	spare := cluster.Amount(float64(demand) * spareShare)
 	return l.Available - demand - spare - scaleInReserve
 }
 
-// Snapshot is the load of every shard as far as it is known.
+// Snapshot holds the load of each shard whose load is known.
 type Snapshot map[cluster.ShardID]ShardLoad
 
 // OthersHaveShortfall reports whether a shard other than the given one has a
@@ -65,13 +67,13 @@
 	return false
 }
 
-// CanScaleOutFirst reports whether the shard need not wait for another one. It has
-// to wait while some other shard with a shortfall has much less capacity: what the
-// cloud still offers should go to that one first.
+// CanScaleOutFirst reports whether the shard may scale out without waiting for another
+// one. It must wait while another shard with a shortfall has much less capacity, so
+// that the remaining capacity of the cloud goes to that shard first.
 func (s Snapshot) CanScaleOutFirst(shard cluster.ShardID) bool {
 	capacity := s[shard].totalCapacity()
 	for other, load := range s {
-		if other != shard && load.hasShortfall() && load.totalCapacity()+scaleOutLead < capacity {
+		if other != shard && load.hasShortfall() && load.totalCapacity()+scaleOutYieldMargin < capacity {
 			return false
 		}
 	}
--- a/internal/fairshare/plan.go
+++ b/internal/fairshare/plan.go
@@ -7,22 +7,22 @@
 	"stairrelay/internal/cluster"
 )
 
-// rebalanceMargin is the divisor of the margin above its target that a shard keeps:
-// one sixth of the target.
-const rebalanceMargin = 6
+// rebalanceMarginDivisor sets the margin above its target that a shard keeps: one sixth
+// of the target.
+const rebalanceMarginDivisor = 6
 
-// Plan divides the capacity of all machines among the shards.
+// Plan divides the available capacity of all shards among them.
 type Plan struct {
-	// Loads is the snapshot that was divided.
+	// Loads is the snapshot on which the plan is based.
 	Loads Snapshot
-	// Targets holds the capacity in CPUs that each shard should have.
+	// Targets holds the CPU capacity that each shard should have.
 	Targets map[cluster.ShardID]cluster.Amount
-	// TotalShortfall is the sum of what shards have less than their targets.
+	// TotalShortfall is the sum of the amounts by which shards are below their targets.
 	TotalShortfall cluster.Amount
 }
 
-// NewPlan divides the capacity in a snapshot. Equal snapshots give equal plans, so
-// that controllers which know the same decide the same.
+// NewPlan returns the plan for a snapshot. Equal snapshots give equal plans, so that
+// controllers with the same information make the same decisions.
 func NewPlan(loads Snapshot) *Plan {
 	plan := &Plan{Loads: loads, Targets: computeTargets(loads)}
 	for shard := range loads {
@@ -31,8 +31,8 @@
 	return plan
 }
 
-// computeTargets divides the available capacity of all shards: the most important
-// work first, and within a priority the smallest demand first.
+// computeTargets divides the available capacity of all shards by priority, the highest
+// first, and within a priority by max-min fairness.
 func computeTargets(loads Snapshot) map[cluster.ShardID]cluster.Amount {
 	shards := make([]cluster.ShardID, 0, len(loads))
 	var remaining cluster.Amount
@@ -48,9 +48,10 @@
 	return targets
 }
 
-// allocate adds to the targets what the work of a priority could use. Where the
-// remaining capacity does not suffice, it is divided evenly among the shards whose
-// demand is not met. allocate returns what remains for lower priorities.
+// allocate adds to the targets what the shards get for their demand of one priority.
+// The remaining capacity is divided by max-min fairness: the smallest demands are met
+// first, and shards whose demand can't be met get equal shares. It returns the capacity
+// that remains for lower priorities.
 func (s Snapshot) allocate(
 	shards []cluster.ShardID,
 	priority cluster.Priority,
@@ -70,37 +71,39 @@
 	return remaining
 }
 
-// shortfall returns how much less than its target a shard has, at least 0.
+// shortfall returns the amount by which a shard is below its target, or 0 if it is not.
 func (p *Plan) shortfall(shard cluster.ShardID) cluster.Amount {
 	return max(p.Targets[shard]-p.Loads[shard].Available, 0)
 }
 
-// Spare returns the capacity that a shard should give up; zero or less means none.
+// TransferableCapacity returns the capacity that a shard should transfer to other
+// shards. A result of zero or less means none.
 //
-// Between shards that all lack machines, demands change every second. A machine that
-// is transferred has to be drained first and then fetches its images anew, so only
-// what exceeds the target by a margin is given up, and no more than others lack.
+// Demands change every second, and a transferred machine has to be drained and then
+// fetches its images again. A shard therefore transfers only what exceeds its target by
+// a margin, and no more than other shards lack; otherwise machines would move back and
+// forth.
 func (p *Plan) TransferableCapacity(shard cluster.ShardID) cluster.Amount {
 	if p.TotalShortfall <= 0 {
 		return 0
 	}
 	target := p.Targets[shard]
-	excess := p.Loads[shard].Available - target - target/rebalanceMargin
+	excess := p.Loads[shard].Available - target - target/rebalanceMarginDivisor
 	return min(excess, p.TotalShortfall)
 }
 
-// Shortfall is the amount by which a shard has less than its target.
+// Shortfall is the amount by which a shard is below its target.
 type Shortfall struct {
 	Shard  cluster.ShardID
 	Amount cluster.Amount
 }
 
-// Recipients returns the shards other than the giver that have less than their
-// targets, the largest shortfall first and by number where shortfalls are equal.
-func (p *Plan) Recipients(giver cluster.ShardID) []Shortfall {
+// Recipients returns the shards other than donor that are below their targets, in
+// descending order of their shortfalls and by shard id where shortfalls are equal.
+func (p *Plan) Recipients(donor cluster.ShardID) []Shortfall {
 	recipients := make([]Shortfall, 0, len(p.Loads))
 	for shard := range p.Loads {
-		if amount := p.shortfall(shard); shard != giver && amount > 0 {
+		if amount := p.shortfall(shard); shard != donor && amount > 0 {
 			recipients = append(recipients, Shortfall{Shard: shard, Amount: amount})
 		}
 	}
@@ -110,12 +113,12 @@
 	return recipients
 }
 
-// ShortfallPriority returns the highest priority of the work in shards other than
-// the giver that have less than their targets, or BestEffort if there is none.
-func (p *Plan) ShortfallPriority(giver cluster.ShardID) cluster.Priority {
+// ShortfallPriority returns the highest priority with demand in the shards other than
+// donor that are below their targets, or BestEffort if there is none.
+func (p *Plan) ShortfallPriority(donor cluster.ShardID) cluster.Priority {
 	highest := cluster.BestEffort
 	for shard, load := range p.Loads {
-		if shard == giver || p.shortfall(shard) == 0 {
+		if shard == donor || p.shortfall(shard) == 0 {
 			continue
 		}
 		for priority := cluster.Production; priority > highest; priority-- {
@@ -127,16 +130,17 @@
 	return highest
 }
 
-// PickWithin chooses, in order, the sizes that fit into what remains of a budget and
-// returns their positions. Sizes of 0 are skipped.
+// SelectWithinBudget returns the indexes of the sizes that fit into the budget
+// together. It selects them in order, skipping sizes that exceed the remaining budget
+// and sizes of 0.
 func SelectWithinBudget(sizes []cluster.Amount, budget cluster.Amount) []int {
-	var picked []int
+	var selected []int
 	for i, size := range sizes {
 		if size == 0 || size > budget {
 			continue
 		}
 		budget -= size
-		picked = append(picked, i)
+		selected = append(selected, i)
 	}
-	return picked
+	return selected
 }
--- a/internal/fairshare/plan_test.go
+++ b/internal/fairshare/plan_test.go
@@ -7,7 +7,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// load returns the load of a shard from CPUs; demand is by priority, the lowest first.
+// load returns the load of a shard in CPUs, with the demand by priority in ascending
+// order.
 func load(available, booting cluster.Amount, demand ...cluster.Amount) ShardLoad {
 	l := ShardLoad{Available: available * cpu, Booting: booting * cpu}
 	for priority, amount := range demand {
@@ -16,7 +17,7 @@
 	return l
 }
 
-// toAmounts converts a map of CPUs to one of Amounts.
+// toAmounts converts CPUs to Amounts.
 func toAmounts(cpus map[cluster.ShardID]cluster.Amount) map[cluster.ShardID]cluster.Amount {
 	amounts := map[cluster.ShardID]cluster.Amount{}
 	for shard, count := range cpus {
@@ -25,8 +26,8 @@
 	return amounts
 }
 
-// TestTargets checks that more important work is served first, and within a priority
-// the smallest demand, evenly where the capacity does not suffice.
+// TestTargets checks that higher priorities are served first, and that a priority whose
+// demand exceeds the capacity is divided by max-min fairness.
 func TestTargets(t *testing.T) {
 	type cpus = map[cluster.ShardID]cluster.Amount
 	for _, test := range []struct {
@@ -34,12 +35,12 @@
 		loads Snapshot
 		want  cpus
 	}{
-		{"enough for all", Snapshot{0: load(100, 0, 0, 30), 1: load(0, 0, 0, 20)}, cpus{0: 30, 1: 20}},
-		{"too little: evenly", Snapshot{0: load(100, 0, 0, 80), 1: load(0, 0, 0, 80)}, cpus{0: 50, 1: 50}},
-		{"the smallest demand first", Snapshot{0: load(100, 0, 0, 80), 1: load(0, 0, 0, 20)}, cpus{0: 80, 1: 20}},
-		{"what one leaves goes to the others", Snapshot{0: load(90, 0, 0, 80), 1: load(0, 0, 0, 20), 2: load(0, 0, 0, 60)}, cpus{0: 35, 1: 20, 2: 35}},
-		{"the more important work first", Snapshot{0: load(60, 0, 80, 0), 1: load(40, 0, 10, 20, 30, 40)}, cpus{0: 5, 1: 95}},
-		{"booting machines do not count", Snapshot{0: load(10, 50, 0, 40), 1: load(0, 0)}, cpus{0: 10, 1: 0}},
+		{"capacity for all demands", Snapshot{0: load(100, 0, 0, 30), 1: load(0, 0, 0, 20)}, cpus{0: 30, 1: 20}},
+		{"equal demands above the capacity", Snapshot{0: load(100, 0, 0, 80), 1: load(0, 0, 0, 80)}, cpus{0: 50, 1: 50}},
+		{"the smallest demand is met first", Snapshot{0: load(100, 0, 0, 80), 1: load(0, 0, 0, 20)}, cpus{0: 80, 1: 20}},
+		{"unused share of one shard goes to the others", Snapshot{0: load(90, 0, 0, 80), 1: load(0, 0, 0, 20), 2: load(0, 0, 0, 60)}, cpus{0: 35, 1: 20, 2: 35}},
+		{"higher priority first", Snapshot{0: load(60, 0, 80, 0), 1: load(40, 0, 10, 20, 30, 40)}, cpus{0: 5, 1: 95}},
+		{"booting machines are not counted", Snapshot{0: load(10, 50, 0, 40), 1: load(0, 0)}, cpus{0: 10, 1: 0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := NewPlan(test.loads).Targets; !reflect.DeepEqual(got, toAmounts(test.want)) {
@@ -49,9 +50,10 @@
 	}
 }
 
-// TestTargetsAgree checks that all controllers divide one snapshot alike, to the
-// last millionth that can't be divided evenly.
-func TestTargetsAgree(t *testing.T) {
+// TestTargetsDeterministic checks that equal snapshots give equal targets, including
+// the remainder of an uneven division: otherwise controllers would make conflicting
+// transfers.
+func TestTargetsDeterministic(t *testing.T) {
 	const third = 100 * cpu / 3
 	want := map[cluster.ShardID]cluster.Amount{0: third, 1: third, 2: third + 1}
 	for range 100 { // the iteration order of a map differs each time
@@ -62,29 +64,29 @@
 	}
 }
 
-// TestSpare checks that a shard gives up what exceeds its target by more than a
-// sixth, and never more than others lack.
-func TestSpare(t *testing.T) {
+// TestTransferableCapacity checks that a shard transfers only what exceeds its target
+// by more than a sixth, and no more than other shards lack.
+func TestTransferableCapacity(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		loads Snapshot
-		want  cluster.Amount // of shard 0
+		want  cluster.Amount // for shard 0
 	}{
 		{"no shortfall", Snapshot{0: load(100, 0, 0, 10), 1: load(50, 0, 0, 50)}, 0},
 		{"no shortfall and no excess", Snapshot{0: load(10, 0, 0, 10), 1: load(5, 0, 0, 5)}, 0},
-		{"as much as others lack", Snapshot{0: load(100, 0, 0, 10), 1: load(50, 0, 0, 60)}, 10 * cpu},
-		{"more than the margin above its target", Snapshot{0: load(100, 0, 0, 90), 1: load(0, 0, 0, 60)}, 50*cpu - 50*cpu/6},
+		{"limited by the shortfall of others", Snapshot{0: load(100, 0, 0, 10), 1: load(50, 0, 0, 60)}, 10 * cpu},
+		{"limited by the margin above the target", Snapshot{0: load(100, 0, 0, 90), 1: load(0, 0, 0, 60)}, 50*cpu - 50*cpu/6},
 		{"within the margin", Snapshot{0: load(55, 0, 0, 100), 1: load(45, 0, 0, 100)}, 5*cpu - 50*cpu/6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := NewPlan(test.loads).TransferableCapacity(0); got != test.want {
-				t.Errorf("spare %d, want %d", got, test.want)
+				t.Errorf("transferable capacity %d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// TestRecipients checks that the largest shortfall comes first, and the lower number
+// TestRecipients checks that the largest shortfall comes first, and the lower shard id
 // where shortfalls are equal.
 func TestRecipients(t *testing.T) {
 	plan := NewPlan(Snapshot{
@@ -106,19 +108,19 @@
 	}
 }
 
-// TestShortfallPriority checks that only the work of other shards with a shortfall
+// TestShortfallPriority checks that only the demand of other shards with a shortfall
 // counts.
 func TestShortfallPriority(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		loads Snapshot
-		want  cluster.Priority // for which shard 0 would give up machines
+		want  cluster.Priority // with shard 0 as the donor
 	}{
-		{"no work", Snapshot{0: load(100, 0), 1: load(0, 0)}, cluster.BestEffort},
-		{"normal", Snapshot{0: load(100, 0), 1: load(0, 0, 5, 5)}, cluster.Normal},
+		{"no demand", Snapshot{0: load(100, 0), 1: load(0, 0)}, cluster.BestEffort},
+		{"one shard with a shortfall", Snapshot{0: load(100, 0), 1: load(0, 0, 5, 5)}, cluster.Normal},
 		{"the higher of two shards", Snapshot{0: load(100, 0), 1: load(0, 0, 0, 0, 5), 2: load(0, 0, 0, 0, 0, 5)}, cluster.Production},
-		{"own work does not count", Snapshot{0: load(0, 0, 0, 0, 0, 50), 1: load(0, 0, 0, 5), 2: load(90, 0)}, cluster.Normal},
-		{"a shard without a shortfall does not count", Snapshot{0: load(100, 0), 1: load(50, 0, 0, 0, 0, 50), 2: load(0, 0, 5)}, cluster.BestEffort},
+		{"the demand of the donor is ignored", Snapshot{0: load(0, 0, 0, 0, 0, 50), 1: load(0, 0, 0, 5), 2: load(90, 0)}, cluster.Normal},
+		{"a shard without a shortfall is ignored", Snapshot{0: load(100, 0), 1: load(50, 0, 0, 0, 0, 50), 2: load(0, 0, 5)}, cluster.BestEffort},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := NewPlan(test.loads).ShortfallPriority(0); got != test.want {
@@ -129,20 +131,20 @@
 }
 
 // TestScaleOutOrder checks that booting machines count as capacity, and that a shard
-// with a shortfall scales out before one that has more than 16 CPUs more.
+// lets another one with a shortfall go first if that one has over 16 CPUs less.
 func TestScaleOutOrder(t *testing.T) {
 	for _, test := range []struct {
 		name                string
 		loads               Snapshot
 		othersHaveShortfall bool
-		canScaleOutFirst    bool // shard 0
+		canScaleOutFirst    bool // for shard 0
 	}{
 		{"no other shard", Snapshot{0: load(50, 0, 0, 90)}, false, true},
-		{"the other has enough", Snapshot{0: load(50, 0, 0, 90), 1: load(2, 8, 0, 10)}, false, true},
-		{"the other lacks machines and has much less", Snapshot{0: load(50, 0, 0, 90), 1: load(10, 0, 0, 11)}, true, false},
-		{"the other lacks machines and has 16 less", Snapshot{0: load(20, 6, 0, 90), 1: load(5, 5, 0, 11)}, true, true},
-		{"the other lacks machines and has 17 less", Snapshot{0: load(20, 7, 0, 90), 1: load(5, 5, 0, 11)}, true, false},
-		{"the load of shard 0 is not known", Snapshot{1: load(10, 0, 0, 11)}, true, true},
+		{"the other shard has no shortfall", Snapshot{0: load(50, 0, 0, 90), 1: load(2, 8, 0, 10)}, false, true},
+		{"the other shard has a shortfall and much less capacity", Snapshot{0: load(50, 0, 0, 90), 1: load(10, 0, 0, 11)}, true, false},
+		{"the other shard has a shortfall and 16 CPUs less", Snapshot{0: load(20, 6, 0, 90), 1: load(5, 5, 0, 11)}, true, true},
+		{"the other shard has a shortfall and 17 CPUs less", Snapshot{0: load(20, 7, 0, 90), 1: load(5, 5, 0, 11)}, true, false},
+		{"the load of shard 0 is unknown", Snapshot{1: load(10, 0, 0, 11)}, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.loads.OthersHaveShortfall(0); got != test.othersHaveShortfall {
@@ -155,20 +157,21 @@
 	}
 }
 
-// TestSurplus checks that the demand, the spare share of it and 8 CPUs are kept.
-func TestSurplus(t *testing.T) {
+// TestReleasableCapacity checks that the demand, the spare share of it and 8 CPUs are
+// kept.
+func TestReleasableCapacity(t *testing.T) {
 	l := load(100, 50, 10, 20, 5, 5)
 	if l.TotalDemand() != 40*cpu {
 		t.Errorf("total demand %d, want %d", l.TotalDemand(), 40*cpu)
 	}
 	if got := l.ReleasableCapacity(0.5); got != 32*cpu {
-		t.Errorf("surplus %d, want %d", got, 32*cpu)
+		t.Errorf("releasable capacity %d, want %d", got, 32*cpu)
 	}
 }
 
-// TestPickWithin checks that sizes which fit into what remains are picked in order,
-// and that sizes of 0 are skipped.
-func TestPickWithin(t *testing.T) {
+// TestSelectWithinBudget checks that sizes are selected in order while they fit, and
+// that sizes of 0 are skipped.
+func TestSelectWithinBudget(t *testing.T) {
 	sizes := []cluster.Amount{8, 16, 0, 8, 4, 4}
 	for budget, want := range map[cluster.Amount][]int{
 		-4:   nil,
@@ -181,7 +184,7 @@
 		1000: {0, 1, 3, 4, 5},
 	} {
 		if got := SelectWithinBudget(sizes, budget); !reflect.DeepEqual(got, want) {
-			t.Errorf("budget %d: picked %v, want %v", budget, got, want)
+			t.Errorf("budget %d: selected %v, want %v", budget, got, want)
 		}
 	}
 }
--- a/internal/provisioning/completion.go
+++ b/internal/provisioning/completion.go
@@ -9,39 +9,43 @@
 	"stairrelay/internal/writequeue"
 )
 
-// completionRetryDelay is the wait after the state service has not shown whether a
-// request is settled.
+// completionRetryDelay is the delay before a completion is retried after its outcome
+// could not be read from the state service.
 const completionRetryDelay = second
 
-// completion settles an answered request: its machines are recorded and the request is
-// deleted in one transaction, so that no crash between the two can lose a machine.
+// completion completes an answered request. One transaction stores the granted machines
+// and deletes the request, so that a crash between two writes can't lose a machine.
 type completion struct {
-	requests *Requests
-	shard    *state.Shard
-	request  *state.ProvisioningRequest
-	claim    cluster.Revision
-	machines []cluster.MachineID
-	group    *inventory.NewGroup
+	requests      *Requests
+	shard         *state.Shard
+	request       *state.ProvisioningRequest
+	claimRevision cluster.Revision
+	machines      []cluster.MachineID
+	group         *inventory.NewGroup
 }
 
-// complete settles a request to which the cloud has granted machines, or none.
+// complete stores the machines that the cloud granted for a request, if any, and
+// deletes the request.
 func (r *Requests) complete(shard *state.Shard, request *state.ProvisioningRequest, ids []cluster.MachineID) {
 	groupID := request.GroupID
-	if groupID == "" { // of an earlier claim, whose late copies the present one has fenced off
+	if groupID == "" {
+		// The request was created under an earlier claim. The current claim rejects
+		// late copies of its creation, so a new group id is safe.
 		groupID = r.deps.Names.NextGroup(shard)
 	}
 	c := &completion{
-		requests: r,
-		shard:    shard,
-		request:  request,
-		claim:    shard.ClaimRevision,
-		machines: ids,
-		group:    &inventory.NewGroup{ID: groupID, Shard: shard, Machines: bootingMachines(request.Option, ids)},
+		requests:      r,
+		shard:         shard,
+		request:       request,
+		claimRevision: shard.ClaimRevision,
+		machines:      ids,
+		group:         &inventory.NewGroup{ID: groupID, Shard: shard, Machines: bootingMachines(request.Option, ids)},
 	}
 	c.enqueue()
 }
 
-// bootingMachines lists granted machines as their first record does.
+// bootingMachines returns the granted machines as the first record of their group lists
+// them.
 func bootingMachines(option state.ProvisioningOption, ids []cluster.MachineID) []grouprecord.Machine {
 	kind := grouprecord.Kind{Type: option.Type, Zone: option.Zone, Spot: option.Spot}
 	machines := make([]grouprecord.Machine, 0, len(ids))
@@ -65,15 +69,16 @@
 		Keys:      keys,
 		Build:     c.build,
 		OnApplied: c.handleApplied,
-		// Where only the request is deleted no write id tells whether an earlier sending
-		// was carried out; that the key is gone does.
+		// If the transaction only deletes the request, no write id shows whether an
+		// earlier attempt was applied, but the absence of the key does.
 		OnConflict: func() { c.requests.queue.ReadKey(key, c.handleConflict) },
 	})
 }
 
-// createsGroup tells whether the record of a group is written. A refused request has no
-// machines, but where a late copy of its creation may come the key of its group has to
-// be there all the same, with nothing listed.
+// createsGroup reports whether the transaction creates the record of a group. If no
+// machines were granted, an empty group is stored only while a late copy of the
+// request's creation may still arrive: the copy requires the key of the group to be
+// absent, so it fails and can't create the request again.
 func (c *completion) createsGroup() bool { return len(c.machines) > 0 || c.request.CreateInDoubt }
 
 func (c *completion) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
@@ -87,7 +92,7 @@
 }
 
 func (c *completion) handleApplied(revision cluster.Revision) {
-	if !c.shard.IsOwnedUnder(c.claim) {
+	if !c.shard.IsOwnedUnder(c.claimRevision) {
 		return
 	}
 	delete(c.shard.ProvisioningRequests, c.request.Name)
@@ -96,14 +101,14 @@
 	}
 }
 
-// handleConflict is called with the record of the request after a conflict.
+// handleConflict is called with the current record of the request after a conflict.
 func (c *completion) handleConflict(reply messages.GetReply) {
 	switch {
-	case !c.shard.IsOwnedUnder(c.claim):
+	case !c.shard.IsOwnedUnder(c.claimRevision):
 	case reply.Outcome == messages.NotFound && len(c.machines) == 0:
 		delete(c.shard.ProvisioningRequests, c.request.Name)
 	case reply.Outcome == messages.OK || reply.Outcome == messages.NotFound:
-		c.requests.deps.Ownership.HandleForeignWrite(c.shard, requestKey(c.request.Name), "settled by another writer")
+		c.requests.deps.Ownership.HandleForeignWrite(c.shard, requestKey(c.request.Name), "request was completed by another writer")
 	default:
 		c.requests.loop.After(completionRetryDelay, c.retry)
 	}
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -17,12 +17,12 @@
 	"stairrelay/internal/writequeue"
 )
 
-// testControllers is the number of controllers in the tests, none of which has
-// reported its demand.
+// testControllers is the number of controllers in the tests. The other controllers have
+// not reported their demands.
 const testControllers = 3
 
-// testHost implements what a provisioner needs of the other parts of a controller.
-type testHost struct {
+// fakeDependencies implements the dependencies of a Provisioner and of its write queue.
+type fakeDependencies struct {
 	schedulingRequests int
 	written            []*state.Machine
 	listedOrphans      []cluster.ListedMachine
@@ -32,55 +32,59 @@
 	loads              fairshare.Snapshot
 }
 
-func (h *testHost) IsFirstReachable() bool             { return true }
-func (h *testHost) CanAnswerWorkers(*state.Shard) bool { return true }
-func (h *testHost) HandleListed(m cluster.ListedMachine) {
+func (h *fakeDependencies) IsFirstReachable() bool             { return true }
+func (h *fakeDependencies) CanAnswerWorkers(*state.Shard) bool { return true }
+func (h *fakeDependencies) HandleListed(m cluster.ListedMachine) {
 	h.listedOrphans = append(h.listedOrphans, m)
 }
-func (h *testHost) ForgetUnlisted(map[cluster.MachineID]bool)         {}
-func (h *testHost) HandleForeignWrite(*state.Shard, string, string)   {}
-func (h *testHost) TargetGroupSize() int                              { return 10 }
-func (h *testHost) AddNewGroup(*inventory.NewGroup, cluster.Revision) {}
+func (h *fakeDependencies) ForgetUnlisted(map[cluster.MachineID]bool)         {}
+func (h *fakeDependencies) HandleForeignWrite(*state.Shard, string, string)   {}
+func (h *fakeDependencies) TargetGroupSize() int                              { return 10 }
+func (h *fakeDependencies) AddNewGroup(*inventory.NewGroup, cluster.Revision) {}
 
-func (h *testHost) GiveUpCorrupt(_ *state.Shard, key, _ string) {
+func (h *fakeDependencies) GiveUpCorrupt(_ *state.Shard, key, _ string) {
 	h.corruptKeys = append(h.corruptKeys, key)
 }
 
-func (h *testHost) WriteMachine(machine *state.Machine, _ writequeue.Priority) {
+func (h *fakeDependencies) WriteMachine(machine *state.Machine, _ writequeue.Priority) {
 	h.written = append(h.written, machine)
 }
 
-func (h *testHost) PendingWork(*state.Shard) scheduling.PendingWork       { return slices.Clone(h.work) }
-func (h *testHost) PackFreeCapacity(*state.Shard, scheduling.PendingWork) {}
-func (h *testHost) IsAllowedOn(*state.Job, *state.Machine) bool           { return true }
-func (h *testHost) ExpectedSeconds(job *state.Job) float64                { return job.Spec.RuntimeSeconds }
-func (h *testHost) CordonSurplus()                                        {}
-func (h *testHost) AcceptOffers(*state.Shard, scheduling.PendingWork)     {}
-func (h *testHost) CanScaleOut(*state.Shard) bool                         { return h.canScaleOut }
-func (h *testHost) ShardLoads() fairshare.Snapshot                        { return h.loads }
-
-func (h *testHost) IsOptionAllowed(job *state.Job, option state.ProvisioningOption) bool {
+func (h *fakeDependencies) PendingWork(*state.Shard) scheduling.PendingWork {
+	return slices.Clone(h.work)
+}
+func (h *fakeDependencies) PackFreeCapacity(*state.Shard, scheduling.PendingWork) {}
+func (h *fakeDependencies) IsAllowedOn(*state.Job, *state.Machine) bool           { return true }
+func (h *fakeDependencies) ExpectedSeconds(job *state.Job) float64                { return job.Spec.RuntimeSeconds }
+func (h *fakeDependencies) CordonSurplus()                                        {}
+func (h *fakeDependencies) AcceptOffers(*state.Shard, scheduling.PendingWork)     {}
+func (h *fakeDependencies) CanScaleOut(*state.Shard) bool                         { return h.canScaleOut }
+func (h *fakeDependencies) ShardLoads() fairshare.Snapshot                        { return h.loads }
+
+func (h *fakeDependencies) IsOptionAllowed(job *state.Job, option state.ProvisioningOption) bool {
 	return job.Spec.Spot || !option.Spot
 }
 
 // ClaimOf, HandleDeposed and HandleStored implement writequeue.ShardOwnership.
-func (h *testHost) ClaimOf(cluster.ShardID) writequeue.Claim  { return writequeue.Claim{Owned: true} }
-func (h *testHost) HandleDeposed(cluster.ShardID)             {}
-func (h *testHost) HandleStored(writequeue.StoredTransaction) {}
+func (h *fakeDependencies) ClaimOf(cluster.ShardID) writequeue.Claim {
+	return writequeue.Claim{Owned: true}
+}
+func (h *fakeDependencies) HandleDeposed(cluster.ShardID)             {}
+func (h *fakeDependencies) HandleStored(writequeue.StoredTransaction) {}
 
-// harness is a provisioner of the first of three controllers at 100 s.
+// harness is a Provisioner of the first of three controllers, 100 s after its start.
 type harness struct {
 	*Provisioner
 
 	loop  *eventloop.Loop
 	state *state.State
-	host  *testHost
+	fakes *fakeDependencies
 }
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	nodes := []cluster.NodeID{"n0", "n1", "n2"}
-	h := &harness{loop: eventloop.New(), state: state.New(nodes, nil), host: &testHost{canScaleOut: true}}
+	h := &harness{loop: eventloop.New(), state: state.New(nodes, nil), fakes: &fakeDependencies{canScaleOut: true}}
 	h.setTime(100 * second)
 	queue := writequeue.New(h.loop, writequeue.Config{
 		RequestRPS:    1000,
@@ -88,8 +92,8 @@
 		BudgetShare:   0.9,
 		MaxTxnOps:     12,
 		Controllers:   testControllers,
-		ShareByDemand: shareAmongUnknown,
-	}, h.host)
+		ShareByDemand: shareWithUnknownDemand,
+	}, h.fakes)
 	config := Config{
 		Self:                 "n0",
 		Nodes:                nodes,
@@ -99,33 +103,34 @@
 		MaxValueBytes:        4096,
 		OutOfCapacityBackoff: 15 * second,
 		ShareByDemand: func(limit, demand float64) float64 {
-			return shareAmongUnknown(limit, demand, testControllers)
+			return shareWithUnknownDemand(limit, demand, testControllers)
 		},
 	}
 	h.Provisioner = New(h.loop, h.state, queue, config, Dependencies{
-		Members:           h.host,
-		Ownership:         h.host,
-		Records:           h.host,
+		Members:           h.fakes,
+		Ownership:         h.fakes,
+		Records:           h.fakes,
 		Names:             inventory.NewRecordNames("b0"),
-		Orphans:           h.host,
-		Work:              h.host,
-		Capacity:          h.host,
-		Eligibility:       h.host,
-		RunTimes:          h.host,
-		Sharing:           h.host,
+		Orphans:           h.fakes,
+		Work:              h.fakes,
+		Capacity:          h.fakes,
+		Eligibility:       h.fakes,
+		RunTimes:          h.fakes,
+		Sharing:           h.fakes,
 		CountMachineScans: func([]*state.Machine) {},
-		RequestScheduling: func() { h.host.schedulingRequests++ },
+		RequestScheduling: func() { h.fakes.schedulingRequests++ },
 		StretchDelay:      func(delay cluster.Time) cluster.Time { return delay },
 	})
 	return h
 }
 
-// shareAmongUnknown shares a limit with controllers whose demand is not known.
-func shareAmongUnknown(limit, demand float64, live int) float64 {
+// shareWithUnknownDemand returns the share of a limit next to controllers with unknown
+// demands.
+func shareWithUnknownDemand(limit, demand float64, live int) float64 {
 	return ratelimit.ShareByDemand(limit, demand, live, make([]ratelimit.Demand, live-1))
 }
 
-// setTime moves the time on within a step.
+// setTime advances the time and keeps the effects that were not taken yet.
 func (h *harness) setTime(now cluster.Time) {
 	effects := h.loop.Effects()
 	h.loop.Begin(now, 0)
@@ -134,7 +139,7 @@
 	}
 }
 
-// takeEffects returns what was asked for since it was last called.
+// takeEffects returns the effects emitted since its last call.
 func (h *harness) takeEffects() []messages.Effect {
 	effects := h.loop.Effects()
 	h.loop.Begin(h.loop.Now(), 0)
@@ -148,20 +153,20 @@
 	group := h.state.AddGroup(shard, "g", 1)
 	var machines []*state.Machine
 	for i := range count {
-		line := grouprecord.Machine{ID: cluster.MachineID(fmt.Sprintf("m-%06d", i)), Kind: grouprecord.Kind{Type: "small", Zone: "a"}}
-		machines = append(machines, h.state.AddMachine(group, line, 5, h.loop.Now()))
+		record := grouprecord.Machine{ID: cluster.MachineID(fmt.Sprintf("m-%06d", i)), Kind: grouprecord.Kind{Type: "small", Zone: "a"}}
+		machines = append(machines, h.state.AddMachine(group, record, 5, h.loop.Now()))
 	}
 	return machines
 }
 
-// pass lets a time pass and runs the timers that are due then.
-func (h *harness) pass(duration cluster.Time) {
+// advance advances the time and runs the timers that are due.
+func (h *harness) advance(duration cluster.Time) {
 	h.setTime(h.loop.Now() + duration)
 	h.loop.RunTimers()
 }
 
-// takeEffect returns the one effect of a type since effects were last taken; false:
-// there was none.
+// takeEffect returns the only effect of a type since effects were last taken. It
+// reports false if there was none, and fails the test if there were several.
 func takeEffect[E messages.Effect](t *testing.T, h *harness) (E, bool) {
 	t.Helper()
 	var found []E
@@ -171,7 +176,7 @@
 		}
 	}
 	if len(found) > 1 {
-		t.Fatalf("%d effects of the type %T, want one at most", len(found), found[0])
+		t.Fatalf("%d effects of type %T, want at most one", len(found), found[0])
 	}
 	if len(found) == 0 {
 		var none E
--- a/internal/provisioning/machinelist.go
+++ b/internal/provisioning/machinelist.go
@@ -10,73 +10,78 @@
 )
 
 const (
-	// firstListDelay is the wait before the first controller reads the list.
+	// firstListDelay is the delay before the first controller reads the list.
 	firstListDelay = 2 * second
-	// minListInterval is the least time between two readings of the list.
+	// minListInterval is the minimum interval between two reads of the list.
 	minListInterval = 8 * second
-	// noMachinesListFactor lengthens that time for a controller without machines: it
-	// has only orphans to look for, which takes a minute anyway.
-	noMachinesListFactor = 4
-	// listRetryDelay is the wait for a request that the share does not allow yet.
+	// emptyFleetIntervalFactor lengthens the interval for a controller without
+	// machines, which reads the list only to find orphans.
+	emptyFleetIntervalFactor = 4
+	// listRetryDelay is the delay before a page that the rate limiter has denied is
+	// tried again.
 	listRetryDelay = second / 4
-	// listThrottledDelay is the wait after the cloud has refused a page for its rate.
+	// listThrottledDelay is the delay before a page that the cloud has throttled is
+	// requested again.
 	listThrottledDelay = second
-	// listRateShare is the part of the cloud's rate that the regular readings of all
-	// controllers may take together.
+	// listRateShare is the fraction of the cloud's rate limit that the regular reads of
+	// all controllers may use together.
 	listRateShare = 0.5
-	// statusFailed is the cloud's status of a machine that has failed.
+	// statusFailed is the cloud's status of a failed machine.
 	statusFailed = "failed"
-	// failedHeartbeats is for how many heartbeat intervals a machine that the cloud
-	// says has failed must have been silent.
-	failedHeartbeats = 2
+	// failedSilenceIntervals is the number of heartbeat intervals without a heartbeat
+	// after which a machine with the status failed is released.
+	failedSilenceIntervals = 2
 )
 
-// Orphans follows machines in the cloud's list that no record known here lists.
+// Orphans tracks machines in the cloud's list that no record known to this controller
+// lists.
 type Orphans interface {
-	// HandleListed is called for each such machine of a list.
+	// HandleListed is called for each such machine in a list.
 	HandleListed(cluster.ListedMachine)
-	// ForgetUnlisted is called after that with all machines that the list shows.
+	// ForgetUnlisted is called after HandleListed with all machines in the list.
 	ForgetUnlisted(listed map[cluster.MachineID]bool)
 }
 
-// MachineList reads the cloud's list of machines now and then. It shows machines that
-// have failed, and orphans that no record lists. One regular reading runs at a time.
+// MachineList reads the cloud's list of machines at intervals. The list shows machines
+// that have failed, and orphans that no record lists. At most one regular read runs at
+// a time.
 type MachineList struct {
 	*shared
 	rateLimiter *CloudRateLimiter
 	scaleIn     *ScaleIn
 
 	reading       bool
-	nextReadAt    cluster.Time // no reading begins before
-	lastPageCount int          // of the last whole list
+	nextReadAt    cluster.Time // earliest start of the next regular read
+	lastPageCount int          // of the last complete list
 }
 
-func newMachineList(base *shared, rate *CloudRateLimiter, scaleIn *ScaleIn) *MachineList {
-	l := &MachineList{shared: base, rateLimiter: rate, scaleIn: scaleIn}
+func newMachineList(common *shared, rateLimiter *CloudRateLimiter, scaleIn *ScaleIn) *MachineList {
+	l := &MachineList{shared: common, rateLimiter: rateLimiter, scaleIn: scaleIn}
 	l.nextReadAt = l.firstReadAt()
 	return l
 }
 
-// firstReadAt spreads the controllers' first readings: they start together, at the
-// moment at which a fleet may have to be requested.
+// firstReadAt returns the time of the first read. It staggers the reads of controllers
+// that start together, as the initial provisioning requests need the cloud's rate limit
+// at that time.
 func (l *MachineList) firstReadAt() cluster.Time {
 	index := max(slices.Index(l.config.Nodes, l.config.Self), 0)
 	return firstListDelay + l.interval()*cluster.Time(index)/cluster.Time(len(l.config.Nodes))
 }
 
-// interval is the time between two readings: the more pages the list has and the more
-// controllers read it, the longer.
+// interval returns the time between two reads. It grows with the number of pages and of
+// live controllers, so that the reads of all controllers stay within listRateShare.
 func (l *MachineList) interval() cluster.Time {
 	calls := float64(l.lastPageCount * l.queue.LiveControllers())
-	spread := cluster.Time(calls / (l.config.CloudRPS * listRateShare) * float64(second))
-	interval := max(l.config.CloudListLag, minListInterval, spread)
+	rateLimitedInterval := cluster.Time(calls / (l.config.CloudRPS * listRateShare) * float64(second))
+	interval := max(l.config.CloudListLag, minListInterval, rateLimitedInterval)
 	if len(l.state.Machines) == 0 {
-		interval *= noMachinesListFactor
+		interval *= emptyFleetIntervalFactor
 	}
 	return interval
 }
 
-// Poll reads the list if that is due and the share of requests allows it.
+// Poll starts a read of the list if one is due and the rate limiter allows it.
 func (l *MachineList) Poll() {
 	if l.reading || l.loop.Now() < l.nextReadAt || !l.rateLimiter.TryAcquire() {
 		return
@@ -91,34 +96,35 @@
 	})
 }
 
-// RequestRead makes the next reading due at once: the list shows what the records may
-// lack.
+// RequestRead makes the next read due at once. It is called when records may be missing
+// machines that the list shows.
 func (l *MachineList) RequestRead() { l.nextReadAt = 0 }
 
-// Read reads the whole list, and calls done with it, or with false when the cloud has
-// not given it. The request for the first page is charged by the caller.
+// Read reads the whole list and calls done with it, or with false if the cloud has not
+// returned a page. The caller charges the request for the first page.
 func (l *MachineList) Read(done func(items []cluster.ListedMachine, ok bool)) {
 	reading := &machineListReading{list: l, done: done}
 	reading.requestPage("")
 }
 
-// Apply takes in a whole list.
+// Apply updates the machines from a complete list.
 func (l *MachineList) Apply(items []cluster.ListedMachine) {
 	listed := make(map[cluster.MachineID]bool, len(items))
 	for _, item := range items {
 		listed[item.ID] = true
 		l.applyItem(item)
 	}
-	// Once listed, a machine stays listed until it is gone. A list may be old or the
-	// machine new, so this proves nothing; but there is no use in waiting for a
-	// machine that is silent too, and its release will be the proof.
+	// A machine that is missing from the list is probably gone, but the list may be
+	// older than the machine. The flag therefore only shortens the time after which a
+	// silent machine is released; the cloud's reply to the release confirms that the
+	// machine is gone.
 	for id, machine := range l.state.Machines {
 		machine.MissingFromCloudList = !listed[id] && !machine.Booting
 	}
 	l.deps.Orphans.ForgetUnlisted(listed)
 }
 
-// applyItem takes in one machine of the list.
+// applyItem updates one machine from its entry in the list.
 func (l *MachineList) applyItem(item cluster.ListedMachine) {
 	machine := l.state.Machines[item.ID]
 	if machine == nil {
@@ -128,21 +134,22 @@
 	if machine.Address == "" {
 		machine.Address = item.Addr
 	}
-	if item.Status == statusFailed && l.isFailureCredible(machine) {
+	if item.Status == statusFailed && l.isFailureConfirmed(machine) {
 		l.scaleIn.Release(machine, releaseFailed)
 	}
 }
 
-// isFailureCredible tells whether a machine that the cloud says has failed is silent,
-// and can be released.
-func (l *MachineList) isFailureCredible(machine *state.Machine) bool {
+// isFailureConfirmed reports whether a machine with the status failed can be released:
+// its heartbeats have stopped, its shard is ready, and it is not being released
+// already.
+func (l *MachineList) isFailureConfirmed(machine *state.Machine) bool {
 	silence := l.loop.Now() - machine.LastHeartbeat
-	return !machine.Releasing && l.state.Shards[machine.ShardID].Ready && silence > failedHeartbeats*l.config.HeartbeatInterval
+	return !machine.Releasing && l.state.Shards[machine.ShardID].Ready && silence > failedSilenceIntervals*l.config.HeartbeatInterval
 }
 
-// machineListReading reads the list page by page. Each page is a request that is taken
-// out of this controller's share: the list of a large fleet is spread over time rather
-// than read at the cost of provisioning requests.
+// machineListReading is one read of the list, page by page. Each page is charged to
+// this controller's share of the rate limit, so that reading the list of a large fleet
+// leaves room for provisioning requests.
 type machineListReading struct {
 	list      *MachineList
 	items     []cluster.ListedMachine
@@ -150,14 +157,14 @@
 	done      func(items []cluster.ListedMachine, ok bool)
 }
 
-// requestPage asks for the page that follows a machine.
+// requestPage requests the page that follows a machine.
 func (r *machineListReading) requestPage(after cluster.MachineID) {
 	loop := r.list.loop
 	call := eventloop.Call(loop, func(reply messages.CloudListReply) { r.handlePage(after, reply) })
 	loop.Emit(messages.CloudList{After: after, Call: call})
 }
 
-// requestPageWhenAllowed asks for a page as soon as the share of requests allows it.
+// requestPageWhenAllowed requests a page as soon as the rate limiter allows it.
 func (r *machineListReading) requestPageWhenAllowed(after cluster.MachineID) {
 	if !r.list.rateLimiter.TryAcquire() {
 		r.list.loop.After(listRetryDelay, func() { r.requestPageWhenAllowed(after) })
@@ -166,7 +173,7 @@
 	r.requestPage(after)
 }
 
-// handlePage takes in the page that follows a machine, and goes on with the next.
+// handlePage handles the page that follows a machine, and requests the next one.
 func (r *machineListReading) handlePage(after cluster.MachineID, page messages.CloudListReply) {
 	switch {
 	case page.Outcome == messages.Throttled:
--- a/internal/provisioning/machinelist_test.go
+++ b/internal/provisioning/machinelist_test.go
@@ -8,14 +8,14 @@
 	"stairrelay/internal/messages"
 )
 
-// The list of the tests' large fleet.
+// The size of the cloud's list in the tests.
 const (
 	listedMachines = 4000
 	listPageSize   = 500
 	listPages      = listedMachines / listPageSize
 )
 
-// listPage is the page of the list that follows a machine.
+// listPage returns the page of the list that follows a machine.
 func listPage(after cluster.MachineID) messages.CloudListReply {
 	first := 0
 	if after != "" {
@@ -30,8 +30,7 @@
 	return reply
 }
 
-// listRequests returns the requests for pages that were made since effects were last
-// taken.
+// listRequests returns the requests for pages since effects were last taken.
 func (h *harness) listRequests() []messages.CloudList {
 	var requests []messages.CloudList
 	for _, effect := range h.takeEffects() {
@@ -42,21 +41,18 @@
 	return requests
 }
 
-// TestMachineListWithinCloudRate shows that all pages of the machine list of a large
-// fleet are read, none faster than this controller's share of the cloud's request rate
-// allows, and that the next reading waits until the readings of all controllers
-// together take half of the rate at most. Read at once every 8 s, nine pages by five
-// controllers were more requests than the cloud allows, and none were left for
+// TestMachineListWithinCloudRate checks that reading the list of a large fleet stays
+// within the share of the cloud's rate limit. Faster reads would leave no requests for
 // provisioning.
 func TestMachineListWithinCloudRate(t *testing.T) {
-	const throttledCall = 3 // refused once: the page is asked for again
+	const throttledCall = 3 // throttled once, so that the page is requested again
 	h := newHarness(t)
 	h.RateLimiter.bucket.Fill()
 	calls, listed := 0, false
-	begin := h.loop.Now()
+	startedAt := h.loop.Now()
 	h.List.Poll()
 	h.List.nextReadAt = 1 << 62
-	for ; h.loop.Now() < begin+30*second && !listed; h.setTime(h.loop.Now() + 50*millisecond) {
+	for ; h.loop.Now() < startedAt+30*second && !listed; h.setTime(h.loop.Now() + 50*millisecond) {
 		h.loop.RunTimers()
 		for _, request := range h.listRequests() {
 			reply := listPage(request.After)
@@ -68,25 +64,25 @@
 		}
 	}
 	if calls != listPages+1 {
-		t.Errorf("%d calls for %d pages, one of them refused once", calls, listPages)
+		t.Errorf("%d calls for %d pages, want one more for the throttled page", calls, listPages)
 	}
 	if h.List.lastPageCount != listPages || h.List.reading {
-		t.Fatalf("%d pages read", h.List.lastPageCount)
+		t.Fatalf("%d pages read, or a read is still running", h.List.lastPageCount)
 	}
 	config := h.List.config
 	share := config.CloudRPS * config.BudgetShare / testControllers
-	took := (h.loop.Now() - begin).Seconds()
-	if allowed := 2*share + share*took + 1; float64(calls) > allowed {
-		t.Errorf("%d calls within %.1f s, %.1f are allowed", calls, took, allowed)
+	elapsed := (h.loop.Now() - startedAt).Seconds()
+	if allowed := 2*share + share*elapsed + 1; float64(calls) > allowed {
+		t.Errorf("%d calls within %.1f s, want at most %.1f", calls, elapsed, allowed)
 	}
 	if rate := float64(listPages*testControllers) / h.List.interval().Seconds(); rate > config.CloudRPS*listRateShare*1.01 {
-		t.Errorf("regular readings take %.1f of %.1f calls a second", rate, config.CloudRPS)
+		t.Errorf("regular reads use %.1f of %.1f calls per second", rate, config.CloudRPS)
 	}
 }
 
-// TestThrottledPageEmptiesShare shows that after a page was refused for the rate no other
-// request goes out at once.
-func TestThrottledPageEmptiesShare(t *testing.T) {
+// TestThrottledPageEmptiesBucket checks that no other request is allowed right after
+// the cloud has throttled a page.
+func TestThrottledPageEmptiesBucket(t *testing.T) {
 	h := newHarness(t)
 	h.RateLimiter.bucket.SetRate(1, 10)
 	h.RateLimiter.bucket.Fill()
@@ -94,6 +90,6 @@
 	request := h.listRequests()[0]
 	h.loop.Deliver(messages.Reply{Call: request.Call, Body: messages.CloudListReply{Outcome: messages.Throttled}})
 	if h.RateLimiter.TryAcquire() {
-		t.Error("a request went out right after one was refused for the rate")
+		t.Error("a request was allowed right after one was throttled")
 	}
 }
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -1,12 +1,12 @@
-// Package provisioning gets machines from the cloud for the pending tasks of the owned
-// shards, and gives them back.
+// Package provisioning requests machines from the cloud for the pending tasks of the
+// owned shards, and releases machines that are no longer needed.
 //
-// Invariants: a provisioning request is recorded before the cloud is called, and
-// repeated under its name until it is answered; its machines are recorded in the
-// transaction that deletes it, so no crash between two steps loses a machine. A machine
-// is released in its record before the cloud is told, so that no other shard takes it
-// meanwhile. All calls of the cloud are charged to this controller's share of the
-// cloud's request rate.
+// A provisioning request is stored before the cloud is called, and retried under the
+// same name until it is answered. The transaction that deletes the request also stores
+// its machines, so that a crash between two steps loses no machine. A release is stored
+// in the machine's record before the cloud is called, so that no other shard acquires
+// the machine in the meantime; see ScaleIn.ReleaseBeforeRecorded for the exception. All
+// calls to the cloud are charged to this controller's share of the cloud's rate limit.
 package provisioning
 
 import (
@@ -22,65 +22,68 @@
 	millisecond = cluster.Millisecond
 )
 
-// Config is what provisioning knows from the start.
+// Config holds the settings of a Provisioner.
 type Config struct {
-	// Self is this controller's node, and Nodes are those of all controllers.
+	// Self is this controller's node. Nodes are the nodes of all controllers.
 	Self  cluster.NodeID
 	Nodes []cluster.NodeID
-	// HeartbeatInterval is how often workers report.
+	// HeartbeatInterval is the interval at which workers send heartbeats.
 	HeartbeatInterval cluster.Time
-	// CloudRPS is the limit on requests a second to the cloud of all controllers
-	// together.
+	// CloudRPS is the cloud's limit on requests per second, which all controllers
+	// share.
 	CloudRPS float64
-	// BudgetShare is how much of the limit is used.
+	// BudgetShare is the fraction of CloudRPS that the controllers use.
 	BudgetShare float64
-	// CloudListLag is how old the cloud's machine list may be.
+	// CloudListLag is the maximum age of the cloud's machine list.
 	CloudListLag cluster.Time
-	// MaxValueBytes is how long a stored value may be.
+	// MaxValueBytes is the maximum size of a stored value.
 	MaxValueBytes int
-	// OutOfCapacityBackoff is how long an option is not requested after the cloud had
-	// no machines of it for the first time.
+	// OutOfCapacityBackoff is the initial back-off of an option for which the cloud has
+	// no capacity.
 	OutOfCapacityBackoff cluster.Time
-	// ShareByDemand returns this controller's part of a limit on requests a second
-	// that all live controllers share, given what it could use itself.
+	// ShareByDemand returns this controller's share of a limit on requests per second
+	// that all live controllers have in common, given the rate that this controller
+	// could use.
 	ShareByDemand func(limit, demand float64) float64
 }
 
-// Members is what provisioning needs of the other controllers.
+// Members is what provisioning needs to know about the other controllers.
 type Members interface {
-	// IsFirstReachable tells whether this is the first of the controllers that are
-	// reachable.
+	// IsFirstReachable reports whether this controller is the first of the reachable
+	// controllers.
 	IsFirstReachable() bool
 }
 
-// ShardOwnership is what provisioning needs of the ownership of shards.
+// ShardOwnership checks and gives up the ownership of shards.
 type ShardOwnership interface {
-	// CanAnswerWorkers tells whether this controller may answer the shard's workers.
+	// CanAnswerWorkers reports whether this controller may answer the workers of a
+	// shard.
 	CanAnswerWorkers(*state.Shard) bool
-	// HandleForeignWrite is called when a record of an owned shard was changed by
-	// another writer than its owner.
+	// HandleForeignWrite is called when a writer other than this controller has changed
+	// a record of an owned shard.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
-	// GiveUpCorrupt gives up a shard with a record that makes no sense.
+	// GiveUpCorrupt gives up the ownership of a shard that has an invalid record.
 	GiveUpCorrupt(shard *state.Shard, key, reason string)
 }
 
 // MachineRecords writes the records of machines.
 type MachineRecords interface {
-	// WriteMachine has the record that lists a machine written.
+	// WriteMachine enqueues a write of the record that lists the machine.
 	WriteMachine(*state.Machine, writequeue.Priority)
-	// TargetGroupSize is how many machines a new group should list at most.
+	// TargetGroupSize returns the number of machines that a new group should list at
+	// most.
 	TargetGroupSize() int
-	// AddNewGroup is called when the first record of a group was stored.
+	// AddNewGroup is called when the first record of a group has been stored.
 	AddNewGroup(*inventory.NewGroup, cluster.Revision)
 }
 
-// RecordNames gives names to new records, each of them once.
+// RecordNames generates unique names for new records.
 type RecordNames interface {
 	NextProvisioningRequest(*state.Shard) string
 	NextGroup(*state.Shard) string
 }
 
-// Dependencies are the other parts of the controller that provisioning uses.
+// Dependencies are the other components of the controller that a Provisioner uses.
 type Dependencies struct {
 	Members   Members
 	Ownership ShardOwnership
@@ -94,35 +97,36 @@
 	RunTimes    RunTimes
 	Sharing     MachineSharing
 
-	// RequestScheduling has tasks assigned soon, as there may be more that can be.
+	// RequestScheduling requests a scheduling run, as pending tasks may now be
+	// assignable.
 	RequestScheduling func()
-	// CountMachineScans counts a look at each of some machines, for the periodic log
-	// line.
+	// CountMachineScans adds the machines to the number of machine scans in the
+	// periodic log line.
 	CountMachineScans func([]*state.Machine)
-	// StretchDelay lengthens a pause while the process is overloaded.
+	// StretchDelay lengthens a delay while the process is overloaded.
 	StretchDelay func(cluster.Time) cluster.Time
 }
 
-// Provisioner requests machines and gives them back. It sets no timers before its
-// periodic methods are first called by the owner of the loop.
+// Provisioner requests machines from the cloud and releases them. It sets no timers
+// until its periodic methods are first called.
 type Provisioner struct {
-	// Rate is this controller's share of the cloud's request rate.
+	// RateLimiter limits requests to this controller's share of the cloud's rate limit.
 	RateLimiter *CloudRateLimiter
-	// Types keeps the cloud's machine types.
+	// Types holds the cloud's machine types.
 	Types *TypeCache
-	// Spot measures how often spot machines are lost.
+	// Spot estimates how often spot machines are interrupted.
 	Spot *SpotInterruptions
 	// List reads the cloud's list of machines.
 	List *MachineList
-	// ScaleIn gives machines back.
+	// ScaleIn releases machines to the cloud.
 	ScaleIn *ScaleIn
-	// Requests carries out provisioning requests.
+	// Requests executes provisioning requests.
 	Requests *Requests
-	// ScaleOut decides which machines are requested.
+	// ScaleOut decides which machines to request.
 	ScaleOut *ScaleOut
 }
 
-// shared is what the parts of a Provisioner use.
+// shared holds what all components of a Provisioner use.
 type shared struct {
 	loop   *eventloop.Loop
 	state  *state.State
@@ -131,15 +135,15 @@
 	deps   Dependencies
 }
 
-// New makes a provisioner that knows of no machine types.
+// New returns a Provisioner that knows no machine types.
 func New(loop *eventloop.Loop, st *state.State, queue *writequeue.Queue, config Config, deps Dependencies) *Provisioner {
-	base := &shared{loop: loop, state: st, queue: queue, config: &config, deps: deps}
+	common := &shared{loop: loop, state: st, queue: queue, config: &config, deps: deps}
 	p := &Provisioner{RateLimiter: newCloudRateLimiter(loop, &config), Spot: &SpotInterruptions{}}
-	p.Types = &TypeCache{shared: base, rateLimiter: p.RateLimiter}
-	p.ScaleIn = &ScaleIn{shared: base, rateLimiter: p.RateLimiter}
-	p.List = newMachineList(base, p.RateLimiter, p.ScaleIn)
-	p.Requests = &Requests{shared: base, rateLimiter: p.RateLimiter}
-	p.ScaleOut = &ScaleOut{shared: base, rateLimiter: p.RateLimiter, list: p.List, requests: p.Requests}
-	p.Requests.handleAnswer = p.ScaleOut.Schedule
+	p.Types = &TypeCache{shared: common, rateLimiter: p.RateLimiter}
+	p.ScaleIn = &ScaleIn{shared: common, rateLimiter: p.RateLimiter}
+	p.List = newMachineList(common, p.RateLimiter, p.ScaleIn)
+	p.Requests = &Requests{shared: common, rateLimiter: p.RateLimiter}
+	p.ScaleOut = &ScaleOut{shared: common, rateLimiter: p.RateLimiter, list: p.List, requests: p.Requests}
+	p.Requests.onAnswered = p.ScaleOut.Schedule
 	return p
 }
--- a/internal/provisioning/ratelimiter.go
+++ b/internal/provisioning/ratelimiter.go
@@ -6,30 +6,29 @@
 )
 
 const (
-	// burstSeconds is for how many seconds of its rate the cloud allows bursts.
+	// burstSeconds is the burst that the cloud allows, in seconds of the rate.
 	burstSeconds = 2
-	// demandDecay is what is left of a demand after a second without need: machines
-	// are requested in waves.
+	// demandDecay is the factor by which the demand decays each second without need.
+	// Machines are requested in waves, so the demand lasts beyond one of them.
 	demandDecay = 0.8
 )
 
-// RequestRate is this controller's share of the cloud's request rate, which is one
-// limit for all controllers. Each takes a share of it by what it could use, as with
-// the state service's write rate: the owner of the only shard with work would
-// otherwise request a fleet at a fraction of the rate, while controllers without need
-// had the rest.
+// CloudRateLimiter limits this controller's requests to its share of the cloud's rate
+// limit, which all controllers have in common. The limit is shared by demand: with even
+// shares the owner of the only shard with work could request machines at a fraction of
+// the limit, and the rest would go unused.
 type CloudRateLimiter struct {
 	loop   *eventloop.Loop
 	config *Config
 
-	bucket       ratelimit.TokenBucket
-	demand       float64 // requests a second that this controller could use
-	recentCalls  int     // since the demand was last measured
-	wasDenied    bool    // a request had to wait since then
-	countedCalls int     // since the count was last taken
+	bucket                ratelimit.TokenBucket
+	demand                float64 // requests per second that this controller could use
+	callsSinceMeasurement int     // requests since MeasureDemand was last called
+	wasDenied             bool    // whether a request was denied since then
+	unreportedCalls       int     // requests since TakeCallCount was last called
 }
 
-// newRequestRate makes a rate whose burst is available in full.
+// newCloudRateLimiter returns a limiter with a full bucket.
 func newCloudRateLimiter(loop *eventloop.Loop, config *Config) *CloudRateLimiter {
 	r := &CloudRateLimiter{loop: loop, config: config}
 	r.UpdateShare()
@@ -37,39 +36,39 @@
 	return r
 }
 
-// MeasureDemand works out what this controller could use; to be called once a second.
-// A need shows at once and fades slowly.
+// MeasureDemand updates the demand from the requests since its last call; it must be
+// called once a second. The demand rises at once and decays slowly.
 func (r *CloudRateLimiter) MeasureDemand() {
-	want := float64(r.recentCalls)
+	needed := float64(r.callsSinceMeasurement)
 	if r.wasDenied {
-		want = r.config.CloudRPS
+		needed = r.config.CloudRPS
 	}
-	r.recentCalls, r.wasDenied = 0, false
-	r.SetDemand(max(want, r.demand*demandDecay))
+	r.callsSinceMeasurement, r.wasDenied = 0, false
+	r.SetDemand(max(needed, r.demand*demandDecay))
 }
 
-// SetDemand takes over how many requests a second this controller could use.
+// SetDemand sets the number of requests per second that this controller could use.
 func (r *CloudRateLimiter) SetDemand(demand float64) {
 	r.demand = demand
 	r.UpdateShare()
 }
 
-// Demand is how many requests a second this controller could use.
+// Demand returns the number of requests per second that this controller could use.
 func (r *CloudRateLimiter) Demand() float64 { return r.demand }
 
-// Divide works out this controller's share anew; to be called when the demand or the
-// reachability of another controller has changed.
+// UpdateShare recomputes this controller's share. It must be called after the demand of
+// this controller or the reachability of another one has changed.
 func (r *CloudRateLimiter) UpdateShare() {
 	r.bucket.Refill(r.loop.Now())
 	rate := r.config.ShareByDemand(r.config.CloudRPS*r.config.BudgetShare, r.demand)
 	r.bucket.SetRate(rate, max(burstSeconds*rate, 1))
 }
 
-// Share is how many requests a second this controller may make.
+// Share returns the number of requests per second that this controller may make.
 func (r *CloudRateLimiter) Share() float64 { return r.bucket.Rate() }
 
-// TryCall takes a request out of the share. If there is none left it records that a
-// request had to wait, and returns false.
+// TryAcquire charges a request if the share allows it, and reports whether it does. A
+// denied request raises the demand.
 func (r *CloudRateLimiter) TryAcquire() bool {
 	if !r.bucket.Take(r.loop.Now(), 1) {
 		r.wasDenied = true
@@ -79,8 +78,8 @@
 	return true
 }
 
-// ForceCall counts a request that waits for nothing: without the machine types nothing
-// runs, and a request that is repeated was taken out of the share once.
+// ForceAcquire charges a request that does not wait for the share, such as a retry or
+// the fetch of the machine types, without which no task can start.
 func (r *CloudRateLimiter) ForceAcquire() {
 	r.bucket.Refill(r.loop.Now())
 	r.bucket.Spend(1)
@@ -88,18 +87,18 @@
 }
 
 func (r *CloudRateLimiter) countCall() {
-	r.recentCalls++
-	r.countedCalls++
+	r.callsSinceMeasurement++
+	r.unreportedCalls++
 }
 
-// HandleThrottled is called when the cloud has refused a request for its rate: the
-// controllers' views of their shares differ for a moment, and this one has used more
-// than there was.
+// HandleThrottled empties the bucket after the cloud has throttled a request. While the
+// controllers have different information about each other, their shares may add up to
+// more than the limit.
 func (r *CloudRateLimiter) HandleThrottled() { r.bucket.LowerTo(0) }
 
-// TakeCallCount returns the requests made since the count was last taken.
+// TakeCallCount returns the number of requests since its last call.
 func (r *CloudRateLimiter) TakeCallCount() int {
-	count := r.countedCalls
-	r.countedCalls = 0
+	count := r.unreportedCalls
+	r.unreportedCalls = 0
 	return count
 }
--- a/internal/provisioning/ratelimiter_test.go
+++ b/internal/provisioning/ratelimiter_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// TestDeniedCallRaisesDemand shows that a call that had to wait shows as demand at
-// once.
+// TestDeniedCallRaisesDemand checks that a denied request raises the demand, and so the
+// share, at the next measurement.
 func TestDeniedCallRaisesDemand(t *testing.T) {
-	rate := newHarness(t).RateLimiter
-	rate.HandleThrottled()
-	if rate.TryAcquire() || !rate.wasDenied {
-		t.Error("a call without a share was let through, or not noted")
+	limiter := newHarness(t).RateLimiter
+	limiter.HandleThrottled()
+	if limiter.TryAcquire() || !limiter.wasDenied {
+		t.Error("a request on an empty bucket was allowed or not counted as denied")
 	}
-	before := rate.Share()
-	if rate.MeasureDemand(); rate.Share() <= before {
-		t.Errorf("rate %.2f before and %.2f after calls had to wait", before, rate.Share())
+	before := limiter.Share()
+	if limiter.MeasureDemand(); limiter.Share() <= before {
+		t.Errorf("share %.2f before and %.2f after a denied request, want a larger share", before, limiter.Share())
 	}
 }
--- a/internal/provisioning/record.go
+++ b/internal/provisioning/record.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/state"
 )
 
-// RequestKeyPrefix begins the keys of the records of provisioning requests.
+// RequestKeyPrefix is the prefix of the keys of provisioning requests.
 const RequestKeyPrefix = "rentals/"
 
 // RequestRecord is the stored form of a provisioning request.
@@ -23,7 +23,7 @@
 	WriteID string          `json:"w"`
 }
 
-// requestKey is where the provisioning request of a name is stored.
+// requestKey returns the key of the provisioning request with the given name.
 func requestKey(name string) string { return RequestKeyPrefix + name }
 
 // encodeRequest returns the stored form of a request of a shard.
@@ -39,11 +39,12 @@
 	return value
 }
 
-// decodeRequest reads a stored request, and whose it is.
+// decodeRequest decodes a stored request. It returns the shard to which the request
+// belongs and the request.
 func decodeRequest(kv messages.KV) (cluster.ShardID, *state.ProvisioningRequest, error) {
 	var record RequestRecord
 	if err := json.Unmarshal(kv.Value, &record); err != nil {
-		return 0, nil, fmt.Errorf("provisioning request: %w", err)
+		return 0, nil, fmt.Errorf("decode provisioning request: %w", err)
 	}
 	return record.Shard, &state.ProvisioningRequest{
 		Name:        strings.TrimPrefix(kv.Key, RequestKeyPrefix),
--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -9,48 +9,50 @@
 )
 
 const (
-	// maxBackoffDoublings bounds how often the back-off of an option doubles: each
-	// request costs two puts, a whole second's worth where the write rate is low.
+	// maxBackoffDoublings limits how often the back-off of an option doubles. The
+	// back-off doubles because each request costs two puts, which matters at a low
+	// write rate.
 	maxBackoffDoublings = 2
-	// invalidOptionBackoff is the back-off of an option that the cloud calls invalid.
+	// invalidOptionBackoff is the back-off of an option that the cloud rejects as
+	// invalid.
 	invalidOptionBackoff = 300 * second
-	// requestThrottledDelay is the wait before a request is repeated that the cloud
-	// has refused for its rate.
+	// requestThrottledDelay is the delay before a request that the cloud has throttled
+	// is retried.
 	requestThrottledDelay = second / 2
-	// requestRetryDelay is the wait before a request is repeated whose outcome is not
-	// known.
+	// requestRetryDelay is the delay before a request that failed or has an unknown
+	// outcome is retried.
 	requestRetryDelay = 3 * second
 )
 
-// Requests carries out provisioning requests. Each is recorded before the cloud is
-// called, and repeated under its name until it is answered: the cloud grants the
-// machines of a name once, however often it is asked for them.
+// Requests executes provisioning requests. A request is stored before the cloud is
+// called, and retried under its name until it is answered. Retries are idempotent, as
+// the cloud grants the machines of a name only once.
 type Requests struct {
 	*shared
 	rateLimiter *CloudRateLimiter
 
-	// handleAnswer is called when the cloud has answered a request, so that another
-	// one may take its place.
-	handleAnswer func()
+	// onAnswered is called when the cloud has granted machines or is out of capacity,
+	// so that another request can be made.
+	onAnswered func()
 }
 
-// ApplyRecord takes in the record of a request that an earlier owner of a shard has left,
-// and calls the cloud for it again.
+// ApplyRecord adds a stored request of an earlier owner to the shard and calls the
+// cloud for it again. It ignores the requests of other shards.
 func (r *Requests) ApplyRecord(kv messages.KV, shard *state.Shard) {
-	owner, request, err := decodeRequest(kv)
+	shardID, request, err := decodeRequest(kv)
 	if err != nil {
 		r.deps.Ownership.GiveUpCorrupt(shard, kv.Key, err.Error())
 		return
 	}
-	if owner != shard.ID {
+	if shardID != shard.ID {
 		return
 	}
 	shard.ProvisioningRequests[request.Name] = request
 	r.call(shard, request)
 }
 
-// Create records a request for machines, and calls the cloud once it is stored. The
-// first call is charged by the caller.
+// Create stores a request for machines and calls the cloud once it is stored. The
+// caller charges the first call.
 func (r *Requests) Create(shard *state.Shard, option state.ProvisioningOption, count int) {
 	request := &state.ProvisioningRequest{
 		Name:    r.deps.Names.NextProvisioningRequest(shard),
@@ -67,12 +69,12 @@
 			value := encodeRequest(shard.ID, request, writeID)
 			return []messages.TxnOp{{Key: key, Value: value}}, []cluster.ModRevision{0}
 		},
-		// Once the request is settled its key is absent again, and a late copy of this
-		// write would bring it back; the next owner would then record its machines a
-		// second time. The key of its machines' group stays until the next claim
-		// fences off the copy.
+		// The key of the request is absent again once the request is complete, so a late
+		// copy of this write could bring the request back, and the next owner would
+		// record its machines a second time. The key of the machines' group prevents
+		// that: it exists until the next claim rejects the copy.
 		ExtraCompares: []messages.Compare{{Key: state.GroupKey(request.GroupID), ModRevision: 0}},
-		OnConflict:    func() { r.deps.Ownership.HandleForeignWrite(shard, key, "name is in use") },
+		OnConflict:    func() { r.deps.Ownership.HandleForeignWrite(shard, key, "a request with this name already exists") },
 	}
 	write.OnApplied = func(revision cluster.Revision) {
 		request.ModRevision, request.CreateInDoubt = cluster.ModRevision(revision), write.InDoubt
@@ -81,7 +83,7 @@
 	r.queue.Enqueue(writequeue.ScaleOut, write)
 }
 
-// call asks the cloud for the machines of a recorded request.
+// call calls the cloud for the machines of a stored request.
 func (r *Requests) call(shard *state.Shard, request *state.ProvisioningRequest) {
 	if !shard.IsProvisioningCurrent(request) || request.Answered {
 		return
@@ -105,7 +107,7 @@
 }
 
 func (r *Requests) handleReply(shard *state.Shard, request *state.ProvisioningRequest, reply messages.ScaleOutReply) {
-	switch reply.Outcome { //nolint:exhaustive // after any other outcome the request may have been carried out, and is repeated
+	switch reply.Outcome { //nolint:exhaustive // after any other outcome the request is retried
 	case messages.OK:
 		r.handleGranted(shard, request, reply.IDs)
 	case messages.NotFound:
@@ -122,8 +124,8 @@
 	}
 }
 
-// handleGranted is called when the cloud has granted machines, perhaps fewer than were
-// asked for.
+// handleGranted is called when the cloud has granted machines, possibly fewer than
+// requested.
 func (r *Requests) handleGranted(shard *state.Shard, request *state.ProvisioningRequest, ids []cluster.MachineID) {
 	option := request.Option
 	r.loop.Log(messages.LogDebug, "machines provisioned", "shard", int(shard.ID), "type", option.Type, "zone", option.Zone, "spot", option.Spot, "requested", request.Count, "granted", len(ids))
@@ -133,11 +135,11 @@
 	delete(shard.OutOfCapacityCount, option)
 	request.MarkAnswered(len(ids))
 	r.complete(shard, request, ids)
-	r.handleAnswer()
+	r.onAnswered()
 }
 
-// handleOutOfCapacity is called when the cloud has no machines of a request's option. It
-// is not requested again before a pause, which doubles each time in a row.
+// handleOutOfCapacity is called when the cloud has no capacity for a request's option.
+// The back-off of the option doubles each time in a row.
 func (r *Requests) handleOutOfCapacity(shard *state.Shard, request *state.ProvisioningRequest) {
 	option := request.Option
 	doublings := shard.OutOfCapacityCount[option]
@@ -145,10 +147,10 @@
 	shard.OutOfCapacityCount[option] = min(doublings+1, maxBackoffDoublings)
 	request.MarkAnswered(0)
 	r.complete(shard, request, nil)
-	r.handleAnswer()
+	r.onAnswered()
 }
 
-// backOff keeps an option from being requested for a time.
+// backOff prevents requests for an option for the given duration.
 func (r *Requests) backOff(shard *state.Shard, option state.ProvisioningOption, duration cluster.Time) {
 	shard.OutOfCapacityUntil[option] = r.loop.Now() + duration
 }
--- a/internal/provisioning/requests_test.go
+++ b/internal/provisioning/requests_test.go
@@ -10,8 +10,9 @@
 
 var testOption = state.ProvisioningOption{Type: "small", Zone: "a"}
 
-// storedRequest makes a provisioning request whose record an owned shard has read.
-func storedRequest(h *harness) (*state.Shard, *state.ProvisioningRequest) {
+// loadStoredRequest has an owned shard load the stored record of a provisioning
+// request.
+func loadStoredRequest(h *harness) (*state.Shard, *state.ProvisioningRequest) {
 	shard := h.state.Shards[0]
 	shard.Owned = true
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
@@ -21,19 +22,19 @@
 	return shard, shard.ProvisioningRequests["r-1"]
 }
 
-// scaleOutCall returns the call for machines that was made since effects were last taken.
+// scaleOutCall returns the scale-out call since effects were last taken.
 func (h *harness) scaleOutCall(t *testing.T) messages.CloudScaleOut {
 	t.Helper()
 	call, sent := takeEffect[messages.CloudScaleOut](t, h)
 	if !sent {
-		t.Fatal("the cloud was not called for machines")
+		t.Fatal("no scale-out call was made")
 	}
 	return call
 }
 
-// TestRequestRepeatedUntilAnswered shows that a request whose outcome is not known is
-// repeated under its name, and that it is not once it was answered.
-func TestRequestRepeatedUntilAnswered(t *testing.T) {
+// TestRequestRetriedUntilAnswered checks that a request is retried under its name until
+// it is answered, and not after that.
+func TestRequestRetriedUntilAnswered(t *testing.T) {
 	for _, test := range []struct {
 		outcome messages.Outcome
 		delay   cluster.Time
@@ -43,59 +44,59 @@
 		{messages.Throttled, requestThrottledDelay},
 	} {
 		h := newHarness(t)
-		shard, request := storedRequest(h)
+		shard, request := loadStoredRequest(h)
 		first := h.scaleOutCall(t)
 		h.loop.Deliver(messages.Reply{Call: first.Call, Body: messages.ScaleOutReply{Outcome: test.outcome}})
 		h.setTime(h.loop.Now() + test.delay)
 		h.loop.RunTimers()
-		second := h.scaleOutCall(t)
-		if second.Name != first.Name || second.Count != first.Count || request.Answered {
-			t.Errorf("outcome %d: repeated as %+v, first sent as %+v", test.outcome, second, first)
+		repeated := h.scaleOutCall(t)
+		if repeated.Name != first.Name || repeated.Count != first.Count || request.Answered {
+			t.Errorf("outcome %d: retried as %+v, first sent as %+v", test.outcome, repeated, first)
 		}
-		h.loop.Deliver(messages.Reply{Call: second.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1", "m-2"}}})
+		h.loop.Deliver(messages.Reply{Call: repeated.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1", "m-2"}}})
 		if !request.Answered || request.ExpectedMachines() != 2 || !h.ScaleOut.scheduled {
-			t.Errorf("outcome %d: the repeated request is not answered, or no other takes its place: %+v", test.outcome, request)
+			t.Errorf("outcome %d: the retried request is not answered, or no scale-out run is scheduled: %+v", test.outcome, request)
 		}
 		h.Requests.call(shard, request)
 		if call, sent := takeEffect[messages.CloudScaleOut](t, h); sent {
-			t.Errorf("outcome %d: an answered request is sent again as %+v", test.outcome, call)
+			t.Errorf("outcome %d: an answered request was sent again as %+v", test.outcome, call)
 		}
 	}
 }
 
-// TestOutOfCapacityBackoff shows that the pause of an option doubles with each refusal in
-// a row up to a bound, and that machines which are granted end the row.
+// TestOutOfCapacityBackoff checks that the back-off of an option doubles with
+// consecutive refusals up to a limit, and that granted machines reset it.
 func TestOutOfCapacityBackoff(t *testing.T) {
 	h := newHarness(t)
-	shard, request := storedRequest(h)
+	shard, request := loadStoredRequest(h)
 	for i, want := range []cluster.Time{15 * second, 30 * second, 60 * second, 60 * second} {
 		h.Requests.handleReply(shard, request, messages.ScaleOutReply{Outcome: messages.NotFound})
 		if got := shard.OutOfCapacityUntil[testOption] - h.loop.Now(); got != want {
-			t.Errorf("refusal %d: not requested for %v s, want %v s", i+1, got.Seconds(), want.Seconds())
+			t.Errorf("refusal %d: back-off of %v s, want %v s", i+1, got.Seconds(), want.Seconds())
 		}
 	}
 	h.Requests.handleReply(shard, request, messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1"}})
 	h.Requests.handleReply(shard, request, messages.ScaleOutReply{Outcome: messages.NotFound})
 	if got := shard.OutOfCapacityUntil[testOption] - h.loop.Now(); got != 15*second {
-		t.Errorf("the first refusal after a grant: not requested for %v s", got.Seconds())
+		t.Errorf("first refusal after a grant: back-off of %v s, want 15 s", got.Seconds())
 	}
 	if !shard.IsBackedOff(testOption, h.loop.Now()) || shard.IsBackedOff(testOption, h.loop.Now()+15*second) {
-		t.Error("the option is not backed off for exactly the pause")
+		t.Error("the option is not backed off for exactly 15 s")
 	}
 }
 
-// TestCorruptRequestRecord shows that a shard with a record that can't be read is given
-// up, and that the record of another shard is left to it.
+// TestCorruptRequestRecord checks that a shard with an invalid record is given up, and
+// that the record of another shard is ignored.
 func TestCorruptRequestRecord(t *testing.T) {
 	h := newHarness(t)
-	shard, _ := storedRequest(h)
+	shard, _ := loadStoredRequest(h)
 	h.takeEffects()
 	h.Requests.ApplyRecord(messages.KV{Key: "rentals/r-2", Value: []byte(`{"p":"x"}`)}, shard)
-	if len(h.host.corruptKeys) != 1 || h.host.corruptKeys[0] != "rentals/r-2" {
-		t.Errorf("given up for %v", h.host.corruptKeys)
+	if len(h.fakes.corruptKeys) != 1 || h.fakes.corruptKeys[0] != "rentals/r-2" {
+		t.Errorf("given up for %v, want rentals/r-2", h.fakes.corruptKeys)
 	}
 	h.Requests.ApplyRecord(messages.KV{Key: "rentals/r-3", Value: []byte(`{"p":1,"n":1}`)}, shard)
 	if len(shard.ProvisioningRequests) != 1 || len(h.takeEffects()) != 0 {
-		t.Error("the request of another shard was taken up")
+		t.Error("the request of another shard was not ignored")
 	}
 }
--- a/internal/provisioning/scalein.go
+++ b/internal/provisioning/scalein.go
@@ -13,25 +13,28 @@
 )
 
 const (
-	// MaxMachinesPerScaleIn is how many machines the protocol lets one call release.
+	// MaxMachinesPerScaleIn is the maximum number of machines in one call of the
+	// cloud's API.
 	MaxMachinesPerScaleIn = 100
-	// scaleInDelay is how long machines whose release is recorded are gathered for
-	// one call.
+	// scaleInDelay is how long machines whose release is stored are batched for one
+	// call.
 	scaleInDelay = 50 * millisecond
-	// scaleInRetryDelay is the wait after the cloud has not carried out a call.
+	// scaleInRetryDelay is the delay before the machines of a failed call can be part
+	// of another call.
 	scaleInRetryDelay = 2 * second
-	// releaseLogDelay is how long releases are gathered for one log line: hundreds of
+	// releaseLogDelay is how long releases are batched for one log line. Hundreds of
 	// machines may be released together.
 	releaseLogDelay = second
 )
 
-// The reasons for which machines are released here.
+// The reasons for which this package releases machines.
 const (
 	releaseFailed            = "failed"
 	releaseCancelledInOutage = "cancelled tasks in an outage"
 )
 
-// ScaleIn gives machines back to the cloud. Many share one call and one log line.
+// ScaleIn releases machines to the cloud. It batches releases into few calls and log
+// lines.
 type ScaleIn struct {
 	*shared
 	rateLimiter *CloudRateLimiter
@@ -41,13 +44,14 @@
 }
 
 // releaseSummary counts the releases that are not logged yet. While there are any, a
-// log line is scheduled that will tell of them.
+// log line is scheduled.
 type releaseSummary struct {
-	machinesByReason map[string]int // nil: none
-	taskCount        int            // that were on these machines
+	machinesByReason map[string]int // nil if there are none
+	taskCount        int            // live tasks on these machines
 }
 
-// add counts a release; true: a log line has yet to be scheduled.
+// add counts a release. It reports whether the release is the first one, for which a
+// log line must be scheduled.
 func (s *releaseSummary) add(reason string, tasks int) bool {
 	isFirst := s.machinesByReason == nil
 	if isFirst {
@@ -58,7 +62,7 @@
 	return isFirst
 }
 
-// takeLogArgs returns the arguments of the log line that is due.
+// takeLogArgs returns the arguments of the log line and resets the summary.
 func (s *releaseSummary) takeLogArgs() []any {
 	args := make([]any, 0, 2*len(s.machinesByReason)+2)
 	for _, reason := range slices.Sorted(maps.Keys(s.machinesByReason)) {
@@ -69,7 +73,8 @@
 	return args
 }
 
-// Release gives a machine back: first its record says so, then the cloud is called.
+// Release starts the release of a machine: the release is stored in its record before
+// the cloud is called. Release does nothing if the machine is being released already.
 func (s *ScaleIn) Release(machine *state.Machine, reason string) {
 	if machine.Releasing {
 		return
@@ -87,11 +92,12 @@
 	s.loop.Log(messages.LogInfo, "releasing machines", s.unlogged.takeLogArgs()...)
 }
 
-// ReleaseBeforeRecorded gives a machine back before its record says so: it has
-// cancelled tasks, and an outage of the state service may last longer than they may
-// go on. No other shard can take a machine whose record lists tasks. If its shard was
-// acquired by another controller meanwhile, that one may lose the machine as if it had
-// failed: only the record frees its tasks, not the call of the cloud.
+// ReleaseBeforeRecorded releases a machine without waiting for its record to be stored.
+// It is used for a machine with cancelled tasks during an outage of the state service,
+// which may last longer than the tasks may go on running. This is safe: no other shard
+// can acquire a machine whose record lists tasks, and the tasks can't start elsewhere
+// before the record is stored. If another controller has acquired the machine's shard
+// in the meantime, the machine looks to it as if it had failed.
 func (s *ScaleIn) ReleaseBeforeRecorded(machine *state.Machine) {
 	if s.deps.Ownership.CanAnswerWorkers(s.state.Shards[machine.ShardID]) {
 		s.Release(machine, releaseCancelledInOutage)
@@ -99,7 +105,7 @@
 	}
 }
 
-// ScheduleCall has the cloud called soon for the machines whose release is recorded.
+// ScheduleCall schedules a call to the cloud for the machines whose release is stored.
 func (s *ScaleIn) ScheduleCall() {
 	if s.callScheduled {
 		return
@@ -111,7 +117,7 @@
 	})
 }
 
-// call tells the cloud of the machines whose release is recorded.
+// call calls the cloud for the machines whose release is stored.
 func (s *ScaleIn) call() {
 	machines := s.confirmedReleases()
 	if len(machines) == 0 || !s.rateLimiter.TryAcquire() {
@@ -126,8 +132,8 @@
 	s.loop.Emit(messages.CloudScaleIn{IDs: ids, Call: call})
 }
 
-// confirmedReleases lists machines that the cloud has yet to be told of, at most as
-// many as one call may release.
+// confirmedReleases returns machines whose release is stored and that are in no call
+// yet, at most as many as one call may release.
 func (s *ScaleIn) confirmedReleases() []*state.Machine {
 	var machines []*state.Machine
 	for _, shard := range s.state.Shards {
@@ -162,8 +168,9 @@
 	}
 }
 
-// HandleTerminated is called when the cloud has confirmed that a machine and all that
-// ran on it are gone. Its tasks may start elsewhere once the record says so.
+// HandleTerminated is called when the cloud has confirmed that a machine is terminated,
+// and all its tasks with it. The tasks may start elsewhere once that is stored in the
+// record.
 func (s *ScaleIn) HandleTerminated(machine *state.Machine) {
 	machine.Terminated = true
 	for _, assignment := range machine.Assignments {
--- a/internal/provisioning/scaleout.go
+++ b/internal/provisioning/scaleout.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// scaleOutDelay is the wait before machines are requested out of turn.
+	// scaleOutDelay is the delay before a run that Schedule requests.
 	scaleOutDelay = 100 * millisecond
-	// acknowledgementPatience is for how long a machine that was taken over counts as
-	// usable although it has not acknowledged its token.
-	acknowledgementPatience = 5 * second
-	// maxUnansweredRequests bounds the requests of a shard that wait for answers.
+	// acknowledgementTimeout is how long an acquired machine counts as usable without
+	// having acknowledged its fencing token.
+	acknowledgementTimeout = 5 * second
+	// maxUnansweredRequests limits the unanswered requests of a shard.
 	maxUnansweredRequests = 4
-	// maxMachinesPerRequest bounds the machines of one request.
+	// maxMachinesPerRequest limits the machines of one request.
 	maxMachinesPerRequest = 50
-	// maxStoreSilence is for how long the state service may be silent while machines
-	// are requested.
-	maxStoreSilence = second
-	// significantDiscount is by what factor on-demand machines must cost more than
-	// spot machines for it to matter which of them is used.
+	// maxStoreUnavailability is how long the state service may be unavailable before
+	// scale-out stops.
+	maxStoreUnavailability = second
+	// significantDiscount is the ratio of the on-demand price to the spot price from
+	// which the price difference matters.
 	significantDiscount = 1.5
-	// microsPerCPU is the amount that is one CPU.
-	microsPerCPU = 1e6
+	// microCPUsPerCPU converts a CPU amount to CPUs.
+	microCPUsPerCPU = 1e6
 )
 
-// WorkQueue knows what waits for machines.
+// WorkQueue provides the work that waits for machines.
 type WorkQueue interface {
-	// PendingWork lists the pending tasks that the teams' quotas would let run.
+	// PendingWork returns the pending tasks that the quotas of their teams allow to
+	// run.
 	PendingWork(*state.Shard) scheduling.PendingWork
 }
 
-// FreeCapacity knows what the machines have free.
+// FreeCapacity provides the free capacity of machines.
 type FreeCapacity interface {
-	// PackFreeCapacity takes from the work what fits on the shard's machines.
+	// PackFreeCapacity removes from the work the tasks that fit on the shard's
+	// machines.
 	PackFreeCapacity(*state.Shard, scheduling.PendingWork)
 }
 
-// Eligibility tells which machines a job may use.
+// Eligibility decides which machines a job may use.
 type Eligibility interface {
 	IsAllowedOn(*state.Job, *state.Machine) bool
 	IsOptionAllowed(*state.Job, state.ProvisioningOption) bool
@@ -50,36 +52,37 @@
 
 // RunTimes estimates run times.
 type RunTimes interface {
-	// ExpectedSeconds is how long a task of a job is expected to run.
+	// ExpectedSeconds returns the expected run time of a task of the job.
 	ExpectedSeconds(*state.Job) float64
 }
 
 // MachineSharing shares the machines among the shards.
 type MachineSharing interface {
-	// CordonSurplus chooses the machines that the owned shards give up.
+	// CordonSurplus cordons the machines that the owned shards should give up.
 	CordonSurplus()
-	// AcceptOffers acquires idle machines that other shards offer and the work has a
-	// use for, and takes from the work what they are going to run.
+	// AcceptOffers acquires idle machines that other shards offer and that the work can
+	// use. It removes the tasks that fit on them from the work.
 	AcceptOffers(*state.Shard, scheduling.PendingWork)
-	// CanScaleOut tells whether a shard may request machines: others may lack more.
+	// CanScaleOut reports whether a shard may request machines now, or has to wait for
+	// shards with less capacity.
 	CanScaleOut(*state.Shard) bool
-	// ShardLoads are the known loads of all shards.
+	// ShardLoads returns the known loads of all shards.
 	ShardLoads() fairshare.Snapshot
 }
 
-// ScaleOut decides which machines are requested: as many as the pending work needs
-// beyond what is free, coming or offered by other shards.
+// ScaleOut decides which machines to request: those for the pending work that does not
+// fit on machines that are free, booting, requested or offered by other shards.
 type ScaleOut struct {
 	*shared
 	rateLimiter *CloudRateLimiter
 	list        *MachineList
 	requests    *Requests
 
-	scheduled bool // a run before the next regular one
+	scheduled bool // whether Schedule has scheduled a run
 }
 
-// Schedule has machines requested before the next regular time: they take long to boot,
-// and every second that a request waits is added to that.
+// Schedule schedules a run before the next regular one. Machines take long to boot, and
+// waiting for the regular run would add to that.
 func (s *ScaleOut) Schedule() {
 	if s.scheduled {
 		return
@@ -91,19 +94,20 @@
 	})
 }
 
-// Run requests machines for the owned shards; to be called once a second.
+// Run requests machines for the owned shards, after reading the machine list if that is
+// due and rebalancing the machines. It must be called once a second.
 func (s *ScaleOut) Run() {
 	s.list.Poll()
 	s.deps.Sharing.CordonSurplus()
 	for _, shard := range s.state.Shards {
-		if shard.Owned && shard.Ready && len(s.state.MachineTypes) > 0 && !s.queue.IsUnavailableFor(maxStoreSilence) {
+		if shard.Owned && shard.Ready && len(s.state.MachineTypes) > 0 && !s.queue.IsUnavailableFor(maxStoreUnavailability) {
 			s.RunShard(shard)
 		}
 	}
 }
 
-// RunShard requests machines for the pending work of an owned shard, less what is free
-// or coming already.
+// RunShard requests machines for the pending work of an owned shard that does not fit
+// on machines that are free or expected.
 func (s *ScaleOut) RunShard(shard *state.Shard) {
 	work := s.deps.Work.PendingWork(shard)
 	if len(work) == 0 {
@@ -111,7 +115,7 @@
 	}
 	s.deps.Capacity.PackFreeCapacity(shard, work)
 	s.packUnacknowledged(shard, work)
-	// Another shard's idle machine serves at once, a booting one much later.
+	// An idle machine of another shard is available sooner than a booting one.
 	s.deps.Sharing.AcceptOffers(shard, work)
 	s.packBooting(shard, work)
 	s.packRequested(shard, work)
@@ -120,19 +124,19 @@
 	}
 }
 
-// packUnacknowledged takes from the work what fits on the machines that were taken over
-// and are about to acknowledge their tokens.
+// packUnacknowledged removes from the work the tasks that fit on recently acquired
+// machines that have not acknowledged their fencing tokens yet.
 func (s *ScaleOut) packUnacknowledged(shard *state.Shard, work scheduling.PendingWork) {
 	s.deps.CountMachineScans(shard.Machines)
 	for _, machine := range shard.Machines {
 		ownedFor := s.loop.Now() - machine.OwnedSince
-		if !machine.Booting && !machine.TokenAcknowledged && !machine.Releasing && ownedFor < acknowledgementPatience {
+		if !machine.Booting && !machine.TokenAcknowledged && !machine.Releasing && ownedFor < acknowledgementTimeout {
 			s.packMachine(machine, work)
 		}
 	}
 }
 
-// packBooting takes from the work what fits on the machines that are booting.
+// packBooting removes from the work the tasks that fit on booting machines.
 func (s *ScaleOut) packBooting(shard *state.Shard, work scheduling.PendingWork) {
 	s.deps.CountMachineScans(shard.Machines)
 	for _, machine := range shard.Machines {
@@ -147,7 +151,7 @@
 	work.Pack(free, func(job *state.Job) bool { return s.deps.Eligibility.IsAllowedOn(job, machine) })
 }
 
-// packRequested takes from the work what fits on the machines that are requested.
+// packRequested removes from the work the tasks that fit on requested machines.
 func (s *ScaleOut) packRequested(shard *state.Shard, work scheduling.PendingWork) {
 	for _, name := range slices.Sorted(maps.Keys(shard.ProvisioningRequests)) {
 		request := shard.ProvisioningRequests[name]
@@ -157,14 +161,15 @@
 	}
 }
 
-// packOption takes from the work what fits on one machine of an option, and returns how
-// many tasks that are.
+// packOption removes from the work the tasks that fit on one machine of an option, and
+// returns their number.
 func (s *ScaleOut) packOption(option state.ProvisioningOption, work scheduling.PendingWork) int {
 	capacity := s.state.MachineTypes[option.Type].Capacity
 	return work.Pack(capacity, func(job *state.Job) bool { return s.deps.Eligibility.IsOptionAllowed(job, option) })
 }
 
-// requestMachines requests machines for the work, those of the lowest cost for each job.
+// requestMachines requests machines for the work, for each job those with the lowest
+// price per task.
 func (s *ScaleOut) requestMachines(shard *state.Shard, work scheduling.PendingWork) {
 	unanswered := shard.UnansweredRequests()
 	for unanswered < maxUnansweredRequests {
@@ -174,7 +179,7 @@
 		}
 		option, found := s.chooseOption(shard, job, work)
 		if !found {
-			dropPending(work, job) // nothing can be had for it now
+			dropPending(work, job) // no option is available for the job now
 			continue
 		}
 		count := s.countNeeded(option, work)
@@ -186,7 +191,8 @@
 	}
 }
 
-// firstPending is the first job of which tasks are left in the work; nil: there is none.
+// firstPending returns the first job that has tasks left in the work, or nil if there
+// is none.
 func firstPending(work scheduling.PendingWork) *state.Job {
 	for _, pending := range work {
 		if pending.Count > 0 {
@@ -196,7 +202,7 @@
 	return nil
 }
 
-// dropPending drops a job's tasks from the work.
+// dropPending removes a job's tasks from the work.
 func dropPending(work scheduling.PendingWork, job *state.Job) {
 	for i := range work {
 		if work[i].Job == job {
@@ -205,19 +211,20 @@
 	}
 }
 
-// countNeeded takes from the work what machines of an option in one request can run, and
-// returns how many machines that takes.
+// countNeeded removes from the work the tasks that one request for an option can serve,
+// and returns the number of machines to request.
 func (s *ScaleOut) countNeeded(option state.ProvisioningOption, work scheduling.PendingWork) int {
-	most := min(maxMachinesPerRequest, s.deps.Records.TargetGroupSize())
-	for count := range most {
+	maxCount := min(maxMachinesPerRequest, s.deps.Records.TargetGroupSize())
+	for count := range maxCount {
 		if s.packOption(option, work) == 0 {
 			return count
 		}
 	}
-	return max(most, 0)
+	return max(maxCount, 0)
 }
 
-// chooseOption returns what to request for a job; false: nothing now.
+// chooseOption returns the option to request for a job. It reports false if nothing
+// should be requested for the job now.
 func (s *ScaleOut) chooseOption(shard *state.Shard, job *state.Job, work scheduling.PendingWork) (state.ProvisioningOption, bool) {
 	option, found := s.cheapestOption(shard, job)
 	if found && job.Spec.Spot && !option.Spot && !s.isOnDemandWorthwhile(shard, work, option) {
@@ -226,9 +233,10 @@
 	return option, found
 }
 
-// cheapestOption returns what costs least per task of a job, of all that the cloud may
-// have; of equal ones the first by the type's name, then by the order of its zones, spot
-// machines before on-demand ones.
+// cheapestOption returns the option with the lowest price per task of a job that the
+// job may use and that is not backed off. Ties are broken by the name of the machine
+// type, then by the order of the type's zones, then in favor of spot machines. It
+// reports false if there is no such option.
 func (s *ScaleOut) cheapestOption(shard *state.Shard, job *state.Job) (cheapest state.ProvisioningOption, found bool) {
 	lowestCost := 0.0
 	for _, name := range slices.Sorted(maps.Keys(s.state.MachineTypes)) {
@@ -247,7 +255,8 @@
 	return cheapest, found
 }
 
-// optionsOf lists the options of a machine type.
+// optionsOf returns the spot and on-demand options of a machine type in each of its
+// zones.
 func optionsOf(machineType string, zones []string) []state.ProvisioningOption {
 	var options []state.ProvisioningOption
 	for _, zone := range zones {
@@ -258,25 +267,27 @@
 	return options
 }
 
-// isOnDemandWorthwhile tells whether work that may use spot machines, of which there are
-// none now, should have an on-demand machine at several times the price: only if what
-// is there and coming would not be through with it by the time that the machine is up.
+// isOnDemandWorthwhile reports whether to request an on-demand machine for work that
+// may use spot machines while none are available. If the on-demand price is
+// significantly higher, it is worthwhile only if the capacity that the shard can expect
+// would take longer for the work than the machine takes to boot.
 func (s *ScaleOut) isOnDemandWorthwhile(shard *state.Shard, work scheduling.PendingWork, option state.ProvisioningOption) bool {
 	machineType := s.state.MachineTypes[option.Type]
 	if machineType.OnDemandPrice < significantDiscount*machineType.SpotPrice {
 		return true
 	}
-	cpus := float64(s.fairCPU(shard)) / microsPerCPU
+	cpus := float64(s.expectedCPU(shard)) / microCPUsPerCPU
 	cpuSeconds := 0.0
 	for _, pending := range work {
-		cpuSeconds += float64(pending.Count) * float64(pending.Job.Spec.ResourceRequest.CPU) / microsPerCPU * s.deps.RunTimes.ExpectedSeconds(pending.Job)
+		cpuSeconds += float64(pending.Count) * float64(pending.Job.Spec.ResourceRequest.CPU) / microCPUsPerCPU * s.deps.RunTimes.ExpectedSeconds(pending.Job)
 	}
 	return cpuSeconds > cpus*machineType.BootSeconds
 }
 
-// fairCPU is what a shard has or can expect: one with few machines gets its share of the
-// others' as they become idle.
-func (s *ScaleOut) fairCPU(shard *state.Shard) cluster.Amount {
+// expectedCPU returns the CPU capacity that a shard can expect: its own, or an even
+// share of the total if that is more, as idle machines of other shards are transferred
+// to it.
+func (s *ScaleOut) expectedCPU(shard *state.Shard) cluster.Amount {
 	var own, total cluster.Amount
 	loads := s.deps.Sharing.ShardLoads()
 	for id, load := range loads {
--- a/internal/provisioning/scaleout_test.go
+++ b/internal/provisioning/scaleout_test.go
@@ -11,9 +11,9 @@
 	"stairrelay/internal/state"
 )
 
-// newScaleOutHarness is a harness whose first shard is owned and has pending tasks of one
-// CPU. Four fit on a small machine and sixteen on a large one, which costs twice as much
-// per task; spot machines cost half.
+// newScaleOutHarness returns a harness with an owned shard whose pending tasks need one
+// CPU each. A small machine fits 4 tasks; a large one fits 16 at twice the price per
+// task. Spot machines cost half.
 func newScaleOutHarness(t *testing.T, tasks int, spot bool) (*harness, *state.Shard) {
 	t.Helper()
 	h := newHarness(t)
@@ -25,13 +25,13 @@
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
 	shard.OutOfCapacityUntil = map[state.ProvisioningOption]cluster.Time{}
 	spec := cluster.JobSpec{ID: "j-1", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Spot: spot, RuntimeSeconds: 60}
-	h.host.work = scheduling.PendingWork{{Job: state.NewJob(spec, shard.ID, 1, h.loop.Now()), Count: tasks}}
+	h.fakes.work = scheduling.PendingWork{{Job: state.NewJob(spec, shard.ID, 1, h.loop.Now()), Count: tasks}}
 	h.RateLimiter.bucket.SetRate(100, 100)
 	h.RateLimiter.bucket.Fill()
 	return h, shard
 }
 
-// requested counts the machines of a shard's requests by option.
+// requested returns the number of requested machines of a shard by option.
 func requested(shard *state.Shard) map[state.ProvisioningOption]int {
 	counts := map[state.ProvisioningOption]int{}
 	for _, request := range shard.ProvisioningRequests {
@@ -40,11 +40,11 @@
 	return counts
 }
 
-// TestRequestedOptions shows that as many machines are requested as the pending tasks
-// need beyond what is coming, each time the cheapest that the cloud may have.
+// TestRequestedOptions checks that the cheapest available machines are requested, as
+// many as the pending tasks need beyond the capacity that is expected already.
 func TestRequestedOptions(t *testing.T) {
 	small := state.ProvisioningOption{Type: "small", Zone: "a"}
-	smallElsewhere := state.ProvisioningOption{Type: "small", Zone: "b"}
+	smallOtherZone := state.ProvisioningOption{Type: "small", Zone: "b"}
 	large := state.ProvisioningOption{Type: "large", Zone: "a"}
 	smallSpot := state.ProvisioningOption{Type: "small", Zone: "a", Spot: true}
 	backOff := func(options ...state.ProvisioningOption) func(*harness, *state.Shard) {
@@ -63,31 +63,31 @@
 	}{
 		{"cheapest per task", 9, false, nil, map[state.ProvisioningOption]int{small: 3}},
 		{"spot machines where allowed", 9, true, nil, map[state.ProvisioningOption]int{smallSpot: 3}},
-		{"another zone when one has none", 4, false, backOff(small), map[state.ProvisioningOption]int{smallElsewhere: 1}},
-		{"another type when one has none", 4, false, backOff(small, smallElsewhere), map[state.ProvisioningOption]int{large: 1}},
-		{"nothing when the cloud has none", 4, false, backOff(small, smallElsewhere, large), nil},
-		{"at most four requests of a group each", 400, false, nil, map[state.ProvisioningOption]int{small: 40}},
-		{"less what is booting", 9, false, func(h *harness, _ *state.Shard) {
+		{"another zone if one is out of capacity", 4, false, backOff(small), map[state.ProvisioningOption]int{smallOtherZone: 1}},
+		{"another type if one is out of capacity", 4, false, backOff(small, smallOtherZone), map[state.ProvisioningOption]int{large: 1}},
+		{"nothing if all options are out of capacity", 4, false, backOff(small, smallOtherZone, large), nil},
+		{"at most four requests with one group each", 400, false, nil, map[state.ProvisioningOption]int{small: 40}},
+		{"booting machines count", 9, false, func(h *harness, _ *state.Shard) {
 			h.addMachines(1)[0].Booting = true
 		}, map[state.ProvisioningOption]int{small: 2}},
-		{"less what was just taken over", 9, false, func(h *harness, _ *state.Shard) {
+		{"recently acquired machines count", 9, false, func(h *harness, _ *state.Shard) {
 			h.addMachines(1)
 		}, map[state.ProvisioningOption]int{small: 2}},
-		{"not less what does not acknowledge its token", 9, false, func(h *harness, _ *state.Shard) {
-			h.addMachines(1)[0].OwnedSince -= acknowledgementPatience
+		{"machines that do not acknowledge their tokens do not count", 9, false, func(h *harness, _ *state.Shard) {
+			h.addMachines(1)[0].OwnedSince -= acknowledgementTimeout
 		}, map[state.ProvisioningOption]int{small: 3}},
-		{"not less what is being released", 4, false, func(h *harness, _ *state.Shard) {
+		{"machines that are being released do not count", 4, false, func(h *harness, _ *state.Shard) {
 			machine := h.addMachines(1)[0]
 			machine.Booting = true
 			machine.BeginRelease()
 		}, map[state.ProvisioningOption]int{small: 1}},
-		{"less what is requested already", 9, false, func(h *harness, shard *state.Shard) {
-			h.Requests.Create(shard, smallElsewhere, 2)
-		}, map[state.ProvisioningOption]int{smallElsewhere: 2, small: 1}},
-		{"nothing while others go first", 9, false, func(h *harness, _ *state.Shard) {
-			h.host.canScaleOut = false
+		{"requested machines count", 9, false, func(h *harness, shard *state.Shard) {
+			h.Requests.Create(shard, smallOtherZone, 2)
+		}, map[state.ProvisioningOption]int{smallOtherZone: 2, small: 1}},
+		{"nothing while other shards go first", 9, false, func(h *harness, _ *state.Shard) {
+			h.fakes.canScaleOut = false
 		}, nil},
-		{"nothing without a share of the request rate", 9, false, func(h *harness, _ *state.Shard) {
+		{"nothing while the rate limiter denies requests", 9, false, func(h *harness, _ *state.Shard) {
 			h.RateLimiter.HandleThrottled()
 		}, nil},
 	} {
@@ -104,10 +104,10 @@
 	}
 }
 
-// TestOnDemandInPlaceOfSpot shows that work for spot machines, of which the cloud has
-// none, gets on-demand machines only if what its shard has would be busy with it until
-// they have booted.
-func TestOnDemandInPlaceOfSpot(t *testing.T) {
+// TestOnDemandFallback checks that work for unavailable spot machines gets on-demand
+// machines only if the existing capacity would be busy with it for longer than they
+// take to boot.
+func TestOnDemandFallback(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		available cluster.Amount
@@ -124,31 +124,31 @@
 					shard.OutOfCapacityUntil[option] = h.loop.Now() + second
 				}
 			}
-			load := h.host.loads[shard.ID]
+			load := h.fakes.loads[shard.ID]
 			load.Available = test.available
-			h.host.loads = fairshare.Snapshot{shard.ID: load}
+			h.fakes.loads = fairshare.Snapshot{shard.ID: load}
 			h.ScaleOut.RunShard(shard)
 			total := 0
 			for count := range maps.Values(requested(shard)) {
 				total += count
 			}
 			if total != test.want {
-				t.Errorf("%d machines are requested, want %d", total, test.want)
+				t.Errorf("%d machines requested, want %d", total, test.want)
 			}
 		})
 	}
 }
 
-// TestScheduledScaleOutRunsOnce shows that several requests for a run share one.
+// TestScheduledScaleOutRunsOnce checks that several calls of Schedule lead to one run.
 func TestScheduledScaleOutRunsOnce(t *testing.T) {
 	h, shard := newScaleOutHarness(t, 4, false)
 	h.ScaleOut.Schedule()
 	h.ScaleOut.Schedule()
-	h.pass(scaleOutDelay)
+	h.advance(scaleOutDelay)
 	if names := slices.Collect(maps.Keys(shard.ProvisioningRequests)); len(names) != 1 {
 		t.Errorf("requests %v, want one", names)
 	}
 	if h.ScaleOut.scheduled {
-		t.Error("a run is scheduled still")
+		t.Error("a run is still scheduled")
 	}
 }
--- a/internal/provisioning/spot.go
+++ b/internal/provisioning/spot.go
@@ -2,26 +2,26 @@
 
 import "stairrelay/internal/cluster"
 
-// Before anything was observed, one interruption in an hour is assumed.
+// The rate before any observations is one interruption per machine hour.
 const (
 	assumedInterruptions = 1
 	assumedServedSeconds = 3600
 )
 
-// SpotInterruptions measures how often spot machines are lost. The zero value has
-// observed nothing.
+// SpotInterruptions estimates how often spot machines are interrupted. The zero value
+// has no observations.
 type SpotInterruptions struct {
-	count         float64 // machines that the cloud preempted or that were lost
-	servedSeconds float64 // of all machines together
+	count         float64 // spot machines that were preempted or lost
+	servedSeconds float64 // total of all spot machines
 }
 
 // RecordInterruption counts a spot machine that was preempted or lost.
 func (s *SpotInterruptions) RecordInterruption() { s.count++ }
 
-// AddServed counts for how long a spot machine has served.
+// AddServed adds the time that a spot machine has served.
 func (s *SpotInterruptions) AddServed(duration cluster.Time) { s.servedSeconds += duration.Seconds() }
 
-// Rate is how often a spot machine is lost, per second.
+// Rate returns the expected number of interruptions of a spot machine per second.
 func (s *SpotInterruptions) Rate() float64 {
 	return (s.count + assumedInterruptions) / (s.servedSeconds + assumedServedSeconds)
 }
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// machineTypesKey is where the machine types are stored.
+	// machineTypesKey is the key of the stored machine types.
 	machineTypesKey = "types"
-	// typesFetchInterval is the time between two readings of the cloud's machine
-	// types: prices move.
+	// typesFetchInterval is the interval at which machine types are fetched from the
+	// cloud, as prices change.
 	typesFetchInterval = 60 * second
-	// typesFetchRetryDelay is the wait after the cloud has not given them.
+	// typesFetchRetryDelay is the delay after a failed fetch.
 	typesFetchRetryDelay = 2 * second
-	// typesWriteDelay is the wait before they are stored: the start has more urgent
-	// writes.
+	// typesWriteDelay is the delay before fetched types are stored. More urgent writes
+	// go first when a controller starts.
 	typesWriteDelay = 3 * second
-	// typesLoadRetryDelay is the wait after the state service has not given them.
+	// typesLoadRetryDelay is the delay after a failed read of the stored types.
 	typesLoadRetryDelay = second
 )
 
@@ -33,24 +33,25 @@
 }
 
 // TypeCache keeps the machine types of the cloud in memory and in the state service.
-// Without them no submission can be checked and no task assigned, so a controller that
-// starts while the cloud has an outage takes them from the state service, where the
-// first reachable controller keeps them. The stored prices may be old; the cloud's next
-// answer corrects them.
+// Without machine types no submission can be validated and no task assigned, so a
+// controller that starts during an outage of the cloud loads them from the state
+// service, where the first reachable controller stores them. The stored prices may be
+// out of date until the cloud's next reply.
 //
-// The stored types are written only after they were read, and at most one write of
-// them is in progress.
+// The stored types are written only after they were read, and at most one write of them
+// is in flight.
 type TypeCache struct {
 	*shared
 	rateLimiter *CloudRateLimiter
 
-	stored      []cluster.MachineType // by name, as last read or written
+	stored      []cluster.MachineType // sorted by name, as last read or written
 	modRevision cluster.ModRevision   // of the stored types
 	loaded      bool
 	writing     bool
 }
 
-// Fetch asks the cloud for its machine types, and goes on to do so regularly.
+// Fetch fetches the machine types from the cloud, and repeats that at regular
+// intervals.
 func (t *TypeCache) Fetch() {
 	t.rateLimiter.ForceAcquire()
 	call := eventloop.Call(t.loop, func(reply messages.MachineTypesReply) {
@@ -65,7 +66,7 @@
 	t.loop.Emit(messages.CloudMachineTypes{Call: call})
 }
 
-// apply takes in machine types as the cloud or the state service gives them.
+// apply adds machine types from the cloud or the state service.
 func (t *TypeCache) apply(types []cluster.MachineType) {
 	for _, machineType := range types {
 		t.state.MachineTypes[machineType.Name] = machineType
@@ -73,10 +74,11 @@
 	t.deps.RequestScheduling()
 }
 
-// Load reads the stored machine types, and uses them if the cloud has not given any.
+// Load reads the stored machine types. They are used if the cloud has not returned any
+// yet.
 func (t *TypeCache) Load() {
 	t.queue.ReadKey(machineTypesKey, func(reply messages.GetReply) {
-		switch reply.Outcome { //nolint:exhaustive // all others are failures
+		switch reply.Outcome { //nolint:exhaustive // all other outcomes are failures
 		case messages.OK:
 			t.applyStored(reply.KV)
 		case messages.NotFound:
@@ -89,12 +91,12 @@
 	})
 }
 
-// applyStored takes in the stored record.
+// applyStored handles the stored record of the machine types.
 func (t *TypeCache) applyStored(kv messages.KV) {
 	t.loaded, t.modRevision = true, kv.ModRevision
 	var record MachineTypesRecord
 	if err := json.Unmarshal(kv.Value, &record); err != nil {
-		t.loop.Log(messages.LogError, "unreadable record", "key", kv.Key, "error", err.Error())
+		t.loop.Log(messages.LogError, "cannot decode the stored machine types; using only those from the cloud", "key", kv.Key, "error", err.Error())
 		return
 	}
 	t.stored = record.Types
@@ -104,8 +106,8 @@
 	}
 }
 
-// write stores the machine types where they differ from the stored ones in more than
-// prices. Only the first reachable controller does, so that one put is spent.
+// write stores the machine types if they differ from the stored ones in more than
+// prices. Only the first reachable controller does, as one put is enough.
 func (t *TypeCache) write() {
 	if !t.deps.Members.IsFirstReachable() || !t.loaded || t.writing || len(t.state.MachineTypes) == 0 {
 		return
@@ -123,7 +125,7 @@
 		Keys:    []string{machineTypesKey},
 		Build: func(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 			value, _ := json.Marshal(MachineTypesRecord{Types: types, WriteID: writeID})
-			if len(value) > t.config.MaxValueBytes { // the controllers do without
+			if len(value) > t.config.MaxValueBytes { // too large to store
 				return nil, nil
 			}
 			return []messages.TxnOp{{Key: machineTypesKey, Value: value}}, []cluster.ModRevision{t.modRevision}
@@ -131,14 +133,15 @@
 		OnApplied: func(revision cluster.Revision) {
 			t.writing, t.stored, t.modRevision = false, types, cluster.ModRevision(revision)
 		},
-		OnConflict: func() { // another controller has stored them
+		OnConflict: func() { // another controller has stored machine types
 			t.writing = false
 			t.Load()
 		},
 	})
 }
 
-// equalExceptPrices tells whether two machine types differ in prices alone.
+// equalExceptPrices reports whether two machine types are equal apart from their
+// prices.
 func equalExceptPrices(a, b cluster.MachineType) bool {
 	return a.Name == b.Name &&
 		a.Capacity == b.Capacity &&
--- a/internal/provisioning/typecache_test.go
+++ b/internal/provisioning/typecache_test.go
@@ -16,18 +16,19 @@
 	SpotPrice:     0.07,
 }
 
-// answerTypes has the cloud answer with one machine type.
-func (h *harness) answerTypes(t *testing.T, machineType cluster.MachineType) {
+// replyWithCloudTypes fetches the machine types, and has the cloud reply with one.
+func (h *harness) replyWithCloudTypes(t *testing.T, machineType cluster.MachineType) {
 	t.Helper()
 	h.Types.Fetch()
 	request, _ := takeEffect[messages.CloudMachineTypes](t, h)
 	reply := messages.MachineTypesReply{Outcome: messages.OK, Types: []cluster.MachineType{machineType}}
 	h.loop.Deliver(messages.Reply{Call: request.Call, Body: reply})
-	h.pass(typesWriteDelay)
+	h.advance(typesWriteDelay)
 }
 
-// answerStored has the state service answer that it has a record, or none.
-func (h *harness) answerStored(t *testing.T, outcome messages.Outcome, value []byte) {
+// replyWithStoredTypes loads the stored machine types, and has the state service reply
+// with the given outcome and value.
+func (h *harness) replyWithStoredTypes(t *testing.T, outcome messages.Outcome, value []byte) {
 	t.Helper()
 	h.Types.Load()
 	read, _ := takeEffect[messages.StoreGet](t, h)
@@ -35,8 +36,9 @@
 	h.loop.Deliver(messages.Reply{Call: read.Call, Body: messages.GetReply{Outcome: outcome, KV: kv}})
 }
 
-// sentTypes returns the write of the machine types that is sent now; false: none is.
-func (h *harness) sentTypes(t *testing.T) (messages.StoreTxn, bool) {
+// sentTypesWrite dispatches the queued writes and returns the write of the machine
+// types. It reports false if none was sent.
+func (h *harness) sentTypesWrite(t *testing.T) (messages.StoreTxn, bool) {
 	t.Helper()
 	h.Types.queue.Dispatch()
 	return takeEffect[messages.StoreTxn](t, h)
@@ -51,37 +53,37 @@
 	return value
 }
 
-// TestTypesStored shows that the machine types are stored once they are known and the
-// stored ones were read, and again only when more than prices differ.
+// TestTypesStored checks that the machine types are stored only after the stored ones
+// were read, and not again for a changed price.
 func TestTypesStored(t *testing.T) {
 	h := newHarness(t)
-	h.answerTypes(t, smallType)
-	if _, sent := h.sentTypes(t); sent {
-		t.Fatal("written before the stored types were read")
+	h.replyWithCloudTypes(t, smallType)
+	if _, sent := h.sentTypesWrite(t); sent {
+		t.Fatal("types were written before the stored ones were read")
 	}
-	h.answerStored(t, messages.NotFound, nil)
-	write, sent := h.sentTypes(t)
+	h.replyWithStoredTypes(t, messages.NotFound, nil)
+	write, sent := h.sentTypesWrite(t)
 	if !sent || len(write.Then) != 1 || write.Then[0].Key != machineTypesKey {
-		t.Fatalf("sent %+v", write)
+		t.Fatalf("sent %+v, want one write of the machine types", write)
 	}
 	h.loop.Deliver(messages.Reply{Call: write.Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 8}})
 
-	dearer := smallType
-	dearer.OnDemandPrice = 0.3
-	h.answerTypes(t, dearer)
-	if _, sent := h.sentTypes(t); sent {
-		t.Error("written again for a price")
+	pricier := smallType
+	pricier.OnDemandPrice = 0.3
+	h.replyWithCloudTypes(t, pricier)
+	if _, sent := h.sentTypesWrite(t); sent {
+		t.Error("types were written again for a changed price")
 	}
 	larger := smallType
 	larger.Capacity.CPU = 8_000_000
-	h.answerTypes(t, larger)
-	if write, sent := h.sentTypes(t); !sent || write.If[len(write.If)-1].ModRevision != 8 {
-		t.Errorf("a larger machine type is written: %v, on condition of %+v", sent, write.If)
+	h.replyWithCloudTypes(t, larger)
+	if write, sent := h.sentTypesWrite(t); !sent || write.If[len(write.If)-1].ModRevision != 8 {
+		t.Errorf("write of a larger machine type sent: %v, with conditions %+v", sent, write.If)
 	}
 }
 
-// TestStoredTypesUsedWithoutCloud shows that the stored machine types are used only as
-// long as the cloud has not given any, and that a record which can't be read is not.
+// TestStoredTypesUsedWithoutCloud checks that the stored machine types are used only
+// until the cloud has returned some, and that an invalid record is ignored.
 func TestStoredTypesUsedWithoutCloud(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -89,20 +91,20 @@
 		stored    []byte
 		wantCPU   cluster.Amount
 	}{
-		{"the cloud has given none", false, encodeTypes(t, smallType), smallType.Capacity.CPU},
-		{"the cloud has given some", true, encodeTypes(t, smallType), 8_000_000},
-		{"the record can't be read", false, []byte("{"), 0},
+		{"the cloud has not replied", false, encodeTypes(t, smallType), smallType.Capacity.CPU},
+		{"the cloud has replied", true, encodeTypes(t, smallType), 8_000_000},
+		{"the record is invalid", false, []byte("{"), 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
 			if test.fromCloud {
 				larger := smallType
 				larger.Capacity.CPU = 8_000_000
-				h.answerTypes(t, larger)
+				h.replyWithCloudTypes(t, larger)
 			}
-			h.answerStored(t, messages.OK, test.stored)
+			h.replyWithStoredTypes(t, messages.OK, test.stored)
 			if got := h.state.MachineTypes["small"].Capacity.CPU; got != test.wantCPU {
-				t.Errorf("the machine type has %d, want %d", got, test.wantCPU)
+				t.Errorf("CPU of the machine type is %d, want %d", got, test.wantCPU)
 			}
 		})
 	}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,15 +1,15 @@
-// Package ratelimit keeps a controller within its share of rates that all controllers
-// have in common: a token bucket, and the division of one limit among the controllers
-// by what each could use.
+// Package ratelimit keeps a controller within its share of the rate limits that all
+// controllers have in common. It provides a token bucket and the division of a limit
+// among the controllers by demand.
 package ratelimit
 
 import "stairrelay/internal/cluster"
 
-// TokenBucket gains tokens at a rate up to a capacity. Requests that can't wait are
-// charged with Spend even if the bucket is empty: the level becomes negative, and Take
-// refuses everything until it has recovered. The zero value is empty and gains
-// nothing. A bucket doesn't read a clock: calls that depend on the time get it as an
-// argument. It is not safe for concurrent use.
+// A TokenBucket gains tokens at a rate up to a capacity. Spend charges a request that
+// can't wait even if the bucket is empty: the level becomes negative, and Take fails
+// until it has recovered. The zero value is empty and gains no tokens. A bucket has no
+// clock; methods that depend on the time take it as an argument. It is not safe for
+// concurrent use.
 type TokenBucket struct {
 	rate       float64 // tokens per second
 	capacity   float64
@@ -17,18 +17,18 @@
 	refilledAt cluster.Time // time of the last refill
 }
 
-// SetRate sets the tokens gained per second and the most that the bucket holds. The
-// level stays as it is until the next refill, which applies the capacity.
+// SetRate sets the tokens gained per second and the capacity. The level stays as it is
+// until the next refill, which applies the new capacity.
 func (b *TokenBucket) SetRate(rate, capacity float64) { b.rate, b.capacity = rate, capacity }
 
-// Rate returns the tokens gained per second.
+// Rate returns the number of tokens gained per second.
 func (b *TokenBucket) Rate() float64 { return b.rate }
 
-// Capacity returns the most that the bucket holds.
+// Capacity returns the maximum number of tokens that the bucket holds.
 func (b *TokenBucket) Capacity() float64 { return b.capacity }
 
-// Level returns the tokens as of the last refill, less what was spent since. It is
-// negative while more was spent than gained.
+// Level returns the number of tokens as of the last refill, less those spent since. It
+// is negative if more tokens were spent than gained.
 func (b *TokenBucket) Level() float64 { return b.level }
 
 // Fill raises the level to the capacity.
@@ -41,8 +41,8 @@
 	b.refilledAt = now
 }
 
-// Take refills the bucket and spends tokens if it holds as many. It reports whether it
-// did.
+// Take refills the bucket and spends tokens if it holds that many. It reports whether
+// the tokens were spent.
 func (b *TokenBucket) Take(now cluster.Time, tokens float64) bool {
 	b.Refill(now)
 	if b.level < tokens {
@@ -52,12 +52,12 @@
 	return true
 }
 
-// Spend takes tokens whether or not the bucket holds them.
+// Spend spends tokens whether or not the bucket holds them.
 func (b *TokenBucket) Spend(tokens float64) { b.level -= tokens }
 
-// Refund returns tokens that turned out not to be used, up to the capacity.
+// Refund returns tokens that were spent but not needed, up to the capacity.
 func (b *TokenBucket) Refund(tokens float64) { b.level = min(b.level+tokens, b.capacity) }
 
-// Lower reduces the level to at most the given one. It is used when a server has
-// refused a request, which shows that fewer tokens are left than the bucket counts.
+// LowerTo reduces the level to at most the given one. It is called after a server has
+// throttled a request, which shows that fewer tokens are left than the bucket counts.
 func (b *TokenBucket) LowerTo(level float64) { b.level = min(b.level, level) }
--- a/internal/ratelimit/share.go
+++ b/internal/ratelimit/share.go
@@ -1,45 +1,44 @@
 package ratelimit
 
-// evenDivisor: one fifth of a limit is divided evenly, so that an idle controller can
-// begin at once when work arrives.
-const evenDivisor = 5
+// evenShareDivisor sets the fraction of a limit that is divided evenly: one fifth. It
+// lets an idle controller start at once when work arrives.
+const evenShareDivisor = 5
 
-// demandMargin is the factor by which a controller's demand is taken to exceed the
-// measured one. A demand measured under a tight share would otherwise never show that
-// it is larger.
+// demandMargin is the headroom factor on a measured demand. A controller that is held
+// back by its share measures no more than that share, so without headroom its share
+// would not grow.
 const demandMargin = 1.25
 
-// Demand is what another controller has reported of its use of a limit.
+// Demand is the demand on a limit that another controller has reported.
 type Demand struct {
-	Rate  float64 // what it could use, per second
-	Known bool    // false: it has reported nothing lately
+	Rate  float64 // requests per second that it could use
+	Known bool    // whether it has reported its demand recently
 }
 
-// Divide returns a controller's share of a limit that all controllers share; limit,
-// demand and result are rates per second. demand is what this controller could use,
-// live the number of controllers that are alive, and others the demands of those
-// known to be alive beside it.
+// ShareByDemand returns this controller's share of a limit that all controllers have in
+// common. All rates are per second. demand is the rate that this controller could use,
+// liveControllers is the number of live controllers including this one, and others
+// holds the demands of the other controllers that are known to be alive.
 //
-// A fifth of the limit is divided evenly. Of the rest each controller gets what it
-// could use, in proportion where that exceeds the rest, and what nobody could use is
-// divided evenly too. A controller whose demand is not known counts with an even
-// share of the rest. The shares of controllers that know the same add up to the
-// limit.
-func ShareByDemand(limit, demand float64, live int, others []Demand) float64 {
-	members := float64(live)
-	evenShare := limit / evenDivisor / members
-	rest := limit * (evenDivisor - 1) / evenDivisor
+// One fifth of the limit is divided evenly. From the rest each controller gets its
+// demand, reduced in proportion if the demands exceed the rest. What the demands leave
+// over is divided evenly as well. An unknown demand counts as an even share of the
+// rest. The shares of controllers that have the same information add up to the limit.
+func ShareByDemand(limit, demand float64, liveControllers int, others []Demand) float64 {
+	controllers := float64(liveControllers)
+	evenShare := limit / evenShareDivisor / controllers
+	rest := limit * (evenShareDivisor - 1) / evenShareDivisor
 	ownDemand := demand * demandMargin
 	totalDemand := ownDemand
 	for _, other := range others {
 		if other.Known {
 			totalDemand += other.Rate * demandMargin
 		} else {
-			totalDemand += rest / members
+			totalDemand += rest / controllers
 		}
 	}
 	if totalDemand > rest {
 		return evenShare + ownDemand*rest/totalDemand
 	}
-	return evenShare + ownDemand + (rest-totalDemand)/members
+	return evenShare + ownDemand + (rest-totalDemand)/controllers
 }
--- a/internal/ratelimit/share_test.go
+++ b/internal/ratelimit/share_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestDivide checks shares of a limit of 10: 2 are divided evenly, 8 by demand.
-func TestDivide(t *testing.T) {
+// TestShareByDemand checks shares of a limit of 10, of which 2 are divided evenly and 8
+// by demand.
+func TestShareByDemand(t *testing.T) {
 	idle, unknown := Demand{Known: true}, Demand{}
 	for _, test := range []struct {
 		name   string
@@ -14,27 +15,28 @@
 	}{
 		{"alone", 0, 1, nil, 10},
 		{"alone, demand above the limit", 100, 1, nil, 10},
-		{"no demand: evenly", 0, 2, []Demand{idle}, 5},
-		{"demand that fits, and half of what is left", 4, 2, []Demand{idle}, 1 + 5 + 1.5},
-		{"idle beside demand that fits", 0, 2, []Demand{{4, true}}, 1 + 1.5},
-		{"idle beside demand above the limit", 0, 2, []Demand{{100, true}}, 1},
-		{"in proportion", 6, 2, []Demand{{18, true}}, 1 + 2},
-		{"in proportion where little is missing", 6, 2, []Demand{{2, true}}, 1 + 7.5*8/10},
-		{"an unknown demand counts with an even share", 100, 2, []Demand{unknown}, 1 + 125*8/129.0},
-		{"the rate of an unknown demand does not count", 0, 2, []Demand{{Rate: 100}}, 1 + 4.0/2},
+		{"no demand", 0, 2, []Demand{idle}, 5},
+		{"demand within the limit plus half of the unused rate", 4, 2, []Demand{idle}, 1 + 5 + 1.5},
+		{"idle next to demand within the limit", 0, 2, []Demand{{4, true}}, 1 + 1.5},
+		{"idle next to demand above the limit", 0, 2, []Demand{{100, true}}, 1},
+		{"demands far above the limit reduced in proportion", 6, 2, []Demand{{18, true}}, 1 + 2},
+		{"demands slightly above the limit reduced in proportion", 6, 2, []Demand{{2, true}}, 1 + 7.5*8/10},
+		{"an unknown demand counts as an even share", 100, 2, []Demand{unknown}, 1 + 125*8/129.0},
+		{"the rate of an unknown demand is ignored", 0, 2, []Demand{{Rate: 100}}, 1 + 4.0/2},
 		{"more live controllers reduce the even share", 0, 4, []Demand{idle}, 0.5 + 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := ShareByDemand(10, test.demand, test.live, test.others); !near(got, test.want) {
+			if got := ShareByDemand(10, test.demand, test.live, test.others); !almostEqual(got, test.want) {
 				t.Errorf("share %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestDivideWithinLimit checks that the shares of controllers which know the same of
-// each other add up to the limit, whatever their demands are.
-func TestDivideWithinLimit(t *testing.T) {
+// TestSharesAddUpToLimit checks that the shares of controllers with the same
+// information add up to the limit: a larger sum would exceed the limit, a smaller one
+// would waste it.
+func TestSharesAddUpToLimit(t *testing.T) {
 	const limit = 3.6
 	for _, demands := range [][]float64{{0, 0, 0}, {1, 0, 0}, {5, 1, 0}, {50, 20, 1}, {3.6, 3.6, 3.6}} {
 		sum := 0.0
@@ -47,12 +49,12 @@
 			}
 			share := ShareByDemand(limit, demand, len(demands), others)
 			if share < limit/5/3-1e-9 {
-				t.Errorf("demands %v: controller %d gets %v, less than its even share", demands, self, share)
+				t.Errorf("demands %v: share of controller %d is %v, less than its even share", demands, self, share)
 			}
 			sum += share
 		}
-		if !near(sum, limit) {
-			t.Errorf("demands %v: the shares add up to %v of %v", demands, sum, limit)
+		if !almostEqual(sum, limit) {
+			t.Errorf("demands %v: shares add up to %v, want %v", demands, sum, limit)
 		}
 	}
 }
