--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -76,9 +76,9 @@
 func (a inventoryCloud) ScheduleScaleIn() { a.controller.provisioner.ScaleIn.ScheduleCall() }
 
 // ForceCall implements inventory.Cloud.
-func (a inventoryCloud) ForceCall() { a.controller.provisioner.RateLimiter.ForceAcquire() }
+func (a inventoryCloud) ChargeCall() { a.controller.provisioner.RateLimiter.ForceAcquire() }
 
-// ReadList implements inventory.Cloud.
-func (a inventoryCloud) ReadList(handle func(machines []cluster.ListedMachine, ok bool)) {
+// ListMachines implements inventory.Cloud.
+func (a inventoryCloud) ListMachines(handle func(machines []cluster.ListedMachine, ok bool)) {
 	a.controller.provisioner.List.Read(handle)
 }
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -16,7 +16,7 @@
 	job := b.addTestJob("j-1", 1)
 	job.SetCompleted(0)
 	b.losesReply = func(messages.StoreTxn) bool { return true }
-	b.jobs.Records.WriteJob(job, writequeue.Admit)
+	b.jobs.Records.WriteJob(job, writequeue.PriorityAdmission)
 	b.runFor(60 * millisecond)
 	if b.store.get("jobs/j-1").Outcome != messages.OK || job.FinalStatus != "" {
 		t.Fatal("the end is not stored, or its answer is not lost")
@@ -24,7 +24,7 @@
 	b.state.Jobs.Known["j-1"].FinalStatus = "" // this controller has not learned of it
 	b.jobs.Queries.HandleQuery(messages.Query{Request: 5, ID: "j-1"})
 	var views []cluster.JobView
-	b.jobs.Queries.AnswerPeer([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
+	b.jobs.Queries.HandlePeerQuery([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
 	b.runFor(300 * millisecond)
 	if len(b.sentResponses) != 1 || b.sentResponses[0].View == nil || b.sentResponses[0].View.Status != cluster.JobDone {
 		t.Errorf("a query gets %+v", b.sentResponses)
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -42,7 +42,7 @@
 func (h *fakeDependencies) TargetGroupSize() int                              { return 10 }
 func (h *fakeDependencies) AddNewGroup(*inventory.NewGroup, cluster.Revision) {}
 
-func (h *fakeDependencies) GiveUpCorrupt(_ *state.Shard, key, _ string) {
+func (h *fakeDependencies) DropCorruptShard(_ *state.Shard, key, _ string) {
 	h.corruptKeys = append(h.corruptKeys, key)
 }
 
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -62,8 +62,8 @@
 	// HandleForeignWrite is called when a writer other than this controller has changed
 	// a record of an owned shard.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
-	// GiveUpCorrupt gives up the ownership of a shard that has an invalid record.
-	GiveUpCorrupt(shard *state.Shard, key, reason string)
+	// DropCorruptShard gives up the ownership of a shard that has an invalid record.
+	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
 // MachineRecords writes the records of machines.
--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -41,7 +41,7 @@
 func (r *Requests) ApplyRecord(kv messages.KV, shard *state.Shard) {
 	shardID, request, err := decodeRequest(kv)
 	if err != nil {
-		r.deps.Ownership.GiveUpCorrupt(shard, kv.Key, err.Error())
+		r.deps.Ownership.DropCorruptShard(shard, kv.Key, err.Error())
 		return
 	}
 	if shardID != shard.ID {
@@ -80,7 +80,7 @@
 		request.ModRevision, request.CreateInDoubt = cluster.ModRevision(revision), write.InDoubt
 		r.call(shard, request)
 	}
-	r.queue.Enqueue(writequeue.ScaleOut, write)
+	r.queue.Enqueue(writequeue.PriorityScaleOut, write)
 }
 
 // call calls the cloud for the machines of a stored request.
