--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -96,7 +96,7 @@
 	t.loaded, t.modRevision = true, kv.ModRevision
 	var record MachineTypesRecord
 	if err := json.Unmarshal(kv.Value, &record); err != nil {
-		t.loop.Log(messages.LogError, "cannot decode the stored machine types; using only those from the cloud", "key", kv.Key, "error", err.Error())
+		t.loop.Log(messages.LogError, "cannot decode stored machine types; ignoring them", "key", kv.Key, "error", err.Error())
 		return
 	}
 	t.stored = record.Types
