--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -75,7 +75,7 @@
 // ScheduleScaleIn implements inventory.Cloud.
 func (a inventoryCloud) ScheduleScaleIn() { a.controller.provisioner.ScaleIn.ScheduleCall() }
 
-// ForceCall implements inventory.Cloud.
+// ChargeCall implements inventory.Cloud.
 func (a inventoryCloud) ChargeCall() { a.controller.provisioner.RateLimiter.ForceAcquire() }
 
 // ListMachines implements inventory.Cloud.
