--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -72,7 +72,7 @@
 		sim.ReadAfterWrite.EnableFor(duration)
 	}},
 	{"odd requests", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
-		sim.OddRequests.SendFor(duration)
+		sim.EdgeCaseRequests.SendFor(duration)
 	}},
 }
 
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -96,7 +96,7 @@
 		return unreachable != ""
 	})
 	c.services.WithLock(func() { c.services.UnreachableMachines[unreachable] = true })
-	c.waitFor("released", func() bool { return c.services.IsReleased(unreachable) })
+	c.waitFor("released", func() bool { return c.services.IsRemoved(unreachable) })
 	c.waitFor("done elsewhere", func() bool { return c.jobStatus(1, "j-000031") == "done" })
 }
 
--- a/internal/simulation/httpfake/services.go
+++ b/internal/simulation/httpfake/services.go
@@ -121,7 +121,7 @@
 }
 
 // IsReleased tells whether a machine was released.
-func (s *Services) IsReleased(id cluster.MachineID) bool {
+func (s *Services) IsRemoved(id cluster.MachineID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.workers[id] == nil || s.workers[id].released
--- a/internal/simulation/odd_requests.go
+++ b/internal/simulation/odd_requests.go
@@ -17,7 +17,7 @@
 )
 
 // OddRequests makes requests that users seldom make, and checks the answers.
-type OddRequests struct {
+type EdgeCaseRequests struct {
 	*environment
 	nodes         *nodeSet
 	users         *Users
@@ -26,9 +26,9 @@
 }
 
 // SendFor makes odd requests for a while.
-func (o *OddRequests) SendFor(duration cluster.Time) { o.sendUntil(o.Now + duration) }
+func (o *EdgeCaseRequests) SendFor(duration cluster.Time) { o.sendUntil(o.Now + duration) }
 
-func (o *OddRequests) sendUntil(until cluster.Time) {
+func (o *EdgeCaseRequests) sendUntil(until cluster.Time) {
 	if o.Now >= until {
 		return
 	}
@@ -36,7 +36,7 @@
 	o.After(o.RandomBetween(minOddRequestPause, maxOddRequestPause), func() { o.sendUntil(until) })
 }
 
-func (o *OddRequests) sendOne() {
+func (o *EdgeCaseRequests) sendOne() {
 	switch o.Rand.IntN(4) {
 	case 0:
 		o.submitAgain()
@@ -51,7 +51,7 @@
 
 // submitAgain submits an unfinished job again, which the controllers answer with
 // its status.
-func (o *OddRequests) submitAgain() {
+func (o *EdgeCaseRequests) submitAgain() {
 	const kind = FaultRepeatedSubmission
 	job := o.drawJob((*Job).isUnfinished)
 	if job == nil {
@@ -68,7 +68,7 @@
 
 // cancelDone cancels a job that is done, which the controllers answer with its
 // status.
-func (o *OddRequests) cancelDone() {
+func (o *EdgeCaseRequests) cancelDone() {
 	const kind = FaultDoneJobCancelled
 	job := o.drawJob(func(job *Job) bool { return job.Accepted && job.ReportedStatus == cluster.JobDone })
 	if job == nil {
@@ -81,7 +81,7 @@
 }
 
 // drawJob draws one of the jobs for which something holds; nil: there is none.
-func (o *OddRequests) drawJob(holds func(*Job) bool) *Job {
+func (o *EdgeCaseRequests) drawJob(holds func(*Job) bool) *Job {
 	jobs := o.jobs.selectJobs(holds)
 	if len(jobs) == 0 {
 		return nil
@@ -91,7 +91,7 @@
 
 // checkStatusAnswer checks an answer that should bring the status of a job; the
 // status counts if it is current.
-func (o *OddRequests) checkStatusAnswer(kind FaultKind, job *Job, answer messages.Respond, current func() bool) {
+func (o *EdgeCaseRequests) checkStatusAnswer(kind FaultKind, job *Job, answer messages.Respond, current func() bool) {
 	switch {
 	case isUndecided(answer.Status):
 	case answer.Status != messages.ReplyOK:
@@ -118,14 +118,14 @@
 }
 
 // submitUnschedulable submits a job that fits no machine.
-func (o *OddRequests) submitUnschedulable() {
+func (o *EdgeCaseRequests) submitUnschedulable() {
 	spec := o.newRejectedSpec()
 	spec.ResourceRequest.CPU = 1_000_000_000
 	o.submitRejected(rejectedSubmission{kind: FaultUnschedulableSubmission, spec: spec, want: messages.ReplyUnschedulable})
 }
 
 // submitMalformed submits a job whose description makes no sense.
-func (o *OddRequests) submitMalformed() {
+func (o *EdgeCaseRequests) submitMalformed() {
 	o.submitRejected(rejectedSubmission{
 		kind:      FaultMalformedSubmission,
 		spec:      o.newRejectedSpec(),
@@ -134,7 +134,7 @@
 	})
 }
 
-func (o *OddRequests) newRejectedSpec() cluster.JobSpec {
+func (o *EdgeCaseRequests) newRejectedSpec() cluster.JobSpec {
 	o.rejectedCount++
 	return cluster.JobSpec{
 		ID:              cluster.JobID(fmt.Sprintf("j-7%05d", o.rejectedCount)),
@@ -151,7 +151,7 @@
 
 // submitRejected makes a submission that has to be rejected, and then queries the
 // job, which nobody may know.
-func (o *OddRequests) submitRejected(submission rejectedSubmission) {
+func (o *EdgeCaseRequests) submitRejected(submission rejectedSubmission) {
 	request := func(id messages.RequestID) messages.Event {
 		return messages.Submit{Request: id, Spec: submission.spec, Rejection: submission.rejection}
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-func (o *OddRequests) checkRejection(submission rejectedSubmission, answer messages.Respond) {
+func (o *EdgeCaseRequests) checkRejection(submission rejectedSubmission, answer messages.Respond) {
 	switch {
 	case answer.Status == submission.want:
 		o.FaultCounts[submission.kind]++
@@ -173,7 +173,7 @@
 	}
 }
 
-func (o *OddRequests) queryRejected(submission rejectedSubmission) {
+func (o *EdgeCaseRequests) queryRejected(submission rejectedSubmission) {
 	id := submission.spec.ID
 	o.nodes.random().SendRequest(queryRequest(id), func(answer messages.Respond) {
 		if !isUndecided(answer.Status) && answer.Status != messages.ReplyJobNotFound {
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -22,18 +22,18 @@
 	*environment
 	*nodeSet
 	*jobTable
-	StateService   *FakeStateService
-	Cloud          *FakeCloud
-	Network        *Network
-	Store          *Store
-	CloudAPI       *CloudAPI
-	Machines       *Machines
-	Users          *Users
-	Failovers      *Failovers
-	Cancellations  *Cancellations
-	ReadAfterWrite *ReadAfterWrite
-	OddRequests    *OddRequests
-	checker        *invariantChecker
+	StateService     *FakeStateService
+	Cloud            *FakeCloud
+	Network          *Network
+	Store            *Store
+	CloudAPI         *CloudAPI
+	Machines         *Machines
+	Users            *Users
+	Failovers        *Failovers
+	Cancellations    *Cancellations
+	ReadAfterWrite   *ReadAfterWrite
+	EdgeCaseRequests *EdgeCaseRequests
+	checker          *invariantChecker
 }
 
 // EffectObserver is shown every effect that a controller asks for, in the order
@@ -102,7 +102,7 @@
 	s.Users = &Users{environment: env, nodes: nodes, jobs: jobs}
 	s.ReadAfterWrite = &ReadAfterWrite{environment: env, nodes: nodes, users: s.Users}
 	s.Users.readAfterWrite = s.ReadAfterWrite
-	s.OddRequests = &OddRequests{environment: env, nodes: nodes, users: s.Users, jobs: jobs}
+	s.EdgeCaseRequests = &EdgeCaseRequests{environment: env, nodes: nodes, users: s.Users, jobs: jobs}
 	s.Cancellations = &Cancellations{environment: env, users: s.Users, jobs: jobs, machines: s.Machines}
 	s.Machines.onTaskDone = s.Cancellations.handleTaskDone
 }
