--- a/internal/simulation/clock_test.go
+++ b/internal/simulation/clock_test.go
@@ -11,15 +11,15 @@
 // same time in the order in which they were queued.
 func TestClockOrdersEvents(t *testing.T) {
 	var c clock
-	var happened []string
-	record := func(name string) func() { return func() { happened = append(happened, name) } }
+	var order []string
+	record := func(name string) func() { return func() { order = append(order, name) } }
 	c.After(2*second, record("third"))
 	c.After(second, record("first"))
 	c.After(second, record("second"))
 	c.After(3*second, record("too late"))
 	c.RunUntil(2 * second)
-	if want := []string{"first", "second", "third"}; !slices.Equal(happened, want) {
-		t.Errorf("happened %v, want %v", happened, want)
+	if want := []string{"first", "second", "third"}; !slices.Equal(order, want) {
+		t.Errorf("happened %v, want %v", order, want)
 	}
 	if c.Now != 2*second {
 		t.Errorf("now %v, want %v", c.Now, 2*second)
@@ -28,7 +28,7 @@
 
 // TestClockRepeatsUntilStopped: an action is repeated at its interval, until one stops
 // the clock.
-func TestClockRepeatsUntilStopped(t *testing.T) {
+func TestClockRepeatsActionUntilStopped(t *testing.T) {
 	var c clock
 	var times []cluster.Time
 	c.repeatEvery(second, func() {
@@ -45,7 +45,7 @@
 
 // TestClockTreatsNegativeDelayAsNone: an event of the past happens now, so that time
 // never runs backwards.
-func TestClockTreatsNegativeDelayAsNone(t *testing.T) {
+func TestClockTreatsNegativeDelayAsZero(t *testing.T) {
 	var c clock
 	c.After(second, func() {
 		c.After(-second, func() {
--- a/internal/simulation/odd_requests.go
+++ b/internal/simulation/edge_case_requests.go
@@ -9,11 +9,11 @@
 
 const (
 	// The pause between two odd requests.
-	minOddRequestPause = 100 * millisecond
-	maxOddRequestPause = 500 * millisecond
+	minEdgeCasePause = 100 * millisecond
+	maxEdgeCasePause = 500 * millisecond
 	// oddQueryCount is how often a rejected job is queried, within oddQueryPeriod.
-	oddQueryCount  = 3
-	oddQueryPeriod = 20 * second
+	rejectedQueryCount  = 3
+	rejectedQueryPeriod = 20 * second
 )
 
 // OddRequests makes requests that users seldom make, and checks the answers.
@@ -33,13 +33,13 @@
 		return
 	}
 	o.sendOne()
-	o.After(o.RandomBetween(minOddRequestPause, maxOddRequestPause), func() { o.sendUntil(until) })
+	o.After(o.RandomBetween(minEdgeCasePause, maxEdgeCasePause), func() { o.sendUntil(until) })
 }
 
 func (o *EdgeCaseRequests) sendOne() {
 	switch o.Rand.IntN(4) {
 	case 0:
-		o.submitAgain()
+		o.resubmitUnfinished()
 	case 1:
 		o.cancelDone()
 	case 2:
@@ -51,7 +51,7 @@
 
 // submitAgain submits an unfinished job again, which the controllers answer with
 // its status.
-func (o *EdgeCaseRequests) submitAgain() {
+func (o *EdgeCaseRequests) resubmitUnfinished() {
 	const kind = FaultRepeatedSubmission
 	job := o.drawJob((*Job).isUnfinished)
 	if job == nil {
@@ -156,8 +156,8 @@
 		return messages.Submit{Request: id, Spec: submission.spec, Rejection: submission.rejection}
 	}
 	o.nodes.random().SendRequest(request, func(answer messages.Respond) { o.checkRejection(submission, answer) })
-	for range oddQueryCount {
-		o.After(o.RandomBetween(millisecond, oddQueryPeriod), func() { o.queryRejected(submission) })
+	for range rejectedQueryCount {
+		o.After(o.RandomBetween(millisecond, rejectedQueryPeriod), func() { o.queryRejected(submission) })
 	}
 }
 
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -13,12 +13,12 @@
 
 // Task is one task on a worker.
 type Task struct {
-	ID        cluster.TaskID
-	Attempt   cluster.Attempt
-	State     cluster.TaskState
-	Cause     cluster.Cause
-	Saved     bool         // its checkpoint is saved
-	Remaining cluster.Time // of its present state
+	ID           cluster.TaskID
+	Attempt      cluster.Attempt
+	State        cluster.TaskState
+	Cause        cluster.Cause
+	Checkpointed bool         // its checkpoint is saved
+	Remaining    cluster.Time // of its present state
 }
 
 // JobInfo is what a worker fetches of a job on its own.
@@ -117,7 +117,7 @@
 		}
 	case cluster.Checkpointing:
 		task.finish(cluster.CauseStopped)
-		task.Saved = true
+		task.Checkpointed = true
 	case cluster.Ended:
 		// No state follows.
 	}
@@ -182,7 +182,7 @@
 			Attempt:      task.Attempt,
 			State:        task.State,
 			Cause:        task.Cause,
-			Checkpointed: task.Saved,
+			Checkpointed: task.Checkpointed,
 		})
 	}
 	return status
--- a/internal/simulation/httpfake/cloud.go
+++ b/internal/simulation/httpfake/cloud.go
@@ -30,7 +30,7 @@
 }
 
 // machineTypeForm is a machine type.
-type machineTypeForm struct {
+type machineType struct {
 	Name             string   `json:"name"`
 	CPU              float64  `json:"vcpus"`
 	GPU              float64  `json:"accelerators"`
@@ -44,9 +44,9 @@
 }
 
 func (s *Services) serveMachineTypes(w http.ResponseWriter, _ *http.Request) {
-	forms := []machineTypeForm{}
+	types := []machineType{}
 	for _, t := range s.Cloud.MachineTypes {
-		forms = append(forms, machineTypeForm{
+		types = append(types, machineType{
 			Name:             t.Name,
 			CPU:              float64(t.Capacity.CPU) / amountsPerUnit,
 			Memory:           float64(t.Capacity.Memory) / amountsPerUnit,
@@ -59,12 +59,12 @@
 		})
 	}
 	writeJSON(w, http.StatusOK, struct {
-		Types []machineTypeForm `json:"fleets"`
-	}{forms})
+		Types []machineType `json:"fleets"`
+	}{types})
 }
 
 // scaleOutForm is a provisioning request.
-type scaleOutForm struct {
+type scaleOutRequest struct {
 	Name  string `json:"charter"`
 	Type  string `json:"fleet"`
 	Zone  string `json:"yard"`
@@ -73,36 +73,36 @@
 }
 
 // machineIDsForm is a list of machines' ids.
-type machineIDsForm struct {
+type machineIDs struct {
 	IDs []cluster.MachineID `json:"coaches"`
 }
 
 func (s *Services) serveScaleOut(w http.ResponseWriter, request *http.Request) {
-	var form scaleOutForm
-	if !readJSON(w, request, &form) {
+	var body scaleOutRequest
+	if !readJSON(w, request, &body) {
 		return
 	}
-	if form.Name == "" || form.Count < 1 || form.Count > maxScaleOutCount {
+	if body.Name == "" || body.Count < 1 || body.Count > maxScaleOutCount {
 		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	scaleOut := messages.CloudScaleOut{Name: form.Name, Type: form.Type, Zone: form.Zone, Spot: form.Spot, Count: form.Count}
+	scaleOut := messages.CloudScaleOut{Name: body.Name, Type: body.Type, Zone: body.Zone, Spot: body.Spot, Count: body.Count}
 	var reply messages.ScaleOutReply
 	s.WithLock(func() { reply = s.Cloud.ScaleOut(s.now(), scaleOut) })
 	if reply.Outcome != messages.OK {
-		writeJSON(w, http.StatusServiceUnavailable, errorForm{Error: "no capacity"})
+		writeJSON(w, http.StatusServiceUnavailable, errorResponse{Error: "no capacity"})
 		return
 	}
-	writeJSON(w, http.StatusOK, machineIDsForm{IDs: reply.IDs})
+	writeJSON(w, http.StatusOK, machineIDs{IDs: reply.IDs})
 }
 
 func (s *Services) serveScaleIn(w http.ResponseWriter, request *http.Request) {
-	var form machineIDsForm
-	if !readJSON(w, request, &form) {
+	var body machineIDs
+	if !readJSON(w, request, &body) {
 		return
 	}
 	s.WithLock(func() {
-		for _, id := range form.IDs {
+		for _, id := range body.IDs {
 			s.Cloud.RemoveMachine(id)
 			if worker := s.workers[id]; worker != nil {
 				worker.terminate()
@@ -113,7 +113,7 @@
 }
 
 // machineForm is a line of the machine list.
-type machineForm struct {
+type listedMachine struct {
 	ID         cluster.MachineID `json:"id"`
 	Address    string            `json:"addr"`
 	Type       string            `json:"fleet"`
@@ -124,23 +124,23 @@
 }
 
 func (s *Services) serveMachines(w http.ResponseWriter, request *http.Request) {
-	forms := []machineForm{}
+	machines := []listedMachine{}
 	truncated := false
 	s.WithLock(func() {
 		var page []cluster.ListedMachine
 		page, truncated = s.Cloud.ListPage(s.now(), cluster.MachineID(request.URL.Query().Get("since")))
 		for _, machine := range page {
-			forms = append(forms, s.encodeMachine(machine))
+			machines = append(machines, s.encodeMachine(machine))
 		}
 	})
 	writeJSON(w, http.StatusOK, struct {
-		Machines  []machineForm `json:"coaches"`
-		Truncated bool          `json:"truncated"`
-	}{Machines: forms, Truncated: truncated})
+		Machines  []listedMachine `json:"coaches"`
+		Truncated bool            `json:"truncated"`
+	}{Machines: machines, Truncated: truncated})
 }
 
-func (s *Services) encodeMachine(machine cluster.ListedMachine) machineForm {
-	form := machineForm{
+func (s *Services) encodeMachine(machine cluster.ListedMachine) listedMachine {
+	encoded := listedMachine{
 		ID:         machine.ID,
 		Type:       machine.Type,
 		Zone:       machine.Zone,
@@ -149,9 +149,9 @@
 		AgeSeconds: machine.AgeSeconds,
 	}
 	if worker := s.workers[machine.ID]; worker != nil {
-		form.Address = worker.address
+		encoded.Address = worker.address
 	}
-	return form
+	return encoded
 }
 
 // startBootedWorkers starts the workers of machines that have booted.
--- a/internal/simulation/httpfake/services.go
+++ b/internal/simulation/httpfake/services.go
@@ -124,7 +124,7 @@
 func (s *Services) IsRemoved(id cluster.MachineID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.workers[id] == nil || s.workers[id].released
+	return s.workers[id] == nil || s.workers[id].removed
 }
 
 func (s *Services) now() cluster.Time { return cluster.Time(time.Since(s.startedAt)) }
@@ -149,8 +149,8 @@
 }
 
 // readJSON reads a request's body; on failure it answers 400.
-func readJSON(w http.ResponseWriter, request *http.Request, form any) bool {
-	if json.NewDecoder(request.Body).Decode(form) != nil {
+func readJSON(w http.ResponseWriter, request *http.Request, body any) bool {
+	if json.NewDecoder(request.Body).Decode(body) != nil {
 		writeJSON(w, http.StatusBadRequest, nil)
 		return false
 	}
@@ -158,6 +158,6 @@
 }
 
 // errorForm is the body of a refusal.
-type errorForm struct {
+type errorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/simulation/httpfake/state_service.go
+++ b/internal/simulation/httpfake/state_service.go
@@ -14,7 +14,7 @@
 const watchPollInterval = 20 * time.Millisecond
 
 // itemForm is a key of a list, with Key, or a change, with Set or Drop.
-type itemForm struct {
+type item struct {
 	Key         string          `json:"key,omitempty"`
 	Set         string          `json:"set,omitempty"`
 	Drop        string          `json:"drop,omitempty"`
@@ -22,19 +22,19 @@
 	ModRevision uint64          `json:"mark"`
 }
 
-func encodeKey(kv messages.KV) itemForm {
-	return itemForm{Key: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
+func encodeKey(kv messages.KV) item {
+	return item{Key: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
 }
 
-func encodeChange(kv messages.KV) itemForm {
+func encodeChange(kv messages.KV) item {
 	if kv.Value == nil {
-		return itemForm{Drop: kv.Key, ModRevision: uint64(kv.ModRevision)}
+		return item{Drop: kv.Key, ModRevision: uint64(kv.ModRevision)}
 	}
-	return itemForm{Set: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
+	return item{Set: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
 }
 
 // revisionForm is the body of an answer without keys.
-type revisionForm struct {
+type revisionResponse struct {
 	Revision cluster.Revision `json:"epoch"`
 	Failed   []string         `json:"failed,omitempty"`
 }
@@ -50,7 +50,7 @@
 		var down bool
 		s.WithLock(func() { down = s.StateServiceDown })
 		if down {
-			writeJSON(w, http.StatusServiceUnavailable, errorForm{Error: "trouble"})
+			writeJSON(w, http.StatusServiceUnavailable, errorResponse{Error: "trouble"})
 			return
 		}
 		mux.ServeHTTP(w, request)
@@ -58,25 +58,25 @@
 }
 
 // transactionForm is a transaction.
-type transactionForm struct {
+type transaction struct {
 	When []struct {
 		Key         string `json:"key"`
 		ModRevision uint64 `json:"mark"`
 	} `json:"when"`
-	Then []itemForm `json:"then"`
+	Then []item `json:"then"`
 }
 
-func (f *transactionForm) compares() []messages.Compare {
-	var conditions []messages.Compare
-	for _, c := range f.When {
-		conditions = append(conditions, messages.Compare{Key: c.Key, ModRevision: cluster.ModRevision(c.ModRevision)})
+func (t *transaction) compares() []messages.Compare {
+	var compares []messages.Compare
+	for _, c := range t.When {
+		compares = append(compares, messages.Compare{Key: c.Key, ModRevision: cluster.ModRevision(c.ModRevision)})
 	}
-	return conditions
+	return compares
 }
 
-func (f *transactionForm) operations() []messages.TxnOp {
+func (t *transaction) operations() []messages.TxnOp {
 	var operations []messages.TxnOp
-	for _, o := range f.Then {
+	for _, o := range t.Then {
 		if o.Drop != "" {
 			operations = append(operations, messages.TxnOp{Key: o.Drop})
 		} else {
@@ -87,17 +87,17 @@
 }
 
 func (s *Services) serveTransaction(w http.ResponseWriter, request *http.Request) {
-	var form transactionForm
-	if !readJSON(w, request, &form) {
+	var txn transaction
+	if !readJSON(w, request, &txn) {
 		return
 	}
 	var reply messages.TxnReply
-	s.WithLock(func() { reply = s.StateService.Commit(form.compares(), form.operations()) })
+	s.WithLock(func() { reply = s.StateService.Commit(txn.compares(), txn.operations()) })
 	status := http.StatusOK
 	if reply.Outcome == messages.Conflict {
 		status = http.StatusConflict
 	}
-	writeJSON(w, status, revisionForm{Revision: reply.Revision, Failed: reply.FailedKeys})
+	writeJSON(w, status, revisionResponse{Revision: reply.Revision, Failed: reply.FailedKeys})
 }
 
 func (s *Services) serveKey(w http.ResponseWriter, request *http.Request) {
@@ -108,7 +108,7 @@
 		revision = s.StateService.Revision
 	})
 	if reply.Outcome == messages.NotFound {
-		writeJSON(w, http.StatusNotFound, revisionForm{Revision: revision})
+		writeJSON(w, http.StatusNotFound, revisionResponse{Revision: revision})
 		return
 	}
 	writeJSON(w, http.StatusOK, encodeKey(reply.KV))
@@ -121,7 +121,7 @@
 	pageSize, _ := strconv.Atoi(query.Get("page"))
 	items, truncated := keyPage(list.Items, query.Get("since"), pageSize)
 	writeJSON(w, http.StatusOK, struct {
-		Items     []itemForm       `json:"items"`
+		Items     []item           `json:"items"`
 		Truncated bool             `json:"truncated"`
 		Epoch     cluster.Revision `json:"epoch"`
 	}{items, truncated, list.Revision})
@@ -129,8 +129,8 @@
 
 // keyPage cuts the page that follows a key out of a sorted list; true when
 // there are more keys.
-func keyPage(list []messages.KV, since string, size int) ([]itemForm, bool) {
-	items := []itemForm{}
+func keyPage(list []messages.KV, since string, size int) ([]item, bool) {
+	items := []item{}
 	for _, kv := range list {
 		if kv.Key <= since {
 			continue
@@ -168,12 +168,12 @@
 }
 
 func writeChanges(w http.ResponseWriter, changes messages.WatchReply) {
-	events := []itemForm{}
+	events := []item{}
 	for _, kv := range changes.Items {
 		events = append(events, encodeChange(kv))
 	}
 	writeJSON(w, http.StatusOK, struct {
 		Epoch  cluster.Revision `json:"epoch"`
-		Events []itemForm       `json:"events"`
+		Events []item           `json:"events"`
 	}{changes.Revision, events})
 }
--- a/internal/simulation/httpfake/forms.go
+++ b/internal/simulation/httpfake/wire_types.go
@@ -7,7 +7,7 @@
 )
 
 // commandForm is a command to a worker.
-type commandForm struct {
+type command struct {
 	Kind         string  `json:"verb"`
 	Task         string  `json:"leg"`
 	Attempt      uint64  `json:"boarding"`
@@ -21,22 +21,22 @@
 	"reap":  cluster.Acknowledge,
 }
 
-func decodeCommands(forms []commandForm) []cluster.Command {
+func decodeCommands(encoded []command) []cluster.Command {
 	var commands []cluster.Command
-	for _, form := range forms {
-		task, _ := cluster.ParseTaskID(form.Task)
+	for _, c := range encoded {
+		task, _ := cluster.ParseTaskID(c.Task)
 		commands = append(commands, cluster.Command{
-			Kind:         commandKinds[form.Kind],
+			Kind:         commandKinds[c.Kind],
 			Task:         task,
-			Attempt:      cluster.Attempt(form.Attempt),
-			GraceSeconds: form.GraceSeconds,
+			Attempt:      cluster.Attempt(c.Attempt),
+			GraceSeconds: c.GraceSeconds,
 		})
 	}
 	return commands
 }
 
 // heartbeatForm is a worker's heartbeat with its status.
-type heartbeatForm struct {
+type heartbeatStatus struct {
 	Machine          cluster.MachineID      `json:"coach"`
 	Address          string                 `json:"addr"`
 	Type             string                 `json:"fleet"`
@@ -46,11 +46,11 @@
 	SequenceNumber   cluster.SequenceNumber `json:"stamp"`
 	FencingToken     cluster.FencingToken   `json:"baton"`
 	PreemptionNotice *float64               `json:"recallS"`
-	Tasks            []taskForm             `json:"legs"`
+	Tasks            []taskStatus           `json:"legs"`
 }
 
 // taskForm is a task in a worker's status; only one that has ended has a cause.
-type taskForm struct {
+type taskStatus struct {
 	Task         string          `json:"leg"`
 	Attempt      cluster.Attempt `json:"boarding"`
 	State        string          `json:"status"`
@@ -76,8 +76,8 @@
 	cluster.CauseUnknownTask:      "no_such",
 }
 
-func encodeHeartbeat(status cluster.HeartbeatStatus, addr string) heartbeatForm {
-	form := heartbeatForm{
+func encodeHeartbeat(status cluster.HeartbeatStatus, addr string) heartbeatStatus {
+	encoded := heartbeatStatus{
 		Machine:        status.Machine,
 		Address:        addr,
 		Type:           status.Type,
@@ -86,29 +86,29 @@
 		Incarnation:    status.Incarnation,
 		SequenceNumber: status.SequenceNumber,
 		FencingToken:   status.FencingToken,
-		Tasks:          []taskForm{},
+		Tasks:          []taskStatus{},
 	}
 	for _, task := range status.Tasks {
-		form.Tasks = append(form.Tasks, encodeTask(task))
+		encoded.Tasks = append(encoded.Tasks, encodeTask(task))
 	}
-	return form
+	return encoded
 }
 
-func encodeTask(task cluster.TaskStatus) taskForm {
-	form := taskForm{
+func encodeTask(task cluster.TaskStatus) taskStatus {
+	encoded := taskStatus{
 		Task:    task.Task.String(),
 		Attempt: task.Attempt,
 		State:   taskStateNames[task.State],
 	}
 	if task.State == cluster.Ended {
-		form.Cause = causeNames[task.Cause]
-		form.Checkpointed = task.Checkpointed
+		encoded.Cause = causeNames[task.Cause]
+		encoded.Checkpointed = task.Checkpointed
 	}
-	return form
+	return encoded
 }
 
 // submissionForm is a user's submission.
-type submissionForm struct {
+type submission struct {
 	ID                 string  `json:"id"`
 	Class              string  `json:"route"`
 	Team               string  `json:"crew"`
@@ -130,7 +130,7 @@
 
 // Submission is the body of a submission of small tasks.
 func Submission(id, team string, tasks int) string {
-	body, _ := json.Marshal(submissionForm{
+	body, _ := json.Marshal(submission{
 		ID:       id,
 		Class:    "c",
 		Team:     team,
--- a/internal/simulation/httpfake/worker.go
+++ b/internal/simulation/httpfake/worker.go
@@ -27,7 +27,7 @@
 	*simulation.FakeWorker
 	services *Services
 	address  string
-	released bool // its machine was released
+	removed  bool // its machine was released
 	cancel   context.CancelFunc
 }
 
@@ -86,16 +86,16 @@
 
 // terminate takes the worker's machine away.
 func (w *httpWorker) terminate() {
-	if w.released {
+	if w.removed {
 		return
 	}
-	w.released = true
+	w.removed = true
 	w.Tasks = nil
 	w.cancel()
 }
 
 func (w *httpWorker) hasRunningTask() bool {
-	if w.released {
+	if w.removed {
 		return false
 	}
 	for _, task := range w.Tasks {
@@ -107,26 +107,26 @@
 }
 
 // commandPushForm is a request with commands.
-type commandPushForm struct {
-	FencingToken *uint64       `json:"baton"`
-	Incarnation  *uint64       `json:"shift"`
-	Commands     []commandForm `json:"dispatches"`
+type pushCommands struct {
+	FencingToken *uint64   `json:"baton"`
+	Incarnation  *uint64   `json:"shift"`
+	Commands     []command `json:"dispatches"`
 }
 
 func (w *httpWorker) serveCommandPush(response http.ResponseWriter, request *http.Request) {
-	var form commandPushForm
-	if !readJSON(response, request, &form) {
+	var body pushCommands
+	if !readJSON(response, request, &body) {
 		return
 	}
-	if form.FencingToken == nil || form.Incarnation == nil {
+	if body.FencingToken == nil || body.Incarnation == nil {
 		writeJSON(response, http.StatusBadRequest, nil)
 		return
 	}
 	w.abortIfUnreachable(request)
 	commands := messages.PushCommands{
-		FencingToken: cluster.FencingToken(*form.FencingToken),
-		Incarnation:  cluster.Incarnation(*form.Incarnation),
-		Commands:     decodeCommands(form.Commands),
+		FencingToken: cluster.FencingToken(*body.FencingToken),
+		Incarnation:  cluster.Incarnation(*body.Incarnation),
+		Commands:     decodeCommands(body.Commands),
 	}
 	w.services.mu.Lock()
 	defer w.services.mu.Unlock()
@@ -218,10 +218,10 @@
 }
 
 // heartbeatAnswerForm is the answer to a heartbeat: commands, or a redirection.
-type heartbeatAnswerForm struct {
-	FencingToken uint64        `json:"baton"`
-	Commands     []commandForm `json:"dispatches"`
-	Redirect     string        `json:"dispatcher"`
+type heartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []command `json:"dispatches"`
+	Redirect     string    `json:"dispatcher"`
 }
 
 // sendHeartbeat sends a heartbeat to a controller and carries out the commands of
@@ -238,18 +238,18 @@
 		nodeAddress = w.services.NodeAddresses[node]
 		answerLost = w.services.UnreachableMachines[w.ID]
 	})
-	code, form, err := w.postHeartbeat(client, nodeAddress, status)
+	code, body, err := w.postHeartbeat(client, nodeAddress, status)
 	switch {
 	case err != nil || answerLost:
 		return heartbeatResult{}
 	case code == http.StatusMisdirectedRequest:
-		return heartbeatResult{redirect: form.Redirect}
+		return heartbeatResult{redirect: body.Redirect}
 	case code != http.StatusOK:
 		return heartbeatResult{}
 	}
 	answer := messages.HeartbeatResponse{
-		FencingToken: cluster.FencingToken(form.FencingToken),
-		Commands:     decodeCommands(form.Commands),
+		FencingToken: cluster.FencingToken(body.FencingToken),
+		Commands:     decodeCommands(body.Commands),
 	}
 	w.services.WithLock(func() { w.HandleHeartbeatAnswer(status.Incarnation, sentAt, answer) })
 	return heartbeatResult{accepted: true}
@@ -257,22 +257,22 @@
 
 // postHeartbeat posts a heartbeat and returns the answer's status code and form.
 // The body of a failure need not be a form.
-func (w *httpWorker) postHeartbeat(client *http.Client, address string, status cluster.HeartbeatStatus) (int, heartbeatAnswerForm, error) {
+func (w *httpWorker) postHeartbeat(client *http.Client, address string, status cluster.HeartbeatStatus) (int, heartbeatResponse, error) {
 	body, err := json.Marshal(encodeHeartbeat(status, w.address))
 	if err != nil {
-		return 0, heartbeatAnswerForm{}, fmt.Errorf("encoding a heartbeat: %w", err)
+		return 0, heartbeatResponse{}, fmt.Errorf("encoding a heartbeat: %w", err)
 	}
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address+"/checkin", bytes.NewReader(body))
 	if err != nil {
-		return 0, heartbeatAnswerForm{}, fmt.Errorf("a heartbeat to %s: %w", address, err)
+		return 0, heartbeatResponse{}, fmt.Errorf("a heartbeat to %s: %w", address, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := client.Do(request)
 	if err != nil {
-		return 0, heartbeatAnswerForm{}, fmt.Errorf("sending a heartbeat to %s: %w", address, err)
+		return 0, heartbeatResponse{}, fmt.Errorf("sending a heartbeat to %s: %w", address, err)
 	}
 	defer response.Body.Close()
-	var form heartbeatAnswerForm
-	_ = json.NewDecoder(response.Body).Decode(&form)
-	return response.StatusCode, form, nil
+	var answer heartbeatResponse
+	_ = json.NewDecoder(response.Body).Decode(&answer)
+	return response.StatusCode, answer, nil
 }
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -11,7 +11,7 @@
 const (
 	// forgottenAfter is how long queries about an accepted job may stay unanswered
 	// once all faults are over.
-	forgottenAfter = 75 * second
+	lostJobTimeout = 75 * second
 	// successorDelay is the time that a successor takes, at the most, to take over
 	// after a controller has ended.
 	successorDelay = 6 * second
@@ -32,18 +32,18 @@
 // checkAll checks the rules that hold at every moment.
 func (c *invariantChecker) checkAll() {
 	c.checkQuotasAndCancellations()
-	c.checkForgotten()
+	c.checkLostJobs()
 	c.starvation.check()
 }
 
 // checkForgotten: once all faults are over, some controller answers about every
 // accepted job.
-func (c *invariantChecker) checkForgotten() {
+func (c *invariantChecker) checkLostJobs() {
 	if !c.faultsOver() {
 		return
 	}
 	for _, job := range c.jobs.Jobs {
-		if job.Accepted && c.Now-max(c.FaultsOverAt, job.lastAnswerAt) > forgottenAfter {
+		if job.Accepted && c.Now-max(c.FaultsOverAt, job.lastAnswerAt) > lostJobTimeout {
 			c.reportViolation("forgotten: no question about %s was answered for 75 s", job.Spec.ID)
 			return
 		}
@@ -63,7 +63,7 @@
 	}
 	job.lastStartAt = c.Now
 	c.checkDependenciesDone(job)
-	c.checkRunsOnce(on, task)
+	c.checkDuplicateRun(on, task)
 	c.checkPlacement(on, task, job)
 	if !c.NoRandomFaults {
 		c.checkQuotasAndCancellations()
@@ -72,7 +72,7 @@
 }
 
 // checkRunsOnce: a task does not start on a machine while it is on another.
-func (c *invariantChecker) checkRunsOnce(on *FakeWorker, task *Task) {
+func (c *invariantChecker) checkDuplicateRun(on *FakeWorker, task *Task) {
 	// What runs has started, so only the machines on which it did matter.
 	startedOn := c.startedOn[task.ID]
 	if !slices.Contains(startedOn, on.ID) {
@@ -121,7 +121,7 @@
 	for _, id := range c.machines.liveIDs() {
 		worker := c.machines.Workers[id]
 		for _, task := range worker.Tasks {
-			if task.ID.Job == job && task.isOnMachine() {
+			if task.ID.Job == job && task.isExecuting() {
 				zones[worker.Zone]++
 			}
 		}
@@ -130,7 +130,7 @@
 }
 
 // isOnMachine tells whether the task uses its machine as the rules count it.
-func (t *Task) isOnMachine() bool {
+func (t *Task) isExecuting() bool {
 	return t.State == cluster.Running || t.State == cluster.Checkpointing
 }
 
@@ -158,12 +158,12 @@
 	for _, id := range c.machines.liveIDs() {
 		worker := c.machines.Workers[id]
 		for _, task := range worker.Tasks {
-			if !task.isOnMachine() {
+			if !task.isExecuting() {
 				continue
 			}
 			job := c.jobs.Jobs[task.ID.Job]
 			usage[job.Spec.Team] += job.Spec.ResourceRequest.CPU
-			if c.isCancelOverdue(job) && !c.canOnlyLeaseStop(job, worker) {
+			if c.isCancelOverdue(job) && !c.onlyLeaseExpiryCanStop(job, worker) {
 				c.reportViolation("ran_cancelled: %s is on %s", task.ID, id)
 			}
 		}
@@ -180,7 +180,7 @@
 // since the cancellation was confirmed, either the cloud takes no scale-in, or a
 // controller ended, at most successorDelay before, and the state service is
 // down, which alone knows which machines that controller owned.
-func (c *invariantChecker) canOnlyLeaseStop(job *Job, worker *SimulatedWorker) bool {
+func (c *invariantChecker) onlyLeaseExpiryCanStop(job *Job, worker *SimulatedWorker) bool {
 	if !worker.isLeaseExpiredWhileHung(c.Now) {
 		return false
 	}
@@ -196,7 +196,7 @@
 	var list strings.Builder
 	for _, id := range c.machines.liveIDs() {
 		for _, task := range c.machines.Workers[id].sortedTasks() {
-			if task.isOnMachine() && c.jobs.Jobs[task.ID.Job].Spec.Team == team {
+			if task.isExecuting() && c.jobs.Jobs[task.ID.Job].Spec.Team == team {
 				fmt.Fprintf(&list, " %s(%d)@%s", task.ID, task.Attempt, id)
 			}
 		}
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -57,7 +57,7 @@
 )
 
 // brokenRules names ways to break a rule, with what the checker has to report.
-var brokenRules = map[string]struct {
+var invariantViolations = map[string]struct {
 	violate func(s *Simulator)
 	want    string
 }{
@@ -103,7 +103,7 @@
 	"no query of a job is answered": {func(s *Simulator) {
 		addTestJob(s, "j-1")
 		s.FaultsOverAt = second
-		s.After(second+forgottenAfter+millisecond, s.checker.checkForgotten)
+		s.After(second+lostJobTimeout+millisecond, s.checker.checkLostJobs)
 		s.RunUntil(100 * second)
 	}, "forgotten"},
 	"a job waits while there is room": {func(s *Simulator) {
@@ -116,8 +116,8 @@
 
 // TestBrokenRulesAreReported: the checker finds each rule that is broken. A checker
 // that reports nothing would let every simulated day pass.
-func TestBrokenRulesAreReported(t *testing.T) {
-	for name, test := range brokenRules {
+func TestInvariantViolationsAreReported(t *testing.T) {
+	for name, test := range invariantViolations {
 		t.Run(name, func(t *testing.T) {
 			s := newCheckedCluster(t)
 			test.violate(s)
@@ -129,7 +129,7 @@
 }
 
 // TestKeptRulesAreNotReported: a job that runs where it may breaks no rule.
-func TestKeptRulesAreNotReported(t *testing.T) {
+func TestValidRunReportsNoViolations(t *testing.T) {
 	s := newCheckedCluster(t)
 	s.FaultsOverAt = second
 	job := addTestJob(s, "j-1")
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -18,7 +18,7 @@
 	network             *Network
 	execute             func(*Node, messages.Effect) // executes a controller's effect
 	observe             EffectObserver
-	bootCount           int
+	instanceCount       int
 	lastKillAt          cluster.Time // when a process last ended
 	limitsBeforeUpgrade StoreLimits
 }
@@ -58,8 +58,8 @@
 
 // newInstanceID names the next process.
 func (s *nodeSet) newInstanceID() string {
-	s.bootCount++
-	return fmt.Sprintf("b%d", s.bootCount)
+	s.instanceCount++
+	return fmt.Sprintf("b%d", s.instanceCount)
 }
 
 // random draws a node.
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -63,37 +63,37 @@
 // checkAt asks one controller about a job that it may not forget any more.
 func (r *ReadAfterWrite) checkAt(node *Node, job *Job, draw int) {
 	request := queryRequest(job.Spec.ID)
-	asked := followUp{kind: FaultQueryAfterWrite, job: job, node: node, askedAt: r.Now, accepted: job.Accepted}
+	sent := followUp{kind: FaultQueryAfterWrite, job: job, node: node, askedAt: r.Now, accepted: job.Accepted}
 	switch {
 	case draw < 2:
-		asked.kind = FaultSubmitAfterWrite
+		sent.kind = FaultSubmitAfterWrite
 		request = submitRequest(job.Spec)
 	case draw == 2 && job.CancelPlanned:
-		asked.kind = FaultCancelAfterWrite
+		sent.kind = FaultCancelAfterWrite
 		job.CancelRequested = true
 		request = cancelRequest(job.Spec.ID)
 	}
-	node.SendRequest(request, func(answer messages.Respond) { r.handleAnswer(asked, answer) })
+	node.SendRequest(request, func(answer messages.Respond) { r.handleAnswer(sent, answer) })
 }
 
-func (r *ReadAfterWrite) handleAnswer(asked followUp, answer messages.Respond) {
-	if answer.Status == messages.ReplyNone || r.Now-asked.askedAt > asked.timeout() {
+func (r *ReadAfterWrite) handleAnswer(sent followUp, answer messages.Respond) {
+	if answer.Status == messages.ReplyNone || r.Now-sent.askedAt > sent.timeout() {
 		return
 	}
-	job := asked.job
+	job := sent.job
 	switch {
 	case answer.Status == messages.ReplyOK && answer.View != nil:
-		if asked.kind == FaultCancelAfterWrite || asked.askedAt >= job.finalReportedAt {
+		if sent.kind == FaultCancelAfterWrite || sent.askedAt >= job.finalReportedAt {
 			r.users.CheckReportedStatus(job, answer.View.Status)
 		}
 	case answer.Status == messages.ReplyUnavailable || answer.Status == messages.ReplyTooManyRequests:
-	case !asked.accepted && asked.kind == FaultCancelAfterWrite && answer.Status == messages.ReplyJobNotFound:
+	case !sent.accepted && sent.kind == FaultCancelAfterWrite && answer.Status == messages.ReplyJobNotFound:
 	case isRefusal(answer.Status):
-		r.reportViolation("forgotten: %s was reported before %v; %s at %s then get %d", job.Spec.ID, time.Duration(asked.askedAt), asked.kind, asked.node.ID, answer.Status)
+		r.reportViolation("forgotten: %s was reported before %v; %s at %s then get %d", job.Spec.ID, time.Duration(sent.askedAt), sent.kind, sent.node.ID, answer.Status)
 	default:
-		r.reportViolation("%s about %s at %s get %d", asked.kind, job.Spec.ID, asked.node.ID, answer.Status)
+		r.reportViolation("%s about %s at %s get %d", sent.kind, job.Spec.ID, sent.node.ID, answer.Status)
 	}
-	r.FaultCounts[asked.kind]++
+	r.FaultCounts[sent.kind]++
 }
 
 // isRefusal tells whether an answer says that the job is unknown or can't be run.
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -8,7 +8,7 @@
 	// starvationCheckInterval is the least time between two checks.
 	starvationCheckInterval = 2 * second
 	// starvedAfter is how long a job may wait while there is room for it.
-	starvedAfter = 90 * second
+	starvationTimeout = 90 * second
 )
 
 // starvationChecker checks that once all faults are over no job waits for long,
@@ -43,7 +43,7 @@
 		if job.starvingSince == 0 {
 			job.starvingSince = c.Now
 		}
-		if c.Now-max(job.starvingSince, job.lastStartAt) > starvedAfter {
+		if c.Now-max(job.starvingSince, job.lastStartAt) > starvationTimeout {
 			c.reportViolation("left_waiting: no task of %s started for 90 s while there is room for one", id)
 			return
 		}
@@ -75,7 +75,7 @@
 	return c.areDependenciesDone(job) &&
 		c.hasPendingTask(spec, load) &&
 		c.isWithinQuotaLimit(spec, load) &&
-		c.fitsOnMachine(spec)
+		c.fitsHealthyMachine(spec)
 }
 
 func (c *starvationChecker) areDependenciesDone(job *Job) bool {
@@ -109,7 +109,7 @@
 	return true
 }
 
-func (c *starvationChecker) fitsOnMachine(spec cluster.JobSpec) bool {
+func (c *starvationChecker) fitsHealthyMachine(spec cluster.JobSpec) bool {
 	for _, id := range c.machines.liveIDs() {
 		worker := c.machines.Workers[id]
 		if worker.isHealthy(c.Now) && allowsMachine(spec, worker.FakeWorker) &&
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -24,11 +24,11 @@
 	failovers *Failovers
 	slowBy    cluster.Time // added to the replies until slowUntil
 	slowUntil cluster.Time
-	lostReply replyLoss
+	replyLoss replyLossFault
 }
 
 // replyLoss is the fault that a share of the transactions gets no reply.
-type replyLoss struct {
+type replyLossFault struct {
 	chance      float64
 	until       cluster.Time
 	applyAtOnce bool
@@ -44,7 +44,7 @@
 // They are applied 2 to 12 s later, after newer ones of the same controller;
 // with applyAtOnce they are applied at once and only the reply is lost.
 func (s *Store) LoseWriteReplies(share float64, duration cluster.Time, applyAtOnce bool) {
-	s.lostReply = replyLoss{chance: share, until: s.Now + duration, applyAtOnce: applyAtOnce}
+	s.replyLoss = replyLossFault{chance: share, until: s.Now + duration, applyAtOnce: applyAtOnce}
 }
 
 // storeCall is a call to the state service.
@@ -126,11 +126,11 @@
 	case s.Now < s.DownUntil || s.Now < node.StoreRefusesUntil:
 		call.replyAfter(s.network.delay(), call.refused)
 	case s.Now < node.StorePartitionedUntil:
-		s.lose(call, node.StorePartitionedUntil)
-	case call.write && s.loseReply(call):
+		s.dropOrDelay(call, node.StorePartitionedUntil)
+	case call.write && s.injectReplyLoss(call):
 		call.replyAfter(storeCallTimeout, call.unknown)
 	case s.Chance(0.01):
-		s.lose(call, s.Now)
+		s.dropOrDelay(call, s.Now)
 	default:
 		s.After(s.network.delay(), func() { s.applyAndReply(call) })
 	}
@@ -138,7 +138,7 @@
 
 // lose loses a call on its way, or delivers it late; either way there is no
 // reply.
-func (s *Store) lose(call storeCall, partitionedUntil cluster.Time) {
+func (s *Store) dropOrDelay(call storeCall, partitionedUntil cluster.Time) {
 	if delay, arrives := s.network.lateArrival(partitionedUntil); arrives {
 		s.After(delay, func() { call.apply() })
 	}
@@ -163,13 +163,13 @@
 
 // loseReply tells whether a transaction gets no reply, and has it applied all the
 // same.
-func (s *Store) loseReply(call storeCall) bool {
+func (s *Store) injectReplyLoss(call storeCall) bool {
 	switch {
 	case s.Now < call.node.StoreRepliesLostUntil:
 		s.After(s.network.delay(), func() { s.applyWithoutReply(call) })
-	case s.Now >= s.lostReply.until || !s.Chance(s.lostReply.chance):
+	case s.Now >= s.replyLoss.until || !s.Chance(s.replyLoss.chance):
 		return false
-	case s.lostReply.applyAtOnce:
+	case s.replyLoss.applyAtOnce:
 		s.After(s.network.delay(), func() { s.applyWithoutReply(call) })
 	default:
 		s.After(s.RandomBetween(2*second, 12*second), func() { s.applyLate(call) })
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -39,10 +39,10 @@
 
 // IsUpgraded tells whether every node's present or next process is of the current
 // version.
-func (s *nodeSet) IsUpgraded() bool { return len(s.current()) == len(s.Nodes) }
+func (s *nodeSet) IsUpgraded() bool { return len(s.upgradedNodes()) == len(s.Nodes) }
 
 // current lists the nodes of the current version.
-func (s *nodeSet) current() []*Node {
+func (s *nodeSet) upgradedNodes() []*Node {
 	var current []*Node
 	for _, node := range s.Nodes {
 		if node.Version == CurrentVersion {
@@ -54,8 +54,8 @@
 
 // randomCurrent draws a node of the current version, or none: users ask nothing
 // new of the production version.
-func (s *nodeSet) randomCurrent() *Node {
-	current := s.current()
+func (s *nodeSet) randomUpgradedNode() *Node {
+	current := s.upgradedNodes()
 	if len(current) == 0 {
 		return nil
 	}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -51,7 +51,7 @@
 }
 
 func (u *Users) trySubmit(job *Job) {
-	asked := u.Now
+	askedAt := u.Now
 	node := u.submissionTarget(job)
 	if node == nil {
 		u.After(retryPause, func() { u.trySubmit(job) })
@@ -60,7 +60,7 @@
 	node.SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
 		switch answer.Status {
 		case messages.ReplyOK, messages.ReplyCreated:
-			u.handleAccepted(job, asked, answer.View.Status)
+			u.handleAccepted(job, askedAt, answer.View.Status)
 		case messages.ReplyBadRequest, messages.ReplyUnschedulable:
 			u.reportViolation("%s refused with %d", job.Spec.ID, answer.Status)
 		case messages.ReplyNone, messages.ReplyJobNotFound, messages.ReplyMisdirected, messages.ReplyTooManyRequests, messages.ReplyUnavailable:
@@ -77,17 +77,17 @@
 // can take it yet.
 func (u *Users) submissionTarget(job *Job) *Node {
 	if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
-		return u.nodes.randomCurrent()
+		return u.nodes.randomUpgradedNode()
 	}
 	return u.nodes.random()
 }
 
 // handleAccepted takes in the answer to a submission that was made at a time.
-func (u *Users) handleAccepted(job *Job, asked cluster.Time, status cluster.JobStatus) {
+func (u *Users) handleAccepted(job *Job, askedAt cluster.Time, status cluster.JobStatus) {
 	first := !job.Accepted
 	job.Accepted = true
 	job.lastAnswerAt = u.Now
-	if asked >= job.finalReportedAt {
+	if askedAt >= job.finalReportedAt {
 		u.CheckReportedStatus(job, status)
 	}
 	if first {
@@ -103,9 +103,9 @@
 		pause *= finalPollFactor
 	}
 	u.After(pause, func() {
-		asked := u.Now
+		askedAt := u.Now
 		u.nodes.random().SendRequest(queryRequest(job.Spec.ID), func(answer messages.Respond) {
-			u.handlePollAnswer(job, asked, answer)
+			u.handlePollAnswer(job, askedAt, answer)
 			u.poll(job)
 		})
 	})
@@ -113,15 +113,15 @@
 
 // handlePollAnswer takes in the answer to a query that was made at a time, unless
 // its user has given up.
-func (u *Users) handlePollAnswer(job *Job, asked cluster.Time, answer messages.Respond) {
-	if u.Now-asked > userTimeout {
+func (u *Users) handlePollAnswer(job *Job, askedAt cluster.Time, answer messages.Respond) {
+	if u.Now-askedAt > userTimeout {
 		return
 	}
 	switch answer.Status {
 	case messages.ReplyOK:
 		job.lastAnswerAt = u.Now
 		// An earlier query may have been answered before the end was.
-		if asked >= job.finalReportedAt {
+		if askedAt >= job.finalReportedAt {
 			u.CheckReportedStatus(job, answer.View.Status)
 		}
 	case messages.ReplyJobNotFound:
