--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -29,10 +29,10 @@
 // randomDayFaults are the kinds of faults that the random days must have.
 var randomDayFaults = []simulation.FaultKind{
 	simulation.FaultCommandToUnreachableMachine,
-	simulation.FaultAnswerToUnreachableMachine,
+	simulation.FaultResponseToUnreachableMachine,
 	simulation.FaultDuplicateHeartbeat,
 	simulation.FaultDuplicateHeartbeatOfRemovedMachine,
-	simulation.FaultAnswerFromIsolatedNode,
+	simulation.FaultResponseFromIsolatedNode,
 	faultNodeKilledInRestart,
 	faultNodePaused,
 	faultAllNodesPaused,
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -190,7 +190,7 @@
 
 // HandleHeartbeatAnswer takes in the answer to a heartbeat that an incarnation sent
 // at a time.
-func (w *FakeWorker) HandleHeartbeatAnswer(incarnation cluster.Incarnation, sentAt cluster.Time, answer messages.HeartbeatResponse) {
+func (w *FakeWorker) HandleHeartbeatResponse(incarnation cluster.Incarnation, sentAt cluster.Time, answer messages.HeartbeatResponse) {
 	if incarnation != w.Incarnation || answer.FencingToken < w.FencingToken || answer.FencingToken == 0 {
 		return
 	}
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -150,11 +150,11 @@
 		return
 	}
 	if x.sentAt < worker.unreachableUntil {
-		s.FaultCounts[FaultAnswerToUnreachableMachine]++
+		s.FaultCounts[FaultResponseToUnreachableMachine]++
 		return
 	}
 	if s.Now < x.node.StorePartitionedUntil && s.Now < x.node.PeersPartitionedUntil && answer.Status == messages.ReplyOK {
-		s.FaultCounts[FaultAnswerFromIsolatedNode]++
+		s.FaultCounts[FaultResponseFromIsolatedNode]++
 	}
 	if s.Now < worker.hungUntil {
 		return
@@ -172,7 +172,7 @@
 // accept carries out the commands of the answer.
 func (x *heartbeatExchange) accept(answer messages.HeartbeatResponse) {
 	former := x.worker.FencingToken
-	x.worker.HandleHeartbeatAnswer(x.status.Incarnation, x.sentAt, answer)
+	x.worker.HandleHeartbeatResponse(x.status.Incarnation, x.sentAt, answer)
 	x.sender.logCommands(x.node, x.worker, answer.FencingToken, answer.Commands)
 	if x.worker.FencingToken > former || len(answer.Commands) > 0 {
 		x.worker.heartbeatQueued = true
--- a/internal/simulation/httpfake/worker.go
+++ b/internal/simulation/httpfake/worker.go
@@ -251,7 +251,7 @@
 		FencingToken: cluster.FencingToken(body.FencingToken),
 		Commands:     decodeCommands(body.Commands),
 	}
-	w.services.WithLock(func() { w.HandleHeartbeatAnswer(status.Incarnation, sentAt, answer) })
+	w.services.WithLock(func() { w.HandleHeartbeatResponse(status.Incarnation, sentAt, answer) })
 	return heartbeatResult{accepted: true}
 }
 
