--- a/internal/simulation/cancellations.go
+++ b/internal/simulation/cancellations.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// A job whose tasks still run longer than minRemainingToCancel counts as one
-	// that runs.
+	// minRemainingToCancel is the run time that a task must have left for
+	// CancelRunning to consider it.
 	minRemainingToCancel = 5 * second
-	// maxCancelSpread is the time within which users cancel several jobs at once.
+	// maxCancelSpread is the time within which CancelRunning cancels all its jobs.
 	maxCancelSpread = 200 * millisecond
-	// maxHungMachines bounds how many machines of cancelled jobs hang.
+	// maxHungMachines is the maximum number of machines that CancelRunning hangs.
 	maxHungMachines = 8
 )
 
-// Cancellations injects cancellations at moments that are hard to handle.
+// Cancellations injects cancellations that race with other events.
 type Cancellations struct {
 	*environment
 	users       *Users
@@ -26,7 +26,7 @@
 	atEndUntil  cluster.Time
 }
 
-// CancelRandom has the user of some unfinished job cancel it.
+// CancelRandom cancels a random unfinished job, if there is one.
 func (c *Cancellations) CancelRandom() {
 	cancellable := c.jobs.selectJobs(isCancellable)
 	if len(cancellable) > 0 {
@@ -34,7 +34,7 @@
 	}
 }
 
-// CancelAtEnd cancels a share of the jobs at the moment their last task ends.
+// CancelAtEnd cancels a share of the jobs when their last task ends, for a duration.
 func (c *Cancellations) CancelAtEnd(share float64, duration cluster.Time) {
 	c.atEndChance = share
 	c.atEndUntil = c.Now + duration
@@ -54,9 +54,9 @@
 	}
 }
 
-// CancelRunning has the users of up to limit jobs, those with the longest to run,
-// cancel them within a fifth of a second, while some of their machines hang for
-// a while; hang 0: none does. It returns how many jobs there were.
+// CancelRunning cancels up to limit running jobs, those with the longest remaining
+// run time first, within maxCancelSpread. If hang is positive, some of their machines
+// hang for that time. It returns the number of jobs that it cancels.
 func (c *Cancellations) CancelRunning(limit int, hang cluster.Time) int {
 	running := c.runningJobs()
 	ids := c.jobs.sortedIDs()
@@ -79,10 +79,10 @@
 	return cancelled
 }
 
-// runningJob is where a job runs, and for how long its tasks will.
+// runningJob describes the running tasks of a job.
 type runningJob struct {
-	workers   []*SimulatedWorker // one for each task
-	remaining cluster.Time       // of the task with the longest to run
+	workers   []*SimulatedWorker // one per task
+	remaining cluster.Time       // longest remaining run time of its tasks
 }
 
 func (c *Cancellations) runningJobs() map[cluster.JobID]runningJob {
@@ -102,8 +102,8 @@
 	return jobs
 }
 
-// hangWorkers makes up to limit machines hang that do not yet, and returns how
-// many it made.
+// hangWorkers hangs up to limit machines that do not hang already, and returns how
+// many.
 func (c *Cancellations) hangWorkers(workers []*SimulatedWorker, limit int, duration cluster.Time) int {
 	hung := 0
 	for _, worker := range workers {
@@ -116,5 +116,6 @@
 	return hung
 }
 
-// isCancellable tells whether a job is unfinished and its user has not cancelled it.
+// isCancellable reports whether a job is unfinished and its cancellation has not been
+// requested.
 func isCancellable(job *Job) bool { return job.isUnfinished() && !job.CancelRequested }
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -6,23 +6,23 @@
 	"stairrelay/internal/cluster"
 )
 
-// clock is the simulated time with the queue of the events to come. Events that
-// are due at the same time happen in the order in which they were queued.
+// clock holds the simulated time and the queue of future events. Events with the
+// same due time run in the order in which they were queued.
 type clock struct {
-	// Now is the time of the event that is happening.
+	// Now is the due time of the event that is running.
 	Now          cluster.Time
 	events       eventHeap
 	lastSequence uint64
 	stopped      bool
 }
 
-// After runs an action later.
+// After schedules an action to run after a delay. A negative delay counts as zero.
 func (c *clock) After(delay cluster.Time, action func()) {
 	c.lastSequence++
 	heap.Push(&c.events, event{dueAt: c.Now + max(delay, 0), sequence: c.lastSequence, action: action})
 }
 
-// repeatEvery runs an action at a fixed interval.
+// repeatEvery runs an action at a fixed interval, the first time after one interval.
 func (c *clock) repeatEvery(interval cluster.Time, action func()) {
 	c.After(interval, func() {
 		action()
@@ -30,7 +30,8 @@
 	})
 }
 
-// RunUntil runs the events up to a time, or until the clock is stopped.
+// RunUntil runs the events that are due at or before a time. It returns early if
+// the clock is stopped.
 func (c *clock) RunUntil(until cluster.Time) {
 	for len(c.events) > 0 && c.events[0].dueAt <= until && !c.stopped {
 		next := c.events[0]
@@ -40,17 +41,17 @@
 	}
 }
 
-// stop keeps any further event from happening.
+// stop prevents any further event from running.
 func (c *clock) stop() { c.stopped = true }
 
-// event is an action that is due at a time.
+// event is an action with a due time.
 type event struct {
 	dueAt    cluster.Time
 	sequence uint64
 	action   func()
 }
 
-// eventHeap implements heap.Interface with the next event first.
+// eventHeap is a heap.Interface ordered by due time and then by sequence number.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -61,14 +62,14 @@
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push appends an event.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) {
 	if e, ok := x.(event); ok {
 		*h = append(*h, e)
 	}
 }
 
-// Pop removes the last event.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/simulation/clock_test.go
+++ b/internal/simulation/clock_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestClockOrdersEvents: events happen by their time, and those that are due at the
-// same time in the order in which they were queued.
+// TestClockOrdersEvents guards against events that run out of order. Events with the
+// same due time run in the order in which they were queued.
 func TestClockOrdersEvents(t *testing.T) {
 	var c clock
 	var order []string
@@ -19,15 +19,15 @@
 	c.After(3*second, record("too late"))
 	c.RunUntil(2 * second)
 	if want := []string{"first", "second", "third"}; !slices.Equal(order, want) {
-		t.Errorf("happened %v, want %v", order, want)
+		t.Errorf("order %v, want %v", order, want)
 	}
 	if c.Now != 2*second {
 		t.Errorf("now %v, want %v", c.Now, 2*second)
 	}
 }
 
-// TestClockRepeatsUntilStopped: an action is repeated at its interval, until one stops
-// the clock.
+// TestClockRepeatsActionUntilStopped checks that an action repeats at its interval
+// until the clock is stopped.
 func TestClockRepeatsActionUntilStopped(t *testing.T) {
 	var c clock
 	var times []cluster.Time
@@ -43,8 +43,7 @@
 	}
 }
 
-// TestClockTreatsNegativeDelayAsNone: an event of the past happens now, so that time
-// never runs backwards.
+// TestClockTreatsNegativeDelayAsZero guards against simulated time that runs backwards.
 func TestClockTreatsNegativeDelayAsZero(t *testing.T) {
 	var c clock
 	c.After(second, func() {
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -5,15 +5,14 @@
 	"stairrelay/internal/messages"
 )
 
-// scaleOutTimeout is how long a controller waits for a reply to a scale-out
-// that was lost.
+// scaleOutTimeout is how long a controller waits for the reply to a scale-out.
 const scaleOutTimeout = 4 * second
 
-// CloudAPI carries the controllers' calls to the cloud, and injects the faults
-// of that way.
+// CloudAPI delivers the controllers' calls to the cloud and injects faults into
+// them.
 type CloudAPI struct {
 	*environment
-	// DownUntil is when an outage of the cloud's interface ends.
+	// DownUntil is when the outage of the cloud API ends.
 	DownUntil cluster.Time
 	cloud     *FakeCloud
 	network   *Network
@@ -30,8 +29,8 @@
 	call.replyAfter(c.network.delay(), reply)
 }
 
-// scaleOut provisions machines. Now and then it does so late, and the reply is
-// lost.
+// scaleOut provisions machines. Some requests are executed late and their replies
+// are lost.
 func (c *CloudAPI) scaleOut(call pendingCall, request messages.CloudScaleOut) {
 	switch {
 	case c.isDown():
@@ -40,7 +39,7 @@
 		c.After(c.RandomBetween(second, 30*second), func() { c.cloud.ScaleOut(c.Now, request) })
 		call.replyAfter(scaleOutTimeout, messages.ScaleOutReply{Outcome: messages.UnknownOutcome})
 	default:
-		// The delay is drawn before the machines' boot durations are.
+		// Draw the delay before the boot durations, so that runs stay reproducible.
 		delay := c.network.delay()
 		call.replyAfter(delay, c.cloud.ScaleOut(c.Now, request))
 	}
@@ -57,8 +56,8 @@
 	call.replyAfter(c.network.delay(), messages.ScaleInReply{Outcome: messages.OK})
 }
 
-// listMachines replies with the list as it is now, which is some time old when
-// the controller gets it.
+// listMachines replies with a page of the current list after half of the list lag,
+// so that the controller gets a stale list.
 func (c *CloudAPI) listMachines(call pendingCall, request messages.CloudList) {
 	if c.isDown() {
 		call.replyAfter(c.network.delay(), messages.CloudListReply{Outcome: messages.NotApplied})
--- a/internal/simulation/command_calls.go
+++ b/internal/simulation/command_calls.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// connectTimeout is how long a controller waits for a machine that was removed.
+	// connectTimeout is how long a controller tries to connect to a removed machine.
 	connectTimeout = 1500 * millisecond
 	// commandTimeout is how long a controller waits for a machine that does not
-	// answer.
+	// respond.
 	commandTimeout = 2500 * millisecond
-	// commandReplyTimeout is how long a controller waits for a reply that was lost.
+	// commandReplyTimeout is how long a controller waits for a reply that is lost.
 	commandReplyTimeout = 2 * second
 )
 
-// commandChannel carries the controllers' calls to the workers.
+// commandChannel delivers the controllers' calls to the workers.
 type commandChannel struct {
 	*environment
 	network  *Network
@@ -79,9 +79,9 @@
 	call.replyAfter(c.network.delay(), reply)
 }
 
-// deliverLate delivers commands whose controller has given them up. A machine
-// that hangs handles them when it goes on, and by then notices first that its
-// lease has expired.
+// deliverLate delivers commands after the controller has timed out. A machine that
+// hangs handles them when it recovers. If its lease has expired by then, it first
+// drops its tasks.
 func (c *commandChannel) deliverLate(worker *SimulatedWorker, commands messages.PushCommands) {
 	if worker.removed {
 		return
@@ -96,10 +96,10 @@
 	worker.HandleCommands(commands)
 }
 
-// logCommands logs the commands that a worker got from a controller.
+// logCommands logs the commands that a worker received from a controller.
 func (e *environment) logCommands(node *Node, worker *SimulatedWorker, token cluster.FencingToken, commands []cluster.Command) {
 	for _, command := range commands {
-		verb := [...]string{"start", "stop", "forget"}[command.Kind]
+		verb := [...]string{"start", "stop", "acknowledge"}[command.Kind]
 		e.Log(fmt.Sprintf("%s -> %s token %d: %s %s attempt %d", node.ID, worker.ID, token, verb, command.Task, command.Attempt))
 	}
 }
--- a/internal/simulation/edge_case_requests.go
+++ b/internal/simulation/edge_case_requests.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// The pause between two odd requests.
+	// Bounds of the random pause between two requests.
 	minEdgeCasePause = 100 * millisecond
 	maxEdgeCasePause = 500 * millisecond
-	// oddQueryCount is how often a rejected job is queried, within oddQueryPeriod.
+	// rejectedQueryCount is how often a rejected job is queried within
+	// rejectedQueryPeriod.
 	rejectedQueryCount  = 3
 	rejectedQueryPeriod = 20 * second
 )
 
-// OddRequests makes requests that users seldom make, and checks the answers.
+// EdgeCaseRequests sends redundant and invalid requests and checks the responses.
 type EdgeCaseRequests struct {
 	*environment
 	nodes         *nodeSet
@@ -25,7 +26,7 @@
 	rejectedCount int
 }
 
-// SendFor makes odd requests for a while.
+// SendFor sends requests for a duration.
 func (o *EdgeCaseRequests) SendFor(duration cluster.Time) { o.sendUntil(o.Now + duration) }
 
 func (o *EdgeCaseRequests) sendUntil(until cluster.Time) {
@@ -49,39 +50,39 @@
 	}
 }
 
-// submitAgain submits an unfinished job again, which the controllers answer with
-// its status.
+// resubmitUnfinished repeats the submission of an unfinished job. Submissions are
+// idempotent, so the controllers must respond with the job's status.
 func (o *EdgeCaseRequests) resubmitUnfinished() {
 	const kind = FaultRepeatedSubmission
-	job := o.drawJob((*Job).isUnfinished)
+	job := o.randomJob((*Job).isUnfinished)
 	if job == nil {
 		return
 	}
 	askedAt := o.Now
-	o.nodes.random().SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
-		if answer.Status != messages.ReplyTooManyRequests {
-			o.checkStatusAnswer(kind, job, answer, func() bool { return askedAt >= job.finalReportedAt })
+	o.nodes.randomNode().SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
+		if response.Status != messages.ReplyTooManyRequests {
+			o.checkStatusResponse(kind, job, response, func() bool { return askedAt >= job.finalReportedAt })
 		}
 		o.FaultCounts[kind]++
 	})
 }
 
-// cancelDone cancels a job that is done, which the controllers answer with its
+// cancelDone cancels a job that is done. The controllers must respond with its
 // status.
 func (o *EdgeCaseRequests) cancelDone() {
 	const kind = FaultDoneJobCancelled
-	job := o.drawJob(func(job *Job) bool { return job.Accepted && job.ReportedStatus == cluster.JobDone })
+	job := o.randomJob(func(job *Job) bool { return job.Accepted && job.ReportedStatus == cluster.JobDone })
 	if job == nil {
 		return
 	}
-	o.nodes.random().SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
-		o.checkStatusAnswer(kind, job, answer, func() bool { return true })
+	o.nodes.randomNode().SendRequest(cancelRequest(job.Spec.ID), func(response messages.Respond) {
+		o.checkStatusResponse(kind, job, response, func() bool { return true })
 		o.FaultCounts[kind]++
 	})
 }
 
-// drawJob draws one of the jobs for which something holds; nil: there is none.
-func (o *EdgeCaseRequests) drawJob(holds func(*Job) bool) *Job {
+// randomJob returns a random job that satisfies a predicate, or nil if there is none.
+func (o *EdgeCaseRequests) randomJob(holds func(*Job) bool) *Job {
 	jobs := o.jobs.selectJobs(holds)
 	if len(jobs) == 0 {
 		return nil
@@ -89,31 +90,31 @@
 	return jobs[o.Rand.IntN(len(jobs))]
 }
 
-// checkStatusAnswer checks an answer that should bring the status of a job; the
-// status counts if it is current.
-func (o *EdgeCaseRequests) checkStatusAnswer(kind FaultKind, job *Job, answer messages.Respond, current func() bool) {
+// checkStatusResponse checks a response that must contain the status of a job. The
+// status itself is checked only if current returns true.
+func (o *EdgeCaseRequests) checkStatusResponse(kind FaultKind, job *Job, response messages.Respond, current func() bool) {
 	switch {
-	case isUndecided(answer.Status):
-	case answer.Status != messages.ReplyOK:
-		o.reportViolation("forgotten: %s get %d: %s", kind, answer.Status, job.Spec.ID)
-	case answer.View == nil:
-		o.reportViolation("%s get no state: %s", kind, job.Spec.ID)
+	case isUndecided(response.Status):
+	case response.Status != messages.ReplyOK:
+		o.reportViolation("lost_job: %s return status %d: %s", kind, response.Status, job.Spec.ID)
+	case response.View == nil:
+		o.reportViolation("missing_status: %s return no job status: %s", kind, job.Spec.ID)
 	case current():
-		o.users.CheckReportedStatus(job, answer.View.Status)
+		o.users.CheckReportedStatus(job, response.View.Status)
 	}
 }
 
-// isUndecided tells whether a request may succeed when it is made again: it had no
-// answer, or could not be decided.
+// isUndecided reports whether a request got no response or could not be processed, so
+// that it can be retried.
 func isUndecided(status messages.ReplyStatus) bool {
 	return status == messages.ReplyNone || status == messages.ReplyUnavailable
 }
 
-// rejectedSubmission is a submission that the controllers have to reject.
+// rejectedSubmission is a submission that the controllers must reject.
 type rejectedSubmission struct {
 	kind      FaultKind
 	spec      cluster.JobSpec
-	rejection messages.ReplyStatus // what the program's HTTP server found wrong, if anything
+	rejection messages.ReplyStatus // set by the HTTP server if the request is malformed
 	want      messages.ReplyStatus
 }
 
@@ -124,7 +125,7 @@
 	o.submitRejected(rejectedSubmission{kind: FaultUnschedulableSubmission, spec: spec, want: messages.ReplyUnschedulable})
 }
 
-// submitMalformed submits a job whose description makes no sense.
+// submitMalformed submits a job whose request body is invalid.
 func (o *EdgeCaseRequests) submitMalformed() {
 	o.submitRejected(rejectedSubmission{
 		kind:      FaultMalformedSubmission,
@@ -149,35 +150,35 @@
 	}
 }
 
-// submitRejected makes a submission that has to be rejected, and then queries the
-// job, which nobody may know.
+// submitRejected sends a submission that must be rejected, and then queries the job,
+// which must be unknown.
 func (o *EdgeCaseRequests) submitRejected(submission rejectedSubmission) {
 	request := func(id messages.RequestID) messages.Event {
 		return messages.Submit{Request: id, Spec: submission.spec, Rejection: submission.rejection}
 	}
-	o.nodes.random().SendRequest(request, func(answer messages.Respond) { o.checkRejection(submission, answer) })
+	o.nodes.randomNode().SendRequest(request, func(response messages.Respond) { o.checkRejection(submission, response) })
 	for range rejectedQueryCount {
 		o.After(o.RandomBetween(millisecond, rejectedQueryPeriod), func() { o.queryRejected(submission) })
 	}
 }
 
-func (o *EdgeCaseRequests) checkRejection(submission rejectedSubmission, answer messages.Respond) {
+func (o *EdgeCaseRequests) checkRejection(submission rejectedSubmission, response messages.Respond) {
 	switch {
-	case answer.Status == submission.want:
+	case response.Status == submission.want:
 		o.FaultCounts[submission.kind]++
-	case isUndecided(answer.Status):
-	case answer.Status == messages.ReplyTooManyRequests && submission.rejection == messages.ReplyNone:
-		// A controller with too much to do need not look at the job.
+	case isUndecided(response.Status):
+	case response.Status == messages.ReplyTooManyRequests && submission.rejection == messages.ReplyNone:
+		// An overloaded controller may refuse a submission before it validates it.
 	default:
-		o.reportViolation("%s get %d: %s", submission.kind, answer.Status, submission.spec.ID)
+		o.reportViolation("unexpected_status: %s return status %d: %s", submission.kind, response.Status, submission.spec.ID)
 	}
 }
 
 func (o *EdgeCaseRequests) queryRejected(submission rejectedSubmission) {
 	id := submission.spec.ID
-	o.nodes.random().SendRequest(queryRequest(id), func(answer messages.Respond) {
-		if !isUndecided(answer.Status) && answer.Status != messages.ReplyJobNotFound {
-			o.reportViolation("invented: queries of %s, one of the %s, get %d", id, submission.kind, answer.Status)
+	o.nodes.randomNode().SendRequest(queryRequest(id), func(response messages.Respond) {
+		if !isUndecided(response.Status) && response.Status != messages.ReplyJobNotFound {
+			o.reportViolation("unknown_job: queries of rejected job %s, one of the %s, return status %d", id, submission.kind, response.Status)
 		}
 	})
 }
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// stallLogText is what a controller logs of a shard that is not served. It may
-	// do so for stallLogGracePeriod after the last fault, since the line is about
-	// the time before.
+	// stallLogText is the message that a controller logs for a stalled shard. It is
+	// tolerated until stallLogGracePeriod after the last fault, because it refers to
+	// the time before it is logged.
 	stallLogText        = "shard makes no progress"
 	stallLogGracePeriod = 60 * second
 )
 
-// effectExecutor executes the effects that controllers ask for.
+// effectExecutor executes the effects that controllers request.
 type effectExecutor struct {
 	*environment
 	store    *Store
@@ -54,16 +54,16 @@
 	}
 }
 
-// handleLog checks what a controller logs: it never logs an error, and after the
-// faults it does not leave a shard unserved.
+// handleLog records a controller's log line. A line at level error is a violation,
+// and so is a stalled shard after the grace period.
 func (x *effectExecutor) handleLog(node *Node, line messages.Log) {
 	if line.Message != "stats" && line.Message != "load" {
 		x.Log(fmt.Sprintf("%s logs %s: %s %v", node.ID, line.Level, line.Message, line.Args))
 	}
 	if line.Level == messages.LogError {
-		x.reportViolation("%s logs an error: %s %v", node.ID, line.Message, line.Args)
+		x.reportViolation("error_logged: %s logs %s %v", node.ID, line.Message, line.Args)
 	}
 	if line.Message == stallLogText && x.FaultsOverAt > 0 && x.Now > x.FaultsOverAt+stallLogGracePeriod {
-		x.reportViolation("unserved: %s says %v", node.ID, line.Args)
+		x.reportViolation("stalled_shard: %s logs %v after the last fault", node.ID, line.Args)
 	}
 }
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -14,18 +14,18 @@
 	millisecond = cluster.Time(time.Millisecond)
 )
 
-// environment is what all components of a simulation share.
+// environment holds the state that all components of a simulation share.
 type environment struct {
 	clock
 	randomSource
-	// Log takes the simulation's log lines.
+	// Log is called with each log line of the simulation.
 	Log func(string)
-	// Violations lists the rules that were broken; the first one ends the run.
+	// Violations lists the violated invariants. The first violation ends the run.
 	Violations []string
-	// FaultCounts counts the faults that actually took effect, by kind.
+	// FaultCounts counts the faults that took effect, by kind.
 	FaultCounts map[FaultKind]int
-	// FaultsOverAt is when the last fault is over; the rules about progress hold
-	// from then on. Zero: those rules are not checked.
+	// FaultsOverAt is the time at which the last fault ends. The liveness
+	// invariants are checked from then on, or never if it is zero.
 	FaultsOverAt cluster.Time
 	config       controller.Config
 }
@@ -39,29 +39,30 @@
 	}
 }
 
-// reportViolation records a broken rule and ends the run.
+// reportViolation records a violated invariant and ends the run.
 func (e *environment) reportViolation(format string, args ...any) {
 	e.Violations = append(e.Violations, fmt.Sprintf("%v: ", time.Duration(e.Now))+fmt.Sprintf(format, args...))
 	e.stop()
 }
 
-// faultsOver tells whether the rules about progress hold.
+// faultsOver reports whether the liveness invariants have to hold.
 func (e *environment) faultsOver() bool { return e.FaultsOverAt > 0 && e.Now >= e.FaultsOverAt }
 
-// randomSource makes the random draws of a simulation. A run is reproducible
-// from its seed as long as the draws are made in the same order.
+// randomSource is the source of randomness of a simulation. A run is reproducible
+// from its seed if all values are drawn in the same order.
 type randomSource struct {
 	Rand *rand.Rand
-	// NoRandomFaults turns all faults off that a test does not ask for.
+	// NoRandomFaults disables all faults that a test does not request explicitly.
 	NoRandomFaults bool
 }
 
-// Chance is true with a probability.
+// Chance returns true with the given probability, and always false if
+// NoRandomFaults is set.
 func (r *randomSource) Chance(probability float64) bool {
 	return !r.NoRandomFaults && r.Rand.Float64() < probability
 }
 
-// RandomBetween draws a time from an interval.
+// RandomBetween returns a random time between from and to, both included.
 func (r *randomSource) RandomBetween(from, to cluster.Time) cluster.Time {
 	return from + cluster.Time(r.Rand.Int64N(int64(to-from)+1))
 }
--- a/internal/simulation/failovers.go
+++ b/internal/simulation/failovers.go
@@ -8,29 +8,29 @@
 	"stairrelay/internal/messages"
 )
 
-// maxCapturedHeartbeats bounds how many heartbeats are kept for a failover.
+// maxCapturedHeartbeats is the maximum number of heartbeats kept for a replay.
 const maxCapturedHeartbeats = 60
 
-// Failovers follows the shards' owners as the state service has them, and
-// injects the faults that meet a change of owner.
+// Failovers tracks the owners of the shards in the state service and injects faults
+// when an owner changes.
 type Failovers struct {
 	*environment
 	nodes         *nodeSet
-	owners        map[string]string // by the key of the shard's record
+	owners        map[string]string // by key of the shard's record
 	captureChance float64
 	captureUntil  cluster.Time
 	captured      []cluster.HeartbeatStatus
 	hooks         []acquireHook
 }
 
-// acquireHook is an action for the next change of owner, if that comes in time.
+// acquireHook is an action to run at the next change of owner before it expires.
 type acquireHook struct {
 	expiresAt cluster.Time
 	action    func(owner cluster.NodeID)
 }
 
-// CaptureHeartbeats keeps copies of a share of the heartbeats for a while. They
-// arrive at every controller right after a shard changes its owner.
+// CaptureHeartbeats copies a share of the heartbeats for a duration. The copies are
+// replayed to every controller right after the next failover of a shard.
 func (f *Failovers) CaptureHeartbeats(share float64, duration cluster.Time) {
 	f.captureChance = share
 	f.captureUntil = f.Now + duration
@@ -42,13 +42,14 @@
 	}
 }
 
-// OnShardAcquired runs an action once, when a shard next changes its owner within
-// a time.
+// OnShardAcquired runs an action once, at the next change of a shard's owner, if that
+// happens within the given time.
 func (f *Failovers) OnShardAcquired(within cluster.Time, action func(owner cluster.NodeID)) {
 	f.hooks = append(f.hooks, acquireHook{expiresAt: f.Now + within, action: action})
 }
 
-// recordShardOwners takes in who owns which shard after a transaction.
+// recordShardOwners updates the shard owners after a transaction and handles
+// changes of owner.
 func (f *Failovers) recordShardOwners(operations []messages.TxnOp) {
 	for _, operation := range operations {
 		if !strings.HasPrefix(operation.Key, "parts/") || operation.Value == nil {
@@ -83,10 +84,10 @@
 	}
 }
 
-// replay delivers a heartbeat of the time before a failover.
+// replay delivers a heartbeat that was captured before a failover.
 func (f *Failovers) replay(node *Node, status cluster.HeartbeatStatus) {
-	node.SendRequest(heartbeatRequest(status), func(answer messages.Respond) {
-		if answer.Status != messages.ReplyNone {
+	node.SendRequest(heartbeatRequest(status), func(response messages.Respond) {
+		if response.Status != messages.ReplyNone {
 			f.FaultCounts[FaultHeartbeatReplayedAtFailover]++
 		}
 	})
--- a/internal/simulation/fake_cloud.go
+++ b/internal/simulation/fake_cloud.go
@@ -8,29 +8,30 @@
 	"stairrelay/internal/messages"
 )
 
-// The states of a machine in the cloud's list.
+// Machine statuses in the cloud's list.
 const (
 	machineBooting = "booting"
 	machineRunning = "running"
 )
 
-// FakeCloud is a fake of the cloud, which provisions machines.
+// FakeCloud is a fake of the cloud API that provisions machines.
 type FakeCloud struct {
 	MachineTypes      []cluster.MachineType
-	AvailableCapacity map[string]int                 // machines that may yet be provisioned, by CapacityKey
-	BootDuration      func() cluster.Time            // how long the next machine takes to boot
-	machinesByRequest map[string][]cluster.MachineID // by the name of the provisioning request
+	AvailableCapacity map[string]int                 // number of machines that can still be provisioned, by CapacityKey
+	BootDuration      func() cluster.Time            // returns the boot time of the next machine
+	machinesByRequest map[string][]cluster.MachineID // by name of the scale-out request, which makes it idempotent
 	machines          map[cluster.MachineID]*cloudMachine
-	lastMachineNumber int // the number of the last machine
+	lastMachineNumber int
 }
 
 type cloudMachine struct {
 	cluster.ListedMachine
 	provisionedAt cluster.Time
-	bootedAt      cluster.Time // when it will have booted
+	bootedAt      cluster.Time // when the machine finishes booting
 }
 
-// NewFakeCloud makes a cloud without machines.
+// NewFakeCloud returns a cloud without machines. boot returns the boot time of each
+// new machine.
 func NewFakeCloud(types []cluster.MachineType, capacity map[string]int, boot func() cluster.Time) *FakeCloud {
 	return &FakeCloud{
 		MachineTypes:      types,
@@ -41,13 +42,13 @@
 	}
 }
 
-// CapacityKey names a pool of machines.
+// CapacityKey returns the key of a capacity pool in FakeCloud.AvailableCapacity.
 func CapacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
-// ScaleOut provisions machines. A request whose name came before gets the same
-// reply as then.
+// ScaleOut provisions machines, at most as many as the pool has left. It is
+// idempotent: a repeated request with the same name gets the original reply.
 func (c *FakeCloud) ScaleOut(now cluster.Time, request messages.CloudScaleOut) messages.ScaleOutReply {
 	if ids, known := c.machinesByRequest[request.Name]; known {
 		return messages.ScaleOutReply{Outcome: messages.OK, IDs: ids}
@@ -81,7 +82,7 @@
 	return id
 }
 
-// RemoveMachine removes a machine; false when there is none of that name.
+// RemoveMachine removes a machine. It reports false if there is no such machine.
 func (c *FakeCloud) RemoveMachine(id cluster.MachineID) bool {
 	machine := c.machines[id]
 	if machine == nil {
@@ -92,7 +93,8 @@
 	return true
 }
 
-// CompleteBoots lists the booting machines that are due, and marks them running.
+// CompleteBoots marks the machines that have finished booting as running, and
+// returns them.
 func (c *FakeCloud) CompleteBoots(now cluster.Time) []cluster.ListedMachine {
 	var booted []cluster.ListedMachine
 	for _, listed := range c.List(now) {
@@ -105,7 +107,7 @@
 	return booted
 }
 
-// List lists all machines in order.
+// List returns all machines, sorted by ID.
 func (c *FakeCloud) List(now cluster.Time) []cluster.ListedMachine {
 	var list []cluster.ListedMachine
 	for _, machine := range c.machines {
@@ -117,7 +119,7 @@
 	return list
 }
 
-// CapacityOf is the capacity of a machine type; zero: there is no such type.
+// CapacityOf returns the resources of a machine type, or none if the type is unknown.
 func (c *FakeCloud) CapacityOf(machineType string) cluster.Resources {
 	for _, t := range c.MachineTypes {
 		if t.Name == machineType {
@@ -127,10 +129,11 @@
 	return cluster.Resources{}
 }
 
-// listPageSize is the most machines that a page of the list holds.
+// listPageSize is the maximum number of machines on a page of the list.
 const listPageSize = 500
 
-// ListPage is the page of the list that follows a machine, and whether another does.
+// ListPage returns the page of the sorted list that begins after the machine since,
+// and whether more machines follow it.
 func (c *FakeCloud) ListPage(now cluster.Time, since cluster.MachineID) (page []cluster.ListedMachine, more bool) {
 	list := c.List(now)
 	first := sort.Search(len(list), func(i int) bool { return list[i].ID > since })
--- a/internal/simulation/fake_state_service.go
+++ b/internal/simulation/fake_state_service.go
@@ -8,42 +8,42 @@
 	"stairrelay/internal/messages"
 )
 
-// StoreLimits are the limits of the state service that change with the upgrade.
+// StoreLimits are the limits of the state service that the upgrade tests lower.
 type StoreLimits struct {
 	WriteRPS   float64
 	ValueBytes int
 	TxnOps     int
 }
 
-// FakeStateService is a fake of the state service: a key-value store with
-// revisions, transactions and a log of changes.
+// FakeStateService is a fake of the state service, a key-value store with
+// revisions, compare-and-swap transactions and a change log.
 type FakeStateService struct {
 	Revision cluster.Revision
-	// Limits are those that transactions have to keep; a zero is no limit.
+	// Limits apply to transactions. A zero value means no limit.
 	Limits StoreLimits
-	// Rejected counts the transactions that were above the limits.
+	// Rejected counts the transactions that exceeded the limits.
 	Rejected  struct{ Size, Rate int }
 	budget    writeBudget
 	keys      map[string]messages.KV
-	changeLog []messages.KV // all changes in order; a deleted key has no value
+	changeLog []messages.KV // all changes in order; deletions have a nil Value
 }
 
-// NewFakeStateService makes a state service without keys.
+// NewFakeStateService returns an empty state service.
 func NewFakeStateService() *FakeStateService {
 	return &FakeStateService{keys: map[string]messages.KV{}, Revision: 1}
 }
 
-// comparesPerOp is how many compares the protocol allows for each operation.
+// comparesPerOp is the number of compares that the protocol allows per operation.
 const comparesPerOp = 4
 
-// writeBudget counts down the operations that the rate limit still allows.
+// writeBudget is a token bucket that limits the rate of operations.
 type writeBudget struct {
 	remaining  float64
 	refilledAt cluster.Time
 }
 
-// Admit checks a transaction against the limits: messages.OK, or what the service
-// answers instead.
+// Admit checks a transaction against the limits. It returns messages.OK, Invalid if
+// a size limit is exceeded, or Throttled if the rate limit is exceeded.
 func (s *FakeStateService) Admit(now cluster.Time, then []messages.TxnOp, compares []messages.Compare) messages.Outcome {
 	if !s.isWithinSizeLimits(then, compares) {
 		s.Rejected.Size++
@@ -69,8 +69,8 @@
 	return true
 }
 
-// take takes a number of operations from the budget, unless fewer are left. A
-// burst of one second's worth is allowed.
+// take takes a number of operations from the budget. It reports false if the budget
+// is insufficient. Bursts of up to one second's worth of operations are allowed.
 func (b *writeBudget) take(now cluster.Time, perSecond, operations float64) bool {
 	refill := perSecond * float64(now-b.refilledAt) / float64(second)
 	b.remaining = min(b.remaining+refill, perSecond)
@@ -82,7 +82,8 @@
 	return true
 }
 
-// Commit applies a transaction if all its compares hold.
+// Commit applies a transaction if all its compares succeed. Otherwise it returns
+// messages.Conflict with the failed keys.
 func (s *FakeStateService) Commit(compares []messages.Compare, then []messages.TxnOp) messages.TxnReply {
 	if failed := s.failedCompares(compares); len(failed) > 0 {
 		return messages.TxnReply{Outcome: messages.Conflict, Revision: s.Revision, FailedKeys: failed}
@@ -96,7 +97,7 @@
 	return messages.TxnReply{Outcome: messages.OK, Revision: s.Revision}
 }
 
-// failedCompares lists the keys whose compares do not hold.
+// failedCompares returns the keys whose compares fail.
 func (s *FakeStateService) failedCompares(compares []messages.Compare) []string {
 	var failed []string
 	for _, compare := range compares {
@@ -117,7 +118,7 @@
 	s.changeLog = append(s.changeLog, kv)
 }
 
-// Get reads a key.
+// Get returns a key, or messages.NotFound if it does not exist.
 func (s *FakeStateService) Get(key string) messages.GetReply {
 	kv, ok := s.keys[key]
 	if !ok {
@@ -126,7 +127,7 @@
 	return messages.GetReply{Outcome: messages.OK, KV: kv}
 }
 
-// List reads the keys with a prefix, in order.
+// List returns the keys with a prefix, sorted.
 func (s *FakeStateService) List(prefix string) messages.ListReply {
 	reply := messages.ListReply{Outcome: messages.OK, Revision: s.Revision}
 	for key, kv := range s.keys {
@@ -138,7 +139,7 @@
 	return reply
 }
 
-// Changes lists what changed after a revision.
+// Changes returns the changes to keys with a prefix after a revision.
 func (s *FakeStateService) Changes(prefix string, since cluster.Revision) messages.WatchReply {
 	reply := messages.WatchReply{Outcome: messages.OK, Revision: s.Revision}
 	for _, kv := range s.changeLog {
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -7,57 +7,56 @@
 	"stairrelay/internal/messages"
 )
 
-// noPreemptionNotice is the PreemptionNotice of a machine that the cloud is not going
-// to take.
+// noPreemptionNotice is the PreemptionNotice of a machine that is not being preempted.
 const noPreemptionNotice = -1
 
-// Task is one task on a worker.
+// Task is a task on a worker.
 type Task struct {
 	ID           cluster.TaskID
 	Attempt      cluster.Attempt
 	State        cluster.TaskState
 	Cause        cluster.Cause
-	Checkpointed bool         // its checkpoint is saved
-	Remaining    cluster.Time // of its present state
+	Checkpointed bool         // a checkpoint was saved
+	Remaining    cluster.Time // time left in the current state
 }
 
-// JobInfo is what a worker fetches of a job on its own.
+// JobInfo is the information about a job that a worker looks up when it runs a task.
 type JobInfo struct {
 	ResourceRequest cluster.Resources
-	RunDuration     cluster.Time // how long a task runs
-	CanCheckpoint   bool         // tasks can be saved
-	SaveDuration    cluster.Time // how long that takes
+	RunDuration     cluster.Time // run time of a task
+	CanCheckpoint   bool         // tasks can save checkpoints
+	SaveDuration    cluster.Time // time to save a checkpoint
 	TaskCount       int
 	Image           string
-	AlwaysFails     bool // every task ends with an error
+	AlwaysFails     bool // every task fails
 }
 
-// FakeWorker is a fake of one machine's worker.
+// FakeWorker is a fake of the worker on a machine.
 type FakeWorker struct {
 	ID            cluster.MachineID
 	Type          string
 	Zone          string
 	Spot          bool
 	Capacity      cluster.Resources
-	FetchDuration cluster.Time // how long it fetches an image
+	FetchDuration cluster.Time // time to fetch an image
 	LeaseDuration cluster.Time
 	LookupJob     func(cluster.JobID) (JobInfo, bool)
-	DoneTasks     map[cluster.TaskID]bool // results are kept outside the machine
+	DoneTasks     map[cluster.TaskID]bool // completed tasks, shared by all workers since results are kept off the machine
 	OnStart       func(w *FakeWorker, t *Task)
-	OnDone        func(t cluster.TaskID) // may be nil
-	FaultyUntil   cluster.Time           // fails every task until then
+	OnDone        func(t cluster.TaskID) // optional
+	FaultyUntil   cluster.Time           // every task fails until then
 
 	Incarnation      cluster.Incarnation
 	SequenceNumber   cluster.SequenceNumber
 	FencingToken     cluster.FencingToken
-	PreemptionNotice float64 // seconds until the cloud takes the machine; negative: it does not
+	PreemptionNotice float64 // seconds until the machine is preempted; negative if it is not
 	Tasks            map[cluster.TaskID]*Task
 	fetchedImages    map[string]bool
 	leaseRenewedAt   cluster.Time // when the lease was last renewed
-	lastAdvanceAt    cluster.Time // of the last Advance
+	lastAdvanceAt    cluster.Time // time of the last Advance
 }
 
-// Start makes the worker run from now on, in its first incarnation.
+// Start initializes the worker with its first incarnation.
 func (w *FakeWorker) Start(now cluster.Time) {
 	w.Incarnation = 1
 	w.PreemptionNotice = noPreemptionNotice
@@ -67,8 +66,9 @@
 	w.fetchedImages = map[string]bool{}
 }
 
-// Advance lets time pass; it returns true when something changed. While the
-// machine hangs it is not called, so that its tasks stand still.
+// Advance advances the tasks to the current time and reports whether anything
+// changed. If the lease has expired, it drops all tasks and begins a new incarnation.
+// Callers do not call it while the machine hangs.
 func (w *FakeWorker) Advance(now cluster.Time) bool {
 	elapsed := now - w.lastAdvanceAt
 	w.lastAdvanceAt = now
@@ -90,7 +90,7 @@
 	return changed
 }
 
-// beginIncarnation drops all tasks, since the lease has run out.
+// beginIncarnation drops all tasks and begins a new incarnation.
 func (w *FakeWorker) beginIncarnation(now cluster.Time) {
 	w.Incarnation++
 	w.SequenceNumber = 0
@@ -98,7 +98,7 @@
 	w.leaseRenewedAt = now
 }
 
-// completeTaskState ends a task's present state.
+// completeTaskState moves a task to the state that follows its current one.
 func (w *FakeWorker) completeTaskState(task *Task, now cluster.Time) {
 	info, _ := w.LookupJob(task.ID.Job)
 	switch task.State {
@@ -119,7 +119,7 @@
 		task.finish(cluster.CauseStopped)
 		task.Checkpointed = true
 	case cluster.Ended:
-		// No state follows.
+		// Ended is the final state.
 	}
 }
 
@@ -128,8 +128,8 @@
 	t.Cause = cause
 }
 
-// runTask starts a task whose image is there. One that is done already ends at
-// once, and so does any on a faulty machine.
+// runTask runs a task whose image has been fetched. The task has no run time if it
+// was completed before or if the machine is faulty.
 func (w *FakeWorker) runTask(task *Task, info JobInfo) {
 	task.State = cluster.Running
 	task.Remaining = info.RunDuration
@@ -139,7 +139,7 @@
 	w.OnStart(w, task)
 }
 
-// sortedTasks lists the tasks in the order of their IDs.
+// sortedTasks returns the tasks, sorted by ID.
 func (w *FakeWorker) sortedTasks() []*Task {
 	tasks := make([]*Task, 0, len(w.Tasks))
 	for _, task := range w.Tasks {
@@ -149,7 +149,7 @@
 	return tasks
 }
 
-// UsedResources adds up what the tasks request.
+// UsedResources returns the total resource requests of the tasks that have not ended.
 func (w *FakeWorker) UsedResources() cluster.Resources {
 	var used cluster.Resources
 	for _, task := range w.Tasks {
@@ -162,7 +162,7 @@
 	return used
 }
 
-// NextStatus is the status for the next heartbeat.
+// NextStatus returns the status for the next heartbeat, with a new sequence number.
 func (w *FakeWorker) NextStatus() cluster.HeartbeatStatus {
 	w.SequenceNumber++
 	status := cluster.HeartbeatStatus{
@@ -188,18 +188,20 @@
 	return status
 }
 
-// HandleHeartbeatAnswer takes in the answer to a heartbeat that an incarnation sent
-// at a time.
-func (w *FakeWorker) HandleHeartbeatResponse(incarnation cluster.Incarnation, sentAt cluster.Time, answer messages.HeartbeatResponse) {
-	if incarnation != w.Incarnation || answer.FencingToken < w.FencingToken || answer.FencingToken == 0 {
+// HandleHeartbeatResponse handles the response to a heartbeat that was sent at sentAt: it
+// renews the lease and executes the commands. It ignores a response for another
+// incarnation, with an older fencing token or without one.
+func (w *FakeWorker) HandleHeartbeatResponse(incarnation cluster.Incarnation, sentAt cluster.Time, response messages.HeartbeatResponse) {
+	if incarnation != w.Incarnation || response.FencingToken < w.FencingToken || response.FencingToken == 0 {
 		return
 	}
-	w.FencingToken = answer.FencingToken
+	w.FencingToken = response.FencingToken
 	w.leaseRenewedAt = max(w.leaseRenewedAt, sentAt)
-	w.executeCommands(answer.Commands)
+	w.executeCommands(response.Commands)
 }
 
-// HandleCommands carries out pushed commands.
+// HandleCommands executes pushed commands. It returns messages.Conflict for an older
+// fencing token or another incarnation.
 func (w *FakeWorker) HandleCommands(pushed messages.PushCommands) messages.PushCommandsReply {
 	if pushed.FencingToken < w.FencingToken || pushed.Incarnation != w.Incarnation {
 		return messages.PushCommandsReply{Outcome: messages.Conflict, Status: w.NextStatus()}
@@ -222,13 +224,13 @@
 	}
 }
 
-// startTask starts a task. This worker keeps one attempt of each task: while one is
-// there, another is not even refused.
+// startTask starts a task. The worker keeps a single attempt of each task and ignores
+// a start command while it has one.
 func (w *FakeWorker) startTask(command cluster.Command) {
 	if w.Tasks[command.Task] != nil {
 		return
 	}
-	// Until it has got its room it does not count as using any.
+	// A task in state Ended is not counted as using resources in hasCapacityFor.
 	task := &Task{ID: command.Task, Attempt: command.Attempt, State: cluster.Ended}
 	w.Tasks[command.Task] = task
 	info, known := w.LookupJob(command.Task.Job)
@@ -250,8 +252,8 @@
 	return used.Plus(request).FitsIn(w.Capacity)
 }
 
-// stopTask ends a task. One that can save a checkpoint within the grace does so
-// first; one that is saving goes on if there is any grace.
+// stopTask stops a task. A running task first saves a checkpoint if the grace period
+// suffices. A task that is already saving one continues unless the grace period is 0.
 func (w *FakeWorker) stopTask(command cluster.Command) {
 	task := w.Tasks[command.Task]
 	if task == nil || task.Attempt != command.Attempt || task.State == cluster.Ended {
@@ -270,7 +272,7 @@
 	}
 }
 
-// acknowledgeTask forgets a task that has ended.
+// acknowledgeTask removes a task that has ended.
 func (w *FakeWorker) acknowledgeTask(command cluster.Command) {
 	task := w.Tasks[command.Task]
 	if task != nil && task.Attempt == command.Attempt && task.State == cluster.Ended {
--- a/internal/simulation/fault_kinds.go
+++ b/internal/simulation/fault_kinds.go
@@ -1,40 +1,39 @@
 package simulation
 
-// FaultKind is a kind of fault, or of a situation that is hard to handle. Tests
-// check that each kind came up, since a rule that holds without its fault shows
-// nothing.
+// FaultKind is a kind of fault or difficult situation. Tests check that each kind
+// occurred, since an invariant that holds without the fault proves nothing.
 type FaultKind string
 
-// The kinds that the simulation counts when they have taken effect.
+// The kinds of faults that the simulation counts when they take effect.
 const (
-	FaultLateWrite                          FaultKind = "writes delivered late"
-	FaultLateWriteApplied                   FaultKind = "writes applied late"
+	FaultLateWrite                          FaultKind = "late writes"
+	FaultLateWriteApplied                   FaultKind = "late writes applied"
 	FaultReplyLost                          FaultKind = "writes applied, their replies lost"
 	FaultSlowPeerMessage                    FaultKind = "slow messages between controllers"
 	FaultStoreLimitsLowered                 FaultKind = "limits of the state service lowered"
 	FaultNodeUpgraded                       FaultKind = "controllers upgraded"
-	FaultHeartbeatBlocked                   FaultKind = "heartbeats of a machine that reaches no controller"
-	FaultCommandToBlockedMachine            FaultKind = "commands to a machine that reaches no controller"
+	FaultHeartbeatBlocked                   FaultKind = "blocked heartbeats"
+	FaultCommandToBlockedMachine            FaultKind = "commands to a machine with blocked heartbeats"
 	FaultCommandToUnreachableMachine        FaultKind = "commands to an unreachable machine"
-	FaultResponseToUnreachableMachine       FaultKind = "heartbeat answers to an unreachable machine"
-	FaultResponseFromIsolatedNode           FaultKind = "heartbeat answers of a controller that reaches its workers alone"
+	FaultResponseToUnreachableMachine       FaultKind = "heartbeat responses to an unreachable machine"
+	FaultResponseFromIsolatedNode           FaultKind = "heartbeat responses from a controller that reaches only its workers"
 	FaultDuplicateHeartbeat                 FaultKind = "duplicate heartbeats"
 	FaultDuplicateHeartbeatOfRemovedMachine FaultKind = "duplicate heartbeats of removed machines"
-	FaultHeartbeatReplayedAtFailover        FaultKind = "old heartbeats at every controller after a failover"
-	FaultFastBoot                           FaultKind = "machines up within two seconds"
+	FaultHeartbeatReplayedAtFailover        FaultKind = "heartbeats replayed after a failover"
+	FaultFastBoot                           FaultKind = "machines booted within two seconds"
 	FaultCancelledAtEnd                     FaultKind = "jobs cancelled as they end"
 	FaultRunningJobCancelled                FaultKind = "running jobs cancelled together"
 	FaultMachineOfCancelledJobHung          FaultKind = "machines of cancelled jobs hung"
-	FaultStartAfterCancel                   FaultKind = "starts after a confirmed cancellation"
+	FaultStartAfterCancel                   FaultKind = "task starts after a confirmed cancellation"
 	FaultDependentSubmitted                 FaultKind = "jobs with dependencies"
 	FaultDependentRejectedInUpgrade         FaultKind = "jobs with dependencies rejected during the upgrade"
 	FaultDependentStarted                   FaultKind = "jobs started after their dependencies"
-	FaultDependentCancelled                 FaultKind = "jobs cancelled with a dependency"
-	FaultQueryAfterWrite                    FaultKind = "queries right after an answer"
-	FaultSubmitAfterWrite                   FaultKind = "repeated submissions right after an answer"
-	FaultCancelAfterWrite                   FaultKind = "cancellations right after an answer"
+	FaultDependentCancelled                 FaultKind = "jobs cancelled through a dependency"
+	FaultQueryAfterWrite                    FaultKind = "queries right after a write"
+	FaultSubmitAfterWrite                   FaultKind = "repeated submissions right after a write"
+	FaultCancelAfterWrite                   FaultKind = "cancellations right after a write"
 	FaultRepeatedSubmission                 FaultKind = "repeated submissions of unfinished jobs"
-	FaultDoneJobCancelled                   FaultKind = "cancellations of done jobs"
+	FaultDoneJobCancelled                   FaultKind = "cancellations of completed jobs"
 	FaultUnschedulableSubmission            FaultKind = "submissions of jobs that fit no machine"
 	FaultMalformedSubmission                FaultKind = "malformed submissions"
 )
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// minHeartbeatPause is the least time between two heartbeats of a worker.
+	// minHeartbeatPause is the minimum time between a worker's heartbeat and the next
+	// one that a change triggers.
 	minHeartbeatPause = second / 2
-	// heartbeatAnswerTimeout is how long a worker waits for a heartbeat's answer.
-	heartbeatAnswerTimeout = 4 * second
-	// nextNodePause is how long a worker waits before it turns to the next controller.
+	// heartbeatResponseTimeout is how long a worker waits for the response to a heartbeat.
+	heartbeatResponseTimeout = 4 * second
+	// nextNodePause is how long a worker waits before it tries the next controller.
 	nextNodePause = second
 )
 
@@ -25,7 +26,7 @@
 	failovers *Failovers
 }
 
-// loop has a worker send heartbeats at its usual pace.
+// loop sends a worker's periodic heartbeats, with jitter, until it is removed.
 func (s *heartbeatSender) loop(worker *SimulatedWorker) {
 	if worker.removed {
 		return
@@ -35,13 +36,14 @@
 	s.send(worker)
 }
 
-// schedule has a worker send a heartbeat soon, as something on it has changed.
+// schedule sends an additional heartbeat after a change on the worker.
 func (s *heartbeatSender) schedule(worker *SimulatedWorker) {
 	pause := max(worker.lastHeartbeatAt+minHeartbeatPause-s.Now, 0)
 	s.After(pause, func() { s.send(worker) })
 }
 
-// send sends a worker's heartbeat, unless one is on its way.
+// send sends a worker's heartbeat. If an exchange is pending, the heartbeat is
+// queued until it finishes.
 func (s *heartbeatSender) send(worker *SimulatedWorker) {
 	if worker.removed || worker.exchangePending || s.Now < worker.hungUntil {
 		worker.heartbeatQueued = worker.exchangePending
@@ -57,13 +59,14 @@
 		status: worker.NextStatus(),
 		sentAt: s.Now,
 	}
-	s.After(heartbeatAnswerTimeout, exchange.timeOut)
+	s.After(heartbeatResponseTimeout, exchange.timeOut)
 	exchange.send()
 }
 
-// deliverDuplicate delivers a heartbeat again after a while, to any controller.
+// deliverDuplicate delivers a copy of a heartbeat to a random controller after a
+// delay.
 func (s *heartbeatSender) deliverDuplicate(status cluster.HeartbeatStatus, delay cluster.Time) {
-	node := s.nodes.random()
+	node := s.nodes.randomNode()
 	s.After(delay, func() {
 		node.SendRequest(heartbeatRequest(status), func(messages.Respond) {
 			s.FaultCounts[FaultDuplicateHeartbeat]++
@@ -74,14 +77,13 @@
 	})
 }
 
-// heartbeatRequest is the request that carries a heartbeat.
 func heartbeatRequest(status cluster.HeartbeatStatus) func(messages.RequestID) messages.Event {
 	return func(id messages.RequestID) messages.Event {
 		return messages.Heartbeat{Request: id, Status: status}
 	}
 }
 
-// heartbeatExchange is one heartbeat with its answer.
+// heartbeatExchange is a heartbeat and its response.
 type heartbeatExchange struct {
 	sender   *heartbeatSender
 	worker   *SimulatedWorker
@@ -106,11 +108,11 @@
 		s.deliverDuplicate(x.status, s.RandomBetween(second, 3*s.config.WorkerLease))
 	}
 	s.failovers.captureHeartbeat(x.status)
-	x.node.SendRequest(heartbeatRequest(x.status), x.handleAnswer)
+	x.node.SendRequest(heartbeatRequest(x.status), x.handleResponse)
 }
 
-// deliverLate delivers a heartbeat that was sent over a partition; nobody reads
-// its answer.
+// deliverLate delivers a heartbeat that was sent during a partition, if it arrives
+// at all. Its response is discarded.
 func (x *heartbeatExchange) deliverLate(partitionedUntil cluster.Time) {
 	if delay, arrives := x.sender.network.lateArrival(partitionedUntil); arrives {
 		x.sender.After(delay, func() { x.node.SendRequest(heartbeatRequest(x.status), func(messages.Respond) {}) })
@@ -123,7 +125,7 @@
 	}
 }
 
-// finish ends the exchange; the next heartbeat may be sent after a pause.
+// finish ends the exchange. The next heartbeat can be sent after a pause.
 func (x *heartbeatExchange) finish(pause cluster.Time) {
 	x.finished = true
 	x.sender.After(pause, func() {
@@ -135,16 +137,16 @@
 	})
 }
 
-// tryNextNode turns to the next controller.
+// tryNextNode ends the exchange and switches the worker to the next controller.
 func (x *heartbeatExchange) tryNextNode() {
 	x.worker.nodeIndex = (x.worker.nodeIndex + 1) % len(x.sender.nodes.Nodes)
 	x.worker.heartbeatQueued = true
 	x.finish(nextNodePause)
 }
 
-// handleAnswer takes in a controller's answer unless the worker can't get it. A
-// worker without an answer tries the next controller when its time is up.
-func (x *heartbeatExchange) handleAnswer(answer messages.Respond) {
+// handleResponse handles a controller's response, unless a fault keeps the worker from
+// receiving it. The worker then tries the next controller after the timeout.
+func (x *heartbeatExchange) handleResponse(response messages.Respond) {
 	s, worker := x.sender, x.worker
 	if x.finished || worker.removed {
 		return
@@ -153,34 +155,35 @@
 		s.FaultCounts[FaultResponseToUnreachableMachine]++
 		return
 	}
-	if s.Now < x.node.StorePartitionedUntil && s.Now < x.node.PeersPartitionedUntil && answer.Status == messages.ReplyOK {
+	if s.Now < x.node.StorePartitionedUntil && s.Now < x.node.PeersPartitionedUntil && response.Status == messages.ReplyOK {
 		s.FaultCounts[FaultResponseFromIsolatedNode]++
 	}
 	if s.Now < worker.hungUntil {
 		return
 	}
 	switch {
-	case answer.Status == messages.ReplyOK && answer.Heartbeat != nil:
-		x.accept(*answer.Heartbeat)
-	case answer.Status == messages.ReplyMisdirected && answer.Heartbeat != nil:
-		x.redirect(answer.Heartbeat.RedirectTo)
+	case response.Status == messages.ReplyOK && response.Heartbeat != nil:
+		x.accept(*response.Heartbeat)
+	case response.Status == messages.ReplyMisdirected && response.Heartbeat != nil:
+		x.redirect(response.Heartbeat.RedirectTo)
 	default:
 		x.tryNextNode()
 	}
 }
 
-// accept carries out the commands of the answer.
-func (x *heartbeatExchange) accept(answer messages.HeartbeatResponse) {
+// accept passes a successful response to the worker and ends the exchange.
+func (x *heartbeatExchange) accept(response messages.HeartbeatResponse) {
 	former := x.worker.FencingToken
-	x.worker.HandleHeartbeatResponse(x.status.Incarnation, x.sentAt, answer)
-	x.sender.logCommands(x.node, x.worker, answer.FencingToken, answer.Commands)
-	if x.worker.FencingToken > former || len(answer.Commands) > 0 {
+	x.worker.HandleHeartbeatResponse(x.status.Incarnation, x.sentAt, response)
+	x.sender.logCommands(x.node, x.worker, response.FencingToken, response.Commands)
+	if x.worker.FencingToken > former || len(response.Commands) > 0 {
 		x.worker.heartbeatQueued = true
 	}
 	x.finish(0)
 }
 
-// redirect turns to the controller that the answer names, if it is another one.
+// redirect switches the worker to the controller named in the response, or to the next
+// one if the name is unknown or the same.
 func (x *heartbeatExchange) redirect(to cluster.NodeID) {
 	index := slices.IndexFunc(x.sender.nodes.Nodes, func(node *Node) bool { return node.ID == to })
 	if index < 0 || to == x.node.ID {
--- a/internal/simulation/httpfake/cloud.go
+++ b/internal/simulation/httpfake/cloud.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxScaleOutCount is the largest number of machines that one request may ask for.
+	// maxScaleOutCount is the maximum number of machines in a scale-out request.
 	maxScaleOutCount = 50
-	// bootPollInterval is how often the cloud looks for machines that have booted.
+	// bootPollInterval is how often the cloud checks for machines that have booted.
 	bootPollInterval = 50 * time.Millisecond
-	// amountsPerUnit is how many cluster.Amount make a CPU or a GB of memory.
+	// amountsPerUnit is the cluster.Amount of one CPU or one GB of memory.
 	amountsPerUnit = 1e6
 )
 
-// ServeCloud starts the cloud and the workers of its machines, and returns the
-// cloud's address.
+// ServeCloud starts the cloud API and the workers of machines that boot, and returns
+// the address of the API.
 func (s *Services) ServeCloud() (string, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", s.serveMachineTypes)
@@ -29,7 +29,7 @@
 	return s.serve(mux)
 }
 
-// machineTypeForm is a machine type.
+// machineType is a machine type on the wire.
 type machineType struct {
 	Name             string   `json:"name"`
 	CPU              float64  `json:"vcpus"`
@@ -63,7 +63,7 @@
 	}{types})
 }
 
-// scaleOutForm is a provisioning request.
+// scaleOutRequest is the body of a scale-out request.
 type scaleOutRequest struct {
 	Name  string `json:"charter"`
 	Type  string `json:"fleet"`
@@ -72,7 +72,7 @@
 	Count int    `json:"count"`
 }
 
-// machineIDsForm is a list of machines' ids.
+// machineIDs is the body of a scale-out response and of a scale-in request.
 type machineIDs struct {
 	IDs []cluster.MachineID `json:"coaches"`
 }
@@ -112,7 +112,7 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// machineForm is a line of the machine list.
+// listedMachine is an entry of the machine list on the wire.
 type listedMachine struct {
 	ID         cluster.MachineID `json:"id"`
 	Address    string            `json:"addr"`
--- a/internal/simulation/httpfake/services.go
+++ b/internal/simulation/httpfake/services.go
@@ -1,5 +1,5 @@
-// Package httpfake serves the fakes of the simulation over HTTP on loopback, for
-// tests of the real program.
+// Package httpfake serves the fakes of package simulation over HTTP on the loopback
+// interface, for end-to-end tests.
 package httpfake
 
 import (
@@ -30,32 +30,33 @@
 	mu           sync.Mutex // guards the fields up to the blank line
 	StateService *simulation.FakeStateService
 	Cloud        *simulation.FakeCloud
-	// Jobs is what workers fetch of each job on their own.
+	// Jobs holds the job information that workers look up.
 	Jobs map[cluster.JobID]simulation.JobInfo
-	// NodeAddresses holds the controllers' addresses for workers, by name.
+	// NodeAddresses maps controller names to the addresses that workers connect to.
 	NodeAddresses map[string]string
-	// StateServiceDown makes the state service answer 503.
+	// StateServiceDown makes the state service respond with 503.
 	StateServiceDown bool
-	// UnreachableMachines holds machines whose heartbeats arrive, but which nothing
-	// reaches.
+	// UnreachableMachines holds the machines that no request or response reaches.
+	// Their heartbeats still arrive at the controllers.
 	UnreachableMachines map[cluster.MachineID]bool
-	// StartCounts counts the starts of each task.
+	// StartCounts holds the number of starts of each task.
 	StartCounts map[cluster.TaskID]int
-	// DuplicateRuns lists tasks that started while they ran on another machine.
+	// DuplicateRuns lists the tasks that started while running on another machine.
 	DuplicateRuns []string
 	doneTasks     map[cluster.TaskID]bool
-	initialCount  int // machines that AddMachine has provisioned
+	initialCount  int // number of machines provisioned by AddMachine
 	workers       map[cluster.MachineID]*httpWorker
 	closers       []func()
 
 	startedAt         time.Time
 	leaseDuration     cluster.Time
 	heartbeatInterval time.Duration
-	ctx               context.Context // ends with Close
+	ctx               context.Context // canceled by Close
 }
 
-// NewServices makes services whose workers send heartbeats at an interval and
-// drop their tasks when the lease expires; Close ends all that was started.
+// NewServices returns services whose workers send heartbeats at the given interval
+// and drop their tasks when the lease expires. Close stops everything that the
+// services have started.
 func NewServices(types []cluster.MachineType, capacity map[string]int, heartbeatInterval, lease time.Duration) *Services {
 	ctx, cancel := context.WithCancel(context.Background())
 	boot := func() cluster.Time { return bootDuration }
@@ -76,7 +77,7 @@
 	}
 }
 
-// Close ends the servers and workers.
+// Close stops the servers and workers.
 func (s *Services) Close() {
 	var closers []func()
 	s.WithLock(func() { closers = s.closers })
@@ -85,14 +86,14 @@
 	}
 }
 
-// WithLock runs fn while no service handles a request.
+// WithLock runs fn while holding the lock that guards the services' state.
 func (s *Services) WithLock(fn func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fn()
 }
 
-// AddMachine provisions a machine.
+// AddMachine provisions a machine in addition to the available capacity.
 func (s *Services) AddMachine(machineType, zone string, spot bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +108,7 @@
 	s.initialCount++
 }
 
-// BusyMachines lists the machines on which a task runs.
+// BusyMachines returns the machines with a running task, in no particular order.
 func (s *Services) BusyMachines() []cluster.MachineID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,7 @@
 	return ids
 }
 
-// IsReleased tells whether a machine was released.
+// IsRemoved reports whether a machine was removed or has no worker.
 func (s *Services) IsRemoved(id cluster.MachineID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +130,7 @@
 
 func (s *Services) now() cluster.Time { return cluster.Time(time.Since(s.startedAt)) }
 
-// serve starts a server on loopback and returns its address.
+// serve starts a server on the loopback interface and returns its address.
 func (s *Services) serve(handler http.Handler) (string, error) {
 	listener, err := new(net.ListenConfig).Listen(s.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,14 +142,16 @@
 	return listener.Addr().String(), nil
 }
 
-// writeJSON answers a request. A caller that has gone does not read the answer.
+// writeJSON writes a JSON response. It ignores errors, since the client may have
+// disconnected.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// readJSON reads a request's body; on failure it answers 400.
+// readJSON decodes the JSON body of a request. On failure it responds with 400 and
+// returns false.
 func readJSON(w http.ResponseWriter, request *http.Request, body any) bool {
 	if json.NewDecoder(request.Body).Decode(body) != nil {
 		writeJSON(w, http.StatusBadRequest, nil)
@@ -157,7 +160,7 @@
 	return true
 }
 
-// errorForm is the body of a refusal.
+// errorResponse is the body of an error response.
 type errorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/simulation/httpfake/state_service.go
+++ b/internal/simulation/httpfake/state_service.go
@@ -10,10 +10,11 @@
 	"stairrelay/internal/messages"
 )
 
-// watchPollInterval is how often a watch looks for changes.
+// watchPollInterval is how often a watch checks for changes.
 const watchPollInterval = 20 * time.Millisecond
 
-// itemForm is a key of a list, with Key, or a change, with Set or Drop.
+// item is an entry of a list or a change. Key is set in a list; Set or Drop holds the
+// key of a change.
 type item struct {
 	Key         string          `json:"key,omitempty"`
 	Set         string          `json:"set,omitempty"`
@@ -33,7 +34,7 @@
 	return item{Set: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
 }
 
-// revisionForm is the body of an answer without keys.
+// revisionResponse is the body of a response without items.
 type revisionResponse struct {
 	Revision cluster.Revision `json:"epoch"`
 	Failed   []string         `json:"failed,omitempty"`
@@ -57,7 +58,7 @@
 	}))
 }
 
-// transactionForm is a transaction.
+// transaction is the body of a transaction request.
 type transaction struct {
 	When []struct {
 		Key         string `json:"key"`
@@ -127,8 +128,8 @@
 	}{items, truncated, list.Revision})
 }
 
-// keyPage cuts the page that follows a key out of a sorted list; true when
-// there are more keys.
+// keyPage returns the page of a sorted list that begins after the key since, and
+// whether more keys follow it.
 func keyPage(list []messages.KV, since string, size int) ([]item, bool) {
 	items := []item{}
 	for _, kv := range list {
@@ -143,8 +144,7 @@
 	return items, false
 }
 
-// serveWatch answers as soon as there is a change, at the latest after the
-// time that the caller asks for.
+// serveWatch responds as soon as there is a change, or after the requested timeout.
 func (s *Services) serveWatch(w http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
--- a/internal/simulation/httpfake/wire_types.go
+++ b/internal/simulation/httpfake/wire_types.go
@@ -6,7 +6,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// commandForm is a command to a worker.
+// command is a command to a worker on the wire.
 type command struct {
 	Kind         string  `json:"verb"`
 	Task         string  `json:"leg"`
@@ -14,7 +14,7 @@
 	GraceSeconds float64 `json:"layoverS"`
 }
 
-// commandKinds maps the names of commands on the wire.
+// commandKinds maps command names on the wire to their kinds.
 var commandKinds = map[string]cluster.CommandKind{
 	"start": cluster.Start,
 	"halt":  cluster.Stop,
@@ -35,7 +35,7 @@
 	return commands
 }
 
-// heartbeatForm is a worker's heartbeat with its status.
+// heartbeatStatus is a worker's status on the wire.
 type heartbeatStatus struct {
 	Machine          cluster.MachineID      `json:"coach"`
 	Address          string                 `json:"addr"`
@@ -49,7 +49,7 @@
 	Tasks            []taskStatus           `json:"legs"`
 }
 
-// taskForm is a task in a worker's status; only one that has ended has a cause.
+// taskStatus is a task in a heartbeatStatus. Cause is set only if the task has ended.
 type taskStatus struct {
 	Task         string          `json:"leg"`
 	Attempt      cluster.Attempt `json:"boarding"`
@@ -107,7 +107,7 @@
 	return encoded
 }
 
-// submissionForm is a user's submission.
+// submission is the body of a job submission.
 type submission struct {
 	ID                 string  `json:"id"`
 	Class              string  `json:"route"`
@@ -128,7 +128,7 @@
 	SaveDuration       float64 `json:"stowS"`
 }
 
-// Submission is the body of a submission of small tasks.
+// Submission returns the body of a submission of a job with small tasks.
 func Submission(id, team string, tasks int) string {
 	body, _ := json.Marshal(submission{
 		ID:       id,
--- a/internal/simulation/httpfake/worker.go
+++ b/internal/simulation/httpfake/worker.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// heartbeatTimeout bounds the call that carries a heartbeat.
+	// heartbeatTimeout is the timeout of a heartbeat request.
 	heartbeatTimeout = 4 * time.Second
-	// heartbeatRetryPause is the pause after a heartbeat that failed.
+	// heartbeatRetryPause is the pause after a failed heartbeat.
 	heartbeatRetryPause = time.Second
-	// redirectPause is the pause after a heartbeat that was redirected.
+	// redirectPause is the pause after a redirected heartbeat.
 	redirectPause = 10 * time.Millisecond
 )
 
-// httpWorker is a worker that is served over HTTP. The services' lock guards it.
+// httpWorker is a worker served over HTTP. It is guarded by the lock of services.
 type httpWorker struct {
 	*simulation.FakeWorker
 	services *Services
 	address  string
-	removed  bool // its machine was released
+	removed  bool
 	cancel   context.CancelFunc
 }
 
-// startWorker serves a machine's worker and has it send heartbeats.
+// startWorker starts the HTTP server and the heartbeats of a machine's worker.
 func (s *Services) startWorker(machine cluster.ListedMachine) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	worker := &httpWorker{FakeWorker: s.newFakeWorker(machine), services: s, cancel: cancel}
@@ -51,7 +51,6 @@
 	go worker.runHeartbeats(ctx)
 }
 
-// newFakeWorker makes the fake of a machine's worker.
 func (s *Services) newFakeWorker(machine cluster.ListedMachine) *simulation.FakeWorker {
 	return &simulation.FakeWorker{
 		ID:            machine.ID,
@@ -70,7 +69,8 @@
 	}
 }
 
-// recordTaskStart counts a task's start, and records when it runs elsewhere.
+// recordTaskStart counts the start of a task, and records a duplicate run if another
+// machine runs it.
 func (s *Services) recordTaskStart(on *simulation.FakeWorker, started *simulation.Task) {
 	s.StartCounts[started.ID]++
 	for _, other := range s.workers {
@@ -84,7 +84,7 @@
 	}
 }
 
-// terminate takes the worker's machine away.
+// terminate removes the worker's machine.
 func (w *httpWorker) terminate() {
 	if w.removed {
 		return
@@ -106,7 +106,7 @@
 	return false
 }
 
-// commandPushForm is a request with commands.
+// pushCommands is the body of a command push. The pointers distinguish missing fields.
 type pushCommands struct {
 	FencingToken *uint64   `json:"baton"`
 	Incarnation  *uint64   `json:"shift"`
@@ -146,8 +146,8 @@
 	writeJSON(response, http.StatusOK, encodeHeartbeat(w.NextStatus(), w.address))
 }
 
-// abortIfUnreachable loses a request to an unreachable machine: it keeps the
-// connection until the caller gives up, and then aborts the handler.
+// abortIfUnreachable drops a request to an unreachable machine. It holds the
+// connection until the client gives up and then aborts the handler.
 func (w *httpWorker) abortIfUnreachable(request *http.Request) {
 	if !w.isUnreachable() {
 		return
@@ -165,8 +165,8 @@
 	return w.services.UnreachableMachines[w.ID]
 }
 
-// runHeartbeats sends heartbeats to one controller after the other until one
-// answers, and to that one from then on.
+// runHeartbeats sends heartbeats until ctx is done. After a failure it tries the next
+// controller; after a redirect it switches to the controller named in the response.
 func (w *httpWorker) runHeartbeats(ctx context.Context) {
 	nodes := w.services.nodeNames()
 	client := &http.Client{Timeout: heartbeatTimeout}
@@ -201,7 +201,8 @@
 	return names
 }
 
-// otherNodeIndex is a controller's index unless it is the current one.
+// otherNodeIndex returns the index of the named controller. It reports false if the
+// name is unknown or belongs to the current controller.
 func otherNodeIndex(nodes []string, name string, current int) (int, bool) {
 	for i, node := range nodes {
 		if node == name && i != current {
@@ -214,65 +215,65 @@
 // heartbeatResult is the outcome of a heartbeat.
 type heartbeatResult struct {
 	accepted bool
-	redirect string // the controller that the worker should turn to, if named
+	redirect string // name of the controller to switch to, or empty
 }
 
-// heartbeatAnswerForm is the answer to a heartbeat: commands, or a redirection.
+// heartbeatResponse is the body of a heartbeat response: commands or a redirect.
 type heartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []command `json:"dispatches"`
 	Redirect     string    `json:"dispatcher"`
 }
 
-// sendHeartbeat sends a heartbeat to a controller and carries out the commands of
-// the answer.
+// sendHeartbeat sends a heartbeat to a controller and executes the commands in the
+// response.
 func (w *httpWorker) sendHeartbeat(client *http.Client, node string) heartbeatResult {
 	var status cluster.HeartbeatStatus
 	var sentAt cluster.Time
 	var nodeAddress string
-	var answerLost bool
+	var responseLost bool
 	w.services.WithLock(func() {
 		w.Advance(w.services.now())
 		status = w.NextStatus()
 		sentAt = w.services.now()
 		nodeAddress = w.services.NodeAddresses[node]
-		answerLost = w.services.UnreachableMachines[w.ID]
+		responseLost = w.services.UnreachableMachines[w.ID]
 	})
 	code, body, err := w.postHeartbeat(client, nodeAddress, status)
 	switch {
-	case err != nil || answerLost:
+	case err != nil || responseLost:
 		return heartbeatResult{}
 	case code == http.StatusMisdirectedRequest:
 		return heartbeatResult{redirect: body.Redirect}
 	case code != http.StatusOK:
 		return heartbeatResult{}
 	}
-	answer := messages.HeartbeatResponse{
+	response := messages.HeartbeatResponse{
 		FencingToken: cluster.FencingToken(body.FencingToken),
 		Commands:     decodeCommands(body.Commands),
 	}
-	w.services.WithLock(func() { w.HandleHeartbeatResponse(status.Incarnation, sentAt, answer) })
+	w.services.WithLock(func() { w.HandleHeartbeatResponse(status.Incarnation, sentAt, response) })
 	return heartbeatResult{accepted: true}
 }
 
-// postHeartbeat posts a heartbeat and returns the answer's status code and form.
-// The body of a failure need not be a form.
+// postHeartbeat posts a heartbeat and returns the status code and body of the
+// response. It ignores a body that cannot be decoded, as in an error response.
 func (w *httpWorker) postHeartbeat(client *http.Client, address string, status cluster.HeartbeatStatus) (int, heartbeatResponse, error) {
 	body, err := json.Marshal(encodeHeartbeat(status, w.address))
 	if err != nil {
-		return 0, heartbeatResponse{}, fmt.Errorf("encoding a heartbeat: %w", err)
+		return 0, heartbeatResponse{}, fmt.Errorf("encoding heartbeat: %w", err)
 	}
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address+"/checkin", bytes.NewReader(body))
 	if err != nil {
-		return 0, heartbeatResponse{}, fmt.Errorf("a heartbeat to %s: %w", address, err)
+		return 0, heartbeatResponse{}, fmt.Errorf("creating heartbeat request to %s: %w", address, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := client.Do(request)
 	if err != nil {
-		return 0, heartbeatResponse{}, fmt.Errorf("sending a heartbeat to %s: %w", address, err)
+		return 0, heartbeatResponse{}, fmt.Errorf("sending heartbeat to %s: %w", address, err)
 	}
 	defer response.Body.Close()
-	var answer heartbeatResponse
-	_ = json.NewDecoder(response.Body).Decode(&answer)
-	return response.StatusCode, answer, nil
+	var decoded heartbeatResponse
+	_ = json.NewDecoder(response.Body).Decode(&decoded)
+	return response.StatusCode, decoded, nil
 }
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// forgottenAfter is how long queries about an accepted job may stay unanswered
-	// once all faults are over.
+	// lostJobTimeout is how long requests about an accepted job may remain
+	// unanswered once all faults are over.
 	lostJobTimeout = 75 * second
-	// successorDelay is the time that a successor takes, at the most, to take over
-	// after a controller has ended.
+	// successorDelay is the maximum duration of a failover after a controller has
+	// ended.
 	successorDelay = 6 * second
 )
 
-// invariantChecker checks the protocol's rules as the simulation runs.
+// invariantChecker checks the scheduler's invariants during a simulation.
 type invariantChecker struct {
 	*environment
 	jobs       *jobTable
@@ -26,36 +26,36 @@
 	store      *Store
 	cloud      *CloudAPI
 	starvation *starvationChecker
-	startedOn  map[cluster.TaskID][]cluster.MachineID // where a task has ever started
+	startedOn  map[cluster.TaskID][]cluster.MachineID // all machines on which a task has started
 }
 
-// checkAll checks the rules that hold at every moment.
+// checkAll checks the invariants that must hold at any time.
 func (c *invariantChecker) checkAll() {
 	c.checkQuotasAndCancellations()
 	c.checkLostJobs()
 	c.starvation.check()
 }
 
-// checkForgotten: once all faults are over, some controller answers about every
-// accepted job.
+// checkLostJobs checks that requests about accepted jobs are answered once all faults
+// are over.
 func (c *invariantChecker) checkLostJobs() {
 	if !c.faultsOver() {
 		return
 	}
 	for _, job := range c.jobs.Jobs {
-		if job.Accepted && c.Now-max(c.FaultsOverAt, job.lastAnswerAt) > lostJobTimeout {
-			c.reportViolation("forgotten: no question about %s was answered for 75 s", job.Spec.ID)
+		if job.Accepted && c.Now-max(c.FaultsOverAt, job.lastResponseAt) > lostJobTimeout {
+			c.reportViolation("lost_job: no request about %s was answered for 75 s", job.Spec.ID)
 			return
 		}
 	}
 }
 
-// handleTaskStart checks the rules that a task's start may break.
+// handleTaskStart checks the invariants that the start of a task can violate.
 func (c *invariantChecker) handleTaskStart(on *FakeWorker, task *Task) {
 	c.Log(fmt.Sprintf("%s runs %s attempt %d", on.ID, task.ID, task.Attempt))
 	job := c.jobs.Jobs[task.ID.Job]
 	if job == nil {
-		c.reportViolation("%s started, no such job", task.ID)
+		c.reportViolation("unknown_job: %s started, but its job was never submitted", task.ID)
 		return
 	}
 	if job.FirstStartAt == 0 {
@@ -71,9 +71,9 @@
 	c.checkStartAfterCancel(task, job)
 }
 
-// checkRunsOnce: a task does not start on a machine while it is on another.
+// checkDuplicateRun checks that a task does not start while another machine runs it.
 func (c *invariantChecker) checkDuplicateRun(on *FakeWorker, task *Task) {
-	// What runs has started, so only the machines on which it did matter.
+	// Only machines on which the task has started before can still run it.
 	startedOn := c.startedOn[task.ID]
 	if !slices.Contains(startedOn, on.ID) {
 		c.startedOn[task.ID] = append(startedOn, on.ID)
@@ -85,37 +85,38 @@
 		}
 		other := worker.Tasks[task.ID]
 		if other != nil && other.State != cluster.Ended && other.State != cluster.Fetching {
-			c.reportViolation("ran_twice: %s starts on %s (attempt %d) while on %s (attempt %d)", task.ID, on.ID, task.Attempt, worker.ID, other.Attempt)
+			c.reportViolation("duplicate_run: %s starts on %s (attempt %d) while it runs on %s (attempt %d)", task.ID, on.ID, task.Attempt, worker.ID, other.Attempt)
 		}
 	}
 }
 
-// checkPlacement: a task starts where its job allows, given the job's other tasks.
+// checkPlacement checks that a task starts on a machine that its job's placement and
+// affinity constraints allow.
 func (c *invariantChecker) checkPlacement(on *FakeWorker, task *Task, job *Job) {
 	spec := job.Spec
 	if !allowsMachine(spec, on) {
-		c.reportViolation("wrong_place: %s on %s", task.ID, on.ID)
+		c.reportViolation("wrong_placement: %s starts on %s, which its job does not allow", task.ID, on.ID)
 	}
 	if !spec.Colocate && !spec.Spread {
 		return
 	}
 	zones := c.countTasksByZone(task.ID.Job)
 	if spec.Colocate && len(zones) > 1 {
-		c.reportViolation("wrong_place: %s in more than one zone", task.ID)
+		c.reportViolation("wrong_placement: %s starts in a different zone than other tasks of its colocated job", task.ID)
 	}
 	if spec.Spread && zones[on.Zone] > (spec.Tasks+1)/2 {
-		c.reportViolation("wrong_place: %s has %d of %d tasks in %s", task.ID, zones[on.Zone], spec.Tasks, on.Zone)
+		c.reportViolation("wrong_placement: %s starts, so that %d of %d tasks of its spread job are in zone %s", task.ID, zones[on.Zone], spec.Tasks, on.Zone)
 	}
 }
 
-// allowsMachine tells whether a job's tasks may run on a machine.
+// allowsMachine reports whether a job's tasks may run on a machine.
 func allowsMachine(spec cluster.JobSpec, on *FakeWorker) bool {
 	return (spec.Zone == "" || spec.Zone == on.Zone) &&
 		(spec.Spot || !on.Spot) &&
 		(len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, on.Type))
 }
 
-// countTasksByZone counts the tasks of a job that are on machines.
+// countTasksByZone returns the number of executing tasks of a job in each zone.
 func (c *invariantChecker) countTasksByZone(job cluster.JobID) map[string]int {
 	zones := map[string]int{}
 	for _, id := range c.machines.liveIDs() {
@@ -129,30 +130,32 @@
 	return zones
 }
 
-// isOnMachine tells whether the task uses its machine as the rules count it.
+// isExecuting reports whether the task is running or saving a checkpoint.
 func (t *Task) isExecuting() bool {
 	return t.State == cluster.Running || t.State == cluster.Checkpointing
 }
 
-// checkStartAfterCancel: no task starts long after its job was reported as
-// cancelled.
+// checkStartAfterCancel checks that no task starts after the cancellation deadline of
+// its job.
 func (c *invariantChecker) checkStartAfterCancel(task *Task, job *Job) {
 	if job.CancelConfirmedAt == 0 {
 		return
 	}
 	c.FaultCounts[FaultStartAfterCancel]++
 	if c.isCancelOverdue(job) {
-		c.reportViolation("ran_cancelled: %s starts", task.ID)
+		c.reportViolation("ran_after_cancel: %s starts after the cancellation deadline", task.ID)
 	}
 }
 
-// isCancelOverdue tells whether all tasks of a cancelled job should have ended.
+// isCancelOverdue reports whether the cancellation deadline of a job has passed. Its
+// tasks must have ended by then.
 func (c *invariantChecker) isCancelOverdue(job *Job) bool {
 	return job.CancelConfirmedAt > 0 && c.Now-job.CancelConfirmedAt > c.config.CancelDeadline
 }
 
-// checkQuotasAndCancellations checks what is on all machines now against the quota
-// limits of the teams and the cancellations that were confirmed.
+// checkQuotasAndCancellations checks that the executing tasks keep to the quota
+// limits of the teams, and that no task of a cancelled job runs after the
+// cancellation deadline.
 func (c *invariantChecker) checkQuotasAndCancellations() {
 	usage := map[string]cluster.Amount{}
 	for _, id := range c.machines.liveIDs() {
@@ -164,22 +167,21 @@
 			job := c.jobs.Jobs[task.ID.Job]
 			usage[job.Spec.Team] += job.Spec.ResourceRequest.CPU
 			if c.isCancelOverdue(job) && !c.onlyLeaseExpiryCanStop(job, worker) {
-				c.reportViolation("ran_cancelled: %s is on %s", task.ID, id)
+				c.reportViolation("ran_after_cancel: %s runs on %s after the cancellation deadline", task.ID, id)
 			}
 		}
 	}
 	for _, team := range c.config.Teams {
 		if usage[team.Name] > team.QuotaLimit.CPU {
-			c.reportViolation("quota: %s uses %d:%s", team.Name, usage[team.Name], c.describeTeamTasks(team.Name))
+			c.reportViolation("quota_exceeded: %s uses %d:%s", team.Name, usage[team.Name], c.describeTeamTasks(team.Name))
 		}
 	}
 }
 
-// canOnlyLeaseStop tells whether nothing but its lease can end a cancelled job's
-// task on a machine. That is so when the machine hangs on past the lease and,
-// since the cancellation was confirmed, either the cloud takes no scale-in, or a
-// controller ended, at most successorDelay before, and the state service is
-// down, which alone knows which machines that controller owned.
+// onlyLeaseExpiryCanStop reports whether only lease expiry can end a cancelled job's
+// task on a machine. The machine must hang past its lease. In addition, after the
+// cancellation was confirmed, either the cloud was down, or the state service was
+// down and a controller had ended, so that its successor could not load its machines.
 func (c *invariantChecker) onlyLeaseExpiryCanStop(job *Job, worker *SimulatedWorker) bool {
 	if !worker.isLeaseExpiredWhileHung(c.Now) {
 		return false
@@ -190,8 +192,8 @@
 	return cloudDown || storeDown && ownerEnded
 }
 
-// describeTeamTasks lists a team's tasks on machines, to show what exceeds its
-// quota limit.
+// describeTeamTasks lists a team's executing tasks for the message of a quota
+// violation.
 func (c *invariantChecker) describeTeamTasks(team string) string {
 	var list strings.Builder
 	for _, id := range c.machines.liveIDs() {
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -10,14 +10,14 @@
 
 const testCPU = cluster.Amount(1_000_000)
 
-// newCheckedCluster makes a cluster without controllers, in which a test breaks a rule
-// on two machines that are up.
+// newCheckedCluster returns a cluster with two running machines and no running
+// controllers, in which a test can violate invariants.
 func newCheckedCluster(t *testing.T) *Simulator {
 	t.Helper()
 	cfg := controller.Config{
 		Teams:             []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: testCPU}}},
 		Nodes:             []cluster.NodeID{"n0"},
-		HeartbeatInterval: 1000 * second, // no heartbeat is sent in the test
+		HeartbeatInterval: 1000 * second, // longer than the test, so that no heartbeat is sent
 		WorkerLease:       1000 * second,
 		CancelDeadline:    30 * second,
 	}
@@ -31,7 +31,7 @@
 	return s
 }
 
-// addTestJob makes an accepted job of one task.
+// addTestJob adds an accepted job with one task.
 func addTestJob(s *Simulator, id cluster.JobID, dependencies ...cluster.JobID) *Job {
 	request := cluster.Resources{CPU: testCPU, Memory: testCPU}
 	job := &Job{
@@ -43,79 +43,80 @@
 	return job
 }
 
-// startOn starts a job's task on a machine that has its image.
+// startOn starts a job's task on a machine, without fetching the image.
 func startOn(s *Simulator, machine cluster.MachineID, job *Job) {
 	worker := s.Machines.Workers[machine]
 	worker.fetchedImages[job.Info.Image] = true
 	worker.startTask(cluster.Command{Kind: cluster.Start, Task: cluster.TaskID{Job: job.Spec.ID}, Attempt: 1})
 }
 
-// Two machines of newCheckedCluster.
+// The machines of newCheckedCluster.
 const (
 	firstMachine = cluster.MachineID("m-000001")
 	otherMachine = cluster.MachineID("m-000002")
 )
 
-// brokenRules names ways to break a rule, with what the checker has to report.
+// invariantViolations maps test names to a violation and the invariant that must be
+// reported.
 var invariantViolations = map[string]struct {
 	violate func(s *Simulator)
 	want    string
 }{
-	"a task runs twice": {func(s *Simulator) {
+	"a task runs on two machines": {func(s *Simulator) {
 		job := addTestJob(s, "j-1")
 		startOn(s, firstMachine, job)
 		startOn(s, otherMachine, job)
-	}, "ran_twice"},
+	}, "duplicate_run"},
 	"a task runs in a zone that its job excludes": {func(s *Simulator) {
 		job := addTestJob(s, "j-1")
 		job.Spec.Zone = "b"
 		startOn(s, firstMachine, job)
-	}, "wrong_place"},
+	}, "wrong_placement"},
 	"a task starts before a dependency is done": {func(s *Simulator) {
 		addTestJob(s, "j-1")
 		startOn(s, firstMachine, addTestJob(s, "j-2", "j-1"))
-	}, "too_early"},
+	}, "dependency_not_done"},
 	"a team exceeds its quota limit": {func(s *Simulator) {
 		startOn(s, firstMachine, addTestJob(s, "j-1"))
 		startOn(s, otherMachine, addTestJob(s, "j-2"))
 		s.checker.checkAll()
-	}, "quota"},
-	"a cancelled job's task goes on": {func(s *Simulator) {
+	}, "quota_exceeded"},
+	"a cancelled job's task keeps running": {func(s *Simulator) {
 		job := addTestJob(s, "j-1")
 		startOn(s, firstMachine, job)
 		job.CancelRequested = true
 		s.After(second, func() { s.Users.CheckReportedStatus(job, cluster.JobCancelled) })
 		s.After(second+s.config.CancelDeadline+millisecond, s.checker.checkAll)
 		s.RunUntil(100 * second)
-	}, "ran_cancelled"},
-	"a job is called done before it is": {func(s *Simulator) {
+	}, "ran_after_cancel"},
+	"a job is reported done before its tasks are": {func(s *Simulator) {
 		s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobDone)
-	}, "not_done"},
-	"a job is called cancelled unasked": {func(s *Simulator) {
+	}, "premature_done"},
+	"a job is reported cancelled without a request": {func(s *Simulator) {
 		s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobCancelled)
-	}, "went_back"},
-	"an ended job is called running": {func(s *Simulator) {
+	}, "unrequested_cancellation"},
+	"a cancelled job is reported running": {func(s *Simulator) {
 		job := addTestJob(s, "j-1")
 		job.CancelRequested = true
 		s.Users.CheckReportedStatus(job, cluster.JobCancelled)
 		s.Users.CheckReportedStatus(job, cluster.JobRunning)
-	}, "went_back"},
-	"no query of a job is answered": {func(s *Simulator) {
+	}, "status_regressed"},
+	"no request about a job is answered": {func(s *Simulator) {
 		addTestJob(s, "j-1")
 		s.FaultsOverAt = second
 		s.After(second+lostJobTimeout+millisecond, s.checker.checkLostJobs)
 		s.RunUntil(100 * second)
-	}, "forgotten"},
-	"a job waits while there is room": {func(s *Simulator) {
+	}, "lost_job"},
+	"a job waits while there is capacity": {func(s *Simulator) {
 		addTestJob(s, "j-1")
 		s.FaultsOverAt = second
 		s.repeatEvery(5*second, s.checker.starvation.check)
 		s.RunUntil(120 * second)
-	}, "left_waiting"},
+	}, "starvation"},
 }
 
-// TestBrokenRulesAreReported: the checker finds each rule that is broken. A checker
-// that reports nothing would let every simulated day pass.
+// TestInvariantViolationsAreReported guards against a checker that misses violations,
+// which would let every simulation pass.
 func TestInvariantViolationsAreReported(t *testing.T) {
 	for name, test := range invariantViolations {
 		t.Run(name, func(t *testing.T) {
@@ -128,7 +129,8 @@
 	}
 }
 
-// TestKeptRulesAreNotReported: a job that runs where it may breaks no rule.
+// TestValidRunReportsNoViolations guards against violations that are reported for a job
+// that runs as it should.
 func TestValidRunReportsNoViolations(t *testing.T) {
 	s := newCheckedCluster(t)
 	s.FaultsOverAt = second
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -7,29 +7,30 @@
 	"stairrelay/internal/cluster"
 )
 
-// Job is a submitted job with all that was reported to its user.
+// Job is a job with the responses that its user has received.
 type Job struct {
 	Spec              cluster.JobSpec
 	Info              JobInfo
 	Accepted          bool
 	ReportedStatus    cluster.JobStatus
-	CancelPlanned     bool // its user is going to cancel it
+	CancelPlanned     bool // the user will cancel it later
 	CancelRequested   bool
 	CancelConfirmedAt cluster.Time
 	SubmittedAt       cluster.Time
-	FirstStartAt      cluster.Time // when its first task started; 0: not yet
-	finalReportedAt   cluster.Time // when its end was reported to the user
-	lastAnswerAt      cluster.Time // when a query about it was last answered
-	lastStartAt       cluster.Time // when a task of it last started
-	starvingSince     cluster.Time // since when it waits although there is room; 0: it does not
+	FirstStartAt      cluster.Time // when its first task started, or 0 if none has
+	finalReportedAt   cluster.Time // when a final status was first reported to the user
+	lastResponseAt    cluster.Time // when a request about it was last answered
+	lastStartAt       cluster.Time // when one of its tasks last started
+	starvingSince     cluster.Time // since when it has been waiting despite free capacity, or 0
 }
 
-// isUnfinished tells whether the job was reported as accepted, but not its end.
+// isUnfinished reports whether the job was accepted and no final status has been
+// reported.
 func (j *Job) isUnfinished() bool { return j.Accepted && !j.ReportedStatus.IsFinal() }
 
-// jobTable holds the submitted jobs, and which of their tasks are done.
+// jobTable holds the submitted jobs and the set of their completed tasks.
 type jobTable struct {
-	// Jobs holds the jobs by their IDs.
+	// Jobs maps the job IDs to the submitted jobs.
 	Jobs      map[cluster.JobID]*Job
 	doneTasks map[cluster.TaskID]bool
 }
@@ -38,7 +39,7 @@
 	return &jobTable{Jobs: map[cluster.JobID]*Job{}, doneTasks: map[cluster.TaskID]bool{}}
 }
 
-// UnfinishedJobCount counts the jobs whose users wait.
+// UnfinishedJobCount returns the number of jobs without a reported final status.
 func (t *jobTable) UnfinishedJobCount() int {
 	unfinished := 0
 	for _, job := range t.Jobs {
@@ -49,10 +50,11 @@
 	return unfinished
 }
 
-// sortedIDs lists the jobs in order, so that draws don't depend on the map's order.
+// sortedIDs returns the job IDs in sorted order, so that random choices do not
+// depend on the iteration order of the map.
 func (t *jobTable) sortedIDs() []cluster.JobID { return slices.Sorted(maps.Keys(t.Jobs)) }
 
-// selectJobs lists in order the jobs for which something holds.
+// selectJobs returns the jobs that satisfy a predicate, sorted by ID.
 func (t *jobTable) selectJobs(holds func(*Job) bool) []*Job {
 	var selected []*Job
 	for _, id := range t.sortedIDs() {
@@ -63,7 +65,8 @@
 	return selected
 }
 
-// lookupInfo is what a worker fetches of a job.
+// lookupInfo returns the job information for a worker. It reports false if the job
+// is unknown.
 func (t *jobTable) lookupInfo(id cluster.JobID) (JobInfo, bool) {
 	job := t.Jobs[id]
 	if job == nil {
@@ -72,7 +75,8 @@
 	return job.Info, true
 }
 
-// findUndoneTask finds a task of a job that is not done.
+// findUndoneTask returns the index of the first task of a job that is not done. It
+// reports false if all tasks are done.
 func (t *jobTable) findUndoneTask(job *Job) (int, bool) {
 	for index := range job.Spec.Tasks {
 		if !t.doneTasks[cluster.TaskID{Job: job.Spec.ID, Index: index}] {
@@ -82,7 +86,8 @@
 	return 0, false
 }
 
-// transitiveDependencies lists all jobs that a job needs, directly or through others.
+// transitiveDependencies returns all jobs that a job depends on, directly or
+// indirectly.
 func (t *jobTable) transitiveDependencies(job *Job) []*Job {
 	var found []*Job
 	seen := map[cluster.JobID]bool{}
@@ -100,8 +105,8 @@
 	return found
 }
 
-// mayBeCancelled tells whether a job's user, or that of a job that it needs, has
-// asked for it to be cancelled.
+// mayBeCancelled reports whether the cancellation of a job, or of one of its
+// transitive dependencies, has been requested.
 func (t *jobTable) mayBeCancelled(job *Job) bool {
 	return job.CancelRequested || slices.ContainsFunc(t.transitiveDependencies(job), func(dependency *Job) bool {
 		return dependency.CancelRequested
--- a/internal/simulation/machine_faults.go
+++ b/internal/simulation/machine_faults.go
@@ -4,21 +4,21 @@
 	"stairrelay/internal/cluster"
 )
 
-// Hang makes a machine stand still for a while.
+// Hang makes a machine hang for a duration.
 func (m *Machines) Hang(id cluster.MachineID, duration cluster.Time) {
 	if worker := m.Workers[id]; worker != nil {
 		worker.hungUntil = m.Now + duration
 	}
 }
 
-// Partition partitions a machine's network for a while.
+// Partition disconnects a machine from the network for a duration.
 func (m *Machines) Partition(id cluster.MachineID, duration cluster.Time) {
 	if worker := m.Workers[id]; worker != nil {
 		worker.partitionedUntil = m.Now + duration
 	}
 }
 
-// PartitionZone partitions the network of all machines of a zone for a while.
+// PartitionZone disconnects all machines in a zone from the network for a duration.
 func (m *Machines) PartitionZone(zone string, duration cluster.Time) {
 	for _, id := range m.liveIDs() {
 		if m.Workers[id].Zone == zone {
@@ -27,29 +27,31 @@
 	}
 }
 
-// MakeUnreachable makes a machine one whose heartbeats arrive while nothing
-// reaches it.
+// MakeUnreachable makes a machine unreachable for a duration. Its heartbeats still
+// arrive at the controllers.
 func (m *Machines) MakeUnreachable(id cluster.MachineID, duration cluster.Time) {
 	if worker := m.Workers[id]; worker != nil {
 		worker.unreachableUntil = m.Now + duration
 	}
 }
 
-// BlockHeartbeats blocks a machine's way to the controllers, but not theirs to it.
+// BlockHeartbeats blocks a machine's heartbeats for a duration. Commands still reach
+// the machine.
 func (m *Machines) BlockHeartbeats(id cluster.MachineID, duration cluster.Time) {
 	if worker := m.Workers[id]; worker != nil {
 		worker.heartbeatsBlockedUntil = m.Now + duration
 	}
 }
 
-// DuplicateHeartbeat delivers a copy of a machine's present heartbeat later.
+// DuplicateHeartbeat delivers a heartbeat with a machine's current status after a
+// delay.
 func (m *Machines) DuplicateHeartbeat(id cluster.MachineID, delay cluster.Time) {
 	if worker := m.live(id); worker != nil {
 		m.heartbeats.deliverDuplicate(worker.NextStatus(), delay)
 	}
 }
 
-// RemoveEveryNth ends every n-th machine, with all that is on it.
+// RemoveEveryNth removes every n-th machine and all tasks on it.
 func (m *Machines) RemoveEveryNth(n int) {
 	for i, id := range m.liveIDs() {
 		if i%n == 0 {
@@ -58,7 +60,8 @@
 	}
 }
 
-// MakeFaulty makes some machines fail every task that they start.
+// MakeFaulty picks up to count random machines that fail all their tasks for a
+// duration.
 func (m *Machines) MakeFaulty(count int, duration cluster.Time) {
 	for range count {
 		if worker := m.Workers[m.Random()]; worker != nil {
@@ -67,19 +70,20 @@
 	}
 }
 
-// Reboot ends a worker that is back at once: its tasks are gone, and its next
-// incarnation begins.
+// Reboot restarts a worker immediately. The worker loses its tasks and begins a new
+// incarnation.
 func (m *Machines) Reboot(id cluster.MachineID) {
 	worker := m.live(id)
 	if worker == nil {
 		return
 	}
-	worker.leaseRenewedAt = -worker.LeaseDuration // so long ago that the lease has expired
+	worker.leaseRenewedAt = -worker.LeaseDuration // makes Advance treat the lease as expired
 	worker.Advance(m.Now)
 	m.heartbeats.schedule(worker)
 }
 
-// Preempt has the cloud give a spot machine a notice, and then take it.
+// Preempt gives a spot machine a preemption notice and removes it when the notice
+// period ends.
 func (m *Machines) Preempt(id cluster.MachineID, notice cluster.Time) {
 	worker := m.live(id)
 	if worker == nil || !worker.Spot {
@@ -90,11 +94,11 @@
 	m.After(notice, func() { m.Remove(id) })
 }
 
-// EnableFastBoots brings new machines up within 1 to 2 s for a while.
+// EnableFastBoots makes new machines boot within 1 to 2 s for a duration.
 func (m *Machines) EnableFastBoots(duration cluster.Time) { m.fastBootsUntil = m.Now + duration }
 
-// HasFastBoots tells whether a machine that is provisioned now is up within 1 to
-// 2 s.
+// HasFastBoots reports whether a machine that is provisioned now boots within 1 to
+// 2 s, and counts the fault if so.
 func (m *Machines) HasFastBoots() bool {
 	if m.Now >= m.fastBootsUntil {
 		return false
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -8,13 +8,14 @@
 	"stairrelay/internal/messages"
 )
 
-// workerFetchDuration is how long a worker fetches an image.
+// workerFetchDuration is how long a worker takes to fetch an image.
 const workerFetchDuration = 3 * second
 
-// Machines holds the machines that have booted, with their workers.
+// Machines holds the machines that have booted and their workers.
 type Machines struct {
 	*environment
-	// Workers holds the workers of all machines that ever booted.
+	// Workers holds the workers of all machines that have ever booted, also of
+	// removed ones.
 	Workers        map[cluster.MachineID]*SimulatedWorker
 	cloud          *FakeCloud
 	nodes          *nodeSet
@@ -23,42 +24,43 @@
 	onTaskStart    func(*FakeWorker, *Task)
 	onTaskDone     func(cluster.TaskID)
 	fastBootsUntil cluster.Time
-	initialCount   int                 // machines that Add has provisioned
-	sortedLiveIDs  []cluster.MachineID // nil: to be computed anew
+	initialCount   int                 // number of machines provisioned by Add
+	sortedLiveIDs  []cluster.MachineID // nil if it has to be recomputed
 }
 
-// SimulatedWorker is the worker of a machine, with the state of its way to the
-// controllers.
+// SimulatedWorker is a machine's worker with the state of its connection to the
+// controllers and the faults of the machine.
 type SimulatedWorker struct {
 	*FakeWorker
-	nodeIndex              int          // of the controller that it sends heartbeats to
-	hungUntil              cluster.Time // the machine stands still until then
+	nodeIndex              int          // of the controller that receives its heartbeats
+	hungUntil              cluster.Time // the machine hangs until then
 	partitionedUntil       cluster.Time // its network is partitioned until then
-	unreachableUntil       cluster.Time // its heartbeats arrive, nothing reaches it until then
-	heartbeatsBlockedUntil cluster.Time // its connections to controllers fail until then, command pushes reach it
+	unreachableUntil       cluster.Time // until then its heartbeats arrive, but nothing reaches it
+	heartbeatsBlockedUntil cluster.Time // until then its heartbeats fail, but command pushes reach it
 	removed                bool
-	exchangePending        bool // a heartbeat is on its way
-	heartbeatQueued        bool // another heartbeat follows the present one
+	exchangePending        bool // a heartbeat has been sent and the exchange has not finished
+	heartbeatQueued        bool // another heartbeat is sent after the current exchange
 	lastHeartbeatAt        cluster.Time
 }
 
-// commandsBlockedUntil is when commands of a controller reach the worker again.
+// commandsBlockedUntil returns when commands from a node reach the worker again.
 func (w *SimulatedWorker) commandsBlockedUntil(node *Node) cluster.Time {
 	return max(node.WorkersPartitionedUntil, w.partitionedUntil, w.hungUntil, w.unreachableUntil)
 }
 
-// isLeaseExpired tells whether the controllers' lease on the worker is over.
+// isLeaseExpired reports whether the worker's lease has expired.
 func (w *SimulatedWorker) isLeaseExpired(now cluster.Time) bool {
 	return now-w.leaseRenewedAt > w.LeaseDuration
 }
 
-// isLeaseExpiredWhileHung tells whether a machine hangs on past its lease. Its tasks
-// can't run any more: they are ended as the first thing when the machine goes on.
+// isLeaseExpiredWhileHung reports whether the machine hangs and its lease has
+// expired. Its tasks make no further progress: the worker drops them before
+// anything else when the machine recovers.
 func (w *SimulatedWorker) isLeaseExpiredWhileHung(now cluster.Time) bool {
 	return now < w.hungUntil && w.isLeaseExpired(now)
 }
 
-// Add provisions a machine that is up at once.
+// Add provisions a machine without a boot delay.
 func (m *Machines) Add(machineType, zone string, spot bool) {
 	m.cloud.AvailableCapacity[CapacityKey(machineType, zone, spot)]++
 	reply := m.cloud.ScaleOut(m.Now, messages.CloudScaleOut{
@@ -72,7 +74,7 @@
 	m.cloud.machines[reply.IDs[0]].bootedAt = m.Now
 }
 
-// Remove ends a machine with all that is on it.
+// Remove removes a machine and all tasks on it.
 func (m *Machines) Remove(id cluster.MachineID) {
 	m.cloud.RemoveMachine(id)
 	if worker := m.Workers[id]; worker != nil {
@@ -82,10 +84,10 @@
 	}
 }
 
-// LiveCount counts the machines that are up.
+// LiveCount returns the number of machines that are up.
 func (m *Machines) LiveCount() int { return len(m.liveIDs()) }
 
-// Random draws a machine that is up; "": there is none.
+// Random returns a random machine that is up, or an empty ID if there is none.
 func (m *Machines) Random() cluster.MachineID {
 	ids := m.liveIDs()
 	if len(ids) == 0 {
@@ -94,7 +96,7 @@
 	return ids[m.Rand.IntN(len(ids))]
 }
 
-// liveIDs lists the machines that are up in order.
+// liveIDs returns the IDs of the machines that are up, sorted.
 func (m *Machines) liveIDs() []cluster.MachineID {
 	if m.sortedLiveIDs == nil {
 		for id, worker := range m.Workers {
@@ -107,7 +109,7 @@
 	return m.sortedLiveIDs
 }
 
-// live returns the worker of a machine that is up, or nil.
+// live returns the worker of a machine, or nil if the machine is not up.
 func (m *Machines) live(id cluster.MachineID) *SimulatedWorker {
 	worker := m.Workers[id]
 	if worker == nil || worker.removed {
@@ -116,8 +118,8 @@
 	return worker
 }
 
-// advance starts the workers of machines that have booted, and ends the tasks
-// whose time has come.
+// advance starts the workers of machines that have booted, and advances all workers
+// that do not hang to the current time.
 func (m *Machines) advance() {
 	for _, machine := range m.cloud.CompleteBoots(m.Now) {
 		m.startWorker(machine)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -4,23 +4,23 @@
 	"stairrelay/internal/cluster"
 )
 
-// Network decides how long messages take and what becomes of those that are
-// sent over a partition.
+// Network determines the delay of each message, and whether messages sent during
+// a partition are lost or delivered late.
 type Network struct {
 	*environment
-	// LateDelivery lets messages sent over a partition arrive after it, up to
-	// minutes late.
+	// LateDelivery delivers some of the messages that are sent during a partition
+	// after the partition has ended.
 	LateDelivery bool
-	// HeartbeatDuplicateChance is the chance that a heartbeat is delivered again,
-	// up to several leases later.
+	// HeartbeatDuplicateChance is the probability that a heartbeat is delivered a
+	// second time, up to three lease durations later.
 	HeartbeatDuplicateChance float64
-	// SlowPeerChance is the chance that a message between controllers is slow.
-	// Without slow ones, what one controller tells another would always be there
-	// before its user asks there.
+	// SlowPeerChance is the probability that a message between controllers is
+	// slow. Slow messages expose races between replication to another controller
+	// and a user's request to that controller.
 	SlowPeerChance float64
 }
 
-// delay draws how long a message takes.
+// delay returns a random message delay.
 func (n *Network) delay() cluster.Time {
 	if n.Chance(0.02) {
 		return n.RandomBetween(50*millisecond, 400*millisecond)
@@ -28,8 +28,8 @@
 	return n.RandomBetween(millisecond, 8*millisecond)
 }
 
-// lateArrival draws how much later a message arrives that was sent over a
-// partition, if it arrives at all.
+// lateArrival returns a random delay for a message that is sent during a
+// partition, and whether the message arrives at all.
 func (n *Network) lateArrival(partitionedUntil cluster.Time) (cluster.Time, bool) {
 	if !n.LateDelivery || n.Chance(0.4) {
 		return 0, false
@@ -37,12 +37,12 @@
 	return max(partitionedUntil-n.Now, 0) + n.RandomBetween(millisecond, 20*second), true
 }
 
-// isSlowPeerMessage draws whether a message between controllers is slow.
+// isSlowPeerMessage decides at random whether a message between controllers is slow.
 func (n *Network) isSlowPeerMessage() bool {
 	return n.SlowPeerChance > 0 && n.Chance(n.SlowPeerChance)
 }
 
-// isHeartbeatDuplicated draws whether a heartbeat is delivered a second time.
+// isHeartbeatDuplicated decides at random whether a heartbeat is delivered twice.
 func (n *Network) isHeartbeatDuplicated() bool {
 	return n.HeartbeatDuplicateChance > 0 && n.Chance(n.HeartbeatDuplicateChance)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -9,32 +9,33 @@
 	"stairrelay/internal/messages"
 )
 
-// Node is a controller's node with the process that runs on it, if any.
+// Node is a node with the controller process that runs on it, if any.
 type Node struct {
 	ID cluster.NodeID
-	// Version is the version of the node's present process, or of its next one.
+	// Version is the program version of the running process or, if none is running,
+	// of the next one.
 	Version Version
 
-	// Faults of the node; each lasts until a time.
+	// Faults of the node, each with the time at which it ends.
 	StorePartitionedUntil   cluster.Time // partitioned from the state service
 	WorkersPartitionedUntil cluster.Time // partitioned from the workers
 	PeersPartitionedUntil   cluster.Time // partitioned from the other controllers
-	StoreRefusesUntil       cluster.Time // the state service answers it with 503
-	PeersRefuseUntil        cluster.Time // its connections with the other controllers are refused
-	StoreRepliesLostUntil   cluster.Time // its transactions are applied, but the replies are lost
-	PausedUntil             cluster.Time // its process is paused while its clocks run on
+	StoreRefusesUntil       cluster.Time // the state service responds with 503
+	PeersRefuseUntil        cluster.Time // connections to and from other controllers are refused
+	StoreRepliesLostUntil   cluster.Time // transactions are applied, but the replies are lost
+	PausedUntil             cluster.Time // the process is paused while its clocks continue
 
 	set             *nodeSet
 	controller      *controller.Controller
 	running         bool
-	generation      int // raised whenever the process ends, so that replies to it are dropped
+	generation      int // incremented when the process ends, so that pending replies are dropped
 	startedAt       cluster.Time
 	pendingRequests map[messages.RequestID]func(messages.Respond)
 	lastRequestID   messages.RequestID
 	nextWakeAt      cluster.Time
 }
 
-// Start starts a controller's process unless one is running.
+// Start starts a controller process, unless one is running.
 func (n *Node) Start() {
 	if n.running {
 		return
@@ -50,8 +51,8 @@
 	n.step(messages.Tick{})
 }
 
-// Kill ends the process without a signal; whoever waits for its answer gets
-// status 0.
+// Kill ends the process immediately, without a shutdown. Requests that are waiting
+// for its response get the status ReplyNone.
 func (n *Node) Kill() {
 	n.set.lastKillAt = n.set.Now
 	n.running = false
@@ -62,8 +63,8 @@
 	n.pendingRequests = nil
 }
 
-// SendRequest sends a request to the controller; handle gets status 0 when no
-// process is running.
+// SendRequest sends a request to the controller and calls handle with the response.
+// The response has the status ReplyNone if no process is running.
 func (n *Node) SendRequest(request func(messages.RequestID) messages.Event, handle func(messages.Respond)) {
 	n.set.After(n.set.RandomBetween(millisecond, 5*millisecond), func() {
 		if !n.running {
@@ -77,18 +78,18 @@
 	})
 }
 
-// respond passes the controller's answer on to whoever sent the request.
-func (n *Node) respond(answer messages.Respond) {
-	handle := n.pendingRequests[answer.Request]
+// respond delivers the controller's response to the sender of the request.
+func (n *Node) respond(response messages.Respond) {
+	handle := n.pendingRequests[response.Request]
 	if handle == nil {
 		return
 	}
-	delete(n.pendingRequests, answer.Request)
-	n.set.After(n.set.network.delay(), func() { handle(answer) })
+	delete(n.pendingRequests, response.Request)
+	n.set.After(n.set.network.delay(), func() { handle(response) })
 }
 
-// step gives the controller an event and executes the effects that it asks for.
-// While the process is paused events wait, and are all handled at its end.
+// step passes an event to the controller and executes the resulting effects.
+// Events that arrive while the process is paused are handled when the pause ends.
 func (n *Node) step(event messages.Event) {
 	if n.set.Now < n.PausedUntil {
 		generation := n.generation
@@ -110,8 +111,8 @@
 	n.scheduleWake()
 }
 
-// scheduleWake has the controller step when it next wants to be woken, unless
-// an earlier wake is scheduled.
+// scheduleWake schedules a tick for the controller's next wake time, unless an
+// earlier one is scheduled.
 func (n *Node) scheduleWake() {
 	wakeAt, wanted := n.controller.NextWake()
 	if !wanted {
@@ -132,35 +133,35 @@
 	})
 }
 
-// isGeneration tells whether the process of a generation is still running.
+// isGeneration reports whether the process of the given generation is still running.
 func (n *Node) isGeneration(generation int) bool {
 	return n.running && n.generation == generation
 }
 
-// newCall is a call that the node's present process has made.
+// newCall returns a call made by the node's current process.
 func (n *Node) newCall(id messages.CallID) pendingCall {
 	return pendingCall{node: n, generation: n.generation, id: id}
 }
 
-// pendingCall is a call that a process has made and whose reply it awaits.
+// pendingCall is a call by a controller process that has not been replied to.
 type pendingCall struct {
 	node       *Node
 	generation int
 	id         messages.CallID
 }
 
-// replyAfter delivers the reply after a delay; a later process of the node never
-// gets it.
+// replyAfter delivers the reply after a delay. The reply is dropped if the process
+// that made the call has ended by then.
 func (c pendingCall) replyAfter(delay cluster.Time, body messages.ReplyBody) {
 	c.node.set.After(delay, func() { c.reply(body) })
 }
 
-// reply delivers the reply at once.
+// reply delivers the reply immediately.
 func (c pendingCall) reply(body messages.ReplyBody) {
 	if c.isAwaited() {
 		c.node.step(messages.Reply{Call: c.id, Body: body})
 	}
 }
 
-// isAwaited tells whether the process that made the call is still running.
+// isAwaited reports whether the process that made the call is still running.
 func (c pendingCall) isAwaited() bool { return c.node.isGeneration(c.generation) }
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -10,16 +10,16 @@
 	"stairrelay/internal/messages"
 )
 
-// nodeSet holds the controllers' nodes.
+// nodeSet holds the nodes on which the controllers run.
 type nodeSet struct {
 	*environment
 	stepMeter
 	Nodes               []*Node
 	network             *Network
-	execute             func(*Node, messages.Effect) // executes a controller's effect
+	execute             func(*Node, messages.Effect)
 	observe             EffectObserver
 	instanceCount       int
-	lastKillAt          cluster.Time // when a process last ended
+	lastKillAt          cluster.Time // when a controller process was last killed
 	limitsBeforeUpgrade StoreLimits
 }
 
@@ -35,7 +35,7 @@
 	return set
 }
 
-// Controllers lists the controllers whose processes are running.
+// Controllers returns the controllers whose processes are running.
 func (s *nodeSet) Controllers() []*controller.Controller {
 	var running []*controller.Controller
 	for _, node := range s.Nodes {
@@ -46,7 +46,7 @@
 	return running
 }
 
-// byID finds a node; nil: there is none of that name.
+// byID returns the node with the given ID, or nil if there is none.
 func (s *nodeSet) byID(id cluster.NodeID) *Node {
 	for _, node := range s.Nodes {
 		if node.ID == id {
@@ -56,28 +56,27 @@
 	return nil
 }
 
-// newInstanceID names the next process.
+// newInstanceID returns the instance ID for the next process.
 func (s *nodeSet) newInstanceID() string {
 	s.instanceCount++
 	return fmt.Sprintf("b%d", s.instanceCount)
 }
 
-// random draws a node.
-func (s *nodeSet) random() *Node { return s.Nodes[s.Rand.IntN(len(s.Nodes))] }
+func (s *nodeSet) randomNode() *Node { return s.Nodes[s.Rand.IntN(len(s.Nodes))] }
 
-// stepMeter measures what the controllers' steps cost.
+// stepMeter measures the cost of the controllers' steps.
 type stepMeter struct {
-	// ControllerTime is the real time that the controllers took.
+	// ControllerTime is the wall-clock time spent in controllers' steps.
 	ControllerTime time.Duration
-	// StepCount counts the events that the controllers were given.
+	// StepCount is the number of events that the controllers have handled.
 	StepCount int
-	// CountAllocations turns the counting of allocations on, which takes time itself.
+	// CountAllocations enables Allocations. Reading the metrics adds to the run time.
 	CountAllocations bool
-	// Allocations counts the objects that the controllers allocated.
+	// Allocations is the number of heap objects that the controllers have allocated.
 	Allocations uint64
 }
 
-// measure runs a step of a controller and adds up what it cost.
+// measure runs a controller step and records its cost.
 func (m *stepMeter) measure(step func() []messages.Effect) []messages.Effect {
 	m.StepCount++
 	allocated := m.readAllocations()
@@ -88,8 +87,8 @@
 	return effects
 }
 
-// readAllocations is how many objects the test process has allocated so far; 0
-// when they are not counted.
+// readAllocations returns how many heap objects the test process has allocated so
+// far, or 0 if CountAllocations is not set.
 func (m *stepMeter) readAllocations() uint64 {
 	if !m.CountAllocations {
 		return 0
--- a/internal/simulation/peer_calls.go
+++ b/internal/simulation/peer_calls.go
@@ -4,7 +4,7 @@
 	"stairrelay/internal/messages"
 )
 
-// peerChannel carries the messages between controllers.
+// peerChannel delivers the messages between controllers.
 type peerChannel struct {
 	*environment
 	network *Network
@@ -33,13 +33,13 @@
 	c.After(message.Timeout, exchange.timeOut)
 }
 
-// peerExchange is a message between controllers with its reply.
+// peerExchange is a message between controllers and its reply.
 type peerExchange struct {
 	channel  *peerChannel
 	call     pendingCall
 	to       *Node
 	message  messages.PeerMessage
-	finished bool // the reply has come, or the caller has given up
+	finished bool // the reply has arrived or the caller has timed out
 }
 
 func (x *peerExchange) send() {
@@ -49,16 +49,16 @@
 	x.to.SendRequest(request, x.handleReply)
 }
 
-func (x *peerExchange) handleReply(answer messages.Respond) {
+func (x *peerExchange) handleReply(response messages.Respond) {
 	if x.finished {
 		return
 	}
 	x.finished = true
-	if answer.Peer == nil {
+	if response.Peer == nil {
 		x.call.replyAfter(0, messages.PeerReply{Outcome: messages.UnknownOutcome})
 		return
 	}
-	x.call.replyAfter(x.channel.network.delay(), messages.PeerReply{Outcome: messages.OK, Message: *answer.Peer})
+	x.call.replyAfter(x.channel.network.delay(), messages.PeerReply{Outcome: messages.OK, Message: *response.Peer})
 }
 
 func (x *peerExchange) timeOut() {
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// readAfterWriteRounds is how often each controller is asked.
+	// readAfterWriteRounds is the number of requests sent to each controller.
 	readAfterWriteRounds = 3
-	// maxReadAfterWritePause is the time within which all of them are asked.
+	// maxReadAfterWritePause is the time within which all requests are sent.
 	maxReadAfterWritePause = 50 * millisecond
-	// submissionTimeout is how long a user waits for the answer to a submission or
-	// a cancellation.
+	// submissionTimeout is how long a user waits for the response to a submission
+	// or a cancellation.
 	submissionTimeout = 5 * second
 )
 
-// ReadAfterWrite checks that no controller forgets what was reported to a user, by
-// asking all of them right after.
+// ReadAfterWrite checks read-after-write consistency: once a job is reported as
+// accepted or ended, requests to any controller must reflect that.
 type ReadAfterWrite struct {
 	*environment
 	nodes *nodeSet
@@ -26,11 +26,11 @@
 	until cluster.Time
 }
 
-// EnableFor has users ask all controllers, again and again, right after a job was
-// reported as accepted, done or cancelled.
+// EnableFor enables the checks for a duration. Users then send requests to all
+// controllers right after a job is reported as accepted, done or cancelled.
 func (r *ReadAfterWrite) EnableFor(duration cluster.Time) { r.until = r.Now + duration }
 
-// start checks what was just reported of a job.
+// start schedules requests about a job whose status was just reported.
 func (r *ReadAfterWrite) start(job *Job) {
 	if r.Now >= r.until {
 		return
@@ -43,16 +43,16 @@
 	}
 }
 
-// followUp is a request about a job right after something was reported of it.
+// followUp is a request about a job right after its status was reported.
 type followUp struct {
 	kind     FaultKind
 	job      *Job
 	node     *Node
 	askedAt  cluster.Time
-	accepted bool // the job was accepted when it was asked about
+	accepted bool // whether the job was accepted when the request was sent
 }
 
-// timeout is how long the user waits for the answer.
+// timeout returns how long the user waits for the response.
 func (f followUp) timeout() cluster.Time {
 	if f.kind == FaultQueryAfterWrite {
 		return userTimeout
@@ -60,7 +60,8 @@
 	return submissionTimeout
 }
 
-// checkAt asks one controller about a job that it may not forget any more.
+// checkAt sends a request about a job to a controller and checks the response. draw
+// selects the kind of request.
 func (r *ReadAfterWrite) checkAt(node *Node, job *Job, draw int) {
 	request := queryRequest(job.Spec.ID)
 	sent := followUp{kind: FaultQueryAfterWrite, job: job, node: node, askedAt: r.Now, accepted: job.Accepted}
@@ -73,30 +74,30 @@
 		job.CancelRequested = true
 		request = cancelRequest(job.Spec.ID)
 	}
-	node.SendRequest(request, func(answer messages.Respond) { r.handleAnswer(sent, answer) })
+	node.SendRequest(request, func(response messages.Respond) { r.handleResponse(sent, response) })
 }
 
-func (r *ReadAfterWrite) handleAnswer(sent followUp, answer messages.Respond) {
-	if answer.Status == messages.ReplyNone || r.Now-sent.askedAt > sent.timeout() {
+func (r *ReadAfterWrite) handleResponse(sent followUp, response messages.Respond) {
+	if response.Status == messages.ReplyNone || r.Now-sent.askedAt > sent.timeout() {
 		return
 	}
 	job := sent.job
 	switch {
-	case answer.Status == messages.ReplyOK && answer.View != nil:
+	case response.Status == messages.ReplyOK && response.View != nil:
 		if sent.kind == FaultCancelAfterWrite || sent.askedAt >= job.finalReportedAt {
-			r.users.CheckReportedStatus(job, answer.View.Status)
+			r.users.CheckReportedStatus(job, response.View.Status)
 		}
-	case answer.Status == messages.ReplyUnavailable || answer.Status == messages.ReplyTooManyRequests:
-	case !sent.accepted && sent.kind == FaultCancelAfterWrite && answer.Status == messages.ReplyJobNotFound:
-	case isRefusal(answer.Status):
-		r.reportViolation("forgotten: %s was reported before %v; %s at %s then get %d", job.Spec.ID, time.Duration(sent.askedAt), sent.kind, sent.node.ID, answer.Status)
+	case response.Status == messages.ReplyUnavailable || response.Status == messages.ReplyTooManyRequests:
+	case !sent.accepted && sent.kind == FaultCancelAfterWrite && response.Status == messages.ReplyJobNotFound:
+	case isRefusal(response.Status):
+		r.reportViolation("lost_job: %s was reported before %v, but %s at %s return status %d", job.Spec.ID, time.Duration(sent.askedAt), sent.kind, sent.node.ID, response.Status)
 	default:
-		r.reportViolation("%s about %s at %s get %d", sent.kind, job.Spec.ID, sent.node.ID, answer.Status)
+		r.reportViolation("unexpected_status: %s about %s at %s return status %d", sent.kind, job.Spec.ID, sent.node.ID, response.Status)
 	}
 	r.FaultCounts[sent.kind]++
 }
 
-// isRefusal tells whether an answer says that the job is unknown or can't be run.
+// isRefusal reports whether a status means that the job is unknown or cannot be run.
 func isRefusal(status messages.ReplyStatus) bool {
 	return status == messages.ReplyJobNotFound || status == messages.ReplyBadRequest || status == messages.ReplyUnschedulable
 }
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -1,9 +1,9 @@
-// Package simulation runs controllers in simulated time against fakes of
-// everything around them: the state service, the cloud, workers and users. It
-// injects faults and checks the protocol's rules all along.
+// Package simulation runs controllers in simulated time against fakes of the
+// state service, the cloud, the workers and the users. It injects faults and
+// checks the scheduler's invariants throughout the run.
 //
-// The components of a simulation share an environment with the clock and the
-// random source; simulator.go shows how they are put together.
+// The components of a simulation share an environment with the simulated clock
+// and the random source. The file simulator.go assembles them.
 package simulation
 
 import (
@@ -12,12 +12,12 @@
 	"stairrelay/internal/messages"
 )
 
-// checkInterval is how often machines advance and the rules are checked.
+// checkInterval is how often the machines advance and the invariants are checked.
 const checkInterval = 500 * millisecond
 
-// Simulator is a simulated cluster: controllers that run in simulated time
-// against fakes, with a network that delays, loses and delivers late, users, and
-// a checker of the protocol's rules.
+// Simulator is a simulated cluster. It consists of controllers, fakes of the
+// services that they use, a network that delays and loses messages, users that
+// submit jobs, and a checker of the invariants.
 type Simulator struct {
 	*environment
 	*nodeSet
@@ -36,26 +36,26 @@
 	checker          *invariantChecker
 }
 
-// EffectObserver is shown every effect that a controller asks for, in the order
-// in which the controllers ask.
+// EffectObserver is called with every effect that a controller requests, in the
+// order of the requests.
 type EffectObserver func(now cluster.Time, node cluster.NodeID, effect messages.Effect)
 
-// Option changes a cluster before its controllers start.
+// Option configures a Simulator before its controllers start.
 type Option func(*Simulator)
 
-// ObserveEffects has every effect shown to an observer.
+// ObserveEffects returns an Option that calls observe with every effect.
 func ObserveEffects(observe EffectObserver) Option {
 	return func(s *Simulator) { s.observe = observe }
 }
 
-// NewSimulator makes a cluster whose controllers all start at once.
+// NewSimulator returns a simulated cluster in which all controllers have started.
 func NewSimulator(seed uint64, cfg controller.Config, cloud *FakeCloud, options ...Option) *Simulator {
 	s := assemble(seed, cfg, cloud, options)
 	s.start()
 	return s
 }
 
-// assemble puts a cluster together none of whose controllers has started.
+// assemble returns a simulated cluster whose controllers have not started yet.
 func assemble(seed uint64, cfg controller.Config, cloud *FakeCloud, options []Option) *Simulator {
 	env := newEnvironment(seed, cfg)
 	network := &Network{environment: env}
@@ -77,7 +77,7 @@
 	return s
 }
 
-// assembleMachines adds the machines with their workers.
+// assembleMachines adds the machines and their workers.
 func (s *Simulator) assembleMachines() {
 	s.Failovers = &Failovers{environment: s.environment, nodes: s.nodeSet, owners: map[string]string{}}
 	s.Machines = &Machines{
@@ -96,7 +96,8 @@
 	}
 }
 
-// assembleUsers adds the users with what they do beside submitting jobs.
+// assembleUsers adds the users and the components that make further requests on
+// their behalf.
 func (s *Simulator) assembleUsers() {
 	env, nodes, jobs := s.environment, s.nodeSet, s.jobTable
 	s.Users = &Users{environment: env, nodes: nodes, jobs: jobs}
@@ -107,8 +108,8 @@
 	s.Machines.onTaskDone = s.Cancellations.handleTaskDone
 }
 
-// assembleServices connects the controllers with the services, the workers and
-// one another.
+// assembleServices connects the controllers to the services, to the workers and
+// to each other.
 func (s *Simulator) assembleServices() {
 	env, network := s.environment, s.Network
 	s.Store = &Store{environment: env, service: s.StateService, network: network, failovers: s.Failovers}
@@ -123,7 +124,7 @@
 	s.execute = executor.execute
 }
 
-// assembleChecker adds the checker of the rules.
+// assembleChecker adds the invariant checker.
 func (s *Simulator) assembleChecker() {
 	s.checker = &invariantChecker{
 		environment: s.environment,
@@ -139,7 +140,7 @@
 	s.Machines.onTaskStart = s.checker.handleTaskStart
 }
 
-// start starts all controllers, and the checks.
+// start starts all controllers and the periodic checks.
 func (s *Simulator) start() {
 	for _, node := range s.Nodes {
 		node.Start()
@@ -150,8 +151,9 @@
 	})
 }
 
-// BusiestNode is the node to which most workers send their heartbeats, among
-// those whose controllers are running; nil: none is.
+// BusiestNode returns the node to which most workers send their heartbeats. Only
+// nodes with a running controller are considered; the result is nil if there is
+// none.
 func (s *Simulator) BusiestNode() *Node {
 	workerCounts := make([]int, len(s.Nodes))
 	for _, id := range s.Machines.liveIDs() {
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// starvationCheckInterval is the least time between two checks.
+	// starvationCheckInterval is the minimum time between two checks.
 	starvationCheckInterval = 2 * second
-	// starvedAfter is how long a job may wait while there is room for it.
+	// starvationTimeout is how long a job may wait while there is capacity for it.
 	starvationTimeout = 90 * second
 )
 
-// starvationChecker checks that once all faults are over no job waits for long,
-// with none of its tasks started meanwhile, while a machine that fits has room
-// and its team is below its quota limit. It judges by what is on the machines
-// alone.
+// starvationChecker checks for starvation once all faults are over. A job starves if
+// none of its tasks starts although a healthy machine has capacity for one and the
+// team is within its quota limit. The check considers only the tasks on the machines,
+// not the controllers' state.
 type starvationChecker struct {
 	*environment
 	jobs      *jobTable
@@ -22,10 +22,10 @@
 	checkedAt cluster.Time
 }
 
-// machineLoad is what is on all machines.
+// machineLoad describes the tasks on all machines.
 type machineLoad struct {
 	tasks map[cluster.TaskID]bool
-	usage map[string]cluster.Resources // of each team
+	usage map[string]cluster.Resources // by team
 }
 
 func (c *starvationChecker) check() {
@@ -44,7 +44,7 @@
 			job.starvingSince = c.Now
 		}
 		if c.Now-max(job.starvingSince, job.lastStartAt) > starvationTimeout {
-			c.reportViolation("left_waiting: no task of %s started for 90 s while there is room for one", id)
+			c.reportViolation("starvation: no task of %s started for 90 s while there was capacity for one", id)
 			return
 		}
 	}
@@ -65,8 +65,9 @@
 	return load
 }
 
-// canStart tells whether a task of a job could be started now. Jobs with an
-// affinity are left out, as their tasks' places depend on one another.
+// canStart reports whether a task of a job could be started now. It returns false for
+// jobs with affinity constraints, because the placements of their tasks depend on
+// each other.
 func (c *starvationChecker) canStart(job *Job, load machineLoad) bool {
 	spec := job.Spec
 	if !job.isUnfinished() || spec.Colocate || spec.Spread || c.jobs.mayBeCancelled(job) {
@@ -97,8 +98,8 @@
 	return false
 }
 
-// isWithinQuotaLimit tells whether a team may use one more task's resources.
-// Memory has no limit.
+// isWithinQuotaLimit reports whether a team may use the resources of one more task.
+// Memory is not limited.
 func (c *starvationChecker) isWithinQuotaLimit(spec cluster.JobSpec, load machineLoad) bool {
 	usage := load.usage[spec.Team].Plus(spec.ResourceRequest)
 	for _, team := range c.config.Teams {
@@ -120,7 +121,7 @@
 	return false
 }
 
-// isHealthy tells whether the machine has no fault and is not being preempted.
+// isHealthy reports whether the machine has no fault and is not being preempted.
 func (w *SimulatedWorker) isHealthy(now cluster.Time) bool {
 	faultyUntil := max(w.hungUntil, w.partitionedUntil, w.unreachableUntil, w.heartbeatsBlockedUntil, w.FaultyUntil)
 	return now >= faultyUntil && w.PreemptionNotice < 0
--- a/internal/simulation/status_invariants.go
+++ b/internal/simulation/status_invariants.go
@@ -5,29 +5,30 @@
 )
 
 // checkReportedStatus checks a status that is reported to a user. It returns false
-// when the status can't be true, and so must not be recorded.
+// if the status contradicts the state of the tasks and must not be recorded.
 func (c *invariantChecker) checkReportedStatus(job *Job, status cluster.JobStatus) bool {
 	if status == cluster.JobDone {
 		if index, found := c.jobs.findUndoneTask(job); found {
-			c.reportViolation("not_done: %s is called done before task %d is", job.Spec.ID, index)
+			c.reportViolation("premature_done: %s is reported done before task %d is", job.Spec.ID, index)
 			return false
 		}
 	}
 	c.checkDependentCancelled(job, status)
 	if job.ReportedStatus.IsFinal() && status != job.ReportedStatus {
-		c.reportViolation("went_back: %s was %s, now %s", job.Spec.ID, job.ReportedStatus, status)
+		c.reportViolation("status_regressed: %s was reported %s and is now reported %s", job.Spec.ID, job.ReportedStatus, status)
 	}
 	if status == cluster.JobCancelled && !c.jobs.mayBeCancelled(job) {
-		c.reportViolation("went_back: %s called cancelled unasked", job.Spec.ID)
+		c.reportViolation("unrequested_cancellation: %s is reported cancelled without a request", job.Spec.ID)
 	}
 	return true
 }
 
-// checkDependenciesDone: no task starts before all jobs that its job needs are done.
+// checkDependenciesDone checks that a task does not start before all dependencies of
+// its job are done.
 func (c *invariantChecker) checkDependenciesDone(job *Job) {
 	for _, dependency := range c.jobs.transitiveDependencies(job) {
 		if _, found := c.jobs.findUndoneTask(dependency); found {
-			c.reportViolation("too_early: %s starts, %s has a task that is not done", job.Spec.ID, dependency.Spec.ID)
+			c.reportViolation("dependency_not_done: %s starts while its dependency %s has an unfinished task", job.Spec.ID, dependency.Spec.ID)
 			return
 		}
 	}
@@ -36,9 +37,8 @@
 	}
 }
 
-// checkDependentCancelled: once the time for a cancellation has passed since a job
-// was reported as cancelled, no controller calls a job that needs it
-// unfinished.
+// checkDependentCancelled checks that a job is reported as cancelled once the
+// cancellation deadline of one of its dependencies has passed.
 func (c *invariantChecker) checkDependentCancelled(job *Job, status cluster.JobStatus) {
 	for _, dependency := range c.jobs.transitiveDependencies(job) {
 		switch {
@@ -46,7 +46,7 @@
 		case status == cluster.JobCancelled:
 			c.FaultCounts[FaultDependentCancelled]++
 		case c.isCancelOverdue(dependency):
-			c.reportViolation("orphaned: %s is called %s, %s was cancelled long before", job.Spec.ID, status, dependency.Spec.ID)
+			c.reportViolation("dependent_not_cancelled: %s is reported %s after the cancellation deadline of its dependency %s", job.Spec.ID, status, dependency.Spec.ID)
 		}
 	}
 }
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -7,42 +7,42 @@
 	"stairrelay/internal/messages"
 )
 
-// storeCallTimeout is how long a controller waits for a reply of the state
-// service that was lost.
+// storeCallTimeout is how long a controller waits for a reply from the state
+// service.
 const storeCallTimeout = 1200 * millisecond
 
-// Store carries the controllers' calls to the state service, and injects the
-// faults of that way.
+// Store delivers the controllers' calls to the state service and injects faults
+// into them.
 type Store struct {
 	*environment
-	// DownUntil is when an outage of the state service ends.
+	// DownUntil is when the outage of the state service ends.
 	DownUntil cluster.Time
-	// Delay is added to all replies.
+	// Delay is the additional latency of all replies.
 	Delay     cluster.Time
 	service   *FakeStateService
 	network   *Network
 	failovers *Failovers
-	slowBy    cluster.Time // added to the replies until slowUntil
+	slowBy    cluster.Time // additional latency of the replies until slowUntil
 	slowUntil cluster.Time
 	replyLoss replyLossFault
 }
 
-// replyLoss is the fault that a share of the transactions gets no reply.
+// replyLossFault is the fault that some transactions get no reply.
 type replyLossFault struct {
 	chance      float64
 	until       cluster.Time
 	applyAtOnce bool
 }
 
-// Slow makes the state service reply slowly for a while.
+// Slow adds latency to the replies of the state service for a duration.
 func (s *Store) Slow(by, duration cluster.Time) {
 	s.slowBy = by
 	s.slowUntil = s.Now + duration
 }
 
-// LoseWriteReplies lets a share of the transactions get no reply for a while.
-// They are applied 2 to 12 s later, after newer ones of the same controller;
-// with applyAtOnce they are applied at once and only the reply is lost.
+// LoseWriteReplies drops the replies to a share of the transactions for a duration.
+// The transactions are applied 2 to 12 s later, possibly after newer ones from the
+// same controller. With applyAtOnce they are applied without that delay.
 func (s *Store) LoseWriteReplies(share float64, duration cluster.Time, applyAtOnce bool) {
 	s.replyLoss = replyLossFault{chance: share, until: s.Now + duration, applyAtOnce: applyAtOnce}
 }
@@ -51,8 +51,8 @@
 type storeCall struct {
 	pendingCall
 	write   bool
-	refused messages.ReplyBody // the reply of a service that is down
-	unknown messages.ReplyBody // what the controller gets when there is no reply
+	refused messages.ReplyBody // reply if the service is down
+	unknown messages.ReplyBody // what the controller gets after a timeout
 	apply   func() messages.ReplyBody
 }
 
@@ -84,8 +84,8 @@
 	})
 }
 
-// watch waits for changes. A watch without a timeout is a read that is answered
-// at once like any other.
+// watch waits for changes. A watch without a timeout is an ordinary read that
+// returns immediately.
 func (s *Store) watch(node *Node, watch messages.StoreWatch) {
 	if watch.Timeout > 0 {
 		s.pollWatch(node.newCall(watch.Call), watch, s.Now+watch.Timeout)
@@ -119,7 +119,7 @@
 	return s.Now >= max(s.DownUntil, node.StorePartitionedUntil, node.StoreRefusesUntil)
 }
 
-// send carries a call to the service, or loses it or its reply.
+// send delivers a call to the service, or injects a fault.
 func (s *Store) send(call storeCall) {
 	node := call.node
 	switch {
@@ -136,7 +136,7 @@
 	}
 }
 
-// lose loses a call on its way, or delivers it late; either way there is no
+// dropOrDelay drops a call or delivers it late. In both cases the controller gets no
 // reply.
 func (s *Store) dropOrDelay(call storeCall, partitionedUntil cluster.Time) {
 	if delay, arrives := s.network.lateArrival(partitionedUntil); arrives {
@@ -161,8 +161,8 @@
 	return 0
 }
 
-// loseReply tells whether a transaction gets no reply, and has it applied all the
-// same.
+// injectReplyLoss drops the reply to a transaction if such a fault is active, and
+// reports whether it did. The transaction is still applied, immediately or late.
 func (s *Store) injectReplyLoss(call storeCall) bool {
 	switch {
 	case s.Now < call.node.StoreRepliesLostUntil:
@@ -183,8 +183,8 @@
 	}
 }
 
-// applyLate applies a transaction long after the controller has given it up. A
-// service that is down applies nothing.
+// applyLate applies a transaction after the controller has timed out. During an
+// outage it is postponed until the service is back.
 func (s *Store) applyLate(call storeCall) {
 	if s.Now < s.DownUntil {
 		s.After(s.DownUntil-s.Now+s.RandomBetween(0, second), func() { s.applyLate(call) })
@@ -201,7 +201,7 @@
 	return ok && txn.Outcome == messages.OK
 }
 
-// applyTxn applies a transaction of a controller unless it is above the limits.
+// applyTxn applies a controller's transaction unless it exceeds the limits.
 func (s *Store) applyTxn(node *Node, txn messages.StoreTxn) messages.TxnReply {
 	if outcome := s.service.Admit(s.Now, txn.Then, txn.If); outcome != messages.OK {
 		return messages.TxnReply{Outcome: outcome}
@@ -217,12 +217,12 @@
 func (s *Store) logTxn(node *Node, txn messages.StoreTxn, reply messages.TxnReply) {
 	verb := "writes"
 	if reply.Outcome != messages.OK {
-		verb = "may not write"
+		verb = "fails to write"
 	}
 	for _, operation := range txn.Then {
 		value := string(operation.Value)
 		if operation.Value == nil {
-			value = "(dropped)"
+			value = "(deleted)"
 		}
 		s.Log(fmt.Sprintf("%s %s %s@%d %s", node.ID, verb, operation.Key, reply.Revision, value))
 	}
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -5,9 +5,9 @@
 	"stairrelay/internal/controller"
 )
 
-// NewUpgradeSimulator makes a cluster whose controllers all run the production
-// version, under the limits that the state service has at first. cfg holds the
-// lower limits to come, which only the current version knows of.
+// NewUpgradeSimulator returns a simulated cluster in which all controllers run the
+// production version. The state service initially enforces the limits in before;
+// cfg holds the future lower limits, which only the current version supports.
 func NewUpgradeSimulator(seed uint64, cfg controller.Config, before StoreLimits, cloud *FakeCloud, options ...Option) *Simulator {
 	s := assemble(seed, cfg, cloud, options)
 	s.limitsBeforeUpgrade = before
@@ -19,15 +19,14 @@
 	return s
 }
 
-// LowerStoreLimits brings the lower limits into force: from now on the state
-// service refuses what is above them.
+// LowerStoreLimits makes the state service enforce the lower limits from now on.
 func (s *Simulator) LowerStoreLimits() {
 	s.StateService.Limits = StoreLimits{WriteRPS: s.config.WriteRPS, ValueBytes: s.config.MaxValueBytes, TxnOps: s.config.MaxTxnOps}
 	s.FaultCounts[FaultStoreLimitsLowered]++
 }
 
-// Upgrade ends a node's process; the one that is started in its place after a
-// while runs the current version.
+// Upgrade kills the node's process and starts one of the current version after the
+// downtime.
 func (n *Node) Upgrade(downtime cluster.Time) {
 	if n.running {
 		n.Kill()
@@ -37,11 +36,11 @@
 	n.set.After(downtime, n.Start)
 }
 
-// IsUpgraded tells whether every node's present or next process is of the current
+// IsUpgraded reports whether all nodes run, or will run when started, the current
 // version.
 func (s *nodeSet) IsUpgraded() bool { return len(s.upgradedNodes()) == len(s.Nodes) }
 
-// current lists the nodes of the current version.
+// upgradedNodes returns the nodes with the current version.
 func (s *nodeSet) upgradedNodes() []*Node {
 	var current []*Node
 	for _, node := range s.Nodes {
@@ -52,8 +51,8 @@
 	return current
 }
 
-// randomCurrent draws a node of the current version, or none: users ask nothing
-// new of the production version.
+// randomUpgradedNode returns a random node with the current version, or nil if there
+// is none. Users send requests with new features only to such nodes.
 func (s *nodeSet) randomUpgradedNode() *Node {
 	current := s.upgradedNodes()
 	if len(current) == 0 {
@@ -62,9 +61,9 @@
 	return current[s.Rand.IntN(len(current))]
 }
 
-// configOf is the configuration that a node's version makes of the settings: the
-// production version ignores the lower limits, the current one uses the present
-// write rate until it is refused.
+// configOf returns the configuration of a node. The production version ignores the
+// lower limits. The current version starts with the write rate in force before the
+// upgrade and lowers it when writes are throttled.
 func (s *nodeSet) configOf(node *Node) controller.Config {
 	cfg := s.config
 	cfg.CurrentWriteRPS = s.limitsBeforeUpgrade.WriteRPS
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// userTimeout is how long a user waits for an answer.
+	// userTimeout is how long a user waits for the response to a query.
 	userTimeout = 2 * second
-	// A user polls a job again after a time between these; after the job's end
-	// after this many times as long.
+	// A user polls a job after a random pause between minPollPause and
+	// maxPollPause. Once the job has ended the pause is finalPollFactor times as long.
 	minPollPause    = 2 * second
 	maxPollPause    = 6 * second
 	finalPollFactor = 5
-	// retryPause is the least time before a user repeats a refused request.
+	// retryPause is the minimum time before a user retries a refused request.
 	retryPause = second
-	// dependencyPollInterval is how often a user looks whether a job's dependencies
-	// are accepted.
+	// dependencyPollInterval is how often a user checks whether a job's
+	// dependencies have been accepted.
 	dependencyPollInterval = 100 * millisecond
 )
 
-// Users submits jobs, polls and cancels them, and checks the answers.
+// Users submits, polls and cancels jobs, and checks the responses.
 type Users struct {
 	*environment
 	nodes          *nodeSet
@@ -29,15 +29,15 @@
 	readAfterWrite *ReadAfterWrite
 }
 
-// Submit submits a job until it is accepted.
+// Submit submits a job and retries until it is accepted.
 func (u *Users) Submit(job *Job) {
 	u.jobs.Jobs[job.Spec.ID] = job
 	job.SubmittedAt = u.Now
 	u.trySubmit(job)
 }
 
-// SubmitAfterDependencies submits a job as soon as its dependencies are accepted
-// or, when late, once they are over.
+// SubmitAfterDependencies submits a job as soon as its dependencies have been
+// accepted. If late is set, it waits until they have ended.
 func (u *Users) SubmitAfterDependencies(job *Job, late bool) {
 	for _, id := range job.Spec.Dependencies {
 		dependency := u.jobs.Jobs[id]
@@ -57,36 +57,36 @@
 		u.After(retryPause, func() { u.trySubmit(job) })
 		return
 	}
-	node.SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
-		switch answer.Status {
+	node.SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
+		switch response.Status {
 		case messages.ReplyOK, messages.ReplyCreated:
-			u.handleAccepted(job, askedAt, answer.View.Status)
+			u.handleAccepted(job, askedAt, response.View.Status)
 		case messages.ReplyBadRequest, messages.ReplyUnschedulable:
-			u.reportViolation("%s refused with %d", job.Spec.ID, answer.Status)
+			u.reportViolation("valid job %s rejected with status %d", job.Spec.ID, response.Status)
 		case messages.ReplyNone, messages.ReplyJobNotFound, messages.ReplyMisdirected, messages.ReplyTooManyRequests, messages.ReplyUnavailable:
 			if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
 				u.FaultCounts[FaultDependentRejectedInUpgrade]++
 			}
-			pause := max(retryPause, cluster.Time(answer.RetryAfter)*second)
+			pause := max(retryPause, cluster.Time(response.RetryAfter)*second)
 			u.After(pause, func() { u.trySubmit(job) })
 		}
 	})
 }
 
-// submissionTarget draws the node that a submission goes to; nil: no controller
-// can take it yet.
+// submissionTarget returns a random node to which a job can be submitted, or nil if
+// no controller accepts it yet. Jobs with dependencies need an upgraded controller.
 func (u *Users) submissionTarget(job *Job) *Node {
 	if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
 		return u.nodes.randomUpgradedNode()
 	}
-	return u.nodes.random()
+	return u.nodes.randomNode()
 }
 
-// handleAccepted takes in the answer to a submission that was made at a time.
+// handleAccepted handles the response to a submission that was sent at askedAt.
 func (u *Users) handleAccepted(job *Job, askedAt cluster.Time, status cluster.JobStatus) {
 	first := !job.Accepted
 	job.Accepted = true
-	job.lastAnswerAt = u.Now
+	job.lastResponseAt = u.Now
 	if askedAt >= job.finalReportedAt {
 		u.CheckReportedStatus(job, status)
 	}
@@ -96,7 +96,7 @@
 	u.poll(job)
 }
 
-// poll queries a job's status again and again.
+// poll queries a job's status periodically.
 func (u *Users) poll(job *Job) {
 	pause := u.RandomBetween(minPollPause, maxPollPause)
 	if job.ReportedStatus.IsFinal() {
@@ -104,61 +104,61 @@
 	}
 	u.After(pause, func() {
 		askedAt := u.Now
-		u.nodes.random().SendRequest(queryRequest(job.Spec.ID), func(answer messages.Respond) {
-			u.handlePollAnswer(job, askedAt, answer)
+		u.nodes.randomNode().SendRequest(queryRequest(job.Spec.ID), func(response messages.Respond) {
+			u.handlePollResponse(job, askedAt, response)
 			u.poll(job)
 		})
 	})
 }
 
-// handlePollAnswer takes in the answer to a query that was made at a time, unless
-// its user has given up.
-func (u *Users) handlePollAnswer(job *Job, askedAt cluster.Time, answer messages.Respond) {
+// handlePollResponse handles the response to a query that was sent at askedAt, unless
+// the user's timeout has expired.
+func (u *Users) handlePollResponse(job *Job, askedAt cluster.Time, response messages.Respond) {
 	if u.Now-askedAt > userTimeout {
 		return
 	}
-	switch answer.Status {
+	switch response.Status {
 	case messages.ReplyOK:
-		job.lastAnswerAt = u.Now
-		// An earlier query may have been answered before the end was.
+		job.lastResponseAt = u.Now
+		// A query that was sent before the final status was reported may return an
+		// older status.
 		if askedAt >= job.finalReportedAt {
-			u.CheckReportedStatus(job, answer.View.Status)
+			u.CheckReportedStatus(job, response.View.Status)
 		}
 	case messages.ReplyJobNotFound:
-		u.reportViolation("forgotten: %s", job.Spec.ID)
+		u.reportViolation("lost_job: query of accepted job %s returned not found", job.Spec.ID)
 	case messages.ReplyNone, messages.ReplyCreated, messages.ReplyBadRequest, messages.ReplyMisdirected,
 		messages.ReplyUnschedulable, messages.ReplyTooManyRequests, messages.ReplyUnavailable:
-		// The next poll asks again.
+		// The next poll retries.
 	}
 }
 
-// Cancel requests a job's cancellation until it is answered.
+// Cancel requests the cancellation of a job and retries until the request succeeds.
 func (u *Users) Cancel(job *Job) {
 	job.CancelRequested = true
 	accepted := job.Accepted
-	u.nodes.random().SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
+	u.nodes.randomNode().SendRequest(cancelRequest(job.Spec.ID), func(response messages.Respond) {
 		switch {
-		case answer.Status == messages.ReplyOK:
-			u.CheckReportedStatus(job, answer.View.Status)
-		case answer.Status == messages.ReplyJobNotFound && accepted:
-			u.reportViolation("forgotten: %s at its cancellation", job.Spec.ID)
+		case response.Status == messages.ReplyOK:
+			u.CheckReportedStatus(job, response.View.Status)
+		case response.Status == messages.ReplyJobNotFound && accepted:
+			u.reportViolation("lost_job: cancellation of accepted job %s returned not found", job.Spec.ID)
 		default:
 			u.After(retryPause, func() { u.Cancel(job) })
 		}
 	})
 }
 
-// QueryUnknownJob queries a job that nobody has submitted.
+// QueryUnknownJob queries a job that was never submitted, which must not succeed.
 func (u *Users) QueryUnknownJob(id cluster.JobID) {
-	u.nodes.random().SendRequest(queryRequest(id), func(answer messages.Respond) {
-		if answer.Status == messages.ReplyOK {
-			u.reportViolation("invented: %s", id)
+	u.nodes.randomNode().SendRequest(queryRequest(id), func(response messages.Respond) {
+		if response.Status == messages.ReplyOK {
+			u.reportViolation("unknown_job: query of %s, which was never submitted, succeeded", id)
 		}
 	})
 }
 
-// CheckReportedStatus checks a status that is reported to a user against what was
-// reported before.
+// CheckReportedStatus checks and records a status that is reported to a user.
 func (u *Users) CheckReportedStatus(job *Job, status cluster.JobStatus) {
 	if !u.checker.checkReportedStatus(job, status) {
 		return
@@ -174,21 +174,18 @@
 	}
 }
 
-// submitRequest is a user's submission of a job.
 func submitRequest(spec cluster.JobSpec) func(messages.RequestID) messages.Event {
 	return func(id messages.RequestID) messages.Event {
 		return messages.Submit{Request: id, Spec: spec}
 	}
 }
 
-// queryRequest is a user's query of a job.
 func queryRequest(job cluster.JobID) func(messages.RequestID) messages.Event {
 	return func(id messages.RequestID) messages.Event {
 		return messages.Query{Request: id, ID: job}
 	}
 }
 
-// cancelRequest is a user's cancellation of a job.
 func cancelRequest(job cluster.JobID) func(messages.RequestID) messages.Event {
 	return func(id messages.RequestID) messages.Event {
 		return messages.Cancel{Request: id, ID: job}
--- a/internal/simulation/version_filter.go
+++ b/internal/simulation/version_filter.go
@@ -8,30 +8,30 @@
 	"stairrelay/internal/messages"
 )
 
-// Version is the version of the program that a controller runs.
+// Version is the program version of a controller.
 type Version int
 
 const (
 	// CurrentVersion is the version under test.
 	CurrentVersion Version = iota
 	// ProductionVersion is the version that deploy/service.toml names as
-	// production. It is modelled by the current controller behind a filter that
-	// drops, in both directions, what that version does not know. The filter follows
-	// the table of its reading rules in docs/design.md ("Pipelines and the upgrade"):
-	// unknown JSON and CBOR fields are ignored, and none of them is ever written.
+	// production. It is simulated by the current controller behind a filter that
+	// removes the fields that the production version does not know, both from what
+	// the controller reads and from what it writes. See "Pipelines and the upgrade"
+	// in docs/design.md.
 	ProductionVersion
 )
 
-// Stored fields that the production version does not know.
+// Fields of stored records that the production version does not know.
 const (
-	// dependenciesField lists, in a job's description, the jobs that it depends on.
+	// dependenciesField holds the dependencies in a job's specification.
 	dependenciesField = "aw"
-	// upgradedNodesField lists, in the record of a shard's owner, the controllers
-	// known to be upgraded.
+	// upgradedNodesField holds the upgraded controllers in a shard's ownership
+	// record.
 	upgradedNodesField = "up"
 )
 
-// filterEvent is what a controller of a version reads of an event.
+// filterEvent returns an event as a controller with the given version reads it.
 func filterEvent(version Version, event messages.Event) messages.Event {
 	if version == CurrentVersion {
 		return event
@@ -50,7 +50,7 @@
 	return event
 }
 
-// filterEffect is what a controller of a version sends of an effect.
+// filterEffect returns an effect as a controller with the given version sends it.
 func filterEffect(version Version, effect messages.Effect) messages.Effect {
 	if version == CurrentVersion {
 		return effect
@@ -72,7 +72,7 @@
 	return effect
 }
 
-// filterProductionReply is what the production version reads of a reply.
+// filterProductionReply returns a reply as the production version reads it.
 func filterProductionReply(body messages.ReplyBody) messages.ReplyBody {
 	switch reply := body.(type) {
 	case messages.GetReply:
@@ -107,8 +107,8 @@
 	return filtered
 }
 
-// filterProductionMessage is a message between controllers without the fields that
-// the production version does not know. The message itself stays as it is.
+// filterProductionMessage returns a copy of a message between controllers without
+// the fields that the production version does not know.
 func filterProductionMessage(message messages.PeerMessage) messages.PeerMessage {
 	if message.Ping != nil {
 		ping := *message.Ping
@@ -126,8 +126,9 @@
 	return message
 }
 
-// FilterProductionRecord is a stored record without the fields that the production
-// version does not know. A record that has none of them stays as it is.
+// FilterProductionRecord returns a stored record without the fields that the
+// production version does not know. A record without such fields is returned
+// unchanged.
 func FilterProductionRecord(key string, value []byte) []byte {
 	switch {
 	case strings.HasPrefix(key, "parts/") && hasField(value, upgradedNodesField):
@@ -142,15 +143,15 @@
 	return value
 }
 
-// withoutDependencies returns a job's record without its dependencies.
+// withoutDependencies returns a job record without the job's dependencies.
 func withoutDependencies(record []byte) json.RawMessage {
 	return editField(record, "s", func(spec json.RawMessage) json.RawMessage {
 		return withoutField(spec, dependenciesField)
 	})
 }
 
-// withoutDependenciesOfAll returns a list of jobs' records without their
-// dependencies; anything else as it is.
+// withoutDependenciesOfAll returns a JSON array of job records without their
+// dependencies. A value of another type is returned unchanged.
 func withoutDependenciesOfAll(list json.RawMessage) json.RawMessage {
 	var records []json.RawMessage
 	if json.Unmarshal(list, &records) != nil {
@@ -162,17 +163,18 @@
 	return marshalOr(records, list)
 }
 
-// hasField tells whether an object may have a field, at any depth.
+// hasField reports whether a JSON object may contain a field at any depth. A string
+// value that equals the name also counts.
 func hasField(object []byte, name string) bool {
 	return bytes.Contains(object, []byte(`"`+name+`"`))
 }
 
-// withoutField returns an object without one of its fields.
 func withoutField(object []byte, name string) json.RawMessage {
 	return editObject(object, func(fields map[string]json.RawMessage) { delete(fields, name) })
 }
 
-// editField returns an object with one field edited, if it has that.
+// editField returns a JSON object with one field replaced by the result of edit. The
+// object is not changed if it lacks the field.
 func editField(object []byte, name string, edit func(json.RawMessage) json.RawMessage) json.RawMessage {
 	return editObject(object, func(fields map[string]json.RawMessage) {
 		if value, ok := fields[name]; ok {
@@ -181,7 +183,8 @@
 	})
 }
 
-// editObject returns an object with its fields edited; anything else as it is.
+// editObject returns a JSON object after edit has changed its fields. A value of
+// another type is returned unchanged.
 func editObject(object []byte, edit func(fields map[string]json.RawMessage)) json.RawMessage {
 	fields := map[string]json.RawMessage{}
 	if json.Unmarshal(object, &fields) != nil {
@@ -191,7 +194,7 @@
 	return marshalOr(fields, object)
 }
 
-// marshalOr encodes a value; if that fails it returns the original.
+// marshalOr returns the JSON encoding of value, or original if the encoding fails.
 func marshalOr(value any, original []byte) json.RawMessage {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/simulation/version_filter_test.go
+++ b/internal/simulation/version_filter_test.go
@@ -10,8 +10,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestProductionRecordsPassUnchanged: the filter that models the production
-// version changes nothing in records which that version wrote itself.
+// TestProductionRecordsPassUnchanged guards against a filter that changes records
+// written by the production version.
 func TestProductionRecordsPassUnchanged(t *testing.T) {
 	text, err := os.ReadFile("../controller/testdata/production/records.json")
 	if err != nil {
@@ -22,17 +22,17 @@
 		t.Fatal(err)
 	}
 	if len(records) < 10 {
-		t.Fatalf("only %d records", len(records))
+		t.Fatalf("%d records, want at least 10", len(records))
 	}
 	for key, value := range records {
 		if got := FilterProductionRecord(key, value); !bytes.Equal(got, value) {
-			t.Errorf("%s: %s, was %s", key, got, value)
+			t.Errorf("%s: got %s, want %s", key, got, value)
 		}
 	}
 }
 
-// TestProductionVersionIgnoresNewFields: what that version does not know is gone
-// when it has read a record, and all else is still there.
+// TestProductionVersionIgnoresNewFields checks that the filter removes exactly the
+// fields that the production version does not know.
 func TestProductionVersionIgnoresNewFields(t *testing.T) {
 	for key, test := range map[string]struct{ value, want string }{
 		"jobs/j-1":    {`{"s":{"c":"x","aw":["j-0"]},"w":"b1-1"}`, `{"s":{"c":"x"},"w":"b1-1"}`},
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestProductionVersionSendsOldMessages: an upgraded peer gets from that version only what
-// it knows, and the message that was given to the filter stays as it is.
+// TestProductionVersionSendsOldMessages checks that new fields are removed from sent
+// messages and that the filter does not modify the original message.
 func TestProductionVersionSendsOldMessages(t *testing.T) {
 	ping := messages.PeerCall{Message: messages.PeerMessage{Ping: &messages.Ping{InstanceID: "b1", FeatureLevel: 1}}}
 	call, ok := filterEffect(ProductionVersion, ping).(messages.PeerCall)
@@ -58,12 +58,12 @@
 		t.Errorf("sent %+v", sent)
 	}
 	if ping.Message.Ping.FeatureLevel != 1 {
-		t.Error("the filter changed the message itself")
+		t.Error("the filter modified the original message")
 	}
 }
 
-// TestProductionVersionReadsOldMessages: that version reads of a message only what it
-// knows; the current version reads all of it.
+// TestProductionVersionReadsOldMessages checks that new fields are removed from
+// messages that the production version reads, but not for the current version.
 func TestProductionVersionReadsOldMessages(t *testing.T) {
 	proxied := messages.PeerRequest{Message: messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: "j-1", Spec: cluster.JobSpec{Team: "red", Dependencies: []cluster.JobID{"j-0"}}}}}
 	read := filterSubmission(t, ProductionVersion, proxied)
@@ -71,11 +71,11 @@
 		t.Errorf("read %+v", read)
 	}
 	if same := filterSubmission(t, CurrentVersion, proxied); len(same.Spec.Dependencies) != 1 {
-		t.Error("the current version is filtered")
+		t.Error("the filter changed a message for the current version")
 	}
 }
 
-// filterSubmission returns a proxied submission as a version reads it.
+// filterSubmission returns a proxied submission as the given version reads it.
 func filterSubmission(t *testing.T, version Version, event messages.Event) *messages.ProxiedSubmission {
 	t.Helper()
 	request, ok := filterEvent(version, event).(messages.PeerRequest)
