--- a/internal/simulation/httpfake/services.go
+++ b/internal/simulation/httpfake/services.go
@@ -51,7 +51,7 @@
 	startedAt         time.Time
 	leaseDuration     cluster.Time
 	heartbeatInterval time.Duration
-	ctx               context.Context // canceled by Close
+	ctx               context.Context // cancelled by Close
 }
 
 // NewServices returns services whose workers send heartbeats at the given interval
