--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -75,8 +75,8 @@
 // ScheduleScaleIn implements inventory.Cloud.
 func (a inventoryCloud) ScheduleScaleIn() { a.controller.provisioner.ScaleIn.ScheduleCall() }
 
-// ForceCall implements inventory.Cloud.
-func (a inventoryCloud) ChargeCall() { a.controller.provisioner.Rate.ForceCall() }
+// ChargeCall implements inventory.Cloud.
+func (a inventoryCloud) ChargeCall() { a.controller.provisioner.RateLimiter.ForceAcquire() }
 
 // ListMachines implements inventory.Cloud.
 func (a inventoryCloud) ListMachines(handle func(machines []cluster.ListedMachine, ok bool)) {
--- /dev/null
+++ b/internal/provisioning/ratelimiter.go
@@ -0,0 +1,104 @@
+package provisioning
+
+import (
+	"stairrelay/internal/eventloop"
+	"stairrelay/internal/ratelimit"
+)
+
+const (
+	// burstSeconds is the burst that the cloud allows, in seconds of the rate.
+	burstSeconds = 2
+	// demandDecay is the factor by which the demand decays each second without need.
+	// Machines are requested in waves, so the demand lasts beyond one of them.
+	demandDecay = 0.8
+)
+
+// CloudRateLimiter limits this controller's requests to its share of the cloud's rate
+// limit, which all controllers have in common. The limit is shared by demand: with even
+// shares the owner of the only shard with work could request machines at a fraction of
+// the limit, and the rest would go unused.
+type CloudRateLimiter struct {
+	loop   *eventloop.Loop
+	config *Config
+
+	bucket                ratelimit.TokenBucket
+	demand                float64 // requests per second that this controller could use
+	callsSinceMeasurement int     // requests since MeasureDemand was last called
+	wasDenied             bool    // whether a request was denied since then
+	unreportedCalls       int     // requests since TakeCallCount was last called
+}
+
+// newCloudRateLimiter returns a limiter with a full bucket.
+func newCloudRateLimiter(loop *eventloop.Loop, config *Config) *CloudRateLimiter {
+	r := &CloudRateLimiter{loop: loop, config: config}
+	r.UpdateShare()
+	r.bucket.Fill()
+	return r
+}
+
+// MeasureDemand updates the demand from the requests since its last call; it must be
+// called once a second. The demand rises at once and decays slowly.
+func (r *CloudRateLimiter) MeasureDemand() {
+	needed := float64(r.callsSinceMeasurement)
+	if r.wasDenied {
+		needed = r.config.CloudRPS
+	}
+	r.callsSinceMeasurement, r.wasDenied = 0, false
+	r.SetDemand(max(needed, r.demand*demandDecay))
+}
+
+// SetDemand sets the number of requests per second that this controller could use.
+func (r *CloudRateLimiter) SetDemand(demand float64) {
+	r.demand = demand
+	r.UpdateShare()
+}
+
+// Demand returns the number of requests per second that this controller could use.
+func (r *CloudRateLimiter) Demand() float64 { return r.demand }
+
+// UpdateShare recomputes this controller's share. It must be called after the demand of
+// this controller or the reachability of another one has changed.
+func (r *CloudRateLimiter) UpdateShare() {
+	r.bucket.Refill(r.loop.Now())
+	rate := r.config.ShareByDemand(r.config.CloudRPS*r.config.BudgetShare, r.demand)
+	r.bucket.SetRate(rate, max(burstSeconds*rate, 1))
+}
+
+// Share returns the number of requests per second that this controller may make.
+func (r *CloudRateLimiter) Share() float64 { return r.bucket.Rate() }
+
+// TryAcquire charges a request if the share allows it, and reports whether it does. A
+// denied request raises the demand.
+func (r *CloudRateLimiter) TryAcquire() bool {
+	if !r.bucket.Take(r.loop.Now(), 1) {
+		r.wasDenied = true
+		return false
+	}
+	r.countCall()
+	return true
+}
+
+// ForceAcquire charges a request that does not wait for the share, such as a retry or
+// the fetch of the machine types, without which no task can start.
+func (r *CloudRateLimiter) ForceAcquire() {
+	r.bucket.Refill(r.loop.Now())
+	r.bucket.Spend(1)
+	r.countCall()
+}
+
+func (r *CloudRateLimiter) countCall() {
+	r.callsSinceMeasurement++
+	r.unreportedCalls++
+}
+
+// HandleThrottled empties the bucket after the cloud has throttled a request. While the
+// controllers have different information about each other, their shares may add up to
+// more than the limit.
+func (r *CloudRateLimiter) HandleThrottled() { r.bucket.LowerTo(0) }
+
+// TakeCallCount returns the number of requests since its last call.
+func (r *CloudRateLimiter) TakeCallCount() int {
+	count := r.unreportedCalls
+	r.unreportedCalls = 0
+	return count
+}
