--- a/internal/simulation/command_calls.go
+++ b/internal/simulation/command_calls.go
@@ -99,7 +99,7 @@
 // logCommands logs the commands that a worker received from a controller.
 func (e *environment) logCommands(node *Node, worker *SimulatedWorker, token cluster.FencingToken, commands []cluster.Command) {
 	for _, command := range commands {
-		verb := [...]string{"start", "stop", "acknowledge"}[command.Kind]
+		verb := [...]string{"start", "stop", "forget"}[command.Kind]
 		e.Log(fmt.Sprintf("%s -> %s token %d: %s %s attempt %d", node.ID, worker.ID, token, verb, command.Task, command.Attempt))
 	}
 }
--- a/internal/simulation/edge_case_requests.go
+++ b/internal/simulation/edge_case_requests.go
@@ -96,7 +96,7 @@
 	switch {
 	case isUndecided(response.Status):
 	case response.Status != messages.ReplyOK:
-		o.reportViolation("lost_job: %s return status %d: %s", kind, response.Status, job.Spec.ID)
+		o.reportViolation("forgotten: %s return status %d: %s", kind, response.Status, job.Spec.ID)
 	case response.View == nil:
 		o.reportViolation("missing_status: %s return no job status: %s", kind, job.Spec.ID)
 	case current():
@@ -178,7 +178,7 @@
 	id := submission.spec.ID
 	o.nodes.randomNode().SendRequest(queryRequest(id), func(response messages.Respond) {
 		if !isUndecided(response.Status) && response.Status != messages.ReplyJobNotFound {
-			o.reportViolation("unknown_job: queries of rejected job %s, one of the %s, return status %d", id, submission.kind, response.Status)
+			o.reportViolation("invented: queries of rejected job %s, one of the %s, return status %d", id, submission.kind, response.Status)
 		}
 	})
 }
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -64,6 +64,6 @@
 		x.reportViolation("error_logged: %s logs %s %v", node.ID, line.Message, line.Args)
 	}
 	if line.Message == stallLogText && x.FaultsOverAt > 0 && x.Now > x.FaultsOverAt+stallLogGracePeriod {
-		x.reportViolation("stalled_shard: %s logs %v after the last fault", node.ID, line.Args)
+		x.reportViolation("unserved: %s logs %v after the last fault", node.ID, line.Args)
 	}
 }
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -44,7 +44,7 @@
 	}
 	for _, job := range c.jobs.Jobs {
 		if job.Accepted && c.Now-max(c.FaultsOverAt, job.lastResponseAt) > lostJobTimeout {
-			c.reportViolation("lost_job: no request about %s was answered for 75 s", job.Spec.ID)
+			c.reportViolation("forgotten: no request about %s was answered for 75 s", job.Spec.ID)
 			return
 		}
 	}
@@ -55,7 +55,7 @@
 	c.Log(fmt.Sprintf("%s runs %s attempt %d", on.ID, task.ID, task.Attempt))
 	job := c.jobs.Jobs[task.ID.Job]
 	if job == nil {
-		c.reportViolation("unknown_job: %s started, but its job was never submitted", task.ID)
+		c.reportViolation("%s started, but its job was never submitted", task.ID)
 		return
 	}
 	if job.FirstStartAt == 0 {
@@ -85,7 +85,7 @@
 		}
 		other := worker.Tasks[task.ID]
 		if other != nil && other.State != cluster.Ended && other.State != cluster.Fetching {
-			c.reportViolation("duplicate_run: %s starts on %s (attempt %d) while it runs on %s (attempt %d)", task.ID, on.ID, task.Attempt, worker.ID, other.Attempt)
+			c.reportViolation("ran_twice: %s starts on %s (attempt %d) while it runs on %s (attempt %d)", task.ID, on.ID, task.Attempt, worker.ID, other.Attempt)
 		}
 	}
 }
@@ -95,17 +95,17 @@
 func (c *invariantChecker) checkPlacement(on *FakeWorker, task *Task, job *Job) {
 	spec := job.Spec
 	if !allowsMachine(spec, on) {
-		c.reportViolation("wrong_placement: %s starts on %s, which its job does not allow", task.ID, on.ID)
+		c.reportViolation("wrong_place: %s starts on %s, which its job does not allow", task.ID, on.ID)
 	}
 	if !spec.Colocate && !spec.Spread {
 		return
 	}
 	zones := c.countTasksByZone(task.ID.Job)
 	if spec.Colocate && len(zones) > 1 {
-		c.reportViolation("wrong_placement: %s starts in a different zone than other tasks of its colocated job", task.ID)
+		c.reportViolation("wrong_place: %s starts in a different zone than other tasks of its colocated job", task.ID)
 	}
 	if spec.Spread && zones[on.Zone] > (spec.Tasks+1)/2 {
-		c.reportViolation("wrong_placement: %s starts, so that %d of %d tasks of its spread job are in zone %s", task.ID, zones[on.Zone], spec.Tasks, on.Zone)
+		c.reportViolation("wrong_place: %s starts, so that %d of %d tasks of its spread job are in zone %s", task.ID, zones[on.Zone], spec.Tasks, on.Zone)
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	c.FaultCounts[FaultStartAfterCancel]++
 	if c.isCancelOverdue(job) {
-		c.reportViolation("ran_after_cancel: %s starts after the cancellation deadline", task.ID)
+		c.reportViolation("ran_cancelled: %s starts after the cancellation deadline", task.ID)
 	}
 }
 
@@ -167,13 +167,13 @@
 			job := c.jobs.Jobs[task.ID.Job]
 			usage[job.Spec.Team] += job.Spec.ResourceRequest.CPU
 			if c.isCancelOverdue(job) && !c.onlyLeaseExpiryCanStop(job, worker) {
-				c.reportViolation("ran_after_cancel: %s runs on %s after the cancellation deadline", task.ID, id)
+				c.reportViolation("ran_cancelled: %s runs on %s after the cancellation deadline", task.ID, id)
 			}
 		}
 	}
 	for _, team := range c.config.Teams {
 		if usage[team.Name] > team.QuotaLimit.CPU {
-			c.reportViolation("quota_exceeded: %s uses %d:%s", team.Name, usage[team.Name], c.describeTeamTasks(team.Name))
+			c.reportViolation("quota: %s uses %d:%s", team.Name, usage[team.Name], c.describeTeamTasks(team.Name))
 		}
 	}
 }
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -66,21 +66,21 @@
 		job := addTestJob(s, "j-1")
 		startOn(s, firstMachine, job)
 		startOn(s, otherMachine, job)
-	}, "duplicate_run"},
+	}, "ran_twice"},
 	"a task runs in a zone that its job excludes": {func(s *Simulator) {
 		job := addTestJob(s, "j-1")
 		job.Spec.Zone = "b"
 		startOn(s, firstMachine, job)
-	}, "wrong_placement"},
+	}, "wrong_place"},
 	"a task starts before a dependency is done": {func(s *Simulator) {
 		addTestJob(s, "j-1")
 		startOn(s, firstMachine, addTestJob(s, "j-2", "j-1"))
-	}, "dependency_not_done"},
+	}, "too_early"},
 	"a team exceeds its quota limit": {func(s *Simulator) {
 		startOn(s, firstMachine, addTestJob(s, "j-1"))
 		startOn(s, otherMachine, addTestJob(s, "j-2"))
 		s.checker.checkAll()
-	}, "quota_exceeded"},
+	}, "quota"},
 	"a cancelled job's task keeps running": {func(s *Simulator) {
 		job := addTestJob(s, "j-1")
 		startOn(s, firstMachine, job)
@@ -88,31 +88,31 @@
 		s.After(second, func() { s.Users.CheckReportedStatus(job, cluster.JobCancelled) })
 		s.After(second+s.config.CancelDeadline+millisecond, s.checker.checkAll)
 		s.RunUntil(100 * second)
-	}, "ran_after_cancel"},
+	}, "ran_cancelled"},
 	"a job is reported done before its tasks are": {func(s *Simulator) {
 		s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobDone)
-	}, "premature_done"},
+	}, "not_done"},
 	"a job is reported cancelled without a request": {func(s *Simulator) {
 		s.Users.CheckReportedStatus(addTestJob(s, "j-1"), cluster.JobCancelled)
-	}, "unrequested_cancellation"},
+	}, "went_back"},
 	"a cancelled job is reported running": {func(s *Simulator) {
 		job := addTestJob(s, "j-1")
 		job.CancelRequested = true
 		s.Users.CheckReportedStatus(job, cluster.JobCancelled)
 		s.Users.CheckReportedStatus(job, cluster.JobRunning)
-	}, "status_regressed"},
+	}, "went_back"},
 	"no request about a job is answered": {func(s *Simulator) {
 		addTestJob(s, "j-1")
 		s.FaultsOverAt = second
 		s.After(second+lostJobTimeout+millisecond, s.checker.checkLostJobs)
 		s.RunUntil(100 * second)
-	}, "lost_job"},
+	}, "forgotten"},
 	"a job waits while there is capacity": {func(s *Simulator) {
 		addTestJob(s, "j-1")
 		s.FaultsOverAt = second
 		s.repeatEvery(5*second, s.checker.starvation.check)
 		s.RunUntil(120 * second)
-	}, "starvation"},
+	}, "left_waiting"},
 }
 
 // TestInvariantViolationsAreReported guards against a checker that misses violations,
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -90,7 +90,7 @@
 	case response.Status == messages.ReplyUnavailable || response.Status == messages.ReplyTooManyRequests:
 	case !sent.accepted && sent.kind == FaultCancelAfterWrite && response.Status == messages.ReplyJobNotFound:
 	case isRefusal(response.Status):
-		r.reportViolation("lost_job: %s was reported before %v, but %s at %s return status %d", job.Spec.ID, time.Duration(sent.askedAt), sent.kind, sent.node.ID, response.Status)
+		r.reportViolation("forgotten: %s was reported before %v, but %s at %s return status %d", job.Spec.ID, time.Duration(sent.askedAt), sent.kind, sent.node.ID, response.Status)
 	default:
 		r.reportViolation("unexpected_status: %s about %s at %s return status %d", sent.kind, job.Spec.ID, sent.node.ID, response.Status)
 	}
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -44,7 +44,7 @@
 			job.starvingSince = c.Now
 		}
 		if c.Now-max(job.starvingSince, job.lastStartAt) > starvationTimeout {
-			c.reportViolation("starvation: no task of %s started for 90 s while there was capacity for one", id)
+			c.reportViolation("left_waiting: no task of %s started for 90 s while there was capacity for one", id)
 			return
 		}
 	}
--- a/internal/simulation/status_invariants.go
+++ b/internal/simulation/status_invariants.go
@@ -9,16 +9,16 @@
 func (c *invariantChecker) checkReportedStatus(job *Job, status cluster.JobStatus) bool {
 	if status == cluster.JobDone {
 		if index, found := c.jobs.findUndoneTask(job); found {
-			c.reportViolation("premature_done: %s is reported done before task %d is", job.Spec.ID, index)
+			c.reportViolation("not_done: %s is reported done before task %d is", job.Spec.ID, index)
 			return false
 		}
 	}
 	c.checkDependentCancelled(job, status)
 	if job.ReportedStatus.IsFinal() && status != job.ReportedStatus {
-		c.reportViolation("status_regressed: %s was reported %s and is now reported %s", job.Spec.ID, job.ReportedStatus, status)
+		c.reportViolation("went_back: %s was reported %s and is now reported %s", job.Spec.ID, job.ReportedStatus, status)
 	}
 	if status == cluster.JobCancelled && !c.jobs.mayBeCancelled(job) {
-		c.reportViolation("unrequested_cancellation: %s is reported cancelled without a request", job.Spec.ID)
+		c.reportViolation("went_back: %s is reported cancelled without a request", job.Spec.ID)
 	}
 	return true
 }
@@ -28,7 +28,7 @@
 func (c *invariantChecker) checkDependenciesDone(job *Job) {
 	for _, dependency := range c.jobs.transitiveDependencies(job) {
 		if _, found := c.jobs.findUndoneTask(dependency); found {
-			c.reportViolation("dependency_not_done: %s starts while its dependency %s has an unfinished task", job.Spec.ID, dependency.Spec.ID)
+			c.reportViolation("too_early: %s starts while its dependency %s has an unfinished task", job.Spec.ID, dependency.Spec.ID)
 			return
 		}
 	}
@@ -46,7 +46,7 @@
 		case status == cluster.JobCancelled:
 			c.FaultCounts[FaultDependentCancelled]++
 		case c.isCancelOverdue(dependency):
-			c.reportViolation("dependent_not_cancelled: %s is reported %s after the cancellation deadline of its dependency %s", job.Spec.ID, status, dependency.Spec.ID)
+			c.reportViolation("orphaned: %s is reported %s after the cancellation deadline of its dependency %s", job.Spec.ID, status, dependency.Spec.ID)
 		}
 	}
 }
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -217,12 +217,12 @@
 func (s *Store) logTxn(node *Node, txn messages.StoreTxn, reply messages.TxnReply) {
 	verb := "writes"
 	if reply.Outcome != messages.OK {
-		verb = "fails to write"
+		verb = "may not write"
 	}
 	for _, operation := range txn.Then {
 		value := string(operation.Value)
 		if operation.Value == nil {
-			value = "(deleted)"
+			value = "(dropped)"
 		}
 		s.Log(fmt.Sprintf("%s %s %s@%d %s", node.ID, verb, operation.Key, reply.Revision, value))
 	}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -126,7 +126,7 @@
 			u.CheckReportedStatus(job, response.View.Status)
 		}
 	case messages.ReplyJobNotFound:
-		u.reportViolation("lost_job: query of accepted job %s returned not found", job.Spec.ID)
+		u.reportViolation("forgotten: query of accepted job %s returned not found", job.Spec.ID)
 	case messages.ReplyNone, messages.ReplyCreated, messages.ReplyBadRequest, messages.ReplyMisdirected,
 		messages.ReplyUnschedulable, messages.ReplyTooManyRequests, messages.ReplyUnavailable:
 		// The next poll retries.
@@ -142,7 +142,7 @@
 		case response.Status == messages.ReplyOK:
 			u.CheckReportedStatus(job, response.View.Status)
 		case response.Status == messages.ReplyJobNotFound && accepted:
-			u.reportViolation("lost_job: cancellation of accepted job %s returned not found", job.Spec.ID)
+			u.reportViolation("forgotten: cancellation of accepted job %s returned not found", job.Spec.ID)
 		default:
 			u.After(retryPause, func() { u.Cancel(job) })
 		}
@@ -153,7 +153,7 @@
 func (u *Users) QueryUnknownJob(id cluster.JobID) {
 	u.nodes.randomNode().SendRequest(queryRequest(id), func(response messages.Respond) {
 		if response.Status == messages.ReplyOK {
-			u.reportViolation("unknown_job: query of %s, which was never submitted, succeeded", id)
+			u.reportViolation("invented: query of %s, which was never submitted, succeeded", id)
 		}
 	})
 }
