--- a/internal/docscheck/doc.go
+++ b/internal/docscheck/doc.go
@@ -1,4 +1,3 @@
-// Package docscheck holds tests that compare the project's documents with its
-// sources: every path, test and log message that a document names has to exist.
-// It has no code of its own.
+// Package docscheck contains only tests. They check that the files, tests and log messages
+// that the project's documents name exist in the repository.
 package docscheck
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -9,97 +9,98 @@
 	"testing"
 )
 
-// root is the repository's root, seen from this package.
+// root is the path of the repository's root, relative to this package.
 const root = "../.."
 
-// externalFiles are names that look like files of the repository and are not.
+// externalFiles holds the names of files in the documents that are not in the repository.
 var externalFiles = map[string]bool{
-	"settings.toml": true, // the platform's settings, which each controller gets when it starts
+	"settings.toml": true, // the platform's settings, passed to each controller at its start
 }
 
 var (
-	// pathPattern finds what can be a path or a file's name.
+	// pathPattern matches words that may be a path or the name of a file.
 	pathPattern = regexp.MustCompile(`[\w./*-]+`)
 	// directoryPattern matches paths that begin with a directory of the repository.
 	directoryPattern = regexp.MustCompile(`^(\./)?(cmd|deploy|docs|internal|journal|scripts|tools)/`)
-	// codeSpanPattern finds back-quoted text within a line.
+	// codeSpanPattern matches back-quoted text within a line.
 	codeSpanPattern = regexp.MustCompile("`([^`]+)`")
-	// testPattern finds names of tests; a star stands for the rest of the name.
+	// testPattern matches the names of tests, benchmarks and fuzz tests, with an optional
+	// wildcard at the end.
 	testPattern = regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w*\*?`)
-	// runPattern finds the tests that a command line selects.
+	// runPattern matches the -run and -bench flags of a command line and their values.
 	runPattern = regexp.MustCompile(`\s-(?:run|bench)[ =]'?([^\s'` + "`" + `]+)`)
-	// linkPattern finds the targets of links to other files of the repository.
+	// linkPattern matches Markdown links to other files of the repository.
 	linkPattern = regexp.MustCompile(`\]\(([^)#:]+)(?:#[^)]*)?\)`)
 )
 
-// TestPathsExist checks paths that begin with one of the repository's
-// directories, names of Go files, and back-quoted names of documents and
-// settings files. A name without a directory may be anywhere in the repository.
+// TestPathsExist checks that the files that documents name exist. A name without a
+// directory matches a file in any directory.
 func TestPathsExist(t *testing.T) {
 	names := fileNames(t)
 	for _, document := range readDocuments(t) {
 		for number, line := range document.lines {
 			for _, name := range namedFiles(line) {
 				if !fileExists(t, names, name) {
-					t.Errorf("%s:%d: no file %s", document.path, number+1, name)
+					t.Errorf("%s:%d: file %s does not exist", document.path, number+1, name)
 				}
 			}
 		}
 	}
 }
 
-// TestLinksResolve checks the targets of links between the documents.
+// TestLinksResolve checks that the targets of links between documents exist.
 func TestLinksResolve(t *testing.T) {
 	for _, document := range readDocuments(t) {
 		for number, line := range document.lines {
 			for _, match := range linkPattern.FindAllStringSubmatch(line, -1) {
 				target := path.Join(path.Dir(document.path), match[1])
 				if _, err := os.Stat(filepath.Join(root, target)); err != nil {
-					t.Errorf("%s:%d: link to a missing file: %v", document.path, number+1, err)
+					t.Errorf("%s:%d: broken link: %v", document.path, number+1, err)
 				}
 			}
 		}
 	}
 }
 
-// TestNamedTestsExist checks the names of tests, and that the command lines that
-// select tests select at least one.
+// TestNamedTestsExist checks that the tests that documents name exist, and that -run and
+// -bench flags in command lines match at least one test.
 func TestNamedTestsExist(t *testing.T) {
 	declared := declaredTests(t)
 	for _, document := range readDocuments(t) {
 		for number, line := range document.lines {
 			for _, name := range testPattern.FindAllString(line, -1) {
 				if !anyMatches(t, "^"+strings.ReplaceAll(name, "*", `\w*`)+"$", declared) {
-					t.Errorf("%s:%d: no test %s", document.path, number+1, name)
+					t.Errorf("%s:%d: test %s does not exist", document.path, number+1, name)
 				}
 			}
 			for _, match := range runPattern.FindAllStringSubmatch(line, -1) {
 				if !anyMatches(t, match[1], declared) {
-					t.Errorf("%s:%d: no test matches %s", document.path, number+1, match[1])
+					t.Errorf("%s:%d: no test matches the pattern %s", document.path, number+1, match[1])
 				}
 			}
 		}
 	}
 }
 
-// TestLogMessagesExist checks that the program can write each log message that
-// the operators' table explains: operators search the documents for the message
-// that they see.
+// TestLogMessagesExist checks that each log message in the operators' documentation is a
+// string literal in the sources, since operators search for it by its text.
 func TestLogMessagesExist(t *testing.T) {
 	const operations = "docs/operations.md"
 	literals := stringLiterals(t)
 	messages := logTableMessages(readDocument(t, operations))
 	if len(messages) == 0 {
-		t.Fatalf("%s: no table of log messages under a heading that begins with Log", operations)
+		t.Fatalf("%s: no table of log messages in a section whose heading starts with Log", operations)
 	}
 	for _, message := range messages {
 		if !literals[message] {
-			t.Errorf("%s: no source has the log message %q", operations, message)
+			t.Errorf("%s: log message %q is not in the sources", operations, message)
 		}
 	}
 }
 
-// namedFiles returns the paths and file names in a line that have to exist.
+// namedFiles returns the paths and file names in a line that must exist: paths in a
+// directory of the repository, names of Go files, and back-quoted names of documents and
+// settings files.
 func namedFiles(line string) []string {
 	var names []string
 	for _, word := range pathPattern.FindAllString(line, -1) {
@@ -119,8 +120,8 @@
 	return names
 }
 
-// fileExists says whether a path, in which stars are wildcards, or a name
-// without a directory exists in the repository.
+// fileExists reports whether a file exists in the repository. name is either a path
+// relative to the root, with * as a wildcard, or one of names, which have no directory.
 func fileExists(t *testing.T, names map[string]bool, name string) bool {
 	t.Helper()
 	if !strings.Contains(name, "/") {
@@ -133,7 +134,7 @@
 	return len(found) > 0
 }
 
-// anyMatches says whether an expression matches any of the names.
+// anyMatches reports whether a regular expression matches any of the names.
 func anyMatches(t *testing.T, expression string, names []string) bool {
 	t.Helper()
 	pattern, err := regexp.Compile(expression)
--- a/internal/docscheck/documents_test.go
+++ b/internal/docscheck/documents_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// document is a document of the repository by lines.
+// document is a Markdown document of the repository.
 type document struct {
-	path  string // from the repository's root
+	path  string // relative to the repository's root
 	lines []string
 }
 
-// logHeading matches the heading of the section that explains log messages.
+// logHeading matches the heading of the section about log messages.
 var logHeading = regexp.MustCompile(`^## Log\b`)
 
-// readDocuments reads the documents that describe the sources as they are. Those
-// that tell what was at an earlier time keep the names of that time: incident
-// reports (in a directory of their own), histories, and all but the first section
-// of the results, which has the present figures.
+// readDocuments reads the documents that describe the current sources. It leaves out
+// documents and sections about earlier versions, which may name what no longer exists:
+// subdirectories of docs, files with "history" in their names, and all but the first
+// section of docs/results.md.
 func readDocuments(t *testing.T) []document {
 	t.Helper()
 	paths := []string{"README.md"}
@@ -48,7 +48,7 @@
 	return documents
 }
 
-// readDocument reads one document.
+// readDocument reads the document at a path relative to the repository's root.
 func readDocument(t *testing.T, path string) document {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(root, path))
@@ -58,7 +58,8 @@
 	return document{path: path, lines: strings.Split(string(content), "\n")}
 }
 
-// firstSection returns the lines before the second heading of level two.
+// firstSection returns the lines before the second heading of level two, or all lines if
+// there is none.
 func firstSection(lines []string) []string {
 	headings := 0
 	for i, line := range lines {
@@ -73,8 +74,8 @@
 	return lines
 }
 
-// logTableMessages returns the back-quoted messages in the first column of the
-// tables of the section on the log.
+// logTableMessages returns the back-quoted messages in the first column of the tables in
+// the section about log messages.
 func logTableMessages(document document) []string {
 	var messages []string
 	inSection := false
--- a/internal/docscheck/sources_test.go
+++ b/internal/docscheck/sources_test.go
@@ -12,14 +12,14 @@
 	"testing"
 )
 
-// skippedDirectories hold no sources: the repository's data, measured runs and
-// what a build makes.
+// skippedDirectories holds the names of directories without sources: Git's data,
+// recorded test runs and build output.
 var skippedDirectories = map[string]bool{".git": true, "journal": true, "target": true}
 
-// testDeclaration matches the names of functions that go test runs.
+// testDeclaration matches the names of functions that "go test" runs.
 var testDeclaration = regexp.MustCompile(`^(Test|Benchmark|Fuzz|Example)`)
 
-// walkFiles calls visit for each file of the repository.
+// walkFiles calls visit with the path of each file outside skippedDirectories.
 func walkFiles(t *testing.T, visit func(file string)) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
@@ -38,7 +38,7 @@
 	}
 }
 
-// fileNames returns the names of the repository's files, without directories.
+// fileNames returns the base names of the repository's files.
 func fileNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -46,7 +46,7 @@
 	return names
 }
 
-// declaredTests returns the names of all tests and benchmarks.
+// declaredTests returns the names of all tests, benchmarks, fuzz tests and examples.
 func declaredTests(t *testing.T) []string {
 	t.Helper()
 	var names []string
@@ -64,7 +64,7 @@
 	return names
 }
 
-// stringLiterals returns the string literals of all sources but tests.
+// stringLiterals returns the values of all string literals in sources other than tests.
 func stringLiterals(t *testing.T) map[string]bool {
 	t.Helper()
 	literals := map[string]bool{}
@@ -81,7 +81,6 @@
 	return literals
 }
 
-// unquote returns the value of a string literal.
 func unquote(t *testing.T, literal string) string {
 	t.Helper()
 	value, err := strconv.Unquote(literal)
@@ -91,7 +90,6 @@
 	return value
 }
 
-// parseFile parses a source file.
 func parseFile(t *testing.T, file string) *ast.File {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -1,5 +1,5 @@
-// Package e2e runs the real program, three processes of it, against fake services
-// on loopback.
+// Package e2e tests a cluster of three controller processes against fake services on
+// the loopback interface.
 package e2e
 
 import (
@@ -24,18 +24,18 @@
 const (
 	// nodeCount is the number of controllers.
 	nodeCount = 3
-	// heartbeatInterval and lease are those of the settings below.
+	// heartbeatInterval and leaseDuration must match sharedSettings.
 	heartbeatInterval = 500 * time.Millisecond
 	leaseDuration     = 6 * time.Second
-	// callTimeout bounds a user's call.
+	// callTimeout is the timeout of a call to the users' API.
 	callTimeout = 5 * time.Second
-	// waitTimeout bounds how long a test waits for anything.
+	// waitTimeout is the timeout of waitFor.
 	waitTimeout      = 25 * time.Second
 	waitPollInterval = 50 * time.Millisecond
 )
 
-// sharedSettings is the part of the settings that all controllers share,
-// after the addresses of the cloud and the state service.
+// sharedSettings is the format of the settings that all controllers share. Its
+// arguments are the addresses of the cloud and the state service.
 const sharedSettings = `[external]
 cloud = %q
 state = %q
@@ -67,10 +67,10 @@
 list_lag_s = 1.0
 `
 
-// teamNames are those of the settings.
+// teamNames holds the names of the teams in sharedSettings.
 var teamNames = []string{"red", "green", "blue"}
 
-// smallMachineType is the one machine type of the cloud.
+// smallMachineType is the only machine type of the fake cloud.
 var smallMachineType = cluster.MachineType{
 	Name:             "small",
 	Capacity:         cluster.Resources{CPU: 4_000_000, Memory: 16_000_000},
@@ -82,7 +82,7 @@
 	Zones:            []string{"a"},
 }
 
-// programPath is the path of the program under test, built once for all tests.
+// programPath is the path of the program under test, which TestMain builds.
 var programPath string
 
 func TestMain(m *testing.M) {
@@ -105,16 +105,16 @@
 	return m.Run()
 }
 
-// processCluster is a set of fake services with the processes of the controllers.
+// processCluster consists of fake services and the processes of the controllers.
 type processCluster struct {
-	t              *testing.T
-	services       *httpfake.Services
-	frontAddresses []string // the controllers' addresses for users and workers
-	peerAddresses  []string // and those for one another
-	settingsPaths  []string // the paths of their settings
-	processes      []*exec.Cmd
-	logs           []processLog // of all processes that were started
-	client         *http.Client
+	t               *testing.T
+	services        *httpfake.Services
+	publicAddresses []string     // where each controller serves users and workers
+	peerAddresses   []string     // where each controller serves its peers
+	settingsPaths   []string     // settings file of each controller
+	processes       []*exec.Cmd  // nil for a controller that is not running
+	logs            []processLog // one for each process ever started
+	client          *http.Client
 }
 
 type processLog struct {
@@ -122,19 +122,20 @@
 	text *bytes.Buffer
 }
 
-// startCluster starts fake services and the controllers; they end with the test.
+// startCluster starts the fake services and the controllers. The test's cleanup stops
+// them.
 func startCluster(t *testing.T) *processCluster {
 	t.Helper()
 	c := &processCluster{
-		t:              t,
-		services:       newFakeServices(t),
-		frontAddresses: freeAddresses(t, nodeCount),
-		peerAddresses:  freeAddresses(t, nodeCount),
-		processes:      make([]*exec.Cmd, nodeCount),
-		client:         &http.Client{Timeout: callTimeout},
+		t:               t,
+		services:        newFakeServices(t),
+		publicAddresses: freeAddresses(t, nodeCount),
+		peerAddresses:   freeAddresses(t, nodeCount),
+		processes:       make([]*exec.Cmd, nodeCount),
+		client:          &http.Client{Timeout: callTimeout},
 	}
 	for i := range nodeCount {
-		c.services.NodeAddresses[nodeName(i)] = c.frontAddresses[i]
+		c.services.NodeAddresses[nodeName(i)] = c.publicAddresses[i]
 	}
 	c.writeSettings()
 	t.Cleanup(c.stopAll)
@@ -156,7 +157,7 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// freeAddresses finds addresses on loopback that nothing listens on.
+// freeAddresses returns n loopback addresses with unused ports.
 func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	var addresses []string
@@ -171,8 +172,8 @@
 	return addresses
 }
 
-// writeSettings starts the state service and the cloud, and writes the
-// settings of all controllers.
+// writeSettings starts the state service and the cloud and writes the settings files of
+// all controllers.
 func (c *processCluster) writeSettings() {
 	c.t.Helper()
 	state, err := c.services.ServeState()
@@ -194,12 +195,12 @@
 	}
 }
 
-// nodeSettings is the part of the settings that is a controller's own.
+// nodeSettings returns the settings that are specific to a controller.
 func (c *processCluster) nodeSettings(node int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "host_name = %q\n", nodeName(node))
 	fmt.Fprintf(&text, "domain = \"a\"\n")
-	fmt.Fprintf(&text, "listen = %q\n", c.frontAddresses[node])
+	fmt.Fprintf(&text, "listen = %q\n", c.publicAddresses[node])
 	fmt.Fprintf(&text, "back = %q\n", c.peerAddresses[node])
 	for peer := range nodeCount {
 		if peer != node {
@@ -209,7 +210,7 @@
 	return text.String()
 }
 
-// startNode starts a controller and waits until it is healthy.
+// startNode starts a controller and waits until its health check succeeds.
 func (c *processCluster) startNode(node int) {
 	c.t.Helper()
 	log := &bytes.Buffer{}
@@ -220,12 +221,12 @@
 	}
 	c.processes[node] = process
 	c.logs = append(c.logs, processLog{node: nodeName(node), text: log})
-	c.waitFor(nodeName(node)+" healthy", func() bool { return c.isHealthy(node) })
+	c.waitFor(nodeName(node)+" is healthy", func() bool { return c.isHealthy(node) })
 }
 
 func (c *processCluster) isHealthy(node int) bool {
 	c.t.Helper()
-	request, err := http.NewRequestWithContext(c.t.Context(), http.MethodGet, "http://"+c.frontAddresses[node]+"/healthz", nil)
+	request, err := http.NewRequestWithContext(c.t.Context(), http.MethodGet, "http://"+c.publicAddresses[node]+"/healthz", nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -237,7 +238,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// killNode ends a controller's process at once, if it runs.
+// killNode kills a controller's process, if it is running.
 func (c *processCluster) killNode(node int) {
 	process := c.processes[node]
 	if process == nil {
@@ -248,15 +249,15 @@
 	c.processes[node] = nil
 }
 
-// stopAll ends all controllers and checks that no task ran twice at once. Only
-// then are the logs whole; a failed test shows them.
+// stopAll kills all controllers and checks that no task ran on two machines at the same
+// time. If the test has failed, it prints the logs, which are complete only now.
 func (c *processCluster) stopAll() {
 	for node := range nodeCount {
 		c.killNode(node)
 	}
 	c.services.WithLock(func() {
 		if len(c.services.DuplicateRuns) > 0 {
-			c.t.Errorf("ran twice: %v", c.services.DuplicateRuns)
+			c.t.Errorf("tasks ran on two machines at the same time: %v", c.services.DuplicateRuns)
 		}
 	})
 	if !c.t.Failed() {
@@ -267,20 +268,21 @@
 	}
 }
 
-// waitFor fails the test unless a condition holds in time.
-func (c *processCluster) waitFor(what string, holds func() bool) {
+// waitFor waits until a condition holds. It fails the test after waitTimeout.
+func (c *processCluster) waitFor(description string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(waitPollInterval)
 	}
-	c.t.Fatalf("waited in vain: %s", what)
+	c.t.Fatalf("timed out waiting for condition: %s", description)
 }
 
-// submit submits a job to a controller and returns the answer's status.
+// submit submits a job to a controller and returns the HTTP status code, or 0 if there
+// was no response.
 func (c *processCluster) submit(node int, id, team string, tasks int, run time.Duration) int {
 	c.t.Helper()
 	info := simulation.JobInfo{
@@ -294,19 +296,19 @@
 	return code
 }
 
-// mustSubmit submits a job that has to be accepted.
+// mustSubmit submits a job and fails the test unless it is accepted.
 func (c *processCluster) mustSubmit(node int, id, team string, tasks int, run time.Duration) {
 	c.t.Helper()
 	if code := c.submit(node, id, team, tasks, run); code != http.StatusCreated {
-		c.t.Fatalf("%s submitted to %s: %d", id, nodeName(node), code)
+		c.t.Fatalf("submitting %s to %s: status %d", id, nodeName(node), code)
 	}
 }
 
-// callUserAPI makes a user's call and returns the answer's status and the job's state;
-// status 0: there was no answer.
+// callUserAPI calls the users' API of a controller. It returns the HTTP status code, or
+// 0 if there was no response, and the state of the job in the response.
 func (c *processCluster) callUserAPI(method string, node int, path, body string) (int, string) {
 	c.t.Helper()
-	request, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+c.frontAddresses[node]+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+c.publicAddresses[node]+path, strings.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -322,7 +324,7 @@
 	return response.StatusCode, view.Status
 }
 
-// jobStatus is a job's state, or the answer's status if it is not 200.
+// jobStatus returns the state of a job, or the HTTP status code if it is not 200.
 func (c *processCluster) jobStatus(node int, id string) string {
 	code, status := c.callUserAPI(http.MethodGet, node, "/v2/runs/"+id, "")
 	if code != http.StatusOK {
--- a/internal/e2e/connections_test.go
+++ b/internal/e2e/connections_test.go
@@ -9,76 +9,75 @@
 )
 
 const (
-	// fleetWorkers is how many workers send heartbeats to one controller.
-	fleetWorkers = 4000
-	// workerAnswerTimeout is how long a worker waits for an answer.
-	workerAnswerTimeout = 4 * time.Second
-	// reservedFiles are left to the test's other files.
-	reservedFiles = 200
+	// maxWorkers is the maximum number of workers that send heartbeats to the controller.
+	maxWorkers = 4000
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// reservedDescriptors is the number of file descriptors not used for connections.
+	reservedDescriptors = 200
 )
 
-// workersWithinFileLimit is how many workers' connections the machine permits, both ends of
-// which are this process's.
-func workersWithinFileLimit(t *testing.T) int {
+// workersWithinDescriptorLimit returns the number of workers whose connections fit into
+// the process's limit of file descriptors. The process holds both ends of each.
+func workersWithinDescriptorLimit(t *testing.T) int {
 	t.Helper()
-	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
+	var descriptorLimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptorLimit); err != nil {
 		t.Fatal(err)
 	}
-	const ends = 2
-	return min(fleetWorkers, (int(files.Cur)-reservedFiles)/ends)
+	const descriptorsPerConnection = 2
+	return min(maxWorkers, (int(descriptorLimit.Cur)-reservedDescriptors)/descriptorsPerConnection)
 }
 
-// TestFleetHeartbeatsWithinConnectionLimit: all workers of a large fleet send a heartbeat to one
-// controller at once, round after round. It has a connection for each, or room for a
-// quarter of them. Each heartbeat is answered before its worker gives up and turns to
-// another controller.
+// TestFleetHeartbeatsWithinConnectionLimit checks that a controller with fewer
+// connections than workers responds to each heartbeat before the worker's timeout.
 func TestFleetHeartbeatsWithinConnectionLimit(t *testing.T) {
-	workers := workersWithinFileLimit(t)
+	workers := workersWithinDescriptorLimit(t)
 	for _, test := range []struct {
-		name  string
-		limit int
+		name           string
+		maxConnections int
 	}{
-		{"a connection for each", 0},
-		{"connections for a quarter", workers / 4},
+		{"no connection limit", 0},
+		{"connections for a quarter of the workers", workers / 4},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			addr, front := startHeartbeatServer(t, test.limit)
+			addr, limiter := startHeartbeatServer(t, test.maxConnections)
 			senders := make([]*heartbeatSender, workers)
 			for range 3 {
-				slowest := sendAllHeartbeats(t, addr, senders, test.limit)
-				t.Logf("%d workers, %d connections open, the slowest answer after %v", workers, front.OpenConnections(), slowest)
-				if slowest > workerAnswerTimeout {
-					t.Errorf("an answer took %v; a worker waits %v", slowest, workerAnswerTimeout)
+				slowest := sendAllHeartbeats(t, addr, senders, test.maxConnections)
+				t.Logf("%d workers, %d open connections, slowest response took %v", workers, limiter.OpenConnections(), slowest)
+				if slowest > heartbeatTimeout {
+					t.Errorf("slowest response took %v, want at most %v", slowest, heartbeatTimeout)
 				}
-				if test.limit > 0 && front.OpenConnections() > test.limit {
-					t.Errorf("%d connections are open of %d", front.OpenConnections(), test.limit)
+				if test.maxConnections > 0 && limiter.OpenConnections() > test.maxConnections {
+					t.Errorf("%d open connections, want at most %d", limiter.OpenConnections(), test.maxConnections)
 				}
 			}
 		})
 	}
 }
 
-// sendAllHeartbeats lets all workers send a heartbeat, at the same time as many as there
-// are connections for, and returns how long the slowest answer took. Those without a
-// connection make one; those whose answer says so close theirs.
-func sendAllHeartbeats(t *testing.T, addr string, senders []*heartbeatSender, limit int) time.Duration {
+// sendAllHeartbeats sends a heartbeat from each worker and returns how long the slowest
+// response took. All workers send at once; with a connection limit, half as many as the
+// limit. Workers connect if necessary and close the connection if the response asks for
+// it.
+func sendAllHeartbeats(t *testing.T, addr string, senders []*heartbeatSender, maxConnections int) time.Duration {
 	t.Helper()
-	atOnce := len(senders)
-	if limit > 0 {
-		atOnce = limit / 2 // spread over the interval as heartbeats are
+	concurrency := len(senders)
+	if maxConnections > 0 {
+		concurrency = maxConnections / 2 // workers spread their heartbeats over the interval
 	}
 	var slowest time.Duration
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	slots := make(chan struct{}, atOnce)
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, concurrency)
 	for i := range senders {
-		all.Add(1)
+		wg.Add(1)
 		slots <- struct{}{}
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			defer func() { <-slots }()
-			begun := time.Now()
+			start := time.Now()
 			if senders[i] != nil && senders[i].isClosedByServer() {
 				senders[i] = nil
 			}
@@ -88,15 +87,15 @@
 			if err := senders[i].sendHeartbeat(); err != nil {
 				t.Errorf("worker %d: %v", i, err)
 			}
-			if senders[i].closeAnnounced {
+			if senders[i].closeRequested {
 				_ = senders[i].connection.Close()
 				senders[i] = nil
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			slowest = max(slowest, time.Since(begun))
+			slowest = max(slowest, time.Since(start))
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	return slowest
 }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -14,7 +14,8 @@
 	"stairrelay/internal/simulation/httpfake"
 )
 
-// TestUserAPIOnEveryNode: every node takes jobs of every team and knows them all.
+// TestUserAPIOnEveryNode checks that every controller accepts the jobs of every team and
+// returns the state of every job.
 func TestUserAPIOnEveryNode(t *testing.T) {
 	c := startCluster(t)
 	for i, team := range teamNames {
@@ -22,46 +23,47 @@
 	}
 	for node := range nodeCount {
 		for i := range teamNames {
-			c.waitFor("done everywhere", func() bool { return c.jobStatus(node, fmt.Sprintf("j-00000%d", i)) == "done" })
+			c.waitFor("every controller returns done", func() bool { return c.jobStatus(node, fmt.Sprintf("j-00000%d", i)) == "done" })
 		}
 	}
 	for body, want := range map[string]int{
 		`{`:                                     http.StatusBadRequest,
 		`[]`:                                    http.StatusBadRequest,
 		`{"id":"j-5"}`:                          http.StatusBadRequest,
-		`{"id":"j-000000"}`:                     http.StatusOK, // known: never 400 again
+		`{"id":"j-000000"}`:                     http.StatusOK, // a repeated submission is not validated
 		httpfake.Submission("j-7", "nobody", 1): http.StatusUnprocessableEntity,
 		httpfake.Submission("j-000001", "nobody", 100): http.StatusOK,
 		strings.Repeat("x", 70<<10):                    http.StatusBadRequest,
 	} {
 		if code, _ := c.callUserAPI(http.MethodPost, 0, "/v2/runs", body); code != want {
-			t.Errorf("%.40s: %d, want %d", body, code, want)
+			t.Errorf("%.40s: status %d, want %d", body, code, want)
 		}
 	}
 	if s := c.jobStatus(1, "j-999999"); s != "404" {
-		t.Errorf("unknown job: %s", s)
+		t.Errorf("unknown job: %s, want 404", s)
 	}
 	if code, s := c.callUserAPI(http.MethodPost, 2, "/v2/runs/j-000000/cancel", ""); code != http.StatusOK || s != "done" {
-		t.Errorf("cancel after done: %d %s", code, s)
+		t.Errorf("cancelling a job that is done: status %d, job %s, want 200 and done", code, s)
 	}
 }
 
-// TestNodeKillsAndStoreOutage: controllers die, one and then all, and the state service
-// goes away for a while; accepted work is done all the same, once.
+// TestNodeKillsAndStoreOutage checks that accepted jobs are completed although one
+// controller and then all controllers are killed and the state service is unavailable for
+// a while.
 func TestNodeKillsAndStoreOutage(t *testing.T) {
 	c := startCluster(t)
 	for i, team := range teamNames {
 		c.mustSubmit(i, fmt.Sprintf("j-00001%d", i), team, 2, 4*time.Second)
 	}
 	c.mustSubmit(0, "j-000019", "red", 4, 60*time.Second)
-	c.waitFor("running", func() bool { return c.jobStatus(1, "j-000019") == "running" })
+	c.waitFor("j-000019 is running", func() bool { return c.jobStatus(1, "j-000019") == "running" })
 	c.killNode(0)
-	c.waitFor("answered while n0 is down", func() bool { return c.jobStatus(1, "j-000010") != "0" && c.jobStatus(1, "j-000010") != "503" })
+	c.waitFor("n1 returns the job's state while n0 is down", func() bool { return c.jobStatus(1, "j-000010") != "0" && c.jobStatus(1, "j-000010") != "503" })
 	c.startNode(0)
 	c.services.WithLock(func() { c.services.StateServiceDown = true })
 	time.Sleep(2 * time.Second)
 	if code := c.submit(1, "j-000020", "green", 1, time.Second); code != http.StatusServiceUnavailable {
-		t.Errorf("submission during the outage: %d", code)
+		t.Errorf("submission during the outage: status %d, want 503", code)
 	}
 	c.services.WithLock(func() { c.services.StateServiceDown = false })
 	for node := range nodeCount {
@@ -71,68 +73,68 @@
 		c.startNode(node)
 	}
 	for i := range teamNames {
-		c.waitFor("done after all", func() bool { return c.jobStatus(i, fmt.Sprintf("j-00001%d", i)) == "done" })
+		c.waitFor("the job is done after the restart", func() bool { return c.jobStatus(i, fmt.Sprintf("j-00001%d", i)) == "done" })
 	}
-	c.waitFor("cancelled", func() bool {
+	c.waitFor("j-000019 is cancelled", func() bool {
 		code, s := c.callUserAPI(http.MethodPost, 2, "/v2/runs/j-000019/cancel", "")
 		return code == http.StatusOK && s == "cancelled"
 	})
 	if s := c.jobStatus(0, "j-000019"); s != "cancelled" {
-		t.Errorf("after the cancellation: %s", s)
+		t.Errorf("after the cancellation: %s, want cancelled", s)
 	}
 }
 
-// TestUnreachableMachineReplaced: a machine's heartbeats arrive, but nothing reaches it. Its
-// tasks run elsewhere only after they can't run there any more, and it is
-// released.
+// TestUnreachableMachineReplaced checks that a machine which sends heartbeats but receives
+// nothing is removed, and that its tasks don't run elsewhere while they still run on it.
 func TestUnreachableMachineReplaced(t *testing.T) {
 	c := startCluster(t)
 	c.mustSubmit(0, "j-000031", "red", 3, 8*time.Second)
 	var unreachable cluster.MachineID
-	c.waitFor("running", func() bool {
+	c.waitFor("a machine runs a task", func() bool {
 		if ids := c.services.BusyMachines(); len(ids) > 0 {
 			unreachable = ids[0]
 		}
 		return unreachable != ""
 	})
 	c.services.WithLock(func() { c.services.UnreachableMachines[unreachable] = true })
-	c.waitFor("released", func() bool { return c.services.IsRemoved(unreachable) })
-	c.waitFor("done elsewhere", func() bool { return c.jobStatus(1, "j-000031") == "done" })
+	c.waitFor("the unreachable machine is removed", func() bool { return c.services.IsRemoved(unreachable) })
+	c.waitFor("the job is done on other machines", func() bool { return c.jobStatus(1, "j-000031") == "done" })
 }
 
-// TestQuickRestartsLoseNoTask: processes that are back at once, one of them twice, lose
-// no task and start none again.
+// TestQuickRestartsLoseNoTask checks that a controller which restarts at once neither
+// loses a task nor starts one a second time.
 func TestQuickRestartsLoseNoTask(t *testing.T) {
 	c := startCluster(t)
 	for i, team := range teamNames {
 		c.mustSubmit(i, fmt.Sprintf("j-00004%d", i), team, 2, 6*time.Second)
 	}
-	c.waitFor("running", func() bool { return c.jobStatus(0, "j-000040") == "running" && c.jobStatus(0, "j-000041") == "running" })
+	c.waitFor("j-000040 and j-000041 are running", func() bool { return c.jobStatus(0, "j-000040") == "running" && c.jobStatus(0, "j-000041") == "running" })
 	for _, node := range []int{0, 1, 2, 0} {
 		c.killNode(node)
 		c.startNode(node)
 	}
 	for i := range teamNames {
 		id := fmt.Sprintf("j-00004%d", i)
-		c.waitFor("done", func() bool { return c.jobStatus(i, id) == "done" })
+		c.waitFor("the job is done after the restarts", func() bool { return c.jobStatus(i, id) == "done" })
 		c.services.WithLock(func() {
 			for k := range 2 {
 				if n := c.services.StartCounts[cluster.TaskID{Job: cluster.JobID(id), Index: k}]; n != 1 {
-					t.Errorf("%s/%d was started %d times", id, k, n)
+					t.Errorf("%s/%d was started %d times, want 1", id, k, n)
 				}
 			}
 		})
 	}
 }
 
-// TestBadSettingsExit: a settings fault is one line and status 2.
+// TestBadSettingsExit checks that missing settings are reported in one line and with exit
+// status 2.
 func TestBadSettingsExit(t *testing.T) {
 	dir := t.TempDir()
 	for _, args := range [][]string{{"--config", filepath.Join(dir, "none.toml")}, {"check-config", filepath.Join(dir, "none.toml")}, {}} {
 		out, err := exec.CommandContext(t.Context(), programPath, args...).CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 2 || strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%v: %v %q", args, err, out)
+			t.Errorf("%v: error %v, output %q, want exit status 2 and one line", args, err, out)
 		}
 	}
 }
--- a/internal/e2e/heartbeat_bench_test.go
+++ b/internal/e2e/heartbeat_bench_test.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	// benchConnections is the number of workers that send heartbeats in turn.
+	// benchConnections is the number of connections on which BenchmarkHeartbeat sends
+	// heartbeats in turn.
 	benchConnections = 200
-	// benchHeartbeat is a heartbeat with three tasks, as most are.
-	benchHeartbeat = `{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,"shift":1,"stamp":88,"baton":41,"recallS":null,"legs":[` +
+	// heartbeatBody is the body of a typical heartbeat, with three tasks.
+	heartbeatBody = `{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,"shift":1,"stamp":88,"baton":41,"recallS":null,"legs":[` +
 		`{"leg":"j-000412/3","boarding":2097153,"status":"running"},{"leg":"j-000412/4","boarding":2097154,"status":"fetching"},{"leg":"j-000398/0","boarding":2097100,"status":"ended","cause":"done"}]}`
 )
 
-// BenchmarkHeartbeat measures the whole path of a worker's heartbeat on loopback:
-// HTTP, JSON, the engine and the controller and back, on kept connections. The
-// sender's work is in it too, made as small as possible. The controller knows none
-// of the machines: BenchmarkFleet measures what it does with those it knows.
+// BenchmarkHeartbeat measures a heartbeat and its response over HTTP on the loopback
+// interface, including the sender's work. Connections are reused. The controller knows
+// none of the machines; BenchmarkFleet measures the handling of known machines.
 func BenchmarkHeartbeat(b *testing.B) {
 	addr, _ := startHeartbeatServer(b, 5*benchConnections)
 	var senders []*heartbeatSender
 	for range benchConnections {
 		senders = append(senders, dialHeartbeatSender(b, addr))
 	}
-	time.Sleep(time.Second) // until the controller has found that it can't acquire its shard
+	time.Sleep(time.Second) // until the controller regards the state service as unavailable
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -49,10 +49,11 @@
 	}
 }
 
-// startHeartbeatServer starts a controller whose state service refuses everything:
-// after half a second heartbeats get their 503 at once. It has so many connections
-// for workers and users. It returns its address, and counts what is open.
-func startHeartbeatServer(tb testing.TB, connections int) (string, *sockets.ConnectionLimiter) {
+// startHeartbeatServer starts a controller whose state service rejects all calls. Once
+// it has done so for half a second, the controller responds to heartbeats with 503
+// without delay. The server accepts at most maxConnections connections; 0 means no
+// limit. It returns the server's address and connection limiter.
+func startHeartbeatServer(tb testing.TB, maxConnections int) (string, *sockets.ConnectionLimiter) {
 	tb.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	config := controller.Config{
@@ -70,8 +71,8 @@
 		Tuning:            controller.DefaultTuning(),
 	}
 	eng := engine.New(config, 0, log)
-	nothing := func(messages.Effect) {}
-	refuse := func(effect messages.Effect) {
+	ignore := func(messages.Effect) {}
+	rejectStoreCall := func(effect messages.Effect) {
 		switch effect := effect.(type) {
 		case messages.StoreList:
 			go eng.DeliverReply(effect.Call, messages.ListReply{Outcome: messages.NotApplied})
@@ -83,24 +84,24 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
-	go eng.Run(ctx, engine.Executors{Store: refuse, Cloud: nothing, Workers: nothing, Peers: func(messages.PeerCall) {}})
+	go eng.Run(ctx, engine.Executors{Store: rejectStoreCall, Cloud: ignore, Workers: ignore, Peers: func(messages.PeerCall) {}})
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	front := sockets.NewConnectionLimiter(connections)
-	server := front.NewServer(users.Handler(eng, front.UserMiddleware, front.WorkerMiddleware(workers.Handler(eng, log))), time.Minute)
+	limiter := sockets.NewConnectionLimiter(maxConnections)
+	server := limiter.NewServer(users.Handler(eng, limiter.UserMiddleware, limiter.WorkerMiddleware(workers.Handler(eng, log))), time.Minute)
 	go func() { _ = server.Serve(listener) }()
 	tb.Cleanup(func() { _ = server.Close() })
-	return listener.Addr().String(), front
+	return listener.Addr().String(), limiter
 }
 
-// heartbeatSender sends the same heartbeat again and again on one connection.
+// heartbeatSender sends heartbeats with heartbeatBody on one connection.
 type heartbeatSender struct {
 	connection     net.Conn
 	reader         *bufio.Reader
 	request        []byte
-	closeAnnounced bool // the last answer said so
+	closeRequested bool // the last response had the header "Connection: close"
 }
 
 func dialHeartbeatSender(tb testing.TB, addr string) *heartbeatSender {
@@ -113,11 +114,11 @@
 	header := "POST /checkin HTTP/1.1\r\n" +
 		"Host: 10.0.0.1:8080\r\n" +
 		"Content-Type: application/json\r\n" +
-		"Content-Length: " + strconv.Itoa(len(benchHeartbeat)) + "\r\n\r\n"
+		"Content-Length: " + strconv.Itoa(len(heartbeatBody)) + "\r\n\r\n"
 	return &heartbeatSender{
 		connection: conn,
 		reader:     bufio.NewReaderSize(conn, 1024),
-		request:    []byte(header + benchHeartbeat),
+		request:    []byte(header + heartbeatBody),
 	}
 }
 
@@ -128,7 +129,8 @@
 	}
 }
 
-// sendHeartbeat sends the heartbeat and reads the answer.
+// sendHeartbeat sends a heartbeat and reads the response. It returns an error if the
+// status is neither 421 nor 503.
 func (s *heartbeatSender) sendHeartbeat() error {
 	if _, err := s.connection.Write(s.request); err != nil {
 		return err
@@ -139,15 +141,15 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusMisdirectedRequest && response.StatusCode != http.StatusServiceUnavailable {
-		return fmt.Errorf("status %d", response.StatusCode)
+		return fmt.Errorf("status %d, want 421 or 503", response.StatusCode)
 	}
-	s.closeAnnounced = response.Close
+	s.closeRequested = response.Close
 	_, err = io.Copy(io.Discard, response.Body)
 	return err
 }
 
-// isClosedByServer tells whether the server has closed the connection while it was
-// idle, as any client checks before it uses one again.
+// isClosedByServer reports whether the server has closed the idle connection. HTTP
+// clients check this before they reuse a connection.
 func (s *heartbeatSender) isClosedByServer() bool {
 	_ = s.connection.SetReadDeadline(time.Now().Add(time.Millisecond))
 	defer func() { _ = s.connection.SetReadDeadline(time.Time{}) }()
