--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -38,24 +38,24 @@
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
 	switch effect := effect.(type) {
-	case messages.CloudMachineTypes:
+	case messages.CloudListMachineTypes:
 		go func() { c.reply(effect.Call, c.listMachineTypes(ctx)) }()
 	case messages.CloudScaleOut:
 		go func() { c.reply(effect.Call, c.scaleOut(ctx, effect)) }()
 	case messages.CloudScaleIn:
 		go func() { c.reply(effect.Call, c.scaleIn(ctx, effect)) }()
-	case messages.CloudList:
+	case messages.CloudListMachines:
 		go func() { c.reply(effect.Call, c.listMachines(ctx, effect)) }()
 	}
 }
 
-func (c *Client) listMachineTypes(ctx context.Context) messages.MachineTypesReply {
+func (c *Client) listMachineTypes(ctx context.Context) messages.ListMachineTypesReply {
 	call := wire.Call{Method: http.MethodGet, Path: wire.MachineTypesPath, Timeout: callTimeout}
 	types, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTypes)
-	return messages.MachineTypesReply{Outcome: readOutcome(err), Types: types}
+	return messages.ListMachineTypesReply{Outcome: readOutcome(err), Types: types}
 }
 
-func (c *Client) listMachines(ctx context.Context, list messages.CloudList) messages.CloudListReply {
+func (c *Client) listMachines(ctx context.Context, list messages.CloudListMachines) messages.ListMachinesReply {
 	call := wire.Call{
 		Method:  http.MethodGet,
 		Path:    wire.MachinesPath(list.After, pageSize),
@@ -63,9 +63,9 @@
 	}
 	page, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeMachines)
 	if wire.IsStatus(err, http.StatusTooManyRequests) {
-		return messages.CloudListReply{Outcome: messages.Throttled}
+		return messages.ListMachinesReply{Outcome: messages.Throttled}
 	}
-	return messages.CloudListReply{Outcome: readOutcome(err), Items: page.Machines, More: page.More}
+	return messages.ListMachinesReply{Outcome: readOutcome(err), Items: page.Machines, More: page.More}
 }
 
 // readOutcome tells the outcome of a read. One that got no response with status 200 was
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -35,7 +35,7 @@
 		after, want cluster.MachineID
 		more        bool
 	}{{"", "m-1", true}, {"m-1", "m-2", true}, {"m-2", "m-3", false}} {
-		reply := execute[messages.CloudListReply](t, wiretest.Serve(t, http.HandlerFunc(serve)), messages.CloudList{After: page.after})
+		reply := execute[messages.ListMachinesReply](t, wiretest.Serve(t, http.HandlerFunc(serve)), messages.CloudListMachines{After: page.after})
 		if reply.Outcome != messages.OK || len(reply.Items) != 1 || reply.Items[0].ID != page.want || reply.More != page.more {
 			t.Errorf("after %q: %+v", page.after, reply)
 		}
@@ -61,11 +61,11 @@
 		{messages.CloudScaleOut{}, 500, ``, fmt.Sprint(messages.ScaleOutReply{Outcome: messages.UnknownOutcome})},
 		{messages.CloudScaleIn{}, 200, `{}`, fmt.Sprint(messages.ScaleInReply{Outcome: messages.OK})},
 		{messages.CloudScaleIn{}, 503, ``, fmt.Sprint(messages.ScaleInReply{Outcome: messages.UnknownOutcome})},
-		{messages.CloudMachineTypes{}, 503, ``, fmt.Sprint(messages.MachineTypesReply{Outcome: messages.NotApplied})},
-		{messages.CloudMachineTypes{}, 200, `{"fleets":[{"name":"x","vcpus":0}]}`, fmt.Sprint(messages.MachineTypesReply{Outcome: messages.UnknownOutcome})},
-		{messages.CloudList{}, 429, ``, fmt.Sprint(messages.CloudListReply{Outcome: messages.Throttled})},
-		{messages.CloudList{}, 503, ``, fmt.Sprint(messages.CloudListReply{Outcome: messages.NotApplied})},
-		{messages.CloudList{}, 200, `[]`, fmt.Sprint(messages.CloudListReply{Outcome: messages.UnknownOutcome})},
+		{messages.CloudListMachineTypes{}, 503, ``, fmt.Sprint(messages.ListMachineTypesReply{Outcome: messages.NotApplied})},
+		{messages.CloudListMachineTypes{}, 200, `{"fleets":[{"name":"x","vcpus":0}]}`, fmt.Sprint(messages.ListMachineTypesReply{Outcome: messages.UnknownOutcome})},
+		{messages.CloudListMachines{}, 429, ``, fmt.Sprint(messages.ListMachinesReply{Outcome: messages.Throttled})},
+		{messages.CloudListMachines{}, 503, ``, fmt.Sprint(messages.ListMachinesReply{Outcome: messages.NotApplied})},
+		{messages.CloudListMachines{}, 200, `[]`, fmt.Sprint(messages.ListMachinesReply{Outcome: messages.UnknownOutcome})},
 	} {
 		if got := fmt.Sprint(execute[any](t, wiretest.ServeStatus(t, test.status, test.body), test.effect)); got != test.want {
 			t.Errorf("%T answered %d %s: got %s, want %s", test.effect, test.status, test.body, got, test.want)
--- a/internal/cloud/outcomes_test.go
+++ b/internal/cloud/outcomes_test.go
@@ -27,8 +27,8 @@
 	wiretest.CheckStatuses(t, newExecutor, []wiretest.StatusTest{
 		{
 			Name:   "machine types",
-			Effect: messages.CloudMachineTypes{},
-			Reply:  func(outcome messages.Outcome) any { return messages.MachineTypesReply{Outcome: outcome} },
+			Effect: messages.CloudListMachineTypes{},
+			Reply:  func(outcome messages.Outcome) any { return messages.ListMachineTypesReply{Outcome: outcome} },
 			Want: map[int]messages.Outcome{
 				200: unknown, 400: notApplied, 404: notApplied, 409: notApplied, 429: notApplied, 500: notApplied, 503: notApplied, 504: notApplied,
 			},
@@ -51,8 +51,8 @@
 		},
 		{
 			Name:   "list",
-			Effect: messages.CloudList{},
-			Reply:  func(outcome messages.Outcome) any { return messages.CloudListReply{Outcome: outcome} },
+			Effect: messages.CloudListMachines{},
+			Reply:  func(outcome messages.Outcome) any { return messages.ListMachinesReply{Outcome: outcome} },
 			Want: map[int]messages.Outcome{
 				200: unknown, 400: notApplied, 404: notApplied, 409: notApplied, 429: throttled, 500: notApplied, 503: notApplied, 504: notApplied,
 			},
@@ -73,10 +73,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			wiretest.CheckReplies(t, newExecutor, address, []wiretest.ReplyTest{
-				{Effect: messages.CloudMachineTypes{}, Want: messages.MachineTypesReply{Outcome: messages.NotApplied}},
+				{Effect: messages.CloudListMachineTypes{}, Want: messages.ListMachineTypesReply{Outcome: messages.NotApplied}},
 				{Effect: messages.CloudScaleOut{}, Want: messages.ScaleOutReply{Outcome: messages.UnknownOutcome}},
 				{Effect: messages.CloudScaleIn{}, Want: messages.ScaleInReply{Outcome: messages.UnknownOutcome}},
-				{Effect: messages.CloudList{}, Want: messages.CloudListReply{Outcome: messages.NotApplied}},
+				{Effect: messages.CloudListMachines{}, Want: messages.ListMachinesReply{Outcome: messages.NotApplied}},
 			})
 		})
 	}
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -185,13 +185,13 @@
 		return fmt.Sprintf("list %d %s", e.Call, e.Prefix), true
 	case messages.StoreWatch:
 		return fmt.Sprintf("watch %d %s %d %d", e.Call, e.Prefix, e.SinceRevision, e.Timeout), true
-	case messages.CloudMachineTypes:
+	case messages.CloudListMachineTypes:
 		return fmt.Sprintf("types %d", e.Call), true
 	case messages.CloudScaleOut:
 		return fmt.Sprintf("rent %d %s", e.Call, wire.EncodeScaleOut(e)), true
 	case messages.CloudScaleIn:
 		return fmt.Sprintf("return %d %s", e.Call, wire.EncodeScaleIn(e.IDs)), true
-	case messages.CloudList:
+	case messages.CloudListMachines:
 		return fmt.Sprintf("machines %d %s", e.Call, e.After), true
 	case messages.PushCommands:
 		return fmt.Sprintf("orders %d %s %s", e.Call, e.Addr, wire.EncodePushCommands(e)), true
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -109,7 +109,7 @@
 			PreemptionNotice: -1,
 			Tasks:            []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}},
 		}
-		b.loop.Deliver(messages.Reply{Call: push.Call, Body: messages.PushCommandsReply{Outcome: outcome, Status: status}})
+		b.loop.Deliver(messages.Reply{Call: push.Call, Body: messages.WorkerReply{Outcome: outcome, Status: status}})
 		b.reconciler.Commands.QueuePush(machine)
 		takeEffects(b.Controller)
 		b.reconciler.Commands.PushQueued()
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -28,8 +28,8 @@
 				machine.LastHeartbeat = c.loop.Now()
 			}
 			for _, effect := range c.Step(c.loop.Now()+second/4, 0, messages.Tick{}) {
-				if request, ok := effect.(messages.CloudList); ok {
-					reply := messages.CloudListReply{Outcome: messages.OK}
+				if request, ok := effect.(messages.CloudListMachines); ok {
+					reply := messages.ListMachinesReply{Outcome: messages.OK}
 					if test.listed {
 						reply.Items = []cluster.ListedMachine{{ID: "m-1", Status: "running", AgeSeconds: 100}}
 					}
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -18,7 +18,7 @@
 	case message.Ping != nil:
 		c.answerPing(request.Request, from, message.Ping)
 	case message.Notice != nil:
-		for _, record := range message.Notice.Keys {
+		for _, record := range message.Notice.Items {
 			c.jobs.Records.Apply(record, nil)
 		}
 		c.replyToPeer(request.Request, messages.PeerMessage{Status: messages.ReplyOK})
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -24,7 +24,7 @@
 		e.respond(effect)
 	case messages.StoreTxn, messages.StoreGet, messages.StoreList, messages.StoreWatch:
 		e.executors.Store(effect)
-	case messages.CloudMachineTypes, messages.CloudScaleOut, messages.CloudScaleIn, messages.CloudList:
+	case messages.CloudListMachineTypes, messages.CloudScaleOut, messages.CloudScaleIn, messages.CloudListMachines:
 		e.executors.Cloud(effect)
 	case messages.PushCommands, messages.QueryWorkerStatus:
 		e.executors.Workers(effect)
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -121,7 +121,7 @@
 		if !ok || call.To != node || call.Message.Notice == nil {
 			continue
 		}
-		for _, kv := range call.Message.Notice.Keys {
+		for _, kv := range call.Message.Notice.Items {
 			keys = append(keys, kv.Key)
 		}
 	}
--- a/internal/jobs/notices.go
+++ b/internal/jobs/notices.go
@@ -80,7 +80,7 @@
 
 func (n *noticeSender) sendBatch(queue *noticeQueue, owner *membership.Peer, retry int) {
 	batch := queue.nextBatch()
-	message := messages.PeerMessage{Notice: &messages.JobNotice{Keys: batch}}
+	message := messages.PeerMessage{Notice: &messages.JobNotice{Items: batch}}
 	n.Members.Call(owner.ID(), noticeTimeout, message, func(reply messages.PeerReply) {
 		if reply.Outcome != messages.OK && retry < noticeRetries && !owner.IsUnreachable() {
 			n.sendBatch(queue, owner, retry+1)
--- a/internal/membership/workers.go
+++ b/internal/membership/workers.go
@@ -103,7 +103,7 @@
 	if !w.unreachable || w.probeAddress == "" {
 		return
 	}
-	call := eventloop.Call(w.loop, func(reply messages.PushCommandsReply) {
+	call := eventloop.Call(w.loop, func(reply messages.WorkerReply) {
 		if reply.Outcome == messages.OK {
 			w.unreachable = false
 			w.lastOwnedHeartbeat = w.loop.Now()
--- a/internal/membership/workers_test.go
+++ b/internal/membership/workers_test.go
@@ -53,7 +53,7 @@
 	if !ok {
 		t.Fatalf("effects %v, want a status query to a worker", m.loop.Effects())
 	}
-	m.loop.Deliver(messages.Reply{Call: query.Call, Body: messages.PushCommandsReply{Outcome: messages.OK}})
+	m.loop.Deliver(messages.Reply{Call: query.Call, Body: messages.WorkerReply{Outcome: messages.OK}})
 	if !m.workers.CanReachWorkers() {
 		t.Error("workers count as unreachable after one has answered")
 	}
--- a/internal/messages/cloud.go
+++ b/internal/messages/cloud.go
@@ -5,7 +5,7 @@
 )
 
 // CloudMachineTypes asks for the machine types. A MachineTypesReply answers it.
-type CloudMachineTypes struct{ Call CallID }
+type CloudListMachineTypes struct{ Call CallID }
 
 // CloudScaleOut is a provisioning request. Its name was recorded before, and the
 // cloud carries out each name once, so that a request of unknown outcome can be
@@ -27,13 +27,13 @@
 
 // CloudList reads the page of the machine list that follows the machine After;
 // After is empty for the first page. A CloudListReply answers it.
-type CloudList struct {
+type CloudListMachines struct {
 	Call  CallID
 	After cluster.MachineID
 }
 
 // MachineTypesReply answers a CloudMachineTypes.
-type MachineTypesReply struct {
+type ListMachineTypesReply struct {
 	Outcome Outcome
 	Types   []cluster.MachineType
 }
@@ -49,7 +49,7 @@
 type ScaleInReply struct{ Outcome Outcome }
 
 // CloudListReply answers a CloudList.
-type CloudListReply struct {
+type ListMachinesReply struct {
 	Outcome Outcome
 	Items   []cluster.ListedMachine
 	More    bool // another page follows
--- a/internal/messages/messages_test.go
+++ b/internal/messages/messages_test.go
@@ -20,7 +20,7 @@
 	}
 	effects := []Effect{
 		StoreTxn{}, StoreGet{}, StoreList{}, StoreWatch{},
-		CloudMachineTypes{}, CloudScaleOut{}, CloudScaleIn{}, CloudList{},
+		CloudListMachineTypes{}, CloudScaleOut{}, CloudScaleIn{}, CloudListMachines{},
 		PushCommands{}, QueryWorkerStatus{}, PeerCall{}, Respond{}, Log{},
 	}
 	for _, event := range events {
--- a/internal/messages/peer.go
+++ b/internal/messages/peer.go
@@ -75,7 +75,7 @@
 
 // JobNotice passes on the records of jobs that have just been stored.
 type JobNotice struct {
-	Keys []KV `cbor:"Keys"`
+	Items []KV `cbor:"Keys"`
 }
 
 // JobQuery asks the owner of jobs for their state.
--- a/internal/messages/reply.go
+++ b/internal/messages/reply.go
@@ -4,13 +4,13 @@
 // call.
 type ReplyBody interface{ isReplyBody() }
 
-func (TxnReply) isReplyBody()          {}
-func (GetReply) isReplyBody()          {}
-func (ListReply) isReplyBody()         {}
-func (WatchReply) isReplyBody()        {}
-func (MachineTypesReply) isReplyBody() {}
-func (ScaleOutReply) isReplyBody()     {}
-func (ScaleInReply) isReplyBody()      {}
-func (CloudListReply) isReplyBody()    {}
-func (PushCommandsReply) isReplyBody() {}
-func (PeerReply) isReplyBody()         {}
+func (TxnReply) isReplyBody()              {}
+func (GetReply) isReplyBody()              {}
+func (ListReply) isReplyBody()             {}
+func (WatchReply) isReplyBody()            {}
+func (ListMachineTypesReply) isReplyBody() {}
+func (ScaleOutReply) isReplyBody()         {}
+func (ScaleInReply) isReplyBody()          {}
+func (ListMachinesReply) isReplyBody()     {}
+func (WorkerReply) isReplyBody()           {}
+func (PeerReply) isReplyBody()             {}
--- a/internal/messages/worker.go
+++ b/internal/messages/worker.go
@@ -22,7 +22,7 @@
 }
 
 // PushCommandsReply answers a PushCommands or a QueryWorkerStatus.
-type PushCommandsReply struct {
+type WorkerReply struct {
 	Outcome Outcome
 	Status  cluster.HeartbeatStatus // set with OK and Conflict
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -71,7 +71,7 @@
 
 // TestMessageTooLarge checks that a message that no controller would take is not sent.
 func TestMessageTooLarge(t *testing.T) {
-	notice := &messages.JobNotice{Keys: []messages.KV{{Key: "jobs/j", Value: make([]byte, MaxMessageSize)}}}
+	notice := &messages.JobNotice{Items: []messages.KV{{Key: "jobs/j", Value: make([]byte, MaxMessageSize)}}}
 	if _, err := Encode(messages.PeerMessage{Version: 1, From: "n1", Notice: notice}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("error %v", err)
 	}
--- a/internal/provisioning/machinelist.go
+++ b/internal/provisioning/machinelist.go
@@ -153,8 +153,8 @@
 // requestPage asks for the page that follows a machine.
 func (r *machineListReading) requestPage(after cluster.MachineID) {
 	loop := r.list.loop
-	call := eventloop.Call(loop, func(reply messages.CloudListReply) { r.handlePage(after, reply) })
-	loop.Emit(messages.CloudList{After: after, Call: call})
+	call := eventloop.Call(loop, func(reply messages.ListMachinesReply) { r.handlePage(after, reply) })
+	loop.Emit(messages.CloudListMachines{After: after, Call: call})
 }
 
 // requestPageWhenAllowed asks for a page as soon as the share of requests allows it.
@@ -167,7 +167,7 @@
 }
 
 // handlePage takes in the page that follows a machine, and goes on with the next.
-func (r *machineListReading) handlePage(after cluster.MachineID, page messages.CloudListReply) {
+func (r *machineListReading) handlePage(after cluster.MachineID, page messages.ListMachinesReply) {
 	switch {
 	case page.Outcome == messages.Throttled:
 		r.list.rate.HandleThrottled()
--- a/internal/provisioning/machinelist_test.go
+++ b/internal/provisioning/machinelist_test.go
@@ -16,13 +16,13 @@
 )
 
 // listPage is the page of the list that follows a machine.
-func listPage(after cluster.MachineID) messages.CloudListReply {
+func listPage(after cluster.MachineID) messages.ListMachinesReply {
 	first := 0
 	if after != "" {
 		_, _ = fmt.Sscanf(string(after), "m-%d", &first)
 		first++
 	}
-	reply := messages.CloudListReply{Outcome: messages.OK, More: first+listPageSize < listedMachines}
+	reply := messages.ListMachinesReply{Outcome: messages.OK, More: first+listPageSize < listedMachines}
 	for i := range listPageSize {
 		id := cluster.MachineID(fmt.Sprintf("m-%06d", first+i))
 		reply.Items = append(reply.Items, cluster.ListedMachine{ID: id, Status: "running"})
@@ -32,10 +32,10 @@
 
 // listRequests returns the requests for pages that were made since effects were last
 // taken.
-func (h *harness) listRequests() []messages.CloudList {
-	var requests []messages.CloudList
+func (h *harness) listRequests() []messages.CloudListMachines {
+	var requests []messages.CloudListMachines
 	for _, effect := range h.takeEffects() {
-		if request, ok := effect.(messages.CloudList); ok {
+		if request, ok := effect.(messages.CloudListMachines); ok {
 			requests = append(requests, request)
 		}
 	}
@@ -61,7 +61,7 @@
 		for _, request := range h.listRequests() {
 			reply := listPage(request.After)
 			if calls++; calls == throttledCall {
-				reply = messages.CloudListReply{Outcome: messages.Throttled}
+				reply = messages.ListMachinesReply{Outcome: messages.Throttled}
 			}
 			h.loop.Deliver(messages.Reply{Call: request.Call, Body: reply})
 			listed = listed || !h.List.reading
@@ -92,7 +92,7 @@
 	h.Rate.bucket.Fill()
 	h.List.Poll()
 	request := h.listRequests()[0]
-	h.loop.Deliver(messages.Reply{Call: request.Call, Body: messages.CloudListReply{Outcome: messages.Throttled}})
+	h.loop.Deliver(messages.Reply{Call: request.Call, Body: messages.ListMachinesReply{Outcome: messages.Throttled}})
 	if h.Rate.TryCall() {
 		t.Error("a request went out right after one was refused for the rate")
 	}
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -53,7 +53,7 @@
 // Fetch asks the cloud for its machine types, and goes on to do so regularly.
 func (t *TypeCache) Fetch() {
 	t.rate.ForceCall()
-	call := eventloop.Call(t.loop, func(reply messages.MachineTypesReply) {
+	call := eventloop.Call(t.loop, func(reply messages.ListMachineTypesReply) {
 		if reply.Outcome != messages.OK || len(reply.Types) == 0 {
 			t.loop.After(typesFetchRetryDelay, t.Fetch)
 			return
@@ -62,7 +62,7 @@
 		t.loop.After(typesWriteDelay, t.write)
 		t.loop.After(typesFetchInterval, t.Fetch)
 	})
-	t.loop.Emit(messages.CloudMachineTypes{Call: call})
+	t.loop.Emit(messages.CloudListMachineTypes{Call: call})
 }
 
 // apply takes in machine types as the cloud or the state service gives them.
--- a/internal/provisioning/typecache_test.go
+++ b/internal/provisioning/typecache_test.go
@@ -20,8 +20,8 @@
 func (h *harness) answerTypes(t *testing.T, machineType cluster.MachineType) {
 	t.Helper()
 	h.Types.Fetch()
-	request, _ := takeEffect[messages.CloudMachineTypes](t, h)
-	reply := messages.MachineTypesReply{Outcome: messages.OK, Types: []cluster.MachineType{machineType}}
+	request, _ := takeEffect[messages.CloudListMachineTypes](t, h)
+	reply := messages.ListMachineTypesReply{Outcome: messages.OK, Types: []cluster.MachineType{machineType}}
 	h.loop.Deliver(messages.Reply{Call: request.Call, Body: reply})
 	h.pass(typesWriteDelay)
 }
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -165,7 +165,7 @@
 	}
 	o.registering[id] = true
 	address := status.Addr
-	call := eventloop.Call(o.loop, func(reply messages.PushCommandsReply) {
+	call := eventloop.Call(o.loop, func(reply messages.WorkerReply) {
 		if reply.Outcome != messages.OK || reply.Status.Machine != id || !shard.Owned || !shard.Ready {
 			delete(o.registering, id)
 			return
--- a/internal/reconcile/push.go
+++ b/internal/reconcile/push.go
@@ -70,7 +70,7 @@
 			starts = append(starts, assignment)
 		}
 	}
-	call := eventloop.Call(c.loop, func(reply messages.PushCommandsReply) {
+	call := eventloop.Call(c.loop, func(reply messages.WorkerReply) {
 		machine.EndPush()
 		if c.state.Machines[machine.ID] == machine {
 			c.handlePushReply(machine, starts, reply)
@@ -86,7 +86,7 @@
 }
 
 // handlePushReply handles the outcome of a push that contained the given starts.
-func (c *Commands) handlePushReply(machine *state.Machine, starts []*state.Assignment, reply messages.PushCommandsReply) {
+func (c *Commands) handlePushReply(machine *state.Machine, starts []*state.Assignment, reply messages.WorkerReply) {
 	switch reply.Outcome {
 	case messages.OK:
 		c.applyReplyStatus(machine, &reply.Status)
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -23,9 +23,9 @@
 func (c *CloudAPI) isDown() bool { return c.Now < c.DownUntil }
 
 func (c *CloudAPI) listMachineTypes(call pendingCall) {
-	reply := messages.MachineTypesReply{Outcome: messages.OK, Types: c.cloud.MachineTypes}
+	reply := messages.ListMachineTypesReply{Outcome: messages.OK, Types: c.cloud.MachineTypes}
 	if c.isDown() {
-		reply = messages.MachineTypesReply{Outcome: messages.NotApplied}
+		reply = messages.ListMachineTypesReply{Outcome: messages.NotApplied}
 	}
 	call.replyAfter(c.network.delay(), reply)
 }
@@ -59,11 +59,11 @@
 
 // listMachines replies with the list as it is now, which is some time old when
 // the controller gets it.
-func (c *CloudAPI) listMachines(call pendingCall, request messages.CloudList) {
+func (c *CloudAPI) listMachines(call pendingCall, request messages.CloudListMachines) {
 	if c.isDown() {
-		call.replyAfter(c.network.delay(), messages.CloudListReply{Outcome: messages.NotApplied})
+		call.replyAfter(c.network.delay(), messages.ListMachinesReply{Outcome: messages.NotApplied})
 		return
 	}
 	items, more := c.cloud.ListPage(c.Now, request.After)
-	call.replyAfter(c.config.CloudListLag/2, messages.CloudListReply{Outcome: messages.OK, Items: items, More: more})
+	call.replyAfter(c.config.CloudListLag/2, messages.ListMachinesReply{Outcome: messages.OK, Items: items, More: more})
 }
--- a/internal/simulation/command_calls.go
+++ b/internal/simulation/command_calls.go
@@ -28,18 +28,18 @@
 	call := node.newCall(query.Call)
 	worker := c.machines.Workers[cluster.MachineID(query.Addr)]
 	if worker == nil || worker.removed || c.Now < worker.commandsBlockedUntil(node) {
-		call.replyAfter(commandTimeout, messages.PushCommandsReply{Outcome: messages.UnknownOutcome})
+		call.replyAfter(commandTimeout, messages.WorkerReply{Outcome: messages.UnknownOutcome})
 		return
 	}
 	delay := c.network.delay()
-	call.replyAfter(delay, messages.PushCommandsReply{Outcome: messages.OK, Status: worker.NextStatus()})
+	call.replyAfter(delay, messages.WorkerReply{Outcome: messages.OK, Status: worker.NextStatus()})
 }
 
 func (c *commandChannel) push(node *Node, commands messages.PushCommands) {
 	call := node.newCall(commands.Call)
 	worker := c.machines.Workers[cluster.MachineID(commands.Addr)]
 	if worker == nil || worker.removed {
-		call.replyAfter(connectTimeout, messages.PushCommandsReply{Outcome: messages.NotApplied})
+		call.replyAfter(connectTimeout, messages.WorkerReply{Outcome: messages.NotApplied})
 		return
 	}
 	blockedUntil := worker.commandsBlockedUntil(node)
@@ -48,7 +48,7 @@
 		if delay, arrives := c.network.lateArrival(blockedUntil); arrives {
 			c.After(delay, func() { c.deliverLate(worker, commands) })
 		}
-		call.replyAfter(commandTimeout, messages.PushCommandsReply{Outcome: messages.UnknownOutcome})
+		call.replyAfter(commandTimeout, messages.WorkerReply{Outcome: messages.UnknownOutcome})
 		return
 	}
 	c.After(c.network.delay(), func() { c.deliver(call, worker, commands) })
@@ -64,7 +64,7 @@
 }
 
 func (c *commandChannel) deliver(call pendingCall, worker *SimulatedWorker, commands messages.PushCommands) {
-	unknown := messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
+	unknown := messages.WorkerReply{Outcome: messages.UnknownOutcome}
 	if worker.removed {
 		call.replyAfter(commandReplyTimeout, unknown)
 		return
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -35,13 +35,13 @@
 		x.store.list(node, e)
 	case messages.StoreWatch:
 		x.store.watch(node, e)
-	case messages.CloudMachineTypes:
+	case messages.CloudListMachineTypes:
 		x.cloud.listMachineTypes(node.newCall(e.Call))
 	case messages.CloudScaleOut:
 		x.cloud.scaleOut(node.newCall(e.Call), e)
 	case messages.CloudScaleIn:
 		x.cloud.scaleIn(node.newCall(e.Call), e)
-	case messages.CloudList:
+	case messages.CloudListMachines:
 		x.cloud.listMachines(node.newCall(e.Call), e)
 	case messages.PushCommands:
 		x.commands.push(node, e)
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -200,13 +200,13 @@
 }
 
 // HandleCommands carries out pushed commands.
-func (w *FakeWorker) HandleCommands(pushed messages.PushCommands) messages.PushCommandsReply {
+func (w *FakeWorker) HandleCommands(pushed messages.PushCommands) messages.WorkerReply {
 	if pushed.FencingToken < w.FencingToken || pushed.Incarnation != w.Incarnation {
-		return messages.PushCommandsReply{Outcome: messages.Conflict, Status: w.NextStatus()}
+		return messages.WorkerReply{Outcome: messages.Conflict, Status: w.NextStatus()}
 	}
 	w.FencingToken = pushed.FencingToken
 	w.executeCommands(pushed.Commands)
-	return messages.PushCommandsReply{Outcome: messages.OK, Status: w.NextStatus()}
+	return messages.WorkerReply{Outcome: messages.OK, Status: w.NextStatus()}
 }
 
 func (w *FakeWorker) executeCommands(commands []cluster.Command) {
--- a/internal/simulation/version_filter.go
+++ b/internal/simulation/version_filter.go
@@ -121,7 +121,7 @@
 		message.Submission = &submission
 	}
 	if message.Notice != nil {
-		message.Notice = &messages.JobNotice{Keys: filterProductionItems(message.Notice.Keys)}
+		message.Notice = &messages.JobNotice{Items: filterProductionItems(message.Notice.Items)}
 	}
 	return message
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func (c *Client) pushCommands(ctx context.Context, push messages.PushCommands) messages.PushCommandsReply {
+func (c *Client) pushCommands(ctx context.Context, push messages.PushCommands) messages.WorkerReply {
 	return c.send(ctx, push.Addr, wire.Request{
 		Method:      http.MethodPost,
 		URL:         wire.BaseURL(push.Addr) + wire.PushCommandsPath,
@@ -60,7 +60,7 @@
 	})
 }
 
-func (c *Client) queryStatus(ctx context.Context, query messages.QueryWorkerStatus) messages.PushCommandsReply {
+func (c *Client) queryStatus(ctx context.Context, query messages.QueryWorkerStatus) messages.WorkerReply {
 	return c.send(ctx, query.Addr, wire.Request{
 		Method:  http.MethodGet,
 		URL:     wire.BaseURL(query.Addr) + wire.WorkerStatusPath,
@@ -69,10 +69,10 @@
 }
 
 // send makes a call as soon as there is a slot for it.
-func (c *Client) send(ctx context.Context, address string, request wire.Request) messages.PushCommandsReply {
+func (c *Client) send(ctx context.Context, address string, request wire.Request) messages.WorkerReply {
 	release, acquired := c.limiter.Acquire(address, slotTimeout)
 	if !acquired {
-		return messages.PushCommandsReply{Outcome: messages.NotApplied}
+		return messages.WorkerReply{Outcome: messages.NotApplied}
 	}
 	reply := c.call(ctx, request)
 	answered := reply.Outcome == messages.OK || reply.Outcome == messages.Conflict
@@ -82,13 +82,13 @@
 
 // call makes a call. Commands count as not applied only if there was no connection: a
 // worker may execute them minutes later, when its machine no longer hangs.
-func (c *Client) call(ctx context.Context, request wire.Request) messages.PushCommandsReply {
+func (c *Client) call(ctx context.Context, request wire.Request) messages.WorkerReply {
 	response, err := c.client.Do(ctx, request)
 	if errors.Is(err, wire.ErrNotSent) {
-		return messages.PushCommandsReply{Outcome: messages.NotApplied}
+		return messages.WorkerReply{Outcome: messages.NotApplied}
 	}
 	if err != nil {
-		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
+		return messages.WorkerReply{Outcome: messages.UnknownOutcome}
 	}
 	var outcome messages.Outcome
 	switch response.Status {
@@ -97,11 +97,11 @@
 	case http.StatusConflict:
 		outcome = messages.Conflict
 	default:
-		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
+		return messages.WorkerReply{Outcome: messages.UnknownOutcome}
 	}
 	status, err := wire.DecodeHeartbeatStatus(response.Body)
 	if err != nil {
-		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
+		return messages.WorkerReply{Outcome: messages.UnknownOutcome}
 	}
-	return messages.PushCommandsReply{Outcome: outcome, Status: status}
+	return messages.WorkerReply{Outcome: outcome, Status: status}
 }
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -11,9 +11,9 @@
 )
 
 // callWorker has a client carry out an effect and returns its reply.
-func callWorker(t *testing.T, effect messages.Effect) messages.PushCommandsReply {
+func callWorker(t *testing.T, effect messages.Effect) messages.WorkerReply {
 	t.Helper()
-	return wiretest.Execute[messages.PushCommandsReply](t, func(reply engine.ReplyFunc) { New(0, reply).Do(effect) })
+	return wiretest.Execute[messages.WorkerReply](t, func(reply engine.ReplyFunc) { New(0, reply).Do(effect) })
 }
 
 // TestRequests checks the requests that a worker gets, byte for byte.
@@ -52,14 +52,14 @@
 	for name, test := range map[string]struct {
 		status int
 		body   string
-		want   messages.PushCommandsReply
+		want   messages.WorkerReply
 	}{
-		"executed":             {200, validHeartbeat, messages.PushCommandsReply{Outcome: messages.OK, Status: validStatus()}},
-		"executed, no status":  {200, `{}`, messages.PushCommandsReply{Outcome: messages.UnknownOutcome}},
-		"token or incarnation": {409, validHeartbeat, messages.PushCommandsReply{Outcome: messages.Conflict, Status: validStatus()}},
-		"refused, no status":   {409, ``, messages.PushCommandsReply{Outcome: messages.UnknownOutcome}},
-		"malformed":            {400, ``, messages.PushCommandsReply{Outcome: messages.UnknownOutcome}},
-		"unavailable":          {503, ``, messages.PushCommandsReply{Outcome: messages.UnknownOutcome}},
+		"executed":             {200, validHeartbeat, messages.WorkerReply{Outcome: messages.OK, Status: validStatus()}},
+		"executed, no status":  {200, `{}`, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
+		"token or incarnation": {409, validHeartbeat, messages.WorkerReply{Outcome: messages.Conflict, Status: validStatus()}},
+		"refused, no status":   {409, ``, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
+		"malformed":            {400, ``, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
+		"unavailable":          {503, ``, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := wiretest.ServeStatus(t, test.status, test.body)
