--- a/internal/messages/cloud.go
+++ b/internal/messages/cloud.go
@@ -4,12 +4,13 @@
 	"stairrelay/internal/cluster"
 )
 
-// CloudMachineTypes asks for the machine types. A MachineTypesReply answers it.
+// CloudListMachineTypes lists the machine types that the cloud offers. It is answered by
+// a ListMachineTypesReply.
 type CloudListMachineTypes struct{ Call CallID }
 
-// CloudScaleOut is a provisioning request. Its name was recorded before, and the
-// cloud carries out each name once, so that a request of unknown outcome can be
-// sent again. A ScaleOutReply answers it.
+// CloudScaleOut provisions machines. Name is the idempotency key of the request: it is
+// stored before the request is sent, and the cloud executes each name only once, so a
+// request with an unknown outcome can be retried. It is answered by a ScaleOutReply.
 type CloudScaleOut struct {
 	Call  CallID
 	Name  string
@@ -19,27 +20,28 @@
 	Count int
 }
 
-// CloudScaleIn releases machines. A ScaleInReply answers it.
+// CloudScaleIn releases machines. It is answered by a ScaleInReply.
 type CloudScaleIn struct {
 	Call CallID
 	IDs  []cluster.MachineID
 }
 
-// CloudList reads the page of the machine list that follows the machine After;
-// After is empty for the first page. A CloudListReply answers it.
+// CloudListMachines lists one page of the cluster's machines. The page starts after the
+// machine After, or at the beginning if After is empty. It is answered by a
+// ListMachinesReply.
 type CloudListMachines struct {
 	Call  CallID
 	After cluster.MachineID
 }
 
-// MachineTypesReply answers a CloudMachineTypes.
+// ListMachineTypesReply answers a CloudListMachineTypes.
 type ListMachineTypesReply struct {
 	Outcome Outcome
 	Types   []cluster.MachineType
 }
 
-// ScaleOutReply answers a CloudScaleOut. Outcome NotFound means that the cloud
-// has no capacity of that kind.
+// ScaleOutReply answers a CloudScaleOut. The outcome is NotFound if the cloud is out of
+// capacity for the requested machine type, zone and purchase option.
 type ScaleOutReply struct {
 	Outcome Outcome
 	IDs     []cluster.MachineID
@@ -48,9 +50,9 @@
 // ScaleInReply answers a CloudScaleIn.
 type ScaleInReply struct{ Outcome Outcome }
 
-// CloudListReply answers a CloudList.
+// ListMachinesReply answers a CloudListMachines.
 type ListMachinesReply struct {
 	Outcome Outcome
 	Items   []cluster.ListedMachine
-	More    bool // another page follows
+	More    bool // whether there is another page
 }
--- a/internal/messages/doc.go
+++ b/internal/messages/doc.go
@@ -1,6 +1,6 @@
-// Package messages holds the messages that pass between the controller's state
-// machine and its I/O actors: the events that happen to a controller, the
-// effects that it wants carried out, and the typed replies to those effects. It
-// also holds the messages that controllers send to each other. It imports
-// neither the state machine nor any actor, so that both can import it.
+// Package messages defines the messages between the controller's state machine and the
+// clients and servers that perform its I/O: the events that the state machine processes,
+// the effects that it requests, and the typed replies to those effects. It also defines
+// the messages that controllers exchange. It imports neither side, so that both can
+// import it.
 package messages
--- a/internal/messages/effects.go
+++ b/internal/messages/effects.go
@@ -1,7 +1,8 @@
 package messages
 
-// Effect is anything that a controller wants done. The engine hands each effect
-// to the actor that carries it out.
+// Effect is an operation that the controller's state machine requests: a call to another
+// process, a response to a request, or a log line. The engine executes it or passes it to
+// the client that does.
 type Effect interface{ isEffect() }
 
 func (StoreTxn) isEffect()              {}
--- a/internal/messages/events.go
+++ b/internal/messages/events.go
@@ -4,59 +4,59 @@
 	"stairrelay/internal/cluster"
 )
 
-// Event is anything that happens to a controller. The state machine takes one
-// event at a time.
+// Event is an input of the controller's state machine, which processes one event at a
+// time.
 type Event interface{ isEvent() }
 
-// Tick says that the time which the state machine asked to be woken at has come.
+// Tick reports that the time returned by the state machine as its next wake-up has come.
 type Tick struct{}
 
-// Submit is a user's submission. Rejection and Reason are set when its body is
-// invalid but names a job's id: if that job is known already, the submission is
-// an idempotent retry and is answered like the first one.
+// Submit is a user's submission of a job. If the body is invalid but has a job id,
+// Rejection and Reason are set: if a job with that id exists, the submission is an
+// idempotent retry and gets the same answer as the original submission.
 type Submit struct {
 	Request   RequestID
 	Spec      cluster.JobSpec
-	Rejection ReplyStatus // ReplyBadRequest for an invalid body, else ReplyNone
-	Reason    string      // what is wrong with the body
+	Rejection ReplyStatus // ReplyBadRequest if the body is invalid, ReplyNone otherwise
+	Reason    string      // why the body is invalid
 }
 
-// Query asks for a job's state.
+// Query is a user's request for the state of a job.
 type Query struct {
 	Request RequestID
 	ID      cluster.JobID
 }
 
-// Cancel asks for a job to be cancelled.
+// Cancel is a user's request to cancel a job.
 type Cancel struct {
 	Request RequestID
 	ID      cluster.JobID
 }
 
-// Health asks whether this controller can serve requests.
+// Health is a health check, which asks whether this controller can serve requests.
 type Health struct{ Request RequestID }
 
-// Heartbeat is a worker's heartbeat with its status.
+// Heartbeat is a worker's heartbeat, which contains its status.
 type Heartbeat struct {
 	Request RequestID
 	Status  cluster.HeartbeatStatus
 }
 
-// PeerRequest is another controller's message, which waits for an answer.
+// PeerRequest is a message from another controller, which waits for an answer.
 type PeerRequest struct {
 	Request RequestID
 	Message PeerMessage
 }
 
-// ProcessLoad says how busy the process is. The engine sends it about once a
-// second while the process is busy enough to matter.
+// ProcessLoad is a measurement of the load on the process. The engine sends about one per
+// second while the load is high, and one more when it no longer is.
 type ProcessLoad struct {
-	CPUUsage   float64      // share of the allowed processor time that was used
-	EventDelay cluster.Time // longest time that an event waited before it was taken
+	CPUUsage   float64      // fraction of the process's CPU quota that was used
+	EventDelay cluster.Time // longest time between an event's arrival and its processing
 }
 
-// Reply answers an outgoing call. Body is the reply type of that call, such as
-// a TxnReply for a StoreTxn.
+// Reply is the reply to an outgoing call. The type of Body depends on the call: it is a
+// TxnReply for a StoreTxn, for example.
 type Reply struct {
 	Call CallID
 	Body ReplyBody
--- a/internal/messages/ids.go
+++ b/internal/messages/ids.go
@@ -1,7 +1,7 @@
 package messages
 
-// RequestID names an incoming request until a Respond effect answers it.
+// RequestID identifies an incoming request until a Respond effect answers it.
 type RequestID uint64
 
-// CallID names an outgoing call until a Reply event answers it.
+// CallID identifies an outgoing call until a Reply event answers it.
 type CallID uint64
--- a/internal/messages/log.go
+++ b/internal/messages/log.go
@@ -3,15 +3,15 @@
 // LogLevel is the severity of a log line.
 type LogLevel string
 
-// The severities of log lines, least severe first.
+// The log levels, in order of increasing severity.
 const (
 	LogDebug LogLevel = "debug"
 	LogInfo  LogLevel = "info"
 	LogError LogLevel = "error"
 )
 
-// Log is a log line for the operators. Message is constant for each kind of
-// line; Args holds its keys and values in turn, as log/slog takes them.
+// Log writes a log line. Message is a constant text for each kind of line. Args holds
+// alternating keys and values, as in log/slog.
 type Log struct {
 	Level   LogLevel
 	Message string
--- a/internal/messages/messages_test.go
+++ b/internal/messages/messages_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// TestEventsAndEffects checks that every type that is declared as an event or an
-// effect is in the table, and is one of them only: an effect that is handed to
-// the state machine as an event has to fail to compile.
+// TestEventsAndEffects checks that the tables list every event and effect type, and that
+// no event is also an effect: passing an effect to the state machine as an event must not
+// compile.
 func TestEventsAndEffects(t *testing.T) {
 	events := []Event{
 		Tick{}, Submit{}, Query{}, Cancel{}, Health{}, Heartbeat{}, PeerRequest{}, ProcessLoad{}, Reply{},
@@ -25,7 +25,7 @@
 	}
 	for _, event := range events {
 		if _, isEffect := event.(Effect); isEffect {
-			t.Errorf("event %T is an effect as well", event)
+			t.Errorf("event %T is also an effect", event)
 		}
 	}
 	declared := markedTypes(t)
@@ -37,7 +37,7 @@
 	}
 }
 
-// typeNames returns the names of the values' types in order.
+// typeNames returns the sorted type names of the values.
 func typeNames[T any](values []T) []string {
 	var names []string
 	for _, value := range values {
@@ -47,8 +47,8 @@
 	return names
 }
 
-// markedTypes returns the types that the package's sources give a marker method,
-// by the method's name.
+// markedTypes returns the sorted names of the package's types that have a method, by the
+// method's name.
 func markedTypes(t *testing.T) map[string][]string {
 	t.Helper()
 	sources, err := filepath.Glob("*.go")
@@ -73,7 +73,7 @@
 	return marked
 }
 
-// receiverName returns the name of the type that a method belongs to.
+// receiverName returns the name of a method's receiver type.
 func receiverName(method *ast.FuncDecl) string {
 	receiver := method.Recv.List[0].Type
 	if pointer, ok := receiver.(*ast.StarExpr); ok {
--- a/internal/messages/outcome.go
+++ b/internal/messages/outcome.go
@@ -1,18 +1,18 @@
 package messages
 
-// Outcome is the result of an outgoing call. Callers have to tell apart calls
-// that were certainly not carried out, which may be sent again, and calls that
-// may have been, whose result has to be read back first.
+// Outcome is the result of an outgoing call. It distinguishes calls that were definitely
+// not executed, which can be retried, from calls that may have been executed, whose effect
+// must be read back before a retry.
 type Outcome int
 
-// The outcomes of calls.
+// The outcomes of outgoing calls.
 const (
-	OK             Outcome = iota // the call was carried out
-	Conflict                      // a compare failed, nothing was carried out
-	NotApplied                    // the call was certainly not carried out and may be sent again
-	UnknownOutcome                // the call may have been carried out, or may yet be
-	NotFound                      // what was asked for does not exist
-	Compacted                     // the store no longer keeps changes as old as the revision asked for
-	Throttled                     // the request limit was exceeded, the call was not carried out
-	Invalid                       // the other side refused the request as malformed
+	OK             Outcome = iota // the call was executed
+	Conflict                      // a precondition of the call failed, so nothing was executed
+	NotApplied                    // the call was definitely not executed and can be retried
+	UnknownOutcome                // the call may have been executed, or may still be executed later
+	NotFound                      // the requested object or capacity does not exist
+	Compacted                     // the changes since the requested revision can no longer be read
+	Throttled                     // the rate limit was exceeded, so the call was not executed
+	Invalid                       // the request was rejected as malformed
 )
--- a/internal/messages/peer.go
+++ b/internal/messages/peer.go
@@ -5,7 +5,7 @@
 	"stairrelay/internal/fairshare"
 )
 
-// PeerCall sends a message to another controller. A PeerReply answers it.
+// PeerCall sends a message to another controller. It is answered by a PeerReply.
 type PeerCall struct {
 	Call    CallID
 	To      cluster.NodeID
@@ -19,61 +19,62 @@
 	Message PeerMessage
 }
 
-// PeerMessage is what controllers send to each other. A call sets one of Ping,
-// Notice, Query, Cancel and Submission; an answer sets Ping, Views, or Status
-// with RetryAfter and Reason.
+// PeerMessage is a message between controllers, either a request or its answer. A request
+// sets exactly one of Ping, Notice, Query, Cancel and Submission. An answer sets Ping,
+// Views, or Status with RetryAfter and Reason.
 //
-// Controllers of two releases work together during an upgrade, so the encoded
-// names of the fields, here and in the types below, must stay as they are.
+// Controllers of different releases exchange messages during an upgrade, so the encoded
+// field names of this type and of the types that it contains must not change.
 type PeerMessage struct {
 	Version    int                `cbor:"Version"`
 	From       cluster.NodeID     `cbor:"From"`
 	Ping       *Ping              `cbor:"Ping"`
 	Notice     *JobNotice         `cbor:"Tell"`
 	Query      *JobQuery          `cbor:"Ask"`
-	Views      []cluster.JobView  `cbor:"Views"` // answers Query
+	Views      []cluster.JobView  `cbor:"Views"` // the answer to Query
 	Cancel     cluster.JobID      `cbor:"Cancel"`
 	Submission *ProxiedSubmission `cbor:"Submit"`
 	Status     ReplyStatus        `cbor:"Status"`
-	RetryAfter int                `cbor:"After"` // seconds after which a refused submission may be sent again
-	Reason     string             `cbor:"Why"`   // why a submission was refused
+	RetryAfter int                `cbor:"After"` // seconds after which a rejected submission may be retried
+	Reason     string             `cbor:"Why"`   // why a submission was rejected
 }
 
-// ProxiedSubmission is a submission that its sender cannot store now and passes
-// on to another controller.
+// ProxiedSubmission is a submission that a controller forwards to another one because it
+// currently cannot store the job itself.
 type ProxiedSubmission struct {
 	ID   cluster.JobID   `cbor:"ID"`
 	Spec cluster.JobSpec `cbor:"Spec"`
 }
 
-// Ping is both the call and the answer of failure detection.
+// Ping is the message of the failure detector, both as a request and as an answer. It also
+// carries the state that controllers share with each other.
 type Ping struct {
-	InstanceID string      `cbor:"Boot"`  // of the sender's process
-	Shards     []ShardTerm `cbor:"Parts"` // the shards that the sender owns
+	InstanceID string      `cbor:"Boot"`  // identifies the sender's process
+	Shards     []ShardTerm `cbor:"Parts"` // shards that the sender owns
 
 	StoreReachable   bool `cbor:"StoreOK"`
-	StoreFailing     bool `cbor:"StoreBad"` // the last request failed; StoreReachable becomes false if that lasts
+	StoreFailing     bool `cbor:"StoreBad"` // the last request failed; if failures persist, StoreReachable becomes false
 	WorkersReachable bool `cbor:"WorkersOK"`
 
-	MillisSinceContact map[cluster.NodeID]int64 `cbor:"Heard"`  // milliseconds since each other node last answered
-	FailbackOffers     []cluster.ShardID        `cbor:"Offer"`  // shards that their preferred owner may acquire again now
-	TransferOffers     []TransferOffer          `cbor:"Groups"` // idle machines that other shards may take
+	MillisSinceContact map[cluster.NodeID]int64 `cbor:"Heard"`  // milliseconds since each peer last answered the sender
+	FailbackOffers     []cluster.ShardID        `cbor:"Offer"`  // shards that their preferred owner may reacquire now
+	TransferOffers     []TransferOffer          `cbor:"Groups"` // groups with idle machines that other shards may take over
 
-	WriteDemand float64               `cbor:"Puts"`  // writes a second that the sender could use
-	CloudDemand float64               `cbor:"Cloud"` // cloud calls a second that the sender could use
+	WriteDemand float64               `cbor:"Puts"`  // writes per second that the sender could use
+	CloudDemand float64               `cbor:"Cloud"` // cloud calls per second that the sender could use
 	ShardLoads  []fairshare.ShardLoad `cbor:"Loads"`
 
-	FeatureLevel int            `cbor:"Level"` // of the sender's release; releases without job dependencies send none
-	KnownTerms   []cluster.Term `cbor:"Terms"` // the latest term that the sender knows of each shard
+	FeatureLevel int            `cbor:"Level"` // of the sender's release; 0 for releases without job dependencies
+	KnownTerms   []cluster.Term `cbor:"Terms"` // latest term of each shard that the sender knows, by shard
 }
 
-// ShardTerm says that the sender owns a shard, and under which term.
+// ShardTerm is a shard that the sender owns and the term of its ownership.
 type ShardTerm struct {
 	Shard cluster.ShardID `cbor:"Part"`
 	Term  cluster.Term    `cbor:"Term"`
 }
 
-// JobNotice passes on the records of jobs that have just been stored.
+// JobNotice notifies a controller of job records that have just been stored.
 type JobNotice struct {
 	Items []KV `cbor:"Keys"`
 }
@@ -83,8 +84,8 @@
 	IDs []cluster.JobID `cbor:"IDs"`
 }
 
-// TransferOffer offers a machine group with idle machines to another shard,
-// which takes it by a compare-and-swap on the group's record.
+// TransferOffer offers a machine group with idle machines to another shard. The recipient
+// takes it over by a compare-and-swap on the group's record.
 type TransferOffer struct {
 	Key         string              `cbor:"Key"`
 	ModRevision cluster.ModRevision `cbor:"Mark"`
@@ -92,7 +93,8 @@
 	Kinds       []MachineKindCount  `cbor:"Kinds"`
 }
 
-// MachineKindCount counts the machines of one type and zone, on-demand or spot.
+// MachineKindCount is the number of machines of one type in a zone, either spot or
+// on-demand.
 type MachineKindCount struct {
 	Type  string `cbor:"Type"`
 	Zone  string `cbor:"Zone"`
--- a/internal/messages/peer_encoding_test.go
+++ b/internal/messages/peer_encoding_test.go
@@ -10,11 +10,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// peerMessageFields lists the encoded field names of a message between
-// controllers as production sends them, by the field that holds them; "[]"
-// stands for the elements of a list, and "" for the message itself. During an upgrade both releases exchange
-// these messages: a field of another name would be dropped by its reader without
-// an error. A new release may add fields, and may never rename or remove one.
+// peerMessageFields holds the encoded field names of a PeerMessage, by path: "" is the
+// message itself, and "[]" the elements of a list. A release must not rename or remove a
+// field, because a controller of another release silently ignores unknown fields.
 var peerMessageFields = map[string][]string{
 	"": {
 		"After", "Ask", "Cancel", "From", "Ping", "Status", "Submit", "Tell", "Version", "Views", "Why",
@@ -26,7 +24,7 @@
 	},
 	"/Ping/Groups[]":         {"Key", "Kinds", "Mark", "To"},
 	"/Ping/Groups[]/Kinds[]": {"N", "Spot", "Type", "Zone"},
-	"/Ping/Heard":            {anyText}, // by node
+	"/Ping/Heard":            {anyText}, // map from node to milliseconds
 	"/Ping/Loads[]":          {"Coming", "Demand", "Have", "Part"},
 	"/Ping/Parts[]":          {"Part", "Term"},
 	"/Submit":                {"ID", "Spec"},
@@ -39,11 +37,11 @@
 	"/Views[]":       {"Done", "ID", "Running", "Status"},
 }
 
-// anyText is the value of every text in the message.
+// anyText is the value of all strings in the test message.
 const anyText = "any text"
 
-// TestPeerMessageFieldNames compares the fields of an encoded message in which
-// every field is set.
+// TestPeerMessageFieldNames checks that the encoded names of all fields stay as they are:
+// a renamed field would be lost between controllers of different releases.
 func TestPeerMessageFieldNames(t *testing.T) {
 	var message PeerMessage
 	setAllFields(t, reflect.ValueOf(&message).Elem())
@@ -64,15 +62,15 @@
 	}
 	for path := range peerMessageFields {
 		if fields[path] == nil {
-			t.Errorf("no field %q", path)
+			t.Errorf("missing field %q", path)
 		}
 	}
 }
 
-// setAllFields gives a value and all that it holds a value other than zero.
+// setAllFields sets a value to a non-zero value, including all nested fields and elements.
 func setAllFields(t *testing.T, value reflect.Value) {
 	t.Helper()
-	switch value.Kind() { //nolint:exhaustive // the default fails for the kinds that no message has
+	switch value.Kind() { //nolint:exhaustive // the default case reports kinds that no message contains
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Int, reflect.Int64:
@@ -104,12 +102,12 @@
 			setAllFields(t, value.Field(i))
 		}
 	default:
-		t.Fatalf("no value for a %v", value.Type())
+		t.Fatalf("unsupported type %v", value.Type())
 	}
 }
 
-// collectFields adds the sorted keys of each map in a decoded value to fields, by
-// the map's path.
+// collectFields adds the sorted keys of each map in a decoded value to fields, by the
+// path of the map.
 func collectFields(decoded any, path string, fields map[string][]string) {
 	switch decoded := decoded.(type) {
 	case map[any]any:
--- a/internal/messages/reply.go
+++ b/internal/messages/reply.go
@@ -1,7 +1,7 @@
 package messages
 
-// ReplyBody is what an outgoing call is answered with: one type for each kind of
-// call.
+// ReplyBody is the body of the reply to an outgoing call. Its type depends on the kind of
+// the call.
 type ReplyBody interface{ isReplyBody() }
 
 func (TxnReply) isReplyBody()              {}
--- a/internal/messages/respond.go
+++ b/internal/messages/respond.go
@@ -4,38 +4,38 @@
 	"stairrelay/internal/cluster"
 )
 
-// Respond answers an incoming request. At most one of View, Heartbeat and Peer
-// is set, by the kind of the request.
+// Respond answers an incoming request. At most one of View, Heartbeat and Peer is set,
+// depending on the kind of the request.
 type Respond struct {
 	Request    RequestID
 	Status     ReplyStatus
-	RetryAfter int                // seconds after which a refused request may be sent again; 0: not said
-	View       *cluster.JobView   // answers a user's request about a job
-	Heartbeat  *HeartbeatResponse // answers a worker's heartbeat
-	Peer       *PeerMessage       // answers another controller
-	Error      string             // why the request was refused
+	RetryAfter int                // seconds after which a rejected request may be retried, or 0 if unspecified
+	View       *cluster.JobView   // for a user's request about a job
+	Heartbeat  *HeartbeatResponse // for a worker's heartbeat
+	Peer       *PeerMessage       // for a message from another controller
+	Error      string             // why the request was rejected
 }
 
-// HeartbeatResponse is the answer to a worker's heartbeat.
+// HeartbeatResponse is the response to a worker's heartbeat.
 type HeartbeatResponse struct {
 	FencingToken cluster.FencingToken
 	Commands     []cluster.Command
-	RedirectTo   cluster.NodeID // with ReplyMisdirected: the controller that owns the worker
+	RedirectTo   cluster.NodeID // the controller that owns the worker; only with ReplyMisdirected, and empty if unknown
 }
 
-// ReplyStatus is the status of an answer. The values are those of the protocol's
-// HTTP statuses.
+// ReplyStatus is the status of the response to an incoming request. Its values are the
+// HTTP status codes of the protocol.
 type ReplyStatus int
 
-// The statuses of answers.
+// The response statuses.
 const (
-	ReplyNone            ReplyStatus = 0   // no answer
-	ReplyOK              ReplyStatus = 200 // carried out
-	ReplyCreated         ReplyStatus = 201 // a new job was admitted
+	ReplyNone            ReplyStatus = 0   // no status
+	ReplyOK              ReplyStatus = 200 // the request was executed
+	ReplyCreated         ReplyStatus = 201 // a new job was accepted
 	ReplyBadRequest      ReplyStatus = 400 // the request is invalid
-	ReplyJobNotFound     ReplyStatus = 404 // no such job
-	ReplyMisdirected     ReplyStatus = 421 // the worker has to send its heartbeats to another controller
+	ReplyJobNotFound     ReplyStatus = 404 // the job does not exist
+	ReplyMisdirected     ReplyStatus = 421 // the worker must send its heartbeats to another controller
 	ReplyUnschedulable   ReplyStatus = 422 // the job can never run
-	ReplyTooManyRequests ReplyStatus = 429 // the controller can take no more now
-	ReplyUnavailable     ReplyStatus = 503 // the answer is not known now
+	ReplyTooManyRequests ReplyStatus = 429 // the request exceeds a limit and may be retried later
+	ReplyUnavailable     ReplyStatus = 503 // the controller currently cannot answer
 )
--- a/internal/messages/store.go
+++ b/internal/messages/store.go
@@ -4,49 +4,50 @@
 	"stairrelay/internal/cluster"
 )
 
-// KV is a key of the state service with its value. The field names are part of
-// the messages between controllers.
+// KV is a key-value pair of the state service. It is part of messages between
+// controllers, so its encoded field names must not change.
 type KV struct {
 	Key         string              `cbor:"Key"`
 	Value       []byte              `cbor:"Value"`
 	ModRevision cluster.ModRevision `cbor:"Mark"`
 }
 
-// TxnOp sets a key, or deletes it when Value is nil.
+// TxnOp puts a key, or deletes it if Value is nil.
 type TxnOp struct {
 	Key   string
 	Value []byte
 }
 
-// Compare holds if a key's mod revision is still the given one; mod revision 0
-// demands that the key is absent.
+// Compare is a precondition of a transaction. It holds if the key has the given mod
+// revision, or does not exist if ModRevision is 0.
 type Compare struct {
 	Key         string
 	ModRevision cluster.ModRevision
 }
 
-// StoreTxn is a compare-and-swap on the state service: either all of Then is
-// applied or, when a compare of If fails, nothing. A TxnReply answers it.
+// StoreTxn is a compare-and-swap transaction on the state service. All operations of Then
+// are applied atomically if every compare of If holds; otherwise none is. It is answered
+// by a TxnReply.
 type StoreTxn struct {
 	Call CallID
 	If   []Compare
 	Then []TxnOp
 }
 
-// StoreGet reads a key. A GetReply answers it.
+// StoreGet reads a key. It is answered by a GetReply.
 type StoreGet struct {
 	Call CallID
 	Key  string
 }
 
-// StoreList reads all keys with a prefix. A ListReply answers it.
+// StoreList reads all keys with a prefix. It is answered by a ListReply.
 type StoreList struct {
 	Call   CallID
 	Prefix string
 }
 
-// StoreWatch waits for changes of the keys with a prefix after a revision. A
-// WatchReply answers it, without items when nothing changed until the timeout.
+// StoreWatch waits until keys with a prefix have changed after a revision, or until the
+// timeout. It is answered by a WatchReply, which has no items after a timeout.
 type StoreWatch struct {
 	Call          CallID
 	Prefix        string
@@ -58,7 +59,7 @@
 type TxnReply struct {
 	Outcome    Outcome
 	Revision   cluster.Revision
-	FailedKeys []string // with Conflict: the keys whose compare failed
+	FailedKeys []string // keys whose compare failed; only with Conflict
 }
 
 // GetReply answers a StoreGet.
@@ -67,17 +68,16 @@
 	KV      KV
 }
 
-// ListReply answers a StoreList. A list of several pages is no snapshot: keys
-// that were changed while it was read may be missing, and a watch from Revision
-// shows them.
+// ListReply answers a StoreList. A paginated list is not a consistent snapshot: keys that
+// change while it is read may be missing. A watch from Revision returns these changes.
 type ListReply struct {
 	Outcome   Outcome
 	Items     []KV
-	Revision  cluster.Revision // as of the first page
-	Paginated bool             // the list took more than one page
+	Revision  cluster.Revision // revision of the first page
+	Paginated bool             // whether the list was read in more than one page
 }
 
-// WatchReply answers a StoreWatch. An item with a nil value is a deleted key.
+// WatchReply answers a StoreWatch. An item with a nil value is a deletion of the key.
 type WatchReply struct {
 	Outcome  Outcome
 	Items    []KV
--- a/internal/messages/worker.go
+++ b/internal/messages/worker.go
@@ -4,8 +4,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// PushCommands sends commands to a worker without waiting for its next
-// heartbeat. A PushCommandsReply answers it.
+// PushCommands sends commands to a worker without waiting for its next heartbeat. It is
+// answered by a WorkerReply.
 type PushCommands struct {
 	Call         CallID
 	Addr         string
@@ -14,15 +14,15 @@
 	Commands     []cluster.Command
 }
 
-// QueryWorkerStatus asks a worker for its status, which changes nothing there. A
-// PushCommandsReply answers it.
+// QueryWorkerStatus reads the status of a worker without side effects. It is answered by a
+// WorkerReply.
 type QueryWorkerStatus struct {
 	Call CallID
 	Addr string
 }
 
-// PushCommandsReply answers a PushCommands or a QueryWorkerStatus.
+// WorkerReply answers a PushCommands or a QueryWorkerStatus.
 type WorkerReply struct {
 	Outcome Outcome
-	Status  cluster.HeartbeatStatus // set with OK and Conflict
+	Status  cluster.HeartbeatStatus // set if the outcome is OK or Conflict
 }
