--- a/cmd/stairrelay/command.go
+++ b/cmd/stairrelay/command.go
@@ -9,32 +9,32 @@
 	"stairrelay/internal/settings"
 )
 
-// version is the release of the program.
+// version is the version of this release.
 const version = "0.1.0"
 
-// operatorsEnv is the environment variable that names the operators' settings file: the
-// platform determines the command line.
+// operatorsEnv is the environment variable for the path of the operators' settings file.
+// Operators can set it where the platform controls the command line.
 const operatorsEnv = "STAIRRELAY_OPERATORS"
 
-// settingsError marks an error of the settings, for the exit status.
+// settingsError marks an error in the settings, which has its own exit status.
 type settingsError struct{ err error }
 
-// Error returns the text of the error that it marks.
+// Error returns the text of the underlying error.
 func (e *settingsError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error that it marks.
+// Unwrap returns the underlying error.
 func (e *settingsError) Unwrap() error { return e.err }
 
-// errNoConfig is the error of a command line without a settings file.
+// errNoConfig is the error for a command line without a settings file.
 var errNoConfig = errors.New("--config: missing; see --help")
 
-// options are the values of the command line's flags.
+// options holds the values of the command-line flags.
 type options struct {
 	configPath    string
 	operatorsPath string
 }
 
-// newCommand returns the program's command with its subcommands.
+// newCommand returns the root command with its subcommands.
 func newCommand() *cobra.Command {
 	var opts options
 	root := &cobra.Command{
@@ -51,7 +51,7 @@
 		"the operators' settings file (JSON); also "+operatorsEnv)
 	root.AddCommand(&cobra.Command{
 		Use:   "check-config FILE",
-		Short: "Check the settings and open nothing",
+		Short: "Check the settings without starting a controller",
 		Args:  cobra.ExactArgs(1),
 		RunE:  opts.checkConfig,
 	})
@@ -64,7 +64,7 @@
 	return root
 }
 
-// runController runs a controller with the settings that the flags name.
+// runController runs a controller with the settings files given by the flags.
 func (o *options) runController(command *cobra.Command, _ []string) error {
 	if o.configPath == "" {
 		return &settingsError{errNoConfig}
@@ -76,21 +76,21 @@
 	return runController(command.Context(), loaded)
 }
 
-// checkConfig loads the settings and prints their warnings.
+// checkConfig validates the settings and prints warnings about them.
 func (o *options) checkConfig(command *cobra.Command, arguments []string) error {
 	loaded, err := o.loadSettings(arguments[0])
 	if err != nil {
 		return err
 	}
 	for _, warning := range loaded.Warnings {
-		command.PrintErrln("odd:", warning)
+		command.PrintErrln("warning:", warning)
 	}
 	command.Println("ok")
 	return nil
 }
 
-// loadSettings loads a settings file together with the operators' file. Its errors are
-// settingsErrors.
+// loadSettings loads a settings file together with the operators' file. Any error is a
+// settingsError.
 func (o *options) loadSettings(configPath string) (*settings.Settings, error) {
 	loaded, err := settings.Load(configPath, o.operatorsPath)
 	if err != nil {
--- a/cmd/stairrelay/controller.go
+++ b/cmd/stairrelay/controller.go
@@ -16,15 +16,15 @@
 	"stairrelay/internal/workers"
 )
 
-// A connection without a request is closed after idleHeartbeats heartbeat intervals, but
-// not before minIdleTimeout.
+// An idle connection is closed after idleHeartbeatIntervals heartbeat intervals, or after
+// minIdleTimeout if that is longer.
 const (
-	idleHeartbeats = 4
-	minIdleTimeout = 15 * time.Second
+	idleHeartbeatIntervals = 4
+	minIdleTimeout         = 15 * time.Second
 )
 
-// runController runs a controller until one of its servers fails or ctx ends. It returns
-// the server's error, or that of ctx.
+// runController runs a controller until one of its servers fails or ctx ends, and returns
+// the error of the server or of ctx.
 func runController(ctx context.Context, config *settings.Settings) error {
 	limitResources(config)
 	log := newLogger()
@@ -59,7 +59,7 @@
 	}
 }
 
-// newExecutors returns the clients of the services, workers and other controllers.
+// newExecutors creates the clients that execute the controller's effects.
 func newExecutors(config *settings.Settings, budget sockets.Budget, reply engine.ReplyFunc) engine.Executors {
 	return engine.Executors{
 		Store:   store.New(config.StoreAddress, reply).Do,
@@ -69,14 +69,15 @@
 	}
 }
 
-// controllerServers are the servers of a controller: one for users and workers, and one
+// controllerServers holds the servers of a controller: one for users and workers, and one
 // for the other controllers.
 type controllerServers struct {
 	public *server
 	peers  *server
 }
 
-// newServers listens on both addresses. After an error it listens on none.
+// newServers creates the servers and opens both of their ports. If it returns an error, no
+// port is left open.
 func newServers(
 	ctx context.Context,
 	config *settings.Settings,
@@ -84,11 +85,11 @@
 	budget sockets.Budget,
 	log *slog.Logger,
 ) (*controllerServers, error) {
-	idleTimeout := max(idleHeartbeats*time.Duration(config.Controller.HeartbeatInterval), minIdleTimeout)
+	idleTimeout := max(idleHeartbeatIntervals*time.Duration(config.Controller.HeartbeatInterval), minIdleTimeout)
 	publicLimiter := sockets.NewConnectionLimiter(budget.Inbound)
 	workerHandler := publicLimiter.WorkerMiddleware(workers.Handler(eng, log))
 	publicHandler := users.Handler(eng, publicLimiter.UserMiddleware, workerHandler)
-	peerLimiter := sockets.NewConnectionLimiter(0) // peers are few; the budget has room for them
+	peerLimiter := sockets.NewConnectionLimiter(0) // no limit, since sockets for the few peers are reserved
 	peerHandler := peers.Handler(eng, log)
 
 	public, err := listen(ctx, "listen", config.ListenAddress, publicLimiter.NewServer(publicHandler, idleTimeout))
@@ -102,18 +103,18 @@
 	return &controllerServers{public: public, peers: peerServer}, nil
 }
 
-// start serves both addresses and returns a channel with the error of each server that
-// ends.
+// start starts both servers and returns a channel that receives the error of each server
+// when it ends.
 func (s *controllerServers) start(log *slog.Logger) <-chan error {
 	all := []*server{s.public, s.peers}
-	failed := make(chan error, len(all)) // neither waits for a reader
+	failed := make(chan error, len(all)) // buffered so that no goroutine blocks without a reader
 	for _, server := range all {
 		go func() { failed <- server.serve(log) }()
 	}
 	return failed
 }
 
-// close stops both servers at once. Their errors no longer matter.
+// close stops both servers immediately and ignores their errors.
 func (s *controllerServers) close() {
 	_ = s.public.http.Close()
 	_ = s.peers.http.Close()
--- a/cmd/stairrelay/main.go
+++ b/cmd/stairrelay/main.go
@@ -1,6 +1,5 @@
-// Command stairrelay is a cluster scheduler. It runs one of several controllers that
-// divide the shards of the cluster among themselves and take over those of a controller
-// that fails.
+// Command stairrelay runs a controller of a cluster scheduler. The shards of the cluster
+// are divided among several controllers; if one fails, the others take over its shards.
 package main
 
 import (
@@ -11,19 +10,19 @@
 	"os"
 )
 
-// The exit statuses of the program.
+// The exit statuses.
 const (
 	exitSuccess  = 0
-	exitFailure  = 1 // the command line is wrong, or the controller failed
-	exitSettings = 2 // the settings are missing or wrong
+	exitFailure  = 1 // invalid command line, or the controller failed
+	exitSettings = 2 // missing or invalid settings
 )
 
 func main() {
 	os.Exit(execute(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// execute runs the command line and returns the exit status. An error is one line on
-// stderr.
+// execute runs a command line and returns the exit status. It prints an error as a single
+// line to stderr.
 func execute(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
 	command := newCommand()
 	command.SetArgs(arguments)
@@ -33,9 +32,9 @@
 	if err == nil {
 		return exitSuccess
 	}
-	_, _ = fmt.Fprintln(stderr, "stairrelay:", err) // where stderr is closed, the exit status has to do
-	var settingsProblem *settingsError
-	if errors.As(err, &settingsProblem) {
+	_, _ = fmt.Fprintln(stderr, "stairrelay:", err) // if stderr is closed, only the exit status reports the error
+	var settingsErr *settingsError
+	if errors.As(err, &settingsErr) {
 		return exitSettings
 	}
 	return exitFailure
--- a/cmd/stairrelay/main_test.go
+++ b/cmd/stairrelay/main_test.go
@@ -14,13 +14,13 @@
 	"time"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 10 * time.Second
+// testTimeout limits how long a test waits for an expected event.
+const testTimeout = 10 * time.Second
 
-// freeAddress has the system choose a port when a server listens on it.
+// freeAddress makes the system choose a free port for a listener.
 const freeAddress = "127.0.0.1:0"
 
-// settingsText returns a platform's file for a controller without peers.
+// settingsText returns a platform settings file for a controller without peers.
 func settingsText(listen, back string) string {
 	return fmt.Sprintf(`
 host_name = "n0"
@@ -49,10 +49,10 @@
 `, listen, back)
 }
 
-// validSettings is accepted without a warning.
+// validSettings is a settings file without errors or warnings.
 var validSettings = settingsText(freeAddress, freeAddress)
 
-// writeFile writes a file into a directory of its own and returns its path.
+// writeFile writes a file to a new directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -62,31 +62,31 @@
 	return path
 }
 
-// result is what a command line gave.
+// result is the result of a command line.
 type result struct {
 	status         int
 	stdout, stderr string
 }
 
-// run executes a command line, without an operators' file unless the line names one.
+// run executes a command line. There is no operators' file unless a flag names one.
 func run(t *testing.T, arguments ...string) result {
 	t.Helper()
 	t.Setenv(operatorsEnv, "")
 	return runInEnvironment(t, arguments...)
 }
 
-// runInEnvironment executes a command line with the present environment.
+// runInEnvironment executes a command line in the current environment.
 func runInEnvironment(t *testing.T, arguments ...string) result {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var stdout, stderr bytes.Buffer
 	status := execute(ctx, arguments, &stdout, &stderr)
 	return result{status, stdout.String(), stderr.String()}
 }
 
-// checkFailure checks the exit status, that nothing is on stdout, and that stderr is one line
-// of the program's which contains a text.
+// checkFailure checks the exit status, that stdout is empty, and that stderr is one line
+// that starts with the program's name and contains a text.
 func (r result) checkFailure(t *testing.T, status int, text string) {
 	t.Helper()
 	if r.status != status {
@@ -103,8 +103,8 @@
 	}
 }
 
-// keepProcessLimits restores the limits that a controller sets for its process.
-func keepProcessLimits(t *testing.T) {
+// restoreProcessLimits restores the runtime limits of the process when the test ends.
+func restoreProcessLimits(t *testing.T) {
 	t.Helper()
 	threads := runtime.GOMAXPROCS(0)
 	memory := debug.SetMemoryLimit(-1)
@@ -117,8 +117,8 @@
 	})
 }
 
-// occupy listens on a port until the test ends and returns its address.
-func occupy(t *testing.T) string {
+// occupyPort listens on a port until the test ends and returns its address.
+func occupyPort(t *testing.T) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", freeAddress)
 	if err != nil {
@@ -135,19 +135,18 @@
 	}
 }
 
-// TestWrongCommandLine checks that a command line which makes no sense gives exit status
-// 1 and one line.
-func TestWrongCommandLine(t *testing.T) {
+// TestInvalidCommandLine checks the exit status and the error for an invalid command line.
+func TestInvalidCommandLine(t *testing.T) {
 	for name, test := range map[string]struct {
 		arguments []string
 		want      string
 	}{
-		"unknown flag":       {[]string{"--bogus"}, "unknown flag: --bogus"},
-		"unknown command":    {[]string{"bogus"}, `unknown command "bogus"`},
-		"flag without value": {[]string{"--config"}, "flag needs an argument: --config"},
-		"no file to check":   {[]string{"check-config"}, "accepts 1 arg(s), received 0"},
-		"two files to check": {[]string{"check-config", "a", "b"}, "accepts 1 arg(s), received 2"},
-		"version of nothing": {[]string{"version", "x"}, `unknown command "x"`},
+		"unknown flag":          {[]string{"--bogus"}, "unknown flag: --bogus"},
+		"unknown command":       {[]string{"bogus"}, `unknown command "bogus"`},
+		"flag without value":    {[]string{"--config"}, "flag needs an argument: --config"},
+		"no file to check":      {[]string{"check-config"}, "accepts 1 arg(s), received 0"},
+		"two files to check":    {[]string{"check-config", "a", "b"}, "accepts 1 arg(s), received 2"},
+		"version with argument": {[]string{"version", "x"}, `unknown command "x"`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, test.arguments...).checkFailure(t, exitFailure, test.want)
@@ -155,8 +154,8 @@
 	}
 }
 
-// TestInvalidSettings checks that wrong settings give exit status 2 and one line that
-// names the field, both when they are checked and when a controller is started.
+// TestInvalidSettings checks that check-config and the start of a controller both fail with
+// exit status 2 and name the invalid field.
 func TestInvalidSettings(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none.toml")
 	for name, test := range map[string]struct {
@@ -176,8 +175,8 @@
 	})
 }
 
-// TestInvalidOperatorsSettings checks that the operators' file is checked with the
-// platform's, whether the flag or the environment names it.
+// TestInvalidOperatorsSettings checks that the operators' file is validated, whether it is
+// given by the flag or by the environment.
 func TestInvalidOperatorsSettings(t *testing.T) {
 	platform := writeFile(t, "s.toml", validSettings)
 	operators := writeFile(t, "o.json", `{"retries": "many"}`)
@@ -204,12 +203,12 @@
 		if got.status != exitSuccess || got.stdout != "ok\n" {
 			t.Errorf("%+v, want ok with exit status 0", got)
 		}
-		if !strings.HasPrefix(got.stderr, "odd: cluster.teams: red ") || strings.Count(got.stderr, "\n") != 1 {
+		if !strings.HasPrefix(got.stderr, "warning: cluster.teams: red ") || strings.Count(got.stderr, "\n") != 1 {
 			t.Errorf("standard error %q, want one line about the team", got.stderr)
 		}
 	})
 	t.Run("opens nothing", func(t *testing.T) {
-		address := occupy(t)
+		address := occupyPort(t)
 		got := run(t, "check-config", writeFile(t, "s.toml", settingsText(address, address)))
 		if got.status != exitSuccess {
 			t.Errorf("%+v, want ok although the ports are in use", got)
@@ -217,13 +216,13 @@
 	})
 }
 
-// TestPortInUse checks that a port that can't be opened is a failure of the controller,
-// which names the setting, and not one of the settings.
+// TestPortInUse checks that a port that can't be opened is reported as a failure of the
+// controller, not of the settings, and that the error names the setting.
 func TestPortInUse(t *testing.T) {
-	keepProcessLimits(t)
+	restoreProcessLimits(t)
 	for setting, text := range map[string]string{
-		"listen": settingsText(occupy(t), freeAddress),
-		"back":   settingsText(freeAddress, occupy(t)),
+		"listen": settingsText(occupyPort(t), freeAddress),
+		"back":   settingsText(freeAddress, occupyPort(t)),
 	} {
 		t.Run(setting, func(t *testing.T) {
 			path := writeFile(t, "s.toml", text)
@@ -232,10 +231,10 @@
 	}
 }
 
-// TestRunUntilStopped checks that a controller runs until its context ends and then
-// frees its ports.
-func TestRunUntilStopped(t *testing.T) {
-	keepProcessLimits(t)
+// TestRunUntilContextCanceled checks that a controller runs until its context ends and then
+// closes its ports.
+func TestRunUntilContextCanceled(t *testing.T) {
+	restoreProcessLimits(t)
 	t.Setenv(operatorsEnv, "")
 	t.Setenv(logLevelEnv, "error")
 	reserved, err := new(net.ListenConfig).Listen(t.Context(), "tcp", freeAddress)
@@ -258,8 +257,8 @@
 		if got != exitFailure {
 			t.Errorf("exit status %d, want %d", got, exitFailure)
 		}
-	case <-time.After(patience):
-		t.Fatal("the controller still runs")
+	case <-time.After(testTimeout):
+		t.Fatal("the controller is still running")
 	}
 	if conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", address); err == nil {
 		_ = conn.Close()
@@ -270,7 +269,7 @@
 // awaitConnection waits until a server accepts connections on an address.
 func awaitConnection(t *testing.T, address string) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", address)
 		if err == nil {
 			_ = conn.Close()
--- a/cmd/stairrelay/process.go
+++ b/cmd/stairrelay/process.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// logLevelEnv is the environment variable for the least level that is logged:
-	// error, info or debug. Info is the default.
+	// logLevelEnv is the environment variable for the minimum log level: error, info or
+	// debug. The default is info.
 	logLevelEnv = "LOG_LEVEL"
-	// gcPercent is the growth of the heap between two garbage collections.
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection.
 	gcPercent = 200
-	// heapLimitShare is the share of the process's memory that the garbage collector
-	// may let the Go runtime use; the rest is for what it does not count. Near this
-	// limit the collector runs all the time, so that a shortage costs processor time
-	// before it costs the process.
+	// heapLimitShare is the fraction of the process's memory limit that is set as the
+	// soft memory limit of the Go runtime. The rest is for memory that the runtime does
+	// not count. Near the soft limit, frequent garbage collections keep the process from
+	// being killed for lack of memory.
 	heapLimitShare = 0.75
 	bytesPerMB     = 1 << 20
-	// instanceIDBytes is the length of the id that distinguishes this process from
-	// others of the same controller.
+	// instanceIDBytes is the length of the random id that distinguishes this process
+	// from earlier ones of the same controller.
 	instanceIDBytes = 4
 )
 
-// limitResources keeps the process within its share of the machine. It may use only a
-// fraction of a processor core, so one thread at a time runs Go code.
+// limitResources configures the Go runtime for the resource limits of the process. The CPU
+// limit is a fraction of a core, so only one thread at a time executes Go code.
 func limitResources(config *settings.Settings) {
 	runtime.GOMAXPROCS(1)
 	if config.MemoryMB > 0 {
@@ -39,7 +39,7 @@
 	debug.SetGCPercent(gcPercent)
 }
 
-// newLogger returns the logger of the process, which writes to standard error.
+// newLogger returns a logger that writes to standard error.
 func newLogger() *slog.Logger {
 	level := slog.LevelInfo
 	switch os.Getenv(logLevelEnv) {
@@ -51,7 +51,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
 
-// newInstanceID returns a random id for this process.
+// newInstanceID returns a new random instance id.
 func newInstanceID() (string, error) {
 	var id [instanceIDBytes]byte
 	if _, err := rand.Read(id[:]); err != nil {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud carries out the controller's calls of the cloud.
+// Package cloud implements the controller's client of the cloud.
 package cloud
 
 import (
@@ -15,26 +15,27 @@
 const (
 	dialTimeout = time.Second
 	callTimeout = 4 * time.Second
-	// maxIdleConnections is the number of idle connections that are kept.
+	// maxIdleConnections limits the idle connections that are kept open.
 	maxIdleConnections = 2
-	// pageSize is the number of machines in a page of the machine list.
+	// pageSize is the maximum number of machines in a page of the machine list.
 	pageSize = 500
 )
 
-// Client carries out the controller's cloud effects.
+// Client executes the controller's effects on the cloud.
 type Client struct {
 	service *wire.JSONService
 	reply   engine.ReplyFunc
 }
 
-// New makes a Client of the cloud at an address.
+// New returns a Client of the cloud at the given address, which passes the replies to the
+// given function.
 func New(address string, reply engine.ReplyFunc) *Client {
 	options := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleConnections}
 	return &Client{service: wire.NewJSONService(address, options), reply: reply}
 }
 
-// Do starts a call; its reply follows. Only a time-out gives a call up, since the
-// controller waits for the reply to each effect.
+// Do starts a call and returns immediately. Calls have timeouts but are never canceled,
+// because the controller waits for the reply to each effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
 	switch effect := effect.(type) {
@@ -68,8 +69,8 @@
 	return messages.ListMachinesReply{Outcome: readOutcome(err), Items: page.Machines, More: page.More}
 }
 
-// readOutcome tells the outcome of a read. One that got no response with status 200 was
-// not applied, whatever the reason, as it would have changed nothing.
+// readOutcome returns the outcome of a read that ended with err. Reads have no side effects,
+// so a failed one is NotApplied and can be retried, unless its response can't be decoded.
 func readOutcome(err error) messages.Outcome {
 	if err == nil {
 		return messages.OK
@@ -94,14 +95,15 @@
 	return messages.ScaleOutReply{Outcome: wire.OutcomeOf(err), IDs: ids}
 }
 
-// isOutOfCapacity tells whether the cloud has no machine of the kind.
+// isOutOfCapacity reports whether a scale-out failed because the cloud has no capacity for
+// the requested machines.
 func isOutOfCapacity(err error) bool {
-	refused, ok := errors.AsType[*wire.StatusError](err)
-	return ok && refused.Status == http.StatusServiceUnavailable && wire.IsOutOfCapacity(refused.Body)
+	statusErr, ok := errors.AsType[*wire.StatusError](err)
+	return ok && statusErr.Status == http.StatusServiceUnavailable && wire.IsOutOfCapacity(statusErr.Body)
 }
 
-// scaleIn gives machines back. Whenever it fails its outcome is unknown: the machines may
-// be gone, or may yet be taken away.
+// scaleIn releases machines. The outcome of a failed call is always unknown, because the
+// machines may have been released or may still be released later.
 func (c *Client) scaleIn(ctx context.Context, scaleIn messages.CloudScaleIn) messages.ScaleInReply {
 	call := wire.Call{
 		Method:  http.MethodPost,
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -11,14 +11,14 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
-// execute carries out an effect against the server at an address and returns its reply.
+// execute executes an effect on the server at an address and returns the reply.
 func execute[T any](t *testing.T, address string, effect messages.Effect) T {
 	t.Helper()
 	return wiretest.Execute[T](t, func(reply engine.ReplyFunc) { New(address, reply).Do(effect) })
 }
 
 // TestListPages checks that each page of the machine list is requested after the last
-// machine of the one before, and says whether another follows.
+// machine of the previous page, and that the reply reports whether there is another.
 func TestListPages(t *testing.T) {
 	pages := map[string]string{
 		"":    `{"coaches":[{"id":"m-1"}],"truncated":true}`,
@@ -27,7 +27,7 @@
 	}
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/rentals" || r.URL.Query().Get("page") != "500" {
-			t.Errorf("requested %s", r.URL)
+			t.Errorf("unexpected request %s", r.URL)
 		}
 		_, _ = w.Write([]byte(pages[r.URL.Query().Get("since")]))
 	}
@@ -37,13 +37,13 @@
 	}{{"", "m-1", true}, {"m-1", "m-2", true}, {"m-2", "m-3", false}} {
 		reply := execute[messages.ListMachinesReply](t, wiretest.Serve(t, http.HandlerFunc(serve)), messages.CloudListMachines{After: page.after})
 		if reply.Outcome != messages.OK || len(reply.Items) != 1 || reply.Items[0].ID != page.want || reply.More != page.more {
-			t.Errorf("after %q: %+v", page.after, reply)
+			t.Errorf("page after %q: %+v", page.after, reply)
 		}
 	}
 }
 
-// TestOutcomes checks what each status means: a cloud without capacity is not a cloud in
-// an outage.
+// TestOutcomes checks the outcome of each status. In particular, a lack of capacity must not
+// be mistaken for an outage of the cloud.
 func TestOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		effect messages.Effect
--- a/internal/cloud/outcomes_test.go
+++ b/internal/cloud/outcomes_test.go
@@ -14,8 +14,9 @@
 	return New(address, reply).Do
 }
 
-// TestUndecodableResponses checks what each status means with a body that can't be read.
-// A scale-out or scale-in that may have been carried out never counts as not applied.
+// TestUndecodableResponses checks the outcome of each status with a body that can't be
+// decoded. A scale-out or scale-in that may have been executed must not be reported as not
+// applied.
 func TestUndecodableResponses(t *testing.T) {
 	const (
 		ok         = messages.OK
@@ -60,8 +61,8 @@
 	})
 }
 
-// TestNoResponse checks what a missing or an oversized response means: a read can be
-// repeated, while a scale-out or scale-in may have been carried out.
+// TestNoResponse checks the outcome of a missing or oversized response: a read can be
+// retried, while a scale-out or scale-in may have been executed.
 func TestNoResponse(t *testing.T) {
 	oversized := wiretest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, wire.MaxResponseSize+1))
--- a/internal/cloud/requests_test.go
+++ b/internal/cloud/requests_test.go
@@ -8,7 +8,7 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
-// TestRequests checks the requests that the cloud gets, byte for byte.
+// TestRequests checks that the requests to the cloud are unchanged byte for byte.
 func TestRequests(t *testing.T) {
 	scaleOut := messages.CloudScaleOut{Name: "n0-b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}
 	wiretest.CheckRequests(t, newExecutor, []wiretest.RequestTest{
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/messages"
 )
 
-// Executors carry out effects that need other processes. They must not block: they are
-// called by the goroutine that runs the controller. Replies are passed to
+// Executors start the calls to other processes that effects request. They must not block,
+// because they run on the goroutine of Engine.Run. They pass the reply to each call to
 // Engine.DeliverReply.
 type Executors struct {
 	Store   func(messages.Effect)
@@ -17,7 +17,7 @@
 	Peers   func(messages.PeerCall)
 }
 
-// execute carries out an effect or hands it to its executor.
+// execute executes an effect or passes it to its executor.
 func (e *Engine) execute(effect messages.Effect) {
 	switch effect := effect.(type) {
 	case messages.Respond:
@@ -35,8 +35,8 @@
 	}
 }
 
-// respond passes an answer to its requester. A request is answered once; a second answer
-// is dropped.
+// respond passes a response to the caller of Request. Only the first response to a request
+// is delivered; further ones are dropped.
 func (e *Engine) respond(answer messages.Respond) {
 	if response := e.pendingRequests[answer.Request]; response != nil {
 		response <- answer
@@ -44,11 +44,11 @@
 	}
 }
 
-// statsMessage is the message of the log line to which the engine adds the usage of the
-// process.
+// statsMessage is the message of the log line to which the engine appends the resource
+// usage of the process.
 const statsMessage = "stats"
 
-// writeLog writes a line of the controller to the log.
+// writeLog writes a log line of the controller.
 func (e *Engine) writeLog(line messages.Log) {
 	arguments := line.Args
 	if line.Message == statsMessage {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine runs a controller's state machine: one goroutine passes events to it,
-// one at a time, and hands its effects to those that carry them out.
+// Package engine runs a controller's state machine. A single goroutine passes events to
+// the state machine, one at a time, and dispatches the effects that it returns.
 package engine
 
 import (
@@ -12,43 +12,44 @@
 	"stairrelay/internal/messages"
 )
 
-// inboxSize is the number of events that may wait before their senders have to.
+// inboxSize is the number of queued events at which senders start to block.
 const inboxSize = 256
 
-// Requester passes a request to the controller and waits for the answer. It returns
-// false when the request's context ends first.
+// Requester passes a request to the controller and waits for the response. It returns
+// false if the request's context ends first.
 type Requester interface {
-	Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool)
+	Request(ctx context.Context, makeEvent func(messages.RequestID) messages.Event) (messages.Respond, bool)
 }
 
 // ReplyFunc passes the reply to an outgoing call to the controller.
 type ReplyFunc func(call messages.CallID, body messages.ReplyBody)
 
-// Engine runs the state machine of a controller. Request and DeliverReply may be called
-// from any goroutine; everything else belongs to the goroutine of Run.
+// Engine runs the state machine of a controller. Request and DeliverReply are safe for
+// concurrent use. All other state is owned by the goroutine that calls Run.
 type Engine struct {
 	controller      *controller.Controller
 	inbox           chan queuedEvent
 	stopped         chan struct{} // closed when Run returns
 	log             *slog.Logger
 	executors       Executors
-	startTime       time.Time // the zero of cluster.Time
+	startTime       time.Time // corresponds to cluster.Time 0
 	pendingRequests map[messages.RequestID]chan<- messages.Respond
 	lastRequestID   messages.RequestID
 	load            loadMeter
 	usage           usageMeter
 }
 
-// queuedEvent is an event that waits in the inbox. It is made when its number is known.
+// queuedEvent is an event in the inbox. The event itself is created when it is dequeued,
+// because only then is its request id known.
 type queuedEvent struct {
 	makeEvent  func(messages.RequestID) messages.Event
-	response   chan<- messages.Respond // nil: nobody waits for an answer
+	response   chan<- messages.Respond // nil if no response is expected
 	enqueuedAt time.Time
 }
 
-// New returns an engine with a new state machine. cpuShare is the share of a processor
-// core that the process may use; 0 means no limit. Run starts the engine.
-func New(config controller.Config, cpuShare float64, log *slog.Logger) *Engine {
+// New returns an engine with a new state machine. cpuQuota is the number of CPU cores that
+// the process may use, which may be a fraction; 0 means no limit. Run starts the engine.
+func New(config controller.Config, cpuQuota float64, log *slog.Logger) *Engine {
 	return &Engine{
 		controller:      controller.New(config),
 		inbox:           make(chan queuedEvent, inboxSize),
@@ -56,18 +57,18 @@
 		log:             log,
 		startTime:       time.Now(),
 		pendingRequests: map[messages.RequestID]chan<- messages.Respond{},
-		load:            loadMeter{cpuShare: cpuShare},
+		load:            loadMeter{cpuQuota: cpuQuota},
 	}
 }
 
-// Request passes a request to the controller and waits for the answer. It returns false
-// when ctx ends or the engine stops first.
-func (e *Engine) Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
-	// There is room for the answer, so that the engine never waits for a requester
-	// that has given up.
+// Request passes a request to the controller and waits for the response. It returns false
+// if ctx ends or the engine stops first.
+func (e *Engine) Request(ctx context.Context, makeEvent func(messages.RequestID) messages.Event) (messages.Respond, bool) {
+	// The channel is buffered so that the engine never blocks on a caller that is no
+	// longer waiting.
 	response := make(chan messages.Respond, 1)
 	select {
-	case e.inbox <- queuedEvent{makeEvent: event, response: response, enqueuedAt: time.Now()}:
+	case e.inbox <- queuedEvent{makeEvent: makeEvent, response: response, enqueuedAt: time.Now()}:
 	case <-ctx.Done():
 		return messages.Respond{}, false
 	case <-e.stopped:
@@ -83,8 +84,8 @@
 	}
 }
 
-// DeliverReply passes the reply to an outgoing call to the controller. It waits while
-// the inbox is full, and drops the reply once the engine has stopped.
+// DeliverReply passes the reply to an outgoing call to the controller. It blocks while the
+// inbox is full, and drops the reply if the engine has stopped.
 func (e *Engine) DeliverReply(call messages.CallID, body messages.ReplyBody) {
 	makeEvent := func(messages.RequestID) messages.Event { return messages.Reply{Call: call, Body: body} }
 	select {
@@ -93,8 +94,8 @@
 	}
 }
 
-// Run passes events to the controller and hands its effects to the executors until ctx
-// ends. It may be called once.
+// Run processes events and passes the resulting effects to the executors until ctx ends.
+// It must be called only once.
 func (e *Engine) Run(ctx context.Context, executors Executors) {
 	defer close(e.stopped)
 	e.executors = executors
@@ -107,10 +108,10 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			e.load.recordLag(time.Duration(e.now() - wakeAt))
+			e.load.recordDelay(time.Duration(e.now() - wakeAt))
 			e.step(messages.Tick{})
 		case queued := <-e.inbox:
-			e.load.recordLag(time.Since(queued.enqueuedAt))
+			e.load.recordDelay(time.Since(queued.enqueuedAt))
 			e.step(e.register(queued))
 		}
 		if load, shouldReport := e.load.measure(); shouldReport {
@@ -123,7 +124,8 @@
 	}
 }
 
-// register numbers an event and records who waits for its answer.
+// register assigns a request id to an event, creates the event and records the channel for
+// its response.
 func (e *Engine) register(queued queuedEvent) messages.Event {
 	e.lastRequestID++
 	if queued.response != nil {
@@ -132,7 +134,7 @@
 	return queued.makeEvent(e.lastRequestID)
 }
 
-// step passes an event to the controller and has its effects carried out.
+// step passes an event to the controller and executes the resulting effects.
 func (e *Engine) step(event messages.Event) {
 	e.usage.steps++
 	wallTime := cluster.WallTime(time.Now().UnixMilli())
@@ -141,5 +143,5 @@
 	}
 }
 
-// now returns the time since the engine was made.
+// now returns the time since the engine was created.
 func (e *Engine) now() cluster.Time { return cluster.Time(time.Since(e.startTime)) }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,11 +13,11 @@
 	"stairrelay/internal/messages"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 5 * time.Second
+// testTimeout limits how long a test waits for an expected event.
+const testTimeout = 5 * time.Second
 
-// cpuShare is the share of a processor core that the engines of the tests may use.
-const cpuShare = 0.1
+// cpuQuota is the CPU quota of the engines under test, in cores.
+const cpuQuota = 0.1
 
 // newEngine returns an engine for a controller without peers that logs to a buffer.
 func newEngine(t *testing.T) (*Engine, *bytes.Buffer) {
@@ -30,12 +30,12 @@
 		MaxTxnOps:     12,
 		Tuning:        controller.DefaultTuning(),
 	}
-	return New(config, cpuShare, slog.New(slog.NewTextHandler(&output, nil))), &output
+	return New(config, cpuQuota, slog.New(slog.NewTextHandler(&output, nil))), &output
 }
 
-// run runs an engine, all of whose executors do nothing, until the returned function is
-// called, which waits for its end.
-func run(t *testing.T, engine *Engine) (stop func()) {
+// startEngine runs an engine whose executors ignore all effects. The returned function
+// stops it and waits until Run has returned.
+func startEngine(t *testing.T, engine *Engine) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ignore := func(messages.Effect) {}
@@ -53,59 +53,60 @@
 	return stop
 }
 
-func health(id messages.RequestID) messages.Event { return messages.Health{Request: id} }
+func newHealthCheck(id messages.RequestID) messages.Event { return messages.Health{Request: id} }
 
 func TestRequestAnswered(t *testing.T) {
 	engine, _ := newEngine(t)
-	run(t, engine)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	startEngine(t, engine)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for want := messages.RequestID(1); want <= 2; want++ {
-		answer, ok := engine.Request(ctx, health)
+		answer, ok := engine.Request(ctx, newHealthCheck)
 		if !ok || answer.Request != want {
-			t.Errorf("answer %+v, %v; want one to request %d", answer, ok, want)
+			t.Errorf("answer %+v, %v; want an answer to request %d", answer, ok, want)
 		}
 	}
 }
 
-// TestRequestGivenUp checks that a requester whose context has ended does not wait.
-func TestRequestGivenUp(t *testing.T) {
+// TestRequestContextCanceled checks that Request returns if its context is canceled before
+// the engine answers.
+func TestRequestContextCanceled(t *testing.T) {
 	engine, _ := newEngine(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if answer, ok := engine.Request(ctx, health); ok {
-		t.Errorf("answered %+v by an engine that does not run", answer)
+	if answer, ok := engine.Request(ctx, newHealthCheck); ok {
+		t.Errorf("got %+v from an engine that is not running", answer)
 	}
 }
 
-// TestStopped checks that nobody waits for an engine that has stopped, however many
-// events are left in its inbox.
-func TestStopped(t *testing.T) {
+// TestStoppedEngine checks that calls to a stopped engine do not block, even if its inbox
+// is full.
+func TestStoppedEngine(t *testing.T) {
 	engine, _ := newEngine(t)
-	run(t, engine)()
+	startEngine(t, engine)()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for range 2 * inboxSize {
 			engine.DeliverReply(1, nil)
 		}
-		if answer, ok := engine.Request(context.Background(), health); ok {
-			t.Errorf("answered %+v by an engine that has stopped", answer)
+		if answer, ok := engine.Request(context.Background(), newHealthCheck); ok {
+			t.Errorf("got %+v from a stopped engine", answer)
 		}
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Fatal("callers wait for an engine that has stopped")
+	case <-time.After(testTimeout):
+		t.Fatal("calls to a stopped engine block")
 	}
 }
 
-// TestRespondOnce checks that a second answer to a request is dropped: its requester
-// reads only one, and the engine must not wait for it.
+// TestRespondOnce checks that a second response to a request is dropped, since sending it
+// would block the engine.
 func TestRespondOnce(t *testing.T) {
 	engine, _ := newEngine(t)
 	response := make(chan messages.Respond, 1)
-	engine.register(queuedEvent{makeEvent: health, response: response})
+	engine.register(queuedEvent{makeEvent: newHealthCheck, response: response})
 	engine.respond(messages.Respond{Request: 1, RetryAfter: 1})
 	engine.respond(messages.Respond{Request: 1, RetryAfter: 2})
 	if answer := <-response; answer.RetryAfter != 1 {
@@ -116,8 +117,8 @@
 	}
 }
 
-// TestLogLines checks the level of the controller's lines, and that the usage of the
-// process is added to the stats line only.
+// TestLogLines checks the level of log lines, and that resource usage is appended to the
+// stats line only.
 func TestLogLines(t *testing.T) {
 	for _, test := range []struct {
 		line         messages.Log
@@ -136,7 +137,7 @@
 			}
 		}
 		if test.withoutUsage && strings.Contains(output.String(), "cpu_ms=") {
-			t.Errorf("line %q contains the usage", output)
+			t.Errorf("line %q contains resource usage", output)
 		}
 	}
 }
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// measureInterval is the time over which the load of the process is measured.
+	// measureInterval is the length of the window over which the load is measured.
 	measureInterval = time.Second
-	// busyThreshold, a share of the processor time that the process may use, and
-	// lagThreshold are the values above which the load is reported to the controller.
-	busyThreshold = 0.5
-	lagThreshold  = 100 * time.Millisecond
+	// The load is reported to the controller if the CPU usage, as a fraction of the
+	// quota, or the delay of an event exceeds its threshold.
+	cpuUsageThreshold   = 0.5
+	eventDelayThreshold = 100 * time.Millisecond
 )
 
-// loadMeter measures how busy the process is.
+// loadMeter measures the load on the process.
 type loadMeter struct {
-	cpuShare       float64       // share of a processor core that the process may use; 0: no limit
-	windowStart    time.Time     // beginning of the present measurement
-	windowStartCPU time.Duration // processor time of the process at that moment
-	worstLag       time.Duration // the worst since then
-	reportedBusy   bool          // the last load that was reported is above a threshold
-	peakBusy       float64       // since the last stats line
-	peakLag        time.Duration // since the last stats line
+	cpuQuota       float64       // CPU cores that the process may use; 0 means no limit
+	windowStart    time.Time     // start of the current window
+	windowStartCPU time.Duration // CPU time of the process at windowStart
+	maxEventDelay  time.Duration // maximum since windowStart
+	reportedHigh   bool          // whether the last measured load exceeded a threshold
+	peakCPUUsage   float64       // maximum since the last stats line
+	peakEventDelay time.Duration // maximum since the last stats line
 }
 
-// recordLag records how late an event was processed.
-func (m *loadMeter) recordLag(lag time.Duration) { m.worstLag = max(m.worstLag, lag) }
+// recordDelay records the time between an event's arrival and its processing.
+func (m *loadMeter) recordDelay(delay time.Duration) { m.maxEventDelay = max(m.maxEventDelay, delay) }
 
-// measure returns the load once per measureInterval, and whether it should be reported
-// to the controller: while the process is busy, and once when it no longer is.
+// measure returns the load of the current window once the window has ended, and reports
+// whether to send it to the controller. That is the case while the load is high, and once
+// more after it has dropped. Within a window, measure returns false.
 func (m *loadMeter) measure() (load messages.ProcessLoad, shouldReport bool) {
 	now := time.Now()
 	elapsed := now.Sub(m.windowStart)
@@ -42,22 +43,22 @@
 	if err != nil {
 		return messages.ProcessLoad{}, false
 	}
-	load = messages.ProcessLoad{EventDelay: cluster.Time(m.worstLag)}
-	if m.cpuShare > 0 {
+	load = messages.ProcessLoad{EventDelay: cluster.Time(m.maxEventDelay)}
+	if m.cpuQuota > 0 {
 		used := cpuTime - m.windowStartCPU
-		load.CPUUsage = used.Seconds() / elapsed.Seconds() / m.cpuShare
+		load.CPUUsage = used.Seconds() / elapsed.Seconds() / m.cpuQuota
 	}
-	m.peakBusy = max(m.peakBusy, load.CPUUsage)
-	m.peakLag = max(m.peakLag, m.worstLag)
-	m.windowStart, m.windowStartCPU, m.worstLag = now, cpuTime, 0
-	wasBusy := m.reportedBusy
-	m.reportedBusy = load.CPUUsage > busyThreshold || load.EventDelay > cluster.Time(lagThreshold)
-	return load, wasBusy || m.reportedBusy
+	m.peakCPUUsage = max(m.peakCPUUsage, load.CPUUsage)
+	m.peakEventDelay = max(m.peakEventDelay, m.maxEventDelay)
+	m.windowStart, m.windowStartCPU, m.maxEventDelay = now, cpuTime, 0
+	wasHigh := m.reportedHigh
+	m.reportedHigh = load.CPUUsage > cpuUsageThreshold || load.EventDelay > cluster.Time(eventDelayThreshold)
+	return load, wasHigh || m.reportedHigh
 }
 
-// takePeaks returns the largest values since the last call.
-func (m *loadMeter) takePeaks() (busy float64, lag time.Duration) {
-	busy, lag = m.peakBusy, m.peakLag
-	m.peakBusy, m.peakLag = 0, 0
-	return busy, lag
+// takePeaks returns the maximum CPU usage and event delay since the last call.
+func (m *loadMeter) takePeaks() (cpuUsage float64, eventDelay time.Duration) {
+	cpuUsage, eventDelay = m.peakCPUUsage, m.peakEventDelay
+	m.peakCPUUsage, m.peakEventDelay = 0, 0
+	return cpuUsage, eventDelay
 }
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -7,16 +7,16 @@
 	"stairrelay/internal/cluster"
 )
 
-// newLoadMeter returns the meter of an engine.
+// newLoadMeter returns the load meter of a new engine.
 func newLoadMeter(t *testing.T) *loadMeter {
 	t.Helper()
 	engine, _ := newEngine(t)
 	return &engine.load
 }
 
-// endWindow sets the present measurement back by two seconds, in which the process used
-// a processor time and events were late.
-func endWindow(t *testing.T, meter *loadMeter, used, lag time.Duration) {
+// backdateWindow makes the current window two seconds old, with the given CPU time and
+// maximum event delay.
+func backdateWindow(t *testing.T, meter *loadMeter, used, eventDelay time.Duration) {
 	t.Helper()
 	cpuTime, err := processCPUTime()
 	if err != nil {
@@ -24,46 +24,45 @@
 	}
 	meter.windowStart = time.Now().Add(-2 * time.Second)
 	meter.windowStartCPU = cpuTime - used
-	meter.worstLag = lag
+	meter.maxEventDelay = eventDelay
 }
 
-// TestLoadReported checks that the load is reported when the process is near its share
-// or late, and once when it no longer is; not more than once a second, and not while
-// there is little load.
-func TestLoadReported(t *testing.T) {
+// TestHighLoadReported checks that the load is reported only while the CPU usage or the
+// event delay is high, once more after it has dropped, and at most once per second.
+func TestHighLoadReported(t *testing.T) {
 	meter := newLoadMeter(t)
-	endWindow(t, meter, 0, 0)
+	backdateWindow(t, meter, 0, 0)
 	if load, shouldReport := meter.measure(); shouldReport {
-		t.Errorf("little load is reported: %+v", load)
+		t.Errorf("low load was reported: %+v", load)
 	}
-	endWindow(t, meter, 190*time.Millisecond, 0) // 0.095 of a core of 0.1
+	backdateWindow(t, meter, 190*time.Millisecond, 0) // in 2s: 0.095 cores of a quota of 0.1
 	if load, shouldReport := meter.measure(); !shouldReport || load.CPUUsage < 0.9 || load.CPUUsage > 1.5 {
-		t.Errorf("near the share: %+v, reported %v", load, shouldReport)
+		t.Errorf("near the CPU quota: %+v, reported %v", load, shouldReport)
 	}
 	if _, shouldReport := meter.measure(); shouldReport {
-		t.Error("reported again within a second")
+		t.Error("load was reported twice within a second")
 	}
-	endWindow(t, meter, 0, 0)
+	backdateWindow(t, meter, 0, 0)
 	if load, shouldReport := meter.measure(); !shouldReport || load.CPUUsage > 0.5 {
-		t.Errorf("no longer busy: %+v, reported %v", load, shouldReport)
+		t.Errorf("load has dropped: %+v, reported %v", load, shouldReport)
 	}
-	endWindow(t, meter, 0, time.Second)
+	backdateWindow(t, meter, 0, time.Second)
 	if load, shouldReport := meter.measure(); !shouldReport || load.EventDelay != cluster.Time(time.Second) {
-		t.Errorf("a second late: %+v, reported %v", load, shouldReport)
+		t.Errorf("event delayed by a second: %+v, reported %v", load, shouldReport)
 	}
 }
 
-// TestPeaks checks that the largest values are kept until they are taken.
-func TestPeaks(t *testing.T) {
+// TestTakePeaks checks that peak values are kept until they are read, and then reset.
+func TestTakePeaks(t *testing.T) {
 	meter := newLoadMeter(t)
-	for _, lag := range []time.Duration{time.Second, 3 * time.Second, 2 * time.Second} {
-		endWindow(t, meter, 0, lag)
+	for _, eventDelay := range []time.Duration{time.Second, 3 * time.Second, 2 * time.Second} {
+		backdateWindow(t, meter, 0, eventDelay)
 		meter.measure()
 	}
-	if _, lag := meter.takePeaks(); lag != 3*time.Second {
-		t.Errorf("peak lag %v, want 3s", lag)
+	if _, eventDelay := meter.takePeaks(); eventDelay != 3*time.Second {
+		t.Errorf("peak event delay %v, want 3s", eventDelay)
 	}
-	if busy, lag := meter.takePeaks(); busy != 0 || lag != 0 {
-		t.Errorf("peaks %v and %v after they were taken, want 0", busy, lag)
+	if cpuUsage, eventDelay := meter.takePeaks(); cpuUsage != 0 || eventDelay != 0 {
+		t.Errorf("peaks %v and %v after a reset, want 0", cpuUsage, eventDelay)
 	}
 }
--- a/internal/engine/usage.go
+++ b/internal/engine/usage.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// memoryMetric is the name of the metric for all memory that the Go runtime has mapped,
-// in bytes.
+// memoryMetric is the runtime metric of all memory that the Go runtime has mapped, in bytes.
 const memoryMetric = "/memory/classes/total:bytes"
 
 const (
@@ -16,15 +15,14 @@
 	bytesPerKB = 1024
 )
 
-// usageMeter counts what the process uses between two stats lines, so that its use over
-// a day can be read from the log.
+// usageMeter tracks the resource usage of the process between stats log lines.
 type usageMeter struct {
-	lastCPUTime time.Duration // processor time at the last stats line
-	steps       int           // events since then
+	lastCPUTime time.Duration // CPU time at the last stats line
+	steps       int           // events since the last stats line
 }
 
-// sample returns the log arguments for the usage since the last sample; none when the
-// processor time is not known.
+// sample returns the usage since the last sample as arguments of a log line. The result is
+// nil if the CPU time cannot be read.
 func (u *usageMeter) sample(load *loadMeter) []any {
 	cpuTime, err := processCPUTime()
 	if err != nil {
@@ -32,28 +30,27 @@
 	}
 	used, steps := cpuTime-u.lastCPUTime, u.steps
 	u.lastCPUTime, u.steps = cpuTime, 0
-	peakBusy, peakLag := load.takePeaks()
+	peakCPUUsage, peakEventDelay := load.takePeaks()
 	return []any{
 		"cpu_ms", used.Milliseconds(),
 		"events", steps,
 		"cpu_us_per_event", used.Microseconds() / int64(max(steps, 1)),
-		"busiest_pct", int(peakBusy * percent),
-		"latest_ms", peakLag.Milliseconds(),
+		"busiest_pct", int(peakCPUUsage * percent),
+		"latest_ms", peakEventDelay.Milliseconds(),
 		"memory_kb", mappedMemory() / bytesPerKB,
 	}
 }
 
-// processCPUTime returns the processor time that the process has used, in user and
-// system mode.
+// processCPUTime returns the user and system CPU time of the process.
 func processCPUTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return 0, fmt.Errorf("reading the processor time: %w", err)
+		return 0, fmt.Errorf("reading CPU time: %w", err)
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// mappedMemory returns the bytes that the Go runtime has mapped.
+// mappedMemory returns the number of bytes that the Go runtime has mapped.
 func mappedMemory() uint64 {
 	sample := []metrics.Sample{{Name: memoryMetric}}
 	metrics.Read(sample)
--- a/internal/messages/messages_test.go
+++ b/internal/messages/messages_test.go
@@ -11,9 +11,8 @@
 	"testing"
 )
 
-// TestEventsAndEffects checks that the tables list every event and effect type, and that
-// no event is also an effect: passing an effect to the state machine as an event must not
-// compile.
+// TestEventsAndEffects checks that the lists of events and effects are complete and that no
+// event is also an effect, which the state machine would accept as input.
 func TestEventsAndEffects(t *testing.T) {
 	events := []Event{
 		Tick{}, Submit{}, Query{}, Cancel{}, Health{}, Heartbeat{}, PeerRequest{}, ProcessLoad{}, Reply{},
--- a/internal/peers/client_test.go
+++ b/internal/peers/client_test.go
@@ -19,7 +19,7 @@
 
 var ping = messages.PeerMessage{Version: 2, From: "n1", Ping: &messages.Ping{InstanceID: "b"}}
 
-// callPeer has a client send a message to a controller and returns its reply.
+// callPeer sends a message to a controller with a new client and returns the reply.
 func callPeer(t *testing.T, address string, message messages.PeerMessage) messages.PeerReply {
 	t.Helper()
 	addresses := map[cluster.NodeID]string{remote: address}
@@ -27,25 +27,25 @@
 	return wiretest.Execute[messages.PeerReply](t, func(reply engine.ReplyFunc) { New(addresses, reply).Do(call) })
 }
 
-// TestCall checks the request that another controller gets, and the message that it
-// answers with.
-func TestCall(t *testing.T) {
-	frame, err := Encode(ping)
+// TestCallPeer checks the request that is sent to another controller, and that its response
+// is decoded.
+func TestCallPeer(t *testing.T) {
+	data, err := Encode(ping)
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, requests := wiretest.ServeAndRecord(t, string(frame))
+	address, requests := wiretest.ServeAndRecord(t, string(data))
 	want := messages.PeerReply{Outcome: messages.OK, Message: ping}
 	if got := callPeer(t, address, ping); !reflect.DeepEqual(got, want) {
 		t.Errorf("reply %+v, want %+v", got, want)
 	}
-	wantRequest := wiretest.Request{Method: "POST", URI: "/peer", ContentType: "application/cbor", Body: string(frame)}
+	wantRequest := wiretest.Request{Method: "POST", URI: "/peer", ContentType: "application/cbor", Body: string(data)}
 	if got := <-requests; got != wantRequest {
 		t.Errorf("sent %+v, want %+v", got, wantRequest)
 	}
 }
 
-// TestFailedCalls checks that a message counts as not applied only if it was never sent.
+// TestFailedCalls checks that the outcome is NotApplied only if the message was not sent.
 func TestFailedCalls(t *testing.T) {
 	for name, address := range map[string]string{
 		"refused connection": wiretest.RefusingAddress(t),
@@ -65,20 +65,20 @@
 	}
 }
 
-// TestNoAnswer checks that a message which the controller does not answer is refused,
-// with the controller's reason if it gives one.
-func TestNoAnswer(t *testing.T) {
-	frame, err := Encode(ping)
+// TestUnansweredMessage checks that the status is 400 if the controller does not answer a
+// message, with the controller's error as the body.
+func TestUnansweredMessage(t *testing.T) {
+	data, err := Encode(ping)
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	requester := &wiretest.Requester{Response: messages.Respond{Error: "unknown sender"}}
 	recorder := httptest.NewRecorder()
-	Handler(requester, log).ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodPost, messagePath, strings.NewReader(string(frame))))
+	Handler(requester, log).ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodPost, messagePath, strings.NewReader(string(data))))
 	if recorder.Code != http.StatusBadRequest || recorder.Body.String() != "unknown sender\n" {
 		t.Errorf("answered %d %q", recorder.Code, recorder.Body)
 	}
 	newHandler := func(requester engine.Requester) http.Handler { return Handler(requester, log) }
-	wiretest.CheckClientGoesAway(t, newHandler, http.MethodPost, messagePath, string(frame))
+	wiretest.CheckClientGoesAway(t, newHandler, http.MethodPost, messagePath, string(data))
 }
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -10,22 +10,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxMessageSize is the greatest length of an encoded message.
+// MaxMessageSize is the maximum size of an encoded message in bytes.
 const MaxMessageSize = 1 << 20
 
-// The bounds of what a message contains. A malformed one must not make the decoder
-// allocate or nest without limit.
+// Limits of the decoder, so that a malformed message cannot exhaust memory or the stack.
 const (
 	maxElements = 1 << 16
 	maxNesting  = 16
 )
 
-// ErrTooLarge is the error of a message longer than MaxMessageSize.
+// ErrTooLarge is the error for a message that is larger than MaxMessageSize.
 var ErrTooLarge = errors.New("message too large")
 
-// ErrNoSender is the error of a message without the version of its form or without its
-// sender.
-var ErrNoSender = errors.New("message without version or sender")
+// ErrMissingVersionOrSender is the error for a message without a protocol version or
+// without a sender.
+var ErrMissingVersionOrSender = errors.New("message has no version or no sender")
 
 var decodeMode = newDecodeMode()
 
@@ -37,33 +36,33 @@
 	}
 	mode, err := options.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // unreachable, because the options are constant
 	}
 	return mode
 }
 
-// Encode writes a message.
+// Encode encodes a message. It returns ErrTooLarge if the result exceeds MaxMessageSize.
 func Encode(message messages.PeerMessage) ([]byte, error) {
-	frame, err := cbor.Marshal(message)
+	data, err := cbor.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("encoding message: %w", err)
 	}
-	if len(frame) > MaxMessageSize {
-		return nil, fmt.Errorf("%w: %d bytes", ErrTooLarge, len(frame))
+	if len(data) > MaxMessageSize {
+		return nil, fmt.Errorf("%w: %d bytes", ErrTooLarge, len(data))
 	}
-	return frame, nil
+	return data, nil
 }
 
-// Decode reads a message. Fields that it does not know are ignored, so that controllers
-// of different versions can talk to each other.
-func Decode(frame []byte) (messages.PeerMessage, error) {
+// Decode decodes a message. Unknown fields are ignored, for compatibility between
+// controllers of different releases.
+func Decode(data []byte) (messages.PeerMessage, error) {
 	var message messages.PeerMessage
-	// A decoder, unlike Unmarshal, allows bytes after the message.
-	if err := decodeMode.NewDecoder(bytes.NewReader(frame)).Decode(&message); err != nil {
+	// Unlike Unmarshal, a Decoder allows trailing bytes.
+	if err := decodeMode.NewDecoder(bytes.NewReader(data)).Decode(&message); err != nil {
 		return messages.PeerMessage{}, fmt.Errorf("decoding message: %w", err)
 	}
 	if message.Version == 0 || message.From == "" {
-		return messages.PeerMessage{}, ErrNoSender
+		return messages.PeerMessage{}, ErrMissingVersionOrSender
 	}
 	return message, nil
 }
--- a/internal/peers/handler.go
+++ b/internal/peers/handler.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/messages"
 )
 
-// Handler serves the messages of the other controllers.
+// Handler returns a handler of messages from other controllers.
 func Handler(requester engine.Requester, log *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(http.MethodPost+" "+messagePath, &handler{requester: requester, log: log})
@@ -20,17 +20,17 @@
 type handler struct {
 	requester    engine.Requester
 	log          *slog.Logger
-	loggedErrors sync.Map // the texts of the errors that are in the log
+	loggedErrors sync.Map // texts of the errors that have been logged
 }
 
-// ServeHTTP hands a message to the controller and answers with its message.
+// ServeHTTP passes a message to the controller and responds with the answer.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	frame, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxMessageSize))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxMessageSize))
 	if err != nil {
 		http.Error(w, "unreadable or too large", http.StatusBadRequest)
 		return
 	}
-	message, err := Decode(frame)
+	message, err := Decode(data)
 	if err != nil {
 		h.logMalformed(r.RemoteAddr, err)
 		http.Error(w, "malformed", http.StatusBadRequest)
@@ -42,17 +42,17 @@
 		http.Error(w, response.Error, http.StatusBadRequest)
 		return
 	}
-	frame, err = Encode(*response.Peer)
+	data, err = Encode(*response.Peer)
 	if err != nil {
 		http.Error(w, "encoding", http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(frame) // fails if the other controller has given the call up
+	_, _ = w.Write(data) // fails if the other controller has disconnected
 }
 
-// logMalformed logs each kind of error once.
+// logMalformed logs an error, but only once for each error text.
 func (h *handler) logMalformed(remoteAddress string, err error) {
 	if _, logged := h.loggedErrors.LoadOrStore(err.Error(), true); !logged {
-		h.log.Info("malformed message from a controller", "remote_address", remoteAddress, "error", err)
+		h.log.Info("rejected a malformed message from another controller", "remote_address", remoteAddress, "error", err)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers carries messages between controllers: CBOR over HTTP, bounded in size,
-// each with a version.
+// Package peers exchanges messages between controllers. Messages are versioned, limited in
+// size, and sent as CBOR over HTTP.
 package peers
 
 import (
@@ -13,23 +13,24 @@
 	"stairrelay/internal/wire"
 )
 
-// messagePath is the one path that controllers serve to one another.
+// messagePath is the only path that controllers serve to each other.
 const messagePath = "/peer"
 
 const (
 	dialTimeout = time.Second
-	// maxIdlePerPeer is the number of idle connections that are kept to each controller.
+	// maxIdlePerPeer limits the idle connections that are kept open to each controller.
 	maxIdlePerPeer = 4
 )
 
-// Client carries out the controller's PeerCall effects.
+// Client executes the controller's PeerCall effects.
 type Client struct {
 	addresses map[cluster.NodeID]string
 	client    *wire.Client
 	reply     engine.ReplyFunc
 }
 
-// New makes a Client of the controllers at the given addresses.
+// New returns a Client of the controllers at the given addresses, which passes the replies
+// to the given function.
 func New(addresses map[cluster.NodeID]string, reply engine.ReplyFunc) *Client {
 	return &Client{
 		addresses: addresses,
@@ -38,14 +39,14 @@
 	}
 }
 
-// Do sends a message; the reply follows. Only the call's time-out gives it up, since the
-// controller waits for the reply to each effect.
+// Do starts to send a message and returns immediately. Calls have timeouts but are never
+// canceled, because the controller waits for the reply to each effect.
 func (c *Client) Do(call messages.PeerCall) {
 	go func() { c.reply(call.Call, c.send(context.Background(), call)) }()
 }
 
 func (c *Client) send(ctx context.Context, call messages.PeerCall) messages.PeerReply {
-	frame, err := Encode(call.Message)
+	data, err := Encode(call.Message)
 	if err != nil {
 		return messages.PeerReply{Outcome: messages.NotApplied}
 	}
@@ -53,7 +54,7 @@
 		Method:      http.MethodPost,
 		URL:         wire.BaseURL(c.addresses[call.To]) + messagePath,
 		ContentType: wire.ContentTypeCBOR,
-		Body:        frame,
+		Body:        data,
 		Timeout:     time.Duration(call.Timeout),
 	})
 	if err != nil || response.Status != http.StatusOK {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -15,7 +15,7 @@
 	"stairrelay/internal/messages"
 )
 
-// echoRequester answers each message with the message itself.
+// echoRequester responds to each message with the message itself.
 type echoRequester struct{}
 
 func (echoRequester) Request(_ context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
@@ -26,9 +26,9 @@
 	return messages.Respond{Status: messages.ReplyOK, Peer: &request.Message}, true
 }
 
-// TestFrames checks that a message comes back as it was sent, and that malformed ones are
-// refused.
-func TestFrames(t *testing.T) {
+// TestHandler checks that a message is unchanged after a round trip, and that malformed
+// messages are rejected.
+func TestHandler(t *testing.T) {
 	handler := Handler(echoRequester{}, slog.New(slog.NewTextHandler(&bytes.Buffer{}, nil)))
 	post := func(body []byte) (int, []byte) {
 		recorder := httptest.NewRecorder()
@@ -44,35 +44,36 @@
 		TransferOffers:     []messages.TransferOffer{offer},
 	}
 	message := messages.PeerMessage{Version: 1, From: "n1", Ping: ping}
-	frame, err := Encode(message)
+	data, err := Encode(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	code, response := post(frame)
+	code, response := post(data)
 	if code != 200 {
-		t.Fatalf("answered %d", code)
+		t.Fatalf("status %d, want 200", code)
 	}
 	got, err := Decode(response)
 	if err != nil || !reflect.DeepEqual(got, message) {
-		t.Errorf("came back as %+v, %v", got, err)
+		t.Errorf("response %+v, %v; want the message that was sent", got, err)
 	}
-	for name, bad := range map[string][]byte{
+	for name, malformed := range map[string][]byte{
 		"empty":      nil,
-		"no CBOR":    []byte(strings.Repeat("{", 100)),
-		"truncated":  frame[:len(frame)/2],
+		"not CBOR":   []byte(strings.Repeat("{", 100)),
+		"truncated":  data[:len(data)/2],
 		"no version": {0xa0},
 		"too large":  bytes.Repeat([]byte{0x80}, MaxMessageSize+1),
 	} {
-		if code, _ := post(bad); code != 400 {
-			t.Errorf("%s: answered %d", name, code)
+		if code, _ := post(malformed); code != 400 {
+			t.Errorf("%s: status %d, want 400", name, code)
 		}
 	}
 }
 
-// TestMessageTooLarge checks that a message that no controller would take is not sent.
+// TestMessageTooLarge checks that a message that its receiver would reject as too large is
+// not encoded.
 func TestMessageTooLarge(t *testing.T) {
 	notice := &messages.JobNotice{Items: []messages.KV{{Key: "jobs/j", Value: make([]byte, MaxMessageSize)}}}
 	if _, err := Encode(messages.PeerMessage{Version: 1, From: "n1", Notice: notice}); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrTooLarge", err)
 	}
 }
--- a/internal/peers/production_test.go
+++ b/internal/peers/production_test.go
@@ -12,14 +12,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestProductionPing checks that a ping as the version in production encodes it is read,
-// with feature level 0. Ours has one field more and the same version of the protocol.
+// TestProductionPing checks that a ping of the release in production is decoded, and that
+// the current release encodes the same fields plus the feature level.
 func TestProductionPing(t *testing.T) {
-	productionFrame, err := os.ReadFile("testdata/production/ping.cbor")
+	productionData, err := os.ReadFile("testdata/production/ping.cbor")
 	if err != nil {
 		t.Fatal(err)
 	}
-	message, err := Decode(productionFrame)
+	message, err := Decode(productionData)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,39 +38,39 @@
 	}
 	want := messages.PeerMessage{Version: 2, From: "n1", Ping: ping}
 	if !reflect.DeepEqual(message, want) {
-		t.Errorf("read %+v with %+v", message, message.Ping)
+		t.Errorf("decoded %+v with ping %+v", message, message.Ping)
 	}
 	message.Ping.FeatureLevel = 1
-	frame, err := Encode(message)
+	data, err := Encode(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	production, current := pingFields(t, productionFrame), pingFields(t, frame)
+	production, current := pingFields(t, productionData), pingFields(t, data)
 	if production["Level"] != nil || current["Level"] == nil {
-		t.Errorf("level: %v and %v", production["Level"], current["Level"])
+		t.Errorf("feature level %v in production, %v now; want none and 1", production["Level"], current["Level"])
 	}
 	delete(current, "Level")
 	if !reflect.DeepEqual(production, current) {
-		t.Errorf("fields were %v, are %v", production, current)
+		t.Errorf("fields in production %v, now %v", production, current)
 	}
 }
 
 // pingFields returns the encoded fields of the ping in a message.
-func pingFields(t *testing.T, frame []byte) map[string]any {
+func pingFields(t *testing.T, data []byte) map[string]any {
 	t.Helper()
 	var message map[string]any
-	if err := cbor.Unmarshal(frame, &message); err != nil {
+	if err := cbor.Unmarshal(data, &message); err != nil {
 		t.Fatal(err)
 	}
 	ping, ok := message["Ping"].(map[any]any)
 	if !ok {
-		t.Fatalf("the ping is a %T", message["Ping"])
+		t.Fatalf("ping is a %T, want a map", message["Ping"])
 	}
 	fields := map[string]any{}
 	for key, value := range ping {
 		name, ok := key.(string)
 		if !ok {
-			t.Fatalf("the name of a field is a %T", key)
+			t.Fatalf("field name is a %T, want a string", key)
 		}
 		fields[name] = value
 	}
--- a/internal/store/outcomes_test.go
+++ b/internal/store/outcomes_test.go
@@ -14,8 +14,8 @@
 	return New(address, reply).Do
 }
 
-// TestUndecodableResponses checks what each status means with a body that can't be read.
-// Only a status that says so makes a transaction count as not applied.
+// TestUndecodableResponses checks the outcome of each status with a body that can't be
+// decoded. A transaction that may have been applied must not be reported as not applied.
 func TestUndecodableResponses(t *testing.T) {
 	const (
 		unknown    = messages.UnknownOutcome
@@ -61,7 +61,7 @@
 	})
 }
 
-// TestNoResponse checks that without a response the outcome is unknown, also when the
+// TestNoResponse checks that the outcome is unknown if there is no response, even if the
 // connection was refused.
 func TestNoResponse(t *testing.T) {
 	for name, address := range map[string]string{
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestInterruptedList checks that a list of which a later page can't be read has the
-// outcome of that page and no items: half a list would look like deleted keys.
+// TestInterruptedList checks that a list has no items if a later page can't be read, since
+// the missing keys would look deleted.
 func TestInterruptedList(t *testing.T) {
 	respond := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("since") != "" {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,4 +1,4 @@
-// Package store carries out the controller's calls of the state service.
+// Package store implements the controller's client of the state service.
 package store
 
 import (
@@ -15,36 +15,38 @@
 const (
 	dialTimeout = time.Second
 	callTimeout = 1200 * time.Millisecond
-	// watchTimeoutMargin is by how much the call of a watch may outlast the watch.
+	// watchTimeoutMargin is added to the timeout of a watch to get that of its HTTP call.
 	watchTimeoutMargin = 3 * time.Second
-	// throttleBackoff is the wait before a throttled page of a list is read again.
+	// throttleBackoff is the delay before a throttled read of a page is retried.
 	throttleBackoff = 200 * time.Millisecond
-	// pageSize is the number of keys in a page of a list.
+	// pageSize is the maximum number of keys in a page of a list.
 	pageSize = 1000
-	// maxIdleCalls and maxIdleWatches are the idle connections that are kept.
-	maxIdleCalls, maxIdleWatches = 8, 4
+	// maxIdleCallConnections and maxIdleWatchConnections limit the idle connections
+	// that are kept open.
+	maxIdleCallConnections, maxIdleWatchConnections = 8, 4
 )
 
-// Client carries out the controller's store effects.
+// Client executes the controller's effects on the state service.
 type Client struct {
 	service      *wire.JSONService
-	watchService *wire.JSONService // has connections of its own, since watches keep them long
+	watchService *wire.JSONService // separate connections, because watches are long polls
 	reply        engine.ReplyFunc
 }
 
-// New makes a Client of the state service at an address.
+// New returns a Client of the state service at the given address, which passes the replies
+// to the given function.
 func New(address string, reply engine.ReplyFunc) *Client {
-	forCalls := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleCalls}
-	forWatches := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleWatches}
+	callOptions := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleCallConnections}
+	watchOptions := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleWatchConnections}
 	return &Client{
-		service:      wire.NewJSONService(address, forCalls),
-		watchService: wire.NewJSONService(address, forWatches),
+		service:      wire.NewJSONService(address, callOptions),
+		watchService: wire.NewJSONService(address, watchOptions),
 		reply:        reply,
 	}
 }
 
-// Do starts a call; its reply follows. Only a time-out gives a call up, since the
-// controller waits for the reply to each effect.
+// Do starts a call and returns immediately. Calls have timeouts but are never canceled,
+// because the controller waits for the reply to each effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
 	switch effect := effect.(type) {
@@ -67,14 +69,14 @@
 		Timeout: callTimeout,
 	}
 	response, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTxn)
-	if refused, ok := errors.AsType[*wire.StatusError](err); ok && refused.Status == http.StatusConflict {
-		return decodeConflict(refused.Body)
+	if statusErr, ok := errors.AsType[*wire.StatusError](err); ok && statusErr.Status == http.StatusConflict {
+		return decodeConflict(statusErr.Body)
 	}
 	return messages.TxnReply{Outcome: wire.OutcomeOf(err), Revision: response.Revision}
 }
 
-// decodeConflict reads the response to a transaction whose compares failed. One that
-// names no key leaves open what has happened.
+// decodeConflict decodes the response to a transaction whose compares failed. The outcome
+// is unknown if the response does not name the failed keys.
 func decodeConflict(body []byte) messages.TxnReply {
 	response, err := wire.DecodeTxn(body)
 	if err != nil || len(response.FailedKeys) == 0 {
@@ -100,8 +102,8 @@
 	return messages.GetReply{Outcome: messages.OK, KV: kv}
 }
 
-// list reads all pages. The revision is that of the first page: a watch from there
-// shows again whatever changes while the others are read.
+// list reads all pages of a list. It returns the revision of the first page, so that a
+// watch from there returns all changes made while the other pages are read.
 func (c *Client) list(ctx context.Context, list messages.StoreList) messages.ListReply {
 	page, err := c.readPage(ctx, list.Prefix, "")
 	if err != nil {
@@ -120,8 +122,8 @@
 	return reply
 }
 
-// readNextPage reads a page after the first. Throttling does not end a list that is
-// half read: begun anew, it would take more requests still.
+// readNextPage reads a page after the first one. It retries a throttled read, because
+// restarting the whole list would take even more requests.
 func (c *Client) readNextPage(ctx context.Context, prefix, lastKey string) (wire.ItemPage, error) {
 	for {
 		page, err := c.readPage(ctx, prefix, lastKey)
@@ -136,7 +138,8 @@
 	}
 }
 
-// readPage reads the page of a list that follows a key; the first page follows none.
+// readPage reads the page of a list that starts after a key, or the first page if the key
+// is empty.
 func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.ItemPage, error) {
 	call := wire.Call{
 		Method:  http.MethodGet,
@@ -154,8 +157,9 @@
 		Timeout: timeout + watchTimeoutMargin,
 	}
 	changes, err := wire.CallAndDecode(ctx, c.watchService, call, wire.DecodeItems)
-	// A response holds all changes and may be of any size. One that is too large is as
-	// good as none, and would be again: the keys are to be read by pages instead.
+	// The response contains all changes and is not paginated. If it exceeds the size
+	// limit, a retry would fail in the same way, so the reply makes the caller list the
+	// keys instead.
 	if errors.Is(err, wire.ErrResponseTooLarge) || wire.IsStatus(err, http.StatusGone) {
 		return messages.WatchReply{Outcome: messages.Compacted}
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,13 +13,14 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
-// execute carries out an effect against the server at an address and returns its reply.
+// execute executes an effect on the server at an address and returns the reply.
 func execute[T any](t *testing.T, address string, effect messages.Effect) T {
 	t.Helper()
 	return wiretest.Execute[T](t, func(reply engine.ReplyFunc) { New(address, reply).Do(effect) })
 }
 
-// servePages serves a list in three pages, the second of which is throttled once.
+// servePages returns a handler that serves a list of three pages and throttles the first
+// request for the second one.
 func servePages(t *testing.T) http.HandlerFunc {
 	t.Helper()
 	throttled := false
@@ -34,7 +35,7 @@
 	}
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/keys" || r.URL.Query().Get("prefix") != "jobs/" || r.URL.Query().Get("page") != "1000" {
-			t.Errorf("requested %s", r.URL)
+			t.Errorf("unexpected request %s", r.URL)
 		}
 		since := r.URL.Query().Get("since")
 		if since == "a" && !throttled {
@@ -51,8 +52,8 @@
 	}
 }
 
-// TestListPages checks that a list holds all pages as of the revision of the first one,
-// also when a page is throttled.
+// TestListPages checks that a list contains all pages and has the revision of the first
+// one, even if a page is throttled.
 func TestListPages(t *testing.T) {
 	reply := execute[messages.ListReply](t, wiretest.Serve(t, servePages(t)), messages.StoreList{Prefix: "jobs/"})
 	var keys []string
@@ -60,12 +61,12 @@
 		keys = append(keys, item.Key)
 	}
 	if reply.Outcome != messages.OK || strings.Join(keys, "") != "abc" || reply.Revision != 7 || !reply.Paginated {
-		t.Errorf("read %+v", reply)
+		t.Errorf("reply %+v, want items a, b and c as of revision 7", reply)
 	}
 }
 
-// TestOutcomes checks what each status means: nothing counts as carried out that may not
-// be.
+// TestOutcomes checks the outcome of each status. A call must not be reported as executed
+// if it may have failed.
 func TestOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		effect messages.Effect
@@ -96,18 +97,17 @@
 	}
 }
 
-// TestWatchTooLarge checks that the response to a watch, which may be of any size, counts
-// as compacted when it is larger than is read. The keys are then read by pages; with an
-// unknown outcome the same watch would be opened again for ever.
+// TestWatchTooLarge checks that the outcome of a watch is Compacted if its response exceeds
+// the size limit. With UnknownOutcome, the same watch would be retried forever.
 func TestWatchTooLarge(t *testing.T) {
 	respond := func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"epoch":4,"events":[`))
 		_, _ = w.Write(make([]byte, wire.MaxResponseSize))
 	}
 	if reply := execute[messages.WatchReply](t, wiretest.Serve(t, http.HandlerFunc(respond)), messages.StoreWatch{}); reply.Outcome != messages.Compacted {
-		t.Errorf("read as %+v", reply)
+		t.Errorf("reply %+v, want outcome Compacted", reply)
 	}
 	if reply := execute[messages.ListReply](t, wiretest.Serve(t, http.HandlerFunc(respond)), messages.StoreList{}); reply.Outcome != messages.UnknownOutcome {
-		t.Errorf("a list of that size was read as %+v", reply.Outcome)
+		t.Errorf("list of the same size: outcome %+v, want UnknownOutcome", reply.Outcome)
 	}
 }
--- a/internal/users/users.go
+++ b/internal/users/users.go
@@ -1,4 +1,4 @@
-// Package users serves the users' interface and the health check.
+// Package users serves the HTTP API for users and the health check.
 package users
 
 import (
@@ -12,12 +12,12 @@
 	"stairrelay/internal/wire"
 )
 
-// retryAfterSeconds is when a user should ask again whose request was not answered
+// retryAfterSeconds is the Retry-After value of a request that the controller did not answer
 // in time.
 const retryAfterSeconds = 1
 
-// Handler serves users, the health check and, through the heartbeats handler, workers.
-// All requests but heartbeats go through userMiddleware.
+// Handler returns a handler of users' requests, health checks and heartbeats. It passes
+// heartbeats to the given handler, and applies userMiddleware to all other requests.
 func Handler(requester engine.Requester, userMiddleware func(http.Handler) http.Handler, heartbeats http.Handler) http.Handler {
 	h := &handler{requester: requester}
 	mux := http.NewServeMux()
@@ -26,7 +26,7 @@
 	mux.HandleFunc("GET "+wire.JobsPath+"/{id}", h.query)
 	mux.HandleFunc("POST "+wire.JobsPath+"/{id}/cancel", h.cancel)
 	userHandler := userMiddleware(mux)
-	// Heartbeats are most of what comes in: they skip the patterns of the ServeMux.
+	// Most requests are heartbeats, so they bypass the pattern matching of the ServeMux.
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == wire.HeartbeatPath && r.Method == http.MethodPost {
 			heartbeats.ServeHTTP(w, r)
@@ -57,8 +57,8 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		// The id may be that of an accepted job, whose user must never get a 400. Only
-		// the controller can tell.
+		// If a job with this id exists, the user must not get a 400 for a repeated
+		// submission. Only the controller knows whether it exists.
 		submit.Rejection = messages.ReplyBadRequest
 		submit.Reason = err.Error()
 	}
@@ -83,22 +83,22 @@
 		http.NotFound(w, r)
 		return
 	}
-	// A body has no meaning here. It is read so that the connection can be kept; if it
-	// can't be read the cancellation stands all the same.
+	// The body is read only so that the connection can be reused. An error doesn't affect
+	// the cancellation.
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, wire.MaxBodySize))
 	h.serve(w, r, func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: job} })
 }
 
-// jobIDFromPath is the job that the path of a request names. A job whose id is malformed
-// was never accepted.
+// jobIDFromPath returns the job id in the path of a request and reports whether it is
+// valid. No job has an invalid id.
 func jobIDFromPath(r *http.Request) (cluster.JobID, bool) {
 	id := r.PathValue("id")
 	return cluster.JobID(id), wire.IsValidJobID(id)
 }
 
-// serve hands a request to the controller and writes its response.
-func (h *handler) serve(w http.ResponseWriter, r *http.Request, event func(messages.RequestID) messages.Event) {
-	response, answered := h.requester.Request(r.Context(), event)
+// serve passes a request to the controller and writes the response.
+func (h *handler) serve(w http.ResponseWriter, r *http.Request, makeEvent func(messages.RequestID) messages.Event) {
+	response, answered := h.requester.Request(r.Context(), makeEvent)
 	if !answered {
 		response = messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: retryAfterSeconds}
 	}
@@ -109,7 +109,7 @@
 	case response.View != nil:
 		w.Header().Set("Content-Type", wire.ContentTypeJSON)
 		w.WriteHeader(int(response.Status))
-		_, _ = w.Write(wire.EncodeJobView(*response.View)) // fails if the user has gone away
+		_, _ = w.Write(wire.EncodeJobView(*response.View)) // fails if the user has disconnected
 	case response.Status == messages.ReplyOK:
 		w.WriteHeader(http.StatusOK)
 	default:
--- a/internal/users/users_test.go
+++ b/internal/users/users_test.go
@@ -19,18 +19,18 @@
 	`"vcpus":8.0,"accelerators":1.0,"memoryGb":64.0,"bundle":"img-07","sizeGb":6.2,"fleets":["g8"],"yard":null,` +
 	`"samePlace":true,"scatter":false,"standby":true,"runtimeS":240.0,"waypointS":30.0,"stowS":4.0,"dueS":900.0}`
 
-// maxBodySize is the limit that the protocol sets for the body of a request.
+// maxBodySize is the protocol's limit for the size of a request body.
 const maxBodySize = 64 << 10
 
-// The header by which a test tells which handler a request went through.
+// The header that records which handler a request went through, and its values.
 const (
 	handledByHeader = "Handled-By"
 	userMiddleware  = "user middleware"
 	workerHandler   = "worker handler"
 )
 
-// newHandler makes the handler with a middleware and a worker's handler that name
-// themselves in a header.
+// newHandler returns the handler under test, with a middleware and a worker handler that
+// identify themselves in a response header.
 func newHandler(requester engine.Requester) http.Handler {
 	middleware := func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -51,8 +51,7 @@
 	return recorder
 }
 
-// TestResponses checks the status, the headers and the body that a user gets for
-// each kind of answer.
+// TestResponses checks the status, headers and body of each kind of response.
 func TestResponses(t *testing.T) {
 	view := &cluster.JobView{ID: "j-000412", Status: cluster.JobRunning, Done: 3, Running: 13}
 	const viewBody = `{"id":"j-000412","status":"running","done":3,"running":13}`
@@ -64,11 +63,11 @@
 		body        string
 	}{
 		"accepted":      {messages.Respond{Status: messages.ReplyCreated, View: view}, 201, "application/json", "", viewBody},
-		"known":         {messages.Respond{Status: messages.ReplyOK, View: view}, 200, "application/json", "", viewBody},
+		"exists":        {messages.Respond{Status: messages.ReplyOK, View: view}, 200, "application/json", "", viewBody},
 		"healthy":       {messages.Respond{Status: messages.ReplyOK}, 200, "", "", ""},
 		"not found":     {messages.Respond{Status: messages.ReplyJobNotFound, Error: "unknown job"}, 404, "text/plain; charset=utf-8", "", "unknown job\n"},
 		"unschedulable": {messages.Respond{Status: messages.ReplyUnschedulable, Error: "unknown team"}, 422, "text/plain; charset=utf-8", "", "unknown team\n"},
-		"over the rate": {messages.Respond{Status: messages.ReplyTooManyRequests, RetryAfter: 7, Error: "busy"}, 429, "text/plain; charset=utf-8", "7", "busy\n"},
+		"rate limited":  {messages.Respond{Status: messages.ReplyTooManyRequests, RetryAfter: 7, Error: "busy"}, 429, "text/plain; charset=utf-8", "7", "busy\n"},
 		"unavailable":   {messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: 2}, 503, "text/plain; charset=utf-8", "2", "\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -86,8 +85,8 @@
 	}
 }
 
-// TestEvents checks which event each request becomes, and which requests the
-// controller is not asked about.
+// TestEvents checks the event for each request, and that invalid requests are rejected
+// without an event.
 func TestEvents(t *testing.T) {
 	spec, err := wire.DecodeSubmission([]byte(validSubmission))
 	if err != nil {
@@ -97,7 +96,7 @@
 	unknownShapeSpec := cluster.JobSpec{ID: "j-000412"}
 	for name, test := range map[string]struct {
 		method, path, body string
-		event              messages.Event // nil: none
+		event              messages.Event // nil if there is none
 		status             int
 		responseBody       string
 	}{
@@ -115,7 +114,7 @@
 		"cancel, bad id":     {"POST", "/v2/runs/x-7/cancel", "", nil, 404, "404 page not found\n"},
 		"unknown path":       {"GET", "/v2/walks", "", nil, 404, "404 page not found\n"},
 		"unknown method":     {"DELETE", "/v2/runs/j-7", "", nil, 405, "Method Not Allowed\n"},
-		"heartbeat by a GET": {"GET", "/checkin", "", nil, 404, "404 page not found\n"},
+		"heartbeat with GET": {"GET", "/checkin", "", nil, 404, "404 page not found\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
@@ -137,8 +136,8 @@
 	}
 }
 
-// TestMistypedField checks the reason that a user gets for a field of the wrong JSON
-// type. It holds the name of a Go type, which therefore must not change.
+// TestMistypedField checks the error that a user gets for a field of the wrong JSON type.
+// It contains the name of a Go type, so renaming the type would change the response.
 func TestMistypedField(t *testing.T) {
 	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
 	serve(t, requester, http.MethodPost, "/v2/runs", strings.Replace(validSubmission, `"vcpus":8.0`, `"vcpus":"8"`, 1))
@@ -153,35 +152,35 @@
 	}
 }
 
-// TestBodyLimit checks that a submission of the greatest length is taken, and that a
-// longer one is refused without asking the controller.
+// TestBodyLimit checks that a submission of the maximum size is accepted, and that a larger
+// one is rejected without an event.
 func TestBodyLimit(t *testing.T) {
 	padded := func(length int) string { return validSubmission + strings.Repeat(" ", length-len(validSubmission)) }
 	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyCreated}}
 	if got := serve(t, requester, http.MethodPost, "/v2/runs", padded(maxBodySize)); got.Code != http.StatusCreated {
-		t.Errorf("the longest body: answered %d %q", got.Code, got.Body)
+		t.Errorf("largest body: answered %d %q", got.Code, got.Body)
 	}
 	got := serve(t, requester, http.MethodPost, "/v2/runs", padded(maxBodySize+1))
 	if got.Code != http.StatusBadRequest || got.Body.String() != "body unreadable or too large\n" {
-		t.Errorf("too long a body: answered %d %q", got.Code, got.Body)
+		t.Errorf("oversized body: answered %d %q", got.Code, got.Body)
 	}
 	if events := requester.Events(); len(events) != 1 {
-		t.Errorf("%d events, want that of the longest body alone", len(events))
+		t.Errorf("%d events, want only that for the largest body", len(events))
 	}
 }
 
-// TestHeartbeatsBypassUsers checks that a worker's heartbeat goes to its own handler
-// and not through the users' middleware, which would count it as a user's.
-func TestHeartbeatsBypassUsers(t *testing.T) {
+// TestHeartbeatsBypassUserMiddleware checks that a heartbeat is not served through the
+// users' middleware, which would limit the connection as a user's.
+func TestHeartbeatsBypassUserMiddleware(t *testing.T) {
 	got := serve(t, &wiretest.Requester{}, http.MethodPost, "/checkin", "{}")
 	if handledBy := got.Header().Get(handledByHeader); handledBy != workerHandler {
 		t.Errorf("handled by %q, want %q", handledBy, workerHandler)
 	}
 }
 
-// TestNoAnswer checks that a request whose context ends before the controller has
-// answered gets a 503 that asks the user to come again.
-func TestNoAnswer(t *testing.T) {
+// TestUnansweredRequest checks that the response is 503 with Retry-After if the context of a
+// request ends before the controller responds.
+func TestUnansweredRequest(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	recorder := httptest.NewRecorder()
@@ -192,8 +191,8 @@
 	}
 }
 
-// TestClientGoesAway checks that the wait for an answer ends when the user closes the
-// connection: otherwise each abandoned request would keep a goroutine.
-func TestClientGoesAway(t *testing.T) {
+// TestUserDisconnects checks that the handler stops waiting for the controller when the user
+// closes the connection, since a goroutine would leak otherwise.
+func TestUserDisconnects(t *testing.T) {
 	wiretest.CheckClientGoesAway(t, newHandler, http.MethodGet, "/v2/runs/j-7", "")
 }
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -12,7 +12,7 @@
 	"stairrelay/internal/wire"
 )
 
-// Handler serves the heartbeats of workers.
+// Handler returns a handler of workers' heartbeats.
 func Handler(requester engine.Requester, log *slog.Logger) http.Handler {
 	return &handler{requester: requester, log: log, loggedErrors: &logDeduplicator{seen: map[string]bool{}}}
 }
@@ -23,7 +23,7 @@
 	loggedErrors *logDeduplicator
 }
 
-// ServeHTTP hands a heartbeat to the controller and answers with its commands.
+// ServeHTTP passes a heartbeat to the controller and responds with its commands.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodySize))
 	if err != nil {
@@ -34,7 +34,7 @@
 	status, err := wire.DecodeHeartbeatStatus(body)
 	if err != nil {
 		h.logMalformed(r.RemoteAddr, err)
-		http.Error(w, "malformed report", http.StatusBadRequest) // the text of all versions
+		http.Error(w, "malformed report", http.StatusBadRequest) // same text in all releases
 		return
 	}
 	heartbeat := func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: status} }
@@ -49,32 +49,33 @@
 	}
 	w.Header().Set("Content-Type", wire.ContentTypeJSON)
 	w.WriteHeader(int(response.Status))
-	// Writing fails if the worker has gone away; its next heartbeat gets the commands.
+	// Writing fails if the worker has disconnected. It then gets the commands in response
+	// to its next heartbeat.
 	_, _ = w.Write(wire.EncodeHeartbeatResponse(response.Status, *response.Heartbeat))
 }
 
-// logMalformed logs each error of a host once.
+// logMalformed logs an error unless the same error of the same host has been logged before.
 func (h *handler) logMalformed(remoteAddress string, err error) {
-	host, _, splitErr := net.SplitHostPort(remoteAddress) // the port differs with each connection
+	host, _, splitErr := net.SplitHostPort(remoteAddress) // the port differs between connections
 	if splitErr != nil {
 		host = remoteAddress
 	}
 	if h.loggedErrors.add(host + err.Error()) {
-		h.log.Info("malformed heartbeat", "remote_host", host, "error", err)
+		h.log.Info("rejected a malformed heartbeat", "remote_host", host, "error", err)
 	}
 }
 
-// maxLoggedErrors bounds the malformed heartbeats that are logged.
+// maxLoggedErrors limits the number of malformed heartbeats that are logged.
 const maxLoggedErrors = 1000
 
-// logDeduplicator remembers what has been logged, so that a worker that repeats a
-// malformed heartbeat does not fill the log.
+// logDeduplicator records what has been logged, so that a worker that repeats a malformed
+// heartbeat does not flood the log.
 type logDeduplicator struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
-// add tells whether the key is new and there is room for it.
+// add adds a key. It reports false if the key was added before or the limit is reached.
 func (d *logDeduplicator) add(key string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -21,10 +21,10 @@
 const validHeartbeat = `{"coach":"m-000231","addr":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,` +
 	`"shift":1,"stamp":88,"baton":41,"recallS":null,"legs":[{"leg":"j-000412/3","boarding":2,"status":"running"}]}`
 
-// maxBodySize is the limit that the protocol sets for the body of a request.
+// maxBodySize is the protocol's limit for the size of a request body.
 const maxBodySize = 64 << 10
 
-// validStatus is what validHeartbeat says.
+// validStatus returns the decoded form of validHeartbeat.
 func validStatus() cluster.HeartbeatStatus {
 	return cluster.HeartbeatStatus{
 		Machine:          "m-000231",
@@ -53,8 +53,8 @@
 	return recorder
 }
 
-// TestHeartbeatResponses checks the event that a heartbeat becomes, and the status, the
-// content type and the body that the worker gets for each kind of answer.
+// TestHeartbeatResponses checks the event for a heartbeat, and the status, content type and
+// body of each kind of response.
 func TestHeartbeatResponses(t *testing.T) {
 	start := cluster.Command{Kind: cluster.Start, Task: cluster.TaskID{Job: "j-000412", Index: 4}, Attempt: 2}
 	commands := &messages.HeartbeatResponse{FencingToken: 41, Commands: []cluster.Command{start}}
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestRefusedHeartbeats checks that a heartbeat that can't be read is answered with 400
-// and never reaches the controller.
-func TestRefusedHeartbeats(t *testing.T) {
+// TestRejectedHeartbeats checks that a heartbeat that can't be decoded is rejected with
+// status 400 and not passed to the controller.
+func TestRejectedHeartbeats(t *testing.T) {
 	for name, test := range map[string]struct{ body, responseBody string }{
 		"empty":        {"", "malformed report\n"},
 		"not JSON":     {"{", "malformed report\n"},
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestLongestHeartbeat checks that a body of the greatest length is taken.
-func TestLongestHeartbeat(t *testing.T) {
+// TestLargestHeartbeat checks that a body of the maximum size is accepted.
+func TestLargestHeartbeat(t *testing.T) {
 	body := validHeartbeat + strings.Repeat(" ", maxBodySize-len(validHeartbeat))
 	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK, Heartbeat: &messages.HeartbeatResponse{}}}
 	if got := serveHeartbeat(t, newTestHandler(requester), body); got.Code != http.StatusOK {
@@ -119,9 +119,8 @@
 	}
 }
 
-// TestMalformedHeartbeatLoggedOnce checks that a worker that repeats a malformed
-// heartbeat on new connections does not fill the log, and that the number of different
-// ones in the log is bounded.
+// TestMalformedHeartbeatLoggedOnce checks that a worker that repeats a malformed heartbeat
+// does not flood the log, and that the total number of such log lines is limited.
 func TestMalformedHeartbeatLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
 	handler := Handler(&wiretest.Requester{}, slog.New(slog.NewTextHandler(&log, nil)))
@@ -133,19 +132,19 @@
 	send("10.1.0.232:40001")
 	send("10.1.0.232:40002")
 	if lines := strings.Count(log.String(), "\n"); lines != 1 {
-		t.Errorf("%d lines for one host, want 1:\n%s", lines, log.String())
+		t.Errorf("%d log lines for one host, want 1:\n%s", lines, log.String())
 	}
 	for host := range 2 * maxLoggedErrors {
 		send("host" + strconv.Itoa(host) + ":40001")
 	}
 	if lines := strings.Count(log.String(), "\n"); lines != maxLoggedErrors+1 {
-		t.Errorf("%d lines in all, want %d", lines, maxLoggedErrors+1)
+		t.Errorf("%d log lines in total, want %d", lines, maxLoggedErrors+1)
 	}
 }
 
-// TestHeartbeatNotAnswered checks that a heartbeat whose context ends before the
-// controller has answered gets a 503.
-func TestHeartbeatNotAnswered(t *testing.T) {
+// TestUnansweredHeartbeat checks that the status is 503 if the context of a heartbeat ends
+// before the controller responds.
+func TestUnansweredHeartbeat(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	recorder := httptest.NewRecorder()
@@ -156,8 +155,8 @@
 	}
 }
 
-// TestWorkerGoesAway checks that the wait for an answer ends when the worker closes the
-// connection, as it does 4 s after its heartbeat.
-func TestWorkerGoesAway(t *testing.T) {
+// TestWorkerDisconnects checks that the handler stops waiting for the controller when the
+// worker closes the connection, as it does after a timeout of 4s.
+func TestWorkerDisconnects(t *testing.T) {
 	wiretest.CheckClientGoesAway(t, newTestHandler, http.MethodPost, "/checkin", validHeartbeat)
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -16,20 +16,20 @@
 const (
 	dialTimeout = 1500 * time.Millisecond
 	callTimeout = 2500 * time.Millisecond
-	// slotTimeout is how long a call waits for others to end before it is given up as
-	// certainly not made.
+	// slotTimeout is how long a call waits for a free slot before it fails as not
+	// applied.
 	slotTimeout = time.Second
 )
 
-// Client carries out the controller's effects on workers: command pushes and status
-// queries.
+// Client executes the controller's effects on workers: command pushes and status queries.
 type Client struct {
 	client  *wire.Client
 	limiter *sockets.CallLimiter
 	reply   engine.ReplyFunc
 }
 
-// New makes a Client that makes so many calls at once; 0: without limit.
+// New returns a Client that makes at most the given number of concurrent calls, or any
+// number if it is 0. The Client passes the replies to the given function.
 func New(calls int, reply engine.ReplyFunc) *Client {
 	return &Client{
 		client:  wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: 1, MaxIdle: calls}),
@@ -38,8 +38,9 @@
 	}
 }
 
-// Do sends commands, or asks for a status; the reply follows. Only a time-out gives a
-// call up, since the controller waits for the reply to each effect.
+// Do starts to push commands or to query a status, and returns immediately. Calls have
+// timeouts but are never canceled, because the controller waits for the reply to each
+// effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
 	switch effect := effect.(type) {
@@ -68,7 +69,7 @@
 	})
 }
 
-// send makes a call as soon as there is a slot for it.
+// send waits for a free slot and makes a call.
 func (c *Client) send(ctx context.Context, address string, request wire.Request) messages.WorkerReply {
 	release, acquired := c.limiter.Acquire(address, slotTimeout)
 	if !acquired {
@@ -80,8 +81,8 @@
 	return reply
 }
 
-// call makes a call. Commands count as not applied only if there was no connection: a
-// worker may execute them minutes later, when its machine no longer hangs.
+// call makes a call. The outcome is NotApplied only if no connection was made: otherwise a
+// hung machine may receive the commands and execute them minutes later.
 func (c *Client) call(ctx context.Context, request wire.Request) messages.WorkerReply {
 	response, err := c.client.Do(ctx, request)
 	if errors.Is(err, wire.ErrNotSent) {
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -10,13 +10,13 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
-// callWorker has a client carry out an effect and returns its reply.
+// callWorker executes an effect with a new client and returns the reply.
 func callWorker(t *testing.T, effect messages.Effect) messages.WorkerReply {
 	t.Helper()
 	return wiretest.Execute[messages.WorkerReply](t, func(reply engine.ReplyFunc) { New(0, reply).Do(effect) })
 }
 
-// TestRequests checks the requests that a worker gets, byte for byte.
+// TestRequests checks that the requests to workers are unchanged byte for byte.
 func TestRequests(t *testing.T) {
 	stop := cluster.Command{Kind: cluster.Stop, Task: cluster.TaskID{Job: "j-000377", Index: 1}, Attempt: 1, GraceSeconds: 10}
 	for name, test := range map[string]struct {
@@ -46,20 +46,20 @@
 	}
 }
 
-// TestOutcomes checks what each response of a worker means: commands that may have been
-// executed never count as not applied.
+// TestOutcomes checks the outcome of each response. Commands that may have been executed
+// must not be reported as not applied.
 func TestOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
 		status int
 		body   string
 		want   messages.WorkerReply
 	}{
-		"executed":             {200, validHeartbeat, messages.WorkerReply{Outcome: messages.OK, Status: validStatus()}},
-		"executed, no status":  {200, `{}`, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
-		"token or incarnation": {409, validHeartbeat, messages.WorkerReply{Outcome: messages.Conflict, Status: validStatus()}},
-		"refused, no status":   {409, ``, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
-		"malformed":            {400, ``, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
-		"unavailable":          {503, ``, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
+		"executed":                   {200, validHeartbeat, messages.WorkerReply{Outcome: messages.OK, Status: validStatus()}},
+		"executed, no status":        {200, `{}`, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
+		"stale token or incarnation": {409, validHeartbeat, messages.WorkerReply{Outcome: messages.Conflict, Status: validStatus()}},
+		"rejected, no status":        {409, ``, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
+		"malformed":                  {400, ``, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
+		"unavailable":                {503, ``, messages.WorkerReply{Outcome: messages.UnknownOutcome}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := wiretest.ServeStatus(t, test.status, test.body)
@@ -70,9 +70,8 @@
 	}
 }
 
-// TestNoConnection checks that commands to a machine that refuses the connection
-// certainly were not executed, and that those to one that closes the connection without
-// a response may have been.
+// TestNoConnection checks that the outcome is NotApplied if the connection is refused, and
+// unknown if it is closed without a response.
 func TestNoConnection(t *testing.T) {
 	if got := callWorker(t, messages.PushCommands{Addr: wiretest.RefusingAddress(t)}); got.Outcome != messages.NotApplied {
 		t.Errorf("refused: outcome %v, want NotApplied", got.Outcome)
