--- a/internal/inventory/split.go
+++ b/internal/inventory/split.go
@@ -26,7 +26,7 @@
 	if group.WriteInFlight || len(group.Machines) < 2 {
 		return
 	}
-	count := max(inv.config.ValueLimit.SplitCount(group.EstimatedSize()), group.MinPieces)
+	count := max(inv.config.ValueLimit.SplitCount(group.EstimatedSize()), group.MinSplitCount)
 	count = min(count, inv.config.MaxTxnOps, len(group.Machines))
 	inv.lock(group)
 	s := &groupSplit{groupClaim: inv.newGroupClaim(group), keys: []string{group.Key()}}
@@ -54,7 +54,7 @@
 		inv.writes.Cancel(group.QueuedWrite)
 		group.QueuedWrite = nil
 	}
-	group.Lock()
+	group.LockForTransaction()
 }
 
 // build returns the writes of the records of all pieces.
@@ -64,7 +64,7 @@
 		group.EndWrite()
 		return nil, nil
 	}
-	group.MarkBuilt()
+	group.MarkRecordBuilt()
 	s.pieces, s.snapshots = grouprecord.Split(group.SortedMachines(), len(s.keys), (*state.Machine).TaskCount), nil
 	var operations []messages.TxnOp
 	var modRevisions []cluster.ModRevision
@@ -117,7 +117,7 @@
 // the retry, since the record also gets shorter as tasks end.
 func (s *groupSplit) handleTooLarge() {
 	s.group.EndWrite()
-	s.group.MinPieces = 2 * len(s.keys)
+	s.group.MinSplitCount = 2 * len(s.keys)
 	s.inventory.loop.After(second, func() {
 		if s.isCurrent() {
 			s.inventory.WriteGroup(s.group, writequeue.PriorityStart)
--- a/internal/ownership/ownershiploss.go
+++ b/internal/ownership/ownershiploss.go
@@ -36,7 +36,7 @@
 // from the state service.
 func (m *Manager) DropCorruptShard(shard *state.Shard, key, reason string) {
 	m.loop.Log(messages.LogError, "corrupt record; dropping the shard and reloading it after a delay", "shard", int(shard.ID), "key", key, "reason", reason)
-	shard.PostponeAcquire(m.loop.Now())
+	shard.PostponeAcquisition(m.loop.Now())
 	m.HandleDeposed(shard.ID)
 }
 
--- a/internal/reconcile/draining.go
+++ b/internal/reconcile/draining.go
@@ -50,13 +50,13 @@
 func (s *Stops) stopBeforePreemption(machine *state.Machine, assignment *state.Assignment, secondsLeft float64) {
 	remaining := s.deps.Runtimes.ExpectedRemainingSeconds(assignment)
 	spec := &assignment.Job.Spec
-	if spec.CheckpointSeconds <= 0 {
+	if spec.CheckpointIntervalSeconds <= 0 {
 		if remaining > secondsLeft*overrunFactor+overrunMarginSeconds {
 			s.stop(machine, assignment, 0)
 		}
 		return
 	}
-	if remaining > secondsLeft-preemptionReserveSeconds && secondsLeft < spec.SaveSeconds+checkpointLeadSeconds {
-		s.stop(machine, assignment, spec.SaveSeconds+graceMarginSeconds)
+	if remaining > secondsLeft-preemptionReserveSeconds && secondsLeft < spec.CheckpointWriteSeconds+checkpointLeadSeconds {
+		s.stop(machine, assignment, spec.CheckpointWriteSeconds+graceMarginSeconds)
 	}
 }
--- a/internal/reconcile/stops.go
+++ b/internal/reconcile/stops.go
@@ -32,7 +32,7 @@
 		}
 		assignment.StopRequested = false
 		s.stop(machine, assignment, 0)
-		assignment.GracePeriod, assignment.StopSentAt = 0, 0
+		assignment.GraceSeconds, assignment.StopSentAt = 0, 0
 	}
 }
 
@@ -47,14 +47,14 @@
 
 // Preempt stops a task to free its resources, with a grace period for a checkpoint.
 func (s *Stops) Preempt(machine *state.Machine, assignment *state.Assignment) {
-	s.stop(machine, assignment, assignment.Job.Spec.SaveSeconds+graceMarginSeconds)
+	s.stop(machine, assignment, assignment.Job.Spec.CheckpointWriteSeconds+graceMarginSeconds)
 }
 
 // MoveOffSlowMachine stops a task so that it restarts on another machine. The grace period
 // is longer because writing a checkpoint takes longer on a slow machine.
 func (s *Stops) MoveOffSlowMachine(machine *state.Machine, assignment *state.Assignment) {
 	const slowCheckpointFactor = 4
-	s.stop(machine, assignment, assignment.Job.Spec.SaveSeconds*slowCheckpointFactor+graceMarginSeconds)
+	s.stop(machine, assignment, assignment.Job.Spec.CheckpointWriteSeconds*slowCheckpointFactor+graceMarginSeconds)
 }
 
 // stop requests the stop of a task with a grace period in seconds. A start that was not
--- a/internal/scheduling/spot_test.go
+++ b/internal/scheduling/spot_test.go
@@ -14,7 +14,7 @@
 	f.spotInterruptionRate = 11.0 / 23_600 // nearly two interruptions per hour
 	shard, spot, onDemand := f.shard, true, false
 	jobWith := func(runSeconds, checkpointSeconds float64) *state.Job {
-		return &state.Job{Spec: cluster.JobSpec{Spot: true, RuntimeSeconds: runSeconds, CheckpointSeconds: checkpointSeconds, ImageGB: 1.5, Class: "c"}}
+		return &state.Job{Spec: cluster.JobSpec{Spot: true, RuntimeSeconds: runSeconds, CheckpointIntervalSeconds: checkpointSeconds, ImageGB: 1.5, Class: "c"}}
 	}
 	isPreferred := f.Spot.IsPreferredMarket
 	short, long, checkpointing := jobWith(15, 0), jobWith(60, 0), jobWith(60, 30)
