--- a/internal/controller/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -7,9 +7,9 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestAcquireBackoffBounded: however often a shard has changed owners or its records
-// made no sense, the pauses before a controller acquires it stay, all together, below
-// the 75 s after which a job without an answer counts as forgotten.
+// TestAcquireBackoffBounded checks that the delays before a controller acquires a
+// shard, after many owner changes and corrupt records, stay below 75 s in total. That
+// is how long queries about a job may stay unanswered in a simulation.
 func TestAcquireBackoffBounded(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, WorkerLease: 22 * second, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
 	shard, tuning := c.state.Shards[0], c.config.Tuning
@@ -31,9 +31,9 @@
 		c.ownership.DropCorruptShard(shard, "k", "test")
 		corruptPause = max(corruptPause, shard.AcquireNotBefore-c.loop.Now())
 	}
-	const isolated = 8 * second // a node that hears no other waits this long after its own partition
+	const isolated = 8 * second // store must be available this long before a node without peers may consider others failed
 	if sum := detect + backoff + corruptPause + isolated; backoff == 0 || corruptPause == 0 || sum >= 75*second {
-		t.Errorf("detection %v, back-off %v, after corrupt records %v, isolated %v: %v in all",
+		t.Errorf("failure detection %v, backoff %v, delay after corrupt records %v, isolated %v: %v in total; want delays above 0 and a total below 75s",
 			time.Duration(detect), time.Duration(backoff), time.Duration(corruptPause), time.Duration(isolated), time.Duration(sum))
 	}
 }
--- a/internal/controller/acquire_conflict_test.go
+++ b/internal/controller/acquire_conflict_test.go
@@ -6,12 +6,10 @@
 	"stairrelay/internal/messages"
 )
 
-// TestAcquireResentAfterBatchConflict: an acquire shares its transaction with an
-// admission that is refused, since another controller admitted the job meanwhile. The
-// acquire has to be sent again as an acquire: sent as an ordinary write it was dropped,
-// as the shard is not owned, and the controller counted as acquiring for ever. Then
-// nobody served the shard: its last owner waited for its own acquire, and the others
-// saw that owner alive.
+// TestAcquireResentAfterBatchConflict checks that an acquisition is retried as an
+// acquisition after its transaction conflicts on another write. As an ordinary write of
+// a shard that is not owned it would be dropped, and no controller would serve the
+// shard.
 func TestAcquireResentAfterBatchConflict(t *testing.T) {
 	b := newControllerHarness()
 	shard := b.state.Shards[1]
@@ -22,7 +20,7 @@
 	b.runFor(2 * second)
 
 	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
-		t.Fatal("the acquire and the admission did not share a transaction")
+		t.Fatal("the acquisition and the admission did not share a transaction")
 	}
 	if !shard.Owned || shard.Acquiring {
 		t.Errorf("owned %v, acquiring %v; want the shard owned", shard.Owned, shard.Acquiring)
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -9,15 +9,16 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestAdmissionInDoubtAnsweredAsRetry shows that an admission whose answer was lost, or
-// that another controller stored a moment ago in a record of several, is answered
-// as a retry: others may have reported more of the job since.
+// TestAdmissionInDoubtAnsweredAsRetry checks that an admission is answered as a retry
+// if the reply to its write was lost, or if another controller has just stored the job
+// in a record of several jobs. Other controllers may have reported a later state of the
+// job by then.
 func TestAdmissionInDoubtAnsweredAsRetry(t *testing.T) {
-	for name, want := range map[string]messages.ReplyStatus{"new": 201, "answer lost": 200, "stored by another": 200} {
+	for name, want := range map[string]messages.ReplyStatus{"new": 201, "reply lost": 200, "stored by another controller": 200} {
 		b := newControllerHarness()
 		transactions := 0
-		b.losesReply = func(messages.StoreTxn) bool { transactions++; return transactions == 1 && name == "answer lost" }
-		if name == "stored by another" {
+		b.losesReply = func(messages.StoreTxn) bool { transactions++; return transactions == 1 && name == "reply lost" }
+		if name == "stored by another controller" {
 			b.store.revision = 40
 			b.store.keys["accepts/b1-1"] = messages.KV{Key: "accepts/b1-1", Value: []byte(`{"j":[{"id":"j-1","s":{"team":"red","tasks":1,"Team":"red","Tasks":1}}],"w":"b1-1"}`), ModRevision: 40}
 		}
@@ -29,12 +30,12 @@
 	}
 }
 
-// TestAdmissionResentAfterBatchConflict shows that the submissions of a transaction
-// that was refused because of another write in it are stored by the next.
+// TestAdmissionResentAfterBatchConflict checks that submissions are stored by a later
+// transaction if theirs conflicts on another write.
 func TestAdmissionResentAfterBatchConflict(t *testing.T) {
 	b := newControllerHarness()
 	machine, _ := b.addRunningMachine(b.addTestJob("j-9", 1))
-	machine.Group.ModRevision = 77 // another writer was there
+	machine.Group.ModRevision = 77 // as if another writer had changed the record
 	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
 	b.submit(1, "j-1")
 	b.runFor(5 * second)
@@ -46,12 +47,12 @@
 	}
 	b.runFor(5 * second)
 	if n := len(b.writeQueue.Queued(writequeue.PriorityAdmission)); n != 0 || b.jobs.Submissions.AdmissionKeyCount() > 3 {
-		t.Errorf("nothing waits to be admitted, but %d writes are queued, after %d", n, b.jobs.Submissions.AdmissionKeyCount())
+		t.Errorf("%d admission writes are queued after %d generated keys, want none queued and at most 3 keys", n, b.jobs.Submissions.AdmissionKeyCount())
 	}
 }
 
-// TestAdmissionWithUnreadableRecords shows that a job is not called new while it can't
-// be read whether another controller has admitted it before.
+// TestAdmissionWithUnreadableRecords checks that a job is not reported as new while the
+// admission records cannot be read: another controller may have admitted it before.
 func TestAdmissionWithUnreadableRecords(t *testing.T) {
 	b := newControllerHarness()
 	b.store.revision = 40
@@ -61,13 +62,13 @@
 	b.runFor(4 * second)
 	for _, response := range b.sentResponses {
 		if response.Status == 201 {
-			t.Errorf("answered %+v", response)
+			t.Errorf("answered %+v while the admission records cannot be read", response)
 		}
 	}
 }
 
-// TestDuplicateSubmissionInOneRecord shows that a submission that comes in twice before
-// either is written is stored once, and that one of the two is answered as a retry.
+// TestDuplicateSubmissionInOneRecord checks that a job submitted twice before either
+// submission is written is stored once, and that one of the two is answered as a retry.
 func TestDuplicateSubmissionInOneRecord(t *testing.T) {
 	b := newControllerHarness()
 	for i := range messages.RequestID(2) {
@@ -85,37 +86,37 @@
 		keys := map[string]bool{}
 		for _, condition := range transaction.If {
 			if keys[condition.Key] {
-				t.Errorf("a transaction has two compares of %s", condition.Key)
+				t.Errorf("a transaction compares %s twice", condition.Key)
 			}
 			keys[condition.Key] = true
 		}
 	}
 }
 
-// TestComparesOfBurstWithinLimit shows that submissions that pile up while the state
-// service is slow go out in transactions that it takes: compares are limited to four
-// times the puts.
+// TestComparesOfBurstWithinLimit checks that submissions that pile up while the state
+// service is slow are written in transactions with at most four compares per allowed
+// operation, as the protocol requires.
 func TestComparesOfBurstWithinLimit(t *testing.T) {
 	b := newControllerHarness()
 	b.runFor(second)
-	// Nothing is dispatched meanwhile, as while the state service is slow.
+	// No write is dispatched in between, as if the state service were slow.
 	for i := range messages.RequestID(60) {
 		b.submit(1+i, cluster.JobID(fmt.Sprintf("j-%03d", i)))
 	}
 	b.runFor(second)
 	for _, transaction := range b.sentTransactions {
 		if len(transaction.If) > 4*b.config.MaxTxnOps {
-			t.Errorf("a transaction of %d puts has %d compares", len(transaction.Then), len(transaction.If))
+			t.Errorf("a transaction of %d operations has %d compares", len(transaction.Then), len(transaction.If))
 		}
 	}
 	for _, response := range b.sentResponses {
 		if response.Status != 201 {
-			t.Errorf("answered %+v", response)
+			t.Errorf("answered %+v, want 201", response)
 		}
 	}
 }
 
-// submit submits a job of one small task of the team red.
+// submit submits a job with one small task for team red.
 func (b *controllerHarness) submit(request messages.RequestID, id cluster.JobID) {
 	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000, Memory: 1_000_000}}
 	b.jobs.Submissions.HandleSubmit(messages.Submit{Request: request, Spec: spec})
--- a/internal/controller/all_controllers_down_test.go
+++ b/internal/controller/all_controllers_down_test.go
@@ -6,8 +6,9 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestAllControllersDownLongerThanLease: all controllers are down for longer than a lease.
-// The tasks are lost with it; none runs twice, and the job gets done.
+// TestAllControllersDownLongerThanLease checks that tasks stop when all controllers are
+// down for longer than a worker lease, that none runs twice, and that the jobs are
+// completed afterwards.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	c := newTestCluster(t, 2)
 	other := c.submitJob("j-000002", 2, 20*second)
@@ -17,13 +18,13 @@
 	}
 	c.RunUntil(c.Now + c.config.WorkerLease + 5*second)
 	if running := c.countRunningTasks(c.longJob); running != 0 {
-		t.Fatalf("%d tasks outlive their lease", running)
+		t.Fatalf("%d tasks still run after their worker lease has expired", running)
 	}
 	for i, node := range c.Nodes {
 		c.After(cluster.Time(i)*second/5, node.Start)
 	}
 	c.runAndCheck(90 * second)
 	if other.ReportedStatus != cluster.JobDone || c.countRunningTasks(c.longJob) != 3 {
-		t.Errorf("the short job is %s, %d of the long one's 3 tasks run", other.ReportedStatus, c.countRunningTasks(c.longJob))
+		t.Errorf("the short job is %s and %d tasks of the long job run, want done and 3 tasks", other.ReportedStatus, c.countRunningTasks(c.longJob))
 	}
 }
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -7,10 +7,10 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestAttemptNumbersBeyondOneRevision: a shard that one controller owns for days has
-// more starts than the count of an attempt has room for. Each number is new,
-// and belongs to a store change of the owner's own. Before, the count overflowed
-// into the claim's bits: the numbers of an odd claim came again.
+// TestAttemptNumbersBeyondOneRevision checks that attempt numbers stay unique if an
+// owner starts more tasks than the counter in an attempt number can hold. The counter
+// must restart under a later store revision of the owner instead of overflowing into
+// the revision's bits.
 func TestAttemptNumbersBeyondOneRevision(t *testing.T) {
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
@@ -26,12 +26,12 @@
 	shard.AttemptCount = cluster.MaxAttemptCount - 1
 	last, next := shard.NextAttempt(), shard.NextAttempt()
 	if last.Claim() != 31 || last.Count() != cluster.MaxAttemptCount {
-		t.Errorf("the last of the claim is %d of %d", last.Count(), last.Claim())
+		t.Errorf("the last attempt has count %d of revision %d, want the maximum count of revision 31", last.Count(), last.Claim())
 	}
 	if next.Claim() != 51 || next.Count() != 1 {
-		t.Errorf("after it comes %d of %d, want 1 of the last stored change, 51", next.Count(), next.Claim())
+		t.Errorf("the next attempt has count %d of revision %d, want 1 of 51, the last stored revision", next.Count(), next.Claim())
 	}
 	if next == first {
-		t.Error("a number came again")
+		t.Error("an attempt number was repeated")
 	}
 }
--- a/internal/controller/combined_faults_test.go
+++ b/internal/controller/combined_faults_test.go
@@ -5,10 +5,10 @@
 	"stairrelay/internal/simulation"
 )
 
-// combinedFaultsPerDay is how many of the combined faults a day has.
+// combinedFaultsPerDay is the number of combined faults per simulated day.
 const combinedFaultsPerDay = 5
 
-// combinedFaults concern many machines or controllers at once, as in a large fleet.
+// combinedFaults returns the faults that affect many machines or controllers at once.
 func combinedFaults(cancelDeadline cluster.Time) []faultScenario {
 	return []faultScenario{
 		{"a controller pauses", pauseProcess},
@@ -27,7 +27,7 @@
 	}
 }
 
-// planCombinedFaults plans faults that concern many.
+// planCombinedFaults plans random combined faults that begin before until.
 func planCombinedFaults(sim *simulation.Simulator, until, cancelDeadline cluster.Time) {
 	faults := combinedFaults(cancelDeadline)
 	for range combinedFaultsPerDay {
@@ -37,7 +37,7 @@
 	}
 }
 
-// pauseProcess pauses a process, mostly for longer than a lease.
+// pauseProcess pauses a controller, usually for longer than a worker lease.
 func pauseProcess(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
 	node.PausedUntil = sim.Now + duration
 	sim.FaultCounts[faultNodePaused]++
@@ -80,8 +80,8 @@
 	sim.FaultCounts[faultFaultyMachinesWithoutCloud]++
 }
 
-// crashBusiestRepeatedly crashes the busiest controller three times within a minute,
-// whichever that is then.
+// crashBusiestRepeatedly crashes three times within a minute whichever controller is
+// the busiest at that time.
 func crashBusiestRepeatedly(sim *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for _, delay := range []cluster.Time{0, 12 * second, 25 * second} {
 		sim.After(delay, func() { crashBusiest(sim) })
@@ -89,13 +89,13 @@
 	sim.FaultCounts[faultBusiestNodeKilledRepeatedly]++
 }
 
-// drawStoreSlowdown draws how much later a slow store replies.
+// drawStoreSlowdown draws the additional reply delay of a slow store.
 func drawStoreSlowdown(sim *simulation.Simulator) cluster.Time {
 	return sim.RandomBetween(second/5, 4*second/5)
 }
 
-// fastBootsWithSlowStore has machines get work at once while writes are slow, and
-// the busiest controller crash meanwhile.
+// fastBootsWithSlowStore makes machines boot fast, and so get tasks early, while writes
+// are slow, and crashes the busiest controller meanwhile.
 func fastBootsWithSlowStore(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 	sim.Machines.EnableFastBoots(duration)
 	sim.Store.Slow(drawStoreSlowdown(sim), duration)
@@ -112,11 +112,11 @@
 	sim.FaultCounts[faultSlowStoreRefusesNode]++
 }
 
-// storeRefusalThenOutage has the store refuse one controller alone, and a few
-// seconds later all, for longer than a cancellation may take, while users cancel
-// all along. In most cases the outage waits for another controller to acquire a
-// shard, which takes some five seconds, and comes within a second of it. It is
-// injected once a day.
+// storeRefusalThenOutage makes the store refuse one controller and, a few seconds
+// later, makes it unavailable to all for longer than the cancel deadline, while users
+// cancel jobs. In most cases the outage begins within a second of another controller
+// acquiring a shard, which takes about five seconds. The fault is injected once per
+// simulated day.
 func storeRefusalThenOutage(sim *simulation.Simulator, node *simulation.Node, cancelDeadline cluster.Time) {
 	if sim.FaultCounts[faultRefusalThenOutage] > 0 {
 		return
@@ -133,24 +133,24 @@
 	if sim.Chance(0.33) {
 		sim.After(sim.RandomBetween(2*second, 6*second), beginOutage)
 	} else {
-		const refusal = 10 * second
-		node.StoreRefusesUntil = sim.Now + refusal
-		outageAtAcquire(sim, refusal, beginOutage)
-		sim.After(refusal, beginOutage)
+		const refusalDuration = 10 * second
+		node.StoreRefusesUntil = sim.Now + refusalDuration
+		outageAtAcquire(sim, refusalDuration, beginOutage)
+		sim.After(refusalDuration, beginOutage)
 	}
 	cancelBeforeAndInOutage(sim)
 }
 
-// outageAtAcquire begins an outage within a second of the next change of a shard's
-// owner. In most cases another controller crashes as well, so that perhaps nobody
-// is left who knows what was reported to users.
+// outageAtAcquire begins an outage within a second of the next acquisition of a shard.
+// In most cases it also crashes another controller, so that possibly no running
+// controller knows what was reported to users.
 func outageAtAcquire(sim *simulation.Simulator, within cluster.Time, beginOutage func()) {
-	crashes := sim.Chance(0.8)
+	crashOther := sim.Chance(0.8)
 	sim.Failovers.OnShardAcquired(within, func(owner cluster.NodeID) {
 		sim.FaultCounts[faultOutageAtAcquire]++
 		sim.After(sim.RandomBetween(0, second), beginOutage)
 		other := sim.Nodes[sim.Rand.IntN(len(sim.Nodes))]
-		if !crashes || other.ID == owner {
+		if !crashOther || other.ID == owner {
 			return
 		}
 		sim.After(sim.RandomBetween(0, second), func() {
@@ -160,8 +160,8 @@
 	})
 }
 
-// cancelBeforeAndInOutage has users cancel jobs each second, and then every eight
-// seconds while the outage goes on.
+// cancelBeforeAndInOutage makes users cancel a job every second at first and every
+// eight seconds during the outage.
 func cancelBeforeAndInOutage(sim *simulation.Simulator) {
 	for i := range 10 {
 		delay := cluster.Time(i) * second
--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -9,21 +9,20 @@
 	"stairrelay/internal/writequeue"
 )
 
-// deliverStatus delivers a machine's next status.
+// deliverStatus delivers the next heartbeat status of a machine.
 func (b *controllerHarness) deliverStatus(machine *state.Machine, tasks ...cluster.TaskStatus) {
 	b.reconciler.ApplyStatus(machine, &cluster.HeartbeatStatus{Machine: machine.ID, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1, Tasks: tasks}, false)
 }
 
-// TestCompletedTaskLeavesGroupRecord: a completed task is left out of its group's next
-// record, though its outcome is not stored yet. It stays assigned and with
-// its worker until that is stored, and then goes without another write of the
-// record. Listed until then, completed tasks filled the records of a store that
-// was short of writes: groups were split, and each start needed more writes.
+// TestCompletedTaskLeavesGroupRecord checks that the next write of a group's record
+// omits a completed task whose outcome is not stored yet, so that completed tasks do
+// not fill the record. The task stays assigned until its outcome is stored, and that
+// needs no other write of the group's record.
 func TestCompletedTaskLeavesGroupRecord(t *testing.T) {
 	b := newControllerHarness()
 	job := b.addTestJob("j-1", 2)
 	machine, assignment := b.addRunningMachine(job)
-	job.RecordTooLarge = true // no checkpoint stores its outcomes
+	job.RecordTooLarge = true // prevents a checkpoint from storing its outcomes
 	machine.Group.ModRevision = 0
 	b.deliverStatus(machine, cluster.TaskStatus{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Ended, Cause: cluster.CauseCompleted})
 	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
@@ -34,40 +33,39 @@
 		t.Fatalf("stored %q, want the machine without the task", record)
 	}
 	if machine.Assignments[assignment.Task] != assignment || !assignment.RemovedFromRecord || len(machine.EndedToAcknowledge) > 0 {
-		t.Fatalf("kept %v, unlisted %v, acknowledged %v before its outcome is stored", machine.Assignments[assignment.Task] == assignment, assignment.RemovedFromRecord, machine.EndedToAcknowledge)
+		t.Fatalf("before the outcome is stored: assigned %v, removed from the record %v, acknowledged %v", machine.Assignments[assignment.Task] == assignment, assignment.RemovedFromRecord, machine.EndedToAcknowledge)
 	}
 	written := machine.Group.ModRevision
 	b.jobs.Records.WriteJob(job, writequeue.PriorityOutcome)
 	b.runFor(100 * millisecond)
 	if machine.Assignments[assignment.Task] != nil || !machine.EndedToAcknowledge[assignment.TaskAttempt()] {
-		t.Error("its outcome is stored, and the worker gets no acknowledgement")
+		t.Error("the outcome is stored, but is not acknowledged to the worker")
 	}
 	if b.runFor(4 * second); machine.Group.ModRevision != written {
-		t.Error("its record was written once more for that")
+		t.Error("the group's record was written again after the outcome was stored")
 	}
 }
 
-// TestTaskCompletedUnderPreviousOwner: the previous owner has seen a task complete,
-// left it out of the record, and ended before it stored the outcome. The next owner
-// learns it from the worker's heartbeat, has it stored, and only then acknowledges it
-// to the worker. Acknowledged at once, as other tasks that no record
-// lists, it would be started again.
+// TestTaskCompletedUnderPreviousOwner checks that an owner stores a completion that a
+// worker reports before it acknowledges it, if the previous owner removed the task from
+// the record but did not store the outcome. A task acknowledged too early would be
+// started again.
 func TestTaskCompletedUnderPreviousOwner(t *testing.T) {
 	completed := cluster.TaskStatus{Task: cluster.TaskID{Job: "j-1", Index: 1}, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseCompleted}
 	for _, test := range []struct {
-		name    string
-		prepare func(*state.Job)
-		task    cluster.TaskStatus
-		learned bool
+		name            string
+		prepare         func(*state.Job)
+		task            cluster.TaskStatus
+		markedCompleted bool
 	}{
-		{"not known to be done", func(*state.Job) {}, completed, true},
-		{"waits for the job's further outcomes", func(job *state.Job) { job.ChunksLoading = 1 }, completed, false},
-		{"started elsewhere meanwhile", func(job *state.Job) {
+		{"outcome not stored", func(*state.Job) {}, completed, true},
+		{"job's outcomes are still loading", func(job *state.Job) { job.ChunksLoading = 1 }, completed, false},
+		{"started on another machine", func(job *state.Job) {
 			job.SetAssigned(1, &state.Assignment{Task: completed.Task, Job: job, Attempt: 9})
 		}, completed, false},
 		{"cancelled", func(job *state.Job) { job.Cancelling = true }, completed, false},
 		{"failed", func(*state.Job) {}, cluster.TaskStatus{Task: completed.Task, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseFailed}, false},
-		{"beyond the job", func(*state.Job) {}, cluster.TaskStatus{Task: cluster.TaskID{Job: "j-1", Index: 7}, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseCompleted}, false},
+		{"index out of range", func(*state.Job) {}, cluster.TaskStatus{Task: cluster.TaskID{Job: "j-1", Index: 7}, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseCompleted}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
@@ -75,22 +73,22 @@
 			machine, assignment := b.addRunningMachine(job)
 			test.prepare(job)
 			b.deliverStatus(machine, cluster.TaskStatus{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Running}, test.task)
-			if got := job.CompletedCount == 1 && machine.Assignments[test.task.Task] != nil; got != test.learned {
-				t.Fatalf("learned %v, %d done", got, job.CompletedCount)
+			if got := job.CompletedCount == 1 && machine.Assignments[test.task.Task] != nil; got != test.markedCompleted {
+				t.Fatalf("marked as completed: %v; %d tasks of the job are completed", got, job.CompletedCount)
 			}
-			if !test.learned {
+			if !test.markedCompleted {
 				return
 			}
 			if len(machine.EndedToAcknowledge) > 0 {
-				t.Error("it is acknowledged to the worker before it is stored")
+				t.Error("the completion is acknowledged to the worker before it is stored")
 			}
 			b.jobs.Records.WriteJob(job, writequeue.PriorityOutcome)
 			b.runFor(100 * millisecond)
 			if kv := b.store.get(job.ChunkKey(0)).KV; !strings.Contains(string(kv.Value), `"d":"1"`) {
-				t.Errorf("stored %s", kv.Value)
+				t.Errorf("stored %s, want task 1 listed as completed", kv.Value)
 			}
 			if !machine.EndedToAcknowledge[state.TaskAttempt{Task: test.task.Task, Attempt: test.task.Attempt}] || machine.Assignments[test.task.Task] != nil {
-				t.Error("it is stored, and the worker gets no acknowledgement")
+				t.Error("the completion is stored, but is not acknowledged to the worker")
 			}
 		})
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,14 +12,14 @@
 	"stairrelay/internal/simulation"
 )
 
-// Pipelines. There are no cycles: a job names only jobs that were accepted, and a
-// repeated submission of an accepted job never changes its dependencies
-// (TestDependenciesOfSubmissions), so each job is later than all that it names.
+// Dependencies can't form a cycle: a job may only depend on jobs that were accepted
+// before, and a repeated submission does not change the dependencies of an accepted job
+// (see TestDependenciesOfSubmissions).
 
 // testTeams are the teams of testConfig.
 var testTeams = []string{"red", "green", "blue"}
 
-// newDependent makes a job of a team that depends on others.
+// newDependent returns a job of a team that depends on the given jobs.
 func (c *testCluster) newDependent(id cluster.JobID, team string, run cluster.Time, dependencies ...cluster.JobID) *simulation.Job {
 	spec := newJobSpec(id, team, 1, run)
 	spec.SubmittedAt = wallTime(c.Now)
@@ -27,19 +27,19 @@
 	return newJob(spec, run)
 }
 
-// submitDependent submits a job of a team once its dependencies are accepted.
+// submitDependent submits a job that depends on the given jobs, once they are accepted.
 func (c *testCluster) submitDependent(id cluster.JobID, team string, run cluster.Time, dependencies ...cluster.JobID) *simulation.Job {
 	job := c.newDependent(id, team, run, dependencies...)
 	c.Users.SubmitAfterDependencies(job, false)
 	return job
 }
 
-// request sends a request to one controller and waits for the answer.
+// request sends a request to one controller and returns its response.
 func (c *testCluster) request(node *simulation.Node, request func(messages.RequestID) messages.Event) messages.Respond {
 	c.t.Helper()
 	var got *messages.Respond
 	node.SendRequest(request, func(answer messages.Respond) { got = &answer })
-	c.waitFor("an answer", 6*second, func() bool { return got != nil })
+	c.waitFor("a response", 6*second, func() bool { return got != nil })
 	return *got
 }
 
@@ -53,8 +53,9 @@
 	return c.request(node, submitRequest(job.Spec))
 }
 
-// submitChain submits jobs each of which depends on the one before, of the teams in
-// turn.
+// submitChain submits a chain of count jobs that starts with first and returns it once
+// all are accepted. Each of the others depends on the job before it. The teams
+// alternate.
 func (c *testCluster) submitChain(first *simulation.Job, count int, run cluster.Time) []*simulation.Job {
 	c.t.Helper()
 	chain := []*simulation.Job{first}
@@ -62,11 +63,12 @@
 		id := cluster.JobID(fmt.Sprintf("j-1%05d", i))
 		chain = append(chain, c.submitDependent(id, testTeams[i%len(testTeams)], run, chain[i-1].Spec.ID))
 	}
-	c.waitFor("all are accepted", 120*second, func() bool { return chain[count-1].Accepted })
+	c.waitFor("all jobs of the chain are accepted", 120*second, func() bool { return chain[count-1].Accepted })
 	return chain
 }
 
-// storedFinalStatus is the final status in a job's own record; none: "".
+// storedFinalStatus returns the final status in a job's stored record. The result is
+// empty if there is no such record or the job has not ended.
 func (c *testCluster) storedFinalStatus(job *simulation.Job) cluster.JobStatus {
 	c.t.Helper()
 	reply := c.StateService.Get("jobs/" + string(job.Spec.ID))
@@ -82,40 +84,42 @@
 	return record.Status
 }
 
-// checkCancelledEverywhere checks that all controllers call a job cancelled.
+// checkCancelledEverywhere checks that all controllers report a job as cancelled.
 func (c *testCluster) checkCancelledEverywhere(job *simulation.Job) {
 	c.t.Helper()
 	for _, node := range c.Nodes {
 		if answer := c.queryAt(node, job.Spec.ID); answer.Status != messages.ReplyOK || answer.View.Status != cluster.JobCancelled {
-			c.t.Errorf("%s says of %s: %d %+v", node.ID, job.Spec.ID, answer.Status, answer.View)
+			c.t.Errorf("%s answers a query for %s with %d %+v, want cancelled", node.ID, job.Spec.ID, answer.Status, answer.View)
 		}
 	}
 }
 
 const chainLength = 50
 
-// TestDependencyChain: fifty jobs of three teams, one after the other.
+// TestDependencyChain checks that jobs of three teams that form a chain of dependencies
+// run one after the other.
 func TestDependencyChain(t *testing.T) {
 	c := newIdleCluster(t, 3)
 	first := c.submitDependent("j-100000", "red", 40*second)
 	chain := c.submitChain(first, chainLength, second)
 	started := 1
-	c.waitFor("the last is done", 900*second, func() bool {
+	c.waitFor("the last job is done", 900*second, func() bool {
 		for ; started < chainLength && chain[started].FirstStartAt > 0; started++ {
 			if status := c.storedFinalStatus(chain[started-1]); status != cluster.JobDone {
-				t.Errorf("%s has started, the one before it is stored as %q", chain[started].Spec.ID, status)
+				t.Errorf("%s has started although its dependency is stored as %q", chain[started].Spec.ID, status)
 			}
 		}
 		return chain[chainLength-1].ReportedStatus == cluster.JobDone
 	})
 	if started != chainLength {
-		t.Errorf("%d have started in their order", started)
+		t.Errorf("%d jobs have started in order, want all", started)
 	}
 	c.checkNoViolations()
 }
 
-// TestDependencyChainCancelled: the first of fifty is cancelled. Within cancel_s every
-// controller calls each of them cancelled, and none has had a task.
+// TestDependencyChainCancelled checks that after the first job of a chain is cancelled
+// every controller reports all of them as cancelled within the cancel deadline, and
+// that none of the others starts a task.
 func TestDependencyChainCancelled(t *testing.T) {
 	c := newIdleCluster(t, 3)
 	first := c.submitDependent("j-100000", "red", 600*second)
@@ -127,24 +131,24 @@
 	}
 	for _, job := range chain[1:] {
 		if job.FirstStartAt != 0 {
-			t.Errorf("%s had a task", job.Spec.ID)
+			t.Errorf("%s has started a task", job.Spec.ID)
 		}
 	}
 	if running := c.countRunningTasks(first); running > 0 {
-		t.Errorf("%d tasks of the first still run", running)
+		t.Errorf("%d tasks of the first job still run", running)
 	}
 	c.RunUntil(c.Now + 60*second)
 	c.checkNoViolations()
 }
 
-// TestDependenciesOfSubmissions: which dependencies a submission may name, and how it
-// is answered.
+// TestDependenciesOfSubmissions checks which dependencies a submission may name and how
+// it is answered.
 func TestDependenciesOfSubmissions(t *testing.T) {
 	c := newTestCluster(t, 2)
 	for i, node := range c.Nodes {
 		id := cluster.JobID(fmt.Sprintf("j-20000%d", i))
 		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-999999"), messages.ReplyUnschedulable)
-		// That did not use the ID up: it may come again with other dependencies.
+		// The rejected ID may be submitted again with other dependencies.
 		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-000001"), messages.ReplyCreated)
 	}
 	c.checkRecentDependencies()
@@ -154,12 +158,12 @@
 	c.checkNoViolations()
 }
 
-// expectStatus submits a job to one controller and checks the answer's status.
+// expectStatus submits a job to one controller and checks the status of the response.
 func (c *testCluster) expectStatus(node *simulation.Node, job *simulation.Job, want messages.ReplyStatus) {
 	c.t.Helper()
 	answer := c.submitAt(node, job)
 	if answer.Status != want {
-		c.t.Errorf("%s, which depends on %v, gets %d %s, want %d", job.Spec.ID, job.Spec.Dependencies, answer.Status, answer.Error, want)
+		c.t.Errorf("%s with dependencies %v is answered with %d %s, want %d", job.Spec.ID, job.Spec.Dependencies, answer.Status, answer.Error, want)
 	}
 	job.Accepted = answer.Status == messages.ReplyOK || answer.Status == messages.ReplyCreated
 	if job.Accepted {
@@ -167,12 +171,12 @@
 	}
 }
 
-// checkRecentDependencies submits jobs that depend on others which another controller
-// has just accepted, in a record of their own or in one of several.
+// checkRecentDependencies checks that jobs may depend on jobs that another controller
+// has just accepted and stored, in a record each or in a record of several jobs.
 func (c *testCluster) checkRecentDependencies() {
 	c.t.Helper()
 	for round, count := range []int{1, 14} {
-		c.Store.Delay = second / 5 // more submissions come in than there are writes at once
+		c.Store.Delay = second / 5 // submissions arrive faster than they can be written one by one
 		ids := c.submitTogether(round, count)
 		c.Store.Delay = 0
 		recordBytes := 0
@@ -180,7 +184,7 @@
 			recordBytes += len(kv.Value)
 		}
 		if count > 1 && recordBytes == 0 {
-			c.t.Error("no record of several jobs was written: the test shows nothing of them")
+			c.t.Error("no record of several jobs was written, so the test does not cover them")
 		}
 		for i, node := range c.Nodes[1:] {
 			id := cluster.JobID(fmt.Sprintf("j-40%d%03d", round, i))
@@ -189,8 +193,8 @@
 	}
 }
 
-// submitTogether submits jobs to one controller at once and waits until all are
-// accepted.
+// submitTogether submits jobs to one controller at once and returns their IDs when all
+// are accepted.
 func (c *testCluster) submitTogether(round, count int) []cluster.JobID {
 	c.t.Helper()
 	var ids []cluster.JobID
@@ -201,38 +205,38 @@
 		c.Jobs[job.Spec.ID] = job
 		c.Nodes[0].SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
 			if answer.Status != messages.ReplyCreated {
-				c.t.Errorf("%s gets %d", job.Spec.ID, answer.Status)
+				c.t.Errorf("%s is answered with %d, want 201", job.Spec.ID, answer.Status)
 			}
 			job.Accepted = true
 			pending--
 		})
 	}
-	c.waitFor("they are accepted", 5*second, func() bool { return pending == 0 })
+	c.waitFor("all jobs are accepted", 5*second, func() bool { return pending == 0 })
 	return ids
 }
 
-// checkRepeatedSubmissions checks that a repeated submission gets 200 whatever its
-// dependencies are, at every controller. So there is no cycle: the first job that a
-// list names can't come to depend on a later one.
+// checkRepeatedSubmissions checks that every controller answers a repeated submission
+// with 200 whatever its dependencies are. If it could change the dependencies of an
+// accepted job, a cycle could form.
 func (c *testCluster) checkRepeatedSubmissions() {
 	c.t.Helper()
 	for _, node := range c.Nodes {
 		for _, dependencies := range [][]cluster.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
-			again := c.newDependent("j-200000", "green", second, dependencies...)
-			if answer := c.submitAt(node, again); answer.Status != messages.ReplyOK {
-				c.t.Errorf("a repeat with %v gets %d at %s", dependencies, answer.Status, node.ID)
+			repeated := c.newDependent("j-200000", "green", second, dependencies...)
+			if answer := c.submitAt(node, repeated); answer.Status != messages.ReplyOK {
+				c.t.Errorf("a repeated submission with dependencies %v is answered with %d by %s, want 200", dependencies, answer.Status, node.ID)
 			}
 		}
 	}
-	again := c.newDependent("j-000001", "red", 300*second, "j-200000")
-	again.Spec.Tasks = c.longJob.Spec.Tasks
-	if answer := c.submitAt(c.Nodes[0], again); answer.Status != messages.ReplyOK {
-		c.t.Errorf("a repeat gets %d", answer.Status)
+	repeated := c.newDependent("j-000001", "red", 300*second, "j-200000")
+	repeated.Spec.Tasks = c.longJob.Spec.Tasks
+	if answer := c.submitAt(c.Nodes[0], repeated); answer.Status != messages.ReplyOK {
+		c.t.Errorf("a repeated submission is answered with %d, want 200", answer.Status)
 	}
 }
 
-// checkSubmissionsInOutage checks that nothing is decided while the state service is
-// down.
+// checkSubmissionsInOutage checks that submissions are neither accepted nor rejected
+// during an outage of the state service.
 func (c *testCluster) checkSubmissionsInOutage() {
 	c.t.Helper()
 	c.Store.DownUntil = c.Now + 20*second
@@ -245,8 +249,8 @@
 	c.expectStatus(c.Nodes[1], c.newDependent("j-500000", "green", second, "j-999999"), messages.ReplyUnschedulable)
 }
 
-// TestDependentOfCancelledJobCancelled: a job that depends on a cancelled one is
-// accepted and cancelled.
+// TestDependentOfCancelledJobCancelled checks that a job that depends on a cancelled
+// job is accepted and then reported as cancelled.
 func TestDependentOfCancelledJobCancelled(t *testing.T) {
 	c := newTestCluster(t, 2)
 	c.cancelAt(c.Nodes[1], c.longJob)
@@ -255,7 +259,7 @@
 			job := c.newDependent(cluster.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, second, "j-000001")
 			c.Jobs[job.Spec.ID] = job
 			if answer := c.submitAt(node, job); answer.Status != messages.ReplyCreated {
-				t.Errorf("%s gets %d at %s", job.Spec.ID, answer.Status, node.ID)
+				t.Errorf("%s is answered with %d by %s, want 201", job.Spec.ID, answer.Status, node.ID)
 			}
 			job.Accepted = true
 			c.checkCancelledEverywhere(job)
@@ -264,16 +268,17 @@
 	c.runAndCheck(60 * second)
 }
 
-// TestCancellationVisibleAtPartitionedController: a controller that is partitioned from
-// the others and has not yet seen the cancellation in its watch is asked about a
-// dependent right after another has confirmed the cancellation. It reads first.
+// TestCancellationVisibleAtPartitionedController checks that a controller that is
+// partitioned from its peers never reports a dependent as unfinished after another
+// controller has confirmed the cancellation of its dependency. Its watch may not have
+// delivered the cancellation yet, so it must read the record first.
 func TestCancellationVisibleAtPartitionedController(t *testing.T) {
 	for i := range 3 {
 		for _, team := range testTeams {
 			c := newTestCluster(t, 2)
 			dependent := c.submitDependent("j-200000", team, second, "j-000001")
 			transitive := c.submitDependent("j-200001", "blue", second, "j-200000")
-			c.waitFor("accepted", 20*second, func() bool { return transitive.Accepted })
+			c.waitFor("the dependents are accepted", 20*second, func() bool { return transitive.Accepted })
 			c.RunUntil(c.Now + 5*second)
 			partitioned, other := c.Nodes[i], c.Nodes[1]
 			if i == 1 {
@@ -282,26 +287,26 @@
 			partitioned.PeersRefuseUntil = c.Now + 4*second
 			c.cancelAt(other, c.longJob)
 			for range 10 {
-				c.checkNotCalledUnfinished(partitioned, dependent)
-				c.checkNotCalledUnfinished(partitioned, transitive)
+				c.checkNotReportedUnfinished(partitioned, dependent)
+				c.checkNotReportedUnfinished(partitioned, transitive)
 			}
 			c.runAndCheck(50 * second)
 		}
 	}
 }
 
-// checkNotCalledUnfinished checks that a controller which answers about a cancelled
-// job calls it cancelled.
-func (c *testCluster) checkNotCalledUnfinished(node *simulation.Node, job *simulation.Job) {
+// checkNotReportedUnfinished checks that a controller reports a cancelled job as
+// cancelled if it answers a query for it.
+func (c *testCluster) checkNotReportedUnfinished(node *simulation.Node, job *simulation.Job) {
 	c.t.Helper()
 	if answer := c.queryAt(node, job.Spec.ID); answer.Status == messages.ReplyOK && answer.View.Status != cluster.JobCancelled {
-		c.t.Errorf("%s, partitioned, calls %s of %s %s, confirmed as cancelled %v before", node.ID, job.Spec.ID, job.Spec.Team, answer.View.Status, time.Duration(c.Now-c.longJob.CancelConfirmedAt))
+		c.t.Errorf("partitioned controller %s reports %s of team %s as %s, %v after the cancellation was confirmed", node.ID, job.Spec.ID, job.Spec.Team, answer.View.Status, time.Duration(c.Now-c.longJob.CancelConfirmedAt))
 	}
 }
 
-// TestDependentReadyAcrossShards: on a day without faults a dependent of another shard
-// is ready within a second of its dependency's stored end, and not before. What it
-// then takes to start is what any job takes.
+// TestDependentReadyAcrossShards checks that without faults a job in the same or
+// another shard is ready within a second after its dependency is stored as done, and
+// not before.
 func TestDependentReadyAcrossShards(t *testing.T) {
 	c := newIdleCluster(t, 3)
 	readyAt := map[string]cluster.Time{}
@@ -316,37 +321,38 @@
 		dependency := c.submitDependent(cluster.JobID(fmt.Sprintf("j-10000%d", i)), firstTeam, 10*second)
 		dependent := c.submitDependent(cluster.JobID(fmt.Sprintf("j-20000%d", i)), secondTeam, 5*second, dependency.Spec.ID)
 		id := string(dependent.Spec.ID)
-		c.waitFor("accepted", 10*second, func() bool { return dependent.Accepted })
-		c.waitFor("the first is stored as done", 60*second, func() bool { return c.storedFinalStatus(dependency) == cluster.JobDone })
+		c.waitFor("the dependent is accepted", 10*second, func() bool { return dependent.Accepted })
+		c.waitFor("the dependency is stored as done", 60*second, func() bool { return c.storedFinalStatus(dependency) == cluster.JobDone })
 		storedAt := c.Now
 		if dependent.FirstStartAt != 0 || readyAt[id] != 0 {
-			t.Fatal("too early")
+			t.Fatal("the dependent is ready before its dependency is stored as done")
 		}
-		c.waitFor("the second is ready", 5*second, func() bool { return readyAt[id] > 0 })
+		c.waitFor("the dependent is ready", 5*second, func() bool { return readyAt[id] > 0 })
 		longest = max(longest, c.Now-storedAt)
-		c.waitFor("the second starts", 40*second, func() bool { return dependent.FirstStartAt > 0 })
+		c.waitFor("the dependent starts", 40*second, func() bool { return dependent.FirstStartAt > 0 })
 		t.Logf("%s after %s: ready after %v, started after %v", secondTeam, firstTeam, time.Duration(readyAt[id]-storedAt), time.Duration(dependent.FirstStartAt-storedAt))
-		c.waitFor("the second is done", 60*second, func() bool { return dependent.ReportedStatus == cluster.JobDone })
+		c.waitFor("the dependent is done", 60*second, func() bool { return dependent.ReportedStatus == cluster.JobDone })
 	}
 	if longest > second {
-		t.Errorf("ready %v after the stored end", time.Duration(longest))
+		t.Errorf("a dependent was ready %v after its dependency was stored as done, want at most 1s", time.Duration(longest))
 	}
 	c.checkNoViolations()
 }
 
-// TestDependentReadyAcrossFailover: the owner of the dependent's shard restarts, once
-// while the job waits and once right as its dependency's end is stored.
+// TestDependentReadyAcrossFailover checks that a dependent runs although the owner of
+// its shard restarts, either while the job waits or right after its dependency is
+// stored as done.
 func TestDependentReadyAcrossFailover(t *testing.T) {
-	for _, late := range []bool{false, true} {
+	for _, dependencyDone := range []bool{false, true} {
 		for _, team := range testTeams {
-			t.Run(fmt.Sprintf("%s/late=%v", team, late), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/dependencyDone=%v", team, dependencyDone), func(t *testing.T) {
 				c := newTestCluster(t, 3)
 				dependency := c.submitDependent("j-100000", "red", 30*second)
 				dependent := c.submitDependent("j-200000", team, 5*second, dependency.Spec.ID)
 				blocked := c.submitDependent("j-200001", team, 5*second, "j-000001")
-				c.waitFor("accepted", 10*second, func() bool { return dependent.Accepted && blocked.Accepted })
-				if late {
-					c.waitFor("the first is stored as done", 90*second, func() bool {
+				c.waitFor("the dependents are accepted", 10*second, func() bool { return dependent.Accepted && blocked.Accepted })
+				if dependencyDone {
+					c.waitFor("the dependency is stored as done", 90*second, func() bool {
 						return c.storedFinalStatus(dependency) == cluster.JobDone
 					})
 				}
--- a/internal/controller/ownership_gap_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -7,22 +7,20 @@
 	"stairrelay/internal/messages"
 )
 
-// TestDeposedOwnerStopsAnsweringInOutage: the state service refuses the owner of a
-// shard alone; the next owner acquires the shard, confirms a cancellation and ends
-// before it could notify another controller or reach a machine; then the service is
-// down for longer than cancel_s, while the workers send their heartbeats to the
-// former owner all along. It can't know, and stops answering them in time. The
-// controller that ended is back during the outage and knows nothing of what it did
-// before: its acknowledgement counts for nothing.
+// TestDeposedOwnerStopsAnsweringInOutage checks that a deposed owner that can't learn
+// of its successor stops answering its workers in time. The successor confirms a
+// cancellation and crashes before it reaches any controller or machine, and then the
+// state service is down for longer than the cancel deadline. The successor restarts
+// without its state, so its acknowledgement must not renew the former owner's lease.
 func TestDeposedOwnerStopsAnsweringInOutage(t *testing.T) {
-	for seed := uint64(1); seed <= 5; seed++ { // in some the others hear of the acquisition before the partition
+	for seed := uint64(1); seed <= 5; seed++ { // for some seeds the others learn of the acquisition before the partition
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := newTestClusterWithSeed(t, seed, 2)
 			owner, next, third := c.Nodes[1], c.Nodes[2], c.Nodes[0]
 			owner.StoreRefusesUntil = c.Now + 14*second
 			c.RunUntil(c.Now + 2*second)
-			third.StoreRefusesUntil = c.Now + 20*second // else it reads of the acquisition and notifies the former owner
-			c.waitFor("acquired by the next", 10*second, func() bool { return c.longJobOwner() == next.ID })
+			third.StoreRefusesUntil = c.Now + 20*second // otherwise it would see the acquisition and notify the former owner
+			c.waitFor("the next owner acquires the shard", 10*second, func() bool { return c.longJobOwner() == next.ID })
 			next.WorkersPartitionedUntil, next.PeersPartitionedUntil = c.Now+300*second, c.Now+300*second
 			c.cancelAt(next, c.longJob)
 			next.Kill()
@@ -30,15 +28,16 @@
 			next.PeersPartitionedUntil = 0
 			c.After(6*second, next.Start)
 			if c.countRunningTasks(c.longJob) == 0 {
-				t.Fatal("the tasks are gone before the outage: the gap did not open")
+				t.Fatal("the tasks ended before the outage, so the test is inconclusive")
 			}
 			c.runAndCheck(120 * second)
 		})
 	}
 }
 
-// TestOutageWithAllPeerAcknowledgements: while all controllers acknowledge, an outage
-// of the state service that is longer than cancel_s costs no running task.
+// TestOutageWithAllPeerAcknowledgements checks that an outage of the state service
+// longer than the cancel deadline stops no task while all controllers acknowledge each
+// other.
 func TestOutageWithAllPeerAcknowledgements(t *testing.T) {
 	c := newTestCluster(t, 2)
 	c.Store.DownUntil = c.Now + 2*c.config.CancelDeadline
@@ -49,20 +48,20 @@
 		}
 	}
 	if running := c.countRunningTasks(c.longJob); running != 3 {
-		t.Errorf("%d of 3 tasks run", running)
+		t.Errorf("%d of 3 tasks run after the outage", running)
 	}
 }
 
-// TestDeposedOwnerLearnsFromThirdController: the former owner is partitioned from the
-// next but not from the third controller, whose message is enough for it to
-// give the shard up.
+// TestDeposedOwnerLearnsFromThirdController checks that a deposed owner stops answering
+// its workers after a third controller has notified it of the acquisition, if the new
+// owner is down.
 func TestDeposedOwnerLearnsFromThirdController(t *testing.T) {
 	c := newTestCluster(t, 2)
 	owner, next := c.Nodes[1], c.Nodes[2]
 	owner.StoreRefusesUntil = c.Now + 10*second
-	c.waitFor("acquired by the next", 10*second, func() bool { return c.longJobOwner() == next.ID })
+	c.waitFor("the next owner acquires the shard", 10*second, func() bool { return c.longJobOwner() == next.ID })
 	next.WorkersPartitionedUntil = c.Now + 60*second
-	c.RunUntil(c.Now + 2*second) // the third hears of the acquisition
+	c.RunUntil(c.Now + 2*second) // the third controller learns of the acquisition
 	next.Kill()
 	c.Store.DownUntil = c.Now + 60*second
 	status := messages.ReplyNone
--- a/internal/controller/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -8,35 +8,35 @@
 	"stairrelay/internal/messages"
 )
 
-// TestEmptyGroupKeptBesideUnseenAcquire: the record of an emptied group was made under
-// another shard's claim. This controller has not heard of that claim, so that the
-// shard's mod revision as known here is not the one in the group's name. The claim is in
-// force: its owner's late writes are still carried out, and the key must stay.
-// It goes once the shard has a claim later than the one that made the group.
-func TestEmptyGroupKeptBesideUnseenAcquire(t *testing.T) {
-	const makingClaim = cluster.Revision(40)
+// TestEmptyGroupKeptUnderUnseenClaim checks that the key of an emptied group is kept
+// while the claim of another shard that created it may be in force, even if this
+// controller has not seen that claim. Late writes under the claim are still applied and
+// would create a deleted key again. The key is deleted once that shard has a later
+// claim.
+func TestEmptyGroupKeptUnderUnseenClaim(t *testing.T) {
+	const creationClaim = cluster.Revision(40)
 	for _, test := range []struct {
-		name    string
-		known   cluster.ModRevision // of the other shard's claim, here
-		stored  cluster.ModRevision // of its claim in force, in the store
-		dropped bool
+		name           string
+		knownRevision  cluster.ModRevision // of the other shard's claim, as known to this controller
+		storedRevision cluster.ModRevision // of the other shard's claim in the store
+		dropped        bool
 	}{
 		{"a later claim is in force", 50, 50, true},
-		{"the claim that made it is in force, and known", cluster.ModRevision(makingClaim), cluster.ModRevision(makingClaim), false},
-		{"the claim that made it is in force, and not heard of", 30, cluster.ModRevision(makingClaim), false},
+		{"the creation claim is in force and known", cluster.ModRevision(creationClaim), cluster.ModRevision(creationClaim), false},
+		{"the creation claim is in force and not yet seen", 30, cluster.ModRevision(creationClaim), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			shard, other := b.state.Shards[0], b.state.Shards[1]
 			b.store.revision = 60
-			other.Owned, other.Ready, other.ModRevision = false, false, test.known
-			b.store.keys[other.Key()] = messages.KV{Key: other.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.stored}
+			other.Owned, other.Ready, other.ModRevision = false, false, test.knownRevision
+			b.store.keys[other.Key()] = messages.KV{Key: other.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.storedRevision}
 			emptied := messages.KV{Key: "groups/b1-40-1", Value: grouprecord.Encode(grouprecord.Record{ShardID: shard.ID, WriteID: "b0-5"}), ModRevision: 55}
 			b.store.keys[emptied.Key] = emptied
 			b.inventory.ApplyRecord(emptied, shard)
 			b.runFor(second)
 			if dropped := b.store.get(emptied.Key).Outcome == messages.NotFound; dropped != test.dropped {
-				t.Errorf("dropped %v, want %v", dropped, test.dropped)
+				t.Errorf("deleted %v, want %v", dropped, test.dropped)
 			}
 		})
 	}
--- a/internal/controller/failover_quota_test.go
+++ b/internal/controller/failover_quota_test.go
@@ -8,8 +8,9 @@
 	"stairrelay/internal/messages"
 )
 
-// TestQuotaAfterFailover: what a group's record lists counts against the team's
-// limit after a take-over, a cancelled job's tasks too, until it is proven gone.
+// TestQuotaAfterFailover checks that after a failover the tasks in a group's record
+// count against the team's quota, including those of a cancelled job, until the worker
+// has confirmed that they are gone.
 func TestQuotaAfterFailover(t *testing.T) {
 	for _, acknowledged := range []bool{false, true} {
 		b := newControllerHarness()
@@ -18,7 +19,7 @@
 		listed := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7}}}
 		b.inventory.ApplyRecord(messages.KV{Key: "groups/g", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{listed}, WriteID: "b9-2"}), ModRevision: 25}, shard)
 		machine := b.state.Machines["m-1"]
-		status := cluster.HeartbeatStatus{Machine: "m-1", Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1} // an old one, without the task
+		status := cluster.HeartbeatStatus{Machine: "m-1", Addr: "m-1", Incarnation: 1, SequenceNumber: 5, FencingToken: 12, PreemptionNotice: -1} // sent under an earlier token, without the task
 		want := cluster.Amount(3_000_000)
 		if acknowledged {
 			status.FencingToken, want = machine.Token, 0
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -11,11 +11,12 @@
 	"stairrelay/internal/state"
 )
 
-// Machines that are up moments after they were requested, while writes lag.
+// These tests cover machines that boot before the records that list them are stored.
 
-const fastBootMachine = cluster.MachineID("m-3") // its number belongs to shard 0
+const fastBootMachine = cluster.MachineID("m-3") // maps to shard 0
 
-// countStarts counts the starts that are sent, by calls and in answers to heartbeats.
+// countStarts returns the number of start commands in pushes and in heartbeat
+// responses.
 func countStarts(effects []messages.Effect) int {
 	var sent []cluster.Command
 	for _, effect := range effects {
@@ -37,20 +38,21 @@
 	return starts
 }
 
-// flushEffects decides on what has changed and returns what is to be done about it.
+// flushEffects runs the work that is due at the end of an event loop step and returns
+// its effects.
 func flushEffects(b *controllerHarness) []messages.Effect {
 	takeEffects(b.Controller)
 	b.flush()
 	return b.loop.Effects()
 }
 
-// firstHeartbeat is what a machine that has just come up sends.
+// firstHeartbeat returns the first heartbeat of a machine that has just booted.
 func firstHeartbeat(id cluster.MachineID) messages.Heartbeat {
 	return messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: id, Addr: string(id), Type: "small", Zone: "a", Incarnation: 1, SequenceNumber: 1, PreemptionNotice: -1}}
 }
 
-// effectsDuring lets the store answer for a while and returns what its answers
-// brought about.
+// effectsDuring lets the store reply for a while and returns the effects that follow
+// its replies.
 func effectsDuring(b *controllerHarness, d cluster.Time) []messages.Effect {
 	var effects []messages.Effect
 	for end := b.loop.Now() + d; b.loop.Now() < end; {
@@ -60,7 +62,8 @@
 	return effects
 }
 
-// lastTransaction returns the last transaction among the effects; nil: there is none.
+// lastTransaction returns the last transaction among the effects. The result is nil if
+// there is none.
 func lastTransaction(effects []messages.Effect) *messages.StoreTxn {
 	var last *messages.StoreTxn
 	for _, effect := range effects {
@@ -71,10 +74,9 @@
 	return last
 }
 
-// TestStartWaitsForRecord: a machine comes up and gets a task at once, and the
-// write of the record that lists the task has no reply for long. Until the
-// store has confirmed it nothing is started: a next owner that finds no record of
-// the task would start it on another machine as well.
+// TestStartWaitsForRecord checks that a task on a machine that has just booted is not
+// started before the store has confirmed the record that lists it. A next owner that
+// finds no such record would start the task on another machine as well.
 func TestStartWaitsForRecord(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -82,8 +84,8 @@
 		starts int
 	}{
 		{"stored", messages.TxnReply{Outcome: messages.OK, Revision: 50}, 1},
-		{"refused", messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{"groups/g"}}, 0},
-		{"not known", messages.TxnReply{Outcome: messages.UnknownOutcome}, 0},
+		{"conflict", messages.TxnReply{Outcome: messages.Conflict, FailedKeys: []string{"groups/g"}}, 0},
+		{"unknown outcome", messages.TxnReply{Outcome: messages.UnknownOutcome}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
@@ -97,7 +99,7 @@
 			if record == nil || len(b.state.Machines[fastBootMachine].Assignments) != 1 {
 				t.Fatal("the machine got no task, or its record is not written")
 			}
-			for range 10 { // the answer to the heartbeat does not wait that long
+			for range 10 { // longer than a heartbeat is held
 				setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold/4)
 				effects = append(effects, flushEffects(b)...)
 			}
@@ -106,15 +108,15 @@
 			}
 			b.loop.Deliver(messages.Reply{Call: record.Call, Body: test.answer})
 			if n := countStarts(flushEffects(b)); n != test.starts {
-				t.Errorf("%d starts after the answer, want %d", n, test.starts)
+				t.Errorf("%d starts after the store's reply, want %d", n, test.starts)
 			}
 		})
 	}
 }
 
-// TestProvisionedMachineAlwaysRecorded: from the recording of a provisioning request until
-// its machine is in a group, each state of the store shows one of the two, so that a next
-// owner repeats the request or has the machine, whenever it takes over.
+// TestProvisionedMachineAlwaysRecorded checks that after each transaction the store
+// contains either the provisioning request or the group with its machine, so that a new
+// owner can repeat the request or use the machine whenever it acquires the shard.
 func TestProvisionedMachineAlwaysRecorded(t *testing.T) {
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
@@ -133,7 +135,7 @@
 	states := 0
 	b.losesReply = func(messages.StoreTxn) bool { // called after each transaction
 		if states++; !recorded() {
-			t.Errorf("after transaction %d neither the request nor its machine is recorded", states)
+			t.Errorf("after transaction %d the store contains neither the request nor its machine", states)
 		}
 		return false
 	}
@@ -145,13 +147,13 @@
 	}
 	b.runFor(second)
 	if len(shard.ProvisioningRequests) != 0 || b.state.Machines[fastBootMachine] == nil || states < 2 {
-		t.Errorf("%d requests are open after %d transactions, the machine is %v", len(shard.ProvisioningRequests), states, b.state.Machines[fastBootMachine])
+		t.Errorf("%d requests are open after %d transactions, want none; the machine is %v", len(shard.ProvisioningRequests), states, b.state.Machines[fastBootMachine])
 	}
 }
 
-// TestMachineOfOpenProvisioningNotRegistered: a machine sends a heartbeat before the group
-// that lists it is stored. While a provisioning request of its kind is open nothing is
-// done about it: the request is about to list it, and it would be listed twice.
+// TestMachineOfOpenProvisioningNotRegistered checks that an unknown machine is not
+// registered while a provisioning request of its kind is open. The group that is
+// written for the request may list the machine, which would then be recorded twice.
 func TestMachineOfOpenProvisioningNotRegistered(t *testing.T) {
 	for _, test := range []struct {
 		name, zone string
@@ -171,7 +173,7 @@
 				queried = queried || ok
 			}
 			if queried != test.queried {
-				t.Errorf("queried in order to be registered: %v, want %v", queried, test.queried)
+				t.Errorf("machine is queried for its registration: %v, want %v", queried, test.queried)
 			}
 		})
 	}
--- a/internal/controller/group_writes_test.go
+++ b/internal/controller/group_writes_test.go
@@ -8,22 +8,23 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestWriteQueuedWhileBatchIsBuilt: what a write's building queues at its own priority is
-// not lost. A group whose write was lost so stood still for good.
+// TestWriteQueuedWhileBatchIsBuilt checks that a write is not lost if the Build
+// function of another write queues it at the same priority. A group whose write is lost
+// would never be written again.
 func TestWriteQueuedWhileBatchIsBuilt(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
 	built := 0
-	second := &writequeue.Write{ShardID: cluster.NoShard, Keys: []string{"b"}, Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
+	queuedByBuild := &writequeue.Write{ShardID: cluster.NoShard, Keys: []string{"b"}, Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
 		built++
 		return []messages.TxnOp{{Key: "b", Value: []byte(`{}`)}}, []cluster.ModRevision{0}
 	}}
 	c.writeQueue.Enqueue(writequeue.PriorityStart, &writequeue.Write{ShardID: cluster.NoShard, Keys: []string{"a"}, Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
-		c.writeQueue.Enqueue(writequeue.PriorityStart, second)
-		return nil, nil // no longer wanted
+		c.writeQueue.Enqueue(writequeue.PriorityStart, queuedByBuild)
+		return nil, nil // nothing to write any more
 	}})
 	c.writeQueue.Dispatch()
 	c.writeQueue.Dispatch()
 	if built != 1 {
-		t.Errorf("the write queued meanwhile was built %d times", built)
+		t.Errorf("the write queued by the Build function was built %d times, want 1", built)
 	}
 }
--- a/internal/controller/hung_machine_test.go
+++ b/internal/controller/hung_machine_test.go
@@ -8,26 +8,25 @@
 	"stairrelay/internal/cluster"
 )
 
-// successionTime is how long a controller has to be down for another to acquire
-// its shards.
-const successionTime = 9 * second
+// failoverTime is how long a controller must be down for another to acquire its shards.
+const failoverTime = 9 * second
 
-// restartEachOwner restarts each owner of the long job's shard a while after it has
-// acquired that.
+// restartEachOwner restarts each owner of the long job's shard when it has owned the
+// shard for ownershipDuration.
 func (c *testCluster) restartEachOwner(ownershipDuration cluster.Time) {
 	var last cluster.NodeID
 	var check func()
 	check = func() {
 		if owner := c.longJobOwner(); owner != last {
 			last = owner
-			c.After(ownershipDuration, func() { c.restartNode(owner, successionTime) })
+			c.After(ownershipDuration, func() { c.restartNode(owner, failoverTime) })
 		}
 		c.After(second/10, check)
 	}
 	check()
 }
 
-// restartNode restarts the controller of a name.
+// restartNode restarts the controller with the given ID after a delay.
 func (c *testCluster) restartNode(id cluster.NodeID, delay cluster.Time) {
 	for _, node := range c.Nodes {
 		if node.ID == id {
@@ -36,7 +35,7 @@
 	}
 }
 
-// hangMachinesOfJob makes the machines hang on which the long job has tasks.
+// hangMachinesOfJob makes the machines that have tasks of the long job hang.
 func (c *testCluster) hangMachinesOfJob(duration cluster.Time) {
 	for id, worker := range c.Machines.Workers {
 		if len(worker.Tasks) > 0 {
@@ -45,51 +44,49 @@
 	}
 }
 
-// TestHungMachineAcrossShortOwnerships: the machine of a cancelled job hangs, and no
-// owner of its shard runs for as long as an owner waits for a machine that it has
-// just acquired. The job's tasks are gone in time all the same: a controller that
-// has known of the cancellation for half of its time, or started only after it,
-// releases a machine that leaves its first call unanswered.
+// TestHungMachineAcrossShortOwnerships checks that the tasks of a cancelled job on a
+// hung machine are gone by the cancel deadline, even if each owner of the shard crashes
+// before the time is over for which a new owner waits for a machine.
 func TestHungMachineAcrossShortOwnerships(t *testing.T) {
-	// Ten owners in two minutes: of the 12 s for each, detection takes 6.6 s.
+	// Ten owners in two minutes: failure detection takes 6.6 s of the 12 s for each.
 	const tenInTwoMinutes = 5400 * millisecond
 	for _, test := range []struct {
-		heartbeatInterval, lease, cancelDeadline, ownership cluster.Time
+		heartbeatInterval, lease, cancelDeadline, ownershipDuration cluster.Time
 	}{
 		{2 * second, 12 * second, 37 * second, 2 * second},
 		{3 * second, 22 * second, 52 * second, tenInTwoMinutes},
 		{5 * second, 26500 * millisecond, 51500 * millisecond, tenInTwoMinutes},
 		{5 * second, 26500 * millisecond, 51500 * millisecond, 2 * second},
 	} {
-		t.Run(fmt.Sprintf("heartbeats each %v, owners run for %v", time.Duration(test.heartbeatInterval), time.Duration(test.ownership)), func(t *testing.T) {
+		t.Run(fmt.Sprintf("heartbeat interval %v, ownership duration %v", time.Duration(test.heartbeatInterval), time.Duration(test.ownershipDuration)), func(t *testing.T) {
 			cfg := testConfig()
 			cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelDeadline = test.heartbeatInterval, test.lease, test.cancelDeadline
-			if patience := max(5*second, 2*test.heartbeatInterval); test.ownership >= patience {
-				t.Fatalf("owners run for %v, no shorter than an owner waits", time.Duration(test.ownership))
+			if newOwnerTimeout := max(5*second, 2*test.heartbeatInterval); test.ownershipDuration >= newOwnerTimeout {
+				t.Fatalf("ownership duration %v is not shorter than a new owner waits for a machine", time.Duration(test.ownershipDuration))
 			}
 			c := newTestClusterWithConfig(t, cfg, 1, 2)
 			c.hangMachinesOfJob(2 * cfg.CancelDeadline)
 			c.cancelAt(c.Nodes[1], c.longJob)
-			c.restartEachOwner(test.ownership)
+			c.restartEachOwner(test.ownershipDuration)
 			c.RunUntil(c.longJob.CancelConfirmedAt + cfg.CancelDeadline)
 			if running := c.countRunningTasks(c.longJob); running > 0 {
-				t.Errorf("%d tasks are on machines when the time for the cancellation is over", running)
+				t.Errorf("%d tasks still run at the cancel deadline", running)
 			}
 			c.runAndCheck(30 * second)
 		})
 	}
 }
 
-// TestHungMachineReleasedInOutage: a cancelled job's machine hangs, and the state
-// service is down for longer than cancel_s: the machine is released without a
-// record.
+// TestHungMachineReleasedInOutage checks that the hung machine of a cancelled job is
+// released during an outage of the state service that is longer than the cancel
+// deadline, although the release can't be recorded.
 func TestHungMachineReleasedInOutage(t *testing.T) {
 	c := newTestCluster(t, 2)
 	c.hangMachinesOfJob(100 * second)
 	c.cancelAt(c.Nodes[1], c.longJob)
 	c.Store.DownUntil = c.Now + 80*second
 	if c.countRunningTasks(c.longJob) == 0 {
-		t.Fatal("the tasks are gone before the outage")
+		t.Fatal("the tasks ended before the outage")
 	}
 	c.runAndCheck(120 * second)
 }
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -6,21 +6,21 @@
 	"stairrelay/internal/messages"
 )
 
-// TestIsolatedControllerOwnershipExpires: a controller that reaches its workers but
-// neither the store nor the other controllers has a valid ownership lease for a
-// bounded time only. Here no other controller reaches the worker either, so that no
-// newer fencing token shows it.
+// TestIsolatedControllerOwnershipExpires checks that an owner that reaches its workers,
+// but neither the store nor its peers, stops answering the workers when its ownership
+// lease expires. The workers reach no other controller that could send them a higher
+// fencing token.
 func TestIsolatedControllerOwnershipExpires(t *testing.T) {
 	cfg := testConfig()
 	sim := newSimulator(1, cfg)
 	sim.NoRandomFaults = true
 	sim.Machines.Add("small", "a", false)
 	sim.RunUntil(10 * second)
-	owner := sim.Nodes[1] // of the shard that the machine's number belongs to
+	owner := sim.Nodes[1] // owns the shard that the machine's ID maps to
 	until := sim.Now + 100*second
 	owner.StorePartitionedUntil, owner.PeersPartitionedUntil = until, until
 	sim.Nodes[0].WorkersPartitionedUntil, sim.Nodes[2].WorkersPartitionedUntil = until, until
-	answer := func() messages.ReplyStatus {
+	sendHeartbeat := func() messages.ReplyStatus {
 		status := messages.ReplyNone
 		heartbeat := heartbeatRequest(sim.Machines.Workers["m-000001"].NextStatus())
 		owner.SendRequest(heartbeat, func(answer messages.Respond) { status = answer.Status })
@@ -28,11 +28,11 @@
 		return status
 	}
 	sim.RunUntil(sim.Now + 5*second)
-	if status := answer(); status != messages.ReplyOK {
-		t.Errorf("soon after the partition: %d", status)
+	if status := sendHeartbeat(); status != messages.ReplyOK {
+		t.Errorf("status %d soon after the partition, want 200", status)
 	}
 	sim.RunUntil(sim.Now + cfg.WorkerLease + 5*second)
-	if status := answer(); status != messages.ReplyMisdirected {
-		t.Errorf("a lease later: %d, which keeps the worker", status)
+	if status := sendHeartbeat(); status != messages.ReplyMisdirected {
+		t.Errorf("status %d after the ownership lease, want 421; the worker's lease was renewed", status)
 	}
 }
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -8,9 +8,9 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestJobEndInDoubtConfirmedBeforeAnswer shows that after the write of a job's end was
-// carried out and its answer was lost, neither a user's query nor another
-// controller's gets the owner's older view: others may have read and reported the end.
+// TestJobEndInDoubtConfirmedBeforeAnswer checks that after the write of a job's end was
+// applied and its reply lost, neither users nor peers get the owner's older view of the
+// job. Others may have read and reported the end.
 func TestJobEndInDoubtConfirmedBeforeAnswer(t *testing.T) {
 	b := newControllerHarness()
 	job := b.addTestJob("j-1", 1)
@@ -19,19 +19,19 @@
 	b.jobs.Records.WriteJob(job, writequeue.PriorityAdmission)
 	b.runFor(60 * millisecond)
 	if b.store.get("jobs/j-1").Outcome != messages.OK || job.FinalStatus != "" {
-		t.Fatal("the end is not stored, or its answer is not lost")
+		t.Fatal("the job's end is not stored, or the reply was not lost")
 	}
-	b.state.Jobs.Known["j-1"].FinalStatus = "" // this controller has not learned of it
+	b.state.Jobs.Known["j-1"].FinalStatus = "" // the watch has not delivered the end yet
 	b.jobs.Queries.HandleQuery(messages.Query{Request: 5, ID: "j-1"})
 	var views []cluster.JobView
 	b.jobs.Queries.HandlePeerQuery([]cluster.JobID{"j-1"}, func(v []cluster.JobView) { views = v })
 	b.runFor(300 * millisecond)
 	if len(b.sentResponses) != 1 || b.sentResponses[0].View == nil || b.sentResponses[0].View.Status != cluster.JobDone {
-		t.Errorf("a query gets %+v", b.sentResponses)
+		t.Errorf("a user's query is answered with %+v, want done", b.sentResponses)
 	}
 	for _, v := range views {
 		if v.Status != cluster.JobDone {
-			t.Errorf("another controller gets %+v", v)
+			t.Errorf("a peer's query is answered with %+v, want done", v)
 		}
 	}
 }
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -7,15 +7,15 @@
 	"stairrelay/internal/messages"
 )
 
-// answerProbe lets a peer of newHarnessWithKnownPeers answer a ping that was sent now
-// with the latest term that it knows of shard 0.
-func answerProbe(b *controllerHarness, id cluster.NodeID, term cluster.Term) {
+// acknowledgeTerm makes a peer of newHarnessWithKnownPeers reply to a ping that was
+// sent now, with term as the latest that it knows of shard 0.
+func acknowledgeTerm(b *controllerHarness, id cluster.NodeID, term cluster.Term) {
 	ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{term, 1, 1}}
 	b.members.HandlePingReply(b.members.Peer(id), ping, b.loop.Now())
 }
 
-// sendAcquire makes the controller acquire shard 0 and returns the transaction, which
-// has no answer yet.
+// sendAcquire makes the controller acquire shard 0 and returns the transaction, to
+// which the store has not replied.
 func sendAcquire(t *testing.T, b *controllerHarness) messages.StoreTxn {
 	t.Helper()
 	shard := b.state.Shards[0]
@@ -27,17 +27,14 @@
 			return acquire
 		}
 	}
-	t.Fatal("no acquire was sent")
+	t.Fatal("no acquisition was sent")
 	return messages.StoreTxn{}
 }
 
-// TestLaterTermSeenBeforeAcquireReply: the state service carries out an acquire, and
-// the answer is late. Meanwhile a peer acquires the shard in its turn and answers a
-// ping with its later term. The acquire's answer then makes this controller an owner
-// that was deposed already: ownership.Manager.ApplyPing ignored the later term, as the
-// shard was not owned yet, so nothing but the comparison of terms in
-// Acknowledgement.covers keeps that peer's answer from counting as its acknowledgement
-// that there is no later claim.
+// TestLaterTermSeenBeforeAcquireReply checks that a peer's ping reply does not confirm
+// an acquisition if it carries a later term and arrives before the store's reply to the
+// acquisition. The ping reply can't depose this controller, which does not own the
+// shard yet, so the comparison of terms in Claim.LastConfirmedAt is the only guard.
 func TestLaterTermSeenBeforeAcquireReply(t *testing.T) {
 	const ownTerm = 2
 	for _, test := range []struct {
@@ -52,24 +49,24 @@
 			b := newHarnessWithKnownPeers()
 			shard := b.state.Shards[0]
 			acquire := sendAcquire(t, b)
-			sentAt := b.loop.Now()
+			acquireSentAt := b.loop.Now()
 
 			setTime(b.Controller, b.loop.Now()+3*second)
-			answeredAt := b.loop.Now()
-			answerProbe(b, "n1", test.peerTerm)
-			answerProbe(b, "n2", ownTerm)
+			pingSentAt := b.loop.Now()
+			acknowledgeTerm(b, "n1", test.peerTerm)
+			acknowledgeTerm(b, "n2", ownTerm)
 
 			setTime(b.Controller, b.loop.Now()+second)
 			b.loop.Deliver(messages.Reply{Call: acquire.Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 40}})
 			if !shard.Owned || shard.Term != ownTerm {
 				t.Fatalf("owned %v, term %d; want the shard owned with term %d", shard.Owned, shard.Term, ownTerm)
 			}
-			want := sentAt
+			want := acquireSentAt
 			if test.acknowledged {
-				want = answeredAt
+				want = pingSentAt
 			}
 			if got := b.ownership.LastConfirmedAt(shard); got != want {
-				t.Errorf("confirmed as of %d s, want %d s", got/second, want/second)
+				t.Errorf("last confirmed at %d s, want %d s", got/second, want/second)
 			}
 		})
 	}
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -9,9 +9,10 @@
 	"stairrelay/internal/state"
 )
 
-// TestOnlyStopsBeforeTokenAcknowledged: what is sent to a machine that waits for a higher
-// fencing token, or has not acknowledged its own, holds the stops of cancelled tasks and
-// no start.
+// TestOnlyStopsBeforeTokenAcknowledged checks which commands a machine gets before its
+// fencing token is acknowledged. Stops of cancelled tasks are always sent. Starts are
+// not sent while the token is being raised, and not pushed before the worker has
+// acknowledged the token.
 func TestOnlyStopsBeforeTokenAcknowledged(t *testing.T) {
 	stop, both := []cluster.CommandKind{cluster.Stop}, []cluster.CommandKind{cluster.Stop, cluster.Start}
 	for _, test := range []struct {
@@ -23,7 +24,7 @@
 		{"raising", true, true, stop, stop},
 		{"unacknowledged", false, false, both, stop},
 	} {
-		t.Run(test.name+" answered", func(t *testing.T) {
+		t.Run(test.name+" heartbeat", func(t *testing.T) {
 			b, machine := newHarnessWithStopAndStart(t)
 			machine.RaisingToken, machine.TokenAcknowledged = test.raising, test.acknowledged
 			machine.PendingHeartbeat = 9
@@ -33,7 +34,7 @@
 				t.Errorf("sent %v, want %v", got, test.answered)
 			}
 		})
-		t.Run(test.name+" pushed", func(t *testing.T) {
+		t.Run(test.name+" push", func(t *testing.T) {
 			b, machine := newHarnessWithStopAndStart(t)
 			machine.RaisingToken, machine.TokenAcknowledged = test.raising, test.acknowledged
 			b.reconciler.Commands.PushQueued()
@@ -50,8 +51,8 @@
 	}
 }
 
-// newHarnessWithStopAndStart is a harness with a machine that has a task to stop, whose
-// job is cancelled, and one to start.
+// newHarnessWithStopAndStart returns a harness and a machine with two tasks: one to
+// stop, as its job is cancelled, and one to start.
 func newHarnessWithStopAndStart(t *testing.T) (*controllerHarness, *state.Machine) {
 	t.Helper()
 	b := newControllerHarness()
@@ -62,12 +63,11 @@
 	other.SetAssigned(0, ready)
 	b.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
 	if !running.StopRequested {
-		t.Fatal("the cancelled job's task is not to stop")
+		t.Fatal("no stop is requested for the cancelled job's task")
 	}
 	return b, machine
 }
 
-// commandKinds lists the kinds of commands.
 func commandKinds(commands []cluster.Command) []cluster.CommandKind {
 	var kinds []cluster.CommandKind
 	for _, command := range commands {
@@ -76,7 +76,7 @@
 	return kinds
 }
 
-// lastEffect returns the last effect, which must be of a type.
+// lastEffect returns the last effect, which must be of type T.
 func lastEffect[T messages.Effect](t *testing.T, b *controllerHarness) T {
 	t.Helper()
 	effects := b.loop.Effects()
@@ -85,15 +85,15 @@
 	}
 	effect, ok := effects[len(effects)-1].(T)
 	if !ok {
-		t.Fatalf("the last effect is %T", effects[len(effects)-1])
+		t.Fatalf("the last effect has the wrong type %T", effects[len(effects)-1])
 	}
 	return effect
 }
 
-// TestUndeliveredStopSentAgain: a stop whose call was not carried out, or has no reply,
-// is sent again by the next call; one that arrived is not.
+// TestUndeliveredStopSentAgain checks that a stop is sent again if its push was not
+// applied or has an unknown outcome, and that a delivered one is not.
 func TestUndeliveredStopSentAgain(t *testing.T) {
-	for outcome, again := range map[messages.Outcome]bool{messages.NotApplied: true, messages.UnknownOutcome: true, messages.OK: false} {
+	for outcome, resent := range map[messages.Outcome]bool{messages.NotApplied: true, messages.UnknownOutcome: true, messages.OK: false} {
 		b := newControllerHarness()
 		machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
 		b.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
@@ -113,8 +113,8 @@
 		b.reconciler.Commands.QueuePush(machine)
 		takeEffects(b.Controller)
 		b.reconciler.Commands.PushQueued()
-		if sent := len(b.loop.Effects()) > 0; sent != again {
-			t.Errorf("after %v the stop is sent again: %v", outcome, sent)
+		if sent := len(b.loop.Effects()) > 0; sent != resent {
+			t.Errorf("push outcome %v: stop is sent again: %v", outcome, sent)
 		}
 	}
 }
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -8,9 +8,9 @@
 	"stairrelay/internal/messages"
 )
 
-// TestUnlistedSilentMachineReleased: a machine that is silent and gone from the cloud's
-// list is released without waiting for its lease; one that only is silent, or
-// only is missing from a list that may be old, is not.
+// TestUnlistedSilentMachineReleased checks that a machine that sends no heartbeats and
+// is missing from the cloud's list is released before its lease expires. Neither sign
+// is enough alone, as the list may be out of date.
 func TestUnlistedSilentMachineReleased(t *testing.T) {
 	for _, test := range []struct {
 		listed, silent, released bool
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -9,11 +9,11 @@
 	"stairrelay/internal/state"
 )
 
-// TestCloudRateSharedByDemand: where one of seven controllers has all the work it gets
-// most of the cloud's rate, the idle ones keep enough to begin with, and
-// together they stay within the limit.
+// TestCloudRateSharedByDemand checks that the only one of seven controllers with work
+// gets most of the cloud's rate limit, that each idle one keeps enough for its first
+// calls, and that the shares stay within the limit.
 func TestCloudRateSharedByDemand(t *testing.T) {
-	view := func(self cluster.NodeID, demand map[cluster.NodeID]float64) float64 {
+	rateShare := func(self cluster.NodeID, demand map[cluster.NodeID]float64) float64 {
 		cfg := newSevenNodeController().config
 		cfg.Self = self
 		c := New(cfg)
@@ -25,61 +25,62 @@
 		return c.provisioner.RateLimiter.Share()
 	}
 	demand := map[cluster.NodeID]float64{"n0": 4}
-	busy := view("n0", demand)
+	busy := rateShare("n0", demand)
 	if busy < 0.75*3.6 {
-		t.Errorf("the one with work may call the cloud %.2f times a second of 3.6", busy)
+		t.Errorf("the controller with work gets %.2f of 3.6 cloud calls per second", busy)
 	}
 	sum := 0.0
 	for _, node := range newSevenNodeController().config.Nodes {
-		rate := view(node, demand)
+		rate := rateShare(node, demand)
 		if rate < 0.05 {
-			t.Errorf("%s could not even begin: %.3f calls a second", node, rate)
+			t.Errorf("%s gets only %.3f cloud calls per second", node, rate)
 		}
 		sum += rate
 	}
 	if sum > 3.601 {
-		t.Errorf("together %.2f calls a second, over 3.6", sum)
+		t.Errorf("all controllers together get %.2f cloud calls per second, more than 3.6", sum)
 	}
 }
 
-// newSevenNodeController is a cluster's first controller whose one team has no limit.
+// newSevenNodeController returns the first of seven controllers in a cluster whose only
+// team has no quota limit.
 func newSevenNodeController() *Controller {
 	return New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: cluster.NoLimit, GPU: cluster.NoLimit}}},
 		CloudRPS: 4, StoreRPS: 100, WriteRPS: 25, MaxTxnOps: 20, MaxValueBytes: 16384, WorkerLease: 14 * second, HeartbeatInterval: 5 * second / 2, Tuning: DefaultTuning()})
 }
 
-// TestFailbackOnlyRelievesLoad: a shard goes back to its home only where that takes work
-// off a controller that has other work too; with all the work in one shard only its
-// owner would change.
-func TestFailbackOnlyRelievesLoad(t *testing.T) {
+// TestFailbackOnlyToSpreadLoad checks that a shard is offered back to its preferred
+// owner only if the current owner has other work as well. Moving all the work to
+// another controller would gain nothing.
+func TestFailbackOnlyToSpreadLoad(t *testing.T) {
 	c := newSevenNodeController()
 	c.Step(second, 0, messages.Tick{})
-	mine, theirs, home := c.state.Shards[0], c.state.Shards[1], c.members.Peer("n1")
-	answer := func() {
-		c.members.HandlePingReply(home, &messages.Ping{StoreReachable: true, WorkersReachable: true}, c.loop.Now())
+	shard0, shard1, preferredOwner := c.state.Shards[0], c.state.Shards[1], c.members.Peer("n1")
+	reportHealthy := func() {
+		c.members.HandlePingReply(preferredOwner, &messages.Ping{StoreReachable: true, WorkersReachable: true}, c.loop.Now())
 	}
-	answer()
+	reportHealthy()
 	c.Step(20*second, 0, messages.Tick{})
-	answer()
-	for _, shard := range []*state.Shard{mine, theirs} {
+	reportHealthy()
+	for _, shard := range []*state.Shard{shard0, shard1} {
 		shard.Owned, shard.Ready, shard.Owner = true, true, "n0"
 	}
-	if len(c.members.MakePing(home).FailbackOffers) != 1 {
-		t.Error("a shard without work is not offered to its home")
+	if len(c.members.MakePing(preferredOwner).FailbackOffers) != 1 {
+		t.Error("a shard without work is not offered to its preferred owner")
 	}
-	c.state.AddOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, theirs.ID, 0, 0))
-	if len(c.members.MakePing(home).FailbackOffers) != 0 {
-		t.Error("the only shard with work is offered to its home")
+	c.state.AddOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-1", Team: "red", Tasks: 1}, shard1.ID, 0, 0))
+	if len(c.members.MakePing(preferredOwner).FailbackOffers) != 0 {
+		t.Error("the only shard with work is offered to its preferred owner")
 	}
-	c.state.AddOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, mine.ID, 0, 0))
-	if len(c.members.MakePing(home).FailbackOffers) != 1 {
-		t.Error("one of two shards with work is not offered to its home")
+	c.state.AddOwnedJob(state.NewJob(cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1}, shard0.ID, 0, 0))
+	if len(c.members.MakePing(preferredOwner).FailbackOffers) != 1 {
+		t.Error("one of two shards with work is not offered to its preferred owner")
 	}
 }
 
-// TestReleasedMachineNotAdopted: a machine that was another shard's until it was
-// released is listed for a while longer; it is not adopted as an orphan because
-// it was first seen long ago.
+// TestReleasedMachineNotAdopted checks that a machine that another shard has released
+// is not adopted as an orphan while the cloud still lists it, even if it was first
+// listed long ago.
 func TestReleasedMachineNotAdopted(t *testing.T) {
 	c := newSevenNodeController()
 	c.config.CloudListLag = 8 * second
@@ -87,10 +88,10 @@
 	c.Step(0, 0, messages.Tick{})
 	shard := c.reconciler.Orphans.ShardFor("m-000007")
 	shard.Owned, shard.Ready = true, true
-	owned, adopted, reads := true, false, 0
+	recorded, adopted, reads := true, false, 0
 	for c.loop.Now() < 300*second {
 		if c.loop.Now() > 70*second {
-			owned = false // released; the list shows it for 16 s more
+			recorded = false // released; the cloud lists it for 16 s more
 		}
 		if c.loop.Now() < 86*second && c.loop.Now()%(8*second) == 0 {
 			c.provisioner.List.Apply([]cluster.ListedMachine{{ID: "m-000007", Type: "small", Zone: "a", AgeSeconds: 500}})
@@ -103,7 +104,7 @@
 			case messages.StoreList:
 				reads++
 				reply := messages.ListReply{Outcome: messages.OK}
-				if effect.Prefix == "groups/" && owned {
+				if effect.Prefix == "groups/" && recorded {
 					reply.Items = []messages.KV{{Key: "groups/x", Value: grouprecord.Encode(grouprecord.Record{ShardID: 3, Machines: []grouprecord.Machine{{ID: "m-000007", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}}}, WriteID: "n"})}}
 				}
 				queue = append(queue, c.Step(c.loop.Now(), 0, messages.Reply{Call: effect.Call, Body: reply})...)
@@ -113,20 +114,20 @@
 		}
 	}
 	if reads < 2 {
-		t.Error("nobody read which shard has the machine")
+		t.Error("the group records were not read to find the owner of the machine")
 	}
 	if adopted || len(shard.ToRegister) > 0 {
 		t.Error("a released machine was adopted as an orphan")
 	}
 }
 
-// TestOwnerWithoutHeartbeatsFailsOver: the controller with all machines loses its workers.
-// It says so when a few seconds have passed without any heartbeat, and another,
-// which has no machines but hears the workers look for their owner, takes over.
+// TestOwnerWithoutHeartbeatsFailsOver checks that an owner that has received no
+// heartbeat for a few seconds reports its workers as unreachable, and that a controller
+// that receives heartbeats of those workers considers the owner failed.
 func TestOwnerWithoutHeartbeatsFailsOver(t *testing.T) {
-	const machines = 20 // a large fleet
+	const machines = 20 // a large fleet, which has a shorter heartbeat timeout
 	c := newSevenNodeController()
-	for now := cluster.Time(0); now <= 30*second; now += second { // a single step would be a process pause
+	for now := cluster.Time(0); now <= 30*second; now += second { // a single step would count as a process pause
 		c.Step(now, 0, messages.Tick{})
 	}
 	shard := c.state.Shards[0]
@@ -139,21 +140,21 @@
 	c.workerReachability.RecordOwnedHeartbeat()
 	setTime(c, c.loop.Now()+3*second)
 	if !c.workerReachability.CanReachWorkers() {
-		t.Error("workers count as lost while heartbeats may still be on their way")
+		t.Error("workers count as unreachable while their heartbeats may still arrive")
 	}
 	setTime(c, c.loop.Now()+second)
 	if c.workerReachability.CanReachWorkers() {
-		t.Error("20 machines silent for 4 s, heartbeats each 2.5 s: the workers count as in reach")
+		t.Error("workers count as reachable after 4 s without heartbeats from 20 machines, which send one every 2.5 s")
 	}
 
 	observer := newSevenNodeController()
 	observer.Step(30*second, 0, messages.Tick{})
 	observer.members.HandlePingReply(observer.members.Peer("n1"), &messages.Ping{StoreReachable: true, WorkersReachable: false}, observer.loop.Now())
 	if observer.members.IsFailed("n1") {
-		t.Error("an owner without workers is lost to one that hears no worker either")
+		t.Error("an owner that reaches no workers counts as failed at a controller without heartbeats")
 	}
 	observer.Step(observer.loop.Now(), 0, messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: "m-1", Incarnation: 1, SequenceNumber: 1}})
 	if !observer.members.IsFailed("n1") {
-		t.Error("an owner without workers is kept though its workers send heartbeats here")
+		t.Error("an owner that reaches no workers does not count as failed although its workers send heartbeats here")
 	}
 }
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -11,9 +11,9 @@
 	"stairrelay/internal/messages"
 )
 
-// TestOversizedPeerRequestRejected: a ping that lists more than there can be is rejected
-// and logged once, and the controller goes on. Where a transfer offer is considered, the
-// time taken grows with its count of machines.
+// TestOversizedPeerRequestRejected checks that a ping with more entries than a valid
+// one can have is rejected and logged once. The time to process a transfer offer grows
+// with its machine count, so an oversized one could block the event loop.
 func TestOversizedPeerRequestRejected(t *testing.T) {
 	for name, ping := range map[string]messages.Ping{
 		"Parts":          {Shards: make([]messages.ShardTerm, 4)},
@@ -30,23 +30,23 @@
 				lines += b.sendOversizedPing(t, messages.RequestID(request+1), &ping, name)
 			}
 			if lines != 1 {
-				t.Errorf("%d lines in the log, want 1", lines)
+				t.Errorf("%d log lines, want 1", lines)
 			}
-			var wrong *membership.PingError
-			if err := b.members.HandlePing(b.members.Peer("n1"), &ping); !errors.As(err, &wrong) || wrong.Field != name {
-				t.Errorf("error %v", err)
+			var pingError *membership.PingError
+			if err := b.members.HandlePing(b.members.Peer("n1"), &ping); !errors.As(err, &pingError) || pingError.Field != name {
+				t.Errorf("error %v, want a PingError for the field", err)
 			}
 		})
 	}
 	b := newControllerHarness()
 	peer := b.members.Peer("n1")
 	if err := b.members.HandlePing(peer, b.members.MakePing(peer)); err != nil {
-		t.Errorf("our own ping: %v", err)
+		t.Errorf("a valid ping is rejected: %v", err)
 	}
 }
 
-// sendOversizedPing delivers a ping of n1, whose answer must name a field as too large, and
-// returns how many lines were logged.
+// sendOversizedPing delivers a ping of n1, checks that the response rejects the given
+// field, and returns the number of log lines.
 func (b *controllerHarness) sendOversizedPing(t *testing.T, request messages.RequestID, ping *messages.Ping, field string) int {
 	t.Helper()
 	takeEffects(b.Controller)
--- a/internal/controller/one_task_jobs_test.go
+++ b/internal/controller/one_task_jobs_test.go
@@ -12,15 +12,15 @@
 const (
 	oneTaskJobCount    = 160
 	oneTaskJobInterval = second / 4
-	// minCancelledJobs is how many jobs must have been cancelled for the day to test
-	// anything.
+	// minCancelledJobs is the number of cancelled jobs below which a run is
+	// inconclusive.
 	minCancelledJobs = 10
 )
 
-// TestManyOneTaskJobs: one-task jobs come four a second for 40 s and a quarter of
-// them is cancelled, while the busiest controller crashes, replies of the state
-// service are lost and users ask all controllers. Each job has a record, a start
-// and an end of its own, which is where a controller falls behind.
+// TestManyOneTaskJobs checks that all of many one-task jobs end without violations,
+// with a quarter of them cancelled, while the busiest controller crashes and replies of
+// the state service are lost. Each job needs its own record, start and end, which may
+// make a controller fall behind.
 func TestManyOneTaskJobs(t *testing.T) {
 	forEachSeed(t, 1, 4, func(t *testing.T, seed uint64) {
 		t.Helper()
@@ -38,7 +38,7 @@
 	})
 }
 
-// planOneTaskJobs plans the jobs, of which every fourth is cancelled.
+// planOneTaskJobs plans the submissions and the cancellation of every fourth job.
 func planOneTaskJobs(sim *simulation.Simulator, teams []cluster.Team) {
 	for i := range oneTaskJobCount {
 		run := sim.RandomBetween(second, 8*second)
@@ -55,7 +55,7 @@
 	}
 }
 
-// checkOneTaskJobs checks that no rule was broken and all jobs have ended.
+// checkOneTaskJobs checks that there were no violations and that all jobs have ended.
 func checkOneTaskJobs(t *testing.T, sim *simulation.Simulator) {
 	t.Helper()
 	for _, violation := range sim.Violations {
@@ -68,10 +68,10 @@
 		}
 	}
 	if unfinished := sim.UnfinishedJobCount(); unfinished > 0 && !t.Failed() {
-		t.Errorf("%d of %d jobs have no end after %v", unfinished, len(sim.Jobs), time.Duration(sim.Now))
+		t.Errorf("%d of %d jobs are unfinished after %v", unfinished, len(sim.Jobs), time.Duration(sim.Now))
 	}
 	if !t.Failed() && (len(sim.Jobs) != oneTaskJobCount || cancelled < minCancelledJobs || sim.FaultCounts[simulation.FaultReplyLost] == 0) {
-		t.Errorf("%d jobs, %d cancelled, faults %v: the day tests nothing", len(sim.Jobs), cancelled, sim.FaultCounts)
+		t.Errorf("%d jobs, %d cancelled, faults %v: the run is inconclusive", len(sim.Jobs), cancelled, sim.FaultCounts)
 	}
 	t.Logf("%d cancelled, %v", cancelled, sim.FaultCounts)
 }
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -12,9 +12,9 @@
 	"stairrelay/internal/state"
 )
 
-// TestOverloadedController: a process near its share of the processor decides less often,
-// refuses what it can't take in time, and pushes starts only to machines that would
-// otherwise send no heartbeat for a while.
+// TestOverloadedController checks that a controller that is short of CPU time schedules
+// less often, rejects submissions that it can't process in time, and does not push
+// starts to machines with running tasks, which send heartbeats often enough.
 func TestOverloadedController(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
 		Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
@@ -46,24 +46,24 @@
 		for _, effect := range c.loop.Effects() {
 			push, ok := effect.(messages.PushCommands)
 			if !ok {
-				t.Fatalf("effect %T", effect)
+				t.Fatalf("unexpected effect %T", effect)
 			}
 			addresses = append(addresses, push.Addr)
 		}
 		return addresses
 	}
 	if addresses := pushedTo(messages.ProcessLoad{CPUUsage: 0.4}); len(addresses) != 2 {
-		t.Errorf("without load, starts are pushed to %v", addresses)
+		t.Errorf("without load, starts are pushed to %v, want both machines", addresses)
 	}
 	if addresses := pushedTo(messages.ProcessLoad{CPUUsage: 0.9}); len(addresses) != 1 || addresses[0] != "idle" {
-		t.Errorf("overloaded, starts are pushed to %v", addresses)
+		t.Errorf("overloaded, starts are pushed to %v, want only the idle machine", addresses)
 	}
 	if delay := c.processHealth.StretchDelay(scheduling.MinInterval); delay <= scheduling.MinInterval || delay > second {
-		t.Errorf("overloaded, placements are %v apart", time.Duration(delay))
+		t.Errorf("overloaded, the scheduling interval is %v", time.Duration(delay))
 	}
 	c.processHealth.RecordLoad(messages.ProcessLoad{EventDelay: 2 * second})
 	retryAfter := c.jobs.Submissions.OverloadRetryAfter
 	if retryAfter(cluster.BestEffort) == 0 || retryAfter(cluster.Normal) == 0 || retryAfter(cluster.Production) != 0 {
-		t.Errorf("2 s behind: refused for %d, %d, %d s", retryAfter(cluster.BestEffort), retryAfter(cluster.Normal), retryAfter(cluster.Production))
+		t.Errorf("2 s behind: retry after %d, %d, %d s for best effort, normal, production", retryAfter(cluster.BestEffort), retryAfter(cluster.Normal), retryAfter(cluster.Production))
 	}
 }
--- a/internal/controller/owner_failures_test.go
+++ b/internal/controller/owner_failures_test.go
@@ -7,8 +7,9 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestRepeatedOwnerFailures: the owner of a shard crashes ten times in two minutes, also
-// in an outage of the state service; a job is cancelled in between.
+// TestRepeatedOwnerFailures checks that one job is cancelled and another is done
+// although the owner of their shard crashes ten times in two minutes, also during an
+// outage of the state service.
 func TestRepeatedOwnerFailures(t *testing.T) {
 	c := newTestCluster(t, 3)
 	other := c.submitJob("j-000002", 2, 200*second)
@@ -17,14 +18,14 @@
 		c.After(cluster.Time(i)*12*second, func() {
 			owner := c.longJobOwner()
 			crashes[owner]++
-			c.restartNode(owner, successionTime)
+			c.restartNode(owner, failoverTime)
 		})
 	}
 	c.After(40*second, func() { c.Store.DownUntil = c.Now + 30*second })
 	c.After(38*second, func() { c.Users.Cancel(c.longJob) })
 	c.runAndCheck(120 * second)
 	if len(crashes) < 2 || c.longJob.ReportedStatus != cluster.JobCancelled || c.longJob.CancelConfirmedAt-startedAt > 90*second {
-		t.Errorf("crashes %v, the job is %s since %v", crashes, c.longJob.ReportedStatus, time.Duration(c.longJob.CancelConfirmedAt-startedAt))
+		t.Errorf("crashes %v, the cancelled job is %s, confirmed after %v", crashes, c.longJob.ReportedStatus, time.Duration(c.longJob.CancelConfirmedAt-startedAt))
 	}
 	c.runAndCheck(300 * second)
 	if other.ReportedStatus != cluster.JobDone {
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -11,84 +11,85 @@
 )
 
 const (
-	storeConfirmedAt = 100 * second // when the state service last showed the claim of shard 0
-	answeredAt       = 130 * second // when the pings were sent that the peers have answered
+	storeConfirmedAt = 100 * second // when the state service last confirmed the claim of shard 0
+	pingsSentAt      = 130 * second // when the pings were sent that the peers have replied to
 )
 
-// leaseTest is what the other controllers have acknowledged, and what the owner of
-// shard 0 may do by it.
+// leaseTest describes the acknowledgements of the peers and what they allow the owner
+// of shard 0 to do.
 type leaseTest struct {
-	name       string
-	n2Answered cluster.Time // when the last ping was sent that n2 has answered; 0: none was
-	prepare    func(b *controllerHarness, n2 *membership.Peer)
-	owned      bool
-	confirmed  cluster.Time
-	mayAnswer  bool // 8 s later
-	mayStart   bool // 8 s later
+	name         string
+	n2PingSentAt cluster.Time // when the last ping was sent that n2 replied to; 0 if it replied to none
+	prepare      func(b *controllerHarness, n2 *membership.Peer)
+	owned        bool
+	confirmedAt  cluster.Time
+	canAnswer    bool // 8 s later
+	canStart     bool // 8 s later
 }
 
 var leaseTests = []leaseTest{
 	{
-		name: "every peer acknowledged", n2Answered: answeredAt,
+		name: "every peer acknowledged", n2PingSentAt: pingsSentAt,
 		prepare: func(*controllerHarness, *membership.Peer) {},
-		owned:   true, confirmed: answeredAt, mayAnswer: true, mayStart: false,
+		owned:   true, confirmedAt: pingsSentAt, canAnswer: true, canStart: false,
 	},
 	{
-		name: "one peer never did", n2Answered: 0,
+		name: "one peer never acknowledged", n2PingSentAt: 0,
 		prepare: func(*controllerHarness, *membership.Peer) {},
-		owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+		owned:   true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
 	{
-		name: "a new process", n2Answered: answeredAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, "other", 1, 1, 1) },
-		owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+		name: "peer restarted", n2PingSentAt: pingsSentAt,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) { deliverPingReply(b, n2, "other", 1, 1, 1) },
+		owned:   true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
 	{
-		name: "a new process, the store read since", n2Answered: answeredAt,
+		name: "peer restarted, claim confirmed by the store since", n2PingSentAt: pingsSentAt,
 		prepare: func(b *controllerHarness, n2 *membership.Peer) {
-			answerPing(b, n2, "other", 1, 1, 1)
-			b.ownership.RecordConfirmation(b.state.Shards[0], 30, answeredAt)
+			deliverPingReply(b, n2, "other", 1, 1, 1)
+			b.ownership.RecordConfirmation(b.state.Shards[0], 30, pingsSentAt)
 		},
-		owned: true, confirmed: answeredAt, mayAnswer: true, mayStart: false,
+		owned: true, confirmedAt: pingsSentAt, canAnswer: true, canStart: false,
 	},
 	{
-		name: "a new process, another mod revision read", n2Answered: answeredAt,
+		name: "peer restarted, another mod revision read from the store", n2PingSentAt: pingsSentAt,
 		prepare: func(b *controllerHarness, n2 *membership.Peer) {
-			answerPing(b, n2, "other", 1, 1, 1)
-			b.ownership.RecordConfirmation(b.state.Shards[0], 31, answeredAt)
+			deliverPingReply(b, n2, "other", 1, 1, 1)
+			b.ownership.RecordConfirmation(b.state.Shards[0], 31, pingsSentAt)
 		},
-		owned: true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+		owned: true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
 	{
-		name: "an older release", n2Answered: answeredAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, knownInstance("n2")) },
-		owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+		name: "peer of an older release", n2PingSentAt: pingsSentAt,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) { deliverPingReply(b, n2, knownInstance("n2")) },
+		owned:   true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
 	{
-		name: "a later term", n2Answered: answeredAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, knownInstance("n2"), 2, 1, 1) },
+		name: "peer knows a later term", n2PingSentAt: pingsSentAt,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) { deliverPingReply(b, n2, knownInstance("n2"), 2, 1, 1) },
 		owned:   false,
 	},
 	{
-		name: "its own ping only", n2Answered: storeConfirmedAt,
+		name: "peer sent a ping but no reply", n2PingSentAt: storeConfirmedAt,
 		prepare: func(b *controllerHarness, n2 *membership.Peer) {
 			b.receivePing(n2, &messages.Ping{InstanceID: knownInstance("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
 		},
-		owned: true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
+		owned: true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
 }
 
-// answerPing lets a peer answer a ping with the terms that it knows.
-func answerPing(b *controllerHarness, from *membership.Peer, instanceID string, terms ...cluster.Term) {
-	b.members.HandlePingReply(from, &messages.Ping{InstanceID: instanceID, KnownTerms: terms}, answeredAt)
+// deliverPingReply delivers a peer's reply to a ping sent at pingsSentAt, with the
+// terms that the peer knows.
+func deliverPingReply(b *controllerHarness, from *membership.Peer, instanceID string, terms ...cluster.Term) {
+	b.members.HandlePingReply(from, &messages.Ping{InstanceID: instanceID, KnownTerms: terms}, pingsSentAt)
 }
 
-// newHarness is the controller of a test after the peers' acknowledgements.
+// newHarness returns a harness that has received the acknowledgements of the test.
 func (test *leaseTest) newHarness() *controllerHarness {
 	b := newHarnessWithKnownPeers()
 	b.state.Shards[0].ConfirmedAt = storeConfirmedAt
-	setTime(b.Controller, answeredAt)
-	for id, sentAt := range map[cluster.NodeID]cluster.Time{"n1": answeredAt, "n2": test.n2Answered} {
+	setTime(b.Controller, pingsSentAt)
+	for id, sentAt := range map[cluster.NodeID]cluster.Time{"n1": pingsSentAt, "n2": test.n2PingSentAt} {
 		if sentAt > 0 {
 			ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{1, 1, 1}}
 			b.members.HandlePingReply(b.members.Peer(id), ping, sentAt)
@@ -98,9 +99,9 @@
 	return b
 }
 
-// TestOwnershipLeaseByPeerAcknowledgement shows what a peer's acknowledgement that it
-// knows of no later claim of a shard is worth, and how long an owner may answer
-// workers and start tasks by it.
+// TestOwnershipLeaseByPeerAcknowledgement checks which replies of peers renew the
+// ownership lease of a shard, and for how long its owner may then answer workers and
+// start tasks.
 func TestOwnershipLeaseByPeerAcknowledgement(t *testing.T) {
 	for _, test := range leaseTests {
 		t.Run(test.name, func(t *testing.T) {
@@ -112,23 +113,23 @@
 			if !test.owned {
 				return
 			}
-			if at := b.ownership.LastConfirmedAt(shard); at != test.confirmed {
-				t.Errorf("confirmed as of %d s, want %d s", at/second, test.confirmed/second)
+			if at := b.ownership.LastConfirmedAt(shard); at != test.confirmedAt {
+				t.Errorf("last confirmed at %d s, want %d s", at/second, test.confirmedAt/second)
 			}
-			if b.loop.Now() == answeredAt && test.confirmed == answeredAt && !b.ownership.CanStartTasks(shard) {
-				t.Error("may not start tasks")
+			if b.loop.Now() == pingsSentAt && test.confirmedAt == pingsSentAt && !b.ownership.CanStartTasks(shard) {
+				t.Error("can't start tasks right after a confirmation")
 			}
 			setTime(b.Controller, b.loop.Now()+8*second)
-			mayAnswer, mayStart := b.ownership.CanAnswerWorkers(shard), b.ownership.CanStartTasks(shard)
-			if mayAnswer != test.mayAnswer || mayStart != test.mayStart {
-				t.Errorf("8 s later: may answer %v, may start %v", mayAnswer, mayStart)
+			canAnswer, canStart := b.ownership.CanAnswerWorkers(shard), b.ownership.CanStartTasks(shard)
+			if canAnswer != test.canAnswer || canStart != test.canStart {
+				t.Errorf("8 s later: can answer workers %v, can start tasks %v", canAnswer, canStart)
 			}
 		})
 	}
 }
 
-// TestNoStartWithoutConfirmedLease shows that an owner whose ownership was not
-// confirmed for a while sends no start.
+// TestNoStartWithoutConfirmedLease checks that an owner sends no start if its last
+// confirmation of ownership is older than ownership.StartWindow.
 func TestNoStartWithoutConfirmedLease(t *testing.T) {
 	for age, want := range map[cluster.Time]int{second: 1, ownership.StartWindow + second: 0} {
 		b := newControllerHarness()
@@ -142,16 +143,16 @@
 	}
 }
 
-// TestOwnershipConfirmedByStoreReads shows that while one controller acknowledges
-// nothing and the state service serves, the claim record is read again and again, and
-// the owner may go on.
+// TestOwnershipConfirmedByStoreReads checks that an owner renews its lease by reading
+// its claim record as long as the state service is available, even if a peer
+// acknowledges nothing.
 func TestOwnershipConfirmedByStoreReads(t *testing.T) {
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
 	b.runFor(b.config.CancelDeadline)
 	age := b.loop.Now() - shard.ConfirmedAt
-	mayAnswer, mayStart := b.ownership.CanAnswerWorkers(shard), b.ownership.CanStartTasks(shard)
-	if age > 4*second || !mayAnswer || !mayStart {
-		t.Errorf("last confirmed %d s ago: may answer %v, may start %v", age/second, mayAnswer, mayStart)
+	canAnswer, canStart := b.ownership.CanAnswerWorkers(shard), b.ownership.CanStartTasks(shard)
+	if age > 4*second || !canAnswer || !canStart {
+		t.Errorf("last confirmed %d s ago: can answer workers %v, can start tasks %v", age/second, canAnswer, canStart)
 	}
 }
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -9,9 +9,9 @@
 	"stairrelay/internal/state"
 )
 
-// TestProcessPauseReleasesNoMachines: a controller that was paused for longer than a lease has
-// heard no machine meanwhile. The first heartbeat after that must not make it
-// release all the others as silent; that they stay silent from then on does.
+// TestProcessPauseReleasesNoMachines checks that a controller that was paused for
+// longer than a worker lease does not release the machines it has not heard from
+// meanwhile, and that it does release those that stay silent afterwards.
 func TestProcessPauseReleasesNoMachines(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
@@ -22,7 +22,7 @@
 	var machines []*state.Machine
 	for _, id := range []cluster.MachineID{"m-1", "m-2", "m-3"} {
 		machine := c.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "x"}, 5)
-		machine.IdleSince = 1000 * second // not what this is about
+		machine.IdleSince = 1000 * second // so that none is released as idle
 		machines = append(machines, machine)
 	}
 	released := func() (count int) {
@@ -51,6 +51,6 @@
 		sendHeartbeat(at, 10+i)
 	}
 	if count := released(); count != 2 {
-		t.Errorf("%d of the two silent machines released", count)
+		t.Errorf("%d machines released, want the two silent ones", count)
 	}
 }
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -12,7 +12,7 @@
 	"stairrelay/internal/state"
 )
 
-// loggedStalls lists what the log says of shards without progress.
+// loggedStalls returns the logged reasons why shards make no progress.
 func loggedStalls(effects []messages.Effect) []string {
 	var reasons []string
 	for _, effect := range effects {
@@ -23,15 +23,15 @@
 	return reasons
 }
 
-// receivePing takes in a peer's ping, which must be valid.
+// receivePing delivers a peer's ping, which must be valid.
 func (b *controllerHarness) receivePing(from *membership.Peer, ping *messages.Ping) {
 	if err := b.members.HandlePing(from, ping); err != nil {
 		panic(err)
 	}
 }
 
-// runStallChecks lets so many checkpoints pass with nothing else happening, and returns
-// the reasons that are logged.
+// runStallChecks runs count progress checks while nothing else happens and returns the
+// logged reasons.
 func (b *controllerHarness) runStallChecks(count int) []string {
 	takeEffects(b.Controller)
 	for range count {
@@ -44,8 +44,8 @@
 	return loggedStalls(b.loop.Effects())
 }
 
-// TestStalledShardIsLogged: a shard that nobody serves is logged, and
-// one whose owner makes no progress with it, and no other.
+// TestStalledShardIsLogged checks that a shard without an owner, or whose owner makes
+// no progress, is logged, and no other.
 func TestStalledShardIsLogged(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -56,11 +56,11 @@
 		{"no owner", func(b *controllerHarness) {
 			b.state.Shards[0].Owned, b.state.Shards[0].Owner = false, "n1"
 		}, "no owner serves it"},
-		{"another owner", func(b *controllerHarness) {
+		{"owned by a peer", func(b *controllerHarness) {
 			b.state.Shards[0].Owned, b.state.Shards[0].Owner = false, "n1"
 			b.receivePing(b.members.Peer("n1"), &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 2}}})
 		}, ""},
-		{"idle machines beside waiting tasks", func(b *controllerHarness) {
+		{"idle machines and waiting tasks", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
 			b.addTestJob("j-2", 2)
 		}, "waiting tasks fit on its machines and none is started"},
@@ -69,7 +69,7 @@
 			machine.Draining = true
 			b.addTestJob("j-2", 2)
 		}, ""},
-		{"waiting tasks that may not go to the zone", func(b *controllerHarness) {
+		{"waiting tasks bound to another zone", func(b *controllerHarness) {
 			b.addRunningMachine(b.addTestJob("j-1", 1))
 			far := b.inventory.AddMachine(b.state.AddGroup(b.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
 			job := b.addTestJob("j-2", 2)
@@ -84,7 +84,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newControllerHarness()
 			test.prepare(b)
-			heartbeat := func() { // the machine sends heartbeats all along
+			heartbeat := func() { // the machines keep sending heartbeats
 				for _, machine := range b.state.Machines {
 					machine.LastHeartbeat = b.loop.Now() + 2*second
 				}
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestProgressEndsStall: one stored transaction, or one planned start, is
-// progress.
+// TestProgressEndsStall checks that a single stored transaction restarts the count of
+// checks without progress.
 func TestProgressEndsStall(t *testing.T) {
 	b := newControllerHarness()
 	b.inventory.RegisterMachines(b.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
@@ -119,6 +119,6 @@
 	b.runStallChecks(stallThreshold - 1)
 	b.state.Shards[0].StoredTransactions++
 	if logged := b.runStallChecks(stallThreshold - 1); len(logged) > 0 {
-		t.Errorf("logged %q beside progress", logged)
+		t.Errorf("logged %q despite progress", logged)
 	}
 }
--- a/internal/controller/provisioning_late_write_test.go
+++ b/internal/controller/provisioning_late_write_test.go
@@ -8,9 +8,10 @@
 	"stairrelay/internal/state"
 )
 
-// TestLateProvisioningWriteRejected: a late copy of the transaction that recorded a
-// provisioning request must not bring the record back after its machines are in a group:
-// the next owner would repeat it and list them twice (seed 175, a task ran twice).
+// TestLateProvisioningWriteRejected checks that a delayed copy of the write that
+// created a provisioning request is rejected after the machines were added to a group.
+// If it were applied, the next owner would repeat the request and record the machines
+// twice.
 func TestLateProvisioningWriteRejected(t *testing.T) {
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
@@ -26,13 +27,13 @@
 		t.Fatalf("%d groups, %d open requests", len(b.state.Groups), len(shard.ProvisioningRequests))
 	}
 	if reply := b.store.commit(first); reply.Outcome != messages.Conflict {
-		t.Errorf("a late copy of the request's record was carried out: %v", b.store.keys)
+		t.Errorf("a late copy of the request's creation was applied: %v", b.store.keys)
 	}
 }
 
-// TestLateWriteOfRefusedProvisioningRejected: the creation of a provisioning request was
-// carried out twice, as far as its writer knows, and the cloud refused it. A late copy
-// must not bring the request back (seven controllers, seed 1030).
+// TestLateWriteOfRefusedProvisioningRejected checks that a delayed copy of the write
+// that created a provisioning request is rejected after the cloud has refused the
+// request. The reply to the first write is lost, so the write is sent twice.
 func TestLateWriteOfRefusedProvisioningRejected(t *testing.T) {
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
@@ -46,11 +47,12 @@
 		t.Fatalf("the refused request is still there: %v", shard.ProvisioningRequests)
 	}
 	if reply := b.store.commit(b.sentTransactions[0]); reply.Outcome != messages.Conflict {
-		t.Error("a late copy of the refused request was carried out")
+		t.Error("a late copy of the refused request's creation was applied")
 	}
 }
 
-// awaitScaleOut lets the store reply until machines are requested of the cloud.
+// awaitScaleOut lets the store reply until machines are requested from the cloud, and
+// returns the request.
 func (b *controllerHarness) awaitScaleOut(t *testing.T) messages.CloudScaleOut {
 	t.Helper()
 	for range 100 {
@@ -63,6 +65,6 @@
 		}
 		b.runFor(0)
 	}
-	t.Fatal("no machines were requested of the cloud")
+	t.Fatal("no machines were requested from the cloud")
 	return messages.CloudScaleOut{}
 }
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -9,9 +9,9 @@
 	"stairrelay/internal/state"
 )
 
-// TestDependentJobNotProxiedToOldVersion shows that a controller that has lost the state
-// service never passes a job with dependencies to one of an earlier release, which
-// would store it without them and start it at once.
+// TestDependentJobNotProxiedToOldVersion checks that a controller without access to the
+// state service does not proxy a job with dependencies to a controller of an earlier
+// release, which would store it without them and start it at once.
 func TestDependentJobNotProxiedToOldVersion(t *testing.T) {
 	for level, want := range map[int]bool{0: false, jobs.DependencyFeatureLevel: true} {
 		b := newControllerHarness()
@@ -30,7 +30,7 @@
 			}
 		}
 		if proxied != want {
-			t.Errorf("level %d: proxied: %v, want %v", level, proxied, want)
+			t.Errorf("feature level %d: proxied %v, want %v", level, proxied, want)
 		}
 	}
 }
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -9,9 +9,9 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestRejectedOutcomesNotResentUnchanged shows that no shard is given up when the state
-// service calls the record of a job's outcomes malformed, as the limit in force is
-// below the one known, and that the record isn't sent again unchanged.
+// TestRejectedOutcomesNotResentUnchanged checks that no shard is dropped if the state
+// service rejects a job's outcomes as malformed, because its value limit is lower than
+// the configured one, and that the record is not sent again unchanged.
 func TestRejectedOutcomesNotResentUnchanged(t *testing.T) {
 	b := newControllerHarness()
 	dropTimers(b.Controller)
@@ -30,7 +30,7 @@
 	b.runFor(10 * second)
 	for _, shard := range b.state.Shards {
 		if !shard.Owned {
-			t.Errorf("shard %d was given up", shard.ID)
+			t.Errorf("shard %d was dropped", shard.ID)
 		}
 	}
 	sent := map[int]int{}
@@ -43,7 +43,7 @@
 	}
 	for size, times := range sent {
 		if size > 2000 && times > 1 {
-			t.Errorf("%d bytes were sent %d times", size, times)
+			t.Errorf("a value of %d bytes was sent %d times", size, times)
 		}
 	}
 }
--- a/internal/controller/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -8,9 +8,9 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestRejectedSplitIsSplitFurther: the limit in force is far below the one known, so that the
-// two halves of a record are refused as well. It is split further, and what it
-// was to be written for is stored in the end.
+// TestRejectedSplitIsSplitFurther checks that a group whose halves the store rejects as
+// too large, because its value limit is far below the configured one, is split further
+// until the waiting start is recorded.
 func TestRejectedSplitIsSplitFurther(t *testing.T) {
 	b := newControllerHarness()
 	dropTimers(b.Controller)
--- a/internal/controller/scale_out_zone_cluster_test.go
+++ b/internal/controller/scale_out_zone_cluster_test.go
@@ -6,8 +6,9 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestZoneBoundJobGetsNewMachines: the machines of the only zone that a job may use
-// are lost. Others are provisioned there, and its tasks start on them.
+// TestZoneBoundJobGetsNewMachines checks that new machines are provisioned in the only
+// zone that a job may use after all machines there are lost, and that the tasks start
+// on them.
 func TestZoneBoundJobGetsNewMachines(t *testing.T) {
 	c := newTestCluster(t, 1)
 	const run = 60 * second
--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -8,10 +8,9 @@
 	"stairrelay/internal/state"
 )
 
-// TestScaleOutInZoneOfJob: machines for a job that is bound to a zone are requested in
-// that zone alone, also when the cloud has none there. Its tasks could not be assigned
-// to machines of another zone, which would be paid for, and counted as coming, for
-// nothing.
+// TestScaleOutInZoneOfJob checks that machines for a job that is bound to a zone are
+// requested only there, even if the cloud is out of capacity in that zone. Machines in
+// other zones would be paid for, but can't run the job.
 func TestScaleOutInZoneOfJob(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -20,20 +19,20 @@
 		requested     []string
 	}{
 		{"bound to a zone", "b", nil, []string{"b"}},
-		{"bound to a zone that has none left", "b", []string{"b"}, nil},
-		{"not bound, one zone has none left", "", []string{"a"}, []string{"b"}},
+		{"bound to a zone without capacity", "b", []string{"b"}, nil},
+		{"not bound, one zone without capacity", "", []string{"a"}, []string{"b"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			h := newControllerHarness()
-			shard := h.state.Shards[0]
-			small := h.state.MachineTypes["small"]
+			b := newControllerHarness()
+			shard := b.state.Shards[0]
+			small := b.state.MachineTypes["small"]
 			small.Zones = []string{"a", "b"}
-			h.state.MachineTypes["small"] = small
+			b.state.MachineTypes["small"] = small
 			for _, zone := range test.outOfCapacity {
-				shard.OutOfCapacityUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = h.loop.Now() + 60*second
+				shard.OutOfCapacityUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = b.loop.Now() + 60*second
 			}
-			h.addTestJob("j-1", 1).Spec.Zone = test.zone
-			h.provisioner.ScaleOut.RunShard(shard)
+			b.addTestJob("j-1", 1).Spec.Zone = test.zone
+			b.provisioner.ScaleOut.RunShard(shard)
 			var requested []string
 			for _, name := range slices.Sorted(maps.Keys(shard.ProvisioningRequests)) {
 				requested = append(requested, shard.ProvisioningRequests[name].Option.Zone)
--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -11,12 +11,11 @@
 	"stairrelay/internal/simulation"
 )
 
-// slowStoreJobCount is how many jobs are submitted to a slow store.
+// slowStoreJobCount is the number of jobs submitted to a slow store.
 const slowStoreJobCount = 30
 
-// TestSlowStore: a slow state service delays every write whose rate is limited, and
-// so answers and starts. Rules are kept, work is done, and a submission waits
-// about one round trip, not the sum of many.
+// TestSlowStore checks that a slow state service causes no violations, that jobs still
+// end, and that a submission takes about one round trip rather than several.
 func TestSlowStore(t *testing.T) {
 	for _, delay := range []cluster.Time{0, 200 * millisecond, 600 * millisecond} {
 		slow := time.Duration(delay)
@@ -26,28 +25,28 @@
 			sim.Store.Delay = delay
 			addMachinesPerZone(sim, 2)
 			sim.RunUntil(10 * second)
-			waits := measureSubmissions(sim)
+			latencies := measureSubmissionLatencies(sim)
 			sim.RunUntil(100 * second)
-			if len(*waits) != slowStoreJobCount || len(sim.Violations) > 0 {
-				t.Fatalf("%d answers, violations %v", len(*waits), sim.Violations)
+			if len(*latencies) != slowStoreJobCount || len(sim.Violations) > 0 {
+				t.Fatalf("%d responses, violations %v", len(*latencies), sim.Violations)
 			}
-			slices.Sort(*waits)
-			median, longest := (*waits)[slowStoreJobCount/2], (*waits)[slowStoreJobCount-1]
+			slices.Sort(*latencies)
+			median, longest := (*latencies)[slowStoreJobCount/2], (*latencies)[slowStoreJobCount-1]
 			t.Logf("submissions: median %v, longest %v", median, longest)
 			if median > slow+100*time.Millisecond || longest > 4*slow+500*time.Millisecond {
-				t.Errorf("median %v, longest %v", median, longest)
+				t.Errorf("submissions too slow: median %v, longest %v", median, longest)
 			}
 			if unfinished := countJobsNotDone(sim); unfinished > 0 {
-				t.Errorf("%d jobs not done", unfinished)
+				t.Errorf("%d jobs are not done", unfinished)
 			}
 		})
 	}
 }
 
-// measureSubmissions plans a submission each second; when it is answered, the time
-// that took is added to the result.
-func measureSubmissions(sim *simulation.Simulator) *[]time.Duration {
-	var waits []time.Duration
+// measureSubmissionLatencies plans a submission each second. It returns a slice to
+// which the latency of each submission is appended when it is answered.
+func measureSubmissionLatencies(sim *simulation.Simulator) *[]time.Duration {
+	var latencies []time.Duration
 	const run = 5 * second
 	for i := range slowStoreJobCount {
 		spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-%06d", i)), testTeams[i%len(testTeams)], 4, run)
@@ -55,9 +54,9 @@
 		job := newJob(spec, run)
 		sim.Jobs[spec.ID] = job
 		sim.After(cluster.Time(i)*second, func() {
-			askedAt := sim.Now
+			submittedAt := sim.Now
 			sim.Nodes[i%len(sim.Nodes)].SendRequest(submitRequest(spec), func(answer messages.Respond) {
-				waits = append(waits, time.Duration(sim.Now-askedAt))
+				latencies = append(latencies, time.Duration(sim.Now-submittedAt))
 				if answer.Status == messages.ReplyCreated {
 					job.Accepted = true
 					sim.Users.CheckReportedStatus(job, answer.View.Status)
@@ -65,10 +64,11 @@
 			})
 		})
 	}
-	return &waits
+	return &latencies
 }
 
-// countJobsNotDone queries all jobs at one controller.
+// countJobsNotDone queries all jobs at one controller and returns how many it does not
+// report as done.
 func countJobsNotDone(sim *simulation.Simulator) int {
 	count := 0
 	for id := range sim.Jobs {
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -17,10 +17,12 @@
 	"stairrelay/internal/writequeue"
 )
 
-// Limits of the store that are lower than those under which a record grew.
+// These tests cover limits of the store that are lower than those under which the
+// records were written.
 
-// TestOutcomesWithinSizeLimit: what is listed under a limit keeps to it, is never
-// wrong, and is all there is wherever the function says so.
+// TestOutcomesWithinSizeLimit checks that state.EncodeCompleted stays within the size
+// limit, lists only completed tasks, and lists all of them below the index that it
+// returns.
 func TestOutcomesWithinSizeLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(18, 1))
 	for round := range 400 {
@@ -40,7 +42,7 @@
 		}
 		listed := make([]bool, len(taskStates))
 		if !state.DecodeCompleted(encoded, len(taskStates), func(i int) { listed[i] = true }) {
-			t.Fatalf("round %d: %q can't be read", round, encoded)
+			t.Fatalf("round %d: can't decode %q", round, encoded)
 		}
 		for i, taskState := range taskStates {
 			if done := taskState >= state.TaskCompleted; listed[i] != (done && i < fits) {
@@ -48,14 +50,14 @@
 			}
 		}
 	}
-	// Without a limit that matters all is listed.
+	// With a sufficient limit all completed tasks are listed.
 	taskStates := append([]uint8{state.TaskCompleted, state.TaskCompletionStored, state.TaskPending, state.TaskCompleted}, make([]uint8, 60)...)
 	if encoded, fits := state.EncodeCompleted(taskStates, 3000); encoded != "0-1,3" || fits != 64 {
-		t.Errorf("%q, %d fit", encoded, fits)
+		t.Errorf("%q, %d tasks fit; want all 64 tasks", encoded, fits)
 	}
 }
 
-// configureLimits sets the store's limits anew.
+// configureLimits sets the store's limit of operations per transaction.
 func (b *controllerHarness) configureLimits(maxTxnOps int) {
 	b.config.MaxTxnOps = maxTxnOps
 	b.writeQueue.Configure(b.writeQueueConfig())
@@ -63,9 +65,9 @@
 	b.inventory.Configure(b.inventoryConfig())
 }
 
-// TestLargestJobInSmallTransactions: a job with more chunks of outcomes than a
-// transaction may write has them all stored in the end, and none is left of it
-// once it is over.
+// TestLargestJobInSmallTransactions checks that all outcomes of a job are stored
+// although they need more chunks than a transaction may write, and that all chunks are
+// deleted after the job has ended.
 func TestLargestJobInSmallTransactions(t *testing.T) {
 	const tasks = 100_000
 	b := newControllerHarness()
@@ -94,17 +96,17 @@
 	b.runFor(20 * second)
 	for chunk := 1; chunk < state.ChunkCount(tasks); chunk++ {
 		if b.store.get(job.ChunkKey(chunk)).Outcome != messages.NotFound {
-			t.Errorf("%s is left", job.ChunkKey(chunk))
+			t.Errorf("%s was not deleted", job.ChunkKey(chunk))
 		}
 	}
 	var record jobs.Record
 	if json.Unmarshal(b.store.keys["jobs/j-1"].Value, &record) != nil || record.FinalStatus != cluster.JobDone || record.Tasks != tasks {
-		t.Errorf("stored at the end: %s", b.store.keys["jobs/j-1"].Value)
+		t.Errorf("final record: %s", b.store.keys["jobs/j-1"].Value)
 	}
 	b.checkTransactionsWithin(t, 4)
 }
 
-// countStoredOutcomes counts the outcomes in a job's stored records.
+// countStoredOutcomes returns the number of completed tasks in a job's stored records.
 func (b *controllerHarness) countStoredOutcomes(job *state.Job) int {
 	count := 0
 	for chunk := range job.ModRevisions {
@@ -116,23 +118,23 @@
 	return count
 }
 
-// checkTransactionsWithin checks that all transactions kept to the store's limits.
+// checkTransactionsWithin checks that all transactions are within the store's limits.
 func (b *controllerHarness) checkTransactionsWithin(t *testing.T, maxTxnOps int) {
 	t.Helper()
 	for _, transaction := range b.sentTransactions {
 		if len(transaction.Then) > maxTxnOps || len(transaction.If) > writequeue.ComparesPerOperation*maxTxnOps {
-			t.Errorf("a transaction of %d changes on %d conditions", len(transaction.Then), len(transaction.If))
+			t.Errorf("a transaction has %d operations and %d compares", len(transaction.Then), len(transaction.If))
 		}
 		for _, operation := range transaction.Then {
 			if len(operation.Value) > b.config.MaxValueBytes {
-				t.Errorf("%s: %d bytes", operation.Key, len(operation.Value))
+				t.Errorf("the value of %s has %d bytes", operation.Key, len(operation.Value))
 			}
 		}
 	}
 }
 
-// addGroupWithTasks adds a group of machines with tasks of a job on each, none of which
-// follows on another, so that none shares a range.
+// addGroupWithTasks adds a group of machines with tasks of a job on each. The indexes
+// of the tasks are not consecutive, so the record can't encode them as ranges.
 func (b *controllerHarness) addGroupWithTasks(name string, job *state.Job, machines, tasks, from int) *state.MachineGroup {
 	group := b.state.AddGroup(b.state.Shards[0], name, 0)
 	for i := range machines {
@@ -160,8 +162,8 @@
 	return group
 }
 
-// countStoredMachines tells how often each machine is listed in the store, and the length of
-// the longest record.
+// countStoredMachines returns how often the store lists each machine, and the length of
+// the longest group record.
 func (b *controllerHarness) countStoredMachines(t *testing.T) (listed map[cluster.MachineID]int, longest int) {
 	t.Helper()
 	listed = map[cluster.MachineID]int{}
@@ -178,13 +180,14 @@
 	return listed, longest
 }
 
-// TestOversizedRecordSplitInOneTransaction: a record that was written under far higher limits is
-// split by one transaction into as many as that may write. Each machine is in
-// exactly one, and none is above the limit where that can be.
+// TestOversizedRecordSplitInOneTransaction checks that a group record that is far above
+// the value limit is split by one transaction into as many records as it may write,
+// each machine in exactly one of them, and split further until no record is above the
+// limit.
 func TestOversizedRecordSplitInOneTransaction(t *testing.T) {
 	for _, test := range []struct {
 		machines, operations int
-		within               bool
+		withinLimit          bool
 	}{{60, 4, true}, {200, 12, true}, {400, 4, false}} {
 		t.Run(fmt.Sprintf("%d machines", test.machines), func(t *testing.T) {
 			b := newControllerHarness()
@@ -194,27 +197,28 @@
 			b.inventory.Split(group)
 			b.runFor(200 * millisecond)
 			if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != min(test.operations, max(before/(b.config.MaxValueBytes/2), 2)) {
-				t.Fatalf("%d bytes: first %d transactions", before, len(b.sentTransactions))
+				t.Fatalf("a record of %d bytes: want one split in the first of %d transactions", before, len(b.sentTransactions))
 			}
-			if longest := b.checkMachinesListedOnce(t, test.machines); test.within != (longest <= b.config.MaxValueBytes) {
-				t.Errorf("%d bytes: the longest record has %d", before, longest)
+			if longest := b.checkMachinesListedOnce(t, test.machines); test.withinLimit != (longest <= b.config.MaxValueBytes) {
+				t.Errorf("a record of %d bytes: the longest record after the first split has %d bytes", before, longest)
 			}
-			for range 4 { // what is still too large is split further
+			for range 4 { // records that are still too large are split further
 				b.inventory.SplitAndMerge(b.state.Shards[0])
 				b.runFor(second)
 			}
 			if listed, longest := b.countStoredMachines(t); len(listed) != test.machines || longest > b.config.MaxValueBytes {
-				t.Errorf("in the end %d of %d machines, the longest record has %d bytes", len(listed), test.machines, longest)
+				t.Errorf("after all splits %d of %d machines are listed and the longest record has %d bytes", len(listed), test.machines, longest)
 			}
 			if !b.state.Shards[0].Owned {
-				t.Error("the shard was given up")
+				t.Error("the shard was dropped")
 			}
 		})
 	}
 }
 
-// checkMachinesListedOnce checks that each of so many machines is listed once in the store
-// and still has its three tasks. It returns the length of the longest record.
+// checkMachinesListedOnce checks that the store lists each of the given number of
+// machines once and that all their tasks are still assigned. It returns the length of
+// the longest record.
 func (b *controllerHarness) checkMachinesListedOnce(t *testing.T, machines int) int {
 	t.Helper()
 	listed, longest := b.countStoredMachines(t)
@@ -233,19 +237,19 @@
 	return longest
 }
 
-// TestRejectedTransactionRetriedSeparately: the store rejects a transaction of several writes
-// as malformed, as one of its records is above a limit that has come into force.
-// Each is tried by itself, only the too large one is split, and no shard is lost.
+// TestRejectedTransactionRetriedSeparately checks that after the store has rejected a
+// transaction of several writes as malformed each write is retried alone. Only the
+// record above the store's limit is split, and no shard is dropped.
 func TestRejectedTransactionRetriedSeparately(t *testing.T) {
 	b := newControllerHarness()
-	dropTimers(b.Controller) // no maintenance, which would split or merge them first
+	dropTimers(b.Controller) // disables maintenance, which would split or merge the groups first
 	limit := 2048
 	b.rejectLongerValues(limit)
 	job := b.addTestJob("j-1", 20_000)
 	large := b.addGroupWithTasks("large", job, 45, 3, 0)
 	small, other := b.addGroupWithTasks("small", job, 3, 3, 10_000), b.addGroupWithTasks("other", job, 3, 3, 12_000)
 	if large.RecordSize <= limit || large.RecordSize > b.config.MaxValueBytes {
-		t.Fatalf("%d bytes: the test shows nothing", large.RecordSize)
+		t.Fatalf("the large record has %d bytes, which is not between the two limits", large.RecordSize)
 	}
 	before := map[string]cluster.ModRevision{small.Key(): small.ModRevision, other.Key(): other.ModRevision}
 	for _, group := range []*state.MachineGroup{large, small, other} {
@@ -253,7 +257,7 @@
 	}
 	b.runFor(3 * second)
 	if len(b.sentTransactions) < 4 || len(b.sentTransactions[0].Then) != 3 {
-		t.Fatalf("transactions %q, the first should have 3 changes", describeTransactions(b.sentTransactions))
+		t.Fatalf("transactions %q, want at least 4, the first with 3 operations", describeTransactions(b.sentTransactions))
 	}
 	b.checkRejectedNotRepeated(t)
 	for key, modRevision := range before {
@@ -270,13 +274,13 @@
 	}
 	for _, shard := range b.state.Shards {
 		if !shard.Owned {
-			t.Errorf("shard %d was given up", shard.ID)
+			t.Errorf("shard %d was dropped", shard.ID)
 		}
 	}
 }
 
-// checkRejectedNotRepeated checks that no transaction was sent again unchanged after it was
-// rejected as malformed.
+// checkRejectedNotRepeated checks that no transaction that was rejected as malformed
+// was sent again unchanged.
 func (b *controllerHarness) checkRejectedNotRepeated(t *testing.T) {
 	t.Helper()
 	rejected := slices.DeleteFunc(slices.Clone(b.sentTransactions), func(transaction messages.StoreTxn) bool {
@@ -291,7 +295,7 @@
 	}
 }
 
-// describeTransactions lists the keys of each transaction with their values' lengths.
+// describeTransactions returns the keys and value lengths of each transaction.
 func describeTransactions(transactions []messages.StoreTxn) []string {
 	var all []string
 	for _, transaction := range transactions {
@@ -304,8 +308,8 @@
 	return all
 }
 
-// TestComparesWithinLimit: with many shards, or many jobs in one record, a
-// transaction has no more conditions than the protocol allows.
+// TestComparesWithinLimit checks that no transaction has more compares than the
+// protocol allows if there are many shards, or many jobs in one record.
 func TestComparesWithinLimit(t *testing.T) {
 	config := newControllerHarness().config
 	config.MaxTxnOps, config.Nodes = 4, nil
@@ -332,22 +336,23 @@
 		spec := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, RuntimeSeconds: 5}
 		b.jobs.Submissions.HandleProxied(spec, func(answer messages.Respond) {
 			if answered++; answer.Status != messages.ReplyCreated {
-				t.Errorf("%s gets %d", spec.ID, answer.Status)
+				t.Errorf("%s is answered with %d, want 201", spec.ID, answer.Status)
 			}
 		})
 	}
 	b.runFor(3 * second)
-	several := false
+	manyCompares := false
 	b.checkTransactionsWithin(t, 4)
 	for _, transaction := range b.sentTransactions {
-		several = several || len(transaction.If) > 8
+		manyCompares = manyCompares || len(transaction.If) > 8
 	}
-	if left := len(b.store.list("groups/", 0)); left != 0 || answered != 20 || !several {
-		t.Errorf("%d empty groups left, %d of 20 submissions answered, many conditions seen: %v", left, answered, several)
+	if left := len(b.store.list("groups/", 0)); left != 0 || answered != 20 || !manyCompares {
+		t.Errorf("%d empty groups left, %d of 20 submissions answered, many compares seen: %v", left, answered, manyCompares)
 	}
 }
 
-// rejectLongerValues lets the store reject transactions with a longer value as malformed.
+// rejectLongerValues makes the store reject a transaction with a value longer than
+// limit as malformed.
 func (b *controllerHarness) rejectLongerValues(limit int) {
 	b.rejectsAsMalformed = func(transaction messages.StoreTxn) bool {
 		return slices.ContainsFunc(transaction.Then, func(operation messages.TxnOp) bool { return len(operation.Value) > limit })
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -11,12 +11,12 @@
 	"stairrelay/internal/state"
 )
 
-// A shard that changes owners many times within minutes.
+// These tests cover a shard that changes owners many times within minutes.
 
 const successiveOwners = 10
 
-// deposeOwner lets another controller acquire shard 0, which the one under test
-// learns of by its watch.
+// deposeOwner makes another controller acquire shard 0 and delivers its claim to the
+// controller under test.
 func deposeOwner(t *testing.T, b *controllerHarness) {
 	t.Helper()
 	shard := b.state.Shards[0]
@@ -29,19 +29,20 @@
 	}
 }
 
-// acquireAndLoadShard lets the controller under test acquire shard 0 and read its records.
+// acquireAndLoadShard makes the controller under test acquire shard 0 and read its
+// records.
 func acquireAndLoadShard(t *testing.T, b *controllerHarness) {
 	t.Helper()
 	shard := b.state.Shards[0]
 	b.ownership.Acquire(shard)
 	b.runFor(200 * millisecond)
 	if !shard.Owned || !shard.Ready {
-		t.Fatalf("owned %v, ready %v after the acquire", shard.Owned, shard.Ready)
+		t.Fatalf("owned %v, ready %v after the acquisition", shard.Owned, shard.Ready)
 	}
 }
 
-// loseNextWriteReply sends the write that is queued and lets it be held up on its way:
-// its sender gets no answer.
+// loseNextWriteReply sends the queued write, reports its outcome as unknown to the
+// controller, and returns it without applying it.
 func loseNextWriteReply(t *testing.T, b *controllerHarness) messages.StoreTxn {
 	t.Helper()
 	b.writeQueue.Dispatch()
@@ -59,17 +60,17 @@
 	return messages.StoreTxn{}
 }
 
-// statusUnderToken is a heartbeat's status of the machine's present incarnation under
-// its present fencing token, which confirms absent what it does not list.
+// statusUnderToken returns a heartbeat status of the machine's current incarnation
+// under its current fencing token. It confirms that all tasks it does not list are
+// gone.
 func statusUnderToken(machine *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
 	return &cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: sequence, FencingToken: machine.Token, PreemptionNotice: -1, Tasks: tasks}
 }
 
-// TestEachOwnerRaisesToken: ten owners follow one another, and none changes the
-// record of a machine that lists a task of a cancelled job. Each has a higher
-// term and fencing token than all before it, so heartbeats under an earlier owner's
-// token, which lack the task, never confirm it absent: an earlier owner's start of it
-// may still be on its way.
+// TestEachOwnerRaisesToken checks that each of ten successive owners has a higher term
+// and fencing token than the one before. A heartbeat under an earlier owner's token
+// must not confirm that a task is gone, since a start sent by that owner may still
+// arrive.
 func TestEachOwnerRaisesToken(t *testing.T) {
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
@@ -85,7 +86,7 @@
 		acquireAndLoadShard(t, b)
 		machine := b.state.Machines["m-1"]
 		if machine.Token <= earlierToken || shard.Term <= earlierTerm {
-			t.Errorf("token %d and term %d after %d and %d: not higher", machine.Token, shard.Term, earlierToken, earlierTerm)
+			t.Errorf("token %d and term %d are not higher than the earlier %d and %d", machine.Token, shard.Term, earlierToken, earlierTerm)
 		}
 		machine.Incarnation = 1
 		status := statusUnderToken(machine, 1)
@@ -103,42 +104,41 @@
 	}
 }
 
-// TestLateWritesOfDeposedOwnersRejected: ten owners follow one another, and each sends
-// a write that is held up on its way and repeats it, not knowing that it was deposed.
-// Neither is carried out: the claim that both are conditional on is not in force any
-// more.
+// TestLateWritesOfDeposedOwnersRejected checks that neither a delayed write of a
+// deposed owner nor its retry is applied, for ten successive owners. Both are
+// conditional on a claim that is no longer in force.
 func TestLateWritesOfDeposedOwnersRejected(t *testing.T) {
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
-	var heldUp []messages.StoreTxn
+	var delayed []messages.StoreTxn
 	for owner := range successiveOwners {
-		id := cluster.MachineID(fmt.Sprintf("m-%d", 3*owner)) // numbers of shard 0
+		id := cluster.MachineID(fmt.Sprintf("m-%d", 3*owner)) // these IDs map to shard 0
 		b.inventory.RegisterMachines(shard, []grouprecord.Machine{{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}}, func() {})
-		heldUp = append(heldUp, loseNextWriteReply(t, b))
+		delayed = append(delayed, loseNextWriteReply(t, b))
 		deposeOwner(t, b)
 		acquireAndLoadShard(t, b)
 	}
-	for i, write := range heldUp {
+	for i, write := range delayed {
 		key := write.Then[0].Key
 		if b.store.get(key).Outcome != messages.NotFound {
-			t.Errorf("owner %d repeated its write under a later claim: %s", i, key)
+			t.Errorf("the retry of owner %d was applied under a later claim: %s", i, key)
 		} else if b.store.commit(write).Outcome != messages.Conflict {
-			t.Errorf("the late write of owner %d was carried out: %s", i, key)
+			t.Errorf("the late write of owner %d was applied: %s", i, key)
 		}
 	}
 }
 
-// loseContact lets a peer answer one ping and no more until it is unreachable, while
-// the others answer all.
-func (b *controllerHarness) loseContact(t *testing.T, lost cluster.NodeID) {
+// makePeerUnreachable makes a peer reply to one ping and fail all further calls until
+// it counts as unreachable, while the other peers reply to all pings.
+func (b *controllerHarness) makePeerUnreachable(t *testing.T, unreachable cluster.NodeID) {
 	t.Helper()
-	dropTimers(b.Controller) // only pings are sent
+	dropTimers(b.Controller) // so that only pings are sent
 	ping := &messages.Ping{StoreReachable: true, WorkersReachable: true}
-	b.members.HandlePingReply(b.members.Peer(lost), ping, b.loop.Now())
+	b.members.HandlePingReply(b.members.Peer(unreachable), ping, b.loop.Now())
 	b.members.Start()
-	for end := b.loop.Now() + 20*second; !b.members.Peer(lost).IsUnreachable(); setTime(b.Controller, b.loop.Now()+100*millisecond) {
+	for end := b.loop.Now() + 20*second; !b.members.Peer(unreachable).IsUnreachable(); setTime(b.Controller, b.loop.Now()+100*millisecond) {
 		if b.loop.Now() > end {
-			t.Fatalf("%s is still reachable", lost)
+			t.Fatalf("%s still counts as reachable", unreachable)
 		}
 		b.loop.RunTimers()
 		for _, effect := range takeEffects(b.Controller) {
@@ -147,7 +147,7 @@
 				continue
 			}
 			reply := messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Ping: ping}}
-			if call.To == lost {
+			if call.To == unreachable {
 				reply = messages.PeerReply{Outcome: messages.NotApplied}
 			}
 			b.loop.Deliver(messages.Reply{Call: call.Call, Body: reply})
@@ -155,13 +155,13 @@
 	}
 }
 
-// TestNoAcquireDuringOutage: the owner of a shard has failed, and so has the state
-// service: nothing is acquired. An acquire that waited for the end of the outage would
-// then depose an owner that is back.
+// TestNoAcquireDuringOutage checks that no shard of a failed owner is acquired during
+// an outage of the state service. The acquisition would wait for the end of the outage
+// and could then depose an owner that is back.
 func TestNoAcquireDuringOutage(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		b := newControllerHarness()
-		b.loseContact(t, "n2")
+		b.makePeerUnreachable(t, "n2")
 		setTime(b.Controller, b.loop.Now()+second)
 		shard := b.state.Shards[1]
 		shard.Owned, shard.Ready, shard.RecordRead, shard.Owner, shard.PreferredOwner = false, false, true, "n2", "n2"
@@ -171,7 +171,7 @@
 		}
 		b.ownership.AcquireIfEligible(shard)
 		if shard.Acquiring == outage {
-			t.Errorf("outage %v: acquires %v", outage, shard.Acquiring)
+			t.Errorf("outage %v: acquiring %v", outage, shard.Acquiring)
 		}
 	}
 }
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -10,10 +10,10 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestTransferOfferWithinTransaction: idle machines are spread over many groups with long
-// records. All records that an offer's write rewrites have to fit into one
-// transaction, which the protocol limits to 64 KiB; one that is larger is refused
-// each time, and no machine ever moves.
+// TestTransferOfferWithinTransaction checks that all records rewritten by a transfer
+// offer fit into one transaction if idle machines are spread over many groups with long
+// records. A larger transaction would be rejected each time, and no machine would ever
+// be transferred.
 func TestTransferOfferWithinTransaction(t *testing.T) {
 	const groups, length, protocolLimit = 12, 12_000, 64 << 10
 	b := newControllerHarness()
@@ -39,10 +39,10 @@
 	}))
 	queue := b.writeQueue.Queued(writequeue.PriorityStart)
 	if len(queue) != 1 {
-		t.Fatalf("%d writes queued", len(queue))
+		t.Fatalf("%d writes queued, want 1", len(queue))
 	}
-	rewritten := len(queue[0].Keys) - 1 // beside the new group
+	rewritten := len(queue[0].Keys) - 1 // besides the new group
 	if rewritten < 2 || rewritten*length > protocolLimit {
-		t.Errorf("%d records of %d bytes in one transaction", rewritten, length)
+		t.Errorf("one transaction rewrites %d records of %d bytes", rewritten, length)
 	}
 }
--- a/internal/controller/urgency_test.go
+++ b/internal/controller/urgency_test.go
@@ -11,9 +11,9 @@
 	"stairrelay/internal/state"
 )
 
-// TestUrgencyPropagated shows that a job takes the highest priority and the tightest
-// deadline of all its dependents, over teams and shards, in whichever order their
-// records are seen, and that a job that has ended takes nothing more.
+// TestUrgencyPropagated checks that a job inherits the highest priority and the
+// earliest deadline of all its dependents, across teams and shards and in whichever
+// order their records arrive, and that a job that has ended inherits nothing.
 func TestUrgencyPropagated(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2, 3, 4}, {4, 3, 2, 1, 0}, {2, 0, 4, 3, 1}, {3, 1, 0, 2, 4}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
@@ -28,13 +28,13 @@
 }
 
 const (
-	// urgencyDeadline is the deadline of job d, in milliseconds of the wall clock.
+	// urgencyDeadline is the deadline of job d, in milliseconds of wall time.
 	urgencyDeadline = 1_000_000 + 300_000.0
 	// urgencyRuntime is the run time of all jobs, in milliseconds.
 	urgencyRuntime = 20_000
 )
 
-// urgencyJobs depend on each other so:
+// urgencyJobs are jobs with these dependencies, where x <- y means that y depends on x:
 // a (red) <- b (green) <- d (blue, production, due); a <- c (green, urgent); e (red) <- d.
 var urgencyJobs = []cluster.JobSpec{
 	urgencyJob("a", "red", cluster.BestEffort, 0),
@@ -59,7 +59,7 @@
 	}
 }
 
-// newUrgencyHarness is a harness that owns the shard of team red only.
+// newUrgencyHarness returns a harness that owns only the shard of team red.
 func newUrgencyHarness() *controllerHarness {
 	b := newControllerHarness()
 	for name, shard := range map[string]cluster.ShardID{"green": 1, "blue": 2} {
@@ -70,7 +70,7 @@
 	return b
 }
 
-// applyJobRecord applies a job's record as the watch shows it.
+// applyJobRecord applies a job's record as if the watch had delivered it.
 func (b *controllerHarness) applyJobRecord(t *testing.T, id cluster.JobID, record jobs.Record, modRevision cluster.ModRevision) {
 	t.Helper()
 	record.WriteID = "x"
@@ -81,7 +81,7 @@
 	b.jobs.Records.Apply(messages.KV{Key: "jobs/" + string(id), Value: value, ModRevision: modRevision}, nil)
 }
 
-// checkUrgencies checks what the jobs take of their dependents.
+// checkUrgencies checks the effective priorities and deadlines of all jobs.
 func (b *controllerHarness) checkUrgencies(t *testing.T) {
 	t.Helper()
 	for id, want := range map[cluster.JobID]struct {
@@ -92,14 +92,14 @@
 		"b": {cluster.Production, urgencyDeadline - urgencyRuntime - jobs.DependentStartDelayMillis},
 		"a": {cluster.Production, urgencyDeadline - 2*(urgencyRuntime+jobs.DependentStartDelayMillis)},
 		"c": {cluster.Urgent, 0},
-		"e": {cluster.Production, 1_100_000}, // its own is the tighter
+		"e": {cluster.Production, 1_100_000}, // its own deadline is earlier
 	} {
 		known := b.state.Jobs.Known[id]
 		if known.EffectivePriority != want.priority || known.EffectiveDeadline != want.deadline {
 			t.Errorf("%s has priority %d, due %v; want %d, %v", id, known.EffectivePriority, known.EffectiveDeadline, want.priority, want.deadline)
 		}
 		if job := b.state.Jobs.Owned[id]; job != nil && job.EffectivePriority != want.priority {
-			t.Errorf("%s is served with priority %d, want %d", id, job.EffectivePriority, want.priority)
+			t.Errorf("%s is scheduled with priority %d, want %d", id, job.EffectivePriority, want.priority)
 		}
 	}
 	if b.state.Jobs.Owned["a"] == nil || b.state.Jobs.Owned["b"] != nil {
@@ -107,24 +107,25 @@
 	}
 	start := b.scheduler.Queue.LatestStart(b.state.Jobs.Owned["a"])
 	if want := urgencyDeadline - 2*(urgencyRuntime+jobs.DependentStartDelayMillis) - urgencyRuntime; start != want {
-		t.Errorf("a is to start at %v, want %v", start, want)
+		t.Errorf("the latest start of a is %v, want %v", start, want)
 	}
 }
 
-// checkLaterUrgencies checks that job a takes a tighter deadline of a dependent that comes
-// later, and none of one that comes after the end of the job between them.
+// checkLaterUrgencies checks that job a inherits the earlier deadline of a dependent
+// that is submitted later, but not that of one submitted after the job between them has
+// ended.
 func (b *controllerHarness) checkLaterUrgencies(t *testing.T) {
 	t.Helper()
 	const want = 1_100_000 - 2*(urgencyRuntime+jobs.DependentStartDelayMillis)
 	late := urgencyJob("f", "blue", cluster.Normal, 100, "b")
 	b.applyJobRecord(t, "f", jobs.Record{Spec: &late}, 40)
 	if known := b.state.Jobs.Known["a"]; known.EffectiveDeadline != want {
-		t.Errorf("a tighter deadline does not reach a: %v", known.EffectiveDeadline)
+		t.Errorf("a does not inherit an earlier deadline: %v", known.EffectiveDeadline)
 	}
 	b.applyJobRecord(t, "b", jobs.Record{FinalStatus: cluster.JobDone, Team: "green", Tasks: 1}, 41)
 	later := urgencyJob("g", "blue", cluster.Production, 50, "b")
 	b.applyJobRecord(t, "g", jobs.Record{Spec: &later}, 42)
 	if known := b.state.Jobs.Known["a"]; known.EffectiveDeadline != want {
-		t.Errorf("what depends on a finished job changes a: %v", known.EffectiveDeadline)
+		t.Errorf("a inherits a deadline through a job that has ended: %v", known.EffectiveDeadline)
 	}
 }
--- a/internal/controller/write_id_test.go
+++ b/internal/controller/write_id_test.go
@@ -7,11 +7,11 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestWriteIDOfGroup: a transaction in doubt is found in a group's record by its write
-// id.
+// TestWriteIDOfGroup checks that the write ID of a group's record can be read. It shows
+// whether a transaction of unknown outcome was applied.
 func TestWriteIDOfGroup(t *testing.T) {
 	value := grouprecord.Encode(grouprecord.Record{ShardID: 2, WriteID: "n-1"})
 	if got := writequeue.WriteIDOf(value); got != "n-1" {
-		t.Errorf("the write id is %q", got)
+		t.Errorf("the write ID is %q, want n-1", got)
 	}
 }
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -7,7 +7,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// markTasksRecording makes the first tasks of a group's machines wait for its record.
+// markTasksRecording makes the first count tasks of a group's machines wait for the
+// group's record.
 func markTasksRecording(group *state.MachineGroup, count int) {
 	for _, machine := range group.SortedMachines() {
 		for _, assignment := range machine.SortedAssignments() {
@@ -18,7 +19,7 @@
 	}
 }
 
-// countWrites is how many of the transactions so far write a key.
+// countWrites returns how often a key was written by the transactions so far.
 func (b *controllerHarness) countWrites(key string) int {
 	count := 0
 	for _, transaction := range b.sentTransactions {
@@ -31,17 +32,19 @@
 	return count
 }
 
-// limitPutRate leaves the given number of puts a second and no more at once.
+// limitPutRate limits the puts to rate per second, with a burst of one and none allowed
+// at first.
 func (b *controllerHarness) limitPutRate(rate float64) {
-	dropTimers(b.Controller) // no new division of the rate
+	dropTimers(b.Controller) // so that the rate is not divided again
 	b.writeQueue.PutBudget().SetRate(rate, 1)
 	b.writeQueue.PutBudget().Refill(b.loop.Now())
 	b.writeQueue.PutBudget().LowerTo(0)
 }
 
-// TestMostWaitingCPUsAreRecordedFirst: of two records of which the one with
-// less to start was queued first, the other is written first; both are written.
-func TestMostWaitingCPUsAreRecordedFirst(t *testing.T) {
+// TestRecordWithMostWaitingCPUsWrittenFirst checks that a record is written before one
+// that was queued earlier but has fewer CPUs waiting to start, and that both are
+// written.
+func TestRecordWithMostWaitingCPUsWrittenFirst(t *testing.T) {
 	b := newControllerHarness()
 	job := b.addTestJob("j-1", 1000)
 	few, many := b.addGroupWithTasks("few", job, 3, 2, 0), b.addGroupWithTasks("many", job, 3, 2, 100)
@@ -53,17 +56,18 @@
 	b.inventory.WriteGroup(many, writequeue.PriorityStart)
 	b.runFor(second * 5 / 2)
 	if fewWrites, manyWrites := b.countWrites(few.Key()), b.countWrites(many.Key()); fewWrites != 0 || manyWrites != 1 {
-		t.Fatalf("after the first put the record with one start was written %d times, that with six %d times", fewWrites, manyWrites)
+		t.Fatalf("after the first put the record with one start was written %d times and that with six %d times, want 0 and 1", fewWrites, manyWrites)
 	}
 	b.runFor(2 * second)
 	if fewWrites := b.countWrites(few.Key()); fewWrites != 1 {
-		t.Errorf("the record with one start was written %d times", fewWrites)
+		t.Errorf("the record with one start was written %d times, want 1", fewWrites)
 	}
 }
 
-// TestRaisedTokenIsRecordedBeforeStarts: a machine whose token is to be raised
-// counts more than its size, as the leases of its tasks run on.
-func TestRaisedTokenIsRecordedBeforeStarts(t *testing.T) {
+// TestRaisedTokenWrittenBeforeStarts checks that a record with a token to raise is
+// written before one with more waiting starts. The worker lease of the machine might
+// otherwise expire.
+func TestRaisedTokenWrittenBeforeStarts(t *testing.T) {
 	b := newControllerHarness()
 	job := b.addTestJob("j-1", 1000)
 	starts, raised := b.addGroupWithTasks("starts", job, 4, 2, 0), b.addGroupWithTasks("raised", job, 1, 2, 100)
@@ -73,13 +77,13 @@
 	b.inventory.RaiseToken(raised.SortedMachines()[0])
 	b.runFor(second * 5 / 2)
 	if startWrites, raisedWrites := b.countWrites(starts.Key()), b.countWrites(raised.Key()); startWrites != 0 || raisedWrites != 1 {
-		t.Errorf("after the first put the record with eight starts was written %d times, that of the raised token %d times", startWrites, raisedWrites)
+		t.Errorf("after the first put the record with eight starts was written %d times and that with the raised token %d times, want 0 and 1", startWrites, raisedWrites)
 	}
 }
 
-// TestLittleWaitingIsRecordedInTime: a record with one start is written though
-// another has more to start each time that it was written.
-func TestLittleWaitingIsRecordedInTime(t *testing.T) {
+// TestRecordWithFewStartsNotStarved checks that a record with one waiting start is
+// written although another record always has more.
+func TestRecordWithFewStartsNotStarved(t *testing.T) {
 	b := newControllerHarness()
 	job := b.addTestJob("j-1", 1000)
 	few, many := b.addGroupWithTasks("few", job, 3, 2, 0), b.addGroupWithTasks("many", job, 3, 2, 100)
@@ -92,6 +96,6 @@
 		b.runFor(second)
 	}
 	if fewWrites, manyWrites := b.countWrites(few.Key()), b.countWrites(many.Key()); fewWrites != 1 || manyWrites < 5 {
-		t.Errorf("the record with one start was written %d times, that with more to start %d times", fewWrites, manyWrites)
+		t.Errorf("the record with one start was written %d times and that with more starts %d times, want 1 and at least 5", fewWrites, manyWrites)
 	}
 }
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -11,10 +11,10 @@
 	"stairrelay/internal/writequeue"
 )
 
-// enforceWriteRate lets the store throttle changes beyond a rate, with a bucket of one
-// second, and returns how many transactions it has refused.
+// enforceWriteRate makes the store throttle operations above rate per second, with a
+// burst of one second. It returns the number of throttled transactions.
 func (b *controllerHarness) enforceWriteRate(rate float64) *int {
-	refused := 0
+	throttled := 0
 	var allowed ratelimit.TokenBucket
 	allowed.SetRate(rate, rate)
 	allowed.Refill(b.loop.Now())
@@ -22,23 +22,25 @@
 	b.throttles = func(transaction messages.StoreTxn) bool {
 		ok := allowed.Take(b.loop.Now(), float64(len(transaction.Then)))
 		if !ok {
-			refused++
+			throttled++
 		}
 		return !ok
 	}
-	return &refused
+	return &throttled
 }
 
-// newHarnessWithRates is a harness whose settings name a lower write rate for later.
-func newHarnessWithRates(present, later float64) *controllerHarness {
+// newHarnessWithRates returns a harness with a current write rate and the lower one
+// that its settings announce.
+func newHarnessWithRates(current, lowered float64) *controllerHarness {
 	b := newControllerHarness()
-	b.config.CurrentWriteRPS, b.config.WriteRPS = present, later
-	dropTimers(b.Controller) // no maintenance, which would merge the groups
+	b.config.CurrentWriteRPS, b.config.WriteRPS = current, lowered
+	dropTimers(b.Controller) // disables maintenance, which would merge the groups
 	b.configureLimits(4)
 	return b
 }
 
-// addGroupsAwaitingRecord makes groups of which each has starts that wait for its record.
+// addGroupsAwaitingRecord adds groups with starts that wait for the records of the
+// groups.
 func (b *controllerHarness) addGroupsAwaitingRecord(name string, job *state.Job, groups, from int) []*state.MachineGroup {
 	var all []*state.MachineGroup
 	for i := range groups {
@@ -50,8 +52,8 @@
 	return all
 }
 
-// checkGroupsReady fails unless every group was stored with its tasks, which may
-// start now, and no shard was given up.
+// checkGroupsReady checks that every group was stored with its machines, that its tasks
+// may start, and that no shard was dropped.
 func (b *controllerHarness) checkGroupsReady(t *testing.T, groups []*state.MachineGroup) {
 	t.Helper()
 	for _, group := range groups {
@@ -69,63 +71,64 @@
 	}
 	for _, shard := range b.state.Shards {
 		if !shard.Owned {
-			t.Errorf("shard %d was given up", shard.ID)
+			t.Errorf("shard %d was dropped", shard.ID)
 		}
 	}
 }
 
-// TestPresentWriteRateIsUsed: the present rate is spent while the store allows it.
-func TestPresentWriteRateIsUsed(t *testing.T) {
+// TestCurrentWriteRateIsUsed checks that the controllers use the current write rate as
+// long as the store accepts it.
+func TestCurrentWriteRateIsUsed(t *testing.T) {
 	b := newHarnessWithRates(25, 18)
-	refused := b.enforceWriteRate(25)
+	throttled := b.enforceWriteRate(25)
 	b.checkSharedRate(t, 25)
 	groups := b.addGroupsAwaitingRecord("g", b.addTestJob("j-1", 1000), 20, 0)
 	b.runFor(5 * second)
 	b.checkSharedRate(t, 25)
-	if *refused > 0 {
-		t.Errorf("%d transactions were refused", *refused)
+	if *throttled > 0 {
+		t.Errorf("%d transactions were throttled", *throttled)
 	}
 	b.checkGroupsReady(t, groups)
 }
 
-// checkSharedRate fails unless the controllers share the given rate.
+// checkSharedRate checks that the controllers share the given write rate.
 func (b *controllerHarness) checkSharedRate(t *testing.T, rate float64) {
 	t.Helper()
 	if b.writeQueue.SharedWriteRPS() != rate {
-		t.Errorf("the controllers share %v changes a second, not %v", b.writeQueue.SharedWriteRPS(), rate)
+		t.Errorf("the controllers share %v writes per second, want %v", b.writeQueue.SharedWriteRPS(), rate)
 	}
-	if most := rate * b.config.Tuning.RateBudgetShare; b.writeQueue.PutBudget().Rate() > most {
-		t.Errorf("%v of %v changes a second are this controller's", b.writeQueue.PutBudget().Rate(), most)
+	if maxRate := rate * b.config.Tuning.RateBudgetShare; b.writeQueue.PutBudget().Rate() > maxRate {
+		t.Errorf("this controller may make %v writes per second, want at most %v", b.writeQueue.PutBudget().Rate(), maxRate)
 	}
 }
 
-// TestThrottledWriteRateLowered: once the store refuses the present rate the lower one
-// that the settings name is kept to. The refused writes are sent again, every
-// start that waited is recorded, and no shard is lost.
+// TestThrottledWriteRateLowered checks that the lower write rate applies once the store
+// has throttled the current one, and that all throttled writes are retried and no shard
+// is dropped.
 func TestThrottledWriteRateLowered(t *testing.T) {
 	b := newHarnessWithRates(60, 6)
-	refused := b.enforceWriteRate(6)
+	throttled := b.enforceWriteRate(6)
 	job := b.addTestJob("j-1", 2000)
 	groups := b.addGroupsAwaitingRecord("g", job, 20, 0)
 	b.runFor(15 * second)
-	if *refused == 0 {
-		t.Fatal("nothing was refused: the test shows nothing")
+	if *throttled == 0 {
+		t.Fatal("no transaction was throttled, so the test is inconclusive")
 	}
 	b.checkSharedRate(t, 6)
 	b.checkGroupsReady(t, groups)
 
-	// After that a store that refuses all for a while costs nothing either.
+	// Nothing is lost either if the store then throttles all transactions for a while.
 	limited := b.throttles
-	refusedAll := 0
-	b.throttles = func(messages.StoreTxn) bool { refusedAll++; return true }
+	throttledAll := 0
+	b.throttles = func(messages.StoreTxn) bool { throttledAll++; return true }
 	more := b.addGroupsAwaitingRecord("h", job, 5, 500)
 	b.runFor(3 * second)
-	if refusedAll == 0 {
-		t.Fatal("nothing was refused the second time: the test shows nothing")
+	if throttledAll == 0 {
+		t.Fatal("no transaction was throttled the second time, so the test is inconclusive")
 	}
 	for _, group := range more {
 		if b.store.keys[group.Key()].ModRevision != 20 {
-			t.Errorf("%s was stored though the store refused it", group.ID)
+			t.Errorf("%s was stored although the store throttled its write", group.ID)
 		}
 	}
 	b.throttles = limited
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -11,11 +11,12 @@
 	"stairrelay/internal/state"
 )
 
-// The guards of a zone that is cut off with machines and controllers in it:
-// inside, a controller stops answering its machines; outside, what they may run is
-// not started again.
+// These tests cover a partitioned zone with machines and controllers in it. A controller
+// inside must stop answering its machines, and a controller outside must not restart
+// tasks that may still run inside.
 
-// heartbeatReplyStatus is the status with which a heartbeat of a machine is answered.
+// heartbeatReplyStatus returns the status of the response to a heartbeat of a machine.
+// The result is 0 if there is none.
 func heartbeatReplyStatus(b *controllerHarness, machine *state.Machine) messages.ReplyStatus {
 	takeEffects(b.Controller)
 	b.reconciler.Heartbeats.Handle(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1}})
@@ -29,42 +30,41 @@
 	return 0
 }
 
-// TestPartitionedOwnerStopsAnsweringMachines: an owner inside the zone has lost the state
-// service and at least one other controller, which may have acquired its shard. It
-// answers its machines for a lease where it hears nobody, so that they have a
-// lease left to find their new owner in, and in any case only as long as the
-// time for a cancellation allows.
+// TestPartitionedOwnerStopsAnsweringMachines checks how long an owner in a partitioned
+// zone answers its machines. If no peer replies to it, it stops after one worker lease,
+// so that the machines have another lease to find their new owner. In any case it stops
+// in time for the cancel deadline.
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newOwner := func() *controllerHarness {
 		b := newHarnessWithKnownPeers()
 		b.writeQueue.Health.MarkFailing(b.loop.Now())
 		for _, peer := range b.members.Peers() {
-			answerProbe(b, peer.ID(), 1)
+			acknowledgeTerm(b, peer.ID(), 1)
 		}
 		return b
 	}
 	config := newOwner().config
-	bound := ownership.AnswerWindow(config.CancelDeadline, config.WorkerLease)
-	if bound < config.WorkerLease+2*second {
-		t.Fatalf("answers for %d s: no longer than when isolated", bound/second)
+	answerWindow := ownership.AnswerWindow(config.CancelDeadline, config.WorkerLease)
+	if answerWindow < config.WorkerLease+2*second {
+		t.Fatalf("the answer window of %d s is not longer than the worker lease", answerWindow/second)
 	}
 	for _, test := range []struct {
-		name   string
-		after  cluster.Time
-		hears  bool // the other controller in the zone
-		status messages.ReplyStatus
+		name        string
+		after       cluster.Time
+		peerReplies bool // whether the other controller in the zone replies
+		status      messages.ReplyStatus
 	}{
-		{"hears nobody, within the lease", config.WorkerLease - 2*second, false, 200},
-		{"hears nobody, after the lease", config.WorkerLease + second, false, 421},
-		{"hears one, after the lease", config.WorkerLease + second, true, 200},
-		{"hears one, too late for a cancellation", bound + second, true, 421},
+		{"no peer replies, within the lease", config.WorkerLease - 2*second, false, 200},
+		{"no peer replies, after the lease", config.WorkerLease + second, false, 421},
+		{"one peer replies, after the lease", config.WorkerLease + second, true, 200},
+		{"one peer replies, after the answer window", answerWindow + second, true, 421},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newOwner()
 			machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
 			setTime(b.Controller, b.loop.Now()+test.after)
-			if test.hears {
-				answerProbe(b, "n1", 1)
+			if test.peerReplies {
+				acknowledgeTerm(b, "n1", 1)
 			}
 			if status := heartbeatReplyStatus(b, machine); status != test.status {
 				t.Errorf("a heartbeat is answered with %d, want %d", status, test.status)
@@ -73,17 +73,16 @@
 	}
 }
 
-// TestTaskOfPartitionedZoneNotRestarted: a controller outside has acquired the shard. A
-// task that the record lists on a silent machine of the zone is not started on a
-// free machine outside, until the cloud has terminated the silent one and the
-// record says so.
+// TestTaskOfPartitionedZoneNotRestarted checks that a new owner does not restart a task
+// that is recorded on a silent machine of a partitioned zone before the cloud has
+// terminated the machine and the record shows it.
 func TestTaskOfPartitionedZoneNotRestarted(t *testing.T) {
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
 	job := b.addTestJob("j-1", 1)
 	task := cluster.TaskID{Job: "j-1", Index: 0}
-	cut := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: task, Attempt: 7}}}
-	record := messages.KV{Key: "groups/cut", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{cut}, WriteID: "b9-1"}), ModRevision: 25}
+	partitioned := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: task, Attempt: 7}}}
+	record := messages.KV{Key: "groups/cut", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{partitioned}, WriteID: "b9-1"}), ModRevision: 25}
 	b.store.keys[record.Key] = record
 	b.inventory.ApplyRecord(record, shard)
 	outside := b.inventory.AddMachine(b.state.AddGroup(shard, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
@@ -95,15 +94,15 @@
 		return outside.Assignments[task] != nil
 	}
 	if startedOutside() {
-		t.Error("started outside while the record lists it on a machine of the zone")
+		t.Error("the task was started outside while the record lists it on a machine of the zone")
 	}
 	b.provisioner.ScaleIn.HandleTerminated(b.state.Machines["m-1"])
 	if startedOutside() {
-		t.Error("started outside before the record shows that the machine is gone")
+		t.Error("the task was started outside before the record shows that the machine is gone")
 	}
 	b.runFor(second)
 	outside.LastHeartbeat = b.loop.Now()
 	if !startedOutside() || job.PendingCount() != 0 {
-		t.Error("not started outside though the machine is gone and the record says so")
+		t.Error("the task was not started outside although the record shows that the machine is gone")
 	}
 }
