--- a/internal/inventory/regroup.go
+++ b/internal/inventory/regroup.go
@@ -106,14 +106,14 @@
 	var operations []messages.TxnOp
 	var modRevisions []cluster.ModRevision
 	for _, group := range r.sources {
-		group.MarkBuilt()
+		group.MarkRecordBuilt()
 		operations = append(operations, messages.TxnOp{Key: group.Key(), Value: r.encode(r.remainingMachines(group), writeID)})
 		modRevisions = append(modRevisions, group.ModRevision)
 	}
 	modRevision := cluster.ModRevision(0) // the key of a new group must be absent
 	if r.target != nil {
 		modRevision = r.target.ModRevision
-		r.target.MarkBuilt()
+		r.target.MarkRecordBuilt()
 	}
 	value := r.encode(r.targetMachines(), writeID)
 	if !r.inventory.config.ValueLimit.WithinSoftLimit(len(value)) || len(r.moving) == 0 {
--- a/internal/jobs/checkpoints.go
+++ b/internal/jobs/checkpoints.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		if slices.Contains(job.DirtyChunks, true) {
-			job.NextCheckpointAt = r.loop.Now() + backgroundCheckpointIntervals*r.config.CheckpointInterval
+			job.NextBackgroundWriteAt = r.loop.Now() + backgroundCheckpointIntervals*r.config.CheckpointInterval
 			r.WriteJob(job, writequeue.PriorityBackground)
 		}
 	}
@@ -31,7 +31,7 @@
 // isCheckpointDeferred reports whether a job's next background write has to wait because
 // task starts are queued.
 func (r *Records) isCheckpointDeferred(job *state.Job) bool {
-	return r.loop.Now() < job.NextCheckpointAt && len(r.writeQueue.Queued(writequeue.PriorityStart)) > 0
+	return r.loop.Now() < job.NextBackgroundWriteAt && len(r.writeQueue.Queued(writequeue.PriorityStart)) > 0
 }
 
 // acknowledgeStoredTasks lets the machine records drop the tasks whose completion is
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -75,7 +75,7 @@
 	if !shard.Ready && shard != loading {
 		// The shard is being loaded, and its jobs may have been read before this one was
 		// stored. The record is applied again when the shard is ready.
-		shard.EarlyJobs = append(shard.EarlyJobs, kv)
+		shard.DeferredJobRecords = append(shard.DeferredJobRecords, kv)
 		return
 	}
 	job := r.newJob(kv, record, shard.ID)
--- a/internal/provisioning/requests_test.go
+++ b/internal/provisioning/requests_test.go
@@ -54,7 +54,7 @@
 			t.Errorf("outcome %d: retried as %+v, first sent as %+v", test.outcome, repeated, first)
 		}
 		h.loop.Deliver(messages.Reply{Call: repeated.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1", "m-2"}}})
-		if !request.Answered || request.ExpectedMachines() != 2 || !h.ScaleOut.scheduled {
+		if !request.Answered || request.ExpectedMachineCount() != 2 || !h.ScaleOut.scheduled {
 			t.Errorf("outcome %d: the retried request is not answered, or no scale-out run is scheduled: %+v", test.outcome, request)
 		}
 		h.Requests.call(shard, request)
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -28,7 +28,7 @@
 		switch assignment.Phase {
 		case state.PhaseRecording:
 		case state.PhaseReady:
-			if mayStart && assignment.Job.IsActive() && !machine.HasUnclearedAttempt(assignment.Task) {
+			if mayStart && assignment.Job.IsActive() && !machine.HasStaleAttempt(assignment.Task) {
 				starts = append(starts, cluster.Command{Kind: cluster.Start, Task: assignment.Task, Attempt: assignment.Attempt})
 			}
 		case state.PhaseDispatched, state.PhaseAcknowledged, state.PhaseUnverified:
@@ -63,14 +63,14 @@
 	if !assignment.StopRequested || urgentOnly && assignment.StopSentAt > 0 {
 		return false
 	}
-	isCheckpointing := assignment.State == cluster.Checkpointing && assignment.GracePeriod > 0
+	isCheckpointing := assignment.State == cluster.Checkpointing && assignment.GraceSeconds > 0
 	return !isCheckpointing || assignment.IsGraceExpired(c.loop.Now())
 }
 
 // stop returns the command that stops a task and records that it was sent. The command
 // has no grace period if the task's has already expired.
 func (c *Commands) stop(assignment *state.Assignment) cluster.Command {
-	grace := assignment.GracePeriod
+	grace := assignment.GraceSeconds
 	if assignment.IsGraceExpired(c.loop.Now()) {
 		grace = 0
 	}
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -40,7 +40,7 @@
 	if unreachable && machine.TokenAcknowledged {
 		r.deps.Machines.RaiseToken(machine)
 	}
-	machine.ForgetCleared(reported)
+	machine.PruneStaleAttempts(reported)
 	return true
 }
 
--- a/internal/scheduling/rebalance.go
+++ b/internal/scheduling/rebalance.go
@@ -170,7 +170,7 @@
 
 // isEvictable reports whether tasks of a job may be preempted for work of a priority.
 func (r *Rebalancer) isEvictable(job *state.Job, priority cluster.Priority) bool {
-	return job.EffectivePriority < priority && job.Spec.CheckpointSeconds > 0 && !r.queue.isPreemptionExempt(job)
+	return job.EffectivePriority < priority && job.Spec.CheckpointIntervalSeconds > 0 && !r.queue.isPreemptionExempt(job)
 }
 
 // CanScaleOut reports whether a shard may request machines now. While a much smaller
