--- a/cmd/stairrelay/controller.go
+++ b/cmd/stairrelay/controller.go
@@ -64,7 +64,7 @@
 	return engine.Executors{
 		Store:   store.New(config.StoreAddress, reply).Do,
 		Cloud:   cloud.New(config.CloudAddress, reply).Do,
-		Workers: workers.New(budget.Calls, reply).Do,
+		Workers: workers.New(budget.MaxWorkerCalls, reply).Do,
 		Peers:   peers.New(config.PeerAddresses, reply).Do,
 	}
 }
@@ -85,7 +85,7 @@
 	log *slog.Logger,
 ) (*controllerServers, error) {
 	idleTimeout := max(idleHeartbeats*time.Duration(config.Controller.HeartbeatInterval), minIdleTimeout)
-	publicLimiter := sockets.NewConnectionLimiter(budget.Inbound)
+	publicLimiter := sockets.NewConnectionLimiter(budget.MaxInboundConnections)
 	workerHandler := publicLimiter.WorkerMiddleware(workers.Handler(eng, log))
 	publicHandler := users.Handler(eng, publicLimiter.UserMiddleware, workerHandler)
 	peerLimiter := sockets.NewConnectionLimiter(0) // peers are few; the budget has room for them
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -23,14 +23,14 @@
 
 // Client carries out the controller's cloud effects.
 type Client struct {
-	service *wire.JSONService
+	service *wire.JSONClient
 	reply   engine.ReplyFunc
 }
 
 // New makes a Client of the cloud at an address.
 func New(address string, reply engine.ReplyFunc) *Client {
-	options := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleConnections}
-	return &Client{service: wire.NewJSONService(address, options), reply: reply}
+	options := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleConnections}
+	return &Client{service: wire.NewJSONClient(address, options), reply: reply}
 }
 
 // Do starts a call; its reply follows. Only a time-out gives a call up, since the
@@ -51,7 +51,7 @@
 
 func (c *Client) listMachineTypes(ctx context.Context) messages.MachineTypesReply {
 	call := wire.Call{Method: http.MethodGet, Path: wire.MachineTypesPath, Timeout: callTimeout}
-	types, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTypes)
+	types, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeMachineTypes)
 	return messages.MachineTypesReply{Outcome: readOutcome(err), Types: types}
 }
 
@@ -61,7 +61,7 @@
 		Path:    wire.MachinesPath(list.After, pageSize),
 		Timeout: callTimeout,
 	}
-	page, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeMachines)
+	page, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeMachinePage)
 	if wire.IsStatus(err, http.StatusTooManyRequests) {
 		return messages.CloudListReply{Outcome: messages.Throttled}
 	}
@@ -87,7 +87,7 @@
 		Body:    wire.EncodeScaleOut(scaleOut),
 		Timeout: callTimeout,
 	}
-	ids, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeScaleOut)
+	ids, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeScaleOutResponse)
 	if isOutOfCapacity(err) {
 		return messages.ScaleOutReply{Outcome: messages.NotFound}
 	}
--- a/internal/cloud/outcomes_test.go
+++ b/internal/cloud/outcomes_test.go
@@ -67,8 +67,8 @@
 		_, _ = w.Write(make([]byte, wire.MaxResponseSize+1))
 	}))
 	for name, address := range map[string]string{
-		"refused":   wiretest.RefusingAddress(t),
-		"closed":    wiretest.ClosingAddress(t),
+		"refused":   wiretest.UnusedAddress(t),
+		"closed":    wiretest.ServeAbort(t),
 		"oversized": oversized,
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/peers/client_test.go
+++ b/internal/peers/client_test.go
@@ -48,8 +48,8 @@
 // TestFailedCalls checks that a message counts as not applied only if it was never sent.
 func TestFailedCalls(t *testing.T) {
 	for name, address := range map[string]string{
-		"refused connection": wiretest.RefusingAddress(t),
-		"closed connection":  wiretest.ClosingAddress(t),
+		"refused connection": wiretest.UnusedAddress(t),
+		"closed connection":  wiretest.ServeAbort(t),
 		"refused message":    wiretest.ServeStatus(t, 400, "malformed"),
 		"malformed answer":   wiretest.ServeStatus(t, 200, "<html>"),
 	} {
@@ -60,7 +60,7 @@
 	}
 	oversized := messages.PeerMessage{Version: 2, From: "n1", Reason: strings.Repeat("x", MaxMessageSize)}
 	want := messages.PeerReply{Outcome: messages.NotApplied}
-	if got := callPeer(t, wiretest.RefusingAddress(t), oversized); !reflect.DeepEqual(got, want) {
+	if got := callPeer(t, wiretest.UnusedAddress(t), oversized); !reflect.DeepEqual(got, want) {
 		t.Errorf("oversized message: reply %+v, want %+v", got, want)
 	}
 }
@@ -73,12 +73,12 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	requester := &wiretest.Requester{Response: messages.Respond{Error: "unknown sender"}}
+	requester := &wiretest.FakeRequester{Response: messages.Respond{Error: "unknown sender"}}
 	recorder := httptest.NewRecorder()
 	Handler(requester, log).ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodPost, messagePath, strings.NewReader(string(frame))))
 	if recorder.Code != http.StatusBadRequest || recorder.Body.String() != "unknown sender\n" {
 		t.Errorf("answered %d %q", recorder.Code, recorder.Body)
 	}
 	newHandler := func(requester engine.Requester) http.Handler { return Handler(requester, log) }
-	wiretest.CheckClientGoesAway(t, newHandler, http.MethodPost, messagePath, string(frame))
+	wiretest.CheckClientDisconnect(t, newHandler, http.MethodPost, messagePath, string(frame))
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -33,7 +33,7 @@
 func New(addresses map[cluster.NodeID]string, reply engine.ReplyFunc) *Client {
 	return &Client{
 		addresses: addresses,
-		client:    wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdlePerPeer}),
+		client:    wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdlePerPeer}),
 		reply:     reply,
 	}
 }
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -65,7 +65,7 @@
 		return
 	}
 	budget := sockets.NewBudget(s.MaxConnections, len(s.PeerAddresses))
-	s.warnf("cluster.machine_limits.max_connections: %d serves about %d workers and users at once", s.MaxConnections, budget.Inbound)
+	s.warnf("cluster.machine_limits.max_connections: %d serves about %d workers and users at once", s.MaxConnections, budget.MaxInboundConnections)
 }
 
 func (s *Settings) warnf(format string, args ...any) {
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -22,8 +22,8 @@
 
 // Budget says how many sockets each use gets; 0 means no limit.
 type Budget struct {
-	Calls   int // calls to workers at once; as many idle connections to them are kept
-	Inbound int // connections of workers and users
+	MaxWorkerCalls        int // calls to workers at once; as many idle connections to them are kept
+	MaxInboundConnections int // connections of workers and users
 }
 
 // NewBudget divides the sockets that a process with a number of peers may have; 0
@@ -34,5 +34,5 @@
 	}
 	shared := max(sockets-reservedSockets-socketsPerPeer*peers, minSharedSockets)
 	calls := max(shared/callDivisor, minCalls)
-	return Budget{Calls: calls, Inbound: shared - 2*calls}
+	return Budget{MaxWorkerCalls: calls, MaxInboundConnections: shared - 2*calls}
 }
--- a/internal/sockets/budget_test.go
+++ b/internal/sockets/budget_test.go
@@ -10,7 +10,7 @@
 		{4101, 4, 1827},
 	} {
 		budget := NewBudget(test.sockets, test.peers)
-		if budget.Inbound < test.workers+300 || budget.Calls < 300 || budget.Inbound+2*budget.Calls > test.sockets-30 {
+		if budget.MaxInboundConnections < test.workers+300 || budget.MaxWorkerCalls < 300 || budget.MaxInboundConnections+2*budget.MaxWorkerCalls > test.sockets-30 {
 			t.Errorf("%d sockets: %+v, too few for %d workers and some hundred users", test.sockets, budget, test.workers)
 		}
 	}
@@ -21,7 +21,7 @@
 func TestBudgetOfLastController(t *testing.T) {
 	const sockets, peers, workers = 1200, 6, 900
 	budget := NewBudget(sockets, peers)
-	if budget.Inbound < workers || workers+2*budget.Calls > sockets-reservedSockets-peers*socketsPerPeer {
+	if budget.MaxInboundConnections < workers || workers+2*budget.MaxWorkerCalls > sockets-reservedSockets-peers*socketsPerPeer {
 		t.Errorf("%d sockets: %+v, too few for %d workers", sockets, budget, workers)
 	}
 }
--- a/internal/store/outcomes_test.go
+++ b/internal/store/outcomes_test.go
@@ -65,8 +65,8 @@
 // connection was refused.
 func TestNoResponse(t *testing.T) {
 	for name, address := range map[string]string{
-		"refused": wiretest.RefusingAddress(t),
-		"closed":  wiretest.ClosingAddress(t),
+		"refused": wiretest.UnusedAddress(t),
+		"closed":  wiretest.ServeAbort(t),
 	} {
 		t.Run(name, func(t *testing.T) {
 			wiretest.CheckReplies(t, newExecutor, address, []wiretest.ReplyTest{
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,18 +27,18 @@
 
 // Client carries out the controller's store effects.
 type Client struct {
-	service      *wire.JSONService
-	watchService *wire.JSONService // has connections of its own, since watches keep them long
+	service      *wire.JSONClient
+	watchService *wire.JSONClient // has connections of its own, since watches keep them long
 	reply        engine.ReplyFunc
 }
 
 // New makes a Client of the state service at an address.
 func New(address string, reply engine.ReplyFunc) *Client {
-	forCalls := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleCalls}
-	forWatches := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleWatches}
+	forCalls := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleCalls}
+	forWatches := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleWatches}
 	return &Client{
-		service:      wire.NewJSONService(address, forCalls),
-		watchService: wire.NewJSONService(address, forWatches),
+		service:      wire.NewJSONClient(address, forCalls),
+		watchService: wire.NewJSONClient(address, forWatches),
 		reply:        reply,
 	}
 }
@@ -66,7 +66,7 @@
 		Body:    wire.EncodeTxn(txn),
 		Timeout: callTimeout,
 	}
-	response, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTxn)
+	response, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTxnResponse)
 	if refused, ok := errors.AsType[*wire.StatusError](err); ok && refused.Status == http.StatusConflict {
 		return decodeConflict(refused.Body)
 	}
@@ -76,7 +76,7 @@
 // decodeConflict reads the response to a transaction whose compares failed. One that
 // names no key leaves open what has happened.
 func decodeConflict(body []byte) messages.TxnReply {
-	response, err := wire.DecodeTxn(body)
+	response, err := wire.DecodeTxnResponse(body)
 	if err != nil || len(response.FailedKeys) == 0 {
 		return messages.TxnReply{Outcome: messages.UnknownOutcome}
 	}
@@ -89,7 +89,7 @@
 
 func (c *Client) get(ctx context.Context, get messages.StoreGet) messages.GetReply {
 	call := wire.Call{Method: http.MethodGet, Path: wire.KeyPath(get.Key), Timeout: callTimeout}
-	kv, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeGet)
+	kv, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeKV)
 	if wire.IsStatus(err, http.StatusNotFound) {
 		return messages.GetReply{Outcome: messages.NotFound}
 	}
@@ -122,7 +122,7 @@
 
 // readNextPage reads a page after the first. Throttling does not end a list that is
 // half read: begun anew, it would take more requests still.
-func (c *Client) readNextPage(ctx context.Context, prefix, lastKey string) (wire.ItemPage, error) {
+func (c *Client) readNextPage(ctx context.Context, prefix, lastKey string) (wire.KVPage, error) {
 	for {
 		page, err := c.readPage(ctx, prefix, lastKey)
 		if !wire.IsStatus(err, http.StatusTooManyRequests) {
@@ -131,19 +131,19 @@
 		select {
 		case <-time.After(throttleBackoff):
 		case <-ctx.Done():
-			return wire.ItemPage{}, ctx.Err()
+			return wire.KVPage{}, ctx.Err()
 		}
 	}
 }
 
 // readPage reads the page of a list that follows a key; the first page follows none.
-func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.ItemPage, error) {
+func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.KVPage, error) {
 	call := wire.Call{
 		Method:  http.MethodGet,
 		Path:    wire.KeysPath(prefix, after, pageSize),
 		Timeout: callTimeout,
 	}
-	return wire.CallAndDecode(ctx, c.service, call, wire.DecodeItems)
+	return wire.CallAndDecode(ctx, c.service, call, wire.DecodeKVPage)
 }
 
 func (c *Client) watch(ctx context.Context, watch messages.StoreWatch) messages.WatchReply {
@@ -153,7 +153,7 @@
 		Path:    wire.WatchPath(watch.Prefix, watch.SinceRevision, timeout),
 		Timeout: timeout + watchTimeoutMargin,
 	}
-	changes, err := wire.CallAndDecode(ctx, c.watchService, call, wire.DecodeItems)
+	changes, err := wire.CallAndDecode(ctx, c.watchService, call, wire.DecodeKVPage)
 	// A response holds all changes and may be of any size. One that is too large is as
 	// good as none, and would be again: the keys are to be read by pages instead.
 	if errors.Is(err, wire.ErrResponseTooLarge) || wire.IsStatus(err, http.StatusGone) {
--- a/internal/users/users_test.go
+++ b/internal/users/users_test.go
@@ -72,7 +72,7 @@
 		"unavailable":   {messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: 2}, 503, "text/plain; charset=utf-8", "2", "\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := serve(t, &wiretest.Requester{Response: test.response}, http.MethodGet, "/v2/runs/j-000412", "")
+			got := serve(t, &wiretest.FakeRequester{Response: test.response}, http.MethodGet, "/v2/runs/j-000412", "")
 			if got.Code != test.status || got.Body.String() != test.body {
 				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.body)
 			}
@@ -118,7 +118,7 @@
 		"heartbeat by a GET": {"GET", "/checkin", "", nil, 404, "404 page not found\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
+			requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyOK}}
 			got := serve(t, requester, test.method, test.path, test.body)
 			if got.Code != test.status || got.Body.String() != test.responseBody {
 				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.responseBody)
@@ -140,7 +140,7 @@
 // TestMistypedField checks the reason that a user gets for a field of the wrong JSON
 // type. It holds the name of a Go type, which therefore must not change.
 func TestMistypedField(t *testing.T) {
-	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
+	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyOK}}
 	serve(t, requester, http.MethodPost, "/v2/runs", strings.Replace(validSubmission, `"vcpus":8.0`, `"vcpus":"8"`, 1))
 	want := messages.Submit{
 		Request:   1,
@@ -157,7 +157,7 @@
 // longer one is refused without asking the controller.
 func TestBodyLimit(t *testing.T) {
 	padded := func(length int) string { return validSubmission + strings.Repeat(" ", length-len(validSubmission)) }
-	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyCreated}}
+	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyCreated}}
 	if got := serve(t, requester, http.MethodPost, "/v2/runs", padded(maxBodySize)); got.Code != http.StatusCreated {
 		t.Errorf("the longest body: answered %d %q", got.Code, got.Body)
 	}
@@ -173,7 +173,7 @@
 // TestHeartbeatsBypassUsers checks that a worker's heartbeat goes to its own handler
 // and not through the users' middleware, which would count it as a user's.
 func TestHeartbeatsBypassUsers(t *testing.T) {
-	got := serve(t, &wiretest.Requester{}, http.MethodPost, "/checkin", "{}")
+	got := serve(t, &wiretest.FakeRequester{}, http.MethodPost, "/checkin", "{}")
 	if handledBy := got.Header().Get(handledByHeader); handledBy != workerHandler {
 		t.Errorf("handled by %q, want %q", handledBy, workerHandler)
 	}
@@ -186,7 +186,7 @@
 	cancel()
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequestWithContext(ctx, http.MethodGet, "/v2/runs/j-7", nil)
-	newHandler(&wiretest.Requester{Silent: true}).ServeHTTP(recorder, request)
+	newHandler(&wiretest.FakeRequester{NoResponse: true}).ServeHTTP(recorder, request)
 	if retryAfter := recorder.Header().Get("Retry-After"); recorder.Code != http.StatusServiceUnavailable || retryAfter != "1" {
 		t.Errorf("answered %d, Retry-After %q", recorder.Code, retryAfter)
 	}
@@ -195,5 +195,5 @@
 // TestClientGoesAway checks that the wait for an answer ends when the user closes the
 // connection: otherwise each abandoned request would keep a goroutine.
 func TestClientGoesAway(t *testing.T) {
-	wiretest.CheckClientGoesAway(t, newHandler, http.MethodGet, "/v2/runs/j-7", "")
+	wiretest.CheckClientDisconnect(t, newHandler, http.MethodGet, "/v2/runs/j-7", "")
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -28,9 +28,9 @@
 
 // ClientOptions bound the connections of a Client.
 type ClientOptions struct {
-	DialTimeout    time.Duration
-	MaxIdlePerHost int // idle connections kept for each host
-	MaxIdle        int // idle connections kept in all; 0: not limited
+	DialTimeout         time.Duration
+	MaxIdleConnsPerHost int // idle connections kept for each host
+	MaxIdleConns        int // idle connections kept in all; 0: not limited
 }
 
 // Client makes HTTP calls and keeps their connections for later calls. It follows no
@@ -44,8 +44,8 @@
 	dialer := &net.Dialer{Timeout: options.DialTimeout, KeepAlive: -1}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConns:        options.MaxIdle,
-		MaxIdleConnsPerHost: options.MaxIdlePerHost,
+		MaxIdleConns:        options.MaxIdleConns,
+		MaxIdleConnsPerHost: options.MaxIdleConnsPerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 		ReadBufferSize:      bufferSize,
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -15,11 +15,11 @@
 )
 
 // startService starts a server that ends with the test and returns a client of it.
-func startService(t *testing.T, handler http.HandlerFunc) *JSONService {
+func startService(t *testing.T, handler http.HandlerFunc) *JSONClient {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	return NewJSONService(strings.TrimPrefix(server.URL, "http://"), ClientOptions{DialTimeout: time.Second, MaxIdlePerHost: 1})
+	return NewJSONClient(strings.TrimPrefix(server.URL, "http://"), ClientOptions{DialTimeout: time.Second, MaxIdleConnsPerHost: 1})
 }
 
 var getCall = Call{Method: http.MethodGet, Path: "/keys", Timeout: 5 * time.Second}
@@ -74,7 +74,7 @@
 		"no address":         "",
 		"malformed address":  "a b",
 	} {
-		service := NewJSONService(address, ClientOptions{DialTimeout: time.Second})
+		service := NewJSONClient(address, ClientOptions{DialTimeout: time.Second})
 		_, err := service.Call(t.Context(), getCall)
 		if wantNotSent := name != "no address"; errors.Is(err, ErrNotSent) != wantNotSent {
 			t.Errorf("%s: error %v", name, err)
@@ -130,12 +130,12 @@
 // TestDecodeErrors checks that the fault of a body can be told from its error.
 func TestDecodeErrors(t *testing.T) {
 	decoders := map[string]func(body []byte) error{
-		"machine types": func(body []byte) error { _, err := DecodeTypes(body); return err },
-		"scale-out":     func(body []byte) error { _, err := DecodeScaleOut(body); return err },
-		"machine list":  func(body []byte) error { _, err := DecodeMachines(body); return err },
-		"transaction":   func(body []byte) error { _, err := DecodeTxn(body); return err },
-		"key":           func(body []byte) error { _, err := DecodeGet(body); return err },
-		"keys":          func(body []byte) error { _, err := DecodeItems(body); return err },
+		"machine types": func(body []byte) error { _, err := DecodeMachineTypes(body); return err },
+		"scale-out":     func(body []byte) error { _, err := DecodeScaleOutResponse(body); return err },
+		"machine list":  func(body []byte) error { _, err := DecodeMachinePage(body); return err },
+		"transaction":   func(body []byte) error { _, err := DecodeTxnResponse(body); return err },
+		"key":           func(body []byte) error { _, err := DecodeKV(body); return err },
+		"keys":          func(body []byte) error { _, err := DecodeKVPage(body); return err },
 		"heartbeat":     func(body []byte) error { _, err := DecodeHeartbeatStatus(body); return err },
 		"submission":    func(body []byte) error { _, err := DecodeSubmission(body); return err },
 	}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -28,8 +28,8 @@
 	Zones       []string `json:"yards"`
 }
 
-// DecodeTypes reads the machine types of the cloud.
-func DecodeTypes(body []byte) ([]cluster.MachineType, error) {
+// DecodeMachineTypes reads the machine types of the cloud.
+func DecodeMachineTypes(body []byte) ([]cluster.MachineType, error) {
 	var form struct {
 		Types []machineType `json:"fleets"`
 	}
@@ -92,9 +92,9 @@
 // EncodeScaleIn writes the request of a scale-in.
 func EncodeScaleIn(ids []cluster.MachineID) []byte { return marshal(scaleInRequest{IDs: ids}) }
 
-// DecodeScaleOut reads which machines a scale-out got. A response without a list is an
+// DecodeScaleOutResponse reads which machines a scale-out got. A response without a list is an
 // error: it does not say that the scale-out got none.
-func DecodeScaleOut(body []byte) ([]cluster.MachineID, error) {
+func DecodeScaleOutResponse(body []byte) ([]cluster.MachineID, error) {
 	var form struct {
 		IDs *[]cluster.MachineID `json:"coaches"`
 	}
@@ -124,8 +124,8 @@
 	More     bool // there is another page
 }
 
-// DecodeMachines reads a page of the machine list.
-func DecodeMachines(body []byte) (MachinePage, error) {
+// DecodeMachinePage reads a page of the machine list.
+func DecodeMachinePage(body []byte) (MachinePage, error) {
 	var form struct {
 		Machines []listedMachine `json:"coaches"`
 		More     bool            `json:"truncated"`
--- a/internal/wire/service.go
+++ b/internal/wire/service.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// JSONService calls a service that takes and gives JSON at one address.
-type JSONService struct {
+// JSONClient calls a service that takes and gives JSON at one address.
+type JSONClient struct {
 	client  *Client
 	baseURL string
 }
 
-// NewJSONService makes a JSONService for the service at an address.
-func NewJSONService(address string, options ClientOptions) *JSONService {
-	return &JSONService{client: NewClient(options), baseURL: BaseURL(address)}
+// NewJSONClient returns a JSONClient for the service at an address.
+func NewJSONClient(address string, options ClientOptions) *JSONClient {
+	return &JSONClient{client: NewClient(options), baseURL: BaseURL(address)}
 }
 
-// Call is a call of a JSONService.
+// Call is a call of a JSONClient.
 type Call struct {
 	Method  string
 	Path    string // with its parameters
@@ -27,7 +27,7 @@
 
 // Call makes a call and returns the body of its response. A response with a status other
 // than 200 is a StatusError.
-func (s *JSONService) Call(ctx context.Context, call Call) ([]byte, error) {
+func (s *JSONClient) Call(ctx context.Context, call Call) ([]byte, error) {
 	response, err := s.client.Do(ctx, Request{
 		Method:      call.Method,
 		URL:         s.baseURL + call.Path,
@@ -45,7 +45,7 @@
 }
 
 // CallAndDecode makes a call and decodes the body of its response.
-func CallAndDecode[T any](ctx context.Context, service *JSONService, call Call, decode func([]byte) (T, error)) (T, error) {
+func CallAndDecode[T any](ctx context.Context, service *JSONClient, call Call, decode func([]byte) (T, error)) (T, error) {
 	body, err := service.Call(ctx, call)
 	if err != nil {
 		var none T
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -59,8 +59,8 @@
 	FailedKeys []string // the keys whose compares failed
 }
 
-// DecodeTxn reads the response to a transaction.
-func DecodeTxn(body []byte) (TxnResponse, error) {
+// DecodeTxnResponse reads the response to a transaction.
+func DecodeTxnResponse(body []byte) (TxnResponse, error) {
 	var form struct {
 		Revision *uint64  `json:"epoch"`
 		Failed   []string `json:"failed"`
@@ -96,8 +96,8 @@
 	return kv
 }
 
-// DecodeGet reads a key.
-func DecodeGet(body []byte) (messages.KV, error) {
+// DecodeKV reads a key.
+func DecodeKV(body []byte) (messages.KV, error) {
 	var form item
 	if err := unmarshal(body, keyBody, &form); err != nil {
 		return messages.KV{}, err
@@ -108,15 +108,15 @@
 	return messages.KV{Key: form.Key, Value: form.Value, ModRevision: cluster.ModRevision(form.ModRevision)}, nil
 }
 
-// ItemPage is a page of keys, or of changes. A deleted key has no value.
-type ItemPage struct {
+// KVPage is a page of keys, or of changes. A deleted key has no value.
+type KVPage struct {
 	Items    []messages.KV
 	More     bool // there is another page
 	Revision cluster.Revision
 }
 
-// DecodeItems reads a page of keys, or of changes.
-func DecodeItems(body []byte) (ItemPage, error) {
+// DecodeKVPage reads a page of keys, or of changes.
+func DecodeKVPage(body []byte) (KVPage, error) {
 	var form struct {
 		Items    []item  `json:"items"`
 		Events   []item  `json:"events"`
@@ -124,12 +124,12 @@
 		Revision *uint64 `json:"epoch"`
 	}
 	if err := unmarshal(body, keyPageBody, &form); err != nil {
-		return ItemPage{}, err
+		return KVPage{}, err
 	}
 	if form.Revision == nil {
-		return ItemPage{}, &DecodeError{What: keyPageBody, Err: ErrNoRevision}
+		return KVPage{}, &DecodeError{What: keyPageBody, Err: ErrNoRevision}
 	}
-	page := ItemPage{More: form.More, Revision: cluster.Revision(*form.Revision)}
+	page := KVPage{More: form.More, Revision: cluster.Revision(*form.Revision)}
 	for _, i := range append(form.Items, form.Events...) {
 		page.Items = append(page.Items, i.decode())
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -147,22 +147,22 @@
 // TestTruncatedResponses checks that a response of the cloud or the state service that
 // lacks what it must have is an error, never an empty success.
 func TestTruncatedResponses(t *testing.T) {
-	if _, err := DecodeScaleOut([]byte(`{}`)); err == nil {
+	if _, err := DecodeScaleOutResponse([]byte(`{}`)); err == nil {
 		t.Error("a scale-out without machines passed")
 	}
-	if _, err := DecodeTxn([]byte(`{"failed":["a"]}`)); err == nil {
+	if _, err := DecodeTxnResponse([]byte(`{"failed":["a"]}`)); err == nil {
 		t.Error("a transaction without revision passed")
 	}
-	if _, err := DecodeGet([]byte(`{"key":"a","mark":3}`)); err == nil {
+	if _, err := DecodeKV([]byte(`{"key":"a","mark":3}`)); err == nil {
 		t.Error("a key without value passed")
 	}
-	if _, err := DecodeItems([]byte(`{"items":[]}`)); err == nil {
+	if _, err := DecodeKVPage([]byte(`{"items":[]}`)); err == nil {
 		t.Error("a page without revision passed")
 	}
-	if _, err := DecodeTypes([]byte(`{"fleets":[{"name":"x","vcpus":0}]}`)); err == nil {
+	if _, err := DecodeMachineTypes([]byte(`{"fleets":[{"name":"x","vcpus":0}]}`)); err == nil {
 		t.Error("a machine type without CPUs passed")
 	}
-	page, err := DecodeItems([]byte(`{"epoch":433,"events":[{"set":"c/9","value":{"a":1},"mark":433},{"drop":"c/d","mark":432}]}`))
+	page, err := DecodeKVPage([]byte(`{"epoch":433,"events":[{"set":"c/9","value":{"a":1},"mark":433},{"drop":"c/d","mark":432}]}`))
 	items := page.Items
 	if err != nil || page.Revision != 433 || len(items) != 2 || items[0].Key != "c/9" || items[1].Key != "c/d" || items[1].Value != nil {
 		t.Errorf("read %+v %v", items, err)
--- a/internal/wire/wiretest/clients.go
+++ b/internal/wire/wiretest/clients.go
@@ -11,12 +11,12 @@
 	"stairrelay/internal/messages"
 )
 
-// NewExecutor makes a client of the service at an address and returns its method that
+// ExecutorFactory makes a client of the service at an address and returns its method that
 // carries out effects.
-type NewExecutor func(address string, reply engine.ReplyFunc) func(messages.Effect)
+type ExecutorFactory func(address string, reply engine.ReplyFunc) func(messages.Effect)
 
 // execute has a client of the service at an address carry out an effect.
-func (n NewExecutor) execute(t *testing.T, address string, effect messages.Effect) any {
+func (n ExecutorFactory) execute(t *testing.T, address string, effect messages.Effect) any {
 	t.Helper()
 	return Execute[any](t, func(reply engine.ReplyFunc) { n(address, reply)(effect) })
 }
@@ -37,7 +37,7 @@
 }
 
 // CheckRequests checks the requests that a client sends for effects.
-func CheckRequests(t *testing.T, newExecutor NewExecutor, tests []RequestTest) {
+func CheckRequests(t *testing.T, newExecutor ExecutorFactory, tests []RequestTest) {
 	t.Helper()
 	for _, test := range tests {
 		t.Run(test.Name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 }
 
 // CheckStatuses checks what each status with a body that can't be read means to a client.
-func CheckStatuses(t *testing.T, newExecutor NewExecutor, tests []StatusTest) {
+func CheckStatuses(t *testing.T, newExecutor ExecutorFactory, tests []StatusTest) {
 	t.Helper()
 	for _, test := range tests {
 		for status, outcome := range test.Want {
@@ -115,7 +115,7 @@
 }
 
 // CheckReplies checks the replies to effects of which the service at the address is asked.
-func CheckReplies(t *testing.T, newExecutor NewExecutor, address string, tests []ReplyTest) {
+func CheckReplies(t *testing.T, newExecutor ExecutorFactory, address string, tests []ReplyTest) {
 	t.Helper()
 	for _, test := range tests {
 		if got := newExecutor.execute(t, address, test.Effect); !reflect.DeepEqual(got, test.Want) {
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -49,11 +49,11 @@
 
 // Requester is an engine.Requester that keeps the events it is given and answers
 // all of them alike.
-type Requester struct {
+type FakeRequester struct {
 	// Response is the answer to each request.
 	Response messages.Respond
-	// Silent makes Request wait until the context of the request has ended.
-	Silent bool
+	// NoResponse makes Request wait until the context of the request has ended.
+	NoResponse bool
 
 	mu     sync.Mutex
 	events []messages.Event
@@ -63,11 +63,11 @@
 const requestID = 1
 
 // Request keeps the event and gives the answer.
-func (r *Requester) Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
+func (r *FakeRequester) Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
 	r.mu.Lock()
 	r.events = append(r.events, event(requestID))
 	r.mu.Unlock()
-	if r.Silent {
+	if r.NoResponse {
 		waitForEnd(ctx)
 		return messages.Respond{}, false
 	}
@@ -75,15 +75,15 @@
 }
 
 // Events returns the events so far.
-func (r *Requester) Events() []messages.Event {
+func (r *FakeRequester) Events() []messages.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]messages.Event(nil), r.events...)
 }
 
-// CheckClientGoesAway checks that a handler stops to wait for the controller's answer
+// CheckClientDisconnect checks that a handler stops to wait for the controller's answer
 // when the client closes the connection.
-func CheckClientGoesAway(t *testing.T, newHandler func(engine.Requester) http.Handler, method, path, body string) {
+func CheckClientDisconnect(t *testing.T, newHandler func(engine.Requester) http.Handler, method, path, body string) {
 	t.Helper()
 	requester := &disconnectRequester{waiting: make(chan struct{}), ended: make(chan struct{})}
 	address := Serve(t, newHandler(requester))
@@ -135,8 +135,8 @@
 	}
 }
 
-// RefusingAddress returns an address at which nothing listens.
-func RefusingAddress(t *testing.T) string {
+// UnusedAddress returns an address at which nothing listens.
+func UnusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,9 +148,9 @@
 	return listener.Addr().String()
 }
 
-// ClosingAddress returns the address of a server that reads each request and closes
+// ServeAbort returns the address of a server that reads each request and closes
 // the connection without a response.
-func ClosingAddress(t *testing.T) string {
+func ServeAbort(t *testing.T) string {
 	t.Helper()
 	return Serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 }
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -71,7 +71,7 @@
 		"unavailable":   {messages.Respond{Status: messages.ReplyUnavailable, Error: "not now"}, 503, "text/plain; charset=utf-8", "not now\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requester := &wiretest.Requester{Response: test.response}
+			requester := &wiretest.FakeRequester{Response: test.response}
 			got := serveHeartbeat(t, newTestHandler(requester), validHeartbeat)
 			if got.Code != test.status || got.Body.String() != test.body {
 				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.body)
@@ -98,7 +98,7 @@
 		"oversized":    {validHeartbeat + strings.Repeat(" ", maxBodySize+1-len(validHeartbeat)), "body unreadable or too large\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK}}
+			requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyOK}}
 			got := serveHeartbeat(t, newTestHandler(requester), test.body)
 			if got.Code != http.StatusBadRequest || got.Body.String() != test.responseBody {
 				t.Errorf("answered %d %q, want 400 %q", got.Code, got.Body, test.responseBody)
@@ -113,7 +113,7 @@
 // TestLongestHeartbeat checks that a body of the greatest length is taken.
 func TestLongestHeartbeat(t *testing.T) {
 	body := validHeartbeat + strings.Repeat(" ", maxBodySize-len(validHeartbeat))
-	requester := &wiretest.Requester{Response: messages.Respond{Status: messages.ReplyOK, Heartbeat: &messages.HeartbeatResponse{}}}
+	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyOK, Heartbeat: &messages.HeartbeatResponse{}}}
 	if got := serveHeartbeat(t, newTestHandler(requester), body); got.Code != http.StatusOK {
 		t.Errorf("answered %d %q", got.Code, got.Body)
 	}
@@ -124,7 +124,7 @@
 // ones in the log is bounded.
 func TestMalformedHeartbeatLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
-	handler := Handler(&wiretest.Requester{}, slog.New(slog.NewTextHandler(&log, nil)))
+	handler := Handler(&wiretest.FakeRequester{}, slog.New(slog.NewTextHandler(&log, nil)))
 	send := func(remoteAddress string) {
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/checkin", strings.NewReader("{"))
 		request.RemoteAddr = remoteAddress
@@ -150,7 +150,7 @@
 	cancel()
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequestWithContext(ctx, http.MethodPost, "/checkin", strings.NewReader(validHeartbeat))
-	newTestHandler(&wiretest.Requester{Silent: true}).ServeHTTP(recorder, request)
+	newTestHandler(&wiretest.FakeRequester{NoResponse: true}).ServeHTTP(recorder, request)
 	if recorder.Code != http.StatusServiceUnavailable || recorder.Body.String() != "given up\n" {
 		t.Errorf("answered %d %q", recorder.Code, recorder.Body)
 	}
@@ -159,5 +159,5 @@
 // TestWorkerGoesAway checks that the wait for an answer ends when the worker closes the
 // connection, as it does 4 s after its heartbeat.
 func TestWorkerGoesAway(t *testing.T) {
-	wiretest.CheckClientGoesAway(t, newTestHandler, http.MethodPost, "/checkin", validHeartbeat)
+	wiretest.CheckClientDisconnect(t, newTestHandler, http.MethodPost, "/checkin", validHeartbeat)
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -32,7 +32,7 @@
 // New makes a Client that makes so many calls at once; 0: without limit.
 func New(calls int, reply engine.ReplyFunc) *Client {
 	return &Client{
-		client:  wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: 1, MaxIdle: calls}),
+		client:  wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: 1, MaxIdleConns: calls}),
 		limiter: sockets.NewCallLimiter(calls),
 		reply:   reply,
 	}
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -74,10 +74,10 @@
 // certainly were not executed, and that those to one that closes the connection without
 // a response may have been.
 func TestNoConnection(t *testing.T) {
-	if got := callWorker(t, messages.PushCommands{Addr: wiretest.RefusingAddress(t)}); got.Outcome != messages.NotApplied {
+	if got := callWorker(t, messages.PushCommands{Addr: wiretest.UnusedAddress(t)}); got.Outcome != messages.NotApplied {
 		t.Errorf("refused: outcome %v, want NotApplied", got.Outcome)
 	}
-	if got := callWorker(t, messages.PushCommands{Addr: wiretest.ClosingAddress(t)}); got.Outcome != messages.UnknownOutcome {
+	if got := callWorker(t, messages.PushCommands{Addr: wiretest.ServeAbort(t)}); got.Outcome != messages.UnknownOutcome {
 		t.Errorf("closed: outcome %v, want UnknownOutcome", got.Outcome)
 	}
 }
