--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// The largest values that can be meant. They are no limits of the program: beyond
-// them times and amounts would overflow, or a unit was mistaken.
+// Upper bounds of the numbers in the platform file. A larger value would overflow when
+// it is converted, or was given in the wrong unit.
 const (
-	maxSeconds   = 1e7 // some months
+	maxSeconds   = 1e7 // about 116 days
 	maxRate      = 1e9 // requests per second
-	maxAmount    = 1e9 // CPUs or GPUs of a team
+	maxQuota     = 1e9 // CPUs or GPUs
 	maxMegabytes = 1e9
-	maxCPUShare  = 1e4 // processor cores
+	maxCPUShare  = 1e4 // CPU cores
 	maxCount     = 1e9
 )
 
-// numericField is a number in the platform's file with its bounds.
+// numericField is a numeric field of the platform file with its bounds.
 type numericField struct {
 	name     string
 	value    float64
 	max      float64
-	required bool // it has no default and must be above 0
+	required bool // has no default and must be greater than 0
 }
 
-// numericFields returns the numbers of the file, except those of teams and of limits
-// to come.
+// numericFields returns the numeric fields of the file, except those of teams and of
+// cluster.state.next, which have their own checks.
 func (f *platformFile) numericFields() []numericField {
 	table := &f.Cluster
 	limits := &table.Limits
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkNumbers refuses numbers that are negative, NaN or absurdly large, and then
-// required ones that are missing.
+// checkNumbers returns an error for the first number that is negative, NaN or above its
+// maximum, or else for the first required number that is not set.
 func (f *platformFile) checkNumbers() error {
 	fields := f.numericFields()
 	for _, field := range fields {
@@ -54,22 +54,22 @@
 	}
 	for _, field := range fields {
 		if field.required && !isPositive(field.value) {
-			return fieldErrorf(field.name, "missing or not above 0")
+			return fieldErrorf(field.name, "must be set and greater than 0")
 		}
 	}
 	return nil
 }
 
-// checkRange refuses a value outside 0 to most; NaN is outside too.
-func checkRange(field string, value, most float64) error {
+// checkRange returns an error if value is negative, NaN or above maximum.
+func checkRange(field string, value, maximum float64) error {
 	switch {
 	case value < 0:
 		return fieldErrorf(field, "%g is below 0", value)
-	case math.IsNaN(value) || value > most:
-		return fieldErrorf(field, "%g is no sensible figure, at most %g can be meant", value, most)
+	case math.IsNaN(value) || value > maximum:
+		return fieldErrorf(field, "%g is out of range; the maximum is %g", value, maximum)
 	}
 	return nil
 }
 
-// isPositive reports whether a value is finite and above 0; NaN is not.
+// isPositive reports whether value is finite and greater than 0. It is false for NaN.
 func isPositive(value float64) bool { return value > 0 && !math.IsInf(value, 1) }
--- a/internal/settings/nodes.go
+++ b/internal/settings/nodes.go
@@ -7,7 +7,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// checkNodeNames checks that this controller and its peers have names of their own.
+// checkNodeNames checks that the host names of this controller and its peers are set
+// and unique.
 func (f *platformFile) checkNodeNames() error {
 	if f.HostName == "" {
 		return fieldErrorf("host_name", "missing")
@@ -15,14 +16,14 @@
 	seen := map[string]bool{f.HostName: true}
 	for _, peer := range f.Peers {
 		if peer.HostName == "" || seen[peer.HostName] {
-			return fieldErrorf("peers.host_name", "%q is missing, repeated or this controller's own", peer.HostName)
+			return fieldErrorf("peers.host_name", "%q is empty, duplicated or this controller's own name", peer.HostName)
 		}
 		seen[peer.HostName] = true
 	}
 	return nil
 }
 
-// checkAddresses checks that every address has a port.
+// checkAddresses checks that every address is a host and a port.
 func (f *platformFile) checkAddresses() error {
 	type addressField struct{ name, address string }
 	fields := []addressField{
@@ -36,23 +37,24 @@
 	}
 	for _, field := range fields {
 		if _, _, err := net.SplitHostPort(field.address); err != nil {
-			return fieldErrorf(field.name, "%q is not an address with a port", field.address)
+			return fieldErrorf(field.name, "%q is not a host:port address", field.address)
 		}
 	}
 	return nil
 }
 
-// checkNodeCount checks the stated number of controllers, if there is one, against
-// those that are named.
+// checkNodeCount checks that cluster.count, if it is set, is the number of controllers
+// in the file.
 func (f *platformFile) checkNodeCount() error {
 	named := len(f.Peers) + 1
 	if stated := f.Cluster.Count; stated != 0 && stated != named {
-		return fieldErrorf("cluster.count", "%d, but peers and this controller make %d", stated, named)
+		return fieldErrorf("cluster.count", "%d does not match the number of controllers in the file, which is %d", stated, named)
 	}
 	return nil
 }
 
-// setNodes sets the names of all controllers, sorted, and the peers' addresses.
+// setNodes sets the name and zone of this controller, the sorted names of all
+// controllers and the addresses of the peers.
 func (s *Settings) setNodes(file *platformFile) {
 	s.Controller.Self = cluster.NodeID(file.HostName)
 	s.Controller.Zone = file.Domain
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // for the schema
+	_ "embed" // embeds the schema
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,14 +14,15 @@
 	"stairrelay/internal/controller"
 )
 
-// schemaName is the schema's file and the name it is compiled under.
+// schemaName is the file name of the schema and the resource name under which it is
+// compiled.
 const schemaName = "operators.schema.json"
 
 //go:embed operators.schema.json
 var schemaText []byte
 
-// operatorsFile is the operators' JSON file. An absent field keeps its default. The
-// schema holds the bounds and describes the fields.
+// operatorsFile is the operators' JSON file. Absent fields keep their defaults. The
+// schema describes the fields and defines their bounds.
 type operatorsFile struct {
 	CheckpointSeconds        *float64 `json:"checkpoint_s"`
 	PingSeconds              *float64 `json:"ping_s"`
@@ -40,8 +41,9 @@
 	BeginWithinSeconds       *float64 `json:"begin_within_s"`
 }
 
-// applyOperators checks the text of the operators' file against the schema and sets the
-// fields that it names in tuning. A breach of the schema is a FieldError.
+// applyOperators validates the text of the operators' file against the schema and
+// overrides the values in tuning that the file sets. It returns a *FieldError if the
+// text violates the schema.
 func applyOperators(tuning *controller.Tuning, text []byte) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -74,8 +76,9 @@
 	return compiler.Compile(schemaName)
 }
 
-// firstCause converts the tree of errors of a validation into one line that names the
-// innermost field. It returns any other error as it is.
+// firstCause converts a schema validation error into a *FieldError with the path of the
+// innermost invalid field and a problem of one line. It returns any other error
+// unchanged.
 func firstCause(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
@@ -90,7 +93,7 @@
 	}
 }
 
-// apply sets the fields that are present.
+// apply overrides the values in tuning that the file sets.
 func (f *operatorsFile) apply(tuning *controller.Tuning) {
 	setSeconds(&tuning.CheckpointInterval, f.CheckpointSeconds)
 	setSeconds(&tuning.PingInterval, f.PingSeconds)
@@ -109,14 +112,14 @@
 	setIfPresent(&tuning.ShortJobWeight, f.SmallFirst)
 }
 
-// setIfPresent sets target unless the value is absent.
+// setIfPresent sets *target to *value unless value is nil.
 func setIfPresent[T any](target, value *T) {
 	if value != nil {
 		*target = *value
 	}
 }
 
-// setSeconds sets target to a number of seconds unless it is absent.
+// setSeconds sets *target to *value seconds unless value is nil.
 func setSeconds(target *cluster.Time, value *float64) {
 	if value != nil {
 		*target = seconds(*value)
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -6,11 +6,11 @@
 	"stairrelay/internal/sockets"
 )
 
-// connectionWarningThreshold is the number of sockets below which a controller serves
-// so few workers and users that its operators should know.
+// connectionWarningThreshold is the value of max_connections below which operators are
+// warned that only few workers and users can be connected at once.
 const connectionWarningThreshold = 256
 
-// parsePlatform decodes and checks the text of the platform's file.
+// parsePlatform decodes and validates the text of the platform file.
 func parsePlatform(text []byte) (*Settings, error) {
 	file, err := decodePlatform(text)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return settings, nil
 }
 
-// check returns the first problem of the file; its errors are FieldErrors. The order of
-// the checks decides which of several problems is named.
+// check returns the first problem of the file as a *FieldError. The order of the checks
+// decides which of several problems is reported.
 func (f *platformFile) check() error {
 	checks := []func() error{
 		f.checkNodeNames,
@@ -58,14 +58,14 @@
 	return nil
 }
 
-// warnOfFewConnections warns when the sockets are so few that workers and users are
-// kept out.
+// warnOfFewConnections adds a warning if max_connections is so low that workers and
+// users may be unable to connect.
 func (s *Settings) warnOfFewConnections() {
 	if s.MaxConnections <= 0 || s.MaxConnections >= connectionWarningThreshold {
 		return
 	}
 	budget := sockets.NewBudget(s.MaxConnections, len(s.PeerAddresses))
-	s.warnf("cluster.machine_limits.max_connections: %d serves about %d workers and users at once", s.MaxConnections, budget.MaxInboundConnections)
+	s.warnf("cluster.machine_limits.max_connections: with %d connections, only about %d workers and users can be connected at once", s.MaxConnections, budget.MaxInboundConnections)
 }
 
 func (s *Settings) warnf(format string, args ...any) {
--- a/internal/settings/platformfile.go
+++ b/internal/settings/platformfile.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// platformFile is the platform's TOML file. Fields that are missing here are ignored,
-// as the platform may add some.
+// platformFile is the TOML file of the platform. Unknown fields in the file are
+// ignored, since the platform may add fields.
 type platformFile struct {
 	HostName string        `toml:"host_name"`
 	Domain   string        `toml:"domain"`
@@ -26,7 +26,7 @@
 	Endpoint string `toml:"endpoint"`
 }
 
-// externalTable holds the addresses of the services that the controllers use.
+// externalTable holds the addresses of the external services that controllers use.
 type externalTable struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
@@ -43,7 +43,8 @@
 	Limits  limitsTable  `toml:"machine_limits"`
 }
 
-// teamTable holds the guaranteed quota and the quota limit of a team.
+// teamTable holds the guaranteed quota and the quota limit of a team. A limit of 0
+// means no limit.
 type teamTable struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -52,7 +53,8 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// sloTable is a service-level objective. Its fields are those of cluster.SLO.
+// sloTable is a service-level objective. Its fields match those of cluster.SLO, to
+// which it is converted.
 type sloTable struct {
 	Kind           string  `toml:"kind"`
 	Class          string  `toml:"class"`
@@ -60,7 +62,8 @@
 	DeadlineFactor float64 `toml:"times"`
 }
 
-// workersTable holds the intervals that workers keep to.
+// workersTable holds the heartbeat interval, the lease duration and the cancellation
+// deadline of workers.
 type workersTable struct {
 	HeartbeatSeconds float64 `toml:"report_s"`
 	LeaseSeconds     float64 `toml:"lease_s"`
@@ -76,37 +79,37 @@
 	Next     *nextStateTable `toml:"next"`
 }
 
-// nextStateTable holds limits of the state service that take effect later, without
-// notice. An absent limit does not change.
+// nextStateTable holds upcoming limits of the state service, which take effect without
+// notice. A nil limit does not change.
 type nextStateTable struct {
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// cloudTable holds the cloud's rate limit and the delay of its machine list.
+// cloudTable holds the cloud's rate limit and the lag of its machine list.
 type cloudTable struct {
 	RPS            float64 `toml:"rps"`
 	ListLagSeconds float64 `toml:"list_lag_s"`
 }
 
-// limitsTable holds what this process may use of its machine; 0 means no limit.
+// limitsTable holds the resource limits of this process. 0 means no limit.
 type limitsTable struct {
 	MemoryMB       float64 `toml:"mem_mb"`
 	MaxConnections int     `toml:"max_connections"`
 	CPUShare       float64 `toml:"core_share"`
 }
 
-// SyntaxError is an error in the text of the platform's file: it is not TOML, or a
-// field has a value of the wrong type.
+// SyntaxError reports that the platform file is not valid TOML, or that a field has a
+// value of the wrong type.
 type SyntaxError struct {
-	Line   int    // counted from 1
-	Column int    // counted from 1
-	Key    string // the field, as far as it is known
+	Line   int    // 1-based
+	Column int    // 1-based
+	Key    string // path of the field; empty if it is not known
 	Err    error
 }
 
-// Error returns the position, the field and what is wrong with it, in one line.
+// Error returns the position, the field and the decoder's error in one line.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("line %d column %d: %s: %v", e.Line, e.Column, e.Key, e.Err)
 }
@@ -114,8 +117,8 @@
 // Unwrap returns the decoder's error.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// decodePlatform decodes the file's text. Its errors are SyntaxErrors where the decoder
-// knows the position.
+// decodePlatform decodes the text of the platform file. It returns a *SyntaxError if
+// the decoder reports the position of the error.
 func decodePlatform(text []byte) (*platformFile, error) {
 	var file platformFile
 	err := toml.Unmarshal(text, &file)
--- a/internal/settings/servicelimits.go
+++ b/internal/settings/servicelimits.go
@@ -1,18 +1,18 @@
 package settings
 
 const (
-	// minTxnOps and minValueKB are the smallest limits of the state service that
-	// the stored records can be adapted to.
+	// minTxnOps and minValueKB are the lowest limits of the state service that are
+	// supported. Records cannot be split into smaller transactions and values.
 	minTxnOps  = 4
 	minValueKB = 2
 	bytesPerKB = 1024
-	// maxValueKB is the largest value that fits into a transaction beside its key
-	// and compares: the protocol takes 64 KiB overall. A larger limit of the state
-	// service is of no use.
+	// maxValueKB is the largest value that fits into a transaction together with
+	// its key and compares, as a request body is limited to 64 KiB. A higher value
+	// limit of the state service has no effect.
 	maxValueKB = 60
 )
 
-// check checks the limits of the state service, those to come included.
+// check validates the limits of the state service, including upcoming ones.
 func (t *stateTable) check() error {
 	if t.Next != nil {
 		if err := t.Next.check(); err != nil {
@@ -22,28 +22,28 @@
 	lowest := t.lowest()
 	if lowest.TxnOps < minTxnOps || lowest.ValueKB < minValueKB {
 		return fieldErrorf("cluster.state",
-			"txn_ops below %d or value_kb below %d, now or next, is more than the records can be cut to",
+			"txn_ops must be at least %d and value_kb at least %d, also in cluster.state.next",
 			minTxnOps, minValueKB)
 	}
 	return nil
 }
 
-// check checks the limits that are given.
+// check validates the limits that are set.
 func (t *nextStateTable) check() error {
 	if t.WriteRPS != nil && !isPositive(*t.WriteRPS) {
-		return fieldErrorf("cluster.state.next.write_rps", "not above 0")
+		return fieldErrorf("cluster.state.next.write_rps", "must be greater than 0")
 	}
 	if t.ValueKB != nil && !isPositive(*t.ValueKB) {
-		return fieldErrorf("cluster.state.next.value_kb", "not above 0")
+		return fieldErrorf("cluster.state.next.value_kb", "must be greater than 0")
 	}
 	if t.TxnOps != nil && *t.TxnOps <= 0 {
-		return fieldErrorf("cluster.state.next.txn_ops", "not above 0")
+		return fieldErrorf("cluster.state.next.txn_ops", "must be greater than 0")
 	}
 	return nil
 }
 
-// lowest returns the lower of each present limit and the one to come. Limits to come
-// take effect without notice, so only what is within both is safe at all times.
+// lowest returns the lower of each current limit and its upcoming value. Upcoming
+// limits take effect without notice, so requests must always stay within both.
 func (t *stateTable) lowest() stateTable {
 	lowest := *t
 	if t.Next != nil {
@@ -54,16 +54,17 @@
 	return lowest
 }
 
-// lowerLimit returns the lower of a present limit and one to come, if there is one.
-func lowerLimit[T int | float64](present T, next *T) T {
+// lowerLimit returns the lower of a current limit and an upcoming one. A nil upcoming
+// limit is ignored.
+func lowerLimit[T int | float64](current T, next *T) T {
 	if next == nil {
-		return present
+		return current
 	}
-	return min(present, *next)
+	return min(current, *next)
 }
 
-// setStateLimits sets the limits of the state service. The present write rate is kept
-// beside the lower one, as it may be used until the state service refuses it.
+// setStateLimits sets the limits of the state service. It also keeps the current write
+// rate, which may be used until the state service enforces a lower one.
 func (s *Settings) setStateLimits(state *stateTable) {
 	lowest := state.lowest()
 	s.Controller.CurrentWriteRPS = state.WriteRPS
@@ -73,7 +74,7 @@
 	s.Controller.MaxTxnOps = lowest.TxnOps
 }
 
-// setCloudLimits sets the rate limit of the cloud and the delay of its machine list.
+// setCloudLimits sets the cloud's rate limit and the lag of its machine list.
 func (s *Settings) setCloudLimits(cloud *cloudTable) {
 	s.Controller.CloudRPS = cloud.RPS
 	s.Controller.CloudListLag = seconds(cloud.ListLagSeconds)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads and checks the platform's TOML file and the operators' own
-// JSON file.
+// Package settings loads and validates the platform's TOML file and the operators' JSON
+// file.
 //
-// Every error is one line that names the file and, where one is at fault, the field in
-// the file's own terms. A setting that is accepted although it looks wrong gives a
+// Every error is a single line that names the file and, if a field is invalid, the path
+// of the field in the file. A setting that is valid but questionable is accepted with a
 // warning.
 package settings
 
@@ -14,39 +14,40 @@
 	"stairrelay/internal/controller"
 )
 
-// Settings is all that the program is started with. Addresses are host:port.
+// Settings is the configuration of a controller process. Addresses have the form
+// host:port.
 type Settings struct {
 	// ListenAddress is where users and workers connect.
 	ListenAddress string
 	// PeerListenAddress is where the other controllers connect.
 	PeerListenAddress string
-	// CloudAddress is the address of the cloud's interface.
+	// CloudAddress is the address of the cloud API.
 	CloudAddress string
 	// StoreAddress is the address of the state service.
 	StoreAddress string
-	// PeerAddresses holds the address of every other controller.
+	// PeerAddresses holds the addresses of the other controllers.
 	PeerAddresses map[cluster.NodeID]string
 	// MemoryMB is the memory that the process may use, in MiB; 0 means no limit.
 	MemoryMB float64
-	// MaxConnections is the number of sockets that the process may have; 0 means no
-	// limit.
+	// MaxConnections is the number of sockets that the process may have open; 0
+	// means no limit.
 	MaxConnections int
-	// CPUShare is the share of a processor core that the process may use; 0 means no
-	// limit.
+	// CPUShare is the number of CPU cores that the process may use, which may be a
+	// fraction; 0 means no limit.
 	CPUShare float64
 	// Controller configures the scheduler's state machine.
 	Controller controller.Config
-	// Warnings describes settings that are accepted although they look wrong.
+	// Warnings describes questionable settings that are accepted.
 	Warnings []string
 }
 
-// FieldError says what is wrong with one field of a settings file.
+// FieldError reports an invalid field of a settings file.
 type FieldError struct {
-	Field   string // as the file names it, e.g. cluster.workers.lease_s or /retries
+	Field   string // path in the file, for example cluster.workers.lease_s or /retries
 	Problem string
 }
 
-// Error returns the field and its problem.
+// Error returns the path of the field and its problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 // fieldErrorf returns a FieldError with a formatted problem.
@@ -54,9 +55,10 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Load reads and checks the platform's file and, unless its path is empty, the
-// operators' file. An error wraps a *FieldError or *SyntaxError where a field or a line
-// is at fault, and that of package os where a file can't be read.
+// Load reads and validates the platform file and, unless operatorsPath is empty, the
+// operators' file. The error wraps a *FieldError if a field is invalid, a *SyntaxError
+// if the platform file cannot be decoded, and the error of package os if a file cannot
+// be read.
 func Load(platformPath, operatorsPath string) (*Settings, error) {
 	settings, err := loadPlatform(platformPath)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"stairrelay/internal/controller"
 )
 
-// validPlatformText is a platform's file that is accepted without a warning.
+// validPlatformText is a platform file that is accepted without a warning.
 const validPlatformText = `
 host_name = "n0"
 domain = "a"
@@ -45,7 +45,7 @@
 list_lag_s = 3.0
 `
 
-// writeFile writes a file into a directory of its own and returns its path.
+// writeFile writes a file to a new temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -55,7 +55,7 @@
 	return path
 }
 
-// mustLoad loads a platform's file that has to be accepted.
+// mustLoad loads a valid platform file.
 func mustLoad(t *testing.T, platformText string) *Settings {
 	t.Helper()
 	settings, err := Load(writeFile(t, "s.toml", platformText), "")
@@ -65,14 +65,15 @@
 	return settings
 }
 
-// mustLoadChanged loads the valid file with one text in it replaced.
-func mustLoadChanged(t *testing.T, from, to string) *Settings {
+// mustLoadReplaced loads the valid platform file with the first occurrence of from
+// replaced by to.
+func mustLoadReplaced(t *testing.T, from, to string) *Settings {
 	t.Helper()
 	return mustLoad(t, strings.Replace(validPlatformText, from, to, 1))
 }
 
-// checkRefused checks that an error is one line that names the file and what is at
-// fault.
+// checkRefused checks that err is a single line that contains the name of the file and
+// want.
 func checkRefused(t *testing.T, err error, file, want string) {
 	t.Helper()
 	switch {
@@ -104,18 +105,17 @@
 	}
 }
 
-func TestGuaranteeAboveLimit(t *testing.T) {
-	settings := mustLoadChanged(t, "cpus = 4.0", "cpus = 9.0")
+func TestGuaranteedQuotaAboveLimit(t *testing.T) {
+	settings := mustLoadReplaced(t, "cpus = 4.0", "cpus = 9.0")
 	if len(settings.Warnings) != 1 || !strings.Contains(settings.Warnings[0], "red") {
 		t.Errorf("warnings: %v", settings.Warnings)
 	}
 }
 
-// TestTeamWithoutAmounts checks that a team which states neither figure is guaranteed
-// nothing and limited by nothing, without a warning. Read as a limit of 0, all its jobs
-// got 422.
-func TestTeamWithoutAmounts(t *testing.T) {
-	settings := mustLoadChanged(t, "cpus = 4.0\ncpus_max = 8.5\n", "")
+// TestTeamWithoutQuotas checks that a team without quotas has no guaranteed quota and no
+// limit. With a limit of 0, all its jobs would be rejected.
+func TestTeamWithoutQuotas(t *testing.T) {
+	settings := mustLoadReplaced(t, "cpus = 4.0\ncpus_max = 8.5\n", "")
 	if len(settings.Warnings) != 0 {
 		t.Errorf("warnings: %v", settings.Warnings)
 	}
@@ -139,35 +139,34 @@
 	checkRefused(t, err, path, "max_connections")
 }
 
-// TestCancelWithin checks that cancel_s must leave room for a lease after an owner's
-// last confirmation: 12 + 2 + 4 s and 0.1% of both do not fit into 18 s, and do fit
-// into 19 s.
-func TestCancelWithin(t *testing.T) {
-	short := mustLoadChanged(t, "cancel_s = 37.0", "cancel_s = 18.0")
-	if len(short.Warnings) != 1 || !strings.Contains(short.Warnings[0], "3.97 s") || !strings.HasSuffix(short.Warnings[0], "A cancel_s of 19 would do") {
+// TestCancelDeadlineTooShort checks the warning for a cancel_s in which a worker's lease
+// may not expire. Lease, stop margin and answer window need 12 + 2 + 4 s and clock drift.
+func TestCancelDeadlineTooShort(t *testing.T) {
+	short := mustLoadReplaced(t, "cancel_s = 37.0", "cancel_s = 18.0")
+	if len(short.Warnings) != 1 || !strings.Contains(short.Warnings[0], "3.97 s") || !strings.HasSuffix(short.Warnings[0], "Increase cancel_s to at least 19") {
 		t.Errorf("cancel_s 18 with lease_s 12: %v", short.Warnings)
 	}
-	enough := mustLoadChanged(t, "cancel_s = 37.0", "cancel_s = 19.0")
+	enough := mustLoadReplaced(t, "cancel_s = 37.0", "cancel_s = 19.0")
 	if len(enough.Warnings) != 0 {
 		t.Errorf("cancel_s 19 with lease_s 12: %v", enough.Warnings)
 	}
 }
 
-// TestInvalidSettings checks that each problem gives one line that names file and field.
+// TestInvalidSettings checks that each problem is reported in one line with file and field.
 func TestInvalidSettings(t *testing.T) {
 	for name, test := range map[string]struct{ from, to, want string }{
 		"not TOML":             {"[cluster]", "[cluster", "line"},
 		"wrong type":           {"lease_s = 12.0", `lease_s = "x"`, "lease_s"},
 		"missing interval":     {"report_s = 2.0", "", "cluster.workers.report_s"},
 		"address without port": {"127.0.0.1:5", "nowhere", "external.state"},
-		"peer of own name":     {`host_name = "n1"`, `host_name = "n0"`, "peers.host_name"},
+		"peer with own name":   {`host_name = "n1"`, `host_name = "n0"`, "peers.host_name"},
 		"wrong count":          {"count = 2", "count = 3", "cluster.count"},
 		"negative count":       {"count = 2", "count = -2", "cluster.count"},
-		"no team name":         {`name = "red"`, "", "cluster.teams.name"},
-		"negative amount":      {"cpus = 4.0", "cpus = -4.0", "below 0"},
-		"infinite amount":      {"cpus = 4.0", "cpus = inf", "cluster.teams"},
-		"amount not a number":  {"cpus = 4.0", "cpus = nan", "cluster.teams"},
-		"no lease":             {"lease_s = 12.0", "lease_s = 0.0", "cluster.workers.lease_s"},
+		"missing team name":    {`name = "red"`, "", "cluster.teams.name"},
+		"negative quota":       {"cpus = 4.0", "cpus = -4.0", "below 0"},
+		"infinite quota":       {"cpus = 4.0", "cpus = inf", "cluster.teams"},
+		"quota not a number":   {"cpus = 4.0", "cpus = nan", "cluster.teams"},
+		"zero lease":           {"lease_s = 12.0", "lease_s = 0.0", "cluster.workers.lease_s"},
 		"huge lease":           {"lease_s = 12.0", "lease_s = 1e300", "cluster.workers.lease_s"},
 		"too few operations":   {"txn_ops = 12", "txn_ops = 2", "txn_ops"},
 		"fractional count":     {"txn_ops = 12", "txn_ops = 12.5", "txn_ops"},
@@ -183,7 +182,7 @@
 	}
 }
 
-// TestErrorTypes checks that callers can tell what kind of error it is.
+// TestErrorTypes checks that callers can distinguish the kinds of errors.
 func TestErrorTypes(t *testing.T) {
 	load := func(t *testing.T, from, to string) error {
 		t.Helper()
@@ -214,9 +213,9 @@
 	})
 }
 
-// TestFirstProblemNamed checks which of two problems is named, as that is what an
-// operator mends first.
-func TestFirstProblemNamed(t *testing.T) {
+// TestFirstProblemReported checks which of two problems is reported: a missing list of
+// teams before a wrong number of controllers.
+func TestFirstProblemReported(t *testing.T) {
 	text := strings.Replace(validPlatformText, "count = 2", "count = 3", 1)
 	text = strings.Replace(text, "[[cluster.teams]]\nname = \"red\"\ncpus = 4.0\ncpus_max = 8.5\n", "", 1)
 	path := writeFile(t, "s.toml", text)
@@ -259,9 +258,8 @@
 	}
 }
 
-// TestNextStateLimits checks that values and transactions keep to the lower of the
-// present limits and those of state.next, which take effect without notice, and that of
-// the write rate both are known.
+// TestNextStateLimits checks that the lower of the current and the upcoming limits
+// applies, as limits change without notice, and that the current write rate is kept too.
 func TestNextStateLimits(t *testing.T) {
 	for name, test := range map[string]struct {
 		next          string
@@ -269,21 +267,21 @@
 		maxValueBytes int
 		maxTxnOps     int
 	}{
-		"absent":         {"", 25, 4096, 12},
-		"empty":          {"[cluster.state.next]\n", 25, 4096, 12},
-		"all lower":      {"[cluster.state.next]\nwrite_rps = 18.0\nvalue_kb = 3.5\ntxn_ops = 8\n", 18, 3584, 8},
-		"all higher":     {"[cluster.state.next]\nwrite_rps = 80.0\nvalue_kb = 8.0\ntxn_ops = 16\n", 25, 4096, 12},
-		"each by itself": {"[cluster.state.next]\nwrite_rps = 80.0\nvalue_kb = 2.0\ntxn_ops = 12\n", 25, 2048, 12},
-		"only one":       {"[cluster.state.next]\ntxn_ops = 4\n", 25, 4096, 4},
+		"absent":     {"", 25, 4096, 12},
+		"empty":      {"[cluster.state.next]\n", 25, 4096, 12},
+		"all lower":  {"[cluster.state.next]\nwrite_rps = 18.0\nvalue_kb = 3.5\ntxn_ops = 8\n", 18, 3584, 8},
+		"all higher": {"[cluster.state.next]\nwrite_rps = 80.0\nvalue_kb = 8.0\ntxn_ops = 16\n", 25, 4096, 12},
+		"some lower": {"[cluster.state.next]\nwrite_rps = 80.0\nvalue_kb = 2.0\ntxn_ops = 12\n", 25, 2048, 12},
+		"only one":   {"[cluster.state.next]\ntxn_ops = 4\n", 25, 4096, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			config := mustLoad(t, validPlatformText+test.next).Controller
 			if config.CurrentWriteRPS != 25 || config.WriteRPS != test.writeRPS || config.StoreRPS != 150 {
-				t.Errorf("write rate %v now, %v later, want 25 and %v; rate %v, want 150",
+				t.Errorf("current write rate %v, write rate %v, want 25 and %v; request rate %v, want 150",
 					config.CurrentWriteRPS, config.WriteRPS, test.writeRPS, config.StoreRPS)
 			}
 			if config.MaxValueBytes != test.maxValueBytes || config.MaxTxnOps != test.maxTxnOps {
-				t.Errorf("%d bytes and %d operations, want %d and %d",
+				t.Errorf("limits of %d bytes and %d operations, want %d and %d",
 					config.MaxValueBytes, config.MaxTxnOps, test.maxValueBytes, test.maxTxnOps)
 			}
 		})
--- a/internal/settings/teams.go
+++ b/internal/settings/teams.go
@@ -2,7 +2,7 @@
 
 import "stairrelay/internal/cluster"
 
-// checkTeamsPresent checks that there are teams.
+// checkTeamsPresent checks that the file has at least one team.
 func (f *platformFile) checkTeamsPresent() error {
 	if len(f.Cluster.Teams) == 0 {
 		return fieldErrorf("cluster.teams", "missing")
@@ -10,15 +10,16 @@
 	return nil
 }
 
-// checkTeams checks the names and quotas of the teams.
+// checkTeams checks that the team names are set and unique, and that the quotas are
+// valid.
 func (f *platformFile) checkTeams() error {
 	seen := map[string]bool{}
 	for _, team := range f.Cluster.Teams {
 		if team.Name == "" || seen[team.Name] {
-			return fieldErrorf("cluster.teams.name", "%q is missing or repeated", team.Name)
+			return fieldErrorf("cluster.teams.name", "%q is empty or duplicated", team.Name)
 		}
 		seen[team.Name] = true
-		if err := team.checkAmounts(); err != nil {
+		if err := team.checkQuotas(); err != nil {
 			return err
 		}
 	}
@@ -26,24 +27,25 @@
 }
 
 // checkAmounts checks the team's guaranteed quota and quota limit.
-func (t *teamTable) checkAmounts() error {
+func (t *teamTable) checkQuotas() error {
 	for _, amount := range []float64{t.CPUs, t.GPUs, t.CPUsMax, t.GPUsMax} {
 		if amount < 0 {
-			return fieldErrorf("cluster.teams", "%s has an amount below 0", t.Name)
+			return fieldErrorf("cluster.teams", "team %s has a quota below 0", t.Name)
 		}
-		if err := checkRange("cluster.teams", amount, maxAmount); err != nil {
+		if err := checkRange("cluster.teams", amount, maxQuota); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// setTeams sets the teams and warns of those with contradictory quotas.
+// setTeams sets the teams and adds a warning for each whose guaranteed quota exceeds
+// its quota limit.
 func (s *Settings) setTeams(tables []teamTable) {
 	for _, table := range tables {
 		team := table.team()
 		if team.QuotaLimit.CPU < team.GuaranteedQuota.CPU || team.QuotaLimit.GPU < team.GuaranteedQuota.GPU {
-			s.warnf("cluster.teams: %s is guaranteed more than its limit; the limit holds", team.Name)
+			s.warnf("cluster.teams: %s has a guaranteed quota above its quota limit; the limit applies", team.Name)
 		}
 		s.Controller.Teams = append(s.Controller.Teams, team)
 	}
@@ -57,13 +59,13 @@
 	}
 }
 
-// quotaLimit converts a team's limit, of which 0 means that there is none. Read as a
-// limit of nothing, it would make every job of such a team fail with 422.
-func quotaLimit(most float64) cluster.Amount {
-	if most == 0 {
+// quotaLimit converts a team's quota limit, where 0 means no limit. If 0 were taken as
+// an actual limit, every job of the team would be rejected with status 422.
+func quotaLimit(limit float64) cluster.Amount {
+	if limit == 0 {
 		return cluster.NoLimit
 	}
-	return cluster.FloorAmount(most)
+	return cluster.FloorAmount(limit)
 }
 
 // setSLOs sets the service-level objectives.
--- a/internal/settings/workertimes.go
+++ b/internal/settings/workertimes.go
@@ -7,15 +7,16 @@
 	"stairrelay/internal/ownership"
 )
 
-// nanosPerSecond converts the files' seconds to cluster.Time.
+// nanosPerSecond converts seconds in the settings files to cluster.Time.
 const nanosPerSecond = 1e9
 
 func seconds(count float64) cluster.Time { return cluster.Time(count * nanosPerSecond) }
 
-func inSeconds(t cluster.Time) float64 { return float64(t) / nanosPerSecond }
+func toSeconds(t cluster.Time) float64 { return float64(t) / nanosPerSecond }
 
-// setWorkerTimes sets the workers' intervals and warns when they leave an owner too
-// little time to notice that another controller has acquired its shard.
+// setWorkerTimes sets the heartbeat interval, the worker lease and the cancellation
+// deadline. It adds a warning if they leave the owner of a shard too little time to
+// detect that another controller has acquired the shard.
 func (s *Settings) setWorkerTimes(workers *workersTable) {
 	s.Controller.HeartbeatInterval = seconds(workers.HeartbeatSeconds)
 	s.Controller.WorkerLease = seconds(workers.LeaseSeconds)
@@ -24,13 +25,13 @@
 	if window >= ownership.MinAnswerWindow {
 		return
 	}
-	// The window grows by a little less than a second for each second of cancel_s,
-	// so somewhat more than what is missing is needed.
+	// Each second of cancel_s extends the window by slightly less than a second, because
+	// part of it is an allowance for clock drift.
 	const margin = 1.01
-	missing := inSeconds(ownership.MinAnswerWindow - window)
-	enough := math.Ceil(workers.CancelSeconds + missing*margin)
-	s.warnf("cluster.workers: with lease_s %g a cancel_s of %g leaves a cut-off controller %.2f s "+
-		"to notice that it was succeeded, of %g that it needs; "+
-		"in an outage of the state service a cancelled task may run on past cancel_s. A cancel_s of %g would do",
-		workers.LeaseSeconds, workers.CancelSeconds, inSeconds(window), inSeconds(ownership.MinAnswerWindow), enough)
+	missing := toSeconds(ownership.MinAnswerWindow - window)
+	sufficient := math.Ceil(workers.CancelSeconds + missing*margin)
+	s.warnf("cluster.workers: with lease_s %g, a cancel_s of %g leaves a partitioned controller %.2f s "+
+		"to detect that another controller has acquired its shard, but it needs %g s; "+
+		"during an outage of the state service a cancelled task may run past cancel_s. Increase cancel_s to at least %g",
+		workers.LeaseSeconds, workers.CancelSeconds, toSeconds(window), toSeconds(ownership.MinAnswerWindow), sufficient)
 }
