--- a/internal/sockets/calllimiter.go
+++ b/internal/sockets/calllimiter.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// unresponsiveDivisor: one quarter of the slots is for unresponsive addresses.
+	// unresponsiveDivisor reserves a quarter of the slots for unresponsive
+	// addresses.
 	unresponsiveDivisor = 4
-	// maxUnresponsive bounds the addresses that are remembered as unresponsive. Of
-	// so many most belong to machines that no longer exist.
+	// maxUnresponsive is the maximum number of addresses recorded as unresponsive.
+	// If there are that many, most belong to machines that no longer exist.
 	maxUnresponsive = 1 << 14
 )
 
-// CallLimiter bounds the calls that run at once. Calls to addresses that did not
-// answer last time have a quarter of the slots to themselves, so that many
-// unresponsive machines never delay calls to the others. It is safe for concurrent
-// use.
+// CallLimiter limits the number of concurrent calls. Calls to addresses that did not
+// answer the previous call share a quarter of the slots, so that unresponsive machines
+// cannot delay calls to the others. It is safe for concurrent use.
 type CallLimiter struct {
 	responsive   semaphore
 	unresponsive semaphore
@@ -25,7 +25,8 @@
 	unresponsiveAddresses map[string]bool
 }
 
-// NewCallLimiter returns a limiter for a number of calls at once; 0 means no limit.
+// NewCallLimiter returns a limiter for the given number of concurrent calls; 0 means no
+// limit.
 func NewCallLimiter(calls int) *CallLimiter {
 	limiter := &CallLimiter{unresponsiveAddresses: map[string]bool{}}
 	if calls > 0 {
@@ -36,9 +37,9 @@
 	return limiter
 }
 
-// Acquire waits for a slot for a call to an address, at most for the given time, and
-// reports whether there was one. The caller must call release once, when the call has
-// ended, and say whether the address answered.
+// Acquire waits up to the given time for a slot for a call to addr and reports whether
+// it acquired one. The caller must call release exactly once, when the call has ended,
+// and pass whether the address answered.
 func (l *CallLimiter) Acquire(addr string, wait time.Duration) (release func(answered bool), acquired bool) {
 	slots := l.semaphoreFor(addr)
 	if !slots.acquire(wait) {
@@ -60,8 +61,9 @@
 	return l.responsive
 }
 
-// recordResult records whether an address answered. When too many are recorded as
-// unresponsive, all are dropped; those that still are will be found again.
+// recordResult records whether an address answered. If too many addresses are recorded
+// as unresponsive, it clears the records first; addresses that are still unresponsive
+// are recorded again after the next call.
 func (l *CallLimiter) recordResult(addr string, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sockets/connectionlimiter.go
+++ b/internal/sockets/connectionlimiter.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// The time-outs of a server, beside the one for idle connections.
+// Timeouts of a server, in addition to its idle timeout.
 const (
-	headerTimeout   = 10 * time.Second // to read the header of a request
-	transferTimeout = 15 * time.Second // to read a request, and to write the answer
+	headerTimeout   = 10 * time.Second // for reading the header of a request
+	transferTimeout = 15 * time.Second // for reading a request, and for writing its response
 )
 
-// closeWorkersDuration is how long workers are told to close their connections after
-// only an idle worker's could be closed for a new one. With so many more workers than
-// connections, each has a connection for the length of a heartbeat. If they kept them
-// as soon as there was room, the connections would be used up again within a heartbeat
-// interval. Without such a shortage only those above the share are closed, as a new
-// connection for each heartbeat costs processor time.
+// closeWorkersDuration is how long workers are told to close their connections after a
+// new connection found no idle user connection to evict. There may then be far more
+// workers than connections, and connections kept open would be used up again within a
+// heartbeat interval. Otherwise workers keep their connections below their share, since
+// a new connection for each heartbeat costs CPU time.
 const closeWorkersDuration = time.Minute
 
-// ConnectionLimiter keeps the connections of workers and users within a limit. It closes
-// them after an answer when most are taken, and idle ones to make room for a new one. It
-// is safe for concurrent use.
+// ConnectionLimiter limits the number of connections of workers and users. When most
+// are in use it tells clients to close their connection after a response, and it closes
+// idle connections to make room for new ones. It is safe for concurrent use.
 type ConnectionLimiter struct {
-	limit int // 0: none
+	limit int // 0 means no limit
 
 	mu          sync.Mutex
 	connections map[net.Conn]*connection
 	idleUsers   idleList
 	idleWorkers idleList
-	// closeWorkersUntil is when workers may keep their connections again.
+	// closeWorkersUntil is the time until which workers are told to close their
+	// connections.
 	closeWorkersUntil time.Time
 }
 
@@ -41,11 +41,11 @@
 type connection struct {
 	net.Conn
 	role        role
-	idleIn      *idleList     // nil: it is not in a list of idle connections
-	idleElement *list.Element // its element in that list
+	idleList    *idleList     // the idle list that contains it, or nil
+	idleElement *list.Element // its element in idleList
 }
 
-// role says whose connection it is, as far as its requests have shown.
+// role is the kind of client of a connection, as far as its requests have shown it.
 type role uint8
 
 const (
@@ -54,17 +54,18 @@
 	workerRole
 )
 
-// connectionKey is the context key of a request's connection.
+// connectionKey is the context key for the connection of a request.
 type connectionKey struct{}
 
-// NewConnectionLimiter returns a limiter for a number of connections; 0 means no limit.
+// NewConnectionLimiter returns a limiter for the given number of connections; 0 means
+// no limit.
 func NewConnectionLimiter(limit int) *ConnectionLimiter {
 	return &ConnectionLimiter{limit: limit, connections: map[net.Conn]*connection{}}
 }
 
-// NewServer returns a server whose connections count against the limit. It closes a
-// connection without a request for idleTimeout: the connection of a machine without
-// power would otherwise stay open for ever.
+// NewServer returns a server whose connections count towards the limit. It closes
+// connections that are idle for idleTimeout; otherwise the connection of a machine that
+// lost power would stay open forever.
 func (l *ConnectionLimiter) NewServer(handler http.Handler, idleTimeout time.Duration) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -84,15 +85,15 @@
 	return len(l.connections)
 }
 
-// connContext is the server's ConnContext hook: it adds a connection to the context of
-// its requests.
+// connContext is the server's ConnContext hook. It adds the connection to the context
+// of its requests.
 func (l *ConnectionLimiter) connContext(ctx context.Context, conn net.Conn) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return context.WithValue(ctx, connectionKey{}, l.ensureConnection(conn))
 }
 
-// ensureConnection returns the entry of a connection, which it adds if it is missing.
+// ensureConnection returns the entry of a connection and creates it if it is missing.
 func (l *ConnectionLimiter) ensureConnection(conn net.Conn) *connection {
 	entry := l.connections[conn]
 	if entry == nil {
@@ -102,7 +103,8 @@
 	return entry
 }
 
-// connState is the server's ConnState hook: it keeps the counts up to date.
+// connState is the server's ConnState hook. It tracks which connections are open and
+// which of them are idle.
 func (l *ConnectionLimiter) connState(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,14 +116,15 @@
 	case http.StateIdle:
 		l.addIdle(entry)
 	case http.StateActive:
-		// A connection in use is in no list of idle ones.
+		// An active connection is in no idle list.
 	case http.StateClosed, http.StateHijacked:
 		delete(l.connections, conn)
 	}
 }
 
-// addIdle adds an entry to the list of idle connections of its role. A connection of
-// unknown role, such as that of a health check, is in none and is never evicted.
+// addIdle adds an entry to the list of idle connections of its role. Connections of
+// unknown role, such as those of health checks, are in neither list and are never
+// evicted.
 func (l *ConnectionLimiter) addIdle(entry *connection) {
 	switch entry.role {
 	case userRole:
@@ -132,11 +135,11 @@
 	}
 }
 
-// evictIdle closes an idle connection if there are too many connections: the user's
-// that has been idle the longest, else the worker's that has been idle the shortest, as
-// its next heartbeat is farthest away. The server reports the close later, by
-// connState. Until then the next new connection must not count on the same one, so it
-// leaves its list here.
+// evictIdle closes an idle connection if the limit is exceeded: the user's that has
+// been idle the longest, or else the worker's that has been idle the shortest, as its
+// next heartbeat is due last. It removes the connection from its list at once, because
+// connState is only called later and the next new connection must evict a different
+// one.
 func (l *ConnectionLimiter) evictIdle() {
 	if l.limit <= 0 || len(l.connections) <= l.limit {
 		return
@@ -150,5 +153,5 @@
 		return
 	}
 	evicted.removeFromIdle()
-	_ = evicted.Close() // nothing depends on how a connection ends that is not used
+	_ = evicted.Close() // the connection is idle, so a failed close loses no response
 }
--- a/internal/sockets/connectionlimiter_test.go
+++ b/internal/sockets/connectionlimiter_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 5 * time.Second
+// waitTimeout is how long a test waits for an expected event.
+const waitTimeout = 5 * time.Second
 
-// serve serves a handler with a limiter's server until the test ends, and returns its
-// address.
-func serve(t *testing.T, limiter *ConnectionLimiter, handler http.Handler, idleTimeout time.Duration) string {
+// startServer starts a limiter's server, which is closed when the test ends, and
+// returns its address.
+func startServer(t *testing.T, limiter *ConnectionLimiter, handler http.Handler, idleTimeout time.Duration) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,16 +28,16 @@
 	t.Cleanup(func() {
 		_ = server.Close()
 		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("the server ended with %v", err)
+			t.Errorf("Serve returned %v, want http.ErrServerClosed", err)
 		}
 	})
 	return listener.Addr().String()
 }
 
-// answerOK is a handler that answers every request.
-func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
+// respondOK is a handler that responds to every request with status 200.
+func respondOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 
-// dial opens a connection that is closed at the end of the test.
+// dial opens a connection that is closed when the test ends.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", address)
@@ -48,22 +48,22 @@
 	return conn
 }
 
-// pipe returns both ends of a connection that is closed at the end of the test.
-func pipe(t *testing.T) (near, far net.Conn) {
+// pipe returns both ends of an in-memory connection that is closed when the test ends.
+func pipe(t *testing.T) (serverConn, clientConn net.Conn) {
 	t.Helper()
-	near, far = net.Pipe()
+	serverConn, clientConn = net.Pipe()
 	t.Cleanup(func() {
-		_ = near.Close()
-		_ = far.Close()
+		_ = serverConn.Close()
+		_ = clientConn.Close()
 	})
-	return near, far
+	return serverConn, clientConn
 }
 
-// sendRequest makes a request on a connection. It tells whether the answer announces that
-// the server closes the connection.
+// sendRequest sends a request on a connection and reports whether the response
+// announces that the server closes the connection.
 func sendRequest(t *testing.T, conn net.Conn, path string) (closeAnnounced bool, err error) {
 	t.Helper()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path); err != nil {
 		return false, err
 	}
@@ -74,60 +74,59 @@
 	return response.Close, response.Body.Close()
 }
 
-// await waits until the condition holds; describe says what it is about.
-func await(t *testing.T, condition func() bool, describe func() string) {
+// waitFor waits until condition returns true. If it does not in time, the test fails
+// with the message that describe returns.
+func waitFor(t *testing.T, condition func() bool, describe func() string) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal(describe())
 		}
 	}
 }
 
-// awaitOpenConnections waits until the server has noticed the closing of all connections
-// but so many. Until then each counts, and on a busy machine the next worker might be
-// given the place of another.
-func awaitOpenConnections(t *testing.T, limiter *ConnectionLimiter, want int) {
+// waitForOpenConnections waits until at most the wanted number of connections is open.
+// The server notices a closed connection only after a delay, and it counts until then.
+func waitForOpenConnections(t *testing.T, limiter *ConnectionLimiter, want int) {
 	t.Helper()
-	await(t, func() bool { return limiter.OpenConnections() <= want }, func() string {
+	waitFor(t, func() bool { return limiter.OpenConnections() <= want }, func() string {
 		return fmt.Sprintf("%d connections are open, want %d", limiter.OpenConnections(), want)
 	})
 }
 
-// awaitIdleUsers waits until so many users' connections are known to be idle.
-func awaitIdleUsers(t *testing.T, limiter *ConnectionLimiter, want int) {
+// waitForIdleUsers waits until the server has recorded the wanted number of idle user
+// connections.
+func waitForIdleUsers(t *testing.T, limiter *ConnectionLimiter, want int) {
 	t.Helper()
 	idleUsers := func() int {
 		limiter.mu.Lock()
 		defer limiter.mu.Unlock()
 		return limiter.idleUsers.connections.Len()
 	}
-	await(t, func() bool { return idleUsers() == want }, func() string {
-		return fmt.Sprintf("%d users' connections are idle, want %d", idleUsers(), want)
+	waitFor(t, func() bool { return idleUsers() == want }, func() string {
+		return fmt.Sprintf("%d user connections are idle, want %d", idleUsers(), want)
 	})
 }
 
-// addIdleConnection gives a limiter an idle connection of a role, and returns its entry
-// and the client's end.
-func addIdleConnection(t *testing.T, limiter *ConnectionLimiter, role role) (entry *connection, far net.Conn) {
+// addIdleConnection adds an idle connection of a role to a limiter. It returns the
+// connection's entry and the client's end.
+func addIdleConnection(t *testing.T, limiter *ConnectionLimiter, role role) (entry *connection, clientConn net.Conn) {
 	t.Helper()
-	near, far := pipe(t)
-	limiter.connState(near, http.StateNew)
-	entry = limiter.connections[near]
+	serverConn, clientConn := pipe(t)
+	limiter.connState(serverConn, http.StateNew)
+	entry = limiter.connections[serverConn]
 	entry.role = role
-	limiter.connState(near, http.StateIdle)
-	return entry, far
+	limiter.connState(serverConn, http.StateIdle)
+	return entry, clientConn
 }
 
-// TestMoreWorkersThanConnections plays a controller that is left alone and has more
-// machines than it may have connections. Every heartbeat of each worker is answered, on
-// a connection that the worker is told to close where nearly all are taken. Kept open,
-// the first workers' connections would keep the others out until their leases expired.
+// TestMoreWorkersThanConnections checks that every heartbeat is answered when there are
+// more workers than connections. Otherwise workers' leases would expire.
 func TestMoreWorkersThanConnections(t *testing.T) {
 	const limit, workers, rounds = 32, 128, 3
 	limiter := NewConnectionLimiter(limit)
-	address := serve(t, limiter, limiter.WorkerMiddleware(http.HandlerFunc(answerOK)), time.Minute)
-	connections := map[int]net.Conn{} // of the workers that have one
+	address := startServer(t, limiter, limiter.WorkerMiddleware(http.HandlerFunc(respondOK)), time.Minute)
+	connections := map[int]net.Conn{} // by worker
 	maxOpen := 0
 	for range rounds {
 		for worker := range workers {
@@ -141,30 +140,27 @@
 			if closeAnnounced {
 				_ = connections[worker].Close()
 				delete(connections, worker)
-				awaitOpenConnections(t, limiter, len(connections))
+				waitForOpenConnections(t, limiter, len(connections))
 			}
 			maxOpen = max(maxOpen, limiter.OpenConnections())
 		}
 	}
-	// A connection counts until the server has noticed that it was closed.
 	if maxOpen > limit {
-		t.Errorf("%d connections were open, %d are allowed", maxOpen, limit)
+		t.Errorf("%d connections were open, want at most %d", maxOpen, limit)
 	}
 	if maxOpen < limit/2 {
-		t.Errorf("only %d connections were ever open of %d", maxOpen, limit)
+		t.Errorf("at most %d connections were open with a limit of %d, want at least half of them used", maxOpen, limit)
 	}
 }
 
-// TestIdleUsersEvictedForWorkers plays a controller that is left alone with all
-// machines. Without the limiter, users' idle connections took all sockets, and workers
-// and health checks were refused. Idle connections of users make room; those of workers
-// stay.
+// TestIdleUsersEvictedForWorkers checks that idle connections of users are closed when
+// workers need a connection, and that idle connections of workers are kept.
 func TestIdleUsersEvictedForWorkers(t *testing.T) {
 	limiter := NewConnectionLimiter(8)
 	mux := http.NewServeMux()
-	mux.HandleFunc("/checkin", answerOK)
-	mux.Handle("/v2/", limiter.UserMiddleware(http.HandlerFunc(answerOK)))
-	address := serve(t, limiter, mux, 500*time.Millisecond)
+	mux.HandleFunc("/checkin", respondOK)
+	mux.Handle("/v2/", limiter.UserMiddleware(http.HandlerFunc(respondOK)))
+	address := startServer(t, limiter, mux, 500*time.Millisecond)
 
 	var workers, users []net.Conn
 	for range 4 {
@@ -181,38 +177,37 @@
 			t.Fatal(err)
 		}
 		if closeAnnounced {
-			t.Errorf("user %d was told to close while there was room", i)
+			t.Errorf("user %d was told to close while connections were available", i)
 		}
-		// The server records that a connection is idle only after its answer has
-		// arrived; the order in which they became idle is what is tested below.
-		awaitIdleUsers(t, limiter, i+1)
+		// The server may mark the connection as idle after the client has read the
+		// response. Evictions depend on the order in which connections become idle.
+		waitForIdleUsers(t, limiter, i+1)
 		users = append(users, user)
 	}
-	closeAnnounced, err := sendRequest(t, dial(t, address), "/v2/x") // the eighth of eight
+	closeAnnounced, err := sendRequest(t, dial(t, address), "/v2/x") // takes the last connection
 	if err != nil || !closeAnnounced {
-		t.Errorf("the last user was not told to close: %v", err)
+		t.Errorf("the user with the last connection was not told to close; error %v", err)
 	}
-	for range 3 { // with the one above closed, two too many: two idle users are evicted
+	for range 3 { // the last two exceed the limit and evict two idle users
 		worker := dial(t, address)
 		if _, err := sendRequest(t, worker, "/checkin"); err != nil {
-			t.Errorf("a worker was kept out: %v", err)
+			t.Errorf("a worker could not connect: %v", err)
 		}
 		workers = append(workers, worker)
 	}
 	if _, err := sendRequest(t, users[0], "/v2/x"); err == nil {
-		t.Error("the user idle the longest still has its connection")
+		t.Error("the connection of the user that was idle the longest was not closed")
 	}
 	for i, worker := range workers {
 		if _, err := sendRequest(t, worker, "/checkin"); err != nil {
 			t.Errorf("worker %d lost its connection: %v", i, err)
 		}
 	}
-	awaitOpenConnections(t, limiter, 0) // after the idle time-out
+	waitForOpenConnections(t, limiter, 0) // after the idle timeout
 }
 
-// TestEvictsForEachNewConnection checks that new connections which arrive at the same
-// time each get room of their own: the second must not count on the one that is being
-// closed for the first.
+// TestEvictsForEachNewConnection checks that each of several concurrent new connections
+// evicts a different idle connection. Otherwise the limit would be exceeded.
 func TestEvictsForEachNewConnection(t *testing.T) {
 	limiter := NewConnectionLimiter(2)
 	var users []net.Conn
@@ -227,15 +222,13 @@
 	for i, user := range users {
 		_ = user.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := user.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("idle user %d was not closed: %v", i, err)
+			t.Errorf("the connection of idle user %d was not closed: read error %v", i, err)
 		}
 	}
 }
 
-// TestShortestIdleWorkerEvicted checks that without idle users a new connection gets the
-// place of the worker that had its answer last. The one idle the longest is about to
-// send its next heartbeat: if its connection were closed meanwhile, the worker would
-// have to go through all controllers.
+// TestShortestIdleWorkerEvicted checks that without idle users the worker that was idle
+// the shortest is evicted, as the longest idle one is due to send a heartbeat.
 func TestShortestIdleWorkerEvicted(t *testing.T) {
 	limiter := NewConnectionLimiter(2)
 	longest, _ := addIdleConnection(t, limiter, workerRole)
@@ -243,6 +236,6 @@
 	added, _ := pipe(t)
 	limiter.connState(added, http.StateNew)
 	if !longest.isIdle() || shortest.isIdle() {
-		t.Errorf("kept: the longest idle %v, the shortest %v", longest.isIdle(), shortest.isIdle())
+		t.Errorf("longest idle worker kept: %v, shortest idle worker kept: %v, want only the longest", longest.isIdle(), shortest.isIdle())
 	}
 }
--- a/internal/sockets/middleware.go
+++ b/internal/sockets/middleware.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// The shares of the limit, in sixteenths, above which connections are closed after
-// each answer: first those of users, then those of workers too.
+// Shares of the limit, in sixteenths, above which clients are told to close their
+// connections after each response: users first, and then workers as well.
 const (
-	shareDenominator  = 16
-	closeUsersAbove   = 14
-	closeWorkersAbove = 15
+	shareDenominator = 16
+	userCloseShare   = 14
+	workerCloseShare = 15
 )
 
-// UserMiddleware returns a handler that serves users: it records that their connections
-// are users', and tells them to close while most connections are taken.
+// UserMiddleware wraps a handler of user requests. It marks their connections as users'
+// and tells the clients to close them while most connections are in use.
 func (l *ConnectionLimiter) UserMiddleware(handler http.Handler) http.Handler {
 	return middleware(handler, l.recordUser)
 }
 
-// WorkerMiddleware returns a handler that serves workers: it records that their
-// connections are workers', and tells them to close while nearly all connections are
-// taken and for a while after there were too few.
+// WorkerMiddleware wraps a handler of worker requests. It marks their connections as
+// workers' and tells the clients to close them while nearly all connections are in use,
+// and for closeWorkersDuration after a new connection found no idle user connection to
+// evict.
 func (l *ConnectionLimiter) WorkerMiddleware(handler http.Handler) http.Handler {
 	return middleware(handler, l.recordWorker)
 }
 
-// middleware calls record with the connection of each request. When it returns true, the
-// answer tells the client to close the connection.
+// middleware calls record with the connection of each request. If record returns true,
+// the response tells the client to close the connection.
 func middleware(handler http.Handler, record func(*connection) (shouldClose bool)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if entry, ok := r.Context().Value(connectionKey{}).(*connection); ok && record(entry) {
@@ -37,17 +38,17 @@
 	})
 }
 
-// recordUser records that a connection is a user's and reports whether it should be closed
-// after the answer.
+// recordUser marks a connection as a user's and reports whether the client should close
+// it after the response.
 func (l *ConnectionLimiter) recordUser(entry *connection) (shouldClose bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entry.role = userRole
-	return l.isAboveShare(closeUsersAbove)
+	return l.isAboveShare(userCloseShare)
 }
 
-// recordWorker records that a connection is a worker's and reports whether it should be
-// closed after the answer.
+// recordWorker marks a connection as a worker's and reports whether the client should
+// close it after the response.
 func (l *ConnectionLimiter) recordWorker(entry *connection) (shouldClose bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,10 +56,11 @@
 	if l.limit <= 0 {
 		return false
 	}
-	return l.isAboveShare(closeWorkersAbove) || time.Now().Before(l.closeWorkersUntil)
+	return l.isAboveShare(workerCloseShare) || time.Now().Before(l.closeWorkersUntil)
 }
 
-// isAboveShare reports whether more than a share of the limit is taken.
+// isAboveShare reports whether more than share sixteenths of the limit are in use. It
+// is false if there is no limit.
 func (l *ConnectionLimiter) isAboveShare(share int) bool {
 	return l.limit > 0 && len(l.connections) > l.limit*share/shareDenominator
 }
--- a/internal/sockets/semaphore.go
+++ b/internal/sockets/semaphore.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// semaphore holds an element for each slot that is taken; nil means no limit.
+// semaphore is a counting semaphore. Its channel holds an element for each acquired
+// slot. A nil semaphore has no limit.
 type semaphore chan struct{}
 
-// newSemaphore returns a semaphore with a number of slots, at least one.
+// newSemaphore returns a semaphore with the given number of slots, but at least one.
 func newSemaphore(slots int) semaphore { return make(semaphore, max(slots, 1)) }
 
-// acquire takes a slot. It waits for one at most for the given time and reports
-// whether there was one.
+// acquire waits up to the given time for a slot and reports whether it acquired one.
 func (s semaphore) acquire(wait time.Duration) bool {
 	if s == nil {
 		return true
@@ -17,7 +17,7 @@
 	select {
 	case s <- struct{}{}:
 		return true
-	default: // no timer is needed while slots are free
+	default: // no slot is free: wait for one with a timer
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -29,7 +29,7 @@
 	}
 }
 
-// release frees a slot that was acquired.
+// release frees an acquired slot.
 func (s semaphore) release() {
 	if s != nil {
 		<-s
