--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// MaxResponseSize bounds what is read of any response.
+	// MaxResponseSize is the size limit for response bodies, in bytes.
 	MaxResponseSize = 16 << 20
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 60 * time.Second
-	// bufferSize is small, since a thousand connections may be open.
+	// bufferSize is the size of the read and write buffers of a connection. It is
+	// small because about a thousand connections may be open.
 	bufferSize = 2 << 10
 )
 
-// The content types of request bodies.
+// Content types of request bodies.
 const (
 	ContentTypeJSON = "application/json"
 	ContentTypeCBOR = "application/cbor"
 )
 
-// ClientOptions bound the connections of a Client.
+// ClientOptions limits the connections of a Client.
 type ClientOptions struct {
 	DialTimeout         time.Duration
-	MaxIdleConnsPerHost int // idle connections kept for each host
-	MaxIdleConns        int // idle connections kept in all; 0: not limited
+	MaxIdleConnsPerHost int // idle connections kept per host
+	MaxIdleConns        int // idle connections kept in total; 0 means no limit
 }
 
-// Client makes HTTP calls and keeps their connections for later calls. It follows no
-// redirects.
+// Client sends HTTP requests and reuses its connections. It does not follow redirects.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient makes a Client.
+// NewClient returns a Client with the given options.
 func NewClient(options ClientOptions) *Client {
 	dialer := &net.Dialer{Timeout: options.DialTimeout, KeepAlive: -1}
 	transport := &http.Transport{
@@ -55,68 +55,67 @@
 	return &Client{http: &http.Client{Transport: transport, CheckRedirect: useLastResponse}}
 }
 
-// Request is one call.
+// Request is an HTTP request.
 type Request struct {
 	Method      string
 	URL         string
 	ContentType string // of the body
-	Body        []byte // nil: none
+	Body        []byte // nil means no body
 	Timeout     time.Duration
 }
 
-// Response is the whole response to a call.
+// Response is a complete HTTP response.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// Do makes a call and reads its whole response. A connection that could not be
-// made is ErrNotSent; after any other error the request may have been carried out, or
-// may still be.
+// Do sends a request and reads the whole response. The error wraps ErrNotSent if the
+// request is malformed or no connection could be established. After any other error the
+// request may have been applied, or may be applied later.
 func (c *Client) Do(ctx context.Context, request Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
-	outgoing, err := request.build(ctx)
+	httpRequest, err := request.newHTTPRequest(ctx)
 	if err != nil {
 		return Response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	incoming, err := c.http.Do(outgoing)
+	httpResponse, err := c.http.Do(httpRequest)
 	if err != nil {
 		return Response{}, classifyCallError(err)
 	}
-	defer incoming.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(incoming.Body, MaxResponseSize+1))
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, MaxResponseSize+1))
 	if err != nil {
 		return Response{}, fmt.Errorf("reading response: %w", err)
 	}
 	if len(body) > MaxResponseSize {
 		return Response{}, ErrResponseTooLarge
 	}
-	return Response{Status: incoming.StatusCode, Body: body}, nil
+	return Response{Status: httpResponse.StatusCode, Body: body}, nil
 }
 
-// build makes the HTTP request.
-func (r *Request) build(ctx context.Context) (*http.Request, error) {
+func (r *Request) newHTTPRequest(ctx context.Context) (*http.Request, error) {
 	if r.Body == nil {
 		return http.NewRequestWithContext(ctx, r.Method, r.URL, nil)
 	}
-	outgoing, err := http.NewRequestWithContext(ctx, r.Method, r.URL, bytes.NewReader(r.Body))
+	httpRequest, err := http.NewRequestWithContext(ctx, r.Method, r.URL, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, err
 	}
-	outgoing.Header.Set("Content-Type", r.ContentType)
-	return outgoing, nil
+	httpRequest.Header.Set("Content-Type", r.ContentType)
+	return httpRequest, nil
 }
 
-// classifyCallError tells a connection that was never made from a call that may have
-// been carried out.
+// classifyCallError wraps err in ErrNotSent if no connection was established. Otherwise
+// the request may have been applied.
 func classifyCallError(err error) error {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	return fmt.Errorf("calling: %w", err)
+	return fmt.Errorf("sending request: %w", err)
 }
 
-// BaseURL is the URL of an address with a port, without a path.
+// BaseURL returns the URL of a host:port address, without a path.
 func BaseURL(address string) string { return "http://" + address }
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -14,8 +14,9 @@
 	"stairrelay/internal/messages"
 )
 
-// startService starts a server that ends with the test and returns a client of it.
-func startService(t *testing.T, handler http.HandlerFunc) *JSONClient {
+// newTestClient starts a server, which is closed when the test ends, and returns a client
+// for it.
+func newTestClient(t *testing.T, handler http.HandlerFunc) *JSONClient {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -24,35 +25,34 @@
 
 var getCall = Call{Method: http.MethodGet, Path: "/keys", Timeout: 5 * time.Second}
 
-// TestCallErrors checks which error a call has, since what became of the call is told
-// from it.
+// TestCallErrors checks the errors of calls, from which their outcomes are derived.
 func TestCallErrors(t *testing.T) {
-	refused := startService(t, func(w http.ResponseWriter, _ *http.Request) {
+	unavailable := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(w, "trouble")
 	})
-	_, err := refused.Call(t.Context(), getCall)
-	statusError, ok := errors.AsType[*StatusError](err)
-	if !ok || statusError.Status != http.StatusServiceUnavailable || string(statusError.Body) != "trouble" {
+	_, err := unavailable.Call(t.Context(), getCall)
+	statusErr, ok := errors.AsType[*StatusError](err)
+	if !ok || statusErr.Status != http.StatusServiceUnavailable || string(statusErr.Body) != "trouble" {
 		t.Errorf("status 503: error %#v", err)
 	}
 	if !IsStatus(err, http.StatusServiceUnavailable) || IsStatus(err, http.StatusGone) {
-		t.Errorf("status 503: IsStatus does not tell it from 410")
+		t.Errorf("status 503: IsStatus does not distinguish it from 410")
 	}
 
-	oversized := startService(t, func(w http.ResponseWriter, _ *http.Request) {
+	oversized := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, MaxResponseSize+1))
 	})
 	if _, err := oversized.Call(t.Context(), getCall); !errors.Is(err, ErrResponseTooLarge) {
 		t.Errorf("oversized response: error %v", err)
 	}
 
-	closing := startService(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	if _, err := closing.Call(t.Context(), getCall); err == nil || errors.Is(err, ErrNotSent) {
+	aborting := newTestClient(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	if _, err := aborting.Call(t.Context(), getCall); err == nil || errors.Is(err, ErrNotSent) {
 		t.Errorf("closed connection: error %v", err)
 	}
 
-	redirecting := startService(t, func(w http.ResponseWriter, r *http.Request) {
+	redirecting := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		http.Redirect(w, r, "/elsewhere", http.StatusFound)
 	})
 	if _, err := redirecting.Call(t.Context(), getCall); !IsStatus(err, http.StatusFound) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestNotSent checks that only a call without a connection counts as not sent.
-func TestNotSent(t *testing.T) {
+// TestErrNotSent checks that ErrNotSent is returned if no connection could be established.
+func TestErrNotSent(t *testing.T) {
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -74,18 +74,19 @@
 		"no address":         "",
 		"malformed address":  "a b",
 	} {
-		service := NewJSONClient(address, ClientOptions{DialTimeout: time.Second})
-		_, err := service.Call(t.Context(), getCall)
+		client := NewJSONClient(address, ClientOptions{DialTimeout: time.Second})
+		_, err := client.Call(t.Context(), getCall)
 		if wantNotSent := name != "no address"; errors.Is(err, ErrNotSent) != wantNotSent {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
 }
 
-// TestCallGivenUp checks that a call ends with its time-out and with its context.
-func TestCallGivenUp(t *testing.T) {
+// TestCallTimeoutAndCancellation checks that a call ends on timeout and when its context
+// is cancelled.
+func TestCallTimeoutAndCancellation(t *testing.T) {
 	ended := make(chan struct{})
-	service := startService(t, func(_ http.ResponseWriter, r *http.Request) {
+	client := newTestClient(t, func(_ http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
 		case <-ended:
@@ -94,17 +95,17 @@
 	t.Cleanup(func() { close(ended) })
 	call := getCall
 	call.Timeout = 50 * time.Millisecond
-	if _, err := service.Call(t.Context(), call); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("time-out: error %v", err)
+	if _, err := client.Call(t.Context(), call); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("timeout: error %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	if _, err := service.Call(ctx, getCall); !errors.Is(err, context.Canceled) {
+	if _, err := client.Call(ctx, getCall); !errors.Is(err, context.Canceled) {
 		t.Errorf("cancelled: error %v", err)
 	}
 }
 
-// TestOutcomeOf checks that only a status that says so makes a call certainly not applied.
+// TestOutcomeOf checks that a call counts as not applied only if the status guarantees it.
 func TestOutcomeOf(t *testing.T) {
 	for name, test := range map[string]struct {
 		err  error
@@ -118,8 +119,8 @@
 		"504":         {&StatusError{Status: 504}, messages.UnknownOutcome},
 		"not sent":    {ErrNotSent, messages.UnknownOutcome},
 		"too large":   {ErrResponseTooLarge, messages.UnknownOutcome},
-		"undecodable": {&DecodeError{What: "key", Err: ErrNoValue}, messages.UnknownOutcome},
-		"time-out":    {context.DeadlineExceeded, messages.UnknownOutcome},
+		"undecodable": {&DecodeError{Kind: "key", Err: ErrNoValue}, messages.UnknownOutcome},
+		"timeout":     {context.DeadlineExceeded, messages.UnknownOutcome},
 	} {
 		if got := OutcomeOf(test.err); got != test.want {
 			t.Errorf("%s: outcome %v, want %v", name, got, test.want)
@@ -127,7 +128,7 @@
 	}
 }
 
-// TestDecodeErrors checks that the fault of a body can be told from its error.
+// TestDecodeErrors checks that callers can distinguish the errors of malformed bodies.
 func TestDecodeErrors(t *testing.T) {
 	decoders := map[string]func(body []byte) error{
 		"machine types": func(body []byte) error { _, err := DecodeMachineTypes(body); return err },
@@ -144,27 +145,27 @@
 			t.Errorf("%s: error %#v, want a DecodeError", name, decode([]byte("<html>")))
 		}
 	}
-	for name, fault := range map[string]error{
+	for name, wantErr := range map[string]error{
 		"scale-out":   ErrNoMachines,
 		"transaction": ErrNoRevision,
 		"key":         ErrNoValue,
 		"keys":        ErrNoRevision,
 		"heartbeat":   ErrNoIdentity,
 	} {
-		if err := decoders[name]([]byte("{}")); !errors.Is(err, fault) {
-			t.Errorf("%s: error %v, want %v", name, err, fault)
+		if err := decoders[name]([]byte("{}")); !errors.Is(err, wantErr) {
+			t.Errorf("%s: error %v, want %v", name, err, wantErr)
 		}
 	}
-	typeless, ok := errors.AsType[*InvalidMachineTypeError](decoders["machine types"]([]byte(`{"fleets":[{"name":"x","vcpus":0}]}`)))
-	if !ok || typeless.Name != "x" {
-		t.Errorf("machine types: fault %#v", typeless)
+	typeErr, ok := errors.AsType[*InvalidMachineTypeError](decoders["machine types"]([]byte(`{"fleets":[{"name":"x","vcpus":0}]}`)))
+	if !ok || typeErr.Name != "x" {
+		t.Errorf("machine types: error %#v", typeErr)
 	}
-	task, ok := errors.AsType[*UnknownTaskError](decoders["heartbeat"]([]byte(`{"coach":"m-1","shift":1,"legs":[{"leg":"j-1/0","status":"flying"}]}`)))
-	if !ok || task.Task != "j-1/0" || task.State != "flying" {
-		t.Errorf("heartbeat: fault %#v", task)
+	taskErr, ok := errors.AsType[*UnknownTaskError](decoders["heartbeat"]([]byte(`{"coach":"m-1","shift":1,"legs":[{"leg":"j-1/0","status":"flying"}]}`)))
+	if !ok || taskErr.Task != "j-1/0" || taskErr.State != "flying" {
+		t.Errorf("heartbeat: error %#v", taskErr)
 	}
-	field, ok := errors.AsType[*InvalidFieldError](decoders["submission"]([]byte(`{"id":"j-1"}`)))
-	if !ok || field.Field != "route" {
-		t.Errorf("submission: fault %#v", field)
+	fieldErr, ok := errors.AsType[*InvalidFieldError](decoders["submission"]([]byte(`{"id":"j-1"}`)))
+	if !ok || fieldErr.Field != "route" {
+		t.Errorf("submission: error %#v", fieldErr)
 	}
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -7,39 +7,40 @@
 	"stairrelay/internal/messages"
 )
 
-// The bodies that the cloud sends, as errors name them.
+// Kinds of response bodies of the cloud, as named in errors.
 const (
 	machineTypesBody = "machine types"
 	scaleOutBody     = "response to scale-out"
 	machineListBody  = "machine list"
 )
 
-// machineType is the form of a machine type.
+// machineType is the JSON encoding of a machine type.
 type machineType struct {
-	Name        string   `json:"name"`
-	CPU         float64  `json:"vcpus"`
-	GPU         float64  `json:"accelerators"`
-	Memory      float64  `json:"memoryGb"`
-	Cache       float64  `json:"cacheGb"`
-	FetchRate   float64  `json:"pullGbPerS"`
-	Price       float64  `json:"rate"`
-	SpotPrice   float64  `json:"spotPrice"`
-	BootSeconds float64  `json:"bootS"`
-	Zones       []string `json:"yards"`
+	Name             string   `json:"name"`
+	CPU              float64  `json:"vcpus"`
+	GPU              float64  `json:"accelerators"`
+	MemoryGB         float64  `json:"memoryGb"`
+	CacheGB          float64  `json:"cacheGb"`
+	FetchGBPerSecond float64  `json:"pullGbPerS"`
+	OnDemandPrice    float64  `json:"rate"`
+	SpotPrice        float64  `json:"spotPrice"`
+	BootSeconds      float64  `json:"bootS"`
+	Zones            []string `json:"yards"`
 }
 
-// DecodeMachineTypes reads the machine types of the cloud.
+// DecodeMachineTypes decodes the machine types of the cloud. A machine type without a
+// name or CPUs is an error.
 func DecodeMachineTypes(body []byte) ([]cluster.MachineType, error) {
-	var form struct {
+	var payload struct {
 		Types []machineType `json:"fleets"`
 	}
-	if err := unmarshal(body, machineTypesBody, &form); err != nil {
+	if err := unmarshal(body, machineTypesBody, &payload); err != nil {
 		return nil, err
 	}
 	var types []cluster.MachineType
-	for _, t := range form.Types {
+	for _, t := range payload.Types {
 		if t.Name == "" || t.CPU <= 0 {
-			return nil, &DecodeError{What: machineTypesBody, Err: &InvalidMachineTypeError{Name: t.Name}}
+			return nil, &DecodeError{Kind: machineTypesBody, Err: &InvalidMachineTypeError{Name: t.Name}}
 		}
 		types = append(types, t.decode())
 	}
@@ -52,19 +53,19 @@
 		Capacity: cluster.Resources{
 			CPU:    cluster.FloorAmount(t.CPU),
 			GPU:    cluster.FloorAmount(t.GPU),
-			Memory: cluster.FloorAmount(t.Memory),
+			Memory: cluster.FloorAmount(t.MemoryGB),
 		},
-		CacheGB:          t.Cache,
-		FetchGBPerSecond: t.FetchRate,
-		OnDemandPrice:    t.Price,
+		CacheGB:          t.CacheGB,
+		FetchGBPerSecond: t.FetchGBPerSecond,
+		OnDemandPrice:    t.OnDemandPrice,
 		SpotPrice:        t.SpotPrice,
 		BootSeconds:      t.BootSeconds,
 		Zones:            t.Zones,
 	}
 }
 
-// scaleOutRequest is the form of a scale-out. Its fields are in the order of their
-// names, as all versions send them.
+// scaleOutRequest is the JSON encoding of a scale-out. The fields are in the order of
+// their JSON names, which is the order on the wire in all versions.
 type scaleOutRequest struct {
 	Name  string `json:"charter"`
 	Count int    `json:"count"`
@@ -73,7 +74,7 @@
 	Zone  string `json:"yard"`
 }
 
-// EncodeScaleOut writes the request of a scale-out.
+// EncodeScaleOut encodes the request of a scale-out.
 func EncodeScaleOut(scaleOut messages.CloudScaleOut) []byte {
 	return marshal(scaleOutRequest{
 		Name:  scaleOut.Name,
@@ -84,57 +85,57 @@
 	})
 }
 
-// scaleInRequest is the form of a scale-in.
+// scaleInRequest is the JSON encoding of a scale-in.
 type scaleInRequest struct {
 	IDs []cluster.MachineID `json:"coaches"`
 }
 
-// EncodeScaleIn writes the request of a scale-in.
+// EncodeScaleIn encodes the request of a scale-in.
 func EncodeScaleIn(ids []cluster.MachineID) []byte { return marshal(scaleInRequest{IDs: ids}) }
 
-// DecodeScaleOutResponse reads which machines a scale-out got. A response without a list is an
-// error: it does not say that the scale-out got none.
+// DecodeScaleOutResponse decodes the IDs of the machines that a scale-out created. A
+// missing list is an error, since it does not mean that no machine was created.
 func DecodeScaleOutResponse(body []byte) ([]cluster.MachineID, error) {
-	var form struct {
+	var payload struct {
 		IDs *[]cluster.MachineID `json:"coaches"`
 	}
-	if err := unmarshal(body, scaleOutBody, &form); err != nil {
+	if err := unmarshal(body, scaleOutBody, &payload); err != nil {
 		return nil, err
 	}
-	if form.IDs == nil {
-		return nil, &DecodeError{What: scaleOutBody, Err: ErrNoMachines}
+	if payload.IDs == nil {
+		return nil, &DecodeError{Kind: scaleOutBody, Err: ErrNoMachines}
 	}
-	return *form.IDs, nil
+	return *payload.IDs, nil
 }
 
-// listedMachine is the form of a machine in the machine list.
+// listedMachine is the JSON encoding of a machine in the machine list.
 type listedMachine struct {
-	ID      string  `json:"id"`
-	Address string  `json:"addr"`
-	Type    string  `json:"fleet"`
-	Zone    string  `json:"yard"`
-	Spot    bool    `json:"standby"`
-	Status  string  `json:"status"`
-	Age     float64 `json:"ageS"`
+	ID         string  `json:"id"`
+	Address    string  `json:"addr"`
+	Type       string  `json:"fleet"`
+	Zone       string  `json:"yard"`
+	Spot       bool    `json:"standby"`
+	Status     string  `json:"status"`
+	AgeSeconds float64 `json:"ageS"`
 }
 
-// MachinePage is a page of the machine list of the cloud.
+// MachinePage is a page of the cloud's machine list.
 type MachinePage struct {
 	Machines []cluster.ListedMachine
-	More     bool // there is another page
+	More     bool // there are more pages
 }
 
-// DecodeMachinePage reads a page of the machine list.
+// DecodeMachinePage decodes a page of the machine list.
 func DecodeMachinePage(body []byte) (MachinePage, error) {
-	var form struct {
+	var payload struct {
 		Machines []listedMachine `json:"coaches"`
 		More     bool            `json:"truncated"`
 	}
-	if err := unmarshal(body, machineListBody, &form); err != nil {
+	if err := unmarshal(body, machineListBody, &payload); err != nil {
 		return MachinePage{}, err
 	}
-	page := MachinePage{More: form.More}
-	for _, m := range form.Machines {
+	page := MachinePage{More: payload.More}
+	for _, m := range payload.Machines {
 		page.Machines = append(page.Machines, cluster.ListedMachine{
 			ID:         cluster.MachineID(m.ID),
 			Addr:       m.Address,
@@ -142,20 +143,22 @@
 			Zone:       m.Zone,
 			Spot:       m.Spot,
 			Status:     m.Status,
-			AgeSeconds: m.Age,
+			AgeSeconds: m.AgeSeconds,
 		})
 	}
 	return page, nil
 }
 
-// outOfCapacityText is the error text of a cloud that has no machine of the kind.
+// outOfCapacityText is the error text of the cloud when it has no capacity for a
+// machine type.
 const outOfCapacityText = "no capacity"
 
-// IsOutOfCapacity tells whether the body of a response says that the cloud has no
-// machine of the kind. Its status is also that of an outage.
+// IsOutOfCapacity reports whether the body of an error response says that the cloud has
+// no capacity for the requested machine type. The status does not show this, as an
+// outage has the same one.
 func IsOutOfCapacity(body []byte) bool {
-	var form struct {
+	var payload struct {
 		Error string `json:"error"`
 	}
-	return json.Unmarshal(body, &form) == nil && form.Error == outOfCapacityText
+	return json.Unmarshal(body, &payload) == nil && payload.Error == outOfCapacityText
 }
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -9,61 +9,62 @@
 	"stairrelay/internal/messages"
 )
 
-// The errors of a call that got no usable response.
+// Errors of calls without a usable response.
 var (
-	// ErrNotSent is the error of a call that certainly never reached the other side.
+	// ErrNotSent means that the request certainly did not reach the server.
 	ErrNotSent = errors.New("not sent")
-	// ErrResponseTooLarge is the error of a response longer than MaxResponseSize, none
-	// of which is used.
+	// ErrResponseTooLarge means that the response was larger than MaxResponseSize and
+	// was discarded.
 	ErrResponseTooLarge = errors.New("response too large")
 )
 
-// The faults of a body that is JSON but lacks what it must have. They are wrapped in a
+// Errors of bodies that are valid JSON but lack required fields. They are wrapped in a
 // DecodeError.
 var (
-	// ErrNoMachines is the fault of a response to a scale-out without machines.
+	// ErrNoMachines means that the response to a scale-out has no list of machines.
 	ErrNoMachines = errors.New("no list of machines")
-	// ErrNoRevision is the fault of a response of the state service without a revision.
+	// ErrNoRevision means that a response of the state service has no revision.
 	ErrNoRevision = errors.New("no revision")
-	// ErrNoValue is the fault of a key without value or mod revision.
+	// ErrNoValue means that a key has no value or no mod revision.
 	ErrNoValue = errors.New("no value or mod revision")
-	// ErrNoIdentity is the fault of a heartbeat that does not say whose it is.
-	ErrNoIdentity = errors.New("no machine or incarnation")
+	// ErrNoIdentity means that a heartbeat has no valid machine ID or no incarnation.
+	ErrNoIdentity = errors.New("no valid machine ID or no incarnation")
 )
 
-// StatusError is the error of a call whose response has a status other than 200.
+// StatusError reports a response with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   []byte
 }
 
-// Error is the status.
+// Error returns the status code and its name.
 func (e *StatusError) Error() string {
 	return "status " + strconv.Itoa(e.Status) + " " + http.StatusText(e.Status)
 }
 
-// DecodeError is the error of a body that can't be read.
+// DecodeError reports a body that could not be decoded.
 type DecodeError struct {
-	What string // what the body should hold
+	Kind string // kind of body, such as "heartbeat"
 	Err  error
 }
 
-// Error names what can't be read, and why. Users get the text of a submission's.
-func (e *DecodeError) Error() string { return "reading " + e.What + ": " + e.Err.Error() }
+// Error returns the kind of body and the cause. The text for a submission is part of
+// the response to the user and must not change.
+func (e *DecodeError) Error() string { return "reading " + e.Kind + ": " + e.Err.Error() }
 
-// Unwrap is the fault of the body.
+// Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// InvalidMachineTypeError is the fault of a machine type that can't run anything.
+// InvalidMachineTypeError reports a machine type without a name or CPUs.
 type InvalidMachineTypeError struct{ Name string }
 
-// Error names the type.
+// Error names the machine type.
 func (e *InvalidMachineTypeError) Error() string {
-	return fmt.Sprintf("machine type %q without name or CPUs", e.Name)
+	return fmt.Sprintf("machine type %q has no name or no CPUs", e.Name)
 }
 
-// UnknownTaskError is the fault of a heartbeat with a task whose name or state is not
-// the protocol's.
+// UnknownTaskError reports a task in a heartbeat whose ID is invalid or whose state is
+// unknown.
 type UnknownTaskError struct {
 	Task  string
 	State string
@@ -71,21 +72,21 @@
 
 // Error names the task and its state.
 func (e *UnknownTaskError) Error() string {
-	return fmt.Sprintf("task %q in state %q", e.Task, e.State)
+	return fmt.Sprintf("task %q in state %q has an invalid ID or an unknown state", e.Task, e.State)
 }
 
-// OutcomeOf tells what the error of a call to the state service or the cloud says about
-// its outcome. Only a status that says so makes a call certainly not applied: a request
-// that timed out may still be carried out minutes later.
+// OutcomeOf returns the outcome of a call to the state service or the cloud that
+// returned err. A call counts as not applied only if the status of the response
+// guarantees it, since a request that timed out may still be applied minutes later.
 func OutcomeOf(err error) messages.Outcome {
 	if err == nil {
 		return messages.OK
 	}
-	refused, ok := errors.AsType[*StatusError](err)
+	statusErr, ok := errors.AsType[*StatusError](err)
 	if !ok {
 		return messages.UnknownOutcome
 	}
-	switch refused.Status {
+	switch statusErr.Status {
 	case http.StatusTooManyRequests:
 		return messages.Throttled
 	case http.StatusServiceUnavailable:
@@ -96,8 +97,8 @@
 	return messages.UnknownOutcome
 }
 
-// IsStatus tells whether an error is that of a response with the status.
+// IsStatus reports whether err is a StatusError with the given status.
 func IsStatus(err error, status int) bool {
-	refused, ok := errors.AsType[*StatusError](err)
-	return ok && refused.Status == status
+	statusErr, ok := errors.AsType[*StatusError](err)
+	return ok && statusErr.Status == status
 }
--- a/internal/wire/jobview.go
+++ b/internal/wire/jobview.go
@@ -2,7 +2,8 @@
 
 import "stairrelay/internal/cluster"
 
-// jobView is the form of a job's state. Its fields are those of cluster.JobView.
+// jobView is the JSON encoding of a job's state. Its fields match those of
+// cluster.JobView, from which it is converted.
 type jobView struct {
 	ID      cluster.JobID     `json:"id"`
 	Status  cluster.JobStatus `json:"status"`
@@ -10,5 +11,5 @@
 	Running int               `json:"running"`
 }
 
-// EncodeJobView writes a job's state.
+// EncodeJobView encodes a job's state.
 func EncodeJobView(view cluster.JobView) []byte { return marshal(jobView(view)) }
--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -8,20 +8,20 @@
 	"stairrelay/internal/cluster"
 )
 
-// The paths that controllers serve.
+// Paths served by controllers.
 const (
 	HealthPath    = "/healthz"
 	JobsPath      = "/v2/runs"
 	HeartbeatPath = "/checkin"
 )
 
-// The paths that workers serve.
+// Paths served by workers.
 const (
 	PushCommandsPath = "/orders"
 	WorkerStatusPath = "/inspect"
 )
 
-// The paths that the cloud serves.
+// Paths served by the cloud.
 const (
 	MachineTypesPath = "/flavors"
 	ScaleOutPath     = "/rentals"
@@ -29,14 +29,14 @@
 	machinesPath     = "/rentals"
 )
 
-// The paths that the state service serves.
+// Paths served by the state service.
 const (
 	TxnPath   = "/multi"
 	keysPath  = "/keys"
 	watchPath = "/watch"
 )
 
-// The parameters of lists and watches.
+// Query parameters of lists and watches.
 const (
 	afterParameter    = "since"
 	pageSizeParameter = "page"
@@ -44,8 +44,8 @@
 	timeoutParameter  = "blockMs"
 )
 
-// MachinesPath is the path of the page of the machine list that follows a machine; the
-// first page follows none.
+// MachinesPath returns the path of a page of the machine list. The page starts with the
+// machine that follows after; an empty after selects the first page.
 func MachinesPath(after cluster.MachineID, pageSize int) string {
 	query := url.Values{pageSizeParameter: {strconv.Itoa(pageSize)}}
 	if after != "" {
@@ -54,11 +54,12 @@
 	return machinesPath + "?" + query.Encode()
 }
 
-// KeyPath is the path of a key, whose slashes the state service takes as they are.
+// KeyPath returns the path of a key. The state service expects slashes in the key
+// unescaped.
 func KeyPath(key string) string { return keysPath + "/" + key }
 
-// KeysPath is the path of the page of the keys with a prefix that follows a key; the
-// first page follows none.
+// KeysPath returns the path of a page of the keys with a prefix. The page starts with
+// the key that follows after; an empty after selects the first page.
 func KeysPath(prefix, after string, pageSize int) string {
 	query := url.Values{
 		prefixParameter:   {prefix},
@@ -70,8 +71,8 @@
 	return keysPath + "?" + query.Encode()
 }
 
-// WatchPath is the path of a watch of the keys with a prefix that begins after a
-// revision and waits no longer than a time-out.
+// WatchPath returns the path of a watch of the keys with a prefix. The watch reports
+// changes after the given revision and waits for them until the timeout.
 func WatchPath(prefix string, after cluster.Revision, timeout time.Duration) string {
 	query := url.Values{
 		prefixParameter:  {prefix},
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -7,131 +7,135 @@
 	"stairrelay/internal/messages"
 )
 
-// The bodies that the state service sends, as errors name them.
+// Kinds of response bodies of the state service, as named in errors.
 const (
 	txnBody     = "response to transaction"
 	keyBody     = "key"
 	keyPageBody = "page of keys or changes"
 )
 
-// compare is the form of a condition of a transaction.
+// compare is the JSON encoding of a condition of a transaction.
 type compare struct {
 	Key         string `json:"key"`
 	ModRevision uint64 `json:"mark"`
 }
 
-// operation is the form of an operation of a transaction.
+// operation is the JSON encoding of an operation of a transaction, a put or a delete.
 type operation struct {
-	Set   string          `json:"set,omitempty"`
-	Value json.RawMessage `json:"value,omitempty"`
-	Drop  string          `json:"drop,omitempty"`
+	PutKey    string          `json:"set,omitempty"`
+	Value     json.RawMessage `json:"value,omitempty"`
+	DeleteKey string          `json:"drop,omitempty"`
 }
 
-// transaction is the form of a transaction. Its fields are in the order of their names,
-// as all versions send them.
+// transaction is the JSON encoding of a transaction. The fields are in the order of
+// their JSON names, which is the order on the wire in all versions.
 type transaction struct {
-	Then []operation `json:"then"`
-	When []compare   `json:"when"`
+	Operations []operation `json:"then"`
+	Compares   []compare   `json:"when"`
 }
 
-// EncodeTxn writes a transaction.
+// EncodeTxn encodes a transaction.
 func EncodeTxn(txn messages.StoreTxn) []byte {
-	form := transaction{
-		Then: make([]operation, 0, len(txn.Then)),
-		When: make([]compare, 0, len(txn.If)),
+	payload := transaction{
+		Operations: make([]operation, 0, len(txn.Then)),
+		Compares:   make([]compare, 0, len(txn.If)),
 	}
 	for _, c := range txn.If {
-		form.When = append(form.When, compare{Key: c.Key, ModRevision: uint64(c.ModRevision)})
+		payload.Compares = append(payload.Compares, compare{Key: c.Key, ModRevision: uint64(c.ModRevision)})
 	}
 	for _, op := range txn.Then {
 		if op.Value == nil {
-			form.Then = append(form.Then, operation{Drop: op.Key})
+			payload.Operations = append(payload.Operations, operation{DeleteKey: op.Key})
 		} else {
-			form.Then = append(form.Then, operation{Set: op.Key, Value: op.Value})
+			payload.Operations = append(payload.Operations, operation{PutKey: op.Key, Value: op.Value})
 		}
 	}
-	return marshal(form)
+	return marshal(payload)
 }
 
 // TxnResponse is the response to a transaction.
 type TxnResponse struct {
 	Revision   cluster.Revision
-	FailedKeys []string // the keys whose compares failed
+	FailedKeys []string // keys whose compares failed
 }
 
-// DecodeTxnResponse reads the response to a transaction.
+// DecodeTxnResponse decodes the response to a transaction. A missing revision is an
+// error.
 func DecodeTxnResponse(body []byte) (TxnResponse, error) {
-	var form struct {
+	var payload struct {
 		Revision *uint64  `json:"epoch"`
 		Failed   []string `json:"failed"`
 	}
-	if err := unmarshal(body, txnBody, &form); err != nil {
+	if err := unmarshal(body, txnBody, &payload); err != nil {
 		return TxnResponse{}, err
 	}
-	if form.Revision == nil {
-		return TxnResponse{}, &DecodeError{What: txnBody, Err: ErrNoRevision}
+	if payload.Revision == nil {
+		return TxnResponse{}, &DecodeError{Kind: txnBody, Err: ErrNoRevision}
 	}
-	return TxnResponse{Revision: cluster.Revision(*form.Revision), FailedKeys: form.Failed}, nil
+	return TxnResponse{Revision: cluster.Revision(*payload.Revision), FailedKeys: payload.Failed}, nil
 }
 
-// item is the form of a key in a list, with Key, or of a change in a watch, with Set or
-// Drop.
-type item struct {
+// kvEntry is the JSON encoding of a key in a list, which has Key, or of a change in a
+// watch, which has PutKey or DeletedKey.
+type kvEntry struct {
 	Key         string          `json:"key"`
-	Set         string          `json:"set"`
-	Drop        string          `json:"drop"`
+	PutKey      string          `json:"set"`
+	DeletedKey  string          `json:"drop"`
 	Value       json.RawMessage `json:"value"`
 	ModRevision uint64          `json:"mark"`
 }
 
-func (i *item) decode() messages.KV {
-	kv := messages.KV{Key: i.Key, Value: i.Value, ModRevision: cluster.ModRevision(i.ModRevision)}
+func (e *kvEntry) decode() messages.KV {
+	kv := messages.KV{Key: e.Key, Value: e.Value, ModRevision: cluster.ModRevision(e.ModRevision)}
 	switch {
-	case i.Drop != "":
-		kv.Key = i.Drop
+	case e.DeletedKey != "":
+		kv.Key = e.DeletedKey
 		kv.Value = nil
-	case i.Set != "":
-		kv.Key = i.Set
+	case e.PutKey != "":
+		kv.Key = e.PutKey
 	}
 	return kv
 }
 
-// DecodeKV reads a key.
+// DecodeKV decodes the response to a read of a key. A missing value or mod revision is
+// an error.
 func DecodeKV(body []byte) (messages.KV, error) {
-	var form item
-	if err := unmarshal(body, keyBody, &form); err != nil {
+	var payload kvEntry
+	if err := unmarshal(body, keyBody, &payload); err != nil {
 		return messages.KV{}, err
 	}
-	if form.ModRevision == 0 || len(form.Value) == 0 {
-		return messages.KV{}, &DecodeError{What: keyBody, Err: ErrNoValue}
+	if payload.ModRevision == 0 || len(payload.Value) == 0 {
+		return messages.KV{}, &DecodeError{Kind: keyBody, Err: ErrNoValue}
 	}
-	return messages.KV{Key: form.Key, Value: form.Value, ModRevision: cluster.ModRevision(form.ModRevision)}, nil
+	return messages.KV{Key: payload.Key, Value: payload.Value, ModRevision: cluster.ModRevision(payload.ModRevision)}, nil
 }
 
-// KVPage is a page of keys, or of changes. A deleted key has no value.
+// KVPage is a page of a list of keys, or the changes of a watch. A deleted key has a
+// nil value.
 type KVPage struct {
 	Items    []messages.KV
-	More     bool // there is another page
+	More     bool // there are more pages
 	Revision cluster.Revision
 }
 
-// DecodeKVPage reads a page of keys, or of changes.
+// DecodeKVPage decodes a page of a list, or the changes of a watch. A missing revision
+// is an error.
 func DecodeKVPage(body []byte) (KVPage, error) {
-	var form struct {
-		Items    []item  `json:"items"`
-		Events   []item  `json:"events"`
-		More     bool    `json:"truncated"`
-		Revision *uint64 `json:"epoch"`
+	var payload struct {
+		Items    []kvEntry `json:"items"`
+		Events   []kvEntry `json:"events"`
+		More     bool      `json:"truncated"`
+		Revision *uint64   `json:"epoch"`
 	}
-	if err := unmarshal(body, keyPageBody, &form); err != nil {
+	if err := unmarshal(body, keyPageBody, &payload); err != nil {
 		return KVPage{}, err
 	}
-	if form.Revision == nil {
-		return KVPage{}, &DecodeError{What: keyPageBody, Err: ErrNoRevision}
+	if payload.Revision == nil {
+		return KVPage{}, &DecodeError{Kind: keyPageBody, Err: ErrNoRevision}
 	}
-	page := KVPage{More: form.More, Revision: cluster.Revision(*form.Revision)}
-	for _, i := range append(form.Items, form.Events...) {
-		page.Items = append(page.Items, i.decode())
+	page := KVPage{More: payload.More, Revision: cluster.Revision(*payload.Revision)}
+	for _, entry := range append(payload.Items, payload.Events...) {
+		page.Items = append(page.Items, entry.decode())
 	}
 	return page, nil
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// submissionBody is how errors name the body of a submission.
+	// submissionBody is the kind of body of a submission, as named in errors.
 	submissionBody = "submission"
-	// noMachineType stands for an empty list of machine types, which allows none; a
+	// noMachineType replaces an empty list of machine types, which allows none. A
 	// missing list allows all types.
 	noMachineType = "-"
-	// amountRoundingError makes up for binary fractions: 4.03 CPUs are 4,030,000
-	// millionths though 4.03*1e6 comes out a little above that.
-	amountRoundingError = 1e-4
+	// amountRoundingTolerance compensates for binary fractions: 4.03 CPUs are
+	// 4,030,000 millionths, although 4.03*1e6 is slightly more than that.
+	amountRoundingTolerance = 1e-4
 )
 
 var jobIDPattern = regexp.MustCompile(`^j-[0-9]{1,40}$`)
 
-// priorities are the priorities by their names in a submission.
+// priorities maps the names of priorities in a submission to the priorities.
 var priorities = map[string]cluster.Priority{
 	"best_effort": cluster.BestEffort,
 	"normal":      cluster.Normal,
@@ -30,78 +30,79 @@
 	"production":  cluster.Production,
 }
 
-// IsValidJobID tells whether an id has the form that all ids have.
+// IsValidJobID reports whether id has the format of a job ID.
 func IsValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// submission is the form of a submission. Pointers tell a missing field from a zero. Users
-// get the name of this type in the reason for refusing a field of the wrong JSON type: it
-// must not change.
+// submission is the JSON encoding of a submission. Pointers distinguish a missing field
+// from a zero. The name of this type must not change: it is part of the response to a
+// user whose submission has a field of the wrong JSON type.
 type submission struct {
-	ID           *string  `json:"id"`
-	Class        *string  `json:"route"`
-	Team         *string  `json:"crew"`
-	Shape        *string  `json:"shape"`
-	Priority     *string  `json:"urgency"`
-	Tasks        *float64 `json:"legs"`
-	CPU          *float64 `json:"vcpus"`
-	GPU          *float64 `json:"accelerators"`
-	Memory       *float64 `json:"memoryGb"`
-	Image        *string  `json:"bundle"`
-	ImageGB      *float64 `json:"sizeGb"`
-	Types        []string `json:"fleets"`
-	Zone         *string  `json:"yard"`
-	Colocate     *bool    `json:"samePlace"`
-	Spread       *bool    `json:"scatter"`
-	Spot         *bool    `json:"standby"`
-	Runtime      *float64 `json:"runtimeS"`
-	Checkpoint   *float64 `json:"waypointS"`
-	Save         *float64 `json:"stowS"`
-	Deadline     *float64 `json:"dueS"`
-	Dependencies []string `json:"awaits"`
+	ID                *string  `json:"id"`
+	Class             *string  `json:"route"`
+	Team              *string  `json:"crew"`
+	Shape             *string  `json:"shape"`
+	Priority          *string  `json:"urgency"`
+	Tasks             *float64 `json:"legs"`
+	CPU               *float64 `json:"vcpus"`
+	GPU               *float64 `json:"accelerators"`
+	MemoryGB          *float64 `json:"memoryGb"`
+	Image             *string  `json:"bundle"`
+	ImageGB           *float64 `json:"sizeGb"`
+	MachineTypes      []string `json:"fleets"`
+	Zone              *string  `json:"yard"`
+	Colocate          *bool    `json:"samePlace"`
+	Spread            *bool    `json:"scatter"`
+	Spot              *bool    `json:"standby"`
+	RuntimeSeconds    *float64 `json:"runtimeS"`
+	CheckpointSeconds *float64 `json:"waypointS"`
+	SaveSeconds       *float64 `json:"stowS"`
+	DeadlineSeconds   *float64 `json:"dueS"`
+	Dependencies      []string `json:"awaits"`
 }
 
-// DecodeSubmission reads a submission. Also with an error, the ID of the spec is set if
-// the body has a well-formed one: the job may be known already, and the retry of an
-// accepted submission must never be refused.
+// DecodeSubmission decodes a submission. If it returns an error, the ID of the spec is
+// still set if the body has a valid one: the job may already exist, and the retry of an
+// accepted submission must never be rejected.
 func DecodeSubmission(body []byte) (cluster.JobSpec, error) {
-	spec := cluster.JobSpec{ID: decodeID(body)}
-	var form submission
-	if err := unmarshal(body, submissionBody, &form); err != nil {
+	spec := cluster.JobSpec{ID: decodeJobID(body)}
+	var payload submission
+	if err := unmarshal(body, submissionBody, &payload); err != nil {
 		return spec, err
 	}
 	if spec.ID == "" {
 		return spec, &InvalidFieldError{Field: "id", Problem: missingOrMalformed}
 	}
-	if err := form.check(); err != nil {
+	if err := payload.check(); err != nil {
 		return spec, err
 	}
-	dependencies, err := form.decodeDependencies(spec.ID)
+	dependencies, err := payload.decodeDependencies(spec.ID)
 	if err != nil {
 		return spec, err
 	}
 	spec.Dependencies = dependencies
-	form.fillSpec(&spec)
+	payload.fillSpec(&spec)
 	return spec, nil
 }
 
-// decodeID reads the id of a body whose other fields may be malformed; empty
-// when there is none.
-func decodeID(body []byte) cluster.JobID {
-	var form struct {
+// decodeJobID returns the job ID in a body whose other fields may be malformed. It is
+// empty if there is no valid ID.
+func decodeJobID(body []byte) cluster.JobID {
+	var payload struct {
 		ID *string `json:"id"`
 	}
-	if json.Unmarshal(body, &form) != nil || form.ID == nil || !IsValidJobID(*form.ID) {
+	if json.Unmarshal(body, &payload) != nil || payload.ID == nil || !IsValidJobID(*payload.ID) {
 		return ""
 	}
-	return cluster.JobID(*form.ID)
+	return cluster.JobID(*payload.ID)
 }
 
-// decodeDependencies lists the jobs that the job depends on, each once.
-func (s *submission) decodeDependencies(self cluster.JobID) ([]cluster.JobID, error) {
+// decodeDependencies returns the jobs that the job depends on, without duplicates. The
+// ID of the job itself is an error.
+func (s *submission) decodeDependencies(ownID cluster.JobID) ([]cluster.JobID, error) {
 	var dependencies []cluster.JobID
 	for _, text := range s.Dependencies {
 		id := cluster.JobID(text)
-		if !IsValidJobID(text) || id == self {
+		if !IsValidJobID(text) || id == ownID {
 			return nil, &InvalidFieldError{Field: "awaits", Problem: invalidDependency}
 		}
 		if !slices.Contains(dependencies, id) {
@@ -111,7 +112,7 @@
 	return dependencies, nil
 }
 
-// fillSpec sets the spec's fields from a checked submission.
+// fillSpec sets the fields of the spec from a submission that has passed check.
 func (s *submission) fillSpec(spec *cluster.JobSpec) {
 	spec.Class = *s.Class
 	spec.Team = *s.Team
@@ -120,10 +121,10 @@
 	spec.ResourceRequest = cluster.Resources{
 		CPU:    ceilAmount(*s.CPU),
 		GPU:    ceilAmount(*s.GPU),
-		Memory: ceilAmount(*s.Memory),
+		Memory: ceilAmount(*s.MemoryGB),
 	}
-	spec.MachineTypes = s.Types
-	if s.Types != nil && len(s.Types) == 0 {
+	spec.MachineTypes = s.MachineTypes
+	if s.MachineTypes != nil && len(s.MachineTypes) == 0 {
 		spec.MachineTypes = []string{noMachineType}
 	}
 	if s.Zone != nil {
@@ -134,15 +135,16 @@
 	spec.Spot = *s.Spot
 	spec.Image = *s.Image
 	spec.ImageGB = *s.ImageGB
-	spec.RuntimeSeconds = *s.Runtime
-	spec.CheckpointSeconds = *s.Checkpoint
-	spec.SaveSeconds = *s.Save
-	if s.Deadline != nil {
-		spec.DeadlineSeconds = *s.Deadline
+	spec.RuntimeSeconds = *s.RuntimeSeconds
+	spec.CheckpointSeconds = *s.CheckpointSeconds
+	spec.SaveSeconds = *s.SaveSeconds
+	if s.DeadlineSeconds != nil {
+		spec.DeadlineSeconds = *s.DeadlineSeconds
 	}
 }
 
-// ceilAmount turns a requested quantity, which must be met in full, into an Amount.
+// ceilAmount converts a requested quantity to an Amount. It rounds up, since the
+// request must be met in full.
 func ceilAmount(quantity float64) cluster.Amount {
-	return cluster.Amount(math.Ceil(quantity*cluster.AmountsPerUnit - amountRoundingError))
+	return cluster.Amount(math.Ceil(quantity*cluster.AmountsPerUnit - amountRoundingTolerance))
 }
--- a/internal/wire/submission_checks.go
+++ b/internal/wire/submission_checks.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// The limits of a submission. Those of lengths keep its record under the limit of the
-// state service for a value.
+// Limits of a submission. The length limits keep the record of the job within the value
+// limit of the state service.
 const (
 	maxNameLength      = 200
 	maxMachineTypes    = 32
@@ -12,20 +12,20 @@
 	maxQuantity        = 1e9
 )
 
-// sweepShape is the only shape of jobs that the protocol has.
+// sweepShape is the only value of the field shape.
 const sweepShape = "sweep"
 
-// InvalidFieldError is the fault of a submission with an invalid field. Users get its
-// text, so the field has its name in the protocol.
+// InvalidFieldError reports an invalid field of a submission. The text is part of the
+// response to the user, so the field has its name in the protocol.
 type InvalidFieldError struct {
 	Field   string
 	Problem string
 }
 
-// Error is the field and its problem.
+// Error returns the field and its problem.
 func (e *InvalidFieldError) Error() string { return e.Field + " " + e.Problem }
 
-// The problems that fields may have.
+// Problems of fields. Their texts are part of the response to the user.
 const (
 	missingOrInvalid   = "is missing or invalid"
 	missingOrMalformed = "is missing or malformed"
@@ -36,16 +36,16 @@
 	invalidDependency  = "names no job that it could wait for"
 )
 
-// check returns the first fault of a submission. The order decides which of several
-// faults a user is told of.
+// check returns the first problem of a submission. The order of the checks decides
+// which of several problems the user is told.
 func (s *submission) check() error {
 	for _, check := range []func() error{
-		s.checkTexts,
+		s.checkStrings,
 		s.checkQuantities,
 		s.checkFlags,
 		s.checkTasks,
-		s.checkChoices,
-		s.checkOptional,
+		s.checkEnums,
+		s.checkOptionalFields,
 		s.checkMachineTypes,
 	} {
 		if err := check(); err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func (s *submission) checkTexts() error {
+func (s *submission) checkStrings() error {
 	for _, required := range []struct {
 		field string
 		text  *string
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// isValidName tells whether a name is given and short enough to be stored.
+// isValidName reports whether a name is not empty and short enough to be stored.
 func isValidName(name string) bool { return name != "" && len(name) <= maxNameLength }
 
 func (s *submission) checkQuantities() error {
@@ -83,11 +83,11 @@
 	}{
 		{"vcpus", s.CPU},
 		{"accelerators", s.GPU},
-		{"memoryGb", s.Memory},
+		{"memoryGb", s.MemoryGB},
 		{"sizeGb", s.ImageGB},
-		{"runtimeS", s.Runtime},
-		{"waypointS", s.Checkpoint},
-		{"stowS", s.Save},
+		{"runtimeS", s.RuntimeSeconds},
+		{"waypointS", s.CheckpointSeconds},
+		{"stowS", s.SaveSeconds},
 	} {
 		if quantity := required.quantity; quantity == nil || *quantity < 0 || *quantity > maxQuantity {
 			return &InvalidFieldError{Field: required.field, Problem: missingOrInvalid}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (s *submission) checkChoices() error {
+func (s *submission) checkEnums() error {
 	if *s.Shape != sweepShape {
 		return &InvalidFieldError{Field: "shape", Problem: unknown}
 	}
@@ -120,8 +120,8 @@
 	return nil
 }
 
-func (s *submission) checkOptional() error {
-	if s.Deadline != nil && (*s.Deadline <= 0 || *s.Deadline > maxQuantity) {
+func (s *submission) checkOptionalFields() error {
+	if s.DeadlineSeconds != nil && (*s.DeadlineSeconds <= 0 || *s.DeadlineSeconds > maxQuantity) {
 		return &InvalidFieldError{Field: "dueS", Problem: invalid}
 	}
 	if s.Zone != nil && !isValidName(*s.Zone) {
@@ -131,11 +131,11 @@
 }
 
 func (s *submission) checkMachineTypes() error {
-	if len(s.Types) > maxMachineTypes {
+	if len(s.MachineTypes) > maxMachineTypes {
 		return &InvalidFieldError{Field: "fleets", Problem: tooLong}
 	}
 	length := 0
-	for _, name := range s.Types {
+	for _, name := range s.MachineTypes {
 		if !isValidName(name) {
 			return &InvalidFieldError{Field: "fleets", Problem: invalid}
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,19 +1,19 @@
-// Package wire is the edge between the protocol and the program: the JSON forms of all
-// interfaces, their paths, and the HTTP client that calls them.
+// Package wire implements the external protocols: the JSON encoding of requests and
+// responses, the paths of all endpoints, and the HTTP client that calls them.
 //
-// The protocol has names of its own. They are translated here and nowhere else; the
-// other packages use the terms on the right.
+// The protocols use names of their own, which only this package knows. The other
+// packages use the terms in the right column.
 //
-//	users               | term
+//	user API            | term
 //	--------------------+-------------------------------------------------
-//	/v2/runs            | jobs: submission, query, cancellation
-//	route               | class of a job, for which there is an SLO
+//	/v2/runs            | jobs: submit, query, cancel
+//	route               | job class, which has service-level objectives
 //	crew                | team
-//	shape               | kind of job; sweep, a job array, is the only one
+//	shape               | kind of job; the only one is sweep, a job array
 //	urgency             | priority
-//	legs, leg           | tasks (in a submission, their number), task
+//	legs, leg           | tasks (their number in a submission), task
 //	vcpus, accelerators | CPUs, GPUs
-//	bundle, sizeGb      | image, its size
+//	bundle, sizeGb      | image, image size
 //	fleets, fleet       | machine types, machine type
 //	yard, yards         | zone, zones
 //	samePlace           | colocate: all tasks in one zone
@@ -21,11 +21,11 @@
 //	standby             | spot
 //	runtimeS            | estimated run time
 //	waypointS           | checkpoint interval
-//	stowS               | time that a task needs to save its checkpoint
+//	stowS               | time to save a checkpoint
 //	dueS                | deadline
 //	awaits              | dependencies
 //
-//	workers             | term
+//	worker API          | term
 //	--------------------+-------------------------------------------------
 //	/checkin            | heartbeat
 //	/orders             | pushed commands
@@ -42,53 +42,54 @@
 //	cause busy          | duplicate attempt
 //	cause no_such       | unknown task
 //	dispatcher          | controller to which a worker is redirected
-//	dispatches, verb    | commands, kind of a command
+//	dispatches, verb    | commands, kind of command
 //	halt, layoverS      | stop, grace period
 //	reap                | acknowledge the end of a task
 //
-//	cloud               | term
+//	cloud API           | term
 //	--------------------+-------------------------------------------------
 //	/flavors            | machine types
 //	/rentals            | POST: scale-out; GET: list of the machines
 //	/rentals/return     | scale-in
-//	charter             | name of a scale-out, which makes it idempotent
+//	charter             | name of a scale-out, its idempotency key
 //	coaches             | machines
 //	rate, spotPrice     | on-demand price, spot price
 //	pullGbPerS          | rate at which images are fetched
-//	since               | machine after which a page begins
-//	truncated           | there is another page
+//	since               | machine that precedes the page
+//	truncated           | whether there are more pages
 //
-//	state service       | term
+//	state service API   | term
 //	--------------------+-------------------------------------------------
 //	epoch               | revision
 //	mark                | mod revision of a key
 //	/multi              | transaction
 //	when, then          | compares, operations
 //	set, drop           | put, delete
-//	since, blockMs      | of a watch: revision after which it begins, time-out
-//	permit              | lease of the state service, which is not used
+//	since, blockMs      | of a watch: revision that precedes it, timeout
+//	permit              | lease of the state service; not used
 package wire
 
 import "encoding/json"
 
-// MaxBodySize is the protocol's limit for a request body.
+// MaxBodySize is the protocol's size limit for request bodies, in bytes.
 const MaxBodySize = 64 << 10
 
-// marshal writes one of this package's forms. It can fail only for a stored value that
-// is not JSON and for a number that is not finite, neither of which the controller
-// makes; the request then has no body, and is refused as malformed.
-func marshal(form any) []byte {
-	text, err := json.Marshal(form)
+// marshal encodes a payload as JSON. It returns nil if the payload contains a stored
+// value that is not valid JSON or a number that is not finite. The controller produces
+// neither; the other side would reject the request without a body as malformed.
+func marshal(payload any) []byte {
+	text, err := json.Marshal(payload)
 	if err != nil {
 		return nil
 	}
 	return text
 }
 
-// unmarshal reads one of this package's forms. What names it in the error.
-func unmarshal(body []byte, what string, form any) error {
-	if err := json.Unmarshal(body, form); err != nil {
-		return &DecodeError{What: what, Err: err}
+// unmarshal decodes a JSON body into payload. Its error is a *DecodeError of the given
+// kind.
+func unmarshal(body []byte, kind string, payload any) error {
+	if err := json.Unmarshal(body, payload); err != nil {
+		return &DecodeError{Kind: kind, Err: err}
 	}
 	return nil
 }
--- a/internal/wire/wiretest/clients.go
+++ b/internal/wire/wiretest/clients.go
@@ -11,17 +11,18 @@
 	"stairrelay/internal/messages"
 )
 
-// ExecutorFactory makes a client of the service at an address and returns its method that
-// carries out effects.
+// ExecutorFactory creates a client for the service at an address and returns its method
+// that executes effects.
 type ExecutorFactory func(address string, reply engine.ReplyFunc) func(messages.Effect)
 
-// execute has a client of the service at an address carry out an effect.
+// execute executes an effect with a client for the service at an address and returns
+// the reply.
 func (n ExecutorFactory) execute(t *testing.T, address string, effect messages.Effect) any {
 	t.Helper()
 	return Execute[any](t, func(reply engine.ReplyFunc) { n(address, reply)(effect) })
 }
 
-// Request is what a test compares of a request.
+// Request is the part of a recorded request that tests compare.
 type Request struct {
 	Method      string
 	URI         string
@@ -29,7 +30,7 @@
 	Body        string
 }
 
-// RequestTest is an effect and the request that a service gets for it.
+// RequestTest is an effect and the request that the service must receive for it.
 type RequestTest struct {
 	Name   string
 	Effect messages.Effect
@@ -50,14 +51,14 @@
 	}
 }
 
-// maxRecorded is the number of requests that a server records.
-const maxRecorded = 16
+// maxRecordedRequests is the maximum number of requests that a server records.
+const maxRecordedRequests = 16
 
-// ServeAndRecord starts a server that answers each request with 200 and the same body.
-// It returns the server's address and the requests that come.
+// ServeAndRecord starts a server that responds to each request with status 200 and the
+// same body. It returns the server's address and the requests that it receives.
 func ServeAndRecord(t *testing.T, responseBody string) (address string, requests <-chan Request) {
 	t.Helper()
-	recorded := make(chan Request, maxRecorded)
+	recorded := make(chan Request, maxRecordedRequests)
 	address = Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -74,8 +75,8 @@
 	return address, recorded
 }
 
-// ServeStatus starts a server that answers each request with the same status and body,
-// and returns its address.
+// ServeStatus starts a server that responds to each request with the same status and
+// body, and returns its address.
 func ServeStatus(t *testing.T, status int, body string) string {
 	t.Helper()
 	return Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -84,16 +85,17 @@
 	}))
 }
 
-// StatusTest is an effect and the outcomes that it has when the service answers with
-// each of some statuses and a body that can't be read.
+// StatusTest is an effect and its outcome for each status of a response whose body
+// cannot be decoded.
 type StatusTest struct {
 	Name   string
 	Effect messages.Effect
-	Reply  func(messages.Outcome) any // the reply that has nothing but the outcome
+	Reply  func(messages.Outcome) any // returns a reply with only the outcome
 	Want   map[int]messages.Outcome   // by status
 }
 
-// CheckStatuses checks what each status with a body that can't be read means to a client.
+// CheckStatuses checks the outcome of effects for each status of a response whose body
+// cannot be decoded.
 func CheckStatuses(t *testing.T, newExecutor ExecutorFactory, tests []StatusTest) {
 	t.Helper()
 	for _, test := range tests {
@@ -108,13 +110,13 @@
 	}
 }
 
-// ReplyTest is an effect and its reply.
+// ReplyTest is an effect and its expected reply.
 type ReplyTest struct {
 	Effect messages.Effect
 	Want   any
 }
 
-// CheckReplies checks the replies to effects of which the service at the address is asked.
+// CheckReplies checks the replies to effects that a client executes at an address.
 func CheckReplies(t *testing.T, newExecutor ExecutorFactory, address string, tests []ReplyTest) {
 	t.Helper()
 	for _, test := range tests {
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -1,5 +1,5 @@
-// Package wiretest helps to test the actors: the clients that carry out the
-// controller's effects, and the handlers that turn requests into its events.
+// Package wiretest provides helpers for tests of the clients that execute the
+// controller's effects, and of the handlers that convert requests to its events.
 package wiretest
 
 import (
@@ -16,11 +16,11 @@
 	"stairrelay/internal/messages"
 )
 
-// replyTimeout is how long a test waits for the reply to an effect. It is longer
-// than any call of the actors takes.
+// replyTimeout is how long a test waits for the reply to an effect. It is longer than
+// the timeout of any call.
 const replyTimeout = 10 * time.Second
 
-// Serve starts a server that ends with the test and returns its address.
+// Serve starts a server, which is closed when the test ends, and returns its address.
 func Serve(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -28,8 +28,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// Execute has an actor carry out an effect and returns the body of its reply. The
-// function start makes the actor with the given ReplyFunc and hands it the effect.
+// Execute executes an effect and returns the body of the reply. The function start must
+// create a client with the given ReplyFunc and pass the effect to it.
 func Execute[T any](t *testing.T, start func(engine.ReplyFunc)) T {
 	t.Helper()
 	replies := make(chan any, 1)
@@ -38,54 +38,55 @@
 	case body := <-replies:
 		reply, ok := body.(T)
 		if !ok {
-			t.Fatalf("reply is a %T, want a %T", body, reply)
+			t.Fatalf("reply has type %T, want %T", body, reply)
 		}
 		return reply
 	case <-time.After(replyTimeout):
-		t.Fatal("no reply")
+		t.Fatal("no reply before the timeout")
 	}
 	panic("unreachable")
 }
 
-// Requester is an engine.Requester that keeps the events it is given and answers
-// all of them alike.
+// FakeRequester is an engine.Requester that records events and returns the same
+// response to all of them.
 type FakeRequester struct {
-	// Response is the answer to each request.
+	// Response is the response to each request.
 	Response messages.Respond
-	// NoResponse makes Request wait until the context of the request has ended.
+	// NoResponse makes Request wait until the context is cancelled, and return no
+	// response.
 	NoResponse bool
 
 	mu     sync.Mutex
 	events []messages.Event
 }
 
-// requestID is the id of all requests, which a Requester does not tell apart.
+// requestID is the ID of all requests.
 const requestID = 1
 
-// Request keeps the event and gives the answer.
+// Request records the event and returns the response.
 func (r *FakeRequester) Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
 	r.mu.Lock()
 	r.events = append(r.events, event(requestID))
 	r.mu.Unlock()
 	if r.NoResponse {
-		waitForEnd(ctx)
+		waitForCancellation(ctx)
 		return messages.Respond{}, false
 	}
 	return r.Response, true
 }
 
-// Events returns the events so far.
+// Events returns the events recorded so far.
 func (r *FakeRequester) Events() []messages.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]messages.Event(nil), r.events...)
 }
 
-// CheckClientDisconnect checks that a handler stops to wait for the controller's answer
-// when the client closes the connection.
+// CheckClientDisconnect checks that a handler stops waiting for the controller's
+// response when the client closes the connection.
 func CheckClientDisconnect(t *testing.T, newHandler func(engine.Requester) http.Handler, method, path, body string) {
 	t.Helper()
-	requester := &disconnectRequester{waiting: make(chan struct{}), ended: make(chan struct{})}
+	requester := &disconnectRequester{waiting: make(chan struct{}), cancelled: make(chan struct{})}
 	address := Serve(t, newHandler(requester))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -99,34 +100,35 @@
 	}()
 	if response, err := http.DefaultClient.Do(request); err == nil {
 		response.Body.Close()
-		t.Fatalf("answered %d, want no answer", response.StatusCode)
+		t.Fatalf("got a response with status %d, want none", response.StatusCode)
 	}
 	select {
-	case <-requester.ended:
+	case <-requester.cancelled:
 	case <-time.After(replyTimeout):
-		t.Error("the request still waits for an answer")
+		t.Error("the handler did not cancel the request to the controller")
 	}
 }
 
-// disconnectRequester is an engine.Requester for one request, which it never answers.
+// disconnectRequester is an engine.Requester for a single request, which gets no
+// response.
 type disconnectRequester struct {
-	waiting chan struct{} // closed when the request has come
-	ended   chan struct{} // closed when its context has ended
+	waiting   chan struct{} // closed when the request has arrived
+	cancelled chan struct{} // closed when the context of the request is cancelled
 }
 
-// Request waits until the context of the request has ended.
+// Request waits until the context of the request is cancelled.
 func (r *disconnectRequester) Request(ctx context.Context, _ func(messages.RequestID) messages.Event) (messages.Respond, bool) {
 	close(r.waiting)
-	if waitForEnd(ctx) {
-		close(r.ended)
+	if waitForCancellation(ctx) {
+		close(r.cancelled)
 	}
 	return messages.Respond{}, false
 }
 
-// waitForEnd waits until a context has ended, and tells whether it has. It gives up after
-// a while, so that a handler that does not pass its context on fails the test
-// instead of blocking it.
-func waitForEnd(ctx context.Context) bool {
+// waitForCancellation waits until ctx is cancelled and reports whether it was. It gives
+// up after replyTimeout, so that a handler that does not pass its context on fails the
+// test instead of blocking it.
+func waitForCancellation(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return true
@@ -135,7 +137,7 @@
 	}
 }
 
-// UnusedAddress returns an address at which nothing listens.
+// UnusedAddress returns an address at which connections are refused.
 func UnusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -148,8 +150,8 @@
 	return listener.Addr().String()
 }
 
-// ServeAbort returns the address of a server that reads each request and closes
-// the connection without a response.
+// ServeAbort starts a server that closes the connection of each request without a
+// response, and returns its address.
 func ServeAbort(t *testing.T) string {
 	t.Helper()
 	return Serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -7,21 +7,22 @@
 	"stairrelay/internal/messages"
 )
 
-// heartbeatBody is how errors name the body of a heartbeat.
+// heartbeatBody is the kind of body of a heartbeat, as named in errors.
 const heartbeatBody = "heartbeat"
 
 const (
-	// maxMachineIDLength keeps the records of a machine under the limits of the state
-	// service.
+	// maxMachineIDLength keeps the records of a machine within the limits of the
+	// state service.
 	maxMachineIDLength = 150
-	// unsafePathCharacters are the characters that a machine's id must not have, since
-	// it becomes a component of the path of a key.
+	// unsafePathCharacters are not allowed in a machine ID, since it becomes part
+	// of the path of a key.
 	unsafePathCharacters = " /?#%"
-	// noPreemptionNotice is the PreemptionNotice of a machine without one.
+	// noPreemptionNotice is the PreemptionNotice of a machine that has received
+	// none.
 	noPreemptionNotice = -1
 )
 
-// heartbeatStatus is the form of a heartbeat.
+// heartbeatStatus is the JSON encoding of the status in a heartbeat.
 type heartbeatStatus struct {
 	Machine          string       `json:"coach"`
 	Address          string       `json:"addr"`
@@ -35,7 +36,7 @@
 	Tasks            []taskStatus `json:"legs"`
 }
 
-// taskStatus is the form of a task in a heartbeat.
+// taskStatus is the JSON encoding of a task in a heartbeat.
 type taskStatus struct {
 	Task         string `json:"leg"`
 	Attempt      uint64 `json:"boarding"`
@@ -44,7 +45,7 @@
 	Checkpointed bool   `json:"stored"`
 }
 
-// taskStates are the states of tasks by their names in a heartbeat.
+// taskStates maps the names of task states in a heartbeat to the states.
 var taskStates = map[string]cluster.TaskState{
 	"fetching": cluster.Fetching,
 	"running":  cluster.Running,
@@ -52,7 +53,8 @@
 	"ended":    cluster.Ended,
 }
 
-// endCauses are the causes of the end of a task by their names in a heartbeat.
+// endCauses maps the names of causes in a heartbeat to the causes for which a task
+// ended.
 var endCauses = map[string]cluster.Cause{
 	"done":    cluster.CauseCompleted,
 	"stopped": cluster.CauseStopped,
@@ -62,41 +64,41 @@
 	"no_such": cluster.CauseUnknownTask,
 }
 
-// DecodeHeartbeatStatus reads the status that a worker sends, with a heartbeat or in
+// DecodeHeartbeatStatus decodes the status that a worker sends in a heartbeat, or in
 // response to a command push or a status query.
 func DecodeHeartbeatStatus(body []byte) (cluster.HeartbeatStatus, error) {
-	var form heartbeatStatus
-	if err := unmarshal(body, heartbeatBody, &form); err != nil {
+	var payload heartbeatStatus
+	if err := unmarshal(body, heartbeatBody, &payload); err != nil {
 		return cluster.HeartbeatStatus{}, err
 	}
-	if !isValidMachineID(form.Machine) || form.Incarnation == 0 {
-		return cluster.HeartbeatStatus{}, &DecodeError{What: heartbeatBody, Err: ErrNoIdentity}
+	if !isValidMachineID(payload.Machine) || payload.Incarnation == 0 {
+		return cluster.HeartbeatStatus{}, &DecodeError{Kind: heartbeatBody, Err: ErrNoIdentity}
 	}
 	decoded := cluster.HeartbeatStatus{
-		Machine:          cluster.MachineID(form.Machine),
-		Addr:             form.Address,
-		Type:             form.Type,
-		Zone:             form.Zone,
-		Spot:             form.Spot,
-		Incarnation:      cluster.Incarnation(form.Incarnation),
-		SequenceNumber:   cluster.SequenceNumber(form.SequenceNumber),
-		FencingToken:     cluster.FencingToken(form.FencingToken),
+		Machine:          cluster.MachineID(payload.Machine),
+		Addr:             payload.Address,
+		Type:             payload.Type,
+		Zone:             payload.Zone,
+		Spot:             payload.Spot,
+		Incarnation:      cluster.Incarnation(payload.Incarnation),
+		SequenceNumber:   cluster.SequenceNumber(payload.SequenceNumber),
+		FencingToken:     cluster.FencingToken(payload.FencingToken),
 		PreemptionNotice: noPreemptionNotice,
 	}
-	if form.PreemptionNotice != nil {
-		decoded.PreemptionNotice = max(0, *form.PreemptionNotice)
+	if payload.PreemptionNotice != nil {
+		decoded.PreemptionNotice = max(0, *payload.PreemptionNotice)
 	}
-	for _, t := range form.Tasks {
+	for _, t := range payload.Tasks {
 		task, err := t.decode()
 		if err != nil {
-			return cluster.HeartbeatStatus{}, &DecodeError{What: heartbeatBody, Err: err}
+			return cluster.HeartbeatStatus{}, &DecodeError{Kind: heartbeatBody, Err: err}
 		}
 		decoded.Tasks = append(decoded.Tasks, task)
 	}
 	return decoded, nil
 }
 
-// isValidMachineID tells whether a machine's id can be a component of a key.
+// isValidMachineID reports whether a machine ID can be a component of a key.
 func isValidMachineID(id string) bool {
 	return id != "" && len(id) <= maxMachineIDLength && !strings.ContainsAny(id, unsafePathCharacters)
 }
@@ -119,8 +121,8 @@
 	return decoded, nil
 }
 
-// decodeCause takes an unknown cause for a failure, never for success: a task counted
-// as completed never runs again.
+// decodeCause decodes the cause for which a task ended. An unknown cause counts as a
+// failure: as a success, it would keep the task from running again.
 func decodeCause(text string) cluster.Cause {
 	if cause, known := endCauses[text]; known {
 		return cause
@@ -128,15 +130,15 @@
 	return cluster.CauseFailed
 }
 
-// command is the form of a command to a worker.
+// command is the JSON encoding of a command to a worker.
 type command struct {
-	Kind    string   `json:"verb"`
-	Task    string   `json:"leg"`
-	Attempt uint64   `json:"boarding"`
-	Grace   *float64 `json:"layoverS,omitempty"`
+	Kind         string   `json:"verb"`
+	Task         string   `json:"leg"`
+	Attempt      uint64   `json:"boarding"`
+	GraceSeconds *float64 `json:"layoverS,omitempty"`
 }
 
-// commandNames are the names of commands on the wire.
+// commandNames maps the kinds of commands to their names on the wire.
 var commandNames = map[cluster.CommandKind]string{
 	cluster.Start:       "start",
 	cluster.Stop:        "halt",
@@ -144,34 +146,35 @@
 }
 
 func encodeCommands(commands []cluster.Command) []command {
-	forms := make([]command, 0, len(commands))
+	payloads := make([]command, 0, len(commands))
 	for _, c := range commands {
-		form := command{
+		payload := command{
 			Kind:    commandNames[c.Kind],
 			Task:    c.Task.String(),
 			Attempt: uint64(c.Attempt),
 		}
 		if c.Kind == cluster.Stop {
-			form.Grace = &c.GraceSeconds
+			payload.GraceSeconds = &c.GraceSeconds
 		}
-		forms = append(forms, form)
+		payloads = append(payloads, payload)
 	}
-	return forms
+	return payloads
 }
 
-// redirection is the form of a response that sends a worker to another controller.
+// redirection is the JSON encoding of a response that redirects a worker to another
+// controller.
 type redirection struct {
 	Node cluster.NodeID `json:"dispatcher,omitempty"`
 }
 
-// heartbeatResponse is the form of a response with commands.
+// heartbeatResponse is the JSON encoding of a response with commands.
 type heartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []command `json:"dispatches"`
 }
 
-// EncodeHeartbeatResponse writes the body of the response to a heartbeat: a redirection
-// with status 421, otherwise commands.
+// EncodeHeartbeatResponse encodes the body of the response to a heartbeat: a
+// redirection for status 421, commands for any other status.
 func EncodeHeartbeatResponse(status messages.ReplyStatus, response messages.HeartbeatResponse) []byte {
 	if status == messages.ReplyMisdirected {
 		return marshal(redirection{Node: response.RedirectTo})
@@ -182,14 +185,14 @@
 	})
 }
 
-// pushCommands is the form of a command push.
+// pushCommands is the JSON encoding of a command push.
 type pushCommands struct {
 	FencingToken uint64    `json:"baton"`
 	Incarnation  uint64    `json:"shift"`
 	Commands     []command `json:"dispatches"`
 }
 
-// EncodePushCommands writes commands that are pushed to a worker.
+// EncodePushCommands encodes commands that are pushed to a worker.
 func EncodePushCommands(push messages.PushCommands) []byte {
 	return marshal(pushCommands{
 		FencingToken: uint64(push.FencingToken),
