--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -33,7 +33,7 @@
 
 // WithdrawUnsentStarts implements jobs.TaskStopper.
 func (t jobTasks) WithdrawUnsentStarts(job *state.Job) {
-	t.controller.reconciler.Stops.WithdrawUnsent(job)
+	t.controller.reconciler.Stops.WithdrawUnsentStarts(job)
 }
 
 // StopAll implements jobs.TaskStopper.
@@ -55,5 +55,5 @@
 
 // RuntimeRatio implements jobs.Scheduler.
 func (s jobScheduler) RuntimeRatio(class string) float64 {
-	return s.controller.scheduler.RunTimes.Ratio(class)
+	return s.controller.scheduler.RunTimes.RuntimeRatio(class)
 }
--- /dev/null
+++ b/internal/reconcile/heldheartbeats.go
@@ -0,0 +1,83 @@
+package reconcile
+
+import "stairrelay/internal/state"
+
+const (
+	// heldHeartbeatScanInterval is the interval at which all held heartbeats are checked.
+	heldHeartbeatScanInterval = 100 * millisecond
+	// heldHeartbeatStoreTimeout is how long the state service may be unavailable before
+	// held heartbeats are answered without waiting for records.
+	heldHeartbeatStoreTimeout = 500 * millisecond
+)
+
+// heldHeartbeats tracks the machines whose heartbeats are not answered yet, in order of
+// arrival. A machine without a pending heartbeat was already answered and is dropped at
+// the next scan.
+//
+// All held heartbeats are checked every heldHeartbeatScanInterval. Between the scans only
+// new heartbeats and those of machines whose record was stored are checked.
+type heldHeartbeats struct {
+	machines      []*state.Machine // machines with held heartbeats, checked by the next scan
+	toCheck       []*state.Machine // machines to check in this event loop step
+	scanScheduled bool
+}
+
+// Recheck schedules a check of a machine's held heartbeat in this event loop step. It is
+// called when the machine's record was stored.
+func (h *Heartbeats) Recheck(machine *state.Machine) {
+	if machine.PendingHeartbeat != 0 {
+		h.held.toCheck = append(h.held.toCheck, machine)
+	}
+}
+
+// AnswerReady answers the heartbeats of machines that have no start being recorded. The
+// other heartbeats are held until the record is stored, at most until ReplyDeadline, so
+// that the response contains the start.
+func (h *Heartbeats) AnswerReady() {
+	toCheck := h.held.toCheck
+	h.held.toCheck = nil
+	for _, machine := range toCheck {
+		switch {
+		case machine.PendingHeartbeat == 0:
+		case !h.awaitsRecord(machine):
+			h.Answer(machine)
+		case !machine.HeartbeatHeld:
+			machine.HeartbeatHeld = true
+			h.held.machines = append(h.held.machines, machine)
+		}
+	}
+	h.scheduleScan()
+}
+
+// scheduleScan schedules the next check of all held heartbeats, unless none is held.
+func (h *Heartbeats) scheduleScan() {
+	if len(h.held.machines) == 0 || h.held.scanScheduled {
+		return
+	}
+	h.held.scanScheduled = true
+	h.loop.After(heldHeartbeatScanInterval, h.scan)
+}
+
+func (h *Heartbeats) scan() {
+	h.held.scanScheduled = false
+	h.deps.Metrics.AddMachineScans(h.held.machines)
+	h.held.toCheck = append(h.held.toCheck, h.held.machines...)
+	for _, machine := range h.held.machines {
+		machine.HeartbeatHeld = false
+	}
+	h.held.machines = h.held.machines[:0]
+}
+
+// awaitsRecord reports whether the response to a machine's heartbeat has to wait until
+// the record of a start is stored.
+func (h *Heartbeats) awaitsRecord(machine *state.Machine) bool {
+	if h.loop.Now() >= machine.ReplyDeadline || h.queue.IsUnavailableFor(heldHeartbeatStoreTimeout) {
+		return false
+	}
+	for _, assignment := range machine.Assignments {
+		if assignment.Phase == state.PhaseRecording && !assignment.ConfirmedAbsent {
+			return true
+		}
+	}
+	return false
+}
