--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -72,9 +72,9 @@
 	return mustLoad(t, strings.Replace(validPlatformText, from, to, 1))
 }
 
-// checkRefused checks that err is a single line that contains the name of the file and
+// checkLoadError checks that err is a single line that contains the name of the file and
 // want.
-func checkRefused(t *testing.T, err error, file, want string) {
+func checkLoadError(t *testing.T, err error, file, want string) {
 	t.Helper()
 	switch {
 	case err == nil:
@@ -136,7 +136,7 @@
 	}
 	path := writeFile(t, "s.toml", limits+"-1\n")
 	_, err := Load(path, "")
-	checkRefused(t, err, path, "max_connections")
+	checkLoadError(t, err, path, "max_connections")
 }
 
 // TestCancelDeadlineTooShort checks the warning for a cancel_s in which a worker's lease
@@ -177,7 +177,7 @@
 		t.Run(name, func(t *testing.T) {
 			path := writeFile(t, "s.toml", strings.Replace(validPlatformText, test.from, test.to, 1))
 			_, err := Load(path, "")
-			checkRefused(t, err, path, test.want)
+			checkLoadError(t, err, path, test.want)
 		})
 	}
 }
@@ -192,7 +192,7 @@
 	t.Run("missing file", func(t *testing.T) {
 		path := filepath.Join(t.TempDir(), "none.toml")
 		_, err := Load(path, "")
-		checkRefused(t, err, path, "none.toml")
+		checkLoadError(t, err, path, "none.toml")
 		if !errors.Is(err, os.ErrNotExist) {
 			t.Errorf("%v is not os.ErrNotExist", err)
 		}
@@ -220,7 +220,7 @@
 	text = strings.Replace(text, "[[cluster.teams]]\nname = \"red\"\ncpus = 4.0\ncpus_max = 8.5\n", "", 1)
 	path := writeFile(t, "s.toml", text)
 	_, err := Load(path, "")
-	checkRefused(t, err, path, "cluster.teams: missing")
+	checkLoadError(t, err, path, "cluster.teams: missing")
 }
 
 func TestOperatorsFile(t *testing.T) {
@@ -253,7 +253,7 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			_, err := Load(platform, writeFile(t, "o.json", text))
-			checkRefused(t, err, "o.json", want)
+			checkLoadError(t, err, "o.json", want)
 		})
 	}
 }
@@ -298,7 +298,7 @@
 			t.Run(field+" = "+value, func(t *testing.T) {
 				path := writeFile(t, "s.toml", validPlatformText+"[cluster.state.next]\n"+field+" = "+value+"\n")
 				_, err := Load(path, "")
-				checkRefused(t, err, path, field)
+				checkLoadError(t, err, path, field)
 			})
 		}
 	}
--- a/internal/wire/wiretest/clients.go
+++ b/internal/wire/wiretest/clients.go
@@ -17,9 +17,9 @@
 
 // execute executes an effect with a client for the service at an address and returns
 // the reply.
-func (n ExecutorFactory) execute(t *testing.T, address string, effect messages.Effect) any {
+func (f ExecutorFactory) execute(t *testing.T, address string, effect messages.Effect) any {
 	t.Helper()
-	return Execute[any](t, func(reply engine.ReplyFunc) { n(address, reply)(effect) })
+	return Execute[any](t, func(reply engine.ReplyFunc) { f(address, reply)(effect) })
 }
 
 // Request is the part of a recorded request that tests compare.
