--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -76,7 +76,7 @@
 func (a inventoryCloud) ScheduleScaleIn() { a.controller.provisioner.ScaleIn.ScheduleCall() }
 
 // ForceCall implements inventory.Cloud.
-func (a inventoryCloud) ChargeCall() { a.controller.provisioner.Rate.ForceCall() }
+func (a inventoryCloud) ChargeCall() { a.controller.provisioner.RateLimiter.ForceAcquire() }
 
 // ListMachines implements inventory.Cloud.
 func (a inventoryCloud) ListMachines(handle func(machines []cluster.ListedMachine, ok bool)) {
