--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -21,10 +21,10 @@
 // quarantineRecord quarantines an invalid group record.
 func (inv *Inventory) quarantineRecord(shard *state.Shard, item messages.KV, reason error) {
 	inv.loop.Log(messages.LogInfo, "corrupt record quarantined", "key", item.Key, "error", reason.Error())
-	if shard.Quarantined == nil {
-		shard.Quarantined = map[string]cluster.ModRevision{}
+	if shard.QuarantinedGroups == nil {
+		shard.QuarantinedGroups = map[string]cluster.ModRevision{}
 	}
-	shard.Quarantined[item.Key] = item.ModRevision
+	shard.QuarantinedGroups[item.Key] = item.ModRevision
 	if group := inv.state.Groups[groupID(item.Key)]; group != nil {
 		inv.dropGroup(group, cluster.NoShard)
 	}
@@ -107,7 +107,7 @@
 func (r *quarantineRepair) listedMachines(items []messages.KV) map[cluster.MachineID]bool {
 	listed := map[cluster.MachineID]bool{}
 	for _, item := range items {
-		if _, quarantined := r.shard.Quarantined[item.Key]; quarantined {
+		if _, quarantined := r.shard.QuarantinedGroups[item.Key]; quarantined {
 			continue
 		}
 		record, err := grouprecord.Decode(item.Value)
@@ -147,7 +147,7 @@
 // loads the shard again. It also does so after a conflict, which occurs if the owner of
 // another shard has repaired a record first.
 func (r *quarantineRepair) deleteRecords() {
-	keys := slices.Sorted(maps.Keys(r.shard.Quarantined))
+	keys := slices.Sorted(maps.Keys(r.shard.QuarantinedGroups))
 	keys = keys[:min(len(keys), r.inventory.config.MaxTxnOps)]
 	r.inventory.writes.Enqueue(writequeue.PriorityScaleOut, &writequeue.Write{
 		ShardID: r.shard.ID,
@@ -157,7 +157,7 @@
 			var modRevisions []cluster.ModRevision
 			for _, key := range keys {
 				operations = append(operations, messages.TxnOp{Key: key, Value: nil})
-				modRevisions = append(modRevisions, r.shard.Quarantined[key])
+				modRevisions = append(modRevisions, r.shard.QuarantinedGroups[key])
 			}
 			return operations, modRevisions
 		},
@@ -177,7 +177,7 @@
 
 // reload drops all that was loaded from a shard's records and loads the shard again.
 func (inv *Inventory) reload(shard *state.Shard) {
-	shard.Quarantined = nil
+	shard.QuarantinedGroups = nil
 	inv.DropShard(shard)
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
 	inv.shards.LoadShard(shard)
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -76,7 +76,7 @@
 			return
 		}
 		job := q.state.Jobs.Owned[id]
-		if !owned || job == nil || job.EndInFlight {
+		if !owned || job == nil || job.FinalWriteInFlight {
 			// The final status may be stored already, and another controller may have
 			// reported it.
 			q.lookUpInStore(id, handle)
@@ -241,5 +241,5 @@
 // isAuthoritative reports whether the status of a job known here is current: no other
 // controller can have reported a later one.
 func (a *peerAnswer) isAuthoritative(job *state.Job) bool {
-	return a.confirmed[job.ShardID] && !job.EndInFlight && (a.linearizableReadOK || !a.queries.state.Jobs.IsBlocked(job.Spec.ID))
+	return a.confirmed[job.ShardID] && !job.FinalWriteInFlight && (a.linearizableReadOK || !a.queries.state.Jobs.IsBlocked(job.Spec.ID))
 }
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -190,7 +190,7 @@
 		{"acquisition in flight", 0, func(_ *testManager, shard *state.Shard) { shard.Acquiring = true }, false},
 		{"claim record not read yet", 0, func(_ *testManager, shard *state.Shard) { shard.RecordRead = false }, false},
 		{"dropped as corrupt recently", 0, func(m *testManager, shard *state.Shard) {
-			shard.PostponeAcquire(m.loop.Now())
+			shard.PostponeAcquisition(m.loop.Now())
 		}, false},
 		{"state service unavailable", 0, func(m *testManager, _ *state.Shard) {
 			m.failStoreSince(m.loop.Now() - 2*second)
--- a/internal/reconcile/absence.go
+++ b/internal/reconcile/absence.go
@@ -66,7 +66,7 @@
 // requeueLostStart makes a lost start ready to be sent again. If its job is no longer
 // active, the task is marked as absent instead.
 func (r *Reconciler) requeueLostStart(machine *state.Machine, assignment *state.Assignment) {
-	assignment.Redispatch()
+	assignment.MarkStartLost()
 	if !assignment.Job.IsActive() {
 		r.ConfirmAbsent(machine, assignment)
 	}
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -259,8 +259,8 @@
 // in registering until the registration has succeeded or failed.
 func (o *Orphans) queueRegistration(shard *state.Shard, machine grouprecord.Machine) {
 	o.registering[machine.ID] = true
-	shard.ToRegister = append(shard.ToRegister, machine)
-	if len(shard.ToRegister) > 1 {
+	shard.PendingRegistrations = append(shard.PendingRegistrations, machine)
+	if len(shard.PendingRegistrations) > 1 {
 		return
 	}
 	claim := shard.ClaimRevision
@@ -271,8 +271,8 @@
 // target size. If the shard is no longer owned under the given claim, the machines are
 // dropped from the queue instead.
 func (o *Orphans) registerQueued(shard *state.Shard, claim cluster.Revision) {
-	waiting := shard.ToRegister
-	shard.ToRegister = nil
+	waiting := shard.PendingRegistrations
+	shard.PendingRegistrations = nil
 	for limit := o.deps.Registrar.TargetGroupSize(); len(waiting) > 0; {
 		machines := waiting[:min(limit, len(waiting))]
 		waiting = waiting[len(machines):]
--- a/internal/scheduling/spot.go
+++ b/internal/scheduling/spot.go
@@ -31,7 +31,7 @@
 // when it is interrupted. The result is 0 for jobs that save checkpoints and for jobs
 // that may not use spot machines.
 func (s *SpotPreference) expectedLossSeconds(job *state.Job) float64 {
-	if !job.Spec.Spot || job.Spec.CheckpointSeconds > 0 {
+	if !job.Spec.Spot || job.Spec.CheckpointIntervalSeconds > 0 {
 		return 0
 	}
 	runSeconds := s.runTimes.ExpectedSeconds(job)
@@ -89,7 +89,7 @@
 // is true prefer on-demand machines. If the shard has such jobs, jobs that save
 // checkpoints prefer spot machines. All other jobs accept both markets equally.
 func (s *SpotPreference) IsPreferredMarket(shard *state.Shard, job *state.Job, spot bool) bool {
-	if job.Spec.CheckpointSeconds > 0 {
+	if job.Spec.CheckpointIntervalSeconds > 0 {
 		return spot || !shard.AvoidSpot
 	}
 	return !spot || !s.prefersOnDemand(job)
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -136,8 +136,8 @@
 	spec.Image = *s.Image
 	spec.ImageGB = *s.ImageGB
 	spec.RuntimeSeconds = *s.RuntimeSeconds
-	spec.CheckpointSeconds = *s.CheckpointSeconds
-	spec.SaveSeconds = *s.SaveSeconds
+	spec.CheckpointIntervalSeconds = *s.CheckpointSeconds
+	spec.CheckpointWriteSeconds = *s.SaveSeconds
 	if s.DeadlineSeconds != nil {
 		spec.DeadlineSeconds = *s.DeadlineSeconds
 	}
