--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -37,27 +37,27 @@
 // from a zero. The name of this type must not change: it is part of the response to a
 // user whose submission has a field of the wrong JSON type.
 type submission struct {
-	ID                *string  `json:"id"`
-	Class             *string  `json:"route"`
-	Team              *string  `json:"crew"`
-	Shape             *string  `json:"shape"`
-	Priority          *string  `json:"urgency"`
-	Tasks             *float64 `json:"legs"`
-	CPU               *float64 `json:"vcpus"`
-	GPU               *float64 `json:"accelerators"`
-	MemoryGB          *float64 `json:"memoryGb"`
-	Image             *string  `json:"bundle"`
-	ImageGB           *float64 `json:"sizeGb"`
-	MachineTypes      []string `json:"fleets"`
-	Zone              *string  `json:"yard"`
-	Colocate          *bool    `json:"samePlace"`
-	Spread            *bool    `json:"scatter"`
-	Spot              *bool    `json:"standby"`
-	RuntimeSeconds    *float64 `json:"runtimeS"`
-	CheckpointSeconds *float64 `json:"waypointS"`
-	SaveSeconds       *float64 `json:"stowS"`
-	DeadlineSeconds   *float64 `json:"dueS"`
-	Dependencies      []string `json:"awaits"`
+	ID                        *string  `json:"id"`
+	Class                     *string  `json:"route"`
+	Team                      *string  `json:"crew"`
+	Shape                     *string  `json:"shape"`
+	Priority                  *string  `json:"urgency"`
+	Tasks                     *float64 `json:"legs"`
+	CPU                       *float64 `json:"vcpus"`
+	GPU                       *float64 `json:"accelerators"`
+	MemoryGB                  *float64 `json:"memoryGb"`
+	Image                     *string  `json:"bundle"`
+	ImageGB                   *float64 `json:"sizeGb"`
+	MachineTypes              []string `json:"fleets"`
+	Zone                      *string  `json:"yard"`
+	Colocate                  *bool    `json:"samePlace"`
+	Spread                    *bool    `json:"scatter"`
+	Spot                      *bool    `json:"standby"`
+	RuntimeSeconds            *float64 `json:"runtimeS"`
+	CheckpointIntervalSeconds *float64 `json:"waypointS"`
+	CheckpointWriteSeconds    *float64 `json:"stowS"`
+	DeadlineSeconds           *float64 `json:"dueS"`
+	Dependencies              []string `json:"awaits"`
 }
 
 // DecodeSubmission decodes a submission. If it returns an error, the ID of the spec is
@@ -136,8 +136,8 @@
 	spec.Image = *s.Image
 	spec.ImageGB = *s.ImageGB
 	spec.RuntimeSeconds = *s.RuntimeSeconds
-	spec.CheckpointIntervalSeconds = *s.CheckpointSeconds
-	spec.CheckpointWriteSeconds = *s.SaveSeconds
+	spec.CheckpointIntervalSeconds = *s.CheckpointIntervalSeconds
+	spec.CheckpointWriteSeconds = *s.CheckpointWriteSeconds
 	if s.DeadlineSeconds != nil {
 		spec.DeadlineSeconds = *s.DeadlineSeconds
 	}
--- a/internal/wire/submission_checks.go
+++ b/internal/wire/submission_checks.go
@@ -86,8 +86,8 @@
 		{"memoryGb", s.MemoryGB},
 		{"sizeGb", s.ImageGB},
 		{"runtimeS", s.RuntimeSeconds},
-		{"waypointS", s.CheckpointSeconds},
-		{"stowS", s.SaveSeconds},
+		{"waypointS", s.CheckpointIntervalSeconds},
+		{"stowS", s.CheckpointWriteSeconds},
 	} {
 		if quantity := required.quantity; quantity == nil || *quantity < 0 || *quantity > maxQuantity {
 			return &InvalidFieldError{Field: required.field, Problem: missingOrInvalid}
