--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -28,19 +28,19 @@
 
 // Client executes the controller's effects on the state service.
 type Client struct {
-	service      *wire.JSONService
-	watchService *wire.JSONService // separate connections, because watches are long polls
+	service      *wire.JSONClient
+	watchService *wire.JSONClient // separate connections, because watches are long polls
 	reply        engine.ReplyFunc
 }
 
 // New returns a Client of the state service at the given address, which passes the replies
 // to the given function.
 func New(address string, reply engine.ReplyFunc) *Client {
-	callOptions := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleCallConnections}
-	watchOptions := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleWatchConnections}
+	callOptions := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleCallConnections}
+	watchOptions := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleWatchConnections}
 	return &Client{
-		service:      wire.NewJSONService(address, callOptions),
-		watchService: wire.NewJSONService(address, watchOptions),
+		service:      wire.NewJSONClient(address, callOptions),
+		watchService: wire.NewJSONClient(address, watchOptions),
 		reply:        reply,
 	}
 }
@@ -68,7 +68,7 @@
 		Body:    wire.EncodeTxn(txn),
 		Timeout: callTimeout,
 	}
-	response, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTxn)
+	response, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTxnResponse)
 	if statusErr, ok := errors.AsType[*wire.StatusError](err); ok && statusErr.Status == http.StatusConflict {
 		return decodeConflict(statusErr.Body)
 	}
@@ -78,7 +78,7 @@
 // decodeConflict decodes the response to a transaction whose compares failed. The outcome
 // is unknown if the response does not name the failed keys.
 func decodeConflict(body []byte) messages.TxnReply {
-	response, err := wire.DecodeTxn(body)
+	response, err := wire.DecodeTxnResponse(body)
 	if err != nil || len(response.FailedKeys) == 0 {
 		return messages.TxnReply{Outcome: messages.UnknownOutcome}
 	}
@@ -91,7 +91,7 @@
 
 func (c *Client) get(ctx context.Context, get messages.StoreGet) messages.GetReply {
 	call := wire.Call{Method: http.MethodGet, Path: wire.KeyPath(get.Key), Timeout: callTimeout}
-	kv, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeGet)
+	kv, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeKV)
 	if wire.IsStatus(err, http.StatusNotFound) {
 		return messages.GetReply{Outcome: messages.NotFound}
 	}
@@ -124,7 +124,7 @@
 
 // readNextPage reads a page after the first one. It retries a throttled read, because
 // restarting the whole list would take even more requests.
-func (c *Client) readNextPage(ctx context.Context, prefix, lastKey string) (wire.ItemPage, error) {
+func (c *Client) readNextPage(ctx context.Context, prefix, lastKey string) (wire.KVPage, error) {
 	for {
 		page, err := c.readPage(ctx, prefix, lastKey)
 		if !wire.IsStatus(err, http.StatusTooManyRequests) {
@@ -133,20 +133,20 @@
 		select {
 		case <-time.After(throttleBackoff):
 		case <-ctx.Done():
-			return wire.ItemPage{}, ctx.Err()
+			return wire.KVPage{}, ctx.Err()
 		}
 	}
 }
 
 // readPage reads the page of a list that starts after a key, or the first page if the key
 // is empty.
-func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.ItemPage, error) {
+func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.KVPage, error) {
 	call := wire.Call{
 		Method:  http.MethodGet,
 		Path:    wire.KeysPath(prefix, after, pageSize),
 		Timeout: callTimeout,
 	}
-	return wire.CallAndDecode(ctx, c.service, call, wire.DecodeItems)
+	return wire.CallAndDecode(ctx, c.service, call, wire.DecodeKVPage)
 }
 
 func (c *Client) watch(ctx context.Context, watch messages.StoreWatch) messages.WatchReply {
@@ -156,7 +156,7 @@
 		Path:    wire.WatchPath(watch.Prefix, watch.SinceRevision, timeout),
 		Timeout: timeout + watchTimeoutMargin,
 	}
-	changes, err := wire.CallAndDecode(ctx, c.watchService, call, wire.DecodeItems)
+	changes, err := wire.CallAndDecode(ctx, c.watchService, call, wire.DecodeKVPage)
 	// The response contains all changes and is not paginated. If it exceeds the size
 	// limit, a retry would fail in the same way, so the reply makes the caller list the
 	// keys instead.
