--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -8,9 +8,9 @@
 	"stairrelay/internal/messages"
 )
 
-// TestUnlistedSilentMachineReleased: a machine that is silent and gone from the cloud's
-// list is released without waiting for its lease; one that only is silent, or
-// only is missing from a list that may be old, is not.
+// TestUnlistedSilentMachineReleased checks that a machine that sends no heartbeats and
+// is missing from the cloud's list is released before its lease expires. Neither sign
+// is enough alone, as the list may be out of date.
 func TestUnlistedSilentMachineReleased(t *testing.T) {
 	for _, test := range []struct {
 		listed, silent, released bool
@@ -28,8 +28,8 @@
 				machine.LastHeartbeat = c.loop.Now()
 			}
 			for _, effect := range c.Step(c.loop.Now()+second/4, 0, messages.Tick{}) {
-				if request, ok := effect.(messages.CloudList); ok {
-					reply := messages.CloudListReply{Outcome: messages.OK}
+				if request, ok := effect.(messages.CloudListMachines); ok {
+					reply := messages.ListMachinesReply{Outcome: messages.OK}
 					if test.listed {
 						reply.Items = []cluster.ListedMachine{{ID: "m-1", Status: "running", AgeSeconds: 100}}
 					}
--- a/internal/provisioning/machinelist.go
+++ b/internal/provisioning/machinelist.go
@@ -160,8 +160,8 @@
 // requestPage requests the page that follows a machine.
 func (r *machineListReading) requestPage(after cluster.MachineID) {
 	loop := r.list.loop
-	call := eventloop.Call(loop, func(reply messages.CloudListReply) { r.handlePage(after, reply) })
-	loop.Emit(messages.CloudList{After: after, Call: call})
+	call := eventloop.Call(loop, func(reply messages.ListMachinesReply) { r.handlePage(after, reply) })
+	loop.Emit(messages.CloudListMachines{After: after, Call: call})
 }
 
 // requestPageWhenAllowed requests a page as soon as the rate limiter allows it.
@@ -174,7 +174,7 @@
 }
 
 // handlePage handles the page that follows a machine, and requests the next one.
-func (r *machineListReading) handlePage(after cluster.MachineID, page messages.CloudListReply) {
+func (r *machineListReading) handlePage(after cluster.MachineID, page messages.ListMachinesReply) {
 	switch {
 	case page.Outcome == messages.Throttled:
 		r.list.rateLimiter.HandleThrottled()
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -22,9 +22,9 @@
 func (c *CloudAPI) isDown() bool { return c.Now < c.DownUntil }
 
 func (c *CloudAPI) listMachineTypes(call pendingCall) {
-	reply := messages.MachineTypesReply{Outcome: messages.OK, Types: c.cloud.MachineTypes}
+	reply := messages.ListMachineTypesReply{Outcome: messages.OK, Types: c.cloud.MachineTypes}
 	if c.isDown() {
-		reply = messages.MachineTypesReply{Outcome: messages.NotApplied}
+		reply = messages.ListMachineTypesReply{Outcome: messages.NotApplied}
 	}
 	call.replyAfter(c.network.delay(), reply)
 }
@@ -58,11 +58,11 @@
 
 // listMachines replies with a page of the current list after half of the list lag,
 // so that the controller gets a stale list.
-func (c *CloudAPI) listMachines(call pendingCall, request messages.CloudList) {
+func (c *CloudAPI) listMachines(call pendingCall, request messages.CloudListMachines) {
 	if c.isDown() {
-		call.replyAfter(c.network.delay(), messages.CloudListReply{Outcome: messages.NotApplied})
+		call.replyAfter(c.network.delay(), messages.ListMachinesReply{Outcome: messages.NotApplied})
 		return
 	}
 	items, more := c.cloud.ListPage(c.Now, request.After)
-	call.replyAfter(c.config.CloudListLag/2, messages.CloudListReply{Outcome: messages.OK, Items: items, More: more})
+	call.replyAfter(c.config.CloudListLag/2, messages.ListMachinesReply{Outcome: messages.OK, Items: items, More: more})
 }
