--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -47,9 +47,8 @@
 	}
 }
 
-// TestNodeKillsAndStoreOutage checks that accepted jobs are completed although one
-// controller and then all controllers are killed and the state service is unavailable for
-// a while.
+// TestNodeKillsAndStoreOutage checks that accepted jobs are completed, and run only once,
+// although controllers are killed and the state service has an outage.
 func TestNodeKillsAndStoreOutage(t *testing.T) {
 	c := startCluster(t)
 	for i, team := range teamNames {
