--- a/internal/settings/teams.go
+++ b/internal/settings/teams.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// checkAmounts checks the team's guaranteed quota and quota limit.
+// checkQuotas checks the team's guaranteed quota and quota limit.
 func (t *teamTable) checkQuotas() error {
 	for _, amount := range []float64{t.CPUs, t.GPUs, t.CPUsMax, t.GPUsMax} {
 		if amount < 0 {
