--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -94,7 +94,7 @@
 			simulateUpgrade(t, uint64(seed), observed)
 		})
 	}
-	traces, err := filepath.Glob("testdata/stories/*.txt")
+	traces, err := filepath.Glob("testdata/traces/*.txt")
 	if err != nil || len(traces) == 0 {
 		t.Fatalf("%d traces: %v", len(traces), err)
 	}
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -12,63 +12,64 @@
 
 // traceCommands are the commands that a trace has once the controllers run.
 var traceCommands = map[string]func(*traceRunner, traceCommand){
-	"machines": (*traceRunner).addMachines,
-	"capacity": (*traceRunner).setCapacity,
-	"submit":   (*traceRunner).submit,
-	"flood":    (*traceRunner).flood,
-	"stream":   (*traceRunner).stream,
-	"query":    (*traceRunner).query,
-	"cancel":   (*traceRunner).cancel,
-	"corrupt":  (*traceRunner).corruptMachineGroup,
-	"cut":      (*traceRunner).partitionNode,
-	"freeze":   (*traceRunner).pauseNodes,
+	"machines":  (*traceRunner).addMachines,
+	"capacity":  (*traceRunner).setCapacity,
+	"submit":    (*traceRunner).submit,
+	"burst":     (*traceRunner).submitBurst,
+	"stream":    (*traceRunner).submitStream,
+	"query":     (*traceRunner).query,
+	"cancel":    (*traceRunner).cancel,
+	"corrupt":   (*traceRunner).corruptMachineGroup,
+	"partition": (*traceRunner).partitionNode,
+	"pause":     (*traceRunner).pauseNodes,
 	// run 10s: time passes.
 	"run": func(r *traceRunner, c traceCommand) { r.simulator.RunUntil(r.until(c.duration(0))) },
 	// upgrade n0 6s: its process ends and is back after that with the current version.
 	"upgrade": func(_ *traceRunner, c traceCommand) { c.node(0).Upgrade(c.duration(1)) },
-	// limits: the lower limits of the state service come into force.
-	"limits": func(r *traceRunner, _ traceCommand) { r.simulator.LowerStoreLimits() },
-	// crash n0: its process ends.
+	// lower-limits: the state service enforces its lower limits.
+	"lower-limits": func(r *traceRunner, _ traceCommand) { r.simulator.LowerStoreLimits() },
+	// crash n0: its process is killed.
 	"crash": func(_ *traceRunner, c traceCommand) { c.node(0).Kill() },
-	// boot n0: its process starts.
-	"boot": func(_ *traceRunner, c traceCommand) { c.node(0).Start() },
-	// outage 30s: the state service is down.
-	"outage": func(r *traceRunner, c traceCommand) { r.simulator.Store.DownUntil = r.until(c.duration(0)) },
-	// cloud 30s: the cloud's interface is down.
-	"cloud": func(r *traceRunner, c traceCommand) { r.simulator.CloudAPI.DownUntil = r.until(c.duration(0)) },
-	// refuse n0 10s: the state service refuses that controller alone.
-	"refuse": func(r *traceRunner, c traceCommand) { c.node(0).StoreRefusesUntil = r.until(c.duration(1)) },
-	// lose n0 answers 3s: its transactions are applied, but their replies are lost.
+	// start n0: its process starts.
+	"start": func(_ *traceRunner, c traceCommand) { c.node(0).Start() },
+	// store-outage 30s: the state service is down.
+	"store-outage": func(r *traceRunner, c traceCommand) { r.simulator.Store.DownUntil = r.until(c.duration(0)) },
+	// cloud-outage 30s: the cloud API is down.
+	"cloud-outage": func(r *traceRunner, c traceCommand) { r.simulator.CloudAPI.DownUntil = r.until(c.duration(0)) },
+	// store-reject n0 10s: the state service rejects the requests of that controller only.
+	"store-reject": func(r *traceRunner, c traceCommand) { c.node(0).StoreRefusesUntil = r.until(c.duration(1)) },
+	// lose n0 replies 3s: its transactions are applied, but their replies are lost.
 	"lose": func(r *traceRunner, c traceCommand) { c.node(0).StoreRepliesLostUntil = r.until(c.duration(2)) },
-	// slow 500ms 30s: the state service replies that much later.
-	"slow": func(r *traceRunner, c traceCommand) { r.simulator.Store.Slow(c.duration(0), c.duration(1)) },
-	// hang m-000001 20s: it stands still.
+	// slow-store 500ms 30s: the state service replies 500ms later for 30s.
+	"slow-store": func(r *traceRunner, c traceCommand) { r.simulator.Store.Slow(c.duration(0), c.duration(1)) },
+	// hang m-000001 20s: the machine hangs.
 	"hang": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Hang(c.machine(), c.duration(1)) },
-	// deaf m-000001 20s: its heartbeats arrive, nothing reaches it.
-	"deaf": func(r *traceRunner, c traceCommand) {
+	// unreachable m-000001 20s: its heartbeats arrive, but nothing reaches it.
+	"unreachable": func(r *traceRunner, c traceCommand) {
 		r.simulator.Machines.MakeUnreachable(c.machine(), c.duration(1))
 	},
-	// mute m-000001 20s: it reaches no controller, command pushes reach it.
-	"mute": func(r *traceRunner, c traceCommand) {
+	// block-heartbeats m-000001 20s: command pushes reach it, but its heartbeats reach no
+	// controller.
+	"block-heartbeats": func(r *traceRunner, c traceCommand) {
 		r.simulator.Machines.BlockHeartbeats(c.machine(), c.duration(1))
 	},
-	// copy m-000001 20s: its present heartbeat is delivered again later.
-	"copy": func(r *traceRunner, c traceCommand) {
+	// duplicate-heartbeat m-000001 20s: its current heartbeat is delivered again after 20s.
+	"duplicate-heartbeat": func(r *traceRunner, c traceCommand) {
 		r.simulator.Machines.DuplicateHeartbeat(c.machine(), c.duration(1))
 	},
-	// reboot m-000001: its worker is back at once in its next incarnation.
+	// reboot m-000001: its worker restarts at once with the next incarnation.
 	"reboot": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Reboot(c.machine()) },
-	// notice m-000001 20s: the cloud takes the machine after that.
-	"notice": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Preempt(c.machine(), c.duration(1)) },
+	// preempt m-000001 20s: the cloud gives 20s of notice and then removes the machine.
+	"preempt": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Preempt(c.machine(), c.duration(1)) },
 }
 
 // applySetting applies a command about the settings; false: it is another one.
 func (r *traceRunner) applySetting(command traceCommand) bool {
 	r.t.Helper()
 	switch {
-	case command.verb == "teams" && len(command.args) > 0 && strings.HasPrefix(command.args[0], "one-shard"):
+	case command.verb == "teams" && len(command.args) > 0 && strings.HasPrefix(command.args[0], "shared-shard"):
 		r.config.Teams = teamsWithSharedShard()
-	case command.verb == "aim" && len(command.args) == 2: // aim CLASS SECONDS: its jobs are done within that
+	case command.verb == "slo" && len(command.args) == 2: // slo CLASS SECONDS: the target for finishing its jobs
 		within, err := strconv.ParseFloat(command.arg(1), 64)
 		if err != nil {
 			r.fail("%v", err)
@@ -127,8 +128,8 @@
 	spec.ResourceRequest.CPU = cluster.Amount(command.number("cpu", 1) * float64(cpu))
 	spec.Spot = command.isSet("spot")
 	spec.SubmittedAt = wallTime(r.simulator.Now)
-	if command.isSet("awaits") {
-		spec.Dependencies = []cluster.JobID{cluster.JobID(command.options["awaits"])}
+	if command.isSet("depends-on") {
+		spec.Dependencies = []cluster.JobID{cluster.JobID(command.options["depends-on"])}
 	}
 	job := newJob(spec, run)
 	if seconds := command.number("save", 0); seconds > 0 {
@@ -139,48 +140,49 @@
 		r.jobs[id] = job
 		r.simulator.Jobs[spec.ID] = job
 	}
-	command.node(3).SendRequest(submitRequest(job.Spec), r.writeAnswer("submits", id))
+	command.node(3).SendRequest(submitRequest(job.Spec), r.writeResponse("submits", id))
 }
 
-// writeAnswer writes the answer that a user gets to the trace, and checks it.
-func (r *traceRunner) writeAnswer(request, id string) func(messages.Respond) {
-	return func(answer messages.Respond) {
+// writeResponse returns a handler that writes a user's response to the trace and checks
+// the job status in it.
+func (r *traceRunner) writeResponse(request, id string) func(messages.Respond) {
+	return func(response messages.Respond) {
 		switch {
-		case answer.View != nil:
-			r.write(fmt.Sprintf("user %s %s: %d %s done %d running %d", request, id, answer.Status, answer.View.Status, answer.View.Done, answer.View.Running))
-		case answer.Status == 0:
-			r.write(fmt.Sprintf("user %s %s: no answer", request, id))
+		case response.View != nil:
+			r.write(fmt.Sprintf("user %s %s: %d %s done %d running %d", request, id, response.Status, response.View.Status, response.View.Done, response.View.Running))
+		case response.Status == 0:
+			r.write(fmt.Sprintf("user %s %s: no response", request, id))
 		default:
-			r.write(fmt.Sprintf("user %s %s: %d, again after %d s", request, id, answer.Status, answer.RetryAfter))
+			r.write(fmt.Sprintf("user %s %s: %d, retry after %d s", request, id, response.Status, response.RetryAfter))
 		}
-		if job := r.jobs[id]; job != nil && answer.View != nil {
+		if job := r.jobs[id]; job != nil && response.View != nil {
 			job.Accepted = true
-			r.simulator.Users.CheckReportedStatus(job, answer.View.Status)
+			r.simulator.Users.CheckReportedStatus(job, response.View.Status)
 		}
 	}
 }
 
-// flood: flood 50 red via n0 priority=1 has users submit many jobs at once, and
-// writes how many got which answer.
-func (r *traceRunner) flood(command traceCommand) {
+// submitBurst: burst 50 red via n0 priority=1 submits many jobs at once, and writes the
+// number of responses by status.
+func (r *traceRunner) submitBurst(command traceCommand) {
 	const (
-		answersAfter = 3500 * millisecond
-		run          = 500 * second
+		responseTimeout = 3500 * millisecond
+		run             = 500 * second
 	)
 	priority := command.number("priority", 1)
-	answers := map[string]int{}
+	responses := map[string]int{}
 	for i := range command.count(0) {
 		spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-%v%05d", priority, i)), command.arg(1), 1, run)
 		spec.Priority = cluster.Priority(priority)
 		r.simulator.Jobs[spec.ID] = newJob(spec, run)
-		command.node(3).SendRequest(submitRequest(spec), func(answer messages.Respond) { answers[fmt.Sprint(answer.Status)]++ })
+		command.node(3).SendRequest(submitRequest(spec), func(response messages.Respond) { responses[fmt.Sprint(response.Status)]++ })
 	}
-	r.simulator.After(answersAfter, func() { r.write(fmt.Sprintf("users of priority %v: %v", priority, answers)) })
+	r.simulator.After(responseTimeout, func() { r.write(fmt.Sprintf("users of priority %v: %v", priority, responses)) })
 }
 
-// stream: stream red via n0 every=4s for=60s tasks=1 run=10 has users submit small
-// jobs again and again.
-func (r *traceRunner) stream(command traceCommand) {
+// submitStream: stream red via n0 every=4s for=60s tasks=1 run=10 submits small jobs at
+// a fixed interval.
+func (r *traceRunner) submitStream(command traceCommand) {
 	interval, left := command.durationOption("every"), command.durationOption("for")
 	run, tasks := command.runDuration(), int(command.number("tasks", 1))
 	count := 0
@@ -203,7 +205,7 @@
 // query: query j-000001 via n0.
 func (r *traceRunner) query(command traceCommand) {
 	id := command.arg(0)
-	command.node(2).SendRequest(queryRequest(cluster.JobID(id)), r.writeAnswer("asks for", id))
+	command.node(2).SendRequest(queryRequest(cluster.JobID(id)), r.writeResponse("queries", id))
 }
 
 // cancel: cancel j-000001 via n0.
@@ -212,7 +214,7 @@
 	if job := r.jobs[id]; job != nil {
 		job.CancelRequested = true
 	}
-	command.node(2).SendRequest(cancelRequest(cluster.JobID(id)), r.writeAnswer("cancels", id))
+	command.node(2).SendRequest(cancelRequest(cluster.JobID(id)), r.writeResponse("cancels", id))
 }
 
 // corruptMachineGroup: corrupt m-000001 makes the record that lists a machine
@@ -225,7 +227,7 @@
 	}
 }
 
-// partitionNode: cut n0 store 10s partitions a controller from the store, the workers or
+// partitionNode: partition n0 store 10s partitions a controller from the store, the workers or
 // the peers; from the "servers", which leaves it its workers; or from "all".
 func (r *traceRunner) partitionNode(command traceCommand) {
 	node, until := command.node(0), r.until(command.duration(2))
@@ -241,12 +243,12 @@
 	case "all":
 		node.StorePartitionedUntil, node.WorkersPartitionedUntil, node.PeersPartitionedUntil = until, until, until
 	default:
-		r.fail("cut from %q", from)
+		r.fail("can't partition a controller from %q", from)
 	}
 }
 
-// pauseNodes: freeze n0 20s, or freeze all 20s, pauses processes while their clocks
-// run on.
+// pauseNodes: pause n0 20s, or pause all 20s, pauses processes while their clocks
+// continue.
 func (r *traceRunner) pauseNodes(command traceCommand) {
 	name := command.arg(0)
 	for _, node := range r.simulator.Nodes {
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -15,7 +15,7 @@
 	"stairrelay/internal/simulation"
 )
 
-var updateGolden = flag.Bool("update", false, "write the traces of testdata/stories anew")
+var updateGolden = flag.Bool("update", false, "write the traces of testdata/traces anew")
 
 // minTraces is how many traces there are at least.
 const minTraces = 8
@@ -25,7 +25,7 @@
 // what the controllers and workers did. With -update the last are written anew:
 // read the difference before it is committed.
 func TestTraces(t *testing.T) {
-	files, err := filepath.Glob("testdata/stories/*.txt")
+	files, err := filepath.Glob("testdata/traces/*.txt")
 	if err != nil || len(files) < minTraces {
 		t.Fatalf("only %d traces: %v", len(files), err)
 	}
