--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -14,9 +14,9 @@
 
 const (
 	// waitStep is the simulated time between two checks of a condition.
-	waitStep = 2 * millisecond
+	pollInterval = 2 * millisecond
 	// cancelRetryPause is the time between two requests for a cancellation.
-	cancelRetryPause = 100 * millisecond
+	cancelRetryDelay = 100 * millisecond
 )
 
 // testCluster is a cluster without random faults, with some machines up.
@@ -103,7 +103,7 @@
 	c.t.Helper()
 	at := c.Now
 	for end := at + within; !holds(); c.RunUntil(at) {
-		at += waitStep
+		at += pollInterval
 		if at > end || len(c.Violations) > 0 {
 			c.t.Fatalf("not within %v: %s; violations: %v", time.Duration(within), what, c.Violations)
 		}
@@ -111,7 +111,7 @@
 }
 
 // cancelAt requests a job's cancellation of one controller until it is confirmed.
-func (c *testCluster) cancelAt(node *simulation.Node, job *simulation.Job) {
+func (c *testCluster) cancelVia(node *simulation.Node, job *simulation.Job) {
 	c.t.Helper()
 	job.CancelRequested = true
 	var request func()
@@ -120,7 +120,7 @@
 			if answer.Status == messages.ReplyOK {
 				c.Users.CheckReportedStatus(job, answer.View.Status)
 			} else if job.CancelConfirmedAt == 0 {
-				c.After(cancelRetryPause, request)
+				c.After(cancelRetryDelay, request)
 			}
 		})
 	}
--- a/internal/controller/combined_faults_test.go
+++ b/internal/controller/combined_faults_test.go
@@ -31,7 +31,7 @@
 func planCombinedFaults(sim *simulation.Simulator, until, cancelDeadline cluster.Time) {
 	faults := combinedFaults(cancelDeadline)
 	for range combinedFaultsPerDay {
-		at := sim.RandomBetween(5*second, until-longestFault)
+		at := sim.RandomBetween(5*second, until-maxFaultDuration)
 		duration := sim.RandomBetween(5*second, 30*second)
 		planFault(sim, faults[sim.Rand.IntN(len(faults))], at, duration)
 	}
@@ -68,7 +68,7 @@
 }
 
 func crashAllInOutage(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
-	outage := min(duration, longestOutage)
+	outage := min(duration, maxOutageDuration)
 	sim.Store.DownUntil = sim.Now + outage
 	sim.After(outage/2, func() { crashAll(sim) })
 	sim.FaultCounts[faultAllNodesKilledInOutage]++
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -130,8 +130,8 @@
 }
 
 // respondError responds at once that a request can't be served, and why.
-func (c *Controller) respondError(request messages.RequestID, status messages.ReplyStatus, why string) {
-	c.loop.Emit(messages.Respond{Request: request, Status: status, Error: why})
+func (c *Controller) respondError(request messages.RequestID, status messages.ReplyStatus, reason string) {
+	c.loop.Emit(messages.Respond{Request: request, Status: status, Error: reason})
 }
 
 // startLoops starts everything that runs on its own.
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -65,17 +65,17 @@
 }
 
 func newControllerHarness() *controllerHarness {
-	return newPreparedHarness(func(*Controller) {})
+	return newHarnessWithSetup(func(*Controller) {})
 }
 
 // newHarnessWithKnownPeers is a harness whose peers' present processes were first
 // heard of at 50 s, before its shards were last confirmed. They have answered no
 // ping yet.
 func newHarnessWithKnownPeers() *controllerHarness {
-	return newPreparedHarness(func(c *Controller) {
+	return newHarnessWithSetup(func(c *Controller) {
 		setTime(c, 50*second)
 		for _, peer := range c.members.Peers() {
-			if err := c.members.HandlePing(peer, &messages.Ping{InstanceID: knownInstance(peer.ID())}); err != nil {
+			if err := c.members.HandlePing(peer, &messages.Ping{InstanceID: peerInstanceID(peer.ID())}); err != nil {
 				panic(err)
 			}
 		}
@@ -83,14 +83,14 @@
 }
 
 // knownInstance is the present process of a peer of newHarnessWithKnownPeers.
-func knownInstance(id cluster.NodeID) string { return "boot-" + string(id) }
+func peerInstanceID(id cluster.NodeID) string { return "boot-" + string(id) }
 
 // newPreparedHarness is a harness at 100 s, prepared before that.
-func newPreparedHarness(prepare func(*Controller)) *controllerHarness {
+func newHarnessWithSetup(setup func(*Controller)) *controllerHarness {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, InstanceID: "b0", HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 1000, WriteRPS: 1000, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
 	c.state.MachineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
-	prepare(c)
+	setup(c)
 	setTime(c, 100*second)
 	c.jobs.AdmissionRecords.ApplyAll(nil, 0)
 	b := &controllerHarness{Controller: c, store: &testStore{keys: map[string]messages.KV{}, revision: 30}, losesReply: func(messages.StoreTxn) bool { return false }}
@@ -115,13 +115,13 @@
 		b.loop.RunTimers()
 		b.writeQueue.Dispatch()
 		for _, effect := range takeEffects(b.Controller) {
-			b.carryOut(effect)
+			b.handleEffect(effect)
 		}
 	}
 }
 
 // carryOut keeps a response, and replies to a request of the store.
-func (b *controllerHarness) carryOut(effect messages.Effect) {
+func (b *controllerHarness) handleEffect(effect messages.Effect) {
 	switch effect := effect.(type) {
 	case messages.StoreTxn:
 		b.sentTransactions = append(b.sentTransactions, effect)
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -30,9 +30,9 @@
 
 // The days that are recorded besides the kept traces.
 const (
-	recordedRandomDays  = 8
-	recordedSevenDays   = 3
-	recordedUpgradeDays = 4
+	randomFaultSeeds = 8
+	sevenNodeSeeds   = 3
+	upgradeSeeds     = 4
 )
 
 // TestDecisions compares every effect of a fixed set of simulated runs, in its
@@ -76,19 +76,19 @@
 }
 
 func (r *decisionRecorder) recordAll(t *testing.T) {
-	for seed := 1; seed <= recordedRandomDays; seed++ {
+	for seed := 1; seed <= randomFaultSeeds; seed++ {
 		r.record(t, "random-"+strconv.Itoa(seed), func(t *testing.T, observed simulation.Option) {
 			t.Helper()
-			simulateDay(t, uint64(seed), testConfig(), observed)
+			simulateRandomFaults(t, uint64(seed), testConfig(), observed)
 		})
 	}
-	for seed := 1; seed <= recordedSevenDays; seed++ {
+	for seed := 1; seed <= sevenNodeSeeds; seed++ {
 		r.record(t, "seven-"+strconv.Itoa(seed), func(t *testing.T, observed simulation.Option) {
 			t.Helper()
-			simulateDay(t, uint64(seed), sevenNodeConfig(), observed)
+			simulateRandomFaults(t, uint64(seed), sevenNodeConfig(), observed)
 		})
 	}
-	for seed := 1; seed <= recordedUpgradeDays; seed++ {
+	for seed := 1; seed <= upgradeSeeds; seed++ {
 		r.record(t, "upgrade-"+strconv.Itoa(seed), func(t *testing.T, observed simulation.Option) {
 			t.Helper()
 			simulateUpgrade(t, uint64(seed), observed)
@@ -112,12 +112,12 @@
 }
 
 // record plays a run beside the others and keeps its digest.
-func (r *decisionRecorder) record(t *testing.T, name string, play func(*testing.T, simulation.Option)) {
+func (r *decisionRecorder) record(t *testing.T, name string, run func(*testing.T, simulation.Option)) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
 		digest := newDecisionDigest(t, name)
-		play(t, simulation.ObserveEffects(digest.add))
+		run(t, simulation.ObserveEffects(digest.add))
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.digests[name] = digest.String()
@@ -162,8 +162,8 @@
 
 // add takes in the next effect.
 func (d *decisionDigest) add(now cluster.Time, node cluster.NodeID, effect messages.Effect) {
-	text, decided := d.encode(effect)
-	if !decided {
+	text, isDecision := d.encode(effect)
+	if !isDecision {
 		return
 	}
 	d.effects++
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -120,7 +120,7 @@
 	c := newIdleCluster(t, 3)
 	first := c.submitDependent("j-100000", "red", 600*second)
 	chain := c.submitChain(first, chainLength, second)
-	c.cancelAt(c.Nodes[2], first)
+	c.cancelVia(c.Nodes[2], first)
 	c.RunUntil(first.CancelConfirmedAt + c.config.CancelDeadline - 2*second)
 	for _, job := range chain {
 		c.checkCancelledEverywhere(job)
@@ -249,7 +249,7 @@
 // accepted and cancelled.
 func TestDependentOfCancelledJobCancelled(t *testing.T) {
 	c := newTestCluster(t, 2)
-	c.cancelAt(c.Nodes[1], c.longJob)
+	c.cancelVia(c.Nodes[1], c.longJob)
 	for i, node := range c.Nodes {
 		for k, team := range testTeams {
 			job := c.newDependent(cluster.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, second, "j-000001")
@@ -280,7 +280,7 @@
 				other = c.Nodes[2]
 			}
 			partitioned.PeersRefuseUntil = c.Now + 4*second
-			c.cancelAt(other, c.longJob)
+			c.cancelVia(other, c.longJob)
 			for range 10 {
 				c.checkNotCalledUnfinished(partitioned, dependent)
 				c.checkNotCalledUnfinished(partitioned, transitive)
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -60,7 +60,7 @@
 
 // OwnedMachines counts the machines that are up in the shards owned here, and those
 // of them whose workers have acknowledged their fencing tokens.
-func (c *Controller) OwnedMachines() (acknowledged, up int) {
+func (c *Controller) OwnedMachineCounts() (acknowledged, up int) {
 	for _, machine := range c.state.Machines {
 		if machine.Booting {
 			continue
@@ -74,18 +74,18 @@
 }
 
 // StalledShards counts the shards without progress.
-func (c *Controller) StalledShards() int { return c.stalledShardCount() }
+func (c *Controller) StalledShardCount() int { return c.stalledShardCount() }
 
 // Work is what a controller has counted since the last periodic log line.
-type Work struct {
+type WorkCounts struct {
 	MachineScans int
 	Puts         int
 	PeerCalls    int
 }
 
 // Work returns the counters since the last periodic log line.
-func (c *Controller) Work() Work {
-	return Work{
+func (c *Controller) WorkCounts() WorkCounts {
+	return WorkCounts{
 		MachineScans: c.counters.MachineScans,
 		Puts:         c.writeQueue.Counters().Puts,
 		PeerCalls:    c.members.CallCount(),
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -10,10 +10,10 @@
 
 const (
 	// singleFaultsPerDay is how many of the single faults a day has.
-	singleFaultsPerDay = 18
+	singleFaultsPerRun = 18
 	// longestOutage is how long the store is down at the most in the single faults;
 	// longer outages are a combined fault.
-	longestOutage = 20 * second
+	maxOutageDuration = 20 * second
 	// restartDelay is how long a crashed controller takes to be back.
 	restartDelay = 6 * second
 )
@@ -45,7 +45,7 @@
 	}},
 	{"partitioned from everything", partitionFromAll},
 	{"the store is down", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
-		sim.Store.DownUntil = sim.Now + min(duration, longestOutage)
+		sim.Store.DownUntil = sim.Now + min(duration, maxOutageDuration)
 	}},
 	{"machines hang", onTwoMachines((*simulation.Machines).Hang)},
 	{"machines partitioned while the cloud is down", partitionMachinesWithoutCloud},
@@ -78,9 +78,9 @@
 
 // planSingleFaults plans faults that come one at a time.
 func planSingleFaults(sim *simulation.Simulator, until cluster.Time) {
-	for range singleFaultsPerDay {
-		at := sim.RandomBetween(5*second, until-longestFault)
-		duration := sim.RandomBetween(second, longestFault)
+	for range singleFaultsPerRun {
+		at := sim.RandomBetween(5*second, until-maxFaultDuration)
+		duration := sim.RandomBetween(second, maxFaultDuration)
 		planFault(sim, singleFaults[sim.Rand.IntN(len(singleFaults))], at, duration)
 	}
 }
@@ -133,10 +133,10 @@
 }
 
 // onTwoMachines is a fault of two machines.
-func onTwoMachines(begin func(*simulation.Machines, cluster.MachineID, cluster.Time)) func(*simulation.Simulator, *simulation.Node, cluster.Time) {
+func onTwoMachines(inject func(*simulation.Machines, cluster.MachineID, cluster.Time)) func(*simulation.Simulator, *simulation.Node, cluster.Time) {
 	return func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
-		begin(sim.Machines, sim.Machines.Random(), duration)
-		begin(sim.Machines, sim.Machines.Random(), duration)
+		inject(sim.Machines, sim.Machines.Random(), duration)
+		inject(sim.Machines, sim.Machines.Random(), duration)
 	}
 }
 
@@ -164,13 +164,13 @@
 
 // restartTwice restarts all controllers at once, and one of them again while they
 // acquire their shards.
-func restartTwice(sim *simulation.Simulator, again *simulation.Node, _ cluster.Time) {
+func restartTwice(sim *simulation.Simulator, twice *simulation.Node, _ cluster.Time) {
 	for _, node := range sim.Nodes {
 		restart(sim, node, sim.RandomBetween(second/20, second/2))
 	}
 	sim.After(sim.RandomBetween(second/20, second), func() {
 		sim.FaultCounts[faultNodeKilledInRestart]++
-		restart(sim, again, sim.RandomBetween(second/20, second/2))
+		restart(sim, twice, sim.RandomBetween(second/20, second/2))
 	})
 }
 
@@ -189,6 +189,6 @@
 			sim.After(sim.RandomBetween(0, second), func() { crash(sim, node) })
 		}
 	case 1:
-		sim.Store.DownUntil = sim.Now + min(duration, longestOutage)
+		sim.Store.DownUntil = sim.Now + min(duration, maxOutageDuration)
 	}
 }
--- a/internal/controller/hung_machine_test.go
+++ b/internal/controller/hung_machine_test.go
@@ -69,7 +69,7 @@
 			}
 			c := newTestClusterWithConfig(t, cfg, 1, 2)
 			c.hangMachinesOfJob(2 * cfg.CancelDeadline)
-			c.cancelAt(c.Nodes[1], c.longJob)
+			c.cancelVia(c.Nodes[1], c.longJob)
 			c.restartEachOwner(test.ownership)
 			c.RunUntil(c.longJob.CancelConfirmedAt + cfg.CancelDeadline)
 			if running := c.countRunningTasks(c.longJob); running > 0 {
@@ -86,7 +86,7 @@
 func TestHungMachineReleasedInOutage(t *testing.T) {
 	c := newTestCluster(t, 2)
 	c.hangMachinesOfJob(100 * second)
-	c.cancelAt(c.Nodes[1], c.longJob)
+	c.cancelVia(c.Nodes[1], c.longJob)
 	c.Store.DownUntil = c.Now + 80*second
 	if c.countRunningTasks(c.longJob) == 0 {
 		t.Fatal("the tasks are gone before the outage")
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -28,8 +28,8 @@
 		cfg.Nodes = append(cfg.Nodes, cluster.NodeID(fmt.Sprintf("n%d", i)))
 	}
 	for i := range fleetTeamCount {
-		most := cpu * cluster.Amount(machines)
-		cfg.Teams = append(cfg.Teams, testTeam(fmt.Sprintf("t%d", i), most/2, 2*most))
+		limit := cpu * cluster.Amount(machines)
+		cfg.Teams = append(cfg.Teams, testTeam(fmt.Sprintf("t%d", i), limit/2, 2*limit))
 	}
 	cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelDeadline = 5*second, 26*second, 56*second
 	cfg.StoreRPS, cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps, cfg.CloudRPS, cfg.CloudListLag = 250, 100, 8192, 16, 6, 10*second
@@ -58,7 +58,7 @@
 // acknowledged their fencing token.
 func (f *fleet) countOwnedMachines() (acknowledged, all int) {
 	for _, c := range f.Controllers() {
-		confirmed, owned := c.OwnedMachines()
+		confirmed, owned := c.OwnedMachineCounts()
 		acknowledged += confirmed
 		all += owned
 	}
@@ -69,20 +69,20 @@
 // how long that took.
 func (f *fleet) waitFor(what string, within cluster.Time, holds func() bool) cluster.Time {
 	f.t.Helper()
-	begin := f.Now
-	for at := begin; !holds(); f.RunUntil(at) {
-		if at += second / 4; at > begin+within || len(f.Violations) > 0 {
+	start := f.Now
+	for at := start; !holds(); f.RunUntil(at) {
+		if at += second / 4; at > start+within || len(f.Violations) > 0 {
 			acknowledged, all := f.countOwnedMachines()
 			f.t.Fatalf("not within %v: %s; of %d machines that are up %d are owned, %d acknowledged, %d jobs unfinished; violations: %v",
 				time.Duration(within), what, f.Machines.LiveCount(), all, acknowledged, f.UnfinishedJobCount(), f.Violations)
 		}
 	}
-	return f.Now - begin
+	return f.Now - start
 }
 
 // bootingAllowance is how many machines may have come up just now and not have sent
 // a heartbeat yet: some are provisioned beside those that were up at the start.
-const bootingAllowance = 10
+const maxBootingMachines = 10
 
 // waitForAllOwned runs until the machines that are up are owned and have acknowledged
 // their fencing tokens; they must still be most of the fleet.
@@ -90,7 +90,7 @@
 	f.t.Helper()
 	return f.waitFor("all machines acknowledge their fencing token", within, func() bool {
 		acknowledged, all := f.countOwnedMachines()
-		return acknowledged == all && all >= f.Machines.LiveCount()-bootingAllowance && all >= f.machineCount*9/10
+		return acknowledged == all && all >= f.Machines.LiveCount()-maxBootingMachines && all >= f.machineCount*9/10
 	})
 }
 
@@ -99,7 +99,7 @@
 	f.t.Helper()
 	took := f.waitFor("all jobs are done", within, func() bool { return f.UnfinishedJobCount() == 0 })
 	for _, c := range f.Controllers() {
-		if stalled := c.StalledShards(); stalled > 0 {
+		if stalled := c.StalledShardCount(); stalled > 0 {
 			f.t.Errorf("%d shards make no progress", stalled)
 		}
 		if mismatch := c.UsageMismatch(); mismatch != "" {
@@ -131,8 +131,8 @@
 		f.Store.DownUntil = f.Now + 10*second
 		f.RunUntil(f.Store.DownUntil)
 		recovered := f.waitForAllOwned(26 * second)
-		worked := f.waitForAllDone(120 * second)
-		t.Logf("registered in %v, all owned again %v after the outage, done %v later", time.Duration(registered), time.Duration(recovered), time.Duration(worked))
+		completed := f.waitForAllDone(120 * second)
+		t.Logf("registered in %v, all owned again %v after the outage, done %v later", time.Duration(registered), time.Duration(recovered), time.Duration(completed))
 	})
 	t.Run("all machines turn to the one controller that is left", func(t *testing.T) {
 		t.Parallel()
@@ -144,8 +144,8 @@
 			restart(f.Simulator, n, 60*second)
 		}
 		recovered := f.waitForAllOwned(40 * second)
-		worked := f.waitForAllDone(120 * second)
-		t.Logf("all owned after %v, done %v later", time.Duration(recovered), time.Duration(worked))
+		completed := f.waitForAllDone(120 * second)
+		t.Logf("all owned after %v, done %v later", time.Duration(recovered), time.Duration(completed))
 	})
 	t.Run("a zone with a third of the machines partitioned and back", func(t *testing.T) {
 		t.Parallel()
@@ -156,7 +156,7 @@
 		f.Machines.PartitionZone("a", 20*second) // within the lease: the tasks there go on
 		f.RunUntil(f.Now + 20*second)
 		recovered := f.waitForAllOwned(20 * second)
-		worked := f.waitForAllDone(120 * second)
-		t.Logf("all owned %v after the zone was back, done %v later", time.Duration(recovered), time.Duration(worked))
+		completed := f.waitForAllDone(120 * second)
+		t.Logf("all owned %v after the zone was back, done %v later", time.Duration(recovered), time.Duration(completed))
 	})
 }
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -10,7 +10,7 @@
 // answerProbe lets a peer of newHarnessWithKnownPeers answer a ping that was sent now
 // with the latest term that it knows of shard 0.
 func answerProbe(b *controllerHarness, id cluster.NodeID, term cluster.Term) {
-	ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{term, 1, 1}}
+	ping := &messages.Ping{InstanceID: peerInstanceID(id), KnownTerms: []cluster.Term{term, 1, 1}}
 	b.members.HandlePingReply(b.members.Peer(id), ping, b.loop.Now())
 }
 
--- a/internal/controller/machine_bytes_test.go
+++ b/internal/controller/machine_bytes_test.go
@@ -17,7 +17,7 @@
 		b.Run(fmt.Sprintf("%d-machines", machines), func(b *testing.B) {
 			for range b.N {
 				before := heapBytes()
-				c := controllerWithMachines(machines)
+				c := newHarnessWithMachines(machines)
 				b.ReportMetric(float64(heapBytes()-before)/float64(machines), "bytes/machine")
 				runtime.KeepAlive(c)
 			}
@@ -34,7 +34,7 @@
 
 // controllerWithMachines is a controller that owns so many machines, each with three
 // tasks of one of many jobs.
-func controllerWithMachines(machines int) *controllerHarness {
+func newHarnessWithMachines(machines int) *controllerHarness {
 	const groupSize, tasks = 51, 3
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
--- a/internal/controller/ownership_gap_test.go
+++ b/internal/controller/ownership_gap_test.go
@@ -24,7 +24,7 @@
 			third.StoreRefusesUntil = c.Now + 20*second // else it reads of the acquisition and notifies the former owner
 			c.waitFor("acquired by the next", 10*second, func() bool { return c.longJobOwner() == next.ID })
 			next.WorkersPartitionedUntil, next.PeersPartitionedUntil = c.Now+300*second, c.Now+300*second
-			c.cancelAt(next, c.longJob)
+			c.cancelVia(next, c.longJob)
 			next.Kill()
 			c.Store.DownUntil = c.Now + 80*second
 			next.PeersPartitionedUntil = 0
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -61,18 +61,18 @@
 	},
 	{
 		name: "an older release", n2Answered: answeredAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, knownInstance("n2")) },
+		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, peerInstanceID("n2")) },
 		owned:   true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
 	},
 	{
 		name: "a later term", n2Answered: answeredAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, knownInstance("n2"), 2, 1, 1) },
+		prepare: func(b *controllerHarness, n2 *membership.Peer) { answerPing(b, n2, peerInstanceID("n2"), 2, 1, 1) },
 		owned:   false,
 	},
 	{
 		name: "its own ping only", n2Answered: storeConfirmedAt,
 		prepare: func(b *controllerHarness, n2 *membership.Peer) {
-			b.receivePing(n2, &messages.Ping{InstanceID: knownInstance("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
+			b.receivePing(n2, &messages.Ping{InstanceID: peerInstanceID("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
 		},
 		owned: true, confirmed: storeConfirmedAt, mayAnswer: false, mayStart: false,
 	},
@@ -90,7 +90,7 @@
 	setTime(b.Controller, answeredAt)
 	for id, sentAt := range map[cluster.NodeID]cluster.Time{"n1": answeredAt, "n2": test.n2Answered} {
 		if sentAt > 0 {
-			ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{1, 1, 1}}
+			ping := &messages.Ping{InstanceID: peerInstanceID(id), KnownTerms: []cluster.Term{1, 1, 1}}
 			b.members.HandlePingReply(b.members.Peer(id), ping, sentAt)
 		}
 	}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -170,8 +170,8 @@
 func TestRecordsMatchProductionEncoding(t *testing.T) {
 	bitmapSeen := map[bool]bool{}
 	for key, old := range loadProductionRecords(t) {
-		if again := reencode(t, key, old); !bytes.Equal(again, old) {
-			t.Errorf("%s: wrote %.300s, was %.300s", key, again, old)
+		if reencoded := reencode(t, key, old); !bytes.Equal(reencoded, old) {
+			t.Errorf("%s: wrote %.300s, was %.300s", key, reencoded, old)
 		}
 		if !strings.HasPrefix(key, "jobs/") {
 			continue
@@ -244,9 +244,9 @@
 	taskStates := make([]uint8, min(record.Spec.Tasks, state.TasksPerChunk))
 	state.DecodeCompleted(record.CompletedIndexes, len(taskStates), func(i int) { taskStates[i] = state.TaskCompletionStored })
 	encoded, fits := state.EncodeCompleted(taskStates, 1<<20)
-	again := make([]uint8, len(taskStates))
-	valid := state.DecodeCompleted(encoded, len(taskStates), func(i int) { again[i] = state.TaskCompletionStored })
-	if fits != len(taskStates) || !productionOutcomes.MatchString(encoded) || !valid || !bytes.Equal(again, taskStates) {
+	decoded := make([]uint8, len(taskStates))
+	valid := state.DecodeCompleted(encoded, len(taskStates), func(i int) { decoded[i] = state.TaskCompletionStored })
+	if fits != len(taskStates) || !productionOutcomes.MatchString(encoded) || !valid || !bytes.Equal(decoded, taskStates) {
 		t.Errorf("%s: outcomes %.80s, were %.80s", key, encoded, record.CompletedIndexes)
 	}
 }
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -40,10 +40,10 @@
 
 // recordShardProgress counts the checkpoints without progress, and logs each time that
 // there were too many.
-func (c *Controller) recordShardProgress(shard *state.Shard, why stallReason) {
+func (c *Controller) recordShardProgress(shard *state.Shard, reason stallReason) {
 	progress := &c.progress[shard.ID]
 	progress.plannedStarts, progress.storedTransactions = shard.PlannedStarts, shard.StoredTransactions
-	if why == stallNone {
+	if reason == stallNone {
 		progress.stalledCheckpoints = 0
 		return
 	}
@@ -52,7 +52,7 @@
 	}
 	c.loop.Log(messages.LogInfo, "shard makes no progress",
 		"shard", int(shard.ID),
-		"reason", string(why),
+		"reason", string(reason),
 		"checkpoints", progress.stalledCheckpoints,
 		"owner", string(shard.Owner),
 		"acquiring", shard.Acquiring)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -17,17 +17,17 @@
 	// faultPeriod is how long a simulated day has new faults.
 	faultPeriod = 240 * second
 	// longestFault is how long a fault goes on after it has begun.
-	longestFault = 40 * second
+	maxFaultDuration = 40 * second
 	// workPeriod is how long after the faults all work should be done. The least
 	// important work of a team at its quota limit takes some eight minutes where
 	// half of the machines were removed more than once.
-	workPeriod = 540 * second
+	completionTimeout = 540 * second
 	// maxStartDelay is how long the largest job of a class may wait for its start.
 	maxStartDelay = 240 * second
 )
 
 // randomDayFaults are the kinds of faults that the random days must have.
-var randomDayFaults = []simulation.FaultKind{
+var requiredRandomFaults = []simulation.FaultKind{
 	simulation.FaultCommandToUnreachableMachine,
 	simulation.FaultAnswerToUnreachableMachine,
 	simulation.FaultDuplicateHeartbeat,
@@ -79,16 +79,16 @@
 	t.Run("seeds", func(t *testing.T) {
 		forEachSeed(t, from, to, func(t *testing.T, seed uint64) {
 			t.Helper()
-			seen.add(simulateDay(t, seed, testConfig()))
+			seen.add(simulateRandomFaults(t, seed, testConfig()))
 		})
 	})
 	t.Run("seven", func(t *testing.T) {
 		forEachSeed(t, from, from+(to-from)/2, func(t *testing.T, seed uint64) {
 			t.Helper()
-			simulateDay(t, seed, sevenNodeConfig())
+			simulateRandomFaults(t, seed, sevenNodeConfig())
 		})
 	})
-	seen.check(t, randomDayFaults, to-from >= 20)
+	seen.check(t, requiredRandomFaults, to-from >= 20)
 	// They are allowed within the time for a cancellation, but cost work.
 	t.Logf("%s: %d", simulation.FaultStartAfterCancel, seen.counts[simulation.FaultStartAfterCancel])
 }
@@ -147,7 +147,7 @@
 
 // simulateDay runs a day with faults of all kinds and returns how often each took
 // effect.
-func simulateDay(t *testing.T, seed uint64, cfg controller.Config, options ...simulation.Option) map[simulation.FaultKind]int {
+func simulateRandomFaults(t *testing.T, seed uint64, cfg controller.Config, options ...simulation.Option) map[simulation.FaultKind]int {
 	t.Helper()
 	sim := newSimulator(seed, cfg, options...)
 	if len(cfg.Nodes) == 3 { // else no machine is up at the start
@@ -186,8 +186,8 @@
 	}
 	plan(teams, faultPeriod)
 	checkUsageSums(t, sim)
-	sim.FaultsOverAt = faultPeriod + longestFault
-	sim.RunUntil(faultPeriod + workPeriod)
+	sim.FaultsOverAt = faultPeriod + maxFaultDuration
+	sim.RunUntil(faultPeriod + completionTimeout)
 	for _, violation := range sim.Violations {
 		t.Error(violation)
 	}
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -27,7 +27,7 @@
 		if i < initialJobCount {
 			at = sim.RandomBetween(0, 3*second)
 		}
-		job := drawJob(sim, teams, i)
+		job := randomJob(sim, teams, i)
 		sim.After(at, func() { sim.Users.Submit(job) })
 		if sim.Chance(0.2) {
 			job.CancelPlanned = true
@@ -40,7 +40,7 @@
 }
 
 // drawJob draws the job of a number.
-func drawJob(sim *simulation.Simulator, teams []string, number int) *simulation.Job {
+func randomJob(sim *simulation.Simulator, teams []string, number int) *simulation.Job {
 	run := sim.RandomBetween(3*second, 30*second)
 	tasks := 1 + sim.Rand.IntN(9)
 	if number%longJobInterval == 4 {
@@ -66,12 +66,12 @@
 		job.Info.CanCheckpoint = true
 		job.Info.SaveDuration = 2 * second
 	}
-	drawPlacement(sim, &job.Spec)
+	setRandomPlacement(sim, &job.Spec)
 	return job
 }
 
 // drawPlacement draws where the tasks of a job may run.
-func drawPlacement(sim *simulation.Simulator, spec *cluster.JobSpec) {
+func setRandomPlacement(sim *simulation.Simulator, spec *cluster.JobSpec) {
 	switch sim.Rand.IntN(8) {
 	case 0:
 		spec.Colocate = true
@@ -103,12 +103,12 @@
 // plan plans a pipeline that begins at a time.
 func (p *pipelinePlanner) plan(at cluster.Time) {
 	sim := p.sim
-	jobs := p.drawPipeline()
+	jobs := p.randomPipeline()
 	first, last := jobs[0], jobs[len(jobs)-1]
-	late := sim.Chance(0.25)
+	submitLastLate := sim.Chance(0.25)
 	sim.After(at, func() { sim.Users.Submit(first) })
 	for _, job := range jobs[1:] {
-		sim.After(at, func() { sim.Users.SubmitAfterDependencies(job, late && job == last) })
+		sim.After(at, func() { sim.Users.SubmitAfterDependencies(job, submitLastLate && job == last) })
 	}
 	if !sim.Chance(0.5) {
 		return
@@ -124,22 +124,22 @@
 
 // drawPipeline draws a pipeline: one job, some that depend on it, one that depends
 // on these, and one that depends on that and on the first.
-func (p *pipelinePlanner) drawPipeline() []*simulation.Job {
-	first := p.drawJob()
+func (p *pipelinePlanner) randomPipeline() []*simulation.Job {
+	first := p.randomJob()
 	jobs := []*simulation.Job{first}
-	var fan []cluster.JobID
+	var parallel []cluster.JobID
 	for range 1 + p.sim.Rand.IntN(3) {
-		job := p.drawJob(first.Spec.ID)
+		job := p.randomJob(first.Spec.ID)
 		jobs = append(jobs, job)
-		fan = append(fan, job.Spec.ID)
+		parallel = append(parallel, job.Spec.ID)
 	}
-	middle := p.drawJob(fan...)
-	last := p.drawJob(middle.Spec.ID, first.Spec.ID)
+	middle := p.randomJob(parallel...)
+	last := p.randomJob(middle.Spec.ID, first.Spec.ID)
 	return append(jobs, middle, last)
 }
 
 // drawJob draws a job of a pipeline.
-func (p *pipelinePlanner) drawJob(dependencies ...cluster.JobID) *simulation.Job {
+func (p *pipelinePlanner) randomJob(dependencies ...cluster.JobID) *simulation.Job {
 	sim := p.sim
 	p.jobCount++
 	run := sim.RandomBetween(2*second, 12*second)
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -40,13 +40,13 @@
 
 // isolationThreshold is the least time after which a controller may count as
 // isolated.
-const isolationThreshold = 10 * second
+const minIsolationTime = 10 * second
 
 // isIsolated tells whether this controller has had neither the state service nor any
 // other controller for so long that another may own its shards.
 func (c *Controller) isIsolated() bool {
-	patience := max(c.config.WorkerLease, isolationThreshold)
-	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(patience) && !c.members.HasAnswerWithin(patience)
+	threshold := max(c.config.WorkerLease, minIsolationTime)
+	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(threshold) && !c.members.HasAnswerWithin(threshold)
 }
 
 // runtimes shows the reconciler how long tasks run.
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -9,7 +9,7 @@
 )
 
 // loadRetryPause is the pause after a shard's records could not be read.
-const loadRetryPause = second / 3
+const loadRetryDelay = second / 3
 
 // shardLoad reads the records of a shard that was just acquired. They come first;
 // what the workers say is compared with them afterwards.
@@ -42,7 +42,7 @@
 			return
 		}
 		if reply.Outcome != messages.OK {
-			l.controller.loop.After(loadRetryPause, func() { l.read(prefix, result) })
+			l.controller.loop.After(loadRetryDelay, func() { l.read(prefix, result) })
 			return
 		}
 		*result = &reply
--- a/internal/controller/simulator_setup_test.go
+++ b/internal/controller/simulator_setup_test.go
@@ -88,12 +88,12 @@
 		capacity[simulation.CapacityKey("small", zone, true)] = 3
 		capacity[simulation.CapacityKey("small", zone, false)] = 2
 	}
-	return simulation.NewFakeCloud(types, capacity, func() cluster.Time { return drawBootDuration(simulator()) })
+	return simulation.NewFakeCloud(types, capacity, func() cluster.Time { return randomBootDuration(simulator()) })
 }
 
 // drawBootDuration draws how long a machine takes to boot; one in ten takes
 // unusually long, or hardly any time.
-func drawBootDuration(sim *simulation.Simulator) cluster.Time {
+func randomBootDuration(sim *simulation.Simulator) cluster.Time {
 	switch {
 	case sim.Machines.HasFastBoots():
 		return sim.RandomBetween(second, 2*second)
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -216,11 +216,11 @@
 }
 
 // number is an option that is a number; without it a default.
-func (c traceCommand) number(name string, byDefault float64) float64 {
+func (c traceCommand) number(name string, defaultValue float64) float64 {
 	c.runner.t.Helper()
 	text, given := c.options[name]
 	if !given {
-		return byDefault
+		return defaultValue
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil {
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -19,7 +19,7 @@
 }
 
 // upgradeFaults are the kinds of faults that the upgrades must have.
-var upgradeFaults = []simulation.FaultKind{
+var requiredUpgradeFaults = []simulation.FaultKind{
 	simulation.FaultNodeUpgraded,
 	faultOldNodeRestarted,
 	faultOldNodeKilledAtAcquire,
@@ -46,7 +46,7 @@
 			seen.add(simulateUpgrade(t, seed))
 		})
 	})
-	seen.check(t, upgradeFaults, to-from >= 10)
+	seen.check(t, requiredUpgradeFaults, to-from >= 10)
 }
 
 // simulateUpgrade runs a day with an upgrade and returns how often each fault took
@@ -82,29 +82,29 @@
 	for _, index := range order[1:] {
 		rest = append(rest, sim.Nodes[index])
 	}
-	begin := sim.RandomBetween(20*second, 60*second)
-	sim.After(begin, func() { first.Upgrade(6 * second) })
-	planOldNodeCrashes(sim, rest, begin)
-	last := begin + sim.RandomBetween(40*second, 70*second)
-	planOldNodePartition(sim, rest[1], begin, last)
-	sim.After(last, func() {
+	firstUpgradeAt := sim.RandomBetween(20*second, 60*second)
+	sim.After(firstUpgradeAt, func() { first.Upgrade(6 * second) })
+	planOldNodeCrashes(sim, rest, firstUpgradeAt)
+	restUpgradeAt := firstUpgradeAt + sim.RandomBetween(40*second, 70*second)
+	planOldNodePartition(sim, rest[1], firstUpgradeAt, restUpgradeAt)
+	sim.After(restUpgradeAt, func() {
 		sim.FaultCounts[faultUpgradedTogether]++
 		for _, node := range rest {
 			node.Upgrade(sim.RandomBetween(5*second, 8*second))
 		}
 	})
-	sim.After(last+sim.RandomBetween(0, 60*second), sim.LowerStoreLimits)
+	sim.After(restUpgradeAt+sim.RandomBetween(0, 60*second), sim.LowerStoreLimits)
 }
 
 // planOldNodeCrashes crashes controllers that are not upgraded yet: one after the
 // upgrade has begun, and one within a second of the next change of a shard's
 // owner.
-func planOldNodeCrashes(sim *simulation.Simulator, old []*simulation.Node, begin cluster.Time) {
-	sim.After(begin+sim.RandomBetween(second, 15*second), func() {
+func planOldNodeCrashes(sim *simulation.Simulator, old []*simulation.Node, firstUpgradeAt cluster.Time) {
+	sim.After(firstUpgradeAt+sim.RandomBetween(second, 15*second), func() {
 		sim.FaultCounts[faultOldNodeRestarted]++
 		restart(sim, old[0], sim.RandomBetween(second/10, 8*second))
 	})
-	sim.Failovers.OnShardAcquired(begin+60*second, func(cluster.NodeID) {
+	sim.Failovers.OnShardAcquired(firstUpgradeAt+60*second, func(cluster.NodeID) {
 		node := old[sim.Rand.IntN(len(old))]
 		sim.After(sim.RandomBetween(0, second), func() {
 			if node.Version == simulation.ProductionVersion {
@@ -118,12 +118,12 @@
 // planOldNodePartition partitions a controller that is not upgraded yet from the
 // others. Those that start meanwhile do not hear of it, and it serves on with what
 // it knows.
-func planOldNodePartition(sim *simulation.Simulator, node *simulation.Node, begin, last cluster.Time) {
+func planOldNodePartition(sim *simulation.Simulator, node *simulation.Node, firstUpgradeAt, restUpgradeAt cluster.Time) {
 	if !sim.Chance(0.6) {
 		return
 	}
-	sim.After(begin-second, func() {
+	sim.After(firstUpgradeAt-second, func() {
 		sim.FaultCounts[faultOldNodePartitioned]++
-		node.PeersPartitionedUntil = sim.Now + sim.RandomBetween(20*second, last-begin)
+		node.PeersPartitionedUntil = sim.Now + sim.RandomBetween(20*second, restUpgradeAt-firstUpgradeAt)
 	})
 }
--- a/internal/controller/growth_test.go
+++ b/internal/controller/work_scaling_test.go
@@ -8,7 +8,7 @@
 )
 
 // fleetWork is what all controllers do for each machine and second.
-type fleetWork struct {
+type workRates struct {
 	scans     float64 // how often it is scanned
 	puts      float64
 	peerCalls float64
@@ -16,39 +16,41 @@
 }
 
 // measureWork runs a fleet under full load and counts what its controllers do.
-func measureWork(t *testing.T, machines int) fleetWork {
+func measureWorkRates(t *testing.T, machines int) workRates {
 	t.Helper()
 	const (
 		controllers = 3
-		settled     = 31 * second // the counters start anew each 30 s
-		measured    = 25 * second
+		warmup      = 31 * second // the counters start anew each 30 s
+		measurement = 25 * second
 	)
 	f := newFleet(t, controllers, machines)
 	// The write rate in proportion: what is counted is the work, not its limits.
 	f.StateService.Limits.WriteRPS = 0
 	f.waitForAllOwned(20 * second)
 	f.submitLoad(4*machines, 20*second)
-	f.RunUntil(settled)
+	f.RunUntil(warmup)
 	before, steps := f.sumCounters(), f.StepCount
-	f.RunUntil(settled + measured)
+	f.RunUntil(warmup + measurement)
 	after := f.sumCounters()
 	if len(f.Violations) > 0 {
 		t.Fatal(f.Violations)
 	}
-	each := func(count int) float64 { return float64(count) / float64(machines) / cluster.Time(measured).Seconds() }
-	return fleetWork{
-		scans:     each(after.MachineScans - before.MachineScans),
-		puts:      each(after.Puts - before.Puts),
-		peerCalls: each(after.PeerCalls - before.PeerCalls),
-		events:    each(f.StepCount - steps),
+	perMachineSecond := func(count int) float64 {
+		return float64(count) / float64(machines) / cluster.Time(measurement).Seconds()
+	}
+	return workRates{
+		scans:     perMachineSecond(after.MachineScans - before.MachineScans),
+		puts:      perMachineSecond(after.Puts - before.Puts),
+		peerCalls: perMachineSecond(after.PeerCalls - before.PeerCalls),
+		events:    perMachineSecond(f.StepCount - steps),
 	}
 }
 
 // sumCounters adds up what all controllers have counted.
-func (f *fleet) sumCounters() controller.Work {
-	var sum controller.Work
+func (f *fleet) sumCounters() controller.WorkCounts {
+	var sum controller.WorkCounts
 	for _, c := range f.Controllers() {
-		counts := c.Work()
+		counts := c.WorkCounts()
 		sum.MachineScans += counts.MachineScans
 		sum.Puts += counts.Puts
 		sum.PeerCalls += counts.PeerCalls
@@ -61,8 +63,8 @@
 // interval of their own, so that each machine is scanned as often a second in
 // either fleet; an event that began a scan by itself would have each machine
 // scanned eight times as often.
-func TestWorkGrowsWithFleet(t *testing.T) {
-	small, large := measureWork(t, 500), measureWork(t, 4000)
+func TestWorkScalesLinearly(t *testing.T) {
+	small, large := measureWorkRates(t, 500), measureWorkRates(t, 4000)
 	t.Logf("500 machines: %+v", small)
 	t.Logf("4,000 machines: %+v", large)
 	const margin = 1.25
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -32,7 +32,7 @@
 	c.partitionZone(inside.ID, healed)
 	c.CloudAPI.DownUntil = healed
 	c.waitFor("acquired outside", 30*second, func() bool { return c.longJobOwner() == outside.ID })
-	c.cancelAt(outside, c.longJob)
+	c.cancelVia(outside, c.longJob)
 	if c.countRunningTasks(c.longJob) == 0 {
 		t.Fatal("the tasks are gone before the cancellation")
 	}
@@ -51,7 +51,7 @@
 	if c.longJobOwner() != outside.ID {
 		t.Fatalf("acquired by %s", c.longJobOwner())
 	}
-	c.cancelAt(outside, c.longJob)
+	c.cancelVia(outside, c.longJob)
 	if c.countRunningTasks(c.longJob) == 0 {
 		t.Fatal("the tasks are gone before the cancellation")
 	}
