--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/simulation"
 )
 
-// BenchmarkClusterSecond measures a simulated second of a loaded cluster of three
-// controllers: heartbeats, scheduling, writes, polls.
+// BenchmarkClusterSecond measures one simulated second of a loaded cluster with three
+// controllers.
 func BenchmarkClusterSecond(b *testing.B) {
 	sim := newSimulator(1, testConfig())
 	sim.NoRandomFaults = true
@@ -32,10 +32,9 @@
 	}
 }
 
-// BenchmarkFleet measures a simulated second of a fleet with some tasks running on
-// each machine and hundreds of jobs waiting. core-ms/s is what one controller takes
-// of a second, us/step and allocs/step what one event costs it; the rest is the
-// simulation's.
+// BenchmarkFleet measures one simulated second of a loaded fleet. core-ms/s is the CPU time
+// of one controller per simulated second; us/step and allocs/step are per event. The
+// standard metrics include the simulation.
 func BenchmarkFleet(b *testing.B) {
 	for _, machines := range []int{500, 1000, 2000, 4000, 8000} {
 		b.Run(fmt.Sprintf("%d-machines", machines), func(b *testing.B) { benchFleet(b, 3, machines) })
@@ -67,8 +66,8 @@
 	}
 }
 
-// newBenchFleet makes a fleet whose machines are up, with more jobs than they can
-// run at once.
+// newBenchFleet returns a fleet of running machines with more jobs than they can run at
+// once.
 func newBenchFleet(nodes, machines int) *simulation.Simulator {
 	cfg := testConfig()
 	cfg.Nodes, cfg.Teams = nil, nil
--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// waitStep is the simulated time between two checks of a condition.
+	// pollInterval is the simulated time between two checks of a condition.
 	pollInterval = 2 * millisecond
-	// cancelRetryPause is the time between two requests for a cancellation.
+	// cancelRetryDelay is the delay before a failed cancel request is retried.
 	cancelRetryDelay = 100 * millisecond
 )
 
-// testCluster is a cluster without random faults, with some machines up.
+// testCluster is a simulated cluster without random faults and with running machines.
 type testCluster struct {
 	*simulation.Simulator
 	t       *testing.T
@@ -27,19 +27,19 @@
 	longJob *simulation.Job // runs from the start; nil in an idle cluster
 }
 
-// newTestCluster makes a cluster in which one long job runs.
+// newTestCluster returns a cluster in which one long job runs.
 func newTestCluster(t *testing.T, machines int) *testCluster {
 	t.Helper()
 	return newTestClusterWithSeed(t, 1, machines)
 }
 
-// newTestClusterWithSeed is newTestCluster with a seed of its own.
+// newTestClusterWithSeed is like newTestCluster with the given seed.
 func newTestClusterWithSeed(t *testing.T, seed uint64, machines int) *testCluster {
 	t.Helper()
 	return newTestClusterWithConfig(t, testConfig(), seed, machines)
 }
 
-// newTestClusterWithConfig is newTestClusterWithSeed with settings of its own.
+// newTestClusterWithConfig is like newTestClusterWithSeed with the given settings.
 func newTestClusterWithConfig(t *testing.T, cfg controller.Config, seed uint64, machines int) *testCluster {
 	t.Helper()
 	c := newIdleClusterWithConfig(t, cfg, seed, machines)
@@ -51,7 +51,7 @@
 	return c
 }
 
-// newIdleCluster makes a cluster in which nothing runs.
+// newIdleCluster returns a cluster without jobs.
 func newIdleCluster(t *testing.T, machines int) *testCluster {
 	t.Helper()
 	return newIdleClusterWithConfig(t, testConfig(), 1, machines)
@@ -68,7 +68,7 @@
 	return c
 }
 
-// submitJob submits a job of team red, whose shard is n1's at first.
+// submitJob submits a job of team red, whose shard is first owned by n1.
 func (c *testCluster) submitJob(id cluster.JobID, tasks int, run cluster.Time) *simulation.Job {
 	spec := newJobSpec(id, "red", tasks, run)
 	spec.SubmittedAt = wallTime(c.Now)
@@ -77,7 +77,7 @@
 	return job
 }
 
-// longJobOwner is the controller that owns the long job's shard by the store.
+// longJobOwner returns the stored owner of the long job's shard.
 func (c *testCluster) longJobOwner() cluster.NodeID {
 	c.t.Helper()
 	return c.shardOwner(shardOfTeam["red"])
@@ -86,7 +86,7 @@
 // shardOfTeam is each team's shard under testConfig.
 var shardOfTeam = map[string]int{"green": 0, "red": 1, "blue": 2}
 
-// shardOwner is the controller that owns a shard by the store.
+// shardOwner returns the owner of a shard according to its stored claim.
 func (c *testCluster) shardOwner(shard int) cluster.NodeID {
 	c.t.Helper()
 	var record struct {
@@ -98,19 +98,20 @@
 	return record.Owner
 }
 
-// waitFor runs in small steps until something holds, or fails.
+// waitFor runs until holds returns true, and fails if that takes longer than within.
 func (c *testCluster) waitFor(what string, within cluster.Time, holds func() bool) {
 	c.t.Helper()
 	at := c.Now
 	for end := at + within; !holds(); c.RunUntil(at) {
 		at += pollInterval
 		if at > end || len(c.Violations) > 0 {
-			c.t.Fatalf("not within %v: %s; violations: %v", time.Duration(within), what, c.Violations)
+			c.t.Fatalf("condition not met within %v: %s; violations: %v", time.Duration(within), what, c.Violations)
 		}
 	}
 }
 
-// cancelAt requests a job's cancellation of one controller until it is confirmed.
+// cancelVia cancels a job via one controller, with retries, and waits until the
+// cancellation is confirmed.
 func (c *testCluster) cancelVia(node *simulation.Node, job *simulation.Job) {
 	c.t.Helper()
 	job.CancelRequested = true
@@ -128,7 +129,7 @@
 	c.waitFor("the cancellation is confirmed", 5*second, func() bool { return job.CancelConfirmedAt > 0 })
 }
 
-// countRunningTasks counts the job's tasks that run on machines.
+// countRunningTasks returns the number of the job's tasks that run on machines.
 func (c *testCluster) countRunningTasks(job *simulation.Job) int {
 	count := 0
 	for _, worker := range c.Machines.Workers {
@@ -141,8 +142,8 @@
 	return count
 }
 
-// runAndCheck runs on, and checks that no rule is broken and that no task of the
-// long job is left once the time for its cancellation is over.
+// runAndCheck runs for a duration. It checks that no invariant was violated and, if the
+// long job's cancellation was confirmed, that none of its tasks still runs.
 func (c *testCluster) runAndCheck(duration cluster.Time) {
 	c.t.Helper()
 	c.RunUntil(c.Now + duration)
@@ -152,7 +153,7 @@
 	}
 }
 
-// checkNoViolations fails when a rule was broken.
+// checkNoViolations checks that no invariant was violated.
 func (c *testCluster) checkNoViolations() {
 	c.t.Helper()
 	for _, violation := range c.Violations {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -6,7 +6,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// Tuning is what operators may set.
+// Tuning holds the parameters that operators may change. DefaultTuning returns the
+// defaults.
 type Tuning struct {
 	CheckpointInterval   cluster.Time
 	PingInterval         cluster.Time
@@ -20,34 +21,35 @@
 	BootTimeoutFactor    float64
 	RateBudgetShare      float64
 	FailbackDelay        cluster.Time
-	ShortJobWeight       float64      // a job moves back by this many times what its remaining work would take all of its shard
-	SpareCapacityShare   float64      // room kept beyond the present need
-	FirstTaskTarget      cluster.Time // a job's first task goes before all others after half of this
+	ShortJobWeight       float64      // delays a job in the queue by this factor times the run time of its pending tasks on the whole shard
+	SpareCapacityShare   float64      // spare capacity as a fraction of a shard's demand
+	FirstTaskTarget      cluster.Time // a job's first task precedes all others after half of this
 }
 
-// Config is all that a Controller knows from the start.
+// Config holds the settings of a Controller.
 type Config struct {
 	Self              cluster.NodeID
 	Zone              string
-	Nodes             []cluster.NodeID // all, sorted; Nodes[i] is the home of shard i
+	Nodes             []cluster.NodeID // all controllers, sorted; Nodes[i] is the preferred owner of shard i
 	Teams             []cluster.Team
 	SLOs              []cluster.SLO
 	HeartbeatInterval cluster.Time
 	WorkerLease       cluster.Time
 	CancelDeadline    cluster.Time
 	StoreRPS          float64
-	WriteRPS          float64 // the lowest that the settings name for now or later
+	WriteRPS          float64 // the lower of the current limit and an announced one
 	MaxValueBytes     int
 	MaxTxnOps         int
 	CloudRPS          float64
 	CloudListLag      cluster.Time
 	InstanceID        string // unique to this process
 	Tuning            Tuning
-	// CurrentWriteRPS is used in place of a lower WriteRPS until the store refuses it.
+	// CurrentWriteRPS is used instead of a lower WriteRPS until the store throttles this
+	// controller.
 	CurrentWriteRPS float64
 }
 
-// DefaultTuning returns the design's starting values.
+// DefaultTuning returns the default parameters.
 func DefaultTuning() Tuning {
 	s := cluster.Time(time.Second)
 	return Tuning{
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,10 +1,9 @@
-// Package controller is the controller's state machine: it makes all decisions
-// and carries out none of them.
+// Package controller implements a controller as a deterministic state machine. It makes
+// all decisions and leaves their execution to its caller.
 //
-// A Controller is driven by Step(now, event) -> effects. It has no clock, no
-// randomness, no goroutine and no input or output: whatever it needs from
-// outside arrives as an event, whatever it wants done leaves as an effect. So
-// every failure can be replayed in a test by feeding events.
+// Controller.Step takes the current time and an event, and returns the effects to
+// execute. A Controller has no clock, no randomness, no goroutines and does no I/O, so
+// a test can reproduce any failure by replaying its events.
 package controller
 
 import (
@@ -29,18 +28,17 @@
 	millisecond = cluster.Time(time.Millisecond)
 )
 
-// Controller is a controller's whole state, by owner: each type says what always
-// holds of its fields, in the file that it is named for.
+// Controller is the state machine of one controller. It connects the components, each
+// of which documents the invariants of its own state.
 type Controller struct {
 	config Config
 	loop   *eventloop.Loop
 	state  *state.State
 
-	// What it wants done, and what it waits for.
 	writeQueue *writequeue.Queue
 	counters   Counters
 
-	// How this node fares.
+	// Health of this node.
 	processHealth      *membership.ProcessHealth
 	workerReachability *membership.WorkerReachability
 
@@ -60,7 +58,7 @@
 	provisioner *provisioning.Provisioner
 }
 
-// New makes a Controller. Nothing happens before the first Step.
+// New returns a new Controller. It starts with the first call of Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
 		config:        cfg,
@@ -83,7 +81,7 @@
 	return c
 }
 
-// Step takes one event and returns what is to be done about it.
+// Step handles one event and returns the effects to execute.
 func (c *Controller) Step(now cluster.Time, wall cluster.WallTime, ev messages.Event) []messages.Effect {
 	paused := membership.IsPause(now - c.loop.Now())
 	c.loop.Begin(now, wall)
@@ -118,10 +116,11 @@
 	return c.loop.Effects()
 }
 
-// NextWake is when the next Tick is due; false: no timer is set.
+// NextWake returns when the next messages.Tick is due. The result is false if no timer is
+// set.
 func (c *Controller) NextWake() (cluster.Time, bool) { return c.loop.NextWake() }
 
-// flush decides once per step on all that the step has changed.
+// flush runs the work that the handlers of a step have requested, once per step.
 func (c *Controller) flush() {
 	c.scheduler.RunIfRequested()
 	c.reconciler.Commands.PushQueued()
@@ -129,12 +128,12 @@
 	c.reconciler.Heartbeats.AnswerReady()
 }
 
-// respondError responds at once that a request can't be served, and why.
+// respondError rejects a request with a status and a reason.
 func (c *Controller) respondError(request messages.RequestID, status messages.ReplyStatus, reason string) {
 	c.loop.Emit(messages.Respond{Request: request, Status: status, Error: reason})
 }
 
-// startLoops starts everything that runs on its own.
+// startLoops starts the components and the periodic tasks.
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
 	c.members.Start()
@@ -155,8 +154,8 @@
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
 
-// writeBackgroundState stores what can wait: outcomes of tasks whose jobs go on, and
-// machine records that list more than they need to.
+// writeBackgroundState writes the state that isn't urgent: the outcomes of tasks whose
+// jobs are still active, and machine records that list removable entries.
 func (c *Controller) writeBackgroundState() {
 	c.jobs.Records.WriteOutcomes()
 	c.inventory.MaintainRecords()
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -11,7 +11,7 @@
 	"stairrelay/internal/state"
 )
 
-// testStore is a state service in memory.
+// testStore is an in-memory state service.
 type testStore struct {
 	keys     map[string]messages.KV
 	revision cluster.Revision
@@ -51,26 +51,28 @@
 	return items
 }
 
-// controllerHarness is one controller among three, which owns the shards, with its store.
+// controllerHarness is one of three controllers, which owns all shards, with its store.
 type controllerHarness struct {
 	*Controller
 	store            *testStore
 	sentResponses    []messages.Respond
 	sentTransactions []messages.StoreTxn
-	// losesReply tells whether a transaction's answer is lost.
-	losesReply         func(messages.StoreTxn) bool
-	rejectsAsMalformed func(messages.StoreTxn) bool // as malformed; nil: none
-	throttles          func(messages.StoreTxn) bool // as beyond the rate; nil: none
-	failsReads         bool
+	// losesReply reports whether a transaction is applied but its reply is lost.
+	losesReply func(messages.StoreTxn) bool
+	// rejectsAsMalformed reports whether the store rejects a transaction as malformed. It
+	// may be nil.
+	rejectsAsMalformed func(messages.StoreTxn) bool
+	// throttles reports whether the store throttles a transaction. It may be nil.
+	throttles  func(messages.StoreTxn) bool
+	failsReads bool
 }
 
 func newControllerHarness() *controllerHarness {
 	return newHarnessWithSetup(func(*Controller) {})
 }
 
-// newHarnessWithKnownPeers is a harness whose peers' present processes were first
-// heard of at 50 s, before its shards were last confirmed. They have answered no
-// ping yet.
+// newHarnessWithKnownPeers returns a harness that has received a ping from each peer at
+// 50 s, before its shards were last confirmed. The peers have not answered a ping yet.
 func newHarnessWithKnownPeers() *controllerHarness {
 	return newHarnessWithSetup(func(c *Controller) {
 		setTime(c, 50*second)
@@ -82,10 +84,11 @@
 	})
 }
 
-// knownInstance is the present process of a peer of newHarnessWithKnownPeers.
+// peerInstanceID returns the instance ID of a peer of newHarnessWithKnownPeers.
 func peerInstanceID(id cluster.NodeID) string { return "boot-" + string(id) }
 
-// newPreparedHarness is a harness at 100 s, prepared before that.
+// newHarnessWithSetup returns a harness at 100 s. It calls setup with the controller
+// before that time.
 func newHarnessWithSetup(setup func(*Controller)) *controllerHarness {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, InstanceID: "b0", HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 1000, WriteRPS: 1000, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
@@ -100,7 +103,7 @@
 	return b
 }
 
-// ownShard makes a shard the controller's, without machines.
+// ownShard makes the controller the owner of a shard without machines.
 func (b *controllerHarness) ownShard(shard *state.Shard) {
 	shard.Owned, shard.Ready, shard.Owner, shard.Term = true, true, "n0", 1
 	shard.ClaimRevision, shard.ModRevision, shard.ConfirmedAt = 30, 30, b.loop.Now()
@@ -109,7 +112,7 @@
 	b.store.keys[shard.Key()] = messages.KV{Key: shard.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 }
 
-// runFor lets time pass and the store reply; the responses and transactions are kept.
+// runFor advances the time by a duration and handles the effects.
 func (b *controllerHarness) runFor(duration cluster.Time) {
 	for end := b.loop.Now() + duration; b.loop.Now() <= end; setTime(b.Controller, b.loop.Now()+20*millisecond) {
 		b.loop.RunTimers()
@@ -120,7 +123,7 @@
 	}
 }
 
-// carryOut keeps a response, and replies to a request of the store.
+// handleEffect records responses and transactions, and replies to requests to the store.
 func (b *controllerHarness) handleEffect(effect messages.Effect) {
 	switch effect := effect.(type) {
 	case messages.StoreTxn:
@@ -131,7 +134,7 @@
 	case messages.StoreList:
 		b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.list(effect)})
 	case messages.StoreWatch:
-		if effect.Timeout == 0 { // else it waits for changes
+		if effect.Timeout == 0 { // otherwise it is a long poll
 			b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.readChanges(effect)})
 		}
 	case messages.Respond:
@@ -139,7 +142,7 @@
 	}
 }
 
-// commit applies a transaction unless the store is to refuse it.
+// commit applies a transaction unless the harness is set to reject it.
 func (b *controllerHarness) commit(transaction messages.StoreTxn) messages.TxnReply {
 	if b.rejectsAsMalformed != nil && b.rejectsAsMalformed(transaction) {
 		return messages.TxnReply{Outcome: messages.Invalid}
@@ -177,7 +180,7 @@
 	return job
 }
 
-// addRunningMachine adds a machine that runs the first task of a job.
+// addRunningMachine adds a machine that is running the first task of a job.
 func (b *controllerHarness) addRunningMachine(job *state.Job) (*state.Machine, *state.Assignment) {
 	group := b.state.AddGroup(b.state.Shards[0], "g", 31)
 	machine := b.inventory.AddMachine(group, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}, 31)
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -24,25 +24,25 @@
 	"stairrelay/internal/wire"
 )
 
-// goldenDecisions holds a line for each run: its name, the number of effects
-// and their digest.
+// goldenDecisions is a file with one line for each run: its name, the number of its
+// effects and their digest.
 const goldenDecisions = "testdata/decisions.txt"
 
-// The days that are recorded besides the kept traces.
+// The numbers of seeds that are recorded in addition to the traces.
 const (
 	randomFaultSeeds = 8
 	sevenNodeSeeds   = 3
 	upgradeSeeds     = 4
 )
 
-// TestDecisions compares every effect of a fixed set of simulated runs, in its
-// order, with what was recorded in testdata/decisions.txt. Effects are encoded
-// by their wire and stored forms, so renaming Go declarations changes nothing.
-// Log lines are left out.
+// TestDecisions checks that a fixed set of simulated runs has the same effects, in the
+// same order, as recorded in testdata/decisions.txt. It guards against unintended changes
+// of behavior. Effects are hashed in their wire and stored encodings, so that renaming Go
+// identifiers has no influence. Log lines are not included.
 //
-// A commit that changes decisions on purpose records them anew with -update and
-// says why. STAIRRELAY_DECISIONS=DIR writes each run's effects to a file, to be
-// compared with those of another build.
+// The flag -update records the digests anew; a commit that changes decisions on purpose
+// says why. If STAIRRELAY_DECISIONS names a directory, the effects of each run are written
+// to a file in it, for comparison with those of another build.
 func TestDecisions(t *testing.T) {
 	recorder := &decisionRecorder{digests: map[string]string{}}
 	t.Run("runs", recorder.recordAll)
@@ -61,15 +61,15 @@
 	}
 	for name, digest := range want {
 		if got := recorder.digests[name]; got != digest {
-			t.Errorf("%s: recorded %q, now %q", name, digest, got)
+			t.Errorf("%s: got %q, recorded is %q", name, got, digest)
 		}
 	}
 	if len(recorder.digests) != len(want) {
-		t.Errorf("%d runs, %d recorded", len(recorder.digests), len(want))
+		t.Errorf("got %d runs, %d are recorded", len(recorder.digests), len(want))
 	}
 }
 
-// decisionRecorder keeps the digest of each run's effects, by the run's name.
+// decisionRecorder collects the digests of the runs' effects, keyed by the run's name.
 type decisionRecorder struct {
 	mu      sync.Mutex
 	digests map[string]string
@@ -96,7 +96,7 @@
 	}
 	traces, err := filepath.Glob("testdata/traces/*.txt")
 	if err != nil || len(traces) == 0 {
-		t.Fatalf("%d traces: %v", len(traces), err)
+		t.Fatalf("found %d traces: %v", len(traces), err)
 	}
 	for _, file := range traces {
 		name := strings.TrimSuffix(filepath.Base(file), ".txt")
@@ -111,7 +111,7 @@
 	}
 }
 
-// record plays a run beside the others and keeps its digest.
+// record executes a run in a parallel subtest and stores its digest.
 func (r *decisionRecorder) record(t *testing.T, name string, run func(*testing.T, simulation.Option)) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 	})
 }
 
-// decisionDigest is a digest over the effects of one run.
+// decisionDigest hashes the effects of one run.
 type decisionDigest struct {
 	t       *testing.T
 	out     io.Writer
@@ -135,7 +135,7 @@
 
 func newDecisionDigest(t *testing.T, name string) *decisionDigest {
 	t.Helper()
-	encoder, err := cbor.CanonicalEncOptions().EncMode() // maps in a fixed order
+	encoder, err := cbor.CanonicalEncOptions().EncMode() // sorts the keys of maps
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,6 @@
 	return fmt.Sprintf("%d %s", d.effects, hex.EncodeToString(d.hash.Sum(nil)))
 }
 
-// add takes in the next effect.
 func (d *decisionDigest) add(now cluster.Time, node cluster.NodeID, effect messages.Effect) {
 	text, isDecision := d.encode(effect)
 	if !isDecision {
@@ -172,7 +171,8 @@
 	}
 }
 
-// encode writes an effect by its wire form; false: it is a log line.
+// encode returns the wire encoding of an effect. The result is false for a log line,
+// which is no decision.
 func (d *decisionDigest) encode(effect messages.Effect) (string, bool) {
 	switch e := effect.(type) {
 	case messages.Log:
@@ -202,12 +202,12 @@
 	case messages.Respond:
 		return "respond " + d.answer(e), true
 	default:
-		d.t.Fatalf("effect %T has no encoding here", effect)
+		d.t.Fatalf("unknown effect %T", effect)
 		return "", false
 	}
 }
 
-// answer writes the answer to a user, a worker or another controller.
+// answer encodes a response to a user, a worker or another controller.
 func (d *decisionDigest) answer(answer messages.Respond) string {
 	text := fmt.Sprintf("%d %d %d %q", answer.Request, answer.Status, answer.RetryAfter, answer.Error)
 	if answer.View != nil {
@@ -222,7 +222,7 @@
 	return text
 }
 
-// message writes a message between controllers.
+// message encodes a message between controllers.
 func (d *decisionDigest) message(message messages.PeerMessage) string {
 	frame, err := d.encoder.Marshal(message)
 	if err != nil {
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/state"
 )
 
-// UsageMismatch says where the kept sums of tasks differ from the tasks
-// themselves, or returns "".
+// UsageMismatch describes the first difference between the cached resource usage and the
+// sum over the tasks. It returns "" if there is none.
 func (c *Controller) UsageMismatch() string {
 	for _, shard := range c.state.Shards {
 		if mismatch := shardUsageMismatch(shard); mismatch != "" {
@@ -18,7 +18,7 @@
 	return ""
 }
 
-// shardUsageMismatch compares the sums of a shard's machines and of its teams.
+// shardUsageMismatch compares the cached usage of a shard's machines and teams.
 func shardUsageMismatch(shard *state.Shard) string {
 	teams := state.TeamUsage{}
 	for _, machine := range shard.Machines {
@@ -26,21 +26,21 @@
 			return mismatch
 		}
 	}
-	for team, kept := range shard.Usage {
-		if kept != teams[team] {
-			return fmt.Sprintf("shard %d: %s takes %v, counted is %v", shard.ID, team, teams[team], kept)
+	for team, cached := range shard.Usage {
+		if cached != teams[team] {
+			return fmt.Sprintf("shard %d: tasks of team %s use %v, cached is %v", shard.ID, team, teams[team], cached)
 		}
 	}
 	for team, sum := range teams {
 		if sum != shard.Usage[team] {
-			return fmt.Sprintf("shard %d: %s takes %v, counted is %v", shard.ID, team, sum, shard.Usage[team])
+			return fmt.Sprintf("shard %d: tasks of team %s use %v, cached is %v", shard.ID, team, sum, shard.Usage[team])
 		}
 	}
 	return ""
 }
 
-// machineUsageMismatch compares a machine's sums with its tasks, and adds these to
-// their teams' usage.
+// machineUsageMismatch compares a machine's cached usage with its tasks, and adds the
+// tasks to the usage of their teams.
 func machineUsageMismatch(machine *state.Machine, teams state.TeamUsage) string {
 	var sum cluster.Resources
 	count := 0
@@ -53,13 +53,13 @@
 		}
 	}
 	if sum != machine.UsedResources() || count != machine.LiveTaskCount() {
-		return fmt.Sprintf("%s: %d tasks take %v, counted are %d with %v", machine.ID, count, sum, machine.LiveTaskCount(), machine.UsedResources())
+		return fmt.Sprintf("machine %s: %d tasks use %v, cached are %d tasks with %v", machine.ID, count, sum, machine.LiveTaskCount(), machine.UsedResources())
 	}
 	return ""
 }
 
-// OwnedMachines counts the machines that are up in the shards owned here, and those
-// of them whose workers have acknowledged their fencing tokens.
+// OwnedMachineCounts returns the number of booted machines in the owned shards, and the
+// number of those whose workers have acknowledged their fencing tokens.
 func (c *Controller) OwnedMachineCounts() (acknowledged, up int) {
 	for _, machine := range c.state.Machines {
 		if machine.Booting {
@@ -73,17 +73,17 @@
 	return acknowledged, up
 }
 
-// StalledShards counts the shards without progress.
+// StalledShardCount returns the number of stalled shards.
 func (c *Controller) StalledShardCount() int { return c.stalledShardCount() }
 
-// Work is what a controller has counted since the last periodic log line.
+// WorkCounts holds counters of a controller's work since the last periodic log line.
 type WorkCounts struct {
 	MachineScans int
 	Puts         int
 	PeerCalls    int
 }
 
-// Work returns the counters since the last periodic log line.
+// WorkCounts returns the counters since the last periodic log line.
 func (c *Controller) WorkCounts() WorkCounts {
 	return WorkCounts{
 		MachineScans: c.counters.MachineScans,
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// singleFaultsPerDay is how many of the single faults a day has.
+	// singleFaultsPerRun is the number of single faults in a simulated run.
 	singleFaultsPerRun = 18
-	// longestOutage is how long the store is down at the most in the single faults;
-	// longer outages are a combined fault.
+	// maxOutageDuration limits the outages of the store in single faults. Longer outages
+	// are a combined fault.
 	maxOutageDuration = 20 * second
-	// restartDelay is how long a crashed controller takes to be back.
+	// restartDelay is the usual time between a controller's crash and its restart.
 	restartDelay = 6 * second
 )
 
-// faultScenario is something that goes wrong for a while, at one controller if it
-// concerns one.
+// faultScenario is a fault of limited duration. inject ignores the node if the fault
+// doesn't concern a particular controller.
 type faultScenario struct {
 	name   string
 	inject func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time)
 }
 
-// singleFaults are drawn with equal chances, so one that is to come twice as often
-// is listed twice.
+// singleFaults are chosen with equal probability. A fault that is listed twice occurs
+// twice as often.
 var singleFaults = []faultScenario{
 	{"a controller crashes", crashOne},
 	{"a controller crashes", crashOne},
@@ -40,7 +40,7 @@
 	{"partitioned from the other controllers", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
 		node.PeersPartitionedUntil = sim.Now + duration
 	}},
-	{"refused by the store", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
+	{"rejected by the store", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
 		node.StoreRefusesUntil = sim.Now + duration
 	}},
 	{"partitioned from everything", partitionFromAll},
@@ -68,15 +68,15 @@
 	{"jobs cancelled as they end", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 		sim.Cancellations.CancelAtEnd(0.5, duration)
 	}},
-	{"users ask all controllers right after an answer", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
+	{"reads from all controllers right after a write", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 		sim.ReadAfterWrite.EnableFor(duration)
 	}},
-	{"odd requests", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
+	{"repeated and invalid requests", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 		sim.OddRequests.SendFor(duration)
 	}},
 }
 
-// planSingleFaults plans faults that come one at a time.
+// planSingleFaults schedules independent faults at random times.
 func planSingleFaults(sim *simulation.Simulator, until cluster.Time) {
 	for range singleFaultsPerRun {
 		at := sim.RandomBetween(5*second, until-maxFaultDuration)
@@ -85,7 +85,7 @@
 	}
 }
 
-// planFault draws the controller that a fault concerns, and has it begin at a time.
+// planFault schedules a fault of a random controller.
 func planFault(sim *simulation.Simulator, fault faultScenario, at, duration cluster.Time) {
 	node := sim.Nodes[sim.Rand.IntN(len(sim.Nodes))]
 	sim.After(at, func() {
@@ -102,7 +102,8 @@
 	}
 }
 
-// crashBusiest crashes the controller with the most workers, if any is running.
+// crashBusiest crashes the controller with the most workers. It reports whether any
+// controller was running.
 func crashBusiest(sim *simulation.Simulator) bool {
 	node := sim.BusiestNode()
 	if node != nil {
@@ -111,8 +112,8 @@
 	return node != nil
 }
 
-// crash ends a controller's process, which is back after a while; now and then that
-// is so soon that nobody notices.
+// crash kills a controller's process and restarts it after restartDelay, or sometimes so
+// soon that its peers don't detect the failure.
 func crash(sim *simulation.Simulator, node *simulation.Node) {
 	delay := restartDelay
 	if sim.Chance(0.3) {
@@ -121,7 +122,7 @@
 	restart(sim, node, delay)
 }
 
-// restart ends a controller's process and starts another after a delay.
+// restart kills a controller's process and starts a new one after a delay.
 func restart(sim *simulation.Simulator, node *simulation.Node, delay cluster.Time) {
 	node.Kill()
 	sim.After(delay, node.Start)
@@ -132,7 +133,7 @@
 	node.StorePartitionedUntil, node.WorkersPartitionedUntil, node.PeersPartitionedUntil = until, until, until
 }
 
-// onTwoMachines is a fault of two machines.
+// onTwoMachines returns a scenario that injects a fault into two random machines.
 func onTwoMachines(inject func(*simulation.Machines, cluster.MachineID, cluster.Time)) func(*simulation.Simulator, *simulation.Node, cluster.Time) {
 	return func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 		inject(sim.Machines, sim.Machines.Random(), duration)
@@ -145,7 +146,7 @@
 	sim.CloudAPI.DownUntil = sim.Now + duration
 }
 
-// preemptMachines has the cloud take machines, with a notice or without.
+// preemptMachines removes three machines, each with or without a preemption notice.
 func preemptMachines(sim *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for range 3 {
 		if sim.Chance(0.5) {
@@ -162,15 +163,15 @@
 	}
 }
 
-// restartTwice restarts all controllers at once, and one of them again while they
-// acquire their shards.
-func restartTwice(sim *simulation.Simulator, twice *simulation.Node, _ cluster.Time) {
+// restartTwice restarts all controllers at once, and the target a second time while the
+// controllers acquire their shards.
+func restartTwice(sim *simulation.Simulator, target *simulation.Node, _ cluster.Time) {
 	for _, node := range sim.Nodes {
 		restart(sim, node, sim.RandomBetween(second/20, second/2))
 	}
 	sim.After(sim.RandomBetween(second/20, second), func() {
 		sim.FaultCounts[faultNodeKilledInRestart]++
-		restart(sim, twice, sim.RandomBetween(second/20, second/2))
+		restart(sim, target, sim.RandomBetween(second/20, second/2))
 	})
 }
 
@@ -179,8 +180,8 @@
 	sim.After(duration, func() { crash(sim, node) })
 }
 
-// cancelOnHungMachines cancels running jobs while their machines hang; in some
-// cases the busiest controller crashes as well, or the store is down.
+// cancelOnHungMachines cancels running jobs while their machines hang. In some cases the
+// busiest controller crashes as well, or the store is down.
 func cancelOnHungMachines(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 	sim.Cancellations.CancelRunning(8, sim.RandomBetween(10*second, 45*second))
 	switch sim.Rand.IntN(3) {
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/state"
 )
 
-// inventoryConfig is what the inventory needs of the settings.
+// inventoryConfig returns the settings of the inventory.
 func (c *Controller) inventoryConfig() inventory.Config {
 	return inventory.Config{
 		ValueLimit:         grouprecord.ValueLimit(c.config.MaxValueBytes),
@@ -20,7 +20,7 @@
 	}
 }
 
-// inventoryDependencies are the controller's components that the inventory calls.
+// inventoryDependencies returns the components that the inventory calls.
 func (c *Controller) inventoryDependencies() inventory.Dependencies {
 	return inventory.Dependencies{
 		Shards:    inventoryShards{Manager: c.ownership, shardStore: shardStore{c}},
@@ -31,13 +31,13 @@
 	}
 }
 
-// inventoryShards shows the inventory who owns the shards.
+// inventoryShards implements inventory.Shards.
 type inventoryShards struct {
 	*ownership.Manager
 	shardStore
 }
 
-// inventoryWorkers passes to the reconciler what the inventory has to do about workers.
+// inventoryWorkers forwards the inventory's calls about workers to the reconciler.
 type inventoryWorkers struct{ controller *Controller }
 
 // ConfirmAbsent implements inventory.Workers.
@@ -60,7 +60,7 @@
 	a.controller.reconciler.Heartbeats.Redirect(request, node)
 }
 
-// inventoryScheduler requests scheduling and maintenance for the inventory.
+// inventoryScheduler forwards the inventory's calls to the scheduler and the reconciler.
 type inventoryScheduler struct{ controller *Controller }
 
 // RequestScheduling implements inventory.Scheduler.
@@ -69,7 +69,7 @@
 // MaintainMachines implements inventory.Scheduler.
 func (a inventoryScheduler) MaintainMachines() { a.controller.reconciler.Maintenance.Run() }
 
-// inventoryCloud calls the cloud for the inventory.
+// inventoryCloud forwards the inventory's calls to the provisioner.
 type inventoryCloud struct{ controller *Controller }
 
 // ScheduleScaleIn implements inventory.Cloud.
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -5,7 +5,7 @@
 	"stairrelay/internal/state"
 )
 
-// jobsConfig is what the jobs need of the settings.
+// jobsConfig returns the settings of the jobs.
 func (c *Controller) jobsConfig() jobs.Config {
 	return jobs.Config{
 		Self:               c.config.Self,
@@ -17,7 +17,7 @@
 	}
 }
 
-// newJobs connects the jobs to the other components.
+// newJobs returns a new jobs.Jobs, connected to the other components.
 func (c *Controller) newJobs() *jobs.Jobs {
 	return jobs.New(c.loop, c.state, c.writeQueue, c.jobsConfig(), jobs.Collaborators{
 		Members:   c.members,
@@ -28,7 +28,7 @@
 	})
 }
 
-// jobTasks stops tasks for the jobs.
+// jobTasks forwards calls of jobs to the reconciler and the inventory.
 type jobTasks struct{ controller *Controller }
 
 // WithdrawUnsentStarts implements jobs.TaskStopper.
@@ -44,7 +44,7 @@
 	t.controller.inventory.RemoveAssignment(machine, assignment)
 }
 
-// jobScheduler takes requests to schedule the jobs' tasks.
+// jobScheduler forwards calls of jobs to the scheduler and the provisioner.
 type jobScheduler struct{ controller *Controller }
 
 // RequestScheduling implements jobs.Scheduler.
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/simulation"
 )
 
-// fleet is a cluster with many machines, all up at the start, and the limits of a
-// state service that do not grow with their number.
+// fleet is a simulated cluster with many machines, all running from the start. The limits
+// of its state service don't scale with the number of machines.
 type fleet struct {
 	*simulation.Simulator
 	t            *testing.T
@@ -42,9 +42,9 @@
 	return f
 }
 
-// submitLoad submits jobs whose tasks fill a number of machines.
+// submitLoad submits jobs whose tasks fill the given number of machines.
 func (f *fleet) submitLoad(machines int, run cluster.Time) {
-	const tasks = 80 // of one CPU on machines of four: a job fills twenty
+	const tasks = 80 // of one CPU each, which fill 20 machines of four CPUs
 	for range machines * 4 / tasks {
 		team := fmt.Sprintf("t%d", f.jobCount%fleetTeamCount)
 		spec := newJobSpec(cluster.JobID(fmt.Sprintf("j-%06d", f.jobCount)), team, tasks, run)
@@ -54,8 +54,8 @@
 	}
 }
 
-// countOwnedMachines counts the machines that are owned, and those that have
-// acknowledged their fencing token.
+// countOwnedMachines returns the number of owned machines, and the number of those that
+// have acknowledged their fencing token.
 func (f *fleet) countOwnedMachines() (acknowledged, all int) {
 	for _, c := range f.Controllers() {
 		confirmed, owned := c.OwnedMachineCounts()
@@ -65,27 +65,27 @@
 	return acknowledged, all
 }
 
-// waitFor runs until something holds, a quarter of a second at a time, and returns
-// how long that took.
+// waitFor runs until holds returns true, and returns how long that took. It fails if that
+// takes longer than within.
 func (f *fleet) waitFor(what string, within cluster.Time, holds func() bool) cluster.Time {
 	f.t.Helper()
 	start := f.Now
 	for at := start; !holds(); f.RunUntil(at) {
 		if at += second / 4; at > start+within || len(f.Violations) > 0 {
 			acknowledged, all := f.countOwnedMachines()
-			f.t.Fatalf("not within %v: %s; of %d machines that are up %d are owned, %d acknowledged, %d jobs unfinished; violations: %v",
+			f.t.Fatalf("condition not met within %v: %s; of %d running machines %d are owned and %d acknowledged, %d jobs are unfinished; violations: %v",
 				time.Duration(within), what, f.Machines.LiveCount(), all, acknowledged, f.UnfinishedJobCount(), f.Violations)
 		}
 	}
 	return f.Now - start
 }
 
-// bootingAllowance is how many machines may have come up just now and not have sent
-// a heartbeat yet: some are provisioned beside those that were up at the start.
+// maxBootingMachines is the number of running machines that may be unowned because they
+// were provisioned during the test and have not sent a heartbeat yet.
 const maxBootingMachines = 10
 
-// waitForAllOwned runs until the machines that are up are owned and have acknowledged
-// their fencing tokens; they must still be most of the fleet.
+// waitForAllOwned runs until the running machines are owned and have acknowledged their
+// fencing tokens. They must be at least nine tenths of the fleet.
 func (f *fleet) waitForAllOwned(within cluster.Time) cluster.Time {
 	f.t.Helper()
 	return f.waitFor("all machines acknowledge their fencing token", within, func() bool {
@@ -94,29 +94,29 @@
 	})
 }
 
-// waitForAllDone runs until all jobs are done, and checks what must hold at the end.
+// waitForAllDone runs until all jobs are done. It then checks that no shard is stalled,
+// that the cached usage is consistent and that no transaction exceeded the size limits.
 func (f *fleet) waitForAllDone(within cluster.Time) cluster.Time {
 	f.t.Helper()
 	took := f.waitFor("all jobs are done", within, func() bool { return f.UnfinishedJobCount() == 0 })
 	for _, c := range f.Controllers() {
 		if stalled := c.StalledShardCount(); stalled > 0 {
-			f.t.Errorf("%d shards make no progress", stalled)
+			f.t.Errorf("%d shards are stalled", stalled)
 		}
 		if mismatch := c.UsageMismatch(); mismatch != "" {
 			f.t.Error(mismatch)
 		}
 	}
 	if f.StateService.Rejected.Size > 0 {
-		f.t.Errorf("%d transactions were above the size limits", f.StateService.Rejected.Size)
+		f.t.Errorf("%d transactions exceeded the size limits", f.StateService.Rejected.Size)
 	}
 	return took
 }
 
 const largeFleetMachines = 4000
 
-// TestLargeFleetFaults injects the faults that concern all machines of a large
-// fleet at once: each machine must be owned and working again within a lease or
-// so, with no rule broken and no shard left behind.
+// TestLargeFleetFaults checks that a large fleet recovers in bounded time from faults that
+// concern all of its machines at once.
 func TestLargeFleetFaults(t *testing.T) {
 	t.Run("two of five controllers lost, and an outage during the failover", func(t *testing.T) {
 		t.Parallel()
@@ -134,7 +134,7 @@
 		completed := f.waitForAllDone(120 * second)
 		t.Logf("registered in %v, all owned again %v after the outage, done %v later", time.Duration(registered), time.Duration(recovered), time.Duration(completed))
 	})
-	t.Run("all machines turn to the one controller that is left", func(t *testing.T) {
+	t.Run("one of five controllers is left for all machines", func(t *testing.T) {
 		t.Parallel()
 		f := newFleet(t, 5, largeFleetMachines)
 		f.waitForAllOwned(20 * second)
@@ -147,16 +147,16 @@
 		completed := f.waitForAllDone(120 * second)
 		t.Logf("all owned after %v, done %v later", time.Duration(recovered), time.Duration(completed))
 	})
-	t.Run("a zone with a third of the machines partitioned and back", func(t *testing.T) {
+	t.Run("a zone with a third of the machines is partitioned and recovers", func(t *testing.T) {
 		t.Parallel()
 		f := newFleet(t, 3, largeFleetMachines)
 		f.waitForAllOwned(20 * second)
 		f.submitLoad(2*largeFleetMachines, 30*second)
 		f.RunUntil(f.Now + 5*second)
-		f.Machines.PartitionZone("a", 20*second) // within the lease: the tasks there go on
+		f.Machines.PartitionZone("a", 20*second) // shorter than the lease, so tasks continue
 		f.RunUntil(f.Now + 20*second)
 		recovered := f.waitForAllOwned(20 * second)
 		completed := f.waitForAllDone(120 * second)
-		t.Logf("all owned %v after the zone was back, done %v later", time.Duration(recovered), time.Duration(completed))
+		t.Logf("all owned %v after the partition ended, done %v later", time.Duration(recovered), time.Duration(completed))
 	})
 }
--- a/internal/controller/loop_helpers_test.go
+++ b/internal/controller/loop_helpers_test.go
@@ -6,7 +6,7 @@
 	"stairrelay/internal/messages"
 )
 
-// setTime moves a controller's time on within a step.
+// setTime advances a controller's time without discarding the effects so far.
 func setTime(c *Controller, now cluster.Time) {
 	effects := c.loop.Effects()
 	c.loop.Begin(now, c.loop.WallTime())
@@ -15,14 +15,14 @@
 	}
 }
 
-// takeEffects returns what has been emitted, and forgets it.
+// takeEffects returns the emitted effects and discards them.
 func takeEffects(c *Controller) []messages.Effect {
 	effects := c.loop.Effects()
 	c.loop.Begin(c.loop.Now(), c.loop.WallTime())
 	return effects
 }
 
-// dropTimers leaves a controller without timers and pending calls.
+// dropTimers removes all timers and pending calls of a controller.
 func dropTimers(c *Controller) {
 	now, wallTime := c.loop.Now(), c.loop.WallTime()
 	*c.loop = *eventloop.New()
--- a/internal/controller/machine_bytes_test.go
+++ b/internal/controller/machine_bytes_test.go
@@ -10,8 +10,8 @@
 	"stairrelay/internal/state"
 )
 
-// BenchmarkMachineBytes measures what a controller keeps of each machine with
-// three tasks, without its connection.
+// BenchmarkMachineBytes measures the heap memory of a controller per machine with three
+// tasks. It doesn't include the machines' connections.
 func BenchmarkMachineBytes(b *testing.B) {
 	for _, machines := range []int{500, 1000, 2000, 4000, 8000} {
 		b.Run(fmt.Sprintf("%d-machines", machines), func(b *testing.B) {
@@ -32,8 +32,8 @@
 	return stats.HeapAlloc
 }
 
-// controllerWithMachines is a controller that owns so many machines, each with three
-// tasks of one of many jobs.
+// newHarnessWithMachines returns a harness whose controller owns the given number of
+// machines. Each machine runs the three tasks of a job of its own.
 func newHarnessWithMachines(machines int) *controllerHarness {
 	const groupSize, tasks = 51, 3
 	b := newControllerHarness()
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/messages"
 )
 
-// membershipConfig is what the view of the other controllers needs of the settings.
+// membershipConfig returns the settings of the membership.
 func (c *Controller) membershipConfig() membership.Config {
 	tuning := &c.config.Tuning
 	return membership.Config{
@@ -26,8 +26,8 @@
 	}
 }
 
-// ownedFleet shows the machines of owned shards to the check whether workers can be
-// reached.
+// ownedFleet provides the machines of the owned shards to the check of the workers'
+// reachability.
 type ownedFleet struct{ controller *Controller }
 
 // MachineCount implements membership.Fleet.
@@ -44,7 +44,8 @@
 	}
 }
 
-// membershipHost connects pings and the peers' reachability with shards and offers.
+// membershipHost forwards calls of the membership to the components that handle shards,
+// transfer offers and cloud demand.
 type membershipHost struct{ controller *Controller }
 
 // DescribeShards implements membership.Host.
--- a/internal/controller/ownership_adapter.go
+++ b/internal/controller/ownership_adapter.go
@@ -5,7 +5,7 @@
 	"stairrelay/internal/state"
 )
 
-// ownershipConfig is what the ownership of shards needs of the settings.
+// ownershipConfig returns the settings of the shard ownership.
 func (c *Controller) ownershipConfig() ownership.Config {
 	return ownership.Config{
 		Self:           c.config.Self,
@@ -17,7 +17,7 @@
 	}
 }
 
-// shardStore loads acquired shards and drops lost ones.
+// shardStore loads acquired shards and drops those no longer owned.
 type shardStore struct{ controller *Controller }
 
 // LoadShard implements ownership.ShardStore and inventory.Shards.
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -6,7 +6,7 @@
 	"stairrelay/internal/messages"
 )
 
-// handlePeerRequest responds to another controller's message.
+// handlePeerRequest handles a request of another controller and responds to it.
 func (c *Controller) handlePeerRequest(request messages.PeerRequest) {
 	message := &request.Message
 	from := c.members.Sender(message)
@@ -37,13 +37,13 @@
 	}
 }
 
-// replyToPeer answers a request of another controller.
+// replyToPeer responds to a request of another controller.
 func (c *Controller) replyToPeer(request messages.RequestID, message messages.PeerMessage) {
 	reply := c.members.WithSender(message)
 	c.loop.Emit(messages.Respond{Request: request, Status: messages.ReplyOK, Peer: &reply})
 }
 
-// answerPing takes in another controller's ping and answers with one of its own.
+// answerPing handles a peer's ping and responds with a ping of this controller.
 func (c *Controller) answerPing(request messages.RequestID, from *membership.Peer, ping *messages.Ping) {
 	if err := c.members.HandlePing(from, ping); err != nil {
 		c.respondError(request, messages.ReplyBadRequest, err.Error())
@@ -52,7 +52,8 @@
 	c.replyToPeer(request, messages.PeerMessage{Ping: c.members.MakePing(from)})
 }
 
-// answerSubmission stores a submission for another controller that can't.
+// answerSubmission handles a submission that is proxied by a controller which can't reach
+// the state service.
 func (c *Controller) answerSubmission(request messages.RequestID, submission *messages.ProxiedSubmission) {
 	spec := submission.Spec
 	spec.ID = submission.ID
@@ -70,7 +71,7 @@
 	})
 }
 
-// viewList lists a job's state; nil: there is none.
+// viewList returns a list of the view, or nil if view is nil.
 func viewList(view *cluster.JobView) []cluster.JobView {
 	if view == nil {
 		return nil
@@ -78,7 +79,8 @@
 	return []cluster.JobView{*view}
 }
 
-// handleHealth tells whether this node can take requests.
+// handleHealth responds to a health check. A node is unavailable while it starts, and
+// while it can't reach the state service but a peer can.
 func (c *Controller) handleHealth(request messages.Health) {
 	if c.writeQueue.Health.LastSuccess == 0 || len(c.state.MachineTypes) == 0 && c.loop.Now() < 10*second {
 		c.respondError(request.Request, messages.ReplyUnavailable, "starting")
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -20,9 +20,8 @@
 	"stairrelay/internal/state"
 )
 
-// Records of the version in production (deploy/service.toml), as its own code
-// wrote them into testdata/production/records.json.
-
+// loadProductionRecords returns the records in testdata/production/records.json by key.
+// They were written by the version in production (see deploy/service.toml).
 func loadProductionRecords(t *testing.T) map[string]json.RawMessage {
 	t.Helper()
 	text, err := os.ReadFile("testdata/production/records.json")
@@ -33,7 +32,7 @@
 	if err := json.Unmarshal(text, &records); err != nil {
 		t.Fatal(err)
 	}
-	for key, value := range records { // indented in the file
+	for key, value := range records { // the file is indented
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, value); err != nil {
 			t.Fatal(err)
@@ -43,8 +42,8 @@
 	return records
 }
 
-// TestProductionRecordsRead: all that the version in production has written is read as it
-// was meant.
+// TestProductionRecordsRead checks that records written by the version in production are
+// decoded correctly, so that an upgrade loses no state.
 func TestProductionRecordsRead(t *testing.T) {
 	records := loadProductionRecords(t)
 	b := newControllerHarness()
@@ -59,12 +58,13 @@
 	t.Run("other records", func(t *testing.T) { checkProductionOtherRecords(t, records) })
 	for _, shard := range b.state.Shards {
 		if !shard.Owned {
-			t.Errorf("shard %d was given up", shard.ID)
+			t.Errorf("the controller lost shard %d", shard.ID)
 		}
 	}
 }
 
-// applyJobRecords stores all records, applies those of jobs and reads what belongs to them.
+// applyJobRecords stores all records, applies the job and admission records, and runs until
+// the chunks of the jobs are loaded.
 func (b *controllerHarness) applyJobRecords(records map[string]json.RawMessage) {
 	for _, key := range slices.Sorted(maps.Keys(records)) {
 		kv := messages.KV{Key: key, Value: []byte(records[key]), ModRevision: 31}
@@ -107,7 +107,7 @@
 		SubmittedAt:       1_700_000_000_000,
 	}
 	if job := b.state.Jobs.Owned["j-000412"]; !reflect.DeepEqual(job.Spec, want) {
-		t.Errorf("read %+v", job.Spec)
+		t.Errorf("got spec %+v", job.Spec)
 	}
 }
 
@@ -159,19 +159,18 @@
 	}
 }
 
-// productionOutcomes matches the forms of outcomes that the version in production reads:
-// ranges and a bitmap.
+// productionOutcomes matches the encodings of task outcomes that the version in production
+// reads: ranges and bitmaps.
 var productionOutcomes = regexp.MustCompile(`^(|[0-9]+(-[0-9]+)?(,[0-9]+(-[0-9]+)?)*|b[A-Za-z0-9+/]+)$`)
 
-// TestRecordsMatchProductionEncoding: what this version writes of jobs without dependencies
-// is byte for byte what the version in production writes.
-// Of the two forms of outcomes that version reads, ranges and a bitmap, this one
-// writes the shorter, so a few outcomes may come as a bitmap.
+// TestRecordsMatchProductionEncoding checks that records of jobs without dependencies are
+// encoded byte for byte as by the version in production, which must be able to read them
+// during an upgrade.
 func TestRecordsMatchProductionEncoding(t *testing.T) {
 	bitmapSeen := map[bool]bool{}
 	for key, old := range loadProductionRecords(t) {
 		if reencoded := reencode(t, key, old); !bytes.Equal(reencoded, old) {
-			t.Errorf("%s: wrote %.300s, was %.300s", key, reencoded, old)
+			t.Errorf("%s: wrote %.300s, production wrote %.300s", key, reencoded, old)
 		}
 		if !strings.HasPrefix(key, "jobs/") {
 			continue
@@ -186,18 +185,18 @@
 		}
 	}
 	if len(bitmapSeen) != 2 {
-		t.Error("the records don't show both forms of outcomes")
+		t.Error("the records don't contain both encodings of outcomes")
 	}
 	value, err := json.Marshal(jobs.Record{Spec: &cluster.JobSpec{Dependencies: []cluster.JobID{}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if strings.Contains(string(value), `"aw"`) {
-		t.Errorf("an empty list is written: %s", value)
+		t.Errorf("an empty list of dependencies is encoded: %s", value)
 	}
 }
 
-// reencode reads a record and returns it as this version writes it.
+// reencode decodes a record and returns its encoding by this version.
 func reencode(t *testing.T, key string, old []byte) []byte {
 	t.Helper()
 	if strings.HasPrefix(key, "groups/") {
@@ -218,7 +217,7 @@
 	return value
 }
 
-// newRecord returns an empty record of the type that a key has.
+// newRecord returns an empty record of the type that is stored under a key.
 func newRecord(t *testing.T, key string) any {
 	t.Helper()
 	switch prefix, _, _ := strings.Cut(key, "/"); prefix {
@@ -237,8 +236,8 @@
 	return nil
 }
 
-// checkOutcomesEncoding checks that the outcomes of a job's record are encoded in a form that
-// the version in production reads, and are the same when they are read again.
+// checkOutcomesEncoding checks that the outcomes of a job's record are encoded in a form
+// that the version in production reads, and that decoding returns the same outcomes.
 func checkOutcomesEncoding(t *testing.T, key string, record *jobs.Record) {
 	t.Helper()
 	taskStates := make([]uint8, min(record.Spec.Tasks, state.TasksPerChunk))
@@ -247,6 +246,6 @@
 	decoded := make([]uint8, len(taskStates))
 	valid := state.DecodeCompleted(encoded, len(taskStates), func(i int) { decoded[i] = state.TaskCompletionStored })
 	if fits != len(taskStates) || !productionOutcomes.MatchString(encoded) || !valid || !bytes.Equal(decoded, taskStates) {
-		t.Errorf("%s: outcomes %.80s, were %.80s", key, encoded, record.CompletedIndexes)
+		t.Errorf("%s: encoded outcomes %.80s, production wrote %.80s", key, encoded, record.CompletedIndexes)
 	}
 }
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -8,20 +8,21 @@
 	"stairrelay/internal/state"
 )
 
-// stallThreshold is how many checkpoints in a row a shard may go without
-// progress before it is logged, and again after as many more.
+// stallThreshold is the number of consecutive checkpoints without progress after which a
+// stalled shard is logged. It is logged again after every stallThreshold more.
 const stallThreshold = 15
 
-// shardProgress counts for how long a shard has not been served, so that operators
-// learn of a state that no failure detector sees: every controller is alive, yet
-// nobody owns the shard, or its owner makes no progress with it.
+// shardProgress tracks how long a shard has made no progress. It detects stalls that no
+// failure detector sees: all controllers are alive, but none owns the shard, or its
+// owner starts no tasks or stores no writes.
 type shardProgress struct {
-	stalledCheckpoints int    // checkpoints in a row
-	plannedStarts      uint64 // starts planned, as of the last checkpoint
-	storedTransactions uint64 // transactions stored, as of then
+	stalledCheckpoints int    // consecutive checkpoints without progress
+	plannedStarts      uint64 // shard.PlannedStarts at the last checkpoint
+	storedTransactions uint64 // shard.StoredTransactions at the last checkpoint
 }
 
-// stallReason says in what way a shard is not served.
+// stallReason is the reason why a shard makes no progress, as logged. It is empty if the
+// shard is not stalled.
 type stallReason string
 
 const (
@@ -31,15 +32,15 @@
 	stallNoWrites stallReason = "its writes are not stored"
 )
 
-// checkShardProgress notes at each checkpoint which shards are served.
+// checkShardProgress updates the progress of all shards. It is called at each checkpoint.
 func (c *Controller) checkShardProgress() {
 	for _, shard := range c.state.Shards {
 		c.recordShardProgress(shard, c.shardStallReason(shard))
 	}
 }
 
-// recordShardProgress counts the checkpoints without progress, and logs each time that
-// there were too many.
+// recordShardProgress counts a checkpoint without progress, and logs the shard each time
+// the count reaches a multiple of stallThreshold.
 func (c *Controller) recordShardProgress(shard *state.Shard, reason stallReason) {
 	progress := &c.progress[shard.ID]
 	progress.plannedStarts, progress.storedTransactions = shard.PlannedStarts, shard.StoredTransactions
@@ -58,10 +59,11 @@
 		"acquiring", shard.Acquiring)
 }
 
-// shardStallReason says whether a shard is served, as far as this controller knows.
+// shardStallReason returns why a shard makes no progress, as far as this controller
+// knows.
 func (c *Controller) shardStallReason(shard *state.Shard) stallReason {
 	switch {
-	case c.writeQueue.IsUnavailableFor(second): // nobody can get on with anything
+	case c.writeQueue.IsUnavailableFor(second): // no controller can make progress
 		return stallNone
 	case !shard.Owned:
 		if c.isServedByPeer(shard) {
@@ -78,8 +80,8 @@
 	return stallNone
 }
 
-// isServedByPeer tells whether the shard's owner says that it owns it, or is
-// alive though its pings do not arrive.
+// isServedByPeer reports whether the shard's owner is a peer whose current ping lists the
+// shard, or a peer that is considered alive although its pings don't arrive.
 func (c *Controller) isServedByPeer(shard *state.Shard) bool {
 	owner := c.members.Peer(shard.Owner)
 	if owner == nil {
@@ -91,8 +93,8 @@
 	return slices.ContainsFunc(owner.LastPing().Shards, func(owned messages.ShardTerm) bool { return owned.Shard == shard.ID })
 }
 
-// hasStalledWrites tells whether records of the shard's machines wait to be stored,
-// and nothing of the shard was stored since the last checkpoint.
+// hasStalledWrites reports whether writes of the shard's machine records are pending and
+// no transaction of the shard was stored since the last checkpoint.
 func (c *Controller) hasStalledWrites(shard *state.Shard) bool {
 	if shard.StoredTransactions != c.progress[shard.ID].storedTransactions {
 		return false
@@ -105,14 +107,14 @@
 	return false
 }
 
-// hasStalledStarts tells whether waiting tasks fit on the shard's machines, and none
-// was given one since the last checkpoint.
+// hasStalledStarts reports whether pending tasks fit on the shard's machines and no start
+// was planned since the last checkpoint.
 func (c *Controller) hasStalledStarts(shard *state.Shard) bool {
 	return shard.PlannedStarts == c.progress[shard.ID].plannedStarts && c.scheduler.HasStartableTasks(shard)
 }
 
-// stalledShardCount counts the shards that have not been served for so long that
-// it was logged.
+// stalledShardCount returns the number of shards that have made no progress for at least
+// stallThreshold checkpoints.
 func (c *Controller) stalledShardCount() int {
 	stalled := 0
 	for _, shard := range c.state.Shards {
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -8,7 +8,7 @@
 	"stairrelay/internal/scheduling"
 )
 
-// provisioningConfig is what provisioning needs of the settings.
+// provisioningConfig returns the settings of the provisioner.
 func (c *Controller) provisioningConfig() provisioning.Config {
 	return provisioning.Config{
 		Self:                 c.config.Self,
@@ -25,7 +25,7 @@
 	}
 }
 
-// newProvisioner connects the provisioner to the other components.
+// newProvisioner returns a new provisioner, connected to the other components.
 func (c *Controller) newProvisioner() *provisioning.Provisioner {
 	return provisioning.New(c.loop, c.state, c.writeQueue, c.provisioningConfig(), provisioning.Dependencies{
 		Members:           c.members,
@@ -44,8 +44,9 @@
 	})
 }
 
-// provisioningOrphans shows listed machines without a record to the reconciler, which
-// is made after the provisioner.
+// provisioningOrphans forwards listed machines that no record lists to the reconciler.
+// It looks the reconciler up at each call, because the reconciler is created after the
+// provisioner.
 type provisioningOrphans struct{ controller *Controller }
 
 // HandleListed implements provisioning.Orphans.
@@ -58,7 +59,7 @@
 	o.controller.reconciler.Orphans.ForgetUnlisted(listed)
 }
 
-// machineSharing shares the machines among the shards for provisioning.
+// machineSharing implements provisioning.MachineSharing.
 type machineSharing struct {
 	*scheduling.Rebalancer
 	loads *scheduling.ShardLoads
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// faultPeriod is how long a simulated day has new faults.
+	// faultPeriod is the time from the start of a run in which faults begin.
 	faultPeriod = 240 * second
-	// longestFault is how long a fault goes on after it has begun.
+	// maxFaultDuration is the maximum duration of a fault.
 	maxFaultDuration = 40 * second
-	// workPeriod is how long after the faults all work should be done. The least
-	// important work of a team at its quota limit takes some eight minutes where
-	// half of the machines were removed more than once.
+	// completionTimeout is the time after faultPeriod within which all jobs must be done.
+	// The jobs of the lowest priority need most of it if half of the machines are removed
+	// more than once.
 	completionTimeout = 540 * second
-	// maxStartDelay is how long the largest job of a class may wait for its start.
+	// maxStartDelay is the maximum time until the largest job of a class starts.
 	maxStartDelay = 240 * second
 )
 
-// randomDayFaults are the kinds of faults that the random days must have.
+// requiredRandomFaults are the kinds of faults that must occur in the random runs.
 var requiredRandomFaults = []simulation.FaultKind{
 	simulation.FaultCommandToUnreachableMachine,
 	simulation.FaultAnswerToUnreachableMachine,
@@ -70,9 +70,9 @@
 	simulation.FaultDependentCancelled,
 }
 
-// TestRandomFaults runs seeded days with crashes, partitions, hangs, outages and
-// late messages, and checks the protocol's rules all along, and that the work
-// gets done once the faults are over.
+// TestRandomFaults injects random crashes, partitions, hangs, outages and late messages.
+// It checks the protocol's invariants throughout, and that all jobs are done in bounded
+// time after the faults.
 func TestRandomFaults(t *testing.T) {
 	from, to := seedRange(t, 1, 25)
 	var seen faultTotals
@@ -82,18 +82,18 @@
 			seen.add(simulateRandomFaults(t, seed, testConfig()))
 		})
 	})
-	t.Run("seven", func(t *testing.T) {
+	t.Run("seven nodes", func(t *testing.T) {
 		forEachSeed(t, from, from+(to-from)/2, func(t *testing.T, seed uint64) {
 			t.Helper()
 			simulateRandomFaults(t, seed, sevenNodeConfig())
 		})
 	})
 	seen.check(t, requiredRandomFaults, to-from >= 20)
-	// They are allowed within the time for a cancellation, but cost work.
+	// Starts after a cancellation are allowed until its deadline, but waste capacity.
 	t.Logf("%s: %d", simulation.FaultStartAfterCancel, seen.counts[simulation.FaultStartAfterCancel])
 }
 
-// forEachSeed runs a day for each seed, side by side.
+// forEachSeed calls simulate for each seed, in parallel subtests.
 func forEachSeed(t *testing.T, from, to int, simulate func(t *testing.T, seed uint64)) {
 	t.Helper()
 	for seed := from; seed <= to; seed++ {
@@ -104,37 +104,37 @@
 	}
 }
 
-// faultTotals adds up the faults of several days.
+// faultTotals sums up the faults of several runs.
 type faultTotals struct {
 	mu     sync.Mutex
 	counts map[simulation.FaultKind]int
 }
 
-func (f *faultTotals) add(day map[simulation.FaultKind]int) {
+func (f *faultTotals) add(counts map[simulation.FaultKind]int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.counts == nil {
 		f.counts = map[simulation.FaultKind]int{}
 	}
-	for kind, count := range day {
+	for kind, count := range counts {
 		f.counts[kind] += count
 	}
 }
 
-// check logs how often each kind of fault came up, and fails if one that is
-// required never did: a rule that holds without its fault shows nothing.
+// check logs how often each kind of fault occurred. If required is set, it fails for each
+// kind that did not occur, because the runs then don't cover that fault.
 func (f *faultTotals) check(t *testing.T, kinds []simulation.FaultKind, required bool) {
 	t.Helper()
 	for _, kind := range kinds {
 		t.Logf("%s: %d", kind, f.counts[kind])
 		if f.counts[kind] == 0 && required {
-			t.Errorf("no day had %s", kind)
+			t.Errorf("fault did not occur in any run: %s", kind)
 		}
 	}
 }
 
-// seedRange is the range of seeds to run: the given one, or that of
-// STAIRRELAY_SEEDS, as in "100-400".
+// seedRange returns the range of seeds to run. The environment variable
+// STAIRRELAY_SEEDS, such as "100-400", overrides the given range.
 func seedRange(t *testing.T, from, to int) (int, int) {
 	t.Helper()
 	if seeds := os.Getenv("STAIRRELAY_SEEDS"); seeds != "" {
@@ -145,12 +145,12 @@
 	return from, to
 }
 
-// simulateDay runs a day with faults of all kinds and returns how often each took
-// effect.
+// simulateRandomFaults simulates a cluster with faults of all kinds and returns how often
+// each kind occurred.
 func simulateRandomFaults(t *testing.T, seed uint64, cfg controller.Config, options ...simulation.Option) map[simulation.FaultKind]int {
 	t.Helper()
 	sim := newSimulator(seed, cfg, options...)
-	if len(cfg.Nodes) == 3 { // else no machine is up at the start
+	if len(cfg.Nodes) == 3 { // otherwise no machine is running at the start
 		addMachinesPerZone(sim, 1)
 	}
 	runWithFaults(t, sim, cfg, func(teams []string, until cluster.Time) {
@@ -160,20 +160,20 @@
 		planPipelines(sim, teams, until)
 	})
 	if len(sim.Jobs) == 0 {
-		t.Error("no job was submitted: the day tests nothing")
+		t.Error("no job was submitted")
 	}
 	for _, job := range largestJobs(sim) {
 		delay := job.FirstStartAt - job.SubmittedAt
 		if !job.CancelRequested && (job.FirstStartAt == 0 || delay > maxStartDelay) {
-			t.Errorf("%s, the largest of class %s, started %v after its submission", job.Spec.ID, job.Spec.Class, time.Duration(delay))
+			t.Errorf("%s, the largest job of class %s, started %v after its submission", job.Spec.ID, job.Spec.Class, time.Duration(delay))
 		}
 	}
 	return sim.FaultCounts
 }
 
-// runWithFaults runs a day with late messages and the faults that are planned for
-// it, and then until the work should be done. No rule may be broken and no job
-// left.
+// runWithFaults runs a simulation with random message faults and the faults and jobs that
+// plan schedules, until completionTimeout after faultPeriod. It checks that no invariant
+// was violated and that all jobs have ended.
 func runWithFaults(t *testing.T, sim *simulation.Simulator, cfg controller.Config, plan func(teams []string, until cluster.Time)) {
 	t.Helper()
 	enableRandomMessageFaults(sim)
@@ -201,15 +201,15 @@
 	}
 }
 
-// enableRandomMessageFaults lets messages arrive late, twice or slowly at random.
+// enableRandomMessageFaults delays, duplicates and slows down messages at random.
 func enableRandomMessageFaults(sim *simulation.Simulator) {
 	sim.Network.LateDelivery = true
 	sim.Network.HeartbeatDuplicateChance = 0.03
 	sim.Network.SlowPeerChance = 0.03
 }
 
-// checkUsageSums checks each second whether the sums that the controllers keep of
-// their tasks' resources are those of the tasks themselves.
+// checkUsageSums checks every second that the controllers' cached resource usage equals
+// the sum over their tasks.
 func checkUsageSums(t *testing.T, sim *simulation.Simulator) {
 	t.Helper()
 	var check func()
@@ -225,9 +225,8 @@
 	sim.After(second, check)
 }
 
-// largestJobs finds each class's largest job by what its tasks need in all. Jobs
-// with dependencies are left out, as their waiting time counts from another
-// moment.
+// largestJobs returns the job of each class that needs the most CPU time. Jobs with
+// dependencies are excluded, because they can't start before these have ended.
 func largestJobs(sim *simulation.Simulator) map[string]*simulation.Job {
 	size := func(job *simulation.Job) float64 {
 		return float64(job.Spec.ResourceRequest.CPU) * float64(job.Spec.Tasks) * job.Spec.RuntimeSeconds
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// plannedJobCount is how many jobs a day has beside its pipelines.
+	// plannedJobCount is the number of jobs in a run, in addition to its pipelines.
 	plannedJobCount = 45
-	// initialJobCount is how many of them are submitted at the day's beginning.
+	// initialJobCount is the number of those jobs that are submitted at the start.
 	initialJobCount = 10
-	// longJobInterval is how many jobs there are for each long one, whose tasks run
-	// longer than a cancellation may take, so that one which is not stopped shows.
+	// longJobInterval makes one of this many jobs a long one. The tasks of a long job run
+	// for longer than the cancellation deadline, so that a task which is not stopped is
+	// detected.
 	longJobInterval = 9
-	// plannedPipelineCount is how many pipelines a day has.
+	// plannedPipelineCount is the number of pipelines in a run.
 	plannedPipelineCount = 6
 )
 
-// planJobs plans jobs of all kinds, some of which are cancelled.
+// planJobs schedules the submission of random jobs and the cancellation of some of them.
 func planJobs(sim *simulation.Simulator, teams []string, until cluster.Time) {
 	for i := range plannedJobCount {
 		at := sim.RandomBetween(0, until)
@@ -39,7 +40,7 @@
 	}
 }
 
-// drawJob draws the job of a number.
+// randomJob returns a random job with the given number.
 func randomJob(sim *simulation.Simulator, teams []string, number int) *simulation.Job {
 	run := sim.RandomBetween(3*second, 30*second)
 	tasks := 1 + sim.Rand.IntN(9)
@@ -70,7 +71,7 @@
 	return job
 }
 
-// drawPlacement draws where the tasks of a job may run.
+// setRandomPlacement sets a random placement constraint in some of the specs.
 func setRandomPlacement(sim *simulation.Simulator, spec *cluster.JobSpec) {
 	switch sim.Rand.IntN(8) {
 	case 0:
@@ -84,8 +85,8 @@
 	}
 }
 
-// planPipelines plans pipelines over the teams: of some a job is cancelled, of some
-// the last job is submitted only when the others are over.
+// planPipelines schedules the submission of pipelines. In some pipelines a job is
+// cancelled, and in some the last job is submitted only after its dependencies have ended.
 func planPipelines(sim *simulation.Simulator, teams []string, until cluster.Time) {
 	planner := &pipelinePlanner{sim: sim, teams: teams}
 	for range plannedPipelineCount {
@@ -93,14 +94,14 @@
 	}
 }
 
-// pipelinePlanner plans pipelines, whose jobs it numbers.
+// pipelinePlanner schedules pipelines and numbers their jobs.
 type pipelinePlanner struct {
 	sim      *simulation.Simulator
 	teams    []string
 	jobCount int
 }
 
-// plan plans a pipeline that begins at a time.
+// plan schedules a pipeline that starts at the given time.
 func (p *pipelinePlanner) plan(at cluster.Time) {
 	sim := p.sim
 	jobs := p.randomPipeline()
@@ -122,8 +123,9 @@
 	})
 }
 
-// drawPipeline draws a pipeline: one job, some that depend on it, one that depends
-// on these, and one that depends on that and on the first.
+// randomPipeline returns the jobs of a random pipeline: a first job, parallel jobs that
+// depend on it, a job that depends on all of these, and a last job that depends on the
+// previous one and on the first.
 func (p *pipelinePlanner) randomPipeline() []*simulation.Job {
 	first := p.randomJob()
 	jobs := []*simulation.Job{first}
@@ -138,7 +140,6 @@
 	return append(jobs, middle, last)
 }
 
-// drawJob draws a job of a pipeline.
 func (p *pipelinePlanner) randomJob(dependencies ...cluster.JobID) *simulation.Job {
 	sim := p.sim
 	p.jobCount++
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -6,7 +6,7 @@
 	"stairrelay/internal/state"
 )
 
-// reconcileConfig is what the reconciler needs of the settings.
+// reconcileConfig returns the settings of the reconciler.
 func (c *Controller) reconcileConfig() reconcile.Config {
 	return reconcile.Config{
 		Self:              c.config.Self,
@@ -19,7 +19,7 @@
 	}
 }
 
-// newReconciler connects the reconciler to the other components.
+// newReconciler returns a new reconciler, connected to the other components.
 func (c *Controller) newReconciler() *reconcile.Reconciler {
 	return reconcile.New(c.loop, c.state, c.writeQueue, c.reconcileConfig(), reconcile.Dependencies{
 		Ownership:         c.ownership,
@@ -38,24 +38,25 @@
 	})
 }
 
-// isolationThreshold is the least time after which a controller may count as
-// isolated.
+// minIsolationTime is the minimum time without contact after which a controller is
+// considered isolated. A longer worker lease takes its place.
 const minIsolationTime = 10 * second
 
-// isIsolated tells whether this controller has had neither the state service nor any
-// other controller for so long that another may own its shards.
+// isIsolated reports whether this controller has reached neither the state service nor
+// any peer for so long that a peer may own its shards.
 func (c *Controller) isIsolated() bool {
 	threshold := max(c.config.WorkerLease, minIsolationTime)
 	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(threshold) && !c.members.HasAnswerWithin(threshold)
 }
 
-// runtimes shows the reconciler how long tasks run.
+// runtimes provides the expected run times and the stragglers to the reconciler.
 type runtimes struct {
 	*scheduling.RunTimes
 	*scheduling.Stragglers
 }
 
-// machineReleaser gives machines back to the cloud for the reconciler.
+// machineReleaser forwards the reconciler's calls that release machines to the scheduler
+// and the provisioner.
 type machineReleaser struct{ controller *Controller }
 
 // Release implements reconcile.MachineReleaser.
--- a/internal/controller/scheduling_adapter.go
+++ b/internal/controller/scheduling_adapter.go
@@ -5,7 +5,7 @@
 	"stairrelay/internal/state"
 )
 
-// schedulingConfig is what the scheduler needs of the settings.
+// schedulingConfig returns the settings of the scheduler.
 func (c *Controller) schedulingConfig() scheduling.Config {
 	tuning := &c.config.Tuning
 	return scheduling.Config{
@@ -18,7 +18,7 @@
 	}
 }
 
-// newScheduler connects the scheduler to the other components.
+// newScheduler returns a new scheduler, connected to the other components.
 func (c *Controller) newScheduler() *scheduling.Scheduler {
 	return scheduling.New(c.loop, c.state, c.schedulingConfig(), scheduling.Dependencies{
 		Stops:                taskStopper{controller: c},
@@ -27,14 +27,15 @@
 		Store:                c.writeQueue,
 		Ownership:            c.ownership,
 		Peers:                c.members,
-		SpotInterruptionRate: func() float64 { return c.provisioner.Spot.Rate() }, // made after the scheduler
+		SpotInterruptionRate: func() float64 { return c.provisioner.Spot.Rate() }, // the provisioner is created after the scheduler
 		CountMachineScans:    c.counters.AddMachineScans,
 		StretchDelay:         c.processHealth.StretchDelay,
 	})
 }
 
-// taskStopper stops tasks and drains machines for the scheduler. The reconciler is made
-// after the scheduler, so that it is looked up when it is needed.
+// taskStopper forwards the scheduler's calls that stop tasks and drain machines to the
+// reconciler. It looks the reconciler up at each call, because the reconciler is created
+// after the scheduler.
 type taskStopper struct{ controller *Controller }
 
 // Preempt implements scheduling.TaskStopper.
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -8,13 +8,14 @@
 	"stairrelay/internal/state"
 )
 
-// loadRetryPause is the pause after a shard's records could not be read.
+// loadRetryDelay is the delay before a failed read of a shard's records is retried.
 const loadRetryDelay = second / 3
 
-// shardLoad reads the records of a shard that was just acquired. They come first;
-// what the workers say is compared with them afterwards.
+// shardLoad loads the records of a newly acquired shard. The workers' heartbeats are
+// reconciled with the records only after these are loaded.
 //
-// It ends with its claim. Nothing is applied before all records were read.
+// A load is abandoned if this controller loses the claim under which it began. No record
+// is applied before all records were read.
 type shardLoad struct {
 	controller           *Controller
 	shard                *state.Shard
@@ -25,17 +26,18 @@
 	jobs                 *messages.ListReply
 }
 
-// loadShard reads the records of a shard.
+// loadShard starts to load the records of a shard.
 func (c *Controller) loadShard(shard *state.Shard) {
 	load := &shardLoad{controller: c, shard: shard, claimRevision: shard.ClaimRevision}
 	load.read(state.GroupKeyPrefix, &load.groups)
 	load.read(provisioning.RequestKeyPrefix, &load.provisioningRequests)
-	// The admissions before the jobs: what is admitted in between comes by the watch.
+	// Admissions are listed before jobs. The watch delivers the jobs that are admitted in
+	// between.
 	load.read(jobs.AdmissionKeyPrefix, &load.admissions)
 	load.read(state.JobKeyPrefix, &load.jobs)
 }
 
-// read lists the records with a prefix until that works.
+// read lists the records with a prefix into result, and retries until it succeeds.
 func (l *shardLoad) read(prefix string, result **messages.ListReply) {
 	l.controller.writeQueue.ListPrefix(prefix, func(reply messages.ListReply) {
 		if !l.shard.IsOwnedUnder(l.claimRevision) {
@@ -52,13 +54,13 @@
 	})
 }
 
-// isComplete tells whether all records were read.
+// isComplete reports whether all records were read.
 func (l *shardLoad) isComplete() bool {
 	return l.groups != nil && l.provisioningRequests != nil && l.admissions != nil && l.jobs != nil
 }
 
-// finish applies the records and begins to serve the shard, unless they show that it
-// is lost or some of them make no sense.
+// finish applies the records and marks the shard as ready. It doesn't mark the shard if
+// the records show that its ownership was lost, or if some of them are corrupt.
 func (l *shardLoad) finish() {
 	c, shard := l.controller, l.shard
 	l.applyRecords()
@@ -74,7 +76,7 @@
 	l.awaitAcknowledgements()
 	c.scheduler.Trigger.Request()
 	if len(shard.Machines)+len(shard.ProvisioningRequests) > 0 {
-		c.provisioner.List.RequestRead() // the cloud's list shows what the records may lack
+		c.provisioner.List.RequestRead() // finds machines that no record lists
 	}
 	c.loop.Log(messages.LogInfo, "shard ready",
 		"shard", int(shard.ID),
@@ -84,13 +86,14 @@
 	c.reconciler.Maintenance.Run()
 }
 
-// applyRecords applies all records that were read.
+// applyRecords applies all records that were read. A job's own record takes precedence
+// over its admission record.
 func (l *shardLoad) applyRecords() {
 	c, shard := l.controller, l.shard
 	for _, kv := range l.jobs.Items {
 		c.jobs.Records.Apply(kv, shard)
 	}
-	for _, kv := range l.admissions.Items { // after the jobs' own records, which count
+	for _, kv := range l.admissions.Items {
 		c.jobs.AdmissionRecords.Apply(kv, shard)
 	}
 	for _, kv := range l.groups.Items {
@@ -101,7 +104,7 @@
 	}
 }
 
-// applyEarlyJobs applies the job records that were seen while the shard was loaded.
+// applyEarlyJobs applies the job records that were received while the shard was loaded.
 func (l *shardLoad) applyEarlyJobs() {
 	early := l.shard.EarlyJobs
 	l.shard.EarlyJobs = nil
@@ -110,8 +113,8 @@
 	}
 }
 
-// awaitAcknowledgements notes which machines have yet to acknowledge this claim's
-// fencing token, and logs after a worker lease how many did.
+// awaitAcknowledgements records which machines have not acknowledged this claim's fencing
+// token. After a worker lease, it logs how many still have not.
 func (l *shardLoad) awaitAcknowledgements() {
 	c, shard := l.controller, l.shard
 	awaited := shard.AwaitFirstAcknowledgements(c.loop.Now())
@@ -120,7 +123,7 @@
 	}
 	c.loop.After(c.config.WorkerLease, func() {
 		if shard.IsOwnedUnder(l.claimRevision) {
-			c.loop.Log(messages.LogInfo, "machines acknowledged",
+			c.loop.Log(messages.LogInfo, "counted fencing token acknowledgements",
 				"shard", int(shard.ID),
 				"machines", awaited,
 				"silent", shard.AwaitingFirstAcknowledgementCount,
@@ -129,7 +132,7 @@
 	})
 }
 
-// millisSinceAcquire is how long after the acquire a time was.
+// millisSinceAcquire returns the milliseconds from the acquisition of the shard to at.
 func (l *shardLoad) millisSinceAcquire(at cluster.Time) int {
 	return int((at - l.shard.OwnershipChangedAt) / millisecond)
 }
--- a/internal/controller/simulator_setup_test.go
+++ b/internal/controller/simulator_setup_test.go
@@ -15,7 +15,6 @@
 	cpu         = cluster.Amount(1_000_000)
 )
 
-// zones are the zones of the test cloud.
 var zones = []string{"a", "b", "c"}
 
 func testConfig() controller.Config {
@@ -39,8 +38,9 @@
 	}
 }
 
-// sevenNodeConfig has more controllers than teams, one team without guaranteed
-// quota or quota limit, a short lease, and a slow cloud list.
+// sevenNodeConfig returns a configuration with more controllers than teams, one team
+// without guaranteed quota or quota limit, a short cancellation deadline and a large lag
+// of the cloud's machine list.
 func sevenNodeConfig() controller.Config {
 	cfg := testConfig()
 	cfg.Nodes = []cluster.NodeID{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}
@@ -57,7 +57,7 @@
 	return cfg
 }
 
-// testTeam is a team with quotas for CPUs.
+// testTeam returns a team with CPU quotas.
 func testTeam(name string, guaranteed, limit cluster.Amount) cluster.Team {
 	return cluster.Team{
 		Name:            name,
@@ -66,7 +66,7 @@
 	}
 }
 
-// newSimulator makes a cluster on the test cloud.
+// newSimulator returns a simulated cluster on the test cloud.
 func newSimulator(seed uint64, cfg controller.Config, options ...simulation.Option) *simulation.Simulator {
 	var sim *simulation.Simulator
 	cloud := testCloud(func() *simulation.Simulator { return sim })
@@ -74,7 +74,8 @@
 	return sim
 }
 
-// testCloud makes a small cloud whose boot durations are drawn by a simulator.
+// testCloud returns a cloud with little capacity. The simulator provides the randomness of
+// its boot durations.
 func testCloud(simulator func() *simulation.Simulator) *simulation.FakeCloud {
 	types := []cluster.MachineType{
 		{Name: "small", Capacity: cluster.Resources{CPU: 4 * cpu, Memory: 16 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.2, SpotPrice: 0.07, BootSeconds: 15, Zones: zones},
@@ -91,8 +92,8 @@
 	return simulation.NewFakeCloud(types, capacity, func() cluster.Time { return randomBootDuration(simulator()) })
 }
 
-// drawBootDuration draws how long a machine takes to boot; one in ten takes
-// unusually long, or hardly any time.
+// randomBootDuration returns how long a machine takes to boot. One in ten machines may
+// boot unusually fast or slowly.
 func randomBootDuration(sim *simulation.Simulator) cluster.Time {
 	switch {
 	case sim.Machines.HasFastBoots():
@@ -104,7 +105,7 @@
 	}
 }
 
-// addMachinesPerZone puts small on-demand machines into each zone, up at once.
+// addMachinesPerZone adds running small on-demand machines to each zone.
 func addMachinesPerZone(sim *simulation.Simulator, count int) {
 	for _, zone := range zones {
 		for range count {
@@ -113,7 +114,7 @@
 	}
 }
 
-// newJobSpec describes a job of small tasks.
+// newJobSpec returns the spec of a job with tasks of one CPU.
 func newJobSpec(id cluster.JobID, team string, tasks int, run cluster.Time) cluster.JobSpec {
 	return cluster.JobSpec{
 		ID:              id,
@@ -128,7 +129,7 @@
 	}
 }
 
-// newJob makes a job whose tasks run for a time.
+// newJob returns a job whose tasks run for the given time.
 func newJob(spec cluster.JobSpec, run cluster.Time) *simulation.Job {
 	return &simulation.Job{
 		Spec: spec,
@@ -141,25 +142,25 @@
 	}
 }
 
-// wallTime is the wall time of a simulated time.
+// wallTime converts simulated time to wall time.
 func wallTime(now cluster.Time) cluster.WallTime { return cluster.WallTime(now / millisecond) }
 
-// submitRequest is a user's submission.
+// submitRequest returns a constructor of a user's submission.
 func submitRequest(spec cluster.JobSpec) func(messages.RequestID) messages.Event {
 	return func(id messages.RequestID) messages.Event { return messages.Submit{Request: id, Spec: spec} }
 }
 
-// queryRequest is a user's query.
+// queryRequest returns a constructor of a user's query.
 func queryRequest(job cluster.JobID) func(messages.RequestID) messages.Event {
 	return func(id messages.RequestID) messages.Event { return messages.Query{Request: id, ID: job} }
 }
 
-// cancelRequest is a user's cancellation.
+// cancelRequest returns a constructor of a user's cancellation.
 func cancelRequest(job cluster.JobID) func(messages.RequestID) messages.Event {
 	return func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: job} }
 }
 
-// heartbeatRequest is a worker's heartbeat.
+// heartbeatRequest returns a constructor of a worker's heartbeat.
 func heartbeatRequest(status cluster.HeartbeatStatus) func(messages.RequestID) messages.Event {
 	return func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: status} }
 }
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -7,36 +7,35 @@
 	"stairrelay/internal/writequeue"
 )
 
-// Counters count what happened since the last periodic log line.
+// Counters counts events since the last periodic log line.
 type Counters struct {
 	Heartbeats    int
 	Submissions   int
 	Queries       int
 	Cancellations int
 	CommandPushes int
-	// MachineScans counts the machines that were looked at one by one, whatever for.
+	// MachineScans is the total number of machines visited by all loops over machines.
 	MachineScans int
 }
 
 // AddCommandPush counts a push of commands to a worker.
 func (n *Counters) AddCommandPush() { n.CommandPushes++ }
 
-// AddMachineScans counts a look at each of some machines.
+// AddMachineScans counts one visit of each of the machines.
 func (n *Counters) AddMachineScans(machines []*state.Machine) { n.MachineScans += len(machines) }
 
-// capacityUsage sums up what the machines of all owned shards have and what is done with
-// it, in processors.
+// capacityUsage is the CPU capacity of the machines of all owned shards, and its usage.
 type capacityUsage struct {
-	total     cluster.Amount // of machines that are up
+	total     cluster.Amount // of machines that have booted
 	spot      cluster.Amount
 	idle      cluster.Amount
 	booting   cluster.Amount
-	recording cluster.Amount // of tasks, by their phase
+	recording cluster.Amount // of tasks, by phase
 	ready     cluster.Amount
 	fetching  cluster.Amount
 	running   cluster.Amount
 	ended     cluster.Amount
-	pending   cluster.Amount // of tasks without a machine
+	pending   cluster.Amount // of tasks not assigned to a machine
 }
 
 func (u *capacityUsage) addMachine(machine *state.Machine, cpu cluster.Amount) {
@@ -71,7 +70,7 @@
 	}
 }
 
-// capacityUsage sums up the shards owned here.
+// capacityUsage returns the usage of the owned shards.
 func (c *Controller) capacityUsage() capacityUsage {
 	var usage capacityUsage
 	for _, shard := range c.state.Shards {
@@ -140,7 +139,6 @@
 		"in_flight", c.writeQueue.InFlight())
 }
 
-// ownedShardCount counts the shards owned here.
 func (c *Controller) ownedShardCount() int {
 	owned := 0
 	for _, shard := range c.state.Shards {
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/writequeue"
 )
 
-// writeQueueConfig is what the write queue needs of the settings.
+// writeQueueConfig returns the settings of the write queue.
 func (c *Controller) writeQueueConfig() writequeue.Config {
 	return writequeue.Config{
 		InstanceID:      c.config.InstanceID,
@@ -26,7 +26,8 @@
 	}
 }
 
-// shardClaims shows the write queue who owns the shards.
+// shardClaims provides the claims of the shards to the write queue and handles the
+// results of its transactions.
 type shardClaims struct{ controller *Controller }
 
 // ClaimOf implements writequeue.ShardOwnership.
@@ -46,20 +47,20 @@
 	o.controller.ownership.RecordConfirmation(shard, stored.Claim, stored.SentAt)
 }
 
-// probeStore keeps in touch with the state service while it matters whether it
-// serves this controller: while it does not, to know when it does again, and while
-// another controller says that it has lost it, to tell a partition of that one from
-// an outage. On an idle controller nothing else would ask for minutes.
+// probeStore sends a read to the state service if nothing else does. While requests fail,
+// the read shows when the service has recovered. While a peer reports the service as
+// unreachable, it distinguishes a partition of that peer from an outage; an idle
+// controller would otherwise send no request for minutes.
 func (c *Controller) probeStore() {
 	if c.writeQueue.Health.ShouldProbe(c.loop.Now()) {
 		c.ownership.RereadClaim(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
 	}
 }
 
-// shareByDemand returns this controller's share of a limit that all live ones share.
-// reported picks the demand on it from another controller's ping.
+// shareByDemand returns this controller's share of a limit that all live controllers have
+// in common. reported returns the demand that a peer's ping contains.
 func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, reported func(*messages.Ping) float64) float64 {
-	if c.members == nil { // the write queue is made first, and asks at once
+	if c.members == nil { // the write queue is created first and calls this at once
 		return ratelimit.ShareByDemand(limit, demand, liveControllers, nil)
 	}
 	peers := c.members.Peers()
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -10,7 +10,8 @@
 	"stairrelay/internal/simulation"
 )
 
-// traceCommands are the commands that a trace has once the controllers run.
+// traceCommands maps the verbs of a trace's commands to their implementations. Commands
+// that change the settings are not included; see applySetting.
 var traceCommands = map[string]func(*traceRunner, traceCommand){
 	"machines":  (*traceRunner).addMachines,
 	"capacity":  (*traceRunner).setCapacity,
@@ -22,9 +23,9 @@
 	"corrupt":   (*traceRunner).corruptMachineGroup,
 	"partition": (*traceRunner).partitionNode,
 	"pause":     (*traceRunner).pauseNodes,
-	// run 10s: time passes.
+	// run 10s: advances the time.
 	"run": func(r *traceRunner, c traceCommand) { r.simulator.RunUntil(r.until(c.duration(0))) },
-	// upgrade n0 6s: its process ends and is back after that with the current version.
+	// upgrade n0 6s: its process ends and restarts after 6s with the current version.
 	"upgrade": func(_ *traceRunner, c traceCommand) { c.node(0).Upgrade(c.duration(1)) },
 	// lower-limits: the state service enforces its lower limits.
 	"lower-limits": func(r *traceRunner, _ traceCommand) { r.simulator.LowerStoreLimits() },
@@ -63,7 +64,8 @@
 	"preempt": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Preempt(c.machine(), c.duration(1)) },
 }
 
-// applySetting applies a command about the settings; false: it is another one.
+// applySetting applies a command that changes the settings. It reports whether the command
+// is one of these.
 func (r *traceRunner) applySetting(command traceCommand) bool {
 	r.t.Helper()
 	switch {
@@ -75,7 +77,9 @@
 			r.fail("%v", err)
 		}
 		r.config.SLOs = append(r.config.SLOs, cluster.SLO{Kind: "finished", Class: command.arg(0), WithinSeconds: within})
-	case command.verb == "production" && len(command.args) == 3: // the production version under these limits; the settings have those of upgradeConfig
+	// production VALUE_BYTES TXN_OPS WRITE_RPS: all controllers start with the production
+	// version under these limits. The settings announce those of upgradeConfig.
+	case command.verb == "production" && len(command.args) == 3:
 		r.limitsBeforeUpgrade = r.parseLimits(command)
 	default:
 		return false
@@ -83,7 +87,7 @@
 	return true
 }
 
-// teamsWithSharedShard are four teams on three shards, so that two share one.
+// teamsWithSharedShard returns four teams for three shards, so that two teams share one.
 func teamsWithSharedShard() []cluster.Team {
 	return []cluster.Team{
 		testTeam("red", 8*cpu, 16*cpu),
@@ -93,7 +97,7 @@
 	}
 }
 
-// parseLimits reads value bytes, changes a transaction and changes a second.
+// parseLimits parses the arguments VALUE_BYTES TXN_OPS WRITE_RPS.
 func (r *traceRunner) parseLimits(command traceCommand) *simulation.StoreLimits {
 	r.t.Helper()
 	rate, err := strconv.ParseFloat(command.arg(2), 64)
@@ -103,7 +107,7 @@
 	return &simulation.StoreLimits{WriteRPS: rate, ValueBytes: command.count(0), TxnOps: command.count(1)}
 }
 
-// until is the time after a duration.
+// until returns the time at which a duration from now ends.
 func (r *traceRunner) until(duration cluster.Time) cluster.Time { return r.simulator.Now + duration }
 
 // addMachines: machines small a 2 [spot=1].
@@ -217,8 +221,8 @@
 	command.node(2).SendRequest(cancelRequest(cluster.JobID(id)), r.writeResponse("cancels", id))
 }
 
-// corruptMachineGroup: corrupt m-000001 makes the record that lists a machine
-// unreadable.
+// corruptMachineGroup: corrupt m-000001 overwrites the record that lists a machine with an
+// invalid value.
 func (r *traceRunner) corruptMachineGroup(command traceCommand) {
 	for _, record := range r.simulator.StateService.List("groups/").Items {
 		if strings.Contains(string(record.Value), command.arg(0)) {
@@ -227,8 +231,8 @@
 	}
 }
 
-// partitionNode: partition n0 store 10s partitions a controller from the store, the workers or
-// the peers; from the "servers", which leaves it its workers; or from "all".
+// partitionNode: partition n0 store 10s partitions a controller from the "store", the
+// "workers" or the "peers"; from the "servers", which are store and peers; or from "all".
 func (r *traceRunner) partitionNode(command traceCommand) {
 	node, until := command.node(0), r.until(command.duration(2))
 	switch from := command.arg(1); from {
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -15,19 +15,18 @@
 	"stairrelay/internal/simulation"
 )
 
-var updateGolden = flag.Bool("update", false, "write the traces of testdata/traces anew")
+var updateGolden = flag.Bool("update", false, "record the traces or decisions of the selected tests anew")
 
-// minTraces is how many traces there are at least.
+// minTraces is the minimum number of traces.
 const minTraces = 8
 
-// TestTraces replays the kept traces. A trace is a text file: lines that begin
-// with # explain it, lines that begin with > are its commands, and the others are
-// what the controllers and workers did. With -update the last are written anew:
-// read the difference before it is committed.
+// TestTraces checks that the controllers and workers act as in the recorded traces. Lines
+// of a trace that begin with # are comments, those that begin with > are commands, and the
+// others are recorded. The flag -update records them anew; review the diff.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/traces/*.txt")
 	if err != nil || len(files) < minTraces {
-		t.Fatalf("only %d traces: %v", len(files), err)
+		t.Fatalf("found only %d traces: %v", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
@@ -47,8 +46,8 @@
 	}
 }
 
-// compareTraces fails at the first line in which a replayed trace differs from the
-// kept one.
+// compareTraces fails at the first line that differs between a replayed trace and the
+// recorded one.
 func compareTraces(t *testing.T, file, got, want string) {
 	t.Helper()
 	if got == want {
@@ -60,10 +59,10 @@
 			t.Fatalf("line %d of %s\nwant %s\ngot  %s", i+1, file, line, append(gotLines, "")[min(i, len(gotLines))])
 		}
 	}
-	t.Fatalf("%s: %d lines more than kept", file, len(gotLines)-len(wantLines))
+	t.Fatalf("%s: got %d more lines than recorded", file, len(gotLines)-len(wantLines))
 }
 
-// replayTrace runs a trace's commands and returns the trace with what they led to.
+// replayTrace runs a trace's commands and returns the trace with its newly recorded lines.
 func replayTrace(t *testing.T, text string, options ...simulation.Option) string {
 	t.Helper()
 	runner := newTraceRunner(t, options)
@@ -75,13 +74,13 @@
 		t.Fatal("the trace has no commands")
 	}
 	for _, violation := range runner.simulator.Violations {
-		t.Errorf("rule broken: %s", violation)
+		t.Errorf("invariant violated: %s", violation)
 	}
 	return runner.out.String()
 }
 
-// traceRunner runs the commands of a trace. Commands about the settings come
-// first; the first other one starts the controllers.
+// traceRunner runs the commands of a trace. Commands that change the settings come first.
+// The first other command starts the controllers.
 type traceRunner struct {
 	t                   *testing.T
 	lineNumber          int
@@ -89,9 +88,9 @@
 	options             []simulation.Option
 	config              controller.Config
 	cloud               *simulation.FakeCloud
-	limitsBeforeUpgrade *simulation.StoreLimits // nil: all controllers are of the current version
+	limitsBeforeUpgrade *simulation.StoreLimits // nil if all controllers start with the current version
 	simulator           *simulation.Simulator
-	jobs                map[string]*simulation.Job // submitted by name
+	jobs                map[string]*simulation.Job // by ID
 }
 
 func newTraceRunner(t *testing.T, options []simulation.Option) *traceRunner {
@@ -103,7 +102,7 @@
 	return runner
 }
 
-// runLine copies the explanations and commands of the trace, and runs the latter.
+// runLine copies a comment or command to the output, and runs a command.
 func (r *traceRunner) runLine(line string) {
 	r.t.Helper()
 	isCommand := strings.HasPrefix(line, ">")
@@ -127,7 +126,7 @@
 	run(r, command)
 }
 
-// start starts the controllers with the settings so far.
+// start starts the controllers with the current settings.
 func (r *traceRunner) start() {
 	if r.limitsBeforeUpgrade == nil {
 		r.simulator = simulation.NewSimulator(1, r.config, r.cloud, r.options...)
@@ -140,7 +139,7 @@
 	r.simulator.Log = r.write
 }
 
-// write adds a line with the time to the trace.
+// write adds a line with the current time to the output.
 func (r *traceRunner) write(text string) {
 	fmt.Fprintf(&r.out, "%8.3f %s\n", time.Duration(r.simulator.Now).Seconds(), text)
 }
@@ -150,7 +149,8 @@
 	r.t.Fatalf("line %d: %s", r.lineNumber, fmt.Sprintf(format, args...))
 }
 
-// traceCommand is a line of a trace: a verb, arguments and options.
+// traceCommand is a command of a trace. It consists of a verb, arguments and options of
+// the form name=value.
 type traceCommand struct {
 	runner  *traceRunner
 	verb    string
@@ -162,7 +162,7 @@
 	r.t.Helper()
 	fields := strings.Fields(line)
 	if len(fields) == 0 {
-		r.fail("no command")
+		r.fail("empty command")
 	}
 	command := traceCommand{runner: r, verb: fields[0], options: map[string]string{}}
 	for _, field := range fields[1:] {
@@ -175,7 +175,7 @@
 	return command
 }
 
-// arg is an argument.
+// arg returns the argument at an index.
 func (c traceCommand) arg(index int) string {
 	c.runner.t.Helper()
 	if index >= len(c.args) {
@@ -184,7 +184,7 @@
 	return c.args[index]
 }
 
-// count is an argument that is a number.
+// count returns an argument as an integer.
 func (c traceCommand) count(index int) int {
 	c.runner.t.Helper()
 	count, err := strconv.Atoi(c.arg(index))
@@ -194,13 +194,11 @@
 	return count
 }
 
-// duration is an argument that is a duration.
 func (c traceCommand) duration(index int) cluster.Time {
 	c.runner.t.Helper()
 	return c.parseDuration(c.arg(index))
 }
 
-// durationOption is an option that is a duration.
 func (c traceCommand) durationOption(name string) cluster.Time {
 	c.runner.t.Helper()
 	return c.parseDuration(c.options[name])
@@ -215,7 +213,7 @@
 	return cluster.Time(duration)
 }
 
-// number is an option that is a number; without it a default.
+// number returns an option as a number, or defaultValue if it is not given.
 func (c traceCommand) number(name string, defaultValue float64) float64 {
 	c.runner.t.Helper()
 	text, given := c.options[name]
@@ -229,22 +227,22 @@
 	return number
 }
 
-// runDuration is how long the tasks of a submitted job run.
+// runDuration returns how long the tasks of a submitted job run.
 func (c traceCommand) runDuration() cluster.Time {
 	c.runner.t.Helper()
 	return cluster.Time(c.number("run", 10) * float64(second))
 }
 
-// isSet tells whether an option is given.
+// isSet reports whether an option is given.
 func (c traceCommand) isSet(name string) bool { return c.options[name] != "" }
 
-// machine is the first argument, which names a machine.
+// machine returns the first argument as a machine ID.
 func (c traceCommand) machine() cluster.MachineID {
 	c.runner.t.Helper()
 	return cluster.MachineID(c.arg(0))
 }
 
-// node is an argument that names a controller.
+// node returns the controller that an argument names.
 func (c traceCommand) node(index int) *simulation.Node {
 	c.runner.t.Helper()
 	name := c.arg(index)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/simulation"
 )
 
-// limitsBeforeUpgrade are those that the state service has until some moment after
-// the upgrade; upgradeConfig has the lower ones.
+// limitsBeforeUpgrade are the limits of the state service until some time after the
+// upgrade, when they are lowered to those of upgradeConfig.
 var limitsBeforeUpgrade = simulation.StoreLimits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
 
 func upgradeConfig() controller.Config {
@@ -18,7 +18,7 @@
 	return cfg
 }
 
-// upgradeFaults are the kinds of faults that the upgrades must have.
+// requiredUpgradeFaults are the kinds of faults that must occur in the upgrades.
 var requiredUpgradeFaults = []simulation.FaultKind{
 	simulation.FaultNodeUpgraded,
 	faultOldNodeRestarted,
@@ -31,12 +31,10 @@
 	simulation.FaultDependentStarted,
 }
 
-// TestRollingUpgrade runs seeded days that begin with the production version
-// everywhere. The controllers are replaced while jobs run, faults come and users
-// already ask the new ones for pipelines; some old processes end and come back
-// with the old version before their turn, during a failover and several at once;
-// the state service's limits are lowered at some moment after the upgrade. All
-// rules are checked.
+// TestRollingUpgrade checks that a rolling upgrade from the production version violates no
+// invariant while jobs run, faults occur and users submit pipelines. Some old controllers
+// restart with the old version before their upgrade, and the state service's limits are
+// lowered after it.
 func TestRollingUpgrade(t *testing.T) {
 	from, to := seedRange(t, 1, 12)
 	var seen faultTotals
@@ -49,8 +47,8 @@
 	seen.check(t, requiredUpgradeFaults, to-from >= 10)
 }
 
-// simulateUpgrade runs a day with an upgrade and returns how often each fault took
-// effect.
+// simulateUpgrade simulates a cluster during an upgrade and returns how often each kind of
+// fault occurred.
 func simulateUpgrade(t *testing.T, seed uint64, options ...simulation.Option) map[simulation.FaultKind]int {
 	t.Helper()
 	cfg := upgradeConfig()
@@ -65,17 +63,17 @@
 		planUpgrade(sim)
 	})
 	if !sim.IsUpgraded() {
-		t.Error("a controller was left with the production version")
+		t.Error("a controller still runs the production version")
 	}
 	if rejected := sim.StateService.Rejected.Size; rejected > 0 {
-		t.Errorf("%d transactions were above the lowered limits, which the settings name", rejected)
+		t.Errorf("%d transactions exceeded the lowered limits, which the settings announce", rejected)
 	}
 	sim.FaultCounts[faultWriteAboveLoweredRate] += sim.StateService.Rejected.Rate
 	return sim.FaultCounts
 }
 
-// planUpgrade replaces the controllers in two turns, one and then two at once,
-// in a random order, with old ones ending before theirs.
+// planUpgrade schedules the upgrade of one random controller, and later that of the two
+// others at once. The others crash and may be partitioned before their upgrade.
 func planUpgrade(sim *simulation.Simulator) {
 	order := sim.Rand.Perm(len(sim.Nodes))
 	first, rest := sim.Nodes[order[0]], []*simulation.Node{}
@@ -96,9 +94,8 @@
 	sim.After(restUpgradeAt+sim.RandomBetween(0, 60*second), sim.LowerStoreLimits)
 }
 
-// planOldNodeCrashes crashes controllers that are not upgraded yet: one after the
-// upgrade has begun, and one within a second of the next change of a shard's
-// owner.
+// planOldNodeCrashes schedules crashes of controllers that are not upgraded yet: one after
+// the first upgrade, and one within a second of the next shard acquisition.
 func planOldNodeCrashes(sim *simulation.Simulator, old []*simulation.Node, firstUpgradeAt cluster.Time) {
 	sim.After(firstUpgradeAt+sim.RandomBetween(second, 15*second), func() {
 		sim.FaultCounts[faultOldNodeRestarted]++
@@ -115,9 +112,8 @@
 	})
 }
 
-// planOldNodePartition partitions a controller that is not upgraded yet from the
-// others. Those that start meanwhile do not hear of it, and it serves on with what
-// it knows.
+// planOldNodePartition partitions, in some runs, a controller that is not upgraded yet
+// from its peers. A peer that starts meanwhile can't learn its version.
 func planOldNodePartition(sim *simulation.Simulator, node *simulation.Node, firstUpgradeAt, restUpgradeAt cluster.Time) {
 	if !sim.Chance(0.6) {
 		return
--- a/internal/controller/work_scaling_test.go
+++ b/internal/controller/work_scaling_test.go
@@ -7,24 +7,25 @@
 	"stairrelay/internal/controller"
 )
 
-// fleetWork is what all controllers do for each machine and second.
+// workRates is the work of all controllers per machine and second.
 type workRates struct {
-	scans     float64 // how often it is scanned
+	scans     float64 // number of times a machine is visited by a scan
 	puts      float64
 	peerCalls float64
 	events    float64
 }
 
-// measureWork runs a fleet under full load and counts what its controllers do.
+// measureWorkRates runs a fleet under full load and returns its controllers' work.
 func measureWorkRates(t *testing.T, machines int) workRates {
 	t.Helper()
 	const (
 		controllers = 3
-		warmup      = 31 * second // the counters start anew each 30 s
+		warmup      = 31 * second // the counters are reset every 30 s
 		measurement = 25 * second
 	)
 	f := newFleet(t, controllers, machines)
-	// The write rate in proportion: what is counted is the work, not its limits.
+	// The state service doesn't limit the write rate: the test measures the work, not the
+	// throttling.
 	f.StateService.Limits.WriteRPS = 0
 	f.waitForAllOwned(20 * second)
 	f.submitLoad(4*machines, 20*second)
@@ -46,7 +47,6 @@
 	}
 }
 
-// sumCounters adds up what all controllers have counted.
 func (f *fleet) sumCounters() controller.WorkCounts {
 	var sum controller.WorkCounts
 	for _, c := range f.Controllers() {
@@ -58,11 +58,9 @@
 	return sum
 }
 
-// TestWorkGrowsWithFleet: a fleet eight times as large makes its controllers eight
-// times the work at the most. The scans of all machines of a shard come at an
-// interval of their own, so that each machine is scanned as often a second in
-// either fleet; an event that began a scan by itself would have each machine
-// scanned eight times as often.
+// TestWorkScalesLinearly checks that the controllers' work per machine doesn't increase
+// with the size of the fleet. It would increase if an event triggered a scan of all
+// machines.
 func TestWorkScalesLinearly(t *testing.T) {
 	small, large := measureWorkRates(t, 500), measureWorkRates(t, 4000)
 	t.Logf("500 machines: %+v", small)
@@ -74,11 +72,11 @@
 	}{
 		{"scans", small.scans, large.scans},
 		{"puts", small.puts, large.puts},
-		{"calls of other controllers", small.peerCalls, large.peerCalls},
+		{"peer calls", small.peerCalls, large.peerCalls},
 		{"events", small.events, large.events},
 	} {
 		if work.small == 0 || work.large > work.small*margin {
-			t.Errorf("%s for each machine and second: %.3f at 500 machines, %.3f at 4,000", work.name, work.small, work.large)
+			t.Errorf("%s per machine and second: %.3f with 500 machines, %.3f with 4,000", work.name, work.small, work.large)
 		}
 	}
 }
