--- a/internal/cloud/outcomes_test.go
+++ b/internal/cloud/outcomes_test.go
@@ -14,8 +14,9 @@
 	return New(address, reply).Do
 }
 
-// TestUndecodableResponses checks what each status means with a body that can't be read.
-// A scale-out or scale-in that may have been carried out never counts as not applied.
+// TestUndecodableResponses checks the outcome of each status with a body that can't be
+// decoded. A scale-out or scale-in that may have been executed must not be reported as not
+// applied.
 func TestUndecodableResponses(t *testing.T) {
 	const (
 		ok         = messages.OK
@@ -27,8 +28,8 @@
 	wiretest.CheckStatuses(t, newExecutor, []wiretest.StatusTest{
 		{
 			Name:   "machine types",
-			Effect: messages.CloudMachineTypes{},
-			Reply:  func(outcome messages.Outcome) any { return messages.MachineTypesReply{Outcome: outcome} },
+			Effect: messages.CloudListMachineTypes{},
+			Reply:  func(outcome messages.Outcome) any { return messages.ListMachineTypesReply{Outcome: outcome} },
 			Want: map[int]messages.Outcome{
 				200: unknown, 400: notApplied, 404: notApplied, 409: notApplied, 429: notApplied, 500: notApplied, 503: notApplied, 504: notApplied,
 			},
@@ -51,8 +52,8 @@
 		},
 		{
 			Name:   "list",
-			Effect: messages.CloudList{},
-			Reply:  func(outcome messages.Outcome) any { return messages.CloudListReply{Outcome: outcome} },
+			Effect: messages.CloudListMachines{},
+			Reply:  func(outcome messages.Outcome) any { return messages.ListMachinesReply{Outcome: outcome} },
 			Want: map[int]messages.Outcome{
 				200: unknown, 400: notApplied, 404: notApplied, 409: notApplied, 429: throttled, 500: notApplied, 503: notApplied, 504: notApplied,
 			},
@@ -60,8 +61,8 @@
 	})
 }
 
-// TestNoResponse checks what a missing or an oversized response means: a read can be
-// repeated, while a scale-out or scale-in may have been carried out.
+// TestNoResponse checks the outcome of a missing or oversized response: a read can be
+// retried, while a scale-out or scale-in may have been executed.
 func TestNoResponse(t *testing.T) {
 	oversized := wiretest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, wire.MaxResponseSize+1))
@@ -73,10 +74,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			wiretest.CheckReplies(t, newExecutor, address, []wiretest.ReplyTest{
-				{Effect: messages.CloudMachineTypes{}, Want: messages.MachineTypesReply{Outcome: messages.NotApplied}},
+				{Effect: messages.CloudListMachineTypes{}, Want: messages.ListMachineTypesReply{Outcome: messages.NotApplied}},
 				{Effect: messages.CloudScaleOut{}, Want: messages.ScaleOutReply{Outcome: messages.UnknownOutcome}},
 				{Effect: messages.CloudScaleIn{}, Want: messages.ScaleInReply{Outcome: messages.UnknownOutcome}},
-				{Effect: messages.CloudList{}, Want: messages.CloudListReply{Outcome: messages.NotApplied}},
+				{Effect: messages.CloudListMachines{}, Want: messages.ListMachinesReply{Outcome: messages.NotApplied}},
 			})
 		})
 	}
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -71,8 +71,8 @@
 	{"reads from all controllers right after a write", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 		sim.ReadAfterWrite.EnableFor(duration)
 	}},
-	{"repeated and invalid requests", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
-		sim.OddRequests.SendFor(duration)
+	{"edge-case requests", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
+		sim.EdgeCaseRequests.SendFor(duration)
 	}},
 }
 
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -29,10 +29,10 @@
 // requiredRandomFaults are the kinds of faults that must occur in the random runs.
 var requiredRandomFaults = []simulation.FaultKind{
 	simulation.FaultCommandToUnreachableMachine,
-	simulation.FaultAnswerToUnreachableMachine,
+	simulation.FaultResponseToUnreachableMachine,
 	simulation.FaultDuplicateHeartbeat,
 	simulation.FaultDuplicateHeartbeatOfRemovedMachine,
-	simulation.FaultAnswerFromIsolatedNode,
+	simulation.FaultResponseFromIsolatedNode,
 	faultNodeKilledInRestart,
 	faultNodePaused,
 	faultAllNodesPaused,
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -62,8 +62,8 @@
 	}
 	job := newJob(spec, run)
 	if sim.Chance(0.3) {
-		job.Spec.CheckpointSeconds = 10
-		job.Spec.SaveSeconds = 2
+		job.Spec.CheckpointIntervalSeconds = 10
+		job.Spec.CheckpointWriteSeconds = 2
 		job.Info.CanCheckpoint = true
 		job.Info.SaveDuration = 2 * second
 	}
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -62,7 +62,7 @@
 	job := w.job
 	job.RewriteNeeded = false
 	w.writtenChunks, w.writtenTasks, w.finalStatus = nil, nil, job.CurrentFinalStatus()
-	job.EndInFlight = w.finalStatus != ""
+	job.FinalWriteInFlight = w.finalStatus != ""
 	var operations []messages.TxnOp
 	var modRevisions []cluster.ModRevision
 	for _, chunk := range w.eligibleChunks {
@@ -180,7 +180,7 @@
 }
 
 // finish records that the job has no write queued or in flight.
-func (w *recordWrite) finish() { w.job.WriteQueued, w.job.EndInFlight = false, false }
+func (w *recordWrite) finish() { w.job.WriteQueued, w.job.FinalWriteInFlight = false, false }
 
 // giveUpShardOf gives up the shard of a job whose record was changed by another writer
 // although this controller's claim to the shard was in force.
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -54,7 +54,7 @@
 // intervals.
 func (t *TypeCache) Fetch() {
 	t.rateLimiter.ForceAcquire()
-	call := eventloop.Call(t.loop, func(reply messages.MachineTypesReply) {
+	call := eventloop.Call(t.loop, func(reply messages.ListMachineTypesReply) {
 		if reply.Outcome != messages.OK || len(reply.Types) == 0 {
 			t.loop.After(typesFetchRetryDelay, t.Fetch)
 			return
@@ -63,7 +63,7 @@
 		t.loop.After(typesWriteDelay, t.write)
 		t.loop.After(typesFetchInterval, t.Fetch)
 	})
-	t.loop.Emit(messages.CloudMachineTypes{Call: call})
+	t.loop.Emit(messages.CloudListMachineTypes{Call: call})
 }
 
 // apply adds machine types from the cloud or the state service.
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -47,8 +47,8 @@
 		}
 	}
 	if !slow {
-		machine.LateChecks++
-		if machine.LateChecks < lateChecksBeforeDrain {
+		machine.ConsecutiveLateChecks++
+		if machine.ConsecutiveLateChecks < lateChecksBeforeDrain {
 			return
 		}
 	}
--- a/internal/simulation/httpfake/cloud.go
+++ b/internal/simulation/httpfake/cloud.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxScaleOutCount is the largest number of machines that one request may ask for.
+	// maxScaleOutCount is the maximum number of machines in a scale-out request.
 	maxScaleOutCount = 50
-	// bootPollInterval is how often the cloud looks for machines that have booted.
+	// bootPollInterval is how often the cloud checks for machines that have booted.
 	bootPollInterval = 50 * time.Millisecond
-	// amountsPerUnit is how many cluster.Amount make a CPU or a GB of memory.
+	// amountsPerUnit is the cluster.Amount of one CPU or one GB of memory.
 	amountsPerUnit = 1e6
 )
 
-// ServeCloud starts the cloud and the workers of its machines, and returns the
-// cloud's address.
+// ServeCloud starts the cloud API and the workers of machines that boot, and returns
+// the address of the API.
 func (s *Services) ServeCloud() (string, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", s.serveMachineTypes)
@@ -29,8 +29,8 @@
 	return s.serve(mux)
 }
 
-// machineTypeForm is a machine type.
-type machineTypeForm struct {
+// machineType is a machine type on the wire.
+type machineType struct {
 	Name             string   `json:"name"`
 	CPU              float64  `json:"vcpus"`
 	GPU              float64  `json:"accelerators"`
@@ -44,9 +44,9 @@
 }
 
 func (s *Services) serveMachineTypes(w http.ResponseWriter, _ *http.Request) {
-	forms := []machineTypeForm{}
+	types := []machineType{}
 	for _, t := range s.Cloud.MachineTypes {
-		forms = append(forms, machineTypeForm{
+		types = append(types, machineType{
 			Name:             t.Name,
 			CPU:              float64(t.Capacity.CPU) / amountsPerUnit,
 			Memory:           float64(t.Capacity.Memory) / amountsPerUnit,
@@ -59,12 +59,12 @@
 		})
 	}
 	writeJSON(w, http.StatusOK, struct {
-		Types []machineTypeForm `json:"fleets"`
-	}{forms})
+		Types []machineType `json:"fleets"`
+	}{types})
 }
 
-// scaleOutForm is a provisioning request.
-type scaleOutForm struct {
+// scaleOutRequest is the body of a scale-out request.
+type scaleOutRequest struct {
 	Name  string `json:"charter"`
 	Type  string `json:"fleet"`
 	Zone  string `json:"yard"`
@@ -72,37 +72,37 @@
 	Count int    `json:"count"`
 }
 
-// machineIDsForm is a list of machines' ids.
-type machineIDsForm struct {
+// machineIDs is the body of a scale-out response and of a scale-in request.
+type machineIDs struct {
 	IDs []cluster.MachineID `json:"coaches"`
 }
 
 func (s *Services) serveScaleOut(w http.ResponseWriter, request *http.Request) {
-	var form scaleOutForm
-	if !readJSON(w, request, &form) {
+	var body scaleOutRequest
+	if !readJSON(w, request, &body) {
 		return
 	}
-	if form.Name == "" || form.Count < 1 || form.Count > maxScaleOutCount {
+	if body.Name == "" || body.Count < 1 || body.Count > maxScaleOutCount {
 		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	scaleOut := messages.CloudScaleOut{Name: form.Name, Type: form.Type, Zone: form.Zone, Spot: form.Spot, Count: form.Count}
+	scaleOut := messages.CloudScaleOut{Name: body.Name, Type: body.Type, Zone: body.Zone, Spot: body.Spot, Count: body.Count}
 	var reply messages.ScaleOutReply
 	s.WithLock(func() { reply = s.Cloud.ScaleOut(s.now(), scaleOut) })
 	if reply.Outcome != messages.OK {
-		writeJSON(w, http.StatusServiceUnavailable, errorForm{Error: "no capacity"})
+		writeJSON(w, http.StatusServiceUnavailable, errorResponse{Error: "no capacity"})
 		return
 	}
-	writeJSON(w, http.StatusOK, machineIDsForm{IDs: reply.IDs})
+	writeJSON(w, http.StatusOK, machineIDs{IDs: reply.IDs})
 }
 
 func (s *Services) serveScaleIn(w http.ResponseWriter, request *http.Request) {
-	var form machineIDsForm
-	if !readJSON(w, request, &form) {
+	var body machineIDs
+	if !readJSON(w, request, &body) {
 		return
 	}
 	s.WithLock(func() {
-		for _, id := range form.IDs {
+		for _, id := range body.IDs {
 			s.Cloud.RemoveMachine(id)
 			if worker := s.workers[id]; worker != nil {
 				worker.terminate()
@@ -112,8 +112,8 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// machineForm is a line of the machine list.
-type machineForm struct {
+// listedMachine is an entry of the machine list on the wire.
+type listedMachine struct {
 	ID         cluster.MachineID `json:"id"`
 	Address    string            `json:"addr"`
 	Type       string            `json:"fleet"`
@@ -124,23 +124,23 @@
 }
 
 func (s *Services) serveMachines(w http.ResponseWriter, request *http.Request) {
-	forms := []machineForm{}
+	machines := []listedMachine{}
 	truncated := false
 	s.WithLock(func() {
 		var page []cluster.ListedMachine
 		page, truncated = s.Cloud.ListPage(s.now(), cluster.MachineID(request.URL.Query().Get("since")))
 		for _, machine := range page {
-			forms = append(forms, s.encodeMachine(machine))
+			machines = append(machines, s.encodeMachine(machine))
 		}
 	})
 	writeJSON(w, http.StatusOK, struct {
-		Machines  []machineForm `json:"coaches"`
-		Truncated bool          `json:"truncated"`
-	}{Machines: forms, Truncated: truncated})
+		Machines  []listedMachine `json:"coaches"`
+		Truncated bool            `json:"truncated"`
+	}{Machines: machines, Truncated: truncated})
 }
 
-func (s *Services) encodeMachine(machine cluster.ListedMachine) machineForm {
-	form := machineForm{
+func (s *Services) encodeMachine(machine cluster.ListedMachine) listedMachine {
+	encoded := listedMachine{
 		ID:         machine.ID,
 		Type:       machine.Type,
 		Zone:       machine.Zone,
@@ -149,9 +149,9 @@
 		AgeSeconds: machine.AgeSeconds,
 	}
 	if worker := s.workers[machine.ID]; worker != nil {
-		form.Address = worker.address
+		encoded.Address = worker.address
 	}
-	return form
+	return encoded
 }
 
 // startBootedWorkers starts the workers of machines that have booted.
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -16,20 +16,20 @@
 const (
 	dialTimeout = 1500 * time.Millisecond
 	callTimeout = 2500 * time.Millisecond
-	// slotTimeout is how long a call waits for others to end before it is given up as
-	// certainly not made.
+	// slotTimeout is how long a call waits for a free slot before it fails as not
+	// applied.
 	slotTimeout = time.Second
 )
 
-// Client carries out the controller's effects on workers: command pushes and status
-// queries.
+// Client executes the controller's effects on workers: command pushes and status queries.
 type Client struct {
 	client  *wire.Client
 	limiter *sockets.CallLimiter
 	reply   engine.ReplyFunc
 }
 
-// New makes a Client that makes so many calls at once; 0: without limit.
+// New returns a Client that makes at most the given number of concurrent calls, or any
+// number if it is 0. The Client passes the replies to the given function.
 func New(calls int, reply engine.ReplyFunc) *Client {
 	return &Client{
 		client:  wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: 1, MaxIdle: calls}),
@@ -38,8 +38,9 @@
 	}
 }
 
-// Do sends commands, or asks for a status; the reply follows. Only a time-out gives a
-// call up, since the controller waits for the reply to each effect.
+// Do starts to push commands or to query a status, and returns immediately. Calls have
+// timeouts but are never canceled, because the controller waits for the reply to each
+// effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
 	switch effect := effect.(type) {
@@ -50,7 +51,7 @@
 	}
 }
 
-func (c *Client) pushCommands(ctx context.Context, push messages.PushCommands) messages.PushCommandsReply {
+func (c *Client) pushCommands(ctx context.Context, push messages.PushCommands) messages.WorkerReply {
 	return c.send(ctx, push.Addr, wire.Request{
 		Method:      http.MethodPost,
 		URL:         wire.BaseURL(push.Addr) + wire.PushCommandsPath,
@@ -60,7 +61,7 @@
 	})
 }
 
-func (c *Client) queryStatus(ctx context.Context, query messages.QueryWorkerStatus) messages.PushCommandsReply {
+func (c *Client) queryStatus(ctx context.Context, query messages.QueryWorkerStatus) messages.WorkerReply {
 	return c.send(ctx, query.Addr, wire.Request{
 		Method:  http.MethodGet,
 		URL:     wire.BaseURL(query.Addr) + wire.WorkerStatusPath,
@@ -68,11 +69,11 @@
 	})
 }
 
-// send makes a call as soon as there is a slot for it.
-func (c *Client) send(ctx context.Context, address string, request wire.Request) messages.PushCommandsReply {
+// send waits for a free slot and makes a call.
+func (c *Client) send(ctx context.Context, address string, request wire.Request) messages.WorkerReply {
 	release, acquired := c.limiter.Acquire(address, slotTimeout)
 	if !acquired {
-		return messages.PushCommandsReply{Outcome: messages.NotApplied}
+		return messages.WorkerReply{Outcome: messages.NotApplied}
 	}
 	reply := c.call(ctx, request)
 	answered := reply.Outcome == messages.OK || reply.Outcome == messages.Conflict
@@ -80,15 +81,15 @@
 	return reply
 }
 
-// call makes a call. Commands count as not applied only if there was no connection: a
-// worker may execute them minutes later, when its machine no longer hangs.
-func (c *Client) call(ctx context.Context, request wire.Request) messages.PushCommandsReply {
+// call makes a call. The outcome is NotApplied only if no connection was made: otherwise a
+// hung machine may receive the commands and execute them minutes later.
+func (c *Client) call(ctx context.Context, request wire.Request) messages.WorkerReply {
 	response, err := c.client.Do(ctx, request)
 	if errors.Is(err, wire.ErrNotSent) {
-		return messages.PushCommandsReply{Outcome: messages.NotApplied}
+		return messages.WorkerReply{Outcome: messages.NotApplied}
 	}
 	if err != nil {
-		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
+		return messages.WorkerReply{Outcome: messages.UnknownOutcome}
 	}
 	var outcome messages.Outcome
 	switch response.Status {
@@ -97,11 +98,11 @@
 	case http.StatusConflict:
 		outcome = messages.Conflict
 	default:
-		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
+		return messages.WorkerReply{Outcome: messages.UnknownOutcome}
 	}
 	status, err := wire.DecodeHeartbeatStatus(response.Body)
 	if err != nil {
-		return messages.PushCommandsReply{Outcome: messages.UnknownOutcome}
+		return messages.WorkerReply{Outcome: messages.UnknownOutcome}
 	}
-	return messages.PushCommandsReply{Outcome: outcome, Status: status}
+	return messages.WorkerReply{Outcome: outcome, Status: status}
 }
