--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -61,7 +61,7 @@
 	}
 	for name, digest := range want {
 		if got := recorder.digests[name]; got != digest {
-			t.Errorf("%s: got %q, recorded is %q", name, got, digest)
+			t.Errorf("%s: want %q, got %q", name, digest, got)
 		}
 	}
 	if len(recorder.digests) != len(want) {
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -170,8 +170,8 @@
 // number of responses by status.
 func (r *traceRunner) submitBurst(command traceCommand) {
 	const (
-		responseTimeout = 3500 * millisecond
-		run             = 500 * second
+		reportDelay = 3500 * millisecond
+		run         = 500 * second
 	)
 	priority := command.number("priority", 1)
 	responses := map[string]int{}
@@ -181,7 +181,7 @@
 		r.simulator.Jobs[spec.ID] = newJob(spec, run)
 		command.node(3).SendRequest(submitRequest(spec), func(response messages.Respond) { responses[fmt.Sprint(response.Status)]++ })
 	}
-	r.simulator.After(responseTimeout, func() { r.write(fmt.Sprintf("users of priority %v: %v", priority, responses)) })
+	r.simulator.After(reportDelay, func() { r.write(fmt.Sprintf("users of priority %v: %v", priority, responses)) })
 }
 
 // submitStream: stream red via n0 every=4s for=60s tasks=1 run=10 submits small jobs at
