--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -23,15 +23,15 @@
 
 // Client executes the controller's effects on the cloud.
 type Client struct {
-	service *wire.JSONService
+	service *wire.JSONClient
 	reply   engine.ReplyFunc
 }
 
 // New returns a Client of the cloud at the given address, which passes the replies to the
 // given function.
 func New(address string, reply engine.ReplyFunc) *Client {
-	options := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdleConnections}
-	return &Client{service: wire.NewJSONService(address, options), reply: reply}
+	options := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleConnections}
+	return &Client{service: wire.NewJSONClient(address, options), reply: reply}
 }
 
 // Do starts a call and returns immediately. Calls have timeouts but are never canceled,
@@ -52,7 +52,7 @@
 
 func (c *Client) listMachineTypes(ctx context.Context) messages.ListMachineTypesReply {
 	call := wire.Call{Method: http.MethodGet, Path: wire.MachineTypesPath, Timeout: callTimeout}
-	types, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeTypes)
+	types, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeMachineTypes)
 	return messages.ListMachineTypesReply{Outcome: readOutcome(err), Types: types}
 }
 
@@ -62,7 +62,7 @@
 		Path:    wire.MachinesPath(list.After, pageSize),
 		Timeout: callTimeout,
 	}
-	page, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeMachines)
+	page, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeMachinePage)
 	if wire.IsStatus(err, http.StatusTooManyRequests) {
 		return messages.ListMachinesReply{Outcome: messages.Throttled}
 	}
@@ -88,7 +88,7 @@
 		Body:    wire.EncodeScaleOut(scaleOut),
 		Timeout: callTimeout,
 	}
-	ids, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeScaleOut)
+	ids, err := wire.CallAndDecode(ctx, c.service, call, wire.DecodeScaleOutResponse)
 	if isOutOfCapacity(err) {
 		return messages.ScaleOutReply{Outcome: messages.NotFound}
 	}
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -73,10 +73,10 @@
 // TestNoConnection checks that the outcome is NotApplied if the connection is refused, and
 // unknown if it is closed without a response.
 func TestNoConnection(t *testing.T) {
-	if got := callWorker(t, messages.PushCommands{Addr: wiretest.RefusingAddress(t)}); got.Outcome != messages.NotApplied {
+	if got := callWorker(t, messages.PushCommands{Addr: wiretest.UnusedAddress(t)}); got.Outcome != messages.NotApplied {
 		t.Errorf("refused: outcome %v, want NotApplied", got.Outcome)
 	}
-	if got := callWorker(t, messages.PushCommands{Addr: wiretest.ClosingAddress(t)}); got.Outcome != messages.UnknownOutcome {
+	if got := callWorker(t, messages.PushCommands{Addr: wiretest.ServeAbort(t)}); got.Outcome != messages.UnknownOutcome {
 		t.Errorf("closed: outcome %v, want UnknownOutcome", got.Outcome)
 	}
 }
