--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -10,7 +10,7 @@
 // acknowledgeTerm makes a peer of newHarnessWithKnownPeers reply to a ping that was
 // sent now, with term as the latest that it knows of shard 0.
 func acknowledgeTerm(b *controllerHarness, id cluster.NodeID, term cluster.Term) {
-	ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{term, 1, 1}}
+	ping := &messages.Ping{InstanceID: peerInstanceID(id), KnownTerms: []cluster.Term{term, 1, 1}}
 	b.members.HandlePingReply(b.members.Peer(id), ping, b.loop.Now())
 }
 
--- a/internal/controller/machine_bytes_test.go
+++ b/internal/controller/machine_bytes_test.go
@@ -10,14 +10,14 @@
 	"stairrelay/internal/state"
 )
 
-// BenchmarkMachineBytes measures what a controller keeps of each machine with
-// three tasks, without its connection.
+// BenchmarkMachineBytes measures the heap memory of a controller per machine with three
+// tasks. It doesn't include the machines' connections.
 func BenchmarkMachineBytes(b *testing.B) {
 	for _, machines := range []int{500, 1000, 2000, 4000, 8000} {
 		b.Run(fmt.Sprintf("%d-machines", machines), func(b *testing.B) {
 			for range b.N {
 				before := heapBytes()
-				c := controllerWithMachines(machines)
+				c := newHarnessWithMachines(machines)
 				b.ReportMetric(float64(heapBytes()-before)/float64(machines), "bytes/machine")
 				runtime.KeepAlive(c)
 			}
@@ -32,9 +32,9 @@
 	return stats.HeapAlloc
 }
 
-// controllerWithMachines is a controller that owns so many machines, each with three
-// tasks of one of many jobs.
-func controllerWithMachines(machines int) *controllerHarness {
+// newHarnessWithMachines returns a harness whose controller owns the given number of
+// machines. Each machine runs the three tasks of a job of its own.
+func newHarnessWithMachines(machines int) *controllerHarness {
 	const groupSize, tasks = 51, 3
 	b := newControllerHarness()
 	shard := b.state.Shards[0]
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -61,18 +61,20 @@
 	},
 	{
 		name: "peer of an older release", n2PingSentAt: pingsSentAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) { deliverPingReply(b, n2, knownInstance("n2")) },
+		prepare: func(b *controllerHarness, n2 *membership.Peer) { deliverPingReply(b, n2, peerInstanceID("n2")) },
 		owned:   true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
 	{
 		name: "peer knows a later term", n2PingSentAt: pingsSentAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) { deliverPingReply(b, n2, knownInstance("n2"), 2, 1, 1) },
-		owned:   false,
+		prepare: func(b *controllerHarness, n2 *membership.Peer) {
+			deliverPingReply(b, n2, peerInstanceID("n2"), 2, 1, 1)
+		},
+		owned: false,
 	},
 	{
 		name: "peer sent a ping but no reply", n2PingSentAt: storeConfirmedAt,
 		prepare: func(b *controllerHarness, n2 *membership.Peer) {
-			b.receivePing(n2, &messages.Ping{InstanceID: knownInstance("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
+			b.receivePing(n2, &messages.Ping{InstanceID: peerInstanceID("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
 		},
 		owned: true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
@@ -91,7 +93,7 @@
 	setTime(b.Controller, pingsSentAt)
 	for id, sentAt := range map[cluster.NodeID]cluster.Time{"n1": pingsSentAt, "n2": test.n2PingSentAt} {
 		if sentAt > 0 {
-			ping := &messages.Ping{InstanceID: knownInstance(id), KnownTerms: []cluster.Term{1, 1, 1}}
+			ping := &messages.Ping{InstanceID: peerInstanceID(id), KnownTerms: []cluster.Term{1, 1, 1}}
 			b.members.HandlePingReply(b.members.Peer(id), ping, sentAt)
 		}
 	}
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// plannedJobCount is how many jobs a day has beside its pipelines.
+	// plannedJobCount is the number of jobs in a run, in addition to its pipelines.
 	plannedJobCount = 45
-	// initialJobCount is how many of them are submitted at the day's beginning.
+	// initialJobCount is the number of those jobs that are submitted at the start.
 	initialJobCount = 10
-	// longJobInterval is how many jobs there are for each long one, whose tasks run
-	// longer than a cancellation may take, so that one which is not stopped shows.
+	// longJobInterval makes one of this many jobs a long one. The tasks of a long job run
+	// for longer than the cancellation deadline, so that a task which is not stopped is
+	// detected.
 	longJobInterval = 9
-	// plannedPipelineCount is how many pipelines a day has.
+	// plannedPipelineCount is the number of pipelines in a run.
 	plannedPipelineCount = 6
 )
 
-// planJobs plans jobs of all kinds, some of which are cancelled.
+// planJobs schedules the submission of random jobs and the cancellation of some of them.
 func planJobs(sim *simulation.Simulator, teams []string, until cluster.Time) {
 	for i := range plannedJobCount {
 		at := sim.RandomBetween(0, until)
 		if i < initialJobCount {
 			at = sim.RandomBetween(0, 3*second)
 		}
-		job := drawJob(sim, teams, i)
+		job := randomJob(sim, teams, i)
 		sim.After(at, func() { sim.Users.Submit(job) })
 		if sim.Chance(0.2) {
 			job.CancelPlanned = true
@@ -39,8 +40,8 @@
 	}
 }
 
-// drawJob draws the job of a number.
-func drawJob(sim *simulation.Simulator, teams []string, number int) *simulation.Job {
+// randomJob returns a random job with the given number.
+func randomJob(sim *simulation.Simulator, teams []string, number int) *simulation.Job {
 	run := sim.RandomBetween(3*second, 30*second)
 	tasks := 1 + sim.Rand.IntN(9)
 	if number%longJobInterval == 4 {
@@ -66,12 +67,12 @@
 		job.Info.CanCheckpoint = true
 		job.Info.SaveDuration = 2 * second
 	}
-	drawPlacement(sim, &job.Spec)
+	setRandomPlacement(sim, &job.Spec)
 	return job
 }
 
-// drawPlacement draws where the tasks of a job may run.
-func drawPlacement(sim *simulation.Simulator, spec *cluster.JobSpec) {
+// setRandomPlacement sets a random placement constraint in some of the specs.
+func setRandomPlacement(sim *simulation.Simulator, spec *cluster.JobSpec) {
 	switch sim.Rand.IntN(8) {
 	case 0:
 		spec.Colocate = true
@@ -84,8 +85,8 @@
 	}
 }
 
-// planPipelines plans pipelines over the teams: of some a job is cancelled, of some
-// the last job is submitted only when the others are over.
+// planPipelines schedules the submission of pipelines. In some pipelines a job is
+// cancelled, and in some the last job is submitted only after its dependencies have ended.
 func planPipelines(sim *simulation.Simulator, teams []string, until cluster.Time) {
 	planner := &pipelinePlanner{sim: sim, teams: teams}
 	for range plannedPipelineCount {
@@ -93,22 +94,22 @@
 	}
 }
 
-// pipelinePlanner plans pipelines, whose jobs it numbers.
+// pipelinePlanner schedules pipelines and numbers their jobs.
 type pipelinePlanner struct {
 	sim      *simulation.Simulator
 	teams    []string
 	jobCount int
 }
 
-// plan plans a pipeline that begins at a time.
+// plan schedules a pipeline that starts at the given time.
 func (p *pipelinePlanner) plan(at cluster.Time) {
 	sim := p.sim
-	jobs := p.drawPipeline()
+	jobs := p.randomPipeline()
 	first, last := jobs[0], jobs[len(jobs)-1]
-	late := sim.Chance(0.25)
+	submitLastLate := sim.Chance(0.25)
 	sim.After(at, func() { sim.Users.Submit(first) })
 	for _, job := range jobs[1:] {
-		sim.After(at, func() { sim.Users.SubmitAfterDependencies(job, late && job == last) })
+		sim.After(at, func() { sim.Users.SubmitAfterDependencies(job, submitLastLate && job == last) })
 	}
 	if !sim.Chance(0.5) {
 		return
@@ -122,24 +123,24 @@
 	})
 }
 
-// drawPipeline draws a pipeline: one job, some that depend on it, one that depends
-// on these, and one that depends on that and on the first.
-func (p *pipelinePlanner) drawPipeline() []*simulation.Job {
-	first := p.drawJob()
+// randomPipeline returns the jobs of a random pipeline: a first job, parallel jobs that
+// depend on it, a job that depends on all of these, and a last job that depends on the
+// previous one and on the first.
+func (p *pipelinePlanner) randomPipeline() []*simulation.Job {
+	first := p.randomJob()
 	jobs := []*simulation.Job{first}
-	var fan []cluster.JobID
+	var parallel []cluster.JobID
 	for range 1 + p.sim.Rand.IntN(3) {
-		job := p.drawJob(first.Spec.ID)
+		job := p.randomJob(first.Spec.ID)
 		jobs = append(jobs, job)
-		fan = append(fan, job.Spec.ID)
+		parallel = append(parallel, job.Spec.ID)
 	}
-	middle := p.drawJob(fan...)
-	last := p.drawJob(middle.Spec.ID, first.Spec.ID)
+	middle := p.randomJob(parallel...)
+	last := p.randomJob(middle.Spec.ID, first.Spec.ID)
 	return append(jobs, middle, last)
 }
 
-// drawJob draws a job of a pipeline.
-func (p *pipelinePlanner) drawJob(dependencies ...cluster.JobID) *simulation.Job {
+func (p *pipelinePlanner) randomJob(dependencies ...cluster.JobID) *simulation.Job {
 	sim := p.sim
 	p.jobCount++
 	run := sim.RandomBetween(2*second, 12*second)
