--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -155,9 +155,9 @@
 		case response.View != nil:
 			r.write(fmt.Sprintf("user %s %s: %d %s done %d running %d", request, id, response.Status, response.View.Status, response.View.Done, response.View.Running))
 		case response.Status == 0:
-			r.write(fmt.Sprintf("user %s %s: no response", request, id))
+			r.write(fmt.Sprintf("user %s %s: no answer", request, id))
 		default:
-			r.write(fmt.Sprintf("user %s %s: %d, retry after %d s", request, id, response.Status, response.RetryAfter))
+			r.write(fmt.Sprintf("user %s %s: %d, again after %d s", request, id, response.Status, response.RetryAfter))
 		}
 		if job := r.jobs[id]; job != nil && response.View != nil {
 			job.Accepted = true
@@ -209,7 +209,7 @@
 // query: query j-000001 via n0.
 func (r *traceRunner) query(command traceCommand) {
 	id := command.arg(0)
-	command.node(2).SendRequest(queryRequest(cluster.JobID(id)), r.writeResponse("queries", id))
+	command.node(2).SendRequest(queryRequest(cluster.JobID(id)), r.writeResponse("asks for", id))
 }
 
 // cancel: cancel j-000001 via n0.
