--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -55,5 +55,5 @@
 
 // RuntimeRatio implements jobs.Scheduler.
 func (s jobScheduler) RuntimeRatio(class string) float64 {
-	return s.controller.scheduler.RunTimes.RuntimeRatio(class)
+	return s.controller.scheduler.Runtimes.RuntimeRatio(class)
 }
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -36,7 +36,7 @@
 		Work:              c.scheduler.Queue,
 		Capacity:          c.scheduler,
 		Eligibility:       c.scheduler.Eligibility,
-		RunTimes:          c.scheduler.RunTimes,
+		Runtimes:          c.scheduler.Runtimes,
 		Sharing:           machineSharing{c.scheduler.Rebalancer, c.scheduler.Loads},
 		RequestScheduling: c.scheduler.Trigger.Request,
 		CountMachineScans: c.counters.AddMachineScans,
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -25,7 +25,7 @@
 		Ownership:         c.ownership,
 		Machines:          c.inventory,
 		Jobs:              c.jobs.Records,
-		Runtimes:          runtimes{c.scheduler.RunTimes, c.scheduler.Stragglers},
+		Runtimes:          runtimes{c.scheduler.Runtimes, c.scheduler.Stragglers},
 		Reachability:      c.workerReachability,
 		Process:           c.processHealth,
 		Directory:         c.inventory,
@@ -51,7 +51,7 @@
 
 // runtimes provides the expected run times and the stragglers to the reconciler.
 type runtimes struct {
-	*scheduling.RunTimes
+	*scheduling.Runtimes
 	*scheduling.Stragglers
 }
 
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -115,7 +115,7 @@
 		Work:              h.fakes,
 		Capacity:          h.fakes,
 		Eligibility:       h.fakes,
-		RunTimes:          h.fakes,
+		Runtimes:          h.fakes,
 		Sharing:           h.fakes,
 		CountMachineScans: func([]*state.Machine) {},
 		RequestScheduling: func() { h.fakes.schedulingRequests++ },
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -94,7 +94,7 @@
 	Work        WorkQueue
 	Capacity    FreeCapacity
 	Eligibility Eligibility
-	RunTimes    RunTimes
+	Runtimes    Runtimes
 	Sharing     MachineSharing
 
 	// RequestScheduling requests a scheduling run, as pending tasks may now be
--- a/internal/provisioning/scaleout.go
+++ b/internal/provisioning/scaleout.go
@@ -22,7 +22,7 @@
 	maxMachinesPerRequest = 50
 	// maxStoreUnavailability is how long the state service may be unavailable before
 	// scale-out stops.
-	maxStoreUnavailability = second
+	maxStoreOutage = second
 	// significantDiscount is the ratio of the on-demand price to the spot price from
 	// which the price difference matters.
 	significantDiscount = 1.5
@@ -51,7 +51,7 @@
 }
 
 // RunTimes estimates run times.
-type RunTimes interface {
+type Runtimes interface {
 	// ExpectedSeconds returns the expected run time of a task of the job.
 	ExpectedSeconds(*state.Job) float64
 }
@@ -100,7 +100,7 @@
 	s.list.Poll()
 	s.deps.Sharing.CordonSurplus()
 	for _, shard := range s.state.Shards {
-		if shard.Owned && shard.Ready && len(s.state.MachineTypes) > 0 && !s.queue.IsUnavailableFor(maxStoreUnavailability) {
+		if shard.Owned && shard.Ready && len(s.state.MachineTypes) > 0 && !s.queue.IsUnavailableFor(maxStoreOutage) {
 			s.RunShard(shard)
 		}
 	}
@@ -279,7 +279,7 @@
 	cpus := float64(s.expectedCPU(shard)) / microCPUsPerCPU
 	cpuSeconds := 0.0
 	for _, pending := range work {
-		cpuSeconds += float64(pending.Count) * float64(pending.Job.Spec.ResourceRequest.CPU) / microCPUsPerCPU * s.deps.RunTimes.ExpectedSeconds(pending.Job)
+		cpuSeconds += float64(pending.Count) * float64(pending.Job.Spec.ResourceRequest.CPU) / microCPUsPerCPU * s.deps.Runtimes.ExpectedSeconds(pending.Job)
 	}
 	return cpuSeconds > cpus*machineType.BootSeconds
 }
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -35,7 +35,7 @@
 // JobQueue orders the jobs of each shard. It collects the input of RankJob.
 type JobQueue struct {
 	*shared
-	runTimes *RunTimes
+	runtimes *Runtimes
 	spot     *SpotPreference
 }
 
@@ -95,7 +95,7 @@
 // its class, its deadline and the deadlines of jobs that depend on it. The result is
 // NoLatestStart if none can be met.
 func (q *JobQueue) LatestStart(job *state.Job) float64 {
-	readyMillis, runMillis := float64(job.ReadySince), q.runTimes.ExpectedSeconds(job)*millisPerSecond
+	readyMillis, runMillis := float64(job.ReadySince), q.runtimes.ExpectedSeconds(job)*millisPerSecond
 	starts := q.appendLatestStarts(make([]float64, 0, typicalObjectiveCount), job, readyMillis, runMillis)
 	if known := q.state.Jobs.Known[job.Spec.ID]; known != nil && known.EffectiveDeadline > 0 && known.EffectiveDeadline != job.Spec.Deadline() {
 		starts = append(starts, known.EffectiveDeadline-runMillis)
@@ -211,7 +211,7 @@
 		ReadySince:        float64(job.ReadySince),
 		LatestStart:       q.LatestStart(job),
 		Horizon:           q.horizon(job),
-		WholeShardSeconds: float64(job.PendingCount()) * float64(job.Spec.ResourceRequest.CPU) / float64(shardCPU) * q.runTimes.ExpectedSeconds(job),
+		WholeShardSeconds: float64(job.PendingCount()) * float64(job.Spec.ResourceRequest.CPU) / float64(shardCPU) * q.runtimes.ExpectedSeconds(job),
 	}
 }
 
--- a/internal/scheduling/rebalance.go
+++ b/internal/scheduling/rebalance.go
@@ -23,7 +23,7 @@
 type Rebalancer struct {
 	*shared
 	trigger     *Trigger
-	runTimes    *RunTimes
+	runtimes    *Runtimes
 	eligibility *Eligibility
 	queue       *JobQueue
 	loads       *ShardLoads
@@ -85,7 +85,7 @@
 	for _, machine := range machines {
 		for _, assignment := range machine.Assignments {
 			if assignment.IsLive() {
-				remaining[machine] = max(remaining[machine], r.runTimes.ExpectedRemainingSeconds(assignment))
+				remaining[machine] = max(remaining[machine], r.runtimes.ExpectedRemainingSeconds(assignment))
 			}
 		}
 	}
--- a/internal/scheduling/runtimes.go
+++ b/internal/scheduling/runtimes.go
@@ -26,25 +26,25 @@
 
 // RunTimes predicts how long tasks run. It corrects the users' estimates by the ratio of
 // actual to estimated run times, which tends to be similar within a class of jobs.
-type RunTimes struct {
+type Runtimes struct {
 	loop    *eventloop.Loop
-	classes map[string]*classRunTimes
+	classes map[string]*classRuntimes
 }
 
 // classRunTimes holds the statistics of a class of jobs.
-type classRunTimes struct {
+type classRuntimes struct {
 	ratio float64 // actual to estimated run time, smoothed
 	runs  int
 }
 
-func newRunTimes(loop *eventloop.Loop) *RunTimes {
-	return &RunTimes{loop: loop, classes: map[string]*classRunTimes{}}
+func newRuntimes(loop *eventloop.Loop) *Runtimes {
+	return &Runtimes{loop: loop, classes: map[string]*classRuntimes{}}
 }
 
-func (r *RunTimes) class(name string) *classRunTimes {
+func (r *Runtimes) class(name string) *classRuntimes {
 	class := r.classes[name]
 	if class == nil {
-		class = &classRunTimes{ratio: 1}
+		class = &classRuntimes{ratio: 1}
 		r.classes[name] = class
 	}
 	return class
@@ -52,15 +52,15 @@
 
 // RuntimeRatio returns the smoothed ratio of actual to estimated run times of a class. It
 // is 1 if no task of the class has completed.
-func (r *RunTimes) RuntimeRatio(class string) float64 { return r.class(class).ratio }
+func (r *Runtimes) RuntimeRatio(class string) float64 { return r.class(class).ratio }
 
 // ExpectedSeconds returns the expected run time of a task of a job.
-func (r *RunTimes) ExpectedSeconds(job *state.Job) float64 {
+func (r *Runtimes) ExpectedSeconds(job *state.Job) float64 {
 	return job.Spec.RuntimeSeconds * r.RuntimeRatio(job.Spec.Class)
 }
 
 // ExpectedRemainingSeconds returns how much longer an assigned task is expected to run.
-func (r *RunTimes) ExpectedRemainingSeconds(assignment *state.Assignment) float64 {
+func (r *Runtimes) ExpectedRemainingSeconds(assignment *state.Assignment) float64 {
 	expected := r.ExpectedSeconds(assignment.Job)
 	if assignment.RunningSince == 0 {
 		return expected + unstartedAllowanceSeconds
@@ -71,7 +71,7 @@
 
 // RecordRuntime updates the statistics of a machine, a job and its class when a task has
 // completed.
-func (r *RunTimes) RecordRuntime(machine *state.Machine, assignment *state.Assignment) {
+func (r *Runtimes) RecordRuntime(machine *state.Machine, assignment *state.Assignment) {
 	job := assignment.Job
 	// Only complete runs with an observed start count. A task that resumes from a
 	// checkpoint runs for a shorter time, and the start time of a task that an earlier
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -13,7 +13,7 @@
 	assignment := f.addRunningTask(job, machine)
 	assignment.RunningSince = f.loop.Now()
 	f.loop.Begin(f.loop.Now()+seconds*second, f.loop.WallTime())
-	f.RunTimes.RecordRuntime(machine, assignment)
+	f.Runtimes.RecordRuntime(machine, assignment)
 	machine.MarkEnded(assignment, cluster.CauseCompleted)
 	job.SetCompleted(assignment.Task.Index)
 }
@@ -25,17 +25,17 @@
 	machine := f.addMachine("m-1")
 	f.loop.Begin(second, 1_000_000)
 	job := f.addJob(cluster.JobSpec{ID: "j", Class: "c", Tasks: 9, RuntimeSeconds: 10})
-	if got := f.RunTimes.ExpectedSeconds(job); got != 10 {
+	if got := f.Runtimes.ExpectedSeconds(job); got != 10 {
 		t.Errorf("%v s expected before any task has completed, want the estimate of 10 s", got)
 	}
 	f.completeTask(job, machine, 30)
-	if got := f.RunTimes.RuntimeRatio("c"); got != 2 {
+	if got := f.Runtimes.RuntimeRatio("c"); got != 2 {
 		t.Errorf("ratio %v after one run of three times the estimate, want 2, the mean of 1 and 3", got)
 	}
-	if got := f.RunTimes.ExpectedSeconds(job); got != 20 {
+	if got := f.Runtimes.ExpectedSeconds(job); got != 20 {
 		t.Errorf("%v s expected, want 20", got)
 	}
-	if got := f.RunTimes.RuntimeRatio("other"); got != 1 {
+	if got := f.Runtimes.RuntimeRatio("other"); got != 1 {
 		t.Errorf("ratio %v of another class, want 1", got)
 	}
 }
@@ -57,8 +57,8 @@
 			assignment.RunningSince = second
 			f.loop.Begin(31*second, 1_000_000)
 			change(assignment)
-			f.RunTimes.RecordRuntime(machine, assignment)
-			if ratio := f.RunTimes.RuntimeRatio("c"); ratio != 1 || job.CompletedRuns != 0 {
+			f.Runtimes.RecordRuntime(machine, assignment)
+			if ratio := f.Runtimes.RuntimeRatio("c"); ratio != 1 || job.CompletedRuns != 0 {
 				t.Errorf("ratio %v with %d completed runs, want 1 with none", ratio, job.CompletedRuns)
 			}
 		})
@@ -81,7 +81,7 @@
 	} {
 		assignment.RunningSince = test.runningSince
 		f.loop.Begin(test.now, 1_000_000)
-		if got := f.RunTimes.ExpectedRemainingSeconds(assignment); got != test.want {
+		if got := f.Runtimes.ExpectedRemainingSeconds(assignment); got != test.want {
 			t.Errorf("running since %v, at %v: %v s, want %v", test.runningSince, test.now, got, test.want)
 		}
 	}
@@ -127,11 +127,11 @@
 	assignment.RunningSince = f.loop.Now()
 	f.loop.Begin(f.loop.Now()+30*second, 1_000_000) // 2.5 times the mean plus 5 s
 	f.Stragglers.HandleSlowMachine(machine)
-	if machine.ConsecutiveLateChecks != 0 {
+	if machine.StragglerChecks != 0 {
 		t.Error("a task at the limit counts as a straggler")
 	}
 	f.loop.Begin(f.loop.Now()+1, 1_000_000)
-	for check := 1; check <= lateChecksBeforeDrain; check++ {
+	for check := 1; check <= stragglerChecksBeforeDrain; check++ {
 		if assignment.StopRequested {
 			t.Fatalf("task stopped before check %d", check)
 		}
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -122,7 +122,7 @@
 	// Trigger decides when scheduling runs.
 	Trigger *Trigger
 	// RunTimes predicts how long tasks run.
-	RunTimes *RunTimes
+	Runtimes *Runtimes
 	// Stragglers drains slow machines and restarts straggling tasks.
 	Stragglers *Stragglers
 	// Spot decides which jobs should use on-demand machines.
@@ -152,16 +152,16 @@
 func New(loop *eventloop.Loop, st *state.State, config Config, deps Dependencies) *Scheduler {
 	base := &shared{loop: loop, state: st, config: config, deps: deps}
 	s := &Scheduler{shared: base, Trigger: &Trigger{}}
-	s.RunTimes = newRunTimes(loop)
+	s.Runtimes = newRuntimes(loop)
 	s.Stragglers = &Stragglers{shared: base}
-	s.Spot = &SpotPreference{shared: base, runTimes: s.RunTimes}
+	s.Spot = &SpotPreference{shared: base, runtimes: s.Runtimes}
 	s.Eligibility = &Eligibility{shared: base, spot: s.Spot}
-	s.Queue = &JobQueue{shared: base, runTimes: s.RunTimes, spot: s.Spot}
+	s.Queue = &JobQueue{shared: base, runtimes: s.Runtimes, spot: s.Spot}
 	s.Loads = &ShardLoads{shared: base, queue: s.Queue}
 	s.Rebalancer = &Rebalancer{
 		shared:      base,
 		trigger:     s.Trigger,
-		runTimes:    s.RunTimes,
+		runtimes:    s.Runtimes,
 		eligibility: s.Eligibility,
 		queue:       s.Queue,
 		loads:       s.Loads,
--- a/internal/scheduling/spot.go
+++ b/internal/scheduling/spot.go
@@ -17,13 +17,13 @@
 	minDeadlineFactor = 0.1
 	// tightObjectiveRunTimes is the number of run times that an objective must allow so
 	// that a restarted task can still meet it.
-	tightObjectiveRunTimes = 3
+	tightObjectiveRuntimes = 3
 )
 
 // SpotPreference decides which jobs should use on-demand machines rather than spot ones.
 type SpotPreference struct {
 	*shared
-	runTimes *RunTimes
+	runtimes *Runtimes
 }
 
 // expectedLossSeconds returns the weighted run time that a task of a job is expected to
@@ -34,7 +34,7 @@
 	if !job.Spec.Spot || job.Spec.CheckpointIntervalSeconds > 0 {
 		return 0
 	}
-	runSeconds := s.runTimes.ExpectedSeconds(job)
+	runSeconds := s.runtimes.ExpectedSeconds(job)
 	return lossWeight * s.deps.SpotInterruptionRate() * runSeconds * runSeconds / 2
 }
 
@@ -47,12 +47,12 @@
 	if loss == 0 || loss > maxSpotLossSeconds {
 		return loss > 0
 	}
-	runSeconds := s.runTimes.ExpectedSeconds(job)
+	runSeconds := s.runtimes.ExpectedSeconds(job)
 	if s.deps.SpotInterruptionRate()*runSeconds*float64(job.Spec.Tasks) < minExpectedLostTasks {
 		return false
 	}
 	tightest := s.tightestObjectiveSeconds(job)
-	return tightest > 0 && tightest < tightObjectiveRunTimes*runSeconds
+	return tightest > 0 && tightest < tightObjectiveRuntimes*runSeconds
 }
 
 // tightestObjectiveSeconds returns the shortest time within which an objective requires
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -23,7 +23,7 @@
 	stragglerAllowanceSeconds = 5
 	// lateChecksBeforeDrain is the number of checks that must find a straggler before
 	// its machine is drained. A single one may be due to a delayed heartbeat.
-	lateChecksBeforeDrain = 4
+	stragglerChecksBeforeDrain = 4
 )
 
 // Stragglers detects slow machines and straggling tasks.
@@ -47,8 +47,8 @@
 		}
 	}
 	if !slow {
-		machine.ConsecutiveLateChecks++
-		if machine.ConsecutiveLateChecks < lateChecksBeforeDrain {
+		machine.StragglerChecks++
+		if machine.StragglerChecks < stragglerChecksBeforeDrain {
 			return
 		}
 	}
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -128,7 +128,7 @@
 type PaceEstimate struct {
 	PaceSamples           int     // number of tasks compared with other tasks of their jobs
 	RelativePace          float64 // smoothed ratio of its run times to the average of the jobs; above 1 is slow
-	ConsecutiveLateChecks int     // consecutive checks that found a straggler
+	StragglerChecks int     // consecutive checks that found a straggler
 }
 
 // Kind returns the machine's type and zone, and whether it is a spot machine.
