--- a/internal/reconcile/heartbeats.go
+++ b/internal/reconcile/heartbeats.go
@@ -42,7 +42,7 @@
 	}
 	machine.PendingHeartbeat = heartbeat.Request
 	machine.PendingSequenceNumber = status.SequenceNumber
-	machine.ReplyDeadline = h.loop.Now() + MaxHeartbeatHold
+	machine.ResponseDeadline = h.loop.Now() + MaxHeartbeatHold
 	if h.reconciler.ApplyStatus(machine, status, false) {
 		h.deps.Reachability.RecordOwnedHeartbeat()
 		h.deps.RequestScheduling()
@@ -87,7 +87,7 @@
 	}
 	for _, command := range commands {
 		if command.Kind == cluster.Start {
-			machine.Assignments[command.Task].MarkDispatchedInReply(machine.PendingSequenceNumber)
+			machine.Assignments[command.Task].MarkDispatchedInResponse(machine.PendingSequenceNumber)
 		}
 	}
 	machine.PushQueued = false
--- a/internal/reconcile/heldheartbeats.go
+++ b/internal/reconcile/heldheartbeats.go
@@ -71,7 +71,7 @@
 // awaitsRecord reports whether the response to a machine's heartbeat has to wait until
 // the record of a start is stored.
 func (h *Heartbeats) awaitsRecord(machine *state.Machine) bool {
-	if h.loop.Now() >= machine.ReplyDeadline || h.queue.IsUnavailableFor(heldHeartbeatStoreTimeout) {
+	if h.loop.Now() >= machine.ResponseDeadline || h.queue.IsUnavailableFor(heldHeartbeatStoreTimeout) {
 		return false
 	}
 	for _, assignment := range machine.Assignments {
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -81,7 +81,7 @@
 
 	PendingHeartbeat      messages.RequestID // the heartbeat that awaits a reply; 0 if there is none
 	PendingSequenceNumber cluster.SequenceNumber
-	ReplyDeadline         cluster.Time // latest time for the reply
+	ResponseDeadline      cluster.Time // latest time for the reply
 	HeartbeatHeld         bool         // the heartbeat awaits the next scan of held heartbeats
 
 	CachedImages []CachedImage // least recently used first
@@ -126,8 +126,8 @@
 
 // PaceEstimate compares the run times on a machine with those on other machines.
 type PaceEstimate struct {
-	PaceSamples           int     // number of tasks compared with other tasks of their jobs
-	RelativePace          float64 // smoothed ratio of its run times to the average of the jobs; above 1 is slow
+	PaceSamples     int     // number of tasks compared with other tasks of their jobs
+	RelativePace    float64 // smoothed ratio of its run times to the average of the jobs; above 1 is slow
 	StragglerChecks int     // consecutive checks that found a straggler
 }
 
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -8,7 +8,7 @@
 // MarkDispatchedInReply records that the start is sent in the reply to the heartbeat with
 // the given sequence number. Only a later heartbeat without the task shows that the start
 // was lost: the worker sends it after the reply has arrived or was given up.
-func (a *Assignment) MarkDispatchedInReply(sequence cluster.SequenceNumber) {
+func (a *Assignment) MarkDispatchedInResponse(sequence cluster.SequenceNumber) {
 	a.Phase = PhaseDispatched
 	a.Pushed = false
 	a.DispatchedAtSequence = sequence
