--- a/internal/fairshare/plan.go
+++ b/internal/fairshare/plan.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// rebalanceMarginDivisor sets the margin above its target that a shard keeps: one sixth
+// rebalanceMarginDivisor sets the margin above its target that a shard keeps to one sixth
 // of the target.
 const rebalanceMarginDivisor = 6
 
--- a/internal/fairshare/plan_test.go
+++ b/internal/fairshare/plan_test.go
@@ -50,9 +50,8 @@
 	}
 }
 
-// TestTargetsDeterministic checks that equal snapshots give equal targets, including
-// the remainder of an uneven division: otherwise controllers would make conflicting
-// transfers.
+// TestTargetsDeterministic checks that controllers with equal snapshots compute equal
+// targets, also if a division leaves a remainder, and so make no conflicting transfers.
 func TestTargetsDeterministic(t *testing.T) {
 	const third = 100 * cpu / 3
 	want := map[cluster.ShardID]cluster.Amount{0: third, 1: third, 2: third + 1}
@@ -157,8 +156,8 @@
 	}
 }
 
-// TestReleasableCapacity checks that the demand, the spare share of it and 8 CPUs are
-// kept.
+// TestReleasableCapacity checks that a shard keeps its demand, the spare share of it and
+// a reserve of 8 CPUs.
 func TestReleasableCapacity(t *testing.T) {
 	l := load(100, 50, 10, 20, 5, 5)
 	if l.TotalDemand() != 40*cpu {
--- a/internal/provisioning/completion.go
+++ b/internal/provisioning/completion.go
@@ -10,7 +10,7 @@
 )
 
 // completionRetryDelay is the delay before a completion is retried after its outcome
-// could not be read from the state service.
+// could not be read from the store.
 const completionRetryDelay = second
 
 // completion completes an answered request. One transaction stores the granted machines
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -153,8 +153,8 @@
 	group := h.state.AddGroup(shard, "g", 1)
 	var machines []*state.Machine
 	for i := range count {
-		record := grouprecord.Machine{ID: cluster.MachineID(fmt.Sprintf("m-%06d", i)), Kind: grouprecord.Kind{Type: "small", Zone: "a"}}
-		machines = append(machines, h.state.AddMachine(group, record, 5, h.loop.Now()))
+		entry := grouprecord.Machine{ID: cluster.MachineID(fmt.Sprintf("m-%06d", i)), Kind: grouprecord.Kind{Type: "small", Zone: "a"}}
+		machines = append(machines, h.state.AddMachine(group, entry, 5, h.loop.Now()))
 	}
 	return machines
 }
--- a/internal/provisioning/machinelist.go
+++ b/internal/provisioning/machinelist.go
@@ -96,8 +96,8 @@
 	})
 }
 
-// RequestRead makes the next read due at once. It is called when records may be missing
-// machines that the list shows.
+// RequestRead makes the next read due immediately. It is called when the list may show
+// machines that are missing from the records.
 func (l *MachineList) RequestRead() { l.nextReadAt = 0 }
 
 // Read reads the whole list and calls done with it, or with false if the cloud has not
--- a/internal/provisioning/machinelist_test.go
+++ b/internal/provisioning/machinelist_test.go
@@ -41,9 +41,8 @@
 	return requests
 }
 
-// TestMachineListWithinCloudRate checks that reading the list of a large fleet stays
-// within the share of the cloud's rate limit. Faster reads would leave no requests for
-// provisioning.
+// TestMachineListWithinCloudRate checks that reading the list of a large fleet does not
+// use up the share of the cloud's rate limit that provisioning needs.
 func TestMachineListWithinCloudRate(t *testing.T) {
 	const throttledCall = 3 // throttled once, so that the page is requested again
 	h := newHarness(t)
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -38,7 +38,7 @@
 	CloudListLag cluster.Time
 	// MaxValueBytes is the maximum size of a stored value.
 	MaxValueBytes int
-	// OutOfCapacityBackoff is the initial back-off of an option for which the cloud has
+	// OutOfCapacityBackoff is the initial backoff of an option for which the cloud has
 	// no capacity.
 	OutOfCapacityBackoff cluster.Time
 	// ShareByDemand returns this controller's share of a limit on requests per second
@@ -47,22 +47,22 @@
 	ShareByDemand func(limit, demand float64) float64
 }
 
-// Members is what provisioning needs to know about the other controllers.
+// Members compares this controller with the other reachable controllers.
 type Members interface {
 	// IsFirstReachable reports whether this controller is the first of the reachable
 	// controllers.
 	IsFirstReachable() bool
 }
 
-// ShardOwnership checks and gives up the ownership of shards.
+// ShardOwnership checks the ownership of shards and drops corrupt ones.
 type ShardOwnership interface {
-	// CanAnswerWorkers reports whether this controller may answer the workers of a
-	// shard.
+	// CanAnswerWorkers reports whether the ownership lease of a shard allows this
+	// controller to answer the shard's workers.
 	CanAnswerWorkers(*state.Shard) bool
 	// HandleForeignWrite is called when a writer other than this controller has changed
 	// a record of an owned shard.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
-	// DropCorruptShard gives up the ownership of a shard that has an invalid record.
+	// DropCorruptShard drops a shard that has an invalid record.
 	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
--- a/internal/provisioning/ratelimiter.go
+++ b/internal/provisioning/ratelimiter.go
@@ -8,15 +8,15 @@
 const (
 	// burstSeconds is the burst that the cloud allows, in seconds of the rate.
 	burstSeconds = 2
-	// demandDecay is the factor by which the demand decays each second without need.
-	// Machines are requested in waves, so the demand lasts beyond one of them.
+	// demandDecay is multiplied by the demand each second. The slow decay keeps the
+	// share between bursts of provisioning requests.
 	demandDecay = 0.8
 )
 
 // CloudRateLimiter limits this controller's requests to its share of the cloud's rate
-// limit, which all controllers have in common. The limit is shared by demand: with even
-// shares the owner of the only shard with work could request machines at a fraction of
-// the limit, and the rest would go unused.
+// limit, which all controllers have in common. The limit is shared by demand. With even
+// shares, the owner of the only shard with work could use just a fraction of the limit,
+// and the rest would go unused.
 type CloudRateLimiter struct {
 	loop   *eventloop.Loop
 	config *Config
@@ -36,8 +36,8 @@
 	return r
 }
 
-// MeasureDemand updates the demand from the requests since its last call; it must be
-// called once a second. The demand rises at once and decays slowly.
+// MeasureDemand updates the demand from the requests since its last call. It must be
+// called once a second. The demand rises immediately and decays slowly.
 func (r *CloudRateLimiter) MeasureDemand() {
 	needed := float64(r.callsSinceMeasurement)
 	if r.wasDenied {
--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -9,11 +9,10 @@
 )
 
 const (
-	// maxBackoffDoublings limits how often the back-off of an option doubles. The
-	// back-off doubles because each request costs two puts, which matters at a low
-	// write rate.
+	// maxBackoffDoublings is the maximum number of times that the backoff of an option
+	// doubles. A longer backoff saves writes, as each request costs two puts.
 	maxBackoffDoublings = 2
-	// invalidOptionBackoff is the back-off of an option that the cloud rejects as
+	// invalidOptionBackoff is the backoff of an option that the cloud rejects as
 	// invalid.
 	invalidOptionBackoff = 300 * second
 	// requestThrottledDelay is the delay before a request that the cloud has throttled
@@ -70,9 +69,9 @@
 			return []messages.TxnOp{{Key: key, Value: value}}, []cluster.ModRevision{0}
 		},
 		// The key of the request is absent again once the request is complete, so a late
-		// copy of this write could bring the request back, and the next owner would
-		// record its machines a second time. The key of the machines' group prevents
-		// that: it exists until the next claim rejects the copy.
+		// copy of this write could create the request again, and the next owner would
+		// record its machines a second time. The condition that the group's key is absent
+		// prevents that, as the key exists until the next claim rejects the copy.
 		ExtraCompares: []messages.Compare{{Key: state.GroupKey(request.GroupID), ModRevision: 0}},
 		OnConflict:    func() { r.deps.Ownership.HandleForeignWrite(shard, key, "a request with this name already exists") },
 	}
@@ -139,7 +138,8 @@
 }
 
 // handleOutOfCapacity is called when the cloud has no capacity for a request's option.
-// The back-off of the option doubles each time in a row.
+// Each consecutive call for the option doubles its backoff, at most maxBackoffDoublings
+// times.
 func (r *Requests) handleOutOfCapacity(shard *state.Shard, request *state.ProvisioningRequest) {
 	option := request.Option
 	doublings := shard.OutOfCapacityCount[option]
--- a/internal/provisioning/requests_test.go
+++ b/internal/provisioning/requests_test.go
@@ -64,28 +64,28 @@
 	}
 }
 
-// TestOutOfCapacityBackoff checks that the back-off of an option doubles with
-// consecutive refusals up to a limit, and that granted machines reset it.
+// TestOutOfCapacityBackoff checks that the backoff of an option doubles with consecutive
+// rejections up to a limit, and that granted machines reset it.
 func TestOutOfCapacityBackoff(t *testing.T) {
 	h := newHarness(t)
 	shard, request := loadStoredRequest(h)
 	for i, want := range []cluster.Time{15 * second, 30 * second, 60 * second, 60 * second} {
 		h.Requests.handleReply(shard, request, messages.ScaleOutReply{Outcome: messages.NotFound})
 		if got := shard.OutOfCapacityUntil[testOption] - h.loop.Now(); got != want {
-			t.Errorf("refusal %d: back-off of %v s, want %v s", i+1, got.Seconds(), want.Seconds())
+			t.Errorf("rejection %d: backoff of %v s, want %v s", i+1, got.Seconds(), want.Seconds())
 		}
 	}
 	h.Requests.handleReply(shard, request, messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1"}})
 	h.Requests.handleReply(shard, request, messages.ScaleOutReply{Outcome: messages.NotFound})
 	if got := shard.OutOfCapacityUntil[testOption] - h.loop.Now(); got != 15*second {
-		t.Errorf("first refusal after a grant: back-off of %v s, want 15 s", got.Seconds())
+		t.Errorf("first rejection after a grant: backoff of %v s, want 15 s", got.Seconds())
 	}
 	if !shard.IsBackedOff(testOption, h.loop.Now()) || shard.IsBackedOff(testOption, h.loop.Now()+15*second) {
 		t.Error("the option is not backed off for exactly 15 s")
 	}
 }
 
-// TestCorruptRequestRecord checks that a shard with an invalid record is given up, and
+// TestCorruptRequestRecord checks that a shard with an invalid record is dropped, and
 // that the record of another shard is ignored.
 func TestCorruptRequestRecord(t *testing.T) {
 	h := newHarness(t)
@@ -93,7 +93,7 @@
 	h.takeEffects()
 	h.Requests.ApplyRecord(messages.KV{Key: "rentals/r-2", Value: []byte(`{"p":"x"}`)}, shard)
 	if len(h.fakes.corruptKeys) != 1 || h.fakes.corruptKeys[0] != "rentals/r-2" {
-		t.Errorf("given up for %v, want rentals/r-2", h.fakes.corruptKeys)
+		t.Errorf("dropped for %v, want rentals/r-2", h.fakes.corruptKeys)
 	}
 	h.Requests.ApplyRecord(messages.KV{Key: "rentals/r-3", Value: []byte(`{"p":1,"n":1}`)}, shard)
 	if len(shard.ProvisioningRequests) != 1 || len(h.takeEffects()) != 0 {
--- a/internal/provisioning/scalein.go
+++ b/internal/provisioning/scalein.go
@@ -93,11 +93,11 @@
 }
 
 // ReleaseBeforeRecorded releases a machine without waiting for its record to be stored.
-// It is used for a machine with cancelled tasks during an outage of the state service,
-// which may last longer than the tasks may go on running. This is safe: no other shard
+// It is used for a machine with cancelled tasks during an outage of the store, as the
+// tasks must not keep running until the outage ends. It is safe because no other shard
 // can acquire a machine whose record lists tasks, and the tasks can't start elsewhere
 // before the record is stored. If another controller has acquired the machine's shard
-// in the meantime, the machine looks to it as if it had failed.
+// in the meantime, the machine appears to that controller to have failed.
 func (s *ScaleIn) ReleaseBeforeRecorded(machine *state.Machine) {
 	if s.deps.Ownership.CanAnswerWorkers(s.state.Shards[machine.ShardID]) {
 		s.Release(machine, releaseCancelledInOutage)
--- a/internal/provisioning/scalein_test.go
+++ b/internal/provisioning/scalein_test.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestReleaseRecordedBeforeCall checks that the cloud is called only for a machine
-// whose release is stored: otherwise another shard could acquire the machine.
+// TestReleaseRecordedBeforeCall checks that the cloud is called only for a machine whose
+// release is stored. Otherwise another shard could acquire the machine.
 func TestReleaseRecordedBeforeCall(t *testing.T) {
 	h := newHarness(t)
 	machine := h.addMachines(1)[0]
--- a/internal/provisioning/scaleout.go
+++ b/internal/provisioning/scaleout.go
@@ -20,8 +20,7 @@
 	maxUnansweredRequests = 4
 	// maxMachinesPerRequest limits the machines of one request.
 	maxMachinesPerRequest = 50
-	// maxStoreUnavailability is how long the state service may be unavailable before
-	// scale-out stops.
+	// maxStoreOutage is how long the store may be unavailable before scale-out stops.
 	maxStoreOutage = second
 	// significantDiscount is the ratio of the on-demand price to the spot price from
 	// which the price difference matters.
@@ -50,7 +49,7 @@
 	IsOptionAllowed(*state.Job, state.ProvisioningOption) bool
 }
 
-// RunTimes estimates run times.
+// Runtimes estimates run times.
 type Runtimes interface {
 	// ExpectedSeconds returns the expected run time of a task of the job.
 	ExpectedSeconds(*state.Job) float64
@@ -58,7 +57,8 @@
 
 // MachineSharing shares the machines among the shards.
 type MachineSharing interface {
-	// CordonSurplus cordons the machines that the owned shards should give up.
+	// CordonSurplus cordons the machines that the owned shards should transfer or
+	// release.
 	CordonSurplus()
 	// AcceptOffers acquires idle machines that other shards offer and that the work can
 	// use. It removes the tasks that fit on them from the work.
--- a/internal/provisioning/scaleout_test.go
+++ b/internal/provisioning/scaleout_test.go
@@ -11,9 +11,8 @@
 	"stairrelay/internal/state"
 )
 
-// newScaleOutHarness returns a harness with an owned shard whose pending tasks need one
-// CPU each. A small machine fits 4 tasks; a large one fits 16 at twice the price per
-// task. Spot machines cost half.
+// newScaleOutHarness returns a harness with an owned shard whose pending tasks request one
+// CPU each. Large machines cost twice as much per task as small ones, and spot half.
 func newScaleOutHarness(t *testing.T, tasks int, spot bool) (*harness, *state.Shard) {
 	t.Helper()
 	h := newHarness(t)
@@ -40,8 +39,8 @@
 	return counts
 }
 
-// TestRequestedOptions checks that the cheapest available machines are requested, as
-// many as the pending tasks need beyond the capacity that is expected already.
+// TestRequestedOptions checks that the cheapest available machines are requested, and only
+// for the pending tasks that don't fit on machines that are free or expected.
 func TestRequestedOptions(t *testing.T) {
 	small := state.ProvisioningOption{Type: "small", Zone: "a"}
 	smallOtherZone := state.ProvisioningOption{Type: "small", Zone: "b"}
@@ -104,9 +103,8 @@
 	}
 }
 
-// TestOnDemandFallback checks that work for unavailable spot machines gets on-demand
-// machines only if the existing capacity would be busy with it for longer than they
-// take to boot.
+// TestOnDemandFallback checks that, without spot machines, on-demand ones are requested
+// only if the existing capacity would need longer for the work than they take to boot.
 func TestOnDemandFallback(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -32,11 +32,11 @@
 	WriteID string                `json:"w"`
 }
 
-// TypeCache keeps the machine types of the cloud in memory and in the state service.
-// Without machine types no submission can be validated and no task assigned, so a
-// controller that starts during an outage of the cloud loads them from the state
-// service, where the first reachable controller stores them. The stored prices may be
-// out of date until the cloud's next reply.
+// TypeCache keeps the machine types of the cloud in memory and in the store. Without
+// machine types no submission can be validated and no task assigned, so a controller
+// that starts during an outage of the cloud loads them from the store, where the first
+// reachable controller puts them. The stored prices may be out of date until the cloud's
+// next reply.
 //
 // The stored types are written only after they were read, and at most one write of them
 // is in flight.
@@ -66,7 +66,7 @@
 	t.loop.Emit(messages.CloudListMachineTypes{Call: call})
 }
 
-// apply adds machine types from the cloud or the state service.
+// apply adds machine types from the cloud or the store.
 func (t *TypeCache) apply(types []cluster.MachineType) {
 	for _, machineType := range types {
 		t.state.MachineTypes[machineType.Name] = machineType
@@ -101,7 +101,7 @@
 	}
 	t.stored = record.Types
 	if len(t.state.MachineTypes) == 0 && len(record.Types) > 0 {
-		t.loop.Log(messages.LogInfo, "machine types loaded from the state service", "types", len(record.Types))
+		t.loop.Log(messages.LogInfo, "machine types loaded from the store", "types", len(record.Types))
 		t.apply(record.Types)
 	}
 }
--- a/internal/provisioning/typecache_test.go
+++ b/internal/provisioning/typecache_test.go
@@ -26,8 +26,8 @@
 	h.advance(typesWriteDelay)
 }
 
-// replyWithStoredTypes loads the stored machine types, and has the state service reply
-// with the given outcome and value.
+// replyWithStoredTypes loads the stored machine types, and has the store reply with the
+// given outcome and value.
 func (h *harness) replyWithStoredTypes(t *testing.T, outcome messages.Outcome, value []byte) {
 	t.Helper()
 	h.Types.Load()
--- a/internal/ratelimit/share_test.go
+++ b/internal/ratelimit/share_test.go
@@ -33,9 +33,8 @@
 	}
 }
 
-// TestSharesAddUpToLimit checks that the shares of controllers with the same
-// information add up to the limit: a larger sum would exceed the limit, a smaller one
-// would waste it.
+// TestSharesAddUpToLimit checks that the shares of controllers with the same information
+// neither exceed the limit nor leave a part of it unused.
 func TestSharesAddUpToLimit(t *testing.T) {
 	const limit = 3.6
 	for _, demands := range [][]float64{{0, 0, 0}, {1, 0, 0}, {5, 1, 0}, {50, 20, 1}, {3.6, 3.6, 3.6}} {
--- a/internal/scheduling/assign.go
+++ b/internal/scheduling/assign.go
@@ -16,8 +16,8 @@
 	// preemptionInterval is the minimum time between two searches for preemption
 	// victims in a shard.
 	preemptionInterval = second / 2
-	// maxStoreOutage is how long the state service may be unavailable before
-	// scheduling stops. Assignments can't be stored during an outage.
+	// maxStoreOutage is how long the store may be unavailable before scheduling stops.
+	// Assignments can't be stored during an outage.
 	maxStoreOutage = second
 )
 
@@ -53,7 +53,7 @@
 
 // ScheduleShard assigns a shard's pending tasks to its machines and, at most once per
 // preemptionInterval, preempts running tasks for jobs that are still pending. It does
-// nothing while the state service is unavailable.
+// nothing while the store is unavailable.
 func (s *Scheduler) ScheduleShard(shard *state.Shard) {
 	if s.shared.deps.Store.IsUnavailableFor(maxStoreOutage) {
 		return
@@ -80,9 +80,9 @@
 	}
 }
 
-// assignStarvingJobs assigns one task of each starving job. If the task fits on no
-// machine or into no quota yet, it reserves a machine and part of the team's quota for
-// the job. Otherwise smaller tasks would keep taking the freed resources.
+// assignStarvingJobs assigns one task of each starving job. If the task doesn't fit on a
+// machine or into the team's quota yet, it reserves a machine and a part of the quota for
+// the job. Without a reservation, smaller tasks would keep taking the freed resources.
 func (r *round) assignStarvingJobs() {
 	for _, job := range r.jobs {
 		if !r.Queue.isStarving(job) {
--- a/internal/scheduling/assign_test.go
+++ b/internal/scheduling/assign_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestUnschedulableMachinesGetNoTasks checks that no task is assigned to a machine that
-// can't run it or may be owned by someone else.
+// can't run it or that another controller may own.
 func TestUnschedulableMachinesGetNoTasks(t *testing.T) {
 	for name, change := range map[string]func(*state.Machine){
 		"token not acknowledged": func(m *state.Machine) { m.TokenAcknowledged = false },
--- a/internal/scheduling/candidates_test.go
+++ b/internal/scheduling/candidates_test.go
@@ -50,18 +50,18 @@
 	fetches.Add("other", cluster.Urgent, cpu)
 	fetches.Add("other", cluster.BestEffort, cpu)
 	if got := fetches.State("new", cluster.Urgent, cpu, 16*cpu); got != ImageBlocked {
-		t.Errorf("two tasks wait for an image: state %d", got)
+		t.Errorf("state %d while two tasks wait for another image, want ImageBlocked", got)
 	}
 	if got := fetches.State("new", cluster.Urgent, cpu, 17*cpu); got != ImageAbsent {
-		t.Errorf("two tasks wait for an image on a larger machine: state %d", got)
+		t.Errorf("state %d on a larger machine while two tasks wait for another image, want ImageAbsent", got)
 	}
 	if got := fetches.State("new", cluster.Normal, cpu, 16*cpu); got != ImageBlocked {
-		t.Errorf("lower priority than a waiting task: state %d", got)
+		t.Errorf("state %d for a lower priority than that of a waiting task, want ImageBlocked", got)
 	}
 	// Each image that is being fetched blocks images for tasks of a lower priority.
 	fetches.Add("third", cluster.BestEffort, 0)
 	if got := fetches.State("new", cluster.Normal, cpu, 16*cpu); got != ImageBlocked {
-		t.Errorf("lower priority than the tasks that wait for the first of two images: state %d", got)
+		t.Errorf("state %d for a lower priority than that of a task waiting for the first of two images, want ImageBlocked", got)
 	}
 }
 
--- a/internal/scheduling/fixture_test.go
+++ b/internal/scheduling/fixture_test.go
@@ -104,8 +104,8 @@
 func (f *fixture) addMachine(id cluster.MachineID) *state.Machine {
 	group := &state.MachineGroup{ID: "g-" + string(id), Machines: map[cluster.MachineID]*state.Machine{}, NextWritePriority: writequeue.PriorityCount}
 	f.state.Groups[group.ID] = group
-	line := grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}}
-	machine := state.NewMachine(group, line, 5, f.loop.Now())
+	entry := grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}}
+	machine := state.NewMachine(group, entry, 5, f.loop.Now())
 	machine.TokenAcknowledged = true
 	machine.Usage.ByTeam = f.shard.Usage
 	group.Machines[id] = machine
--- a/internal/scheduling/preempt.go
+++ b/internal/scheduling/preempt.go
@@ -5,8 +5,8 @@
 	"stairrelay/internal/state"
 )
 
-// preemptionBackoff is the minimum time between two preemptions for the same job, in
-// which the preempted tasks can stop and the job's tasks can be assigned.
+// preemptionBackoff is the minimum time between two preemptions for the same job. It
+// leaves time for the preempted tasks to stop and for the job's tasks to be assigned.
 const preemptionBackoff = 8 * second
 
 // preemptorKey identifies jobs that are treated alike as preemptors: if no victims are
@@ -23,10 +23,10 @@
 	failedPreemptors map[preemptorKey]bool
 }
 
-// preempt stops checkpointable tasks for pending jobs: tasks of lower priority for an
-// urgent job, and tasks beyond their team's guaranteed quota for a job within that of
-// its own team. The preempting job must rank before its victim. Otherwise the victim
-// would be assigned to the freed resources again, and be preempted forever.
+// preempt stops checkpointable tasks for pending jobs. An urgent job preempts tasks of a
+// lower priority. A job within its team's guaranteed quota preempts tasks of other teams
+// that are beyond theirs. The preempting job must rank before its victim. Otherwise the
+// victim would be assigned to the freed resources again, and be preempted repeatedly.
 func (r *round) preempt() {
 	p := &preemption{round: r, machines: r.preemptibleMachines(), failedPreemptors: map[preemptorKey]bool{}}
 	if len(p.machines) == 0 {
@@ -63,7 +63,7 @@
 }
 
 // preemptFor stops tasks to free resources for a job. It returns false if the team's
-// quota is used up before all pending tasks of the job fit; the search ends then.
+// quota is used up before all pending tasks of the job fit, which ends the search.
 func (p *preemption) preemptFor(job *state.Job, key preemptorKey) bool {
 	request := job.Spec.ResourceRequest
 	quotaLeft := p.shared.state.Teams[job.Spec.Team].QuotaLimit.Minus(p.usage[job.Spec.Team])
@@ -134,9 +134,10 @@
 	return victims, free
 }
 
-// isPreemptibleFor reports whether tasks of victim may be preempted for job: either job
-// is urgent and has a higher priority, or it is within its team's guaranteed quota while
-// victim belongs to another team and is beyond that team's guaranteed quota.
+// isPreemptibleFor reports whether tasks of victim may be preempted for job. Either job is
+// urgent and has a higher priority, or it is within its team's guaranteed quota and victim
+// belongs to another team and is beyond that team's guaranteed quota. In the second case,
+// victim must not be an urgent job of a higher priority.
 func (p *preemption) isPreemptibleFor(victim, job *state.Job) bool {
 	if p.Queue.isPreemptionExempt(victim) {
 		return false
--- a/internal/scheduling/preempt_test.go
+++ b/internal/scheduling/preempt_test.go
@@ -42,11 +42,11 @@
 		priority, victim cluster.Priority
 		want             bool
 	}{
-		{"urgent for normal", cluster.Urgent, cluster.Normal, true},
-		{"production for urgent", cluster.Production, cluster.Urgent, true},
-		{"urgent for urgent", cluster.Urgent, cluster.Urgent, false},
-		{"urgent for production", cluster.Urgent, cluster.Production, false},
-		{"normal for best effort", cluster.Normal, cluster.BestEffort, false},
+		{"urgent job, normal victim", cluster.Urgent, cluster.Normal, true},
+		{"production job, urgent victim", cluster.Production, cluster.Urgent, true},
+		{"urgent job, urgent victim", cluster.Urgent, cluster.Urgent, false},
+		{"urgent job, production victim", cluster.Urgent, cluster.Production, false},
+		{"normal job, best-effort victim", cluster.Normal, cluster.BestEffort, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -61,9 +61,9 @@
 	return job.IsActive() && !job.Blocked && job.ChunksLoading == 0 && job.PendingCount() > 0 && q.loop.Now() >= job.BackoffUntil
 }
 
-// isStarving reports whether a job has waited too long without an assigned task: for its
-// first task by isFirstStartOverdue, or for any task once starvingHorizons horizons have
-// passed since it became ready.
+// isStarving reports whether a job has no assigned task and has waited too long for one.
+// The limit is starvingHorizons horizons since the job became ready, or less for the first
+// task; see isFirstStartOverdue.
 func (q *JobQueue) isStarving(job *state.Job) bool {
 	return q.isFirstStartOverdue(job) ||
 		job.AssignedCount == 0 && float64(q.loop.WallTime()) > float64(job.ReadySince)+starvingHorizons*q.horizon(job)
@@ -76,9 +76,9 @@
 	return job.FirstRunAt == 0 && job.CompletedCount == 0 && job.AssignedCount == 0 && q.hasWaitedLong(job)
 }
 
-// isPreemptionExempt reports whether a job's only task must not be preempted because the
-// job has waited too long for it. If it were preempted, the job would have to wait
-// again, without the precedence of a first task.
+// isPreemptionExempt reports whether a job's only assigned task must not be preempted,
+// because the job has waited too long for it. If the task were preempted, the job would
+// have to wait again, without the precedence of a first task.
 func (q *JobQueue) isPreemptionExempt(job *state.Job) bool {
 	return job.CompletedCount == 0 && job.AssignedCount == 1 && q.hasWaitedLong(job)
 }
--- a/internal/scheduling/rebalance.go
+++ b/internal/scheduling/rebalance.go
@@ -12,8 +12,8 @@
 	// yieldingScaleOutInterval is the minimum time between two scale-outs of a shard
 	// while a much smaller shard has a shortfall.
 	yieldingScaleOutInterval = 4 * second
-	// typicalRequestPercent is the typical CPU and memory request of a shard's tasks in
-	// percent of the mean.
+	// typicalRequestPercent is the CPU and memory of a shard's typical request, as a
+	// percentage of the mean request of its tasks.
 	typicalRequestPercent = 115
 )
 
@@ -30,8 +30,8 @@
 	attempted   attemptedTransfers
 }
 
-// CordonSurplus cordons the machines that the owned shards should give up, and offers
-// those that are idle to shards with a shortfall.
+// CordonSurplus cordons the machines that the owned shards should transfer or release, and
+// offers idle machines to shards with a shortfall.
 func (r *Rebalancer) CordonSurplus() {
 	r.expireOffers()
 	plan := fairshare.NewPlan(r.loads.All())
@@ -42,7 +42,7 @@
 	}
 }
 
-// cordonShardSurplus cordons the machines that one shard should give up. If no shard has
+// cordonShardSurplus cordons the machines that one shard should transfer. If no shard has
 // a shortfall, it cordons machines for scale-in instead.
 func (r *Rebalancer) cordonShardSurplus(shard *state.Shard, load fairshare.ShardLoad, plan *fairshare.Plan) {
 	spare := plan.TransferableCapacity(shard.ID)
@@ -62,7 +62,7 @@
 
 // uncordonMachines uncordons all machines of a shard, so that the caller can select again
 // which to cordon, and returns those that are schedulable. It requests a scheduling run
-// if a machine was cordoned and the shard has no spare capacity to give up.
+// if a machine was cordoned and the shard has no spare capacity to transfer.
 func (r *Rebalancer) uncordonMachines(shard *state.Shard, spare cluster.Amount) []*state.Machine {
 	var schedulable []*state.Machine
 	r.deps.CountMachineScans(shard.Machines)
--- a/internal/scheduling/runtimes.go
+++ b/internal/scheduling/runtimes.go
@@ -24,14 +24,14 @@
 // run time.
 const minRemainingShare = 0.1
 
-// RunTimes predicts how long tasks run. It corrects the users' estimates by the ratio of
+// Runtimes predicts how long tasks run. It corrects the users' estimates by the ratio of
 // actual to estimated run times, which tends to be similar within a class of jobs.
 type Runtimes struct {
 	loop    *eventloop.Loop
 	classes map[string]*classRuntimes
 }
 
-// classRunTimes holds the statistics of a class of jobs.
+// classRuntimes holds the statistics of a class of jobs.
 type classRuntimes struct {
 	ratio float64 // actual to estimated run time, smoothed
 	runs  int
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -18,9 +18,9 @@
 	job.SetCompleted(assignment.Task.Index)
 }
 
-// TestRunTimeRatio checks that the expected run time of a class follows the actual run
+// TestRuntimeRatio checks that the expected run time of a class follows the actual run
 // times of its tasks.
-func TestRunTimeRatio(t *testing.T) {
+func TestRuntimeRatio(t *testing.T) {
 	f := newFixture()
 	machine := f.addMachine("m-1")
 	f.loop.Begin(second, 1_000_000)
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -8,14 +8,15 @@
 //   - Trigger decides when Scheduler runs a scheduling round for each owned shard.
 //   - JobQueue orders a shard's jobs and lists their pending tasks.
 //   - Eligibility and SpotPreference decide which machines a job may and should use.
-//   - RunTimes predicts run times. Stragglers detects slow machines and tasks.
+//   - Runtimes predicts run times. Stragglers detects slow machines and tasks.
 //   - ShardLoads and Rebalancer divide the machines among the shards according to
 //     package fairshare.
 //
 // Invariants: a task is assigned only within its team's quota, and only to a machine
 // whose worker has acknowledged the fencing token and whose group is not offered to
-// another shard. Nothing is assigned during an outage of the state service. This package
-// only plans an assignment: the task is started once the assignment is stored.
+// another shard. Nothing is assigned during an outage of the store, the external
+// consensus-backed key-value store. This package only plans assignments; a task is started
+// once its assignment is stored.
 package scheduling
 
 import (
@@ -91,10 +92,10 @@
 	Peers() []*membership.Peer
 }
 
-// Store reports the availability of the state service.
+// Store reports the availability of the store.
 type Store interface {
-	// IsUnavailableFor reports whether the state service has been unavailable for longer
-	// than duration.
+	// IsUnavailableFor reports whether the store has been unavailable for longer than
+	// duration.
 	IsUnavailableFor(duration cluster.Time) bool
 }
 
@@ -121,7 +122,7 @@
 type Scheduler struct {
 	// Trigger decides when scheduling runs.
 	Trigger *Trigger
-	// RunTimes predicts how long tasks run.
+	// Runtimes predicts how long tasks run.
 	Runtimes *Runtimes
 	// Stragglers drains slow machines and restarts straggling tasks.
 	Stragglers *Stragglers
--- a/internal/scheduling/spot.go
+++ b/internal/scheduling/spot.go
@@ -6,8 +6,8 @@
 	// maxSpotLossSeconds is the expected loss above which a job should use on-demand
 	// machines, regardless of its objectives.
 	maxSpotLossSeconds = 2
-	// minExpectedLostTasks is the expected number of interrupted tasks from which a
-	// job's objectives are at risk on spot machines.
+	// minExpectedLostTasks is the expected number of interrupted tasks at or above which
+	// a job's objectives are at risk on spot machines.
 	minExpectedLostTasks = 0.1
 	// lossWeight multiplies the expected loss per task, because a job finishes only when
 	// the last of its tasks does.
@@ -15,7 +15,7 @@
 	// minDeadlineFactor is the minimum fraction of a job's deadline that an objective
 	// may require.
 	minDeadlineFactor = 0.1
-	// tightObjectiveRunTimes is the number of run times that an objective must allow so
+	// tightObjectiveRuntimes is the number of run times that an objective must allow so
 	// that a restarted task can still meet it.
 	tightObjectiveRuntimes = 3
 )
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -8,8 +8,7 @@
 
 const (
 	// slowMachineRatio is the relative pace above which a machine is slow: the smoothed
-	// ratio of its run times to those of the same jobs' other tasks. It is far above the
-	// usual differences between machines of a type.
+	// ratio of its run times to those of the same jobs' other tasks.
 	slowMachineRatio = 2.2
 	// minPaceSamples is the minimum number of run times needed to classify a machine as
 	// slow.
@@ -21,8 +20,8 @@
 	// job's completed tasks plus stragglerAllowanceSeconds.
 	stragglerFactor           = 2.5
 	stragglerAllowanceSeconds = 5
-	// lateChecksBeforeDrain is the number of checks that must find a straggler before
-	// its machine is drained. A single one may be due to a delayed heartbeat.
+	// stragglerChecksBeforeDrain is the number of checks that must find a straggler on a
+	// machine before it is drained. A delayed heartbeat can make one check wrong.
 	stragglerChecksBeforeDrain = 4
 )
 
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -46,8 +46,8 @@
 	CountedInUsage    bool // included in the usage of its machine
 	StartUnobserved   bool // an earlier owner of the shard sent the start
 
-	Pushed               bool                   // the start was pushed, not sent in a heartbeat reply
-	DispatchedAtSequence cluster.SequenceNumber // of the heartbeat in whose reply the start was sent
+	Pushed               bool                   // the start was pushed, not sent in the response to a heartbeat
+	DispatchedAtSequence cluster.SequenceNumber // of the heartbeat in whose response the start was sent
 
 	StopRequested   bool
 	StopRequestedAt cluster.Time // time of the first request
@@ -55,8 +55,8 @@
 	GraceSeconds    float64 // time for a checkpoint before the stop
 }
 
-// TaskAttempt identifies an attempt of a task. A worker may report two attempts of a
-// task at once: it refuses the second with CauseDuplicateAttempt.
+// TaskAttempt identifies an attempt of a task. A heartbeat may show two attempts of a task,
+// because a worker rejects a second attempt with CauseDuplicateAttempt.
 type TaskAttempt struct {
 	Task    cluster.TaskID
 	Attempt cluster.Attempt
@@ -103,8 +103,8 @@
 }
 
 // MarkRemovedFromRecord records that the stored record no longer lists the completed
-// task. It reports whether the assignment may be removed. It may not be until the task's
-// outcome is stored, as nothing else keeps the task from being started again.
+// task. It reports whether the assignment may be removed. It must be kept until the task's
+// outcome is stored, as nothing else prevents the task from being started again.
 func (a *Assignment) MarkRemovedFromRecord() bool {
 	a.RemovedFromRecord = true
 	return a.IsOutcomeStored()
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -10,8 +10,8 @@
 // MachineGroup is a set of machines of a shard that share one stored record, which lists
 // their tasks.
 //
-// A record per machine would cost one write per machine for each wave of starts. With
-// hundreds of machines, that is many times the write rate of the store.
+// With a record per machine, starting tasks on hundreds of machines would take as many
+// writes, which would far exceed the write rate of the store.
 //
 // A machine is listed in exactly one group. It moves between groups only in a
 // transaction that writes both records, and between shards only with its whole group, in
@@ -32,11 +32,11 @@
 
 	RecordSize    int // size of the record in bytes, as last built
 	AddedBytes    int // estimated growth of the record since then
-	MinSplitCount int // minimum number of records to split into, after one was refused as too large
+	MinSplitCount int // minimum number of records to split into, after one was rejected as too large
 }
 
-// GroupOffer allows a shard to take over the group until a deadline. Until then, no
-// tasks are started on the group's machines. A write by the owner after the deadline
+// GroupOffer allows a shard to acquire the group until a deadline. Until then, no tasks
+// are started on the group's machines. A write by the owner after the deadline
 // makes a late transfer fail.
 type GroupOffer struct {
 	ToShard cluster.ShardID
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -39,7 +39,7 @@
 	CompletedCount    int
 	FirstPendingHint  int // no task with a lower index is pending
 	Assignments       map[int]*Assignment
-	ListedAssignments map[*Assignment]bool // all that machines list, including ended tasks and a second listing of a task
+	ListedAssignments map[*Assignment]bool // all that machines list, including ended ones and several of the same task
 	RestartedTasks    map[int]bool         // tasks that became pending again after they were assigned
 	TaskErrors        int
 	FailedMachines    map[cluster.MachineID]bool
@@ -55,7 +55,7 @@
 	WriteQueued           bool
 	RewriteNeeded         bool
 	FinalWriteInFlight    bool         // a write of the final status is in flight and may have been applied already
-	RecordTooLarge        bool         // the store refused the record with its outcomes as too large
+	RecordTooLarge        bool         // the store rejected the record with its outcomes as too large
 	NextBackgroundWriteAt cluster.Time // earliest next background write while starts wait for their records
 }
 
--- a/internal/state/jobregistry.go
+++ b/internal/state/jobregistry.go
@@ -27,8 +27,8 @@
 type KnownJob struct {
 	ShardID         cluster.ShardID
 	FinalStatus     cluster.JobStatus // empty while unfinished
-	FinalSince      cluster.Time      // when this process learned the final status; DistantPast if from its first read
-	FinalRecorded   bool              // the job's own record contains the final status; otherwise it follows from a dependency's
+	FinalSince      cluster.Time      // when this process learned the final status; DistantPast if it was in the first read
+	FinalRecorded   bool              // the job's own record contains the final status; otherwise it follows from that of a dependency
 	Tasks           int
 	Team            string
 	ResourceRequest cluster.Resources // of a cancelled job
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -58,30 +58,30 @@
 	}
 }
 
-// TokenState is the state of a machine's fencing token, which its worker requires of
-// commands.
+// TokenState is the state of a machine's fencing token. The worker rejects commands with a
+// lower token than the highest one that it has seen.
 //
-// Only stops are sent until the worker has acknowledged the token, as it may still
-// receive commands of an earlier owner with a lower token.
+// Until the worker has acknowledged the token, it still executes commands of an earlier
+// owner, so only stops are sent to it.
 type TokenState struct {
 	Token                        cluster.FencingToken
 	TokenAcknowledged            bool                 // the highest token that the worker has seen is Token
-	UnacknowledgedSince          cluster.Time         // start of the time without acknowledgement
+	UnacknowledgedSince          cluster.Time         // since when Token has not been acknowledged
 	AwaitingFirstAcknowledgement bool                 // acquired with its shard and not acknowledged since
 	InitialToken                 cluster.FencingToken // Token of a machine that no other claim has owned; otherwise 0
 	FencedOff                    bool                 // the worker has seen a higher token
 	RaisingToken                 bool                 // a higher token is to be stored
 }
 
-// WorkerState is the last reported state of a machine's worker and its open heartbeat.
+// WorkerState is the last reported state of a machine's worker and its pending heartbeat.
 type WorkerState struct {
 	Incarnation    cluster.Incarnation
 	SequenceNumber cluster.SequenceNumber
 	LastHeartbeat  cluster.Time
 
-	PendingHeartbeat      messages.RequestID // the heartbeat that awaits a reply; 0 if there is none
+	PendingHeartbeat      messages.RequestID // the heartbeat that awaits a response; 0 if there is none
 	PendingSequenceNumber cluster.SequenceNumber
-	ResponseDeadline      cluster.Time // latest time for the reply
+	ResponseDeadline      cluster.Time // latest time for the response
 	HeartbeatHeld         bool         // the heartbeat awaits the next scan of held heartbeats
 
 	CachedImages []CachedImage // least recently used first
@@ -106,7 +106,7 @@
 
 // StartLimits restricts the start of new tasks on a machine.
 type StartLimits struct {
-	NoStartsBefore   cluster.Time // set after a refused start
+	NoStartsBefore   cluster.Time // set after a rejected start
 	TaskErrors       int
 	FailedJobs       map[cluster.JobID]bool // jobs whose tasks failed on the machine
 	Cordoned         bool                   // gets no new tasks
@@ -119,7 +119,7 @@
 	PreemptionDeadline   cluster.Time // when the cloud preempts the machine
 	MissingFromCloudList bool         // absent from the cloud's list when it was last read
 	Terminated           bool         // the cloud has terminated it, which is yet to be recorded
-	Releasing            bool         // to be returned to the cloud once that is recorded
+	Releasing            bool         // to be released to the cloud once that is recorded
 	ReleaseConfirmed     bool         // the release is recorded, so that the cloud may be called
 	ScaleInCallInFlight  bool
 }
@@ -127,8 +127,8 @@
 // PaceEstimate compares the run times on a machine with those on other machines.
 type PaceEstimate struct {
 	PaceSamples     int     // number of tasks compared with other tasks of their jobs
-	RelativePace    float64 // smoothed ratio of its run times to the average of the jobs; above 1 is slow
-	StragglerChecks int     // consecutive checks that found a straggler
+	RelativePace    float64 // smoothed ratio of its run times to the means of their jobs; above 1 is slow
+	StragglerChecks int     // number of checks that found a straggler; never reset
 }
 
 // Kind returns the machine's type and zone, and whether it is a spot machine.
@@ -180,9 +180,8 @@
 	return true
 }
 
-// MarkTokenRaised records that a higher token is stored. Only stops are sent until the
-// worker has acknowledged it, as it still executes commands of an earlier owner until
-// then.
+// MarkTokenRaised records that a higher token is stored. Until the worker has acknowledged
+// it, only stops are sent.
 func (m *Machine) MarkTokenRaised(token cluster.FencingToken, now cluster.Time) {
 	m.RaisingToken = false
 	m.Token, m.TokenAcknowledged, m.UnacknowledgedSince = token, false, now
--- a/internal/state/provisioning.go
+++ b/internal/state/provisioning.go
@@ -3,7 +3,7 @@
 import "stairrelay/internal/cluster"
 
 // IsProvisioningCurrent reports whether request is still an open request of the shard. It
-// is not if it was settled, or if the shard was lost or loaded again in the meantime.
+// is not if it was completed, or if the shard was lost or loaded again in the meantime.
 func (s *Shard) IsProvisioningCurrent(request *ProvisioningRequest) bool {
 	return s.Owned && s.ProvisioningRequests[request.Name] == request
 }
--- a/internal/state/removal.go
+++ b/internal/state/removal.go
@@ -1,8 +1,8 @@
 package state
 
-// BeginRelease records that the machine is to be returned to the cloud. That has to be
-// stored before the cloud is called; otherwise another shard might take over the machine
-// in the meantime.
+// BeginRelease records that the machine is to be released to the cloud. That has to be
+// stored before the cloud is called; otherwise another shard might acquire the machine in
+// the meantime.
 func (m *Machine) BeginRelease() { m.Releasing = true }
 
 // ConfirmRelease records that the release is stored, so that the cloud may be called.
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -35,13 +35,13 @@
 
 // AttemptNumbers holds the state from which the attempts of a shard's tasks are numbered.
 type AttemptNumbers struct {
-	AttemptCount uint64 // attempts numbered under AttemptBase
-	// AttemptBase is a store revision that is the base of no other attempts: the
-	// revision of the owner's claim or, once the counts of the claim are used up, of a
-	// later transaction of the same owner.
+	AttemptCount uint64 // number of attempts with the current AttemptBase
+	// AttemptBase is a store revision that is never used as a base again. It is the
+	// revision of the owner's claim or, once AttemptCount has reached its maximum, that of
+	// a later transaction of the same owner.
 	AttemptBase        cluster.Revision
 	LastStoredRevision cluster.Revision // of the last transaction of the shard under the claim
-	PlannedStarts      uint64           // number of attempts numbered; never reset
+	PlannedStarts      uint64           // number of attempts created; never reset
 	StoredTransactions uint64           // number of transactions of the shard that were stored; never reset
 }
 
@@ -72,7 +72,7 @@
 type ShardProvisioning struct {
 	ProvisioningRequests map[string]*ProvisioningRequest
 	OutOfCapacityUntil   map[ProvisioningOption]cluster.Time
-	OutOfCapacityCount   map[ProvisioningOption]int // consecutive refusals for lack of capacity
+	OutOfCapacityCount   map[ProvisioningOption]int // consecutive rejections for lack of capacity
 	LastScaleOutAt       cluster.Time
 }
 
@@ -82,22 +82,22 @@
 	Spot       bool
 }
 
-// ProvisioningRequest is a recorded request for machines. It is repeated under its name
-// until its answer is known.
+// ProvisioningRequest is a recorded request for machines. It is retried under its name
+// until the cloud has answered it.
 type ProvisioningRequest struct {
 	Name          string
 	Option        ProvisioningOption
 	Count         int
 	ModRevision   cluster.ModRevision
 	Answered      bool
-	GrantedCount  int // machines granted by an answer that is not recorded yet
+	GrantedCount  int // machines that the cloud has granted and that are not recorded yet
 	Attempts      int
 	GroupID       string // group that its machines join, if the request was made under this claim
 	CreateInDoubt bool   // a write that creates its record may still be applied
 }
 
-// NextAttempt returns a new attempt number. Numbers are never reused: a worker that
-// remembers an attempt would not start it again.
+// NextAttempt returns a new attempt number. Numbers are never reused, as a worker does not
+// start an attempt that it remembers.
 func (s *Shard) NextAttempt() cluster.Attempt {
 	if s.AttemptCount == cluster.MaxAttemptCount && s.LastStoredRevision > s.AttemptBase {
 		s.AttemptBase, s.AttemptCount = s.LastStoredRevision, 0
--- a/internal/state/shardownership.go
+++ b/internal/state/shardownership.go
@@ -101,8 +101,8 @@
 }
 
 // BeginOwnership records that this controller has acquired the shard. Nothing known
-// under an earlier claim is kept, as the shard's records are read again. Attempts are
-// numbered from the claim on.
+// under an earlier claim is kept, as the shard's records are read again. The claim is the
+// base of new attempt numbers.
 func (s *Shard) BeginOwnership(self cluster.NodeID, term cluster.Term, claim cluster.Revision, now cluster.Time) {
 	s.Owned, s.Ready = true, false
 	s.ClaimRevision = claim
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -5,9 +5,9 @@
 // The methods below record what was sent to a worker and what its heartbeats show. See
 // also MarkRecorded, MarkEnded and MarkConfirmedAbsent.
 
-// MarkDispatchedInReply records that the start is sent in the reply to the heartbeat with
-// the given sequence number. Only a later heartbeat without the task shows that the start
-// was lost: the worker sends it after the reply has arrived or was given up.
+// MarkDispatchedInResponse records that the start is sent in the response to the heartbeat
+// with the given sequence number. Only a later heartbeat without the task shows that the
+// start was lost, as the worker sends it after the response has arrived or timed out.
 func (a *Assignment) MarkDispatchedInResponse(sequence cluster.SequenceNumber) {
 	a.Phase = PhaseDispatched
 	a.Pushed = false
@@ -15,7 +15,7 @@
 }
 
 // MarkDispatchedByPush records that the start is pushed. It may still arrive until the
-// push is answered, whatever heartbeats show.
+// outcome of the push is known, even if heartbeats do not show the task.
 func (a *Assignment) MarkDispatchedByPush() {
 	a.Phase = PhaseDispatched
 	a.Pushed = true
@@ -47,8 +47,8 @@
 }
 
 // RequestStop records that the task is to be stopped after a grace period for a
-// checkpoint. A repeated request keeps the time of the first one, from which the time
-// that the worker has ignored the stop is measured.
+// checkpoint. A repeated request keeps the time of the first one, from which it is
+// measured how long the worker has ignored the stop.
 func (a *Assignment) RequestStop(graceSeconds float64, now cluster.Time) {
 	a.StopRequested, a.GraceSeconds = true, graceSeconds
 	if a.StopRequestedAt == 0 {
