--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -108,7 +108,7 @@
 	shard.Owned, shard.Ready, shard.Owner, shard.Term = true, true, "n0", 1
 	shard.ClaimRevision, shard.ModRevision, shard.ConfirmedAt = 30, 30, b.loop.Now()
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
-	shard.OutOfCapacityUntil = map[state.ProvisioningOption]cluster.Time{}
+	shard.OptionBackoffUntil = map[state.ProvisioningOption]cluster.Time{}
 	b.store.keys[shard.Key()] = messages.KV{Key: shard.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 }
 
--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -29,7 +29,7 @@
 			small.Zones = []string{"a", "b"}
 			b.state.MachineTypes["small"] = small
 			for _, zone := range test.outOfCapacity {
-				shard.OutOfCapacityUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = b.loop.Now() + 60*second
+				shard.OptionBackoffUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = b.loop.Now() + 60*second
 			}
 			b.addTestJob("j-1", 1).Spec.Zone = test.zone
 			b.provisioner.ScaleOut.RunShard(shard)
--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -152,5 +152,5 @@
 
 // backOff prevents requests for an option for the given duration.
 func (r *Requests) backOff(shard *state.Shard, option state.ProvisioningOption, duration cluster.Time) {
-	shard.OutOfCapacityUntil[option] = r.loop.Now() + duration
+	shard.OptionBackoffUntil[option] = r.loop.Now() + duration
 }
--- a/internal/provisioning/requests_test.go
+++ b/internal/provisioning/requests_test.go
@@ -16,7 +16,7 @@
 	shard := h.state.Shards[0]
 	shard.Owned = true
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
-	shard.OutOfCapacityUntil = map[state.ProvisioningOption]cluster.Time{}
+	shard.OptionBackoffUntil = map[state.ProvisioningOption]cluster.Time{}
 	value := []byte(`{"p":0,"f":"small","y":"a","n":2,"w":"b0-1"}`)
 	h.Requests.ApplyRecord(messages.KV{Key: "rentals/r-1", Value: value, ModRevision: 7}, shard)
 	return shard, shard.ProvisioningRequests["r-1"]
@@ -71,13 +71,13 @@
 	shard, request := loadStoredRequest(h)
 	for i, want := range []cluster.Time{15 * second, 30 * second, 60 * second, 60 * second} {
 		h.Requests.handleReply(shard, request, messages.ScaleOutReply{Outcome: messages.NotFound})
-		if got := shard.OutOfCapacityUntil[testOption] - h.loop.Now(); got != want {
+		if got := shard.OptionBackoffUntil[testOption] - h.loop.Now(); got != want {
 			t.Errorf("rejection %d: backoff of %v s, want %v s", i+1, got.Seconds(), want.Seconds())
 		}
 	}
 	h.Requests.handleReply(shard, request, messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1"}})
 	h.Requests.handleReply(shard, request, messages.ScaleOutReply{Outcome: messages.NotFound})
-	if got := shard.OutOfCapacityUntil[testOption] - h.loop.Now(); got != 15*second {
+	if got := shard.OptionBackoffUntil[testOption] - h.loop.Now(); got != 15*second {
 		t.Errorf("first rejection after a grant: backoff of %v s, want 15 s", got.Seconds())
 	}
 	if !shard.IsBackedOff(testOption, h.loop.Now()) || shard.IsBackedOff(testOption, h.loop.Now()+15*second) {
--- a/internal/provisioning/scaleout_test.go
+++ b/internal/provisioning/scaleout_test.go
@@ -22,7 +22,7 @@
 	shard := h.state.Shards[0]
 	shard.Owned, shard.Ready = true, true
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
-	shard.OutOfCapacityUntil = map[state.ProvisioningOption]cluster.Time{}
+	shard.OptionBackoffUntil = map[state.ProvisioningOption]cluster.Time{}
 	spec := cluster.JobSpec{ID: "j-1", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Spot: spot, RuntimeSeconds: 60}
 	h.fakes.work = scheduling.PendingWork{{Job: state.NewJob(spec, shard.ID, 1, h.loop.Now()), Count: tasks}}
 	h.RateLimiter.bucket.SetRate(100, 100)
@@ -49,7 +49,7 @@
 	backOff := func(options ...state.ProvisioningOption) func(*harness, *state.Shard) {
 		return func(h *harness, shard *state.Shard) {
 			for _, option := range options {
-				shard.OutOfCapacityUntil[option] = h.loop.Now() + second
+				shard.OptionBackoffUntil[option] = h.loop.Now() + second
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 			for _, machineType := range []string{"small", "large"} {
 				for _, zone := range []string{"a", "b"} {
 					option := state.ProvisioningOption{Type: machineType, Zone: zone, Spot: true}
-					shard.OutOfCapacityUntil[option] = h.loop.Now() + second
+					shard.OptionBackoffUntil[option] = h.loop.Now() + second
 				}
 			}
 			load := h.fakes.loads[shard.ID]
--- a/internal/state/provisioning.go
+++ b/internal/state/provisioning.go
@@ -23,7 +23,7 @@
 // IsBackedOff reports whether an option must not be requested yet because the cloud was
 // out of capacity.
 func (p *ShardProvisioning) IsBackedOff(option ProvisioningOption, now cluster.Time) bool {
-	return now < p.OutOfCapacityUntil[option]
+	return now < p.OptionBackoffUntil[option]
 }
 
 // MarkAnswered records that the cloud has granted the given number of machines. An
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -71,7 +71,7 @@
 // ShardProvisioning tracks the machines that an owned shard requests from the cloud.
 type ShardProvisioning struct {
 	ProvisioningRequests map[string]*ProvisioningRequest
-	OutOfCapacityUntil   map[ProvisioningOption]cluster.Time
+	OptionBackoffUntil   map[ProvisioningOption]cluster.Time
 	OutOfCapacityCount   map[ProvisioningOption]int // consecutive rejections for lack of capacity
 	LastScaleOutAt       cluster.Time
 }
--- a/internal/state/shardownership.go
+++ b/internal/state/shardownership.go
@@ -109,7 +109,7 @@
 	s.RecordOwner(self, term, cluster.ModRevision(claim), now)
 	s.AttemptCount, s.AttemptBase, s.LastStoredRevision = 0, claim, claim
 	s.ProvisioningRequests = map[string]*ProvisioningRequest{}
-	s.OutOfCapacityUntil = map[ProvisioningOption]cluster.Time{}
+	s.OptionBackoffUntil = map[ProvisioningOption]cluster.Time{}
 	s.OutOfCapacityCount = map[ProvisioningOption]int{}
 }
 
