--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -148,8 +148,8 @@
 	deps   Dependencies
 }
 
-// New returns a new scheduler. It starts no timers: the owner of the loop must call
-// RunIfRequested and the other periodic methods.
+// New returns a new scheduler. It starts no timers, so the owner of the loop must
+// call RunIfRequested and the other periodic methods.
 func New(loop *eventloop.Loop, st *state.State, config Config, deps Dependencies) *Scheduler {
 	base := &shared{loop: loop, state: st, config: config, deps: deps}
 	s := &Scheduler{shared: base, Trigger: &Trigger{}}
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -13,9 +13,9 @@
 // With a record per machine, starting tasks on hundreds of machines would take as many
 // writes, which would far exceed the write rate of the store.
 //
-// A machine is listed in exactly one group. It moves between groups only in a
-// transaction that writes both records, and between shards only with its whole group, in
-// a transaction on condition that the group's record has not changed since it listed no
+// A machine is listed in exactly one group. It moves between groups only in a transaction
+// that writes both records. It moves between shards only with its whole group, in a
+// compare-and-swap that requires the group's record to be unchanged since it listed no
 // tasks.
 type MachineGroup struct {
 	ID          string
--- a/internal/state/provisioning.go
+++ b/internal/state/provisioning.go
@@ -20,8 +20,8 @@
 	return count
 }
 
-// IsBackedOff reports whether an option must not be requested yet because the cloud was
-// out of capacity.
+// IsBackedOff reports whether an option must not be requested yet, because the cloud was
+// out of capacity or rejected the option as invalid.
 func (p *ShardProvisioning) IsBackedOff(option ProvisioningOption, now cluster.Time) bool {
 	return now < p.OptionBackoffUntil[option]
 }
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -65,7 +65,7 @@
 	GuaranteedJobs     map[*Job]bool // jobs within their team's guaranteed quota, as of QueueOrderAt
 	NextPreemptionAt   cluster.Time  // earliest time of the next preemption
 	NextOfferAt        cluster.Time  // earliest time to offer idle machines to other shards
-	AvoidSpot          bool          // a job of the shard would lose much work on spot machines
+	AvoidSpot          bool          // a job of the shard prefers on-demand machines
 }
 
 // ShardProvisioning tracks the machines that an owned shard requests from the cloud.
