--- a/internal/grouprecord/address.go
+++ b/internal/grouprecord/address.go
@@ -17,7 +17,7 @@
 )
 
 // packAddress returns the stored form of an address. An address with a space or a line
-// feed would corrupt the machine's line and is stored as none.
+// feed would corrupt the machine's entry and is stored as none.
 func packAddress(address string) string {
 	parsed, err := netip.ParseAddrPort(address)
 	if err == nil && parsed.Addr().Is4() && roundTrips(parsed, address) {
--- a/internal/grouprecord/decode.go
+++ b/internal/grouprecord/decode.go
@@ -21,34 +21,34 @@
 	ErrInvalidAddress = errors.New("invalid address")
 )
 
-// MachineError is an error in the line of a machine.
+// MachineError is an error in a machine entry.
 type MachineError struct {
-	Line string
-	Err  error // nil if the line has too few fields or no ID
+	Entry string
+	Err   error // nil if the entry has too few fields or no ID
 }
 
-// Error returns the error's text, which quotes the line.
+// Error returns the error's text, which quotes the entry.
 func (e *MachineError) Error() string {
 	if e.Err == nil {
-		return fmt.Sprintf("invalid machine line %q: too few fields or no ID", e.Line)
+		return fmt.Sprintf("invalid machine entry %q: too few fields or no ID", e.Entry)
 	}
-	return fmt.Sprintf("invalid machine line %q: %v", e.Line, e.Err)
+	return fmt.Sprintf("invalid machine entry %q: %v", e.Entry, e.Err)
 }
 
-// Unwrap returns the error in the line, or nil if the line has too few fields or no ID.
+// Unwrap returns the error in the entry, or nil if the entry has too few fields or no ID.
 func (e *MachineError) Unwrap() error { return e.Err }
 
-// RangeError is a malformed range of tasks in the line of a machine.
+// RangeError is a malformed range of tasks in a machine entry.
 type RangeError struct{ Text string }
 
 // Error returns the error's text, which quotes the range.
 func (e *RangeError) Error() string { return fmt.Sprintf("invalid task range %q", e.Text) }
 
 // minLineFields is the number of fields before the task ranges: ID, kind and address.
-const minLineFields = 3
+const minEntryFields = 3
 
 // maxTaskIndex is an upper bound of task indexes. Without it, a short record with a huge
-// range would exhaust the memory.
+// range would exhaust memory.
 const maxTaskIndex = 100_000
 
 // Decode parses the JSON form of a record. It returns an error if the record is
@@ -63,8 +63,8 @@
 		return Record{}, ErrNoMachines
 	}
 	machines := make([]Machine, 0, len(form.Machines))
-	for _, line := range form.Machines {
-		machine, err := form.parseMachine(line)
+	for _, entry := range form.Machines {
+		machine, err := form.parseMachine(entry)
 		if err != nil {
 			return Record{}, err
 		}
@@ -85,23 +85,23 @@
 	return *form.ShardID, true
 }
 
-// parseMachine parses the line of a machine. Its errors are of type *MachineError.
-func (f *storedForm) parseMachine(line string) (Machine, error) {
-	fields := strings.Split(line, " ")
-	if len(fields) < minLineFields || fields[0] == "" {
-		return Machine{}, &MachineError{Line: line}
+// parseMachine parses a machine entry. Its errors are of type *MachineError.
+func (f *storedForm) parseMachine(entry string) (Machine, error) {
+	fields := strings.Split(entry, " ")
+	if len(fields) < minEntryFields || fields[0] == "" {
+		return Machine{}, &MachineError{Entry: entry}
 	}
 	machine := Machine{ID: cluster.MachineID(fields[0])}
 	if err := f.parseKind(&machine, fields[1]); err != nil {
-		return Machine{}, &MachineError{Line: line, Err: err}
+		return Machine{}, &MachineError{Entry: entry, Err: err}
 	}
 	var err error
 	if machine.Address, err = unpackAddress(fields[2]); err != nil {
-		return Machine{}, &MachineError{Line: line, Err: err}
+		return Machine{}, &MachineError{Entry: entry, Err: err}
 	}
-	for _, text := range fields[minLineFields:] {
+	for _, text := range fields[minEntryFields:] {
 		if machine.Tasks, err = f.appendRange(machine.Tasks, text); err != nil {
-			return Machine{}, &MachineError{Line: line, Err: err}
+			return Machine{}, &MachineError{Entry: entry, Err: err}
 		}
 	}
 	return machine, nil
--- a/internal/grouprecord/encode.go
+++ b/internal/grouprecord/encode.go
@@ -8,9 +8,9 @@
 )
 
 // storedForm is the JSON form of a record. Kinds, jobs and shard claims are stored once, in
-// tables, and referred to by index. Each machine is a line of fields separated by spaces:
+// tables, and referred to by index. A machine entry consists of fields separated by spaces:
 // ID, kind with flags, address, and task ranges of the form job:first-last@claim.count.
-// The counts of the attempts in a range increase with the task index.
+// In a range, the count of the attempt increases by one with each task index.
 type storedForm struct {
 	ShardID  cluster.ShardID `json:"p"`
 	Claims   []uint64        `json:"c,omitempty"`
@@ -20,7 +20,7 @@
 	WriteID  string          `json:"w"`
 }
 
-// The flags that follow the kind index in the line of a machine.
+// The flags that follow the kind index in a machine entry.
 const (
 	releasingFlag = 'r'
 	bootingFlag   = 'b'
@@ -45,10 +45,10 @@
 		},
 		jobs: map[cluster.JobID]int{},
 	}
-	var line []byte // reused for each machine
+	var entry []byte // reused for each machine
 	for i := range record.Machines {
-		line = e.appendMachine(line[:0], &record.Machines[i])
-		e.form.Machines = append(e.form.Machines, string(line))
+		entry = e.appendMachine(entry[:0], &record.Machines[i])
+		e.form.Machines = append(e.form.Machines, string(entry))
 	}
 	value, err := json.Marshal(e.form)
 	if err != nil {
@@ -57,25 +57,25 @@
 	return value
 }
 
-func (e *encoder) appendMachine(line []byte, machine *Machine) []byte {
-	line = append(line, machine.ID...)
-	line = append(line, ' ')
-	line = appendInt(line, tableIndex(&e.form.Kinds, machine.Kind))
+func (e *encoder) appendMachine(entry []byte, machine *Machine) []byte {
+	entry = append(entry, machine.ID...)
+	entry = append(entry, ' ')
+	entry = appendInt(entry, tableIndex(&e.form.Kinds, machine.Kind))
 	if machine.Releasing {
-		line = append(line, releasingFlag)
+		entry = append(entry, releasingFlag)
 	}
 	if machine.Booting {
-		line = append(line, bootingFlag)
+		entry = append(entry, bootingFlag)
 	}
-	line = append(line, ' ')
-	line = append(line, packAddress(machine.Address)...)
+	entry = append(entry, ' ')
+	entry = append(entry, packAddress(machine.Address)...)
 	for tasks := machine.Tasks; len(tasks) > 0; {
 		length := rangeLength(tasks)
-		line = append(line, ' ')
-		line = e.appendRange(line, tasks[:length])
+		entry = append(entry, ' ')
+		entry = e.appendRange(entry, tasks[:length])
 		tasks = tasks[length:]
 	}
-	return line
+	return entry
 }
 
 // rangeLength returns the number of leading tasks that form one range.
@@ -87,25 +87,25 @@
 	return length
 }
 
-func (e *encoder) appendRange(line []byte, tasks []Task) []byte {
+func (e *encoder) appendRange(entry []byte, tasks []Task) []byte {
 	first, last := &tasks[0], &tasks[len(tasks)-1]
-	line = appendInt(line, e.jobIndex(first.ID.Job))
-	line = append(line, ':')
-	line = appendInt(line, first.ID.Index)
+	entry = appendInt(entry, e.jobIndex(first.ID.Job))
+	entry = append(entry, ':')
+	entry = appendInt(entry, first.ID.Index)
 	if len(tasks) > 1 {
-		line = append(line, '-')
-		line = appendInt(line, last.ID.Index)
+		entry = append(entry, '-')
+		entry = appendInt(entry, last.ID.Index)
 	}
-	line = append(line, '@')
+	entry = append(entry, '@')
 	claim := tableIndex(&e.form.Claims, first.Attempt.Claim())
 	if claim > 0 { // the first claim of the table is the default
-		line = appendInt(line, claim)
-		line = append(line, '.')
+		entry = appendInt(entry, claim)
+		entry = append(entry, '.')
 	}
-	return strconv.AppendUint(line, first.Attempt.Count(), attemptRadix)
+	return strconv.AppendUint(entry, first.Attempt.Count(), attemptRadix)
 }
 
-func appendInt(line []byte, value int) []byte { return strconv.AppendInt(line, int64(value), 10) }
+func appendInt(entry []byte, value int) []byte { return strconv.AppendInt(entry, int64(value), 10) }
 
 // tableIndex returns the index of a value in a table. It appends the value if it is missing.
 // The search is linear, as a record has few kinds and claims.
--- a/internal/grouprecord/record.go
+++ b/internal/grouprecord/record.go
@@ -1,6 +1,6 @@
 // Package grouprecord defines the stored record of a machine group, which lists the
 // machines of the group and the tasks that may be on them. It converts records to and
-// from the JSON form that the state service stores, and defines their size limits.
+// from their stored JSON form and defines their size limits.
 //
 // A task may be started only after a record that lists it is stored. Decoding is strict
 // because a task that is overlooked could run twice.
@@ -27,8 +27,8 @@
 	Tasks     []Task
 }
 
-// Kind is what the machines of a provisioning request have in common. Its JSON form is
-// part of the record.
+// Kind holds the properties that the machines of a provisioning request have in common.
+// Its JSON form is part of the record.
 type Kind struct {
 	Type string `json:"f"`
 	Zone string `json:"y"`
--- a/internal/grouprecord/record_test.go
+++ b/internal/grouprecord/record_test.go
@@ -106,11 +106,11 @@
 func TestErrorTexts(t *testing.T) {
 	for record, want := range map[string]string{
 		`{"p":1}`:                 `record has no list of machines`,
-		`{"p":1,"m":["m-1"]}`:     `invalid machine line "m-1": too few fields or no ID`,
-		`{"p":1,"m":[" 0 ."]}`:    `invalid machine line " 0 .": too few fields or no ID`,
-		`{"p":1,"m":["m-1 0 ."]}`: `invalid machine line "m-1 0 .": kind is not in the table of kinds`,
-		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 !"]}`:       `invalid machine line "m-1 0 !": invalid address`,
-		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 . 0:1@1"]}`: `invalid machine line "m-1 0 . 0:1@1": invalid task range "0:1@1"`,
+		`{"p":1,"m":["m-1"]}`:     `invalid machine entry "m-1": too few fields or no ID`,
+		`{"p":1,"m":[" 0 ."]}`:    `invalid machine entry " 0 .": too few fields or no ID`,
+		`{"p":1,"m":["m-1 0 ."]}`: `invalid machine entry "m-1 0 .": kind is not in the table of kinds`,
+		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 !"]}`:       `invalid machine entry "m-1 0 !": invalid address`,
+		`{"p":1,"k":[{"f":"s","y":"a"}],"m":["m-1 0 . 0:1@1"]}`: `invalid machine entry "m-1 0 . 0:1@1": invalid task range "0:1@1"`,
 	} {
 		if _, err := Decode([]byte(record)); err == nil || err.Error() != want {
 			t.Errorf("%s: %v, want %s", record, err, want)
--- a/internal/grouprecord/size.go
+++ b/internal/grouprecord/size.go
@@ -2,8 +2,8 @@
 
 import "stairrelay/internal/cluster"
 
-// ValueLimit is the maximum number of bytes of a value in the state service. It determines
-// the sizes at which records are merged, split and full. The sizes differ enough for a
+// ValueLimit is the maximum number of bytes of a value in the store. It determines the
+// sizes at which records are merged, split and full. The sizes differ enough for a merged
 // record to grow before it has to be split.
 type ValueLimit int
 
@@ -12,14 +12,13 @@
 	mergeTwentieths     = 12 // smaller records are merged
 	mergedTwentieths    = 14 // maximum size after a merge
 	splitTwentieths     = 16 // larger records are split
-	softLimitTwentieths = 17 // to larger records only mandatory entries are added
+	softLimitTwentieths = 17 // larger records get no further tasks
 )
 
 // twentieths returns count twentieths of the limit in bytes.
 func (l ValueLimit) twentieths(count int) int { return int(l) * count / 20 }
 
-// targetMachineBytes is the share of the limit that a machine gets in a record of the
-// target number of machines.
+// targetMachineBytes is the number of bytes of the limit per machine of a new record.
 const targetMachineBytes = 80
 
 // minMachines is the minimum of TargetMachines.
@@ -40,7 +39,7 @@
 }
 
 // WithinSoftLimit reports whether a record of size bytes is within the soft limit. The
-// space above it is reserved for mandatory entries.
+// space above it is reserved for changes that can't be postponed.
 func (l ValueLimit) WithinSoftLimit(size int) bool { return size <= l.twentieths(softLimitTwentieths) }
 
 // ShouldSplit reports whether a record of size bytes should be split.
@@ -97,8 +96,8 @@
 
 // Estimates of the size of a machine in a record, in bytes, by which records are split.
 const (
-	machineLineBytes = 40 // ID, kind and address
-	taskBytes        = 16
+	machineEntryBytes = 40 // ID, kind and address
+	taskBytes         = 16
 )
 
 // Split divides machines, in order, into at most the given number of lists. The records of
@@ -106,7 +105,7 @@
 // fewer lists if there are fewer machines. taskCount returns the number of tasks of a
 // machine.
 func Split[M any](machines []M, records int, taskCount func(M) int) [][]M {
-	size := func(machine M) int { return machineLineBytes + taskBytes*taskCount(machine) }
+	size := func(machine M) int { return machineEntryBytes + taskBytes*taskCount(machine) }
 	remaining := 0 // total size of the current list and the lists after it
 	for _, machine := range machines {
 		remaining += size(machine)
--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -62,9 +62,9 @@
 }
 
 // raiseFencedOffTokens raises the tokens of the machines whose workers have seen a
-// higher one, although the group still belongs to the shard. The higher token is that
-// of an owner which has since lost the group, so the worker rejects commands under a
-// lower one.
+// higher one, although the group still belongs to the shard. The higher token was
+// issued by an owner that has since lost the group. The worker rejects commands under a
+// lower token.
 func (inv *Inventory) raiseFencedOffTokens(shard *state.Shard, group *state.MachineGroup) {
 	inv.shards.RereadClaim(shard)
 	for _, m := range group.SortedMachines() {
@@ -93,9 +93,9 @@
 }
 
 // dropGroup removes a group that was transferred to another shard or whose record was
-// quarantined, and makes the tasks assigned to its machines pending again. No task is
-// started twice by that: the record of a transferred group lists none, so no start was
-// sent, and a shard with a quarantined record starts nothing before it is repaired.
+// quarantined, and makes the tasks assigned to its machines pending again. This can't run
+// a task twice, because the record of a transferred group lists no tasks, so no start was
+// sent, and a shard with a quarantined record starts no tasks before it is repaired.
 func (inv *Inventory) dropGroup(group *state.MachineGroup, to cluster.ShardID) {
 	inv.loop.Log(messages.LogDebug, "machine group dropped", "group", group.ID, "machines", len(group.Machines), "to_shard", int(to))
 	delete(inv.state.Groups, group.ID)
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -33,7 +33,7 @@
 	ValueLimit grouprecord.ValueLimit
 	// MaxTxnOps is the maximum number of operations of a transaction.
 	MaxTxnOps int
-	// CloudListLag is the maximum delay until a change of the machines shows in the
+	// CloudListLag is the maximum delay until a change of the machines appears in the
 	// cloud's list.
 	CloudListLag cluster.Time
 	// MaxScaleInMachines is the maximum number of machines that one call to the
@@ -50,7 +50,8 @@
 	// HandleForeignWrite is called when a record of an owned shard was changed by a
 	// writer other than its owner.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
-	// DropCorruptShard gives up a shard that a record makes no sense of.
+	// DropCorruptShard drops an owned shard that has an invalid or unexpectedly modified
+	// record.
 	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
@@ -64,8 +65,8 @@
 type Workers interface {
 	// ConfirmAbsent records that a task is proven not to be on a machine.
 	ConfirmAbsent(*state.Machine, *state.Assignment)
-	// QueueCommandPush queues a push of the commands for a machine, which doesn't
-	// wait for the machine's next heartbeat.
+	// QueueCommandPush queues a push of a machine's commands, so that they don't wait
+	// for its next heartbeat.
 	QueueCommandPush(*state.Machine)
 	// RecheckHeldHeartbeat checks again whether a machine's held heartbeat can be
 	// answered.
--- a/internal/inventory/load.go
+++ b/internal/inventory/load.go
@@ -93,7 +93,7 @@
 	group.RecordSize = len(item.Value)
 	for _, entry := range entries {
 		m := inv.state.Machines[entry.ID]
-		if m == nil { // otherwise two records list the machine: the tasks of both count
+		if m == nil { // otherwise another record lists the machine too, and the tasks of both are loaded
 			m = inv.AddMachine(group, entry, cluster.FencingToken(shard.ClaimRevision))
 		}
 		m.Releasing = m.Releasing || entry.Releasing
@@ -118,7 +118,7 @@
 			return errUnknownJob
 		}
 		if known.FinalStatus != cluster.JobCancelled {
-			return nil // the job has finished: the worker's status of the task will be acknowledged
+			return nil // the job has finished, and the end of the task will be acknowledged to the worker
 		}
 		job = inv.restoreCancelledJob(known, task.ID.Job, shard)
 	}
@@ -159,8 +159,8 @@
 // Once the key is absent, a delayed copy of the transaction that created the group could
 // be applied if the claim that guards it is still in force. That may be the claim of any
 // shard, since groups are transferred. So the record is deleted only if no shard has the
-// claim under which the group was created, and if no other shard's claim changes
-// meanwhile. Otherwise the record is kept until a later load.
+// claim under which the group was created, and on condition that the claims of all other
+// shards are unchanged. Otherwise the record is kept until a later load.
 func (inv *Inventory) deleteEmptyGroup(shard *state.Shard, item messages.KV) {
 	createdUnder, ok := claimRevisionFromKey(item.Key)
 	if !ok {
--- a/internal/inventory/machines.go
+++ b/internal/inventory/machines.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// unassign makes a task pending again that a machine no longer lists. It removes the
-// task's job if that has finished and this was its last assignment.
+// unassign makes the task of a removed assignment pending again. It removes the task's
+// job if that has finished and this was its last assignment.
 func (inv *Inventory) unassign(assignment *state.Assignment) {
 	job := assignment.Job
 	job.Unassign(assignment)
--- a/internal/inventory/merge.go
+++ b/internal/inventory/merge.go
@@ -27,7 +27,8 @@
 	inv.merge(shard, small)
 }
 
-// merge merges the smallest groups into one, as many as fit well below the value limit.
+// merge merges as many of the smallest groups as fit into one record that is well below
+// the value limit.
 func (inv *Inventory) merge(shard *state.Shard, small []*state.MachineGroup) {
 	slices.SortStableFunc(small, func(a, b *state.MachineGroup) int { return cmp.Compare(a.EstimatedSize(), b.EstimatedSize()) })
 	sizes := make([]grouprecord.Size, len(small))
--- a/internal/inventory/newgroup.go
+++ b/internal/inventory/newgroup.go
@@ -28,8 +28,8 @@
 	return messages.TxnOp{Key: state.GroupKey(g.ID), Value: value}, 0
 }
 
-// AddNewGroup adds a group after its first record was stored at the given revision. The
-// current claim of the shard is the first to own its machines.
+// AddNewGroup adds a group after its first record was stored at the given revision. Its
+// machines have not been owned under any other claim, so their token is their initial one.
 func (inv *Inventory) AddNewGroup(group *NewGroup, revision cluster.Revision) {
 	added := inv.state.AddGroup(group.Shard, group.ID, cluster.ModRevision(revision))
 	added.RecordSize = group.recordSize
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -12,8 +12,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// A group record that can't be read is quarantined: which tasks run on its machines is
-// unknown, and starting them elsewhere could run a task twice. To repair the shard, the
+// An invalid group record is quarantined. The tasks on its machines are unknown, and
+// starting them on other machines could run a task twice. To repair the shard, the
 // machines that no readable record lists are terminated, which stops their tasks. Then
 // the quarantined records are deleted and the shard is loaded again. Until then the
 // requests of users are answered from the store.
@@ -53,9 +53,8 @@
 	r.start()
 }
 
-// start reads the cloud's list of machines, which may be outdated by up to twice its
-// lag. It waits until the list is certain to show all machines that existed when the
-// shard was claimed.
+// start reads the cloud's list of machines. It first waits until the list is certain to
+// contain all machines that existed when the shard was claimed.
 func (r *quarantineRepair) start() {
 	inv := r.inventory
 	if wait := r.shard.OwnershipChangedAt + 2*inv.config.CloudListLag + cloudListMargin - inv.loop.Now(); wait > 0 {
@@ -144,8 +143,8 @@
 }
 
 // deleteRecords deletes the quarantined records, up to the limit of a transaction, and
-// loads the shard again. It also does so after a conflict, which occurs if the owner of
-// another shard has repaired a record first.
+// loads the shard again. A conflict occurs if the owner of another shard has repaired a
+// record first. The shard is loaded again in this case too.
 func (r *quarantineRepair) deleteRecords() {
 	keys := slices.Sorted(maps.Keys(r.shard.QuarantinedGroups))
 	keys = keys[:min(len(keys), r.inventory.config.MaxTxnOps)]
@@ -175,7 +174,7 @@
 	})
 }
 
-// reload drops all that was loaded from a shard's records and loads the shard again.
+// reload drops everything that was loaded from a shard's records and loads the shard again.
 func (inv *Inventory) reload(shard *state.Shard) {
 	shard.QuarantinedGroups = nil
 	inv.DropShard(shard)
--- a/internal/inventory/recordedmachines.go
+++ b/internal/inventory/recordedmachines.go
@@ -10,7 +10,7 @@
 )
 
 // ReadRecordedMachines reads the records of all shards and calls handle with the machines
-// that they list and the kinds of machines that provisioning requests are open for. It
+// that they list and the kinds of machines for which provisioning requests are open. It
 // calls handle with nil if a read fails or a record is invalid.
 //
 // The provisioning requests are read before the groups, since the machines of an open
--- a/internal/inventory/recordedmachines_test.go
+++ b/internal/inventory/recordedmachines_test.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestRecordedMachinesReadInPages guards against taking a machine for an orphan that
-// changed groups while the groups were read in pages.
+// TestRecordedMachinesReadInPages guards against treating a machine as an orphan because
+// it changed groups while the groups were read in pages.
 func TestRecordedMachinesReadInPages(t *testing.T) {
 	for _, test := range []struct {
 		name           string
--- a/internal/inventory/regroup.go
+++ b/internal/inventory/regroup.go
@@ -147,7 +147,7 @@
 	return machines
 }
 
-// machinesToMove returns those of the machines that still are in one of the sources.
+// machinesToMove returns those of the machines that are still in one of the sources.
 func (r *regrouping) machinesToMove() []*state.Machine {
 	var moving []*state.Machine
 	for _, m := range r.machines {
@@ -183,7 +183,7 @@
 	for _, m := range r.moving {
 		r.target.MoveIn(m)
 	}
-	next := writequeue.PriorityCount // a write wanted for one group may now concern another one
+	next := writequeue.PriorityCount // a change to be written may have moved to another group
 	for _, group := range r.affected {
 		next = min(next, group.NextWritePriority)
 	}
--- a/internal/inventory/split.go
+++ b/internal/inventory/split.go
@@ -88,7 +88,7 @@
 	if !s.isCurrent() {
 		return
 	}
-	next := s.group.NextWritePriority // a write wanted for the group may concern any piece
+	next := s.group.NextWritePriority // a change to be written may be in any piece
 	for i, machines := range s.pieces {
 		target := s.group
 		if i > 0 {
@@ -112,9 +112,10 @@
 	}
 }
 
-// handleTooLarge retries the split with more pieces after the store has rejected the
-// records as too large: its limit is lower than the one in the settings. It waits before
-// the retry, since the record also gets shorter as tasks end.
+// handleTooLarge doubles the number of pieces for the next split after the store has
+// rejected the records as too large, because its limit is lower than the configured one.
+// The group's record is written again after a delay, since it gets shorter as tasks end.
+// If it is still too large, the group is split again.
 func (s *groupSplit) handleTooLarge() {
 	s.group.EndWrite()
 	s.group.MinSplitCount = 2 * len(s.keys)
--- a/internal/inventory/stored.go
+++ b/internal/inventory/stored.go
@@ -34,7 +34,7 @@
 		if a.Job.IsActive() {
 			inv.workers.QueueCommandPush(m)
 		} else {
-			inv.workers.ConfirmAbsent(m, a) // the job has ended: the start was never sent
+			inv.workers.ConfirmAbsent(m, a) // the job has ended and the start was never sent
 		}
 	}
 	for _, a := range s.removed {
--- a/internal/inventory/write.go
+++ b/internal/inventory/write.go
@@ -7,13 +7,13 @@
 	"stairrelay/internal/writequeue"
 )
 
-// tokenRaiseWeight is the factor by which the CPUs of a machine count whose token is to be
-// raised. Until then it starts no tasks, while the leases of its tasks run on.
+// tokenRaiseWeight multiplies the CPUs of a machine whose token is being raised. Until the
+// higher token is stored, the machine gets no new tasks and its worker's lease may expire.
 const tokenRaiseWeight = 4
 
-// cpusWaiting returns the number of CPUs that wait for the records of the given groups:
-// those of tasks that may start, on the same or another machine, once the record is
-// stored, and those of machines that can be used or offered only then.
+// cpusWaiting returns the number of CPUs that are idle until the records of the given
+// groups are stored. It counts the CPUs of tasks that may start only then, on the same or
+// another machine, and the CPUs of machines that can be used or offered only then.
 func (inv *Inventory) cpusWaiting(groups ...*state.MachineGroup) float64 {
 	var sum cluster.Amount
 	for _, g := range groups {
@@ -41,8 +41,7 @@
 	return sum
 }
 
-// WriteMachine enqueues a write of the record that lists a machine, which is that of its
-// group.
+// WriteMachine enqueues a write of the record of a machine's group.
 func (inv *Inventory) WriteMachine(machine *state.Machine, priority writequeue.Priority) {
 	inv.WriteGroup(machine.Group, priority)
 }
@@ -88,8 +87,8 @@
 
 // WriteGroup enqueues a write of a group's record. If a write is queued already, it raises
 // the priority of that one. If a write is in flight, another one follows it. If the record
-// is being read after a conflict, the write follows the read: a write at the outdated mod
-// revision would conflict again, without end.
+// is being read after a conflict, the write follows the read, because a write that is
+// conditional on the outdated mod revision would conflict again.
 func (inv *Inventory) WriteGroup(group *state.MachineGroup, priority writequeue.Priority) {
 	if group.RecordCheckPending {
 		group.NextWritePriority = min(group.NextWritePriority, priority)
--- a/internal/reconcile/absence.go
+++ b/internal/reconcile/absence.go
@@ -73,7 +73,7 @@
 }
 
 // ConfirmAbsent marks a task as proven not to be on its machine. If the task is to
-// start again, the machine's record is written at once, because a new owner that reads
+// start again, the machine's record is written immediately, because a new owner that reads
 // an outdated record would assume that the task still runs here. Otherwise the change is
 // included in the next write of the record.
 func (r *Reconciler) ConfirmAbsent(machine *state.Machine, assignment *state.Assignment) {
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -80,8 +80,8 @@
 
 // cleanupCommands returns the commands that stop unrecorded tasks and acknowledge ended
 // attempts that the record no longer lists. While the outcome of a pushed start is
-// unknown, no end is acknowledged: the worker forgets an acknowledged attempt and would
-// execute a delayed copy of its start.
+// unknown, no end is acknowledged, because the worker forgets an acknowledged attempt and
+// would execute a delayed copy of its start.
 func cleanupCommands(machine *state.Machine) []cluster.Command {
 	var commands []cluster.Command
 	for _, attempt := range state.SortedAttempts(machine.UnrecordedToStop) {
@@ -102,7 +102,7 @@
 
 // onlyStops keeps only the stops, which are safe to send before the worker has
 // acknowledged the current token. If stops had to wait until a higher token is stored,
-// an outage of the state service could delay a cancellation past its deadline.
+// an outage of the store could delay a cancellation past its deadline.
 func onlyStops(commands []cluster.Command) []cluster.Command {
 	return slices.DeleteFunc(commands, func(command cluster.Command) bool { return command.Kind != cluster.Stop })
 }
--- a/internal/reconcile/draining.go
+++ b/internal/reconcile/draining.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// preemptionReserveSeconds is how long before a preemption a task with checkpoints
-	// must be expected to finish so that it is not stopped.
+	// preemptionReserveSeconds is the minimum time between the expected end of a task
+	// with checkpoints and a preemption. A task expected to end later is stopped.
 	preemptionReserveSeconds = 2
 	// checkpointLeadSeconds is how much earlier than necessary a checkpoint begins before
 	// a preemption.
@@ -45,8 +45,8 @@
 }
 
 // stopBeforePreemption stops a task that is not expected to finish before its machine is
-// preempted. A task with checkpoints is stopped as late as writing a checkpoint allows,
-// any other task at once so that it restarts elsewhere.
+// preempted. A task with checkpoints is stopped only when it must begin to write one. Any
+// other task is stopped immediately, so that it restarts on another machine.
 func (s *Stops) stopBeforePreemption(machine *state.Machine, assignment *state.Assignment, secondsLeft float64) {
 	remaining := s.deps.Runtimes.ExpectedRemainingSeconds(assignment)
 	spec := &assignment.Job.Spec
--- a/internal/reconcile/draining_test.go
+++ b/internal/reconcile/draining_test.go
@@ -6,29 +6,29 @@
 	"stairrelay/internal/state"
 )
 
-// TestPreemptionNotice checks that a preemption notice stops neither a task that can
-// finish in time nor, too early, a task that can still write a checkpoint.
+// TestPreemptionNotice checks that a preemption notice stops only tasks that can't finish
+// in time, and a task with checkpoints only when it must begin to write one.
 func TestPreemptionNotice(t *testing.T) {
 	for _, test := range []struct {
-		name              string
-		checkpointSeconds float64
-		saveSeconds       float64
-		remainingSeconds  float64
-		secondsLeft       float64
-		stopped           bool
-		grace             float64
+		name                      string
+		checkpointIntervalSeconds float64
+		checkpointWriteSeconds    float64
+		remainingSeconds          float64
+		secondsLeft               float64
+		stopped                   bool
+		grace                     float64
 	}{
 		{name: "finishes in time", remainingSeconds: 20, secondsLeft: 30},
 		{name: "might finish", remainingSeconds: 45, secondsLeft: 30},
 		{name: "cannot finish", remainingSeconds: 51, secondsLeft: 30, stopped: true},
-		{name: "with checkpoints, finishes in time", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 9, secondsLeft: 12},
-		{name: "with checkpoints, too early to stop", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 100, secondsLeft: 15},
-		{name: "with checkpoints, time to stop", checkpointSeconds: 60, saveSeconds: 5, remainingSeconds: 100, secondsLeft: 14, stopped: true, grace: 6},
+		{name: "with checkpoints, finishes in time", checkpointIntervalSeconds: 60, checkpointWriteSeconds: 5, remainingSeconds: 9, secondsLeft: 12},
+		{name: "with checkpoints, too early to stop", checkpointIntervalSeconds: 60, checkpointWriteSeconds: 5, remainingSeconds: 100, secondsLeft: 15},
+		{name: "with checkpoints, time to stop", checkpointIntervalSeconds: 60, checkpointWriteSeconds: 5, remainingSeconds: 100, secondsLeft: 14, stopped: true, grace: 6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
 			job := h.addJob()
-			job.Spec.CheckpointIntervalSeconds, job.Spec.CheckpointWriteSeconds = test.checkpointSeconds, test.saveSeconds
+			job.Spec.CheckpointIntervalSeconds, job.Spec.CheckpointWriteSeconds = test.checkpointIntervalSeconds, test.checkpointWriteSeconds
 			h.remainingSeconds = test.remainingSeconds
 			machine, running := h.addRunningMachine(job)
 			h.Stops.handlePreemptionNotice(machine, test.secondsLeft)
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestUnsentStartNotStopped checks that a recorded start that was not sent is withdrawn.
-// While its record is being written it must stay, as the write may still succeed.
+// TestUnsentStartNotStopped checks that a recorded start that was not sent is withdrawn,
+// unless its record is still being written, as the write may succeed.
 func TestUnsentStartNotStopped(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/reconcile/harness_test.go
+++ b/internal/reconcile/harness_test.go
@@ -21,15 +21,15 @@
 	t     *testing.T
 	queue *writequeue.Queue
 
-	isolated         bool
-	cannotAnswer     bool
-	cannotStart      bool
-	overloaded       bool
-	workersReporting bool
-	resumedAt        cluster.Time
-	remainingSeconds float64                 // of every task
-	recorded         *state.RecordedMachines // result of reading the records; nil if they can't be read
-	listingShard     cluster.ShardID         // shard whose record lists the recorded machines
+	isolated           bool
+	cannotAnswer       bool
+	cannotStart        bool
+	overloaded         bool
+	receivesHeartbeats bool
+	resumedAt          cluster.Time
+	remainingSeconds   float64                 // of every task
+	recorded           *state.RecordedMachines // result of reading the records; nil if they can't be read
+	listingShard       cluster.ShardID         // shard whose record lists the recorded machines
 
 	releases      []ReleaseReason
 	interruptions int
@@ -96,7 +96,7 @@
 func (h *harness) HandleSlowMachine(*state.Machine)                   {}
 func (h *harness) RecordHeartbeat()                                   {}
 func (h *harness) RecordOwnedHeartbeat()                              {}
-func (h *harness) HasOwnedHeartbeatWithin(cluster.Time) bool          { return h.workersReporting }
+func (h *harness) HasOwnedHeartbeatWithin(cluster.Time) bool          { return h.receivesHeartbeats }
 func (h *harness) IsOverloaded() bool                                 { return h.overloaded }
 func (h *harness) ResumedAt() cluster.Time                            { return h.resumedAt }
 func (h *harness) TargetGroupSize() int                               { return 10 }
@@ -196,8 +196,8 @@
 // addMachine adds an empty machine that has acknowledged its token.
 func (h *harness) addMachine() *state.Machine {
 	group := h.state.AddGroup(h.state.Shards[0], "g", 31)
-	line := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}
-	machine := h.state.AddMachine(group, line, 31, h.loop.Now())
+	entry := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}
+	machine := h.state.AddMachine(group, entry, 31, h.loop.Now())
 	machine.TokenAcknowledged, machine.Incarnation, machine.SequenceNumber = true, 1, 1
 	return machine
 }
--- a/internal/reconcile/heartbeats.go
+++ b/internal/reconcile/heartbeats.go
@@ -8,7 +8,7 @@
 
 // MaxHeartbeatHold is the maximum time for which the response to a heartbeat is held until
 // the record that lists its starts is stored. It must be shorter than the 4 s after which
-// a worker gives up on a response.
+// a worker stops waiting for a response.
 const MaxHeartbeatHold = 600 * millisecond
 
 // Heartbeats handles and answers the heartbeats of workers.
--- a/internal/reconcile/heldheartbeats.go
+++ b/internal/reconcile/heldheartbeats.go
@@ -5,7 +5,7 @@
 const (
 	// heldHeartbeatScanInterval is the interval at which all held heartbeats are checked.
 	heldHeartbeatScanInterval = 100 * millisecond
-	// heldHeartbeatStoreTimeout is how long the state service may be unavailable before
+	// heldHeartbeatStoreTimeout is how long the store may be unavailable before
 	// held heartbeats are answered without waiting for records.
 	heldHeartbeatStoreTimeout = 500 * millisecond
 )
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -15,8 +15,8 @@
 	maxPushesPerScan = 40
 	// minPushInterval is the minimum time between two maintenance pushes to a machine.
 	minPushInterval = 1500 * millisecond
-	// releaseStoreTimeout is how long the state service may be unavailable before
-	// machines are no longer released, as their release can't be recorded.
+	// releaseStoreTimeout is how long the store may be unavailable before machines are
+	// no longer released, as their release can't be recorded.
 	releaseStoreTimeout = second
 	// bootMarginSeconds is added to the boot timeout of a machine.
 	bootMarginSeconds = 5
@@ -24,7 +24,7 @@
 	cordonedIdleTime = 4 * second
 )
 
-// ReleaseReason is the logged reason for returning a machine to the cloud.
+// ReleaseReason is the logged reason for the release of a machine.
 type ReleaseReason string
 
 // The reasons for which Maintenance releases machines.
@@ -43,15 +43,15 @@
 	releaseNone ReleaseReason = ""
 )
 
-// MachineReleaser returns machines to the cloud.
+// MachineReleaser releases machines, so that the cloud terminates them.
 type MachineReleaser interface {
 	// Release records that a machine is to be released. The cloud is called after the
 	// record is stored.
 	Release(machine *state.Machine, reason ReleaseReason)
 	// ReleaseBeforeRecorded releases a machine without waiting for its record, for use
-	// while the state service is unavailable.
+	// while the store is unavailable.
 	ReleaseBeforeRecorded(machine *state.Machine)
-	// ScheduleCall schedules the call to the cloud that returns the machines whose
+	// ScheduleCall schedules the call to the cloud that terminates the machines whose
 	// release is confirmed.
 	ScheduleCall()
 	// SurplusPredicate returns a function that reports whether no shard needs an idle
@@ -78,9 +78,9 @@
 // Run checks all owned machines once.
 func (m *Maintenance) Run() {
 	scan := maintenanceScan{
-		Maintenance:      m,
-		workersReporting: m.deps.Reachability.HasOwnedHeartbeatWithin(m.config.HeartbeatInterval),
-		isSurplus:        m.deps.Releaser.SurplusPredicate(),
+		Maintenance:        m,
+		receivesHeartbeats: m.deps.Reachability.HasOwnedHeartbeatWithin(m.config.HeartbeatInterval),
+		isSurplus:          m.deps.Releaser.SurplusPredicate(),
 	}
 	var machines []*state.Machine
 	for _, shard := range m.state.Shards {
@@ -139,8 +139,8 @@
 // maintenanceScan is one run over all owned machines.
 type maintenanceScan struct {
 	*Maintenance
-	workersReporting bool                      // an owned machine has sent a heartbeat recently
-	isSurplus        func(*state.Machine) bool // reports whether no shard needs an idle machine
+	receivesHeartbeats bool                      // an owned machine has sent a heartbeat recently
+	isSurplus          func(*state.Machine) bool // reports whether no shard needs an idle machine
 }
 
 // maintain checks one machine and releases it if there is a reason to.
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -24,11 +24,11 @@
 	ownerSearchInterval = 500 * millisecond
 	// registrationBatchDelay is how long orphans are collected for one registration.
 	registrationBatchDelay = 100 * millisecond
-	// ownerSearchStoreTimeout is how long the state service may be unavailable before a
-	// heartbeat that requires a search is rejected with ReplyUnavailable.
+	// ownerSearchStoreTimeout is how long the store may be unavailable before a heartbeat
+	// that requires a search is rejected with ReplyUnavailable.
 	ownerSearchStoreTimeout = 500 * millisecond
-	// adoptionStoreTimeout is how long the state service may be unavailable before no
-	// orphans are adopted.
+	// adoptionStoreTimeout is how long the store may be unavailable before no orphans are
+	// adopted.
 	adoptionStoreTimeout = second
 )
 
@@ -41,8 +41,8 @@
 	// result is false if no record has listed it.
 	LastShardOf(id cluster.MachineID) (cluster.ShardID, bool)
 	// ReadRecordedMachines reads the records of all shards and calls handle with the
-	// machines and provisioning requests that they list, or with nil if the state service
-	// does not respond or a record can't be decoded.
+	// machines and provisioning requests that they list, or with nil if a read fails or a
+	// record is invalid.
 	ReadRecordedMachines(handle func(*state.RecordedMachines))
 }
 
@@ -132,9 +132,9 @@
 	})
 }
 
-// answer answers a heartbeat after a search. The argument recorded is nil if the records could
-// not be read. A machine that no record lists is registered only by the owner of ShardFor, so
-// that two controllers never register the same machine.
+// answer answers a heartbeat after a search. The argument recorded is nil if the records
+// could not be read. A machine that no record lists is registered only by the owner of the
+// shard that ShardFor returns, so that two controllers never register the same machine.
 func (o *Orphans) answer(heartbeat messages.Heartbeat, recorded *state.RecordedMachines) {
 	id := heartbeat.Status.Machine
 	switch {
--- a/internal/reconcile/orphans_test.go
+++ b/internal/reconcile/orphans_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestOrphanAdoptedAfterMinimumAge checks that a machine that was just released, but is
-// still in the cloud's list, is adopted only after minAge without a record that lists it.
+// TestOrphanAdoptedAfterMinimumAge guards against adopting a machine that was just
+// released but is still in the cloud's list.
 func TestOrphanAdoptedAfterMinimumAge(t *testing.T) {
 	h := newHarness(t)
 	h.recorded = recordedMachines(unknownMachine)
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -4,7 +4,7 @@
 // needed, and adopts machines that no record lists.
 //
 // A heartbeat may be delayed or duplicated, and commands of a previous owner may still
-// be in flight to the worker. The package therefore relies on these rules:
+// be in flight to the worker. The package therefore maintains these invariants:
 //
 //   - A heartbeat older than the last one applied is dropped.
 //   - A task missing from a heartbeat is proven absent only if the worker has
@@ -129,8 +129,8 @@
 	Spot         SpotHistory
 	Metrics      Metrics
 
-	// IsIsolated reports whether this controller has reached neither the state service
-	// nor any other controller for so long that another controller may own its shards.
+	// IsIsolated reports whether this controller has reached neither the store nor any
+	// other controller for so long that another controller may own its shards.
 	IsIsolated func() bool
 	// RequestScheduling requests a scheduling run after a change that affects
 	// scheduling.
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -15,8 +15,8 @@
 		return false
 	}
 	// After a lease expiry or a lost start, messages to the machine may be lost although
-	// its heartbeats arrive. The token is raised to find out: until the worker
-	// acknowledges it, the machine gets no new tasks, and in the end it is released.
+	// its heartbeats arrive. Its token is raised to detect this. The machine gets no new
+	// tasks until the worker acknowledges the token, and is released if that takes too long.
 	unreachable := newIncarnation && machine.Incarnation > 0
 	machine.Incarnation, machine.SequenceNumber, machine.LastHeartbeat = status.Incarnation, status.SequenceNumber, r.loop.Now()
 	if machine.Booting {
@@ -54,7 +54,7 @@
 
 // applyReportedTasks applies the tasks that a status lists and returns their attempts. It
 // matches attempts rather than tasks, because the worker may still report an earlier
-// attempt of a task, which must not be taken for the current one.
+// attempt of a task, which must not be mistaken for the current one.
 func (r *Reconciler) applyReportedTasks(machine *state.Machine, status *cluster.HeartbeatStatus) map[state.TaskAttempt]bool {
 	reported := make(map[state.TaskAttempt]bool, len(status.Tasks))
 	for i := range status.Tasks {
--- a/internal/reconcile/taskend.go
+++ b/internal/reconcile/taskend.go
@@ -47,7 +47,7 @@
 }
 
 // recordTaskCompleted records the completion of a task. After the last task of a job, the
-// job's record is written at once.
+// job's record is written immediately.
 func (r *Reconciler) recordTaskCompleted(job *state.Job, index int) {
 	job.SetCompleted(index)
 	if job.FinalStatus == "" && job.ChunksLoading == 0 && job.CompletedCount == job.Spec.Tasks {
--- a/internal/reconcile/unanswered_push_test.go
+++ b/internal/reconcile/unanswered_push_test.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/state"
 )
 
-// TestUnansweredPushWithCancelledTasks checks that a machine taken over with a cancelled
+// TestUnansweredPushWithCancelledTasks checks that an acquired machine with a cancelled
 // task is released for an unanswered push only after half of the cancellation deadline.
 func TestUnansweredPushWithCancelledTasks(t *testing.T) {
 	half := newHarness(t).config.CancelDeadline / 2
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -63,17 +63,17 @@
 func (s *maintenanceScan) missingHeartbeatReason(machine *state.Machine) ReleaseReason {
 	age, lease := s.heartbeatAge(machine), s.config.WorkerLease
 	switch {
-	case machine.MissingFromCloudList && age > 5*s.config.HeartbeatInterval/2 && s.workersReporting:
+	case machine.MissingFromCloudList && age > 5*s.config.HeartbeatInterval/2 && s.receivesHeartbeats:
 		return ReleaseSilentUnlisted
-	case age > lease+lossMargin && (s.workersReporting || age > 3*lease) && s.loop.Now()-machine.OwnedSince > lease:
+	case age > lease+lossMargin && (s.receivesHeartbeats || age > 3*lease) && s.loop.Now()-machine.OwnedSince > lease:
 		return ReleaseSilent
 	}
 	return releaseNone
 }
 
-// firstAcknowledgementTimeout returns how long a machine taken over with cancelled tasks
-// may take to acknowledge its token. Heartbeats alone do not prove that it is responsive,
-// as they may have been delayed.
+// firstAcknowledgementTimeout returns how long an acquired machine with cancelled tasks may
+// take to acknowledge its token. Heartbeats alone do not prove that it is responsive, as
+// they may have been delayed.
 func (m *Maintenance) firstAcknowledgementTimeout() cluster.Time {
 	return max(minFirstAcknowledgementTimeout, 2*m.config.HeartbeatInterval)
 }
--- a/internal/writequeue/batch.go
+++ b/internal/writequeue/batch.go
@@ -20,8 +20,8 @@
 
 // The delays before the next dispatch after a budget is exhausted.
 const (
-	requestBudgetPause = second / 20
-	putBudgetPause     = second / 10
+	requestBudgetDelay = second / 20
+	putBudgetDelay     = second / 10
 )
 
 // batch is a transaction that is being filled, in the order of priority.
@@ -47,7 +47,7 @@
 		return nil
 	}
 	if q.requestBudget.Level() < 1 {
-		q.wakeAfter(requestBudgetPause)
+		q.wakeAfter(requestBudgetDelay)
 		return nil
 	}
 	q.sortStarts()
@@ -58,7 +58,7 @@
 		// be queued next.
 		if priority == PriorityBackground && b.budget < q.putBudget.Capacity()/3 {
 			if len(q.queues[priority]) > 0 {
-				q.wakeAfter(putBudgetPause)
+				q.wakeAfter(putBudgetDelay)
 			}
 			break
 		}
@@ -90,7 +90,7 @@
 			return append(rest, queue[i:]...)
 		}
 		if float64(len(write.Keys)) > b.budget {
-			b.queue.wakeAfter(putBudgetPause)
+			b.queue.wakeAfter(putBudgetDelay)
 			return append(rest, queue[i:]...)
 		}
 		if b.conflictsWith(write) || b.bytes > MaxBatchBytes {
@@ -103,7 +103,7 @@
 }
 
 // isFullFor reports whether no write of the given priority may be added, because the
-// transaction is full or its writes are too much more urgent to be sent with it.
+// transaction is full or contains a much more urgent write.
 func (b *batch) isFullFor(priority Priority) bool {
 	if len(b.transaction.operations) >= b.queue.config.MaxTxnOps {
 		return true
--- a/internal/writequeue/health.go
+++ b/internal/writequeue/health.go
@@ -59,8 +59,8 @@
 }
 
 // IsUnresponsive reports whether requests are failing, or have been in flight without
-// any reply for longer than SlowThreshold. The latter detects a network partition
-// that drops packets well before a request times out.
+// any reply for longer than SlowThreshold. The latter detects a network partition long
+// before a request times out.
 func (h *Health) IsUnresponsive(now cluster.Time) bool {
 	return h.IsUnavailableFor(now, unresponsiveAfter) || h.inFlight > 0 && now-h.unansweredSince > SlowThreshold
 }
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -63,10 +63,10 @@
 	// RequestRPS is the limit on requests per second, shared by all controllers.
 	RequestRPS float64
 	// WriteRPS is the limit on puts per second, shared by all controllers. If the
-	// settings announce a change of the limit it is the lower of the two.
+	// settings announce a change of the limit, it is the lower of the two.
 	WriteRPS float64
-	// CurrentWriteRPS is the limit at present. It is used instead of a lower WriteRPS
-	// until the store throttles this controller.
+	// CurrentWriteRPS is the limit before an announced change. It is used instead of a
+	// lower WriteRPS until the store throttles this controller.
 	CurrentWriteRPS float64
 	// BudgetShare is the fraction of each limit that the controllers use.
 	BudgetShare float64
@@ -114,7 +114,7 @@
 	liveControllers  int
 	demand           float64 // smoothed, in puts per second
 	putsSent         int     // since the last call of MeasureDemand
-	backgroundCredit float64 // credit for background writes
+	backgroundCredit float64
 }
 
 // New returns a queue with full budgets. Enqueued writes are sent by Dispatch.
@@ -157,8 +157,8 @@
 func (q *Queue) Demand() float64 { return q.demand }
 
 // divideWriteRate sets the put budget to this controller's share of the write rate.
-// The shares follow the demand, since work is spread unevenly over the shards: with
-// equal shares most of the rate would be unused while the starts of one shard wait.
+// The shares follow the demand, since work is spread unevenly over the shards. With
+// equal shares, most of the rate would be unused while the starts of one shard wait.
 // Controllers learn each other's demand from pings. While they disagree, the store
 // throttles what exceeds the limit.
 func (q *Queue) divideWriteRate() {
@@ -203,7 +203,7 @@
 	q.queues[priority] = append(q.queues[priority], write)
 }
 
-// requeue enqueues a write again whose transaction failed because of another write.
+// requeue enqueues a write again after its transaction failed because of another write.
 // It lowers the priority by one step, so that the two don't fail together again in
 // the next transaction. The write of a claim keeps its priority, since writes of
 // lower priority are dropped while the shard is not owned.
--- a/internal/writequeue/reply.go
+++ b/internal/writequeue/reply.go
@@ -10,9 +10,8 @@
 const (
 	retryBackoffBase    = 100 * millisecond
 	maxBackoffDoublings = 4
-	// resolveRetryPause is the delay before a failed read is repeated that is to
-	// show whether a transaction was applied.
-	resolveRetryPause = 300 * millisecond
+	// resolveRetryDelay is the delay before findWriteID repeats a failed read.
+	resolveRetryDelay = 300 * millisecond
 )
 
 func (q *Queue) handleReply(t *transaction, reply messages.TxnReply) {
@@ -45,8 +44,7 @@
 	}
 }
 
-// retryInDoubt sends a transaction again of which it is unknown whether it was
-// applied.
+// retryInDoubt sends a transaction again after an attempt with an unknown outcome.
 func (q *Queue) retryInDoubt(t *transaction) {
 	t.inDoubt = true
 	q.refund(t)
@@ -66,8 +64,8 @@
 func (q *Queue) refund(t *transaction) { q.putBudget.Refund(float64(len(t.operations))) }
 
 func (q *Queue) retry(t *transaction) {
-	pause := retryBackoffBase << min(t.sendCount, maxBackoffDoublings)
-	q.loop.After(pause, func() {
+	delay := retryBackoffBase << min(t.sendCount, maxBackoffDoublings)
+	q.loop.After(delay, func() {
 		q.inFlight--
 		q.send(t)
 	})
@@ -86,7 +84,8 @@
 
 // handleInvalid handles the rejection of a transaction as malformed. One of its
 // records may exceed the size limit of the store, so each write is retried in a
-// transaction of its own. A write that was rejected alone is reported to its owner.
+// transaction of its own. If a write is rejected on its own, its OnTooLarge is called,
+// or its OnConflict if it has none.
 func (q *Queue) handleInvalid(t *transaction) {
 	q.loop.Log(messages.LogInfo, "store rejected a transaction as malformed", "key_count", len(t.operations), "key", t.operations[0].Key, "write_count", len(t.writes))
 	for _, write := range t.writes {
@@ -159,8 +158,8 @@
 	q.findWriteID(t, keys, failedKeys)
 }
 
-// findWriteID reads the keys one after the other until one has the write ID of the
-// transaction, which then was applied. If none has, the conflict is final.
+// findWriteID reads the keys one after the other. If one has the write ID of the
+// transaction, the transaction was applied. If none has, the conflict is final.
 func (q *Queue) findWriteID(t *transaction, keys, failedKeys []string) {
 	if len(keys) == 0 {
 		q.finish(t)
@@ -175,7 +174,7 @@
 		case reply.Outcome == messages.OK || reply.Outcome == messages.NotFound:
 			q.findWriteID(t, keys[1:], failedKeys)
 		default:
-			q.loop.After(resolveRetryPause, func() { q.findWriteID(t, keys, failedKeys) })
+			q.loop.After(resolveRetryDelay, func() { q.findWriteID(t, keys, failedKeys) })
 		}
 	})
 }
--- a/internal/writequeue/watch.go
+++ b/internal/writequeue/watch.go
@@ -10,8 +10,8 @@
 	// watchTimeout is the maximum time that the store waits for changes before it
 	// replies to a watch request.
 	watchTimeout = 20 * second
-	// watchRetryPause is the delay before a failed watch request is repeated.
-	watchRetryPause = second
+	// watchRetryDelay is the delay before a failed watch request is repeated.
+	watchRetryDelay = second
 )
 
 // PrefixWatch describes a watch on the keys with a prefix.
@@ -26,7 +26,7 @@
 	// OnChange is called with each key that was changed or deleted.
 	OnChange func(messages.KV)
 	// OnCompacted is called when the store no longer keeps the changes after
-	// Position, so that all keys must be read again. The watch ends with it.
+	// Position, so that all keys must be read again. The watch has ended then.
 	OnCompacted func()
 }
 
@@ -48,7 +48,7 @@
 				"since_revision", uint64(*watch.Position))
 			q.loop.After(watch.Pause, watch.OnCompacted)
 		default:
-			q.loop.After(watchRetryPause, func() { q.Watch(watch) })
+			q.loop.After(watchRetryDelay, func() { q.Watch(watch) })
 		}
 	})
 	q.loop.Emit(messages.StoreWatch{Call: call, Prefix: watch.Prefix, SinceRevision: *watch.Position, Timeout: watchTimeout})
--- a/internal/writequeue/write.go
+++ b/internal/writequeue/write.go
@@ -47,7 +47,7 @@
 	// Keys are the keys that Build may change. The first one identifies the write.
 	Keys []string
 	// Build returns the operations and, for each of them, the mod revision that its
-	// key must have. If it returns no operations the write is dropped and none of
+	// key must have. If it returns no operations, the write is dropped and none of
 	// the callbacks is called.
 	Build func(writeID string) ([]messages.TxnOp, []cluster.ModRevision)
 	// ExtraCompares are additional conditions. Build may set them.
@@ -55,7 +55,7 @@
 	// MaxExtraCompares is the maximum number of ExtraCompares that Build sets.
 	MaxExtraCompares int
 	// CPUsWaiting returns the number of CPUs that are idle until the write is
-	// applied. If it is nil there are none.
+	// applied. If it is nil, there are none.
 	CPUsWaiting func() float64
 	// OnApplied is called with the revision of the write after it was applied.
 	OnApplied func(cluster.Revision)
