--- a/internal/grouprecord/decode.go
+++ b/internal/grouprecord/decode.go
@@ -44,7 +44,7 @@
 // Error returns the error's text, which quotes the range.
 func (e *RangeError) Error() string { return fmt.Sprintf("invalid task range %q", e.Text) }
 
-// minLineFields is the number of fields before the task ranges: ID, kind and address.
+// minEntryFields is the number of fields before the task ranges: ID, kind and address.
 const minEntryFields = 3
 
 // maxTaskIndex is an upper bound of task indexes. Without it, a short record with a huge
