--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -92,7 +92,7 @@
 	var record struct {
 		Owner cluster.NodeID `json:"holder"`
 	}
-	if err := json.Unmarshal(c.StateService.Get(fmt.Sprint("parts/", shard)).KV.Value, &record); err != nil {
+	if err := json.Unmarshal(c.Store.Get(fmt.Sprint("parts/", shard)).KV.Value, &record); err != nil {
 		c.t.Fatal(err)
 	}
 	return record.Owner
--- a/internal/controller/combined_faults_test.go
+++ b/internal/controller/combined_faults_test.go
@@ -69,7 +69,7 @@
 
 func crashAllInOutage(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 	outage := min(duration, maxOutageDuration)
-	sim.Store.DownUntil = sim.Now + outage
+	sim.StoreAPI.DownUntil = sim.Now + outage
 	sim.After(outage/2, func() { crashAll(sim) })
 	sim.FaultCounts[faultAllNodesKilledInOutage]++
 }
@@ -98,7 +98,7 @@
 // are slow, and crashes the busiest controller meanwhile.
 func fastBootsWithSlowStore(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 	sim.Machines.EnableFastBoots(duration)
-	sim.Store.Slow(drawStoreSlowdown(sim), duration)
+	sim.StoreAPI.Slow(drawStoreSlowdown(sim), duration)
 	sim.After(sim.RandomBetween(second, duration), func() {
 		if crashBusiest(sim) {
 			sim.FaultCounts[faultFastBootsWithSlowStore]++
@@ -107,8 +107,8 @@
 }
 
 func slowStoreRefusesController(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
-	node.StoreRefusesUntil = sim.Now + duration
-	sim.Store.Slow(drawStoreSlowdown(sim), duration)
+	node.StoreUnavailableUntil = sim.Now + duration
+	sim.StoreAPI.Slow(drawStoreSlowdown(sim), duration)
 	sim.FaultCounts[faultSlowStoreRefusesNode]++
 }
 
@@ -126,15 +126,15 @@
 	beginOutage := func() {
 		if !isDown {
 			isDown = true
-			sim.Store.DownUntil = sim.Now + cancelDeadline + sim.RandomBetween(second, 5*second)
+			sim.StoreAPI.DownUntil = sim.Now + cancelDeadline + sim.RandomBetween(second, 5*second)
 		}
 	}
-	node.StoreRefusesUntil = sim.Now + sim.RandomBetween(3*second, 8*second)
+	node.StoreUnavailableUntil = sim.Now + sim.RandomBetween(3*second, 8*second)
 	if sim.Chance(0.33) {
 		sim.After(sim.RandomBetween(2*second, 6*second), beginOutage)
 	} else {
 		const refusalDuration = 10 * second
-		node.StoreRefusesUntil = sim.Now + refusalDuration
+		node.StoreUnavailableUntil = sim.Now + refusalDuration
 		outageAtAcquire(sim, refusalDuration, beginOutage)
 		sim.After(refusalDuration, beginOutage)
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -71,7 +71,7 @@
 // empty if there is no such record or the job has not ended.
 func (c *testCluster) storedFinalStatus(job *simulation.Job) cluster.JobStatus {
 	c.t.Helper()
-	reply := c.StateService.Get("jobs/" + string(job.Spec.ID))
+	reply := c.Store.Get("jobs/" + string(job.Spec.ID))
 	if reply.Outcome != messages.OK {
 		return ""
 	}
@@ -176,11 +176,11 @@
 func (c *testCluster) checkRecentDependencies() {
 	c.t.Helper()
 	for round, count := range []int{1, 14} {
-		c.Store.Delay = second / 5 // submissions arrive faster than they can be written one by one
+		c.StoreAPI.Delay = second / 5 // submissions arrive faster than they can be written one by one
 		ids := c.submitTogether(round, count)
-		c.Store.Delay = 0
+		c.StoreAPI.Delay = 0
 		recordBytes := 0
-		for _, kv := range c.StateService.List("accepts/").Items {
+		for _, kv := range c.Store.List("accepts/").Items {
 			recordBytes += len(kv.Value)
 		}
 		if count > 1 && recordBytes == 0 {
@@ -239,7 +239,7 @@
 // during an outage of the state service.
 func (c *testCluster) checkSubmissionsInOutage() {
 	c.t.Helper()
-	c.Store.DownUntil = c.Now + 20*second
+	c.StoreAPI.DownUntil = c.Now + 20*second
 	c.RunUntil(c.Now + 2*second)
 	for _, node := range c.Nodes {
 		c.expectStatus(node, c.newDependent("j-500000", "green", second, "j-999999"), messages.ReplyUnavailable)
--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -17,14 +17,14 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := newTestClusterWithSeed(t, seed, 2)
 			owner, next, third := c.Nodes[1], c.Nodes[2], c.Nodes[0]
-			owner.StoreRefusesUntil = c.Now + 14*second
+			owner.StoreUnavailableUntil = c.Now + 14*second
 			c.RunUntil(c.Now + 2*second)
-			third.StoreRefusesUntil = c.Now + 20*second // otherwise it would see the acquisition and notify the former owner
+			third.StoreUnavailableUntil = c.Now + 20*second // otherwise it would see the acquisition and notify the former owner
 			c.waitFor("the next owner acquires the shard", 10*second, func() bool { return c.longJobOwner() == next.ID })
 			next.WorkersPartitionedUntil, next.PeersPartitionedUntil = c.Now+300*second, c.Now+300*second
 			c.cancelVia(next, c.longJob)
 			next.Kill()
-			c.Store.DownUntil = c.Now + 80*second
+			c.StoreAPI.DownUntil = c.Now + 80*second
 			next.PeersPartitionedUntil = 0
 			c.After(6*second, next.Start)
 			if c.countRunningTasks(c.longJob) == 0 {
@@ -40,7 +40,7 @@
 // other.
 func TestOutageWithAllPeerAcknowledgements(t *testing.T) {
 	c := newTestCluster(t, 2)
-	c.Store.DownUntil = c.Now + 2*c.config.CancelDeadline
+	c.StoreAPI.DownUntil = c.Now + 2*c.config.CancelDeadline
 	c.runAndCheck(2*c.config.CancelDeadline + 5*second)
 	for id, worker := range c.Machines.Workers {
 		if worker.Incarnation != 1 {
@@ -58,12 +58,12 @@
 func TestDeposedOwnerLearnsFromThirdController(t *testing.T) {
 	c := newTestCluster(t, 2)
 	owner, next := c.Nodes[1], c.Nodes[2]
-	owner.StoreRefusesUntil = c.Now + 10*second
+	owner.StoreUnavailableUntil = c.Now + 10*second
 	c.waitFor("the next owner acquires the shard", 10*second, func() bool { return c.longJobOwner() == next.ID })
 	next.WorkersPartitionedUntil = c.Now + 60*second
 	c.RunUntil(c.Now + 2*second) // the third controller learns of the acquisition
 	next.Kill()
-	c.Store.DownUntil = c.Now + 60*second
+	c.StoreAPI.DownUntil = c.Now + 60*second
 	status := messages.ReplyNone
 	c.RunUntil(c.Now + 2*second)
 	for id, worker := range c.Machines.Workers {
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -41,11 +41,11 @@
 		node.PeersPartitionedUntil = sim.Now + duration
 	}},
 	{"rejected by the store", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
-		node.StoreRefusesUntil = sim.Now + duration
+		node.StoreUnavailableUntil = sim.Now + duration
 	}},
 	{"partitioned from everything", partitionFromAll},
 	{"the store is down", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
-		sim.Store.DownUntil = sim.Now + min(duration, maxOutageDuration)
+		sim.StoreAPI.DownUntil = sim.Now + min(duration, maxOutageDuration)
 	}},
 	{"machines hang", onTwoMachines((*simulation.Machines).Hang)},
 	{"machines partitioned while the cloud is down", partitionMachinesWithoutCloud},
@@ -57,10 +57,10 @@
 	}},
 	{"all restarted at once, one of them twice", restartTwice},
 	{"writes without a reply applied late", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
-		sim.Store.LoseWriteReplies(0.3, duration, false)
+		sim.StoreAPI.LoseWriteReplies(0.3, duration, false)
 	}},
 	{"writes applied, their replies lost", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
-		sim.Store.LoseWriteReplies(0.3, duration, true)
+		sim.StoreAPI.LoseWriteReplies(0.3, duration, true)
 	}},
 	{"machines that reach no controller", onTwoMachines((*simulation.Machines).BlockHeartbeats)},
 	{"old heartbeats after a failover", replayHeartbeatsAfterFailover},
@@ -190,6 +190,6 @@
 			sim.After(sim.RandomBetween(0, second), func() { crash(sim, node) })
 		}
 	case 1:
-		sim.Store.DownUntil = sim.Now + min(duration, maxOutageDuration)
+		sim.StoreAPI.DownUntil = sim.Now + min(duration, maxOutageDuration)
 	}
 }
--- a/internal/controller/hung_machine_test.go
+++ b/internal/controller/hung_machine_test.go
@@ -84,7 +84,7 @@
 	c := newTestCluster(t, 2)
 	c.hangMachinesOfJob(100 * second)
 	c.cancelVia(c.Nodes[1], c.longJob)
-	c.Store.DownUntil = c.Now + 80*second
+	c.StoreAPI.DownUntil = c.Now + 80*second
 	if c.countRunningTasks(c.longJob) == 0 {
 		t.Fatal("the tasks ended before the outage")
 	}
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -35,7 +35,7 @@
 	cfg.StoreRPS, cfg.WriteRPS, cfg.MaxValueBytes, cfg.MaxTxnOps, cfg.CloudRPS, cfg.CloudListLag = 250, 100, 8192, 16, 6, 10*second
 	f := &fleet{t: t, machineCount: machines, Simulator: newSimulator(1, cfg)}
 	f.NoRandomFaults = true
-	f.StateService.Limits = simulation.StoreLimits{WriteRPS: cfg.WriteRPS, ValueBytes: cfg.MaxValueBytes, TxnOps: cfg.MaxTxnOps}
+	f.Store.Limits = simulation.StoreLimits{WriteRPS: cfg.WriteRPS, ValueBytes: cfg.MaxValueBytes, TxnOps: cfg.MaxTxnOps}
 	for i := range machines {
 		f.Machines.Add("small", zones[i%len(zones)], false)
 	}
@@ -107,8 +107,8 @@
 			f.t.Error(mismatch)
 		}
 	}
-	if f.StateService.Rejected.Size > 0 {
-		f.t.Errorf("%d transactions exceeded the size limits", f.StateService.Rejected.Size)
+	if f.Store.Rejected.Size > 0 {
+		f.t.Errorf("%d transactions exceeded the size limits", f.Store.Rejected.Size)
 	}
 	return took
 }
@@ -128,8 +128,8 @@
 			restart(f.Simulator, f.BusiestNode(), 30*second)
 		}
 		f.RunUntil(f.Now + 8*second) // others are about to acquire their shards
-		f.Store.DownUntil = f.Now + 10*second
-		f.RunUntil(f.Store.DownUntil)
+		f.StoreAPI.DownUntil = f.Now + 10*second
+		f.RunUntil(f.StoreAPI.DownUntil)
 		recovered := f.waitForAllOwned(26 * second)
 		completed := f.waitForAllDone(120 * second)
 		t.Logf("registered in %v, all owned again %v after the outage, done %v later", time.Duration(registered), time.Duration(recovered), time.Duration(completed))
--- a/internal/controller/one_task_jobs_test.go
+++ b/internal/controller/one_task_jobs_test.go
@@ -30,7 +30,7 @@
 		addMachinesPerZone(sim, 2)
 		planOneTaskJobs(sim, cfg.Teams)
 		sim.After(12*second, func() { sim.ReadAfterWrite.EnableFor(40 * second) })
-		sim.After(sim.RandomBetween(15*second, 25*second), func() { sim.Store.LoseWriteReplies(0.1, 10*second, true) })
+		sim.After(sim.RandomBetween(15*second, 25*second), func() { sim.StoreAPI.LoseWriteReplies(0.1, 10*second, true) })
 		sim.After(sim.RandomBetween(30*second, 45*second), func() { crashBusiest(sim) })
 		sim.FaultsOverAt = 60 * second
 		sim.RunUntil(240 * second)
--- a/internal/controller/owner_failures_test.go
+++ b/internal/controller/owner_failures_test.go
@@ -21,7 +21,7 @@
 			c.restartNode(owner, failoverTime)
 		})
 	}
-	c.After(40*second, func() { c.Store.DownUntil = c.Now + 30*second })
+	c.After(40*second, func() { c.StoreAPI.DownUntil = c.Now + 30*second })
 	c.After(38*second, func() { c.Users.Cancel(c.longJob) })
 	c.runAndCheck(120 * second)
 	if len(crashes) < 2 || c.longJob.ReportedStatus != cluster.JobCancelled || c.longJob.CancelConfirmedAt-startedAt > 90*second {
--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -22,7 +22,7 @@
 		t.Run(slow.String(), func(t *testing.T) {
 			sim := newSimulator(3, testConfig())
 			sim.NoRandomFaults = true
-			sim.Store.Delay = delay
+			sim.StoreAPI.Delay = delay
 			addMachinesPerZone(sim, 2)
 			sim.RunUntil(10 * second)
 			latencies := measureSubmissionLatencies(sim)
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -34,15 +34,15 @@
 	// start n0: its process starts.
 	"start": func(_ *traceRunner, c traceCommand) { c.node(0).Start() },
 	// store-outage 30s: the state service is down.
-	"store-outage": func(r *traceRunner, c traceCommand) { r.simulator.Store.DownUntil = r.until(c.duration(0)) },
+	"store-outage": func(r *traceRunner, c traceCommand) { r.simulator.StoreAPI.DownUntil = r.until(c.duration(0)) },
 	// cloud-outage 30s: the cloud API is down.
 	"cloud-outage": func(r *traceRunner, c traceCommand) { r.simulator.CloudAPI.DownUntil = r.until(c.duration(0)) },
 	// store-reject n0 10s: the state service rejects the requests of that controller only.
-	"store-reject": func(r *traceRunner, c traceCommand) { c.node(0).StoreRefusesUntil = r.until(c.duration(1)) },
+	"store-reject": func(r *traceRunner, c traceCommand) { c.node(0).StoreUnavailableUntil = r.until(c.duration(1)) },
 	// lose n0 replies 3s: its transactions are applied, but their replies are lost.
 	"lose": func(r *traceRunner, c traceCommand) { c.node(0).StoreRepliesLostUntil = r.until(c.duration(2)) },
 	// slow-store 500ms 30s: the state service replies 500ms later for 30s.
-	"slow-store": func(r *traceRunner, c traceCommand) { r.simulator.Store.Slow(c.duration(0), c.duration(1)) },
+	"slow-store": func(r *traceRunner, c traceCommand) { r.simulator.StoreAPI.Slow(c.duration(0), c.duration(1)) },
 	// hang m-000001 20s: the machine hangs.
 	"hang": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Hang(c.machine(), c.duration(1)) },
 	// unreachable m-000001 20s: its heartbeats arrive, but nothing reaches it.
@@ -224,9 +224,9 @@
 // corruptMachineGroup: corrupt m-000001 overwrites the record that lists a machine with an
 // invalid value.
 func (r *traceRunner) corruptMachineGroup(command traceCommand) {
-	for _, record := range r.simulator.StateService.List("groups/").Items {
+	for _, record := range r.simulator.Store.List("groups/").Items {
 		if strings.Contains(string(record.Value), command.arg(0)) {
-			r.simulator.StateService.Commit(nil, []messages.TxnOp{{Key: record.Key, Value: []byte(`{"p":1,"m":["?"]}`)}})
+			r.simulator.Store.Commit(nil, []messages.TxnOp{{Key: record.Key, Value: []byte(`{"p":1,"m":["?"]}`)}})
 		}
 	}
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -65,10 +65,10 @@
 	if !sim.IsUpgraded() {
 		t.Error("a controller still runs the production version")
 	}
-	if rejected := sim.StateService.Rejected.Size; rejected > 0 {
+	if rejected := sim.Store.Rejected.Size; rejected > 0 {
 		t.Errorf("%d transactions exceeded the lowered limits, which the settings announce", rejected)
 	}
-	sim.FaultCounts[faultWriteAboveLoweredRate] += sim.StateService.Rejected.Rate
+	sim.FaultCounts[faultWriteAboveLoweredRate] += sim.Store.Rejected.Rate
 	return sim.FaultCounts
 }
 
--- a/internal/controller/work_scaling_test.go
+++ b/internal/controller/work_scaling_test.go
@@ -26,7 +26,7 @@
 	f := newFleet(t, controllers, machines)
 	// The state service doesn't limit the write rate: the test measures the work, not the
 	// throttling.
-	f.StateService.Limits.WriteRPS = 0
+	f.Store.Limits.WriteRPS = 0
 	f.waitForAllOwned(20 * second)
 	f.submitLoad(4*machines, 20*second)
 	f.RunUntil(warmup)
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -176,7 +176,7 @@
 // all controllers.
 func (c *processCluster) writeSettings() {
 	c.t.Helper()
-	state, err := c.services.ServeState()
+	state, err := c.services.ServeStore()
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -59,12 +59,12 @@
 	c.killNode(0)
 	c.waitFor("n1 returns the job's state while n0 is down", func() bool { return c.jobStatus(1, "j-000010") != "0" && c.jobStatus(1, "j-000010") != "503" })
 	c.startNode(0)
-	c.services.WithLock(func() { c.services.StateServiceDown = true })
+	c.services.WithLock(func() { c.services.StoreDown = true })
 	time.Sleep(2 * time.Second)
 	if code := c.submit(1, "j-000020", "green", 1, time.Second); code != http.StatusServiceUnavailable {
 		t.Errorf("submission during the outage: status %d, want 503", code)
 	}
-	c.services.WithLock(func() { c.services.StateServiceDown = false })
+	c.services.WithLock(func() { c.services.StoreDown = false })
 	for node := range nodeCount {
 		c.killNode(node)
 	}
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -17,7 +17,7 @@
 // effectExecutor executes the effects that controllers request.
 type effectExecutor struct {
 	*environment
-	store    *Store
+	store    *StoreAPI
 	cloud    *CloudAPI
 	commands *commandChannel
 	peers    *peerChannel
--- a/internal/simulation/fake_state_service.go
+++ b/internal/simulation/fake_store.go
@@ -17,7 +17,7 @@
 
 // FakeStateService is a fake of the state service, a key-value store with
 // revisions, compare-and-swap transactions and a change log.
-type FakeStateService struct {
+type FakeStore struct {
 	Revision cluster.Revision
 	// Limits apply to transactions. A zero value means no limit.
 	Limits StoreLimits
@@ -29,8 +29,8 @@
 }
 
 // NewFakeStateService returns an empty state service.
-func NewFakeStateService() *FakeStateService {
-	return &FakeStateService{keys: map[string]messages.KV{}, Revision: 1}
+func NewFakeStore() *FakeStore {
+	return &FakeStore{keys: map[string]messages.KV{}, Revision: 1}
 }
 
 // comparesPerOp is the number of compares that the protocol allows per operation.
@@ -44,7 +44,7 @@
 
 // Admit checks a transaction against the limits. It returns messages.OK, Invalid if
 // a size limit is exceeded, or Throttled if the rate limit is exceeded.
-func (s *FakeStateService) Admit(now cluster.Time, then []messages.TxnOp, compares []messages.Compare) messages.Outcome {
+func (s *FakeStore) Admit(now cluster.Time, then []messages.TxnOp, compares []messages.Compare) messages.Outcome {
 	if !s.isWithinSizeLimits(then, compares) {
 		s.Rejected.Size++
 		return messages.Invalid
@@ -56,7 +56,7 @@
 	return messages.OK
 }
 
-func (s *FakeStateService) isWithinSizeLimits(then []messages.TxnOp, compares []messages.Compare) bool {
+func (s *FakeStore) isWithinSizeLimits(then []messages.TxnOp, compares []messages.Compare) bool {
 	limits := s.Limits
 	if limits.TxnOps > 0 && (len(then) > limits.TxnOps || len(compares) > comparesPerOp*limits.TxnOps) {
 		return false
@@ -84,7 +84,7 @@
 
 // Commit applies a transaction if all its compares succeed. Otherwise it returns
 // messages.Conflict with the failed keys.
-func (s *FakeStateService) Commit(compares []messages.Compare, then []messages.TxnOp) messages.TxnReply {
+func (s *FakeStore) Commit(compares []messages.Compare, then []messages.TxnOp) messages.TxnReply {
 	if failed := s.failedCompares(compares); len(failed) > 0 {
 		return messages.TxnReply{Outcome: messages.Conflict, Revision: s.Revision, FailedKeys: failed}
 	}
@@ -98,7 +98,7 @@
 }
 
 // failedCompares returns the keys whose compares fail.
-func (s *FakeStateService) failedCompares(compares []messages.Compare) []string {
+func (s *FakeStore) failedCompares(compares []messages.Compare) []string {
 	var failed []string
 	for _, compare := range compares {
 		if s.keys[compare.Key].ModRevision != compare.ModRevision {
@@ -108,7 +108,7 @@
 	return failed
 }
 
-func (s *FakeStateService) apply(operation messages.TxnOp) {
+func (s *FakeStore) apply(operation messages.TxnOp) {
 	kv := messages.KV{Key: operation.Key, Value: operation.Value, ModRevision: cluster.ModRevision(s.Revision)}
 	if operation.Value == nil {
 		delete(s.keys, operation.Key)
@@ -119,7 +119,7 @@
 }
 
 // Get returns a key, or messages.NotFound if it does not exist.
-func (s *FakeStateService) Get(key string) messages.GetReply {
+func (s *FakeStore) Get(key string) messages.GetReply {
 	kv, ok := s.keys[key]
 	if !ok {
 		return messages.GetReply{Outcome: messages.NotFound}
@@ -128,7 +128,7 @@
 }
 
 // List returns the keys with a prefix, sorted.
-func (s *FakeStateService) List(prefix string) messages.ListReply {
+func (s *FakeStore) List(prefix string) messages.ListReply {
 	reply := messages.ListReply{Outcome: messages.OK, Revision: s.Revision}
 	for key, kv := range s.keys {
 		if strings.HasPrefix(key, prefix) {
@@ -140,7 +140,7 @@
 }
 
 // Changes returns the changes to keys with a prefix after a revision.
-func (s *FakeStateService) Changes(prefix string, since cluster.Revision) messages.WatchReply {
+func (s *FakeStore) Changes(prefix string, since cluster.Revision) messages.WatchReply {
 	reply := messages.WatchReply{Outcome: messages.OK, Revision: s.Revision}
 	for _, kv := range s.changeLog {
 		if cluster.Revision(kv.ModRevision) > since && strings.HasPrefix(kv.Key, prefix) {
--- a/internal/simulation/httpfake/services.go
+++ b/internal/simulation/httpfake/services.go
@@ -27,15 +27,15 @@
 
 // Services serves a state service, a cloud and the workers of its machines.
 type Services struct {
-	mu           sync.Mutex // guards the fields up to the blank line
-	StateService *simulation.FakeStateService
-	Cloud        *simulation.FakeCloud
+	mu    sync.Mutex // guards the fields up to the blank line
+	Store *simulation.FakeStore
+	Cloud *simulation.FakeCloud
 	// Jobs holds the job information that workers look up.
 	Jobs map[cluster.JobID]simulation.JobInfo
 	// NodeAddresses maps controller names to the addresses that workers connect to.
 	NodeAddresses map[string]string
 	// StateServiceDown makes the state service respond with 503.
-	StateServiceDown bool
+	StoreDown bool
 	// UnreachableMachines holds the machines that no request or response reaches.
 	// Their heartbeats still arrive at the controllers.
 	UnreachableMachines map[cluster.MachineID]bool
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	boot := func() cluster.Time { return bootDuration }
 	return &Services{
-		StateService:        simulation.NewFakeStateService(),
+		Store:               simulation.NewFakeStore(),
 		Cloud:               simulation.NewFakeCloud(types, capacity, boot),
 		Jobs:                map[cluster.JobID]simulation.JobInfo{},
 		NodeAddresses:       map[string]string{},
--- a/internal/simulation/httpfake/state_service.go
+++ b/internal/simulation/httpfake/store.go
@@ -41,7 +41,7 @@
 }
 
 // ServeState starts the state service and returns its address.
-func (s *Services) ServeState() (string, error) {
+func (s *Services) ServeStore() (string, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /multi", s.serveTransaction)
 	mux.HandleFunc("GET /keys/{key...}", s.serveKey)
@@ -49,7 +49,7 @@
 	mux.HandleFunc("GET /watch", s.serveWatch)
 	return s.serve(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		var down bool
-		s.WithLock(func() { down = s.StateServiceDown })
+		s.WithLock(func() { down = s.StoreDown })
 		if down {
 			writeJSON(w, http.StatusServiceUnavailable, errorResponse{Error: "trouble"})
 			return
@@ -93,7 +93,7 @@
 		return
 	}
 	var reply messages.TxnReply
-	s.WithLock(func() { reply = s.StateService.Commit(txn.compares(), txn.operations()) })
+	s.WithLock(func() { reply = s.Store.Commit(txn.compares(), txn.operations()) })
 	status := http.StatusOK
 	if reply.Outcome == messages.Conflict {
 		status = http.StatusConflict
@@ -105,8 +105,8 @@
 	var reply messages.GetReply
 	var revision cluster.Revision
 	s.WithLock(func() {
-		reply = s.StateService.Get(request.PathValue("key"))
-		revision = s.StateService.Revision
+		reply = s.Store.Get(request.PathValue("key"))
+		revision = s.Store.Revision
 	})
 	if reply.Outcome == messages.NotFound {
 		writeJSON(w, http.StatusNotFound, revisionResponse{Revision: revision})
@@ -118,7 +118,7 @@
 func (s *Services) serveKeys(w http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	var list messages.ListReply
-	s.WithLock(func() { list = s.StateService.List(query.Get("prefix")) })
+	s.WithLock(func() { list = s.Store.List(query.Get("prefix")) })
 	pageSize, _ := strconv.Atoi(query.Get("page"))
 	items, truncated := keyPage(list.Items, query.Get("since"), pageSize)
 	writeJSON(w, http.StatusOK, struct {
@@ -152,7 +152,7 @@
 	until := time.Now().Add(time.Duration(block) * time.Millisecond)
 	for {
 		var changes messages.WatchReply
-		s.WithLock(func() { changes = s.StateService.Changes(query.Get("prefix"), cluster.Revision(since)) })
+		s.WithLock(func() { changes = s.Store.Changes(query.Get("prefix"), cluster.Revision(since)) })
 		if len(changes.Items) > 0 || time.Now().After(until) {
 			writeChanges(w, changes)
 			return
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -23,7 +23,7 @@
 	jobs       *jobTable
 	nodes      *nodeSet
 	machines   *Machines
-	store      *Store
+	store      *StoreAPI
 	cloud      *CloudAPI
 	starvation *starvationChecker
 	startedOn  map[cluster.TaskID][]cluster.MachineID // all machines on which a task has started
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -20,7 +20,7 @@
 	StorePartitionedUntil   cluster.Time // partitioned from the state service
 	WorkersPartitionedUntil cluster.Time // partitioned from the workers
 	PeersPartitionedUntil   cluster.Time // partitioned from the other controllers
-	StoreRefusesUntil       cluster.Time // the state service responds with 503
+	StoreUnavailableUntil   cluster.Time // the state service responds with 503
 	PeersRefuseUntil        cluster.Time // connections to and from other controllers are refused
 	StoreRepliesLostUntil   cluster.Time // transactions are applied, but the replies are lost
 	PausedUntil             cluster.Time // the process is paused while its clocks continue
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -22,10 +22,10 @@
 	*environment
 	*nodeSet
 	*jobTable
-	StateService     *FakeStateService
+	Store            *FakeStore
 	Cloud            *FakeCloud
 	Network          *Network
-	Store            *Store
+	StoreAPI         *StoreAPI
 	CloudAPI         *CloudAPI
 	Machines         *Machines
 	Users            *Users
@@ -60,12 +60,12 @@
 	env := newEnvironment(seed, cfg)
 	network := &Network{environment: env}
 	s := &Simulator{
-		environment:  env,
-		nodeSet:      newNodeSet(env, network),
-		jobTable:     newJobTable(),
-		StateService: NewFakeStateService(),
-		Cloud:        cloud,
-		Network:      network,
+		environment: env,
+		nodeSet:     newNodeSet(env, network),
+		jobTable:    newJobTable(),
+		Store:       NewFakeStore(),
+		Cloud:       cloud,
+		Network:     network,
 	}
 	s.assembleMachines()
 	s.assembleUsers()
@@ -112,11 +112,11 @@
 // to each other.
 func (s *Simulator) assembleServices() {
 	env, network := s.environment, s.Network
-	s.Store = &Store{environment: env, service: s.StateService, network: network, failovers: s.Failovers}
+	s.StoreAPI = &StoreAPI{environment: env, service: s.Store, network: network, failovers: s.Failovers}
 	s.CloudAPI = &CloudAPI{environment: env, cloud: s.Cloud, network: network, machines: s.Machines}
 	executor := &effectExecutor{
 		environment: env,
-		store:       s.Store,
+		store:       s.StoreAPI,
 		cloud:       s.CloudAPI,
 		commands:    &commandChannel{environment: env, network: network, machines: s.Machines},
 		peers:       &peerChannel{environment: env, network: network, nodes: s.nodeSet},
@@ -131,7 +131,7 @@
 		jobs:        s.jobTable,
 		nodes:       s.nodeSet,
 		machines:    s.Machines,
-		store:       s.Store,
+		store:       s.StoreAPI,
 		cloud:       s.CloudAPI,
 		starvation:  &starvationChecker{environment: s.environment, jobs: s.jobTable, machines: s.Machines},
 		startedOn:   map[cluster.TaskID][]cluster.MachineID{},
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -13,13 +13,13 @@
 
 // Store delivers the controllers' calls to the state service and injects faults
 // into them.
-type Store struct {
+type StoreAPI struct {
 	*environment
 	// DownUntil is when the outage of the state service ends.
 	DownUntil cluster.Time
 	// Delay is the additional latency of all replies.
 	Delay     cluster.Time
-	service   *FakeStateService
+	service   *FakeStore
 	network   *Network
 	failovers *Failovers
 	slowBy    cluster.Time // additional latency of the replies until slowUntil
@@ -35,7 +35,7 @@
 }
 
 // Slow adds latency to the replies of the state service for a duration.
-func (s *Store) Slow(by, duration cluster.Time) {
+func (s *StoreAPI) Slow(by, duration cluster.Time) {
 	s.slowBy = by
 	s.slowUntil = s.Now + duration
 }
@@ -43,7 +43,7 @@
 // LoseWriteReplies drops the replies to a share of the transactions for a duration.
 // The transactions are applied 2 to 12 s later, possibly after newer ones from the
 // same controller. With applyAtOnce they are applied without that delay.
-func (s *Store) LoseWriteReplies(share float64, duration cluster.Time, applyAtOnce bool) {
+func (s *StoreAPI) LoseWriteReplies(share float64, duration cluster.Time, applyAtOnce bool) {
 	s.replyLoss = replyLossFault{chance: share, until: s.Now + duration, applyAtOnce: applyAtOnce}
 }
 
@@ -56,7 +56,7 @@
 	apply   func() messages.ReplyBody
 }
 
-func (s *Store) transact(node *Node, txn messages.StoreTxn) {
+func (s *StoreAPI) transact(node *Node, txn messages.StoreTxn) {
 	s.send(storeCall{
 		pendingCall: node.newCall(txn.Call),
 		write:       true,
@@ -66,7 +66,7 @@
 	})
 }
 
-func (s *Store) get(node *Node, get messages.StoreGet) {
+func (s *StoreAPI) get(node *Node, get messages.StoreGet) {
 	s.send(storeCall{
 		pendingCall: node.newCall(get.Call),
 		refused:     messages.GetReply{Outcome: messages.NotApplied},
@@ -75,7 +75,7 @@
 	})
 }
 
-func (s *Store) list(node *Node, list messages.StoreList) {
+func (s *StoreAPI) list(node *Node, list messages.StoreList) {
 	s.send(storeCall{
 		pendingCall: node.newCall(list.Call),
 		refused:     messages.ListReply{Outcome: messages.NotApplied},
@@ -86,7 +86,7 @@
 
 // watch waits for changes. A watch without a timeout is an ordinary read that
 // returns immediately.
-func (s *Store) watch(node *Node, watch messages.StoreWatch) {
+func (s *StoreAPI) watch(node *Node, watch messages.StoreWatch) {
 	if watch.Timeout > 0 {
 		s.pollWatch(node.newCall(watch.Call), watch, s.Now+watch.Timeout)
 		return
@@ -99,7 +99,7 @@
 	})
 }
 
-func (s *Store) pollWatch(call pendingCall, watch messages.StoreWatch, until cluster.Time) {
+func (s *StoreAPI) pollWatch(call pendingCall, watch messages.StoreWatch, until cluster.Time) {
 	s.After(s.RandomBetween(10*millisecond, 200*millisecond), func() {
 		if !call.isAwaited() {
 			return
@@ -115,15 +115,15 @@
 	})
 }
 
-func (s *Store) isReachableFrom(node *Node) bool {
-	return s.Now >= max(s.DownUntil, node.StorePartitionedUntil, node.StoreRefusesUntil)
+func (s *StoreAPI) isReachableFrom(node *Node) bool {
+	return s.Now >= max(s.DownUntil, node.StorePartitionedUntil, node.StoreUnavailableUntil)
 }
 
 // send delivers a call to the service, or injects a fault.
-func (s *Store) send(call storeCall) {
+func (s *StoreAPI) send(call storeCall) {
 	node := call.node
 	switch {
-	case s.Now < s.DownUntil || s.Now < node.StoreRefusesUntil:
+	case s.Now < s.DownUntil || s.Now < node.StoreUnavailableUntil:
 		call.replyAfter(s.network.delay(), call.refused)
 	case s.Now < node.StorePartitionedUntil:
 		s.dropOrDelay(call, node.StorePartitionedUntil)
@@ -138,14 +138,14 @@
 
 // dropOrDelay drops a call or delivers it late. In both cases the controller gets no
 // reply.
-func (s *Store) dropOrDelay(call storeCall, partitionedUntil cluster.Time) {
+func (s *StoreAPI) dropOrDelay(call storeCall, partitionedUntil cluster.Time) {
 	if delay, arrives := s.network.lateArrival(partitionedUntil); arrives {
 		s.After(delay, func() { call.apply() })
 	}
 	call.replyAfter(storeCallTimeout, call.unknown)
 }
 
-func (s *Store) applyAndReply(call storeCall) {
+func (s *StoreAPI) applyAndReply(call storeCall) {
 	reply := call.apply()
 	if s.Chance(0.005) { // applied, but the reply is lost
 		call.replyAfter(storeCallTimeout, call.unknown)
@@ -154,7 +154,7 @@
 	call.replyAfter(s.network.delay()+s.Delay+s.currentSlowdown(), reply)
 }
 
-func (s *Store) currentSlowdown() cluster.Time {
+func (s *StoreAPI) currentSlowdown() cluster.Time {
 	if s.Now < s.slowUntil {
 		return s.slowBy
 	}
@@ -163,7 +163,7 @@
 
 // injectReplyLoss drops the reply to a transaction if such a fault is active, and
 // reports whether it did. The transaction is still applied, immediately or late.
-func (s *Store) injectReplyLoss(call storeCall) bool {
+func (s *StoreAPI) injectReplyLoss(call storeCall) bool {
 	switch {
 	case s.Now < call.node.StoreRepliesLostUntil:
 		s.After(s.network.delay(), func() { s.applyWithoutReply(call) })
@@ -177,7 +177,7 @@
 	return true
 }
 
-func (s *Store) applyWithoutReply(call storeCall) {
+func (s *StoreAPI) applyWithoutReply(call storeCall) {
 	if isApplied(call.apply()) {
 		s.FaultCounts[FaultReplyLost]++
 	}
@@ -185,7 +185,7 @@
 
 // applyLate applies a transaction after the controller has timed out. During an
 // outage it is postponed until the service is back.
-func (s *Store) applyLate(call storeCall) {
+func (s *StoreAPI) applyLate(call storeCall) {
 	if s.Now < s.DownUntil {
 		s.After(s.DownUntil-s.Now+s.RandomBetween(0, second), func() { s.applyLate(call) })
 		return
@@ -202,7 +202,7 @@
 }
 
 // applyTxn applies a controller's transaction unless it exceeds the limits.
-func (s *Store) applyTxn(node *Node, txn messages.StoreTxn) messages.TxnReply {
+func (s *StoreAPI) applyTxn(node *Node, txn messages.StoreTxn) messages.TxnReply {
 	if outcome := s.service.Admit(s.Now, txn.Then, txn.If); outcome != messages.OK {
 		return messages.TxnReply{Outcome: outcome}
 	}
@@ -214,7 +214,7 @@
 	return reply
 }
 
-func (s *Store) logTxn(node *Node, txn messages.StoreTxn, reply messages.TxnReply) {
+func (s *StoreAPI) logTxn(node *Node, txn messages.StoreTxn, reply messages.TxnReply) {
 	verb := "writes"
 	if reply.Outcome != messages.OK {
 		verb = "may not write"
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -14,14 +14,14 @@
 	for _, node := range s.Nodes {
 		node.Version = ProductionVersion
 	}
-	s.StateService.Limits = before
+	s.Store.Limits = before
 	s.start()
 	return s
 }
 
 // LowerStoreLimits makes the state service enforce the lower limits from now on.
 func (s *Simulator) LowerStoreLimits() {
-	s.StateService.Limits = StoreLimits{WriteRPS: s.config.WriteRPS, ValueBytes: s.config.MaxValueBytes, TxnOps: s.config.MaxTxnOps}
+	s.Store.Limits = StoreLimits{WriteRPS: s.config.WriteRPS, ValueBytes: s.config.MaxValueBytes, TxnOps: s.config.MaxTxnOps}
 	s.FaultCounts[FaultStoreLimitsLowered]++
 }
 
