--- a/cmd/stairrelay/main.go
+++ b/cmd/stairrelay/main.go
@@ -1,5 +1,5 @@
 // Command stairrelay runs a controller of a cluster scheduler. The shards of the cluster
-// are divided among several controllers; if one fails, the others take over its shards.
+// are divided among several controllers. If one fails, its shards fail over to the others.
 package main
 
 import (
--- a/cmd/stairrelay/main_test.go
+++ b/cmd/stairrelay/main_test.go
@@ -207,7 +207,7 @@
 			t.Errorf("standard error %q, want one line about the team", got.stderr)
 		}
 	})
-	t.Run("opens nothing", func(t *testing.T) {
+	t.Run("opens no ports", func(t *testing.T) {
 		address := occupyPort(t)
 		got := run(t, "check-config", writeFile(t, "s.toml", settingsText(address, address)))
 		if got.status != exitSuccess {
@@ -231,9 +231,9 @@
 	}
 }
 
-// TestRunUntilContextCanceled checks that a controller runs until its context ends and then
+// TestRunUntilContextCancelled checks that a controller runs until its context ends and then
 // closes its ports.
-func TestRunUntilContextCanceled(t *testing.T) {
+func TestRunUntilContextCancelled(t *testing.T) {
 	restoreProcessLimits(t)
 	t.Setenv(operatorsEnv, "")
 	t.Setenv(logLevelEnv, "error")
@@ -250,7 +250,7 @@
 	status := make(chan int, 1)
 	path := writeFile(t, "s.toml", settingsText(address, freeAddress))
 	go func() { status <- execute(ctx, []string{"--config", path}, &stdout, &stderr) }()
-	awaitConnection(t, address)
+	waitForConnection(t, address)
 	stop()
 	select {
 	case got := <-status:
@@ -266,8 +266,8 @@
 	}
 }
 
-// awaitConnection waits until a server accepts connections on an address.
-func awaitConnection(t *testing.T, address string) {
+// waitForConnection waits until a server accepts connections on an address.
+func waitForConnection(t *testing.T, address string) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", address)
--- a/cmd/stairrelay/process.go
+++ b/cmd/stairrelay/process.go
@@ -24,7 +24,7 @@
 	// being killed for lack of memory.
 	heapLimitShare = 0.75
 	bytesPerMB     = 1 << 20
-	// instanceIDBytes is the length of the random id that distinguishes this process
+	// instanceIDBytes is the length of the random ID that distinguishes this process
 	// from earlier ones of the same controller.
 	instanceIDBytes = 4
 )
@@ -51,11 +51,11 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
 
-// newInstanceID returns a new random instance id.
+// newInstanceID returns a new random instance ID.
 func newInstanceID() (string, error) {
 	var id [instanceIDBytes]byte
 	if _, err := rand.Read(id[:]); err != nil {
-		return "", fmt.Errorf("generating an instance id: %w", err)
+		return "", fmt.Errorf("generating an instance ID: %w", err)
 	}
 	return hex.EncodeToString(id[:]), nil
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -34,7 +34,7 @@
 	return &Client{service: wire.NewJSONClient(address, options), reply: reply}
 }
 
-// Do starts a call and returns immediately. Calls have timeouts but are never canceled,
+// Do starts a call and returns immediately. Calls have timeouts but are never cancelled,
 // because the controller waits for the reply to each effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
--- a/internal/cloud/outcomes_test.go
+++ b/internal/cloud/outcomes_test.go
@@ -15,8 +15,7 @@
 }
 
 // TestUndecodableResponses checks the outcome of each status with a body that can't be
-// decoded. A scale-out or scale-in that may have been executed must not be reported as not
-// applied.
+// decoded. A change that may have been executed must not be reported as not applied.
 func TestUndecodableResponses(t *testing.T) {
 	const (
 		ok         = messages.OK
@@ -61,8 +60,8 @@
 	})
 }
 
-// TestNoResponse checks the outcome of a missing or oversized response: a read can be
-// retried, while a scale-out or scale-in may have been executed.
+// TestNoResponse checks that after a missing or oversized response a read can be retried,
+// and that the outcome of a scale-out or scale-in is unknown.
 func TestNoResponse(t *testing.T) {
 	oversized := wiretest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, wire.MaxResponseSize+1))
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -35,7 +35,7 @@
 )
 
 // sharedSettings is the format of the settings that all controllers share. Its
-// arguments are the addresses of the cloud and the state service.
+// arguments are the addresses of the cloud and the store.
 const sharedSettings = `[external]
 cloud = %q
 state = %q
@@ -137,7 +137,7 @@
 	for i := range nodeCount {
 		c.services.NodeAddresses[nodeName(i)] = c.publicAddresses[i]
 	}
-	c.writeSettings()
+	c.startServicesAndWriteSettings()
 	t.Cleanup(c.stopAll)
 	for i := range nodeCount {
 		c.startNode(i)
@@ -172,11 +172,11 @@
 	return addresses
 }
 
-// writeSettings starts the state service and the cloud and writes the settings files of
-// all controllers.
-func (c *processCluster) writeSettings() {
+// startServicesAndWriteSettings starts the store and the cloud and writes the settings
+// files of all controllers.
+func (c *processCluster) startServicesAndWriteSettings() {
 	c.t.Helper()
-	state, err := c.services.ServeStore()
+	store, err := c.services.ServeStore()
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 	dir := c.t.TempDir()
 	for i := range nodeCount {
 		path := filepath.Join(dir, nodeName(i)+".toml")
-		text := c.nodeSettings(i) + fmt.Sprintf(sharedSettings, cloud, state)
+		text := c.nodeSettings(i) + fmt.Sprintf(sharedSettings, cloud, store)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			c.t.Fatal(err)
 		}
--- a/internal/e2e/connections_test.go
+++ b/internal/e2e/connections_test.go
@@ -58,9 +58,9 @@
 }
 
 // sendAllHeartbeats sends a heartbeat from each worker and returns how long the slowest
-// response took. All workers send at once; with a connection limit, half as many as the
-// limit. Workers connect if necessary and close the connection if the response asks for
-// it.
+// response took. All workers send concurrently, or at most half as many as the connection
+// limit if there is one. Workers connect if necessary and close the connection if the
+// response asks for it.
 func sendAllHeartbeats(t *testing.T, addr string, senders []*heartbeatSender, maxConnections int) time.Duration {
 	t.Helper()
 	concurrency := len(senders)
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestNodeKillsAndStoreOutage checks that accepted jobs are completed, and run only once,
-// although controllers are killed and the state service has an outage.
+// although controllers are killed and the store has an outage.
 func TestNodeKillsAndStoreOutage(t *testing.T) {
 	c := startCluster(t)
 	for i, team := range teamNames {
@@ -100,7 +100,7 @@
 	c.waitFor("the job is done on other machines", func() bool { return c.jobStatus(1, "j-000031") == "done" })
 }
 
-// TestQuickRestartsLoseNoTask checks that a controller which restarts at once neither
+// TestQuickRestartsLoseNoTask checks that a controller that restarts immediately neither
 // loses a task nor starts one a second time.
 func TestQuickRestartsLoseNoTask(t *testing.T) {
 	c := startCluster(t)
--- a/internal/e2e/heartbeat_bench_test.go
+++ b/internal/e2e/heartbeat_bench_test.go
@@ -41,7 +41,7 @@
 	for range benchConnections {
 		senders = append(senders, dialHeartbeatSender(b, addr))
 	}
-	time.Sleep(time.Second) // until the controller regards the state service as unavailable
+	time.Sleep(time.Second) // until the controller regards the store as unavailable
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -49,10 +49,10 @@
 	}
 }
 
-// startHeartbeatServer starts a controller whose state service rejects all calls. Once
-// it has done so for half a second, the controller responds to heartbeats with 503
-// without delay. The server accepts at most maxConnections connections; 0 means no
-// limit. It returns the server's address and connection limiter.
+// startHeartbeatServer starts a controller whose store rejects all calls. After half a
+// second, the controller regards the store as unavailable and responds to heartbeats
+// with 503 without delay. The server accepts at most maxConnections connections; 0 means
+// no limit. It returns the server's address and connection limiter.
 func startHeartbeatServer(tb testing.TB, maxConnections int) (string, *sockets.ConnectionLimiter) {
 	tb.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -149,9 +149,9 @@
 }
 
 // isClosedByServer reports whether the server has closed the idle connection. HTTP
-// clients check this before they reuse a connection. The read does not block: one with
-// a deadline returns before it sees the end of the connection if the deadline has
-// passed before the read begins, as on a busy machine.
+// clients check this before they reuse a connection. The read does not block. It has no
+// deadline, because on a busy machine a deadline may pass before the read begins, and
+// the read would then fail without detecting the close.
 func (s *heartbeatSender) isClosedByServer() bool {
 	connection, ok := s.connection.(syscall.Conn)
 	if !ok {
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -12,8 +12,8 @@
 )
 
 // submitWithDependencies submits a job with dependencies and one task that runs for a
-// second. It retries until the job is accepted: just after its start, a controller may not
-// know yet that all its peers run a release with support for dependencies.
+// second. It retries until the job is accepted, because just after its start a controller
+// may not know yet that all its peers run a release with support for dependencies.
 func (c *processCluster) submitWithDependencies(node int, id, team string, dependencies ...string) {
 	c.t.Helper()
 	c.services.WithLock(func() {
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -37,10 +37,10 @@
 
 // respond passes a response to the caller of Request. Only the first response to a request
 // is delivered; further ones are dropped.
-func (e *Engine) respond(answer messages.Respond) {
-	if response := e.pendingRequests[answer.Request]; response != nil {
-		response <- answer
-		delete(e.pendingRequests, answer.Request)
+func (e *Engine) respond(response messages.Respond) {
+	if responses := e.pendingRequests[response.Request]; responses != nil {
+		responses <- response
+		delete(e.pendingRequests, response.Request)
 	}
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -40,10 +40,10 @@
 }
 
 // queuedEvent is an event in the inbox. The event itself is created when it is dequeued,
-// because only then is its request id known.
+// because only then is its request ID known.
 type queuedEvent struct {
 	makeEvent  func(messages.RequestID) messages.Event
-	response   chan<- messages.Respond // nil if no response is expected
+	responses  chan<- messages.Respond // nil if no response is expected
 	enqueuedAt time.Time
 }
 
@@ -66,17 +66,17 @@
 func (e *Engine) Request(ctx context.Context, makeEvent func(messages.RequestID) messages.Event) (messages.Respond, bool) {
 	// The channel is buffered so that the engine never blocks on a caller that is no
 	// longer waiting.
-	response := make(chan messages.Respond, 1)
+	responses := make(chan messages.Respond, 1)
 	select {
-	case e.inbox <- queuedEvent{makeEvent: makeEvent, response: response, enqueuedAt: time.Now()}:
+	case e.inbox <- queuedEvent{makeEvent: makeEvent, responses: responses, enqueuedAt: time.Now()}:
 	case <-ctx.Done():
 		return messages.Respond{}, false
 	case <-e.stopped:
 		return messages.Respond{}, false
 	}
 	select {
-	case answer := <-response:
-		return answer, true
+	case response := <-responses:
+		return response, true
 	case <-ctx.Done():
 		return messages.Respond{}, false
 	case <-e.stopped:
@@ -124,12 +124,12 @@
 	}
 }
 
-// register assigns a request id to an event, creates the event and records the channel for
+// register assigns a request ID to an event, creates the event and records the channel for
 // its response.
 func (e *Engine) register(queued queuedEvent) messages.Event {
 	e.lastRequestID++
-	if queued.response != nil {
-		e.pendingRequests[e.lastRequestID] = queued.response
+	if queued.responses != nil {
+		e.pendingRequests[e.lastRequestID] = queued.responses
 	}
 	return queued.makeEvent(e.lastRequestID)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -61,21 +61,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for want := messages.RequestID(1); want <= 2; want++ {
-		answer, ok := engine.Request(ctx, newHealthCheck)
-		if !ok || answer.Request != want {
-			t.Errorf("answer %+v, %v; want an answer to request %d", answer, ok, want)
+		response, ok := engine.Request(ctx, newHealthCheck)
+		if !ok || response.Request != want {
+			t.Errorf("response %+v, %v; want a response to request %d", response, ok, want)
 		}
 	}
 }
 
-// TestRequestContextCanceled checks that Request returns if its context is canceled before
-// the engine answers.
-func TestRequestContextCanceled(t *testing.T) {
+// TestRequestContextCancelled checks that Request returns if its context is cancelled
+// before the engine responds.
+func TestRequestContextCancelled(t *testing.T) {
 	engine, _ := newEngine(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if answer, ok := engine.Request(ctx, newHealthCheck); ok {
-		t.Errorf("got %+v from an engine that is not running", answer)
+	if response, ok := engine.Request(ctx, newHealthCheck); ok {
+		t.Errorf("got %+v from an engine that is not running", response)
 	}
 }
 
@@ -90,8 +90,8 @@
 		for range 2 * inboxSize {
 			engine.DeliverReply(1, nil)
 		}
-		if answer, ok := engine.Request(context.Background(), newHealthCheck); ok {
-			t.Errorf("got %+v from a stopped engine", answer)
+		if response, ok := engine.Request(context.Background(), newHealthCheck); ok {
+			t.Errorf("got %+v from a stopped engine", response)
 		}
 	}()
 	select {
@@ -105,12 +105,12 @@
 // would block the engine.
 func TestRespondOnce(t *testing.T) {
 	engine, _ := newEngine(t)
-	response := make(chan messages.Respond, 1)
-	engine.register(queuedEvent{makeEvent: newHealthCheck, response: response})
+	responses := make(chan messages.Respond, 1)
+	engine.register(queuedEvent{makeEvent: newHealthCheck, responses: responses})
 	engine.respond(messages.Respond{Request: 1, RetryAfter: 1})
 	engine.respond(messages.Respond{Request: 1, RetryAfter: 2})
-	if answer := <-response; answer.RetryAfter != 1 {
-		t.Errorf("answer %+v, want the first", answer)
+	if response := <-responses; response.RetryAfter != 1 {
+		t.Errorf("response %+v, want the first", response)
 	}
 	if len(engine.pendingRequests) != 0 {
 		t.Errorf("%d requests are pending", len(engine.pendingRequests))
--- a/internal/peers/client_test.go
+++ b/internal/peers/client_test.go
@@ -45,13 +45,14 @@
 	}
 }
 
-// TestFailedCalls checks that the outcome is NotApplied only if the message was not sent.
+// TestFailedCalls checks that the outcome of a failed call is unknown, unless the message
+// was too large to be sent.
 func TestFailedCalls(t *testing.T) {
 	for name, address := range map[string]string{
 		"refused connection": wiretest.UnusedAddress(t),
 		"closed connection":  wiretest.ServeAbort(t),
-		"refused message":    wiretest.ServeStatus(t, 400, "malformed"),
-		"malformed answer":   wiretest.ServeStatus(t, 200, "<html>"),
+		"rejected message":   wiretest.ServeStatus(t, 400, "malformed"),
+		"malformed response": wiretest.ServeStatus(t, 200, "<html>"),
 	} {
 		want := messages.PeerReply{Outcome: messages.UnknownOutcome}
 		if got := callPeer(t, address, ping); !reflect.DeepEqual(got, want) {
--- a/internal/peers/handler.go
+++ b/internal/peers/handler.go
@@ -23,7 +23,7 @@
 	loggedErrors sync.Map // texts of the errors that have been logged
 }
 
-// ServeHTTP passes a message to the controller and responds with the answer.
+// ServeHTTP passes a message to the controller and writes the controller's response.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxMessageSize))
 	if err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -40,7 +40,7 @@
 }
 
 // Do starts to send a message and returns immediately. Calls have timeouts but are never
-// canceled, because the controller waits for the reply to each effect.
+// cancelled, because the controller waits for the reply to each effect.
 func (c *Client) Do(call messages.PeerCall) {
 	go func() { c.reply(call.Call, c.send(context.Background(), call)) }()
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -18,8 +18,8 @@
 // echoRequester responds to each message with the message itself.
 type echoRequester struct{}
 
-func (echoRequester) Request(_ context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
-	request, ok := event(1).(messages.PeerRequest)
+func (echoRequester) Request(_ context.Context, makeEvent func(messages.RequestID) messages.Event) (messages.Respond, bool) {
+	request, ok := makeEvent(1).(messages.PeerRequest)
 	if !ok {
 		return messages.Respond{}, false
 	}
--- a/internal/settings/nodes.go
+++ b/internal/settings/nodes.go
@@ -28,9 +28,9 @@
 	type addressField struct{ name, address string }
 	fields := []addressField{
 		{"listen", f.Listen},
-		{"back", f.Back},
+		{"back", f.PeerListen},
 		{"external.cloud", f.External.Cloud},
-		{"external.state", f.External.State},
+		{"external.state", f.External.Store},
 	}
 	for _, peer := range f.Peers {
 		fields = append(fields, addressField{"peers.endpoint", peer.Endpoint})
@@ -57,7 +57,7 @@
 // controllers and the addresses of the peers.
 func (s *Settings) setNodes(file *platformFile) {
 	s.Controller.Self = cluster.NodeID(file.HostName)
-	s.Controller.Zone = file.Domain
+	s.Controller.Zone = file.Zone
 	s.Controller.Nodes = []cluster.NodeID{s.Controller.Self}
 	s.PeerAddresses = map[cluster.NodeID]string{}
 	for _, peer := range file.Peers {
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -24,21 +24,21 @@
 // operatorsFile is the operators' JSON file. Absent fields keep their defaults. The
 // schema describes the fields and defines their bounds.
 type operatorsFile struct {
-	CheckpointSeconds        *float64 `json:"checkpoint_s"`
-	PingSeconds              *float64 `json:"ping_s"`
-	PingTimeoutSeconds       *float64 `json:"ping_timeout_s"`
-	Retries                  *int     `json:"retries"`
-	RetryFirstSeconds        *float64 `json:"retry_first_s"`
-	ProbeSeconds             *float64 `json:"probe_s"`
-	Probes                   *int     `json:"probes"`
-	IdleScaleInSeconds       *float64 `json:"idle_return_s"`
-	OutOfCapacityWaitSeconds *float64 `json:"refused_wait_s"`
-	BootPatience             *float64 `json:"boot_patience"`
-	BudgetShare              *float64 `json:"budget_share"`
-	FailbackSeconds          *float64 `json:"hand_back_s"`
-	SpareShare               *float64 `json:"spare_share"`
-	SmallFirst               *float64 `json:"small_first"`
-	BeginWithinSeconds       *float64 `json:"begin_within_s"`
+	CheckpointSeconds           *float64 `json:"checkpoint_s"`
+	PingSeconds                 *float64 `json:"ping_s"`
+	PingTimeoutSeconds          *float64 `json:"ping_timeout_s"`
+	Retries                     *int     `json:"retries"`
+	InitialRetrySeconds         *float64 `json:"retry_first_s"`
+	ProbeSeconds                *float64 `json:"probe_s"`
+	Probes                      *int     `json:"probes"`
+	IdleScaleInSeconds          *float64 `json:"idle_return_s"`
+	OutOfCapacityBackoffSeconds *float64 `json:"refused_wait_s"`
+	BootTimeoutFactor           *float64 `json:"boot_patience"`
+	BudgetShare                 *float64 `json:"budget_share"`
+	FailbackSeconds             *float64 `json:"hand_back_s"`
+	SpareShare                  *float64 `json:"spare_share"`
+	ShortJobWeight              *float64 `json:"small_first"`
+	FirstTaskTargetSeconds      *float64 `json:"begin_within_s"`
 }
 
 // applyOperators validates the text of the operators' file against the schema and
@@ -98,18 +98,18 @@
 	setSeconds(&tuning.CheckpointInterval, f.CheckpointSeconds)
 	setSeconds(&tuning.PingInterval, f.PingSeconds)
 	setSeconds(&tuning.PingTimeout, f.PingTimeoutSeconds)
-	setSeconds(&tuning.InitialRetryTimeout, f.RetryFirstSeconds)
+	setSeconds(&tuning.InitialRetryTimeout, f.InitialRetrySeconds)
 	setSeconds(&tuning.ProbeInterval, f.ProbeSeconds)
 	setSeconds(&tuning.ScaleInIdleTime, f.IdleScaleInSeconds)
-	setSeconds(&tuning.OutOfCapacityBackoff, f.OutOfCapacityWaitSeconds)
+	setSeconds(&tuning.OutOfCapacityBackoff, f.OutOfCapacityBackoffSeconds)
 	setSeconds(&tuning.FailbackDelay, f.FailbackSeconds)
-	setSeconds(&tuning.FirstTaskTarget, f.BeginWithinSeconds)
+	setSeconds(&tuning.FirstTaskTarget, f.FirstTaskTargetSeconds)
 	setIfPresent(&tuning.PingRetries, f.Retries)
 	setIfPresent(&tuning.ProbeCount, f.Probes)
-	setIfPresent(&tuning.BootTimeoutFactor, f.BootPatience)
+	setIfPresent(&tuning.BootTimeoutFactor, f.BootTimeoutFactor)
 	setIfPresent(&tuning.RateBudgetShare, f.BudgetShare)
 	setIfPresent(&tuning.SpareCapacityShare, f.SpareShare)
-	setIfPresent(&tuning.ShortJobWeight, f.SmallFirst)
+	setIfPresent(&tuning.ShortJobWeight, f.ShortJobWeight)
 }
 
 // setIfPresent sets *target to *value unless value is nil.
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -7,7 +7,7 @@
 )
 
 // connectionWarningThreshold is the value of max_connections below which operators are
-// warned that only few workers and users can be connected at once.
+// warned that only few workers and users can be connected at the same time.
 const connectionWarningThreshold = 256
 
 // parsePlatform decodes and validates the text of the platform file.
@@ -21,15 +21,15 @@
 	}
 	settings := &Settings{
 		ListenAddress:     file.Listen,
-		PeerListenAddress: file.Back,
+		PeerListenAddress: file.PeerListen,
 		CloudAddress:      file.External.Cloud,
-		StoreAddress:      file.External.State,
+		StoreAddress:      file.External.Store,
 		MemoryMB:          file.Cluster.Limits.MemoryMB,
 		MaxConnections:    file.Cluster.Limits.MaxConnections,
 		CPUShare:          file.Cluster.Limits.CPUShare,
 	}
 	settings.setNodes(file)
-	settings.setStateLimits(&file.Cluster.State)
+	settings.setStoreLimits(&file.Cluster.Store)
 	settings.setCloudLimits(&file.Cluster.Cloud)
 	settings.setTeams(file.Cluster.Teams)
 	settings.setSLOs(file.Cluster.SLOs)
@@ -39,13 +39,13 @@
 }
 
 // check returns the first problem of the file as a *FieldError. The order of the checks
-// decides which of several problems is reported.
+// determines which of several problems is reported.
 func (f *platformFile) check() error {
 	checks := []func() error{
 		f.checkNodeNames,
 		f.checkAddresses,
 		f.checkNumbers,
-		f.Cluster.State.check,
+		f.Cluster.Store.check,
 		f.checkTeamsPresent,
 		f.checkNodeCount,
 		f.checkTeams,
@@ -65,7 +65,7 @@
 		return
 	}
 	budget := sockets.NewBudget(s.MaxConnections, len(s.PeerAddresses))
-	s.warnf("cluster.machine_limits.max_connections: with %d connections, only about %d workers and users can be connected at once", s.MaxConnections, budget.MaxInboundConnections)
+	s.warnf("cluster.machine_limits.max_connections: with %d connections, only about %d workers and users can be connected at the same time", s.MaxConnections, budget.MaxInboundConnections)
 }
 
 func (s *Settings) warnf(format string, args ...any) {
--- a/internal/settings/platformfile.go
+++ b/internal/settings/platformfile.go
@@ -11,13 +11,13 @@
 // platformFile is the TOML file of the platform. Unknown fields in the file are
 // ignored, since the platform may add fields.
 type platformFile struct {
-	HostName string        `toml:"host_name"`
-	Domain   string        `toml:"domain"`
-	Listen   string        `toml:"listen"`
-	Back     string        `toml:"back"`
-	Peers    []peerTable   `toml:"peers"`
-	External externalTable `toml:"external"`
-	Cluster  clusterTable  `toml:"cluster"`
+	HostName   string        `toml:"host_name"`
+	Zone       string        `toml:"domain"`
+	Listen     string        `toml:"listen"`
+	PeerListen string        `toml:"back"`
+	Peers      []peerTable   `toml:"peers"`
+	External   externalTable `toml:"external"`
+	Cluster    clusterTable  `toml:"cluster"`
 }
 
 // peerTable describes another controller.
@@ -29,7 +29,7 @@
 // externalTable holds the addresses of the external services that controllers use.
 type externalTable struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	Store string `toml:"state"`
 }
 
 // clusterTable describes the cluster: its teams, objectives and limits.
@@ -38,7 +38,7 @@
 	Teams   []teamTable  `toml:"teams"`
 	SLOs    []sloTable   `toml:"objectives"`
 	Workers workersTable `toml:"workers"`
-	State   stateTable   `toml:"state"`
+	Store   storeTable   `toml:"state"`
 	Cloud   cloudTable   `toml:"cloud"`
 	Limits  limitsTable  `toml:"machine_limits"`
 }
@@ -70,18 +70,18 @@
 	CancelSeconds    float64 `toml:"cancel_s"`
 }
 
-// stateTable holds the limits of the state service.
-type stateTable struct {
+// storeTable holds the limits of the store.
+type storeTable struct {
 	RPS      float64         `toml:"rps"`
 	WriteRPS float64         `toml:"write_rps"`
 	ValueKB  float64         `toml:"value_kb"`
 	TxnOps   int             `toml:"txn_ops"`
-	Next     *nextStateTable `toml:"next"`
+	Next     *nextStoreTable `toml:"next"`
 }
 
-// nextStateTable holds upcoming limits of the state service, which take effect without
-// notice. A nil limit does not change.
-type nextStateTable struct {
+// nextStoreTable holds upcoming limits of the store, which take effect without notice.
+// A nil limit does not change.
+type nextStoreTable struct {
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
 	TxnOps   *int     `toml:"txn_ops"`
--- a/internal/settings/servicelimits.go
+++ b/internal/settings/servicelimits.go
@@ -1,19 +1,19 @@
 package settings
 
 const (
-	// minTxnOps and minValueKB are the lowest limits of the state service that are
+	// minTxnOps and minValueKB are the lowest limits of the store that are
 	// supported. Records cannot be split into smaller transactions and values.
 	minTxnOps  = 4
 	minValueKB = 2
 	bytesPerKB = 1024
 	// maxValueKB is the largest value that fits into a transaction together with
 	// its key and compares, as a request body is limited to 64 KiB. A higher value
-	// limit of the state service has no effect.
+	// limit of the store has no effect.
 	maxValueKB = 60
 )
 
-// check validates the limits of the state service, including upcoming ones.
-func (t *stateTable) check() error {
+// check validates the limits of the store, including upcoming ones.
+func (t *storeTable) check() error {
 	if t.Next != nil {
 		if err := t.Next.check(); err != nil {
 			return err
@@ -29,7 +29,7 @@
 }
 
 // check validates the limits that are set.
-func (t *nextStateTable) check() error {
+func (t *nextStoreTable) check() error {
 	if t.WriteRPS != nil && !isPositive(*t.WriteRPS) {
 		return fieldErrorf("cluster.state.next.write_rps", "must be greater than 0")
 	}
@@ -44,7 +44,7 @@
 
 // lowest returns the lower of each current limit and its upcoming value. Upcoming
 // limits take effect without notice, so requests must always stay within both.
-func (t *stateTable) lowest() stateTable {
+func (t *storeTable) lowest() storeTable {
 	lowest := *t
 	if t.Next != nil {
 		lowest.WriteRPS = lowerLimit(t.WriteRPS, t.Next.WriteRPS)
@@ -63,9 +63,9 @@
 	return min(current, *next)
 }
 
-// setStateLimits sets the limits of the state service. It also keeps the current write
-// rate, which may be used until the state service enforces a lower one.
-func (s *Settings) setStateLimits(state *stateTable) {
+// setStoreLimits sets the limits of the store. It also keeps the current write rate,
+// which may be used until the store enforces a lower one.
+func (s *Settings) setStoreLimits(state *storeTable) {
 	lowest := state.lowest()
 	s.Controller.CurrentWriteRPS = state.WriteRPS
 	s.Controller.WriteRPS = lowest.WriteRPS
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,7 +23,7 @@
 	PeerListenAddress string
 	// CloudAddress is the address of the cloud API.
 	CloudAddress string
-	// StoreAddress is the address of the state service.
+	// StoreAddress is the address of the store.
 	StoreAddress string
 	// PeerAddresses holds the addresses of the other controllers.
 	PeerAddresses map[cluster.NodeID]string
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -139,8 +139,8 @@
 	checkLoadError(t, err, path, "max_connections")
 }
 
-// TestCancelDeadlineTooShort checks the warning for a cancel_s in which a worker's lease
-// may not expire. Lease, stop margin and answer window need 12 + 2 + 4 s and clock drift.
+// TestCancelDeadlineTooShort checks the warning for a cancel_s that leaves the owner of a
+// shard too little time to detect that another controller has acquired the shard.
 func TestCancelDeadlineTooShort(t *testing.T) {
 	short := mustLoadReplaced(t, "cancel_s = 37.0", "cancel_s = 18.0")
 	if len(short.Warnings) != 1 || !strings.Contains(short.Warnings[0], "3.97 s") || !strings.HasSuffix(short.Warnings[0], "Increase cancel_s to at least 19") {
@@ -258,9 +258,9 @@
 	}
 }
 
-// TestNextStateLimits checks that the lower of the current and the upcoming limits
+// TestNextStoreLimits checks that the lower of the current and the upcoming limits
 // applies, as limits change without notice, and that the current write rate is kept too.
-func TestNextStateLimits(t *testing.T) {
+func TestNextStoreLimits(t *testing.T) {
 	for name, test := range map[string]struct {
 		next          string
 		writeRPS      float64
@@ -288,7 +288,7 @@
 	}
 }
 
-func TestInvalidNextStateLimits(t *testing.T) {
+func TestInvalidNextStoreLimits(t *testing.T) {
 	for field, values := range map[string][]string{
 		"write_rps": {"0.0", "-1.0", "nan", "inf"},
 		"value_kb":  {"0.0", "-4.0", "nan", "1.5"},
--- a/internal/settings/workertimes.go
+++ b/internal/settings/workertimes.go
@@ -32,6 +32,6 @@
 	sufficient := math.Ceil(workers.CancelSeconds + missing*margin)
 	s.warnf("cluster.workers: with lease_s %g, a cancel_s of %g leaves a partitioned controller %.2f s "+
 		"to detect that another controller has acquired its shard, but it needs %g s; "+
-		"during an outage of the state service a cancelled task may run past cancel_s. Increase cancel_s to at least %g",
+		"during a store outage a cancelled task may run past cancel_s. Increase cancel_s to at least %g",
 		workers.LeaseSeconds, workers.CancelSeconds, toSeconds(window), toSeconds(ownership.MinAnswerWindow), sufficient)
 }
--- a/internal/simulation/edge_case_requests.go
+++ b/internal/simulation/edge_case_requests.go
@@ -58,10 +58,10 @@
 	if job == nil {
 		return
 	}
-	askedAt := o.Now
+	sentAt := o.Now
 	o.nodes.randomNode().SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
 		if response.Status != messages.ReplyTooManyRequests {
-			o.checkStatusResponse(kind, job, response, func() bool { return askedAt >= job.finalReportedAt })
+			o.checkStatusResponse(kind, job, response, func() bool { return sentAt >= job.finalReportedAt })
 		}
 		o.FaultCounts[kind]++
 	})
@@ -168,7 +168,7 @@
 		o.FaultCounts[submission.kind]++
 	case isUndecided(response.Status):
 	case response.Status == messages.ReplyTooManyRequests && submission.rejection == messages.ReplyNone:
-		// An overloaded controller may refuse a submission before it validates it.
+		// An overloaded controller may reject a submission before it validates it.
 	default:
 		o.reportViolation("unexpected_status: %s return status %d: %s", submission.kind, response.Status, submission.spec.ID)
 	}
--- a/internal/simulation/failovers.go
+++ b/internal/simulation/failovers.go
@@ -11,8 +11,8 @@
 // maxCapturedHeartbeats is the maximum number of heartbeats kept for a replay.
 const maxCapturedHeartbeats = 60
 
-// Failovers tracks the owners of the shards in the state service and injects faults
-// when an owner changes.
+// Failovers tracks the owners of the shards in the store and injects faults when an
+// owner changes.
 type Failovers struct {
 	*environment
 	nodes         *nodeSet
@@ -61,9 +61,9 @@
 		if json.Unmarshal(operation.Value, &record) != nil {
 			continue
 		}
-		former := f.owners[operation.Key]
+		previous := f.owners[operation.Key]
 		f.owners[operation.Key] = record.Owner
-		if former != "" && former != record.Owner {
+		if previous != "" && previous != record.Owner {
 			f.handleOwnerChange(cluster.NodeID(record.Owner))
 		}
 	}
--- a/internal/simulation/fake_cloud.go
+++ b/internal/simulation/fake_cloud.go
@@ -132,11 +132,11 @@
 // listPageSize is the maximum number of machines on a page of the list.
 const listPageSize = 500
 
-// ListPage returns the page of the sorted list that begins after the machine since,
+// ListPage returns the page of the sorted list that begins after the given machine,
 // and whether more machines follow it.
-func (c *FakeCloud) ListPage(now cluster.Time, since cluster.MachineID) (page []cluster.ListedMachine, more bool) {
+func (c *FakeCloud) ListPage(now cluster.Time, after cluster.MachineID) (page []cluster.ListedMachine, more bool) {
 	list := c.List(now)
-	first := sort.Search(len(list), func(i int) bool { return list[i].ID > since })
+	first := sort.Search(len(list), func(i int) bool { return list[i].ID > after })
 	list = list[first:]
 	more = len(list) > listPageSize
 	return list[:min(len(list), listPageSize)], more
--- a/internal/simulation/fake_store.go
+++ b/internal/simulation/fake_store.go
@@ -8,15 +8,15 @@
 	"stairrelay/internal/messages"
 )
 
-// StoreLimits are the limits of the state service that the upgrade tests lower.
+// StoreLimits are the limits of the store that the upgrade tests lower.
 type StoreLimits struct {
 	WriteRPS   float64
 	ValueBytes int
 	TxnOps     int
 }
 
-// FakeStateService is a fake of the state service, a key-value store with
-// revisions, compare-and-swap transactions and a change log.
+// FakeStore is a fake of the store. It has revisions, compare-and-swap transactions
+// and a change log.
 type FakeStore struct {
 	Revision cluster.Revision
 	// Limits apply to transactions. A zero value means no limit.
@@ -28,7 +28,7 @@
 	changeLog []messages.KV // all changes in order; deletions have a nil Value
 }
 
-// NewFakeStateService returns an empty state service.
+// NewFakeStore returns an empty store.
 func NewFakeStore() *FakeStore {
 	return &FakeStore{keys: map[string]messages.KV{}, Revision: 1}
 }
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -68,7 +68,7 @@
 
 // Advance advances the tasks to the current time and reports whether anything
 // changed. If the lease has expired, it drops all tasks and begins a new incarnation.
-// Callers do not call it while the machine hangs.
+// It must not be called while the machine hangs.
 func (w *FakeWorker) Advance(now cluster.Time) bool {
 	elapsed := now - w.lastAdvanceAt
 	w.lastAdvanceAt = now
@@ -188,7 +188,7 @@
 	return status
 }
 
-// HandleHeartbeatResponse handles the response to a heartbeat that was sent at sentAt: it
+// HandleHeartbeatResponse handles the response to a heartbeat that was sent at sentAt. It
 // renews the lease and executes the commands. It ignores a response for another
 // incarnation, with an older fencing token or without one.
 func (w *FakeWorker) HandleHeartbeatResponse(incarnation cluster.Incarnation, sentAt cluster.Time, response messages.HeartbeatResponse) {
--- a/internal/simulation/fault_kinds.go
+++ b/internal/simulation/fault_kinds.go
@@ -1,7 +1,7 @@
 package simulation
 
-// FaultKind is a kind of fault or difficult situation. Tests check that each kind
-// occurred, since an invariant that holds without the fault proves nothing.
+// FaultKind is a kind of fault or other rare event. Tests check that each kind
+// occurred. Otherwise a run without violations would prove nothing.
 type FaultKind string
 
 // The kinds of faults that the simulation counts when they take effect.
@@ -10,7 +10,7 @@
 	FaultLateWriteApplied                   FaultKind = "late writes applied"
 	FaultReplyLost                          FaultKind = "writes applied, their replies lost"
 	FaultSlowPeerMessage                    FaultKind = "slow messages between controllers"
-	FaultStoreLimitsLowered                 FaultKind = "limits of the state service lowered"
+	FaultStoreLimitsLowered                 FaultKind = "limits of the store lowered"
 	FaultNodeUpgraded                       FaultKind = "controllers upgraded"
 	FaultHeartbeatBlocked                   FaultKind = "blocked heartbeats"
 	FaultCommandToBlockedMachine            FaultKind = "commands to a machine with blocked heartbeats"
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -173,10 +173,10 @@
 
 // accept passes a successful response to the worker and ends the exchange.
 func (x *heartbeatExchange) accept(response messages.HeartbeatResponse) {
-	former := x.worker.FencingToken
+	previousToken := x.worker.FencingToken
 	x.worker.HandleHeartbeatResponse(x.status.Incarnation, x.sentAt, response)
 	x.sender.logCommands(x.node, x.worker, response.FencingToken, response.Commands)
-	if x.worker.FencingToken > former || len(response.Commands) > 0 {
+	if x.worker.FencingToken > previousToken || len(response.Commands) > 0 {
 		x.worker.heartbeatQueued = true
 	}
 	x.finish(0)
--- a/internal/simulation/httpfake/services.go
+++ b/internal/simulation/httpfake/services.go
@@ -25,7 +25,7 @@
 	headerTimeout = 5 * time.Second
 )
 
-// Services serves a state service, a cloud and the workers of its machines.
+// Services serves a store, a cloud and the workers of its machines.
 type Services struct {
 	mu    sync.Mutex // guards the fields up to the blank line
 	Store *simulation.FakeStore
@@ -34,7 +34,7 @@
 	Jobs map[cluster.JobID]simulation.JobInfo
 	// NodeAddresses maps controller names to the addresses that workers connect to.
 	NodeAddresses map[string]string
-	// StateServiceDown makes the state service respond with 503.
+	// StoreDown makes the store respond with 503.
 	StoreDown bool
 	// UnreachableMachines holds the machines that no request or response reaches.
 	// Their heartbeats still arrive at the controllers.
--- a/internal/simulation/httpfake/store.go
+++ b/internal/simulation/httpfake/store.go
@@ -13,12 +13,12 @@
 // watchPollInterval is how often a watch checks for changes.
 const watchPollInterval = 20 * time.Millisecond
 
-// item is an entry of a list or a change. Key is set in a list; Set or Drop holds the
-// key of a change.
+// item is an entry of a list or a change. Key is set in a list. PutKey or DeletedKey
+// holds the key of a change.
 type item struct {
 	Key         string          `json:"key,omitempty"`
-	Set         string          `json:"set,omitempty"`
-	Drop        string          `json:"drop,omitempty"`
+	PutKey      string          `json:"set,omitempty"`
+	DeletedKey  string          `json:"drop,omitempty"`
 	Value       json.RawMessage `json:"value,omitempty"`
 	ModRevision uint64          `json:"mark"`
 }
@@ -29,9 +29,9 @@
 
 func encodeChange(kv messages.KV) item {
 	if kv.Value == nil {
-		return item{Drop: kv.Key, ModRevision: uint64(kv.ModRevision)}
+		return item{DeletedKey: kv.Key, ModRevision: uint64(kv.ModRevision)}
 	}
-	return item{Set: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
+	return item{PutKey: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
 }
 
 // revisionResponse is the body of a response without items.
@@ -40,7 +40,7 @@
 	Failed   []string         `json:"failed,omitempty"`
 }
 
-// ServeState starts the state service and returns its address.
+// ServeStore starts the store and returns its address.
 func (s *Services) ServeStore() (string, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /multi", s.serveTransaction)
@@ -60,16 +60,16 @@
 
 // transaction is the body of a transaction request.
 type transaction struct {
-	When []struct {
+	Compares []struct {
 		Key         string `json:"key"`
 		ModRevision uint64 `json:"mark"`
 	} `json:"when"`
-	Then []item `json:"then"`
+	Operations []item `json:"then"`
 }
 
 func (t *transaction) compares() []messages.Compare {
 	var compares []messages.Compare
-	for _, c := range t.When {
+	for _, c := range t.Compares {
 		compares = append(compares, messages.Compare{Key: c.Key, ModRevision: cluster.ModRevision(c.ModRevision)})
 	}
 	return compares
@@ -77,11 +77,11 @@
 
 func (t *transaction) operations() []messages.TxnOp {
 	var operations []messages.TxnOp
-	for _, o := range t.Then {
-		if o.Drop != "" {
-			operations = append(operations, messages.TxnOp{Key: o.Drop})
+	for _, o := range t.Operations {
+		if o.DeletedKey != "" {
+			operations = append(operations, messages.TxnOp{Key: o.DeletedKey})
 		} else {
-			operations = append(operations, messages.TxnOp{Key: o.Set, Value: o.Value})
+			operations = append(operations, messages.TxnOp{Key: o.PutKey, Value: o.Value})
 		}
 	}
 	return operations
@@ -124,16 +124,16 @@
 	writeJSON(w, http.StatusOK, struct {
 		Items     []item           `json:"items"`
 		Truncated bool             `json:"truncated"`
-		Epoch     cluster.Revision `json:"epoch"`
+		Revision  cluster.Revision `json:"epoch"`
 	}{items, truncated, list.Revision})
 }
 
-// keyPage returns the page of a sorted list that begins after the key since, and
+// keyPage returns the page of a sorted list that begins after the given key, and
 // whether more keys follow it.
-func keyPage(list []messages.KV, since string, size int) ([]item, bool) {
+func keyPage(list []messages.KV, after string, size int) ([]item, bool) {
 	items := []item{}
 	for _, kv := range list {
-		if kv.Key <= since {
+		if kv.Key <= after {
 			continue
 		}
 		if len(items) == size {
@@ -148,8 +148,8 @@
 func (s *Services) serveWatch(w http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
-	block, _ := strconv.Atoi(query.Get("blockMs"))
-	until := time.Now().Add(time.Duration(block) * time.Millisecond)
+	timeoutMillis, _ := strconv.Atoi(query.Get("blockMs"))
+	until := time.Now().Add(time.Duration(timeoutMillis) * time.Millisecond)
 	for {
 		var changes messages.WatchReply
 		s.WithLock(func() { changes = s.Store.Changes(query.Get("prefix"), cluster.Revision(since)) })
@@ -173,7 +173,7 @@
 		events = append(events, encodeChange(kv))
 	}
 	writeJSON(w, http.StatusOK, struct {
-		Epoch  cluster.Revision `json:"epoch"`
-		Events []item           `json:"events"`
+		Revision cluster.Revision `json:"epoch"`
+		Events   []item           `json:"events"`
 	}{changes.Revision, events})
 }
--- a/internal/simulation/httpfake/worker.go
+++ b/internal/simulation/httpfake/worker.go
@@ -147,7 +147,7 @@
 }
 
 // abortIfUnreachable drops a request to an unreachable machine. It holds the
-// connection until the client gives up and then aborts the handler.
+// connection until the client disconnects and then aborts the handler.
 func (w *httpWorker) abortIfUnreachable(request *http.Request) {
 	if !w.isUnreachable() {
 		return
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -12,9 +12,9 @@
 	// lostJobTimeout is how long requests about an accepted job may remain
 	// unanswered once all faults are over.
 	lostJobTimeout = 75 * second
-	// successorDelay is the maximum duration of a failover after a controller has
-	// ended.
-	successorDelay = 6 * second
+	// maxFailoverDuration is the maximum duration of a failover after a controller
+	// was killed.
+	maxFailoverDuration = 6 * second
 )
 
 // invariantChecker checks the scheduler's invariants during a simulation.
@@ -179,17 +179,18 @@
 }
 
 // onlyLeaseExpiryCanStop reports whether only lease expiry can end a cancelled job's
-// task on a machine. The machine must hang past its lease. In addition, after the
-// cancellation was confirmed, either the cloud was down, or the state service was
-// down and a controller had ended, so that its successor could not load its machines.
+// task on a machine. This requires that the machine hangs past its lease. In
+// addition, after the cancellation was confirmed, either the cloud must have been
+// down, or the store while a shard failed over, so that the new owner could not load
+// the shard's machines.
 func (c *invariantChecker) onlyLeaseExpiryCanStop(job *Job, worker *SimulatedWorker) bool {
 	if !worker.isLeaseExpiredWhileHung(c.Now) {
 		return false
 	}
 	cloudDown := c.cloud.DownUntil > job.CancelConfirmedAt
 	storeDown := c.store.DownUntil > job.CancelConfirmedAt
-	ownerEnded := c.nodes.lastKillAt+successorDelay > job.CancelConfirmedAt
-	return cloudDown || storeDown && ownerEnded
+	failoverPending := c.nodes.lastKillAt+maxFailoverDuration > job.CancelConfirmedAt
+	return cloudDown || storeDown && failoverPending
 }
 
 // describeTeamTasks lists a team's executing tasks for the message of a quota
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -54,8 +54,8 @@
 }
 
 // isLeaseExpiredWhileHung reports whether the machine hangs and its lease has
-// expired. Its tasks make no further progress: the worker drops them before
-// anything else when the machine recovers.
+// expired. Its tasks make no further progress, because the worker drops them first
+// when the machine recovers.
 func (w *SimulatedWorker) isLeaseExpiredWhileHung(now cluster.Time) bool {
 	return now < w.hungUntil && w.isLeaseExpired(now)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -17,10 +17,10 @@
 	Version Version
 
 	// Faults of the node, each with the time at which it ends.
-	StorePartitionedUntil   cluster.Time // partitioned from the state service
+	StorePartitionedUntil   cluster.Time // partitioned from the store
 	WorkersPartitionedUntil cluster.Time // partitioned from the workers
 	PeersPartitionedUntil   cluster.Time // partitioned from the other controllers
-	StoreUnavailableUntil   cluster.Time // the state service responds with 503
+	StoreUnavailableUntil   cluster.Time // the store responds with 503
 	PeersRefuseUntil        cluster.Time // connections to and from other controllers are refused
 	StoreRepliesLostUntil   cluster.Time // transactions are applied, but the replies are lost
 	PausedUntil             cluster.Time // the process is paused while its clocks continue
@@ -143,7 +143,7 @@
 	return pendingCall{node: n, generation: n.generation, id: id}
 }
 
-// pendingCall is a call by a controller process that has not been replied to.
+// pendingCall is a call by a controller process that has no reply yet.
 type pendingCall struct {
 	node       *Node
 	generation int
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -80,9 +80,9 @@
 func (m *stepMeter) measure(step func() []messages.Effect) []messages.Effect {
 	m.StepCount++
 	allocated := m.readAllocations()
-	begun := time.Now()
+	start := time.Now()
 	effects := step()
-	m.ControllerTime += time.Since(begun)
+	m.ControllerTime += time.Since(start)
 	m.Allocations += m.readAllocations() - allocated
 	return effects
 }
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -48,7 +48,7 @@
 	kind     FaultKind
 	job      *Job
 	node     *Node
-	askedAt  cluster.Time
+	sentAt   cluster.Time
 	accepted bool // whether the job was accepted when the request was sent
 }
 
@@ -64,7 +64,7 @@
 // selects the kind of request.
 func (r *ReadAfterWrite) checkAt(node *Node, job *Job, draw int) {
 	request := queryRequest(job.Spec.ID)
-	sent := followUp{kind: FaultQueryAfterWrite, job: job, node: node, askedAt: r.Now, accepted: job.Accepted}
+	sent := followUp{kind: FaultQueryAfterWrite, job: job, node: node, sentAt: r.Now, accepted: job.Accepted}
 	switch {
 	case draw < 2:
 		sent.kind = FaultSubmitAfterWrite
@@ -78,26 +78,26 @@
 }
 
 func (r *ReadAfterWrite) handleResponse(sent followUp, response messages.Respond) {
-	if response.Status == messages.ReplyNone || r.Now-sent.askedAt > sent.timeout() {
+	if response.Status == messages.ReplyNone || r.Now-sent.sentAt > sent.timeout() {
 		return
 	}
 	job := sent.job
 	switch {
 	case response.Status == messages.ReplyOK && response.View != nil:
-		if sent.kind == FaultCancelAfterWrite || sent.askedAt >= job.finalReportedAt {
+		if sent.kind == FaultCancelAfterWrite || sent.sentAt >= job.finalReportedAt {
 			r.users.CheckReportedStatus(job, response.View.Status)
 		}
 	case response.Status == messages.ReplyUnavailable || response.Status == messages.ReplyTooManyRequests:
 	case !sent.accepted && sent.kind == FaultCancelAfterWrite && response.Status == messages.ReplyJobNotFound:
-	case isRefusal(response.Status):
-		r.reportViolation("forgotten: %s was reported before %v, but %s at %s return status %d", job.Spec.ID, time.Duration(sent.askedAt), sent.kind, sent.node.ID, response.Status)
+	case isRejection(response.Status):
+		r.reportViolation("forgotten: %s was reported before %v, but %s at %s return status %d", job.Spec.ID, time.Duration(sent.sentAt), sent.kind, sent.node.ID, response.Status)
 	default:
 		r.reportViolation("unexpected_status: %s about %s at %s return status %d", sent.kind, job.Spec.ID, sent.node.ID, response.Status)
 	}
 	r.FaultCounts[sent.kind]++
 }
 
-// isRefusal reports whether a status means that the job is unknown or cannot be run.
-func isRefusal(status messages.ReplyStatus) bool {
+// isRejection reports whether a status means that the job is unknown or cannot be run.
+func isRejection(status messages.ReplyStatus) bool {
 	return status == messages.ReplyJobNotFound || status == messages.ReplyBadRequest || status == messages.ReplyUnschedulable
 }
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -1,6 +1,6 @@
 // Package simulation runs controllers in simulated time against fakes of the
-// state service, the cloud, the workers and the users. It injects faults and
-// checks the scheduler's invariants throughout the run.
+// store, the cloud, the workers and the users. It injects faults and checks the
+// scheduler's invariants throughout the run.
 //
 // The components of a simulation share an environment with the simulated clock
 // and the random source. The file simulator.go assembles them.
@@ -112,7 +112,7 @@
 // to each other.
 func (s *Simulator) assembleServices() {
 	env, network := s.environment, s.Network
-	s.StoreAPI = &StoreAPI{environment: env, service: s.Store, network: network, failovers: s.Failovers}
+	s.StoreAPI = &StoreAPI{environment: env, store: s.Store, network: network, failovers: s.Failovers}
 	s.CloudAPI = &CloudAPI{environment: env, cloud: s.Cloud, network: network, machines: s.Machines}
 	executor := &effectExecutor{
 		environment: env,
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -7,19 +7,17 @@
 	"stairrelay/internal/messages"
 )
 
-// storeCallTimeout is how long a controller waits for a reply from the state
-// service.
+// storeCallTimeout is how long a controller waits for a reply from the store.
 const storeCallTimeout = 1200 * millisecond
 
-// Store delivers the controllers' calls to the state service and injects faults
-// into them.
+// StoreAPI delivers the controllers' calls to the store and injects faults into them.
 type StoreAPI struct {
 	*environment
-	// DownUntil is when the outage of the state service ends.
+	// DownUntil is when the outage of the store ends.
 	DownUntil cluster.Time
 	// Delay is the additional latency of all replies.
 	Delay     cluster.Time
-	service   *FakeStore
+	store     *FakeStore
 	network   *Network
 	failovers *Failovers
 	slowBy    cluster.Time // additional latency of the replies until slowUntil
@@ -29,12 +27,12 @@
 
 // replyLossFault is the fault that some transactions get no reply.
 type replyLossFault struct {
-	chance      float64
-	until       cluster.Time
-	applyAtOnce bool
+	chance           float64
+	until            cluster.Time
+	applyImmediately bool
 }
 
-// Slow adds latency to the replies of the state service for a duration.
+// Slow adds latency to the replies of the store for a duration.
 func (s *StoreAPI) Slow(by, duration cluster.Time) {
 	s.slowBy = by
 	s.slowUntil = s.Now + duration
@@ -42,26 +40,26 @@
 
 // LoseWriteReplies drops the replies to a share of the transactions for a duration.
 // The transactions are applied 2 to 12 s later, possibly after newer ones from the
-// same controller. With applyAtOnce they are applied without that delay.
-func (s *StoreAPI) LoseWriteReplies(share float64, duration cluster.Time, applyAtOnce bool) {
-	s.replyLoss = replyLossFault{chance: share, until: s.Now + duration, applyAtOnce: applyAtOnce}
+// same controller. With applyImmediately they are applied without that delay.
+func (s *StoreAPI) LoseWriteReplies(share float64, duration cluster.Time, applyImmediately bool) {
+	s.replyLoss = replyLossFault{chance: share, until: s.Now + duration, applyImmediately: applyImmediately}
 }
 
-// storeCall is a call to the state service.
+// storeCall is a call to the store.
 type storeCall struct {
 	pendingCall
-	write   bool
-	refused messages.ReplyBody // reply if the service is down
-	unknown messages.ReplyBody // what the controller gets after a timeout
-	apply   func() messages.ReplyBody
+	write       bool
+	unavailable messages.ReplyBody // reply during an outage
+	timedOut    messages.ReplyBody // reply after a timeout
+	apply       func() messages.ReplyBody
 }
 
 func (s *StoreAPI) transact(node *Node, txn messages.StoreTxn) {
 	s.send(storeCall{
 		pendingCall: node.newCall(txn.Call),
 		write:       true,
-		refused:     messages.TxnReply{Outcome: messages.NotApplied},
-		unknown:     messages.TxnReply{Outcome: messages.UnknownOutcome},
+		unavailable: messages.TxnReply{Outcome: messages.NotApplied},
+		timedOut:    messages.TxnReply{Outcome: messages.UnknownOutcome},
 		apply:       func() messages.ReplyBody { return s.applyTxn(node, txn) },
 	})
 }
@@ -69,18 +67,18 @@
 func (s *StoreAPI) get(node *Node, get messages.StoreGet) {
 	s.send(storeCall{
 		pendingCall: node.newCall(get.Call),
-		refused:     messages.GetReply{Outcome: messages.NotApplied},
-		unknown:     messages.GetReply{Outcome: messages.UnknownOutcome},
-		apply:       func() messages.ReplyBody { return s.service.Get(get.Key) },
+		unavailable: messages.GetReply{Outcome: messages.NotApplied},
+		timedOut:    messages.GetReply{Outcome: messages.UnknownOutcome},
+		apply:       func() messages.ReplyBody { return s.store.Get(get.Key) },
 	})
 }
 
 func (s *StoreAPI) list(node *Node, list messages.StoreList) {
 	s.send(storeCall{
 		pendingCall: node.newCall(list.Call),
-		refused:     messages.ListReply{Outcome: messages.NotApplied},
-		unknown:     messages.ListReply{Outcome: messages.UnknownOutcome},
-		apply:       func() messages.ReplyBody { return s.service.List(list.Prefix) },
+		unavailable: messages.ListReply{Outcome: messages.NotApplied},
+		timedOut:    messages.ListReply{Outcome: messages.UnknownOutcome},
+		apply:       func() messages.ReplyBody { return s.store.List(list.Prefix) },
 	})
 }
 
@@ -93,9 +91,9 @@
 	}
 	s.send(storeCall{
 		pendingCall: node.newCall(watch.Call),
-		refused:     messages.WatchReply{Outcome: messages.NotApplied},
-		unknown:     messages.WatchReply{Outcome: messages.UnknownOutcome},
-		apply:       func() messages.ReplyBody { return s.service.Changes(watch.Prefix, watch.SinceRevision) },
+		unavailable: messages.WatchReply{Outcome: messages.NotApplied},
+		timedOut:    messages.WatchReply{Outcome: messages.UnknownOutcome},
+		apply:       func() messages.ReplyBody { return s.store.Changes(watch.Prefix, watch.SinceRevision) },
 	})
 }
 
@@ -105,7 +103,7 @@
 			return
 		}
 		if s.isReachableFrom(call.node) {
-			changes := s.service.Changes(watch.Prefix, watch.SinceRevision)
+			changes := s.store.Changes(watch.Prefix, watch.SinceRevision)
 			if len(changes.Items) > 0 || s.Now > until {
 				call.replyAfter(0, changes)
 				return
@@ -119,16 +117,16 @@
 	return s.Now >= max(s.DownUntil, node.StorePartitionedUntil, node.StoreUnavailableUntil)
 }
 
-// send delivers a call to the service, or injects a fault.
+// send delivers a call to the store, or injects a fault.
 func (s *StoreAPI) send(call storeCall) {
 	node := call.node
 	switch {
 	case s.Now < s.DownUntil || s.Now < node.StoreUnavailableUntil:
-		call.replyAfter(s.network.delay(), call.refused)
+		call.replyAfter(s.network.delay(), call.unavailable)
 	case s.Now < node.StorePartitionedUntil:
 		s.dropOrDelay(call, node.StorePartitionedUntil)
 	case call.write && s.injectReplyLoss(call):
-		call.replyAfter(storeCallTimeout, call.unknown)
+		call.replyAfter(storeCallTimeout, call.timedOut)
 	case s.Chance(0.01):
 		s.dropOrDelay(call, s.Now)
 	default:
@@ -142,13 +140,13 @@
 	if delay, arrives := s.network.lateArrival(partitionedUntil); arrives {
 		s.After(delay, func() { call.apply() })
 	}
-	call.replyAfter(storeCallTimeout, call.unknown)
+	call.replyAfter(storeCallTimeout, call.timedOut)
 }
 
 func (s *StoreAPI) applyAndReply(call storeCall) {
 	reply := call.apply()
 	if s.Chance(0.005) { // applied, but the reply is lost
-		call.replyAfter(storeCallTimeout, call.unknown)
+		call.replyAfter(storeCallTimeout, call.timedOut)
 		return
 	}
 	call.replyAfter(s.network.delay()+s.Delay+s.currentSlowdown(), reply)
@@ -169,7 +167,7 @@
 		s.After(s.network.delay(), func() { s.applyWithoutReply(call) })
 	case s.Now >= s.replyLoss.until || !s.Chance(s.replyLoss.chance):
 		return false
-	case s.replyLoss.applyAtOnce:
+	case s.replyLoss.applyImmediately:
 		s.After(s.network.delay(), func() { s.applyWithoutReply(call) })
 	default:
 		s.After(s.RandomBetween(2*second, 12*second), func() { s.applyLate(call) })
@@ -184,7 +182,7 @@
 }
 
 // applyLate applies a transaction after the controller has timed out. During an
-// outage it is postponed until the service is back.
+// outage it is postponed until the store is back.
 func (s *StoreAPI) applyLate(call storeCall) {
 	if s.Now < s.DownUntil {
 		s.After(s.DownUntil-s.Now+s.RandomBetween(0, second), func() { s.applyLate(call) })
@@ -203,10 +201,10 @@
 
 // applyTxn applies a controller's transaction unless it exceeds the limits.
 func (s *StoreAPI) applyTxn(node *Node, txn messages.StoreTxn) messages.TxnReply {
-	if outcome := s.service.Admit(s.Now, txn.Then, txn.If); outcome != messages.OK {
+	if outcome := s.store.Admit(s.Now, txn.Then, txn.If); outcome != messages.OK {
 		return messages.TxnReply{Outcome: outcome}
 	}
-	reply := s.service.Commit(txn.If, txn.Then)
+	reply := s.store.Commit(txn.If, txn.Then)
 	s.logTxn(node, txn, reply)
 	if reply.Outcome == messages.OK {
 		s.failovers.recordShardOwners(txn.Then)
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -6,8 +6,8 @@
 )
 
 // NewUpgradeSimulator returns a simulated cluster in which all controllers run the
-// production version. The state service initially enforces the limits in before;
-// cfg holds the future lower limits, which only the current version supports.
+// production version. The store initially enforces the limits in before; cfg holds
+// the lower limits that follow, which only the current version supports.
 func NewUpgradeSimulator(seed uint64, cfg controller.Config, before StoreLimits, cloud *FakeCloud, options ...Option) *Simulator {
 	s := assemble(seed, cfg, cloud, options)
 	s.limitsBeforeUpgrade = before
@@ -19,7 +19,7 @@
 	return s
 }
 
-// LowerStoreLimits makes the state service enforce the lower limits from now on.
+// LowerStoreLimits makes the store enforce the lower limits from now on.
 func (s *Simulator) LowerStoreLimits() {
 	s.Store.Limits = StoreLimits{WriteRPS: s.config.WriteRPS, ValueBytes: s.config.MaxValueBytes, TxnOps: s.config.MaxTxnOps}
 	s.FaultCounts[FaultStoreLimitsLowered]++
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -13,7 +13,7 @@
 	minPollPause    = 2 * second
 	maxPollPause    = 6 * second
 	finalPollFactor = 5
-	// retryPause is the minimum time before a user retries a refused request.
+	// retryPause is the minimum time before a user retries an unsuccessful request.
 	retryPause = second
 	// dependencyPollInterval is how often a user checks whether a job's
 	// dependencies have been accepted.
@@ -51,7 +51,7 @@
 }
 
 func (u *Users) trySubmit(job *Job) {
-	askedAt := u.Now
+	sentAt := u.Now
 	node := u.submissionTarget(job)
 	if node == nil {
 		u.After(retryPause, func() { u.trySubmit(job) })
@@ -60,7 +60,7 @@
 	node.SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
 		switch response.Status {
 		case messages.ReplyOK, messages.ReplyCreated:
-			u.handleAccepted(job, askedAt, response.View.Status)
+			u.handleAccepted(job, sentAt, response.View.Status)
 		case messages.ReplyBadRequest, messages.ReplyUnschedulable:
 			u.reportViolation("valid job %s rejected with status %d", job.Spec.ID, response.Status)
 		case messages.ReplyNone, messages.ReplyJobNotFound, messages.ReplyMisdirected, messages.ReplyTooManyRequests, messages.ReplyUnavailable:
@@ -82,12 +82,12 @@
 	return u.nodes.randomNode()
 }
 
-// handleAccepted handles the response to a submission that was sent at askedAt.
-func (u *Users) handleAccepted(job *Job, askedAt cluster.Time, status cluster.JobStatus) {
+// handleAccepted handles the response to a submission that was sent at sentAt.
+func (u *Users) handleAccepted(job *Job, sentAt cluster.Time, status cluster.JobStatus) {
 	first := !job.Accepted
 	job.Accepted = true
 	job.lastResponseAt = u.Now
-	if askedAt >= job.finalReportedAt {
+	if sentAt >= job.finalReportedAt {
 		u.CheckReportedStatus(job, status)
 	}
 	if first {
@@ -103,18 +103,18 @@
 		pause *= finalPollFactor
 	}
 	u.After(pause, func() {
-		askedAt := u.Now
+		sentAt := u.Now
 		u.nodes.randomNode().SendRequest(queryRequest(job.Spec.ID), func(response messages.Respond) {
-			u.handlePollResponse(job, askedAt, response)
+			u.handlePollResponse(job, sentAt, response)
 			u.poll(job)
 		})
 	})
 }
 
-// handlePollResponse handles the response to a query that was sent at askedAt, unless
+// handlePollResponse handles the response to a query that was sent at sentAt, unless
 // the user's timeout has expired.
-func (u *Users) handlePollResponse(job *Job, askedAt cluster.Time, response messages.Respond) {
-	if u.Now-askedAt > userTimeout {
+func (u *Users) handlePollResponse(job *Job, sentAt cluster.Time, response messages.Respond) {
+	if u.Now-sentAt > userTimeout {
 		return
 	}
 	switch response.Status {
@@ -122,7 +122,7 @@
 		job.lastResponseAt = u.Now
 		// A query that was sent before the final status was reported may return an
 		// older status.
-		if askedAt >= job.finalReportedAt {
+		if sentAt >= job.finalReportedAt {
 			u.CheckReportedStatus(job, response.View.Status)
 		}
 	case messages.ReplyJobNotFound:
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -5,8 +5,8 @@
 package sockets
 
 const (
-	// reservedSockets is the number of sockets reserved for the state service, the
-	// cloud and the listeners.
+	// reservedSockets is the number of sockets reserved for the store, the cloud and
+	// the listeners.
 	reservedSockets = 16
 	// socketsPerPeer is the number of sockets reserved for each other controller.
 	socketsPerPeer = 8
--- a/internal/sockets/connectionlimiter.go
+++ b/internal/sockets/connectionlimiter.go
@@ -17,9 +17,9 @@
 
 // closeWorkersDuration is how long workers are told to close their connections after a
 // new connection found no idle user connection to evict. There may then be far more
-// workers than connections, and connections kept open would be used up again within a
-// heartbeat interval. Otherwise workers keep their connections below their share, since
-// a new connection for each heartbeat costs CPU time.
+// workers than connections, and workers that kept theirs open would leave none for the
+// others. At other times workers may keep their connections, since a new connection for
+// each heartbeat costs CPU time.
 const closeWorkersDuration = time.Minute
 
 // ConnectionLimiter limits the number of connections of workers and users. When most
@@ -45,7 +45,8 @@
 	idleElement *list.Element // its element in idleList
 }
 
-// role is the kind of client of a connection, as far as its requests have shown it.
+// role is the kind of client of a connection. It is unknown until a request has passed
+// through one of the middlewares.
 type role uint8
 
 const (
@@ -123,8 +124,7 @@
 }
 
 // addIdle adds an entry to the list of idle connections of its role. Connections of
-// unknown role, such as those of health checks, are in neither list and are never
-// evicted.
+// unknown role are in neither list and are never evicted.
 func (l *ConnectionLimiter) addIdle(entry *connection) {
 	switch entry.role {
 	case userRole:
@@ -135,11 +135,11 @@
 	}
 }
 
-// evictIdle closes an idle connection if the limit is exceeded: the user's that has
-// been idle the longest, or else the worker's that has been idle the shortest, as its
-// next heartbeat is due last. It removes the connection from its list at once, because
-// connState is only called later and the next new connection must evict a different
-// one.
+// evictIdle closes an idle connection if the limit is exceeded. It evicts the user
+// connection that has been idle the longest. If no user connection is idle, it evicts
+// the worker connection that has been idle the shortest, as its next heartbeat is due
+// last. It removes the evicted connection from its list, since connState is called only
+// later and the next new connection must evict a different one.
 func (l *ConnectionLimiter) evictIdle() {
 	if l.limit <= 0 || len(l.connections) <= l.limit {
 		return
--- a/internal/store/requests_test.go
+++ b/internal/store/requests_test.go
@@ -8,7 +8,7 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
-// TestRequests checks that the requests to the state service are unchanged byte for byte.
+// TestRequests checks that the requests to the store are unchanged byte for byte.
 func TestRequests(t *testing.T) {
 	txn := messages.StoreTxn{
 		If:   []messages.Compare{{Key: "jobs/j-1", ModRevision: 0}},
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,4 +1,5 @@
-// Package store implements the controller's client of the state service.
+// Package store implements the controller's client of the store, an external
+// consensus-backed key-value store.
 package store
 
 import (
@@ -26,15 +27,15 @@
 	maxIdleCallConnections, maxIdleWatchConnections = 8, 4
 )
 
-// Client executes the controller's effects on the state service.
+// Client executes the controller's effects on the store.
 type Client struct {
 	service      *wire.JSONClient
 	watchService *wire.JSONClient // separate connections, because watches are long polls
 	reply        engine.ReplyFunc
 }
 
-// New returns a Client of the state service at the given address, which passes the replies
-// to the given function.
+// New returns a Client of the store at the given address, which passes the replies to the
+// given function.
 func New(address string, reply engine.ReplyFunc) *Client {
 	callOptions := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleCallConnections}
 	watchOptions := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleWatchConnections}
@@ -45,7 +46,7 @@
 	}
 }
 
-// Do starts a call and returns immediately. Calls have timeouts but are never canceled,
+// Do starts a call and returns immediately. Calls have timeouts but are never cancelled,
 // because the controller waits for the reply to each effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
--- a/internal/users/users.go
+++ b/internal/users/users.go
@@ -57,7 +57,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		// If a job with this id exists, the user must not get a 400 for a repeated
+		// If a job with this ID exists, the user must not get a 400 for a repeated
 		// submission. Only the controller knows whether it exists.
 		submit.Rejection = messages.ReplyBadRequest
 		submit.Reason = err.Error()
@@ -89,8 +89,8 @@
 	h.serve(w, r, func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: job} })
 }
 
-// jobIDFromPath returns the job id in the path of a request and reports whether it is
-// valid. No job has an invalid id.
+// jobIDFromPath returns the job ID in the path of a request and reports whether it is
+// valid. No job has an invalid ID.
 func jobIDFromPath(r *http.Request) (cluster.JobID, bool) {
 	id := r.PathValue("id")
 	return cluster.JobID(id), wire.IsValidJobID(id)
--- a/internal/users/users_test.go
+++ b/internal/users/users_test.go
@@ -170,7 +170,7 @@
 }
 
 // TestHeartbeatsBypassUserMiddleware checks that a heartbeat is not served through the
-// users' middleware, which would limit the connection as a user's.
+// users' middleware, which would mark the connection as a user's.
 func TestHeartbeatsBypassUserMiddleware(t *testing.T) {
 	got := serve(t, &wiretest.FakeRequester{}, http.MethodPost, "/checkin", "{}")
 	if handledBy := got.Header().Get(handledByHeader); handledBy != workerHandler {
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -16,8 +16,8 @@
 	MaxResponseSize = 16 << 20
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 60 * time.Second
-	// bufferSize is the size of the read and write buffers of a connection. It is
-	// small because about a thousand connections may be open.
+	// bufferSize is the size of the read and write buffers of a connection, in bytes.
+	// It is below the default of net/http, since many connections may be open.
 	bufferSize = 2 << 10
 )
 
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -153,9 +153,9 @@
 // machine type.
 const outOfCapacityText = "no capacity"
 
-// IsOutOfCapacity reports whether the body of an error response says that the cloud has
-// no capacity for the requested machine type. The status does not show this, as an
-// outage has the same one.
+// IsOutOfCapacity reports whether the body of an error response means that the cloud has
+// no capacity for the requested machine type. The status does not show this, because an
+// outage has the same status.
 func IsOutOfCapacity(body []byte) bool {
 	var payload struct {
 		Error string `json:"error"`
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -11,7 +11,7 @@
 
 // Errors of calls without a usable response.
 var (
-	// ErrNotSent means that the request certainly did not reach the server.
+	// ErrNotSent means that the request did not reach the server.
 	ErrNotSent = errors.New("not sent")
 	// ErrResponseTooLarge means that the response was larger than MaxResponseSize and
 	// was discarded.
@@ -23,7 +23,7 @@
 var (
 	// ErrNoMachines means that the response to a scale-out has no list of machines.
 	ErrNoMachines = errors.New("no list of machines")
-	// ErrNoRevision means that a response of the state service has no revision.
+	// ErrNoRevision means that a response of the store has no revision.
 	ErrNoRevision = errors.New("no revision")
 	// ErrNoValue means that a key has no value or no mod revision.
 	ErrNoValue = errors.New("no value or mod revision")
@@ -75,8 +75,8 @@
 	return fmt.Sprintf("task %q in state %q has an invalid ID or an unknown state", e.Task, e.State)
 }
 
-// OutcomeOf returns the outcome of a call to the state service or the cloud that
-// returned err. A call counts as not applied only if the status of the response
+// OutcomeOf returns the outcome of a call to the store or the cloud that returned
+// err. A call counts as not applied only if the status of the response
 // guarantees it, since a request that timed out may still be applied minutes later.
 func OutcomeOf(err error) messages.Outcome {
 	if err == nil {
--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -29,7 +29,7 @@
 	machinesPath     = "/rentals"
 )
 
-// Paths served by the state service.
+// Paths served by the store.
 const (
 	TxnPath   = "/multi"
 	keysPath  = "/keys"
@@ -54,8 +54,7 @@
 	return machinesPath + "?" + query.Encode()
 }
 
-// KeyPath returns the path of a key. The state service expects slashes in the key
-// unescaped.
+// KeyPath returns the path of a key. The store expects slashes in the key unescaped.
 func KeyPath(key string) string { return keysPath + "/" + key }
 
 // KeysPath returns the path of a page of the keys with a prefix. The page starts with
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/messages"
 )
 
-// Kinds of response bodies of the state service, as named in errors.
+// Kinds of response bodies of the store, as named in errors.
 const (
 	txnBody     = "response to transaction"
 	keyBody     = "key"
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -15,8 +15,8 @@
 	// noMachineType replaces an empty list of machine types, which allows none. A
 	// missing list allows all types.
 	noMachineType = "-"
-	// amountRoundingTolerance compensates for binary fractions: 4.03 CPUs are
-	// 4,030,000 millionths, although 4.03*1e6 is slightly more than that.
+	// amountRoundingTolerance keeps ceilAmount from adding a millionth because of a
+	// floating-point error. For example, 4.03*1e6 is slightly more than 4,030,000.
 	amountRoundingTolerance = 1e-4
 )
 
@@ -34,8 +34,8 @@
 func IsValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // submission is the JSON encoding of a submission. Pointers distinguish a missing field
-// from a zero. The name of this type must not change: it is part of the response to a
-// user whose submission has a field of the wrong JSON type.
+// from a zero. The name of this type must not change, because it is part of the response
+// to a user whose submission has a field of the wrong JSON type.
 type submission struct {
 	ID                        *string  `json:"id"`
 	Class                     *string  `json:"route"`
@@ -60,9 +60,9 @@
 	Dependencies              []string `json:"awaits"`
 }
 
-// DecodeSubmission decodes a submission. If it returns an error, the ID of the spec is
-// still set if the body has a valid one: the job may already exist, and the retry of an
-// accepted submission must never be rejected.
+// DecodeSubmission decodes a submission. If it returns an error, the ID in the spec is
+// still set, provided that the body has a valid one. The job may already exist, and the
+// retry of an accepted submission must not be rejected.
 func DecodeSubmission(body []byte) (cluster.JobSpec, error) {
 	spec := cluster.JobSpec{ID: decodeJobID(body)}
 	var payload submission
--- a/internal/wire/submission_checks.go
+++ b/internal/wire/submission_checks.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Limits of a submission. The length limits keep the record of the job within the value
-// limit of the state service.
+// Limits of a submission. The length limits keep the record of the job within the store's
+// limit for the size of a value.
 const (
 	maxNameLength      = 200
 	maxMachineTypes    = 32
@@ -36,8 +36,8 @@
 	invalidDependency  = "names no job that it could wait for"
 )
 
-// check returns the first problem of a submission. The order of the checks decides
-// which of several problems the user is told.
+// check returns the first problem of a submission. The order of the checks determines
+// which of several problems is reported to the user.
 func (s *submission) check() error {
 	for _, check := range []func() error{
 		s.checkStrings,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -58,7 +58,7 @@
 //	since               | machine that precedes the page
 //	truncated           | whether there are more pages
 //
-//	state service API   | term
+//	store API           | term
 //	--------------------+-------------------------------------------------
 //	epoch               | revision
 //	mark                | mod revision of a key
@@ -66,7 +66,7 @@
 //	when, then          | compares, operations
 //	set, drop           | put, delete
 //	since, blockMs      | of a watch: revision that precedes it, timeout
-//	permit              | lease of the state service; not used
+//	permit              | lease of the store; not used
 package wire
 
 import "encoding/json"
@@ -76,7 +76,7 @@
 
 // marshal encodes a payload as JSON. It returns nil if the payload contains a stored
 // value that is not valid JSON or a number that is not finite. The controller produces
-// neither; the other side would reject the request without a body as malformed.
+// neither. If it did, the receiver would reject the request, as it would have no body.
 func marshal(payload any) []byte {
 	text, err := json.Marshal(payload)
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -73,26 +73,26 @@
 		`["j-000398"]`:                       "j-000398",
 		`["j-000398","j-000405"]`:            "j-000398 j-000405",
 		`["j-000405","j-000398","j-000405"]`: "j-000405 j-000398",
-		`["j-000412"]`:                       "refused", // the job itself
-		`["j-000398","j-000412"]`:            "refused",
-		`["j-0004x2"]`:                       "refused",
-		`["j-000398",""]`:                    "refused",
-		`["j-000398",null]`:                  "refused",
-		`[398]`:                              "refused",
-		`[["j-000398"]]`:                     "refused",
-		`"j-000398"`:                         "refused",
-		`{"j-000398":true}`:                  "refused",
-		`398`:                                "refused",
-		`true`:                               "refused",
-		`["j-000398 "]`:                      "refused",
-		`["jobs/j-000398"]`:                  "refused",
+		`["j-000412"]`:                       "rejected", // the job itself
+		`["j-000398","j-000412"]`:            "rejected",
+		`["j-0004x2"]`:                       "rejected",
+		`["j-000398",""]`:                    "rejected",
+		`["j-000398",null]`:                  "rejected",
+		`[398]`:                              "rejected",
+		`[["j-000398"]]`:                     "rejected",
+		`"j-000398"`:                         "rejected",
+		`{"j-000398":true}`:                  "rejected",
+		`398`:                                "rejected",
+		`true`:                               "rejected",
+		`["j-000398 "]`:                      "rejected",
+		`["jobs/j-000398"]`:                  "rejected",
 	} {
 		body := validSubmission
 		if list != "" {
 			body = strings.Replace(validSubmission, `"later":1`, `"awaits":`+list, 1)
 		}
 		spec, err := DecodeSubmission([]byte(body))
-		if spec.ID != "j-000412" || (err != nil) != (want == "refused") {
+		if spec.ID != "j-000412" || (err != nil) != (want == "rejected") {
 			t.Errorf("%s: id %q, %v", list, spec.ID, err)
 			continue
 		}
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestIncompleteResponses checks that responses of the cloud and the state service that
-// lack required fields are errors, not empty results.
+// TestIncompleteResponses checks that responses of the cloud and the store that lack
+// required fields are errors, not empty results.
 func TestIncompleteResponses(t *testing.T) {
 	if _, err := DecodeScaleOutResponse([]byte(`{}`)); err == nil {
 		t.Error("a scale-out without machines was accepted")
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -64,9 +64,9 @@
 const requestID = 1
 
 // Request records the event and returns the response.
-func (r *FakeRequester) Request(ctx context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
+func (r *FakeRequester) Request(ctx context.Context, makeEvent func(messages.RequestID) messages.Event) (messages.Respond, bool) {
 	r.mu.Lock()
-	r.events = append(r.events, event(requestID))
+	r.events = append(r.events, makeEvent(requestID))
 	r.mu.Unlock()
 	if r.NoResponse {
 		waitForCancellation(ctx)
@@ -125,8 +125,8 @@
 	return messages.Respond{}, false
 }
 
-// waitForCancellation waits until ctx is cancelled and reports whether it was. It gives
-// up after replyTimeout, so that a handler that does not pass its context on fails the
+// waitForCancellation waits until ctx is cancelled and reports whether it was. It returns
+// false after replyTimeout, so that a handler that does not pass on its context fails the
 // test instead of blocking it.
 func waitForCancellation(ctx context.Context) bool {
 	select {
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -11,8 +11,7 @@
 const heartbeatBody = "heartbeat"
 
 const (
-	// maxMachineIDLength keeps the records of a machine within the limits of the
-	// state service.
+	// maxMachineIDLength keeps the records of a machine within the store's limits.
 	maxMachineIDLength = 150
 	// unsafePathCharacters are not allowed in a machine ID, since it becomes part
 	// of the path of a key.
@@ -122,7 +121,7 @@
 }
 
 // decodeCause decodes the cause for which a task ended. An unknown cause counts as a
-// failure: as a success, it would keep the task from running again.
+// failure. If it counted as a success, the task would not run again.
 func decodeCause(text string) cluster.Cause {
 	if cause, known := endCauses[text]; known {
 		return cause
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -39,7 +39,7 @@
 }
 
 // Do starts to push commands or to query a status, and returns immediately. Calls have
-// timeouts but are never canceled, because the controller waits for the reply to each
+// timeouts but are never cancelled, because the controller waits for the reply to each
 // effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
@@ -81,8 +81,8 @@
 	return reply
 }
 
-// call makes a call. The outcome is NotApplied only if no connection was made: otherwise a
-// hung machine may receive the commands and execute them minutes later.
+// call makes a call. The outcome is NotApplied only if no connection was made. Otherwise a
+// hung machine may still receive the commands and execute them minutes later.
 func (c *Client) call(ctx context.Context, request wire.Request) messages.WorkerReply {
 	response, err := c.client.Do(ctx, request)
 	if errors.Is(err, wire.ErrNotSent) {
