--- a/internal/settings/servicelimits.go
+++ b/internal/settings/servicelimits.go
@@ -65,9 +65,9 @@
 
 // setStoreLimits sets the limits of the store. It also keeps the current write rate,
 // which may be used until the store enforces a lower one.
-func (s *Settings) setStoreLimits(state *storeTable) {
-	lowest := state.lowest()
-	s.Controller.CurrentWriteRPS = state.WriteRPS
+func (s *Settings) setStoreLimits(limits *storeTable) {
+	lowest := limits.lowest()
+	s.Controller.CurrentWriteRPS = limits.WriteRPS
 	s.Controller.WriteRPS = lowest.WriteRPS
 	s.Controller.StoreRPS = lowest.RPS
 	s.Controller.MaxValueBytes = int(min(lowest.ValueKB, maxValueKB) * bytesPerKB)
