--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -14,7 +14,7 @@
 // in a record of several jobs. Other controllers may have reported a later state of the
 // job by then.
 func TestAdmissionInDoubtAnsweredAsRetry(t *testing.T) {
-	for name, want := range map[string]messages.ReplyStatus{"new": 201, "reply lost": 200, "stored by another controller": 200} {
+	for name, want := range map[string]messages.ResponseStatus{"new": 201, "reply lost": 200, "stored by another controller": 200} {
 		b := newControllerHarness()
 		transactions := 0
 		b.losesReply = func(messages.StoreTxn) bool { transactions++; return transactions == 1 && name == "reply lost" }
@@ -75,7 +75,7 @@
 		b.submit(1+i, "j-1")
 	}
 	b.runFor(second)
-	counts := map[messages.ReplyStatus]int{}
+	counts := map[messages.ResponseStatus]int{}
 	for _, response := range b.sentResponses {
 		counts[response.Status]++
 	}
--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -118,7 +118,7 @@
 	var request func()
 	request = func() {
 		node.SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
-			if answer.Status == messages.ReplyOK {
+			if answer.Status == messages.StatusOK {
 				c.Users.CheckReportedStatus(job, answer.View.Status)
 			} else if job.CancelConfirmedAt == 0 {
 				c.After(cancelRetryDelay, request)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -129,7 +129,7 @@
 }
 
 // respondError rejects a request with a status and a reason.
-func (c *Controller) respondError(request messages.RequestID, status messages.ReplyStatus, reason string) {
+func (c *Controller) respondError(request messages.RequestID, status messages.ResponseStatus, reason string) {
 	c.loop.Emit(messages.Respond{Request: request, Status: status, Error: reason})
 }
 
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -88,7 +88,7 @@
 func (c *testCluster) checkCancelledEverywhere(job *simulation.Job) {
 	c.t.Helper()
 	for _, node := range c.Nodes {
-		if answer := c.queryAt(node, job.Spec.ID); answer.Status != messages.ReplyOK || answer.View.Status != cluster.JobCancelled {
+		if answer := c.queryAt(node, job.Spec.ID); answer.Status != messages.StatusOK || answer.View.Status != cluster.JobCancelled {
 			c.t.Errorf("%s answers a query for %s with %d %+v, want cancelled", node.ID, job.Spec.ID, answer.Status, answer.View)
 		}
 	}
@@ -147,9 +147,9 @@
 	c := newTestCluster(t, 2)
 	for i, node := range c.Nodes {
 		id := cluster.JobID(fmt.Sprintf("j-20000%d", i))
-		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-999999"), messages.ReplyUnschedulable)
+		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-999999"), messages.StatusUnschedulable)
 		// The rejected ID may be submitted again with other dependencies.
-		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-000001"), messages.ReplyCreated)
+		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-000001"), messages.StatusCreated)
 	}
 	c.checkRecentDependencies()
 	c.checkRepeatedSubmissions()
@@ -159,13 +159,13 @@
 }
 
 // expectStatus submits a job to one controller and checks the status of the response.
-func (c *testCluster) expectStatus(node *simulation.Node, job *simulation.Job, want messages.ReplyStatus) {
+func (c *testCluster) expectStatus(node *simulation.Node, job *simulation.Job, want messages.ResponseStatus) {
 	c.t.Helper()
 	answer := c.submitAt(node, job)
 	if answer.Status != want {
 		c.t.Errorf("%s with dependencies %v is answered with %d %s, want %d", job.Spec.ID, job.Spec.Dependencies, answer.Status, answer.Error, want)
 	}
-	job.Accepted = answer.Status == messages.ReplyOK || answer.Status == messages.ReplyCreated
+	job.Accepted = answer.Status == messages.StatusOK || answer.Status == messages.StatusCreated
 	if job.Accepted {
 		c.Jobs[job.Spec.ID] = job
 	}
@@ -188,7 +188,7 @@
 		}
 		for i, node := range c.Nodes[1:] {
 			id := cluster.JobID(fmt.Sprintf("j-40%d%03d", round, i))
-			c.expectStatus(node, c.newDependent(id, "green", second, ids...), messages.ReplyCreated)
+			c.expectStatus(node, c.newDependent(id, "green", second, ids...), messages.StatusCreated)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 		ids = append(ids, job.Spec.ID)
 		c.Jobs[job.Spec.ID] = job
 		c.Nodes[0].SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
-			if answer.Status != messages.ReplyCreated {
+			if answer.Status != messages.StatusCreated {
 				c.t.Errorf("%s is answered with %d, want 201", job.Spec.ID, answer.Status)
 			}
 			job.Accepted = true
@@ -223,14 +223,14 @@
 	for _, node := range c.Nodes {
 		for _, dependencies := range [][]cluster.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
 			repeated := c.newDependent("j-200000", "green", second, dependencies...)
-			if answer := c.submitAt(node, repeated); answer.Status != messages.ReplyOK {
+			if answer := c.submitAt(node, repeated); answer.Status != messages.StatusOK {
 				c.t.Errorf("a repeated submission with dependencies %v is answered with %d by %s, want 200", dependencies, answer.Status, node.ID)
 			}
 		}
 	}
 	repeated := c.newDependent("j-000001", "red", 300*second, "j-200000")
 	repeated.Spec.Tasks = c.longJob.Spec.Tasks
-	if answer := c.submitAt(c.Nodes[0], repeated); answer.Status != messages.ReplyOK {
+	if answer := c.submitAt(c.Nodes[0], repeated); answer.Status != messages.StatusOK {
 		c.t.Errorf("a repeated submission is answered with %d, want 200", answer.Status)
 	}
 }
@@ -242,11 +242,11 @@
 	c.Store.DownUntil = c.Now + 20*second
 	c.RunUntil(c.Now + 2*second)
 	for _, node := range c.Nodes {
-		c.expectStatus(node, c.newDependent("j-500000", "green", second, "j-999999"), messages.ReplyUnavailable)
-		c.expectStatus(node, c.newDependent("j-500001", "green", second, "j-000001"), messages.ReplyUnavailable)
+		c.expectStatus(node, c.newDependent("j-500000", "green", second, "j-999999"), messages.StatusUnavailable)
+		c.expectStatus(node, c.newDependent("j-500001", "green", second, "j-000001"), messages.StatusUnavailable)
 	}
 	c.RunUntil(c.Now + 30*second)
-	c.expectStatus(c.Nodes[1], c.newDependent("j-500000", "green", second, "j-999999"), messages.ReplyUnschedulable)
+	c.expectStatus(c.Nodes[1], c.newDependent("j-500000", "green", second, "j-999999"), messages.StatusUnschedulable)
 }
 
 // TestDependentOfCancelledJobCancelled checks that a job that depends on a cancelled
@@ -258,7 +258,7 @@
 		for k, team := range testTeams {
 			job := c.newDependent(cluster.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, second, "j-000001")
 			c.Jobs[job.Spec.ID] = job
-			if answer := c.submitAt(node, job); answer.Status != messages.ReplyCreated {
+			if answer := c.submitAt(node, job); answer.Status != messages.StatusCreated {
 				t.Errorf("%s is answered with %d by %s, want 201", job.Spec.ID, answer.Status, node.ID)
 			}
 			job.Accepted = true
@@ -299,7 +299,7 @@
 // cancelled if it answers a query for it.
 func (c *testCluster) checkNotReportedUnfinished(node *simulation.Node, job *simulation.Job) {
 	c.t.Helper()
-	if answer := c.queryAt(node, job.Spec.ID); answer.Status == messages.ReplyOK && answer.View.Status != cluster.JobCancelled {
+	if answer := c.queryAt(node, job.Spec.ID); answer.Status == messages.StatusOK && answer.View.Status != cluster.JobCancelled {
 		c.t.Errorf("partitioned controller %s reports %s of team %s as %s, %v after the cancellation was confirmed", node.ID, job.Spec.ID, job.Spec.Team, answer.View.Status, time.Duration(c.Now-c.longJob.CancelConfirmedAt))
 	}
 }
--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -64,7 +64,7 @@
 	c.RunUntil(c.Now + 2*second) // the third controller learns of the acquisition
 	next.Kill()
 	c.Store.DownUntil = c.Now + 60*second
-	status := messages.ReplyNone
+	status := messages.StatusNone
 	c.RunUntil(c.Now + 2*second)
 	for id, worker := range c.Machines.Workers {
 		if len(worker.Tasks) == 0 {
@@ -72,11 +72,11 @@
 		}
 		owner.SendRequest(heartbeatRequest(worker.NextStatus()), func(answer messages.Respond) { status = answer.Status })
 		c.RunUntil(c.Now + second)
-		if status == messages.ReplyOK {
+		if status == messages.StatusOK {
 			t.Errorf("the former owner still answers %s", id)
 		}
 	}
-	if status == messages.ReplyNone {
+	if status == messages.StatusNone {
 		t.Error("no heartbeat was answered")
 	}
 }
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -20,19 +20,19 @@
 	until := sim.Now + 100*second
 	owner.StorePartitionedUntil, owner.PeersPartitionedUntil = until, until
 	sim.Nodes[0].WorkersPartitionedUntil, sim.Nodes[2].WorkersPartitionedUntil = until, until
-	sendHeartbeat := func() messages.ReplyStatus {
-		status := messages.ReplyNone
+	sendHeartbeat := func() messages.ResponseStatus {
+		status := messages.StatusNone
 		heartbeat := heartbeatRequest(sim.Machines.Workers["m-000001"].NextStatus())
 		owner.SendRequest(heartbeat, func(answer messages.Respond) { status = answer.Status })
 		sim.RunUntil(sim.Now + second)
 		return status
 	}
 	sim.RunUntil(sim.Now + 5*second)
-	if status := sendHeartbeat(); status != messages.ReplyOK {
+	if status := sendHeartbeat(); status != messages.StatusOK {
 		t.Errorf("status %d soon after the partition, want 200", status)
 	}
 	sim.RunUntil(sim.Now + cfg.WorkerLease + 5*second)
-	if status := sendHeartbeat(); status != messages.ReplyMisdirected {
+	if status := sendHeartbeat(); status != messages.StatusMisdirected {
 		t.Errorf("status %d after the ownership lease, want 421; the worker's lease was renewed", status)
 	}
 }
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -61,7 +61,7 @@
 	ready := &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: other, MachineID: machine.ID, Attempt: 8, Phase: state.PhaseReady}
 	machine.AddAssignment(ready)
 	other.SetAssigned(0, ready)
-	b.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
+	b.jobs.Cancellations.CancelOwned("j-1", func(messages.ResponseStatus, *cluster.JobView) {})
 	if !running.StopRequested {
 		t.Fatal("no stop is requested for the cancelled job's task")
 	}
@@ -96,7 +96,7 @@
 	for outcome, resent := range map[messages.Outcome]bool{messages.NotApplied: true, messages.UnknownOutcome: true, messages.OK: false} {
 		b := newControllerHarness()
 		machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-		b.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
+		b.jobs.Cancellations.CancelOwned("j-1", func(messages.ResponseStatus, *cluster.JobView) {})
 		b.reconciler.Commands.PushQueued()
 		push := lastEffect[messages.PushCommands](t, b)
 		takeEffects(b.Controller)
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -57,7 +57,7 @@
 	for _, effect := range b.loop.Effects() {
 		switch effect := effect.(type) {
 		case messages.Respond:
-			if effect.Status != messages.ReplyBadRequest || !strings.HasPrefix(effect.Error, field) {
+			if effect.Status != messages.StatusBadRequest || !strings.HasPrefix(effect.Error, field) {
 				t.Errorf("answered %d %q", effect.Status, effect.Error)
 			}
 		case messages.Log:
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -11,7 +11,7 @@
 	message := &request.Message
 	from := c.members.Sender(message)
 	if from == nil {
-		c.respondError(request.Request, messages.ReplyBadRequest, "unknown sender or version")
+		c.respondError(request.Request, messages.StatusBadRequest, "unknown sender or version")
 		return
 	}
 	switch {
@@ -21,7 +21,7 @@
 		for _, record := range message.Notice.Items {
 			c.jobs.Records.Apply(record, nil)
 		}
-		c.replyToPeer(request.Request, messages.PeerMessage{Status: messages.ReplyOK})
+		c.replyToPeer(request.Request, messages.PeerMessage{Status: messages.StatusOK})
 	case message.Query != nil:
 		c.jobs.Queries.HandlePeerQuery(message.Query.IDs, func(views []cluster.JobView) {
 			c.replyToPeer(request.Request, messages.PeerMessage{Views: views})
@@ -29,24 +29,24 @@
 	case message.Submission != nil:
 		c.answerSubmission(request.Request, message.Submission)
 	case message.Cancel != "":
-		c.jobs.Cancellations.CancelOwned(message.Cancel, func(status messages.ReplyStatus, view *cluster.JobView) {
+		c.jobs.Cancellations.CancelOwned(message.Cancel, func(status messages.ResponseStatus, view *cluster.JobView) {
 			c.replyToPeer(request.Request, messages.PeerMessage{Status: status, Views: viewList(view)})
 		})
 	default:
-		c.respondError(request.Request, messages.ReplyBadRequest, "empty message")
+		c.respondError(request.Request, messages.StatusBadRequest, "empty message")
 	}
 }
 
 // replyToPeer responds to a request of another controller.
 func (c *Controller) replyToPeer(request messages.RequestID, message messages.PeerMessage) {
 	reply := c.members.WithSender(message)
-	c.loop.Emit(messages.Respond{Request: request, Status: messages.ReplyOK, Peer: &reply})
+	c.loop.Emit(messages.Respond{Request: request, Status: messages.StatusOK, Peer: &reply})
 }
 
 // answerPing handles a peer's ping and responds with a ping of this controller.
 func (c *Controller) answerPing(request messages.RequestID, from *membership.Peer, ping *messages.Ping) {
 	if err := c.members.HandlePing(from, ping); err != nil {
-		c.respondError(request, messages.ReplyBadRequest, err.Error())
+		c.respondError(request, messages.StatusBadRequest, err.Error())
 		return
 	}
 	c.replyToPeer(request, messages.PeerMessage{Ping: c.members.MakePing(from)})
@@ -58,7 +58,7 @@
 	spec := submission.Spec
 	spec.ID = submission.ID
 	if spec.ID == "" || spec.Tasks < 1 {
-		c.respondError(request, messages.ReplyBadRequest, "no job")
+		c.respondError(request, messages.StatusBadRequest, "no job")
 		return
 	}
 	c.jobs.Submissions.HandleProxied(spec, func(outcome messages.Respond) {
@@ -83,12 +83,12 @@
 // while it can't reach the state service but a peer can.
 func (c *Controller) handleHealth(request messages.Health) {
 	if c.writeQueue.Health.LastSuccess == 0 || len(c.state.MachineTypes) == 0 && c.loop.Now() < 10*second {
-		c.respondError(request.Request, messages.ReplyUnavailable, "starting")
+		c.respondError(request.Request, messages.StatusUnavailable, "starting")
 		return
 	}
 	if c.members.IsStoreUnreachable() && c.members.IsStoreReachableElsewhere() {
-		c.respondError(request.Request, messages.ReplyUnavailable, "store out of reach")
+		c.respondError(request.Request, messages.StatusUnavailable, "store out of reach")
 		return
 	}
-	c.loop.Emit(messages.Respond{Request: request.Request, Status: messages.ReplyOK})
+	c.loop.Emit(messages.Respond{Request: request.Request, Status: messages.StatusOK})
 }
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -46,7 +46,7 @@
 // any peer for so long that a peer may own its shards.
 func (c *Controller) isIsolated() bool {
 	threshold := max(c.config.WorkerLease, minIsolationTime)
-	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(threshold) && !c.members.HasAnswerWithin(threshold)
+	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(threshold) && !c.members.HasReplyWithin(threshold)
 }
 
 // runtimes provides the expected run times and the stragglers to the reconciler.
--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -57,7 +57,7 @@
 			submittedAt := sim.Now
 			sim.Nodes[i%len(sim.Nodes)].SendRequest(submitRequest(spec), func(answer messages.Respond) {
 				latencies = append(latencies, time.Duration(sim.Now-submittedAt))
-				if answer.Status == messages.ReplyCreated {
+				if answer.Status == messages.StatusCreated {
 					job.Accepted = true
 					sim.Users.CheckReportedStatus(job, answer.View.Status)
 				}
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -335,7 +335,7 @@
 	for i := range 20 {
 		spec := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, RuntimeSeconds: 5}
 		b.jobs.Submissions.HandleProxied(spec, func(answer messages.Respond) {
-			if answered++; answer.Status != messages.ReplyCreated {
+			if answered++; answer.Status != messages.StatusCreated {
 				t.Errorf("%s is answered with %d, want 201", spec.ID, answer.Status)
 			}
 		})
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -17,7 +17,7 @@
 
 // heartbeatReplyStatus returns the status of the response to a heartbeat of a machine.
 // The result is 0 if there is none.
-func heartbeatReplyStatus(b *controllerHarness, machine *state.Machine) messages.ReplyStatus {
+func heartbeatReplyStatus(b *controllerHarness, machine *state.Machine) messages.ResponseStatus {
 	takeEffects(b.Controller)
 	b.reconciler.Heartbeats.Handle(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1}})
 	setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold)
@@ -44,7 +44,7 @@
 		return b
 	}
 	config := newOwner().config
-	answerWindow := ownership.AnswerWindow(config.CancelDeadline, config.WorkerLease)
+	answerWindow := ownership.ResponseWindow(config.CancelDeadline, config.WorkerLease)
 	if answerWindow < config.WorkerLease+2*second {
 		t.Fatalf("the answer window of %d s is not longer than the worker lease", answerWindow/second)
 	}
@@ -52,7 +52,7 @@
 		name        string
 		after       cluster.Time
 		peerReplies bool // whether the other controller in the zone replies
-		status      messages.ReplyStatus
+		status      messages.ResponseStatus
 	}{
 		{"no peer replies, within the lease", config.WorkerLease - 2*second, false, 200},
 		{"no peer replies, after the lease", config.WorkerLease + second, false, 421},
--- a/internal/jobs/admissionqueue.go
+++ b/internal/jobs/admissionqueue.go
@@ -84,7 +84,7 @@
 func (q *admissionQueue) add(spec cluster.JobSpec, answer func(messages.Respond)) {
 	admission := &pendingAdmission{spec: spec, respond: answer, deadline: q.loop.Now() + admissionTimeout}
 	q.loop.After(admissionTimeout, func() {
-		admission.answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "not stored in time"})
+		admission.answer(messages.Respond{Status: messages.StatusUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "not stored in time"})
 	})
 	q.loop.After(proxyDelay, func() {
 		if !admission.answered && q.writeQueue.Health.IsUnresponsive(q.loop.Now()) {
@@ -213,17 +213,17 @@
 	if known := q.state.Jobs.FinalJob(id); known != nil {
 		view = finalView(id, known)
 	}
-	admission.answer(messages.Respond{Status: messages.ReplyCreated, View: &view})
+	admission.answer(messages.Respond{Status: messages.StatusCreated, View: &view})
 }
 
 // retryUnlessKnown answers a submission whose job is stored already. Otherwise it queues
 // the submission again.
 func (q *admissionQueue) retryUnlessKnown(admission *pendingAdmission) {
-	q.queries.lookUpInStore(admission.spec.ID, func(status messages.ReplyStatus, view cluster.JobView) {
+	q.queries.lookUpInStore(admission.spec.ID, func(status messages.ResponseStatus, view cluster.JobView) {
 		switch {
 		case admission.answered:
-		case status == messages.ReplyOK:
-			admission.answer(messages.Respond{Status: messages.ReplyOK, View: &view})
+		case status == messages.StatusOK:
+			admission.answer(messages.Respond{Status: messages.StatusOK, View: &view})
 		default:
 			q.waiting = append(q.waiting, admission)
 			q.enqueueWrite()
--- a/internal/jobs/admissionqueue_test.go
+++ b/internal/jobs/admissionqueue_test.go
@@ -72,7 +72,7 @@
 	if len(batch) != 1 {
 		t.Fatalf("batch has %d jobs, want 1", len(batch))
 	}
-	batch[0].answer(messages.Respond{Status: messages.ReplyUnavailable})
+	batch[0].answer(messages.Respond{Status: messages.StatusUnavailable})
 	if len(answers["j-1"]) != 2 {
 		t.Errorf("got %d answers, want 2", len(answers["j-1"]))
 	}
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -47,7 +47,7 @@
 	case known.FinalStatus != "":
 		c.answer(known.FinalStatus)
 	case c.cancellations.state.Shards[known.ShardID].Owned:
-		c.cancellations.CancelOwned(c.id, func(_ messages.ReplyStatus, view *cluster.JobView) {
+		c.cancellations.CancelOwned(c.id, func(_ messages.ResponseStatus, view *cluster.JobView) {
 			if view == nil {
 				c.answer("")
 				return
@@ -62,9 +62,9 @@
 // answer sends the user the job's final status. If final is empty, the status could not be
 // determined, and the user is asked to retry.
 func (c *cancellation) answer(final cluster.JobStatus) {
-	response := messages.Respond{Request: c.request, Status: messages.ReplyOK}
+	response := messages.Respond{Request: c.request, Status: messages.StatusOK}
 	if final == "" {
-		response.Status, response.RetryAfter = messages.ReplyUnavailable, shortRetryAfterSeconds
+		response.Status, response.RetryAfter = messages.StatusUnavailable, shortRetryAfterSeconds
 	} else {
 		response.View = &cluster.JobView{ID: c.id, Status: final}
 	}
@@ -92,14 +92,14 @@
 
 // lookUp looks up an unknown job in the state service.
 func (c *cancellation) lookUp(mayRetry bool) {
-	c.cancellations.queries.lookUpInStore(c.id, func(status messages.ReplyStatus, view cluster.JobView) {
+	c.cancellations.queries.lookUpInStore(c.id, func(status messages.ResponseStatus, view cluster.JobView) {
 		switch {
-		case status == messages.ReplyOK && view.Status.IsFinal():
+		case status == messages.StatusOK && view.Status.IsFinal():
 			c.answer(view.Status)
-		case status == messages.ReplyOK && mayRetry:
+		case status == messages.StatusOK && mayRetry:
 			c.evaluate(false)
-		case status == messages.ReplyJobNotFound:
-			c.cancellations.loop.Emit(messages.Respond{Request: c.request, Status: messages.ReplyJobNotFound})
+		case status == messages.StatusJobNotFound:
+			c.cancellations.loop.Emit(messages.Respond{Request: c.request, Status: messages.StatusJobNotFound})
 		default:
 			c.answer("")
 		}
@@ -109,14 +109,14 @@
 // CancelOwned cancels a job of an owned shard. It calls handle with the job's final status
 // once that is stored, or with ReplyUnavailable and nil if it is not stored in time or
 // this controller does not own the job.
-func (c *Cancellations) CancelOwned(id cluster.JobID, handle func(messages.ReplyStatus, *cluster.JobView)) {
+func (c *Cancellations) CancelOwned(id cluster.JobID, handle func(messages.ResponseStatus, *cluster.JobView)) {
 	if known := c.state.Jobs.FinalJob(id); known != nil {
-		handle(messages.ReplyOK, &cluster.JobView{ID: id, Status: known.FinalStatus})
+		handle(messages.StatusOK, &cluster.JobView{ID: id, Status: known.FinalStatus})
 		return
 	}
 	job := c.state.Jobs.Owned[id]
 	if job == nil || !c.state.Shards[job.ShardID].Ready {
-		handle(messages.ReplyUnavailable, nil)
+		handle(messages.StatusUnavailable, nil)
 		return
 	}
 	answered := false
@@ -126,10 +126,10 @@
 		}
 		answered = true
 		if final == "" {
-			handle(messages.ReplyUnavailable, nil)
+			handle(messages.StatusUnavailable, nil)
 			return
 		}
-		handle(messages.ReplyOK, &cluster.JobView{ID: id, Status: final})
+		handle(messages.StatusOK, &cluster.JobView{ID: id, Status: final})
 	}
 	c.loop.After(cancelTimeout, func() { answer("") })
 	job.Waiters = append(job.Waiters, answer)
--- a/internal/jobs/ownerqueries.go
+++ b/internal/jobs/ownerqueries.go
@@ -94,6 +94,6 @@
 		if known := o.state.Jobs.Known[query.id]; known != nil && view.Status.IsFinal() {
 			o.queries.records.dependencies.applyFinalStatus(query.id, known, view.Status)
 		}
-		query.handle(messages.ReplyOK, view)
+		query.handle(messages.StatusOK, view)
 	}
 }
--- a/internal/jobs/ownerqueries_test.go
+++ b/internal/jobs/ownerqueries_test.go
@@ -26,7 +26,7 @@
 	queries := newOwnerQueries(&Queries{shared: common})
 	answered := 0
 	for range queryCount {
-		queries.add("n1", "j-1", func(messages.ReplyStatus, cluster.JobView) { answered++ })
+		queries.add("n1", "j-1", func(messages.ResponseStatus, cluster.JobView) { answered++ })
 	}
 	sentMessages := 0
 	for now := cluster.Time(0); now < second; now += 10 * millisecond {
--- a/internal/jobs/proxy.go
+++ b/internal/jobs/proxy.go
@@ -60,7 +60,7 @@
 func (p *submissionProxy) answer(spec *cluster.JobSpec, reply messages.PeerReply, answer func(messages.Respond)) {
 	switch {
 	case reply.Outcome != messages.OK:
-		answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "store out of reach"})
+		answer(messages.Respond{Status: messages.StatusUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "store out of reach"})
 	case len(reply.Message.Views) == 1:
 		if team := p.state.Teams[spec.Team]; team != nil {
 			p.state.Jobs.Register(spec.ID, team.ShardID, spec.Team, spec.Tasks)
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -11,7 +11,7 @@
 
 // viewHandler is called with ReplyOK and a job's status, or with another reply status if
 // the job's status is not known.
-type viewHandler func(status messages.ReplyStatus, view cluster.JobView)
+type viewHandler func(status messages.ResponseStatus, view cluster.JobView)
 
 // Queries looks up the status of jobs for users and other controllers.
 type Queries struct {
@@ -31,12 +31,12 @@
 
 // HandleQuery answers a user's query for a job's status.
 func (q *Queries) HandleQuery(query messages.Query) {
-	q.lookUp(query.ID, func(status messages.ReplyStatus, view cluster.JobView) {
+	q.lookUp(query.ID, func(status messages.ResponseStatus, view cluster.JobView) {
 		response := messages.Respond{Request: query.Request, Status: status}
 		switch status { //nolint:exhaustive // other statuses need no further fields
-		case messages.ReplyOK:
+		case messages.StatusOK:
 			response.View = &view
-		case messages.ReplyUnavailable:
+		case messages.StatusUnavailable:
 			response.RetryAfter = shortRetryAfterSeconds
 		}
 		q.loop.Emit(response)
@@ -49,7 +49,7 @@
 func (q *Queries) lookUp(id cluster.JobID, handle viewHandler) {
 	known := q.state.Jobs.Known[id]
 	if known != nil && known.FinalStatus != "" {
-		handle(messages.ReplyOK, finalView(id, known))
+		handle(messages.StatusOK, finalView(id, known))
 		return
 	}
 	if job := q.state.Jobs.Owned[id]; job != nil {
@@ -72,7 +72,7 @@
 	id := job.Spec.ID
 	q.Ownership.ConfirmOwnership(q.state.Shards[job.ShardID], func(owned bool) {
 		if known := q.state.Jobs.FinalJob(id); known != nil {
-			handle(messages.ReplyOK, finalView(id, known))
+			handle(messages.StatusOK, finalView(id, known))
 			return
 		}
 		job := q.state.Jobs.Owned[id]
@@ -90,7 +90,7 @@
 // admission records if it has none.
 func (q *Queries) lookUpInStore(id cluster.JobID, handle viewHandler) {
 	if q.writeQueue.IsUnavailableFor(storeTimeout) || q.writeQueue.IsRequestBudgetOverdrawn() {
-		handle(messages.ReplyUnavailable, cluster.JobView{})
+		handle(messages.StatusUnavailable, cluster.JobView{})
 		return
 	}
 	q.writeQueue.ReadKey(state.JobKey(id), func(reply messages.GetReply) {
@@ -101,7 +101,7 @@
 		case messages.NotFound:
 			q.lookUpAdmission(id, handle)
 		default:
-			handle(messages.ReplyUnavailable, cluster.JobView{})
+			handle(messages.StatusUnavailable, cluster.JobView{})
 		}
 	})
 }
@@ -110,15 +110,15 @@
 func (q *Queries) answerFromRecord(id cluster.JobID, kv messages.KV, handle viewHandler) {
 	var record Record
 	if json.Unmarshal(kv.Value, &record) != nil {
-		handle(messages.ReplyUnavailable, cluster.JobView{})
+		handle(messages.StatusUnavailable, cluster.JobView{})
 		return
 	}
 	view, ok := record.view(id)
 	switch {
 	case !ok:
-		handle(messages.ReplyUnavailable, cluster.JobView{})
+		handle(messages.StatusUnavailable, cluster.JobView{})
 	case view.Status.IsFinal():
-		handle(messages.ReplyOK, view)
+		handle(messages.StatusOK, view)
 	default:
 		q.answerUnfinished(id, view, handle)
 	}
@@ -129,11 +129,11 @@
 	q.admissionRecords.lookUp(id, func(admitted, ok bool) {
 		switch {
 		case !ok:
-			handle(messages.ReplyUnavailable, cluster.JobView{})
+			handle(messages.StatusUnavailable, cluster.JobView{})
 		case admitted:
 			q.answerUnfinished(id, cluster.JobView{ID: id, Status: cluster.JobPending}, handle)
 		default:
-			handle(messages.ReplyJobNotFound, cluster.JobView{})
+			handle(messages.StatusJobNotFound, cluster.JobView{})
 		}
 	})
 }
@@ -143,32 +143,32 @@
 // controller may have reported that the job is cancelled with it.
 func (q *Queries) answerUnfinished(id cluster.JobID, view cluster.JobView, handle viewHandler) {
 	if known := q.state.Jobs.FinalJob(id); known != nil {
-		handle(messages.ReplyOK, finalView(id, known))
+		handle(messages.StatusOK, finalView(id, known))
 		return
 	}
 	if !q.state.Jobs.IsBlocked(id) {
-		handle(messages.ReplyOK, view)
+		handle(messages.StatusOK, view)
 		return
 	}
 	q.reads.read(func(ok bool) {
 		if known := q.state.Jobs.FinalJob(id); known != nil {
-			handle(messages.ReplyOK, finalView(id, known))
+			handle(messages.StatusOK, finalView(id, known))
 		} else if ok {
-			handle(messages.ReplyOK, view)
+			handle(messages.StatusOK, view)
 		} else {
-			handle(messages.ReplyUnavailable, cluster.JobView{})
+			handle(messages.StatusUnavailable, cluster.JobView{})
 		}
 	})
 }
 
 // answerIdempotentRetry answers a submission whose job is already known.
 func (q *Queries) answerIdempotentRetry(id cluster.JobID, answer func(messages.Respond)) {
-	q.lookUp(id, func(status messages.ReplyStatus, view cluster.JobView) {
-		if status == messages.ReplyOK {
-			answer(messages.Respond{Status: messages.ReplyOK, View: &view})
+	q.lookUp(id, func(status messages.ResponseStatus, view cluster.JobView) {
+		if status == messages.StatusOK {
+			answer(messages.Respond{Status: messages.StatusOK, View: &view})
 			return
 		}
-		answer(messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: shortRetryAfterSeconds})
+		answer(messages.Respond{Status: messages.StatusUnavailable, RetryAfter: shortRetryAfterSeconds})
 	})
 }
 
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -103,12 +103,12 @@
 type submission struct {
 	submissions   *Submissions
 	spec          cluster.JobSpec
-	invalidStatus messages.ReplyStatus // 400 or 422 if no retry can be accepted, else 0
+	invalidStatus messages.ResponseStatus // 400 or 422 if no retry can be accepted, else 0
 	invalidReason string
 	answer        func(messages.Respond)
 }
 
-func (s *submission) refuse(status messages.ReplyStatus, retryAfter int, reason string) {
+func (s *submission) refuse(status messages.ResponseStatus, retryAfter int, reason string) {
 	s.answer(messages.Respond{Status: status, RetryAfter: retryAfter, Error: reason})
 }
 
@@ -121,16 +121,16 @@
 		return
 	}
 	if s.submissions.writeQueue.IsUnavailableFor(storeTimeout) {
-		s.refuse(messages.ReplyUnavailable, storeRetryAfterSeconds, "store out of reach")
+		s.refuse(messages.StatusUnavailable, storeRetryAfterSeconds, "store out of reach")
 		return
 	}
 	if s.invalidStatus == 0 {
 		if len(clusterState.MachineTypes) == 0 {
-			s.refuse(messages.ReplyUnavailable, storeRetryAfterSeconds, "machine types not known yet")
+			s.refuse(messages.StatusUnavailable, storeRetryAfterSeconds, "machine types not known yet")
 			return
 		}
 		if !isSchedulable(clusterState, &s.spec) {
-			s.invalidStatus = messages.ReplyUnschedulable
+			s.invalidStatus = messages.StatusUnschedulable
 		}
 	}
 	switch {
@@ -147,14 +147,14 @@
 // before: an accepted ID must never be answered with 400 or 422, even if the retry
 // differs from the accepted submission.
 func (s *submission) refuseInvalid() {
-	s.submissions.queries.lookUpInStore(s.spec.ID, func(status messages.ReplyStatus, view cluster.JobView) {
+	s.submissions.queries.lookUpInStore(s.spec.ID, func(status messages.ResponseStatus, view cluster.JobView) {
 		switch status { //nolint:exhaustive // any other status means that the state service did not answer
-		case messages.ReplyOK:
-			s.answer(messages.Respond{Status: messages.ReplyOK, View: &view})
-		case messages.ReplyJobNotFound:
+		case messages.StatusOK:
+			s.answer(messages.Respond{Status: messages.StatusOK, View: &view})
+		case messages.StatusJobNotFound:
 			s.refuse(s.invalidStatus, 0, s.invalidReason)
 		default:
-			s.refuse(messages.ReplyUnavailable, storeRetryAfterSeconds, "store out of reach")
+			s.refuse(messages.StatusUnavailable, storeRetryAfterSeconds, "store out of reach")
 		}
 	})
 }
@@ -162,15 +162,15 @@
 // checkDependencies looks up the jobs that the submission depends on, and then resumes
 // its evaluation.
 func (s *submission) checkDependencies() {
-	s.submissions.checkDependencies(&s.spec, func(status messages.ReplyStatus) {
+	s.submissions.checkDependencies(&s.spec, func(status messages.ResponseStatus) {
 		switch status { //nolint:exhaustive // the only other status is ReplyUnavailable
-		case messages.ReplyNone:
+		case messages.StatusNone:
 			s.evaluate(true)
-		case messages.ReplyUnschedulable: // refused, unless its ID was accepted before
-			s.invalidStatus, s.invalidReason = messages.ReplyUnschedulable, "awaits a job that was never accepted"
+		case messages.StatusUnschedulable: // refused, unless its ID was accepted before
+			s.invalidStatus, s.invalidReason = messages.StatusUnschedulable, "awaits a job that was never accepted"
 			s.evaluate(true)
 		default:
-			s.refuse(messages.ReplyUnavailable, storeRetryAfterSeconds, "what it awaits can't be looked up now")
+			s.refuse(messages.StatusUnavailable, storeRetryAfterSeconds, "what it awaits can't be looked up now")
 		}
 	})
 }
@@ -180,13 +180,13 @@
 // show that a job was never accepted. While a controller may still run a release without
 // support for dependencies, the submission is refused, as that release would start the
 // job at once.
-func (s *Submissions) checkDependencies(spec *cluster.JobSpec, handle func(messages.ReplyStatus)) {
+func (s *Submissions) checkDependencies(spec *cluster.JobSpec, handle func(messages.ResponseStatus)) {
 	if !s.Members.AllUpgraded() {
-		handle(messages.ReplyUnavailable)
+		handle(messages.StatusUnavailable)
 		return
 	}
-	outstanding, worst := 1, messages.ReplyNone
-	done := func(status messages.ReplyStatus) {
+	outstanding, worst := 1, messages.StatusNone
+	done := func(status messages.ResponseStatus) {
 		worst = max(worst, status)
 		outstanding--
 		if outstanding == 0 {
@@ -198,23 +198,23 @@
 			continue
 		}
 		outstanding++
-		s.queries.lookUpInStore(id, func(status messages.ReplyStatus, _ cluster.JobView) {
+		s.queries.lookUpInStore(id, func(status messages.ResponseStatus, _ cluster.JobView) {
 			done(dependencyStatus(status))
 		})
 	}
-	done(messages.ReplyNone)
+	done(messages.StatusNone)
 }
 
 // dependencyStatus converts the result of looking up a dependency to the status of the
 // submission: ReplyNone if the dependency exists.
-func dependencyStatus(lookedUp messages.ReplyStatus) messages.ReplyStatus {
+func dependencyStatus(lookedUp messages.ResponseStatus) messages.ResponseStatus {
 	switch lookedUp { //nolint:exhaustive // any other status means that the state service did not answer
-	case messages.ReplyOK:
-		return messages.ReplyNone
-	case messages.ReplyJobNotFound:
-		return messages.ReplyUnschedulable
+	case messages.StatusOK:
+		return messages.StatusNone
+	case messages.StatusJobNotFound:
+		return messages.StatusUnschedulable
 	default:
-		return messages.ReplyUnavailable
+		return messages.StatusUnavailable
 	}
 }
 
@@ -223,13 +223,13 @@
 func (s *submission) admit() {
 	submissions := s.submissions
 	if retryAfter := submissions.OverloadRetryAfter(s.spec.Priority); retryAfter > 0 {
-		s.refuse(messages.ReplyTooManyRequests, retryAfter, "too many submissions of this priority")
+		s.refuse(messages.StatusTooManyRequests, retryAfter, "too many submissions of this priority")
 		return
 	}
 	pruneDependencies(&submissions.state.Jobs, &s.spec)
 	record := Record{Spec: &s.spec}
 	if len(record.encode()) > submissions.maxSpecBytes() {
-		s.refuse(messages.ReplyUnavailable, maxRetryAfterSeconds, "awaits more unfinished jobs than fit into a record")
+		s.refuse(messages.StatusUnavailable, maxRetryAfterSeconds, "awaits more unfinished jobs than fit into a record")
 		return
 	}
 	s.spec.SubmittedAt = submissions.loop.WallTime()
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -157,7 +157,7 @@
 }
 
 // HasAnswerWithin reports whether any peer has answered a ping within the given duration.
-func (m *Members) HasAnswerWithin(duration cluster.Time) bool {
+func (m *Members) HasReplyWithin(duration cluster.Time) bool {
 	return slices.ContainsFunc(m.peers, func(peer *Peer) bool {
 		return peer.hasAnswered && m.loop.Now()-peer.lastAnswerAt < duration
 	})
--- a/internal/messages/events.go
+++ b/internal/messages/events.go
@@ -17,8 +17,8 @@
 type Submit struct {
 	Request   RequestID
 	Spec      cluster.JobSpec
-	Rejection ReplyStatus // ReplyBadRequest if the body is invalid, ReplyNone otherwise
-	Reason    string      // why the body is invalid
+	Rejection ResponseStatus // ReplyBadRequest if the body is invalid, ReplyNone otherwise
+	Reason    string         // why the body is invalid
 }
 
 // Query is a user's request for the state of a job.
--- a/internal/messages/peer.go
+++ b/internal/messages/peer.go
@@ -34,7 +34,7 @@
 	Views      []cluster.JobView  `cbor:"Views"` // the answer to Query
 	Cancel     cluster.JobID      `cbor:"Cancel"`
 	Submission *ProxiedSubmission `cbor:"Submit"`
-	Status     ReplyStatus        `cbor:"Status"`
+	Status     ResponseStatus     `cbor:"Status"`
 	RetryAfter int                `cbor:"After"` // seconds after which a rejected submission may be retried
 	Reason     string             `cbor:"Why"`   // why a submission was rejected
 }
--- a/internal/messages/respond.go
+++ b/internal/messages/respond.go
@@ -8,7 +8,7 @@
 // depending on the kind of the request.
 type Respond struct {
 	Request    RequestID
-	Status     ReplyStatus
+	Status     ResponseStatus
 	RetryAfter int                // seconds after which a rejected request may be retried, or 0 if unspecified
 	View       *cluster.JobView   // for a user's request about a job
 	Heartbeat  *HeartbeatResponse // for a worker's heartbeat
@@ -25,17 +25,17 @@
 
 // ReplyStatus is the status of the response to an incoming request. Its values are the
 // HTTP status codes of the protocol.
-type ReplyStatus int
+type ResponseStatus int
 
 // The response statuses.
 const (
-	ReplyNone            ReplyStatus = 0   // no status
-	ReplyOK              ReplyStatus = 200 // the request was executed
-	ReplyCreated         ReplyStatus = 201 // a new job was accepted
-	ReplyBadRequest      ReplyStatus = 400 // the request is invalid
-	ReplyJobNotFound     ReplyStatus = 404 // the job does not exist
-	ReplyMisdirected     ReplyStatus = 421 // the worker must send its heartbeats to another controller
-	ReplyUnschedulable   ReplyStatus = 422 // the job can never run
-	ReplyTooManyRequests ReplyStatus = 429 // the request exceeds a limit and may be retried later
-	ReplyUnavailable     ReplyStatus = 503 // the controller currently cannot answer
+	StatusNone            ResponseStatus = 0   // no status
+	StatusOK              ResponseStatus = 200 // the request was executed
+	StatusCreated         ResponseStatus = 201 // a new job was accepted
+	StatusBadRequest      ResponseStatus = 400 // the request is invalid
+	StatusJobNotFound     ResponseStatus = 404 // the job does not exist
+	StatusMisdirected     ResponseStatus = 421 // the worker must send its heartbeats to another controller
+	StatusUnschedulable   ResponseStatus = 422 // the job can never run
+	StatusTooManyRequests ResponseStatus = 429 // the request exceeds a limit and may be retried later
+	StatusUnavailable     ResponseStatus = 503 // the controller currently cannot answer
 )
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -18,7 +18,7 @@
 // shorter window could let worker leases expire after a single lost ping. The minimum
 // applies even if the settings allow less; cancelled tasks may then outlive the cancel
 // deadline during an outage of the state service.
-const MinAnswerWindow = 4 * second
+const MinResponseWindow = 4 * second
 
 // StartWindow is the maximum age of the last confirmation at which an owner starts
 // tasks. The new owner of a shard would stop tasks started by its predecessor.
@@ -34,7 +34,7 @@
 // right after that confirmation, so the worker lease renewed by the last answer must
 // expire, and the tasks stop, within cancelDeadline of it. A lease runs from the
 // sending of the heartbeat. The result is negative if the settings leave no time.
-func AnswerWindow(cancelDeadline, lease cluster.Time) cluster.Time {
+func ResponseWindow(cancelDeadline, lease cluster.Time) cluster.Time {
 	drift := cluster.Time(float64(cancelDeadline+lease) * clockDrift)
 	return cancelDeadline - lease - taskStopTime - drift
 }
@@ -42,7 +42,7 @@
 // CanAnswer reports whether an owner whose last confirmation has the given age may
 // answer the shard's workers.
 func CanAnswer(age, cancelDeadline, lease cluster.Time) bool {
-	return age <= max(AnswerWindow(cancelDeadline, lease), MinAnswerWindow)
+	return age <= max(ResponseWindow(cancelDeadline, lease), MinResponseWindow)
 }
 
 // CanStart reports whether an owner whose last confirmation has the given age may
--- a/internal/ownership/lease_test.go
+++ b/internal/ownership/lease_test.go
@@ -15,7 +15,7 @@
 		{18 * second, 12 * second, 4*second - 30*cluster.Millisecond},
 		{20 * second, 20 * second, -2*second - 40*cluster.Millisecond},
 	} {
-		got := AnswerWindow(test.cancelDeadline, test.lease)
+		got := ResponseWindow(test.cancelDeadline, test.lease)
 		if got != test.want {
 			t.Errorf("AnswerWindow with cancel deadline %.0f s and lease %.0f s = %.3f s, want %.3f s",
 				test.cancelDeadline.Seconds(), test.lease.Seconds(), got.Seconds(), test.want.Seconds())
@@ -32,7 +32,7 @@
 // and for skipping the lease renewal.
 func TestWindows(t *testing.T) {
 	const cancelDeadline, lease = 37 * second, 22 * second
-	window := AnswerWindow(cancelDeadline, lease)
+	window := ResponseWindow(cancelDeadline, lease)
 	if !CanAnswer(window, cancelDeadline, lease) || CanAnswer(window+1, cancelDeadline, lease) {
 		t.Error("answers must be allowed up to the answer window and not beyond")
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -23,7 +23,7 @@
 	if !ok {
 		return messages.Respond{}, false
 	}
-	return messages.Respond{Status: messages.ReplyOK, Peer: &request.Message}, true
+	return messages.Respond{Status: messages.StatusOK, Peer: &request.Message}, true
 }
 
 // TestHandler checks that a message is unchanged after a round trip, and that malformed
--- a/internal/reconcile/heartbeats.go
+++ b/internal/reconcile/heartbeats.go
@@ -92,5 +92,5 @@
 	}
 	machine.PushQueued = false
 	response := &messages.HeartbeatResponse{FencingToken: machine.Token, Commands: commands}
-	h.loop.Emit(messages.Respond{Request: request, Status: messages.ReplyOK, Heartbeat: response})
+	h.loop.Emit(messages.Respond{Request: request, Status: messages.StatusOK, Heartbeat: response})
 }
--- a/internal/reconcile/heartbeats_test.go
+++ b/internal/reconcile/heartbeats_test.go
@@ -30,14 +30,14 @@
 	for _, test := range []struct {
 		name    string
 		prepare func(*harness, *state.Machine)
-		status  messages.ReplyStatus
+		status  messages.ResponseStatus
 	}{
-		{"owner", func(*harness, *state.Machine) {}, messages.ReplyOK},
-		{"isolated", func(h *harness, _ *state.Machine) { h.isolated = true }, messages.ReplyMisdirected},
-		{"ownership lease expired", func(h *harness, _ *state.Machine) { h.cannotAnswer = true }, messages.ReplyMisdirected},
-		{"shard not loaded yet", func(h *harness, _ *state.Machine) { h.state.Shards[0].Ready = false }, messages.ReplyUnavailable},
-		{"fenced off by a newer token", func(_ *harness, machine *state.Machine) { machine.Token -= 2 }, messages.ReplyMisdirected},
-		{"earlier incarnation", func(_ *harness, machine *state.Machine) { machine.Incarnation++ }, messages.ReplyMisdirected},
+		{"owner", func(*harness, *state.Machine) {}, messages.StatusOK},
+		{"isolated", func(h *harness, _ *state.Machine) { h.isolated = true }, messages.StatusMisdirected},
+		{"ownership lease expired", func(h *harness, _ *state.Machine) { h.cannotAnswer = true }, messages.StatusMisdirected},
+		{"shard not loaded yet", func(h *harness, _ *state.Machine) { h.state.Shards[0].Ready = false }, messages.StatusUnavailable},
+		{"fenced off by a newer token", func(_ *harness, machine *state.Machine) { machine.Token -= 2 }, messages.StatusMisdirected},
+		{"earlier incarnation", func(_ *harness, machine *state.Machine) { machine.Incarnation++ }, messages.StatusMisdirected},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
--- a/internal/reconcile/orphans_test.go
+++ b/internal/reconcile/orphans_test.go
@@ -58,15 +58,15 @@
 		name           string
 		recorded       *state.RecordedMachines
 		ownedElsewhere bool // another controller owns shard 0
-		status         messages.ReplyStatus
+		status         messages.ResponseStatus
 		redirectTo     cluster.NodeID
 		queries        int
 	}{
-		{name: "records can't be read", status: messages.ReplyUnavailable},
-		{name: "listed", recorded: recordedMachines(unknownMachine), status: messages.ReplyMisdirected, redirectTo: "n1"},
-		{name: "open provisioning request of its kind", recorded: requested, status: messages.ReplyUnavailable},
-		{name: "orphan", recorded: recordedMachines(), status: messages.ReplyUnavailable, queries: 1},
-		{name: "orphan of another shard", recorded: recordedMachines(), ownedElsewhere: true, status: messages.ReplyMisdirected, redirectTo: "n2"},
+		{name: "records can't be read", status: messages.StatusUnavailable},
+		{name: "listed", recorded: recordedMachines(unknownMachine), status: messages.StatusMisdirected, redirectTo: "n1"},
+		{name: "open provisioning request of its kind", recorded: requested, status: messages.StatusUnavailable},
+		{name: "orphan", recorded: recordedMachines(), status: messages.StatusUnavailable, queries: 1},
+		{name: "orphan of another shard", recorded: recordedMachines(), ownedElsewhere: true, status: messages.StatusMisdirected, redirectTo: "n2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -180,11 +180,11 @@
 		to = ""
 	}
 	response := &messages.HeartbeatResponse{RedirectTo: to}
-	s.loop.Emit(messages.Respond{Request: request, Status: messages.ReplyMisdirected, Heartbeat: response})
+	s.loop.Emit(messages.Respond{Request: request, Status: messages.StatusMisdirected, Heartbeat: response})
 }
 
 // respondUnavailable answers a heartbeat with ReplyUnavailable, so that the worker retries
 // later.
 func (s *shared) respondUnavailable(request messages.RequestID) {
-	s.loop.Emit(messages.Respond{Request: request, Status: messages.ReplyUnavailable})
+	s.loop.Emit(messages.Respond{Request: request, Status: messages.StatusUnavailable})
 }
--- a/internal/settings/workertimes.go
+++ b/internal/settings/workertimes.go
@@ -21,17 +21,17 @@
 	s.Controller.HeartbeatInterval = seconds(workers.HeartbeatSeconds)
 	s.Controller.WorkerLease = seconds(workers.LeaseSeconds)
 	s.Controller.CancelDeadline = seconds(workers.CancelSeconds)
-	window := ownership.AnswerWindow(s.Controller.CancelDeadline, s.Controller.WorkerLease)
-	if window >= ownership.MinAnswerWindow {
+	window := ownership.ResponseWindow(s.Controller.CancelDeadline, s.Controller.WorkerLease)
+	if window >= ownership.MinResponseWindow {
 		return
 	}
 	// Each second of cancel_s extends the window by slightly less than a second, because
 	// part of it is an allowance for clock drift.
 	const margin = 1.01
-	missing := toSeconds(ownership.MinAnswerWindow - window)
+	missing := toSeconds(ownership.MinResponseWindow - window)
 	sufficient := math.Ceil(workers.CancelSeconds + missing*margin)
 	s.warnf("cluster.workers: with lease_s %g, a cancel_s of %g leaves a partitioned controller %.2f s "+
 		"to detect that another controller has acquired its shard, but it needs %g s; "+
 		"during an outage of the state service a cancelled task may run past cancel_s. Increase cancel_s to at least %g",
-		workers.LeaseSeconds, workers.CancelSeconds, toSeconds(window), toSeconds(ownership.MinAnswerWindow), sufficient)
+		workers.LeaseSeconds, workers.CancelSeconds, toSeconds(window), toSeconds(ownership.MinResponseWindow), sufficient)
 }
--- a/internal/simulation/edge_case_requests.go
+++ b/internal/simulation/edge_case_requests.go
@@ -60,7 +60,7 @@
 	}
 	askedAt := o.Now
 	o.nodes.randomNode().SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
-		if response.Status != messages.ReplyTooManyRequests {
+		if response.Status != messages.StatusTooManyRequests {
 			o.checkStatusResponse(kind, job, response, func() bool { return askedAt >= job.finalReportedAt })
 		}
 		o.FaultCounts[kind]++
@@ -95,7 +95,7 @@
 func (o *EdgeCaseRequests) checkStatusResponse(kind FaultKind, job *Job, response messages.Respond, current func() bool) {
 	switch {
 	case isUndecided(response.Status):
-	case response.Status != messages.ReplyOK:
+	case response.Status != messages.StatusOK:
 		o.reportViolation("forgotten: %s return status %d: %s", kind, response.Status, job.Spec.ID)
 	case response.View == nil:
 		o.reportViolation("missing_status: %s return no job status: %s", kind, job.Spec.ID)
@@ -106,23 +106,23 @@
 
 // isUndecided reports whether a request got no response or could not be processed, so
 // that it can be retried.
-func isUndecided(status messages.ReplyStatus) bool {
-	return status == messages.ReplyNone || status == messages.ReplyUnavailable
+func isUndecided(status messages.ResponseStatus) bool {
+	return status == messages.StatusNone || status == messages.StatusUnavailable
 }
 
 // rejectedSubmission is a submission that the controllers must reject.
 type rejectedSubmission struct {
 	kind      FaultKind
 	spec      cluster.JobSpec
-	rejection messages.ReplyStatus // set by the HTTP server if the request is malformed
-	want      messages.ReplyStatus
+	rejection messages.ResponseStatus // set by the HTTP server if the request is malformed
+	want      messages.ResponseStatus
 }
 
 // submitUnschedulable submits a job that fits no machine.
 func (o *EdgeCaseRequests) submitUnschedulable() {
 	spec := o.newRejectedSpec()
 	spec.ResourceRequest.CPU = 1_000_000_000
-	o.submitRejected(rejectedSubmission{kind: FaultUnschedulableSubmission, spec: spec, want: messages.ReplyUnschedulable})
+	o.submitRejected(rejectedSubmission{kind: FaultUnschedulableSubmission, spec: spec, want: messages.StatusUnschedulable})
 }
 
 // submitMalformed submits a job whose request body is invalid.
@@ -130,8 +130,8 @@
 	o.submitRejected(rejectedSubmission{
 		kind:      FaultMalformedSubmission,
 		spec:      o.newRejectedSpec(),
-		rejection: messages.ReplyBadRequest,
-		want:      messages.ReplyBadRequest,
+		rejection: messages.StatusBadRequest,
+		want:      messages.StatusBadRequest,
 	})
 }
 
@@ -167,7 +167,7 @@
 	case response.Status == submission.want:
 		o.FaultCounts[submission.kind]++
 	case isUndecided(response.Status):
-	case response.Status == messages.ReplyTooManyRequests && submission.rejection == messages.ReplyNone:
+	case response.Status == messages.StatusTooManyRequests && submission.rejection == messages.StatusNone:
 		// An overloaded controller may refuse a submission before it validates it.
 	default:
 		o.reportViolation("unexpected_status: %s return status %d: %s", submission.kind, response.Status, submission.spec.ID)
@@ -177,7 +177,7 @@
 func (o *EdgeCaseRequests) queryRejected(submission rejectedSubmission) {
 	id := submission.spec.ID
 	o.nodes.randomNode().SendRequest(queryRequest(id), func(response messages.Respond) {
-		if !isUndecided(response.Status) && response.Status != messages.ReplyJobNotFound {
+		if !isUndecided(response.Status) && response.Status != messages.StatusJobNotFound {
 			o.reportViolation("invented: queries of rejected job %s, one of the %s, return status %d", id, submission.kind, response.Status)
 		}
 	})
--- a/internal/simulation/failovers.go
+++ b/internal/simulation/failovers.go
@@ -87,7 +87,7 @@
 // replay delivers a heartbeat that was captured before a failover.
 func (f *Failovers) replay(node *Node, status cluster.HeartbeatStatus) {
 	node.SendRequest(heartbeatRequest(status), func(response messages.Respond) {
-		if response.Status != messages.ReplyNone {
+		if response.Status != messages.StatusNone {
 			f.FaultCounts[FaultHeartbeatReplayedAtFailover]++
 		}
 	})
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -155,16 +155,16 @@
 		s.FaultCounts[FaultResponseToUnreachableMachine]++
 		return
 	}
-	if s.Now < x.node.StorePartitionedUntil && s.Now < x.node.PeersPartitionedUntil && response.Status == messages.ReplyOK {
+	if s.Now < x.node.StorePartitionedUntil && s.Now < x.node.PeersPartitionedUntil && response.Status == messages.StatusOK {
 		s.FaultCounts[FaultResponseFromIsolatedNode]++
 	}
 	if s.Now < worker.hungUntil {
 		return
 	}
 	switch {
-	case response.Status == messages.ReplyOK && response.Heartbeat != nil:
+	case response.Status == messages.StatusOK && response.Heartbeat != nil:
 		x.accept(*response.Heartbeat)
-	case response.Status == messages.ReplyMisdirected && response.Heartbeat != nil:
+	case response.Status == messages.StatusMisdirected && response.Heartbeat != nil:
 		x.redirect(response.Heartbeat.RedirectTo)
 	default:
 		x.tryNextNode()
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -58,7 +58,7 @@
 	n.running = false
 	n.generation++
 	for _, id := range slices.Sorted(maps.Keys(n.pendingRequests)) {
-		n.pendingRequests[id](messages.Respond{Status: messages.ReplyNone})
+		n.pendingRequests[id](messages.Respond{Status: messages.StatusNone})
 	}
 	n.pendingRequests = nil
 }
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -78,17 +78,17 @@
 }
 
 func (r *ReadAfterWrite) handleResponse(sent followUp, response messages.Respond) {
-	if response.Status == messages.ReplyNone || r.Now-sent.askedAt > sent.timeout() {
+	if response.Status == messages.StatusNone || r.Now-sent.askedAt > sent.timeout() {
 		return
 	}
 	job := sent.job
 	switch {
-	case response.Status == messages.ReplyOK && response.View != nil:
+	case response.Status == messages.StatusOK && response.View != nil:
 		if sent.kind == FaultCancelAfterWrite || sent.askedAt >= job.finalReportedAt {
 			r.users.CheckReportedStatus(job, response.View.Status)
 		}
-	case response.Status == messages.ReplyUnavailable || response.Status == messages.ReplyTooManyRequests:
-	case !sent.accepted && sent.kind == FaultCancelAfterWrite && response.Status == messages.ReplyJobNotFound:
+	case response.Status == messages.StatusUnavailable || response.Status == messages.StatusTooManyRequests:
+	case !sent.accepted && sent.kind == FaultCancelAfterWrite && response.Status == messages.StatusJobNotFound:
 	case isRefusal(response.Status):
 		r.reportViolation("forgotten: %s was reported before %v, but %s at %s return status %d", job.Spec.ID, time.Duration(sent.askedAt), sent.kind, sent.node.ID, response.Status)
 	default:
@@ -98,6 +98,6 @@
 }
 
 // isRefusal reports whether a status means that the job is unknown or cannot be run.
-func isRefusal(status messages.ReplyStatus) bool {
-	return status == messages.ReplyJobNotFound || status == messages.ReplyBadRequest || status == messages.ReplyUnschedulable
+func isRefusal(status messages.ResponseStatus) bool {
+	return status == messages.StatusJobNotFound || status == messages.StatusBadRequest || status == messages.StatusUnschedulable
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -59,11 +59,11 @@
 	}
 	node.SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
 		switch response.Status {
-		case messages.ReplyOK, messages.ReplyCreated:
+		case messages.StatusOK, messages.StatusCreated:
 			u.handleAccepted(job, askedAt, response.View.Status)
-		case messages.ReplyBadRequest, messages.ReplyUnschedulable:
+		case messages.StatusBadRequest, messages.StatusUnschedulable:
 			u.reportViolation("valid job %s rejected with status %d", job.Spec.ID, response.Status)
-		case messages.ReplyNone, messages.ReplyJobNotFound, messages.ReplyMisdirected, messages.ReplyTooManyRequests, messages.ReplyUnavailable:
+		case messages.StatusNone, messages.StatusJobNotFound, messages.StatusMisdirected, messages.StatusTooManyRequests, messages.StatusUnavailable:
 			if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
 				u.FaultCounts[FaultDependentRejectedInUpgrade]++
 			}
@@ -118,17 +118,17 @@
 		return
 	}
 	switch response.Status {
-	case messages.ReplyOK:
+	case messages.StatusOK:
 		job.lastResponseAt = u.Now
 		// A query that was sent before the final status was reported may return an
 		// older status.
 		if askedAt >= job.finalReportedAt {
 			u.CheckReportedStatus(job, response.View.Status)
 		}
-	case messages.ReplyJobNotFound:
+	case messages.StatusJobNotFound:
 		u.reportViolation("forgotten: query of accepted job %s returned not found", job.Spec.ID)
-	case messages.ReplyNone, messages.ReplyCreated, messages.ReplyBadRequest, messages.ReplyMisdirected,
-		messages.ReplyUnschedulable, messages.ReplyTooManyRequests, messages.ReplyUnavailable:
+	case messages.StatusNone, messages.StatusCreated, messages.StatusBadRequest, messages.StatusMisdirected,
+		messages.StatusUnschedulable, messages.StatusTooManyRequests, messages.StatusUnavailable:
 		// The next poll retries.
 	}
 }
@@ -139,9 +139,9 @@
 	accepted := job.Accepted
 	u.nodes.randomNode().SendRequest(cancelRequest(job.Spec.ID), func(response messages.Respond) {
 		switch {
-		case response.Status == messages.ReplyOK:
+		case response.Status == messages.StatusOK:
 			u.CheckReportedStatus(job, response.View.Status)
-		case response.Status == messages.ReplyJobNotFound && accepted:
+		case response.Status == messages.StatusJobNotFound && accepted:
 			u.reportViolation("forgotten: cancellation of accepted job %s returned not found", job.Spec.ID)
 		default:
 			u.After(retryPause, func() { u.Cancel(job) })
@@ -152,7 +152,7 @@
 // QueryUnknownJob queries a job that was never submitted, which must not succeed.
 func (u *Users) QueryUnknownJob(id cluster.JobID) {
 	u.nodes.randomNode().SendRequest(queryRequest(id), func(response messages.Respond) {
-		if response.Status == messages.ReplyOK {
+		if response.Status == messages.StatusOK {
 			u.reportViolation("invented: query of %s, which was never submitted, succeeded", id)
 		}
 	})
--- a/internal/users/users.go
+++ b/internal/users/users.go
@@ -59,7 +59,7 @@
 		}
 		// If a job with this id exists, the user must not get a 400 for a repeated
 		// submission. Only the controller knows whether it exists.
-		submit.Rejection = messages.ReplyBadRequest
+		submit.Rejection = messages.StatusBadRequest
 		submit.Reason = err.Error()
 	}
 	h.serve(w, r, func(id messages.RequestID) messages.Event {
@@ -100,7 +100,7 @@
 func (h *handler) serve(w http.ResponseWriter, r *http.Request, makeEvent func(messages.RequestID) messages.Event) {
 	response, answered := h.requester.Request(r.Context(), makeEvent)
 	if !answered {
-		response = messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: retryAfterSeconds}
+		response = messages.Respond{Status: messages.StatusUnavailable, RetryAfter: retryAfterSeconds}
 	}
 	if response.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(response.RetryAfter))
@@ -110,7 +110,7 @@
 		w.Header().Set("Content-Type", wire.ContentTypeJSON)
 		w.WriteHeader(int(response.Status))
 		_, _ = w.Write(wire.EncodeJobView(*response.View)) // fails if the user has disconnected
-	case response.Status == messages.ReplyOK:
+	case response.Status == messages.StatusOK:
 		w.WriteHeader(http.StatusOK)
 	default:
 		http.Error(w, response.Error, int(response.Status))
--- a/internal/users/users_test.go
+++ b/internal/users/users_test.go
@@ -62,13 +62,13 @@
 		retryAfter  string
 		body        string
 	}{
-		"accepted":      {messages.Respond{Status: messages.ReplyCreated, View: view}, 201, "application/json", "", viewBody},
-		"exists":        {messages.Respond{Status: messages.ReplyOK, View: view}, 200, "application/json", "", viewBody},
-		"healthy":       {messages.Respond{Status: messages.ReplyOK}, 200, "", "", ""},
-		"not found":     {messages.Respond{Status: messages.ReplyJobNotFound, Error: "unknown job"}, 404, "text/plain; charset=utf-8", "", "unknown job\n"},
-		"unschedulable": {messages.Respond{Status: messages.ReplyUnschedulable, Error: "unknown team"}, 422, "text/plain; charset=utf-8", "", "unknown team\n"},
-		"rate limited":  {messages.Respond{Status: messages.ReplyTooManyRequests, RetryAfter: 7, Error: "busy"}, 429, "text/plain; charset=utf-8", "7", "busy\n"},
-		"unavailable":   {messages.Respond{Status: messages.ReplyUnavailable, RetryAfter: 2}, 503, "text/plain; charset=utf-8", "2", "\n"},
+		"accepted":      {messages.Respond{Status: messages.StatusCreated, View: view}, 201, "application/json", "", viewBody},
+		"exists":        {messages.Respond{Status: messages.StatusOK, View: view}, 200, "application/json", "", viewBody},
+		"healthy":       {messages.Respond{Status: messages.StatusOK}, 200, "", "", ""},
+		"not found":     {messages.Respond{Status: messages.StatusJobNotFound, Error: "unknown job"}, 404, "text/plain; charset=utf-8", "", "unknown job\n"},
+		"unschedulable": {messages.Respond{Status: messages.StatusUnschedulable, Error: "unknown team"}, 422, "text/plain; charset=utf-8", "", "unknown team\n"},
+		"rate limited":  {messages.Respond{Status: messages.StatusTooManyRequests, RetryAfter: 7, Error: "busy"}, 429, "text/plain; charset=utf-8", "7", "busy\n"},
+		"unavailable":   {messages.Respond{Status: messages.StatusUnavailable, RetryAfter: 2}, 503, "text/plain; charset=utf-8", "2", "\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := serve(t, &wiretest.FakeRequester{Response: test.response}, http.MethodGet, "/v2/runs/j-000412", "")
@@ -102,7 +102,7 @@
 	}{
 		"health":               {"GET", "/healthz", "", messages.Health{Request: 1}, 200, ""},
 		"submission":           {"POST", "/v2/runs", validSubmission, messages.Submit{Request: 1, Spec: spec}, 200, ""},
-		"malformed with an id": {"POST", "/v2/runs", unknownShape, messages.Submit{Request: 1, Spec: unknownShapeSpec, Rejection: messages.ReplyBadRequest, Reason: "shape is not known"}, 200, ""},
+		"malformed with an id": {"POST", "/v2/runs", unknownShape, messages.Submit{Request: 1, Spec: unknownShapeSpec, Rejection: messages.StatusBadRequest, Reason: "shape is not known"}, 200, ""},
 		"query":                {"GET", "/v2/runs/j-7", "", messages.Query{Request: 1, ID: "j-7"}, 200, ""},
 		"cancellation":         {"POST", "/v2/runs/j-7/cancel", "", messages.Cancel{Request: 1, ID: "j-7"}, 200, ""},
 		"cancellation, body":   {"POST", "/v2/runs/j-7/cancel", "{}", messages.Cancel{Request: 1, ID: "j-7"}, 200, ""},
@@ -117,7 +117,7 @@
 		"heartbeat with GET": {"GET", "/checkin", "", nil, 404, "404 page not found\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyOK}}
+			requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.StatusOK}}
 			got := serve(t, requester, test.method, test.path, test.body)
 			if got.Code != test.status || got.Body.String() != test.responseBody {
 				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.responseBody)
@@ -139,12 +139,12 @@
 // TestMistypedField checks the error that a user gets for a field of the wrong JSON type.
 // It contains the name of a Go type, so renaming the type would change the response.
 func TestMistypedField(t *testing.T) {
-	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyOK}}
+	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.StatusOK}}
 	serve(t, requester, http.MethodPost, "/v2/runs", strings.Replace(validSubmission, `"vcpus":8.0`, `"vcpus":"8"`, 1))
 	want := messages.Submit{
 		Request:   1,
 		Spec:      cluster.JobSpec{ID: "j-000412"},
-		Rejection: messages.ReplyBadRequest,
+		Rejection: messages.StatusBadRequest,
 		Reason:    "reading submission: json: cannot unmarshal string into Go struct field submission.vcpus of type float64",
 	}
 	if events := requester.Events(); !reflect.DeepEqual(events, []messages.Event{want}) {
@@ -156,7 +156,7 @@
 // one is rejected without an event.
 func TestBodyLimit(t *testing.T) {
 	padded := func(length int) string { return validSubmission + strings.Repeat(" ", length-len(validSubmission)) }
-	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyCreated}}
+	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.StatusCreated}}
 	if got := serve(t, requester, http.MethodPost, "/v2/runs", padded(maxBodySize)); got.Code != http.StatusCreated {
 		t.Errorf("largest body: answered %d %q", got.Code, got.Body)
 	}
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -175,8 +175,8 @@
 
 // EncodeHeartbeatResponse encodes the body of the response to a heartbeat: a
 // redirection for status 421, commands for any other status.
-func EncodeHeartbeatResponse(status messages.ReplyStatus, response messages.HeartbeatResponse) []byte {
-	if status == messages.ReplyMisdirected {
+func EncodeHeartbeatResponse(status messages.ResponseStatus, response messages.HeartbeatResponse) []byte {
+	if status == messages.StatusMisdirected {
 		return marshal(redirection{Node: response.RedirectTo})
 	}
 	return marshal(heartbeatResponse{
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -65,10 +65,10 @@
 		contentType string
 		body        string
 	}{
-		"commands":      {messages.Respond{Status: messages.ReplyOK, Heartbeat: commands}, 200, "application/json", `{"baton":41,"dispatches":[{"verb":"start","leg":"j-000412/4","boarding":2}]}`},
-		"redirected":    {messages.Respond{Status: messages.ReplyMisdirected, Heartbeat: redirect}, 421, "application/json", `{"dispatcher":"landing-2"}`},
-		"owner unknown": {messages.Respond{Status: messages.ReplyMisdirected, Heartbeat: &messages.HeartbeatResponse{}}, 421, "application/json", `{}`},
-		"unavailable":   {messages.Respond{Status: messages.ReplyUnavailable, Error: "not now"}, 503, "text/plain; charset=utf-8", "not now\n"},
+		"commands":      {messages.Respond{Status: messages.StatusOK, Heartbeat: commands}, 200, "application/json", `{"baton":41,"dispatches":[{"verb":"start","leg":"j-000412/4","boarding":2}]}`},
+		"redirected":    {messages.Respond{Status: messages.StatusMisdirected, Heartbeat: redirect}, 421, "application/json", `{"dispatcher":"landing-2"}`},
+		"owner unknown": {messages.Respond{Status: messages.StatusMisdirected, Heartbeat: &messages.HeartbeatResponse{}}, 421, "application/json", `{}`},
+		"unavailable":   {messages.Respond{Status: messages.StatusUnavailable, Error: "not now"}, 503, "text/plain; charset=utf-8", "not now\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requester := &wiretest.FakeRequester{Response: test.response}
@@ -98,7 +98,7 @@
 		"oversized":    {validHeartbeat + strings.Repeat(" ", maxBodySize+1-len(validHeartbeat)), "body unreadable or too large\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyOK}}
+			requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.StatusOK}}
 			got := serveHeartbeat(t, newTestHandler(requester), test.body)
 			if got.Code != http.StatusBadRequest || got.Body.String() != test.responseBody {
 				t.Errorf("answered %d %q, want 400 %q", got.Code, got.Body, test.responseBody)
@@ -113,7 +113,7 @@
 // TestLargestHeartbeat checks that a body of the maximum size is accepted.
 func TestLargestHeartbeat(t *testing.T) {
 	body := validHeartbeat + strings.Repeat(" ", maxBodySize-len(validHeartbeat))
-	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.ReplyOK, Heartbeat: &messages.HeartbeatResponse{}}}
+	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.StatusOK, Heartbeat: &messages.HeartbeatResponse{}}}
 	if got := serveHeartbeat(t, newTestHandler(requester), body); got.Code != http.StatusOK {
 		t.Errorf("answered %d %q", got.Code, got.Body)
 	}
