--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -22,7 +22,8 @@
 	// ShardID is the number of a shard, counted from 0. A shard is a set of teams and
 	// machines that one controller owns at a time.
 	ShardID int
-	// Revision is a revision of the state service, which increases with every change.
+	// Revision is a revision of the consensus-backed key-value store, which increases
+	// with every change.
 	Revision uint64
 	// ModRevision is the revision at which a key was last modified, or 0 if the key is
 	// absent.
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -49,9 +49,9 @@
 	Running int       `cbor:"Running"`
 }
 
-// Team is a tenant of the cluster. Jobs within a team's guaranteed quota take precedence
-// over jobs beyond their team's. The jobs of a team together never use more than the quota limit,
-// which may be NoLimit.
+// Team is a tenant of the cluster. Jobs within their team's guaranteed quota take
+// precedence over jobs beyond it. The jobs of a team together never use more than the
+// quota limit, which may be NoLimit.
 type Team struct {
 	Name            string
 	GuaranteedQuota Resources
--- a/internal/cluster/resources.go
+++ b/internal/cluster/resources.go
@@ -13,7 +13,7 @@
 	return Resources{CPU: r.CPU + other.CPU, GPU: r.GPU + other.GPU, Memory: r.Memory + other.Memory}
 }
 
-// Minus returns r less other; its amounts may be negative.
+// Minus returns r minus other. The amounts of the result may be negative.
 func (r Resources) Minus(other Resources) Resources {
 	return Resources{CPU: r.CPU - other.CPU, GPU: r.GPU - other.GPU, Memory: r.Memory - other.Memory}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -75,7 +75,7 @@
 }
 
 // Deliver passes a reply to the handler of the call that it answers. It drops the reply
-// if the call is not pending, as after an earlier reply.
+// if the call is not pending, for example because it has already been answered.
 func (l *Loop) Deliver(reply messages.Reply) {
 	handle := l.pendingCalls[reply.Call]
 	if handle == nil {
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -48,7 +48,7 @@
 	return q.heap[0].due, true
 }
 
-// runDue runs the timers that are due, including those that are added meanwhile.
+// runDue runs the timers that are due, including timers that they add.
 func (q *timerQueue) runDue(now cluster.Time) {
 	for len(q.heap) > 0 && q.heap[0].due <= now {
 		due := q.heap[0]
@@ -60,8 +60,8 @@
 // After calls run once delay has passed.
 func (l *Loop) After(delay cluster.Time, run func()) { l.timers.add(l.now+delay, run) }
 
-// Every calls run at once, and then again each time the interval has passed. It calls
-// interval after each run to get the time until the next one.
+// Every calls run immediately, and then again each time the interval has passed. After
+// each run it calls interval to get the time until the next one.
 func (l *Loop) Every(interval func() cluster.Time, run func()) {
 	var repeat func()
 	repeat = func() {
--- a/internal/jobs/admissionqueue.go
+++ b/internal/jobs/admissionqueue.go
@@ -14,18 +14,18 @@
 	// admissionTimeout is how long a submission may wait to be stored.
 	admissionTimeout = 3500 * millisecond
 	// proxyDelay is the time after which a submission is forwarded to another
-	// controller if the state service has stopped responding to this one.
+	// controller if the store has stopped responding to this one.
 	proxyDelay = writequeue.SlowThreshold + 50*millisecond
-	// duplicateCheckDelay is how long submissions are collected that share one
-	// duplicate check.
+	// duplicateCheckDelay is how long submissions are collected for a shared duplicate
+	// check.
 	duplicateCheckDelay = 5 * millisecond
 	// admittedJobOverhead is the size of a job in an admission record without its ID
 	// and specification, in bytes.
 	admittedJobOverhead = 20
 )
 
-// admissionQueue stores submissions in the state service. Submissions that arrive at
-// about the same time share a record and so a put; with a put each, a burst of
+// admissionQueue writes submissions to the store. Submissions that arrive at about the
+// same time are stored in one record by one put. With a put for each, a burst of
 // submissions would exceed the write rate.
 //
 // An unanswered submission either is in waiting or belongs to one write. While any is
@@ -80,9 +80,9 @@
 }
 
 // add queues a job to be stored. The submission is answered when the job is stored, or
-// refused after admissionTimeout.
-func (q *admissionQueue) add(spec cluster.JobSpec, answer func(messages.Respond)) {
-	admission := &pendingAdmission{spec: spec, respond: answer, deadline: q.loop.Now() + admissionTimeout}
+// rejected after admissionTimeout.
+func (q *admissionQueue) add(spec cluster.JobSpec, respond func(messages.Respond)) {
+	admission := &pendingAdmission{spec: spec, respond: respond, deadline: q.loop.Now() + admissionTimeout}
 	q.loop.After(admissionTimeout, func() {
 		admission.answer(messages.Respond{Status: messages.StatusUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "not stored in time"})
 	})
@@ -145,8 +145,8 @@
 	return len(value) + len(spec.ID) + admittedJobOverhead
 }
 
-// maxSpecBytes returns how much of a record specifications may take. The rest is left
-// for completed tasks.
+// maxSpecBytes returns the maximum total size of the specifications in a record. The rest
+// of the record is left for completed tasks.
 func (s *shared) maxSpecBytes() int { return s.config.MaxValueBytes * 4 / 5 }
 
 // joinIdempotentRetry reports whether a submission need not be stored. Either its job is
@@ -178,8 +178,8 @@
 	return float64(len(q.waiting)) / float64(q.config.MaxTxnOps)
 }
 
-// nextKey returns the key of the next admission record. It is never used twice, as no
-// other process has the same instance ID.
+// nextKey returns the key of the next admission record. It is never used twice, because
+// no other process has the same instance ID.
 func (q *admissionQueue) nextKey() string {
 	q.keysIssued++
 	return AdmissionKeyPrefix + q.config.InstanceID + "-" + strconv.Itoa(q.keysIssued)
--- a/internal/jobs/admissionqueue_test.go
+++ b/internal/jobs/admissionqueue_test.go
@@ -10,15 +10,15 @@
 )
 
 // enqueueTestAdmissions adds submissions to the queue without enqueuing a write. The
-// returned map collects their answers.
+// returned map collects their responses.
 func enqueueTestAdmissions(jobs *testJobs, specs ...cluster.JobSpec) (*admissionQueue, map[cluster.JobID][]messages.Respond) {
 	queue := jobs.Submissions.queue
-	answers := map[cluster.JobID][]messages.Respond{}
+	responses := map[cluster.JobID][]messages.Respond{}
 	for _, spec := range specs {
-		answer := func(response messages.Respond) { answers[spec.ID] = append(answers[spec.ID], response) }
-		queue.waiting = append(queue.waiting, &pendingAdmission{spec: spec, respond: answer, deadline: jobs.loop.Now() + second})
+		respond := func(response messages.Respond) { responses[spec.ID] = append(responses[spec.ID], response) }
+		queue.waiting = append(queue.waiting, &pendingAdmission{spec: spec, respond: respond, deadline: jobs.loop.Now() + second})
 	}
-	return queue, answers
+	return queue, responses
 }
 
 // TestAdmissionBatchWithinLimits checks that a batch exceeds neither the transaction limit
@@ -67,13 +67,13 @@
 // stored once and both answered.
 func TestIdempotentRetryJoinsBatch(t *testing.T) {
 	jobs := newTestJobs(t)
-	queue, answers := enqueueTestAdmissions(jobs, cluster.JobSpec{ID: "j-1"}, cluster.JobSpec{ID: "j-1"})
+	queue, responses := enqueueTestAdmissions(jobs, cluster.JobSpec{ID: "j-1"}, cluster.JobSpec{ID: "j-1"})
 	batch := queue.takeBatch()
 	if len(batch) != 1 {
 		t.Fatalf("batch has %d jobs, want 1", len(batch))
 	}
 	batch[0].answer(messages.Respond{Status: messages.StatusUnavailable})
-	if len(answers["j-1"]) != 2 {
-		t.Errorf("got %d answers, want 2", len(answers["j-1"]))
+	if len(responses["j-1"]) != 2 {
+		t.Errorf("got %d responses, want 2", len(responses["j-1"]))
 	}
 }
--- a/internal/jobs/admissionrecords.go
+++ b/internal/jobs/admissionrecords.go
@@ -89,7 +89,7 @@
 }
 
 // lookUp calls handle with whether an admission record lists a job. Unless that is known
-// already, it reads the changes from the state service; ok is false if that fails.
+// already, it reads the changes from the store; ok is false if that fails.
 func (a *AdmissionRecords) lookUp(id cluster.JobID, handle func(admitted, ok bool)) {
 	switch {
 	case a.isAdmitted(id):
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -55,7 +55,7 @@
 			c.answer(view.Status)
 		})
 	default:
-		c.askOwner(known)
+		c.forwardToOwner(known)
 	}
 }
 
@@ -72,7 +72,7 @@
 }
 
 // askOwner forwards the request to the owner of the job's shard.
-func (c *cancellation) askOwner(known *state.KnownJob) {
+func (c *cancellation) forwardToOwner(known *state.KnownJob) {
 	members := c.cancellations.Members
 	owner := members.Peer(c.cancellations.state.Shards[known.ShardID].Owner)
 	if owner == nil || owner.IsUnreachable() {
@@ -90,7 +90,7 @@
 	})
 }
 
-// lookUp looks up an unknown job in the state service.
+// lookUp looks up an unknown job in the store.
 func (c *cancellation) lookUp(mayRetry bool) {
 	c.cancellations.queries.lookUpInStore(c.id, func(status messages.ResponseStatus, view cluster.JobView) {
 		switch {
@@ -107,7 +107,7 @@
 }
 
 // CancelOwned cancels a job of an owned shard. It calls handle with the job's final status
-// once that is stored, or with ReplyUnavailable and nil if it is not stored in time or
+// once that is stored, or with StatusUnavailable and nil if it is not stored in time or
 // this controller does not own the job.
 func (c *Cancellations) CancelOwned(id cluster.JobID, handle func(messages.ResponseStatus, *cluster.JobView)) {
 	if known := c.state.Jobs.FinalJob(id); known != nil {
@@ -134,8 +134,8 @@
 	c.loop.After(cancelTimeout, func() { answer("") })
 	job.Waiters = append(job.Waiters, answer)
 	if !job.Cancelling {
-		// The tasks are stopped before the write is confirmed: its reply may be lost
-		// while other controllers already read and report the cancellation.
+		// The tasks are stopped before the write is confirmed, because its reply may be
+		// lost while other controllers already read and report the cancellation.
 		job.Cancelling = true
 		c.Tasks.WithdrawUnsentStarts(job)
 		c.Tasks.StopAll(job)
--- a/internal/jobs/checkpoints.go
+++ b/internal/jobs/checkpoints.go
@@ -54,7 +54,7 @@
 }
 
 // handleFinalStatusStored updates a job after its final status is stored: it updates and
-// notifies the dependents, answers the waiters, and removes the job from the owned ones
+// notifies the dependents, calls the waiters, and removes the job from the owned ones
 // unless tasks of it are still assigned.
 func (r *Records) handleFinalStatusStored(job *state.Job, final cluster.JobStatus) {
 	job.FinalStatus = final
@@ -63,7 +63,7 @@
 		r.dependencies.applyFinalStatus(job.Spec.ID, known, final)
 		r.dependencies.notifyDependentOwners(job.Spec.ID, known)
 	}
-	answerWaiters(job, final)
+	callWaiters(job, final)
 	if !r.state.Jobs.Owns(job) {
 		return
 	}
@@ -100,14 +100,14 @@
 // empty status.
 func (r *Records) Abandon(job *state.Job) {
 	r.state.RemoveOwnedJob(job)
-	answerWaiters(job, "")
+	callWaiters(job, "")
 }
 
-// answerWaiters calls the waiters of a job with its final status, or with an empty status
+// callWaiters calls the waiters of a job with its final status, or with an empty status
 // if the job's shard was lost.
-func answerWaiters(job *state.Job, final cluster.JobStatus) {
-	for _, answer := range job.Waiters {
-		answer(final)
+func callWaiters(job *state.Job, final cluster.JobStatus) {
+	for _, waiter := range job.Waiters {
+		waiter(final)
 	}
 	job.Waiters = nil
 }
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -22,8 +22,8 @@
 // their records.
 //
 // A job is ready when all its dependencies are stored as done. The stored cancellation
-// of a job implies the cancellation of all its direct and indirect dependents, as none
-// of them can be done before it. A controller may report and act on an implied
+// of a job implies the cancellation of all its direct and indirect dependents, because
+// none of them can be done before it. A controller may report and act on an implied
 // cancellation before the dependent's own record shows it. A blocked job may therefore
 // be reported as unfinished only after all changes stored before the request were read.
 type dependencyGraph struct {
@@ -153,9 +153,9 @@
 	g.Scheduler.RequestScaleOut()
 }
 
-// notifyDependentOwners sends a job's stored final status to the owners of its dependents;
-// for a cancelled job, also to those of the indirect ones. If a notice is lost, the
-// owner's watch delivers the change.
+// notifyDependentOwners sends a job's stored final status to the owners of its
+// dependents, and for a cancelled job also to the owners of its indirect dependents. If a
+// notice is lost, the owner's watch delivers the change.
 func (g *dependencyGraph) notifyDependentOwners(id cluster.JobID, known *state.KnownJob) {
 	notified := map[cluster.ShardID]bool{}
 	var visit func(cluster.JobID)
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -39,11 +39,11 @@
 )
 
 const (
-	// shortRetryAfterSeconds is the Retry-After of requests that may succeed as soon
-	// as they are repeated.
+	// shortRetryAfterSeconds is the Retry-After for failures that are likely to be
+	// short.
 	shortRetryAfterSeconds = 1
-	// storeRetryAfterSeconds is the Retry-After while the state service is unavailable
-	// or the machine types are not known.
+	// storeRetryAfterSeconds is the Retry-After while the store is unavailable or the
+	// machine types are not known.
 	storeRetryAfterSeconds = 2
 	// maxRetryAfterSeconds is the longest Retry-After.
 	maxRetryAfterSeconds = 30
@@ -51,10 +51,10 @@
 
 const (
 	// watchPause is the pause between two watch requests for job records. It may be
-	// long, since notices between controllers deliver most changes sooner.
+	// long, because notices between controllers deliver most changes sooner.
 	watchPause = 2 * second
-	// storeTimeout is how long the state service may be unavailable before requests
-	// that need it are refused without being tried.
+	// storeTimeout is how long the store may be unavailable before requests that need it
+	// are rejected without being tried.
 	storeTimeout = second
 )
 
@@ -65,7 +65,7 @@
 	Nodes []cluster.NodeID
 	// InstanceID is unique to this process.
 	InstanceID string
-	// MaxValueBytes is the size limit of a record in the state service.
+	// MaxValueBytes is the size limit of a record in the store.
 	MaxValueBytes int
 	// MaxTxnOps is the maximum number of operations in a transaction.
 	MaxTxnOps int
@@ -73,12 +73,12 @@
 	CheckpointInterval cluster.Time
 }
 
-// ShardOwnership confirms and gives up the ownership of shards.
+// ShardOwnership confirms and drops the ownership of shards.
 type ShardOwnership interface {
 	// ConfirmOwnership calls handle with whether this controller still owns the shard,
 	// according to a read that begins after the call.
 	ConfirmOwnership(shard *state.Shard, handle func(owned bool))
-	// DropCorruptShard gives up a shard because the record under key is corrupt.
+	// DropCorruptShard drops a shard because the record under key is corrupt.
 	DropCorruptShard(shard *state.Shard, key, reason string)
 }
 
@@ -157,7 +157,7 @@
 // Configure applies changed settings.
 func (j *Jobs) Configure(config Config) { j.shared.config = config }
 
-// Load starts to read the records of all jobs from the state service, and then follows
+// Load starts to read the records of all jobs from the store, and then follows
 // their changes.
 func (j *Jobs) Load() {
 	j.Records.load()
--- a/internal/jobs/linearizablereads_test.go
+++ b/internal/jobs/linearizablereads_test.go
@@ -25,38 +25,38 @@
 	jobs.state.Jobs.AppliedRevision = 20
 	jobs.AdmissionRecords.ApplyAll(nil, 20)
 	reads := jobs.Queries.reads
-	answers := map[string]bool{}
-	ask := func(name string) { reads.read(func(ok bool) { answers[name] = ok }) }
+	results := map[string]bool{}
+	read := func(name string) { reads.read(func(ok bool) { results[name] = ok }) }
 	finish := func(calls []messages.CallID, outcome messages.Outcome) {
 		for _, call := range calls {
 			jobs.loop.Deliver(messages.Reply{Call: call, Body: messages.WatchReply{Outcome: outcome}})
 		}
 	}
 
-	ask("first")
+	read("first")
 	first := watchCalls(jobs.runFor(0))
 	if len(first) != 2 {
 		t.Fatalf("%d reads, want one of the jobs' own records and one of the admission records", len(first))
 	}
-	ask("second")
+	read("second")
 	finish(first[:1], messages.OK)
-	if len(answers) != 0 {
+	if len(results) != 0 {
 		t.Error("answered before both reads were finished")
 	}
 	finish(first[1:], messages.OK)
-	if ok, answered := answers["first"]; !ok || !answered || len(answers) != 1 {
-		t.Errorf("answers after the first read: %v, want first alone", answers)
+	if ok, answered := results["first"]; !ok || !answered || len(results) != 1 {
+		t.Errorf("results after the first read: %v, want first alone", results)
 	}
 
 	if calls := watchCalls(jobs.runFor(linearizableReadInterval - 1)); len(calls) != 0 {
 		t.Errorf("%d reads before the interval has passed, want none", len(calls))
 	}
-	ask("third")
+	read("third")
 	second := watchCalls(jobs.runFor(1))
 	finish(second[:1], messages.UnknownOutcome)
 	finish(second[1:], messages.OK)
 	for _, name := range []string{"second", "third"} {
-		if ok, answered := answers[name]; ok || !answered {
+		if ok, answered := results[name]; ok || !answered {
 			t.Errorf("%s: answered %v with ok %v, want ok false after one of the two reads failed", name, answered, ok)
 		}
 	}
--- a/internal/jobs/notices.go
+++ b/internal/jobs/notices.go
@@ -11,19 +11,19 @@
 const (
 	// noticeDelay is how long the notices for a controller are collected.
 	noticeDelay = 20 * millisecond
-	// noticeTimeout is the timeout of a message with notices, and noticeRetries how
-	// often a failed one is sent again.
+	// noticeTimeout is the timeout of a message with notices. A failed message is sent
+	// again up to noticeRetries times.
 	noticeTimeout = second
 	noticeRetries = 3
-	// maxNotices limits the number of records in a message, and maxNoticeBytes their
-	// size, to a quarter of the size limit of messages. A single record of any size is
-	// sent.
+	// maxNotices and maxNoticeBytes limit the number and the total size of the records
+	// in a message. The latter is a quarter of the size limit of messages. A single
+	// record of any size is sent.
 	maxNotices     = 50
 	maxNoticeBytes = 256 << 10
 )
 
-// noticeSender sends stored job records to the owners of shards, so that these need not
-// wait for their watches. If a notice is lost, the watch delivers the change.
+// noticeSender sends stored job records to the owners of shards, so that the owners need
+// not wait for their watches. If a notice is lost, the watch delivers the change.
 type noticeSender struct {
 	*shared
 
--- a/internal/jobs/ownerqueries.go
+++ b/internal/jobs/ownerqueries.go
@@ -26,7 +26,7 @@
 	scheduled map[cluster.NodeID]bool
 }
 
-// ownerQuery is a query that waits for the answer of the owner of the job's shard.
+// ownerQuery is a query that waits for the reply of the owner of the job's shard.
 type ownerQuery struct {
 	id     cluster.JobID
 	handle viewHandler
@@ -76,8 +76,8 @@
 	o.Members.Call(owner, ownerQueryTimeout, message, func(reply messages.PeerReply) { o.handleReply(batch, reply) })
 }
 
-// handleReply passes the owner's answers to the handlers. Jobs without an answer are
-// looked up in the state service.
+// handleReply passes the job views in the owner's reply to the handlers. Jobs that the
+// reply omits are looked up in the store.
 func (o *ownerQueries) handleReply(batch []ownerQuery, reply messages.PeerReply) {
 	views := map[cluster.JobID]cluster.JobView{}
 	if reply.Outcome == messages.OK {
--- a/internal/jobs/ownerqueries_test.go
+++ b/internal/jobs/ownerqueries_test.go
@@ -47,6 +47,6 @@
 		}
 	}
 	if sentMessages != 3 || answered != queryCount {
-		t.Errorf("%d messages and %d answers, want 3 messages and an answer to each query", sentMessages, answered)
+		t.Errorf("%d messages and %d answered queries, want 3 messages and all queries answered", sentMessages, answered)
 	}
 }
--- a/internal/jobs/proxy.go
+++ b/internal/jobs/proxy.go
@@ -13,11 +13,11 @@
 	// controller.
 	proxyTimeout = 2500 * millisecond
 	// proxyPingFreshness is the maximum age of the ping that shows that a peer can reach
-	// the state service.
+	// the store.
 	proxyPingFreshness = 2 * second
 )
 
-// submissionProxy forwards submissions to another controller when the state service does
+// submissionProxy forwards submissions to another controller when the store does
 // not respond to this one or the machine types are not known yet. Without it, the user's
 // retries would fail here until the load balancer removes this controller. If both
 // controllers store the submission, the later one is answered as an idempotent retry.
@@ -26,8 +26,8 @@
 }
 
 // forward forwards a submission to the next controller that can store it, and passes that
-// controller's response to answer. It returns false if there is no such controller.
-func (p *submissionProxy) forward(spec cluster.JobSpec, answer func(messages.Respond)) bool {
+// controller's response to respond. It returns false if there is no such controller.
+func (p *submissionProxy) forward(spec cluster.JobSpec, respond func(messages.Respond)) bool {
 	nodes := p.config.Nodes
 	self := slices.Index(nodes, p.config.Self)
 	for i := 1; i < len(nodes); i++ {
@@ -36,15 +36,15 @@
 			continue
 		}
 		message := messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: spec.ID, Spec: spec}}
-		p.Members.Call(peer.ID(), proxyTimeout, message, func(reply messages.PeerReply) { p.answer(&spec, reply, answer) })
+		p.Members.Call(peer.ID(), proxyTimeout, message, func(reply messages.PeerReply) { p.handleReply(&spec, reply, respond) })
 		return true
 	}
 	return false
 }
 
 // canStore reports whether a peer can store a submission, according to its last ping. A
-// release without support for dependencies is excluded for jobs that have any, as it
-// would start them at once.
+// release without support for dependencies is excluded for jobs that have any, because it
+// would start them immediately.
 func canStore(peer *membership.Peer, spec *cluster.JobSpec) bool {
 	if peer.IsUnreachable() || peer.IsSuspected() || !peer.HasAnswered() {
 		return false
@@ -55,18 +55,18 @@
 	return len(spec.Dependencies) == 0 || peer.LastPing().FeatureLevel >= DependencyFeatureLevel
 }
 
-// answer answers a submission with the response of the controller that it was forwarded
+// handleReply answers a submission with the reply of the controller that it was forwarded
 // to.
-func (p *submissionProxy) answer(spec *cluster.JobSpec, reply messages.PeerReply, answer func(messages.Respond)) {
+func (p *submissionProxy) handleReply(spec *cluster.JobSpec, reply messages.PeerReply, respond func(messages.Respond)) {
 	switch {
 	case reply.Outcome != messages.OK:
-		answer(messages.Respond{Status: messages.StatusUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "store out of reach"})
+		respond(messages.Respond{Status: messages.StatusUnavailable, RetryAfter: shortRetryAfterSeconds, Error: "store out of reach"})
 	case len(reply.Message.Views) == 1:
 		if team := p.state.Teams[spec.Team]; team != nil {
 			p.state.Jobs.Register(spec.ID, team.ShardID, spec.Team, spec.Tasks)
 		}
-		answer(messages.Respond{Status: reply.Message.Status, View: &reply.Message.Views[0]})
+		respond(messages.Respond{Status: reply.Message.Status, View: &reply.Message.Views[0]})
 	default:
-		answer(messages.Respond{Status: reply.Message.Status, RetryAfter: reply.Message.RetryAfter, Error: reply.Message.Reason})
+		respond(messages.Respond{Status: reply.Message.Status, RetryAfter: reply.Message.RetryAfter, Error: reply.Message.Reason})
 	}
 }
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/state"
 )
 
-// viewHandler is called with ReplyOK and a job's status, or with another reply status if
-// the job's status is not known.
+// viewHandler is called with StatusOK and a job's status, or with another response status
+// if the job's status is not known.
 type viewHandler func(status messages.ResponseStatus, view cluster.JobView)
 
 // Queries looks up the status of jobs for users and other controllers.
@@ -44,8 +44,8 @@
 }
 
 // lookUp looks up a job's status. A final status is answered from memory, an unfinished
-// one by the owner of the job's shard. Otherwise the state service is read, which alone
-// can show that a job does not exist.
+// one by the owner of the job's shard. Otherwise the store is read, because only the
+// store can show that a job does not exist.
 func (q *Queries) lookUp(id cluster.JobID, handle viewHandler) {
 	known := q.state.Jobs.Known[id]
 	if known != nil && known.FinalStatus != "" {
@@ -86,7 +86,7 @@
 	})
 }
 
-// lookUpInStore looks up a job's status in its own record in the state service, or in the
+// lookUpInStore looks up a job's status in its own record in the store, or in the
 // admission records if it has none.
 func (q *Queries) lookUpInStore(id cluster.JobID, handle viewHandler) {
 	if q.writeQueue.IsUnavailableFor(storeTimeout) || q.writeQueue.IsRequestBudgetOverdrawn() {
@@ -139,8 +139,8 @@
 }
 
 // answerUnfinished answers with the status of an unfinished job. For a blocked job it does
-// so only after a linearizable read: a dependency may have been cancelled, and another
-// controller may have reported that the job is cancelled with it.
+// so only after a linearizable read, because a dependency may have been cancelled and
+// another controller may have reported that the job is cancelled with it.
 func (q *Queries) answerUnfinished(id cluster.JobID, view cluster.JobView, handle viewHandler) {
 	if known := q.state.Jobs.FinalJob(id); known != nil {
 		handle(messages.StatusOK, finalView(id, known))
@@ -162,25 +162,25 @@
 }
 
 // answerIdempotentRetry answers a submission whose job is already known.
-func (q *Queries) answerIdempotentRetry(id cluster.JobID, answer func(messages.Respond)) {
+func (q *Queries) answerIdempotentRetry(id cluster.JobID, respond func(messages.Respond)) {
 	q.lookUp(id, func(status messages.ResponseStatus, view cluster.JobView) {
 		if status == messages.StatusOK {
-			answer(messages.Respond{Status: messages.StatusOK, View: &view})
+			respond(messages.Respond{Status: messages.StatusOK, View: &view})
 			return
 		}
-		answer(messages.Respond{Status: messages.StatusUnavailable, RetryAfter: shortRetryAfterSeconds})
+		respond(messages.Respond{Status: messages.StatusUnavailable, RetryAfter: shortRetryAfterSeconds})
 	})
 }
 
 // HandlePeerQuery answers another controller's query with the status of the jobs for which
 // this controller is authoritative, and omits the others.
 func (q *Queries) HandlePeerQuery(ids []cluster.JobID, handle func([]cluster.JobView)) {
-	answer := &peerAnswer{queries: q, ids: ids, handle: handle, confirmed: map[cluster.ShardID]bool{}, outstanding: 1}
-	if slices.ContainsFunc(ids, answer.isBlockedOwned) {
-		answer.outstanding++
+	response := &peerQueryResponse{queries: q, ids: ids, handle: handle, confirmed: map[cluster.ShardID]bool{}, outstanding: 1}
+	if slices.ContainsFunc(ids, response.isBlockedOwned) {
+		response.outstanding++
 		q.reads.read(func(ok bool) {
-			answer.linearizableReadOK = ok
-			answer.finishOne()
+			response.linearizableReadOK = ok
+			response.finishOne()
 		})
 	}
 	shardsToConfirm := map[cluster.ShardID]bool{}
@@ -193,18 +193,18 @@
 		if !shardsToConfirm[shard.ID] {
 			continue
 		}
-		answer.outstanding++
+		response.outstanding++
 		q.Ownership.ConfirmOwnership(shard, func(owned bool) {
-			answer.confirmed[shard.ID] = owned
-			answer.finishOne()
+			response.confirmed[shard.ID] = owned
+			response.finishOne()
 		})
 	}
-	answer.finishOne()
+	response.finishOne()
 }
 
-// peerAnswer is the answer to another controller's query, which waits for ownership
+// peerQueryResponse is the response to another controller's query, which waits for ownership
 // confirmations and, if there are blocked jobs, for a linearizable read.
-type peerAnswer struct {
+type peerQueryResponse struct {
 	queries *Queries
 	ids     []cluster.JobID
 	handle  func([]cluster.JobView)
@@ -214,32 +214,32 @@
 	linearizableReadOK bool                     // the read for the blocked jobs succeeded
 }
 
-func (a *peerAnswer) isBlockedOwned(id cluster.JobID) bool {
-	jobs := &a.queries.state.Jobs
+func (r *peerQueryResponse) isBlockedOwned(id cluster.JobID) bool {
+	jobs := &r.queries.state.Jobs
 	return jobs.Owned[id] != nil && jobs.IsBlocked(id)
 }
 
-// finishOne records that a confirmation or read has finished, and answers after the last
-// one.
-func (a *peerAnswer) finishOne() {
-	a.outstanding--
-	if a.outstanding > 0 {
+// finishOne records that a confirmation or read has finished, and passes on the views
+// after the last one.
+func (r *peerQueryResponse) finishOne() {
+	r.outstanding--
+	if r.outstanding > 0 {
 		return
 	}
-	jobs := &a.queries.state.Jobs
+	jobs := &r.queries.state.Jobs
 	var views []cluster.JobView
-	for _, id := range a.ids {
+	for _, id := range r.ids {
 		if known := jobs.FinalJob(id); known != nil {
 			views = append(views, finalView(id, known))
-		} else if job := jobs.Owned[id]; job != nil && a.isAuthoritative(job) {
+		} else if job := jobs.Owned[id]; job != nil && r.isAuthoritative(job) {
 			views = append(views, job.View())
 		}
 	}
-	a.handle(views)
+	r.handle(views)
 }
 
-// isAuthoritative reports whether the status of a job known here is current: no other
-// controller can have reported a later one.
-func (a *peerAnswer) isAuthoritative(job *state.Job) bool {
-	return a.confirmed[job.ShardID] && !job.FinalWriteInFlight && (a.linearizableReadOK || !a.queries.state.Jobs.IsBlocked(job.Spec.ID))
+// isAuthoritative reports whether the status of a job known here is current, so that
+// no other controller can have reported a later one.
+func (r *peerQueryResponse) isAuthoritative(job *state.Job) bool {
+	return r.confirmed[job.ShardID] && !job.FinalWriteInFlight && (r.linearizableReadOK || !r.queries.state.Jobs.IsBlocked(job.Spec.ID))
 }
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -71,7 +71,7 @@
 	return view, true
 }
 
-// finalRecord returns the record that tells other controllers a job's final status.
+// finalRecord returns the record of a job's final status for notices to other controllers.
 func finalRecord(known *state.KnownJob) *Record {
 	record := &Record{FinalStatus: known.FinalStatus, Team: known.Team, Tasks: known.Tasks}
 	if known.FinalStatus == cluster.JobCancelled {
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -27,7 +27,7 @@
 	return records
 }
 
-// Apply applies a job's record, which was read from the state service, delivered by a
+// Apply applies a job's record, which was read from the store, delivered by a
 // watch or sent by another controller. If the record was read to load a shard that this
 // controller has acquired, loading is that shard; otherwise it is nil.
 func (r *Records) Apply(kv messages.KV, loading *state.Shard) {
@@ -101,9 +101,9 @@
 	if job.RestoreCompleted(0, record.CompletedIndexes) {
 		return job
 	}
-	// It is safe to treat all tasks as not completed: a completed task that is started
-	// again exits at once.
-	r.logCorruptOutcomes(kv.Key)
+	// It is safe to treat all tasks as not completed, because a completed task that is
+	// started again exits immediately.
+	r.logCorruptIndexes(kv.Key)
 	return state.NewJob(*record.Spec, shard, kv.ModRevision, r.loop.Now())
 }
 
@@ -135,12 +135,12 @@
 func (r *Records) applyChunk(job *state.Job, chunk int, kv messages.KV) {
 	var record Record
 	if json.Unmarshal(kv.Value, &record) != nil || !job.RestoreCompleted(chunk, record.CompletedIndexes) {
-		r.logCorruptOutcomes(kv.Key)
+		r.logCorruptIndexes(kv.Key)
 	}
 	job.ModRevisions[chunk] = kv.ModRevision
 }
 
-func (r *Records) logCorruptOutcomes(key string) {
+func (r *Records) logCorruptIndexes(key string) {
 	r.loop.Log(messages.LogInfo, "cannot decode completed tasks of job; rerunning those not known to be completed", "key", key)
 }
 
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -27,9 +27,9 @@
 	finalStatus   cluster.JobStatus
 }
 
-// WriteJob enqueues a write of a job's completed tasks or of its final status. A write of
-// the job that is queued already includes the changes and takes over a more urgent
-// priority; one in flight is followed by another.
+// WriteJob enqueues a write of a job's completed tasks or of its final status. If a write
+// of the job is already queued, it includes the changes, and a more urgent priority
+// applies to it. If a write is in flight, another one follows it.
 func (r *Records) WriteJob(job *state.Job, priority writequeue.Priority) {
 	if job.FinalStatus != "" {
 		return
@@ -120,8 +120,8 @@
 }
 
 // fillCompletedIndexes adds a chunk's completed tasks to the record, up to nine tenths of
-// the size limit. It returns how many of the chunk's tasks are covered: the completed
-// ones from that index on did not fit.
+// the size limit. It returns how many of the chunk's tasks are covered. Completed tasks
+// from that index on did not fit.
 func (w *recordWrite) fillCompletedIndexes(record *Record, chunk int) int {
 	maxBytes := w.records.config.MaxValueBytes * 9 / 10
 	if chunk == 0 {
@@ -167,12 +167,12 @@
 	case w.job.ModRevisions[0] == 0:
 		w.records.resolveFirstRecordConflict(w.job, w.priority)
 	default:
-		w.records.giveUpShardOf(w.job)
+		w.records.dropShardOf(w.job)
 	}
 }
 
-// handleTooLarge handles a record that exceeds the size limit, because the limit was
-// higher when the job was admitted. The job's progress is no longer stored in the
+// handleTooLarge handles a record that exceeds the size limit, which happens if the limit
+// was higher when the job was admitted. The job's progress is no longer stored in the
 // background; the record of the final status is short enough.
 func (w *recordWrite) handleTooLarge() {
 	w.finish()
@@ -182,9 +182,9 @@
 // finish records that the job has no write queued or in flight.
 func (w *recordWrite) finish() { w.job.WriteQueued, w.job.FinalWriteInFlight = false, false }
 
-// giveUpShardOf gives up the shard of a job whose record was changed by another writer
+// dropShardOf drops the shard of a job whose record was changed by another writer
 // although this controller's claim to the shard was in force.
-func (r *Records) giveUpShardOf(job *state.Job) {
+func (r *Records) dropShardOf(job *state.Job) {
 	r.Ownership.DropCorruptShard(r.state.Shards[job.ShardID], job.ChunkKey(0), "changed by another writer")
 }
 
@@ -200,8 +200,8 @@
 
 // resolveFirstRecordConflict handles a conflict on a job's first record of its own. If the
 // job was submitted twice at the same time, the other admission may have written that
-// record: it holds nothing new, and the write is repeated on top of it. After any other
-// record the shard is given up.
+// record. The record then holds nothing new, and the write is repeated with its mod
+// revision. If the record is of any other kind, the shard is dropped.
 func (r *Records) resolveFirstRecordConflict(job *state.Job, priority writequeue.Priority) {
 	r.writeQueue.ReadKey(job.ChunkKey(0), func(reply messages.GetReply) {
 		if !r.state.Jobs.Owns(job) || job.WriteQueued || job.ModRevisions[0] != 0 {
@@ -212,7 +212,7 @@
 		case reply.Outcome != messages.OK:
 			r.loop.After(readRetryPause, func() { r.resolveFirstRecordConflict(job, priority) })
 		case json.Unmarshal(reply.KV.Value, &record) != nil || !record.isAdmission():
-			r.giveUpShardOf(job)
+			r.dropShardOf(job)
 		default:
 			job.ModRevisions[0] = reply.KV.ModRevision
 			r.WriteJob(job, priority)
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -23,34 +23,34 @@
 // this one cannot store it now.
 func (s *Submissions) HandleSubmit(request messages.Submit) {
 	id := request.Spec.ID
-	answer := func(response messages.Respond) {
+	respond := func(response messages.Respond) {
 		if response.View == nil {
-			s.loop.Log(messages.LogDebug, "submission refused", "job", string(id), "http_status", response.Status, "reason", response.Error)
+			s.loop.Log(messages.LogDebug, "submission rejected", "job", string(id), "http_status", response.Status, "reason", response.Error)
 		}
 		response.Request = request.Request
 		s.loop.Emit(response)
 	}
 	isNew := s.state.Jobs.Known[id] == nil
-	if isNew && request.Rejection == 0 && s.cannotAdmit() && s.proxy.forward(request.Spec, answer) {
+	if isNew && request.Rejection == 0 && s.cannotAdmit() && s.proxy.forward(request.Spec, respond) {
 		return
 	}
-	attempt := &submission{
+	pending := &submission{
 		submissions:   s,
 		spec:          request.Spec,
 		invalidStatus: request.Rejection,
 		invalidReason: request.Reason,
-		answer:        answer,
+		respond:       respond,
 	}
-	attempt.evaluate(false)
+	pending.evaluate(false)
 }
 
 // HandleProxied evaluates a submission that another controller has forwarded.
-func (s *Submissions) HandleProxied(spec cluster.JobSpec, answer func(messages.Respond)) {
-	attempt := &submission{submissions: s, spec: spec, answer: answer}
-	attempt.evaluate(false)
+func (s *Submissions) HandleProxied(spec cluster.JobSpec, respond func(messages.Respond)) {
+	pending := &submission{submissions: s, spec: spec, respond: respond}
+	pending.evaluate(false)
 }
 
-// cannotAdmit reports whether the state service does not respond to this controller, or
+// cannotAdmit reports whether the store does not respond to this controller, or
 // the machine types are not known yet.
 func (s *Submissions) cannotAdmit() bool {
 	return s.writeQueue.Health.IsUnresponsive(s.loop.Now()) || len(s.state.MachineTypes) == 0
@@ -61,7 +61,7 @@
 
 // maxAdmissionWaitSeconds is the longest expected wait for the write budget at which
 // submissions are still admitted, by priority. Under growing load, submissions of lower
-// priorities are refused first.
+// priorities are rejected first.
 var maxAdmissionWaitSeconds = [...]float64{
 	cluster.BestEffort: 1,
 	cluster.Normal:     1.5,
@@ -83,8 +83,8 @@
 	return min(maxRetryAfterSeconds, 1+int(2*wait))
 }
 
-// isSchedulable reports whether a job could ever run: its team exists, a task fits into
-// the team's quota limit, and a machine type meets the job's constraints.
+// isSchedulable reports whether a job could ever run. Its team must exist, a task must fit
+// into the team's quota limit, and a machine type must meet the job's constraints.
 func isSchedulable(clusterState *state.State, spec *cluster.JobSpec) bool {
 	team := clusterState.Teams[spec.Team]
 	if team == nil || spec.ResourceRequest.CPU > team.QuotaLimit.CPU || spec.ResourceRequest.GPU > team.QuotaLimit.GPU {
@@ -98,35 +98,35 @@
 	return false
 }
 
-// submission is a submission that is being evaluated. It is either admitted, or refused
+// submission is a submission that is being evaluated. It is either admitted, or rejected
 // with a status and a reason.
 type submission struct {
 	submissions   *Submissions
 	spec          cluster.JobSpec
-	invalidStatus messages.ResponseStatus // 400 or 422 if no retry can be accepted, else 0
+	invalidStatus messages.ResponseStatus // 400 or 422 if the submission is invalid, else 0
 	invalidReason string
-	answer        func(messages.Respond)
+	respond       func(messages.Respond)
 }
 
-func (s *submission) refuse(status messages.ResponseStatus, retryAfter int, reason string) {
-	s.answer(messages.Respond{Status: status, RetryAfter: retryAfter, Error: reason})
+func (s *submission) reject(status messages.ResponseStatus, retryAfter int, reason string) {
+	s.respond(messages.Respond{Status: status, RetryAfter: retryAfter, Error: reason})
 }
 
-// evaluate admits or refuses the submission. dependenciesChecked is whether the jobs that
+// evaluate admits or rejects the submission. dependenciesChecked is whether the jobs that
 // it depends on were looked up already.
 func (s *submission) evaluate(dependenciesChecked bool) {
 	clusterState := s.submissions.state
 	if clusterState.Jobs.Known[s.spec.ID] != nil {
-		s.submissions.queries.answerIdempotentRetry(s.spec.ID, s.answer)
+		s.submissions.queries.answerIdempotentRetry(s.spec.ID, s.respond)
 		return
 	}
 	if s.submissions.writeQueue.IsUnavailableFor(storeTimeout) {
-		s.refuse(messages.StatusUnavailable, storeRetryAfterSeconds, "store out of reach")
+		s.reject(messages.StatusUnavailable, storeRetryAfterSeconds, "store out of reach")
 		return
 	}
 	if s.invalidStatus == 0 {
 		if len(clusterState.MachineTypes) == 0 {
-			s.refuse(messages.StatusUnavailable, storeRetryAfterSeconds, "machine types not known yet")
+			s.reject(messages.StatusUnavailable, storeRetryAfterSeconds, "machine types not known yet")
 			return
 		}
 		if !isSchedulable(clusterState, &s.spec) {
@@ -135,7 +135,7 @@
 	}
 	switch {
 	case s.invalidStatus != 0:
-		s.refuseInvalid()
+		s.rejectInvalid()
 	case len(s.spec.Dependencies) > 0 && !dependenciesChecked:
 		s.checkDependencies()
 	default:
@@ -143,18 +143,18 @@
 	}
 }
 
-// refuseInvalid refuses an invalid submission unless a job with its ID was accepted
-// before: an accepted ID must never be answered with 400 or 422, even if the retry
+// rejectInvalid rejects an invalid submission unless a job with its ID was accepted
+// before. An accepted ID must never be answered with 400 or 422, even if the retry
 // differs from the accepted submission.
-func (s *submission) refuseInvalid() {
+func (s *submission) rejectInvalid() {
 	s.submissions.queries.lookUpInStore(s.spec.ID, func(status messages.ResponseStatus, view cluster.JobView) {
-		switch status { //nolint:exhaustive // any other status means that the state service did not answer
+		switch status { //nolint:exhaustive // any other status means that the store did not answer
 		case messages.StatusOK:
-			s.answer(messages.Respond{Status: messages.StatusOK, View: &view})
+			s.respond(messages.Respond{Status: messages.StatusOK, View: &view})
 		case messages.StatusJobNotFound:
-			s.refuse(s.invalidStatus, 0, s.invalidReason)
+			s.reject(s.invalidStatus, 0, s.invalidReason)
 		default:
-			s.refuse(messages.StatusUnavailable, storeRetryAfterSeconds, "store out of reach")
+			s.reject(messages.StatusUnavailable, storeRetryAfterSeconds, "store out of reach")
 		}
 	})
 }
@@ -163,23 +163,23 @@
 // its evaluation.
 func (s *submission) checkDependencies() {
 	s.submissions.checkDependencies(&s.spec, func(status messages.ResponseStatus) {
-		switch status { //nolint:exhaustive // the only other status is ReplyUnavailable
+		switch status { //nolint:exhaustive // the only other status is StatusUnavailable
 		case messages.StatusNone:
 			s.evaluate(true)
-		case messages.StatusUnschedulable: // refused, unless its ID was accepted before
+		case messages.StatusUnschedulable: // rejected, unless its ID was accepted before
 			s.invalidStatus, s.invalidReason = messages.StatusUnschedulable, "awaits a job that was never accepted"
 			s.evaluate(true)
 		default:
-			s.refuse(messages.StatusUnavailable, storeRetryAfterSeconds, "what it awaits can't be looked up now")
+			s.reject(messages.StatusUnavailable, storeRetryAfterSeconds, "what it awaits can't be looked up now")
 		}
 	})
 }
 
-// checkDependencies calls handle with ReplyNone if all jobs that a submission depends on
-// were accepted, otherwise with the status to refuse it with. Only the state service can
-// show that a job was never accepted. While a controller may still run a release without
-// support for dependencies, the submission is refused, as that release would start the
-// job at once.
+// checkDependencies calls handle with StatusNone if all jobs that a submission depends on
+// were accepted, otherwise with the status to reject it with. Only the store can show
+// that a job was never accepted. While a controller may still run a release without
+// support for dependencies, the submission is rejected, because that release would start
+// the job immediately.
 func (s *Submissions) checkDependencies(spec *cluster.JobSpec, handle func(messages.ResponseStatus)) {
 	if !s.Members.AllUpgraded() {
 		handle(messages.StatusUnavailable)
@@ -206,9 +206,9 @@
 }
 
 // dependencyStatus converts the result of looking up a dependency to the status of the
-// submission: ReplyNone if the dependency exists.
+// submission, which is StatusNone if the dependency exists.
 func dependencyStatus(lookedUp messages.ResponseStatus) messages.ResponseStatus {
-	switch lookedUp { //nolint:exhaustive // any other status means that the state service did not answer
+	switch lookedUp { //nolint:exhaustive // any other status means that the store did not answer
 	case messages.StatusOK:
 		return messages.StatusNone
 	case messages.StatusJobNotFound:
@@ -223,15 +223,15 @@
 func (s *submission) admit() {
 	submissions := s.submissions
 	if retryAfter := submissions.OverloadRetryAfter(s.spec.Priority); retryAfter > 0 {
-		s.refuse(messages.StatusTooManyRequests, retryAfter, "too many submissions of this priority")
+		s.reject(messages.StatusTooManyRequests, retryAfter, "too many submissions of this priority")
 		return
 	}
 	pruneDependencies(&submissions.state.Jobs, &s.spec)
 	record := Record{Spec: &s.spec}
 	if len(record.encode()) > submissions.maxSpecBytes() {
-		s.refuse(messages.StatusUnavailable, maxRetryAfterSeconds, "awaits more unfinished jobs than fit into a record")
+		s.reject(messages.StatusUnavailable, maxRetryAfterSeconds, "awaits more unfinished jobs than fit into a record")
 		return
 	}
 	s.spec.SubmittedAt = submissions.loop.WallTime()
-	submissions.queue.add(s.spec, s.answer)
+	submissions.queue.add(s.spec, s.respond)
 }
--- a/internal/jobs/submissions_test.go
+++ b/internal/jobs/submissions_test.go
@@ -6,7 +6,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestIsSchedulable checks which jobs are refused because they can never run.
+// TestIsSchedulable checks which jobs are rejected because they can never run.
 func TestIsSchedulable(t *testing.T) {
 	clusterState := newTestJobs(t).state
 	fitting := cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -12,7 +12,7 @@
 // retries with exponential backoff and then by probes at a fixed interval.
 //
 // Exactly one call is in flight or scheduled at any time. missedProbes counts the
-// calls since the last valid answer.
+// calls since the last valid reply.
 type failureDetector struct {
 	members      *Members
 	peer         *Peer
@@ -60,7 +60,7 @@
 	return d.missedProbes > config.PingRetries+config.ProbeCount
 }
 
-// handleMissedProbe updates the peer's state after a call without a valid answer.
+// handleMissedProbe updates the peer's state after a call without a valid reply.
 func (d *failureDetector) handleMissedProbe() {
 	m, peer := d.members, d.peer
 	d.missedProbes++
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestFailureDetection guards against a detection time shortened by refused calls, and
-// against a peer that stays unreachable after an answer.
+// TestFailureDetection guards against a detection time shortened by refused connections,
+// and against a peer that stays unreachable after a reply.
 func TestFailureDetection(t *testing.T) {
 	m := newTestMembers()
 	peer := m.Peer("n1")
@@ -43,14 +43,14 @@
 		m.answerPings("")
 	}
 	if peer.IsUnreachable() || peer.IsSuspected() {
-		t.Errorf("after an answer: unreachable %v, suspected %v", peer.IsUnreachable(), peer.IsSuspected())
+		t.Errorf("after a reply: unreachable %v, suspected %v", peer.IsUnreachable(), peer.IsSuspected())
 	}
 	if live := m.store.LiveControllers(); live != 7 {
 		t.Errorf("%d live controllers after all have answered, want 7", live)
 	}
 }
 
-// answerPings advances the time by 10 ms and delivers the answers of all peers to the
+// answerPings advances the time by 10 ms and delivers the replies of all peers to the
 // last pings. Calls to the refusing peer fail.
 func (m *testMembers) answerPings(refusing cluster.NodeID) {
 	effects := m.loop.Effects()
--- a/internal/membership/failure.go
+++ b/internal/membership/failure.go
@@ -6,21 +6,21 @@
 	// livenessWindow is how long a peer counts as alive after a change of its
 	// liveness key was seen.
 	livenessWindow = 6 * second
-	// maxContactAge is the maximum age of another peer's contact with an unreachable
-	// one for that peer to count as alive.
+	// maxContactAge is how recently another peer must have reached an unreachable peer
+	// for the unreachable one to count as alive.
 	maxContactAge = 3 * second
-	// isolatedFailureTimeout is how long a peer must have been unreachable, and no
-	// write of it seen, before a node that reaches no peer considers it failed.
+	// isolatedFailureTimeout is how long a peer must have been unreachable and must not
+	// have written to the store before a node that reaches no peer considers it failed.
 	isolatedFailureTimeout = 6 * second
-	// isolatedStoreHealthyTime is how long the state service must have been available
-	// to such a node, which otherwise could have missed those writes.
+	// isolatedStoreHealthyTime is how long the store must have been available to that
+	// node. After a shorter time it could have missed the peer's writes.
 	isolatedStoreHealthyTime = 8 * second
 )
 
-// IsFailed reports whether a peer is considered unable to serve its shards: it is
-// unreachable without evidence that it may be alive, or it reports that it can't reach
-// the state service or its workers. The result is false for this node and for unknown
-// nodes.
+// IsFailed reports whether a peer is considered unable to serve its shards. This is the
+// case if it is unreachable without evidence that it may be alive, or if it reports that
+// it can't reach the store or its workers while this node can. The result is false for
+// this node and for unknown nodes.
 func (m *Members) IsFailed(id cluster.NodeID) bool {
 	peer := m.Peer(id)
 	switch {
@@ -46,12 +46,13 @@
 		return true // only the link from this node is down
 	}
 	// A node that reaches no other peer is probably partitioned itself, so it waits
-	// longer and also considers the peer's writes to the state service.
+	// longer and also considers the peer's writes to the store.
 	return !reachesOthers && !m.hasStoppedWriting(peer)
 }
 
-// indirectContact evaluates the last pings of the other peers: whether this node
-// reaches any of them, and whether one of those recently reached the unreachable peer.
+// indirectContact evaluates the last pings of the other peers. It reports whether this
+// node reaches any of them, and whether one of those recently reached the unreachable
+// peer.
 func (m *Members) indirectContact(peer *Peer) (reachesOthers, othersReachIt bool) {
 	reachesOthers = len(m.peers) == 1 // there are no other peers
 	for _, other := range m.peers {
@@ -68,7 +69,7 @@
 }
 
 // hasStoppedWriting reports whether an unreachable peer has written nothing to the
-// state service for so long that it counts as failed.
+// store for so long that it counts as failed.
 func (m *Members) hasStoppedWriting(peer *Peer) bool {
 	now := m.loop.Now()
 	return now-peer.unreachableSince > isolatedFailureTimeout &&
@@ -76,10 +77,10 @@
 		now-m.store.Health.HealthySince > isolatedStoreHealthyTime
 }
 
-// reportsUnableToServe reports whether a peer has reported that it can't reach the state
-// service or its workers, while this node can reach them.
+// reportsUnableToServe reports whether a peer has reported that it can't reach the
+// store or its workers, while this node can reach the store or its own workers.
 //
-// This node's own access to the state service must be stable. Otherwise the first
+// This node's own access to the store must be stable. Otherwise the first
 // controller to reconnect after an outage would acquire all shards.
 func (m *Members) reportsUnableToServe(peer *Peer) bool {
 	if !peer.lastPing.StoreReachable && m.store.Health.IsStable(m.loop.Now()) {
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestUnreachablePeerMayBeAlive guards against failing over an unreachable peer that
-// other peers reach or that writes to the state service.
+// other peers reach or that writes to the store.
 func TestUnreachablePeerMayBeAlive(t *testing.T) {
 	pingFromReachable := func(m *testMembers, contact map[cluster.NodeID]int64) {
 		for _, peer := range m.Peers() {
@@ -38,7 +38,7 @@
 			m.advance(3 * second)
 			m.RecordWrite("b1")
 		}, 4 * second, false},
-		{"no peer reachable, state service healthy only recently", func(m *testMembers) {
+		{"no peer reachable, store healthy only recently", func(m *testMembers) {
 			m.store.Health.HealthySince = m.loop.Now()
 		}, 7 * second, false},
 	} {
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// nodeLiveness is the state of this node's liveness key in the state service,
-// nodes/<id>. At most one write of the key is in flight.
+// nodeLiveness is the state of this node's liveness key in the store, nodes/<id>. At
+// most one write of the key is in flight.
 type nodeLiveness struct {
 	writing     bool
 	modRevision cluster.ModRevision // last known revision of the record
--- a/internal/membership/liveness_test.go
+++ b/internal/membership/liveness_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/messages"
 )
 
-// refreshLiveness calls RefreshLiveness and returns the resulting requests to the state
-// service.
+// refreshLiveness calls RefreshLiveness and returns the resulting requests to the
+// store.
 func (m *testMembers) refreshLiveness() (reads []messages.StoreGet, writes []messages.StoreTxn) {
 	m.advance(2 * second)
 	m.RefreshLiveness()
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -6,10 +6,10 @@
 // timeouts and then followed by probes at a fixed interval; if none is answered, the
 // peer counts as unreachable. An unreachable peer may still serve its shards, for
 // example if only the link from this node is down. IsFailed therefore also considers
-// the pings of other peers and the state service, and decides whether other
-// controllers may acquire the peer's shards. A wrong decision only interrupts service:
-// an acquisition is a compare-and-swap in the state service, and fencing tokens
-// exclude the former owner.
+// the pings of other peers and the consensus-backed key-value store (the store), and
+// decides whether other controllers may acquire the peer's shards. A wrong decision only
+// interrupts service, because an acquisition is a compare-and-swap in the store and
+// fencing tokens exclude the former owner.
 //
 // The contents of pings that concern shards, offers and demand belong to other
 // packages. The Host sets them in outgoing pings and handles those of incoming pings.
@@ -43,12 +43,12 @@
 	// FeatureLevel is the feature level of this release. A controller whose pings have
 	// at least this level counts as upgraded.
 	FeatureLevel int
-	// MaxValueBytes is the maximum size of a record in the state service.
+	// MaxValueBytes is the maximum size of a record in the store.
 	MaxValueBytes int
 	// HeartbeatInterval is the interval between the heartbeats of a worker.
 	HeartbeatInterval cluster.Time
 
-	// PingInterval is the delay between the answer to a ping and the next ping.
+	// PingInterval is the delay between the reply to a ping and the next ping.
 	PingInterval cluster.Time
 	// PingTimeout is the timeout of a ping that follows an answered one.
 	PingTimeout cluster.Time
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// RecordWrite records that a new write by a process was seen in the state service. It
+// RecordWrite records that a new write by a process was seen in the store. It
 // shows that the process is alive even if it is unreachable.
 func (m *Members) RecordWrite(instanceID string) {
 	for _, peer := range m.peers {
@@ -156,15 +156,15 @@
 	return true
 }
 
-// HasAnswerWithin reports whether any peer has answered a ping within the given duration.
+// HasReplyWithin reports whether any peer has answered a ping within the given duration.
 func (m *Members) HasReplyWithin(duration cluster.Time) bool {
 	return slices.ContainsFunc(m.peers, func(peer *Peer) bool {
-		return peer.hasAnswered && m.loop.Now()-peer.lastAnswerAt < duration
+		return peer.hasAnswered && m.loop.Now()-peer.lastReplyAt < duration
 	})
 }
 
 // IsStoreReachableElsewhere reports whether a reachable peer recently reported that it
-// reaches the state service.
+// reaches the store.
 func (m *Members) IsStoreReachableElsewhere() bool {
 	return slices.ContainsFunc(m.peers, func(peer *Peer) bool {
 		return !peer.unreachable && peer.lastPing.StoreReachable && peer.PingAge() < MaxPingAge
@@ -172,7 +172,7 @@
 }
 
 // handleReachabilityChange updates the number of live controllers, among which the
-// request limits of the state service are divided, and notifies the host.
+// request limits of the store are divided, and notifies the host.
 func (m *Members) handleReachabilityChange() {
 	live := 1
 	for _, peer := range m.peers {
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -78,7 +78,7 @@
 	return &testMembers{Members: New(loop, config, store, workers, host), loop: loop, host: host, fleet: fleet}
 }
 
-// healthyPing returns the ping of a peer that reaches the state service and its workers.
+// healthyPing returns the ping of a peer that reaches the store and its workers.
 func healthyPing() *messages.Ping {
 	return &messages.Ping{StoreReachable: true, WorkersReachable: true}
 }
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -8,8 +8,8 @@
 
 // Peer is the state of another controller as known by this one.
 //
-// The first ping of a new process of the peer discards what was known of the earlier
-// process, except whether and when the peer last answered.
+// The first ping of a new process of the peer sets instanceID and resets healthySince
+// and acknowledgement. The fields about the reachability of the peer are kept.
 type Peer struct {
 	id   cluster.NodeID
 	loop *eventloop.Loop
@@ -17,12 +17,12 @@
 	instanceID      string
 	lastPing        messages.Ping
 	lastPingAt      cluster.Time
-	healthySince    cluster.Time // since when it has reported that it reaches the state service and its workers, or 0
+	healthySince    cluster.Time // since when it has reported that it reaches the store and its workers, or 0
 	lastPingError   string       // validation error of its last invalid ping
-	lastWriteSeenAt cluster.Time // when a write by it to the state service was last seen
+	lastWriteSeenAt cluster.Time // when a write by it to the store was last seen
 
 	hasAnswered     bool
-	lastAnswerAt    cluster.Time // when it last answered a ping
+	lastReplyAt     cluster.Time // when it last answered a ping
 	acknowledgement Acknowledgement
 
 	suspected        bool // the last ping and its retries were not answered
@@ -34,12 +34,12 @@
 	livenessChangedAt   cluster.Time // when a change of its liveness key was last seen
 }
 
-// Acknowledgement describes the last answer of a peer's current process to a ping.
+// Acknowledgement describes the last reply of a peer's current process to a ping.
 type Acknowledgement struct {
 	// SentAt is when the answered ping was sent. It is zero if the current process has
 	// not answered any.
 	SentAt cluster.Time
-	// InstanceSeenAt is when the first ping or answer of the current process arrived.
+	// InstanceSeenAt is when the first ping or reply of the current process arrived.
 	InstanceSeenAt cluster.Time
 	// Terms lists the latest terms known to the peer, indexed by shard ID. It is empty
 	// if the peer runs a release that does not send terms.
@@ -49,7 +49,7 @@
 // ID returns the peer's node ID.
 func (p *Peer) ID() cluster.NodeID { return p.id }
 
-// LastPing returns the last ping received from the peer, or the last answer to a ping,
+// LastPing returns the last ping received from the peer, or its last reply to a ping,
 // whichever is later. It is a zero Ping until one arrives. Callers must not modify it.
 func (p *Peer) LastPing() *messages.Ping { return &p.lastPing }
 
@@ -78,7 +78,7 @@
 func (p *Peer) IsUnreachable() bool { return p.unreachable }
 
 // IsHealthyFor reports whether the peer has reported for longer than the given duration
-// that it reaches the state service and its workers.
+// that it reaches the store and its workers.
 func (p *Peer) IsHealthyFor(duration cluster.Time) bool {
 	return p.healthySince > 0 && p.loop.Now()-p.healthySince > duration
 }
@@ -91,7 +91,7 @@
 	p.acknowledgement = Acknowledgement{InstanceSeenAt: p.loop.Now()}
 }
 
-// recordPing records what the peer reports about itself in a ping or an answer.
+// recordPing records what the peer reports about itself in a ping or a reply.
 func (p *Peer) recordPing(ping *messages.Ping) {
 	if p.instanceID != ping.InstanceID {
 		p.beginInstance(ping.InstanceID)
--- a/internal/membership/pings.go
+++ b/internal/membership/pings.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// storeUnreachableAfter is how long the state service must be unavailable before
-	// this controller's pings and health checks report it as unreachable.
+	// storeUnreachableAfter is how long the store must be unavailable before this
+	// controller's pings and health checks report it as unreachable.
 	storeUnreachableAfter = 2500 * millisecond
-	// startupGracePeriod is how long a new process reports the state service as
-	// reachable before its first successful request. Otherwise a peer could take over
-	// the shards of a process that restarts quickly.
+	// startupGracePeriod is how long a new process reports the store as reachable
+	// before its first successful request. Otherwise a peer could acquire the shards of
+	// a process that restarts quickly.
 	startupGracePeriod = 3 * second
-	// storeProbeWindow is how long this controller probes the state service after a
-	// peer has reported a failure of it.
+	// storeProbeWindow is how long this controller probes the store after a peer has
+	// reported a failure of it.
 	storeProbeWindow = 3 * second
 )
 
-// IsStoreUnreachable reports whether the state service has been unavailable to this
+// IsStoreUnreachable reports whether the store has been unavailable to this
 // controller for longer than storeUnreachableAfter.
 func (m *Members) IsStoreUnreachable() bool { return m.store.IsUnavailableFor(storeUnreachableAfter) }
 
-// MakePing returns a ping for a peer. It also serves as the answer to a peer's ping.
+// MakePing returns a ping for a peer, which is also the response to a peer's ping.
 func (m *Members) MakePing(to *Peer) *messages.Ping {
 	ping := &messages.Ping{
 		InstanceID:         m.config.InstanceID,
@@ -35,7 +35,7 @@
 	}
 	for _, peer := range m.peers {
 		if peer.hasAnswered {
-			ping.MillisSinceContact[peer.id] = int64((m.loop.Now() - peer.lastAnswerAt) / millisecond)
+			ping.MillisSinceContact[peer.id] = int64((m.loop.Now() - peer.lastReplyAt) / millisecond)
 		}
 	}
 	m.host.DescribeShards(to, ping)
@@ -52,11 +52,11 @@
 	return nil
 }
 
-// HandlePingReply handles a peer's valid answer to a ping sent at sentAt. Only answers
+// HandlePingReply handles a peer's valid reply to a ping sent at sentAt. Only replies
 // acknowledge terms, because a ping sent by the peer may have been delayed for an
 // unknown time.
 func (m *Members) HandlePingReply(from *Peer, ping *messages.Ping, sentAt cluster.Time) {
-	from.hasAnswered, from.lastAnswerAt, from.suspected = true, m.loop.Now(), false
+	from.hasAnswered, from.lastReplyAt, from.suspected = true, m.loop.Now(), false
 	if from.unreachable {
 		from.unreachable = false
 		m.loop.Log(messages.LogInfo, "peer reachable again", "node", string(from.id))
@@ -66,7 +66,7 @@
 	from.acknowledgement.SentAt, from.acknowledgement.Terms = sentAt, ping.KnownTerms
 }
 
-// applyPing updates the peer's state from its ping or answer and passes it to the host.
+// applyPing updates the peer's state from its ping or reply and passes it to the host.
 func (m *Members) applyPing(from *Peer, ping *messages.Ping) {
 	from.recordPing(ping)
 	if ping.FeatureLevel >= m.config.FeatureLevel {
--- a/internal/membership/pings_test.go
+++ b/internal/membership/pings_test.go
@@ -8,7 +8,7 @@
 	"stairrelay/internal/messages"
 )
 
-// TestAcknowledgementOfCurrentProcess checks that only answers acknowledge terms, and
+// TestAcknowledgementOfCurrentProcess checks that only replies acknowledge terms, and
 // only for the process that sent them.
 func TestAcknowledgementOfCurrentProcess(t *testing.T) {
 	m := newTestMembers()
@@ -23,7 +23,7 @@
 	m.advance(2 * second)
 	m.HandlePingReply(peer, ping, 31*second)
 	if got := peer.Acknowledgement(); got.SentAt != 31*second || len(got.Terms) != 1 || got.InstanceSeenAt != 30*second {
-		t.Errorf("after an answer of the peer: %+v", got)
+		t.Errorf("after a reply of the peer: %+v", got)
 	}
 	if err := m.HandlePing(peer, &messages.Ping{InstanceID: "b2", KnownTerms: []cluster.Term{4}}); err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 }
 
 // TestInvalidPingRejected checks that an invalid ping is ignored, and that it counts as
-// a missed probe if it is an answer.
+// a missed probe if it is a reply.
 func TestInvalidPingRejected(t *testing.T) {
 	m := newTestMembers()
 	invalid := &messages.Ping{InstanceID: "b1", KnownTerms: make([]cluster.Term, 8)}
@@ -54,7 +54,7 @@
 	reply := messages.PeerReply{Outcome: messages.OK, Message: messages.PeerMessage{Ping: invalid}}
 	m.loop.Deliver(messages.Reply{Call: call.Call, Body: reply})
 	if m.Peer("n1").HasAnswered() {
-		t.Error("an invalid ping counts as an answer")
+		t.Error("an invalid ping counts as a reply")
 	}
 }
 
--- a/internal/membership/pingvalidation.go
+++ b/internal/membership/pingvalidation.go
@@ -23,9 +23,9 @@
 // groups are offered once these are taken or their offers have expired.
 const MaxTransferOffers = 256
 
-// validatePing returns a *PingError if a list or count in a ping exceeds what is
-// possible. Handling a ping takes time proportional to these, so an excessive one
-// would block the event loop.
+// validatePing returns a *PingError if a list or count in a ping exceeds its maximum.
+// Handling a ping takes time proportional to these, so an excessive one would block the
+// event loop.
 func (m *Members) validatePing(ping *messages.Ping) error {
 	nodes := len(m.config.Nodes)
 	shards := nodes // one per node, its preferred owner
--- a/internal/membership/workers.go
+++ b/internal/membership/workers.go
@@ -10,7 +10,7 @@
 	// heartbeatTimeoutIntervals is the number of heartbeat intervals without any
 	// heartbeat after which the workers count as unreachable.
 	heartbeatTimeoutIntervals = 3
-	// largeFleetSize is the number of machines from which half of that time is enough.
+	// largeFleetSize is the minimum number of machines for which that time is halved.
 	// Heartbeats of a large fleet arrive frequently, and a failover must complete before
 	// the leases of its workers expire.
 	largeFleetSize = 20
@@ -28,7 +28,7 @@
 // WorkerReachability tracks whether this node and its workers reach each other.
 //
 // unreachable is set only while this node owns machines that should send heartbeats. It
-// is cleared only by a heartbeat of an owned machine or an answer to Probe.
+// is cleared only by a heartbeat of an owned machine or a reply to Probe.
 type WorkerReachability struct {
 	loop              *eventloop.Loop
 	heartbeatInterval cluster.Time
@@ -77,7 +77,7 @@
 
 // CanReachWorkers reports whether this node reaches its workers. The result becomes
 // false when this node owns several machines and their heartbeats have timed out, for
-// example because of a network partition. It stays false until a heartbeat or an answer
+// example because of a network partition. It stays false until a heartbeat or a reply
 // to Probe arrives, even if the shards are lost in the meantime.
 func (w *WorkerReachability) CanReachWorkers() bool {
 	timeout := w.heartbeatTimeout()
--- a/internal/messages/events.go
+++ b/internal/messages/events.go
@@ -11,13 +11,13 @@
 // Tick reports that the time returned by the state machine as its next wake-up has come.
 type Tick struct{}
 
-// Submit is a user's submission of a job. If the body is invalid but has a job id,
-// Rejection and Reason are set: if a job with that id exists, the submission is an
-// idempotent retry and gets the same answer as the original submission.
+// Submit is a user's submission of a job. If the body is invalid but has a job ID,
+// Rejection and Reason are set. If a job with that ID exists, the submission is answered
+// as an idempotent retry nevertheless.
 type Submit struct {
 	Request   RequestID
 	Spec      cluster.JobSpec
-	Rejection ResponseStatus // ReplyBadRequest if the body is invalid, ReplyNone otherwise
+	Rejection ResponseStatus // StatusBadRequest if the body is invalid, StatusNone otherwise
 	Reason    string         // why the body is invalid
 }
 
@@ -42,7 +42,7 @@
 	Status  cluster.HeartbeatStatus
 }
 
-// PeerRequest is a message from another controller, which waits for an answer.
+// PeerRequest is a message from another controller, which waits for a response.
 type PeerRequest struct {
 	Request RequestID
 	Message PeerMessage
--- a/internal/messages/peer.go
+++ b/internal/messages/peer.go
@@ -19,9 +19,9 @@
 	Message PeerMessage
 }
 
-// PeerMessage is a message between controllers, either a request or its answer. A request
-// sets exactly one of Ping, Notice, Query, Cancel and Submission. An answer sets Ping,
-// Views, or Status with RetryAfter and Reason.
+// PeerMessage is a message between controllers, either a request or the response to one.
+// A request sets exactly one of Ping, Notice, Query, Cancel and Submission. A response
+// sets Ping, Views, or Status with RetryAfter and Reason.
 //
 // Controllers of different releases exchange messages during an upgrade, so the encoded
 // field names of this type and of the types that it contains must not change.
@@ -31,7 +31,7 @@
 	Ping       *Ping              `cbor:"Ping"`
 	Notice     *JobNotice         `cbor:"Tell"`
 	Query      *JobQuery          `cbor:"Ask"`
-	Views      []cluster.JobView  `cbor:"Views"` // the answer to Query
+	Views      []cluster.JobView  `cbor:"Views"` // the response to Query
 	Cancel     cluster.JobID      `cbor:"Cancel"`
 	Submission *ProxiedSubmission `cbor:"Submit"`
 	Status     ResponseStatus     `cbor:"Status"`
@@ -46,7 +46,7 @@
 	Spec cluster.JobSpec `cbor:"Spec"`
 }
 
-// Ping is the message of the failure detector, both as a request and as an answer. It also
+// Ping is the message of the failure detector, both as a request and as a response. It also
 // carries the state that controllers share with each other.
 type Ping struct {
 	InstanceID string      `cbor:"Boot"`  // identifies the sender's process
--- a/internal/messages/respond.go
+++ b/internal/messages/respond.go
@@ -20,10 +20,10 @@
 type HeartbeatResponse struct {
 	FencingToken cluster.FencingToken
 	Commands     []cluster.Command
-	RedirectTo   cluster.NodeID // the controller that owns the worker; only with ReplyMisdirected, and empty if unknown
+	RedirectTo   cluster.NodeID // the controller that owns the worker; only with StatusMisdirected, and empty if unknown
 }
 
-// ReplyStatus is the status of the response to an incoming request. Its values are the
+// ResponseStatus is the status of the response to an incoming request. Its values are the
 // HTTP status codes of the protocol.
 type ResponseStatus int
 
@@ -37,5 +37,5 @@
 	StatusMisdirected     ResponseStatus = 421 // the worker must send its heartbeats to another controller
 	StatusUnschedulable   ResponseStatus = 422 // the job can never run
 	StatusTooManyRequests ResponseStatus = 429 // the request exceeds a limit and may be retried later
-	StatusUnavailable     ResponseStatus = 503 // the controller currently cannot answer
+	StatusUnavailable     ResponseStatus = 503 // the controller currently cannot serve the request
 )
--- a/internal/messages/store.go
+++ b/internal/messages/store.go
@@ -4,8 +4,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// KV is a key-value pair of the state service. It is part of messages between
-// controllers, so its encoded field names must not change.
+// KV is a key-value pair of the consensus-backed key-value store. It is part of messages
+// between controllers, so its encoded field names must not change.
 type KV struct {
 	Key         string              `cbor:"Key"`
 	Value       []byte              `cbor:"Value"`
@@ -25,7 +25,7 @@
 	ModRevision cluster.ModRevision
 }
 
-// StoreTxn is a compare-and-swap transaction on the state service. All operations of Then
+// StoreTxn is a compare-and-swap transaction on the store. All operations of Then
 // are applied atomically if every compare of If holds; otherwise none is. It is answered
 // by a TxnReply.
 type StoreTxn struct {
--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -19,7 +19,7 @@
 }
 
 // AcquireIfEligible starts to acquire a shard if this controller should own it. The
-// decision is not safety-critical: an unnecessary acquisition only interrupts the
+// decision is not safety-critical. An unnecessary acquisition only interrupts the
 // service of the shard, because the compare-and-swap on the claim record and the
 // fencing tokens exclude the previous owner.
 func (m *Manager) AcquireIfEligible(shard *state.Shard) {
--- a/internal/ownership/claims.go
+++ b/internal/ownership/claims.go
@@ -23,7 +23,7 @@
 	claimListRetryDelay = second / 2
 )
 
-// ClaimRecord is the claim record of a shard as stored in the state service.
+// ClaimRecord is the stored claim record of a shard.
 type ClaimRecord struct {
 	Owner   cluster.NodeID `json:"holder"`
 	Term    cluster.Term   `json:"term"`
@@ -101,10 +101,10 @@
 	m.RecordConfirmation(shard, kv.ModRevision, sentAt)
 }
 
-// ApplyClaim updates a shard's ownership from its claim record in the state service.
-// It ignores missing records and keys that belong to no shard. A record that can't be
-// decoded is logged and otherwise ignored. A record that is not newer than the known
-// one only adds to the upgraded controllers.
+// ApplyClaim updates a shard's ownership from its claim record in the store. It ignores
+// missing records and keys that belong to no shard. A record that can't be decoded is
+// logged and otherwise ignored. A record that is not newer than the known one only adds
+// to the upgraded controllers.
 func (m *Manager) ApplyClaim(kv messages.KV) {
 	id, err := strconv.Atoi(strings.TrimPrefix(kv.Key, claimKeyPrefix))
 	if err != nil || !m.isShardID(cluster.ShardID(id)) || kv.Value == nil {
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -14,26 +14,27 @@
 // stop its tasks.
 const taskStopTime = 2 * second
 
-// MinAnswerWindow is the minimum answer window. With peers pinged once a second, a
+// MinResponseWindow is the minimum response window. With peers pinged once a second, a
 // shorter window could let worker leases expire after a single lost ping. The minimum
-// applies even if the settings allow less; cancelled tasks may then outlive the cancel
-// deadline during an outage of the state service.
+// applies even if the settings allow less. Cancelled tasks may then run past the cancel
+// deadline during an outage of the store.
 const MinResponseWindow = 4 * second
 
 // StartWindow is the maximum age of the last confirmation at which an owner starts
-// tasks. The new owner of a shard would stop tasks started by its predecessor.
+// tasks. Later, the shard may have a new owner, which would stop these tasks.
 const StartWindow = 5 * second
 
-// renewalAge is the age of the last confirmation after which the state service is
-// read to renew the ownership lease. While all peers answer their pings, the lease is
-// renewed every second without a read.
+// renewalAge is the age of the last confirmation after which the store is read to renew
+// the ownership lease. While all peers answer their pings, the lease is renewed every
+// second without a read.
 const renewalAge = 2 * second
 
-// AnswerWindow returns how long after its last confirmation of ownership an owner may
-// answer the shard's workers. An unknown new owner may have confirmed a cancellation
-// right after that confirmation, so the worker lease renewed by the last answer must
-// expire, and the tasks stop, within cancelDeadline of it. A lease runs from the
-// sending of the heartbeat. The result is negative if the settings leave no time.
+// ResponseWindow returns how long after its last confirmation of ownership an owner may
+// answer the shard's workers. Right after that confirmation, another controller may have
+// acquired the shard and confirmed a cancellation to a user. The worker lease renewed by
+// the last response must therefore expire, and the tasks must stop, within
+// cancelDeadline of the confirmation of ownership. A lease starts when the worker sends
+// the heartbeat. The result is negative if the settings leave no time.
 func ResponseWindow(cancelDeadline, lease cluster.Time) cluster.Time {
 	drift := cluster.Time(float64(cancelDeadline+lease) * clockDrift)
 	return cancelDeadline - lease - taskStopTime - drift
@@ -57,15 +58,15 @@
 type Claim struct {
 	ShardID cluster.ShardID
 	Term    cluster.Term
-	// ConfirmedAt is the send time of the last request to the state service whose reply
-	// showed the claim in force.
+	// ConfirmedAt is when the last request to the store was sent whose reply showed that
+	// the claim was in force.
 	ConfirmedAt cluster.Time
 }
 
 // isConfirmedBy reports whether a peer's acknowledgement excludes a later claim by
 // that peer. The peer must know of no later term, and its current process must have
 // been first seen no later than ConfirmedAt, so that a claim by an earlier process of
-// the peer would have shown in the state service.
+// the peer would have shown in the store.
 func (c Claim) isConfirmedBy(acknowledgement *membership.Acknowledgement) bool {
 	return int(c.ShardID) < len(acknowledgement.Terms) &&
 		acknowledgement.Terms[c.ShardID] <= c.Term &&
@@ -87,9 +88,9 @@
 	return max(confirmedAt, c.ConfirmedAt)
 }
 
-// RecordConfirmation records that the reply to a request sent at sentAt showed a claim
-// of a shard in force. It is ignored unless that claim is this controller's current
-// one.
+// RecordConfirmation records that the reply to a request sent at sentAt showed that a
+// claim of a shard was in force. It is ignored unless that claim is this controller's
+// current one.
 func (m *Manager) RecordConfirmation(shard *state.Shard, claim cluster.ModRevision, sentAt cluster.Time) {
 	if shard.Owned && shard.ModRevision == claim {
 		shard.ConfirmedAt = max(shard.ConfirmedAt, sentAt)
--- a/internal/ownership/lease_test.go
+++ b/internal/ownership/lease_test.go
@@ -7,9 +7,9 @@
 	"stairrelay/internal/membership"
 )
 
-// TestAnswerWindow checks that tasks end within the cancel deadline after the last
-// answer within the window, even with the maximum clock drift.
-func TestAnswerWindow(t *testing.T) {
+// TestResponseWindow checks that tasks end within the cancel deadline after the last
+// response within the window, even with the maximum clock drift.
+func TestResponseWindow(t *testing.T) {
 	for _, test := range []struct{ cancelDeadline, lease, want cluster.Time }{
 		{37 * second, 22 * second, 13*second - 59*cluster.Millisecond},
 		{18 * second, 12 * second, 4*second - 30*cluster.Millisecond},
@@ -17,7 +17,7 @@
 	} {
 		got := ResponseWindow(test.cancelDeadline, test.lease)
 		if got != test.want {
-			t.Errorf("AnswerWindow with cancel deadline %.0f s and lease %.0f s = %.3f s, want %.3f s",
+			t.Errorf("ResponseWindow with cancel deadline %.0f s and lease %.0f s = %.3f s, want %.3f s",
 				test.cancelDeadline.Seconds(), test.lease.Seconds(), got.Seconds(), test.want.Seconds())
 		}
 		const protocolDrift = 0.0005
@@ -28,17 +28,17 @@
 	}
 }
 
-// TestWindows checks the maximum age of the last confirmation for answers, for starts
-// and for skipping the lease renewal.
+// TestWindows checks the maximum age of the last confirmation for responses to workers,
+// for task starts and for skipping the lease renewal.
 func TestWindows(t *testing.T) {
 	const cancelDeadline, lease = 37 * second, 22 * second
 	window := ResponseWindow(cancelDeadline, lease)
 	if !CanAnswer(window, cancelDeadline, lease) || CanAnswer(window+1, cancelDeadline, lease) {
-		t.Error("answers must be allowed up to the answer window and not beyond")
+		t.Error("responses must be allowed up to the response window and not beyond")
 	}
 	// The settings leave less than the minimum window.
 	if !CanAnswer(4*second, 20*second, 20*second) || CanAnswer(4*second+1, 20*second, 20*second) {
-		t.Error("with settings that leave no window, answers must be allowed up to MinAnswerWindow and not beyond")
+		t.Error("with settings that leave no window, responses must be allowed up to MinResponseWindow and not beyond")
 	}
 	if !CanStart(5*second) || CanStart(5*second+1) {
 		t.Error("starts must be allowed up to five seconds and not beyond")
@@ -67,7 +67,7 @@
 		{"two peers, older acknowledgement first", []membership.Acknowledgement{older, good}, 180 * second},
 		{"earlier term known", []membership.Acknowledgement{good, {SentAt: 180 * second, Terms: terms(4)}}, 180 * second},
 		{"acknowledgement older than the store's confirmation", []membership.Acknowledgement{good, {SentAt: 90 * second, Terms: terms(5)}}, storeConfirmedAt},
-		{"peer without an answer", []membership.Acknowledgement{good, {Terms: terms(5)}}, storeConfirmedAt},
+		{"peer without a reply", []membership.Acknowledgement{good, {Terms: terms(5)}}, storeConfirmedAt},
 		{"later term known", []membership.Acknowledgement{good, laterTerm}, storeConfirmedAt},
 		{"later term known by the first peer", []membership.Acknowledgement{laterTerm, good}, storeConfirmedAt},
 		{"release that sends no terms", []membership.Acknowledgement{good, {SentAt: 180 * second}}, storeConfirmedAt},
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -4,23 +4,23 @@
 // # Claims
 //
 // The owner of shard n is the controller that last wrote the shard's claim record,
-// parts/<n> in the state service. A claim record names the owner and a term that
-// grows by one with each claim. The revision of its write is the claim revision, from
-// which the fencing tokens of the shard's machines are derived. Each node is the
-// preferred owner of one shard.
+// parts/<n> in the consensus-backed key-value store (the store). A claim record names
+// the owner and a term that grows by one with each claim. The revision of its write is
+// the claim revision, from which the fencing tokens of the shard's machines are derived.
+// Each node is the preferred owner of one shard.
 //
 // A controller acquires a shard by a compare-and-swap of the claim record
 // (Manager.Acquire). It does so if the shard
 //   - has no owner and this controller is the preferred owner, or the first live
 //     successor of a preferred owner that has failed,
 //   - is owned by an earlier process of this controller,
-//   - is owned by a controller that has failed, and this controller is that one's
-//     first live successor in the ring (failover), or
+//   - is owned by a controller that has failed, and this controller is the first live
+//     successor of that controller in the ring (failover), or
 //   - is offered back by its owner and this controller is the preferred owner
 //     (failback).
 //
-// These rules are not safety-critical: an unnecessary acquisition only interrupts the
-// service of the shard, because the compare-and-swap and the fencing tokens exclude
+// These conditions are not safety-critical. An unnecessary acquisition only interrupts
+// the service of the shard, because the compare-and-swap and the fencing tokens exclude
 // the previous owner. When a shard changes owners repeatedly, an exponential backoff
 // delays its acquisition from another owner (state.ShardOwnership.IsBackoffOver).
 //
@@ -38,32 +38,32 @@
 // # Ownership lease
 //
 // A deposed owner that has not noticed yet has stale state. Two mechanisms keep it
-// from acting on that. It reads the claim record before it answers a query for a job
-// from memory, which makes these reads linearizable (Manager.ConfirmOwnership). And it
-// answers the shard's workers and starts tasks only for a limited time after the last
-// confirmation that no other controller had acquired the shard: the ownership lease
-// (Claim, AnswerWindow and StartWindow).
+// from acting on that. First, it reads the claim record before it answers a query for a
+// job from memory, which makes these reads linearizable (Manager.ConfirmOwnership).
+// Second, it answers the shard's workers and starts tasks only for a limited time after
+// the last confirmation that no other controller had acquired the shard. This limit is
+// the ownership lease (Claim, ResponseWindow and StartWindow).
 //
-// During an outage of the state service an owner can't see that another controller
-// has acquired its shard. The new owner may confirm the cancellation of a job whose
-// tasks run on machines that still send heartbeats to the former owner. Each answer of
-// the former owner would renew the leases of these machines and keep the tasks
-// running. It therefore stops answering early enough for the leases to expire before
-// the cancel deadline (docs/safety.md, "Gap").
+// During an outage of the store an owner can't see that another controller has acquired
+// its shard. The new owner may confirm the cancellation of a job whose tasks run on
+// machines that still send heartbeats to the former owner. Each heartbeat response of
+// the former owner would renew the leases of these machines and keep the tasks running.
+// It therefore stops responding early enough for the leases to expire before the cancel
+// deadline (docs/safety.md, "Gap").
 //
 // Ownership is confirmed in two ways:
-//   - A reply of the state service that shows the claim in force confirms ownership
-//     as of the time when the request was sent.
+//   - A reply of the store that shows that the claim is in force confirms ownership as
+//     of the time when the request was sent.
 //   - Peer acknowledgements confirm ownership as of the time when the oldest of the
 //     pings was sent, once every other controller has answered a ping and none of
 //     them knows of a later term. This is sufficient because a controller that
 //     acquires a shard knows its new term before it acts as the owner.
 //
-// An acknowledgement counts only for the peer's current process: an earlier process
-// may have acquired the shard, and its successor does not know of that claim until it
-// reads the state service. The state service must therefore have confirmed the claim
-// after the current process was first seen. While all peers acknowledge, ownership
-// leases are renewed even during an outage of the state service.
+// An acknowledgement counts only for the peer's current process. An earlier process may
+// have acquired the shard, and its successor does not know of that claim until it reads
+// the store. The store must therefore have confirmed the claim after the current
+// process was first seen. While all peers acknowledge, ownership leases are renewed
+// even during an outage of the store.
 package ownership
 
 import (
@@ -79,7 +79,7 @@
 	second      = cluster.Second
 )
 
-// storeOutageThreshold is how long the state service must be unavailable before this
+// storeOutageThreshold is how long the store must be unavailable before this
 // controller suspends acquisitions, ownership checks and reads for lease renewal.
 const storeOutageThreshold = second
 
@@ -168,12 +168,12 @@
 	m.changes++
 }
 
-// isStoreUnavailable reports whether the state service has been unavailable to this
+// isStoreUnavailable reports whether the store has been unavailable to this
 // controller for longer than storeOutageThreshold.
 func (m *Manager) isStoreUnavailable() bool { return m.queue.IsUnavailableFor(storeOutageThreshold) }
 
-// isShardID reports whether an ID received from a peer or read from the state service
-// is that of a shard.
+// isShardID reports whether an ID received from a peer or read from the store is that
+// of a shard.
 func (m *Manager) isShardID(id cluster.ShardID) bool {
 	return int(id) >= 0 && int(id) < len(m.shards)
 }
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -139,13 +139,13 @@
 	m.loop.Deliver(messages.Reply{Call: call, Body: body})
 }
 
-// claimKV returns a claim record as stored in the state service.
+// claimKV returns a stored claim record.
 func claimKV(id cluster.ShardID, owner cluster.NodeID, term cluster.Term, writeID string, revision cluster.ModRevision) messages.KV {
 	value := fmt.Appendf(nil, `{"holder":%q,"term":%d,"w":%q}`, owner, term, writeID)
 	return messages.KV{Key: fmt.Sprintf("parts/%d", id), Value: value, ModRevision: revision}
 }
 
-// failStoreSince makes the state service count as failing since a time.
+// failStoreSince marks the store as failing since the given time.
 func (m *testManager) failStoreSince(at cluster.Time) { m.queue.Health.MarkFailing(at) }
 
 // TestAcquireIfEligible checks which shards a controller acquires.
@@ -192,7 +192,7 @@
 		{"dropped as corrupt recently", 0, func(m *testManager, shard *state.Shard) {
 			shard.PostponeAcquisition(m.loop.Now())
 		}, false},
-		{"state service unavailable", 0, func(m *testManager, _ *state.Shard) {
+		{"store unavailable", 0, func(m *testManager, _ *state.Shard) {
 			m.failStoreSince(m.loop.Now() - 2*second)
 		}, false},
 	} {
@@ -318,7 +318,7 @@
 
 // observedLoss records the effects of the loss of shard 0.
 type observedLoss struct {
-	checkAnswers  []bool // results of the pending ownership check
+	checkResults  []bool // results of the pending ownership check
 	lostWrites    int    // queued writes that failed because of it
 	changesBefore int
 }
@@ -327,7 +327,7 @@
 // lost.
 func (m *testManager) observeLoss(shard *state.Shard) *observedLoss {
 	loss := &observedLoss{changesBefore: m.Changes()}
-	m.ConfirmOwnership(shard, func(owned bool) { loss.checkAnswers = append(loss.checkAnswers, owned) })
+	m.ConfirmOwnership(shard, func(owned bool) { loss.checkResults = append(loss.checkResults, owned) })
 	m.queue.Enqueue(writequeue.PriorityStart, &writequeue.Write{
 		Keys:            []string{"groups/g"},
 		Build:           func(string) ([]messages.TxnOp, []cluster.ModRevision) { return nil, nil },
@@ -339,14 +339,14 @@
 // check compares the observed effects with those expected of a loss, or of none.
 func (o *observedLoss) check(t *testing.T, m *testManager, lost bool) {
 	t.Helper()
-	var wantAnswers []bool
+	var wantResults []bool
 	var wantDropped []cluster.ShardID
 	wantWrites, wantChanges := 0, 0
 	if lost {
-		wantAnswers, wantDropped, wantWrites, wantChanges = []bool{false}, []cluster.ShardID{0}, 1, 1
+		wantResults, wantDropped, wantWrites, wantChanges = []bool{false}, []cluster.ShardID{0}, 1, 1
 	}
-	if !slices.Equal(o.checkAnswers, wantAnswers) {
-		t.Errorf("results of the ownership check %v, want %v", o.checkAnswers, wantAnswers)
+	if !slices.Equal(o.checkResults, wantResults) {
+		t.Errorf("results of the ownership check %v, want %v", o.checkResults, wantResults)
 	}
 	if !slices.Equal(m.store.dropped, wantDropped) {
 		t.Errorf("dropped shards %v, want %v", m.store.dropped, wantDropped)
@@ -548,20 +548,20 @@
 }
 
 // TestOwnershipCheckDuringOutage checks that an ownership check fails immediately,
-// without a read, while the state service is unavailable.
+// without a read, while the store is unavailable.
 func TestOwnershipCheckDuringOutage(t *testing.T) {
 	m := newTestManager()
 	shard := m.ownShard(0)
 	m.failStoreSince(m.loop.Now() - 2*second)
-	answers := 0
+	results := 0
 	m.ConfirmOwnership(shard, func(owned bool) {
-		answers++
+		results++
 		if owned {
 			t.Error("ownership confirmed")
 		}
 	})
-	if answers != 1 || len(effectsOf[messages.StoreGet](m)) > 0 {
-		t.Errorf("%d answers and %d reads, want one answer and no read", answers, len(effectsOf[messages.StoreGet](m)))
+	if results != 1 || len(effectsOf[messages.StoreGet](m)) > 0 {
+		t.Errorf("%d results and %d reads, want one result and no read", results, len(effectsOf[messages.StoreGet](m)))
 	}
 }
 
--- a/internal/ownership/ownershipcheck.go
+++ b/internal/ownership/ownershipcheck.go
@@ -28,11 +28,11 @@
 	return callbacks
 }
 
-// ConfirmOwnership calls handle with whether this controller still owns the shard,
-// as shown by a read of the claim record that starts after the call. It reports
-// false if the read fails or the state service is unavailable. Callers use it before
-// they answer from memory: a deposed owner that has not noticed could otherwise
-// return stale data.
+// ConfirmOwnership calls handle with whether this controller still owns the shard, as
+// shown by a read of the claim record that starts after the call. It reports false if
+// the read fails or the store is unavailable. Callers use it before they answer from
+// memory, because a deposed owner that has not noticed the loss could return stale
+// data.
 func (m *Manager) ConfirmOwnership(shard *state.Shard, handle func(owned bool)) {
 	if m.isStoreUnavailable() {
 		handle(false)
--- a/internal/ownership/ownershiploss.go
+++ b/internal/ownership/ownershiploss.go
@@ -31,9 +31,9 @@
 }
 
 // DropCorruptShard drops an owned shard that has an invalid or unexpectedly modified
-// record. No repair is attempted: the shard is acquired again after a delay and its
+// record. The record is not repaired. The shard is acquired again after a delay and its
 // records are reloaded. Until then all controllers answer requests for the shard
-// from the state service.
+// from the store.
 func (m *Manager) DropCorruptShard(shard *state.Shard, key, reason string) {
 	m.loop.Log(messages.LogError, "corrupt record; dropping the shard and reloading it after a delay", "shard", int(shard.ID), "key", key, "reason", reason)
 	shard.PostponeAcquisition(m.loop.Now())
--- a/internal/ownership/pings.go
+++ b/internal/ownership/pings.go
@@ -12,7 +12,7 @@
 	// IsUnreachable reports whether the peer does not answer calls.
 	IsUnreachable() bool
 	// IsHealthyFor reports whether the peer has reported for longer than the given
-	// duration that it reaches the state service and its workers.
+	// duration that it reaches the store and its workers.
 	IsHealthyFor(cluster.Time) bool
 }
 
@@ -43,9 +43,9 @@
 }
 
 // failbackRelievesLoad reports whether handing back a shard would reduce the load of
-// this controller or cost nothing: the shard is idle, or this controller owns another
-// shard that is not. Otherwise the move would interrupt the shard's users and machines
-// and only shift the whole load to another controller.
+// this controller or cost nothing. This is the case if the shard is idle, or if this
+// controller owns another shard that is not. Otherwise the move would interrupt the
+// shard's users and machines and only shift the whole load to another controller.
 func (m *Manager) failbackRelievesLoad(returned *state.Shard) bool {
 	if isIdle(returned) {
 		return true
@@ -110,9 +110,9 @@
 }
 
 // applyTerms applies the terms that another controller knows, indexed by shard ID. A
-// later term ends the ownership of a shard. While the state service is unreachable
-// from here, this may be the only sign of a new owner, and further answers would
-// keep renewing the leases of the shard's workers.
+// later term ends the ownership of a shard. While the store is unreachable from here,
+// this may be the only sign of a new owner, and further heartbeat responses would keep
+// renewing the leases of the shard's workers.
 func (m *Manager) applyTerms(terms []cluster.Term) {
 	for id, term := range terms {
 		if id < len(m.shards) && m.shards[id].Owned && term > m.shards[id].Term {
