--- a/internal/jobs/ownerqueries_test.go
+++ b/internal/jobs/ownerqueries_test.go
@@ -26,7 +26,7 @@
 	queries := newOwnerQueries(&Queries{shared: common})
 	answered := 0
 	for range queryCount {
-		queries.add("n1", "j-1", func(messages.ReplyStatus, cluster.JobView) { answered++ })
+		queries.add("n1", "j-1", func(messages.ResponseStatus, cluster.JobView) { answered++ })
 	}
 	sentMessages := 0
 	for now := cluster.Time(0); now < second; now += 10 * millisecond {
@@ -47,6 +47,6 @@
 		}
 	}
 	if sentMessages != 3 || answered != queryCount {
-		t.Errorf("%d messages and %d answers, want 3 messages and an answer to each query", sentMessages, answered)
+		t.Errorf("%d messages and %d answered queries, want 3 messages and all queries answered", sentMessages, answered)
 	}
 }
