--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -71,7 +71,7 @@
 	c.cancellations.loop.Emit(response)
 }
 
-// askOwner forwards the request to the owner of the job's shard.
+// forwardToOwner forwards the request to the owner of the job's shard.
 func (c *cancellation) forwardToOwner(known *state.KnownJob) {
 	members := c.cancellations.Members
 	owner := members.Peer(c.cancellations.state.Shards[known.ShardID].Owner)
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -25,7 +25,7 @@
 	// registrationBatchDelay is how long orphans are collected for one registration.
 	registrationBatchDelay = 100 * millisecond
 	// ownerSearchStoreTimeout is how long the store may be unavailable before a heartbeat
-	// that requires a search is rejected with ReplyUnavailable.
+	// that requires a search is rejected with StatusUnavailable.
 	ownerSearchStoreTimeout = 500 * millisecond
 	// adoptionStoreTimeout is how long the store may be unavailable before no orphans are
 	// adopted.
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -183,7 +183,7 @@
 	s.loop.Emit(messages.Respond{Request: request, Status: messages.StatusMisdirected, Heartbeat: response})
 }
 
-// respondUnavailable answers a heartbeat with ReplyUnavailable, so that the worker retries
+// respondUnavailable answers a heartbeat with StatusUnavailable, so that the worker retries
 // later.
 func (s *shared) respondUnavailable(request messages.RequestID) {
 	s.loop.Emit(messages.Respond{Request: request, Status: messages.StatusUnavailable})
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -52,7 +52,7 @@
 }
 
 // Kill ends the process immediately, without a shutdown. Requests that are waiting
-// for its response get the status ReplyNone.
+// for its response get the status StatusNone.
 func (n *Node) Kill() {
 	n.set.lastKillAt = n.set.Now
 	n.running = false
@@ -64,7 +64,7 @@
 }
 
 // SendRequest sends a request to the controller and calls handle with the response.
-// The response has the status ReplyNone if no process is running.
+// The response has the status StatusNone if no process is running.
 func (n *Node) SendRequest(request func(messages.RequestID) messages.Event, handle func(messages.Respond)) {
 	n.set.After(n.set.RandomBetween(millisecond, 5*millisecond), func() {
 		if !n.running {
