--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -22,7 +22,7 @@
 		t.Run(slow.String(), func(t *testing.T) {
 			sim := newSimulator(3, testConfig())
 			sim.NoRandomFaults = true
-			sim.Store.Delay = delay
+			sim.StoreAPI.Delay = delay
 			addMachinesPerZone(sim, 2)
 			sim.RunUntil(10 * second)
 			latencies := measureSubmissionLatencies(sim)
@@ -57,7 +57,7 @@
 			submittedAt := sim.Now
 			sim.Nodes[i%len(sim.Nodes)].SendRequest(submitRequest(spec), func(answer messages.Respond) {
 				latencies = append(latencies, time.Duration(sim.Now-submittedAt))
-				if answer.Status == messages.ReplyCreated {
+				if answer.Status == messages.StatusCreated {
 					job.Accepted = true
 					sim.Users.CheckReportedStatus(job, answer.View.Status)
 				}
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -47,7 +47,7 @@
 	case known.FinalStatus != "":
 		c.answer(known.FinalStatus)
 	case c.cancellations.state.Shards[known.ShardID].Owned:
-		c.cancellations.CancelOwned(c.id, func(_ messages.ReplyStatus, view *cluster.JobView) {
+		c.cancellations.CancelOwned(c.id, func(_ messages.ResponseStatus, view *cluster.JobView) {
 			if view == nil {
 				c.answer("")
 				return
@@ -55,24 +55,24 @@
 			c.answer(view.Status)
 		})
 	default:
-		c.askOwner(known)
+		c.forwardToOwner(known)
 	}
 }
 
 // answer sends the user the job's final status. If final is empty, the status could not be
 // determined, and the user is asked to retry.
 func (c *cancellation) answer(final cluster.JobStatus) {
-	response := messages.Respond{Request: c.request, Status: messages.ReplyOK}
+	response := messages.Respond{Request: c.request, Status: messages.StatusOK}
 	if final == "" {
-		response.Status, response.RetryAfter = messages.ReplyUnavailable, shortRetryAfterSeconds
+		response.Status, response.RetryAfter = messages.StatusUnavailable, shortRetryAfterSeconds
 	} else {
 		response.View = &cluster.JobView{ID: c.id, Status: final}
 	}
 	c.cancellations.loop.Emit(response)
 }
 
-// askOwner forwards the request to the owner of the job's shard.
-func (c *cancellation) askOwner(known *state.KnownJob) {
+// forwardToOwner forwards the request to the owner of the job's shard.
+func (c *cancellation) forwardToOwner(known *state.KnownJob) {
 	members := c.cancellations.Members
 	owner := members.Peer(c.cancellations.state.Shards[known.ShardID].Owner)
 	if owner == nil || owner.IsUnreachable() {
@@ -90,16 +90,16 @@
 	})
 }
 
-// lookUp looks up an unknown job in the state service.
+// lookUp looks up an unknown job in the store.
 func (c *cancellation) lookUp(mayRetry bool) {
-	c.cancellations.queries.lookUpInStore(c.id, func(status messages.ReplyStatus, view cluster.JobView) {
+	c.cancellations.queries.lookUpInStore(c.id, func(status messages.ResponseStatus, view cluster.JobView) {
 		switch {
-		case status == messages.ReplyOK && view.Status.IsFinal():
+		case status == messages.StatusOK && view.Status.IsFinal():
 			c.answer(view.Status)
-		case status == messages.ReplyOK && mayRetry:
+		case status == messages.StatusOK && mayRetry:
 			c.evaluate(false)
-		case status == messages.ReplyJobNotFound:
-			c.cancellations.loop.Emit(messages.Respond{Request: c.request, Status: messages.ReplyJobNotFound})
+		case status == messages.StatusJobNotFound:
+			c.cancellations.loop.Emit(messages.Respond{Request: c.request, Status: messages.StatusJobNotFound})
 		default:
 			c.answer("")
 		}
@@ -107,16 +107,16 @@
 }
 
 // CancelOwned cancels a job of an owned shard. It calls handle with the job's final status
-// once that is stored, or with ReplyUnavailable and nil if it is not stored in time or
+// once that is stored, or with StatusUnavailable and nil if it is not stored in time or
 // this controller does not own the job.
-func (c *Cancellations) CancelOwned(id cluster.JobID, handle func(messages.ReplyStatus, *cluster.JobView)) {
+func (c *Cancellations) CancelOwned(id cluster.JobID, handle func(messages.ResponseStatus, *cluster.JobView)) {
 	if known := c.state.Jobs.FinalJob(id); known != nil {
-		handle(messages.ReplyOK, &cluster.JobView{ID: id, Status: known.FinalStatus})
+		handle(messages.StatusOK, &cluster.JobView{ID: id, Status: known.FinalStatus})
 		return
 	}
 	job := c.state.Jobs.Owned[id]
 	if job == nil || !c.state.Shards[job.ShardID].Ready {
-		handle(messages.ReplyUnavailable, nil)
+		handle(messages.StatusUnavailable, nil)
 		return
 	}
 	answered := false
@@ -126,16 +126,16 @@
 		}
 		answered = true
 		if final == "" {
-			handle(messages.ReplyUnavailable, nil)
+			handle(messages.StatusUnavailable, nil)
 			return
 		}
-		handle(messages.ReplyOK, &cluster.JobView{ID: id, Status: final})
+		handle(messages.StatusOK, &cluster.JobView{ID: id, Status: final})
 	}
 	c.loop.After(cancelTimeout, func() { answer("") })
 	job.Waiters = append(job.Waiters, answer)
 	if !job.Cancelling {
-		// The tasks are stopped before the write is confirmed: its reply may be lost
-		// while other controllers already read and report the cancellation.
+		// The tasks are stopped before the write is confirmed, because its reply may be
+		// lost while other controllers already read and report the cancellation.
 		job.Cancelling = true
 		c.Tasks.WithdrawUnsentStarts(job)
 		c.Tasks.StopAll(job)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -18,12 +18,12 @@
 // echoRequester responds to each message with the message itself.
 type echoRequester struct{}
 
-func (echoRequester) Request(_ context.Context, event func(messages.RequestID) messages.Event) (messages.Respond, bool) {
-	request, ok := event(1).(messages.PeerRequest)
+func (echoRequester) Request(_ context.Context, makeEvent func(messages.RequestID) messages.Event) (messages.Respond, bool) {
+	request, ok := makeEvent(1).(messages.PeerRequest)
 	if !ok {
 		return messages.Respond{}, false
 	}
-	return messages.Respond{Status: messages.ReplyOK, Peer: &request.Message}, true
+	return messages.Respond{Status: messages.StatusOK, Peer: &request.Message}, true
 }
 
 // TestHandler checks that a message is unchanged after a round trip, and that malformed
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -155,16 +155,16 @@
 		s.FaultCounts[FaultResponseToUnreachableMachine]++
 		return
 	}
-	if s.Now < x.node.StorePartitionedUntil && s.Now < x.node.PeersPartitionedUntil && response.Status == messages.ReplyOK {
+	if s.Now < x.node.StorePartitionedUntil && s.Now < x.node.PeersPartitionedUntil && response.Status == messages.StatusOK {
 		s.FaultCounts[FaultResponseFromIsolatedNode]++
 	}
 	if s.Now < worker.hungUntil {
 		return
 	}
 	switch {
-	case response.Status == messages.ReplyOK && response.Heartbeat != nil:
+	case response.Status == messages.StatusOK && response.Heartbeat != nil:
 		x.accept(*response.Heartbeat)
-	case response.Status == messages.ReplyMisdirected && response.Heartbeat != nil:
+	case response.Status == messages.StatusMisdirected && response.Heartbeat != nil:
 		x.redirect(response.Heartbeat.RedirectTo)
 	default:
 		x.tryNextNode()
@@ -173,10 +173,10 @@
 
 // accept passes a successful response to the worker and ends the exchange.
 func (x *heartbeatExchange) accept(response messages.HeartbeatResponse) {
-	former := x.worker.FencingToken
+	previousToken := x.worker.FencingToken
 	x.worker.HandleHeartbeatResponse(x.status.Incarnation, x.sentAt, response)
 	x.sender.logCommands(x.node, x.worker, response.FencingToken, response.Commands)
-	if x.worker.FencingToken > former || len(response.Commands) > 0 {
+	if x.worker.FencingToken > previousToken || len(response.Commands) > 0 {
 		x.worker.heartbeatQueued = true
 	}
 	x.finish(0)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -17,10 +17,10 @@
 	Version Version
 
 	// Faults of the node, each with the time at which it ends.
-	StorePartitionedUntil   cluster.Time // partitioned from the state service
+	StorePartitionedUntil   cluster.Time // partitioned from the store
 	WorkersPartitionedUntil cluster.Time // partitioned from the workers
 	PeersPartitionedUntil   cluster.Time // partitioned from the other controllers
-	StoreRefusesUntil       cluster.Time // the state service responds with 503
+	StoreUnavailableUntil   cluster.Time // the store responds with 503
 	PeersRefuseUntil        cluster.Time // connections to and from other controllers are refused
 	StoreRepliesLostUntil   cluster.Time // transactions are applied, but the replies are lost
 	PausedUntil             cluster.Time // the process is paused while its clocks continue
@@ -52,19 +52,19 @@
 }
 
 // Kill ends the process immediately, without a shutdown. Requests that are waiting
-// for its response get the status ReplyNone.
+// for its response get the status StatusNone.
 func (n *Node) Kill() {
 	n.set.lastKillAt = n.set.Now
 	n.running = false
 	n.generation++
 	for _, id := range slices.Sorted(maps.Keys(n.pendingRequests)) {
-		n.pendingRequests[id](messages.Respond{Status: messages.ReplyNone})
+		n.pendingRequests[id](messages.Respond{Status: messages.StatusNone})
 	}
 	n.pendingRequests = nil
 }
 
 // SendRequest sends a request to the controller and calls handle with the response.
-// The response has the status ReplyNone if no process is running.
+// The response has the status StatusNone if no process is running.
 func (n *Node) SendRequest(request func(messages.RequestID) messages.Event, handle func(messages.Respond)) {
 	n.set.After(n.set.RandomBetween(millisecond, 5*millisecond), func() {
 		if !n.running {
@@ -143,7 +143,7 @@
 	return pendingCall{node: n, generation: n.generation, id: id}
 }
 
-// pendingCall is a call by a controller process that has not been replied to.
+// pendingCall is a call by a controller process that has no reply yet.
 type pendingCall struct {
 	node       *Node
 	generation int
