--- a/internal/reconcile/heldheartbeats.go
+++ b/internal/reconcile/heldheartbeats.go
@@ -31,7 +31,7 @@
 }
 
 // AnswerReady answers the heartbeats of machines that have no start being recorded. The
-// other heartbeats are held until the record is stored, at most until ReplyDeadline, so
+// other heartbeats are held until the record is stored, at most until ResponseDeadline, so
 // that the response contains the start.
 func (h *Heartbeats) AnswerReady() {
 	toCheck := h.held.toCheck
