--- a/internal/controller/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -25,15 +25,15 @@
 	for !shard.IsBackoffOver(c.loop.Now() + backoff) {
 		backoff += second
 	}
-	var corruptPause cluster.Time
+	var corruptBackoff cluster.Time
 	for range 20 {
 		shard.Owned = true
 		c.ownership.DropCorruptShard(shard, "k", "test")
-		corruptPause = max(corruptPause, shard.AcquireNotBefore-c.loop.Now())
+		corruptBackoff = max(corruptBackoff, shard.AcquireNotBefore-c.loop.Now())
 	}
 	const isolated = 8 * second // store must be available this long before a node without peers may consider others failed
-	if sum := detect + backoff + corruptPause + isolated; backoff == 0 || corruptPause == 0 || sum >= 75*second {
+	if sum := detect + backoff + corruptBackoff + isolated; backoff == 0 || corruptBackoff == 0 || sum >= 75*second {
 		t.Errorf("failure detection %v, backoff %v, delay after corrupt records %v, isolated %v: %v in total; want delays above 0 and a total below 75s",
-			time.Duration(detect), time.Duration(backoff), time.Duration(corruptPause), time.Duration(isolated), time.Duration(sum))
+			time.Duration(detect), time.Duration(backoff), time.Duration(corruptBackoff), time.Duration(isolated), time.Duration(sum))
 	}
 }
--- a/internal/controller/acquire_conflict_test.go
+++ b/internal/controller/acquire_conflict_test.go
@@ -11,15 +11,15 @@
 // a shard that is not owned it would be dropped, and no controller would serve the
 // shard.
 func TestAcquireResentAfterBatchConflict(t *testing.T) {
-	b := newControllerHarness()
-	shard := b.state.Shards[1]
+	h := newControllerHarness()
+	shard := h.state.Shards[1]
 	shard.Owned, shard.Ready = false, false
-	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: []byte(`{"s":{"tm":"red","n":1},"w":"b1-1"}`), ModRevision: 31}
-	b.submit(1, "j-1")
-	b.ownership.Acquire(shard)
-	b.runFor(2 * second)
+	h.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: []byte(`{"s":{"tm":"red","n":1},"w":"b1-1"}`), ModRevision: 31}
+	h.submit(1, "j-1")
+	h.ownership.Acquire(shard)
+	h.runFor(2 * second)
 
-	if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != 2 {
+	if len(h.sentTransactions) == 0 || len(h.sentTransactions[0].Then) != 2 {
 		t.Fatal("the acquisition and the admission did not share a transaction")
 	}
 	if !shard.Owned || shard.Acquiring {
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -12,16 +12,16 @@
 // must restart under a later store revision of the owner instead of overflowing into
 // the revision's bits.
 func TestAttemptNumbersBeyondOneRevision(t *testing.T) {
-	b := newControllerHarness()
-	shard := b.state.Shards[0]
+	h := newControllerHarness()
+	shard := h.state.Shards[0]
 	shard.ClaimRevision, shard.AttemptBase, shard.LastStoredRevision = 31, 31, 31
 	first := shard.NextAttempt()
-	b.addTestJob("j-1", 1)
-	machine, _ := b.addRunningMachine(b.state.Jobs.Owned["j-1"])
-	b.store.revision = 50
+	h.addTestJob("j-1", 1)
+	machine, _ := h.addRunningMachine(h.state.Jobs.Owned["j-1"])
+	h.store.revision = 50
 	machine.Group.ModRevision = 0
-	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
-	b.runFor(100 * millisecond)
+	h.inventory.WriteMachine(machine, writequeue.PriorityStart)
+	h.runFor(100 * millisecond)
 
 	shard.AttemptCount = cluster.MaxAttemptCount - 1
 	last, next := shard.NextAttempt(), shard.NextAttempt()
--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -117,9 +117,9 @@
 	job.CancelRequested = true
 	var request func()
 	request = func() {
-		node.SendRequest(cancelRequest(job.Spec.ID), func(answer messages.Respond) {
-			if answer.Status == messages.ReplyOK {
-				c.Users.CheckReportedStatus(job, answer.View.Status)
+		node.SendRequest(cancelRequest(job.Spec.ID), func(response messages.Respond) {
+			if response.Status == messages.ReplyOK {
+				c.Users.CheckReportedStatus(job, response.View.Status)
 			} else if job.CancelConfirmedAt == 0 {
 				c.After(cancelRetryDelay, request)
 			}
--- a/internal/controller/combined_faults_test.go
+++ b/internal/controller/combined_faults_test.go
@@ -6,7 +6,7 @@
 )
 
 // combinedFaultsPerDay is the number of combined faults per simulated day.
-const combinedFaultsPerDay = 5
+const combinedFaultsPerRun = 5
 
 // combinedFaults returns the faults that affect many machines or controllers at once.
 func combinedFaults(cancelDeadline cluster.Time) []faultScenario {
@@ -20,17 +20,17 @@
 		{"faulty machines in an outage of the cloud", faultyMachinesWithoutCloud},
 		{"the busiest controller crashes repeatedly", crashBusiestRepeatedly},
 		{"the store refuses one controller, then all", func(sim *simulation.Simulator, node *simulation.Node, _ cluster.Time) {
-			storeRefusalThenOutage(sim, node, cancelDeadline)
+			storeRejectionThenOutage(sim, node, cancelDeadline)
 		}},
 		{"fast boots with a slow store", fastBootsWithSlowStore},
-		{"a slow store that refuses one controller", slowStoreRefusesController},
+		{"a slow store that refuses one controller", slowStoreRejectsController},
 	}
 }
 
 // planCombinedFaults plans random combined faults that begin before until.
 func planCombinedFaults(sim *simulation.Simulator, until, cancelDeadline cluster.Time) {
 	faults := combinedFaults(cancelDeadline)
-	for range combinedFaultsPerDay {
+	for range combinedFaultsPerRun {
 		at := sim.RandomBetween(5*second, until-maxFaultDuration)
 		duration := sim.RandomBetween(5*second, 30*second)
 		planFault(sim, faults[sim.Rand.IntN(len(faults))], at, duration)
@@ -106,10 +106,10 @@
 	})
 }
 
-func slowStoreRefusesController(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
+func slowStoreRejectsController(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
 	node.StoreRefusesUntil = sim.Now + duration
 	sim.Store.Slow(drawStoreSlowdown(sim), duration)
-	sim.FaultCounts[faultSlowStoreRefusesNode]++
+	sim.FaultCounts[faultSlowStoreRejectsNode]++
 }
 
 // storeRefusalThenOutage makes the store refuse one controller and, a few seconds
@@ -117,11 +117,11 @@
 // cancel jobs. In most cases the outage begins within a second of another controller
 // acquiring a shard, which takes about five seconds. The fault is injected once per
 // simulated day.
-func storeRefusalThenOutage(sim *simulation.Simulator, node *simulation.Node, cancelDeadline cluster.Time) {
-	if sim.FaultCounts[faultRefusalThenOutage] > 0 {
+func storeRejectionThenOutage(sim *simulation.Simulator, node *simulation.Node, cancelDeadline cluster.Time) {
+	if sim.FaultCounts[faultRejectionThenOutage] > 0 {
 		return
 	}
-	sim.FaultCounts[faultRefusalThenOutage]++
+	sim.FaultCounts[faultRejectionThenOutage]++
 	isDown := false
 	beginOutage := func() {
 		if !isDown {
@@ -133,10 +133,10 @@
 	if sim.Chance(0.33) {
 		sim.After(sim.RandomBetween(2*second, 6*second), beginOutage)
 	} else {
-		const refusalDuration = 10 * second
-		node.StoreRefusesUntil = sim.Now + refusalDuration
-		outageAtAcquire(sim, refusalDuration, beginOutage)
-		sim.After(refusalDuration, beginOutage)
+		const rejectionDuration = 10 * second
+		node.StoreRefusesUntil = sim.Now + rejectionDuration
+		outageAtAcquire(sim, rejectionDuration, beginOutage)
+		sim.After(rejectionDuration, beginOutage)
 	}
 	cancelBeforeAndInOutage(sim)
 }
--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -10,8 +10,8 @@
 )
 
 // deliverStatus delivers the next heartbeat status of a machine.
-func (b *controllerHarness) deliverStatus(machine *state.Machine, tasks ...cluster.TaskStatus) {
-	b.reconciler.ApplyStatus(machine, &cluster.HeartbeatStatus{Machine: machine.ID, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1, Tasks: tasks}, false)
+func (h *controllerHarness) deliverStatus(machine *state.Machine, tasks ...cluster.TaskStatus) {
+	h.reconciler.ApplyStatus(machine, &cluster.HeartbeatStatus{Machine: machine.ID, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1, Tasks: tasks}, false)
 }
 
 // TestCompletedTaskLeavesGroupRecord checks that the next write of a group's record
@@ -19,16 +19,16 @@
 // not fill the record. The task stays assigned until its outcome is stored, and that
 // needs no other write of the group's record.
 func TestCompletedTaskLeavesGroupRecord(t *testing.T) {
-	b := newControllerHarness()
-	job := b.addTestJob("j-1", 2)
-	machine, assignment := b.addRunningMachine(job)
+	h := newControllerHarness()
+	job := h.addTestJob("j-1", 2)
+	machine, assignment := h.addRunningMachine(job)
 	job.RecordTooLarge = true // prevents a checkpoint from storing its outcomes
 	machine.Group.ModRevision = 0
-	b.deliverStatus(machine, cluster.TaskStatus{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Ended, Cause: cluster.CauseCompleted})
-	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
-	b.runFor(100 * millisecond)
+	h.deliverStatus(machine, cluster.TaskStatus{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Ended, Cause: cluster.CauseCompleted})
+	h.inventory.WriteMachine(machine, writequeue.PriorityStart)
+	h.runFor(100 * millisecond)
 
-	record := string(b.store.get(machine.Group.Key()).KV.Value)
+	record := string(h.store.get(machine.Group.Key()).KV.Value)
 	if record == "" || strings.Contains(record, "j-1") {
 		t.Fatalf("stored %q, want the machine without the task", record)
 	}
@@ -36,12 +36,12 @@
 		t.Fatalf("before the outcome is stored: assigned %v, removed from the record %v, acknowledged %v", machine.Assignments[assignment.Task] == assignment, assignment.RemovedFromRecord, machine.EndedToAcknowledge)
 	}
 	written := machine.Group.ModRevision
-	b.jobs.Records.WriteJob(job, writequeue.PriorityOutcome)
-	b.runFor(100 * millisecond)
+	h.jobs.Records.WriteJob(job, writequeue.PriorityOutcome)
+	h.runFor(100 * millisecond)
 	if machine.Assignments[assignment.Task] != nil || !machine.EndedToAcknowledge[assignment.TaskAttempt()] {
 		t.Error("the outcome is stored, but is not acknowledged to the worker")
 	}
-	if b.runFor(4 * second); machine.Group.ModRevision != written {
+	if h.runFor(4 * second); machine.Group.ModRevision != written {
 		t.Error("the group's record was written again after the outcome was stored")
 	}
 }
@@ -68,11 +68,11 @@
 		{"index out of range", func(*state.Job) {}, cluster.TaskStatus{Task: cluster.TaskID{Job: "j-1", Index: 7}, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseCompleted}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
-			job := b.addTestJob("j-1", 3)
-			machine, assignment := b.addRunningMachine(job)
+			h := newControllerHarness()
+			job := h.addTestJob("j-1", 3)
+			machine, assignment := h.addRunningMachine(job)
 			test.prepare(job)
-			b.deliverStatus(machine, cluster.TaskStatus{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Running}, test.task)
+			h.deliverStatus(machine, cluster.TaskStatus{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Running}, test.task)
 			if got := job.CompletedCount == 1 && machine.Assignments[test.task.Task] != nil; got != test.markedCompleted {
 				t.Fatalf("marked as completed: %v; %d tasks of the job are completed", got, job.CompletedCount)
 			}
@@ -82,9 +82,9 @@
 			if len(machine.EndedToAcknowledge) > 0 {
 				t.Error("the completion is acknowledged to the worker before it is stored")
 			}
-			b.jobs.Records.WriteJob(job, writequeue.PriorityOutcome)
-			b.runFor(100 * millisecond)
-			if kv := b.store.get(job.ChunkKey(0)).KV; !strings.Contains(string(kv.Value), `"d":"1"`) {
+			h.jobs.Records.WriteJob(job, writequeue.PriorityOutcome)
+			h.runFor(100 * millisecond)
+			if kv := h.store.get(job.ChunkKey(0)).KV; !strings.Contains(string(kv.Value), `"d":"1"`) {
 				t.Errorf("stored %s, want task 1 listed as completed", kv.Value)
 			}
 			if !machine.EndedToAcknowledge[state.TaskAttempt{Task: test.task.Task, Attempt: test.task.Attempt}] || machine.Assignments[test.task.Task] != nil {
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -96,95 +96,95 @@
 	setup(c)
 	setTime(c, 100*second)
 	c.jobs.AdmissionRecords.ApplyAll(nil, 0)
-	b := &controllerHarness{Controller: c, store: &testStore{keys: map[string]messages.KV{}, revision: 30}, losesReply: func(messages.StoreTxn) bool { return false }}
+	h := &controllerHarness{Controller: c, store: &testStore{keys: map[string]messages.KV{}, revision: 30}, losesReply: func(messages.StoreTxn) bool { return false }}
 	for _, shard := range c.state.Shards {
-		b.ownShard(shard)
+		h.ownShard(shard)
 	}
-	return b
+	return h
 }
 
 // ownShard makes the controller the owner of a shard without machines.
-func (b *controllerHarness) ownShard(shard *state.Shard) {
+func (h *controllerHarness) ownShard(shard *state.Shard) {
 	shard.Owned, shard.Ready, shard.Owner, shard.Term = true, true, "n0", 1
-	shard.ClaimRevision, shard.ModRevision, shard.ConfirmedAt = 30, 30, b.loop.Now()
+	shard.ClaimRevision, shard.ModRevision, shard.ConfirmedAt = 30, 30, h.loop.Now()
 	shard.ProvisioningRequests = map[string]*state.ProvisioningRequest{}
 	shard.OutOfCapacityUntil = map[state.ProvisioningOption]cluster.Time{}
-	b.store.keys[shard.Key()] = messages.KV{Key: shard.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
+	h.store.keys[shard.Key()] = messages.KV{Key: shard.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 }
 
 // runFor advances the time by a duration and handles the effects.
-func (b *controllerHarness) runFor(duration cluster.Time) {
-	for end := b.loop.Now() + duration; b.loop.Now() <= end; setTime(b.Controller, b.loop.Now()+20*millisecond) {
-		b.loop.RunTimers()
-		b.writeQueue.Dispatch()
-		for _, effect := range takeEffects(b.Controller) {
-			b.handleEffect(effect)
+func (h *controllerHarness) runFor(duration cluster.Time) {
+	for end := h.loop.Now() + duration; h.loop.Now() <= end; setTime(h.Controller, h.loop.Now()+20*millisecond) {
+		h.loop.RunTimers()
+		h.writeQueue.Dispatch()
+		for _, effect := range takeEffects(h.Controller) {
+			h.handleEffect(effect)
 		}
 	}
 }
 
 // handleEffect records responses and transactions, and replies to requests to the store.
-func (b *controllerHarness) handleEffect(effect messages.Effect) {
+func (h *controllerHarness) handleEffect(effect messages.Effect) {
 	switch effect := effect.(type) {
 	case messages.StoreTxn:
-		b.sentTransactions = append(b.sentTransactions, effect)
-		b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.commit(effect)})
+		h.sentTransactions = append(h.sentTransactions, effect)
+		h.loop.Deliver(messages.Reply{Call: effect.Call, Body: h.commit(effect)})
 	case messages.StoreGet:
-		b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.store.get(effect.Key)})
+		h.loop.Deliver(messages.Reply{Call: effect.Call, Body: h.store.get(effect.Key)})
 	case messages.StoreList:
-		b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.list(effect)})
+		h.loop.Deliver(messages.Reply{Call: effect.Call, Body: h.list(effect)})
 	case messages.StoreWatch:
 		if effect.Timeout == 0 { // otherwise it is a long poll
-			b.loop.Deliver(messages.Reply{Call: effect.Call, Body: b.readChanges(effect)})
+			h.loop.Deliver(messages.Reply{Call: effect.Call, Body: h.readChanges(effect)})
 		}
 	case messages.Respond:
-		b.sentResponses = append(b.sentResponses, effect)
+		h.sentResponses = append(h.sentResponses, effect)
 	}
 }
 
 // commit applies a transaction unless the harness is set to reject it.
-func (b *controllerHarness) commit(transaction messages.StoreTxn) messages.TxnReply {
-	if b.rejectsAsMalformed != nil && b.rejectsAsMalformed(transaction) {
+func (h *controllerHarness) commit(transaction messages.StoreTxn) messages.TxnReply {
+	if h.rejectsAsMalformed != nil && h.rejectsAsMalformed(transaction) {
 		return messages.TxnReply{Outcome: messages.Invalid}
 	}
-	if b.throttles != nil && b.throttles(transaction) {
+	if h.throttles != nil && h.throttles(transaction) {
 		return messages.TxnReply{Outcome: messages.Throttled}
 	}
-	reply := b.store.commit(transaction)
-	if b.losesReply(transaction) {
+	reply := h.store.commit(transaction)
+	if h.losesReply(transaction) {
 		return messages.TxnReply{Outcome: messages.UnknownOutcome}
 	}
 	return reply
 }
 
-func (b *controllerHarness) list(request messages.StoreList) messages.ListReply {
-	if b.failsReads {
+func (h *controllerHarness) list(request messages.StoreList) messages.ListReply {
+	if h.failsReads {
 		return messages.ListReply{Outcome: messages.UnknownOutcome}
 	}
-	return messages.ListReply{Outcome: messages.OK, Items: b.store.list(request.Prefix, 0), Revision: b.store.revision}
+	return messages.ListReply{Outcome: messages.OK, Items: h.store.list(request.Prefix, 0), Revision: h.store.revision}
 }
 
-func (b *controllerHarness) readChanges(request messages.StoreWatch) messages.WatchReply {
-	if b.failsReads {
+func (h *controllerHarness) readChanges(request messages.StoreWatch) messages.WatchReply {
+	if h.failsReads {
 		return messages.WatchReply{Outcome: messages.UnknownOutcome}
 	}
-	items := b.store.list(request.Prefix, request.SinceRevision)
-	return messages.WatchReply{Outcome: messages.OK, Items: items, Revision: b.store.revision}
+	items := h.store.list(request.Prefix, request.SinceRevision)
+	return messages.WatchReply{Outcome: messages.OK, Items: items, Revision: h.store.revision}
 }
 
-func (b *controllerHarness) addTestJob(id cluster.JobID, tasks int) *state.Job {
+func (h *controllerHarness) addTestJob(id cluster.JobID, tasks int) *state.Job {
 	spec := cluster.JobSpec{ID: id, Team: "red", Tasks: tasks, ResourceRequest: cluster.Resources{CPU: 1_000_000}}
-	job := state.NewJob(spec, 0, 0, b.loop.Now())
-	b.state.AddOwnedJob(job)
-	b.state.Jobs.Known[id] = &state.KnownJob{ShardID: 0, Tasks: tasks, Team: "red"}
+	job := state.NewJob(spec, 0, 0, h.loop.Now())
+	h.state.AddOwnedJob(job)
+	h.state.Jobs.Known[id] = &state.KnownJob{ShardID: 0, Tasks: tasks, Team: "red"}
 	return job
 }
 
 // addRunningMachine adds a machine that is running the first task of a job.
-func (b *controllerHarness) addRunningMachine(job *state.Job) (*state.Machine, *state.Assignment) {
-	group := b.state.AddGroup(b.state.Shards[0], "g", 31)
-	machine := b.inventory.AddMachine(group, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}, 31)
-	machine.TokenAcknowledged, machine.Incarnation, machine.SequenceNumber, machine.LastHeartbeat = true, 1, 1, b.loop.Now()
+func (h *controllerHarness) addRunningMachine(job *state.Job) (*state.Machine, *state.Assignment) {
+	group := h.state.AddGroup(h.state.Shards[0], "g", 31)
+	machine := h.inventory.AddMachine(group, grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}, 31)
+	machine.TokenAcknowledged, machine.Incarnation, machine.SequenceNumber, machine.LastHeartbeat = true, 1, 1, h.loop.Now()
 	assignment := &state.Assignment{
 		Task:            cluster.TaskID{Job: job.Spec.ID, Index: 0},
 		Job:             job,
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -198,32 +198,32 @@
 	case messages.QueryWorkerStatus:
 		return fmt.Sprintf("inspect %d %s", e.Call, e.Addr), true
 	case messages.PeerCall:
-		return fmt.Sprintf("peer %d %s %d %s", e.Call, e.To, e.Timeout, d.message(e.Message)), true
+		return fmt.Sprintf("peer %d %s %d %s", e.Call, e.To, e.Timeout, d.encodeMessage(e.Message)), true
 	case messages.Respond:
-		return "respond " + d.answer(e), true
+		return "respond " + d.encodeResponse(e), true
 	default:
 		d.t.Fatalf("unknown effect %T", effect)
 		return "", false
 	}
 }
 
-// answer encodes a response to a user, a worker or another controller.
-func (d *decisionDigest) answer(answer messages.Respond) string {
-	text := fmt.Sprintf("%d %d %d %q", answer.Request, answer.Status, answer.RetryAfter, answer.Error)
-	if answer.View != nil {
-		text += " view " + string(wire.EncodeJobView(*answer.View))
+// encodeResponse encodes a response to a user, a worker or another controller.
+func (d *decisionDigest) encodeResponse(response messages.Respond) string {
+	text := fmt.Sprintf("%d %d %d %q", response.Request, response.Status, response.RetryAfter, response.Error)
+	if response.View != nil {
+		text += " view " + string(wire.EncodeJobView(*response.View))
 	}
-	if answer.Heartbeat != nil {
-		text += " worker " + string(wire.EncodeHeartbeatResponse(answer.Status, *answer.Heartbeat))
+	if response.Heartbeat != nil {
+		text += " worker " + string(wire.EncodeHeartbeatResponse(response.Status, *response.Heartbeat))
 	}
-	if answer.Peer != nil {
-		text += " peer " + d.message(*answer.Peer)
+	if response.Peer != nil {
+		text += " peer " + d.encodeMessage(*response.Peer)
 	}
 	return text
 }
 
-// message encodes a message between controllers.
-func (d *decisionDigest) message(message messages.PeerMessage) string {
+// encodeMessage encodes a message between controllers.
+func (d *decisionDigest) encodeMessage(message messages.PeerMessage) string {
 	frame, err := d.encoder.Marshal(message)
 	if err != nil {
 		d.t.Fatal(err)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -38,7 +38,7 @@
 func (c *testCluster) request(node *simulation.Node, request func(messages.RequestID) messages.Event) messages.Respond {
 	c.t.Helper()
 	var got *messages.Respond
-	node.SendRequest(request, func(answer messages.Respond) { got = &answer })
+	node.SendRequest(request, func(response messages.Respond) { got = &response })
 	c.waitFor("a response", 6*second, func() bool { return got != nil })
 	return *got
 }
@@ -88,8 +88,8 @@
 func (c *testCluster) checkCancelledEverywhere(job *simulation.Job) {
 	c.t.Helper()
 	for _, node := range c.Nodes {
-		if answer := c.queryAt(node, job.Spec.ID); answer.Status != messages.ReplyOK || answer.View.Status != cluster.JobCancelled {
-			c.t.Errorf("%s answers a query for %s with %d %+v, want cancelled", node.ID, job.Spec.ID, answer.Status, answer.View)
+		if response := c.queryAt(node, job.Spec.ID); response.Status != messages.ReplyOK || response.View.Status != cluster.JobCancelled {
+			c.t.Errorf("%s answers a query for %s with %d %+v, want cancelled", node.ID, job.Spec.ID, response.Status, response.View)
 		}
 	}
 }
@@ -161,11 +161,11 @@
 // expectStatus submits a job to one controller and checks the status of the response.
 func (c *testCluster) expectStatus(node *simulation.Node, job *simulation.Job, want messages.ReplyStatus) {
 	c.t.Helper()
-	answer := c.submitAt(node, job)
-	if answer.Status != want {
-		c.t.Errorf("%s with dependencies %v is answered with %d %s, want %d", job.Spec.ID, job.Spec.Dependencies, answer.Status, answer.Error, want)
+	response := c.submitAt(node, job)
+	if response.Status != want {
+		c.t.Errorf("%s with dependencies %v is answered with %d %s, want %d", job.Spec.ID, job.Spec.Dependencies, response.Status, response.Error, want)
 	}
-	job.Accepted = answer.Status == messages.ReplyOK || answer.Status == messages.ReplyCreated
+	job.Accepted = response.Status == messages.ReplyOK || response.Status == messages.ReplyCreated
 	if job.Accepted {
 		c.Jobs[job.Spec.ID] = job
 	}
@@ -203,9 +203,9 @@
 		job := c.newDependent(cluster.JobID(fmt.Sprintf("j-30%d%03d", round, i)), "blue", 60*second)
 		ids = append(ids, job.Spec.ID)
 		c.Jobs[job.Spec.ID] = job
-		c.Nodes[0].SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
-			if answer.Status != messages.ReplyCreated {
-				c.t.Errorf("%s is answered with %d, want 201", job.Spec.ID, answer.Status)
+		c.Nodes[0].SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
+			if response.Status != messages.ReplyCreated {
+				c.t.Errorf("%s is answered with %d, want 201", job.Spec.ID, response.Status)
 			}
 			job.Accepted = true
 			pending--
@@ -223,15 +223,15 @@
 	for _, node := range c.Nodes {
 		for _, dependencies := range [][]cluster.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
 			repeated := c.newDependent("j-200000", "green", second, dependencies...)
-			if answer := c.submitAt(node, repeated); answer.Status != messages.ReplyOK {
-				c.t.Errorf("a repeated submission with dependencies %v is answered with %d by %s, want 200", dependencies, answer.Status, node.ID)
+			if response := c.submitAt(node, repeated); response.Status != messages.ReplyOK {
+				c.t.Errorf("a repeated submission with dependencies %v is answered with %d by %s, want 200", dependencies, response.Status, node.ID)
 			}
 		}
 	}
 	repeated := c.newDependent("j-000001", "red", 300*second, "j-200000")
 	repeated.Spec.Tasks = c.longJob.Spec.Tasks
-	if answer := c.submitAt(c.Nodes[0], repeated); answer.Status != messages.ReplyOK {
-		c.t.Errorf("a repeated submission is answered with %d, want 200", answer.Status)
+	if response := c.submitAt(c.Nodes[0], repeated); response.Status != messages.ReplyOK {
+		c.t.Errorf("a repeated submission is answered with %d, want 200", response.Status)
 	}
 }
 
@@ -258,8 +258,8 @@
 		for k, team := range testTeams {
 			job := c.newDependent(cluster.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, second, "j-000001")
 			c.Jobs[job.Spec.ID] = job
-			if answer := c.submitAt(node, job); answer.Status != messages.ReplyCreated {
-				t.Errorf("%s is answered with %d by %s, want 201", job.Spec.ID, answer.Status, node.ID)
+			if response := c.submitAt(node, job); response.Status != messages.ReplyCreated {
+				t.Errorf("%s is answered with %d by %s, want 201", job.Spec.ID, response.Status, node.ID)
 			}
 			job.Accepted = true
 			c.checkCancelledEverywhere(job)
@@ -299,8 +299,8 @@
 // cancelled if it answers a query for it.
 func (c *testCluster) checkNotReportedUnfinished(node *simulation.Node, job *simulation.Job) {
 	c.t.Helper()
-	if answer := c.queryAt(node, job.Spec.ID); answer.Status == messages.ReplyOK && answer.View.Status != cluster.JobCancelled {
-		c.t.Errorf("partitioned controller %s reports %s of team %s as %s, %v after the cancellation was confirmed", node.ID, job.Spec.ID, job.Spec.Team, answer.View.Status, time.Duration(c.Now-c.longJob.CancelConfirmedAt))
+	if response := c.queryAt(node, job.Spec.ID); response.Status == messages.ReplyOK && response.View.Status != cluster.JobCancelled {
+		c.t.Errorf("partitioned controller %s reports %s of team %s as %s, %v after the cancellation was confirmed", node.ID, job.Spec.ID, job.Spec.Team, response.View.Status, time.Duration(c.Now-c.longJob.CancelConfirmedAt))
 	}
 }
 
--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -70,7 +70,7 @@
 		if len(worker.Tasks) == 0 {
 			continue
 		}
-		owner.SendRequest(heartbeatRequest(worker.NextStatus()), func(answer messages.Respond) { status = answer.Status })
+		owner.SendRequest(heartbeatRequest(worker.NextStatus()), func(response messages.Respond) { status = response.Status })
 		c.RunUntil(c.Now + second)
 		if status == messages.ReplyOK {
 			t.Errorf("the former owner still answers %s", id)
--- a/internal/controller/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -19,24 +19,24 @@
 		name           string
 		knownRevision  cluster.ModRevision // of the other shard's claim, as known to this controller
 		storedRevision cluster.ModRevision // of the other shard's claim in the store
-		dropped        bool
+		deleted        bool
 	}{
 		{"a later claim is in force", 50, 50, true},
 		{"the creation claim is in force and known", cluster.ModRevision(creationClaim), cluster.ModRevision(creationClaim), false},
 		{"the creation claim is in force and not yet seen", 30, cluster.ModRevision(creationClaim), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
-			shard, other := b.state.Shards[0], b.state.Shards[1]
-			b.store.revision = 60
+			h := newControllerHarness()
+			shard, other := h.state.Shards[0], h.state.Shards[1]
+			h.store.revision = 60
 			other.Owned, other.Ready, other.ModRevision = false, false, test.knownRevision
-			b.store.keys[other.Key()] = messages.KV{Key: other.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.storedRevision}
+			h.store.keys[other.Key()] = messages.KV{Key: other.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.storedRevision}
 			emptied := messages.KV{Key: "groups/b1-40-1", Value: grouprecord.Encode(grouprecord.Record{ShardID: shard.ID, WriteID: "b0-5"}), ModRevision: 55}
-			b.store.keys[emptied.Key] = emptied
-			b.inventory.ApplyRecord(emptied, shard)
-			b.runFor(second)
-			if dropped := b.store.get(emptied.Key).Outcome == messages.NotFound; dropped != test.dropped {
-				t.Errorf("deleted %v, want %v", dropped, test.dropped)
+			h.store.keys[emptied.Key] = emptied
+			h.inventory.ApplyRecord(emptied, shard)
+			h.runFor(second)
+			if deleted := h.store.get(emptied.Key).Outcome == messages.NotFound; deleted != test.deleted {
+				t.Errorf("deleted %v, want %v", deleted, test.deleted)
 			}
 		})
 	}
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -60,17 +60,17 @@
 
 // OwnedMachineCounts returns the number of booted machines in the owned shards, and the
 // number of those whose workers have acknowledged their fencing tokens.
-func (c *Controller) OwnedMachineCounts() (acknowledged, up int) {
+func (c *Controller) OwnedMachineCounts() (acknowledged, booted int) {
 	for _, machine := range c.state.Machines {
 		if machine.Booting {
 			continue
 		}
-		up++
+		booted++
 		if machine.TokenAcknowledged {
 			acknowledged++
 		}
 	}
-	return acknowledged, up
+	return acknowledged, booted
 }
 
 // StalledShardCount returns the number of stalled shards.
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -40,10 +40,10 @@
 
 // flushEffects runs the work that is due at the end of an event loop step and returns
 // its effects.
-func flushEffects(b *controllerHarness) []messages.Effect {
-	takeEffects(b.Controller)
-	b.flush()
-	return b.loop.Effects()
+func flushEffects(h *controllerHarness) []messages.Effect {
+	takeEffects(h.Controller)
+	h.flush()
+	return h.loop.Effects()
 }
 
 // firstHeartbeat returns the first heartbeat of a machine that has just booted.
@@ -53,11 +53,11 @@
 
 // effectsDuring lets the store reply for a while and returns the effects that follow
 // its replies.
-func effectsDuring(b *controllerHarness, d cluster.Time) []messages.Effect {
+func effectsDuring(h *controllerHarness, d cluster.Time) []messages.Effect {
 	var effects []messages.Effect
-	for end := b.loop.Now() + d; b.loop.Now() < end; {
-		b.runFor(0)
-		effects = append(effects, b.loop.Effects()...)
+	for end := h.loop.Now() + d; h.loop.Now() < end; {
+		h.runFor(0)
+		effects = append(effects, h.loop.Effects()...)
 	}
 	return effects
 }
@@ -80,7 +80,7 @@
 func TestStartWaitsForRecord(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		answer messages.TxnReply
+		reply  messages.TxnReply
 		starts int
 	}{
 		{"stored", messages.TxnReply{Outcome: messages.OK, Revision: 50}, 1},
@@ -88,26 +88,26 @@
 		{"unknown outcome", messages.TxnReply{Outcome: messages.UnknownOutcome}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
-			b.addTestJob("j-1", 1)
+			h := newControllerHarness()
+			h.addTestJob("j-1", 1)
 			machines := []grouprecord.Machine{{ID: fastBootMachine, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Booting: true}}
-			b.inventory.AddNewGroup(&inventory.NewGroup{ID: "g", Shard: b.state.Shards[0], Machines: machines}, 31)
-			b.state.Groups["g"].RecordSize = 100
-			b.reconciler.Heartbeats.Handle(firstHeartbeat(fastBootMachine))
-			effects := flushEffects(b)
+			h.inventory.AddNewGroup(&inventory.NewGroup{ID: "g", Shard: h.state.Shards[0], Machines: machines}, 31)
+			h.state.Groups["g"].RecordSize = 100
+			h.reconciler.Heartbeats.Handle(firstHeartbeat(fastBootMachine))
+			effects := flushEffects(h)
 			record := lastTransaction(effects)
-			if record == nil || len(b.state.Machines[fastBootMachine].Assignments) != 1 {
+			if record == nil || len(h.state.Machines[fastBootMachine].Assignments) != 1 {
 				t.Fatal("the machine got no task, or its record is not written")
 			}
 			for range 10 { // longer than a heartbeat is held
-				setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold/4)
-				effects = append(effects, flushEffects(b)...)
+				setTime(h.Controller, h.loop.Now()+reconcile.MaxHeartbeatHold/4)
+				effects = append(effects, flushEffects(h)...)
 			}
 			if n := countStarts(effects); n != 0 {
 				t.Errorf("%d starts before the record is stored", n)
 			}
-			b.loop.Deliver(messages.Reply{Call: record.Call, Body: test.answer})
-			if n := countStarts(flushEffects(b)); n != test.starts {
+			h.loop.Deliver(messages.Reply{Call: record.Call, Body: test.reply})
+			if n := countStarts(flushEffects(h)); n != test.starts {
 				t.Errorf("%d starts after the store's reply, want %d", n, test.starts)
 			}
 		})
@@ -118,10 +118,10 @@
 // contains either the provisioning request or the group with its machine, so that a new
 // owner can repeat the request or use the machine whenever it acquires the shard.
 func TestProvisionedMachineAlwaysRecorded(t *testing.T) {
-	b := newControllerHarness()
-	shard := b.state.Shards[0]
+	h := newControllerHarness()
+	shard := h.state.Shards[0]
 	recorded := func() bool {
-		for _, kv := range b.store.list("groups/", 0) {
+		for _, kv := range h.store.list("groups/", 0) {
 			record, err := grouprecord.Decode(kv.Value)
 			if err != nil {
 				t.Fatal(err)
@@ -130,24 +130,24 @@
 				return true
 			}
 		}
-		return len(b.store.list("rentals/", 0)) > 0
+		return len(h.store.list("rentals/", 0)) > 0
 	}
 	states := 0
-	b.losesReply = func(messages.StoreTxn) bool { // called after each transaction
+	h.losesReply = func(messages.StoreTxn) bool { // called after each transaction
 		if states++; !recorded() {
 			t.Errorf("after transaction %d the store contains neither the request nor its machine", states)
 		}
 		return false
 	}
-	b.provisioner.Requests.Create(shard, state.ProvisioningOption{Type: "small", Zone: "a", Spot: false}, 1)
-	for _, effect := range effectsDuring(b, second) {
+	h.provisioner.Requests.Create(shard, state.ProvisioningOption{Type: "small", Zone: "a", Spot: false}, 1)
+	for _, effect := range effectsDuring(h, second) {
 		if requested, ok := effect.(messages.CloudScaleOut); ok {
-			b.loop.Deliver(messages.Reply{Call: requested.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}}})
+			h.loop.Deliver(messages.Reply{Call: requested.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{fastBootMachine}}})
 		}
 	}
-	b.runFor(second)
-	if len(shard.ProvisioningRequests) != 0 || b.state.Machines[fastBootMachine] == nil || states < 2 {
-		t.Errorf("%d requests are open after %d transactions, want none; the machine is %v", len(shard.ProvisioningRequests), states, b.state.Machines[fastBootMachine])
+	h.runFor(second)
+	if len(shard.ProvisioningRequests) != 0 || h.state.Machines[fastBootMachine] == nil || states < 2 {
+		t.Errorf("%d requests are open after %d transactions, want none; the machine is %v", len(shard.ProvisioningRequests), states, h.state.Machines[fastBootMachine])
 	}
 }
 
@@ -163,12 +163,12 @@
 		{"a request of another zone is open", "b", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
+			h := newControllerHarness()
 			record := `{"p":1,"f":"small","y":"` + test.zone + `","n":1,"w":"b1-1"}`
-			b.store.keys["rentals/r-1"] = messages.KV{Key: "rentals/r-1", Value: []byte(record), ModRevision: 29}
-			b.reconciler.Orphans.HandleHeartbeat(firstHeartbeat(fastBootMachine))
+			h.store.keys["rentals/r-1"] = messages.KV{Key: "rentals/r-1", Value: []byte(record), ModRevision: 29}
+			h.reconciler.Orphans.HandleHeartbeat(firstHeartbeat(fastBootMachine))
 			queried := false
-			for _, effect := range effectsDuring(b, second) {
+			for _, effect := range effectsDuring(h, second) {
 				_, ok := effect.(messages.QueryWorkerStatus)
 				queried = queried || ok
 			}
--- a/internal/controller/group_check_test.go
+++ b/internal/controller/group_check_test.go
@@ -12,24 +12,24 @@
 // meanwhile. If each of their conflicts started another check, the group's tasks would
 // wait for their record forever.
 func TestGroupRecordCheckTerminates(t *testing.T) {
-	b := newControllerHarness()
-	machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-	shard := b.state.Shards[0]
+	h := newControllerHarness()
+	machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
+	shard := h.state.Shards[0]
 	key := machine.Group.Key()
-	b.inventory.WriteMachine(machine, writequeue.PriorityStart)
+	h.inventory.WriteMachine(machine, writequeue.PriorityStart)
 	machine.Group.ModRevision = 0 // the store has no record yet
-	b.runFor(100 * millisecond)
-	kv := b.store.get(key).KV
+	h.runFor(100 * millisecond)
+	kv := h.store.get(key).KV
 	kv.ModRevision++
-	b.store.revision = cluster.Revision(kv.ModRevision)
-	b.store.keys[key] = kv // the same value, written by another writer
+	h.store.revision = cluster.Revision(kv.ModRevision)
+	h.store.keys[key] = kv // the same value, written by another writer
 
-	sent := len(b.sentTransactions)
+	sent := len(h.sentTransactions)
 	for range 50 {
-		b.inventory.WriteMachine(machine, writequeue.PriorityStart)
-		b.runFor(0) // one round of replies
+		h.inventory.WriteMachine(machine, writequeue.PriorityStart)
+		h.runFor(0) // one round of replies
 	}
 	if shard.CorruptRecordCount == 0 {
-		t.Errorf("the shard is not dropped after %d conflicting writes", len(b.sentTransactions)-sent)
+		t.Errorf("the shard is not dropped after %d conflicting writes", len(h.sentTransactions)-sent)
 	}
 }
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -23,7 +23,7 @@
 	sendHeartbeat := func() messages.ReplyStatus {
 		status := messages.ReplyNone
 		heartbeat := heartbeatRequest(sim.Machines.Workers["m-000001"].NextStatus())
-		owner.SendRequest(heartbeat, func(answer messages.Respond) { status = answer.Status })
+		owner.SendRequest(heartbeat, func(response messages.Respond) { status = response.Status })
 		sim.RunUntil(sim.Now + second)
 		return status
 	}
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -9,20 +9,20 @@
 
 // acknowledgeTerm makes a peer of newHarnessWithKnownPeers reply to a ping that was
 // sent now, with term as the latest that it knows of shard 0.
-func acknowledgeTerm(b *controllerHarness, id cluster.NodeID, term cluster.Term) {
+func acknowledgeTerm(h *controllerHarness, id cluster.NodeID, term cluster.Term) {
 	ping := &messages.Ping{InstanceID: peerInstanceID(id), KnownTerms: []cluster.Term{term, 1, 1}}
-	b.members.HandlePingReply(b.members.Peer(id), ping, b.loop.Now())
+	h.members.HandlePingReply(h.members.Peer(id), ping, h.loop.Now())
 }
 
 // sendAcquire makes the controller acquire shard 0 and returns the transaction, to
 // which the store has not replied.
-func sendAcquire(t *testing.T, b *controllerHarness) messages.StoreTxn {
+func sendAcquire(t *testing.T, h *controllerHarness) messages.StoreTxn {
 	t.Helper()
-	shard := b.state.Shards[0]
+	shard := h.state.Shards[0]
 	shard.Owned, shard.Ready, shard.ConfirmedAt = false, false, 0
-	b.ownership.Acquire(shard)
-	b.writeQueue.Dispatch()
-	for _, effect := range b.loop.Effects() {
+	h.ownership.Acquire(shard)
+	h.writeQueue.Dispatch()
+	for _, effect := range h.loop.Effects() {
 		if acquire, ok := effect.(messages.StoreTxn); ok {
 			return acquire
 		}
@@ -46,18 +46,18 @@
 		{"the peer has acquired the shard since", ownTerm + 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarnessWithKnownPeers()
-			shard := b.state.Shards[0]
-			acquire := sendAcquire(t, b)
-			acquireSentAt := b.loop.Now()
+			h := newHarnessWithKnownPeers()
+			shard := h.state.Shards[0]
+			acquire := sendAcquire(t, h)
+			acquireSentAt := h.loop.Now()
 
-			setTime(b.Controller, b.loop.Now()+3*second)
-			pingSentAt := b.loop.Now()
-			acknowledgeTerm(b, "n1", test.peerTerm)
-			acknowledgeTerm(b, "n2", ownTerm)
+			setTime(h.Controller, h.loop.Now()+3*second)
+			pingSentAt := h.loop.Now()
+			acknowledgeTerm(h, "n1", test.peerTerm)
+			acknowledgeTerm(h, "n2", ownTerm)
 
-			setTime(b.Controller, b.loop.Now()+second)
-			b.loop.Deliver(messages.Reply{Call: acquire.Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 40}})
+			setTime(h.Controller, h.loop.Now()+second)
+			h.loop.Deliver(messages.Reply{Call: acquire.Call, Body: messages.TxnReply{Outcome: messages.OK, Revision: 40}})
 			if !shard.Owned || shard.Term != ownTerm {
 				t.Fatalf("owned %v, term %d; want the shard owned with term %d", shard.Owned, shard.Term, ownTerm)
 			}
@@ -65,7 +65,7 @@
 			if test.acknowledged {
 				want = pingSentAt
 			}
-			if got := b.ownership.LastConfirmedAt(shard); got != want {
+			if got := h.ownership.LastConfirmedAt(shard); got != want {
 				t.Errorf("last confirmed at %d s, want %d s", got/second, want/second)
 			}
 		})
--- a/internal/controller/machine_bytes_test.go
+++ b/internal/controller/machine_bytes_test.go
@@ -36,21 +36,21 @@
 // machines. Each machine runs the three tasks of a job of its own.
 func newHarnessWithMachines(machines int) *controllerHarness {
 	const groupSize, tasks = 51, 3
-	b := newControllerHarness()
-	shard := b.state.Shards[0]
+	h := newControllerHarness()
+	shard := h.state.Shards[0]
 	var group *state.MachineGroup
 	for i := range machines {
 		if i%groupSize == 0 {
-			group = b.state.AddGroup(shard, fmt.Sprintf("g%05d", i), 31)
+			group = h.state.AddGroup(shard, fmt.Sprintf("g%05d", i), 31)
 		}
 		id := cluster.MachineID(fmt.Sprintf("m-%06d", i))
-		machine := b.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "10.1.0.232:9000"}, 31)
-		job := b.addTestJob(cluster.JobID(fmt.Sprintf("j-%06d", i)), tasks)
+		machine := h.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "10.1.0.232:9000"}, 31)
+		job := h.addTestJob(cluster.JobID(fmt.Sprintf("j-%06d", i)), tasks)
 		for task := range tasks {
 			assignment := &state.Assignment{Task: cluster.TaskID{Job: job.Spec.ID, Index: task}, Job: job, ResourceRequest: job.Spec.ResourceRequest, MachineID: machine.ID, Attempt: shard.NextAttempt(), Phase: state.PhaseAcknowledged, State: cluster.Running}
 			machine.AddAssignment(assignment)
 			job.SetAssigned(task, assignment)
 		}
 	}
-	return b
+	return h
 }
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -25,21 +25,21 @@
 		{"unacknowledged", false, false, both, stop},
 	} {
 		t.Run(test.name+" heartbeat", func(t *testing.T) {
-			b, machine := newHarnessWithStopAndStart(t)
+			h, machine := newHarnessWithStopAndStart(t)
 			machine.RaisingToken, machine.TokenAcknowledged = test.raising, test.acknowledged
 			machine.PendingHeartbeat = 9
-			b.reconciler.Heartbeats.Answer(machine)
-			answer := lastEffect[messages.Respond](t, b)
-			if got := commandKinds(answer.Heartbeat.Commands); !slices.Equal(got, test.answered) {
+			h.reconciler.Heartbeats.Answer(machine)
+			response := lastEffect[messages.Respond](t, h)
+			if got := commandKinds(response.Heartbeat.Commands); !slices.Equal(got, test.answered) {
 				t.Errorf("sent %v, want %v", got, test.answered)
 			}
 		})
 		t.Run(test.name+" push", func(t *testing.T) {
-			b, machine := newHarnessWithStopAndStart(t)
+			h, machine := newHarnessWithStopAndStart(t)
 			machine.RaisingToken, machine.TokenAcknowledged = test.raising, test.acknowledged
-			b.reconciler.Commands.PushQueued()
+			h.reconciler.Commands.PushQueued()
 			var commands []cluster.Command
-			for _, effect := range b.loop.Effects() {
+			for _, effect := range h.loop.Effects() {
 				if push, ok := effect.(messages.PushCommands); ok {
 					commands = push.Commands
 				}
@@ -55,17 +55,17 @@
 // stop, as its job is cancelled, and one to start.
 func newHarnessWithStopAndStart(t *testing.T) (*controllerHarness, *state.Machine) {
 	t.Helper()
-	b := newControllerHarness()
-	machine, running := b.addRunningMachine(b.addTestJob("j-1", 2))
-	other := b.addTestJob("j-2", 1)
+	h := newControllerHarness()
+	machine, running := h.addRunningMachine(h.addTestJob("j-1", 2))
+	other := h.addTestJob("j-2", 1)
 	ready := &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: other, MachineID: machine.ID, Attempt: 8, Phase: state.PhaseReady}
 	machine.AddAssignment(ready)
 	other.SetAssigned(0, ready)
-	b.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
+	h.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
 	if !running.StopRequested {
 		t.Fatal("no stop is requested for the cancelled job's task")
 	}
-	return b, machine
+	return h, machine
 }
 
 func commandKinds(commands []cluster.Command) []cluster.CommandKind {
@@ -77,9 +77,9 @@
 }
 
 // lastEffect returns the last effect, which must be of type T.
-func lastEffect[T messages.Effect](t *testing.T, b *controllerHarness) T {
+func lastEffect[T messages.Effect](t *testing.T, h *controllerHarness) T {
 	t.Helper()
-	effects := b.loop.Effects()
+	effects := h.loop.Effects()
 	if len(effects) == 0 {
 		t.Fatal("no effect")
 	}
@@ -94,12 +94,12 @@
 // applied or has an unknown outcome, and that a delivered one is not.
 func TestUndeliveredStopSentAgain(t *testing.T) {
 	for outcome, resent := range map[messages.Outcome]bool{messages.NotApplied: true, messages.UnknownOutcome: true, messages.OK: false} {
-		b := newControllerHarness()
-		machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-		b.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
-		b.reconciler.Commands.PushQueued()
-		push := lastEffect[messages.PushCommands](t, b)
-		takeEffects(b.Controller)
+		h := newControllerHarness()
+		machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
+		h.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
+		h.reconciler.Commands.PushQueued()
+		push := lastEffect[messages.PushCommands](t, h)
+		takeEffects(h.Controller)
 		status := cluster.HeartbeatStatus{
 			Machine:          machine.ID,
 			Addr:             machine.Address,
@@ -109,11 +109,11 @@
 			PreemptionNotice: -1,
 			Tasks:            []cluster.TaskStatus{{Task: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7, State: cluster.Running}},
 		}
-		b.loop.Deliver(messages.Reply{Call: push.Call, Body: messages.WorkerReply{Outcome: outcome, Status: status}})
-		b.reconciler.Commands.QueuePush(machine)
-		takeEffects(b.Controller)
-		b.reconciler.Commands.PushQueued()
-		if sent := len(b.loop.Effects()) > 0; sent != resent {
+		h.loop.Deliver(messages.Reply{Call: push.Call, Body: messages.WorkerReply{Outcome: outcome, Status: status}})
+		h.reconciler.Commands.QueuePush(machine)
+		takeEffects(h.Controller)
+		h.reconciler.Commands.PushQueued()
+		if sent := len(h.loop.Effects()) > 0; sent != resent {
 			t.Errorf("push outcome %v: stop is sent again: %v", outcome, sent)
 		}
 	}
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -24,37 +24,37 @@
 		"Groups.Kinds.N": {TransferOffers: []messages.TransferOffer{{Key: "groups/g", Recipient: 0, Kinds: []messages.MachineKindCount{{Type: "small", Zone: "a", Count: 1 << 62}}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newControllerHarness()
+			h := newControllerHarness()
 			lines := 0
 			for request := range 2 {
-				lines += b.sendOversizedPing(t, messages.RequestID(request+1), &ping, name)
+				lines += h.sendOversizedPing(t, messages.RequestID(request+1), &ping, name)
 			}
 			if lines != 1 {
 				t.Errorf("%d log lines, want 1", lines)
 			}
 			var pingError *membership.PingError
-			if err := b.members.HandlePing(b.members.Peer("n1"), &ping); !errors.As(err, &pingError) || pingError.Field != name {
+			if err := h.members.HandlePing(h.members.Peer("n1"), &ping); !errors.As(err, &pingError) || pingError.Field != name {
 				t.Errorf("error %v, want a PingError for the field", err)
 			}
 		})
 	}
-	b := newControllerHarness()
-	peer := b.members.Peer("n1")
-	if err := b.members.HandlePing(peer, b.members.MakePing(peer)); err != nil {
+	h := newControllerHarness()
+	peer := h.members.Peer("n1")
+	if err := h.members.HandlePing(peer, h.members.MakePing(peer)); err != nil {
 		t.Errorf("a valid ping is rejected: %v", err)
 	}
 }
 
 // sendOversizedPing delivers a ping of n1, checks that the response rejects the given
 // field, and returns the number of log lines.
-func (b *controllerHarness) sendOversizedPing(t *testing.T, request messages.RequestID, ping *messages.Ping, field string) int {
+func (h *controllerHarness) sendOversizedPing(t *testing.T, request messages.RequestID, ping *messages.Ping, field string) int {
 	t.Helper()
-	takeEffects(b.Controller)
-	message := b.members.WithSender(messages.PeerMessage{Ping: ping})
+	takeEffects(h.Controller)
+	message := h.members.WithSender(messages.PeerMessage{Ping: ping})
 	message.From = "n1"
-	b.handlePeerRequest(messages.PeerRequest{Request: request, Message: message})
+	h.handlePeerRequest(messages.PeerRequest{Request: request, Message: message})
 	lines := 0
-	for _, effect := range b.loop.Effects() {
+	for _, effect := range h.loop.Effects() {
 		switch effect := effect.(type) {
 		case messages.Respond:
 			if effect.Status != messages.ReplyBadRequest || !strings.HasPrefix(effect.Error, field) {
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -20,7 +20,7 @@
 type leaseTest struct {
 	name         string
 	n2PingSentAt cluster.Time // when the last ping was sent that n2 replied to; 0 if it replied to none
-	prepare      func(b *controllerHarness, n2 *membership.Peer)
+	prepare      func(h *controllerHarness, n2 *membership.Peer)
 	owned        bool
 	confirmedAt  cluster.Time
 	canAnswer    bool // 8 s later
@@ -40,41 +40,41 @@
 	},
 	{
 		name: "peer restarted", n2PingSentAt: pingsSentAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) { deliverPingReply(b, n2, "other", 1, 1, 1) },
+		prepare: func(h *controllerHarness, n2 *membership.Peer) { deliverPingReply(h, n2, "other", 1, 1, 1) },
 		owned:   true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
 	{
 		name: "peer restarted, claim confirmed by the store since", n2PingSentAt: pingsSentAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) {
-			deliverPingReply(b, n2, "other", 1, 1, 1)
-			b.ownership.RecordConfirmation(b.state.Shards[0], 30, pingsSentAt)
+		prepare: func(h *controllerHarness, n2 *membership.Peer) {
+			deliverPingReply(h, n2, "other", 1, 1, 1)
+			h.ownership.RecordConfirmation(h.state.Shards[0], 30, pingsSentAt)
 		},
 		owned: true, confirmedAt: pingsSentAt, canAnswer: true, canStart: false,
 	},
 	{
 		name: "peer restarted, another mod revision read from the store", n2PingSentAt: pingsSentAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) {
-			deliverPingReply(b, n2, "other", 1, 1, 1)
-			b.ownership.RecordConfirmation(b.state.Shards[0], 31, pingsSentAt)
+		prepare: func(h *controllerHarness, n2 *membership.Peer) {
+			deliverPingReply(h, n2, "other", 1, 1, 1)
+			h.ownership.RecordConfirmation(h.state.Shards[0], 31, pingsSentAt)
 		},
 		owned: true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
 	{
 		name: "peer of an older release", n2PingSentAt: pingsSentAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) { deliverPingReply(b, n2, peerInstanceID("n2")) },
+		prepare: func(h *controllerHarness, n2 *membership.Peer) { deliverPingReply(h, n2, peerInstanceID("n2")) },
 		owned:   true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
 	{
 		name: "peer knows a later term", n2PingSentAt: pingsSentAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) {
-			deliverPingReply(b, n2, peerInstanceID("n2"), 2, 1, 1)
+		prepare: func(h *controllerHarness, n2 *membership.Peer) {
+			deliverPingReply(h, n2, peerInstanceID("n2"), 2, 1, 1)
 		},
 		owned: false,
 	},
 	{
 		name: "peer sent a ping but no reply", n2PingSentAt: storeConfirmedAt,
-		prepare: func(b *controllerHarness, n2 *membership.Peer) {
-			b.receivePing(n2, &messages.Ping{InstanceID: peerInstanceID("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
+		prepare: func(h *controllerHarness, n2 *membership.Peer) {
+			h.receivePing(n2, &messages.Ping{InstanceID: peerInstanceID("n2"), KnownTerms: []cluster.Term{1, 1, 1}})
 		},
 		owned: true, confirmedAt: storeConfirmedAt, canAnswer: false, canStart: false,
 	},
@@ -82,23 +82,23 @@
 
 // deliverPingReply delivers a peer's reply to a ping sent at pingsSentAt, with the
 // terms that the peer knows.
-func deliverPingReply(b *controllerHarness, from *membership.Peer, instanceID string, terms ...cluster.Term) {
-	b.members.HandlePingReply(from, &messages.Ping{InstanceID: instanceID, KnownTerms: terms}, pingsSentAt)
+func deliverPingReply(h *controllerHarness, from *membership.Peer, instanceID string, terms ...cluster.Term) {
+	h.members.HandlePingReply(from, &messages.Ping{InstanceID: instanceID, KnownTerms: terms}, pingsSentAt)
 }
 
 // newHarness returns a harness that has received the acknowledgements of the test.
 func (test *leaseTest) newHarness() *controllerHarness {
-	b := newHarnessWithKnownPeers()
-	b.state.Shards[0].ConfirmedAt = storeConfirmedAt
-	setTime(b.Controller, pingsSentAt)
+	h := newHarnessWithKnownPeers()
+	h.state.Shards[0].ConfirmedAt = storeConfirmedAt
+	setTime(h.Controller, pingsSentAt)
 	for id, sentAt := range map[cluster.NodeID]cluster.Time{"n1": pingsSentAt, "n2": test.n2PingSentAt} {
 		if sentAt > 0 {
 			ping := &messages.Ping{InstanceID: peerInstanceID(id), KnownTerms: []cluster.Term{1, 1, 1}}
-			b.members.HandlePingReply(b.members.Peer(id), ping, sentAt)
+			h.members.HandlePingReply(h.members.Peer(id), ping, sentAt)
 		}
 	}
-	test.prepare(b, b.members.Peer("n2"))
-	return b
+	test.prepare(h, h.members.Peer("n2"))
+	return h
 }
 
 // TestOwnershipLeaseByPeerAcknowledgement checks which replies of peers renew the
@@ -107,22 +107,22 @@
 func TestOwnershipLeaseByPeerAcknowledgement(t *testing.T) {
 	for _, test := range leaseTests {
 		t.Run(test.name, func(t *testing.T) {
-			b := test.newHarness()
-			shard := b.state.Shards[0]
+			h := test.newHarness()
+			shard := h.state.Shards[0]
 			if shard.Owned != test.owned {
 				t.Fatalf("owned: %v, want %v", shard.Owned, test.owned)
 			}
 			if !test.owned {
 				return
 			}
-			if at := b.ownership.LastConfirmedAt(shard); at != test.confirmedAt {
+			if at := h.ownership.LastConfirmedAt(shard); at != test.confirmedAt {
 				t.Errorf("last confirmed at %d s, want %d s", at/second, test.confirmedAt/second)
 			}
-			if b.loop.Now() == pingsSentAt && test.confirmedAt == pingsSentAt && !b.ownership.CanStartTasks(shard) {
+			if h.loop.Now() == pingsSentAt && test.confirmedAt == pingsSentAt && !h.ownership.CanStartTasks(shard) {
 				t.Error("can't start tasks right after a confirmation")
 			}
-			setTime(b.Controller, b.loop.Now()+8*second)
-			canAnswer, canStart := b.ownership.CanAnswerWorkers(shard), b.ownership.CanStartTasks(shard)
+			setTime(h.Controller, h.loop.Now()+8*second)
+			canAnswer, canStart := h.ownership.CanAnswerWorkers(shard), h.ownership.CanStartTasks(shard)
 			if canAnswer != test.canAnswer || canStart != test.canStart {
 				t.Errorf("8 s later: can answer workers %v, can start tasks %v", canAnswer, canStart)
 			}
@@ -134,12 +134,12 @@
 // confirmation of ownership is older than ownership.StartWindow.
 func TestNoStartWithoutConfirmedLease(t *testing.T) {
 	for age, want := range map[cluster.Time]int{second: 1, ownership.StartWindow + second: 0} {
-		b := newControllerHarness()
-		job := b.addTestJob("j-1", 1)
-		machine, assignment := b.addRunningMachine(job)
+		h := newControllerHarness()
+		job := h.addTestJob("j-1", 1)
+		machine, assignment := h.addRunningMachine(job)
 		assignment.Phase = state.PhaseReady
-		setTime(b.Controller, b.loop.Now()+age)
-		if starts := len(b.reconciler.Commands.For(machine, false)); starts != want {
+		setTime(h.Controller, h.loop.Now()+age)
+		if starts := len(h.reconciler.Commands.For(machine, false)); starts != want {
 			t.Errorf("%d s after the last confirmation: %d starts", age/second, starts)
 		}
 	}
@@ -149,11 +149,11 @@
 // its claim record as long as the state service is available, even if a peer
 // acknowledges nothing.
 func TestOwnershipConfirmedByStoreReads(t *testing.T) {
-	b := newControllerHarness()
-	shard := b.state.Shards[0]
-	b.runFor(b.config.CancelDeadline)
-	age := b.loop.Now() - shard.ConfirmedAt
-	canAnswer, canStart := b.ownership.CanAnswerWorkers(shard), b.ownership.CanStartTasks(shard)
+	h := newControllerHarness()
+	shard := h.state.Shards[0]
+	h.runFor(h.config.CancelDeadline)
+	age := h.loop.Now() - shard.ConfirmedAt
+	canAnswer, canStart := h.ownership.CanAnswerWorkers(shard), h.ownership.CanStartTasks(shard)
 	if age > 4*second || !canAnswer || !canStart {
 		t.Errorf("last confirmed %d s ago: can answer workers %v, can start tasks %v", age/second, canAnswer, canStart)
 	}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -46,17 +46,17 @@
 // decoded correctly, so that an upgrade loses no state.
 func TestProductionRecordsRead(t *testing.T) {
 	records := loadProductionRecords(t)
-	b := newControllerHarness()
-	dropTimers(b.Controller)
-	b.applyJobRecords(records)
-	t.Run("active jobs", b.checkProductionJobs)
-	t.Run("ended jobs", b.checkProductionEndedJobs)
+	h := newControllerHarness()
+	dropTimers(h.Controller)
+	h.applyJobRecords(records)
+	t.Run("active jobs", h.checkProductionJobs)
+	t.Run("ended jobs", h.checkProductionEndedJobs)
 	for _, key := range []string{"groups/b1-30-1", "groups/b1-30-2"} {
-		b.inventory.ApplyRecord(messages.KV{Key: key, Value: records[key], ModRevision: 31}, b.state.Shards[0])
+		h.inventory.ApplyRecord(messages.KV{Key: key, Value: records[key], ModRevision: 31}, h.state.Shards[0])
 	}
-	t.Run("machines", b.checkProductionMachines)
+	t.Run("machines", h.checkProductionMachines)
 	t.Run("other records", func(t *testing.T) { checkProductionOtherRecords(t, records) })
-	for _, shard := range b.state.Shards {
+	for _, shard := range h.state.Shards {
 		if !shard.Owned {
 			t.Errorf("the controller lost shard %d", shard.ID)
 		}
@@ -65,23 +65,23 @@
 
 // applyJobRecords stores all records, applies the job and admission records, and runs until
 // the chunks of the jobs are loaded.
-func (b *controllerHarness) applyJobRecords(records map[string]json.RawMessage) {
+func (h *controllerHarness) applyJobRecords(records map[string]json.RawMessage) {
 	for _, key := range slices.Sorted(maps.Keys(records)) {
 		kv := messages.KV{Key: key, Value: []byte(records[key]), ModRevision: 31}
-		b.store.keys[key] = kv
+		h.store.keys[key] = kv
 		switch {
 		case strings.HasPrefix(key, "jobs/"):
-			b.jobs.Records.Apply(kv, nil)
+			h.jobs.Records.Apply(kv, nil)
 		case strings.HasPrefix(key, "accepts/"):
-			b.jobs.AdmissionRecords.Apply(kv, nil)
+			h.jobs.AdmissionRecords.Apply(kv, nil)
 		}
 	}
-	b.runFor(second)
+	h.runFor(second)
 }
 
-func (b *controllerHarness) checkProductionJobs(t *testing.T) {
+func (h *controllerHarness) checkProductionJobs(t *testing.T) {
 	for id, done := range map[cluster.JobID]int{"j-000412": 4, "j-000413": 0, "j-000414": 5462 + 100, "j-000417": 0, "j-000418": 0} {
-		job := b.state.Jobs.Owned[id]
+		job := h.state.Jobs.Owned[id]
 		if job == nil || job.CompletedCount != done || len(job.Spec.Dependencies) > 0 || job.Blocked || !job.IsActive() || job.ChunksLoading > 0 {
 			t.Errorf("%s: %+v, want %d done", id, job, done)
 		}
@@ -106,24 +106,24 @@
 		DeadlineSeconds:           900,
 		SubmittedAt:               1_700_000_000_000,
 	}
-	if job := b.state.Jobs.Owned["j-000412"]; !reflect.DeepEqual(job.Spec, want) {
+	if job := h.state.Jobs.Owned["j-000412"]; !reflect.DeepEqual(job.Spec, want) {
 		t.Errorf("got spec %+v", job.Spec)
 	}
 }
 
-func (b *controllerHarness) checkProductionEndedJobs(t *testing.T) {
+func (h *controllerHarness) checkProductionEndedJobs(t *testing.T) {
 	for id, final := range map[cluster.JobID]cluster.JobStatus{"j-000415": cluster.JobDone, "j-000416": cluster.JobCancelled} {
-		if known := b.state.Jobs.Known[id]; known == nil || known.FinalStatus != final || known.Tasks != 4 || !known.FinalRecorded {
+		if known := h.state.Jobs.Known[id]; known == nil || known.FinalStatus != final || known.Tasks != 4 || !known.FinalRecorded {
 			t.Errorf("%s: %+v, want %s", id, known, final)
 		}
 	}
-	if b.state.Jobs.Known["j-000416"].ResourceRequest.CPU != 2_000_000 {
+	if h.state.Jobs.Known["j-000416"].ResourceRequest.CPU != 2_000_000 {
 		t.Error("a cancelled job's resource request is lost")
 	}
 }
 
-func (b *controllerHarness) checkProductionMachines(t *testing.T) {
-	m1, m2, m3 := b.state.Machines["m-000001"], b.state.Machines["m-000002"], b.state.Machines["m-000003"]
+func (h *controllerHarness) checkProductionMachines(t *testing.T) {
+	m1, m2, m3 := h.state.Machines["m-000001"], h.state.Machines["m-000002"], h.state.Machines["m-000003"]
 	if m1 == nil || m2 == nil || m3 == nil {
 		t.Fatalf("machines %+v, %+v, %+v", m1, m2, m3)
 	}
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -24,24 +24,24 @@
 }
 
 // receivePing delivers a peer's ping, which must be valid.
-func (b *controllerHarness) receivePing(from *membership.Peer, ping *messages.Ping) {
-	if err := b.members.HandlePing(from, ping); err != nil {
+func (h *controllerHarness) receivePing(from *membership.Peer, ping *messages.Ping) {
+	if err := h.members.HandlePing(from, ping); err != nil {
 		panic(err)
 	}
 }
 
 // runStallChecks runs count progress checks while nothing else happens and returns the
 // logged reasons.
-func (b *controllerHarness) runStallChecks(count int) []string {
-	takeEffects(b.Controller)
+func (h *controllerHarness) runStallChecks(count int) []string {
+	takeEffects(h.Controller)
 	for range count {
-		setTime(b.Controller, b.loop.Now()+2*second)
-		for _, peer := range b.members.Peers() {
-			b.receivePing(peer, peer.LastPing())
+		setTime(h.Controller, h.loop.Now()+2*second)
+		for _, peer := range h.members.Peers() {
+			h.receivePing(peer, peer.LastPing())
 		}
-		b.checkShardProgress()
+		h.checkShardProgress()
 	}
-	return loggedStalls(b.loop.Effects())
+	return loggedStalls(h.loop.Effects())
 }
 
 // TestStalledShardIsLogged checks that a shard without an owner, or whose owner makes
@@ -53,46 +53,46 @@
 		want    string
 	}{
 		{"all shards idle", func(*controllerHarness) {}, ""},
-		{"no owner", func(b *controllerHarness) {
-			b.state.Shards[0].Owned, b.state.Shards[0].Owner = false, "n1"
+		{"no owner", func(h *controllerHarness) {
+			h.state.Shards[0].Owned, h.state.Shards[0].Owner = false, "n1"
 		}, "no owner serves it"},
-		{"owned by a peer", func(b *controllerHarness) {
-			b.state.Shards[0].Owned, b.state.Shards[0].Owner = false, "n1"
-			b.receivePing(b.members.Peer("n1"), &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 2}}})
+		{"owned by a peer", func(h *controllerHarness) {
+			h.state.Shards[0].Owned, h.state.Shards[0].Owner = false, "n1"
+			h.receivePing(h.members.Peer("n1"), &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 2}}})
 		}, ""},
-		{"idle machines and waiting tasks", func(b *controllerHarness) {
-			b.addRunningMachine(b.addTestJob("j-1", 1))
-			b.addTestJob("j-2", 2)
+		{"idle machines and waiting tasks", func(h *controllerHarness) {
+			h.addRunningMachine(h.addTestJob("j-1", 1))
+			h.addTestJob("j-2", 2)
 		}, "waiting tasks fit on its machines and none is started"},
-		{"waiting tasks that fit nowhere", func(b *controllerHarness) {
-			machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
+		{"waiting tasks that fit nowhere", func(h *controllerHarness) {
+			machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
 			machine.Draining = true
-			b.addTestJob("j-2", 2)
+			h.addTestJob("j-2", 2)
 		}, ""},
-		{"waiting tasks bound to another zone", func(b *controllerHarness) {
-			b.addRunningMachine(b.addTestJob("j-1", 1))
-			far := b.inventory.AddMachine(b.state.AddGroup(b.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
-			job := b.addTestJob("j-2", 2)
+		{"waiting tasks bound to another zone", func(h *controllerHarness) {
+			h.addRunningMachine(h.addTestJob("j-1", 1))
+			far := h.inventory.AddMachine(h.state.AddGroup(h.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
+			job := h.addTestJob("j-2", 2)
 			job.Spec.Colocate = true
 			job.SetAssigned(0, &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: job, MachineID: far.ID, Phase: state.PhaseAcknowledged})
 		}, ""},
-		{"a record that is never stored", func(b *controllerHarness) {
-			machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
+		{"a record that is never stored", func(h *controllerHarness) {
+			machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
 			machine.Group.WritePending = true
 		}, "its writes are not stored"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
-			test.prepare(b)
+			h := newControllerHarness()
+			test.prepare(h)
 			heartbeat := func() { // the machines keep sending heartbeats
-				for _, machine := range b.state.Machines {
-					machine.LastHeartbeat = b.loop.Now() + 2*second
+				for _, machine := range h.state.Machines {
+					machine.LastHeartbeat = h.loop.Now() + 2*second
 				}
 			}
 			var logged []string
 			for range stallThreshold {
 				heartbeat()
-				logged = append(logged, b.runStallChecks(1)...)
+				logged = append(logged, h.runStallChecks(1)...)
 			}
 			want := []string{test.want}
 			if test.want == "" {
@@ -101,7 +101,7 @@
 			if !slices.Equal(logged, want) {
 				t.Errorf("logged %q, want %q", logged, want)
 			}
-			if stalled := b.stalledShardCount(); stalled != len(want) {
+			if stalled := h.stalledShardCount(); stalled != len(want) {
 				t.Errorf("%d shards stalled, want %d", stalled, len(want))
 			}
 		})
@@ -111,14 +111,14 @@
 // TestProgressEndsStall checks that a single stored transaction restarts the count of
 // checks without progress.
 func TestProgressEndsStall(t *testing.T) {
-	b := newControllerHarness()
-	b.inventory.RegisterMachines(b.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
-	b.runFor(100 * millisecond)
-	machine := b.state.Machines["m-1"]
+	h := newControllerHarness()
+	h.inventory.RegisterMachines(h.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
+	h.runFor(100 * millisecond)
+	machine := h.state.Machines["m-1"]
 	machine.Group.WritePending = true
-	b.runStallChecks(stallThreshold - 1)
-	b.state.Shards[0].StoredTransactions++
-	if logged := b.runStallChecks(stallThreshold - 1); len(logged) > 0 {
+	h.runStallChecks(stallThreshold - 1)
+	h.state.Shards[0].StoredTransactions++
+	if logged := h.runStallChecks(stallThreshold - 1); len(logged) > 0 {
 		t.Errorf("logged %q despite progress", logged)
 	}
 }
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -14,17 +14,17 @@
 // release, which would store it without them and start it at once.
 func TestDependentJobNotProxiedToOldVersion(t *testing.T) {
 	for level, want := range map[int]bool{0: false, jobs.DependencyFeatureLevel: true} {
-		b := newControllerHarness()
-		dropTimers(b.Controller)
-		takeEffects(b.Controller)
-		for _, peer := range b.members.Peers() {
-			b.members.HandlePingReply(peer, &messages.Ping{StoreReachable: true, FeatureLevel: level}, b.loop.Now())
+		h := newControllerHarness()
+		dropTimers(h.Controller)
+		takeEffects(h.Controller)
+		for _, peer := range h.members.Peers() {
+			h.members.HandlePingReply(peer, &messages.Ping{StoreReachable: true, FeatureLevel: level}, h.loop.Now())
 		}
-		b.writeQueue.Health.MarkFailing(b.loop.Now() - 10*second)
-		b.state.Jobs.Known["j-1"] = &state.KnownJob{ShardID: 0, Tasks: 1, Team: "red"}
-		b.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
+		h.writeQueue.Health.MarkFailing(h.loop.Now() - 10*second)
+		h.state.Jobs.Known["j-1"] = &state.KnownJob{ShardID: 0, Tasks: 1, Team: "red"}
+		h.jobs.Submissions.HandleSubmit(messages.Submit{Request: 1, Spec: cluster.JobSpec{ID: "j-2", Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, Dependencies: []cluster.JobID{"j-1"}}})
 		proxied := false
-		for _, effect := range b.loop.Effects() {
+		for _, effect := range h.loop.Effects() {
 			if call, ok := effect.(messages.PeerCall); ok && call.Message.Submission != nil {
 				proxied = true
 			}
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -13,28 +13,28 @@
 // service rejects a job's outcomes as malformed, because its value limit is lower than
 // the configured one, and that the record is not sent again unchanged.
 func TestRejectedOutcomesNotResentUnchanged(t *testing.T) {
-	b := newControllerHarness()
-	dropTimers(b.Controller)
-	b.rejectLongerValues(2000)
-	job := b.addTestJob("j-1", 16_000)
+	h := newControllerHarness()
+	dropTimers(h.Controller)
+	h.rejectLongerValues(2000)
+	job := h.addTestJob("j-1", 16_000)
 	value, err := json.Marshal(jobs.Record{Spec: &job.Spec, WriteID: "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: value, ModRevision: 20}
+	h.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: value, ModRevision: 20}
 	job.ModRevisions[0] = 20
 	for i := 0; i < 16_000; i += 3 {
 		job.SetCompleted(i)
 	}
-	b.jobs.Records.WriteJob(job, writequeue.PriorityBackground)
-	b.runFor(10 * second)
-	for _, shard := range b.state.Shards {
+	h.jobs.Records.WriteJob(job, writequeue.PriorityBackground)
+	h.runFor(10 * second)
+	for _, shard := range h.state.Shards {
 		if !shard.Owned {
 			t.Errorf("shard %d was dropped", shard.ID)
 		}
 	}
 	sent := map[int]int{}
-	for _, transaction := range b.sentTransactions {
+	for _, transaction := range h.sentTransactions {
 		for _, operation := range transaction.Then {
 			if operation.Key == "jobs/j-1" {
 				sent[len(operation.Value)]++
--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -23,16 +23,16 @@
 		{"not bound, one zone without capacity", "", []string{"a"}, []string{"b"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
-			shard := b.state.Shards[0]
-			small := b.state.MachineTypes["small"]
+			h := newControllerHarness()
+			shard := h.state.Shards[0]
+			small := h.state.MachineTypes["small"]
 			small.Zones = []string{"a", "b"}
-			b.state.MachineTypes["small"] = small
+			h.state.MachineTypes["small"] = small
 			for _, zone := range test.outOfCapacity {
-				shard.OutOfCapacityUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = b.loop.Now() + 60*second
+				shard.OutOfCapacityUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = h.loop.Now() + 60*second
 			}
-			b.addTestJob("j-1", 1).Spec.Zone = test.zone
-			b.provisioner.ScaleOut.RunShard(shard)
+			h.addTestJob("j-1", 1).Spec.Zone = test.zone
+			h.provisioner.ScaleOut.RunShard(shard)
 			var requested []string
 			for _, name := range slices.Sorted(maps.Keys(shard.ProvisioningRequests)) {
 				requested = append(requested, shard.ProvisioningRequests[name].Option.Zone)
--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -55,11 +55,11 @@
 		sim.Jobs[spec.ID] = job
 		sim.After(cluster.Time(i)*second, func() {
 			submittedAt := sim.Now
-			sim.Nodes[i%len(sim.Nodes)].SendRequest(submitRequest(spec), func(answer messages.Respond) {
+			sim.Nodes[i%len(sim.Nodes)].SendRequest(submitRequest(spec), func(response messages.Respond) {
 				latencies = append(latencies, time.Duration(sim.Now-submittedAt))
-				if answer.Status == messages.ReplyCreated {
+				if response.Status == messages.ReplyCreated {
 					job.Accepted = true
-					sim.Users.CheckReportedStatus(job, answer.View.Status)
+					sim.Users.CheckReportedStatus(job, response.View.Status)
 				}
 			})
 		})
@@ -72,8 +72,8 @@
 func countJobsNotDone(sim *simulation.Simulator) int {
 	count := 0
 	for id := range sim.Jobs {
-		sim.Nodes[0].SendRequest(queryRequest(id), func(answer messages.Respond) {
-			if answer.View == nil || answer.View.Status != cluster.JobDone {
+		sim.Nodes[0].SendRequest(queryRequest(id), func(response messages.Respond) {
+			if response.View == nil || response.View.Status != cluster.JobDone {
 				count++
 			}
 		})
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -58,11 +58,11 @@
 }
 
 // configureLimits sets the store's limit of operations per transaction.
-func (b *controllerHarness) configureLimits(maxTxnOps int) {
-	b.config.MaxTxnOps = maxTxnOps
-	b.writeQueue.Configure(b.writeQueueConfig())
-	b.jobs.Configure(b.jobsConfig())
-	b.inventory.Configure(b.inventoryConfig())
+func (h *controllerHarness) configureLimits(maxTxnOps int) {
+	h.config.MaxTxnOps = maxTxnOps
+	h.writeQueue.Configure(h.writeQueueConfig())
+	h.jobs.Configure(h.jobsConfig())
+	h.inventory.Configure(h.inventoryConfig())
 }
 
 // TestLargestJobInSmallTransactions checks that all outcomes of a job are stored
@@ -70,48 +70,48 @@
 // deleted after the job has ended.
 func TestLargestJobInSmallTransactions(t *testing.T) {
 	const tasks = 100_000
-	b := newControllerHarness()
-	b.configureLimits(4)
-	job := b.addTestJob("j-1", tasks)
+	h := newControllerHarness()
+	h.configureLimits(4)
+	job := h.addTestJob("j-1", tasks)
 	value, err := json.Marshal(jobs.Record{Spec: &job.Spec, WriteID: "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: value, ModRevision: 31}
+	h.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: value, ModRevision: 31}
 	job.ModRevisions[0] = 31
 	for i := 0; i < tasks; i += 3 {
 		job.SetCompleted(i)
 	}
 	for range 5 {
-		b.jobs.Records.WriteJob(job, writequeue.PriorityBackground)
-		b.runFor(2 * second)
+		h.jobs.Records.WriteJob(job, writequeue.PriorityBackground)
+		h.runFor(2 * second)
 	}
-	if count := b.countStoredOutcomes(job); count != 33_334 {
+	if count := h.countStoredOutcomes(job); count != 33_334 {
 		t.Errorf("%d of 33,334 outcomes are stored", count)
 	}
 	for i := range tasks {
 		job.SetCompleted(i)
 	}
-	b.jobs.Records.WriteJob(job, writequeue.PriorityAdmission)
-	b.runFor(20 * second)
+	h.jobs.Records.WriteJob(job, writequeue.PriorityAdmission)
+	h.runFor(20 * second)
 	for chunk := 1; chunk < state.ChunkCount(tasks); chunk++ {
-		if b.store.get(job.ChunkKey(chunk)).Outcome != messages.NotFound {
+		if h.store.get(job.ChunkKey(chunk)).Outcome != messages.NotFound {
 			t.Errorf("%s was not deleted", job.ChunkKey(chunk))
 		}
 	}
 	var record jobs.Record
-	if json.Unmarshal(b.store.keys["jobs/j-1"].Value, &record) != nil || record.FinalStatus != cluster.JobDone || record.Tasks != tasks {
-		t.Errorf("final record: %s", b.store.keys["jobs/j-1"].Value)
+	if json.Unmarshal(h.store.keys["jobs/j-1"].Value, &record) != nil || record.FinalStatus != cluster.JobDone || record.Tasks != tasks {
+		t.Errorf("final record: %s", h.store.keys["jobs/j-1"].Value)
 	}
-	b.checkTransactionsWithin(t, 4)
+	h.checkTransactionsWithin(t, 4)
 }
 
 // countStoredOutcomes returns the number of completed tasks in a job's stored records.
-func (b *controllerHarness) countStoredOutcomes(job *state.Job) int {
+func (h *controllerHarness) countStoredOutcomes(job *state.Job) int {
 	count := 0
 	for chunk := range job.ModRevisions {
 		var record jobs.Record
-		if json.Unmarshal(b.store.keys[job.ChunkKey(chunk)].Value, &record) == nil {
+		if json.Unmarshal(h.store.keys[job.ChunkKey(chunk)].Value, &record) == nil {
 			state.DecodeCompleted(record.CompletedIndexes, len(job.ChunkStates(chunk)), func(int) { count++ })
 		}
 	}
@@ -119,14 +119,14 @@
 }
 
 // checkTransactionsWithin checks that all transactions are within the store's limits.
-func (b *controllerHarness) checkTransactionsWithin(t *testing.T, maxTxnOps int) {
+func (h *controllerHarness) checkTransactionsWithin(t *testing.T, maxTxnOps int) {
 	t.Helper()
-	for _, transaction := range b.sentTransactions {
+	for _, transaction := range h.sentTransactions {
 		if len(transaction.Then) > maxTxnOps || len(transaction.If) > writequeue.ComparesPerOperation*maxTxnOps {
 			t.Errorf("a transaction has %d operations and %d compares", len(transaction.Then), len(transaction.If))
 		}
 		for _, operation := range transaction.Then {
-			if len(operation.Value) > b.config.MaxValueBytes {
+			if len(operation.Value) > h.config.MaxValueBytes {
 				t.Errorf("the value of %s has %d bytes", operation.Key, len(operation.Value))
 			}
 		}
@@ -135,12 +135,12 @@
 
 // addGroupWithTasks adds a group of machines with tasks of a job on each. The indexes
 // of the tasks are not consecutive, so the record can't encode them as ranges.
-func (b *controllerHarness) addGroupWithTasks(name string, job *state.Job, machines, tasks, from int) *state.MachineGroup {
-	group := b.state.AddGroup(b.state.Shards[0], name, 0)
+func (h *controllerHarness) addGroupWithTasks(name string, job *state.Job, machines, tasks, from int) *state.MachineGroup {
+	group := h.state.AddGroup(h.state.Shards[0], name, 0)
 	for i := range machines {
 		id := cluster.MachineID(fmt.Sprintf("m-%s-%04d", name, i))
-		machine := b.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
-		machine.TokenAcknowledged, machine.Incarnation, machine.SequenceNumber, machine.LastHeartbeat = true, 1, 1, b.loop.Now()
+		machine := h.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
+		machine.TokenAcknowledged, machine.Incarnation, machine.SequenceNumber, machine.LastHeartbeat = true, 1, 1, h.loop.Now()
 		for k := range tasks {
 			index := from + (k*machines+i)*2
 			assignment := &state.Assignment{
@@ -158,16 +158,16 @@
 	}
 	value := inventory.EncodeRecord(0, group.SortedMachines(), "x")
 	group.RecordSize, group.ModRevision = len(value), 20
-	b.store.keys[group.Key()] = messages.KV{Key: group.Key(), Value: value, ModRevision: 20}
+	h.store.keys[group.Key()] = messages.KV{Key: group.Key(), Value: value, ModRevision: 20}
 	return group
 }
 
 // countStoredMachines returns how often the store lists each machine, and the length of
 // the longest group record.
-func (b *controllerHarness) countStoredMachines(t *testing.T) (listed map[cluster.MachineID]int, longest int) {
+func (h *controllerHarness) countStoredMachines(t *testing.T) (listed map[cluster.MachineID]int, longest int) {
 	t.Helper()
 	listed = map[cluster.MachineID]int{}
-	for _, kv := range b.store.list("groups/", 0) {
+	for _, kv := range h.store.list("groups/", 0) {
 		record, err := grouprecord.Decode(kv.Value)
 		if err != nil || record.ShardID != 0 {
 			t.Fatalf("%s: shard %d, %v", kv.Key, record.ShardID, err)
@@ -190,26 +190,26 @@
 		withinLimit          bool
 	}{{60, 4, true}, {200, 12, true}, {400, 4, false}} {
 		t.Run(fmt.Sprintf("%d machines", test.machines), func(t *testing.T) {
-			b := newControllerHarness()
-			b.configureLimits(test.operations)
-			group := b.addGroupWithTasks("g", b.addTestJob("j-1", 20_000), test.machines, 3, 0)
+			h := newControllerHarness()
+			h.configureLimits(test.operations)
+			group := h.addGroupWithTasks("g", h.addTestJob("j-1", 20_000), test.machines, 3, 0)
 			before := group.RecordSize
-			b.inventory.Split(group)
-			b.runFor(200 * millisecond)
-			if len(b.sentTransactions) == 0 || len(b.sentTransactions[0].Then) != min(test.operations, max(before/(b.config.MaxValueBytes/2), 2)) {
-				t.Fatalf("a record of %d bytes: want one split in the first of %d transactions", before, len(b.sentTransactions))
+			h.inventory.Split(group)
+			h.runFor(200 * millisecond)
+			if len(h.sentTransactions) == 0 || len(h.sentTransactions[0].Then) != min(test.operations, max(before/(h.config.MaxValueBytes/2), 2)) {
+				t.Fatalf("a record of %d bytes: want one split in the first of %d transactions", before, len(h.sentTransactions))
 			}
-			if longest := b.checkMachinesListedOnce(t, test.machines); test.withinLimit != (longest <= b.config.MaxValueBytes) {
+			if longest := h.checkMachinesListedOnce(t, test.machines); test.withinLimit != (longest <= h.config.MaxValueBytes) {
 				t.Errorf("a record of %d bytes: the longest record after the first split has %d bytes", before, longest)
 			}
 			for range 4 { // records that are still too large are split further
-				b.inventory.SplitAndMerge(b.state.Shards[0])
-				b.runFor(second)
+				h.inventory.SplitAndMerge(h.state.Shards[0])
+				h.runFor(second)
 			}
-			if listed, longest := b.countStoredMachines(t); len(listed) != test.machines || longest > b.config.MaxValueBytes {
+			if listed, longest := h.countStoredMachines(t); len(listed) != test.machines || longest > h.config.MaxValueBytes {
 				t.Errorf("after all splits %d of %d machines are listed and the longest record has %d bytes", len(listed), test.machines, longest)
 			}
-			if !b.state.Shards[0].Owned {
+			if !h.state.Shards[0].Owned {
 				t.Error("the shard was dropped")
 			}
 		})
@@ -219,16 +219,16 @@
 // checkMachinesListedOnce checks that the store lists each of the given number of
 // machines once and that all their tasks are still assigned. It returns the length of
 // the longest record.
-func (b *controllerHarness) checkMachinesListedOnce(t *testing.T, machines int) int {
+func (h *controllerHarness) checkMachinesListedOnce(t *testing.T, machines int) int {
 	t.Helper()
-	listed, longest := b.countStoredMachines(t)
+	listed, longest := h.countStoredMachines(t)
 	for id, times := range listed {
 		if times != 1 {
 			t.Errorf("%s is listed %d times", id, times)
 		}
 	}
 	tasks := 0
-	for _, machine := range b.state.Machines {
+	for _, machine := range h.state.Machines {
 		tasks += len(machine.Assignments)
 	}
 	if len(listed) != machines || tasks != 3*machines {
@@ -241,38 +241,38 @@
 // transaction of several writes as malformed each write is retried alone. Only the
 // record above the store's limit is split, and no shard is dropped.
 func TestRejectedTransactionRetriedSeparately(t *testing.T) {
-	b := newControllerHarness()
-	dropTimers(b.Controller) // disables maintenance, which would split or merge the groups first
+	h := newControllerHarness()
+	dropTimers(h.Controller) // disables maintenance, which would split or merge the groups first
 	limit := 2048
-	b.rejectLongerValues(limit)
-	job := b.addTestJob("j-1", 20_000)
-	large := b.addGroupWithTasks("large", job, 45, 3, 0)
-	small, other := b.addGroupWithTasks("small", job, 3, 3, 10_000), b.addGroupWithTasks("other", job, 3, 3, 12_000)
-	if large.RecordSize <= limit || large.RecordSize > b.config.MaxValueBytes {
+	h.rejectLongerValues(limit)
+	job := h.addTestJob("j-1", 20_000)
+	large := h.addGroupWithTasks("large", job, 45, 3, 0)
+	small, other := h.addGroupWithTasks("small", job, 3, 3, 10_000), h.addGroupWithTasks("other", job, 3, 3, 12_000)
+	if large.RecordSize <= limit || large.RecordSize > h.config.MaxValueBytes {
 		t.Fatalf("the large record has %d bytes, which is not between the two limits", large.RecordSize)
 	}
 	before := map[string]cluster.ModRevision{small.Key(): small.ModRevision, other.Key(): other.ModRevision}
 	for _, group := range []*state.MachineGroup{large, small, other} {
-		b.inventory.WriteGroup(group, writequeue.PriorityStart)
+		h.inventory.WriteGroup(group, writequeue.PriorityStart)
 	}
-	b.runFor(3 * second)
-	if len(b.sentTransactions) < 4 || len(b.sentTransactions[0].Then) != 3 {
-		t.Fatalf("transactions %q, want at least 4, the first with 3 operations", describeTransactions(b.sentTransactions))
+	h.runFor(3 * second)
+	if len(h.sentTransactions) < 4 || len(h.sentTransactions[0].Then) != 3 {
+		t.Fatalf("transactions %q, want at least 4, the first with 3 operations", describeTransactions(h.sentTransactions))
 	}
-	b.checkRejectedNotRepeated(t)
+	h.checkRejectedNotRepeated(t)
 	for key, modRevision := range before {
-		if b.store.keys[key].ModRevision <= modRevision {
+		if h.store.keys[key].ModRevision <= modRevision {
 			t.Errorf("%s was not written", key)
 		}
 	}
-	listed, longest := b.countStoredMachines(t)
+	listed, longest := h.countStoredMachines(t)
 	if len(listed) != 51 || longest > limit {
 		t.Errorf("%d of 51 machines are listed, the longest record has %d bytes", len(listed), longest)
 	}
 	if len(small.Machines) != 3 || len(other.Machines) != 3 || len(large.Machines) >= 45 {
 		t.Errorf("the groups have %d, %d and %d machines", len(large.Machines), len(small.Machines), len(other.Machines))
 	}
-	for _, shard := range b.state.Shards {
+	for _, shard := range h.state.Shards {
 		if !shard.Owned {
 			t.Errorf("shard %d was dropped", shard.ID)
 		}
@@ -281,10 +281,10 @@
 
 // checkRejectedNotRepeated checks that no transaction that was rejected as malformed
 // was sent again unchanged.
-func (b *controllerHarness) checkRejectedNotRepeated(t *testing.T) {
+func (h *controllerHarness) checkRejectedNotRepeated(t *testing.T) {
 	t.Helper()
-	rejected := slices.DeleteFunc(slices.Clone(b.sentTransactions), func(transaction messages.StoreTxn) bool {
-		return !b.rejectsAsMalformed(transaction)
+	rejected := slices.DeleteFunc(slices.Clone(h.sentTransactions), func(transaction messages.StoreTxn) bool {
+		return !h.rejectsAsMalformed(transaction)
 	})
 	seen := map[string]bool{}
 	for _, changes := range describeTransactions(rejected) {
@@ -317,44 +317,44 @@
 		config.Nodes = append(config.Nodes, cluster.NodeID("n"+strconv.Itoa(i)))
 	}
 	c := New(config)
-	b := newControllerHarness()
-	b.Controller = c
+	h := newControllerHarness()
+	h.Controller = c
 	c.state.MachineTypes["small"] = cluster.MachineType{Name: "small", Capacity: cluster.Resources{CPU: 4_000_000, Memory: 16_000_000}, Zones: []string{"a"}}
 	setTime(c, 100*second)
 	c.jobs.AdmissionRecords.ApplyAll(nil, 0)
 	dropTimers(c)
 	for _, shard := range c.state.Shards {
-		b.ownShard(shard)
+		h.ownShard(shard)
 	}
 	for i := range 6 {
 		kv := messages.KV{Key: fmt.Sprintf("groups/b9-7-%d", i), Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: nil, WriteID: "x"}), ModRevision: cluster.ModRevision(10 + i)}
-		b.store.keys[kv.Key] = kv
-		b.inventory.ApplyRecord(kv, b.state.Shards[0])
+		h.store.keys[kv.Key] = kv
+		h.inventory.ApplyRecord(kv, h.state.Shards[0])
 	}
 	answered := 0
 	for i := range 20 {
 		spec := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, RuntimeSeconds: 5}
-		b.jobs.Submissions.HandleProxied(spec, func(answer messages.Respond) {
-			if answered++; answer.Status != messages.ReplyCreated {
-				t.Errorf("%s is answered with %d, want 201", spec.ID, answer.Status)
+		h.jobs.Submissions.HandleProxied(spec, func(response messages.Respond) {
+			if answered++; response.Status != messages.ReplyCreated {
+				t.Errorf("%s is answered with %d, want 201", spec.ID, response.Status)
 			}
 		})
 	}
-	b.runFor(3 * second)
+	h.runFor(3 * second)
 	manyCompares := false
-	b.checkTransactionsWithin(t, 4)
-	for _, transaction := range b.sentTransactions {
+	h.checkTransactionsWithin(t, 4)
+	for _, transaction := range h.sentTransactions {
 		manyCompares = manyCompares || len(transaction.If) > 8
 	}
-	if left := len(b.store.list("groups/", 0)); left != 0 || answered != 20 || !manyCompares {
+	if left := len(h.store.list("groups/", 0)); left != 0 || answered != 20 || !manyCompares {
 		t.Errorf("%d empty groups left, %d of 20 submissions answered, many compares seen: %v", left, answered, manyCompares)
 	}
 }
 
 // rejectLongerValues makes the store reject a transaction with a value longer than
 // limit as malformed.
-func (b *controllerHarness) rejectLongerValues(limit int) {
-	b.rejectsAsMalformed = func(transaction messages.StoreTxn) bool {
+func (h *controllerHarness) rejectLongerValues(limit int) {
+	h.rejectsAsMalformed = func(transaction messages.StoreTxn) bool {
 		return slices.ContainsFunc(transaction.Then, func(operation messages.TxnOp) bool { return len(operation.Value) > limit })
 	}
 }
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -17,13 +17,13 @@
 
 // deposeOwner makes another controller acquire shard 0 and delivers its claim to the
 // controller under test.
-func deposeOwner(t *testing.T, b *controllerHarness) {
+func deposeOwner(t *testing.T, h *controllerHarness) {
 	t.Helper()
-	shard := b.state.Shards[0]
-	b.store.revision++
-	claim := messages.KV{Key: shard.Key(), Value: fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, shard.Term+1, b.store.revision), ModRevision: cluster.ModRevision(b.store.revision)}
-	b.store.keys[shard.Key()] = claim
-	b.ownership.ApplyClaim(claim)
+	shard := h.state.Shards[0]
+	h.store.revision++
+	claim := messages.KV{Key: shard.Key(), Value: fmt.Appendf(nil, `{"holder":"n1","term":%d,"w":"b1-%d"}`, shard.Term+1, h.store.revision), ModRevision: cluster.ModRevision(h.store.revision)}
+	h.store.keys[shard.Key()] = claim
+	h.ownership.ApplyClaim(claim)
 	if shard.Owned {
 		t.Fatal("the shard is still owned after another's claim")
 	}
@@ -31,11 +31,11 @@
 
 // acquireAndLoadShard makes the controller under test acquire shard 0 and read its
 // records.
-func acquireAndLoadShard(t *testing.T, b *controllerHarness) {
+func acquireAndLoadShard(t *testing.T, h *controllerHarness) {
 	t.Helper()
-	shard := b.state.Shards[0]
-	b.ownership.Acquire(shard)
-	b.runFor(200 * millisecond)
+	shard := h.state.Shards[0]
+	h.ownership.Acquire(shard)
+	h.runFor(200 * millisecond)
 	if !shard.Owned || !shard.Ready {
 		t.Fatalf("owned %v, ready %v after the acquisition", shard.Owned, shard.Ready)
 	}
@@ -43,16 +43,16 @@
 
 // loseNextWriteReply sends the queued write, reports its outcome as unknown to the
 // controller, and returns it without applying it.
-func loseNextWriteReply(t *testing.T, b *controllerHarness) messages.StoreTxn {
+func loseNextWriteReply(t *testing.T, h *controllerHarness) messages.StoreTxn {
 	t.Helper()
-	b.writeQueue.Dispatch()
-	effects := takeEffects(b.Controller)
+	h.writeQueue.Dispatch()
+	effects := takeEffects(h.Controller)
 	for i, effect := range effects {
 		if write, ok := effect.(messages.StoreTxn); ok {
 			for _, other := range slices.Delete(effects, i, i+1) {
-				b.loop.Emit(other)
+				h.loop.Emit(other)
 			}
-			b.loop.Deliver(messages.Reply{Call: write.Call, Body: messages.TxnReply{Outcome: messages.UnknownOutcome}})
+			h.loop.Deliver(messages.Reply{Call: write.Call, Body: messages.TxnReply{Outcome: messages.UnknownOutcome}})
 			return write
 		}
 	}
@@ -72,33 +72,33 @@
 // must not confirm that a task is gone, since a start sent by that owner may still
 // arrive.
 func TestEachOwnerRaisesToken(t *testing.T) {
-	b := newControllerHarness()
-	shard := b.state.Shards[0]
+	h := newControllerHarness()
+	shard := h.state.Shards[0]
 	const request = cluster.Amount(3_000_000)
-	b.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: fmt.Appendf(nil, `{"st":"cancelled","tm":"red","n":1,"r":{"CPU":%d,"GPU":0,"Mem":1},"w":"b9-1"}`, request), ModRevision: 20}
+	h.store.keys["jobs/j-1"] = messages.KV{Key: "jobs/j-1", Value: fmt.Appendf(nil, `{"st":"cancelled","tm":"red","n":1,"r":{"CPU":%d,"GPU":0,"Mem":1},"w":"b9-1"}`, request), ModRevision: 20}
 	listed := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: cluster.TaskID{Job: "j-1", Index: 0}, Attempt: 7}}}
-	b.store.keys["groups/g"] = messages.KV{Key: "groups/g", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{listed}, WriteID: "b9-2"}), ModRevision: 25}
+	h.store.keys["groups/g"] = messages.KV{Key: "groups/g", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{listed}, WriteID: "b9-2"}), ModRevision: 25}
 
 	earlierToken := cluster.FencingToken(25)
 	for range successiveOwners {
-		deposeOwner(t, b)
+		deposeOwner(t, h)
 		earlierTerm := shard.Term
-		acquireAndLoadShard(t, b)
-		machine := b.state.Machines["m-1"]
+		acquireAndLoadShard(t, h)
+		machine := h.state.Machines["m-1"]
 		if machine.Token <= earlierToken || shard.Term <= earlierTerm {
 			t.Errorf("token %d and term %d are not higher than the earlier %d and %d", machine.Token, shard.Term, earlierToken, earlierTerm)
 		}
 		machine.Incarnation = 1
 		status := statusUnderToken(machine, 1)
 		status.FencingToken = earlierToken
-		b.reconciler.ApplyStatus(machine, status, false)
+		h.reconciler.ApplyStatus(machine, status, false)
 		if usage := shard.UsageByTeam()["red"].CPU; usage != request {
 			t.Errorf("after a heartbeat under token %d, with %d in force, the team uses %d, want %d", earlierToken, machine.Token, usage, request)
 		}
 		earlierToken = machine.Token
 	}
-	machine := b.state.Machines["m-1"]
-	b.reconciler.ApplyStatus(machine, statusUnderToken(machine, 2), false)
+	machine := h.state.Machines["m-1"]
+	h.reconciler.ApplyStatus(machine, statusUnderToken(machine, 2), false)
 	if usage := shard.UsageByTeam()["red"].CPU; usage != 0 {
 		t.Errorf("after a heartbeat under the token in force the team uses %d, want 0", usage)
 	}
@@ -108,21 +108,21 @@
 // deposed owner nor its retry is applied, for ten successive owners. Both are
 // conditional on a claim that is no longer in force.
 func TestLateWritesOfDeposedOwnersRejected(t *testing.T) {
-	b := newControllerHarness()
-	shard := b.state.Shards[0]
+	h := newControllerHarness()
+	shard := h.state.Shards[0]
 	var delayed []messages.StoreTxn
 	for owner := range successiveOwners {
 		id := cluster.MachineID(fmt.Sprintf("m-%d", 3*owner)) // these IDs map to shard 0
-		b.inventory.RegisterMachines(shard, []grouprecord.Machine{{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}}, func() {})
-		delayed = append(delayed, loseNextWriteReply(t, b))
-		deposeOwner(t, b)
-		acquireAndLoadShard(t, b)
+		h.inventory.RegisterMachines(shard, []grouprecord.Machine{{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}}, func() {})
+		delayed = append(delayed, loseNextWriteReply(t, h))
+		deposeOwner(t, h)
+		acquireAndLoadShard(t, h)
 	}
 	for i, write := range delayed {
 		key := write.Then[0].Key
-		if b.store.get(key).Outcome != messages.NotFound {
+		if h.store.get(key).Outcome != messages.NotFound {
 			t.Errorf("the retry of owner %d was applied under a later claim: %s", i, key)
-		} else if b.store.commit(write).Outcome != messages.Conflict {
+		} else if h.store.commit(write).Outcome != messages.Conflict {
 			t.Errorf("the late write of owner %d was applied: %s", i, key)
 		}
 	}
@@ -130,18 +130,18 @@
 
 // makePeerUnreachable makes a peer reply to one ping and fail all further calls until
 // it counts as unreachable, while the other peers reply to all pings.
-func (b *controllerHarness) makePeerUnreachable(t *testing.T, unreachable cluster.NodeID) {
+func (h *controllerHarness) makePeerUnreachable(t *testing.T, unreachable cluster.NodeID) {
 	t.Helper()
-	dropTimers(b.Controller) // so that only pings are sent
+	dropTimers(h.Controller) // so that only pings are sent
 	ping := &messages.Ping{StoreReachable: true, WorkersReachable: true}
-	b.members.HandlePingReply(b.members.Peer(unreachable), ping, b.loop.Now())
-	b.members.Start()
-	for end := b.loop.Now() + 20*second; !b.members.Peer(unreachable).IsUnreachable(); setTime(b.Controller, b.loop.Now()+100*millisecond) {
-		if b.loop.Now() > end {
+	h.members.HandlePingReply(h.members.Peer(unreachable), ping, h.loop.Now())
+	h.members.Start()
+	for end := h.loop.Now() + 20*second; !h.members.Peer(unreachable).IsUnreachable(); setTime(h.Controller, h.loop.Now()+100*millisecond) {
+		if h.loop.Now() > end {
 			t.Fatalf("%s still counts as reachable", unreachable)
 		}
-		b.loop.RunTimers()
-		for _, effect := range takeEffects(b.Controller) {
+		h.loop.RunTimers()
+		for _, effect := range takeEffects(h.Controller) {
 			call, ok := effect.(messages.PeerCall)
 			if !ok {
 				continue
@@ -150,7 +150,7 @@
 			if call.To == unreachable {
 				reply = messages.PeerReply{Outcome: messages.NotApplied}
 			}
-			b.loop.Deliver(messages.Reply{Call: call.Call, Body: reply})
+			h.loop.Deliver(messages.Reply{Call: call.Call, Body: reply})
 		}
 	}
 }
@@ -160,16 +160,16 @@
 // and could then depose an owner that is back.
 func TestNoAcquireDuringOutage(t *testing.T) {
 	for _, outage := range []bool{false, true} {
-		b := newControllerHarness()
-		b.makePeerUnreachable(t, "n2")
-		setTime(b.Controller, b.loop.Now()+second)
-		shard := b.state.Shards[1]
+		h := newControllerHarness()
+		h.makePeerUnreachable(t, "n2")
+		setTime(h.Controller, h.loop.Now()+second)
+		shard := h.state.Shards[1]
 		shard.Owned, shard.Ready, shard.RecordRead, shard.Owner, shard.PreferredOwner = false, false, true, "n2", "n2"
-		b.writeQueue.Health.LastSuccess, b.writeQueue.Health.HealthySince = b.loop.Now(), second
+		h.writeQueue.Health.LastSuccess, h.writeQueue.Health.HealthySince = h.loop.Now(), second
 		if outage {
-			b.writeQueue.Health.MarkFailing(b.loop.Now() - 2*second)
+			h.writeQueue.Health.MarkFailing(h.loop.Now() - 2*second)
 		}
-		b.ownership.AcquireIfEligible(shard)
+		h.ownership.AcquireIfEligible(shard)
 		if shard.Acquiring == outage {
 			t.Errorf("outage %v: acquiring %v", outage, shard.Acquiring)
 		}
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -16,28 +16,28 @@
 // be transferred.
 func TestTransferOfferWithinTransaction(t *testing.T) {
 	const groups, length, protocolLimit = 12, 12_000, 64 << 10
-	b := newControllerHarness()
-	b.config.MaxValueBytes, b.config.MaxTxnOps = 16_384, 20
-	b.writeQueue.Configure(b.writeQueueConfig())
-	b.jobs.Configure(b.jobsConfig())
-	b.inventory.Configure(b.inventoryConfig())
-	b.scheduler.Configure(b.schedulingConfig())
-	shard := b.state.Shards[0]
+	h := newControllerHarness()
+	h.config.MaxValueBytes, h.config.MaxTxnOps = 16_384, 20
+	h.writeQueue.Configure(h.writeQueueConfig())
+	h.jobs.Configure(h.jobsConfig())
+	h.inventory.Configure(h.inventoryConfig())
+	h.scheduler.Configure(h.schedulingConfig())
+	shard := h.state.Shards[0]
 	for i := range groups {
-		group := b.state.AddGroup(shard, fmt.Sprintf("g%02d", i), 31)
+		group := h.state.AddGroup(shard, fmt.Sprintf("g%02d", i), 31)
 		group.RecordSize = length
 		for index := range 2 {
 			id := cluster.MachineID(fmt.Sprintf("m-%02d-%d", i, index))
-			machine := b.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
-			machine.TokenAcknowledged, machine.Incarnation, machine.IdleSince = true, 1, b.loop.Now()-second
-			machine.LastHeartbeat = b.loop.Now()
+			machine := h.inventory.AddMachine(group, grouprecord.Machine{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: string(id)}, 31)
+			machine.TokenAcknowledged, machine.Incarnation, machine.IdleSince = true, 1, h.loop.Now()-second
+			machine.LastHeartbeat = h.loop.Now()
 		}
 	}
-	b.scheduler.Rebalancer.OfferIdleMachines(shard, fairshare.NewPlan(fairshare.Snapshot{
+	h.scheduler.Rebalancer.OfferIdleMachines(shard, fairshare.NewPlan(fairshare.Snapshot{
 		0: {Shard: 0, Available: 96_000_000},
 		1: {Shard: 1, Demand: [4]cluster.Amount{0, 96_000_000}},
 	}))
-	queue := b.writeQueue.Queued(writequeue.PriorityStart)
+	queue := h.writeQueue.Queued(writequeue.PriorityStart)
 	if len(queue) != 1 {
 		t.Fatalf("%d writes queued, want 1", len(queue))
 	}
--- a/internal/controller/urgency_test.go
+++ b/internal/controller/urgency_test.go
@@ -17,12 +17,12 @@
 func TestUrgencyPropagated(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2, 3, 4}, {4, 3, 2, 1, 0}, {2, 0, 4, 3, 1}, {3, 1, 0, 2, 4}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
-			b := newUrgencyHarness()
+			h := newUrgencyHarness()
 			for _, i := range order {
-				b.applyJobRecord(t, urgencyJobs[i].ID, jobs.Record{Spec: &urgencyJobs[i]}, cluster.ModRevision(31+i))
+				h.applyJobRecord(t, urgencyJobs[i].ID, jobs.Record{Spec: &urgencyJobs[i]}, cluster.ModRevision(31+i))
 			}
-			b.checkUrgencies(t)
-			b.checkLaterUrgencies(t)
+			h.checkUrgencies(t)
+			h.checkLaterUrgencies(t)
 		})
 	}
 }
@@ -61,28 +61,28 @@
 
 // newUrgencyHarness returns a harness that owns only the shard of team red.
 func newUrgencyHarness() *controllerHarness {
-	b := newControllerHarness()
+	h := newControllerHarness()
 	for name, shard := range map[string]cluster.ShardID{"green": 1, "blue": 2} {
-		b.state.Teams[name] = &state.Team{Team: cluster.Team{Name: name, QuotaLimit: cluster.Resources{CPU: 100_000_000}}, ShardID: shard}
+		h.state.Teams[name] = &state.Team{Team: cluster.Team{Name: name, QuotaLimit: cluster.Resources{CPU: 100_000_000}}, ShardID: shard}
 	}
-	b.state.Teams["red"].ShardID = 0
-	b.state.Shards[1].Owned, b.state.Shards[2].Owned = false, false
-	return b
+	h.state.Teams["red"].ShardID = 0
+	h.state.Shards[1].Owned, h.state.Shards[2].Owned = false, false
+	return h
 }
 
 // applyJobRecord applies a job's record as if the watch had delivered it.
-func (b *controllerHarness) applyJobRecord(t *testing.T, id cluster.JobID, record jobs.Record, modRevision cluster.ModRevision) {
+func (h *controllerHarness) applyJobRecord(t *testing.T, id cluster.JobID, record jobs.Record, modRevision cluster.ModRevision) {
 	t.Helper()
 	record.WriteID = "x"
 	value, err := json.Marshal(record)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.jobs.Records.Apply(messages.KV{Key: "jobs/" + string(id), Value: value, ModRevision: modRevision}, nil)
+	h.jobs.Records.Apply(messages.KV{Key: "jobs/" + string(id), Value: value, ModRevision: modRevision}, nil)
 }
 
 // checkUrgencies checks the effective priorities and deadlines of all jobs.
-func (b *controllerHarness) checkUrgencies(t *testing.T) {
+func (h *controllerHarness) checkUrgencies(t *testing.T) {
 	t.Helper()
 	for id, want := range map[cluster.JobID]struct {
 		priority cluster.Priority
@@ -94,18 +94,18 @@
 		"c": {cluster.Urgent, 0},
 		"e": {cluster.Production, 1_100_000}, // its own deadline is earlier
 	} {
-		known := b.state.Jobs.Known[id]
+		known := h.state.Jobs.Known[id]
 		if known.EffectivePriority != want.priority || known.EffectiveDeadline != want.deadline {
 			t.Errorf("%s has priority %d, due %v; want %d, %v", id, known.EffectivePriority, known.EffectiveDeadline, want.priority, want.deadline)
 		}
-		if job := b.state.Jobs.Owned[id]; job != nil && job.EffectivePriority != want.priority {
+		if job := h.state.Jobs.Owned[id]; job != nil && job.EffectivePriority != want.priority {
 			t.Errorf("%s is scheduled with priority %d, want %d", id, job.EffectivePriority, want.priority)
 		}
 	}
-	if b.state.Jobs.Owned["a"] == nil || b.state.Jobs.Owned["b"] != nil {
+	if h.state.Jobs.Owned["a"] == nil || h.state.Jobs.Owned["b"] != nil {
 		t.Fatal("the wrong jobs are owned")
 	}
-	start := b.scheduler.Queue.LatestStart(b.state.Jobs.Owned["a"])
+	start := h.scheduler.Queue.LatestStart(h.state.Jobs.Owned["a"])
 	if want := urgencyDeadline - 2*(urgencyRuntime+jobs.DependentStartDelayMillis) - urgencyRuntime; start != want {
 		t.Errorf("the latest start of a is %v, want %v", start, want)
 	}
@@ -114,18 +114,18 @@
 // checkLaterUrgencies checks that job a inherits the earlier deadline of a dependent
 // that is submitted later, but not that of one submitted after the job between them has
 // ended.
-func (b *controllerHarness) checkLaterUrgencies(t *testing.T) {
+func (h *controllerHarness) checkLaterUrgencies(t *testing.T) {
 	t.Helper()
 	const want = 1_100_000 - 2*(urgencyRuntime+jobs.DependentStartDelayMillis)
 	late := urgencyJob("f", "blue", cluster.Normal, 100, "b")
-	b.applyJobRecord(t, "f", jobs.Record{Spec: &late}, 40)
-	if known := b.state.Jobs.Known["a"]; known.EffectiveDeadline != want {
+	h.applyJobRecord(t, "f", jobs.Record{Spec: &late}, 40)
+	if known := h.state.Jobs.Known["a"]; known.EffectiveDeadline != want {
 		t.Errorf("a does not inherit an earlier deadline: %v", known.EffectiveDeadline)
 	}
-	b.applyJobRecord(t, "b", jobs.Record{FinalStatus: cluster.JobDone, Team: "green", Tasks: 1}, 41)
+	h.applyJobRecord(t, "b", jobs.Record{FinalStatus: cluster.JobDone, Team: "green", Tasks: 1}, 41)
 	later := urgencyJob("g", "blue", cluster.Production, 50, "b")
-	b.applyJobRecord(t, "g", jobs.Record{Spec: &later}, 42)
-	if known := b.state.Jobs.Known["a"]; known.EffectiveDeadline != want {
+	h.applyJobRecord(t, "g", jobs.Record{Spec: &later}, 42)
+	if known := h.state.Jobs.Known["a"]; known.EffectiveDeadline != want {
 		t.Errorf("a inherits a deadline through a job that has ended: %v", known.EffectiveDeadline)
 	}
 }
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -20,9 +20,9 @@
 }
 
 // countWrites returns how often a key was written by the transactions so far.
-func (b *controllerHarness) countWrites(key string) int {
+func (h *controllerHarness) countWrites(key string) int {
 	count := 0
-	for _, transaction := range b.sentTransactions {
+	for _, transaction := range h.sentTransactions {
 		for _, operation := range transaction.Then {
 			if operation.Key == key {
 				count++
@@ -34,32 +34,32 @@
 
 // limitPutRate limits the puts to rate per second, with a burst of one and none allowed
 // at first.
-func (b *controllerHarness) limitPutRate(rate float64) {
-	dropTimers(b.Controller) // so that the rate is not divided again
-	b.writeQueue.PutBudget().SetRate(rate, 1)
-	b.writeQueue.PutBudget().Refill(b.loop.Now())
-	b.writeQueue.PutBudget().LowerTo(0)
+func (h *controllerHarness) limitPutRate(rate float64) {
+	dropTimers(h.Controller) // so that the rate is not divided again
+	h.writeQueue.PutBudget().SetRate(rate, 1)
+	h.writeQueue.PutBudget().Refill(h.loop.Now())
+	h.writeQueue.PutBudget().LowerTo(0)
 }
 
 // TestRecordWithMostWaitingCPUsWrittenFirst checks that a record is written before one
 // that was queued earlier but has fewer CPUs waiting to start, and that both are
 // written.
 func TestRecordWithMostWaitingCPUsWrittenFirst(t *testing.T) {
-	b := newControllerHarness()
-	job := b.addTestJob("j-1", 1000)
-	few, many := b.addGroupWithTasks("few", job, 3, 2, 0), b.addGroupWithTasks("many", job, 3, 2, 100)
+	h := newControllerHarness()
+	job := h.addTestJob("j-1", 1000)
+	few, many := h.addGroupWithTasks("few", job, 3, 2, 0), h.addGroupWithTasks("many", job, 3, 2, 100)
 	markTasksRecording(few, 1)
 	markTasksRecording(many, 6)
-	b.limitPutRate(0.5)
-	b.inventory.WriteGroup(few, writequeue.PriorityStart)
-	setTime(b.Controller, b.loop.Now()+second/2)
-	b.inventory.WriteGroup(many, writequeue.PriorityStart)
-	b.runFor(second * 5 / 2)
-	if fewWrites, manyWrites := b.countWrites(few.Key()), b.countWrites(many.Key()); fewWrites != 0 || manyWrites != 1 {
+	h.limitPutRate(0.5)
+	h.inventory.WriteGroup(few, writequeue.PriorityStart)
+	setTime(h.Controller, h.loop.Now()+second/2)
+	h.inventory.WriteGroup(many, writequeue.PriorityStart)
+	h.runFor(second * 5 / 2)
+	if fewWrites, manyWrites := h.countWrites(few.Key()), h.countWrites(many.Key()); fewWrites != 0 || manyWrites != 1 {
 		t.Fatalf("after the first put the record with one start was written %d times and that with six %d times, want 0 and 1", fewWrites, manyWrites)
 	}
-	b.runFor(2 * second)
-	if fewWrites := b.countWrites(few.Key()); fewWrites != 1 {
+	h.runFor(2 * second)
+	if fewWrites := h.countWrites(few.Key()); fewWrites != 1 {
 		t.Errorf("the record with one start was written %d times, want 1", fewWrites)
 	}
 }
@@ -68,15 +68,15 @@
 // written before one with more waiting starts. The worker lease of the machine might
 // otherwise expire.
 func TestRaisedTokenWrittenBeforeStarts(t *testing.T) {
-	b := newControllerHarness()
-	job := b.addTestJob("j-1", 1000)
-	starts, raised := b.addGroupWithTasks("starts", job, 4, 2, 0), b.addGroupWithTasks("raised", job, 1, 2, 100)
+	h := newControllerHarness()
+	job := h.addTestJob("j-1", 1000)
+	starts, raised := h.addGroupWithTasks("starts", job, 4, 2, 0), h.addGroupWithTasks("raised", job, 1, 2, 100)
 	markTasksRecording(starts, 8)
-	b.limitPutRate(0.5)
-	b.inventory.WriteGroup(starts, writequeue.PriorityStart)
-	b.inventory.RaiseToken(raised.SortedMachines()[0])
-	b.runFor(second * 5 / 2)
-	if startWrites, raisedWrites := b.countWrites(starts.Key()), b.countWrites(raised.Key()); startWrites != 0 || raisedWrites != 1 {
+	h.limitPutRate(0.5)
+	h.inventory.WriteGroup(starts, writequeue.PriorityStart)
+	h.inventory.RaiseToken(raised.SortedMachines()[0])
+	h.runFor(second * 5 / 2)
+	if startWrites, raisedWrites := h.countWrites(starts.Key()), h.countWrites(raised.Key()); startWrites != 0 || raisedWrites != 1 {
 		t.Errorf("after the first put the record with eight starts was written %d times and that with the raised token %d times, want 0 and 1", startWrites, raisedWrites)
 	}
 }
@@ -84,18 +84,18 @@
 // TestRecordWithFewStartsNotStarved checks that a record with one waiting start is
 // written although another record always has more.
 func TestRecordWithFewStartsNotStarved(t *testing.T) {
-	b := newControllerHarness()
-	job := b.addTestJob("j-1", 1000)
-	few, many := b.addGroupWithTasks("few", job, 3, 2, 0), b.addGroupWithTasks("many", job, 3, 2, 100)
+	h := newControllerHarness()
+	job := h.addTestJob("j-1", 1000)
+	few, many := h.addGroupWithTasks("few", job, 3, 2, 0), h.addGroupWithTasks("many", job, 3, 2, 100)
 	markTasksRecording(few, 1)
-	b.limitPutRate(1)
-	b.inventory.WriteGroup(few, writequeue.PriorityStart)
+	h.limitPutRate(1)
+	h.inventory.WriteGroup(few, writequeue.PriorityStart)
 	for range 8 {
 		markTasksRecording(many, 6)
-		b.inventory.WriteGroup(many, writequeue.PriorityStart)
-		b.runFor(second)
+		h.inventory.WriteGroup(many, writequeue.PriorityStart)
+		h.runFor(second)
 	}
-	if fewWrites, manyWrites := b.countWrites(few.Key()), b.countWrites(many.Key()); fewWrites != 1 || manyWrites < 5 {
+	if fewWrites, manyWrites := h.countWrites(few.Key()), h.countWrites(many.Key()); fewWrites != 1 || manyWrites < 5 {
 		t.Errorf("the record with one start was written %d times and that with more starts %d times, want 1 and at least 5", fewWrites, manyWrites)
 	}
 }
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -17,14 +17,14 @@
 
 // heartbeatReplyStatus returns the status of the response to a heartbeat of a machine.
 // The result is 0 if there is none.
-func heartbeatReplyStatus(b *controllerHarness, machine *state.Machine) messages.ReplyStatus {
-	takeEffects(b.Controller)
-	b.reconciler.Heartbeats.Handle(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1}})
-	setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold)
-	b.flush()
-	for _, effect := range b.loop.Effects() {
-		if answer, ok := effect.(messages.Respond); ok {
-			return answer.Status
+func heartbeatResponseStatus(h *controllerHarness, machine *state.Machine) messages.ReplyStatus {
+	takeEffects(h.Controller)
+	h.reconciler.Heartbeats.Handle(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1}})
+	setTime(h.Controller, h.loop.Now()+reconcile.MaxHeartbeatHold)
+	h.flush()
+	for _, effect := range h.loop.Effects() {
+		if response, ok := effect.(messages.Respond); ok {
+			return response.Status
 		}
 	}
 	return 0
@@ -36,12 +36,12 @@
 // in time for the cancel deadline.
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newOwner := func() *controllerHarness {
-		b := newHarnessWithKnownPeers()
-		b.writeQueue.Health.MarkFailing(b.loop.Now())
-		for _, peer := range b.members.Peers() {
-			acknowledgeTerm(b, peer.ID(), 1)
+		h := newHarnessWithKnownPeers()
+		h.writeQueue.Health.MarkFailing(h.loop.Now())
+		for _, peer := range h.members.Peers() {
+			acknowledgeTerm(h, peer.ID(), 1)
 		}
-		return b
+		return h
 	}
 	config := newOwner().config
 	answerWindow := ownership.AnswerWindow(config.CancelDeadline, config.WorkerLease)
@@ -60,13 +60,13 @@
 		{"one peer replies, after the answer window", answerWindow + second, true, 421},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newOwner()
-			machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			setTime(b.Controller, b.loop.Now()+test.after)
+			h := newOwner()
+			machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
+			setTime(h.Controller, h.loop.Now()+test.after)
 			if test.peerReplies {
-				acknowledgeTerm(b, "n1", 1)
+				acknowledgeTerm(h, "n1", 1)
 			}
-			if status := heartbeatReplyStatus(b, machine); status != test.status {
+			if status := heartbeatResponseStatus(h, machine); status != test.status {
 				t.Errorf("a heartbeat is answered with %d, want %d", status, test.status)
 			}
 		})
@@ -77,31 +77,31 @@
 // that is recorded on a silent machine of a partitioned zone before the cloud has
 // terminated the machine and the record shows it.
 func TestTaskOfPartitionedZoneNotRestarted(t *testing.T) {
-	b := newControllerHarness()
-	shard := b.state.Shards[0]
-	job := b.addTestJob("j-1", 1)
+	h := newControllerHarness()
+	shard := h.state.Shards[0]
+	job := h.addTestJob("j-1", 1)
 	task := cluster.TaskID{Job: "j-1", Index: 0}
 	partitioned := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: task, Attempt: 7}}}
 	record := messages.KV{Key: "groups/cut", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{partitioned}, WriteID: "b9-1"}), ModRevision: 25}
-	b.store.keys[record.Key] = record
-	b.inventory.ApplyRecord(record, shard)
-	outside := b.inventory.AddMachine(b.state.AddGroup(shard, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
-	b.store.keys["groups/outside"] = messages.KV{Key: "groups/outside", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), ModRevision: 26}
+	h.store.keys[record.Key] = record
+	h.inventory.ApplyRecord(record, shard)
+	outside := h.inventory.AddMachine(h.state.AddGroup(shard, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
+	h.store.keys["groups/outside"] = messages.KV{Key: "groups/outside", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), ModRevision: 26}
 	outside.TokenAcknowledged, outside.Incarnation, outside.SequenceNumber = true, 1, 1
 
 	startedOutside := func() bool {
-		b.scheduler.ScheduleShard(shard)
+		h.scheduler.ScheduleShard(shard)
 		return outside.Assignments[task] != nil
 	}
 	if startedOutside() {
 		t.Error("the task was started outside while the record lists it on a machine of the zone")
 	}
-	b.provisioner.ScaleIn.HandleTerminated(b.state.Machines["m-1"])
+	h.provisioner.ScaleIn.HandleTerminated(h.state.Machines["m-1"])
 	if startedOutside() {
 		t.Error("the task was started outside before the record shows that the machine is gone")
 	}
-	b.runFor(second)
-	outside.LastHeartbeat = b.loop.Now()
+	h.runFor(second)
+	outside.LastHeartbeat = h.loop.Now()
 	if !startedOutside() || job.PendingCount() != 0 {
 		t.Error("the task was not started outside although the record shows that the machine is gone")
 	}
