--- a/internal/controller/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -7,9 +7,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestAcquireBackoffBounded checks that the delays before a controller acquires a
-// shard, after many owner changes and corrupt records, stay below 75 s in total. That
-// is how long queries about a job may stay unanswered in a simulation.
+// TestAcquireBackoffBounded checks that the delays before an acquisition add up to less
+// than 75 s, the longest time for which a simulation lets queries fail.
 func TestAcquireBackoffBounded(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, WorkerLease: 22 * second, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
 	shard, tuning := c.state.Shards[0], c.config.Tuning
@@ -31,9 +30,9 @@
 		c.ownership.DropCorruptShard(shard, "k", "test")
 		corruptBackoff = max(corruptBackoff, shard.AcquireNotBefore-c.loop.Now())
 	}
-	const isolated = 8 * second // store must be available this long before a node without peers may consider others failed
+	const isolated = 8 * second // the store must be available for this long before a node without peers may consider others failed
 	if sum := detect + backoff + corruptBackoff + isolated; backoff == 0 || corruptBackoff == 0 || sum >= 75*second {
-		t.Errorf("failure detection %v, backoff %v, delay after corrupt records %v, isolated %v: %v in total; want delays above 0 and a total below 75s",
+		t.Errorf("failure detection %v, backoff %v, delay after corrupt records %v, isolated %v: %v in total; want a backoff and a delay above 0, and a total below 75s",
 			time.Duration(detect), time.Duration(backoff), time.Duration(corruptBackoff), time.Duration(isolated), time.Duration(sum))
 	}
 }
--- a/internal/controller/acquire_conflict_test.go
+++ b/internal/controller/acquire_conflict_test.go
@@ -6,10 +6,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestAcquireResentAfterBatchConflict checks that an acquisition is retried as an
-// acquisition after its transaction conflicts on another write. As an ordinary write of
-// a shard that is not owned it would be dropped, and no controller would serve the
-// shard.
+// TestAcquireResentAfterBatchConflict checks that an acquisition is retried after its
+// transaction conflicts on another write. Otherwise no controller would serve the shard.
 func TestAcquireResentAfterBatchConflict(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[1]
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -9,10 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestAdmissionInDoubtAnsweredAsRetry checks that an admission is answered as a retry
-// if the reply to its write was lost, or if another controller has just stored the job
-// in a record of several jobs. Other controllers may have reported a later state of the
-// job by then.
+// TestAdmissionInDoubtAnsweredAsRetry checks that an admission that may already be stored
+// is answered as a retry. Other controllers may have reported a later state of the job.
 func TestAdmissionInDoubtAnsweredAsRetry(t *testing.T) {
 	for name, want := range map[string]messages.ReplyStatus{"new": 201, "reply lost": 200, "stored by another controller": 200} {
 		h := newControllerHarness()
@@ -52,7 +50,7 @@
 }
 
 // TestAdmissionWithUnreadableRecords checks that a job is not reported as new while the
-// admission records cannot be read: another controller may have admitted it before.
+// admission records cannot be read, because another controller may have admitted it.
 func TestAdmissionWithUnreadableRecords(t *testing.T) {
 	h := newControllerHarness()
 	h.store.revision = 40
@@ -93,13 +91,12 @@
 	}
 }
 
-// TestComparesOfBurstWithinLimit checks that submissions that pile up while the state
-// service is slow are written in transactions with at most four compares per allowed
-// operation, as the protocol requires.
+// TestComparesOfBurstWithinLimit checks that the transactions that store a burst of
+// submissions have at most four compares per allowed operation, as the protocol requires.
 func TestComparesOfBurstWithinLimit(t *testing.T) {
 	h := newControllerHarness()
 	h.runFor(second)
-	// No write is dispatched in between, as if the state service were slow.
+	// No write is dispatched in between, as if the store were slow.
 	for i := range messages.RequestID(60) {
 		h.submit(1+i, cluster.JobID(fmt.Sprintf("j-%03d", i)))
 	}
--- a/internal/controller/all_controllers_down_test.go
+++ b/internal/controller/all_controllers_down_test.go
@@ -7,8 +7,7 @@
 )
 
 // TestAllControllersDownLongerThanLease checks that tasks stop when all controllers are
-// down for longer than a worker lease, that none runs twice, and that the jobs are
-// completed afterwards.
+// down for longer than a worker lease, that none runs twice, and that all jobs complete.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	c := newTestCluster(t, 2)
 	other := c.submitJob("j-000002", 2, 20*second)
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -7,10 +7,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestAttemptNumbersBeyondOneRevision checks that attempt numbers stay unique if an
-// owner starts more tasks than the counter in an attempt number can hold. The counter
-// must restart under a later store revision of the owner instead of overflowing into
-// the revision's bits.
+// TestAttemptNumbersBeyondOneRevision checks that attempt numbers stay unique if an owner
+// starts more tasks than the counter in an attempt number can hold.
 func TestAttemptNumbersBeyondOneRevision(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
--- a/internal/controller/combined_faults_test.go
+++ b/internal/controller/combined_faults_test.go
@@ -5,7 +5,7 @@
 	"stairrelay/internal/simulation"
 )
 
-// combinedFaultsPerDay is the number of combined faults per simulated day.
+// combinedFaultsPerRun is the number of combined faults in a simulated run.
 const combinedFaultsPerRun = 5
 
 // combinedFaults returns the faults that affect many machines or controllers at once.
@@ -15,15 +15,15 @@
 		{"all controllers pause", pauseAllProcesses},
 		{"a zone is partitioned", partitionZone},
 		{"half of the machines are removed", removeHalfOfMachines},
-		{"controllers refuse one another", refusePeerConnections},
+		{"connections between controllers are refused", refusePeerConnections},
 		{"all controllers crash in an outage", crashAllInOutage},
 		{"faulty machines in an outage of the cloud", faultyMachinesWithoutCloud},
 		{"the busiest controller crashes repeatedly", crashBusiestRepeatedly},
-		{"the store refuses one controller, then all", func(sim *simulation.Simulator, node *simulation.Node, _ cluster.Time) {
+		{"the store rejects one controller, then all", func(sim *simulation.Simulator, node *simulation.Node, _ cluster.Time) {
 			storeRejectionThenOutage(sim, node, cancelDeadline)
 		}},
 		{"fast boots with a slow store", fastBootsWithSlowStore},
-		{"a slow store that refuses one controller", slowStoreRejectsController},
+		{"a slow store that rejects one controller", slowStoreRejectsController},
 	}
 }
 
@@ -80,8 +80,8 @@
 	sim.FaultCounts[faultFaultyMachinesWithoutCloud]++
 }
 
-// crashBusiestRepeatedly crashes three times within a minute whichever controller is
-// the busiest at that time.
+// crashBusiestRepeatedly crashes the busiest controller three times within half a minute.
+// It may be a different one each time.
 func crashBusiestRepeatedly(sim *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for _, delay := range []cluster.Time{0, 12 * second, 25 * second} {
 		sim.After(delay, func() { crashBusiest(sim) })
@@ -89,13 +89,13 @@
 	sim.FaultCounts[faultBusiestNodeKilledRepeatedly]++
 }
 
-// drawStoreSlowdown draws the additional reply delay of a slow store.
+// drawStoreSlowdown returns a random additional reply delay of a slow store.
 func drawStoreSlowdown(sim *simulation.Simulator) cluster.Time {
 	return sim.RandomBetween(second/5, 4*second/5)
 }
 
-// fastBootsWithSlowStore makes machines boot fast, and so get tasks early, while writes
-// are slow, and crashes the busiest controller meanwhile.
+// fastBootsWithSlowStore makes machines boot fast, so that they get tasks early, while
+// writes are slow, and crashes the busiest controller during that time.
 func fastBootsWithSlowStore(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 	sim.Machines.EnableFastBoots(duration)
 	sim.Store.Slow(drawStoreSlowdown(sim), duration)
@@ -112,11 +112,10 @@
 	sim.FaultCounts[faultSlowStoreRejectsNode]++
 }
 
-// storeRefusalThenOutage makes the store refuse one controller and, a few seconds
-// later, makes it unavailable to all for longer than the cancel deadline, while users
-// cancel jobs. In most cases the outage begins within a second of another controller
-// acquiring a shard, which takes about five seconds. The fault is injected once per
-// simulated day.
+// storeRejectionThenOutage makes the store reject one controller and, a few seconds later,
+// takes the store down for longer than the cancel deadline, while users cancel jobs. In
+// most cases the outage begins within a second of another controller acquiring a shard,
+// which takes about five seconds. The fault is injected at most once per simulated run.
 func storeRejectionThenOutage(sim *simulation.Simulator, node *simulation.Node, cancelDeadline cluster.Time) {
 	if sim.FaultCounts[faultRejectionThenOutage] > 0 {
 		return
@@ -141,9 +140,9 @@
 	cancelBeforeAndInOutage(sim)
 }
 
-// outageAtAcquire begins an outage within a second of the next acquisition of a shard.
-// In most cases it also crashes another controller, so that possibly no running
-// controller knows what was reported to users.
+// outageAtAcquire begins an outage within a second of the next acquisition of a shard. In
+// most cases it also crashes another controller, after which no running controller may
+// know what was reported to users.
 func outageAtAcquire(sim *simulation.Simulator, within cluster.Time, beginOutage func()) {
 	crashOther := sim.Chance(0.8)
 	sim.Failovers.OnShardAcquired(within, func(owner cluster.NodeID) {
--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -14,10 +14,8 @@
 	h.reconciler.ApplyStatus(machine, &cluster.HeartbeatStatus{Machine: machine.ID, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1, Tasks: tasks}, false)
 }
 
-// TestCompletedTaskLeavesGroupRecord checks that the next write of a group's record
-// omits a completed task whose outcome is not stored yet, so that completed tasks do
-// not fill the record. The task stays assigned until its outcome is stored, and that
-// needs no other write of the group's record.
+// TestCompletedTaskLeavesGroupRecord checks that the next write of a group's record omits
+// a completed task, which stays assigned until its outcome is stored.
 func TestCompletedTaskLeavesGroupRecord(t *testing.T) {
 	h := newControllerHarness()
 	job := h.addTestJob("j-1", 2)
@@ -46,10 +44,8 @@
 	}
 }
 
-// TestTaskCompletedUnderPreviousOwner checks that an owner stores a completion that a
-// worker reports before it acknowledges it, if the previous owner removed the task from
-// the record but did not store the outcome. A task acknowledged too early would be
-// started again.
+// TestTaskCompletedUnderPreviousOwner checks that a completion that the previous owner did
+// not store is stored before it is acknowledged, so that the task is not started again.
 func TestTaskCompletedUnderPreviousOwner(t *testing.T) {
 	completed := cluster.TaskStatus{Task: cluster.TaskID{Job: "j-1", Index: 1}, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseCompleted}
 	for _, test := range []struct {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -21,9 +21,9 @@
 	BootTimeoutFactor    float64
 	RateBudgetShare      float64
 	FailbackDelay        cluster.Time
-	ShortJobWeight       float64      // delays a job in the queue by this factor times the run time of its pending tasks on the whole shard
+	ShortJobWeight       float64      // multiplied by the time that a job's pending tasks would occupy the whole shard; delays the job in the queue
 	SpareCapacityShare   float64      // spare capacity as a fraction of a shard's demand
-	FirstTaskTarget      cluster.Time // a job's first task precedes all others after half of this
+	FirstTaskTarget      cluster.Time // a job's first task takes precedence over all others after half of this time
 }
 
 // Config holds the settings of a Controller.
@@ -37,7 +37,7 @@
 	WorkerLease       cluster.Time
 	CancelDeadline    cluster.Time
 	StoreRPS          float64
-	WriteRPS          float64 // the lower of the current limit and an announced one
+	WriteRPS          float64 // the lower of the store's current limit and its announced one
 	MaxValueBytes     int
 	MaxTxnOps         int
 	CloudRPS          float64
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -11,7 +11,7 @@
 	"stairrelay/internal/state"
 )
 
-// testStore is an in-memory state service.
+// testStore is an in-memory store.
 type testStore struct {
 	keys     map[string]messages.KV
 	revision cluster.Revision
@@ -51,7 +51,8 @@
 	return items
 }
 
-// controllerHarness is one of three controllers, which owns all shards, with its store.
+// controllerHarness runs one of three controllers with an in-memory store. The controller
+// owns all shards.
 type controllerHarness struct {
 	*Controller
 	store            *testStore
@@ -72,7 +73,7 @@
 }
 
 // newHarnessWithKnownPeers returns a harness that has received a ping from each peer at
-// 50 s, before its shards were last confirmed. The peers have not answered a ping yet.
+// 50 s, before its shards were last confirmed. The peers have not replied to a ping yet.
 func newHarnessWithKnownPeers() *controllerHarness {
 	return newHarnessWithSetup(func(c *Controller) {
 		setTime(c, 50*second)
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -28,21 +28,20 @@
 // effects and their digest.
 const goldenDecisions = "testdata/decisions.txt"
 
-// The numbers of seeds that are recorded in addition to the traces.
+// The numbers of random runs that are recorded in addition to the traces.
 const (
 	randomFaultSeeds = 8
 	sevenNodeSeeds   = 3
 	upgradeSeeds     = 4
 )
 
-// TestDecisions checks that a fixed set of simulated runs has the same effects, in the
-// same order, as recorded in testdata/decisions.txt. It guards against unintended changes
-// of behavior. Effects are hashed in their wire and stored encodings, so that renaming Go
-// identifiers has no influence. Log lines are not included.
+// TestDecisions checks that simulated runs have the effects that are recorded in
+// testdata/decisions.txt. It guards against unintended changes of behavior.
 //
-// The flag -update records the digests anew; a commit that changes decisions on purpose
-// says why. If STAIRRELAY_DECISIONS names a directory, the effects of each run are written
-// to a file in it, for comparison with those of another build.
+// Effects are hashed in their wire and stored encodings, so that renaming Go identifiers
+// does not change the digests. Log lines are not included. The flag -update rewrites the
+// recorded digests. If STAIRRELAY_DECISIONS names a directory, the effects of each run are
+// written to a file in it, for comparison with those of another build.
 func TestDecisions(t *testing.T) {
 	recorder := &decisionRecorder{digests: map[string]string{}}
 	t.Run("runs", recorder.recordAll)
@@ -171,8 +170,8 @@
 	}
 }
 
-// encode returns the wire encoding of an effect. The result is false for a log line,
-// which is no decision.
+// encode returns the wire encoding of an effect. The result is false for a log line, which
+// is not a decision.
 func (d *decisionDigest) encode(effect messages.Effect) (string, bool) {
 	switch e := effect.(type) {
 	case messages.Log:
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,9 +12,9 @@
 	"stairrelay/internal/simulation"
 )
 
-// Dependencies can't form a cycle: a job may only depend on jobs that were accepted
-// before, and a repeated submission does not change the dependencies of an accepted job
-// (see TestDependenciesOfSubmissions).
+// Dependencies can't form a cycle, because a job may only depend on jobs that were
+// accepted before and a repeated submission does not change the dependencies of an
+// accepted job (see TestDependenciesOfSubmissions).
 
 // testTeams are the teams of testConfig.
 var testTeams = []string{"red", "green", "blue"}
@@ -53,8 +53,8 @@
 	return c.request(node, submitRequest(job.Spec))
 }
 
-// submitChain submits a chain of count jobs that starts with first and returns it once
-// all are accepted. Each of the others depends on the job before it. The teams
+// submitChain submits a chain of count jobs and returns it once all are accepted. The
+// chain starts with first, each other job depends on the one before it, and the teams
 // alternate.
 func (c *testCluster) submitChain(first *simulation.Job, count int, run cluster.Time) []*simulation.Job {
 	c.t.Helper()
@@ -117,9 +117,8 @@
 	c.checkNoViolations()
 }
 
-// TestDependencyChainCancelled checks that after the first job of a chain is cancelled
-// every controller reports all of them as cancelled within the cancel deadline, and
-// that none of the others starts a task.
+// TestDependencyChainCancelled checks that after the first job of a chain is cancelled all
+// controllers report all jobs as cancelled in time, and that no other job starts a task.
 func TestDependencyChainCancelled(t *testing.T) {
 	c := newIdleCluster(t, 3)
 	first := c.submitDependent("j-100000", "red", 600*second)
@@ -171,8 +170,8 @@
 	}
 }
 
-// checkRecentDependencies checks that jobs may depend on jobs that another controller
-// has just accepted and stored, in a record each or in a record of several jobs.
+// checkRecentDependencies checks that jobs may depend on jobs that another controller has
+// just accepted, whether these are stored in a record each or in one record together.
 func (c *testCluster) checkRecentDependencies() {
 	c.t.Helper()
 	for round, count := range []int{1, 14} {
@@ -193,8 +192,8 @@
 	}
 }
 
-// submitTogether submits jobs to one controller at once and returns their IDs when all
-// are accepted.
+// submitTogether submits jobs to one controller without delay between them, and returns
+// their IDs when all are accepted.
 func (c *testCluster) submitTogether(round, count int) []cluster.JobID {
 	c.t.Helper()
 	var ids []cluster.JobID
@@ -235,8 +234,8 @@
 	}
 }
 
-// checkSubmissionsInOutage checks that submissions are neither accepted nor rejected
-// during an outage of the state service.
+// checkSubmissionsInOutage checks that submissions are neither accepted nor rejected as
+// unschedulable during an outage of the store.
 func (c *testCluster) checkSubmissionsInOutage() {
 	c.t.Helper()
 	c.Store.DownUntil = c.Now + 20*second
@@ -268,10 +267,8 @@
 	c.runAndCheck(60 * second)
 }
 
-// TestCancellationVisibleAtPartitionedController checks that a controller that is
-// partitioned from its peers never reports a dependent as unfinished after another
-// controller has confirmed the cancellation of its dependency. Its watch may not have
-// delivered the cancellation yet, so it must read the record first.
+// TestCancellationVisibleAtPartitionedController checks that a partitioned controller
+// reports no dependent as unfinished after the cancellation of its dependency.
 func TestCancellationVisibleAtPartitionedController(t *testing.T) {
 	for i := range 3 {
 		for _, team := range testTeams {
@@ -304,9 +301,8 @@
 	}
 }
 
-// TestDependentReadyAcrossShards checks that without faults a job in the same or
-// another shard is ready within a second after its dependency is stored as done, and
-// not before.
+// TestDependentReadyAcrossShards checks that without faults a dependent in any shard is
+// ready within a second after its dependency is stored as done, and not before.
 func TestDependentReadyAcrossShards(t *testing.T) {
 	c := newIdleCluster(t, 3)
 	readyAt := map[string]cluster.Time{}
@@ -339,9 +335,8 @@
 	c.checkNoViolations()
 }
 
-// TestDependentReadyAcrossFailover checks that a dependent runs although the owner of
-// its shard restarts, either while the job waits or right after its dependency is
-// stored as done.
+// TestDependentReadyAcrossFailover checks that a dependent runs although the owner of its
+// shard restarts while the job waits or right after its dependency is stored as done.
 func TestDependentReadyAcrossFailover(t *testing.T) {
 	for _, dependencyDone := range []bool{false, true} {
 		for _, team := range testTeams {
--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -7,11 +7,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestDeposedOwnerStopsAnsweringInOutage checks that a deposed owner that can't learn
-// of its successor stops answering its workers in time. The successor confirms a
-// cancellation and crashes before it reaches any controller or machine, and then the
-// state service is down for longer than the cancel deadline. The successor restarts
-// without its state, so its acknowledgement must not renew the former owner's lease.
+// TestDeposedOwnerStopsAnsweringInOutage checks that a deposed owner stops answering its
+// workers in time if its successor crashes before it notifies any controller.
 func TestDeposedOwnerStopsAnsweringInOutage(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ { // for some seeds the others learn of the acquisition before the partition
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -35,9 +32,8 @@
 	}
 }
 
-// TestOutageWithAllPeerAcknowledgements checks that an outage of the state service
-// longer than the cancel deadline stops no task while all controllers acknowledge each
-// other.
+// TestOutageWithAllPeerAcknowledgements checks that a store outage longer than the cancel
+// deadline stops no task while all controllers acknowledge each other.
 func TestOutageWithAllPeerAcknowledgements(t *testing.T) {
 	c := newTestCluster(t, 2)
 	c.Store.DownUntil = c.Now + 2*c.config.CancelDeadline
@@ -53,8 +49,7 @@
 }
 
 // TestDeposedOwnerLearnsFromThirdController checks that a deposed owner stops answering
-// its workers after a third controller has notified it of the acquisition, if the new
-// owner is down.
+// its workers after a third controller has notified it of the acquisition.
 func TestDeposedOwnerLearnsFromThirdController(t *testing.T) {
 	c := newTestCluster(t, 2)
 	owner, next := c.Nodes[1], c.Nodes[2]
--- a/internal/controller/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -8,11 +8,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestEmptyGroupKeptUnderUnseenClaim checks that the key of an emptied group is kept
-// while the claim of another shard that created it may be in force, even if this
-// controller has not seen that claim. Late writes under the claim are still applied and
-// would create a deleted key again. The key is deleted once that shard has a later
-// claim.
+// TestEmptyGroupKeptUnderUnseenClaim checks that an emptied group's key is kept while the
+// claim that created it may be in force. A late write would create a deleted key again.
 func TestEmptyGroupKeptUnderUnseenClaim(t *testing.T) {
 	const creationClaim = cluster.Revision(40)
 	for _, test := range []struct {
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -8,7 +8,7 @@
 )
 
 // UsageMismatch describes the first difference between the cached resource usage and the
-// sum over the tasks. It returns "" if there is none.
+// sum over the tasks. The result is empty if there is none.
 func (c *Controller) UsageMismatch() string {
 	for _, shard := range c.state.Shards {
 		if mismatch := shardUsageMismatch(shard); mismatch != "" {
@@ -28,12 +28,12 @@
 	}
 	for team, cached := range shard.Usage {
 		if cached != teams[team] {
-			return fmt.Sprintf("shard %d: tasks of team %s use %v, cached is %v", shard.ID, team, teams[team], cached)
+			return fmt.Sprintf("shard %d: tasks of team %s use %v, but the cached usage is %v", shard.ID, team, teams[team], cached)
 		}
 	}
 	for team, sum := range teams {
 		if sum != shard.Usage[team] {
-			return fmt.Sprintf("shard %d: tasks of team %s use %v, cached is %v", shard.ID, team, sum, shard.Usage[team])
+			return fmt.Sprintf("shard %d: tasks of team %s use %v, but the cached usage is %v", shard.ID, team, sum, shard.Usage[team])
 		}
 	}
 	return ""
@@ -53,13 +53,14 @@
 		}
 	}
 	if sum != machine.UsedResources() || count != machine.LiveTaskCount() {
-		return fmt.Sprintf("machine %s: %d tasks use %v, cached are %d tasks with %v", machine.ID, count, sum, machine.LiveTaskCount(), machine.UsedResources())
+		return fmt.Sprintf("machine %s: %d tasks use %v, but the cache has %d tasks that use %v", machine.ID, count, sum, machine.LiveTaskCount(), machine.UsedResources())
 	}
 	return ""
 }
 
-// OwnedMachineCounts returns the number of booted machines in the owned shards, and the
-// number of those whose workers have acknowledged their fencing tokens.
+// OwnedMachineCounts returns the number of booted machines in the owned shards whose
+// workers have acknowledged their fencing tokens, and the number of all booted machines in
+// them.
 func (c *Controller) OwnedMachineCounts() (acknowledged, booted int) {
 	for _, machine := range c.state.Machines {
 		if machine.Booting {
--- a/internal/controller/failover_quota_test.go
+++ b/internal/controller/failover_quota_test.go
@@ -8,9 +8,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestQuotaAfterFailover checks that after a failover the tasks in a group's record
-// count against the team's quota, including those of a cancelled job, until the worker
-// has confirmed that they are gone.
+// TestQuotaAfterFailover checks that after a failover the tasks in a group's record count
+// against the team's quota until the worker has confirmed that they are gone.
 func TestQuotaAfterFailover(t *testing.T) {
 	for _, acknowledged := range []bool{false, true} {
 		h := newControllerHarness()
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -51,7 +51,7 @@
 	return messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: id, Addr: string(id), Type: "small", Zone: "a", Incarnation: 1, SequenceNumber: 1, PreemptionNotice: -1}}
 }
 
-// effectsDuring lets the store reply for a while and returns the effects that follow
+// effectsDuring lets the store reply for a duration and returns the effects that follow
 // its replies.
 func effectsDuring(h *controllerHarness, d cluster.Time) []messages.Effect {
 	var effects []messages.Effect
@@ -74,9 +74,8 @@
 	return last
 }
 
-// TestStartWaitsForRecord checks that a task on a machine that has just booted is not
-// started before the store has confirmed the record that lists it. A next owner that
-// finds no such record would start the task on another machine as well.
+// TestStartWaitsForRecord checks that a task on a newly booted machine is not started
+// before its record is stored. Otherwise a next owner would start the task a second time.
 func TestStartWaitsForRecord(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -115,8 +114,7 @@
 }
 
 // TestProvisionedMachineAlwaysRecorded checks that after each transaction the store
-// contains either the provisioning request or the group with its machine, so that a new
-// owner can repeat the request or use the machine whenever it acquires the shard.
+// contains the provisioning request or its machine, so that a failover loses no machine.
 func TestProvisionedMachineAlwaysRecorded(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
@@ -152,8 +150,7 @@
 }
 
 // TestMachineOfOpenProvisioningNotRegistered checks that an unknown machine is not
-// registered while a provisioning request of its kind is open. The group that is
-// written for the request may list the machine, which would then be recorded twice.
+// registered while a provisioning request of its kind is open. It might be recorded twice.
 func TestMachineOfOpenProvisioningNotRegistered(t *testing.T) {
 	for _, test := range []struct {
 		name, zone string
--- a/internal/controller/fault_kinds_test.go
+++ b/internal/controller/fault_kinds_test.go
@@ -21,7 +21,7 @@
 	faultSlowStoreRejectsNode        simulation.FaultKind = "a slow store that rejects one controller"
 	faultOldNodeRestarted            simulation.FaultKind = "production controllers restarted before their upgrade"
 	faultOldNodeKilledAtAcquire      simulation.FaultKind = "a production controller killed within a second of an acquisition"
-	faultUpgradedTogether            simulation.FaultKind = "several controllers upgraded at once"
+	faultUpgradedTogether            simulation.FaultKind = "several controllers upgraded together"
 	faultOldNodePartitioned          simulation.FaultKind = "a production controller partitioned while others are upgraded"
 	faultWriteAboveLoweredRate       simulation.FaultKind = "transactions above the lowered rate"
 )
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -55,7 +55,7 @@
 	{"partitioned from everything but the workers", func(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
 		node.StorePartitionedUntil, node.PeersPartitionedUntil = sim.Now+duration, sim.Now+duration
 	}},
-	{"all restarted at once, one of them twice", restartTwice},
+	{"all controllers restarted, one of them twice", restartTwice},
 	{"writes without a reply applied late", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 		sim.Store.LoseWriteReplies(0.3, duration, false)
 	}},
@@ -163,7 +163,7 @@
 	}
 }
 
-// restartTwice restarts all controllers at once, and the target a second time while the
+// restartTwice restarts all controllers together, and the target a second time while the
 // controllers acquire their shards.
 func restartTwice(sim *simulation.Simulator, target *simulation.Node, _ cluster.Time) {
 	for _, node := range sim.Nodes {
--- a/internal/controller/group_check_test.go
+++ b/internal/controller/group_check_test.go
@@ -8,9 +8,7 @@
 )
 
 // TestGroupRecordCheckTerminates checks that the check after a conflict on a group's
-// record ends, by dropping the shard, although more writes of the record are queued
-// meanwhile. If each of their conflicts started another check, the group's tasks would
-// wait for their record forever.
+// record ends although more writes are queued. The group's tasks wait for its end.
 func TestGroupRecordCheckTerminates(t *testing.T) {
 	h := newControllerHarness()
 	machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
--- a/internal/controller/group_writes_test.go
+++ b/internal/controller/group_writes_test.go
@@ -8,9 +8,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestWriteQueuedWhileBatchIsBuilt checks that a write is not lost if the Build
-// function of another write queues it at the same priority. A group whose write is lost
-// would never be written again.
+// TestWriteQueuedWhileBatchIsBuilt checks that a write is not lost if another write's
+// Build function queues it. A group whose write is lost would never be written again.
 func TestWriteQueuedWhileBatchIsBuilt(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
 	built := 0
@@ -20,7 +19,7 @@
 	}}
 	c.writeQueue.Enqueue(writequeue.PriorityStart, &writequeue.Write{ShardID: cluster.NoShard, Keys: []string{"a"}, Build: func(string) ([]messages.TxnOp, []cluster.ModRevision) {
 		c.writeQueue.Enqueue(writequeue.PriorityStart, queuedByBuild)
-		return nil, nil // nothing to write any more
+		return nil, nil // this write has nothing left to store
 	}})
 	c.writeQueue.Dispatch()
 	c.writeQueue.Dispatch()
--- a/internal/controller/hung_machine_test.go
+++ b/internal/controller/hung_machine_test.go
@@ -8,10 +8,11 @@
 	"stairrelay/internal/cluster"
 )
 
-// failoverTime is how long a controller must be down for another to acquire its shards.
+// failoverTime is the downtime of a controller after which another one acquires its
+// shards.
 const failoverTime = 9 * second
 
-// restartEachOwner restarts each owner of the long job's shard when it has owned the
+// restartEachOwner restarts each owner of the long job's shard after it has owned the
 // shard for ownershipDuration.
 func (c *testCluster) restartEachOwner(ownershipDuration cluster.Time) {
 	var last cluster.NodeID
@@ -44,11 +45,10 @@
 	}
 }
 
-// TestHungMachineAcrossShortOwnerships checks that the tasks of a cancelled job on a
-// hung machine are gone by the cancel deadline, even if each owner of the shard crashes
-// before the time is over for which a new owner waits for a machine.
+// TestHungMachineAcrossShortOwnerships checks that a cancelled job's tasks on a hung
+// machine are gone in time although each owner crashes while it waits for the machine.
 func TestHungMachineAcrossShortOwnerships(t *testing.T) {
-	// Ten owners in two minutes: failure detection takes 6.6 s of the 12 s for each.
+	// Ten owners in two minutes have 12 s each, of which failure detection takes 6.6 s.
 	const tenInTwoMinutes = 5400 * millisecond
 	for _, test := range []struct {
 		heartbeatInterval, lease, cancelDeadline, ownershipDuration cluster.Time
@@ -62,7 +62,7 @@
 			cfg := testConfig()
 			cfg.HeartbeatInterval, cfg.WorkerLease, cfg.CancelDeadline = test.heartbeatInterval, test.lease, test.cancelDeadline
 			if newOwnerTimeout := max(5*second, 2*test.heartbeatInterval); test.ownershipDuration >= newOwnerTimeout {
-				t.Fatalf("ownership duration %v is not shorter than a new owner waits for a machine", time.Duration(test.ownershipDuration))
+				t.Fatalf("ownership duration %v is not shorter than the time for which a new owner waits for a machine", time.Duration(test.ownershipDuration))
 			}
 			c := newTestClusterWithConfig(t, cfg, 1, 2)
 			c.hangMachinesOfJob(2 * cfg.CancelDeadline)
@@ -78,8 +78,7 @@
 }
 
 // TestHungMachineReleasedInOutage checks that the hung machine of a cancelled job is
-// released during an outage of the state service that is longer than the cancel
-// deadline, although the release can't be recorded.
+// released during a store outage longer than the cancel deadline.
 func TestHungMachineReleasedInOutage(t *testing.T) {
 	c := newTestCluster(t, 2)
 	c.hangMachinesOfJob(100 * second)
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -6,10 +6,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestIsolatedControllerOwnershipExpires checks that an owner that reaches its workers,
-// but neither the store nor its peers, stops answering the workers when its ownership
-// lease expires. The workers reach no other controller that could send them a higher
-// fencing token.
+// TestIsolatedControllerOwnershipExpires checks that an owner that reaches only its
+// workers stops answering them when its ownership lease expires.
 func TestIsolatedControllerOwnershipExpires(t *testing.T) {
 	cfg := testConfig()
 	sim := newSimulator(1, cfg)
--- a/internal/controller/job_end_in_doubt_test.go
+++ b/internal/controller/job_end_in_doubt_test.go
@@ -8,9 +8,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestJobEndInDoubtConfirmedBeforeAnswer checks that after the write of a job's end was
-// applied and its reply lost, neither users nor peers get the owner's older view of the
-// job. Others may have read and reported the end.
+// TestJobEndInDoubtConfirmedBeforeResponse checks that neither users nor peers get an
+// older view of a job whose end was stored although the reply to the write was lost.
 func TestJobEndInDoubtConfirmedBeforeResponse(t *testing.T) {
 	h := newControllerHarness()
 	job := h.addTestJob("j-1", 1)
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -10,7 +10,7 @@
 )
 
 // fleet is a simulated cluster with many machines, all running from the start. The limits
-// of its state service don't scale with the number of machines.
+// of its store do not grow with the number of machines.
 type fleet struct {
 	*simulation.Simulator
 	t            *testing.T
@@ -54,8 +54,8 @@
 	}
 }
 
-// countOwnedMachines returns the number of owned machines, and the number of those that
-// have acknowledged their fencing token.
+// countOwnedMachines returns the number of owned machines whose workers have acknowledged
+// their fencing tokens, and the number of all owned machines.
 func (f *fleet) countOwnedMachines() (acknowledged, all int) {
 	for _, c := range f.Controllers() {
 		confirmed, owned := c.OwnedMachineCounts()
@@ -85,7 +85,8 @@
 const maxBootingMachines = 10
 
 // waitForAllOwned runs until the running machines are owned and have acknowledged their
-// fencing tokens. They must be at least nine tenths of the fleet.
+// fencing tokens, and returns how long that took. At least nine tenths of the fleet must
+// run.
 func (f *fleet) waitForAllOwned(within cluster.Time) cluster.Time {
 	f.t.Helper()
 	return f.waitFor("all machines acknowledge their fencing token", within, func() bool {
@@ -94,8 +95,9 @@
 	})
 }
 
-// waitForAllDone runs until all jobs are done. It then checks that no shard is stalled,
-// that the cached usage is consistent and that no transaction exceeded the size limits.
+// waitForAllDone runs until all jobs are done, and returns how long that took. It checks
+// that no shard is stalled, that the cached usage is consistent and that no transaction
+// exceeded the size limits.
 func (f *fleet) waitForAllDone(within cluster.Time) cluster.Time {
 	f.t.Helper()
 	took := f.waitFor("all jobs are done", within, func() bool { return f.UnfinishedJobCount() == 0 })
@@ -116,7 +118,7 @@
 const largeFleetMachines = 4000
 
 // TestLargeFleetFaults checks that a large fleet recovers in bounded time from faults that
-// concern all of its machines at once.
+// affect all of its machines.
 func TestLargeFleetFaults(t *testing.T) {
 	t.Run("two of five controllers lost, and an outage during the failover", func(t *testing.T) {
 		t.Parallel()
@@ -127,7 +129,7 @@
 		for range 2 {
 			restart(f.Simulator, f.BusiestNode(), 30*second)
 		}
-		f.RunUntil(f.Now + 8*second) // others are about to acquire their shards
+		f.RunUntil(f.Now + 8*second) // the other controllers are about to acquire the shards
 		f.Store.DownUntil = f.Now + 10*second
 		f.RunUntil(f.Store.DownUntil)
 		recovered := f.waitForAllOwned(26 * second)
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -31,10 +31,8 @@
 	return messages.StoreTxn{}
 }
 
-// TestLaterTermSeenBeforeAcquireReply checks that a peer's ping reply does not confirm
-// an acquisition if it carries a later term and arrives before the store's reply to the
-// acquisition. The ping reply can't depose this controller, which does not own the
-// shard yet, so the comparison of terms in Claim.LastConfirmedAt is the only guard.
+// TestLaterTermSeenBeforeAcquireReply checks that a ping reply with a later term does not
+// confirm an acquisition to which the store has not replied yet.
 func TestLaterTermSeenBeforeAcquireReply(t *testing.T) {
 	const ownTerm = 2
 	for _, test := range []struct {
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -9,10 +9,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestOnlyStopsBeforeTokenAcknowledged checks which commands a machine gets before its
-// fencing token is acknowledged. Stops of cancelled tasks are always sent. Starts are
-// not sent while the token is being raised, and not pushed before the worker has
-// acknowledged the token.
+// TestOnlyStopsBeforeTokenAcknowledged checks that a machine gets stops at any time, but
+// no start while its token is being raised and no pushed start before it is acknowledged.
 func TestOnlyStopsBeforeTokenAcknowledged(t *testing.T) {
 	stop, both := []cluster.CommandKind{cluster.Stop}, []cluster.CommandKind{cluster.Stop, cluster.Start}
 	for _, test := range []struct {
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -8,9 +8,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestUnlistedSilentMachineReleased checks that a machine that sends no heartbeats and
-// is missing from the cloud's list is released before its lease expires. Neither sign
-// is enough alone, as the list may be out of date.
+// TestUnlistedSilentMachineReleased checks that a machine is released before its lease
+// expires only if it sends no heartbeats and the cloud doesn't list it.
 func TestUnlistedSilentMachineReleased(t *testing.T) {
 	for _, test := range []struct {
 		listed, silent, released bool
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -9,9 +9,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestCloudRateSharedByDemand checks that the only one of seven controllers with work
-// gets most of the cloud's rate limit, that each idle one keeps enough for its first
-// calls, and that the shares stay within the limit.
+// TestCloudRateSharedByDemand checks that the only busy one of seven controllers gets most
+// of the cloud's rate limit and that each idle one keeps enough for its first calls.
 func TestCloudRateSharedByDemand(t *testing.T) {
 	rateShare := func(self cluster.NodeID, demand map[cluster.NodeID]float64) float64 {
 		cfg := newSevenNodeController().config
@@ -49,9 +48,8 @@
 		CloudRPS: 4, StoreRPS: 100, WriteRPS: 25, MaxTxnOps: 20, MaxValueBytes: 16384, WorkerLease: 14 * second, HeartbeatInterval: 5 * second / 2, Tuning: DefaultTuning()})
 }
 
-// TestFailbackOnlyToSpreadLoad checks that a shard is offered back to its preferred
-// owner only if the current owner has other work as well. Moving all the work to
-// another controller would gain nothing.
+// TestFailbackOnlyToSpreadLoad checks that a shard is offered back to its preferred owner
+// only if the current owner has other work. Moving all work elsewhere would gain nothing.
 func TestFailbackOnlyToSpreadLoad(t *testing.T) {
 	c := newSevenNodeController()
 	c.Step(second, 0, messages.Tick{})
@@ -78,9 +76,8 @@
 	}
 }
 
-// TestReleasedMachineNotAdopted checks that a machine that another shard has released
-// is not adopted as an orphan while the cloud still lists it, even if it was first
-// listed long ago.
+// TestReleasedMachineNotAdopted checks that a machine that another shard has released is
+// not adopted as an orphan while the cloud still lists it.
 func TestReleasedMachineNotAdopted(t *testing.T) {
 	c := newSevenNodeController()
 	c.config.CloudListLag = 8 * second
@@ -121,9 +118,8 @@
 	}
 }
 
-// TestOwnerWithoutHeartbeatsFailsOver checks that an owner that has received no
-// heartbeat for a few seconds reports its workers as unreachable, and that a controller
-// that receives heartbeats of those workers considers the owner failed.
+// TestOwnerWithoutHeartbeatsFailsOver checks that an owner without heartbeats reports its
+// workers as unreachable, and counts as failed where the heartbeats arrive.
 func TestOwnerWithoutHeartbeatsFailsOver(t *testing.T) {
 	const machines = 20 // a large fleet, which has a shorter heartbeat timeout
 	c := newSevenNodeController()
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -26,8 +26,7 @@
 	}
 }
 
-// ownedFleet provides the machines of the owned shards to the check of the workers'
-// reachability.
+// ownedFleet provides the machines of the owned shards to membership.WorkerReachability.
 type ownedFleet struct{ controller *Controller }
 
 // MachineCount implements membership.Fleet.
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -11,9 +11,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestOversizedPeerRequestRejected checks that a ping with more entries than a valid
-// one can have is rejected and logged once. The time to process a transfer offer grows
-// with its machine count, so an oversized one could block the event loop.
+// TestOversizedPeerRequestRejected checks that a ping with more entries than a valid one
+// can have is rejected and logged once. Processing it could block the event loop.
 func TestOversizedPeerRequestRejected(t *testing.T) {
 	for name, ping := range map[string]messages.Ping{
 		"Parts":          {Shards: make([]messages.ShardTerm, 4)},
--- a/internal/controller/one_task_jobs_test.go
+++ b/internal/controller/one_task_jobs_test.go
@@ -12,15 +12,12 @@
 const (
 	oneTaskJobCount    = 160
 	oneTaskJobInterval = second / 4
-	// minCancelledJobs is the number of cancelled jobs below which a run is
-	// inconclusive.
+	// minCancelledJobs is the minimum number of cancelled jobs in a conclusive run.
 	minCancelledJobs = 10
 )
 
-// TestManyOneTaskJobs checks that all of many one-task jobs end without violations,
-// with a quarter of them cancelled, while the busiest controller crashes and replies of
-// the state service are lost. Each job needs its own record, start and end, which may
-// make a controller fall behind.
+// TestManyOneTaskJobs checks that many one-task jobs, some of them cancelled, end without
+// violations although the busiest controller crashes and replies of the store are lost.
 func TestManyOneTaskJobs(t *testing.T) {
 	forEachSeed(t, 1, 4, func(t *testing.T, seed uint64) {
 		t.Helper()
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -12,9 +12,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestOverloadedController checks that a controller that is short of CPU time schedules
-// less often, rejects submissions that it can't process in time, and does not push
-// starts to machines with running tasks, which send heartbeats often enough.
+// TestOverloadedController checks that a controller short of CPU time schedules less
+// often, rejects submissions, and does not push starts to machines that run tasks.
 func TestOverloadedController(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
 		Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
--- a/internal/controller/owner_failures_test.go
+++ b/internal/controller/owner_failures_test.go
@@ -7,9 +7,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestRepeatedOwnerFailures checks that one job is cancelled and another is done
-// although the owner of their shard crashes ten times in two minutes, also during an
-// outage of the state service.
+// TestRepeatedOwnerFailures checks that one job is cancelled and another is done although
+// the owner of their shard crashes ten times in two minutes, also during a store outage.
 func TestRepeatedOwnerFailures(t *testing.T) {
 	c := newTestCluster(t, 3)
 	other := c.submitJob("j-000002", 2, 200*second)
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	storeConfirmedAt = 100 * second // when the state service last confirmed the claim of shard 0
+	storeConfirmedAt = 100 * second // when the store last confirmed the claim of shard 0
 	pingsSentAt      = 130 * second // when the pings were sent that the peers have replied to
 )
 
@@ -101,9 +101,8 @@
 	return h
 }
 
-// TestOwnershipLeaseByPeerAcknowledgement checks which replies of peers renew the
-// ownership lease of a shard, and for how long its owner may then answer workers and
-// start tasks.
+// TestOwnershipLeaseByPeerAcknowledgement checks which replies of peers renew an ownership
+// lease, and for how long the owner may then answer workers and start tasks.
 func TestOwnershipLeaseByPeerAcknowledgement(t *testing.T) {
 	for _, test := range leaseTests {
 		t.Run(test.name, func(t *testing.T) {
@@ -145,9 +144,8 @@
 	}
 }
 
-// TestOwnershipConfirmedByStoreReads checks that an owner renews its lease by reading
-// its claim record as long as the state service is available, even if a peer
-// acknowledges nothing.
+// TestOwnershipConfirmedByStoreReads checks that an owner renews its lease by reading its
+// claim record from the store even if a peer acknowledges nothing.
 func TestOwnershipConfirmedByStoreReads(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -53,7 +53,7 @@
 }
 
 // answerSubmission handles a submission that is proxied by a controller which can't reach
-// the state service.
+// the store.
 func (c *Controller) answerSubmission(request messages.RequestID, submission *messages.ProxiedSubmission) {
 	spec := submission.Spec
 	spec.ID = submission.ID
@@ -80,7 +80,7 @@
 }
 
 // handleHealth responds to a health check. A node is unavailable while it starts, and
-// while it can't reach the state service but a peer can.
+// while it can't reach the store but a peer can.
 func (c *Controller) handleHealth(request messages.Health) {
 	if c.writeQueue.Health.LastSuccess == 0 || len(c.state.MachineTypes) == 0 && c.loop.Now() < 10*second {
 		c.respondError(request.Request, messages.ReplyUnavailable, "starting")
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -9,9 +9,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestProcessPauseReleasesNoMachines checks that a controller that was paused for
-// longer than a worker lease does not release the machines it has not heard from
-// meanwhile, and that it does release those that stay silent afterwards.
+// TestProcessPauseReleasesNoMachines checks that a controller releases no machine for
+// heartbeats missed while it was paused, but does release one that stays silent.
 func TestProcessPauseReleasesNoMachines(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Tuning: DefaultTuning()})
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -164,8 +164,7 @@
 var productionOutcomes = regexp.MustCompile(`^(|[0-9]+(-[0-9]+)?(,[0-9]+(-[0-9]+)?)*|b[A-Za-z0-9+/]+)$`)
 
 // TestRecordsMatchProductionEncoding checks that records of jobs without dependencies are
-// encoded byte for byte as by the version in production, which must be able to read them
-// during an upgrade.
+// encoded as by the version in production, which must read them during an upgrade.
 func TestRecordsMatchProductionEncoding(t *testing.T) {
 	bitmapSeen := map[bool]bool{}
 	for key, old := range loadProductionRecords(t) {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -9,12 +9,13 @@
 )
 
 // stallThreshold is the number of consecutive checkpoints without progress after which a
-// stalled shard is logged. It is logged again after every stallThreshold more.
+// stalled shard is logged. It is logged again after each further stallThreshold
+// checkpoints.
 const stallThreshold = 15
 
-// shardProgress tracks how long a shard has made no progress. It detects stalls that no
-// failure detector sees: all controllers are alive, but none owns the shard, or its
-// owner starts no tasks or stores no writes.
+// shardProgress tracks how long a shard has made no progress. It detects stalls in which
+// all controllers are alive, but none owns the shard, or its owner starts no tasks or
+// stores no writes.
 type shardProgress struct {
 	stalledCheckpoints int    // consecutive checkpoints without progress
 	plannedStarts      uint64 // shard.PlannedStarts at the last checkpoint
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -44,9 +44,9 @@
 	})
 }
 
-// provisioningOrphans forwards listed machines that no record lists to the reconciler.
-// It looks the reconciler up at each call, because the reconciler is created after the
-// provisioner.
+// provisioningOrphans forwards machines that the cloud lists, but no record does, to the
+// reconciler. It looks the reconciler up at each call, because the reconciler is created
+// after the provisioner.
 type provisioningOrphans struct{ controller *Controller }
 
 // HandleListed implements provisioning.Orphans.
--- a/internal/controller/provisioning_late_write_test.go
+++ b/internal/controller/provisioning_late_write_test.go
@@ -8,10 +8,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestLateProvisioningWriteRejected checks that a delayed copy of the write that
-// created a provisioning request is rejected after the machines were added to a group.
-// If it were applied, the next owner would repeat the request and record the machines
-// twice.
+// TestLateProvisioningWriteRejected checks that a delayed copy of a provisioning request's
+// creation is rejected after its machines are recorded, so that none is recorded twice.
 func TestLateProvisioningWriteRejected(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
@@ -31,9 +29,8 @@
 	}
 }
 
-// TestLateWriteOfRefusedProvisioningRejected checks that a delayed copy of the write
-// that created a provisioning request is rejected after the cloud has refused the
-// request. The reply to the first write is lost, so the write is sent twice.
+// TestLateWriteOfFailedProvisioningRejected checks that a delayed copy of a provisioning
+// request's creation is rejected after the cloud has rejected the request.
 func TestLateWriteOfFailedProvisioningRejected(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
@@ -44,10 +41,10 @@
 	h.loop.Deliver(messages.Reply{Call: requested.Call, Body: messages.ScaleOutReply{Outcome: messages.NotFound}})
 	h.runFor(second)
 	if len(shard.ProvisioningRequests) != 0 || h.store.get("rentals/"+requested.Name).Outcome != messages.NotFound {
-		t.Fatalf("the refused request is still there: %v", shard.ProvisioningRequests)
+		t.Fatalf("the rejected request is still open: %v", shard.ProvisioningRequests)
 	}
 	if reply := h.store.commit(h.sentTransactions[0]); reply.Outcome != messages.Conflict {
-		t.Error("a late copy of the refused request's creation was applied")
+		t.Error("a late copy of the rejected request's creation was applied")
 	}
 }
 
--- a/internal/controller/proxy_test.go
+++ b/internal/controller/proxy_test.go
@@ -9,9 +9,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestDependentJobNotProxiedToOldVersion checks that a controller without access to the
-// state service does not proxy a job with dependencies to a controller of an earlier
-// release, which would store it without them and start it at once.
+// TestDependentJobNotProxiedToOldVersion checks that a job with dependencies is not
+// proxied to a controller of an earlier release, which would ignore the dependencies.
 func TestDependentJobNotProxiedToOldVersion(t *testing.T) {
 	for level, want := range map[int]bool{0: false, jobs.DependencyFeatureLevel: true} {
 		h := newControllerHarness()
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -19,8 +19,6 @@
 	// maxFaultDuration is the maximum duration of a fault.
 	maxFaultDuration = 40 * second
 	// completionTimeout is the time after faultPeriod within which all jobs must be done.
-	// The jobs of the lowest priority need most of it if half of the machines are removed
-	// more than once.
 	completionTimeout = 540 * second
 	// maxStartDelay is the maximum time until the largest job of a class starts.
 	maxStartDelay = 240 * second
@@ -70,9 +68,8 @@
 	simulation.FaultDependentCancelled,
 }
 
-// TestRandomFaults injects random crashes, partitions, hangs, outages and late messages.
-// It checks the protocol's invariants throughout, and that all jobs are done in bounded
-// time after the faults.
+// TestRandomFaults checks the protocol's invariants under random crashes, partitions,
+// hangs, outages and late messages, and that all jobs are done in bounded time afterwards.
 func TestRandomFaults(t *testing.T) {
 	from, to := seedRange(t, 1, 25)
 	var seen faultTotals
@@ -122,7 +119,7 @@
 }
 
 // check logs how often each kind of fault occurred. If required is set, it fails for each
-// kind that did not occur, because the runs then don't cover that fault.
+// kind that did not occur.
 func (f *faultTotals) check(t *testing.T, kinds []simulation.FaultKind, required bool) {
 	t.Helper()
 	for _, kind := range kinds {
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -13,9 +13,9 @@
 	plannedJobCount = 45
 	// initialJobCount is the number of those jobs that are submitted at the start.
 	initialJobCount = 10
-	// longJobInterval makes one of this many jobs a long one. The tasks of a long job run
-	// for longer than the cancellation deadline, so that a task which is not stopped is
-	// detected.
+	// longJobInterval is the interval of long jobs among the planned jobs. The tasks of a
+	// long job run for longer than the cancellation deadline, so that a task that is not
+	// stopped is detected.
 	longJobInterval = 9
 	// plannedPipelineCount is the number of pipelines in a run.
 	plannedPipelineCount = 6
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -39,11 +39,11 @@
 }
 
 // minIsolationTime is the minimum time without contact after which a controller is
-// considered isolated. A longer worker lease takes its place.
+// considered isolated. The worker lease is used instead if it is longer.
 const minIsolationTime = 10 * second
 
-// isIsolated reports whether this controller has reached neither the state service nor
-// any peer for so long that a peer may own its shards.
+// isIsolated reports whether this controller has reached neither the store nor any peer
+// for so long that a peer may own its shards.
 func (c *Controller) isIsolated() bool {
 	threshold := max(c.config.WorkerLease, minIsolationTime)
 	return len(c.members.Peers()) > 0 && c.writeQueue.IsUnavailableFor(threshold) && !c.members.HasAnswerWithin(threshold)
--- a/internal/controller/rejected_outcomes_test.go
+++ b/internal/controller/rejected_outcomes_test.go
@@ -9,9 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestRejectedOutcomesNotResentUnchanged checks that no shard is dropped if the state
-// service rejects a job's outcomes as malformed, because its value limit is lower than
-// the configured one, and that the record is not sent again unchanged.
+// TestRejectedOutcomesNotResentUnchanged checks that if the store rejects a job's outcomes
+// as malformed, no shard is dropped and the record is not sent again unchanged.
 func TestRejectedOutcomesNotResentUnchanged(t *testing.T) {
 	h := newControllerHarness()
 	dropTimers(h.Controller)
--- a/internal/controller/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -9,8 +9,7 @@
 )
 
 // TestRejectedSplitIsSplitFurther checks that a group whose halves the store rejects as
-// too large, because its value limit is far below the configured one, is split further
-// until the waiting start is recorded.
+// too large is split further until the waiting start is recorded.
 func TestRejectedSplitIsSplitFurther(t *testing.T) {
 	h := newControllerHarness()
 	dropTimers(h.Controller)
--- a/internal/controller/scale_out_zone_cluster_test.go
+++ b/internal/controller/scale_out_zone_cluster_test.go
@@ -6,9 +6,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestZoneBoundJobGetsNewMachines checks that new machines are provisioned in the only
-// zone that a job may use after all machines there are lost, and that the tasks start
-// on them.
+// TestZoneBoundJobGetsNewMachines checks that after all machines in the only zone that a
+// job may use are lost, new ones are provisioned there and the tasks start on them.
 func TestZoneBoundJobGetsNewMachines(t *testing.T) {
 	c := newTestCluster(t, 1)
 	const run = 60 * second
--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -8,9 +8,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestScaleOutInZoneOfJob checks that machines for a job that is bound to a zone are
-// requested only there, even if the cloud is out of capacity in that zone. Machines in
-// other zones would be paid for, but can't run the job.
+// TestScaleOutInZoneOfJob checks that machines for a job bound to a zone are requested
+// only there, even if the zone is out of capacity. The job can't use others.
 func TestScaleOutInZoneOfJob(t *testing.T) {
 	for _, test := range []struct {
 		name          string
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -72,7 +72,7 @@
 		return
 	}
 	c.ownership.MarkReady(shard)
-	l.applyEarlyJobs()
+	l.applyDeferredJobs()
 	l.awaitAcknowledgements()
 	c.scheduler.Trigger.Request()
 	if len(shard.Machines)+len(shard.ProvisioningRequests) > 0 {
@@ -104,11 +104,11 @@
 	}
 }
 
-// applyEarlyJobs applies the job records that were received while the shard was loaded.
-func (l *shardLoad) applyEarlyJobs() {
-	early := l.shard.DeferredJobRecords
+// applyDeferredJobs applies the job records that were received while the shard was loaded.
+func (l *shardLoad) applyDeferredJobs() {
+	deferred := l.shard.DeferredJobRecords
 	l.shard.DeferredJobRecords = nil
-	for _, kv := range early {
+	for _, kv := range deferred {
 		l.controller.jobs.Records.Apply(kv, nil)
 	}
 }
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -30,7 +30,7 @@
 	spot      cluster.Amount
 	idle      cluster.Amount
 	booting   cluster.Amount
-	recording cluster.Amount // of tasks, by phase
+	recording cluster.Amount // of tasks in this phase; likewise ready to ended
 	ready     cluster.Amount
 	fetching  cluster.Amount
 	running   cluster.Amount
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -17,12 +17,11 @@
 	"stairrelay/internal/writequeue"
 )
 
-// These tests cover limits of the store that are lower than those under which the
-// records were written.
+// These tests cover limits of the store that are lower than those under which the records
+// were written.
 
 // TestOutcomesWithinSizeLimit checks that state.EncodeCompleted stays within the size
-// limit, lists only completed tasks, and lists all of them below the index that it
-// returns.
+// limit and lists exactly the completed tasks below the index that it returns.
 func TestOutcomesWithinSizeLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(18, 1))
 	for round := range 400 {
@@ -65,9 +64,8 @@
 	h.inventory.Configure(h.inventoryConfig())
 }
 
-// TestLargestJobInSmallTransactions checks that all outcomes of a job are stored
-// although they need more chunks than a transaction may write, and that all chunks are
-// deleted after the job has ended.
+// TestLargestJobInSmallTransactions checks that a job's outcomes are stored although they
+// need more chunks than a transaction may write, and deleted after the job has ended.
 func TestLargestJobInSmallTransactions(t *testing.T) {
 	const tasks = 100_000
 	h := newControllerHarness()
@@ -180,10 +178,8 @@
 	return listed, longest
 }
 
-// TestOversizedRecordSplitInOneTransaction checks that a group record that is far above
-// the value limit is split by one transaction into as many records as it may write,
-// each machine in exactly one of them, and split further until no record is above the
-// limit.
+// TestOversizedRecordSplitInOneTransaction checks that a group record far above the value
+// limit is split until none exceeds it, and that no machine is lost or listed twice.
 func TestOversizedRecordSplitInOneTransaction(t *testing.T) {
 	for _, test := range []struct {
 		machines, operations int
@@ -237,9 +233,8 @@
 	return longest
 }
 
-// TestRejectedTransactionRetriedSeparately checks that after the store has rejected a
-// transaction of several writes as malformed each write is retried alone. Only the
-// record above the store's limit is split, and no shard is dropped.
+// TestRejectedTransactionRetriedSeparately checks that each write of a transaction that
+// the store rejects as malformed is retried alone and only the oversized record is split.
 func TestRejectedTransactionRetriedSeparately(t *testing.T) {
 	h := newControllerHarness()
 	dropTimers(h.Controller) // disables maintenance, which would split or merge the groups first
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -11,10 +11,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestLateGroupWriteAfterDropRejected checks that a delayed copy of a group's creation
-// is rejected after another shard has acquired and emptied the group and has a new
-// claim. That write is conditional on the claim of the shard that created the group, so
-// a new claim of the other shard does not fence it off.
+// TestLateGroupWriteAfterDeletionRejected checks that a delayed copy of a group's creation
+// is rejected after another shard has acquired and emptied the group and has a new claim.
 func TestLateGroupWriteAfterDeletionRejected(t *testing.T) {
 	h := newControllerHarness()
 	creator, recipient := h.state.Shards[0], h.state.Shards[1]
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -47,20 +47,19 @@
 	o.controller.ownership.RecordConfirmation(shard, stored.Claim, stored.SentAt)
 }
 
-// probeStore sends a read to the state service if nothing else does. While requests fail,
-// the read shows when the service has recovered. While a peer reports the service as
-// unreachable, it distinguishes a partition of that peer from an outage; an idle
-// controller would otherwise send no request for minutes.
+// probeStore sends a read to the store if no other request is sent. While requests fail,
+// the read shows when the store has recovered. While a peer reports the store as
+// unreachable, the read distinguishes a partition of that peer from an outage.
 func (c *Controller) probeStore() {
 	if c.writeQueue.Health.ShouldProbe(c.loop.Now()) {
 		c.ownership.RereadClaim(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
 	}
 }
 
-// shareByDemand returns this controller's share of a limit that all live controllers have
-// in common. reported returns the demand that a peer's ping contains.
+// shareByDemand returns this controller's share of a rate limit that all live controllers
+// have in common. reported returns the demand in a peer's ping.
 func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, reported func(*messages.Ping) float64) float64 {
-	if c.members == nil { // the write queue is created first and calls this at once
+	if c.members == nil { // writequeue.New calls this before the members are created
 		return ratelimit.ShareByDemand(limit, demand, liveControllers, nil)
 	}
 	peers := c.members.Peers()
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -67,10 +67,8 @@
 	return &cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: sequence, FencingToken: machine.Token, PreemptionNotice: -1, Tasks: tasks}
 }
 
-// TestEachOwnerRaisesToken checks that each of ten successive owners has a higher term
-// and fencing token than the one before. A heartbeat under an earlier owner's token
-// must not confirm that a task is gone, since a start sent by that owner may still
-// arrive.
+// TestEachOwnerRaisesToken checks that each owner has a higher term and token than the one
+// before, and that a heartbeat under an earlier token doesn't confirm that a task is gone.
 func TestEachOwnerRaisesToken(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
@@ -104,9 +102,8 @@
 	}
 }
 
-// TestLateWritesOfDeposedOwnersRejected checks that neither a delayed write of a
-// deposed owner nor its retry is applied, for ten successive owners. Both are
-// conditional on a claim that is no longer in force.
+// TestLateWritesOfDeposedOwnersRejected checks that neither a delayed write of a deposed
+// owner nor its retry is applied, because their claim is no longer in force.
 func TestLateWritesOfDeposedOwnersRejected(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
@@ -155,9 +152,8 @@
 	}
 }
 
-// TestNoAcquireDuringOutage checks that no shard of a failed owner is acquired during
-// an outage of the state service. The acquisition would wait for the end of the outage
-// and could then depose an owner that is back.
+// TestNoAcquireDuringOutage checks that no shard is acquired during a store outage. The
+// acquisition would wait for its end and could depose an owner that is back.
 func TestNoAcquireDuringOutage(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		h := newControllerHarness()
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -27,21 +27,21 @@
 	"run": func(r *traceRunner, c traceCommand) { r.simulator.RunUntil(r.until(c.duration(0))) },
 	// upgrade n0 6s: its process ends and restarts after 6s with the current version.
 	"upgrade": func(_ *traceRunner, c traceCommand) { c.node(0).Upgrade(c.duration(1)) },
-	// lower-limits: the state service enforces its lower limits.
+	// lower-limits: the store enforces its lower limits.
 	"lower-limits": func(r *traceRunner, _ traceCommand) { r.simulator.LowerStoreLimits() },
 	// crash n0: its process is killed.
 	"crash": func(_ *traceRunner, c traceCommand) { c.node(0).Kill() },
 	// start n0: its process starts.
 	"start": func(_ *traceRunner, c traceCommand) { c.node(0).Start() },
-	// store-outage 30s: the state service is down.
+	// store-outage 30s: the store is down.
 	"store-outage": func(r *traceRunner, c traceCommand) { r.simulator.Store.DownUntil = r.until(c.duration(0)) },
 	// cloud-outage 30s: the cloud API is down.
 	"cloud-outage": func(r *traceRunner, c traceCommand) { r.simulator.CloudAPI.DownUntil = r.until(c.duration(0)) },
-	// store-reject n0 10s: the state service rejects the requests of that controller only.
+	// store-reject n0 10s: the store rejects the requests of that controller only.
 	"store-reject": func(r *traceRunner, c traceCommand) { c.node(0).StoreRefusesUntil = r.until(c.duration(1)) },
 	// lose n0 replies 3s: its transactions are applied, but their replies are lost.
 	"lose": func(r *traceRunner, c traceCommand) { c.node(0).StoreRepliesLostUntil = r.until(c.duration(2)) },
-	// slow-store 500ms 30s: the state service replies 500ms later for 30s.
+	// slow-store 500ms 30s: the store replies 500ms later for 30s.
 	"slow-store": func(r *traceRunner, c traceCommand) { r.simulator.Store.Slow(c.duration(0), c.duration(1)) },
 	// hang m-000001 20s: the machine hangs.
 	"hang": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Hang(c.machine(), c.duration(1)) },
@@ -58,7 +58,7 @@
 	"duplicate-heartbeat": func(r *traceRunner, c traceCommand) {
 		r.simulator.Machines.DuplicateHeartbeat(c.machine(), c.duration(1))
 	},
-	// reboot m-000001: its worker restarts at once with the next incarnation.
+	// reboot m-000001: its worker restarts immediately with the next incarnation.
 	"reboot": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Reboot(c.machine()) },
 	// preempt m-000001 20s: the cloud gives 20s of notice and then removes the machine.
 	"preempt": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Preempt(c.machine(), c.duration(1)) },
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -15,14 +15,13 @@
 	"stairrelay/internal/simulation"
 )
 
-var updateGolden = flag.Bool("update", false, "record the traces or decisions of the selected tests anew")
+var updateGolden = flag.Bool("update", false, "rewrite the recorded traces or decisions of the selected tests")
 
 // minTraces is the minimum number of traces.
 const minTraces = 8
 
-// TestTraces checks that the controllers and workers act as in the recorded traces. Lines
-// of a trace that begin with # are comments, those that begin with > are commands, and the
-// others are recorded. The flag -update records them anew; review the diff.
+// TestTraces checks that controllers and workers act as in the recorded traces. A trace
+// has comments (#), commands (>) and recorded lines, which the flag -update rewrites.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/traces/*.txt")
 	if err != nil || len(files) < minTraces {
--- a/internal/controller/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -12,10 +12,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestTransferAbortedWhenShardIsLost checks that machines stay with the shard that
-// offered them if another controller acquires the recipient before the store has
-// replied to the transfer. If they were dropped, their record would list them for an
-// owned shard while their heartbeats are answered with 503.
+// TestTransferAbortedWhenShardIsLost checks that machines stay with the shard that offered
+// them if the recipient is lost before the store has replied to the transfer.
 func TestTransferAbortedWhenShardIsLost(t *testing.T) {
 	h := newControllerHarness()
 	source, recipient := h.state.Shards[0], h.state.Shards[1]
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -10,10 +10,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestTransferOfferWithinTransaction checks that all records rewritten by a transfer
-// offer fit into one transaction if idle machines are spread over many groups with long
-// records. A larger transaction would be rejected each time, and no machine would ever
-// be transferred.
+// TestTransferOfferWithinTransaction checks that the records rewritten by a transfer offer
+// fit into one transaction. A larger one would always be rejected.
 func TestTransferOfferWithinTransaction(t *testing.T) {
 	const groups, length, protocolLimit = 12, 12_000, 64 << 10
 	h := newControllerHarness()
@@ -41,7 +39,7 @@
 	if len(queue) != 1 {
 		t.Fatalf("%d writes queued, want 1", len(queue))
 	}
-	rewritten := len(queue[0].Keys) - 1 // besides the new group
+	rewritten := len(queue[0].Keys) - 1 // without the new group
 	if rewritten < 2 || rewritten*length > protocolLimit {
 		t.Errorf("one transaction rewrites %d records of %d bytes", rewritten, length)
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/simulation"
 )
 
-// limitsBeforeUpgrade are the limits of the state service until some time after the
-// upgrade, when they are lowered to those of upgradeConfig.
+// limitsBeforeUpgrade are the limits of the store until some time after the upgrade, when
+// they are lowered to those of upgradeConfig.
 var limitsBeforeUpgrade = simulation.StoreLimits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
 
 func upgradeConfig() controller.Config {
@@ -32,9 +32,7 @@
 }
 
 // TestRollingUpgrade checks that a rolling upgrade from the production version violates no
-// invariant while jobs run, faults occur and users submit pipelines. Some old controllers
-// restart with the old version before their upgrade, and the state service's limits are
-// lowered after it.
+// invariant while jobs run and faults occur, and the store's limits are lowered after it.
 func TestRollingUpgrade(t *testing.T) {
 	from, to := seedRange(t, 1, 12)
 	var seen faultTotals
@@ -73,7 +71,7 @@
 }
 
 // planUpgrade schedules the upgrade of one random controller, and later that of the two
-// others at once. The others crash and may be partitioned before their upgrade.
+// others at the same time. Before that, the others crash and may be partitioned.
 func planUpgrade(sim *simulation.Simulator) {
 	order := sim.Rand.Perm(len(sim.Nodes))
 	first, rest := sim.Nodes[order[0]], []*simulation.Node{}
@@ -113,7 +111,7 @@
 }
 
 // planOldNodePartition partitions, in some runs, a controller that is not upgraded yet
-// from its peers. A peer that starts meanwhile can't learn its version.
+// from its peers. A peer that starts during the partition can't learn its version.
 func planOldNodePartition(sim *simulation.Simulator, node *simulation.Node, firstUpgradeAt, restUpgradeAt cluster.Time) {
 	if !sim.Chance(0.6) {
 		return
--- a/internal/controller/urgency_test.go
+++ b/internal/controller/urgency_test.go
@@ -11,9 +11,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestUrgencyPropagated checks that a job inherits the highest priority and the
-// earliest deadline of all its dependents, across teams and shards and in whichever
-// order their records arrive, and that a job that has ended inherits nothing.
+// TestUrgencyPropagated checks that a job inherits the highest priority and the earliest
+// deadline of its dependents in whichever order their records arrive.
 func TestUrgencyPropagated(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2, 3, 4}, {4, 3, 2, 1, 0}, {2, 0, 4, 3, 1}, {3, 1, 0, 2, 4}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
@@ -111,9 +110,8 @@
 	}
 }
 
-// checkLaterUrgencies checks that job a inherits the earlier deadline of a dependent
-// that is submitted later, but not that of one submitted after the job between them has
-// ended.
+// checkLaterUrgencies checks that job a inherits the deadline of a dependent that is
+// submitted later. It must not inherit one through a job that has ended.
 func (h *controllerHarness) checkLaterUrgencies(t *testing.T) {
 	t.Helper()
 	const want = 1_100_000 - 2*(urgencyRuntime+jobs.DependentStartDelayMillis)
--- a/internal/controller/work_scaling_test.go
+++ b/internal/controller/work_scaling_test.go
@@ -24,8 +24,8 @@
 		measurement = 25 * second
 	)
 	f := newFleet(t, controllers, machines)
-	// The state service doesn't limit the write rate: the test measures the work, not the
-	// throttling.
+	// The store doesn't limit the write rate, so that the test measures the work and not
+	// the throttling.
 	f.StateService.Limits.WriteRPS = 0
 	f.waitForAllOwned(20 * second)
 	f.submitLoad(4*machines, 20*second)
@@ -58,9 +58,8 @@
 	return sum
 }
 
-// TestWorkScalesLinearly checks that the controllers' work per machine doesn't increase
-// with the size of the fleet. It would increase if an event triggered a scan of all
-// machines.
+// TestWorkScalesLinearly checks that the controllers' work per machine doesn't grow with
+// the fleet, as it would if an event triggered a scan of all machines.
 func TestWorkScalesLinearly(t *testing.T) {
 	small, large := measureWorkRates(t, 500), measureWorkRates(t, 4000)
 	t.Logf("500 machines: %+v", small)
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -32,8 +32,8 @@
 	return count
 }
 
-// limitPutRate limits the puts to rate per second, with a burst of one and none allowed
-// at first.
+// limitPutRate limits the puts to rate per second, with a burst of one and an empty budget
+// at the start.
 func (h *controllerHarness) limitPutRate(rate float64) {
 	dropTimers(h.Controller) // so that the rate is not divided again
 	h.writeQueue.PutBudget().SetRate(rate, 1)
@@ -41,9 +41,8 @@
 	h.writeQueue.PutBudget().LowerTo(0)
 }
 
-// TestRecordWithMostWaitingCPUsWrittenFirst checks that a record is written before one
-// that was queued earlier but has fewer CPUs waiting to start, and that both are
-// written.
+// TestRecordWithMostWaitingCPUsWrittenFirst checks that a record with more CPUs waiting to
+// start is written before one that was queued earlier, and that both are written.
 func TestRecordWithMostWaitingCPUsWrittenFirst(t *testing.T) {
 	h := newControllerHarness()
 	job := h.addTestJob("j-1", 1000)
@@ -64,9 +63,8 @@
 	}
 }
 
-// TestRaisedTokenWrittenBeforeStarts checks that a record with a token to raise is
-// written before one with more waiting starts. The worker lease of the machine might
-// otherwise expire.
+// TestRaisedTokenWrittenBeforeStarts checks that a record with a token to raise is written
+// before one with more waiting starts. Otherwise the machine's worker lease might expire.
 func TestRaisedTokenWrittenBeforeStarts(t *testing.T) {
 	h := newControllerHarness()
 	job := h.addTestJob("j-1", 1000)
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -103,8 +103,7 @@
 }
 
 // TestThrottledWriteRateLowered checks that the lower write rate applies once the store
-// has throttled the current one, and that all throttled writes are retried and no shard
-// is dropped.
+// throttles the current one, and that throttled writes are retried.
 func TestThrottledWriteRateLowered(t *testing.T) {
 	h := newHarnessWithRates(60, 6)
 	throttled := h.enforceWriteRate(6)
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -15,7 +15,7 @@
 // inside must stop answering its machines, and a controller outside must not restart
 // tasks that may still run inside.
 
-// heartbeatReplyStatus returns the status of the response to a heartbeat of a machine.
+// heartbeatResponseStatus returns the status of the response to a heartbeat of a machine.
 // The result is 0 if there is none.
 func heartbeatResponseStatus(h *controllerHarness, machine *state.Machine) messages.ReplyStatus {
 	takeEffects(h.Controller)
@@ -30,10 +30,8 @@
 	return 0
 }
 
-// TestPartitionedOwnerStopsAnsweringMachines checks how long an owner in a partitioned
-// zone answers its machines. If no peer replies to it, it stops after one worker lease,
-// so that the machines have another lease to find their new owner. In any case it stops
-// in time for the cancel deadline.
+// TestPartitionedOwnerStopsAnsweringMachines checks that an owner without replies of peers
+// stops answering its machines after a worker lease, and any owner in time.
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newOwner := func() *controllerHarness {
 		h := newHarnessWithKnownPeers()
@@ -73,9 +71,8 @@
 	}
 }
 
-// TestTaskOfPartitionedZoneNotRestarted checks that a new owner does not restart a task
-// that is recorded on a silent machine of a partitioned zone before the cloud has
-// terminated the machine and the record shows it.
+// TestTaskOfPartitionedZoneNotRestarted checks that a task on a silent machine is not
+// restarted before the cloud has terminated the machine and its record shows that.
 func TestTaskOfPartitionedZoneNotRestarted(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -6,9 +6,9 @@
 	"stairrelay/internal/cluster"
 )
 
-// partitionZone partitions a zone, which has all the machines and the controller
-// inside, from the other controllers and the state service until a time. The machines
-// still reach the controller inside.
+// partitionZone partitions a zone, which contains all machines and the controller inside,
+// from the other controllers and the store until a time. The machines still reach the
+// controller inside.
 func (c *testCluster) partitionZone(inside cluster.NodeID, until cluster.Time) {
 	for _, node := range c.Nodes {
 		if node.ID == inside {
@@ -19,10 +19,8 @@
 	}
 }
 
-// TestZonePartitionDuringCloudOutage checks that cancelled tasks in a partitioned zone
-// end in time although the controller that confirmed the cancellation can neither reach
-// nor release their machines. The owner in the zone, which can't learn of the
-// cancellation, has to stop answering the machines.
+// TestZonePartitionDuringCloudOutage checks that cancelled tasks in a partitioned zone end
+// in time although the new owner can neither reach nor release their machines.
 func TestZonePartitionDuringCloudOutage(t *testing.T) {
 	c := newTestCluster(t, 2)
 	inside, outside := c.Nodes[1], c.Nodes[2]
@@ -37,9 +35,8 @@
 	c.runAndCheck(2*c.config.CancelDeadline + 30*second)
 }
 
-// TestZonePartitionLongerThanLease checks that cancelled tasks end in time in a zone
-// that is partitioned for longer than a worker lease and in which a deposed owner
-// answers all the workers.
+// TestZonePartitionLongerThanLease checks that cancelled tasks end in time in a zone that
+// is partitioned for longer than a worker lease and in which only a deposed owner answers.
 func TestZonePartitionLongerThanLease(t *testing.T) {
 	c := newTestCluster(t, 2)
 	inside := c.Nodes[1]
