--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -14,7 +14,7 @@
 // slowStoreJobCount is the number of jobs submitted to a slow store.
 const slowStoreJobCount = 30
 
-// TestSlowStore checks that a slow state service causes no violations, that jobs still
+// TestSlowStore checks that a slow store causes no violations, that jobs still
 // end, and that a submission takes about one round trip rather than several.
 func TestSlowStore(t *testing.T) {
 	for _, delay := range []cluster.Time{0, 200 * millisecond, 600 * millisecond} {
@@ -22,7 +22,7 @@
 		t.Run(slow.String(), func(t *testing.T) {
 			sim := newSimulator(3, testConfig())
 			sim.NoRandomFaults = true
-			sim.Store.Delay = delay
+			sim.StoreAPI.Delay = delay
 			addMachinesPerZone(sim, 2)
 			sim.RunUntil(10 * second)
 			latencies := measureSubmissionLatencies(sim)
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestNodeKillsAndStoreOutage checks that accepted jobs are completed, and run only once,
-// although controllers are killed and the state service has an outage.
+// although controllers are killed and the store has an outage.
 func TestNodeKillsAndStoreOutage(t *testing.T) {
 	c := startCluster(t)
 	for i, team := range teamNames {
@@ -59,12 +59,12 @@
 	c.killNode(0)
 	c.waitFor("n1 returns the job's state while n0 is down", func() bool { return c.jobStatus(1, "j-000010") != "0" && c.jobStatus(1, "j-000010") != "503" })
 	c.startNode(0)
-	c.services.WithLock(func() { c.services.StateServiceDown = true })
+	c.services.WithLock(func() { c.services.StoreDown = true })
 	time.Sleep(2 * time.Second)
 	if code := c.submit(1, "j-000020", "green", 1, time.Second); code != http.StatusServiceUnavailable {
 		t.Errorf("submission during the outage: status %d, want 503", code)
 	}
-	c.services.WithLock(func() { c.services.StateServiceDown = false })
+	c.services.WithLock(func() { c.services.StoreDown = false })
 	for node := range nodeCount {
 		c.killNode(node)
 	}
@@ -100,7 +100,7 @@
 	c.waitFor("the job is done on other machines", func() bool { return c.jobStatus(1, "j-000031") == "done" })
 }
 
-// TestQuickRestartsLoseNoTask checks that a controller which restarts at once neither
+// TestQuickRestartsLoseNoTask checks that a controller that restarts immediately neither
 // loses a task nor starts one a second time.
 func TestQuickRestartsLoseNoTask(t *testing.T) {
 	c := startCluster(t)
