--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -14,8 +14,8 @@
 // slowStoreJobCount is the number of jobs submitted to a slow store.
 const slowStoreJobCount = 30
 
-// TestSlowStore checks that a slow store causes no violations, that jobs still
-// end, and that a submission takes about one round trip rather than several.
+// TestSlowStore checks that a slow store causes no violations, that jobs still end, and
+// that a submission takes about one round trip rather than several.
 func TestSlowStore(t *testing.T) {
 	for _, delay := range []cluster.Time{0, 200 * millisecond, 600 * millisecond} {
 		slow := time.Duration(delay)
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -30,8 +30,8 @@
 	return 0
 }
 
-// TestPartitionedOwnerStopsAnsweringMachines checks that an owner without replies of peers
-// stops answering its machines after a worker lease, and any owner in time.
+// TestPartitionedOwnerStopsAnsweringMachines checks that an owner stops answering its
+// machines after a worker lease if no peer replies, or else after the answer window.
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newOwner := func() *controllerHarness {
 		h := newHarnessWithKnownPeers()
