--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -12,7 +12,7 @@
 // TestAdmissionInDoubtAnsweredAsRetry checks that an admission that may already be stored
 // is answered as a retry. Other controllers may have reported a later state of the job.
 func TestAdmissionInDoubtAnsweredAsRetry(t *testing.T) {
-	for name, want := range map[string]messages.ReplyStatus{"new": 201, "reply lost": 200, "stored by another controller": 200} {
+	for name, want := range map[string]messages.ResponseStatus{"new": 201, "reply lost": 200, "stored by another controller": 200} {
 		h := newControllerHarness()
 		transactions := 0
 		h.losesReply = func(messages.StoreTxn) bool { transactions++; return transactions == 1 && name == "reply lost" }
@@ -73,7 +73,7 @@
 		h.submit(1+i, "j-1")
 	}
 	h.runFor(second)
-	counts := map[messages.ReplyStatus]int{}
+	counts := map[messages.ResponseStatus]int{}
 	for _, response := range h.sentResponses {
 		counts[response.Status]++
 	}
--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -118,7 +118,7 @@
 	var request func()
 	request = func() {
 		node.SendRequest(cancelRequest(job.Spec.ID), func(response messages.Respond) {
-			if response.Status == messages.ReplyOK {
+			if response.Status == messages.StatusOK {
 				c.Users.CheckReportedStatus(job, response.View.Status)
 			} else if job.CancelConfirmedAt == 0 {
 				c.After(cancelRetryDelay, request)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -88,7 +88,7 @@
 func (c *testCluster) checkCancelledEverywhere(job *simulation.Job) {
 	c.t.Helper()
 	for _, node := range c.Nodes {
-		if response := c.queryAt(node, job.Spec.ID); response.Status != messages.ReplyOK || response.View.Status != cluster.JobCancelled {
+		if response := c.queryAt(node, job.Spec.ID); response.Status != messages.StatusOK || response.View.Status != cluster.JobCancelled {
 			c.t.Errorf("%s answers a query for %s with %d %+v, want cancelled", node.ID, job.Spec.ID, response.Status, response.View)
 		}
 	}
@@ -146,9 +146,9 @@
 	c := newTestCluster(t, 2)
 	for i, node := range c.Nodes {
 		id := cluster.JobID(fmt.Sprintf("j-20000%d", i))
-		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-999999"), messages.ReplyUnschedulable)
+		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-999999"), messages.StatusUnschedulable)
 		// The rejected ID may be submitted again with other dependencies.
-		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-000001"), messages.ReplyCreated)
+		c.expectStatus(node, c.newDependent(id, "green", second, "j-000001", "j-000001"), messages.StatusCreated)
 	}
 	c.checkRecentDependencies()
 	c.checkRepeatedSubmissions()
@@ -158,13 +158,13 @@
 }
 
 // expectStatus submits a job to one controller and checks the status of the response.
-func (c *testCluster) expectStatus(node *simulation.Node, job *simulation.Job, want messages.ReplyStatus) {
+func (c *testCluster) expectStatus(node *simulation.Node, job *simulation.Job, want messages.ResponseStatus) {
 	c.t.Helper()
 	response := c.submitAt(node, job)
 	if response.Status != want {
 		c.t.Errorf("%s with dependencies %v is answered with %d %s, want %d", job.Spec.ID, job.Spec.Dependencies, response.Status, response.Error, want)
 	}
-	job.Accepted = response.Status == messages.ReplyOK || response.Status == messages.ReplyCreated
+	job.Accepted = response.Status == messages.StatusOK || response.Status == messages.StatusCreated
 	if job.Accepted {
 		c.Jobs[job.Spec.ID] = job
 	}
@@ -187,7 +187,7 @@
 		}
 		for i, node := range c.Nodes[1:] {
 			id := cluster.JobID(fmt.Sprintf("j-40%d%03d", round, i))
-			c.expectStatus(node, c.newDependent(id, "green", second, ids...), messages.ReplyCreated)
+			c.expectStatus(node, c.newDependent(id, "green", second, ids...), messages.StatusCreated)
 		}
 	}
 }
@@ -203,7 +203,7 @@
 		ids = append(ids, job.Spec.ID)
 		c.Jobs[job.Spec.ID] = job
 		c.Nodes[0].SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
-			if response.Status != messages.ReplyCreated {
+			if response.Status != messages.StatusCreated {
 				c.t.Errorf("%s is answered with %d, want 201", job.Spec.ID, response.Status)
 			}
 			job.Accepted = true
@@ -222,14 +222,14 @@
 	for _, node := range c.Nodes {
 		for _, dependencies := range [][]cluster.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
 			repeated := c.newDependent("j-200000", "green", second, dependencies...)
-			if response := c.submitAt(node, repeated); response.Status != messages.ReplyOK {
+			if response := c.submitAt(node, repeated); response.Status != messages.StatusOK {
 				c.t.Errorf("a repeated submission with dependencies %v is answered with %d by %s, want 200", dependencies, response.Status, node.ID)
 			}
 		}
 	}
 	repeated := c.newDependent("j-000001", "red", 300*second, "j-200000")
 	repeated.Spec.Tasks = c.longJob.Spec.Tasks
-	if response := c.submitAt(c.Nodes[0], repeated); response.Status != messages.ReplyOK {
+	if response := c.submitAt(c.Nodes[0], repeated); response.Status != messages.StatusOK {
 		c.t.Errorf("a repeated submission is answered with %d, want 200", response.Status)
 	}
 }
@@ -241,11 +241,11 @@
 	c.StoreAPI.DownUntil = c.Now + 20*second
 	c.RunUntil(c.Now + 2*second)
 	for _, node := range c.Nodes {
-		c.expectStatus(node, c.newDependent("j-500000", "green", second, "j-999999"), messages.ReplyUnavailable)
-		c.expectStatus(node, c.newDependent("j-500001", "green", second, "j-000001"), messages.ReplyUnavailable)
+		c.expectStatus(node, c.newDependent("j-500000", "green", second, "j-999999"), messages.StatusUnavailable)
+		c.expectStatus(node, c.newDependent("j-500001", "green", second, "j-000001"), messages.StatusUnavailable)
 	}
 	c.RunUntil(c.Now + 30*second)
-	c.expectStatus(c.Nodes[1], c.newDependent("j-500000", "green", second, "j-999999"), messages.ReplyUnschedulable)
+	c.expectStatus(c.Nodes[1], c.newDependent("j-500000", "green", second, "j-999999"), messages.StatusUnschedulable)
 }
 
 // TestDependentOfCancelledJobCancelled checks that a job that depends on a cancelled
@@ -257,7 +257,7 @@
 		for k, team := range testTeams {
 			job := c.newDependent(cluster.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, second, "j-000001")
 			c.Jobs[job.Spec.ID] = job
-			if response := c.submitAt(node, job); response.Status != messages.ReplyCreated {
+			if response := c.submitAt(node, job); response.Status != messages.StatusCreated {
 				t.Errorf("%s is answered with %d by %s, want 201", job.Spec.ID, response.Status, node.ID)
 			}
 			job.Accepted = true
@@ -296,7 +296,7 @@
 // cancelled if it answers a query for it.
 func (c *testCluster) checkNotReportedUnfinished(node *simulation.Node, job *simulation.Job) {
 	c.t.Helper()
-	if response := c.queryAt(node, job.Spec.ID); response.Status == messages.ReplyOK && response.View.Status != cluster.JobCancelled {
+	if response := c.queryAt(node, job.Spec.ID); response.Status == messages.StatusOK && response.View.Status != cluster.JobCancelled {
 		c.t.Errorf("partitioned controller %s reports %s of team %s as %s, %v after the cancellation was confirmed", node.ID, job.Spec.ID, job.Spec.Team, response.View.Status, time.Duration(c.Now-c.longJob.CancelConfirmedAt))
 	}
 }
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -59,7 +59,7 @@
 	ready := &state.Assignment{Task: cluster.TaskID{Job: "j-2", Index: 0}, Job: other, MachineID: machine.ID, Attempt: 8, Phase: state.PhaseReady}
 	machine.AddAssignment(ready)
 	other.SetAssigned(0, ready)
-	h.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
+	h.jobs.Cancellations.CancelOwned("j-1", func(messages.ResponseStatus, *cluster.JobView) {})
 	if !running.StopRequested {
 		t.Fatal("no stop is requested for the cancelled job's task")
 	}
@@ -94,7 +94,7 @@
 	for outcome, resent := range map[messages.Outcome]bool{messages.NotApplied: true, messages.UnknownOutcome: true, messages.OK: false} {
 		h := newControllerHarness()
 		machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
-		h.jobs.Cancellations.CancelOwned("j-1", func(messages.ReplyStatus, *cluster.JobView) {})
+		h.jobs.Cancellations.CancelOwned("j-1", func(messages.ResponseStatus, *cluster.JobView) {})
 		h.reconciler.Commands.PushQueued()
 		push := lastEffect[messages.PushCommands](t, h)
 		takeEffects(h.Controller)
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -56,7 +56,7 @@
 	for _, effect := range h.loop.Effects() {
 		switch effect := effect.(type) {
 		case messages.Respond:
-			if effect.Status != messages.ReplyBadRequest || !strings.HasPrefix(effect.Error, field) {
+			if effect.Status != messages.StatusBadRequest || !strings.HasPrefix(effect.Error, field) {
 				t.Errorf("answered %d %q", effect.Status, effect.Error)
 			}
 		case messages.Log:
--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -57,7 +57,7 @@
 			submittedAt := sim.Now
 			sim.Nodes[i%len(sim.Nodes)].SendRequest(submitRequest(spec), func(response messages.Respond) {
 				latencies = append(latencies, time.Duration(sim.Now-submittedAt))
-				if response.Status == messages.ReplyCreated {
+				if response.Status == messages.StatusCreated {
 					job.Accepted = true
 					sim.Users.CheckReportedStatus(job, response.View.Status)
 				}
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -330,7 +330,7 @@
 	for i := range 20 {
 		spec := cluster.JobSpec{ID: cluster.JobID(fmt.Sprintf("j-%06d", i)), Team: "red", Tasks: 1, ResourceRequest: cluster.Resources{CPU: 1_000_000}, RuntimeSeconds: 5}
 		h.jobs.Submissions.HandleProxied(spec, func(response messages.Respond) {
-			if answered++; response.Status != messages.ReplyCreated {
+			if answered++; response.Status != messages.StatusCreated {
 				t.Errorf("%s is answered with %d, want 201", spec.ID, response.Status)
 			}
 		})
