--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -31,7 +31,7 @@
 }
 
 // TestPartitionedOwnerStopsAnsweringMachines checks that an owner stops answering its
-// machines after a worker lease if no peer replies, or else after the answer window.
+// machines after a worker lease if no peer replies, or else after the response window.
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newOwner := func() *controllerHarness {
 		h := newHarnessWithKnownPeers()
@@ -42,9 +42,9 @@
 		return h
 	}
 	config := newOwner().config
-	answerWindow := ownership.ResponseWindow(config.CancelDeadline, config.WorkerLease)
-	if answerWindow < config.WorkerLease+2*second {
-		t.Fatalf("the answer window of %d s is not longer than the worker lease", answerWindow/second)
+	responseWindow := ownership.ResponseWindow(config.CancelDeadline, config.WorkerLease)
+	if responseWindow < config.WorkerLease+2*second {
+		t.Fatalf("the response window of %d s is not longer than the worker lease", responseWindow/second)
 	}
 	for _, test := range []struct {
 		name        string
@@ -55,7 +55,7 @@
 		{"no peer replies, within the lease", config.WorkerLease - 2*second, false, 200},
 		{"no peer replies, after the lease", config.WorkerLease + second, false, 421},
 		{"one peer replies, after the lease", config.WorkerLease + second, true, 200},
-		{"one peer replies, after the answer window", answerWindow + second, true, 421},
+		{"one peer replies, after the response window", responseWindow + second, true, 421},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newOwner()
