--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -28,21 +28,20 @@
 // effects and their digest.
 const goldenDecisions = "testdata/decisions.txt"
 
-// The numbers of seeds that are recorded in addition to the traces.
+// The numbers of random runs that are recorded in addition to the traces.
 const (
 	randomFaultSeeds = 8
 	sevenNodeSeeds   = 3
 	upgradeSeeds     = 4
 )
 
-// TestDecisions checks that a fixed set of simulated runs has the same effects, in the
-// same order, as recorded in testdata/decisions.txt. It guards against unintended changes
-// of behavior. Effects are hashed in their wire and stored encodings, so that renaming Go
-// identifiers has no influence. Log lines are not included.
+// TestDecisions checks that simulated runs have the effects that are recorded in
+// testdata/decisions.txt. It guards against unintended changes of behavior.
 //
-// The flag -update records the digests anew; a commit that changes decisions on purpose
-// says why. If STAIRRELAY_DECISIONS names a directory, the effects of each run are written
-// to a file in it, for comparison with those of another build.
+// Effects are hashed in their wire and stored encodings, so that renaming Go identifiers
+// does not change the digests. Log lines are not included. The flag -update rewrites the
+// recorded digests. If STAIRRELAY_DECISIONS names a directory, the effects of each run are
+// written to a file in it, for comparison with those of another build.
 func TestDecisions(t *testing.T) {
 	recorder := &decisionRecorder{digests: map[string]string{}}
 	t.Run("runs", recorder.recordAll)
@@ -171,8 +170,8 @@
 	}
 }
 
-// encode returns the wire encoding of an effect. The result is false for a log line,
-// which is no decision.
+// encode returns the wire encoding of an effect. The result is false for a log line, which
+// is not a decision.
 func (d *decisionDigest) encode(effect messages.Effect) (string, bool) {
 	switch e := effect.(type) {
 	case messages.Log:
@@ -198,32 +197,32 @@
 	case messages.QueryWorkerStatus:
 		return fmt.Sprintf("inspect %d %s", e.Call, e.Addr), true
 	case messages.PeerCall:
-		return fmt.Sprintf("peer %d %s %d %s", e.Call, e.To, e.Timeout, d.message(e.Message)), true
+		return fmt.Sprintf("peer %d %s %d %s", e.Call, e.To, e.Timeout, d.encodeMessage(e.Message)), true
 	case messages.Respond:
-		return "respond " + d.answer(e), true
+		return "respond " + d.encodeResponse(e), true
 	default:
 		d.t.Fatalf("unknown effect %T", effect)
 		return "", false
 	}
 }
 
-// answer encodes a response to a user, a worker or another controller.
-func (d *decisionDigest) answer(answer messages.Respond) string {
-	text := fmt.Sprintf("%d %d %d %q", answer.Request, answer.Status, answer.RetryAfter, answer.Error)
-	if answer.View != nil {
-		text += " view " + string(wire.EncodeJobView(*answer.View))
+// encodeResponse encodes a response to a user, a worker or another controller.
+func (d *decisionDigest) encodeResponse(response messages.Respond) string {
+	text := fmt.Sprintf("%d %d %d %q", response.Request, response.Status, response.RetryAfter, response.Error)
+	if response.View != nil {
+		text += " view " + string(wire.EncodeJobView(*response.View))
 	}
-	if answer.Heartbeat != nil {
-		text += " worker " + string(wire.EncodeHeartbeatResponse(answer.Status, *answer.Heartbeat))
+	if response.Heartbeat != nil {
+		text += " worker " + string(wire.EncodeHeartbeatResponse(response.Status, *response.Heartbeat))
 	}
-	if answer.Peer != nil {
-		text += " peer " + d.message(*answer.Peer)
+	if response.Peer != nil {
+		text += " peer " + d.encodeMessage(*response.Peer)
 	}
 	return text
 }
 
-// message encodes a message between controllers.
-func (d *decisionDigest) message(message messages.PeerMessage) string {
+// encodeMessage encodes a message between controllers.
+func (d *decisionDigest) encodeMessage(message messages.PeerMessage) string {
 	frame, err := d.encoder.Marshal(message)
 	if err != nil {
 		d.t.Fatal(err)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,9 +12,9 @@
 	"stairrelay/internal/simulation"
 )
 
-// Dependencies can't form a cycle: a job may only depend on jobs that were accepted
-// before, and a repeated submission does not change the dependencies of an accepted job
-// (see TestDependenciesOfSubmissions).
+// Dependencies can't form a cycle, because a job may only depend on jobs that were
+// accepted before and a repeated submission does not change the dependencies of an
+// accepted job (see TestDependenciesOfSubmissions).
 
 // testTeams are the teams of testConfig.
 var testTeams = []string{"red", "green", "blue"}
@@ -38,7 +38,7 @@
 func (c *testCluster) request(node *simulation.Node, request func(messages.RequestID) messages.Event) messages.Respond {
 	c.t.Helper()
 	var got *messages.Respond
-	node.SendRequest(request, func(answer messages.Respond) { got = &answer })
+	node.SendRequest(request, func(response messages.Respond) { got = &response })
 	c.waitFor("a response", 6*second, func() bool { return got != nil })
 	return *got
 }
@@ -53,8 +53,8 @@
 	return c.request(node, submitRequest(job.Spec))
 }
 
-// submitChain submits a chain of count jobs that starts with first and returns it once
-// all are accepted. Each of the others depends on the job before it. The teams
+// submitChain submits a chain of count jobs and returns it once all are accepted. The
+// chain starts with first, each other job depends on the one before it, and the teams
 // alternate.
 func (c *testCluster) submitChain(first *simulation.Job, count int, run cluster.Time) []*simulation.Job {
 	c.t.Helper()
@@ -88,8 +88,8 @@
 func (c *testCluster) checkCancelledEverywhere(job *simulation.Job) {
 	c.t.Helper()
 	for _, node := range c.Nodes {
-		if answer := c.queryAt(node, job.Spec.ID); answer.Status != messages.StatusOK || answer.View.Status != cluster.JobCancelled {
-			c.t.Errorf("%s answers a query for %s with %d %+v, want cancelled", node.ID, job.Spec.ID, answer.Status, answer.View)
+		if response := c.queryAt(node, job.Spec.ID); response.Status != messages.StatusOK || response.View.Status != cluster.JobCancelled {
+			c.t.Errorf("%s answers a query for %s with %d %+v, want cancelled", node.ID, job.Spec.ID, response.Status, response.View)
 		}
 	}
 }
@@ -117,9 +117,8 @@
 	c.checkNoViolations()
 }
 
-// TestDependencyChainCancelled checks that after the first job of a chain is cancelled
-// every controller reports all of them as cancelled within the cancel deadline, and
-// that none of the others starts a task.
+// TestDependencyChainCancelled checks that after the first job of a chain is cancelled all
+// controllers report all jobs as cancelled in time, and that no other job starts a task.
 func TestDependencyChainCancelled(t *testing.T) {
 	c := newIdleCluster(t, 3)
 	first := c.submitDependent("j-100000", "red", 600*second)
@@ -161,18 +160,18 @@
 // expectStatus submits a job to one controller and checks the status of the response.
 func (c *testCluster) expectStatus(node *simulation.Node, job *simulation.Job, want messages.ResponseStatus) {
 	c.t.Helper()
-	answer := c.submitAt(node, job)
-	if answer.Status != want {
-		c.t.Errorf("%s with dependencies %v is answered with %d %s, want %d", job.Spec.ID, job.Spec.Dependencies, answer.Status, answer.Error, want)
+	response := c.submitAt(node, job)
+	if response.Status != want {
+		c.t.Errorf("%s with dependencies %v is answered with %d %s, want %d", job.Spec.ID, job.Spec.Dependencies, response.Status, response.Error, want)
 	}
-	job.Accepted = answer.Status == messages.StatusOK || answer.Status == messages.StatusCreated
+	job.Accepted = response.Status == messages.StatusOK || response.Status == messages.StatusCreated
 	if job.Accepted {
 		c.Jobs[job.Spec.ID] = job
 	}
 }
 
-// checkRecentDependencies checks that jobs may depend on jobs that another controller
-// has just accepted and stored, in a record each or in a record of several jobs.
+// checkRecentDependencies checks that jobs may depend on jobs that another controller has
+// just accepted, whether these are stored in a record each or in one record together.
 func (c *testCluster) checkRecentDependencies() {
 	c.t.Helper()
 	for round, count := range []int{1, 14} {
@@ -193,8 +192,8 @@
 	}
 }
 
-// submitTogether submits jobs to one controller at once and returns their IDs when all
-// are accepted.
+// submitTogether submits jobs to one controller without delay between them, and returns
+// their IDs when all are accepted.
 func (c *testCluster) submitTogether(round, count int) []cluster.JobID {
 	c.t.Helper()
 	var ids []cluster.JobID
@@ -203,9 +202,9 @@
 		job := c.newDependent(cluster.JobID(fmt.Sprintf("j-30%d%03d", round, i)), "blue", 60*second)
 		ids = append(ids, job.Spec.ID)
 		c.Jobs[job.Spec.ID] = job
-		c.Nodes[0].SendRequest(submitRequest(job.Spec), func(answer messages.Respond) {
-			if answer.Status != messages.StatusCreated {
-				c.t.Errorf("%s is answered with %d, want 201", job.Spec.ID, answer.Status)
+		c.Nodes[0].SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
+			if response.Status != messages.StatusCreated {
+				c.t.Errorf("%s is answered with %d, want 201", job.Spec.ID, response.Status)
 			}
 			job.Accepted = true
 			pending--
@@ -223,20 +222,20 @@
 	for _, node := range c.Nodes {
 		for _, dependencies := range [][]cluster.JobID{{"j-999999"}, nil, {"j-400000"}, {"j-400001"}} {
 			repeated := c.newDependent("j-200000", "green", second, dependencies...)
-			if answer := c.submitAt(node, repeated); answer.Status != messages.StatusOK {
-				c.t.Errorf("a repeated submission with dependencies %v is answered with %d by %s, want 200", dependencies, answer.Status, node.ID)
+			if response := c.submitAt(node, repeated); response.Status != messages.StatusOK {
+				c.t.Errorf("a repeated submission with dependencies %v is answered with %d by %s, want 200", dependencies, response.Status, node.ID)
 			}
 		}
 	}
 	repeated := c.newDependent("j-000001", "red", 300*second, "j-200000")
 	repeated.Spec.Tasks = c.longJob.Spec.Tasks
-	if answer := c.submitAt(c.Nodes[0], repeated); answer.Status != messages.StatusOK {
-		c.t.Errorf("a repeated submission is answered with %d, want 200", answer.Status)
+	if response := c.submitAt(c.Nodes[0], repeated); response.Status != messages.StatusOK {
+		c.t.Errorf("a repeated submission is answered with %d, want 200", response.Status)
 	}
 }
 
-// checkSubmissionsInOutage checks that submissions are neither accepted nor rejected
-// during an outage of the state service.
+// checkSubmissionsInOutage checks that submissions are neither accepted nor rejected as
+// unschedulable during an outage of the store.
 func (c *testCluster) checkSubmissionsInOutage() {
 	c.t.Helper()
 	c.StoreAPI.DownUntil = c.Now + 20*second
@@ -258,8 +257,8 @@
 		for k, team := range testTeams {
 			job := c.newDependent(cluster.JobID(fmt.Sprintf("j-2%d000%d", i, k)), team, second, "j-000001")
 			c.Jobs[job.Spec.ID] = job
-			if answer := c.submitAt(node, job); answer.Status != messages.StatusCreated {
-				t.Errorf("%s is answered with %d by %s, want 201", job.Spec.ID, answer.Status, node.ID)
+			if response := c.submitAt(node, job); response.Status != messages.StatusCreated {
+				t.Errorf("%s is answered with %d by %s, want 201", job.Spec.ID, response.Status, node.ID)
 			}
 			job.Accepted = true
 			c.checkCancelledEverywhere(job)
@@ -268,10 +267,8 @@
 	c.runAndCheck(60 * second)
 }
 
-// TestCancellationVisibleAtPartitionedController checks that a controller that is
-// partitioned from its peers never reports a dependent as unfinished after another
-// controller has confirmed the cancellation of its dependency. Its watch may not have
-// delivered the cancellation yet, so it must read the record first.
+// TestCancellationVisibleAtPartitionedController checks that a partitioned controller
+// reports no dependent as unfinished after the cancellation of its dependency.
 func TestCancellationVisibleAtPartitionedController(t *testing.T) {
 	for i := range 3 {
 		for _, team := range testTeams {
@@ -299,14 +296,13 @@
 // cancelled if it answers a query for it.
 func (c *testCluster) checkNotReportedUnfinished(node *simulation.Node, job *simulation.Job) {
 	c.t.Helper()
-	if answer := c.queryAt(node, job.Spec.ID); answer.Status == messages.StatusOK && answer.View.Status != cluster.JobCancelled {
-		c.t.Errorf("partitioned controller %s reports %s of team %s as %s, %v after the cancellation was confirmed", node.ID, job.Spec.ID, job.Spec.Team, answer.View.Status, time.Duration(c.Now-c.longJob.CancelConfirmedAt))
+	if response := c.queryAt(node, job.Spec.ID); response.Status == messages.StatusOK && response.View.Status != cluster.JobCancelled {
+		c.t.Errorf("partitioned controller %s reports %s of team %s as %s, %v after the cancellation was confirmed", node.ID, job.Spec.ID, job.Spec.Team, response.View.Status, time.Duration(c.Now-c.longJob.CancelConfirmedAt))
 	}
 }
 
-// TestDependentReadyAcrossShards checks that without faults a job in the same or
-// another shard is ready within a second after its dependency is stored as done, and
-// not before.
+// TestDependentReadyAcrossShards checks that without faults a dependent in any shard is
+// ready within a second after its dependency is stored as done, and not before.
 func TestDependentReadyAcrossShards(t *testing.T) {
 	c := newIdleCluster(t, 3)
 	readyAt := map[string]cluster.Time{}
@@ -339,9 +335,8 @@
 	c.checkNoViolations()
 }
 
-// TestDependentReadyAcrossFailover checks that a dependent runs although the owner of
-// its shard restarts, either while the job waits or right after its dependency is
-// stored as done.
+// TestDependentReadyAcrossFailover checks that a dependent runs although the owner of its
+// shard restarts while the job waits or right after its dependency is stored as done.
 func TestDependentReadyAcrossFailover(t *testing.T) {
 	for _, dependencyDone := range []bool{false, true} {
 		for _, team := range testTeams {
--- a/internal/controller/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -8,35 +8,32 @@
 	"stairrelay/internal/messages"
 )
 
-// TestEmptyGroupKeptUnderUnseenClaim checks that the key of an emptied group is kept
-// while the claim of another shard that created it may be in force, even if this
-// controller has not seen that claim. Late writes under the claim are still applied and
-// would create a deleted key again. The key is deleted once that shard has a later
-// claim.
+// TestEmptyGroupKeptUnderUnseenClaim checks that an emptied group's key is kept while the
+// claim that created it may be in force. A late write would create a deleted key again.
 func TestEmptyGroupKeptUnderUnseenClaim(t *testing.T) {
 	const creationClaim = cluster.Revision(40)
 	for _, test := range []struct {
 		name           string
 		knownRevision  cluster.ModRevision // of the other shard's claim, as known to this controller
 		storedRevision cluster.ModRevision // of the other shard's claim in the store
-		dropped        bool
+		deleted        bool
 	}{
 		{"a later claim is in force", 50, 50, true},
 		{"the creation claim is in force and known", cluster.ModRevision(creationClaim), cluster.ModRevision(creationClaim), false},
 		{"the creation claim is in force and not yet seen", 30, cluster.ModRevision(creationClaim), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
-			shard, other := b.state.Shards[0], b.state.Shards[1]
-			b.store.revision = 60
+			h := newControllerHarness()
+			shard, other := h.state.Shards[0], h.state.Shards[1]
+			h.store.revision = 60
 			other.Owned, other.Ready, other.ModRevision = false, false, test.knownRevision
-			b.store.keys[other.Key()] = messages.KV{Key: other.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.storedRevision}
+			h.store.keys[other.Key()] = messages.KV{Key: other.Key(), Value: []byte(`{"holder":"n1","term":2,"w":"b1-1"}`), ModRevision: test.storedRevision}
 			emptied := messages.KV{Key: "groups/b1-40-1", Value: grouprecord.Encode(grouprecord.Record{ShardID: shard.ID, WriteID: "b0-5"}), ModRevision: 55}
-			b.store.keys[emptied.Key] = emptied
-			b.inventory.ApplyRecord(emptied, shard)
-			b.runFor(second)
-			if dropped := b.store.get(emptied.Key).Outcome == messages.NotFound; dropped != test.dropped {
-				t.Errorf("deleted %v, want %v", dropped, test.dropped)
+			h.store.keys[emptied.Key] = emptied
+			h.inventory.ApplyRecord(emptied, shard)
+			h.runFor(second)
+			if deleted := h.store.get(emptied.Key).Outcome == messages.NotFound; deleted != test.deleted {
+				t.Errorf("deleted %v, want %v", deleted, test.deleted)
 			}
 		})
 	}
--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -8,9 +8,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestScaleOutInZoneOfJob checks that machines for a job that is bound to a zone are
-// requested only there, even if the cloud is out of capacity in that zone. Machines in
-// other zones would be paid for, but can't run the job.
+// TestScaleOutInZoneOfJob checks that machines for a job bound to a zone are requested
+// only there, even if the zone is out of capacity. The job can't use others.
 func TestScaleOutInZoneOfJob(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -23,16 +22,16 @@
 		{"not bound, one zone without capacity", "", []string{"a"}, []string{"b"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newControllerHarness()
-			shard := b.state.Shards[0]
-			small := b.state.MachineTypes["small"]
+			h := newControllerHarness()
+			shard := h.state.Shards[0]
+			small := h.state.MachineTypes["small"]
 			small.Zones = []string{"a", "b"}
-			b.state.MachineTypes["small"] = small
+			h.state.MachineTypes["small"] = small
 			for _, zone := range test.outOfCapacity {
-				shard.OptionBackoffUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = b.loop.Now() + 60*second
+				shard.OptionBackoffUntil[state.ProvisioningOption{Type: "small", Zone: zone, Spot: false}] = h.loop.Now() + 60*second
 			}
-			b.addTestJob("j-1", 1).Spec.Zone = test.zone
-			b.provisioner.ScaleOut.RunShard(shard)
+			h.addTestJob("j-1", 1).Spec.Zone = test.zone
+			h.provisioner.ScaleOut.RunShard(shard)
 			var requested []string
 			for _, name := range slices.Sorted(maps.Keys(shard.ProvisioningRequests)) {
 				requested = append(requested, shard.ProvisioningRequests[name].Option.Zone)
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -15,38 +15,36 @@
 // inside must stop answering its machines, and a controller outside must not restart
 // tasks that may still run inside.
 
-// heartbeatReplyStatus returns the status of the response to a heartbeat of a machine.
+// heartbeatResponseStatus returns the status of the response to a heartbeat of a machine.
 // The result is 0 if there is none.
-func heartbeatReplyStatus(b *controllerHarness, machine *state.Machine) messages.ResponseStatus {
-	takeEffects(b.Controller)
-	b.reconciler.Heartbeats.Handle(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1}})
-	setTime(b.Controller, b.loop.Now()+reconcile.MaxHeartbeatHold)
-	b.flush()
-	for _, effect := range b.loop.Effects() {
-		if answer, ok := effect.(messages.Respond); ok {
-			return answer.Status
+func heartbeatResponseStatus(h *controllerHarness, machine *state.Machine) messages.ResponseStatus {
+	takeEffects(h.Controller)
+	h.reconciler.Heartbeats.Handle(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1}})
+	setTime(h.Controller, h.loop.Now()+reconcile.MaxHeartbeatHold)
+	h.flush()
+	for _, effect := range h.loop.Effects() {
+		if response, ok := effect.(messages.Respond); ok {
+			return response.Status
 		}
 	}
 	return 0
 }
 
-// TestPartitionedOwnerStopsAnsweringMachines checks how long an owner in a partitioned
-// zone answers its machines. If no peer replies to it, it stops after one worker lease,
-// so that the machines have another lease to find their new owner. In any case it stops
-// in time for the cancel deadline.
+// TestPartitionedOwnerStopsAnsweringMachines checks that an owner stops answering its
+// machines after a worker lease if no peer replies, or else after the response window.
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newOwner := func() *controllerHarness {
-		b := newHarnessWithKnownPeers()
-		b.writeQueue.Health.MarkFailing(b.loop.Now())
-		for _, peer := range b.members.Peers() {
-			acknowledgeTerm(b, peer.ID(), 1)
+		h := newHarnessWithKnownPeers()
+		h.writeQueue.Health.MarkFailing(h.loop.Now())
+		for _, peer := range h.members.Peers() {
+			acknowledgeTerm(h, peer.ID(), 1)
 		}
-		return b
+		return h
 	}
 	config := newOwner().config
-	answerWindow := ownership.ResponseWindow(config.CancelDeadline, config.WorkerLease)
-	if answerWindow < config.WorkerLease+2*second {
-		t.Fatalf("the answer window of %d s is not longer than the worker lease", answerWindow/second)
+	responseWindow := ownership.ResponseWindow(config.CancelDeadline, config.WorkerLease)
+	if responseWindow < config.WorkerLease+2*second {
+		t.Fatalf("the response window of %d s is not longer than the worker lease", responseWindow/second)
 	}
 	for _, test := range []struct {
 		name        string
@@ -57,51 +55,50 @@
 		{"no peer replies, within the lease", config.WorkerLease - 2*second, false, 200},
 		{"no peer replies, after the lease", config.WorkerLease + second, false, 421},
 		{"one peer replies, after the lease", config.WorkerLease + second, true, 200},
-		{"one peer replies, after the answer window", answerWindow + second, true, 421},
+		{"one peer replies, after the response window", responseWindow + second, true, 421},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newOwner()
-			machine, _ := b.addRunningMachine(b.addTestJob("j-1", 1))
-			setTime(b.Controller, b.loop.Now()+test.after)
+			h := newOwner()
+			machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
+			setTime(h.Controller, h.loop.Now()+test.after)
 			if test.peerReplies {
-				acknowledgeTerm(b, "n1", 1)
+				acknowledgeTerm(h, "n1", 1)
 			}
-			if status := heartbeatReplyStatus(b, machine); status != test.status {
+			if status := heartbeatResponseStatus(h, machine); status != test.status {
 				t.Errorf("a heartbeat is answered with %d, want %d", status, test.status)
 			}
 		})
 	}
 }
 
-// TestTaskOfPartitionedZoneNotRestarted checks that a new owner does not restart a task
-// that is recorded on a silent machine of a partitioned zone before the cloud has
-// terminated the machine and the record shows it.
+// TestTaskOfPartitionedZoneNotRestarted checks that a task on a silent machine is not
+// restarted before the cloud has terminated the machine and its record shows that.
 func TestTaskOfPartitionedZoneNotRestarted(t *testing.T) {
-	b := newControllerHarness()
-	shard := b.state.Shards[0]
-	job := b.addTestJob("j-1", 1)
+	h := newControllerHarness()
+	shard := h.state.Shards[0]
+	job := h.addTestJob("j-1", 1)
 	task := cluster.TaskID{Job: "j-1", Index: 0}
 	partitioned := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1", Tasks: []grouprecord.Task{{ID: task, Attempt: 7}}}
 	record := messages.KV{Key: "groups/cut", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{partitioned}, WriteID: "b9-1"}), ModRevision: 25}
-	b.store.keys[record.Key] = record
-	b.inventory.ApplyRecord(record, shard)
-	outside := b.inventory.AddMachine(b.state.AddGroup(shard, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
-	b.store.keys["groups/outside"] = messages.KV{Key: "groups/outside", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), ModRevision: 26}
+	h.store.keys[record.Key] = record
+	h.inventory.ApplyRecord(record, shard)
+	outside := h.inventory.AddMachine(h.state.AddGroup(shard, "outside", 26), grouprecord.Machine{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}, 31)
+	h.store.keys["groups/outside"] = messages.KV{Key: "groups/outside", Value: grouprecord.Encode(grouprecord.Record{ShardID: 0, Machines: []grouprecord.Machine{{ID: "m-2", Kind: grouprecord.Kind{Type: "small", Zone: "b", Spot: false}, Address: "m-2"}}, WriteID: "b9-2"}), ModRevision: 26}
 	outside.TokenAcknowledged, outside.Incarnation, outside.SequenceNumber = true, 1, 1
 
 	startedOutside := func() bool {
-		b.scheduler.ScheduleShard(shard)
+		h.scheduler.ScheduleShard(shard)
 		return outside.Assignments[task] != nil
 	}
 	if startedOutside() {
 		t.Error("the task was started outside while the record lists it on a machine of the zone")
 	}
-	b.provisioner.ScaleIn.HandleTerminated(b.state.Machines["m-1"])
+	h.provisioner.ScaleIn.HandleTerminated(h.state.Machines["m-1"])
 	if startedOutside() {
 		t.Error("the task was started outside before the record shows that the machine is gone")
 	}
-	b.runFor(second)
-	outside.LastHeartbeat = b.loop.Now()
+	h.runFor(second)
+	outside.LastHeartbeat = h.loop.Now()
 	if !startedOutside() || job.PendingCount() != 0 {
 		t.Error("the task was not started outside although the record shows that the machine is gone")
 	}
