--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -52,10 +52,10 @@
 const (
 	// watchPause is the pause between two watch requests for job records. It may be
 	// long, because notices between controllers deliver most changes sooner.
-	watchPause = 2 * second
+	watchDelay = 2 * second
 	// storeTimeout is how long the store may be unavailable before requests that need it
 	// are rejected without being tried.
-	storeTimeout = second
+	maxStoreOutage = second
 )
 
 // Config holds the settings that the package uses.
--- a/internal/jobs/linearizablereads.go
+++ b/internal/jobs/linearizablereads.go
@@ -25,7 +25,7 @@
 // read calls handle with true after all changes stored before this call are applied, or
 // with false if they could not be read.
 func (l *linearizableReads) read(handle func(ok bool)) {
-	if l.writeQueue.IsUnavailableFor(storeTimeout) || l.state.Jobs.AppliedRevision == 0 || !l.admissionRecords.loaded {
+	if l.writeQueue.IsUnavailableFor(maxStoreOutage) || l.state.Jobs.AppliedRevision == 0 || !l.admissionRecords.loaded {
 		handle(false)
 		return
 	}
--- a/internal/jobs/checkpoints.go
+++ b/internal/jobs/outcomes.go
@@ -12,17 +12,17 @@
 // backgroundCheckpointIntervals is the number of checkpoint intervals between two
 // background writes of a job while task starts are queued. Writing in each interval
 // would use up the write budget that the starts need.
-const backgroundCheckpointIntervals = 4
+const backgroundWriteIntervals = 4
 
 // WriteOutcomes enqueues background writes of the newly completed tasks of unfinished
 // jobs.
 func (r *Records) WriteOutcomes() {
 	for _, job := range r.state.OwnedJobs() {
-		if job.WriteQueued || job.FinalStatus != "" || job.RecordTooLarge || r.isCheckpointDeferred(job) {
+		if job.WriteQueued || job.FinalStatus != "" || job.RecordTooLarge || r.isBackgroundWriteDeferred(job) {
 			continue
 		}
 		if slices.Contains(job.DirtyChunks, true) {
-			job.NextBackgroundWriteAt = r.loop.Now() + backgroundCheckpointIntervals*r.config.CheckpointInterval
+			job.NextBackgroundWriteAt = r.loop.Now() + backgroundWriteIntervals*r.config.CheckpointInterval
 			r.WriteJob(job, writequeue.PriorityBackground)
 		}
 	}
@@ -30,7 +30,7 @@
 
 // isCheckpointDeferred reports whether a job's next background write has to wait because
 // task starts are queued.
-func (r *Records) isCheckpointDeferred(job *state.Job) bool {
+func (r *Records) isBackgroundWriteDeferred(job *state.Job) bool {
 	return r.loop.Now() < job.NextBackgroundWriteAt && len(r.writeQueue.Queued(writequeue.PriorityStart)) > 0
 }
 
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -89,7 +89,7 @@
 // lookUpInStore looks up a job's status in its own record in the store, or in the
 // admission records if it has none.
 func (q *Queries) lookUpInStore(id cluster.JobID, handle viewHandler) {
-	if q.writeQueue.IsUnavailableFor(storeTimeout) || q.writeQueue.IsRequestBudgetOverdrawn() {
+	if q.writeQueue.IsUnavailableFor(maxStoreOutage) || q.writeQueue.IsRequestBudgetOverdrawn() {
 		handle(messages.StatusUnavailable, cluster.JobView{})
 		return
 	}
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -11,7 +11,7 @@
 )
 
 // readRetryPause is the pause before a failed read of a job's records is retried.
-const readRetryPause = second / 2
+const readRetryDelay = second / 2
 
 // Records applies the stored records of jobs, and writes those of the jobs of owned
 // shards.
@@ -119,7 +119,7 @@
 			r.applyChunk(job, chunk, reply.KV)
 		case messages.NotFound: // no completed task of the chunk was stored yet
 		default:
-			r.loop.After(readRetryPause, func() {
+			r.loop.After(readRetryDelay, func() {
 				if r.state.Jobs.Owns(job) {
 					r.loadChunk(job, chunk)
 				}
@@ -166,7 +166,7 @@
 		r.writeQueue.Watch(writequeue.PrefixWatch{
 			Prefix:      state.JobKeyPrefix,
 			Position:    &r.state.Jobs.AppliedRevision,
-			Pause:       watchPause,
+			Pause:       watchDelay,
 			OnChange:    r.applyWatched,
 			OnCompacted: r.load,
 		})
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -210,7 +210,7 @@
 		var record Record
 		switch {
 		case reply.Outcome != messages.OK:
-			r.loop.After(readRetryPause, func() { r.resolveFirstRecordConflict(job, priority) })
+			r.loop.After(readRetryDelay, func() { r.resolveFirstRecordConflict(job, priority) })
 		case json.Unmarshal(reply.KV.Value, &record) != nil || !record.isAdmission():
 			r.dropShardOf(job)
 		default:
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -120,7 +120,7 @@
 		s.submissions.queries.answerIdempotentRetry(s.spec.ID, s.respond)
 		return
 	}
-	if s.submissions.writeQueue.IsUnavailableFor(storeTimeout) {
+	if s.submissions.writeQueue.IsUnavailableFor(maxStoreOutage) {
 		s.reject(messages.StatusUnavailable, storeRetryAfterSeconds, "store out of reach")
 		return
 	}
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -6,7 +6,7 @@
 )
 
 // minProbeDelay is the minimum delay between two calls to a peer.
-const minProbeDelay = 5 * millisecond
+const minCallDelay = 5 * millisecond
 
 // failureDetector monitors a peer by periodic pings. An unanswered ping is followed by
 // retries with exponential backoff and then by probes at a fixed interval.
@@ -16,28 +16,28 @@
 type failureDetector struct {
 	members      *Members
 	peer         *Peer
-	missedProbes int
+	unansweredCalls int
 }
 
 // probe calls the peer and schedules the next call when the outcome is known.
-func (d *failureDetector) probe() {
+func (d *failureDetector) callPeer() {
 	m, peer := d.members, d.peer
 	timeout, sentAt := d.timeout(), m.loop.Now()
 	m.Call(peer.id, timeout, messages.PeerMessage{Ping: m.MakePing(peer)}, func(reply messages.PeerReply) {
 		if reply.Outcome == messages.OK && reply.Message.Ping != nil && m.checkPing(peer, reply.Message.Ping) == nil {
-			d.missedProbes = 0
+			d.unansweredCalls = 0
 			m.HandlePingReply(peer, reply.Message.Ping, sentAt)
-			m.loop.After(m.config.PingInterval, d.probe)
+			m.loop.After(m.config.PingInterval, d.callPeer)
 			return
 		}
-		d.handleMissedProbe()
+		d.handleUnansweredCall()
 		// A refused connection fails immediately. Waiting for the rest of the
 		// timeout keeps it from shortening the detection time.
 		delay := sentAt + timeout - m.loop.Now()
 		if d.isExhausted() {
 			delay = max(delay, m.config.ProbeInterval)
 		}
-		m.loop.After(max(delay, minProbeDelay), d.probe)
+		m.loop.After(max(delay, minCallDelay), d.callPeer)
 	})
 }
 
@@ -45,10 +45,10 @@
 func (d *failureDetector) timeout() cluster.Time {
 	config := &d.members.config
 	switch {
-	case d.missedProbes == 0:
+	case d.unansweredCalls == 0:
 		return config.PingTimeout
-	case d.missedProbes <= config.PingRetries:
-		return config.InitialRetryTimeout << (d.missedProbes - 1)
+	case d.unansweredCalls <= config.PingRetries:
+		return config.InitialRetryTimeout << (d.unansweredCalls - 1)
 	default:
 		return config.ProbeInterval
 	}
@@ -57,14 +57,14 @@
 // isExhausted reports whether the ping, all retries and all probes were unanswered.
 func (d *failureDetector) isExhausted() bool {
 	config := &d.members.config
-	return d.missedProbes > config.PingRetries+config.ProbeCount
+	return d.unansweredCalls > config.PingRetries+config.ProbeCount
 }
 
 // handleMissedProbe updates the peer's state after a call without a valid reply.
-func (d *failureDetector) handleMissedProbe() {
+func (d *failureDetector) handleUnansweredCall() {
 	m, peer := d.members, d.peer
-	d.missedProbes++
-	if d.missedProbes > m.config.PingRetries && !peer.suspected {
+	d.unansweredCalls++
+	if d.unansweredCalls > m.config.PingRetries && !peer.suspected {
 		peer.suspected = true
 		m.loop.Log(messages.LogDebug, "peer suspected", "node", string(peer.id))
 	}
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -113,7 +113,7 @@
 func (m *Members) Start() {
 	for _, peer := range m.peers {
 		detector := &failureDetector{members: m, peer: peer}
-		detector.probe()
+		detector.callPeer()
 	}
 }
 
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -81,7 +81,7 @@
 
 // storeOutageThreshold is how long the store must be unavailable before this
 // controller suspends acquisitions, ownership checks and reads for lease renewal.
-const storeOutageThreshold = second
+const maxStoreOutage = second
 
 // Config configures a Manager.
 type Config struct {
@@ -170,7 +170,7 @@
 
 // isStoreUnavailable reports whether the store has been unavailable to this
 // controller for longer than storeOutageThreshold.
-func (m *Manager) isStoreUnavailable() bool { return m.queue.IsUnavailableFor(storeOutageThreshold) }
+func (m *Manager) isStoreUnavailable() bool { return m.queue.IsUnavailableFor(maxStoreOutage) }
 
 // isShardID reports whether an ID received from a peer or read from the store is that
 // of a shard.
