--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -70,10 +70,10 @@
 
 // NewAttempt returns the attempt with the given count, from 0 to MaxAttemptCount, under
 // the shard claim made at the given revision.
-func NewAttempt(claim, count uint64) Attempt { return Attempt(claim<<AttemptCountBits | count) }
+func NewAttempt(baseRevision, count uint64) Attempt { return Attempt(baseRevision<<AttemptCountBits | count) }
 
 // Claim returns the revision under which the attempt was counted.
-func (a Attempt) Claim() uint64 { return uint64(a) >> AttemptCountBits }
+func (a Attempt) BaseRevision() uint64 { return uint64(a) >> AttemptCountBits }
 
 // Count returns the attempt's count among the attempts of its claim.
 func (a Attempt) Count() uint64 { return uint64(a) & MaxAttemptCount }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -49,11 +49,11 @@
 func TestAttempt(t *testing.T) {
 	const maxCount = 1<<AttemptCountBits - 1
 	last, next := NewAttempt(41, maxCount), NewAttempt(42, 0)
-	if last.Claim() != 41 || last.Count() != maxCount {
-		t.Errorf("%d is count %d of claim %d, want %d of 41", last, last.Count(), last.Claim(), maxCount)
+	if last.BaseRevision() != 41 || last.Count() != maxCount {
+		t.Errorf("%d is count %d of claim %d, want %d of 41", last, last.Count(), last.BaseRevision(), maxCount)
 	}
-	if next.Claim() != 42 || next.Count() != 0 {
-		t.Errorf("%d is count %d of claim %d, want 0 of 42", next, next.Count(), next.Claim())
+	if next.BaseRevision() != 42 || next.Count() != 0 {
+		t.Errorf("%d is count %d of claim %d, want 0 of 42", next, next.Count(), next.BaseRevision())
 	}
 	if next != last+1 {
 		t.Errorf("the first attempt of the next claim is %d, want %d", next, last+1)
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -23,11 +23,11 @@
 
 	shard.AttemptCount = cluster.MaxAttemptCount - 1
 	last, next := shard.NextAttempt(), shard.NextAttempt()
-	if last.Claim() != 31 || last.Count() != cluster.MaxAttemptCount {
-		t.Errorf("the last attempt has count %d of revision %d, want the maximum count of revision 31", last.Count(), last.Claim())
+	if last.BaseRevision() != 31 || last.Count() != cluster.MaxAttemptCount {
+		t.Errorf("the last attempt has count %d of revision %d, want the maximum count of revision 31", last.Count(), last.BaseRevision())
 	}
-	if next.Claim() != 51 || next.Count() != 1 {
-		t.Errorf("the next attempt has count %d of revision %d, want 1 of 51, the last stored revision", next.Count(), next.Claim())
+	if next.BaseRevision() != 51 || next.Count() != 1 {
+		t.Errorf("the next attempt has count %d of revision %d, want 1 of 51, the last stored revision", next.Count(), next.BaseRevision())
 	}
 	if next == first {
 		t.Error("an attempt number was repeated")
--- a/internal/grouprecord/encode.go
+++ b/internal/grouprecord/encode.go
@@ -97,7 +97,7 @@
 		entry = appendInt(entry, last.ID.Index)
 	}
 	entry = append(entry, '@')
-	claim := tableIndex(&e.form.Claims, first.Attempt.Claim())
+	claim := tableIndex(&e.form.Claims, first.Attempt.BaseRevision())
 	if claim > 0 { // the first claim of the table is the default
 		entry = appendInt(entry, claim)
 		entry = append(entry, '.')
