--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -31,8 +31,8 @@
 	// FencingToken increases with each new owner of a machine. A worker rejects commands
 	// with a lower token than the highest that it has seen.
 	FencingToken uint64
-	// Attempt identifies one start of a task. It combines the revision of the shard claim
-	// under which the task was started with a count; see NewAttempt.
+	// Attempt identifies one start of a task. It combines a base revision, which no other
+	// owner of the shard uses, with a count; see AttemptCountBits.
 	Attempt uint64
 	// Incarnation identifies a period between two lease expiries of a worker. It
 	// increases whenever the worker's lease expires.
@@ -41,7 +41,7 @@
 	SequenceNumber uint64
 	// Term numbers the claims of a shard. A later owner has a higher term.
 	Term uint64
-	// Time is a monotonic time: nanoseconds since the process started.
+	// Time is a monotonic time, in nanoseconds since the process started, or a duration.
 	Time time.Duration
 	// WallTime is a Unix time in milliseconds. It is used only for display and ordering,
 	// as the clocks of controllers may differ.
@@ -61,21 +61,23 @@
 func (t Time) Seconds() float64 { return time.Duration(t).Seconds() }
 
 // AttemptCountBits is the number of low bits of an Attempt that hold the count. The bits
-// above them hold the revision of the shard claim or, once the counts of the claim are
-// used up, of a later change by the same owner.
+// above them hold the base revision, which is that of the shard claim or, once all counts
+// are used up, that of a later transaction of the same owner.
 const AttemptCountBits = 20
 
 // MaxAttemptCount is the largest count that an Attempt can hold.
 const MaxAttemptCount = 1<<AttemptCountBits - 1
 
-// NewAttempt returns the attempt with the given count, from 0 to MaxAttemptCount, under
-// the shard claim made at the given revision.
-func NewAttempt(baseRevision, count uint64) Attempt { return Attempt(baseRevision<<AttemptCountBits | count) }
+// NewAttempt returns the attempt with the given base revision and count. The count must
+// not exceed MaxAttemptCount.
+func NewAttempt(baseRevision, count uint64) Attempt {
+	return Attempt(baseRevision<<AttemptCountBits | count)
+}
 
-// Claim returns the revision under which the attempt was counted.
+// BaseRevision returns the attempt's base revision.
 func (a Attempt) BaseRevision() uint64 { return uint64(a) >> AttemptCountBits }
 
-// Count returns the attempt's count among the attempts of its claim.
+// Count returns the attempt's count among the attempts with the same base revision.
 func (a Attempt) Count() uint64 { return uint64(a) & MaxAttemptCount }
 
 // NoShard is the shard of a write that belongs to no shard and so depends on no shard
@@ -95,8 +97,8 @@
 	return Amount(math.Floor(quantity*AmountsPerUnit + floorTolerance))
 }
 
-// NoLimit is the quota limit of a team that has none. Sums of a few limits do not
-// overflow.
+// NoLimit is the quota limit of a team without one. It is small enough that a few limits
+// can be added without overflow.
 const NoLimit Amount = math.MaxInt64 / 4
 
 // Priority is the importance of a job. Higher values are more important.
@@ -119,8 +121,9 @@
 // String returns the ID in the form job/index.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID parses the form that String returns. It returns false for any other text. A
-// job ID may contain slashes, so the last slash separates the index.
+// ParseTaskID parses the form that String returns. It returns false if the job ID is
+// empty or the index is not a non-negative integer. A job ID may contain slashes, so the
+// last slash separates the index.
 func ParseTaskID(text string) (TaskID, bool) {
 	separator := strings.LastIndexByte(text, '/')
 	if separator <= 0 {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// TestFloorAmount checks that decimal fractions are converted exactly and that nothing is
-// rounded up.
+// TestFloorAmount checks that decimal fractions are converted exactly, that fractions of
+// a millionth are dropped, and that three NoLimit can be added.
 func TestFloorAmount(t *testing.T) {
 	for quantity, want := range map[float64]Amount{
 		0:         0,
@@ -33,29 +33,29 @@
 		}
 	}
 	if NoLimit+NoLimit+NoLimit < NoLimit {
-		t.Error("a sum of three NoLimit overflows")
+		t.Error("the sum of three NoLimit overflows")
 	}
 }
 
-// TestSeconds checks that Time counts nanoseconds.
+// TestSeconds checks the conversion of a Time to seconds.
 func TestSeconds(t *testing.T) {
 	if got := (3*Second + 250*Millisecond).Seconds(); got != 3.25 {
 		t.Errorf("Seconds() = %v, want 3.25", got)
 	}
 }
 
-// TestAttempt checks that an attempt holds its claim and count, and that attempts of a
-// later claim are higher.
+// TestAttempt checks that an attempt holds its base revision and count, and that an
+// attempt with a later base revision is higher.
 func TestAttempt(t *testing.T) {
 	const maxCount = 1<<AttemptCountBits - 1
 	last, next := NewAttempt(41, maxCount), NewAttempt(42, 0)
 	if last.BaseRevision() != 41 || last.Count() != maxCount {
-		t.Errorf("%d is count %d of claim %d, want %d of 41", last, last.Count(), last.BaseRevision(), maxCount)
+		t.Errorf("%d has count %d of base revision %d, want %d of 41", last, last.Count(), last.BaseRevision(), maxCount)
 	}
 	if next.BaseRevision() != 42 || next.Count() != 0 {
-		t.Errorf("%d is count %d of claim %d, want 0 of 42", next, next.Count(), next.BaseRevision())
+		t.Errorf("%d has count %d of base revision %d, want 0 of 42", next, next.Count(), next.BaseRevision())
 	}
 	if next != last+1 {
-		t.Errorf("the first attempt of the next claim is %d, want %d", next, last+1)
+		t.Errorf("the first attempt with the next base revision is %d, want %d", next, last+1)
 	}
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// JobSpec describes a job as its user submitted it. Its JSON form is stored under
-// jobs/<id>. The field names are short to keep the record small, and must not change.
+// JobSpec describes a submitted job. Its JSON form is part of stored records. The field
+// names are short to keep the records small, and must not change.
 type JobSpec struct {
-	ID                        JobID     `json:"-"` // part of the key, not of the record
+	ID                        JobID     `json:"-"` // stored separately
 	Class                     string    `json:"c"` // determines the SLOs
 	Team                      string    `json:"tm"`
 	Priority                  Priority  `json:"pr"`
@@ -40,8 +40,8 @@
 // IsFinal reports whether the status can never change again.
 func (s JobStatus) IsFinal() bool { return s == JobDone || s == JobCancelled }
 
-// JobView is the result of a query for a job: its status and the numbers of tasks that
-// are done and running. Controllers exchange it as CBOR.
+// JobView is the result of a query for a job: its status and the numbers of completed and
+// running tasks. Controllers exchange it as CBOR.
 type JobView struct {
 	ID      JobID     `cbor:"ID"`
 	Status  JobStatus `cbor:"Status"`
@@ -66,8 +66,8 @@
 	Class string
 	// WithinSeconds is the time allowed for the kinds "wait" and "finished".
 	WithinSeconds float64
-	// DeadlineFactor applies to the kind "deadline". A job has to be done within this
-	// multiple of its own deadline.
+	// DeadlineFactor applies to the kind "deadline". A job must be done within this
+	// multiple of its DeadlineSeconds.
 	DeadlineFactor float64
 }
 
--- a/internal/cluster/resources.go
+++ b/internal/cluster/resources.go
@@ -29,11 +29,11 @@
 	return r.CPU <= available.CPU && r.GPU <= available.GPU && r.Memory <= available.Memory
 }
 
-// maxFitCount is the maximum of FitCount, which it returns for an empty request.
+// maxFitCount is the maximum result of FitCount, and its result for an empty request.
 const maxFitCount = 1 << 20
 
-// FitCount returns how many times a request fits into r, at most 1<<20. It is 0 if r has
-// a negative amount of a requested resource.
+// FitCount returns how many times a request fits into r, at most 1<<20. The result is 0
+// if r has a negative amount of a requested resource.
 func (r Resources) FitCount(request Resources) int {
 	count := Amount(maxFitCount)
 	if request.CPU > 0 {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -57,9 +57,10 @@
 	l.Emit(messages.Log{Level: level, Message: message, Args: keysAndValues})
 }
 
-// Call registers handle for the reply to an outgoing call and returns the id that the
-// effect of the call must carry. The reply must have type R. A reply of another type is
-// a bug in the code that carried out the call; it is logged and dropped.
+// Call registers handle for the reply to an outgoing call and returns the ID of the call.
+// The caller must then emit the effect that makes the call with this ID. The reply must
+// have type R. A reply of another type, which is a bug in the code that made the call, is
+// logged and dropped.
 func Call[R messages.ReplyBody](l *Loop, handle func(R)) messages.CallID {
 	l.lastCall++
 	call := l.lastCall
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestEveryReevaluatesInterval checks that a changed interval applies from the next run
-// on.
+// TestEveryReevaluatesInterval checks that Every determines the interval again after each
+// run.
 func TestEveryReevaluatesInterval(t *testing.T) {
 	loop := eventloop.New()
 	interval, runs := cluster.Second, 0
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -48,7 +48,7 @@
 	return q.heap[0].due, true
 }
 
-// runDue runs the timers that are due, including timers that they add.
+// runDue runs and removes the timers that are due, including due timers that they add.
 func (q *timerQueue) runDue(now cluster.Time) {
 	for len(q.heap) > 0 && q.heap[0].due <= now {
 		due := q.heap[0]
@@ -57,7 +57,7 @@
 	}
 }
 
-// After calls run once delay has passed.
+// After sets a timer that calls run after the given delay.
 func (l *Loop) After(delay cluster.Time, run func()) { l.timers.add(l.now+delay, run) }
 
 // Every calls run immediately, and then again each time the interval has passed. After
@@ -79,6 +79,6 @@
 // NextWake returns when the next timer is due. It reports false if no timer is set.
 func (l *Loop) NextWake() (cluster.Time, bool) { return l.timers.next() }
 
-// RunTimers runs all timers that are due, including those that they set for the current
-// time.
+// RunTimers runs all timers that are due, including those that a timer sets for the
+// current time.
 func (l *Loop) RunTimers() { l.timers.runDue(l.now) }
--- a/internal/jobs/admissionqueue.go
+++ b/internal/jobs/admissionqueue.go
@@ -13,8 +13,8 @@
 const (
 	// admissionTimeout is how long a submission may wait to be stored.
 	admissionTimeout = 3500 * millisecond
-	// proxyDelay is the time after which a submission is forwarded to another
-	// controller if the store has stopped responding to this one.
+	// proxyDelay is the time after which a submission is forwarded to another controller
+	// if the store has stopped responding to this controller.
 	proxyDelay = writequeue.SlowThreshold + 50*millisecond
 	// duplicateCheckDelay is how long submissions are collected for a shared duplicate
 	// check.
@@ -25,11 +25,12 @@
 )
 
 // admissionQueue writes submissions to the store. Submissions that arrive at about the
-// same time are stored in one record by one put. With a put for each, a burst of
+// same time are stored in one record by one put. With one put per submission, a burst of
 // submissions would exceed the write rate.
 //
-// An unanswered submission either is in waiting or belongs to one write. While any is
-// waiting, at least one write is queued that will take it.
+// An unanswered submission is in waiting, belongs to one write, or is looked up in the
+// store after a conflict. While any submission is in waiting, at least one write is
+// queued.
 type admissionQueue struct {
 	*shared
 
@@ -49,13 +50,13 @@
 type pendingAdmission struct {
 	spec     cluster.JobSpec
 	respond  func(messages.Respond)
-	deadline cluster.Time // the submission is not stored after this time
+	deadline cluster.Time // no write takes the submission after this time
 	answered bool
 
 	duplicateChecked     bool                     // the duplicate check is complete
 	duplicateCheckFailed bool                     // the admission records could not be read
 	idempotentRetries    []func(messages.Respond) // responders of submissions with the same ID
-	answerStored         func()                   // set when the submission is stored
+	answerStored         func()                   // answers the submission; set when it is stored
 }
 
 // answerIfReady answers the submission if it is stored and its duplicate check is
@@ -80,7 +81,8 @@
 }
 
 // add queues a job to be stored. The submission is answered when the job is stored, or
-// rejected after admissionTimeout.
+// rejected after admissionTimeout. If the store is unresponsive after proxyDelay, the
+// submission is also forwarded to another controller.
 func (q *admissionQueue) add(spec cluster.JobSpec, respond func(messages.Respond)) {
 	admission := &pendingAdmission{spec: spec, respond: respond, deadline: q.loop.Now() + admissionTimeout}
 	q.loop.After(admissionTimeout, func() {
@@ -121,7 +123,8 @@
 }
 
 // takeBatch removes submissions from the queue and returns those to be stored together,
-// as many as fit into one record. It drops answered and expired ones.
+// as many as fit into one record. It drops submissions that are answered or expired, and
+// joins those with the same ID.
 func (q *admissionQueue) takeBatch() []*pendingAdmission {
 	var batch []*pendingAdmission
 	size := 0
@@ -149,9 +152,10 @@
 // of the record is left for completed tasks.
 func (s *shared) maxSpecBytes() int { return s.config.MaxValueBytes * 4 / 5 }
 
-// joinIdempotentRetry reports whether a submission need not be stored. Either its job is
-// known by now, and the submission is answered, or the batch has a submission with the
-// same ID, and both are answered together.
+// joinIdempotentRetry reports whether a submission need not be stored, because its job is
+// known by now or the batch has a submission with the same ID. In the former case it
+// answers the submission; in the latter case the two submissions will be answered
+// together.
 func (q *admissionQueue) joinIdempotentRetry(admission *pendingAdmission, batch []*pendingAdmission) bool {
 	id := admission.spec.ID
 	if q.state.Jobs.Known[id] != nil { // stored by another submission with the same ID
@@ -172,20 +176,21 @@
 	return true
 }
 
-// putsNeeded returns how many puts the waiting submissions need if each stores as many
-// as a transaction allows.
+// putsNeeded returns how many puts the waiting submissions need if each put stores
+// MaxTxnOps of them.
 func (q *admissionQueue) putsNeeded() float64 {
 	return float64(len(q.waiting)) / float64(q.config.MaxTxnOps)
 }
 
-// nextKey returns the key of the next admission record. It is never used twice, because
-// no other process has the same instance ID.
+// nextKey returns the key of the next admission record. No key is ever used twice,
+// because it contains a counter and the instance ID, which is unique to this process.
 func (q *admissionQueue) nextKey() string {
 	q.keysIssued++
 	return AdmissionKeyPrefix + q.config.InstanceID + "-" + strconv.Itoa(q.keysIssued)
 }
 
-// enqueueWrite enqueues a write that takes submissions when it is sent.
+// enqueueWrite enqueues a write. The write takes its submissions from the queue when its
+// transaction is built.
 func (q *admissionQueue) enqueueWrite() {
 	q.queuedWrites++
 	key := q.nextKey()
@@ -201,8 +206,9 @@
 	q.writeQueue.Enqueue(writequeue.PriorityAdmission, write.write)
 }
 
-// answerAdmitted answers a submission that was stored at a revision. It is answered as
-// new unless an earlier record has admitted the job or the duplicate check has failed.
+// answerAdmitted answers a submission that was stored at a revision. It is answered as an
+// idempotent retry if an earlier admission record lists the job or the duplicate check
+// has failed, and otherwise as a new job.
 func (q *admissionQueue) answerAdmitted(admission *pendingAdmission, revision cluster.ModRevision) {
 	id := admission.spec.ID
 	if admission.duplicateCheckFailed || q.admissionRecords.wasAdmittedBefore(id, revision) {
--- a/internal/jobs/admissionqueue_test.go
+++ b/internal/jobs/admissionqueue_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestAdmissionBatchSkipsAnsweredAndExpired checks that a submission is not stored after it
-// was answered or its deadline has passed.
+// TestAdmissionBatchSkipsAnsweredAndExpired checks that a batch has no submission that
+// was answered or whose deadline has passed.
 func TestAdmissionBatchSkipsAnsweredAndExpired(t *testing.T) {
 	jobs := newTestJobs(t)
 	queue, _ := enqueueTestAdmissions(jobs, cluster.JobSpec{ID: "j-1"}, cluster.JobSpec{ID: "j-2"}, cluster.JobSpec{ID: "j-3"})
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestIdempotentRetryJoinsBatch checks that two submissions with the same ID in a batch are
-// stored once and both answered.
+// TestIdempotentRetryJoinsBatch checks that two submissions with the same ID are taken as
+// one, and that both are answered.
 func TestIdempotentRetryJoinsBatch(t *testing.T) {
 	jobs := newTestJobs(t)
 	queue, responses := enqueueTestAdmissions(jobs, cluster.JobSpec{ID: "j-1"}, cluster.JobSpec{ID: "j-1"})
--- a/internal/jobs/admissionrecords.go
+++ b/internal/jobs/admissionrecords.go
@@ -18,7 +18,7 @@
 	*shared
 
 	records         *Records
-	firstRevisions  map[cluster.JobID]cluster.ModRevision // of the first record that lists the job
+	firstRevisions  map[cluster.JobID]cluster.ModRevision // of the first admission record that lists the job
 	appliedRevision cluster.Revision                      // changes up to this revision are applied
 	loaded          bool                                  // all records were read at least once
 }
@@ -31,8 +31,9 @@
 	}
 }
 
-// Apply applies an admission record. If it was read to load a shard that this controller
-// has acquired, loading is that shard; otherwise it is nil.
+// Apply registers the jobs that an admission record lists, and applies the record of
+// each. If the admission record was read to load a shard that this controller has
+// acquired, loading is that shard; otherwise it is nil.
 func (a *AdmissionRecords) Apply(kv messages.KV, loading *state.Shard) {
 	if kv.Value == nil {
 		return
@@ -51,7 +52,8 @@
 	}
 }
 
-// ApplyAll applies all admission records as of a revision.
+// ApplyAll applies all admission records as of a revision, and marks the admission
+// records as loaded.
 func (a *AdmissionRecords) ApplyAll(items []messages.KV, revision cluster.Revision) {
 	for _, kv := range items {
 		a.Apply(kv, nil)
@@ -88,8 +90,9 @@
 	})
 }
 
-// lookUp calls handle with whether an admission record lists a job. Unless that is known
-// already, it reads the changes from the store; ok is false if that fails.
+// lookUp calls handle with whether an admission record lists a job. Unless the job is
+// known to be listed, it first reads the changes from the store. ok is false if that
+// fails or the initial read has not finished.
 func (a *AdmissionRecords) lookUp(id cluster.JobID, handle func(admitted, ok bool)) {
 	switch {
 	case a.isAdmitted(id):
@@ -104,15 +107,15 @@
 // isAdmitted reports whether an applied admission record lists a job.
 func (a *AdmissionRecords) isAdmitted(id cluster.JobID) bool { return a.firstRevisions[id] > 0 }
 
-// add records that the admission record with a mod revision lists a job.
+// add records that the admission record with the given mod revision lists a job.
 func (a *AdmissionRecords) add(id cluster.JobID, revision cluster.ModRevision) {
 	if first := a.firstRevisions[id]; first == 0 || revision < first {
 		a.firstRevisions[id] = revision
 	}
 }
 
-// wasAdmittedBefore reports whether an admission record with a lower mod revision lists
-// a job.
+// wasAdmittedBefore reports whether an admission record with a mod revision lower than
+// the given one lists a job.
 func (a *AdmissionRecords) wasAdmittedBefore(id cluster.JobID, revision cluster.ModRevision) bool {
 	return a.isAdmitted(id) && a.firstRevisions[id] < revision
 }
--- a/internal/jobs/admissionwrite.go
+++ b/internal/jobs/admissionwrite.go
@@ -21,8 +21,10 @@
 	jobRecords [][]byte // the jobs' own records, stored only if the batch has a single job
 }
 
-// build takes submissions and returns the record that admits them. It is called again if
-// the transaction fails because of another write in it.
+// build takes waiting submissions, as many as fit into a record, and returns the record
+// that admits them. The result is nil if none is left. If more submissions are still
+// waiting than writes are queued, build enqueues another write. If the transaction fails
+// because of another write in it, build is called again and selects the submissions anew.
 func (w *admissionWrite) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 	queue := w.queue
 	if !w.built {
@@ -52,7 +54,7 @@
 }
 
 // buildBatchRecord returns the admission record of several jobs. It makes the write
-// conditional on none of them having a record of its own.
+// conditional on none of these jobs having a record of its own.
 func (w *admissionWrite) buildBatchRecord(writeID string) []byte {
 	record := AdmissionRecord{WriteID: writeID}
 	for _, admission := range w.batch {
@@ -63,7 +65,8 @@
 	return value
 }
 
-// handleStored applies the records of the admitted jobs and answers their submissions.
+// handleStored applies the records of the admitted jobs. It answers each submission as
+// soon as the duplicate check of that submission is complete.
 func (w *admissionWrite) handleStored(stored cluster.Revision) {
 	revision := cluster.ModRevision(stored)
 	for i, admission := range w.batch {
@@ -98,7 +101,7 @@
 }
 
 // handleConflict handles a write that failed because some of its jobs are stored already.
-// Each submission is answered or queued again, depending on its own job.
+// Each submission whose own job is stored is answered, and the others are queued again.
 func (w *admissionWrite) handleConflict() {
 	for _, admission := range w.batch {
 		switch {
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// cancelTimeout is how long a cancellation may take to be stored.
+	// cancelTimeout is how long CancelOwned waits for a cancellation to be stored.
 	cancelTimeout = 2800 * millisecond
 	// cancelCallTimeout is the timeout of a cancellation that is forwarded to the owner
 	// of the job's shard.
@@ -16,7 +16,7 @@
 )
 
 // Cancellations cancels jobs for users and other controllers. A request is answered with
-// a final status only after that status is stored.
+// a final status only after that status, or the cancellation that implies it, is stored.
 type Cancellations struct {
 	*shared
 
@@ -71,7 +71,8 @@
 	c.cancellations.loop.Emit(response)
 }
 
-// forwardToOwner forwards the request to the owner of the job's shard.
+// forwardToOwner forwards the request to the owner of the job's shard, and answers it
+// with the final status in the owner's reply.
 func (c *cancellation) forwardToOwner(known *state.KnownJob) {
 	members := c.cancellations.Members
 	owner := members.Peer(c.cancellations.state.Shards[known.ShardID].Owner)
@@ -90,7 +91,9 @@
 	})
 }
 
-// lookUp looks up an unknown job in the store.
+// lookUp looks up an unknown job in the store. If the job is finished or does not exist,
+// it answers the request accordingly. If the job is unfinished and mayRetry is set, it
+// evaluates the request again. Otherwise it asks the user to retry.
 func (c *cancellation) lookUp(mayRetry bool) {
 	c.cancellations.queries.lookUpInStore(c.id, func(status messages.ResponseStatus, view cluster.JobView) {
 		switch {
@@ -106,9 +109,10 @@
 	})
 }
 
-// CancelOwned cancels a job of an owned shard. It calls handle with the job's final status
-// once that is stored, or with StatusUnavailable and nil if it is not stored in time or
-// this controller does not own the job.
+// CancelOwned stops the tasks of a job of an owned shard and stores its cancellation. It
+// calls handle with the job's final status once that status is stored. It calls handle
+// with StatusUnavailable and nil if no final status is stored within cancelTimeout, or if
+// this controller does not own the job or loses its shard.
 func (c *Cancellations) CancelOwned(id cluster.JobID, handle func(messages.ResponseStatus, *cluster.JobView)) {
 	if known := c.state.Jobs.FinalJob(id); known != nil {
 		handle(messages.StatusOK, &cluster.JobView{ID: id, Status: known.FinalStatus})
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -18,14 +18,14 @@
 const DependentStartDelayMillis = 2000
 
 // dependencyGraph tracks the dependencies between jobs. A job's record lists the jobs
-// that it depends on. Whether it is ready or cancelled because of them is derived from
-// their records.
+// that it depends on. Whether the job is ready, or cancelled because of a dependency, is
+// derived from the records of these jobs.
 //
-// A job is ready when all its dependencies are stored as done. The stored cancellation
-// of a job implies the cancellation of all its direct and indirect dependents, because
-// none of them can be done before it. A controller may report and act on an implied
-// cancellation before the dependent's own record shows it. A blocked job may therefore
-// be reported as unfinished only after all changes stored before the request were read.
+// A job is ready when all its dependencies are stored as done. The stored cancellation of
+// a job implies the cancellation of all its direct and indirect dependents, because they
+// can no longer become ready. A controller may report and act on an implied cancellation
+// before the dependent's own record shows it. A blocked job may therefore be reported as
+// unfinished only after all changes stored before the request were read.
 type dependencyGraph struct {
 	*shared
 
@@ -34,7 +34,8 @@
 }
 
 // add adds the dependencies of a job whose record is seen for the first time, and
-// propagates its urgency to them. The job is cancelled if one of them is.
+// propagates the job's urgency to them. If a dependency is cancelled, the job is
+// cancelled, too.
 func (g *dependencyGraph) add(id cluster.JobID, known *state.KnownJob, spec *cluster.JobSpec) {
 	if known.Spec != nil {
 		return
@@ -61,9 +62,9 @@
 	}
 }
 
-// notifyOfEarlierEnd notifies the owner of a dependent if the job is finished and its
-// shard is owned. The dependent was not known when the final status was stored, so its
-// owner was not notified then.
+// notifyOfEarlierEnd notifies the owner of a dependent if a job is finished and this
+// controller owns the job's shard. The dependent was not known when the final status was
+// stored, so its owner was not notified then.
 func (g *dependencyGraph) notifyOfEarlierEnd(id cluster.JobID, dependent *state.KnownJob) {
 	known := g.state.Jobs.FinalJob(id)
 	if known != nil && g.state.Shards[known.ShardID].Owned && known.ShardID != dependent.ShardID {
@@ -102,8 +103,10 @@
 	}
 }
 
-// applyFinalStatus sets the final status of a job, which is either stored or implied by the
-// cancellation of a dependency, and updates the job's dependents.
+// applyFinalStatus sets the final status of a job, which is either stored or implied by
+// the cancellation of a dependency, and updates the job's dependents. It does nothing if
+// the job already has a final status. An owned job that is cancelled because of a
+// dependency is stopped, and its cancellation is stored.
 func (g *dependencyGraph) applyFinalStatus(id cluster.JobID, known *state.KnownJob, final cluster.JobStatus) {
 	if known.FinalStatus != "" {
 		return
@@ -125,8 +128,8 @@
 	}
 }
 
-// cancel stops the tasks of a job that is cancelled because of a dependency, and stores
-// the cancellation.
+// cancel stops the tasks of a job that is cancelled because of a dependency, and enqueues
+// a write of the cancellation.
 func (g *dependencyGraph) cancel(job *state.Job) {
 	job.Cancelling = true
 	g.Tasks.WithdrawUnsentStarts(job)
@@ -134,8 +137,8 @@
 	g.records.WriteJob(job, writequeue.PriorityOutcome)
 }
 
-// updateReadiness updates whether a job is blocked, and requests scheduling once all its
-// dependencies are met.
+// updateReadiness updates whether an owned job is blocked. When the last of its
+// dependencies is done, it requests scheduling and scale-out.
 func (g *dependencyGraph) updateReadiness(job *state.Job) {
 	known := g.state.Jobs.Known[job.Spec.ID]
 	blocked := known != nil && len(g.state.Jobs.UnmetDependencies(known)) > 0
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -36,8 +36,9 @@
 	}
 }
 
-// TestCancellationPropagatesToDependents checks that a stored cancellation cancels all direct
-// and indirect dependents across shards, and that the owned ones are stopped and stored.
+// TestCancellationPropagatesToDependents checks that a stored cancellation cancels all
+// dependents across shards, and that owned ones are stopped and being stored as
+// cancelled.
 func TestCancellationPropagatesToDependents(t *testing.T) {
 	jobs := newTestJobs(t)
 	jobs.applySpec("a", "red")
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -50,11 +50,11 @@
 )
 
 const (
-	// watchPause is the pause between two watch requests for job records. It may be
-	// long, because notices between controllers deliver most changes sooner.
+	// watchDelay is the delay between two watch requests for job records. It may be long,
+	// because notices between controllers deliver most changes sooner.
 	watchDelay = 2 * second
-	// storeTimeout is how long the store may be unavailable before requests that need it
-	// are rejected without being tried.
+	// maxStoreOutage is how long the store may be unavailable before requests that need
+	// it are rejected without being tried.
 	maxStoreOutage = second
 )
 
@@ -98,9 +98,10 @@
 type Scheduler interface {
 	// RequestScheduling requests a scheduling pass.
 	RequestScheduling()
-	// RequestScaleOut requests a check whether more machines are needed.
+	// RequestScaleOut requests a check of whether more machines are needed.
 	RequestScaleOut()
-	// RuntimeRatio returns the ratio of actual to estimated run time of a class.
+	// RuntimeRatio returns the ratio of the actual to the estimated run time of the jobs
+	// of a class.
 	RuntimeRatio(class string) float64
 }
 
--- a/internal/jobs/notices.go
+++ b/internal/jobs/notices.go
@@ -15,22 +15,23 @@
 	// again up to noticeRetries times.
 	noticeTimeout = second
 	noticeRetries = 3
-	// maxNotices and maxNoticeBytes limit the number and the total size of the records
-	// in a message. The latter is a quarter of the size limit of messages. A single
-	// record of any size is sent.
+	// maxNotices and maxNoticeBytes limit the number and the total size of the records in
+	// a message. maxNoticeBytes is a quarter of the size limit of messages. A single
+	// record may exceed it.
 	maxNotices     = 50
 	maxNoticeBytes = 256 << 10
 )
 
 // noticeSender sends stored job records to the owners of shards, so that the owners need
-// not wait for their watches. If a notice is lost, the watch delivers the change.
+// not wait for their watches. If a notice is lost, the owner's watch delivers the change.
 type noticeSender struct {
 	*shared
 
 	queues map[cluster.NodeID]*noticeQueue
 }
 
-// noticeQueue collects the records for a controller, so that several share a message.
+// noticeQueue collects the records for a controller, so that several records share a
+// message.
 //
 // While records are waiting, a message is scheduled or in flight. The records of a
 // failed message are sent again, up to noticeRetries times.
@@ -43,7 +44,7 @@
 	return &noticeSender{shared: common, queues: map[cluster.NodeID]*noticeQueue{}}
 }
 
-// nextBatch returns the records of the next message. They stay in the queue.
+// nextBatch returns the records of the next message without removing them from the queue.
 func (q *noticeQueue) nextBatch() []messages.KV {
 	size := 0
 	for i, kv := range q.waiting {
@@ -96,7 +97,7 @@
 }
 
 // sendToDependencyOwners sends the record of a new job to the owners of the jobs that it
-// depends on, so that they notify its owner when those jobs end.
+// depends on, so that these owners notify the new job's owner when the dependencies end.
 func (n *noticeSender) sendToDependencyOwners(spec *cluster.JobSpec, kv messages.KV) {
 	notified := map[cluster.ShardID]bool{n.state.Teams[spec.Team].ShardID: true}
 	for _, id := range spec.Dependencies {
--- a/internal/jobs/notices_test.go
+++ b/internal/jobs/notices_test.go
@@ -6,8 +6,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestJobNoticesWithinMessageLimit checks that large records are split across messages
-// within the size limit, and that an oversized one is sent alone.
+// TestJobNoticesWithinMessageLimit checks that a message exceeds neither the record count
+// nor the size limit, and that an oversized record is sent alone.
 func TestJobNoticesWithinMessageLimit(t *testing.T) {
 	large := messages.KV{Key: "jobs/j", Value: make([]byte, 64<<10)}
 	huge := messages.KV{Key: "jobs/h", Value: make([]byte, 2*maxNoticeBytes)}
--- a/internal/jobs/outcomes.go
+++ b/internal/jobs/outcomes.go
@@ -9,9 +9,9 @@
 	"stairrelay/internal/writequeue"
 )
 
-// backgroundCheckpointIntervals is the number of checkpoint intervals between two
-// background writes of a job while task starts are queued. Writing in each interval
-// would use up the write budget that the starts need.
+// backgroundWriteIntervals is the minimum time between two background writes of a job
+// while task starts are queued, as a number of checkpoint intervals. Writing in each
+// interval would use up the write budget that the starts need.
 const backgroundWriteIntervals = 4
 
 // WriteOutcomes enqueues background writes of the newly completed tasks of unfinished
@@ -28,14 +28,15 @@
 	}
 }
 
-// isCheckpointDeferred reports whether a job's next background write has to wait because
-// task starts are queued.
+// isBackgroundWriteDeferred reports whether a job's next background write has to wait
+// because task starts are queued and the last background write was recent.
 func (r *Records) isBackgroundWriteDeferred(job *state.Job) bool {
 	return r.loop.Now() < job.NextBackgroundWriteAt && len(r.writeQueue.Queued(writequeue.PriorityStart)) > 0
 }
 
 // acknowledgeStoredTasks lets the machine records drop the tasks whose completion is
-// stored. These tasks have exited, so their ends may be acknowledged to the workers.
+// stored. These tasks have exited, so their ends are acknowledged to the workers. An
+// assignment that is already removed from the machine's record is removed from memory.
 func (r *Records) acknowledgeStoredTasks(job *state.Job) {
 	for assignment := range job.ListedAssignments {
 		machine := r.state.Machines[assignment.MachineID]
@@ -54,8 +55,9 @@
 }
 
 // handleFinalStatusStored updates a job after its final status is stored: it updates and
-// notifies the dependents, calls the waiters, and removes the job from the owned ones
-// unless tasks of it are still assigned.
+// notifies the dependents and calls the waiters. If the job is still owned, it stops the
+// remaining tasks of a cancelled job, requests scheduling, and removes the job from the
+// owned jobs unless tasks of it are still assigned.
 func (r *Records) handleFinalStatusStored(job *state.Job, final cluster.JobStatus) {
 	job.FinalStatus = final
 	if known := r.state.Jobs.Known[job.Spec.ID]; known != nil {
@@ -77,7 +79,8 @@
 	}
 }
 
-// logEnd logs how long a job took, together with what its user requested.
+// logEnd logs the final status and the times of a job, together with what its user
+// requested.
 func (r *Records) logEnd(job *state.Job, final cluster.JobStatus) {
 	spec := &job.Spec
 	secondsSinceArrival := func(at cluster.Time) int { return int((at - job.ArrivedAt) / second) }
--- a/internal/jobs/ownerqueries.go
+++ b/internal/jobs/ownerqueries.go
@@ -76,8 +76,9 @@
 	o.Members.Call(owner, ownerQueryTimeout, message, func(reply messages.PeerReply) { o.handleReply(batch, reply) })
 }
 
-// handleReply passes the job views in the owner's reply to the handlers. Jobs that the
-// reply omits are looked up in the store.
+// handleReply passes the job views in the owner's reply to the handlers. It also applies
+// the final statuses in the reply. Jobs that the reply omits, or all jobs if the call
+// failed, are looked up in the store.
 func (o *ownerQueries) handleReply(batch []ownerQuery, reply messages.PeerReply) {
 	views := map[cluster.JobID]cluster.JobView{}
 	if reply.Outcome == messages.OK {
--- a/internal/jobs/ownerqueries_test.go
+++ b/internal/jobs/ownerqueries_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestJobQueriesSplitAcrossMessages checks that queries beyond the limit of a message are
-// sent with the next ones, and that all are answered.
+// sent in further messages, and that all queries are answered.
 func TestJobQueriesSplitAcrossMessages(t *testing.T) {
 	const queryCount = 2*maxQueriesPerMessage + 1
 	nodes := []cluster.NodeID{"n0", "n1"}
--- a/internal/jobs/proxy.go
+++ b/internal/jobs/proxy.go
@@ -12,15 +12,15 @@
 	// proxyTimeout is the timeout of a submission that is forwarded to another
 	// controller.
 	proxyTimeout = 2500 * millisecond
-	// proxyPingFreshness is the maximum age of the ping that shows that a peer can reach
-	// the store.
-	proxyPingFreshness = 2 * second
+	// maxProxyPingAge is the maximum age of the ping that shows that a peer can reach the
+	// store.
+	maxProxyPingAge = 2 * second
 )
 
-// submissionProxy forwards submissions to another controller when the store does
-// not respond to this one or the machine types are not known yet. Without it, the user's
-// retries would fail here until the load balancer removes this controller. If both
-// controllers store the submission, the later one is answered as an idempotent retry.
+// submissionProxy forwards submissions to another controller when the store does not
+// respond to this one or the machine types are not known yet. Otherwise a user's retries
+// would fail until the load balancer removes this controller. If both controllers store
+// the submission, the later one is answered as an idempotent retry.
 type submissionProxy struct {
 	*shared
 }
@@ -49,14 +49,14 @@
 	if peer.IsUnreachable() || peer.IsSuspected() || !peer.HasAnswered() {
 		return false
 	}
-	if peer.PingAge() > proxyPingFreshness || !peer.LastPing().StoreReachable {
+	if peer.PingAge() > maxProxyPingAge || !peer.LastPing().StoreReachable {
 		return false
 	}
 	return len(spec.Dependencies) == 0 || peer.LastPing().FeatureLevel >= DependencyFeatureLevel
 }
 
-// handleReply answers a submission with the reply of the controller that it was forwarded
-// to.
+// handleReply answers a submission with the reply of the controller to which it was
+// forwarded, and registers the job if that controller has accepted it.
 func (p *submissionProxy) handleReply(spec *cluster.JobSpec, reply messages.PeerReply, respond func(messages.Respond)) {
 	switch {
 	case reply.Outcome != messages.OK:
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -43,9 +43,10 @@
 	})
 }
 
-// lookUp looks up a job's status. A final status is answered from memory, an unfinished
-// one by the owner of the job's shard. Otherwise the store is read, because only the
-// store can show that a job does not exist.
+// lookUp looks up a job's status. A known final status is returned from memory, and the
+// status of an unfinished job is obtained from the owner of the job's shard. If the job
+// is unknown or the owner cannot be asked, the store is read, because only the store can
+// show that a job does not exist.
 func (q *Queries) lookUp(id cluster.JobID, handle viewHandler) {
 	known := q.state.Jobs.Known[id]
 	if known != nil && known.FinalStatus != "" {
@@ -66,8 +67,9 @@
 	q.lookUpInStore(id, handle)
 }
 
-// lookUpOwned looks up the status of a job of an owned shard, after confirming that the
-// shard is still owned.
+// lookUpOwned looks up the status of a job of an owned shard. It first confirms that the
+// shard is still owned. If that fails, or if the final status is being stored, it reads
+// the job's status from the store.
 func (q *Queries) lookUpOwned(job *state.Job, handle viewHandler) {
 	id := job.Spec.ID
 	q.Ownership.ConfirmOwnership(q.state.Shards[job.ShardID], func(owned bool) {
@@ -86,8 +88,9 @@
 	})
 }
 
-// lookUpInStore looks up a job's status in its own record in the store, or in the
-// admission records if it has none.
+// lookUpInStore looks up a job's status in the job's own record in the store, or in the
+// admission records if the job has no record of its own. It also applies the records that
+// it reads.
 func (q *Queries) lookUpInStore(id cluster.JobID, handle viewHandler) {
 	if q.writeQueue.IsUnavailableFor(maxStoreOutage) || q.writeQueue.IsRequestBudgetOverdrawn() {
 		handle(messages.StatusUnavailable, cluster.JobView{})
@@ -124,7 +127,8 @@
 	}
 }
 
-// lookUpAdmission looks up whether a job without a record of its own was admitted.
+// lookUpAdmission looks up whether a job without a record of its own was admitted. An
+// admitted job is pending.
 func (q *Queries) lookUpAdmission(id cluster.JobID, handle viewHandler) {
 	q.admissionRecords.lookUp(id, func(admitted, ok bool) {
 		switch {
@@ -138,9 +142,10 @@
 	})
 }
 
-// answerUnfinished answers with the status of an unfinished job. For a blocked job it does
-// so only after a linearizable read, because a dependency may have been cancelled and
-// another controller may have reported that the job is cancelled with it.
+// answerUnfinished answers with view, the status of an unfinished job, or with the final
+// status if the job is known to have one. For a blocked job, it answers with view only
+// after a linearizable read, because a dependency may have been cancelled and another
+// controller may have reported the job as cancelled.
 func (q *Queries) answerUnfinished(id cluster.JobID, view cluster.JobView, handle viewHandler) {
 	if known := q.state.Jobs.FinalJob(id); known != nil {
 		handle(messages.StatusOK, finalView(id, known))
@@ -161,7 +166,8 @@
 	})
 }
 
-// answerIdempotentRetry answers a submission whose job is already known.
+// answerIdempotentRetry answers a submission whose job may already exist with the job's
+// current status, or with StatusUnavailable if the status cannot be determined.
 func (q *Queries) answerIdempotentRetry(id cluster.JobID, respond func(messages.Respond)) {
 	q.lookUp(id, func(status messages.ResponseStatus, view cluster.JobView) {
 		if status == messages.StatusOK {
@@ -172,8 +178,9 @@
 	})
 }
 
-// HandlePeerQuery answers another controller's query with the status of the jobs for which
-// this controller is authoritative, and omits the others.
+// HandlePeerQuery answers another controller's query with the status of the jobs that are
+// known to be finished or for which this controller is authoritative, and omits the
+// others.
 func (q *Queries) HandlePeerQuery(ids []cluster.JobID, handle func([]cluster.JobView)) {
 	response := &peerQueryResponse{queries: q, ids: ids, handle: handle, confirmed: map[cluster.ShardID]bool{}, outstanding: 1}
 	if slices.ContainsFunc(ids, response.isBlockedOwned) {
@@ -219,8 +226,8 @@
 	return jobs.Owned[id] != nil && jobs.IsBlocked(id)
 }
 
-// finishOne records that a confirmation or read has finished, and passes on the views
-// after the last one.
+// finishOne records that a confirmation or read has finished. After the last one it calls
+// handle with the views.
 func (r *peerQueryResponse) finishOne() {
 	r.outstanding--
 	if r.outstanding > 0 {
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -7,9 +7,9 @@
 	"stairrelay/internal/state"
 )
 
-// Record is the value stored under jobs/<id>. While the job is unfinished, it holds the
-// specification and the completed tasks of the first chunk; afterwards it holds the
-// final status. Each further chunk of tasks has a key of its own, with a record that
+// Record is the value stored under jobs/<id>. While the job is unfinished, the record
+// holds the specification and the completed tasks of the first chunk. Afterwards it holds
+// the final status. Each further chunk of tasks has a key of its own, with a record that
 // holds only completed tasks.
 type Record struct {
 	Spec             *cluster.JobSpec  `json:"s,omitempty"`
@@ -23,8 +23,8 @@
 }
 
 // AdmissionRecord is the value stored under accepts/<name>: the jobs of one batch. A job
-// gets a record of its own when its progress or its end is first stored. Where both
-// exist, the job's own record takes precedence.
+// gets a record of its own when completed tasks or the final status are first stored. The
+// job's own record then takes precedence.
 type AdmissionRecord struct {
 	Jobs    []AdmittedJob `json:"j"`
 	WriteID string        `json:"w"`
@@ -80,7 +80,7 @@
 	return record
 }
 
-// finalView returns the status of a finished job.
+// finalView returns the view of a job that is known to have a final status.
 func finalView(id cluster.JobID, known *state.KnownJob) cluster.JobView {
 	view := cluster.JobView{ID: id, Status: known.FinalStatus}
 	if known.FinalStatus == cluster.JobDone {
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/writequeue"
 )
 
-// readRetryPause is the pause before a failed read of a job's records is retried.
+// readRetryDelay is the delay before a failed read of a job's records is retried.
 const readRetryDelay = second / 2
 
 // Records applies the stored records of jobs, and writes those of the jobs of owned
@@ -27,9 +27,11 @@
 	return records
 }
 
-// Apply applies a job's record, which was read from the store, delivered by a
-// watch or sent by another controller. If the record was read to load a shard that this
-// controller has acquired, loading is that shard; otherwise it is nil.
+// Apply applies a job's record, which was read from the store, delivered by a watch or
+// sent by another controller. It registers the job, applies a final status, and adds an
+// unfinished job of an owned shard to the owned jobs. An invalid record is logged and
+// otherwise ignored. If the record was read to load a shard that this controller has
+// acquired, loading is that shard; otherwise it is nil.
 func (r *Records) Apply(kv messages.KV, loading *state.Shard) {
 	if kv.Value == nil {
 		return
@@ -64,7 +66,7 @@
 }
 
 // addOwnedJob adds an unfinished job to the owned jobs if its shard is owned. It does
-// nothing if the job is among them already or is known to have finished.
+// nothing if the job is already owned or is known to have finished.
 func (r *Records) addOwnedJob(kv messages.KV, record *Record, known *state.KnownJob, shard, loading *state.Shard) {
 	// A job that is cancelled because of a dependency is added nevertheless, so that
 	// its own record is written.
@@ -95,20 +97,20 @@
 	r.writeEndIfComplete(job)
 }
 
-// newJob creates a job from its own record.
+// newJob creates a job from its own record. If the record's list of completed tasks is
+// malformed, it logs this and treats all tasks as not completed.
 func (r *Records) newJob(kv messages.KV, record *Record, shard cluster.ShardID) *state.Job {
 	job := state.NewJob(*record.Spec, shard, kv.ModRevision, r.loop.Now())
 	if job.RestoreCompleted(0, record.CompletedIndexes) {
 		return job
 	}
-	// It is safe to treat all tasks as not completed, because a completed task that is
-	// started again exits immediately.
+	// This is safe, because a completed task that is started again exits immediately.
 	r.logCorruptIndexes(kv.Key)
 	return state.NewJob(*record.Spec, shard, kv.ModRevision, r.loop.Now())
 }
 
-// loadChunk reads the completed tasks of a further chunk. No task of the job is scheduled
-// until all chunks are read.
+// loadChunk reads the completed tasks of a chunk other than the first. No task of the job
+// is scheduled until all chunks are read.
 func (r *Records) loadChunk(job *state.Job, chunk int) {
 	r.writeQueue.ReadKey(job.ChunkKey(chunk), func(reply messages.GetReply) {
 		if !r.state.Jobs.Owns(job) {
@@ -144,8 +146,8 @@
 	r.loop.Log(messages.LogInfo, "cannot decode completed tasks of job; rerunning those not known to be completed", "key", key)
 }
 
-// writeEndIfComplete writes the final status of a job whose tasks were all completed
-// when its shard was acquired.
+// writeEndIfComplete enqueues a write of the final status of a job whose tasks were all
+// completed when its shard was acquired.
 func (r *Records) writeEndIfComplete(job *state.Job) {
 	if job.ChunksLoading == 0 && job.CompletedCount == job.Spec.Tasks {
 		r.WriteJob(job, writequeue.PriorityAdmission)
@@ -190,8 +192,8 @@
 }
 
 // markWriterAlive records that the controller that wrote a record is alive. Otherwise a
-// live controller that does not answer calls from here would be considered failed, and
-// lose its shards.
+// live controller that this one cannot reach could be considered failed and lose its
+// shards.
 func (s *shared) markWriterAlive(kv messages.KV) {
 	if kv.Value != nil {
 		s.Members.RecordWrite(writequeue.WriterOf(kv.Value))
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -11,11 +11,11 @@
 )
 
 // recordWrite is a write of a job's completed tasks or of its final status. A job has at
-// most one write at a time.
+// most one such write queued or in flight.
 //
-// The record is built when the write is sent, and rebuilt if the transaction fails
+// The records are built when the write is sent, and rebuilt if the transaction fails
 // because of another write in it. The fields written* and finalStatus describe the
-// record that was built last.
+// records that were built last.
 type recordWrite struct {
 	records        *Records
 	job            *state.Job
@@ -28,8 +28,9 @@
 }
 
 // WriteJob enqueues a write of a job's completed tasks or of its final status. If a write
-// of the job is already queued, it includes the changes, and a more urgent priority
-// applies to it. If a write is in flight, another one follows it.
+// of the job is already queued, that write will include the changes, and its priority is
+// raised if the given one is more urgent. If a write is in flight, another one is
+// enqueued after it. If the job's final status is already stored, nothing is written.
 func (r *Records) WriteJob(job *state.Job, priority writequeue.Priority) {
 	if job.FinalStatus != "" {
 		return
@@ -56,8 +57,8 @@
 }
 
 // build returns the records of the chunks that have changed. For a job that ends it
-// returns the record of the final status and the deletion of the further chunks. The
-// result is nil if nothing has to be written.
+// returns the record of the final status and the deletions of all chunks but the first.
+// The result is nil if nothing has to be written.
 func (w *recordWrite) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 	job := w.job
 	job.RewriteNeeded = false
@@ -80,9 +81,9 @@
 	return operations, modRevisions
 }
 
-// isChunkUnchanged reports whether a chunk need not be written. For an unfinished job
-// that is a chunk without newly completed tasks, for a finished one a further chunk that
-// was never stored.
+// isChunkUnchanged reports whether a chunk need not be written. For an unfinished job,
+// that is a chunk without newly completed tasks. For a job that ends, that is a chunk
+// other than the first that was never stored.
 func (w *recordWrite) isChunkUnchanged(chunk int) bool {
 	if w.finalStatus == "" {
 		return !w.job.DirtyChunks[chunk]
@@ -120,8 +121,8 @@
 }
 
 // fillCompletedIndexes adds a chunk's completed tasks to the record, up to nine tenths of
-// the size limit. It returns how many of the chunk's tasks are covered. Completed tasks
-// from that index on did not fit.
+// the size limit. It returns how many of the chunk's tasks are covered. The completed
+// tasks beyond these did not fit.
 func (w *recordWrite) fillCompletedIndexes(record *Record, chunk int) int {
 	maxBytes := w.records.config.MaxValueBytes * 9 / 10
 	if chunk == 0 {
@@ -133,7 +134,8 @@
 	return encodedTasks
 }
 
-// handleStored updates the job after the record that was built last is stored.
+// handleStored updates the job after the records that were built last are stored. It
+// enqueues another write if the job has changed since.
 func (w *recordWrite) handleStored(revision cluster.Revision) {
 	job := w.job
 	w.finish()
@@ -159,7 +161,8 @@
 }
 
 // handleConflict handles a write that failed because another writer changed a key of the
-// job.
+// job. If the job had no record of its own so far, the record may be that of a second
+// submission; see resolveFirstRecordConflict. Otherwise the shard is dropped.
 func (w *recordWrite) handleConflict() {
 	w.finish()
 	switch {
@@ -198,10 +201,10 @@
 	}
 }
 
-// resolveFirstRecordConflict handles a conflict on a job's first record of its own. If the
-// job was submitted twice at the same time, the other admission may have written that
+// resolveFirstRecordConflict handles a conflict on a job's first record of its own. If
+// the job was submitted twice at the same time, the other admission may have written that
 // record. The record then holds nothing new, and the write is repeated with its mod
-// revision. If the record is of any other kind, the shard is dropped.
+// revision. If the record shows more than an admission, the shard is dropped.
 func (r *Records) resolveFirstRecordConflict(job *state.Job, priority writequeue.Priority) {
 	r.writeQueue.ReadKey(job.ChunkKey(0), func(reply messages.GetReply) {
 		if !r.state.Jobs.Owns(job) || job.WriteQueued || job.ModRevisions[0] != 0 {
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -19,8 +19,8 @@
 	queue   *admissionQueue
 }
 
-// HandleSubmit evaluates a user's submission, or forwards it to another controller if
-// this one cannot store it now.
+// HandleSubmit evaluates a user's submission and answers it. If this controller cannot
+// store a new job now, it forwards the submission to another controller that can.
 func (s *Submissions) HandleSubmit(request messages.Submit) {
 	id := request.Spec.ID
 	respond := func(response messages.Respond) {
@@ -44,7 +44,8 @@
 	pending.evaluate(false)
 }
 
-// HandleProxied evaluates a submission that another controller has forwarded.
+// HandleProxied evaluates a submission that another controller has forwarded, and calls
+// respond with the response.
 func (s *Submissions) HandleProxied(spec cluster.JobSpec, respond func(messages.Respond)) {
 	pending := &submission{submissions: s, spec: spec, respond: respond}
 	pending.evaluate(false)
@@ -83,8 +84,9 @@
 	return min(maxRetryAfterSeconds, 1+int(2*wait))
 }
 
-// isSchedulable reports whether a job could ever run. Its team must exist, a task must fit
-// into the team's quota limit, and a machine type must meet the job's constraints.
+// isSchedulable reports whether a job could ever run. Its team must exist, a task must
+// not request more CPUs or GPUs than the team's quota limit, and a machine type must meet
+// the job's constraints.
 func isSchedulable(clusterState *state.State, spec *cluster.JobSpec) bool {
 	team := clusterState.Teams[spec.Team]
 	if team == nil || spec.ResourceRequest.CPU > team.QuotaLimit.CPU || spec.ResourceRequest.GPU > team.QuotaLimit.GPU {
@@ -98,8 +100,8 @@
 	return false
 }
 
-// submission is a submission that is being evaluated. It is either admitted, or rejected
-// with a status and a reason.
+// submission is a submission that is being evaluated. It is admitted, answered as an
+// idempotent retry, or rejected with a status and a reason.
 type submission struct {
 	submissions   *Submissions
 	spec          cluster.JobSpec
@@ -112,8 +114,9 @@
 	s.respond(messages.Respond{Status: status, RetryAfter: retryAfter, Error: reason})
 }
 
-// evaluate admits or rejects the submission. dependenciesChecked is whether the jobs that
-// it depends on were looked up already.
+// evaluate admits or rejects the submission, or answers it as an idempotent retry if its
+// job is known. dependenciesChecked reports whether the jobs that it depends on were
+// already looked up.
 func (s *submission) evaluate(dependenciesChecked bool) {
 	clusterState := s.submissions.state
 	if clusterState.Jobs.Known[s.spec.ID] != nil {
@@ -143,12 +146,13 @@
 	}
 }
 
-// rejectInvalid rejects an invalid submission unless a job with its ID was accepted
-// before. An accepted ID must never be answered with 400 or 422, even if the retry
-// differs from the accepted submission.
+// rejectInvalid rejects an invalid submission. If the store shows that a job with its ID
+// was accepted before, it answers with the status of that job instead. An accepted ID
+// must never be answered with 400 or 422, even if the retry differs from the accepted
+// submission.
 func (s *submission) rejectInvalid() {
 	s.submissions.queries.lookUpInStore(s.spec.ID, func(status messages.ResponseStatus, view cluster.JobView) {
-		switch status { //nolint:exhaustive // any other status means that the store did not answer
+		switch status { //nolint:exhaustive // any other status means that the lookup failed
 		case messages.StatusOK:
 			s.respond(messages.Respond{Status: messages.StatusOK, View: &view})
 		case messages.StatusJobNotFound:
@@ -159,8 +163,8 @@
 	})
 }
 
-// checkDependencies looks up the jobs that the submission depends on, and then resumes
-// its evaluation.
+// checkDependencies looks up the jobs that the submission depends on. It then resumes the
+// evaluation, or rejects the submission if they cannot be looked up now.
 func (s *submission) checkDependencies() {
 	s.submissions.checkDependencies(&s.spec, func(status messages.ResponseStatus) {
 		switch status { //nolint:exhaustive // the only other status is StatusUnavailable
@@ -205,10 +209,10 @@
 	done(messages.StatusNone)
 }
 
-// dependencyStatus converts the result of looking up a dependency to the status of the
-// submission, which is StatusNone if the dependency exists.
+// dependencyStatus converts the result of looking up a dependency to the status to reject
+// the submission with, or to StatusNone if the dependency exists.
 func dependencyStatus(lookedUp messages.ResponseStatus) messages.ResponseStatus {
-	switch lookedUp { //nolint:exhaustive // any other status means that the store did not answer
+	switch lookedUp { //nolint:exhaustive // any other status means that the lookup failed
 	case messages.StatusOK:
 		return messages.StatusNone
 	case messages.StatusJobNotFound:
@@ -218,8 +222,8 @@
 	}
 }
 
-// admit queues the job to be stored, unless the controller is overloaded for its
-// priority or its record would be too large.
+// admit queues the job to be stored. It rejects the submission if the controller is too
+// loaded to admit jobs of its priority, or if the job's record would be too large.
 func (s *submission) admit() {
 	submissions := s.submissions
 	if retryAfter := submissions.OverloadRetryAfter(s.spec.Priority); retryAfter > 0 {
--- a/internal/membership/calls.go
+++ b/internal/membership/calls.go
@@ -10,8 +10,8 @@
 // another version are rejected.
 const protocolVersion = 2
 
-// Call sends a message to a peer. It calls handle with the reply, or with a failure
-// outcome if none arrives within the timeout.
+// Call sends a message to a peer and counts the call. It calls handle with the reply, or
+// with a failure outcome if no reply arrives within the timeout.
 func (m *Members) Call(to cluster.NodeID, timeout cluster.Time, message messages.PeerMessage, handle func(messages.PeerReply)) {
 	m.callCount++
 	m.loop.Emit(messages.PeerCall{
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -5,21 +5,24 @@
 	"stairrelay/internal/messages"
 )
 
-// minProbeDelay is the minimum delay between two calls to a peer.
+// minCallDelay is the minimum delay between a failed call and the next one.
 const minCallDelay = 5 * millisecond
 
-// failureDetector monitors a peer by periodic pings. An unanswered ping is followed by
-// retries with exponential backoff and then by probes at a fixed interval.
+// failureDetector monitors a peer by periodic pings. A ping without a valid reply is
+// followed by retries with doubling timeouts, and then by probes at a fixed interval
+// until the peer replies. All of these calls send a Ping message.
 //
-// Exactly one call is in flight or scheduled at any time. missedProbes counts the
-// calls since the last valid reply.
+// Exactly one call is in flight or scheduled at any time. unansweredCalls counts the
+// calls that have failed since the last valid reply. It does not include a call in
+// flight.
 type failureDetector struct {
-	members      *Members
-	peer         *Peer
+	members         *Members
+	peer            *Peer
 	unansweredCalls int
 }
 
-// probe calls the peer and schedules the next call when the outcome is known.
+// callPeer sends a ping, a retry or a probe. When the outcome is known, it updates the
+// peer's state and schedules the next call.
 func (d *failureDetector) callPeer() {
 	m, peer := d.members, d.peer
 	timeout, sentAt := d.timeout(), m.loop.Now()
@@ -31,8 +34,9 @@
 			return
 		}
 		d.handleUnansweredCall()
-		// A refused connection fails immediately. Waiting for the rest of the
-		// timeout keeps it from shortening the detection time.
+		// A refused connection fails before the timeout. The next call then waits for the
+		// rest of the timeout, so that refused connections don't shorten the detection
+		// time.
 		delay := sentAt + timeout - m.loop.Now()
 		if d.isExhausted() {
 			delay = max(delay, m.config.ProbeInterval)
@@ -54,13 +58,17 @@
 	}
 }
 
-// isExhausted reports whether the ping, all retries and all probes were unanswered.
+// isExhausted reports whether the ping, all its retries and ProbeCount probes have
+// failed.
 func (d *failureDetector) isExhausted() bool {
 	config := &d.members.config
 	return d.unansweredCalls > config.PingRetries+config.ProbeCount
 }
 
-// handleMissedProbe updates the peer's state after a call without a valid reply.
+// handleUnansweredCall updates the peer's state after a call without a valid reply. The
+// peer counts as suspected once the last retry has failed, and as unreachable once
+// ProbeCount probes have failed. While the peer is unreachable, every failed call makes
+// the host review the shard ownership.
 func (d *failureDetector) handleUnansweredCall() {
 	m, peer := d.members, d.peer
 	d.unansweredCalls++
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestFailureDetection guards against a detection time shortened by refused connections,
-// and against a peer that stays unreachable after a reply.
+// TestFailureDetection checks that refused connections don't shorten the detection time,
+// and that a peer is reachable again after a reply.
 func TestFailureDetection(t *testing.T) {
 	m := newTestMembers()
 	peer := m.Peer("n1")
@@ -24,11 +24,13 @@
 			unreachableAfter = m.loop.Now() - startedAt
 		}
 	}
-	// Timeouts of 1 s for the ping and 0.1 + 0.2 + 0.4 + 0.8 s for four retries.
+	// 1 s for the ping and 0.1 + 0.2 + 0.4 + 0.8 s for four retries. The fifth one fails
+	// immediately.
 	if suspectedAfter < 5*second/2 || suspectedAfter > 3*second {
 		t.Errorf("suspected after %d ms, want 2500 to 3000 ms", suspectedAfter/millisecond)
 	}
-	// Then 1.6 s for the last retry and 0.5 s for each of four probes.
+	// Then 1.6 s for the fifth retry and 0.5 s for each of four probes. The fifth one
+	// fails immediately.
 	if unreachableAfter < 6*second || unreachableAfter > 13*second/2 {
 		t.Errorf("unreachable after %d ms, want 6000 to 6500 ms", unreachableAfter/millisecond)
 	}
@@ -51,7 +53,7 @@
 }
 
 // answerPings advances the time by 10 ms and delivers the replies of all peers to the
-// last pings. Calls to the refusing peer fail.
+// pings of the previous step. Calls to the refusing peer fail.
 func (m *testMembers) answerPings(refusing cluster.NodeID) {
 	effects := m.loop.Effects()
 	m.advance(10 * millisecond)
--- a/internal/membership/failure.go
+++ b/internal/membership/failure.go
@@ -6,21 +6,23 @@
 	// livenessWindow is how long a peer counts as alive after a change of its
 	// liveness key was seen.
 	livenessWindow = 6 * second
-	// maxContactAge is how recently another peer must have reached an unreachable peer
-	// for the unreachable one to count as alive.
+	// maxContactAge is the maximum time since another peer reached an unreachable peer
+	// for the unreachable peer to count as alive.
 	maxContactAge = 3 * second
 	// isolatedFailureTimeout is how long a peer must have been unreachable and must not
 	// have written to the store before a node that reaches no peer considers it failed.
 	isolatedFailureTimeout = 6 * second
-	// isolatedStoreHealthyTime is how long the store must have been available to that
-	// node. After a shorter time it could have missed the peer's writes.
+	// isolatedStoreHealthyTime is how long the store must have been available to such a
+	// node before it considers a peer failed. After a shorter time, the node could have
+	// missed the peer's writes.
 	isolatedStoreHealthyTime = 8 * second
 )
 
 // IsFailed reports whether a peer is considered unable to serve its shards. This is the
-// case if it is unreachable without evidence that it may be alive, or if it reports that
-// it can't reach the store or its workers while this node can. The result is false for
-// this node and for unknown nodes.
+// case if the peer is unreachable and there is no evidence that it may be alive, or if
+// its current ping reports that it can't reach the store or its workers while this node
+// reaches the store or its own workers, respectively. The result is false for this node
+// and for unknown nodes.
 func (m *Members) IsFailed(id cluster.NodeID) bool {
 	peer := m.Peer(id)
 	switch {
@@ -68,8 +70,10 @@
 	return reachesOthers, false
 }
 
-// hasStoppedWriting reports whether an unreachable peer has written nothing to the
-// store for so long that it counts as failed.
+// hasStoppedWriting reports whether a peer has been unreachable, and no write by it has
+// been seen in the store, for longer than isolatedFailureTimeout. The result is false
+// while this node may have missed the peer's writes because of a recent outage of the
+// store.
 func (m *Members) hasStoppedWriting(peer *Peer) bool {
 	now := m.loop.Now()
 	return now-peer.unreachableSince > isolatedFailureTimeout &&
@@ -77,8 +81,9 @@
 		now-m.store.Health.HealthySince > isolatedStoreHealthyTime
 }
 
-// reportsUnableToServe reports whether a peer has reported that it can't reach the
-// store or its workers, while this node can reach the store or its own workers.
+// reportsUnableToServe reports whether the peer's last ping says that it can't reach the
+// store or its workers, while this node reaches the store or its own workers,
+// respectively.
 //
 // This node's own access to the store must be stable. Otherwise the first
 // controller to reconnect after an outage would acquire all shards.
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -6,8 +6,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestUnreachablePeerMayBeAlive guards against failing over an unreachable peer that
-// other peers reach or that writes to the store.
+// TestUnreachablePeerMayBeAlive checks when an unreachable peer counts as failed, given
+// the pings of other peers and the peer's writes to the store.
 func TestUnreachablePeerMayBeAlive(t *testing.T) {
 	pingFromReachable := func(m *testMembers, contact map[cluster.NodeID]int64) {
 		for _, peer := range m.Peers() {
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -8,15 +8,15 @@
 	"stairrelay/internal/writequeue"
 )
 
-// nodeLiveness is the state of this node's liveness key in the store, nodes/<id>. At
-// most one write of the key is in flight.
+// nodeLiveness is the state of this node's liveness key in the store, nodes/<id>. At most
+// one write of the key is queued or in flight.
 type nodeLiveness struct {
 	writing     bool
 	modRevision cluster.ModRevision // last known revision of the record
 }
 
-// livenessRecord is the record under a node's liveness key. Each write has a new ID,
-// so that it changes the record.
+// livenessRecord is the record under a node's liveness key. Each write has a new ID, so
+// that every write changes the record.
 type livenessRecord struct {
 	WriteID string `json:"w"`
 }
@@ -24,10 +24,10 @@
 // livenessKey returns the key of a node's liveness record.
 func livenessKey(id cluster.NodeID) string { return "nodes/" + string(id) }
 
-// RefreshLiveness writes this node's liveness key and reads those of the unreachable
-// peers. If only the network between controllers is partitioned, both sides see the
-// other's key change and don't acquire its shards. While all peers are reachable,
-// nothing is written or read.
+// RefreshLiveness reads the liveness keys of the unreachable peers and, if this node can
+// reach the store and its workers, writes its own. If only the network between two
+// controllers is partitioned, each of them sees the other's key change and does not
+// acquire the other's shards. While all peers are reachable, no key is read or written.
 func (m *Members) RefreshLiveness() {
 	anyUnreachable := false
 	for _, peer := range m.peers {
@@ -60,7 +60,7 @@
 	})
 }
 
-// writeLiveness writes this node's liveness key by a compare-and-swap.
+// writeLiveness enqueues a compare-and-swap of this node's liveness key.
 func (m *Members) writeLiveness() {
 	key := livenessKey(m.config.Self)
 	m.liveness.writing = true
--- a/internal/membership/liveness_test.go
+++ b/internal/membership/liveness_test.go
@@ -24,8 +24,8 @@
 	return reads, writes
 }
 
-// TestLivenessKeyWrittenWhilePeerUnreachable guards against liveness traffic while all
-// peers are reachable, and against concurrent writes of the key.
+// TestLivenessKeyWrittenWhilePeerUnreachable checks that liveness keys are read and
+// written only while a peer is unreachable, and with one write at a time.
 func TestLivenessKeyWrittenWhilePeerUnreachable(t *testing.T) {
 	m := newTestMembers()
 	if reads, writes := m.refreshLiveness(); len(reads)+len(writes) > 0 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestLivenessKeyChange checks that only a change of an unreachable peer's liveness key
-// after the first read counts as a sign of life.
+// TestLivenessKeyChange checks that the first read of an unreachable peer's liveness key
+// is a baseline, and that a later change is recorded.
 func TestLivenessKeyChange(t *testing.T) {
 	m := newTestMembers()
 	peer := m.Peer("n1")
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -2,17 +2,18 @@
 // reachable, what they last reported about themselves, and whether one has failed. It
 // also tracks whether this controller reaches its workers and is overloaded.
 //
-// Every peer is pinged once a second. An unanswered ping is retried with growing
-// timeouts and then followed by probes at a fixed interval; if none is answered, the
-// peer counts as unreachable. An unreachable peer may still serve its shards, for
-// example if only the link from this node is down. IsFailed therefore also considers
-// the pings of other peers and the consensus-backed key-value store (the store), and
-// decides whether other controllers may acquire the peer's shards. A wrong decision only
-// interrupts service, because an acquisition is a compare-and-swap in the store and
-// fencing tokens exclude the former owner.
+// Every peer is pinged periodically. An unanswered ping is retried with growing timeouts
+// and then followed by probes at a fixed interval; if none is answered, the peer counts
+// as unreachable. An unreachable peer may still serve its shards, for example if only the
+// link from this node is down. IsFailed therefore also considers the pings of other peers
+// and the consensus-backed key-value store (the store), and decides whether other
+// controllers may acquire the peer's shards. A wrong decision only interrupts service,
+// because an acquisition is a compare-and-swap in the store and fencing tokens exclude
+// the former owner.
 //
-// The contents of pings that concern shards, offers and demand belong to other
-// packages. The Host sets them in outgoing pings and handles those of incoming pings.
+// The fields of pings about shards, offers and demand for cloud calls belong to other
+// packages. The Host sets these fields in outgoing pings and handles them in incoming
+// pings.
 package membership
 
 import (
@@ -29,8 +30,8 @@
 	second      = cluster.Second
 )
 
-// MaxPingAge is the age up to which a peer's last ping counts as current. Peers send
-// a ping every second.
+// MaxPingAge is the age up to which a peer's last ping counts as current. Peers normally
+// send pings more often.
 const MaxPingAge = 3 * second
 
 // Config configures Members.
@@ -56,23 +57,24 @@
 	// timeout of InitialRetryTimeout, which doubles with each retry.
 	PingRetries         int
 	InitialRetryTimeout cluster.Time
-	// ProbeCount is the number of probes, ProbeInterval apart, after the retries.
+	// ProbeCount is the number of failed probes, ProbeInterval apart, after which a peer
+	// counts as unreachable. The probes then continue at the same interval.
 	ProbeCount    int
 	ProbeInterval cluster.Time
 }
 
 // Host connects Members with the rest of the controller.
 type Host interface {
-	// DescribeShards sets the fields of a ping that concern this controller's shards,
-	// offers and demand.
+	// DescribeShards sets the fields of a ping about this controller's shards, offers and
+	// demand for cloud calls.
 	DescribeShards(to *Peer, ping *messages.Ping)
-	// HandlePing handles the fields of a peer's ping that concern shards and offers.
+	// HandlePing handles the fields of a peer's ping about shards and offers.
 	HandlePing(from *Peer, ping *messages.Ping)
 	// HandleReachabilityChange is called when a peer becomes unreachable or reachable
 	// again.
 	HandleReachabilityChange()
-	// ReviewOwnership is called after each missed probe of an unreachable peer. The
-	// host may have to acquire the peer's shards.
+	// ReviewOwnership is called after each failed call to an unreachable peer. The host
+	// may have to acquire the peer's shards.
 	ReviewOwnership()
 }
 
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// testMembers is the Members of n0, one of seven controllers. It starts at 30 s.
+// testMembers is the Members of n0, one of seven controllers. Its time starts at 30 s.
 type testMembers struct {
 	*Members
 	loop  *eventloop.Loop
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -8,8 +8,9 @@
 
 // Peer is the state of another controller as known by this one.
 //
-// The first ping of a new process of the peer sets instanceID and resets healthySince
-// and acknowledgement. The fields about the reachability of the peer are kept.
+// The first ping or reply of a new process of the peer sets instanceID and resets
+// healthySince and acknowledgement. The fields about the reachability of the peer are
+// kept.
 type Peer struct {
 	id   cluster.NodeID
 	loop *eventloop.Loop
@@ -53,7 +54,8 @@
 // whichever is later. It is a zero Ping until one arrives. Callers must not modify it.
 func (p *Peer) LastPing() *messages.Ping { return &p.lastPing }
 
-// PingAge returns the time since LastPing was received.
+// PingAge returns the time since LastPing was received, or since this process started if
+// there is none.
 func (p *Peer) PingAge() cluster.Time { return p.loop.Now() - p.lastPingAt }
 
 // HasAnswered reports whether the peer has ever answered a ping.
@@ -83,9 +85,9 @@
 	return p.healthySince > 0 && p.loop.Now()-p.healthySince > duration
 }
 
-// beginInstance resets the state kept for a process of the peer. Acknowledgements of the
-// earlier process don't count for the new one, which does not know the claims that the
-// earlier process may have made since.
+// beginInstance resets the state kept for a process of the peer. The acknowledgement of
+// the earlier process doesn't count for the new one: the earlier process may have claimed
+// shards after it, and the new process does not know these claims.
 func (p *Peer) beginInstance(instanceID string) {
 	p.instanceID, p.healthySince = instanceID, 0
 	p.acknowledgement = Acknowledgement{InstanceSeenAt: p.loop.Now()}
--- a/internal/membership/pings.go
+++ b/internal/membership/pings.go
@@ -14,7 +14,7 @@
 	// a process that restarts quickly.
 	startupGracePeriod = 3 * second
 	// storeProbeWindow is how long this controller probes the store after a peer has
-	// reported a failure of it.
+	// reported that the store is failing.
 	storeProbeWindow = 3 * second
 )
 
@@ -42,8 +42,9 @@
 	return ping
 }
 
-// HandlePing handles a ping sent by a peer. It returns a *PingError, and ignores the
-// ping, if the ping is invalid.
+// HandlePing updates the state of a peer from a ping that the peer has sent, and passes
+// the ping to the host. If the ping is invalid, HandlePing ignores it and returns a
+// *PingError.
 func (m *Members) HandlePing(from *Peer, ping *messages.Ping) error {
 	if err := m.checkPing(from, ping); err != nil {
 		return err
@@ -52,9 +53,10 @@
 	return nil
 }
 
-// HandlePingReply handles a peer's valid reply to a ping sent at sentAt. Only replies
-// acknowledge terms, because a ping sent by the peer may have been delayed for an
-// unknown time.
+// HandlePingReply handles a peer's valid reply to a ping sent at sentAt. It records that
+// the peer is reachable, handles the reply like a ping, and records the reply as the
+// peer's last acknowledgement. A ping sent by the peer is no acknowledgement, because it
+// may have been delayed for an unknown time.
 func (m *Members) HandlePingReply(from *Peer, ping *messages.Ping, sentAt cluster.Time) {
 	from.hasAnswered, from.lastReplyAt, from.suspected = true, m.loop.Now(), false
 	if from.unreachable {
@@ -66,7 +68,9 @@
 	from.acknowledgement.SentAt, from.acknowledgement.Terms = sentAt, ping.KnownTerms
 }
 
-// applyPing updates the peer's state from its ping or reply and passes it to the host.
+// applyPing updates a peer's state from its ping or reply, and passes the ping or reply
+// to the host. If the peer reports that the store is failing or unreachable, this
+// controller probes the store for storeProbeWindow.
 func (m *Members) applyPing(from *Peer, ping *messages.Ping) {
 	from.recordPing(ping)
 	if ping.FeatureLevel >= m.config.FeatureLevel {
--- a/internal/membership/pings_test.go
+++ b/internal/membership/pings_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestInvalidPingRejected checks that an invalid ping is ignored, and that it counts as
-// a missed probe if it is a reply.
+// TestInvalidPingRejected checks that an invalid ping is ignored, and that a peer with an
+// invalid reply does not count as having answered.
 func TestInvalidPingRejected(t *testing.T) {
 	m := newTestMembers()
 	invalid := &messages.Ping{InstanceID: "b1", KnownTerms: make([]cluster.Term, 8)}
--- a/internal/membership/pingvalidation.go
+++ b/internal/membership/pingvalidation.go
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// validateOffer returns a *PingError if a group has more machines than fit into a
-// record, or a negative count.
+// validateOffer returns a *PingError if an offer has a negative machine count, or more
+// machines than the maximum number of bytes in a group's record.
 func (m *Members) validateOffer(offer *messages.TransferOffer) error {
 	machines, limit := 0, m.config.MaxValueBytes
 	for _, kind := range offer.Kinds {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// checkPing validates a peer's ping. It logs an error unless the peer's last invalid
-// ping had the same one.
+// checkPing validates a peer's ping. It logs a validation error unless the peer's
+// previous invalid ping had the same one.
 func (m *Members) checkPing(from *Peer, ping *messages.Ping) error {
 	err := m.validatePing(ping)
 	if err != nil && from.lastPingError != err.Error() {
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -38,8 +38,8 @@
 	return h.load.CPUUsage > cpuUsageLimit || h.load.EventDelay > eventDelayLimit
 }
 
-// StretchDelay returns the delay to use between two runs of deferrable work. It is
-// longer than the given one while the process is overloaded.
+// StretchDelay returns the delay to use between two runs of deferrable work. While the
+// process is overloaded, it is longer than the given delay, up to maxOverloadDelay.
 func (h *ProcessHealth) StretchDelay(delay cluster.Time) cluster.Time {
 	if !h.IsOverloaded() {
 		return delay
--- a/internal/membership/upgrades_test.go
+++ b/internal/membership/upgrades_test.go
@@ -6,7 +6,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestAllUpgraded checks that a peer's own ping takes precedence over claim records.
+// TestAllUpgraded checks that claim records show which peers are upgraded, and that a
+// peer's own ping takes precedence over them.
 func TestAllUpgraded(t *testing.T) {
 	m := newTestMembers()
 	if m.AllUpgraded() {
--- a/internal/membership/workers.go
+++ b/internal/membership/workers.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// heartbeatTimeoutIntervals is the number of heartbeat intervals without any
-	// heartbeat after which the workers count as unreachable.
+	// heartbeatTimeoutIntervals is the heartbeat timeout as a number of heartbeat
+	// intervals.
 	heartbeatTimeoutIntervals = 3
-	// largeFleetSize is the minimum number of machines for which that time is halved.
-	// Heartbeats of a large fleet arrive frequently, and a failover must complete before
-	// the leases of its workers expire.
+	// largeFleetSize is the minimum number of machines for which the heartbeat timeout is
+	// halved. Heartbeats of a large fleet arrive frequently, and a failover must finish
+	// before the leases of the workers expire.
 	largeFleetSize = 20
 )
 
@@ -47,7 +47,8 @@
 	return &WorkerReachability{loop: loop, heartbeatInterval: heartbeatInterval, process: process, fleet: fleet}
 }
 
-// RecordHeartbeat records a heartbeat from a worker of any owner.
+// RecordHeartbeat records a heartbeat from the worker of any machine, whichever
+// controller owns it.
 func (w *WorkerReachability) RecordHeartbeat() { w.lastHeartbeat = w.loop.Now() }
 
 // RecordOwnedHeartbeat records a heartbeat from the worker of a machine owned here.
@@ -65,8 +66,8 @@
 	return w.lastOwnedHeartbeat > 0 && w.loop.Now()-w.lastOwnedHeartbeat < duration
 }
 
-// heartbeatTimeout returns the time without any heartbeat after which the workers count
-// as unreachable.
+// heartbeatTimeout returns the time without a heartbeat from any owned machine after
+// which the workers count as unreachable.
 func (w *WorkerReachability) heartbeatTimeout() cluster.Time {
 	timeout := heartbeatTimeoutIntervals * w.heartbeatInterval
 	if w.fleet.MachineCount() >= largeFleetSize {
@@ -75,10 +76,11 @@
 	return timeout
 }
 
-// CanReachWorkers reports whether this node reaches its workers. The result becomes
-// false when this node owns several machines and their heartbeats have timed out, for
-// example because of a network partition. It stays false until a heartbeat or a reply
-// to Probe arrives, even if the shards are lost in the meantime.
+// CanReachWorkers reports whether this node reaches its workers. The result becomes false
+// when this node owns several booted machines and none of them has sent a heartbeat
+// within the heartbeat timeout, for example because of a network partition. It stays
+// false until a heartbeat or a reply to Probe arrives, even if the shards are lost in the
+// meantime.
 func (w *WorkerReachability) CanReachWorkers() bool {
 	timeout := w.heartbeatTimeout()
 	if w.loop.Now()-w.lastOwnedHeartbeat < timeout {
@@ -98,7 +100,8 @@
 	return !w.unreachable
 }
 
-// Probe queries the status of a silent worker while the workers count as unreachable.
+// Probe queries the status of a silent worker if the workers count as unreachable. A
+// successful reply makes them count as reachable again.
 func (w *WorkerReachability) Probe() {
 	if !w.unreachable || w.probeAddress == "" {
 		return
--- a/internal/membership/workers_test.go
+++ b/internal/membership/workers_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestSilentWorkers checks the heartbeat timeout of small and large fleets, and guards
-// against a single hung worker that makes all workers count as unreachable.
+// TestSilentWorkers checks the heartbeat timeout of small and large fleets, and that a
+// single silent worker does not make the workers count as unreachable.
 func TestSilentWorkers(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestWorkersReachableAgain guards against unreachable workers that count as reachable
-// before one has answered, even if this controller no longer owns machines.
+// TestWorkersReachableAgain checks that unreachable workers count as reachable only once
+// one has answered, and not as soon as this controller loses its machines.
 func TestWorkersReachableAgain(t *testing.T) {
 	m := newTestMembers()
 	m.fleet.machines = 2
--- a/internal/messages/cloud.go
+++ b/internal/messages/cloud.go
@@ -9,8 +9,9 @@
 type CloudListMachineTypes struct{ Call CallID }
 
 // CloudScaleOut provisions machines. Name is the idempotency key of the request: it is
-// stored before the request is sent, and the cloud executes each name only once, so a
-// request with an unknown outcome can be retried. It is answered by a ScaleOutReply.
+// stored before the request is sent, and the cloud executes only one request with a given
+// name, so a request with an unknown outcome can be retried. It is answered by a
+// ScaleOutReply.
 type CloudScaleOut struct {
 	Call  CallID
 	Name  string
--- a/internal/messages/events.go
+++ b/internal/messages/events.go
@@ -12,8 +12,8 @@
 type Tick struct{}
 
 // Submit is a user's submission of a job. If the body is invalid but has a job ID,
-// Rejection and Reason are set. If a job with that ID exists, the submission is answered
-// as an idempotent retry nevertheless.
+// Rejection and Reason are set. The submission is then rejected only if no job with that
+// ID exists, and otherwise answered as an idempotent retry.
 type Submit struct {
 	Request   RequestID
 	Spec      cluster.JobSpec
@@ -21,7 +21,7 @@
 	Reason    string         // why the body is invalid
 }
 
-// Query is a user's request for the state of a job.
+// Query is a user's request for the status of a job.
 type Query struct {
 	Request RequestID
 	ID      cluster.JobID
@@ -55,8 +55,8 @@
 	EventDelay cluster.Time // longest time between an event's arrival and its processing
 }
 
-// Reply is the reply to an outgoing call. The type of Body depends on the call: it is a
-// TxnReply for a StoreTxn, for example.
+// Reply is the reply to an outgoing call. The type of Body depends on the call. For
+// example, it is a TxnReply for a StoreTxn.
 type Reply struct {
 	Call CallID
 	Body ReplyBody
--- a/internal/messages/messages_test.go
+++ b/internal/messages/messages_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestEventsAndEffects checks that the lists of events and effects are complete and that no
-// event is also an effect, which the state machine would accept as input.
+// TestEventsAndEffects checks that its tables list all events and effects, and that no
+// event type is also an effect type.
 func TestEventsAndEffects(t *testing.T) {
 	events := []Event{
 		Tick{}, Submit{}, Query{}, Cancel{}, Health{}, Heartbeat{}, PeerRequest{}, ProcessLoad{}, Reply{},
--- a/internal/messages/outcome.go
+++ b/internal/messages/outcome.go
@@ -1,8 +1,8 @@
 package messages
 
 // Outcome is the result of an outgoing call. It distinguishes calls that were definitely
-// not executed, which can be retried, from calls that may have been executed, whose effect
-// must be read back before a retry.
+// not executed, which can be retried, from calls that may have been executed, whose
+// effect must be read back before a retry unless the call is idempotent.
 type Outcome int
 
 // The outcomes of outgoing calls.
--- a/internal/messages/peer.go
+++ b/internal/messages/peer.go
@@ -20,8 +20,9 @@
 }
 
 // PeerMessage is a message between controllers, either a request or the response to one.
-// A request sets exactly one of Ping, Notice, Query, Cancel and Submission. A response
-// sets Ping, Views, or Status with RetryAfter and Reason.
+// A request sets exactly one of Ping, Notice, Query, Cancel and Submission. The response
+// to a Ping sets Ping, that to a Query sets Views, and that to any other request sets
+// Status. Views then holds the job of an accepted submission or of a cancellation.
 //
 // Controllers of different releases exchange messages during an upgrade, so the encoded
 // field names of this type and of the types that it contains must not change.
@@ -31,7 +32,7 @@
 	Ping       *Ping              `cbor:"Ping"`
 	Notice     *JobNotice         `cbor:"Tell"`
 	Query      *JobQuery          `cbor:"Ask"`
-	Views      []cluster.JobView  `cbor:"Views"` // the response to Query
+	Views      []cluster.JobView  `cbor:"Views"` // at most one, except in the response to a Query
 	Cancel     cluster.JobID      `cbor:"Cancel"`
 	Submission *ProxiedSubmission `cbor:"Submit"`
 	Status     ResponseStatus     `cbor:"Status"`
@@ -53,19 +54,19 @@
 	Shards     []ShardTerm `cbor:"Parts"` // shards that the sender owns
 
 	StoreReachable   bool `cbor:"StoreOK"`
-	StoreFailing     bool `cbor:"StoreBad"` // the last request failed; if failures persist, StoreReachable becomes false
+	StoreFailing     bool `cbor:"StoreBad"` // the sender's last request to the store failed; if failures persist, StoreReachable becomes false
 	WorkersReachable bool `cbor:"WorkersOK"`
 
-	MillisSinceContact map[cluster.NodeID]int64 `cbor:"Heard"`  // milliseconds since each peer last answered the sender
-	FailbackOffers     []cluster.ShardID        `cbor:"Offer"`  // shards that their preferred owner may reacquire now
-	TransferOffers     []TransferOffer          `cbor:"Groups"` // groups with idle machines that other shards may take over
+	MillisSinceContact map[cluster.NodeID]int64 `cbor:"Heard"`  // milliseconds since each peer last answered a ping of the sender
+	FailbackOffers     []cluster.ShardID        `cbor:"Offer"`  // shards that the recipient, their preferred owner, may acquire now
+	TransferOffers     []TransferOffer          `cbor:"Groups"` // machine groups that other shards may take over
 
 	WriteDemand float64               `cbor:"Puts"`  // writes per second that the sender could use
 	CloudDemand float64               `cbor:"Cloud"` // cloud calls per second that the sender could use
 	ShardLoads  []fairshare.ShardLoad `cbor:"Loads"`
 
 	FeatureLevel int            `cbor:"Level"` // of the sender's release; 0 for releases without job dependencies
-	KnownTerms   []cluster.Term `cbor:"Terms"` // latest term of each shard that the sender knows, by shard
+	KnownTerms   []cluster.Term `cbor:"Terms"` // latest term of each shard known to the sender, indexed by shard ID
 }
 
 // ShardTerm is a shard that the sender owns and the term of its ownership.
@@ -74,12 +75,13 @@
 	Term  cluster.Term    `cbor:"Term"`
 }
 
-// JobNotice notifies a controller of job records that have just been stored.
+// JobNotice notifies a controller of stored job records, so that it need not wait for its
+// watch.
 type JobNotice struct {
 	Items []KV `cbor:"Keys"`
 }
 
-// JobQuery asks the owner of jobs for their state.
+// JobQuery asks the owner of jobs for their status.
 type JobQuery struct {
 	IDs []cluster.JobID `cbor:"IDs"`
 }
--- a/internal/messages/peer_encoding_test.go
+++ b/internal/messages/peer_encoding_test.go
@@ -10,9 +10,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// peerMessageFields holds the encoded field names of a PeerMessage, by path: "" is the
-// message itself, and "[]" the elements of a list. A release must not rename or remove a
-// field, because a controller of another release silently ignores unknown fields.
+// peerMessageFields holds the encoded field names of a PeerMessage, by path. The path ""
+// denotes the message itself, and "[]" denotes the elements of a list. A release must not
+// rename or remove a field, because a controller of another release silently ignores
+// unknown fields.
 var peerMessageFields = map[string][]string{
 	"": {
 		"After", "Ask", "Cancel", "From", "Ping", "Status", "Submit", "Tell", "Version", "Views", "Why",
@@ -62,7 +63,7 @@
 	}
 	for path := range peerMessageFields {
 		if fields[path] == nil {
-			t.Errorf("missing field %q", path)
+			t.Errorf("no fields at path %q", path)
 		}
 	}
 }
--- a/internal/messages/respond.go
+++ b/internal/messages/respond.go
@@ -16,7 +16,8 @@
 	Error      string             // why the request was rejected
 }
 
-// HeartbeatResponse is the response to a worker's heartbeat.
+// HeartbeatResponse carries commands to the worker that sent a heartbeat, or redirects
+// the worker to another controller.
 type HeartbeatResponse struct {
 	FencingToken cluster.FencingToken
 	Commands     []cluster.Command
--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/writequeue"
 )
 
-// AcquireEligibleShards acquires every shard that this controller should own and
+// AcquireEligibleShards starts to acquire every shard that this controller should own and
 // does not own yet.
 func (m *Manager) AcquireEligibleShards() {
 	for _, shard := range m.shards {
@@ -18,10 +18,11 @@
 	}
 }
 
-// AcquireIfEligible starts to acquire a shard if this controller should own it. The
-// decision is not safety-critical. An unnecessary acquisition only interrupts the
-// service of the shard, because the compare-and-swap on the claim record and the
-// fencing tokens exclude the previous owner.
+// AcquireIfEligible starts to acquire a shard if this controller should own it. It does
+// nothing while an acquisition is in flight or postponed, before the claim record was
+// read, or while the store is unavailable. The decision is not safety-critical. An
+// unnecessary acquisition only interrupts the service of the shard, because the
+// compare-and-swap on the claim record and the fencing tokens exclude the previous owner.
 func (m *Manager) AcquireIfEligible(shard *state.Shard) {
 	if shard.Owned || shard.Acquiring || !shard.RecordRead || m.loop.Now() < shard.AcquireNotBefore {
 		return
@@ -73,8 +74,10 @@
 	return false
 }
 
-// Acquire claims a shard for this controller by a compare-and-swap of its claim
-// record. On a conflict the record is read again.
+// Acquire enqueues a compare-and-swap of a shard's claim record that makes this
+// controller the owner. Once it is applied, this controller owns the shard and loads its
+// records, unless a later claim is known by then. After a conflict the claim record is
+// read again.
 func (m *Manager) Acquire(shard *state.Shard) {
 	shard.Acquiring = true
 	previousOwner, term := shard.Owner, shard.Term+1
--- a/internal/ownership/claims.go
+++ b/internal/ownership/claims.go
@@ -47,9 +47,9 @@
 	return record, nil
 }
 
-// Start reads all claim records, acquires the eligible shards and watches the claim
-// records from then on. If the revision to watch from has been compacted, it starts
-// over.
+// Start reads all claim records, starts to acquire the eligible shards, and watches the
+// claim records from then on. A failed read is retried. If the revision to watch from has
+// been compacted, all records are read again.
 func (m *Manager) Start() {
 	m.queue.ListPrefix(claimKeyPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
@@ -74,9 +74,9 @@
 	})
 }
 
-// RereadOwnClaims reads the claim records of all shards that this controller believes
-// it owns. It is called after a pause of the process, during which other controllers
-// may have acquired them.
+// RereadOwnClaims reads the claim records of all shards that this controller believes it
+// owns. It is called after a pause of the process, during which other controllers may
+// have acquired these shards.
 func (m *Manager) RereadOwnClaims() {
 	for _, shard := range m.shards {
 		if shard.Owned {
@@ -85,7 +85,8 @@
 	}
 }
 
-// RereadClaim reads a shard's claim record and applies it.
+// RereadClaim reads a shard's claim record and applies it. If it shows this controller's
+// current claim, the read also confirms the ownership.
 func (m *Manager) RereadClaim(shard *state.Shard) {
 	sentAt := m.loop.Now()
 	m.queue.ReadKey(shard.Key(), func(reply messages.GetReply) {
@@ -95,7 +96,8 @@
 	})
 }
 
-// applyRead applies a claim record returned by a read that was sent at sentAt.
+// applyRead applies a claim record returned by a read that was sent at sentAt, and
+// records the confirmation of the claim in it.
 func (m *Manager) applyRead(shard *state.Shard, kv messages.KV, sentAt cluster.Time) {
 	m.ApplyClaim(kv)
 	m.RecordConfirmation(shard, kv.ModRevision, sentAt)
@@ -103,8 +105,8 @@
 
 // ApplyClaim updates a shard's ownership from its claim record in the store. It ignores
 // missing records and keys that belong to no shard. A record that can't be decoded is
-// logged and otherwise ignored. A record that is not newer than the known one only adds
-// to the upgraded controllers.
+// logged and otherwise ignored. A newer record also shows that its writer is alive. A
+// record that is not newer than the known one only adds to the upgraded controllers.
 func (m *Manager) ApplyClaim(kv messages.KV) {
 	id, err := strconv.Atoi(strings.TrimPrefix(kv.Key, claimKeyPrefix))
 	if err != nil || !m.isShardID(cluster.ShardID(id)) || kv.Value == nil {
@@ -126,14 +128,15 @@
 	}
 }
 
-// applyNewClaim applies a claim that is later than the known one.
+// applyNewClaim applies a claim that is later than the known one. A claim by another
+// process ends this controller's ownership of the shard.
 func (m *Manager) applyNewClaim(shard *state.Shard, record ClaimRecord, modRevision cluster.ModRevision) {
 	isOwnWrite := writequeue.InstanceOf(record.WriteID) == m.config.InstanceID
 	if shard.Owned && !isOwnWrite {
 		m.HandleDeposed(shard.ID)
 	}
 	if shard.Acquiring && isOwnWrite {
-		return // this acquisition; its reply has not arrived yet
+		return // the claim of the acquisition in flight; it is applied when the reply arrives
 	}
 	shard.RecordOwner(record.Owner, record.Term, modRevision, m.loop.Now())
 }
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -25,8 +25,8 @@
 const StartWindow = 5 * second
 
 // renewalAge is the age of the last confirmation after which the store is read to renew
-// the ownership lease. While all peers answer their pings, the lease is renewed every
-// second without a read.
+// the ownership lease. While all peers answer their pings, the acknowledgements renew the
+// lease without a read.
 const renewalAge = 2 * second
 
 // ResponseWindow returns how long after its last confirmation of ownership an owner may
@@ -74,9 +74,9 @@
 }
 
 // LastConfirmedAt returns the latest time, at most now, at which it is certain that no
-// other controller had acquired the shard. This is the later of ConfirmedAt and the
-// oldest peer acknowledgement. If any acknowledgement does not confirm the claim, only
-// ConfirmedAt counts.
+// other controller had acquired the shard. This is the later of ConfirmedAt and the send
+// time of the oldest acknowledged ping. If any acknowledgement does not confirm the
+// claim, only ConfirmedAt counts.
 func (c Claim) LastConfirmedAt(now cluster.Time, acknowledgements []membership.Acknowledgement) cluster.Time {
 	confirmedAt := now
 	for i := range acknowledgements {
--- a/internal/ownership/lease_test.go
+++ b/internal/ownership/lease_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/membership"
 )
 
-// TestResponseWindow checks that tasks end within the cancel deadline after the last
-// response within the window, even with the maximum clock drift.
+// TestResponseWindow checks that tasks whose worker was last answered within the window
+// end within the cancel deadline, even with the maximum clock drift.
 func TestResponseWindow(t *testing.T) {
 	for _, test := range []struct{ cancelDeadline, lease, want cluster.Time }{
 		{37 * second, 22 * second, 13*second - 59*cluster.Millisecond},
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestLastConfirmedAt checks that the oldest acknowledgement counts unless the store
-// confirmed the claim later or an acknowledgement does not confirm the claim.
+// TestLastConfirmedAt checks that the oldest acknowledgement counts, unless the store has
+// confirmed the claim later or any acknowledgement does not confirm it.
 func TestLastConfirmedAt(t *testing.T) {
 	const now, storeConfirmedAt = 200 * second, 100 * second
 	claim := Claim{ShardID: 1, Term: 5, ConfirmedAt: storeConfirmedAt}
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -37,8 +37,8 @@
 //
 // # Ownership lease
 //
-// A deposed owner that has not noticed yet has stale state. Two mechanisms keep it
-// from acting on that. First, it reads the claim record before it answers a query for a
+// A deposed owner that has not noticed yet has stale state. Two mechanisms keep it from
+// acting on this state. First, it reads the claim record before it answers a query for a
 // job from memory, which makes these reads linearizable (Manager.ConfirmOwnership).
 // Second, it answers the shard's workers and starts tasks only for a limited time after
 // the last confirmation that no other controller had acquired the shard. This limit is
@@ -46,18 +46,18 @@
 //
 // During an outage of the store an owner can't see that another controller has acquired
 // its shard. The new owner may confirm the cancellation of a job whose tasks run on
-// machines that still send heartbeats to the former owner. Each heartbeat response of
-// the former owner would renew the leases of these machines and keep the tasks running.
-// It therefore stops responding early enough for the leases to expire before the cancel
-// deadline (docs/safety.md, "Gap").
+// machines that still send heartbeats to the former owner. Each heartbeat response of the
+// former owner would renew the leases of these machines and keep the tasks running. The
+// former owner therefore stops responding early enough for the leases to expire before
+// the cancel deadline (docs/safety.md, "Gap").
 //
 // Ownership is confirmed in two ways:
 //   - A reply of the store that shows that the claim is in force confirms ownership as
 //     of the time when the request was sent.
-//   - Peer acknowledgements confirm ownership as of the time when the oldest of the
-//     pings was sent, once every other controller has answered a ping and none of
-//     them knows of a later term. This is sufficient because a controller that
-//     acquires a shard knows its new term before it acts as the owner.
+//   - Peer acknowledgements confirm ownership as of the time when the oldest
+//     acknowledged ping was sent, once every other controller has answered a ping and
+//     none of these controllers knows of a later term. This is sufficient because a
+//     controller that acquires a shard knows its new term before it acts as the owner.
 //
 // An acknowledgement counts only for the peer's current process. An earlier process may
 // have acquired the shard, and its successor does not know of that claim until it reads
@@ -79,8 +79,8 @@
 	second      = cluster.Second
 )
 
-// storeOutageThreshold is how long the store must be unavailable before this
-// controller suspends acquisitions, ownership checks and reads for lease renewal.
+// maxStoreOutage is how long the store may be unavailable before this controller suspends
+// acquisitions, ownership checks and reads for lease renewal.
 const maxStoreOutage = second
 
 // Config configures a Manager.
@@ -126,7 +126,7 @@
 	DropShard(*state.Shard)
 }
 
-// Manager acquires and releases shards.
+// Manager acquires shards and ends their ownership.
 //
 // Only the Manager modifies the shards' state.ShardOwnership. For each shard, at most
 // one acquisition and one read for ownership checks are in flight at a time.
@@ -157,7 +157,7 @@
 	}
 }
 
-// Changes returns how many times a shard has become ready or was lost. Callers use it
+// Changes returns how many times any shard has become ready or been lost. Callers use it
 // to invalidate values derived from the set of owned shards.
 func (m *Manager) Changes() int { return m.changes }
 
@@ -168,8 +168,8 @@
 	m.changes++
 }
 
-// isStoreUnavailable reports whether the store has been unavailable to this
-// controller for longer than storeOutageThreshold.
+// isStoreUnavailable reports whether the store has been unavailable to this controller
+// for longer than maxStoreOutage.
 func (m *Manager) isStoreUnavailable() bool { return m.queue.IsUnavailableFor(maxStoreOutage) }
 
 // isShardID reports whether an ID received from a peer or read from the store is that
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -56,8 +56,8 @@
 	o.manager.RecordConfirmation(o.manager.shards[stored.ShardID], stored.Claim, stored.SentAt)
 }
 
-// testManager is the manager of n0, which is one of three controllers and the
-// preferred owner of shard 0. It starts at 100 s, with no known owners.
+// testManager is the manager of n0, which is one of three controllers and the preferred
+// owner of shard 0. Its time starts at 100 s, and no owners are known.
 type testManager struct {
 	*Manager
 	loop  *eventloop.Loop
@@ -156,8 +156,8 @@
 		prepare func(m *testManager, shard *state.Shard)
 		want    bool
 	}{
-		{"no owner, preferred here", 0, func(*testManager, *state.Shard) {}, true},
-		{"no owner, preferred elsewhere", 1, func(*testManager, *state.Shard) {}, false},
+		{"no owner, this node preferred", 0, func(*testManager, *state.Shard) {}, true},
+		{"no owner, another node preferred", 1, func(*testManager, *state.Shard) {}, false},
 		{"no owner, preferred owner failed, next in the ring", 2, func(m *testManager, _ *state.Shard) {
 			m.peers.failed = []cluster.NodeID{"n2"}
 		}, true},
@@ -186,7 +186,7 @@
 			shard.RecordOwner("n1", 4, 30, m.loop.Now())
 			shard.FailbackOffered = true
 		}, false},
-		{"owned here", 0, func(m *testManager, _ *state.Shard) { m.ownShard(0) }, false},
+		{"owned by this process", 0, func(m *testManager, _ *state.Shard) { m.ownShard(0) }, false},
 		{"acquisition in flight", 0, func(_ *testManager, shard *state.Shard) { shard.Acquiring = true }, false},
 		{"claim record not read yet", 0, func(_ *testManager, shard *state.Shard) { shard.RecordRead = false }, false},
 		{"dropped as corrupt recently", 0, func(m *testManager, shard *state.Shard) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// TestAcquireReplyAfterLaterClaim guards against taking ownership when the reply to an
+// TestAcquireReplyAfterLaterClaim checks that a shard is not owned if the reply to its
 // acquisition arrives after a later claim of another controller.
 func TestAcquireReplyAfterLaterClaim(t *testing.T) {
 	m := newTestManager()
@@ -250,7 +250,7 @@
 	m.ApplyClaim(claimKV(0, "n1", 2, "b1-7", 32))
 	m.reply(txn.Call, messages.TxnReply{Outcome: messages.OK, Revision: 31})
 	if shard.Owned || shard.Acquiring || shard.Owner != "n1" || len(m.store.loaded) > 0 {
-		t.Errorf("%+v, loaded shards %v; want the claim of n1 and no shard", shard.ShardOwnership, m.store.loaded)
+		t.Errorf("%+v, loaded shards %v; want the claim of n1 and no loaded shard", shard.ShardOwnership, m.store.loaded)
 	}
 }
 
@@ -265,7 +265,7 @@
 	read := onlyEffect[messages.StoreGet](t, m)
 	m.reply(read.Call, messages.GetReply{Outcome: messages.OK, KV: claimKV(0, "n2", 1, "b2-1", 31)})
 	if shard.Owned || shard.Acquiring || shard.Owner != "n2" || shard.Term != 1 {
-		t.Errorf("%+v", shard.ShardOwnership)
+		t.Errorf("after the conflict: %+v, want owner n2 with term 1", shard.ShardOwnership)
 	}
 }
 
@@ -280,17 +280,17 @@
 		{"claim record of another node", func(m *testManager) { m.ApplyClaim(claimKV(0, "n1", 2, "b1-7", 31)) }, true},
 		{"claim record of an earlier process", func(m *testManager) { m.ApplyClaim(claimKV(0, "n0", 2, "b9-7", 31)) }, true},
 		{"claim record of this process", func(m *testManager) { m.ApplyClaim(claimKV(0, "n0", 2, "b0-7", 31)) }, false},
-		{"claim record older than ours", func(m *testManager) { m.ApplyClaim(claimKV(0, "n1", 2, "b1-7", 29)) }, false},
+		{"earlier claim record of another node", func(m *testManager) { m.ApplyClaim(claimKV(0, "n1", 2, "b1-7", 29)) }, false},
 		{"peer owns it with a later term", func(m *testManager) {
 			m.ApplyPing("n1", &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 2}}})
 		}, true},
-		{"peer owns it with our term", func(m *testManager) {
+		{"peer owns it with the same term", func(m *testManager) {
 			m.ApplyPing("n1", &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 1}}})
 		}, false},
 		{"peer knows a later term", func(m *testManager) {
 			m.ApplyPing("n1", &messages.Ping{KnownTerms: []cluster.Term{2, 0, 0}})
 		}, true},
-		{"peer knows our term", func(m *testManager) {
+		{"peer knows the same term", func(m *testManager) {
 			m.ApplyPing("n1", &messages.Ping{KnownTerms: []cluster.Term{1, 0, 0}})
 		}, false},
 		{"invalid shard IDs", func(m *testManager) {
@@ -319,7 +319,7 @@
 // observedLoss records the effects of the loss of shard 0.
 type observedLoss struct {
 	checkResults  []bool // results of the pending ownership check
-	lostWrites    int    // queued writes that failed because of it
+	lostWrites    int    // queued writes that failed because of the loss
 	changesBefore int
 }
 
@@ -513,7 +513,7 @@
 }
 
 // TestOwnershipChecksShareReads checks that pending ownership checks share a read, and
-// guards against answering a check from a read that started before it.
+// that a read does not answer a check requested after its start.
 func TestOwnershipChecksShareReads(t *testing.T) {
 	m := newTestManager()
 	shard := m.ownShard(0)
@@ -547,8 +547,8 @@
 	}
 }
 
-// TestOwnershipCheckDuringOutage checks that an ownership check fails immediately,
-// without a read, while the store is unavailable.
+// TestOwnershipCheckDuringOutage checks that an ownership check reports false
+// immediately, without a read, while the store is unavailable.
 func TestOwnershipCheckDuringOutage(t *testing.T) {
 	m := newTestManager()
 	shard := m.ownShard(0)
@@ -618,7 +618,7 @@
 		shard := m.ownShard(0)
 		m.ApplyClaim(messages.KV{Key: shard.Key(), Value: []byte(value), ModRevision: 31})
 		if !shard.Owned || shard.Term != 1 || shard.ModRevision != 30 {
-			t.Errorf("%s: %+v", value, shard.ShardOwnership)
+			t.Errorf("%s: %+v, want it owned with term 1 and mod revision 30", value, shard.ShardOwnership)
 		}
 		if lines := effectsOf[messages.Log](m); len(lines) != 1 || lines[0].Level != messages.LogError {
 			t.Errorf("%s: logged %v, want one error", value, lines)
--- a/internal/ownership/ownershipcheck.go
+++ b/internal/ownership/ownershipcheck.go
@@ -29,10 +29,10 @@
 }
 
 // ConfirmOwnership calls handle with whether this controller still owns the shard, as
-// shown by a read of the claim record that starts after the call. It reports false if
-// the read fails or the store is unavailable. Callers use it before they answer from
-// memory, because a deposed owner that has not noticed the loss could return stale
-// data.
+// shown by a read of the claim record that starts after the call. handle is called with
+// false if the read fails, the store is unavailable or the shard is lost in the meantime.
+// Callers use it before they answer from memory, because a deposed owner that has not
+// noticed the loss could return stale data.
 func (m *Manager) ConfirmOwnership(shard *state.Shard, handle func(owned bool)) {
 	if m.isStoreUnavailable() {
 		handle(false)
@@ -47,7 +47,8 @@
 	m.loop.After(max(0, check.lastReadAt+minCheckInterval-m.loop.Now()), func() { m.readForCheck(shard) })
 }
 
-// readForCheck reads a shard's claim record and answers the pending checks.
+// readForCheck reads and applies a shard's claim record, and then answers the checks that
+// were pending when the read started.
 func (m *Manager) readForCheck(shard *state.Shard) {
 	check := &m.checks[shard.ID]
 	callbacks := check.takeCallbacks()
--- a/internal/ownership/ownershiploss.go
+++ b/internal/ownership/ownershiploss.go
@@ -40,10 +40,10 @@
 	m.HandleDeposed(shard.ID)
 }
 
-// HandleForeignWrite handles a write by another writer to a record of an owned shard.
-// Usually the shard has a new owner that this controller does not know of yet, so it
-// reads the claim record first. The record counts as corrupt only if this controller
-// still owns the shard.
+// HandleForeignWrite handles a record of an owned shard that another writer has modified.
+// Usually the shard has a new owner that this controller does not know of yet, so the
+// claim record is read first, and a failed read is retried. If this controller still owns
+// the shard, the modified record counts as corrupt and the shard is dropped.
 func (m *Manager) HandleForeignWrite(shard *state.Shard, key, reason string) {
 	claim := shard.ClaimRevision
 	m.queue.ReadKey(shard.Key(), func(reply messages.GetReply) {
--- a/internal/ownership/pings.go
+++ b/internal/ownership/pings.go
@@ -9,7 +9,8 @@
 // Peer is the recipient of a ping.
 type Peer interface {
 	ID() cluster.NodeID
-	// IsUnreachable reports whether the peer does not answer calls.
+	// IsUnreachable reports whether the peer has not answered a ping, its retries and the
+	// subsequent probes.
 	IsUnreachable() bool
 	// IsHealthyFor reports whether the peer has reported for longer than the given
 	// duration that it reaches the store and its workers.
@@ -31,9 +32,9 @@
 	ping.KnownTerms = m.knownTerms()
 }
 
-// offersFailback reports whether a shard should be offered back to a peer. The peer
-// must be its preferred owner and healthy, and the shard must not have changed owners
-// recently.
+// offersFailback reports whether an owned shard should be offered back to a peer. The
+// peer must be the shard's preferred owner and healthy, the shard must be ready and must
+// not have changed owners recently, and failbackRelievesLoad must be true.
 func (m *Manager) offersFailback(shard *state.Shard, to Peer) bool {
 	delay := m.config.FailbackDelay
 	return shard.PreferredOwner == to.ID() && shard.Ready &&
@@ -42,9 +43,9 @@
 		m.failbackRelievesLoad(shard)
 }
 
-// failbackRelievesLoad reports whether handing back a shard would reduce the load of
-// this controller or cost nothing. This is the case if the shard is idle, or if this
-// controller owns another shard that is not. Otherwise the move would interrupt the
+// failbackRelievesLoad reports whether handing back a shard would reduce the load of this
+// controller or cost nothing. This is the case if the shard is idle, or if this
+// controller owns another shard that is not idle. Otherwise the move would interrupt the
 // shard's users and machines and only shift the whole load to another controller.
 func (m *Manager) failbackRelievesLoad(returned *state.Shard) bool {
 	if isIdle(returned) {
@@ -71,7 +72,7 @@
 }
 
 // ApplyPing updates the shards' ownership from a peer's ping or its reply to one, and
-// acquires the shards that this controller should own as a result.
+// starts to acquire the shards that this controller should own as a result.
 func (m *Manager) ApplyPing(from cluster.NodeID, ping *messages.Ping) {
 	for _, owned := range ping.Shards {
 		if m.isShardID(owned.Shard) {
@@ -87,7 +88,11 @@
 	m.AcquireEligibleShards()
 }
 
-// applyPeerClaim applies a peer's report that it owns a shard under a term.
+// applyPeerClaim applies a peer's report that it owns a shard under a term. A later term
+// than the known one ends this controller's ownership. Unless an acquisition is in
+// flight, it also updates the known owner and triggers a read of the claim record. An
+// earlier failback offer of the peer is dropped, as its ping lists the offers that still
+// hold.
 func (m *Manager) applyPeerClaim(from cluster.NodeID, shard *state.Shard, term cluster.Term) {
 	if term > shard.Term && shard.Owned {
 		m.HandleDeposed(shard.ID)
@@ -110,9 +115,9 @@
 }
 
 // applyTerms applies the terms that another controller knows, indexed by shard ID. A
-// later term ends the ownership of a shard. While the store is unreachable from here,
-// this may be the only sign of a new owner, and further heartbeat responses would keep
-// renewing the leases of the shard's workers.
+// later term ends this controller's ownership of a shard. While this controller cannot
+// reach the store, this may be the only evidence of a new owner, and further heartbeat
+// responses would keep renewing the leases of the shard's workers.
 func (m *Manager) applyTerms(terms []cluster.Term) {
 	for id, term := range terms {
 		if id < len(m.shards) && m.shards[id].Owned && term > m.shards[id].Term {
