--- a/internal/jobs/admissionqueue.go
+++ b/internal/jobs/admissionqueue.go
@@ -222,9 +222,9 @@
 	admission.answer(messages.Respond{Status: messages.StatusCreated, View: &view})
 }
 
-// retryUnlessKnown answers a submission whose job is stored already. Otherwise it queues
-// the submission again.
-func (q *admissionQueue) retryUnlessKnown(admission *pendingAdmission) {
+// requeueUnlessStored answers a submission whose job is stored already. Otherwise, or if
+// the lookup fails, it queues the submission again.
+func (q *admissionQueue) requeueUnlessStored(admission *pendingAdmission) {
 	q.queries.lookUpInStore(admission.spec.ID, func(status messages.ResponseStatus, view cluster.JobView) {
 		switch {
 		case admission.answered:
--- a/internal/jobs/admissionwrite.go
+++ b/internal/jobs/admissionwrite.go
@@ -16,7 +16,7 @@
 	write    *writequeue.Write
 	batchKey string // key of the admission record, if there is one
 
-	built      bool
+	built      bool // build was called, so that the write no longer counts as queued
 	batch      []*pendingAdmission
 	jobRecords [][]byte // the jobs' own records, stored only if the batch has a single job
 }
@@ -109,7 +109,7 @@
 		case len(w.batch) == 1:
 			w.queue.queries.answerIdempotentRetry(admission.spec.ID, admission.answer)
 		default:
-			w.queue.retryUnlessKnown(admission)
+			w.queue.requeueUnlessStored(admission)
 		}
 	}
 }
--- a/internal/jobs/queries.go
+++ b/internal/jobs/queries.go
@@ -90,7 +90,8 @@
 
 // lookUpInStore looks up a job's status in the job's own record in the store, or in the
 // admission records if the job has no record of its own. It also applies the records that
-// it reads.
+// it reads. It calls handle with StatusUnavailable if the store is unavailable, the
+// request budget is overdrawn or a read fails.
 func (q *Queries) lookUpInStore(id cluster.JobID, handle viewHandler) {
 	if q.writeQueue.IsUnavailableFor(maxStoreOutage) || q.writeQueue.IsRequestBudgetOverdrawn() {
 		handle(messages.StatusUnavailable, cluster.JobView{})
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -60,9 +60,9 @@
 // AdmissionKeyCount returns how many keys of admission records were generated so far.
 func (s *Submissions) AdmissionKeyCount() int { return s.queue.keysIssued }
 
-// maxAdmissionWaitSeconds is the longest expected wait for the write budget at which
-// submissions are still admitted, by priority. Under growing load, submissions of lower
-// priorities are rejected first.
+// maxAdmissionWaitSeconds is the longest expected wait at which submissions are still
+// admitted, by priority. Under growing load, submissions of lower priorities are rejected
+// first.
 var maxAdmissionWaitSeconds = [...]float64{
 	cluster.BestEffort: 1,
 	cluster.Normal:     1.5,
@@ -71,9 +71,11 @@
 }
 
 // OverloadRetryAfter returns 0 if submissions of a priority can be admitted now, or the
-// number of seconds after which they should be retried.
+// number of seconds after which they should be retried. The expected wait of a submission
+// is the time that the write budget needs for the queued puts, or the delay of events if
+// that is longer.
 func (s *Submissions) OverloadRetryAfter(priority cluster.Priority) int {
-	// Waiting submissions share puts.
+	// Several waiting submissions share a put.
 	putsQueued := float64(len(s.writeQueue.Queued(writequeue.PriorityAdmission))) + s.queue.putsNeeded()
 	wait := putsQueued / max(s.writeQueue.PutBudget().Rate(), 1)
 	// A process that handles its events late is overloaded, too.
@@ -166,7 +168,7 @@
 // checkDependencies looks up the jobs that the submission depends on. It then resumes the
 // evaluation, or rejects the submission if they cannot be looked up now.
 func (s *submission) checkDependencies() {
-	s.submissions.checkDependencies(&s.spec, func(status messages.ResponseStatus) {
+	s.submissions.lookUpDependencies(&s.spec, func(status messages.ResponseStatus) {
 		switch status { //nolint:exhaustive // the only other status is StatusUnavailable
 		case messages.StatusNone:
 			s.evaluate(true)
@@ -179,12 +181,12 @@
 	})
 }
 
-// checkDependencies calls handle with StatusNone if all jobs that a submission depends on
-// were accepted, otherwise with the status to reject it with. Only the store can show
-// that a job was never accepted. While a controller may still run a release without
-// support for dependencies, the submission is rejected, because that release would start
-// the job immediately.
-func (s *Submissions) checkDependencies(spec *cluster.JobSpec, handle func(messages.ResponseStatus)) {
+// lookUpDependencies looks up the jobs that a submission depends on. It calls handle with
+// StatusNone if all of them were accepted, and otherwise with the status to reject the
+// submission with. Only the store can show that a job was never accepted. While a
+// controller may still run a release without support for dependencies, the submission is
+// rejected, because that release would start the job immediately.
+func (s *Submissions) lookUpDependencies(spec *cluster.JobSpec, handle func(messages.ResponseStatus)) {
 	if !s.Members.AllUpgraded() {
 		handle(messages.StatusUnavailable)
 		return
