--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -67,7 +67,7 @@
 			r.restartAfter(cloudRetryDelay)
 			return
 		}
-		r.releaseUnlisted(machines)
+		r.terminateUnlisted(machines)
 	})
 }
 
@@ -85,7 +85,7 @@
 func (r *quarantineRepair) isCurrent() bool { return r.shard.IsOwnedUnder(r.claimRevision) }
 
 // releaseUnlisted terminates those of the given machines that no readable record lists.
-func (r *quarantineRepair) releaseUnlisted(machines []cluster.ListedMachine) {
+func (r *quarantineRepair) terminateUnlisted(machines []cluster.ListedMachine) {
 	r.inventory.writes.ListPrefix(state.GroupKeyPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
 			r.restartAfter(listRetryDelay)
@@ -98,7 +98,7 @@
 				unlisted = append(unlisted, m.ID)
 			}
 		}
-		r.release(unlisted)
+		r.terminate(unlisted)
 	})
 }
 
@@ -122,7 +122,7 @@
 
 // release terminates machines in batches of the size that a call to the cloud allows,
 // and then deletes the quarantined records.
-func (r *quarantineRepair) release(machines []cluster.MachineID) {
+func (r *quarantineRepair) terminate(machines []cluster.MachineID) {
 	if !r.isCurrent() {
 		return
 	}
@@ -138,7 +138,7 @@
 			r.restartAfter(cloudRetryDelay)
 			return
 		}
-		r.release(machines[count:])
+		r.terminate(machines[count:])
 	})})
 }
 
--- a/internal/jobs/admissionrecords.go
+++ b/internal/jobs/admissionrecords.go
@@ -70,7 +70,7 @@
 		a.writeQueue.Watch(writequeue.PrefixWatch{
 			Prefix:      AdmissionKeyPrefix,
 			Position:    &a.appliedRevision,
-			Pause:       watchPause,
+			Delay:       watchPause,
 			OnChange:    func(kv messages.KV) { a.Apply(kv, nil) },
 			OnCompacted: a.load,
 		})
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -166,7 +166,7 @@
 		r.writeQueue.Watch(writequeue.PrefixWatch{
 			Prefix:      state.JobKeyPrefix,
 			Position:    &r.state.Jobs.AppliedRevision,
-			Pause:       watchPause,
+			Delay:       watchPause,
 			OnChange:    r.applyWatched,
 			OnCompacted: r.load,
 		})
--- a/internal/ownership/claims.go
+++ b/internal/ownership/claims.go
@@ -67,7 +67,7 @@
 		m.queue.Watch(writequeue.PrefixWatch{
 			Prefix:      claimKeyPrefix,
 			Position:    &m.claimsRevision,
-			Pause:       claimWatchDelay,
+			Delay:       claimWatchDelay,
 			OnChange:    m.ApplyClaim,
 			OnCompacted: m.Start,
 		})
--- a/internal/reconcile/draining_test.go
+++ b/internal/reconcile/draining_test.go
@@ -44,7 +44,7 @@
 
 // TestUnsentStartNotStopped checks that a recorded start that was not sent is withdrawn,
 // unless its record is still being written, as the write may succeed.
-func TestUnsentStartNotStopped(t *testing.T) {
+func TestPreemptWithdrawsUnsentStart(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		phase     state.AssignmentPhase
--- a/internal/reconcile/heldheartbeats.go
+++ b/internal/reconcile/heldheartbeats.go
@@ -7,7 +7,7 @@
 	heldHeartbeatScanInterval = 100 * millisecond
 	// heldHeartbeatStoreTimeout is how long the store may be unavailable before
 	// held heartbeats are answered without waiting for records.
-	heldHeartbeatStoreTimeout = 500 * millisecond
+	maxStoreOutageForHold = 500 * millisecond
 )
 
 // heldHeartbeats tracks the machines whose heartbeats are not answered yet, in order of
@@ -71,7 +71,7 @@
 // awaitsRecord reports whether the response to a machine's heartbeat has to wait until
 // the record of a start is stored.
 func (h *Heartbeats) awaitsRecord(machine *state.Machine) bool {
-	if h.loop.Now() >= machine.ResponseDeadline || h.queue.IsUnavailableFor(heldHeartbeatStoreTimeout) {
+	if h.loop.Now() >= machine.ResponseDeadline || h.queue.IsUnavailableFor(maxStoreOutageForHold) {
 		return false
 	}
 	for _, assignment := range machine.Assignments {
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -17,7 +17,7 @@
 	minPushInterval = 1500 * millisecond
 	// releaseStoreTimeout is how long the store may be unavailable before machines are
 	// no longer released, as their release can't be recorded.
-	releaseStoreTimeout = second
+	maxStoreOutageForRelease = second
 	// bootMarginSeconds is added to the boot timeout of a machine.
 	bootMarginSeconds = 5
 	// cordonedIdleTime is how long a cordoned machine must be idle before it is released.
@@ -148,7 +148,7 @@
 	if machine.Spot && !machine.Booting {
 		s.deps.Spot.AddServed(MaintenanceInterval)
 	}
-	storeUnavailable := s.queue.IsUnavailableFor(releaseStoreTimeout)
+	storeUnavailable := s.queue.IsUnavailableFor(maxStoreOutageForRelease)
 	if storeUnavailable && !machine.ReleaseConfirmed && (s.hangsWithCancelledTasks(machine) || s.ignoresStop(machine)) {
 		s.deps.Releaser.ReleaseBeforeRecorded(machine)
 	}
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -17,7 +17,7 @@
 	redirectHintMaxAge = 15 * second
 	// adoptionHintMaxAge is the maximum age of an owner hint that prevents the adoption
 	// of a machine.
-	adoptionHintMaxAge = 60 * second
+	registrationHintMaxAge = 60 * second
 	// ownerSearchBatchDelay is how long heartbeats are collected for one search.
 	ownerSearchBatchDelay = 50 * millisecond
 	// ownerSearchInterval is the minimum time between two searches.
@@ -26,10 +26,10 @@
 	registrationBatchDelay = 100 * millisecond
 	// ownerSearchStoreTimeout is how long the store may be unavailable before a heartbeat
 	// that requires a search is rejected with StatusUnavailable.
-	ownerSearchStoreTimeout = 500 * millisecond
+	maxStoreOutageForSearch = 500 * millisecond
 	// adoptionStoreTimeout is how long the store may be unavailable before no orphans are
 	// adopted.
-	adoptionStoreTimeout = second
+	maxStoreOutageForRegistration = second
 )
 
 // MachineDirectory finds the shards of machines that this controller does not own.
@@ -91,7 +91,7 @@
 		o.redirectToOwner(heartbeat.Request, shard)
 		return
 	}
-	if o.queue.IsUnavailableFor(ownerSearchStoreTimeout) {
+	if o.queue.IsUnavailableFor(maxStoreOutageForSearch) {
 		o.respondUnavailable(heartbeat.Request)
 		return
 	}
@@ -193,11 +193,11 @@
 	if listed.AgeSeconds < 3*float64(o.config.CloudListLag)/float64(second)+20 {
 		return
 	}
-	if _, ok := o.deps.Directory.RecentShardOf(listed.ID, adoptionHintMaxAge); ok {
+	if _, ok := o.deps.Directory.RecentShardOf(listed.ID, registrationHintMaxAge); ok {
 		return
 	}
 	shard := o.ShardFor(listed.ID)
-	if !shard.Owned || !shard.Ready || o.queue.IsUnavailableFor(adoptionStoreTimeout) {
+	if !shard.Owned || !shard.Ready || o.queue.IsUnavailableFor(maxStoreOutageForRegistration) {
 		return
 	}
 	if o.isTooNew(listed.ID) || o.registering[listed.ID] {
@@ -206,7 +206,7 @@
 	o.registering[listed.ID] = true
 	o.candidates = append(o.candidates, listed)
 	if len(o.candidates) == 1 {
-		o.loop.After(0, o.adoptCandidates)
+		o.loop.After(0, o.registerCandidates)
 	}
 }
 
@@ -223,19 +223,19 @@
 // adoptCandidates reads the records and adopts the candidates that no record has listed
 // for at least minAge. Their age in the cloud's list is not sufficient: a machine that
 // another shard has just released is still in the list but no longer exists.
-func (o *Orphans) adoptCandidates() {
+func (o *Orphans) registerCandidates() {
 	candidates := o.candidates
 	o.candidates = nil
 	o.deps.Directory.ReadRecordedMachines(func(recorded *state.RecordedMachines) {
 		for _, candidate := range candidates {
-			o.adopt(candidate, recorded)
+			o.registerIfOrphaned(candidate, recorded)
 		}
 	})
 }
 
 // adopt registers a machine from the cloud's list if no record has listed it for at least
 // minAge.
-func (o *Orphans) adopt(listed cluster.ListedMachine, recorded *state.RecordedMachines) {
+func (o *Orphans) registerIfOrphaned(listed cluster.ListedMachine, recorded *state.RecordedMachines) {
 	delete(o.registering, listed.ID)
 	shard := o.ShardFor(listed.ID)
 	kind := grouprecord.Kind{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}
--- a/internal/reconcile/orphans_test.go
+++ b/internal/reconcile/orphans_test.go
@@ -97,7 +97,7 @@
 
 // TestOrphanAdoptedAfterMinimumAge guards against adopting a machine that was just
 // released but is still in the cloud's list.
-func TestOrphanAdoptedAfterMinimumAge(t *testing.T) {
+func TestOrphanRegisteredAfterMinimumAge(t *testing.T) {
 	h := newHarness(t)
 	h.recorded = recordedMachines(unknownMachine)
 	listed := cluster.ListedMachine{ID: unknownMachine, Type: "small", Zone: "a", Addr: "m-3", AgeSeconds: 500}
--- a/internal/writequeue/watch.go
+++ b/internal/writequeue/watch.go
@@ -22,7 +22,7 @@
 	Position *cluster.Revision
 	// Pause is the delay between a reply and the next request. Changes made in the
 	// meantime arrive in one reply.
-	Pause cluster.Time
+	Delay cluster.Time
 	// OnChange is called with each key that was changed or deleted.
 	OnChange func(messages.KV)
 	// OnCompacted is called when the store no longer keeps the changes after
@@ -41,12 +41,12 @@
 				watch.OnChange(kv)
 			}
 			*watch.Position = max(*watch.Position, reply.Revision)
-			q.loop.After(watch.Pause, func() { q.Watch(watch) })
+			q.loop.After(watch.Delay, func() { q.Watch(watch) })
 		case messages.Compacted:
 			q.loop.Log(messages.LogInfo, "watch position was compacted; reading all keys again",
 				"prefix", watch.Prefix,
 				"since_revision", uint64(*watch.Position))
-			q.loop.After(watch.Pause, watch.OnCompacted)
+			q.loop.After(watch.Delay, watch.OnCompacted)
 		default:
 			q.loop.After(watchRetryDelay, func() { q.Watch(watch) })
 		}
