--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -106,7 +106,7 @@
 				}
 				queue = append(queue, c.Step(c.loop.Now(), 0, messages.Reply{Call: effect.Call, Body: reply})...)
 			case messages.Log:
-				adopted = adopted || effect.Message == "orphaned machine adopted"
+				adopted = adopted || effect.Message == "machine in the cloud's list is in no record; registering it"
 			}
 		}
 	}
--- a/internal/grouprecord/address.go
+++ b/internal/grouprecord/address.go
@@ -17,7 +17,7 @@
 )
 
 // packAddress returns the stored form of an address. An address with a space or a line
-// feed would corrupt the machine's entry and is stored as none.
+// feed would corrupt the machine's entry, so noAddress is stored instead.
 func packAddress(address string) string {
 	parsed, err := netip.ParseAddrPort(address)
 	if err == nil && parsed.Addr().Is4() && roundTrips(parsed, address) {
@@ -44,7 +44,7 @@
 }
 
 // unpackAddress returns the address with the given stored form. It returns
-// ErrInvalidAddress if the form is malformed.
+// ErrInvalidAddress if the stored form is malformed.
 func unpackAddress(text string) (string, error) {
 	if text == noAddress {
 		return "", nil
--- a/internal/grouprecord/decode.go
+++ b/internal/grouprecord/decode.go
@@ -48,7 +48,7 @@
 const minEntryFields = 3
 
 // maxTaskIndex is an upper bound of task indexes. Without it, a short record with a huge
-// range would exhaust memory.
+// range could exhaust memory.
 const maxTaskIndex = 100_000
 
 // Decode parses the JSON form of a record. It returns an error if the record is
@@ -73,8 +73,8 @@
 	return Record{ShardID: form.ShardID, Machines: machines, WriteID: form.WriteID}, nil
 }
 
-// ShardOf returns the shard of a record, which may be readable even if Decode rejects the
-// record. It returns false if the shard cannot be read.
+// ShardOf returns the shard of a record. It may succeed even if Decode rejects the record.
+// It returns false if the shard cannot be decoded.
 func ShardOf(value []byte) (cluster.ShardID, bool) {
 	var form struct {
 		ShardID *cluster.ShardID `json:"p"`
@@ -85,7 +85,7 @@
 	return *form.ShardID, true
 }
 
-// parseMachine parses a machine entry. Its errors are of type *MachineError.
+// parseMachine parses a machine entry. Any error is of type *MachineError.
 func (f *storedForm) parseMachine(entry string) (Machine, error) {
 	fields := strings.Split(entry, " ")
 	if len(fields) < minEntryFields || fields[0] == "" {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// appendRange parses a range of the form job:first-last@attempt and appends its tasks. Its
-// errors are of type *RangeError.
+// appendRange parses a range of the form job:first-last@attempt and appends its tasks. Any
+// error is of type *RangeError.
 func (f *storedForm) appendRange(tasks []Task, text string) ([]Task, error) {
 	jobAndIndexes, attemptText, hasAttempt := strings.Cut(text, "@")
 	jobText, indexes, hasIndexes := strings.Cut(jobAndIndexes, ":")
@@ -142,7 +142,7 @@
 }
 
 // parseIndexes parses first-last, or a single index. A negative index is an
-// error, as the dash is the separator.
+// error, because the minus sign is parsed as the separator.
 func parseIndexes(text string) (first, last int, err error) {
 	low, high, isRange := strings.Cut(text, "-")
 	if first, err = strconv.Atoi(low); err != nil {
--- a/internal/grouprecord/encode.go
+++ b/internal/grouprecord/encode.go
@@ -108,7 +108,7 @@
 func appendInt(entry []byte, value int) []byte { return strconv.AppendInt(entry, int64(value), 10) }
 
 // tableIndex returns the index of a value in a table. It appends the value if it is missing.
-// The search is linear, as a record has few kinds and claims.
+// The search is linear because a record has few kinds and claims.
 func tableIndex[T comparable](table *[]T, value T) int {
 	for i := range *table {
 		if (*table)[i] == value {
@@ -120,7 +120,7 @@
 }
 
 // jobIndex returns the index of a job in the table of jobs. It appends the job if it is
-// missing. A map speeds up the search, as a record may have many jobs.
+// missing. The search uses a map because a record may have many jobs.
 func (e *encoder) jobIndex(job cluster.JobID) int {
 	index, known := e.jobs[job]
 	if !known {
--- a/internal/grouprecord/record.go
+++ b/internal/grouprecord/record.go
@@ -22,7 +22,7 @@
 	ID        cluster.MachineID
 	Kind      Kind
 	Address   string // host and port of its worker; empty if unknown
-	Releasing bool   // it is being scaled in
+	Releasing bool   // it is being released
 	Booting   bool   // its worker has not sent a heartbeat yet
 	Tasks     []Task
 }
--- a/internal/grouprecord/record_test.go
+++ b/internal/grouprecord/record_test.go
@@ -56,7 +56,7 @@
 	return fmt.Appendf(nil, `{"p":1,"c":[5],"k":[{"f":"s","y":"a"}],"j":["j-1"],"m":["m-1 0 . %s"]}`, ranges)
 }
 
-// TestMalformedRanges checks that malformed task ranges are rejected, as a task that is
+// TestMalformedRanges checks that malformed task ranges are rejected. A task that is
 // overlooked could run twice.
 func TestMalformedRanges(t *testing.T) {
 	if record, err := Decode(recordWithTasks("0:1-3@a")); err != nil || len(record.Machines[0].Tasks) != 3 {
--- a/internal/grouprecord/size.go
+++ b/internal/grouprecord/size.go
@@ -3,8 +3,8 @@
 import "stairrelay/internal/cluster"
 
 // ValueLimit is the maximum number of bytes of a value in the store. It determines the
-// sizes at which records are merged, split and full. The sizes differ enough for a merged
-// record to grow before it has to be split.
+// sizes at which records are merged, are split, or get no further tasks. The sizes differ
+// enough for a merged record to grow before it has to be split.
 type ValueLimit int
 
 // Size thresholds in twentieths of a ValueLimit.
@@ -18,14 +18,15 @@
 // twentieths returns count twentieths of the limit in bytes.
 func (l ValueLimit) twentieths(count int) int { return int(l) * count / 20 }
 
-// targetMachineBytes is the number of bytes of the limit per machine of a new record.
+// targetMachineBytes is the number of bytes of the limit that TargetMachines allots to a
+// machine.
 const targetMachineBytes = 80
 
 // minMachines is the minimum of TargetMachines.
 const minMachines = 4
 
-// TargetMachines returns the number of machines that a new record should have. With a few
-// tasks each, they take about half of the limit.
+// TargetMachines returns the number of machines that a new record should list. With a few
+// tasks on each machine, the record takes about half of the limit.
 func (l ValueLimit) TargetMachines() int { return max(int(l)/targetMachineBytes, minMachines) }
 
 // maxTaskBytes is the maximum size of a task in a record, not counting its job ID: a range
@@ -39,7 +40,7 @@
 }
 
 // WithinSoftLimit reports whether a record of size bytes is within the soft limit. The
-// space above it is reserved for changes that can't be postponed.
+// space above the soft limit is reserved for changes that can't be postponed.
 func (l ValueLimit) WithinSoftLimit(size int) bool { return size <= l.twentieths(softLimitTwentieths) }
 
 // ShouldSplit reports whether a record of size bytes should be split.
@@ -52,15 +53,15 @@
 // is at least 2, and each of the records takes about half of the limit.
 func (l ValueLimit) SplitCount(size int) int { return max(size/(int(l)/2), 2) }
 
-// Size is the size of a record, as considered when records are merged.
+// Size holds the properties of a record that limit which records are merged.
 type Size struct {
 	Bytes    int
 	Machines int
 }
 
 // MergeableCount returns the number of leading records that fit into one record that is
-// well below the size at which it would be split again. It is less than maxWrites, the
-// maximum number of operations in a transaction.
+// well below the size at which it would be split again. The result is less than maxWrites,
+// the maximum number of operations in a transaction.
 func (l ValueLimit) MergeableCount(records []Size, maxWrites int) int {
 	var sum Size
 	for i, record := range records {
@@ -81,9 +82,9 @@
 	jobQuotingBytes  = 3  // quotes and comma of a job ID in the table of jobs
 )
 
-// AddedBytes estimates by how many bytes a task enlarges a record. The parameter continues
-// means that the task continues the range of the task assigned before, and jobListed that
-// the machine already has tasks of the job.
+// AddedBytes estimates by how many bytes a task enlarges a record. The argument continues is
+// true if the task continues the range of the previously assigned task, and jobListed is
+// true if the machine already has tasks of the job.
 func AddedBytes(job cluster.JobID, continues, jobListed bool) int {
 	switch {
 	case continues:
@@ -94,7 +95,7 @@
 	return rangeBytes + len(job) + jobQuotingBytes
 }
 
-// Estimates of the size of a machine in a record, in bytes, by which records are split.
+// Estimates, in bytes, from which Split computes the size of a machine in a record.
 const (
 	machineEntryBytes = 40 // ID, kind and address
 	taskBytes         = 16
@@ -115,7 +116,7 @@
 	for i, machine := range machines {
 		following := records - 1 - current // lists after the current one
 		isFull := currentSize+size(machine)/2 > remaining/(following+1)
-		mustAdvance := len(machines)-i <= following // each of them needs a machine
+		mustAdvance := len(machines)-i <= following // each of the following lists needs a machine
 		if following > 0 && len(lists[current]) > 0 && (isFull || mustAdvance) {
 			remaining -= currentSize
 			current, currentSize = current+1, 0
--- a/internal/grouprecord/size_test.go
+++ b/internal/grouprecord/size_test.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// fullRecord returns a record with the target number of machines. Each has three tasks of
-// different jobs, under two claims.
+// fullRecord returns a record with the target number of machines. Each machine has three
+// tasks of different jobs, with attempts of two claims.
 func fullRecord(limit ValueLimit) Record {
 	record := Record{ShardID: 1, WriteID: "0123456789ab-1234"}
 	for i := range limit.TargetMachines() {
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestLimits checks the sizes at which records are merged, split and full under a limit of
-// 1000 bytes.
+// TestLimits checks the sizes at which records are merged, are split or get no further tasks
+// under a limit of 1000 bytes.
 func TestLimits(t *testing.T) {
 	const limit ValueLimit = 1000
 	for _, test := range []struct {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestRoomSuffices checks that a task accepted by HasRoom never takes more bytes than
-// HasRoom assumes.
+// TestRoomSuffices checks that a task with a new job, a long index and the maximum attempt
+// count adds no more bytes than HasRoom assumes.
 func TestRoomSuffices(t *testing.T) {
 	const limit ValueLimit = 4096
 	record := fullRecord(limit)
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestMergeableCount checks that leading records are merged up to seven tenths of the
-// limit and up to fewer records than a transaction can write.
+// TestMergeableCount checks that the merged records stay within seven tenths of the limit and
+// twice the target number of machines, and are fewer than a transaction can write.
 func TestMergeableCount(t *testing.T) {
 	const limit ValueLimit = 1000 // a target of 12 machines per record
 	for _, test := range []struct {
@@ -123,8 +123,7 @@
 	}
 }
 
-// TestAddedBytes checks that the estimate is never too small and at most 12 bytes too
-// large.
+// TestAddedBytes checks that the estimate is not too small, and at most 12 bytes too large.
 func TestAddedBytes(t *testing.T) {
 	record := Record{Machines: []Machine{{ID: "m-1", Tasks: []Task{newTask("j-1", 100, 41, 20_000)}}}}
 	for _, test := range []struct {
--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -8,8 +8,9 @@
 	"stairrelay/internal/writequeue"
 )
 
-// CheckOwner checks whether a machine was transferred to another shard. It is called
-// when the machine's worker has seen a higher fencing token than this controller's.
+// CheckOwner marks a machine as fenced off and reads its group's record to find out
+// whether the group was transferred to another shard. It is called when the machine's
+// worker has seen a higher fencing token than this controller's.
 func (inv *Inventory) CheckOwner(machine *state.Machine) {
 	machine.FencedOff = true
 	inv.checkRecord(machine.Group)
@@ -17,7 +18,8 @@
 
 // checkRecord reads a group's record to find out whether this controller still owns
 // the group. It is called after a conflict on the record, or when a worker has seen a
-// higher fencing token than its machine's.
+// higher fencing token than its machine's. It has no effect while another such read is
+// pending.
 func (inv *Inventory) checkRecord(group *state.MachineGroup) {
 	if group.RecordCheckPending {
 		return
@@ -33,7 +35,10 @@
 	})
 }
 
-// applyRecordCheck handles the reply to the read of checkRecord.
+// applyRecordCheck handles the reply to checkRecord's read. It drops a group that was
+// transferred or deleted, and the shard if the record is invalid. It reports a change by
+// another writer. If the record is unchanged, it raises the tokens of machines that are
+// fenced off. A failed read is repeated after a delay.
 func (inv *Inventory) applyRecordCheck(group *state.MachineGroup, reply messages.GetReply) {
 	if reply.Outcome == messages.NotFound {
 		inv.handleTransferredAway(group, cluster.NoShard)
@@ -61,10 +66,10 @@
 	}
 }
 
-// raiseFencedOffTokens raises the tokens of the machines whose workers have seen a
-// higher one, although the group still belongs to the shard. The higher token was
-// issued by an owner that has since lost the group. The worker rejects commands under a
-// lower token.
+// raiseFencedOffTokens handles a group that still belongs to its shard. It raises the
+// tokens of the machines whose workers have seen a higher one from another owner, because
+// the workers reject commands under a lower token. It also rereads the shard's claim and
+// queues a write of the group's record.
 func (inv *Inventory) raiseFencedOffTokens(shard *state.Shard, group *state.MachineGroup) {
 	inv.shards.RereadClaim(shard)
 	for _, m := range group.SortedMachines() {
@@ -78,8 +83,8 @@
 
 // handleTransferredAway drops a group that was transferred to another shard, or whose
 // record was deleted. A group is transferred only while its record lists no task. If
-// the stored record listed one, a writer other than the owner changed it, and the
-// change is reported as a foreign write.
+// this controller has stored a task in the record, a writer other than the owner must have
+// changed it, and the change is reported as a foreign write.
 func (inv *Inventory) handleTransferredAway(group *state.MachineGroup, to cluster.ShardID) {
 	for _, m := range group.SortedMachines() {
 		for _, a := range m.SortedAssignments() {
@@ -92,12 +97,14 @@
 	inv.dropGroup(group, to)
 }
 
-// dropGroup removes a group that was transferred to another shard or whose record was
-// quarantined, and makes the tasks assigned to its machines pending again. This can't run
-// a task twice, because the record of a transferred group lists no tasks, so no start was
-// sent, and a shard with a quarantined record starts no tasks before it is repaired.
+// dropGroup removes a group that was transferred to another shard, or whose record was
+// deleted or quarantined, and makes the tasks assigned to its machines pending again. If to
+// is a shard, it is recorded as the owner hint of the machines.
+//
+// This can't run a task twice. The record of a transferred group lists no tasks, so no
+// start was sent. A shard with a quarantined record starts no tasks before it is repaired.
 func (inv *Inventory) dropGroup(group *state.MachineGroup, to cluster.ShardID) {
-	inv.loop.Log(messages.LogDebug, "machine group dropped", "group", group.ID, "machines", len(group.Machines), "to_shard", int(to))
+	inv.loop.Log(messages.LogDebug, "machine group was transferred, deleted or quarantined; removing its machines from memory", "group", group.ID, "machines", len(group.Machines), "to_shard", int(to))
 	delete(inv.state.Groups, group.ID)
 	for _, m := range group.SortedMachines() {
 		inv.dropMachine(m)
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -65,8 +65,8 @@
 type Workers interface {
 	// ConfirmAbsent records that a task is proven not to be on a machine.
 	ConfirmAbsent(*state.Machine, *state.Assignment)
-	// QueueCommandPush queues a push of a machine's commands, so that they don't wait
-	// for its next heartbeat.
+	// QueueCommandPush queues a push of a machine's urgent commands, so that they don't
+	// wait for the machine's next heartbeat.
 	QueueCommandPush(*state.Machine)
 	// RecheckHeldHeartbeat checks again whether a machine's held heartbeat can be
 	// answered.
@@ -80,16 +80,17 @@
 type Scheduler interface {
 	// RequestScheduling requests a scheduling run for the pending tasks.
 	RequestScheduling()
-	// MaintainMachines runs the periodic maintenance of the machines ahead of time.
+	// MaintainMachines runs the periodic maintenance of the machines immediately.
 	MaintainMachines()
 }
 
 // Cloud calls the cloud provider.
 type Cloud interface {
 	// ScheduleScaleIn schedules a call that terminates the machines whose stored
-	// records mark them as released.
+	// records mark them as being released.
 	ScheduleScaleIn()
-	// ChargeCall charges a call to the cloud's rate limit even if that is exhausted.
+	// ChargeCall counts a call against the cloud's rate limit, even if the limit is
+	// exhausted.
 	ChargeCall()
 	// ListMachines calls handle with the cloud's list of machines. ok is false if the
 	// list could not be read.
--- a/internal/inventory/load.go
+++ b/internal/inventory/load.go
@@ -18,8 +18,9 @@
 )
 
 // ApplyRecord applies a group's record while a shard is loaded. A record of the shard is
-// loaded as one of its groups. A record of another shard is kept as a hint to the owner
-// of its machines. An invalid record is quarantined.
+// loaded as one of its groups, or its deletion is queued if it lists no machines. A record
+// of another shard only provides owner hints for its machines. An invalid record is
+// quarantined unless it belongs to another shard.
 func (inv *Inventory) ApplyRecord(item messages.KV, shard *state.Shard) {
 	record, err := grouprecord.Decode(item.Value)
 	if err == nil && !inv.isShard(record.ShardID) {
@@ -27,8 +28,8 @@
 	}
 	if err != nil {
 		// If the record's shard can't be determined, every shard that is loaded
-		// quarantines the record. The first repair succeeds, and the others find the
-		// record gone.
+		// quarantines the record. The first repair deletes the record, and those of the
+		// other shards then fail with a conflict and load the shards again.
 		if of, ok := grouprecord.ShardOf(item.Value); !ok || !inv.isShard(of) || of == shard.ID {
 			inv.quarantineRecord(shard, item, err)
 		}
@@ -51,9 +52,10 @@
 	inv.loadGroup(item, record.Machines, shard)
 }
 
-// dropOlderGroup drops the known group of a record that is being loaded, if it belongs
-// to another shard owned here and the record is later. It returns false if the record
-// must be ignored, since the group is known in the same or a later state.
+// dropOlderGroup drops the known group of a record that is being loaded, if the group
+// belongs to another shard owned here and the record is later. It returns false if the
+// record must be ignored, because the group is already known as one of the shard or at the
+// same or a later mod revision.
 func (inv *Inventory) dropOlderGroup(item messages.KV, shard *state.Shard) bool {
 	group := inv.state.Groups[groupID(item.Key)]
 	if group == nil {
@@ -66,11 +68,11 @@
 	return true
 }
 
-// dropOlderMachines drops the known groups that list machines of a record that is being
-// loaded, if they belong to another shard owned here and the record is later. Such a
-// group may have another ID than the record's, since the other shard may have merged
-// groups after a transfer. It returns false if the record must be ignored, since one of
-// its machines has a fencing token that is later than the record.
+// dropOlderMachines drops the known groups that contain machines of a record that is being
+// loaded, if the groups belong to other shards owned here and the record is later. The ID
+// of such a group may differ from the record's, because another shard may have merged groups
+// after a transfer. It returns false if the record must be ignored, because one of its
+// machines has a fencing token that is later than the record.
 func (inv *Inventory) dropOlderMachines(item messages.KV, entries []grouprecord.Machine, shard *state.Shard) bool {
 	for i := range entries {
 		m := inv.state.Machines[entries[i].ID]
@@ -85,9 +87,10 @@
 	return true
 }
 
-// loadGroup adds the group that a record describes. The revision of the claim under
-// which the shard is loaded becomes the machines' fencing token. It is higher than all
-// earlier ones, since the claim is later than every transfer of a machine to the shard.
+// loadGroup adds the group that a record describes, or quarantines the record if it lists
+// an invalid task. The revision of the claim under which the shard is loaded becomes the
+// machines' fencing token. It is higher than all earlier tokens, because the claim is later
+// than every transfer of a machine to the shard.
 func (inv *Inventory) loadGroup(item messages.KV, entries []grouprecord.Machine, shard *state.Shard) {
 	group := inv.state.AddGroup(shard, groupID(item.Key), item.ModRevision)
 	group.RecordSize = len(item.Value)
@@ -107,8 +110,9 @@
 	}
 }
 
-// loadTask adds the assignment of a task that a previous owner's record lists, unless
-// the task or its job has finished. It returns an error if the task is invalid.
+// loadTask adds the assignment of a task that a previous owner's record lists, unless the
+// task has completed or its job has finished. A cancelled job is restored, so that its task
+// is stopped. It returns an error if the job is unknown or the task index is out of range.
 func (inv *Inventory) loadTask(m *state.Machine, task grouprecord.Task, shard *state.Shard) error {
 	m.RecordedTaskCount++
 	job := inv.state.Jobs.Owned[task.ID.Job]
@@ -157,10 +161,10 @@
 // deleteEmptyGroup enqueues the deletion of the record of an empty group.
 //
 // Once the key is absent, a delayed copy of the transaction that created the group could
-// be applied if the claim that guards it is still in force. That may be the claim of any
-// shard, since groups are transferred. So the record is deleted only if no shard has the
-// claim under which the group was created, and on condition that the claims of all other
-// shards are unchanged. Otherwise the record is kept until a later load.
+// be applied if the claim that guards the transaction is still in force. That may be the
+// claim of any shard, because groups are transferred. The record is therefore deleted only
+// if no shard has the claim under which the group was created, and on condition that the
+// claims of all shards are unchanged. Otherwise the record is kept until a later load.
 func (inv *Inventory) deleteEmptyGroup(shard *state.Shard, item messages.KV) {
 	createdUnder, ok := claimRevisionFromKey(item.Key)
 	if !ok {
--- a/internal/inventory/load_test.go
+++ b/internal/inventory/load_test.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestEmptyGroupRecordKept guards against a delayed copy of a group's creation that
-// restores a deleted record: an empty group's record is kept until a later claim.
+// TestEmptyGroupRecordKept checks that an empty group's record is deleted only under a later
+// claim. Otherwise a delayed copy of the group's creation could restore the record.
 func TestEmptyGroupRecordKept(t *testing.T) {
 	h := newHarness(t, "n0")
 	shard := h.state.Shards[0]
@@ -24,12 +24,12 @@
 	h.ApplyRecord(messages.KV{Key: "groups/b1-12-1", Value: value, ModRevision: 20}, shard)
 	queued := h.writes.Queued(writequeue.PriorityBackground)
 	if len(queued) != 1 || queued[0].Keys[0] != "groups/b1-12-1" || len(h.state.Groups) != 0 {
-		t.Fatalf("load under a later claim queued %d writes and added %d groups", len(queued), len(h.state.Groups))
+		t.Fatalf("load under a later claim queued %d writes and added %d groups, want one write of the record and no group", len(queued), len(h.state.Groups))
 	}
 	if operations, _ := queued[0].Build("n-2"); len(operations) != 1 || operations[0].Value != nil {
 		t.Errorf("load under a later claim writes %v, want a deletion", operations)
 	}
-	// The claim that created the group is still in force, or the key doesn't contain it.
+	// The claim that created the group is still in force, or the key contains no claim.
 	h.ApplyRecord(messages.KV{Key: "groups/b1-30-1", Value: value, ModRevision: 20}, shard)
 	h.ApplyRecord(messages.KV{Key: "groups/g", Value: value, ModRevision: 20}, shard)
 	for _, write := range h.writes.Queued(writequeue.PriorityBackground)[1:] {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestStaleGroupReadIgnored guards against a machine that is listed twice, because a
-// record was read before another shard owned here acquired and merged the group.
+// TestStaleGroupReadIgnored checks that a record is ignored if it was read before another
+// shard owned here acquired its machine, and that a later record moves the machine.
 func TestStaleGroupReadIgnored(t *testing.T) {
 	for modRevision, want := range map[cluster.ModRevision]cluster.ShardID{40: 0, 60: 1} {
 		h := newHarness(t, "n0", "n1")
--- a/internal/inventory/machines.go
+++ b/internal/inventory/machines.go
@@ -17,8 +17,8 @@
 	return inv.state.AddMachine(group, entry, token, inv.loop.Now())
 }
 
-// dropMachine removes a machine that this controller no longer owns, and redirects its
-// worker to the owner of its shard.
+// dropMachine removes a machine that this controller no longer owns, and answers its
+// pending heartbeat with a redirect to the owner of the machine's shard.
 func (inv *Inventory) dropMachine(machine *state.Machine) {
 	inv.state.RemoveMachine(machine)
 	inv.redirectPendingHeartbeat(machine, inv.state.Shards[machine.ShardID].Owner)
@@ -38,8 +38,8 @@
 	})
 }
 
-// removeTerminated removes a machine that the cloud has terminated, after its record was
-// stored without it. Its tasks may then be started on other machines.
+// removeTerminated removes a machine that the cloud has terminated, after a record without
+// the machine was stored. Its tasks may then be started on other machines.
 func (inv *Inventory) removeTerminated(machine *state.Machine) {
 	if inv.state.Machines[machine.ID] != machine {
 		return
@@ -52,8 +52,8 @@
 	inv.redirectPendingHeartbeat(machine, "")
 }
 
-// redirectPendingHeartbeat answers the machine's pending heartbeat, if there is one, with
-// the node that the worker should use instead.
+// redirectPendingHeartbeat answers a machine's pending heartbeat, if there is one, with a
+// redirect to a node, or to any other node if to is empty.
 func (inv *Inventory) redirectPendingHeartbeat(machine *state.Machine, to cluster.NodeID) {
 	if machine.PendingHeartbeat != 0 {
 		inv.workers.RedirectWorker(machine.PendingHeartbeat, to)
@@ -69,8 +69,8 @@
 	}
 }
 
-// unassign makes the task of a removed assignment pending again. It removes the task's
-// job if that has finished and this was its last assignment.
+// unassign makes the task of a removed assignment pending again and requests a scheduling
+// run. If the task's job has finished and has no other assignment, it removes the job.
 func (inv *Inventory) unassign(assignment *state.Assignment) {
 	job := assignment.Job
 	job.Unassign(assignment)
@@ -80,9 +80,10 @@
 	inv.scheduler.RequestScheduling()
 }
 
-// RaiseToken raises a machine's fencing token by writing its record: the token is the
-// revision of the write. After the worker has acknowledged the new token, it no longer
-// executes commands sent under a lower one.
+// RaiseToken enqueues a write of the machine's record, whose revision becomes the machine's
+// new fencing token. A worker that has acknowledged the new token no longer executes
+// commands sent under a lower one. RaiseToken has no effect if the token is already being
+// raised or the machine is being released.
 func (inv *Inventory) RaiseToken(machine *state.Machine) {
 	if machine.BeginTokenRaise() {
 		inv.WriteMachine(machine, writequeue.PriorityStart)
--- a/internal/inventory/maintenance.go
+++ b/internal/inventory/maintenance.go
@@ -5,8 +5,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// MaintainRecords writes the records that still list tasks which are confirmed absent,
-// and splits and merges records by size.
+// MaintainRecords enqueues writes of the records that still list tasks that are confirmed
+// absent, and splits and merges groups by the size of their records.
 func (inv *Inventory) MaintainRecords() {
 	for _, group := range inv.state.SortedGroups() {
 		if !group.WritePending && listsAbsentTask(group) {
--- a/internal/inventory/merge.go
+++ b/internal/inventory/merge.go
@@ -10,7 +10,7 @@
 )
 
 // SplitAndMerge splits the groups of a shard whose records approach the value limit, and
-// merges small ones, since each changed group costs a put.
+// merges small groups to save puts, because each changed group costs one.
 func (inv *Inventory) SplitAndMerge(shard *state.Shard) {
 	limit := inv.config.ValueLimit
 	var small []*state.MachineGroup
@@ -39,12 +39,12 @@
 	if count < 2 {
 		return
 	}
-	target := small[count-1] // the largest of them stays
+	target := small[count-1] // the largest group, into which the others are merged
 	var moving []*state.Machine
 	for _, group := range small[:count-1] {
 		moving = append(moving, group.SortedMachines()...)
 	}
-	// The priority is that of starts, since this write replaces the queued writes of
-	// the groups, and fewer groups need fewer puts when further tasks are started.
+	// This write cancels the queued writes of the groups and stores their changes, which
+	// may include starts. It therefore has the priority of starts.
 	inv.Regroup(shard, moving, target, writequeue.PriorityStart, func(*state.MachineGroup) {})
 }
--- a/internal/inventory/newgroup.go
+++ b/internal/inventory/newgroup.go
@@ -28,8 +28,9 @@
 	return messages.TxnOp{Key: state.GroupKey(g.ID), Value: value}, 0
 }
 
-// AddNewGroup adds a group after its first record was stored at the given revision. Its
-// machines have not been owned under any other claim, so their token is their initial one.
+// AddNewGroup adds a group after its first record was stored at the given revision, which
+// becomes the initial fencing token of its machines. It skips machines that are already
+// known, and requests a scheduling run.
 func (inv *Inventory) AddNewGroup(group *NewGroup, revision cluster.Revision) {
 	added := inv.state.AddGroup(group.Shard, group.ID, cluster.ModRevision(revision))
 	added.RecordSize = group.recordSize
@@ -42,8 +43,9 @@
 	inv.scheduler.RequestScheduling()
 }
 
-// RegisterMachines stores machines that no record lists in a new group of a shard. done
-// is called when the record was stored, or when that failed.
+// RegisterMachines enqueues a write that stores machines that no record lists in a new group
+// of a shard. It calls done after the write has succeeded or failed, or if it is no longer
+// needed because all of the machines have become known.
 func (inv *Inventory) RegisterMachines(shard *state.Shard, machines []grouprecord.Machine, done func()) {
 	claimRevision := shard.ClaimRevision
 	group := &NewGroup{ID: inv.names.NextGroup(shard), Shard: shard, Machines: machines}
--- a/internal/inventory/ownerhints.go
+++ b/internal/inventory/ownerhints.go
@@ -20,7 +20,7 @@
 }
 
 // LastShardOf returns the shard whose record was last seen to list a machine that this
-// controller doesn't own. It returns false if there is none.
+// controller doesn't own. It returns false if no record was seen to list the machine.
 func (inv *Inventory) LastShardOf(machine cluster.MachineID) (cluster.ShardID, bool) {
 	hint, ok := inv.ownerHints[machine]
 	return hint.shardID, ok
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -13,14 +13,15 @@
 )
 
 // An invalid group record is quarantined. The tasks on its machines are unknown, and
-// starting them on other machines could run a task twice. To repair the shard, the
-// machines that no readable record lists are terminated, which stops their tasks. Then
-// the quarantined records are deleted and the shard is loaded again. Until then the
-// requests of users are answered from the store.
+// starting them on other machines could run a task twice, so the shard starts no tasks. To
+// repair the shard, the machines that no readable record lists are terminated, which stops
+// their tasks. Then the quarantined records are deleted and the shard is loaded again.
+// Until then, users' requests about jobs of the shard are answered from the store.
 
-// quarantineRecord quarantines an invalid group record.
+// quarantineRecord quarantines an invalid group record, and drops the group if part of the
+// record was already loaded.
 func (inv *Inventory) quarantineRecord(shard *state.Shard, item messages.KV, reason error) {
-	inv.loop.Log(messages.LogInfo, "corrupt record quarantined", "key", item.Key, "error", reason.Error())
+	inv.loop.Log(messages.LogInfo, "invalid group record quarantined; the shard starts no tasks until it is repaired", "key", item.Key, "error", reason.Error())
 	if shard.QuarantinedGroups == nil {
 		shard.QuarantinedGroups = map[string]cluster.ModRevision{}
 	}
@@ -46,15 +47,17 @@
 	claimRevision cluster.Revision
 }
 
-// RepairQuarantined terminates every machine that the cloud lists but no readable record
-// does, then deletes the quarantined records and loads the shard again.
+// RepairQuarantined begins the repair of a shard. The repair terminates every machine that
+// the cloud lists but no readable record lists, then deletes the quarantined records and
+// loads the shard again.
 func (inv *Inventory) RepairQuarantined(shard *state.Shard) {
 	r := &quarantineRepair{inventory: inv, shard: shard, claimRevision: shard.ClaimRevision}
 	r.start()
 }
 
-// start reads the cloud's list of machines. It first waits until the list is certain to
-// contain all machines that existed when the shard was claimed.
+// start reads the cloud's list of machines and continues with terminateUnlisted. It first
+// waits until the list is certain to contain all machines that existed when the shard was
+// claimed.
 func (r *quarantineRepair) start() {
 	inv := r.inventory
 	if wait := r.shard.OwnershipChangedAt + 2*inv.config.CloudListLag + cloudListMargin - inv.loop.Now(); wait > 0 {
@@ -71,8 +74,8 @@
 	})
 }
 
-// restartAfter starts the repair again after a delay, unless the shard is lost or loaded
-// by then.
+// restartAfter starts the repair again after a delay, unless the shard has been lost or
+// loaded by then.
 func (r *quarantineRepair) restartAfter(delay cluster.Time) {
 	r.inventory.loop.After(delay, func() {
 		if r.isCurrent() && !r.shard.Ready {
@@ -84,7 +87,8 @@
 // isCurrent reports whether the shard is still owned under the claim of the repair.
 func (r *quarantineRepair) isCurrent() bool { return r.shard.IsOwnedUnder(r.claimRevision) }
 
-// releaseUnlisted terminates those of the given machines that no readable record lists.
+// terminateUnlisted reads the group records and terminates those of the given machines that
+// no readable record lists.
 func (r *quarantineRepair) terminateUnlisted(machines []cluster.ListedMachine) {
 	r.inventory.writes.ListPrefix(state.GroupKeyPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
@@ -102,7 +106,8 @@
 	})
 }
 
-// listedMachines returns the machines that the readable records list.
+// listedMachines returns the machines that the readable records among items list. A
+// quarantined record is not readable.
 func (r *quarantineRepair) listedMachines(items []messages.KV) map[cluster.MachineID]bool {
 	listed := map[cluster.MachineID]bool{}
 	for _, item := range items {
@@ -120,7 +125,7 @@
 	return listed
 }
 
-// release terminates machines in batches of the size that a call to the cloud allows,
+// terminate terminates machines in batches of the size that a call to the cloud allows,
 // and then deletes the quarantined records.
 func (r *quarantineRepair) terminate(machines []cluster.MachineID) {
 	if !r.isCurrent() {
@@ -142,9 +147,9 @@
 	})})
 }
 
-// deleteRecords deletes the quarantined records, up to the limit of a transaction, and
-// loads the shard again. A conflict occurs if the owner of another shard has repaired a
-// record first. The shard is loaded again in this case too.
+// deleteRecords enqueues the deletion of the quarantined records, up to the limit of a
+// transaction. After the deletion, the shard is loaded again. This also happens after a
+// conflict, which occurs if the owner of another shard has deleted a record first.
 func (r *quarantineRepair) deleteRecords() {
 	keys := slices.Sorted(maps.Keys(r.shard.QuarantinedGroups))
 	keys = keys[:min(len(keys), r.inventory.config.MaxTxnOps)]
--- a/internal/inventory/record.go
+++ b/internal/inventory/record.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/state"
 )
 
-// recordSnapshot is the content of a group's record as it was built. It is applied once
-// the record is stored. Changes made while the write is in flight are not part of it.
+// recordSnapshot is the content of a group's record when the record was built. It is applied
+// once the record is stored. It doesn't include changes made while the write is in flight.
 type recordSnapshot struct {
 	machines   []machineSnapshot
 	terminated []*state.Machine // terminated by the cloud, no longer listed
@@ -20,7 +20,7 @@
 type machineSnapshot struct {
 	machine     *state.Machine
 	listed      []*state.Assignment
-	removed     []*state.Assignment // no longer listed, since they are confirmed absent
+	removed     []*state.Assignment // no longer listed, because they are confirmed absent
 	completed   []*state.Assignment // no longer listed, but kept until their outcomes are stored
 	raisesToken bool
 	releases    bool
@@ -47,9 +47,9 @@
 		case a.ConfirmedAbsent:
 			snapshot.removed = append(snapshot.removed, a)
 		case a.IsCompleted():
-			// The record need not list it, since the worker reports a completed
-			// task until its outcome is stored. A new owner of the shard learns of
-			// it from the worker's heartbeat.
+			// The record need not list a completed task, because the worker reports
+			// the task until its outcome is stored. A new owner of the shard learns
+			// of the completion from the worker's heartbeat.
 			snapshot.completed = append(snapshot.completed, a)
 		default:
 			snapshot.listed = append(snapshot.listed, a)
--- a/internal/inventory/recordedmachines.go
+++ b/internal/inventory/recordedmachines.go
@@ -13,9 +13,9 @@
 // that they list and the kinds of machines for which provisioning requests are open. It
 // calls handle with nil if a read fails or a record is invalid.
 //
-// The provisioning requests are read before the groups, since the machines of an open
-// request are not in a group yet. So a machine that no group lists is an orphan unless a
-// request was open for its kind.
+// The provisioning requests are read before the groups, because the machines of an open
+// request are not in a group yet. A machine that no group lists is therefore an orphan,
+// unless a request was open for its kind.
 func (inv *Inventory) ReadRecordedMachines(handle func(*state.RecordedMachines)) {
 	inv.writes.ListPrefix(provisioningPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK {
@@ -38,8 +38,8 @@
 // provisioningPrefix is the prefix of the keys of provisioning requests.
 const provisioningPrefix = "rentals/"
 
-// requestedKind returns the kind of machine of a stored provisioning request. It decodes
-// the other fields only to return an error if one is invalid.
+// requestedKind returns the kind of machine that a stored provisioning request is for. It
+// decodes the other fields only to return an error if one is invalid.
 func requestedKind(value []byte) (grouprecord.Kind, error) {
 	var record struct {
 		grouprecord.Kind
@@ -51,8 +51,9 @@
 	return record.Kind, err
 }
 
-// readGroupedMachines adds the machines that group records list and calls handle with
-// the result.
+// readGroupedMachines reads the group records, adds the machines that they list to recorded
+// and calls handle with the result. It calls handle with nil if a read fails or a record is
+// invalid.
 func (inv *Inventory) readGroupedMachines(recorded *state.RecordedMachines, handle func(*state.RecordedMachines)) {
 	inv.writes.ListPrefix(state.GroupKeyPrefix, func(reply messages.ListReply) {
 		if reply.Outcome != messages.OK || !inv.addListedMachines(reply.Items, recorded.Listed) {
@@ -75,9 +76,8 @@
 	})
 }
 
-// addListedMachines adds the machines that group records list, and keeps hints to the
-// owners of those that this controller doesn't own. It returns false if a record is
-// invalid.
+// addListedMachines adds the machines that group records list to listed, and adds owner
+// hints for those that this controller doesn't own. It returns false if a record is invalid.
 func (inv *Inventory) addListedMachines(items []messages.KV, listed map[cluster.MachineID]bool) bool {
 	for _, item := range items {
 		if item.Value == nil {
--- a/internal/inventory/recordedmachines_test.go
+++ b/internal/inventory/recordedmachines_test.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestRecordedMachinesReadInPages guards against treating a machine as an orphan because
-// it changed groups while the groups were read in pages.
+// TestRecordedMachinesReadInPages checks that changes made while the groups are read in pages
+// are read too. Otherwise a machine that changes groups could be treated as an orphan.
 func TestRecordedMachinesReadInPages(t *testing.T) {
 	for _, test := range []struct {
 		name           string
--- a/internal/inventory/regroup.go
+++ b/internal/inventory/regroup.go
@@ -11,8 +11,8 @@
 )
 
 // regrouping moves machines of a shard into one group by a transaction that writes the
-// records of all affected groups. The groups are locked from when the write is queued
-// until it has ended, so that no other write changes their records.
+// records of all affected groups. The groups are locked while this write is queued or in
+// flight, so that no other write changes their records.
 type regrouping struct {
 	inventory     *Inventory
 	shard         *state.Shard
@@ -29,8 +29,9 @@
 }
 
 // Regroup moves machines of a shard into the group target, or into a new group if target
-// is nil. It calls done with the group after its record was stored, or with nil if the
-// machines could not be moved.
+// is nil. It enqueues one write of all affected groups, which replaces their queued writes.
+// It calls done with the group after the write was applied, or with nil if the machines
+// could not be moved.
 func (inv *Inventory) Regroup(shard *state.Shard, machines []*state.Machine, target *state.MachineGroup, priority writequeue.Priority, done func(*state.MachineGroup)) {
 	sources, ok := sourceGroups(machines, target)
 	if !ok || len(sources) == 0 || len(sources)+1 > inv.config.MaxTxnOps || target != nil && target.WriteInFlight {
@@ -98,8 +99,8 @@
 }
 
 // build returns the writes of the sources' records without the moving machines, and of the
-// target's record with them. It returns none if the target's record would be too large or
-// none of the machines can be moved.
+// target's record with them. If the target's record would be too large or no machine can be
+// moved, it abandons the regrouping and returns no writes.
 func (r *regrouping) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 	r.snapshots = nil
 	r.moving = r.machinesToMove()
@@ -159,7 +160,7 @@
 }
 
 // abandon unlocks the groups without moving machines. It enqueues a write of each group,
-// since lock may have cancelled the queued ones.
+// because lock may have cancelled a queued write.
 func (r *regrouping) abandon() {
 	r.unlock()
 	for _, group := range r.affected {
@@ -183,7 +184,7 @@
 	for _, m := range r.moving {
 		r.target.MoveIn(m)
 	}
-	next := writequeue.PriorityCount // a change to be written may have moved to another group
+	next := writequeue.PriorityCount // a requested write may be for a machine that has moved to another group
 	for _, group := range r.affected {
 		next = min(next, group.NextWritePriority)
 	}
--- a/internal/inventory/split.go
+++ b/internal/inventory/split.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// groupSplit moves machines of a group into new groups by a transaction that writes all
-// their records. The group is locked from when the write is queued until it has ended.
+// groupSplit moves machines of a group into new groups by a transaction that writes the
+// records of all these groups. The group is locked while this write is queued or in flight.
 type groupSplit struct {
 	groupClaim
 	newIDs []string // of the new groups
@@ -19,9 +19,9 @@
 	snapshots []*recordSnapshot  // of the pieces
 }
 
-// Split splits a group in two, or into more groups if its record is much too large, which
-// may happen after the value limit was lowered. MaxTxnOps limits the number of groups,
-// since one transaction writes all their records.
+// Split enqueues a write that splits a group in two, or into more groups if its record is
+// much too large, which may happen after the value limit was lowered. MaxTxnOps limits the
+// number of groups, because one transaction writes all their records.
 func (inv *Inventory) Split(group *state.MachineGroup) {
 	if group.WriteInFlight || len(group.Machines) < 2 {
 		return
@@ -48,7 +48,7 @@
 }
 
 // lock locks a group for a transaction on several groups. It cancels a queued write of the
-// group's record, since the transaction writes the record too.
+// group's record, because the transaction writes the record too.
 func (inv *Inventory) lock(group *state.MachineGroup) {
 	if group.QueuedWrite != nil {
 		inv.writes.Cancel(group.QueuedWrite)
@@ -88,7 +88,7 @@
 	if !s.isCurrent() {
 		return
 	}
-	next := s.group.NextWritePriority // a change to be written may be in any piece
+	next := s.group.NextWritePriority // a requested write may be for a machine in any piece
 	for i, machines := range s.pieces {
 		target := s.group
 		if i > 0 {
@@ -102,7 +102,8 @@
 }
 
 // applyRegrouped applies the record of one of the groups that a transaction has stored. It
-// then queues the group's next write with the priority next, if one is wanted.
+// then enqueues the group's next write with the priority next, unless next is
+// writequeue.PriorityCount, which means that no write was requested.
 func (inv *Inventory) applyRegrouped(group *state.MachineGroup, snapshot *recordSnapshot, revision cluster.Revision, next writequeue.Priority) {
 	group.ModRevision, group.RecordSize = cluster.ModRevision(revision), snapshot.size
 	inv.applyStored(group, snapshot, revision)
@@ -113,9 +114,9 @@
 }
 
 // handleTooLarge doubles the number of pieces for the next split after the store has
-// rejected the records as too large, because its limit is lower than the configured one.
-// The group's record is written again after a delay, since it gets shorter as tasks end.
-// If it is still too large, the group is split again.
+// rejected the records as too large, because the store's limit is lower than the configured
+// one. The group's record is written again after a delay, because it gets shorter as tasks
+// end. If it is still too large, the group is split again.
 func (s *groupSplit) handleTooLarge() {
 	s.group.EndWrite()
 	s.group.MinSplitCount = 2 * len(s.keys)
--- a/internal/inventory/stored.go
+++ b/internal/inventory/stored.go
@@ -5,8 +5,9 @@
 	"stairrelay/internal/state"
 )
 
-// applyStored applies a record that was stored. The tasks that it lists may be started,
-// and those that it no longer lists may be started on other machines.
+// applyStored updates a group's machines and assignments after a record was stored. The
+// tasks that the record lists may be started on its machines, and those that it no longer
+// lists may be started on other machines. A group without machines is removed.
 func (inv *Inventory) applyStored(group *state.MachineGroup, snapshot *recordSnapshot, revision cluster.Revision) {
 	for i := range snapshot.machines {
 		if s := &snapshot.machines[i]; inv.state.Machines[s.machine.ID] == s.machine {
--- a/internal/inventory/stored_test.go
+++ b/internal/inventory/stored_test.go
@@ -21,7 +21,7 @@
 
 func (w *fakeWorkers) RedirectWorker(messages.RequestID, cluster.NodeID) {}
 
-// fakeScheduler schedules nothing.
+// fakeScheduler ignores all requests.
 type fakeScheduler struct{}
 
 func (fakeScheduler) RequestScheduling() {}
@@ -63,8 +63,8 @@
 	write.OnApplied(revision)
 }
 
-// TestStartFollowsStoredRecord guards against starting a task before the stored record
-// lists it, also if it was assigned while a write of the record was in flight.
+// TestStartFollowsStoredRecord checks that a task is started only after the stored record
+// lists it, even if it was assigned while a write of the record was in flight.
 func TestStartFollowsStoredRecord(t *testing.T) {
 	h, workers, m := newHarnessWithMachine(t, state.PhaseRecording, state.PhaseRecording)
 	assignments := m.SortedAssignments()
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestAbsentTaskFreedByStoredRecord guards against starting an absent task on another
-// machine while the stored record still lists it.
+// TestAbsentTaskFreedByStoredRecord checks that an absent task becomes pending only after the
+// stored record no longer lists it. Otherwise the task could run twice.
 func TestAbsentTaskFreedByStoredRecord(t *testing.T) {
 	h, _, m := newHarnessWithMachine(t, state.PhaseAcknowledged)
 	a := m.SortedAssignments()[0]
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestCompletedTaskKeptUntilOutcomeStored guards against dropping a completed task, and
-// starting it again, before its outcome is stored.
+// TestCompletedTaskKeptUntilOutcomeStored checks that a completed task whose outcome is not
+// stored stays assigned when the stored record no longer lists it.
 func TestCompletedTaskKeptUntilOutcomeStored(t *testing.T) {
 	h, _, m := newHarnessWithMachine(t, state.PhaseAcknowledged)
 	a := m.SortedAssignments()[0]
--- a/internal/inventory/transfer.go
+++ b/internal/inventory/transfer.go
@@ -10,12 +10,12 @@
 	"stairrelay/internal/writequeue"
 )
 
-// groupTransfer moves a group of idle machines to a shard owned here, by a write that is
-// conditional on the mod revision of a record that lists no task. The revision of the
-// write becomes the machines' fencing token. It is higher than all earlier ones.
+// groupTransfer moves a group of idle machines to a shard owned here. Its write is
+// conditional on the mod revision at which the group's record listed no task. The revision
+// of the write becomes the machines' fencing token, which is higher than all earlier ones.
 //
 // If the shard that offers the group is owned here too, the group stays with it and is
-// locked until the write is applied.
+// locked until the write has succeeded or failed.
 type groupTransfer struct {
 	inventory       *Inventory
 	shard           *state.Shard
@@ -28,8 +28,9 @@
 	recordSize      int                 // of the last encoded record, in bytes
 }
 
-// AcquireGroup acquires a group that was offered to a shard when its record had the given
-// mod revision. It does nothing if the record has changed since.
+// AcquireGroup begins the transfer to a shard of a group that was offered to it when the
+// group's record had the given mod revision. The transfer is abandoned if the record has
+// changed since, or if a machine of the group is in use.
 func (inv *Inventory) AcquireGroup(shard *state.Shard, key string, modRevision cluster.ModRevision) {
 	t := &groupTransfer{
 		inventory:       inv,
@@ -102,7 +103,9 @@
 	return []messages.TxnOp{{Key: state.GroupKey(t.groupID), Value: value}}, []cluster.ModRevision{t.offeredRevision}
 }
 
-// handleStored adds the group to the shard after the write was applied.
+// handleStored adds the group to the shard after the write was applied, and drops the group
+// from the shard that offered it if that shard is owned here. It requests a scheduling run
+// and runs the machine maintenance.
 func (t *groupTransfer) handleStored(revision cluster.Revision) {
 	inv := t.inventory
 	if t.localGroup != nil && inv.ownsGroup(t.localGroup) {
--- a/internal/inventory/write.go
+++ b/internal/inventory/write.go
@@ -11,9 +11,9 @@
 // higher token is stored, the machine gets no new tasks and its worker's lease may expire.
 const tokenRaiseWeight = 4
 
-// cpusWaiting returns the number of CPUs that are idle until the records of the given
-// groups are stored. It counts the CPUs of tasks that may start only then, on the same or
-// another machine, and the CPUs of machines that can be used or offered only then.
+// cpusWaiting returns the weighted number of CPUs that are idle until the records of the
+// given groups are stored. It counts the CPUs of tasks that may start only then, on the same
+// or another machine, and the CPUs of machines that can be used or offered only then.
 func (inv *Inventory) cpusWaiting(groups ...*state.MachineGroup) float64 {
 	var sum cluster.Amount
 	for _, g := range groups {
@@ -85,10 +85,10 @@
 	snapshot *recordSnapshot // of the last record built
 }
 
-// WriteGroup enqueues a write of a group's record. If a write is queued already, it raises
-// the priority of that one. If a write is in flight, another one follows it. If the record
-// is being read after a conflict, the write follows the read, because a write that is
-// conditional on the outdated mod revision would conflict again.
+// WriteGroup enqueues a write of a group's record. If a write is already queued, it raises
+// the priority of the queued write. If a write is in flight, another write follows it. If
+// the record is being read after a conflict, the write follows the read, because a write
+// that is conditional on the outdated mod revision would conflict again.
 func (inv *Inventory) WriteGroup(group *state.MachineGroup, priority writequeue.Priority) {
 	if group.RecordCheckPending {
 		group.NextWritePriority = min(group.NextWritePriority, priority)
@@ -157,8 +157,8 @@
 	inv.loop.After(second, func() { inv.queueNextWrite(group) })
 }
 
-// queueNextWrite enqueues the write that was wanted while another one was in flight, if
-// there is one.
+// queueNextWrite enqueues the write that was requested while another write or a read of the
+// record was in flight, if there is one.
 func (inv *Inventory) queueNextWrite(group *state.MachineGroup) {
 	if group.NextWritePriority < writequeue.PriorityCount && inv.ownsGroup(group) {
 		inv.WriteGroup(group, group.NextWritePriority)
--- a/internal/reconcile/absence.go
+++ b/internal/reconcile/absence.go
@@ -6,16 +6,17 @@
 	"stairrelay/internal/writequeue"
 )
 
-// absenceEvidence describes a status that does not list a task. It decides whether the
-// status proves that the task is not on the machine.
+// absenceEvidence holds the properties of a status that determine whether the start of a
+// task that the status does not list is proven lost.
 type absenceEvidence struct {
 	sequence       cluster.SequenceNumber
 	newIncarnation bool // first status of a new incarnation, which starts without tasks
 	pushed         bool // the status is the reply to a push
 }
 
-// applyMissingTasks handles the tasks of the machine's record that a status does not
-// list. It reports whether a start sent in a heartbeat response was lost.
+// applyMissingTasks marks the machine's tasks that a status does not list as absent, and
+// requeues dispatched starts that are proven lost. It reports whether a start sent in a
+// heartbeat response was lost.
 //
 // It must be called only if the worker has acknowledged the machine's current token.
 // Otherwise the status may be stale, or the worker may still execute a start sent by a
@@ -45,13 +46,14 @@
 	return startLostInResponse
 }
 
-// provesStartLost reports whether a dispatched start that the status does not list can
-// no longer reach the worker. Requeueing a start that is still in flight would run the
+// provesStartLost reports whether the dispatched start of a task that the status does not
+// list can no longer be executed. Requeueing a start that is still in flight could run the
 // task twice.
 //
-// A start sent in a heartbeat response is lost if a later heartbeat does not list the
-// task, because the worker sends the next heartbeat only after it has received the
-// response or stopped waiting for it. The reply to a push does not prove this. A pushed
+// The first status of a new incarnation proves every such start lost. Otherwise, a start
+// sent in a heartbeat response is lost if a later heartbeat does not list the task,
+// because the worker sends the next heartbeat only after it has received the response or
+// stopped waiting for it. The reply to a push does not prove such a start lost. A pushed
 // start is lost if the push has completed with a known outcome.
 func (e absenceEvidence) provesStartLost(machine *state.Machine, assignment *state.Assignment) bool {
 	if e.newIncarnation {
@@ -63,8 +65,8 @@
 	return !e.pushed && e.sequence > assignment.DispatchedAtSequence
 }
 
-// requeueLostStart makes a lost start ready to be sent again. If its job is no longer
-// active, the task is marked as absent instead.
+// requeueLostStart makes a lost start ready to be sent again. If the job is no longer
+// active, it marks the task as absent instead.
 func (r *Reconciler) requeueLostStart(machine *state.Machine, assignment *state.Assignment) {
 	assignment.MarkStartLost()
 	if !assignment.Job.IsActive() {
@@ -72,10 +74,10 @@
 	}
 }
 
-// ConfirmAbsent marks a task as proven not to be on its machine. If the task is to
-// start again, the machine's record is written immediately, because a new owner that reads
-// an outdated record would assume that the task still runs here. Otherwise the change is
-// included in the next write of the record.
+// ConfirmAbsent marks a task as proven not to be on its machine. If the task is to start
+// again, it also queues a write of the machine's record, because the task can be assigned
+// to another machine only after the stored record no longer lists it. Otherwise the change
+// is included in the next write of the record.
 func (r *Reconciler) ConfirmAbsent(machine *state.Machine, assignment *state.Assignment) {
 	if assignment.ConfirmedAbsent {
 		return
--- a/internal/reconcile/absence_test.go
+++ b/internal/reconcile/absence_test.go
@@ -8,21 +8,22 @@
 	"stairrelay/internal/state"
 )
 
-// The last heartbeat applied before the status of a lostStartCase.
+// The sequence number and the incarnation of the last heartbeat that was applied before the
+// status of a lostStartCase.
 const (
 	dispatchedAt    = cluster.SequenceNumber(5)
 	lastIncarnation = cluster.Incarnation(2)
 )
 
-// lostStartCase is a status that does not list a task whose start was sent in the
-// response to the last heartbeat.
+// lostStartCase is a status that does not list a task whose start was dispatched. By
+// default, the start was sent in the response to the last heartbeat.
 type lostStartCase struct {
 	name        string
 	prepare     func(*state.Machine, *state.Assignment)
 	status      func(*cluster.HeartbeatStatus)
 	pushed      bool // the status is the reply to a push
 	lost        bool
-	raisesToken bool // a higher token is requested, as responses may not reach the machine
+	raisesToken bool // a higher token is requested, because responses may not reach the machine
 }
 
 var lostStartCases = []lostStartCase{
@@ -64,8 +65,8 @@
 	},
 }
 
-// TestLostStartRequeuedOnlyWithProof checks that a start is requeued only when the first
-// one can no longer arrive. Otherwise the task might run twice.
+// TestLostStartRequeuedOnlyWithProof checks that a dispatched start is requeued only when it
+// can no longer be executed. Otherwise the task could run twice.
 func TestLostStartRequeuedOnlyWithProof(t *testing.T) {
 	for _, test := range lostStartCases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -17,7 +17,7 @@
 
 // For returns the commands to send to a machine now, with the starts last. If urgentOnly
 // is true, it omits the commands that can wait for the machine's next heartbeat and the
-// stops that were already sent.
+// stops that were already sent. It marks the stops that it returns as sent.
 func (c *Commands) For(machine *state.Machine, urgentOnly bool) []cluster.Command {
 	var commands, starts []cluster.Command
 	mayStart := c.mayStartOn(machine)
@@ -47,9 +47,10 @@
 	return append(commands, starts...)
 }
 
-// mayStartOn reports whether starts may be sent to a machine now. While the outcome of
-// a pushed start is unknown, the machine gets no new tasks, because it may be
-// unreachable.
+// mayStartOn reports whether starts may be sent to a machine now. None are sent while the
+// machine is being released, during its backoff after a rejected start, or while this
+// controller must not start tasks of the shard. While the outcome of a pushed start is
+// unknown, none are sent because the machine may be unreachable.
 func (c *Commands) mayStartOn(machine *state.Machine) bool {
 	if machine.StartInDoubt || machine.Releasing || c.loop.Now() < machine.NoStartsBefore {
 		return false
@@ -57,8 +58,9 @@
 	return c.deps.Ownership.CanStartTasks(c.state.Shards[machine.ShardID])
 }
 
-// isStopDue reports whether the stop of a task is to be sent now. A task that is writing
-// a checkpoint is not interrupted before its grace period has expired.
+// isStopDue reports whether the stop of a task is to be sent now. A task that is to be
+// stopped with a grace period and is writing a checkpoint is sent no stop, unless the grace
+// period of an earlier stop has expired.
 func (c *Commands) isStopDue(assignment *state.Assignment, urgentOnly bool) bool {
 	if !assignment.StopRequested || urgentOnly && assignment.StopSentAt > 0 {
 		return false
@@ -67,8 +69,8 @@
 	return !isCheckpointing || assignment.IsGraceExpired(c.loop.Now())
 }
 
-// stop returns the command that stops a task and records that it was sent. The command
-// has no grace period if the task's has already expired.
+// stop returns the command that stops a task and marks the stop as sent. If the grace
+// period of an earlier stop has expired, the command has none.
 func (c *Commands) stop(assignment *state.Assignment) cluster.Command {
 	grace := assignment.GraceSeconds
 	if assignment.IsGraceExpired(c.loop.Now()) {
@@ -78,10 +80,10 @@
 	return cluster.Command{Kind: cluster.Stop, Task: assignment.Task, Attempt: assignment.Attempt, GraceSeconds: grace}
 }
 
-// cleanupCommands returns the commands that stop unrecorded tasks and acknowledge ended
-// attempts that the record no longer lists. While the outcome of a pushed start is
-// unknown, no end is acknowledged, because the worker forgets an acknowledged attempt and
-// would execute a delayed copy of its start.
+// cleanupCommands returns the commands that stop unrecorded tasks, and those that
+// acknowledge ended attempts whose outcome need not be stored. While the outcome of a
+// pushed start is unknown, no end is acknowledged, because the worker forgets an
+// acknowledged attempt and would execute a delayed copy of its start.
 func cleanupCommands(machine *state.Machine) []cluster.Command {
 	var commands []cluster.Command
 	for _, attempt := range state.SortedAttempts(machine.UnrecordedToStop) {
@@ -100,9 +102,9 @@
 	return cluster.Command{Kind: cluster.Acknowledge, Task: attempt.Task, Attempt: attempt.Attempt}
 }
 
-// onlyStops keeps only the stops, which are safe to send before the worker has
-// acknowledged the current token. If stops had to wait until a higher token is stored,
-// an outage of the store could delay a cancellation past its deadline.
+// onlyStops returns the stops among commands. Stops are safe to send before the worker has
+// acknowledged the current token. If they had to wait until a higher token is stored, an
+// outage of the store could delay a cancellation past its deadline.
 func onlyStops(commands []cluster.Command) []cluster.Command {
 	return slices.DeleteFunc(commands, func(command cluster.Command) bool { return command.Kind != cluster.Stop })
 }
--- a/internal/reconcile/draining.go
+++ b/internal/reconcile/draining.go
@@ -8,28 +8,29 @@
 
 const (
 	// preemptionReserveSeconds is the minimum time between the expected end of a task
-	// with checkpoints and a preemption. A task expected to end later is stopped.
+	// with checkpoints and a preemption. A task that is expected to end later is stopped.
 	preemptionReserveSeconds = 2
-	// checkpointLeadSeconds is how much earlier than necessary a checkpoint begins before
-	// a preemption.
+	// checkpointLeadSeconds is added to the time that a task needs to write a checkpoint.
+	// The task is stopped when less than the sum is left before the preemption.
 	checkpointLeadSeconds = 10
-	// overrunFactor and overrunMarginSeconds allow for errors of the estimated run time: a
-	// task without checkpoints is stopped only if it is expected to need more than the time
-	// before the preemption multiplied by overrunFactor plus overrunMarginSeconds.
+	// overrunFactor and overrunMarginSeconds allow for errors of the estimated run time. A
+	// task without checkpoints is stopped only if its expected remaining time exceeds
+	// overrunFactor times the time before the preemption, plus overrunMarginSeconds.
 	overrunFactor        = 1.5
 	overrunMarginSeconds = 5
 )
 
-// Drain keeps new tasks off a machine. The machine is released when its last task has
-// ended.
+// Drain marks a machine as draining and requests a scheduling run. A draining machine gets
+// no new tasks and is released when its last task has ended.
 func (s *Stops) Drain(machine *state.Machine) {
 	machine.Draining = true
 	s.deps.RequestScheduling()
 }
 
-// handlePreemptionNotice handles a notice that the cloud preempts a machine in
-// secondsLeft seconds. It drains the machine and stops the tasks that are not expected
-// to finish in time.
+// handlePreemptionNotice handles a notice that the cloud will preempt a machine in
+// secondsLeft seconds. It marks the machine as draining and stops the tasks that are not
+// expected to finish in time. It counts an interruption unless the machine was already
+// draining.
 func (s *Stops) handlePreemptionNotice(machine *state.Machine, secondsLeft float64) {
 	if !machine.Draining {
 		s.deps.Spot.RecordInterruption()
@@ -46,7 +47,7 @@
 
 // stopBeforePreemption stops a task that is not expected to finish before its machine is
 // preempted. A task with checkpoints is stopped only when it must begin to write one. Any
-// other task is stopped immediately, so that it restarts on another machine.
+// other task is stopped immediately, so that it restarts on another machine sooner.
 func (s *Stops) stopBeforePreemption(machine *state.Machine, assignment *state.Assignment, secondsLeft float64) {
 	remaining := s.deps.Runtimes.ExpectedRemainingSeconds(assignment)
 	spec := &assignment.Job.Spec
--- a/internal/reconcile/draining_test.go
+++ b/internal/reconcile/draining_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestUnsentStartNotStopped checks that a recorded start that was not sent is withdrawn,
-// unless its record is still being written, as the write may succeed.
+// TestPreemptWithdrawsUnsentStart checks that preempting a task withdraws a start that was
+// not sent, but has no effect while the record that lists the task is being written.
 func TestPreemptWithdrawsUnsentStart(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/reconcile/harness_test.go
+++ b/internal/reconcile/harness_test.go
@@ -15,7 +15,7 @@
 const testAttempt = cluster.Attempt(7)
 
 // harness is a reconciler with its event loop, state and write queue. It is also a fake of
-// the reconciler's dependencies that records the calls.
+// the reconciler's dependencies that records some of their calls.
 type harness struct {
 	*Reconciler
 	t     *testing.T
@@ -39,8 +39,8 @@
 	registered    []cluster.MachineID
 }
 
-// newHarness returns the reconciler of one of three controllers. It owns shard 0 and has
-// one team and one machine type.
+// newHarness returns the reconciler of one of three controllers. The controller owns shard
+// 0, and there are one team and one machine type.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	nodes := []cluster.NodeID{"n0", "n1", "n2"}
@@ -145,7 +145,7 @@
 	return func(*state.Machine) bool { return true }
 }
 
-// claims gives the write queue access to the claims in a state.
+// claims implements writequeue.ShardOwnership with the claims in a state.
 type claims struct{ state *state.State }
 
 func (c claims) ClaimOf(id cluster.ShardID) writequeue.Claim {
@@ -193,7 +193,7 @@
 	return job
 }
 
-// addMachine adds an empty machine that has acknowledged its token.
+// addMachine adds a machine without tasks whose worker has acknowledged its token.
 func (h *harness) addMachine() *state.Machine {
 	group := h.state.AddGroup(h.state.Shards[0], "g", 31)
 	entry := grouprecord.Machine{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}
@@ -225,7 +225,7 @@
 }
 
 // statusWithCurrentToken returns a status of the machine's current incarnation that
-// acknowledges its current token, so that tasks missing from it are proven absent.
+// acknowledges its current token, so that it may prove a missing task absent.
 func statusWithCurrentToken(machine *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
 	return &cluster.HeartbeatStatus{
 		Machine:          machine.ID,
--- a/internal/reconcile/heartbeats.go
+++ b/internal/reconcile/heartbeats.go
@@ -6,9 +6,9 @@
 	"stairrelay/internal/state"
 )
 
-// MaxHeartbeatHold is the maximum time for which the response to a heartbeat is held until
-// the record that lists its starts is stored. It must be shorter than the 4 s after which
-// a worker stops waiting for a response.
+// MaxHeartbeatHold is the maximum time for which a heartbeat is held, so that its response
+// can contain starts whose record is being written. It must be shorter than the 4 s after
+// which a worker stops waiting for a response.
 const MaxHeartbeatHold = 600 * millisecond
 
 // Heartbeats handles and answers the heartbeats of workers.
@@ -18,8 +18,9 @@
 	held       heldHeartbeats
 }
 
-// Handle applies a heartbeat to the state. AnswerReady sends the response, in the same
-// event loop step unless the response has to wait for a record.
+// Handle accepts, redirects or rejects a heartbeat. It applies an accepted one to the state,
+// and AnswerReady sends the response, in the same event loop step unless the response has
+// to wait for a record. Orphans handles the heartbeats of unknown machines.
 func (h *Heartbeats) Handle(heartbeat messages.Heartbeat) {
 	status := &heartbeat.Status
 	h.deps.Reachability.RecordHeartbeat()
@@ -38,7 +39,7 @@
 		return
 	}
 	if machine.PendingHeartbeat != 0 {
-		h.redirect(machine.PendingHeartbeat, "") // superseded by the new heartbeat
+		h.redirect(machine.PendingHeartbeat, "") // the new heartbeat supersedes it
 	}
 	machine.PendingHeartbeat = heartbeat.Request
 	machine.PendingSequenceNumber = status.SequenceNumber
@@ -51,7 +52,8 @@
 }
 
 // accept reports whether this controller may apply and answer the heartbeat of a
-// machine. If not, it rejects the heartbeat or redirects the worker.
+// machine. If not, it rejects the heartbeat or redirects the worker. If the worker has
+// seen a higher token, it also checks whether the machine was transferred.
 func (h *Heartbeats) accept(machine *state.Machine, request messages.RequestID, status *cluster.HeartbeatStatus) bool {
 	shard := h.state.Shards[machine.ShardID]
 	switch {
@@ -61,8 +63,8 @@
 		// Another controller may have acquired the shard and cancelled some of its jobs.
 		h.redirect(request, "")
 	case status.FencingToken > machine.Token:
-		// The worker has seen the token of a newer owner. It would discard a response
-		// with the older token, and its lease would expire.
+		// Another owner has issued a higher token. The worker would discard a response
+		// with this controller's token, and its lease would expire.
 		h.deps.Machines.CheckOwner(machine)
 		h.redirect(request, h.state.Shards[machine.ShardID].Owner)
 	case status.Incarnation < machine.Incarnation:
@@ -73,11 +75,12 @@
 	return false
 }
 
-// Redirect answers a heartbeat with a redirect to a controller, or to any other
-// controller if to is empty.
+// Redirect answers a heartbeat with a redirect to the controller to, or to any other
+// controller if to is empty or this controller.
 func (h *Heartbeats) Redirect(request messages.RequestID, to cluster.NodeID) { h.redirect(request, to) }
 
-// Answer sends the response to a machine's pending heartbeat, with its commands.
+// Answer answers a machine's pending heartbeat with the machine's commands, and marks the
+// starts among them as dispatched. While the token is being raised, only stops are sent.
 func (h *Heartbeats) Answer(machine *state.Machine) {
 	request := machine.PendingHeartbeat
 	machine.PendingHeartbeat = 0
--- a/internal/reconcile/heartbeats_test.go
+++ b/internal/reconcile/heartbeats_test.go
@@ -12,8 +12,8 @@
 // testRequest is the request ID of the heartbeats in these tests.
 const testRequest = messages.RequestID(1)
 
-// response returns the response to the heartbeat sent in the current step, or nil if
-// there is none.
+// response returns the response to the heartbeat testRequest that was sent in the current
+// event loop step, or nil if there is none.
 func (h *harness) response() *messages.Respond {
 	h.t.Helper()
 	for _, effect := range h.loop.Effects() {
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// TestHeartbeatNotAccepted checks that a controller that may no longer own a machine does
-// not accept its heartbeats, which would keep the worker from reaching the new owner.
+// TestHeartbeatNotAccepted checks that a heartbeat is redirected or rejected if the
+// controller may not own the machine, has not loaded its shard or knows a later incarnation.
 func TestHeartbeatNotAccepted(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -57,8 +57,8 @@
 	}
 }
 
-// holdHeartbeat sends a heartbeat from a machine with a start that is being recorded, and
-// checks that it is not answered yet.
+// holdHeartbeat sends a heartbeat from a machine with a start whose record is not stored
+// yet, and checks that the heartbeat is held.
 func (h *harness) holdHeartbeat() (*state.Machine, *state.Assignment) {
 	h.t.Helper()
 	machine := h.addMachine()
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestHeldHeartbeatAnsweredInTime checks that a heartbeat is not held past its deadline,
-// and that the response does not contain a start whose record is not stored.
+// TestHeldHeartbeatAnsweredInTime checks that a held heartbeat is answered at the first scan
+// after its deadline, without the start whose record is not stored.
 func TestHeldHeartbeatAnsweredInTime(t *testing.T) {
 	h := newHarness(t)
 	h.holdHeartbeat()
@@ -101,7 +101,7 @@
 		h.Heartbeats.AnswerReady()
 	}
 	if held := h.loop.Now() - begin; held < MaxHeartbeatHold || held > MaxHeartbeatHold+heldHeartbeatScanInterval {
-		t.Errorf("held for %d ms", held/millisecond)
+		t.Errorf("held for %d ms, want MaxHeartbeatHold plus at most one scan interval", held/millisecond)
 	}
 	if response := h.response(); response == nil || len(response.Heartbeat.Commands) != 0 {
 		t.Errorf("answered with %+v, want no commands", response)
--- a/internal/reconcile/heldheartbeats.go
+++ b/internal/reconcile/heldheartbeats.go
@@ -5,16 +5,15 @@
 const (
 	// heldHeartbeatScanInterval is the interval at which all held heartbeats are checked.
 	heldHeartbeatScanInterval = 100 * millisecond
-	// heldHeartbeatStoreTimeout is how long the store may be unavailable before
-	// held heartbeats are answered without waiting for records.
+	// maxStoreOutageForHold is how long the store may be unavailable before heartbeats
+	// are answered without waiting for records.
 	maxStoreOutageForHold = 500 * millisecond
 )
 
-// heldHeartbeats tracks the machines whose heartbeats are not answered yet, in order of
-// arrival. A machine without a pending heartbeat was already answered and is dropped at
-// the next scan.
+// heldHeartbeats tracks the machines whose heartbeats are not answered yet. A machine whose
+// heartbeat has been answered in the meantime is dropped at the next scan.
 //
-// All held heartbeats are checked every heldHeartbeatScanInterval. Between the scans only
+// All held heartbeats are checked every heldHeartbeatScanInterval. Between two scans, only
 // new heartbeats and those of machines whose record was stored are checked.
 type heldHeartbeats struct {
 	machines      []*state.Machine // machines with held heartbeats, checked by the next scan
@@ -22,17 +21,16 @@
 	scanScheduled bool
 }
 
-// Recheck schedules a check of a machine's held heartbeat in this event loop step. It is
-// called when the machine's record was stored.
+// Recheck schedules a check of a machine's held heartbeat in this event loop step. It must
+// be called after the machine's record was stored.
 func (h *Heartbeats) Recheck(machine *state.Machine) {
 	if machine.PendingHeartbeat != 0 {
 		h.held.toCheck = append(h.held.toCheck, machine)
 	}
 }
 
-// AnswerReady answers the heartbeats of machines that have no start being recorded. The
-// other heartbeats are held until the record is stored, at most until ResponseDeadline, so
-// that the response contains the start.
+// AnswerReady checks the new heartbeats and those that are due to be checked again. It
+// answers those that don't have to wait for the record of a start, and holds the others.
 func (h *Heartbeats) AnswerReady() {
 	toCheck := h.held.toCheck
 	h.held.toCheck = nil
@@ -49,7 +47,8 @@
 	h.scheduleScan()
 }
 
-// scheduleScan schedules the next check of all held heartbeats, unless none is held.
+// scheduleScan schedules the next scan of the held heartbeats, unless none is held or a
+// scan is already scheduled.
 func (h *Heartbeats) scheduleScan() {
 	if len(h.held.machines) == 0 || h.held.scanScheduled {
 		return
@@ -69,7 +68,8 @@
 }
 
 // awaitsRecord reports whether the response to a machine's heartbeat has to wait until
-// the record of a start is stored.
+// the record of a start is stored. It need not wait after the response deadline or while
+// the store is unavailable.
 func (h *Heartbeats) awaitsRecord(machine *state.Machine) bool {
 	if h.loop.Now() >= machine.ResponseDeadline || h.queue.IsUnavailableFor(maxStoreOutageForHold) {
 		return false
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -9,18 +9,21 @@
 const MaintenanceInterval = second / 2
 
 const (
-	// maxPushesPerScan limits the pushes of one maintenance run, so that a failover of
-	// hundreds of machines does not exhaust sockets or CPU. The other machines get their
-	// tokens in the responses to their heartbeats.
+	// maxPushesPerScan limits the pushes of one scan, so that a failover of hundreds of
+	// machines does not exhaust sockets or CPU. The other machines get their tokens in the
+	// responses to their heartbeats.
 	maxPushesPerScan = 40
 	// minPushInterval is the minimum time between two maintenance pushes to a machine.
 	minPushInterval = 1500 * millisecond
-	// releaseStoreTimeout is how long the store may be unavailable before machines are
-	// no longer released, as their release can't be recorded.
+	// maxStoreOutageForRelease is how long the store may be unavailable before only
+	// machines that fail to stop cancelled tasks are released. The release of any other
+	// machine must be recorded first.
 	maxStoreOutageForRelease = second
-	// bootMarginSeconds is added to the boot timeout of a machine.
+	// bootMarginSeconds is the part of the boot timeout that does not depend on the
+	// machine type.
 	bootMarginSeconds = 5
-	// cordonedIdleTime is how long a cordoned machine must be idle before it is released.
+	// cordonedIdleTime is how long a cordoned machine must be idle before it is released
+	// as surplus.
 	cordonedIdleTime = 4 * second
 )
 
@@ -54,8 +57,8 @@
 	// ScheduleCall schedules the call to the cloud that terminates the machines whose
 	// release is confirmed.
 	ScheduleCall()
-	// SurplusPredicate returns a function that reports whether no shard needs an idle
-	// machine.
+	// SurplusPredicate returns a function that reports whether a given idle machine is
+	// needed by no shard.
 	SurplusPredicate() func(*state.Machine) bool
 }
 
@@ -67,15 +70,15 @@
 	AddServed(duration cluster.Time)
 }
 
-// Maintenance periodically checks the owned machines. It pushes to machines that have not
-// acknowledged their fencing token, and releases those that are unresponsive, idle or
-// fail to boot.
+// Maintenance periodically scans the owned machines. It pushes stops of cancelled tasks and
+// fencing tokens to machines that may not have received them, and releases machines that
+// are unresponsive, fail to boot, are drained or are not needed.
 type Maintenance struct {
 	*shared
 	commands *Commands
 }
 
-// Run checks all owned machines once.
+// Run scans the machines of all owned and loaded shards once.
 func (m *Maintenance) Run() {
 	scan := maintenanceScan{
 		Maintenance:        m,
@@ -95,10 +98,10 @@
 	}
 }
 
-// pushCommands pushes stops to machines that run cancelled tasks and whose heartbeats may
-// not get through, and then the token to machines that have not acknowledged it. Stops
-// come first because after a failover these pushes may be the only way to reach a
-// machine before the cancellation deadline.
+// pushCommands pushes stops to machines that may not have received those of their cancelled
+// tasks, and then tokens to machines that have not acknowledged them, up to
+// maxPushesPerScan. Stops come first because after a failover these pushes may be the only
+// way to reach a machine before the cancellation deadline.
 func (m *Maintenance) pushCommands(machines []*state.Machine) {
 	pushes := 0
 	for _, machine := range machines {
@@ -131,19 +134,22 @@
 	return hasCancelledTask(machine) && (!machine.TokenAcknowledged || m.heartbeatAge(machine) > 2*m.config.HeartbeatInterval)
 }
 
-// needsToken reports whether a machine has yet to acknowledge its token.
+// needsToken reports whether a machine has yet to acknowledge its token. A machine whose
+// token is being raised or that is being released does not need the current one.
 func needsToken(machine *state.Machine) bool {
 	return !machine.TokenAcknowledged && !machine.RaisingToken && !machine.Releasing
 }
 
-// maintenanceScan is one run over all owned machines.
+// maintenanceScan is one scan of the owned machines.
 type maintenanceScan struct {
 	*Maintenance
 	receivesHeartbeats bool                      // an owned machine has sent a heartbeat recently
 	isSurplus          func(*state.Machine) bool // reports whether no shard needs an idle machine
 }
 
-// maintain checks one machine and releases it if there is a reason to.
+// maintain checks one machine and releases it if there is a reason to. If the release is
+// already confirmed, it schedules the call to the cloud. While the store is unavailable,
+// only machines that fail to stop cancelled tasks are released.
 func (s *maintenanceScan) maintain(machine *state.Machine) {
 	if machine.Spot && !machine.Booting {
 		s.deps.Spot.AddServed(MaintenanceInterval)
@@ -167,7 +173,8 @@
 	}
 }
 
-// releaseReason returns the reason to release a machine, or releaseNone.
+// releaseReason returns the reason to release a machine, or releaseNone. It counts an
+// interruption if a spot machine was lost without a preemption notice.
 func (s *maintenanceScan) releaseReason(machine *state.Machine) ReleaseReason {
 	if machine.Booting {
 		if s.isBootTimedOut(machine) {
@@ -187,8 +194,8 @@
 	return s.scaleInReason(machine)
 }
 
-// isBootTimedOut reports whether a machine has exceeded its boot timeout. There is none
-// if the boot time of the machine type is unknown.
+// isBootTimedOut reports whether a machine has exceeded its boot timeout. A machine type
+// with an unknown boot time has no boot timeout.
 func (s *maintenanceScan) isBootTimedOut(machine *state.Machine) bool {
 	bootSeconds := s.state.MachineTypes[machine.MachineType].BootSeconds
 	timeout := cluster.Time((bootSeconds*s.config.BootTimeoutFactor + bootMarginSeconds) * float64(second))
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -15,34 +15,36 @@
 	// redirectHintMaxAge is the maximum age of an owner hint that is used to redirect a
 	// worker without reading the records.
 	redirectHintMaxAge = 15 * second
-	// adoptionHintMaxAge is the maximum age of an owner hint that prevents the adoption
-	// of a machine.
+	// registrationHintMaxAge is the maximum age of an owner hint that prevents the
+	// registration of a machine from the cloud's list.
 	registrationHintMaxAge = 60 * second
-	// ownerSearchBatchDelay is how long heartbeats are collected for one search.
+	// ownerSearchBatchDelay is how long heartbeats are collected for one search, which
+	// reads the records of all shards.
 	ownerSearchBatchDelay = 50 * millisecond
-	// ownerSearchInterval is the minimum time between two searches.
+	// ownerSearchInterval is the minimum time between the end of a search and the start
+	// of the next one.
 	ownerSearchInterval = 500 * millisecond
 	// registrationBatchDelay is how long orphans are collected for one registration.
 	registrationBatchDelay = 100 * millisecond
-	// ownerSearchStoreTimeout is how long the store may be unavailable before a heartbeat
+	// maxStoreOutageForSearch is how long the store may be unavailable before a heartbeat
 	// that requires a search is rejected with StatusUnavailable.
 	maxStoreOutageForSearch = 500 * millisecond
-	// adoptionStoreTimeout is how long the store may be unavailable before no orphans are
-	// adopted.
+	// maxStoreOutageForRegistration is how long the store may be unavailable before
+	// machines from the cloud's list are no longer considered for registration.
 	maxStoreOutageForRegistration = second
 )
 
 // MachineDirectory finds the shards of machines that this controller does not own.
 type MachineDirectory interface {
-	// RecentShardOf returns the shard whose record was last seen to list a machine. The
-	// result is false if that was not within the given time.
+	// RecentShardOf returns the shard whose record was last seen to list a machine. It
+	// returns false if no record was seen to list the machine within the given time.
 	RecentShardOf(id cluster.MachineID, within cluster.Time) (cluster.ShardID, bool)
-	// LastShardOf returns the shard whose record was last seen to list a machine. The
-	// result is false if no record has listed it.
+	// LastShardOf returns the shard whose record was last seen to list a machine. It
+	// returns false if no record was seen to list the machine.
 	LastShardOf(id cluster.MachineID) (cluster.ShardID, bool)
 	// ReadRecordedMachines reads the records of all shards and calls handle with the
-	// machines and provisioning requests that they list, or with nil if a read fails or a
-	// record is invalid.
+	// machines that they list and the kinds of machines for which provisioning requests
+	// are open. It calls handle with nil if a read fails or a record is invalid.
 	ReadRecordedMachines(handle func(*state.RecordedMachines))
 }
 
@@ -55,20 +57,21 @@
 	RegisterMachines(shard *state.Shard, machines []grouprecord.Machine, done func())
 }
 
-// Orphans handles machines that this controller does not know. Such a machine belongs to
-// another owner, or no record lists it because the reply to a provisioning request came
-// late or a controller crashed before it wrote the record.
+// Orphans handles machines that this controller does not know. It redirects the workers of
+// machines that belong to another owner, and registers orphans. An orphan is a machine that
+// no record lists, because the reply to a provisioning request came late or a controller
+// crashed before it wrote the record.
 //
 // At most one search for owners runs at a time. It covers all heartbeats that arrived
-// before it began. A machine in registering is being queried or registered and must not
-// be registered a second time.
+// before it began. A machine in registering is being checked, queried or registered and
+// must not be registered a second time.
 type Orphans struct {
 	*shared
 	reconciler *Reconciler
 
 	unrecordedSince   map[cluster.MachineID]cluster.Time // when first seen in the cloud's list but in no record
 	candidates        []cluster.ListedMachine            // in the cloud's list, to be checked against the records
-	pendingHeartbeats []messages.Heartbeat               // from machines whose owner the next search looks up
+	pendingHeartbeats []messages.Heartbeat               // whose machines the next search looks up
 	searching         bool
 	lastSearchAt      cluster.Time
 	registering       map[cluster.MachineID]bool
@@ -83,9 +86,9 @@
 	}
 }
 
-// HandleHeartbeat handles the heartbeat of a machine that this controller does not own.
-// It redirects the worker to the owner, which it looks up in the records unless a recent
-// owner hint exists.
+// HandleHeartbeat handles the heartbeat of a machine that this controller does not know. If
+// a recent owner hint exists, it redirects the worker to the owner. Otherwise it keeps the
+// heartbeat for the next search, or rejects it if the store is unavailable.
 func (o *Orphans) HandleHeartbeat(heartbeat messages.Heartbeat) {
 	if shard, ok := o.deps.Directory.RecentShardOf(heartbeat.Status.Machine, redirectHintMaxAge); ok {
 		o.redirectToOwner(heartbeat.Request, shard)
@@ -100,7 +103,8 @@
 }
 
 // redirectToOwner redirects a worker to the owner of a shard. If this controller owns the
-// shard, it is about to load or register the machine, and the worker has to retry.
+// shard, it rejects the heartbeat so that the worker retries, because the machine may be
+// about to be loaded or registered.
 func (o *Orphans) redirectToOwner(request messages.RequestID, id cluster.ShardID) {
 	if shard := o.state.Shards[id]; !shard.Owned {
 		o.redirect(request, shard.Owner)
@@ -120,6 +124,7 @@
 	o.loop.After(delay, o.search)
 }
 
+// search reads the records of all shards and answers the pending heartbeats.
 func (o *Orphans) search() {
 	heartbeats := o.pendingHeartbeats
 	o.pendingHeartbeats, o.lastSearchAt = nil, o.loop.Now()
@@ -133,8 +138,8 @@
 }
 
 // answer answers a heartbeat after a search. The argument recorded is nil if the records
-// could not be read. A machine that no record lists is registered only by the owner of the
-// shard that ShardFor returns, so that two controllers never register the same machine.
+// could not be read. A machine that no record lists may be registered, but only by the owner
+// of the shard that ShardFor returns, so that two controllers don't register it.
 func (o *Orphans) answer(heartbeat messages.Heartbeat, recorded *state.RecordedMachines) {
 	id := heartbeat.Status.Machine
 	switch {
@@ -154,9 +159,10 @@
 	}
 }
 
-// queryStatus requests the status of an orphaned machine and registers the machine if it
-// responds. The heartbeat alone is not sufficient, because it may be a delayed copy from
-// a machine that no longer exists.
+// queryStatus requests the status of an orphan from its worker and queues the machine's
+// registration if the worker replies. The heartbeat alone is not sufficient, because it may
+// be a delayed copy from a machine that no longer exists. Nothing is requested if an open
+// provisioning request may be for the machine.
 func (o *Orphans) queryStatus(shard *state.Shard, status *cluster.HeartbeatStatus, recorded *state.RecordedMachines) {
 	id := status.Machine
 	kind := grouprecord.Kind{Type: status.Type, Zone: status.Zone, Spot: status.Spot}
@@ -176,19 +182,20 @@
 }
 
 // minAge returns how long a machine must have been in the cloud's list but in no record
-// before it is adopted. The list lags, so it still contains machines that were released
-// or have failed.
+// before it is registered. The list lags, so it may still contain machines that were
+// released or have failed.
 func (o *Orphans) minAge() cluster.Time { return 3*o.config.CloudListLag + 45*second }
 
-// isTooNew reports whether a machine was first seen without a record less than minAge
-// ago.
+// isTooNew reports whether a machine was first found in no record less than minAge ago.
 func (o *Orphans) isTooNew(id cluster.MachineID) bool {
 	first, ok := o.unrecordedSince[id]
 	return ok && o.loop.Now()-first < o.minAge()
 }
 
-// HandleListed considers a machine for adoption that is in the cloud's list but not known
-// to this controller. It ignores new machines, whose records may not be written yet.
+// HandleListed handles a machine that is in the cloud's list but not known to this
+// controller. If an owned shard is responsible for the machine, it queues a check against
+// the records, after which the machine may be registered. It ignores new machines, whose
+// records may not be written yet.
 func (o *Orphans) HandleListed(listed cluster.ListedMachine) {
 	if listed.AgeSeconds < 3*float64(o.config.CloudListLag)/float64(second)+20 {
 		return
@@ -210,8 +217,8 @@
 	}
 }
 
-// ForgetUnlisted discards the times at which orphans were first seen for machines that
-// are no longer in the cloud's list or have become known.
+// ForgetUnlisted forgets since when a machine has been in no record if the machine is no
+// longer in the cloud's list or has become known.
 func (o *Orphans) ForgetUnlisted(listed map[cluster.MachineID]bool) {
 	for id := range o.unrecordedSince {
 		if !listed[id] || o.state.Machines[id] != nil {
@@ -220,9 +227,9 @@
 	}
 }
 
-// adoptCandidates reads the records and adopts the candidates that no record has listed
-// for at least minAge. Their age in the cloud's list is not sufficient: a machine that
-// another shard has just released is still in the list but no longer exists.
+// registerCandidates reads the records and queues the registration of candidates that no
+// record has listed for at least minAge. The age of a machine in the cloud's list is not
+// sufficient: a machine that another shard has just released may still be in the list.
 func (o *Orphans) registerCandidates() {
 	candidates := o.candidates
 	o.candidates = nil
@@ -233,8 +240,8 @@
 	})
 }
 
-// adopt registers a machine from the cloud's list if no record has listed it for at least
-// minAge.
+// registerIfOrphaned queues the registration of a machine from the cloud's list if no record
+// has listed it for at least minAge.
 func (o *Orphans) registerIfOrphaned(listed cluster.ListedMachine, recorded *state.RecordedMachines) {
 	delete(o.registering, listed.ID)
 	shard := o.ShardFor(listed.ID)
@@ -251,7 +258,7 @@
 	if o.isTooNew(listed.ID) {
 		return
 	}
-	o.loop.Log(messages.LogInfo, "orphaned machine adopted", "machine", string(listed.ID))
+	o.loop.Log(messages.LogInfo, "machine in the cloud's list is in no record; registering it", "machine", string(listed.ID))
 	o.queueRegistration(shard, grouprecord.Machine{ID: listed.ID, Kind: kind, Address: listed.Addr})
 }
 
@@ -268,8 +275,8 @@
 }
 
 // registerQueued registers the queued machines of a shard, in groups of at most the
-// target size. If the shard is no longer owned under the given claim, the machines are
-// dropped from the queue instead.
+// target size. If the shard is no longer owned under the given claim, it drops the machines
+// instead. When a group has been registered or dropped, it scans the owned machines.
 func (o *Orphans) registerQueued(shard *state.Shard, claim cluster.Revision) {
 	waiting := shard.PendingRegistrations
 	shard.PendingRegistrations = nil
@@ -290,8 +297,8 @@
 	}
 }
 
-// ShardFor returns the shard that is responsible for an unknown machine. It distributes
-// the machines by the trailing number of their IDs.
+// ShardFor returns the shard that is responsible for an unknown machine. It is determined
+// by the trailing digits of the machine's ID.
 func (o *Orphans) ShardFor(id cluster.MachineID) *state.Shard {
 	const maxDigits = 10
 	number := 0
--- a/internal/reconcile/orphans_test.go
+++ b/internal/reconcile/orphans_test.go
@@ -50,7 +50,7 @@
 }
 
 // TestHeartbeatFromUnknownMachine checks that a worker is redirected to the owner of its
-// machine, and that the machine is queried only if no record lists or is about to list it.
+// machine, and that it is queried only if no record lists the machine or requests its kind.
 func TestHeartbeatFromUnknownMachine(t *testing.T) {
 	requested := recordedMachines()
 	requested.RequestedKinds[unknownKind] = true
@@ -64,7 +64,7 @@
 	}{
 		{name: "records can't be read", status: messages.StatusUnavailable},
 		{name: "listed", recorded: recordedMachines(unknownMachine), status: messages.StatusMisdirected, redirectTo: "n1"},
-		{name: "open provisioning request of its kind", recorded: requested, status: messages.StatusUnavailable},
+		{name: "open provisioning request for its kind", recorded: requested, status: messages.StatusUnavailable},
 		{name: "orphan", recorded: recordedMachines(), status: messages.StatusUnavailable, queries: 1},
 		{name: "orphan of another shard", recorded: recordedMachines(), ownedElsewhere: true, status: messages.StatusMisdirected, redirectTo: "n2"},
 	} {
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestOrphanAdoptedAfterMinimumAge guards against adopting a machine that was just
-// released but is still in the cloud's list.
+// TestOrphanRegisteredAfterMinimumAge checks that a machine in the cloud's list is registered
+// only after no record has listed it for the minimum age.
 func TestOrphanRegisteredAfterMinimumAge(t *testing.T) {
 	h := newHarness(t)
 	h.recorded = recordedMachines(unknownMachine)
@@ -113,11 +113,12 @@
 		t.Fatalf("registered %v, want the orphan once", h.registered)
 	}
 	if age := h.loop.Now() - begin; age < h.Orphans.minAge() {
-		t.Errorf("adopted after %d s, want at least %d s", age/second, h.Orphans.minAge()/second)
+		t.Errorf("registered after %d s, want at least %d s", age/second, h.Orphans.minAge()/second)
 	}
 }
 
-// TestShardForMachine checks that unknown machines are mapped to shards by their number.
+// TestShardForMachine checks that machines are mapped to shards by the trailing digits of
+// their IDs.
 func TestShardForMachine(t *testing.T) {
 	h := newHarness(t)
 	for id, want := range map[cluster.MachineID]cluster.ShardID{
--- a/internal/reconcile/push.go
+++ b/internal/reconcile/push.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// PushQueued pushes the urgent commands of the machines that QueuePush was called for. It
-// is called at the end of each event loop step.
+// PushQueued pushes the urgent commands of the machines for which QueuePush was called. It
+// must be called at the end of each event loop step.
 func (c *Commands) PushQueued() {
 	queued := c.queued
 	c.queued = nil
@@ -57,8 +57,8 @@
 	return commands
 }
 
-// push sends commands and the fencing token to a worker. If there are no commands, it
-// sends only the token.
+// push sends commands and the fencing token to a worker, and marks the starts among the
+// commands as dispatched. If there are no commands, it sends only the token.
 func (c *Commands) push(machine *state.Machine, commands []cluster.Command) {
 	machine.BeginPush(c.loop.Now())
 	c.deps.Metrics.AddCommandPush()
@@ -85,7 +85,9 @@
 	})
 }
 
-// handlePushReply handles the outcome of a push that contained the given starts.
+// handlePushReply handles the outcome of a push that contained the given starts. If the
+// push was not executed, it requeues the starts. If the outcome is unknown, it raises the
+// machine's token, so that starts that arrive late are not executed.
 func (c *Commands) handlePushReply(machine *state.Machine, starts []*state.Assignment, reply messages.WorkerReply) {
 	switch reply.Outcome {
 	case messages.OK:
@@ -119,7 +121,7 @@
 }
 
 // applyReplyStatus applies the status in the reply to a push. It ignores the status of
-// another machine, which may have been assigned the address since.
+// another machine, to which the address may have been assigned since.
 func (c *Commands) applyReplyStatus(machine *state.Machine, status *cluster.HeartbeatStatus) {
 	if status.Machine == machine.ID && c.reconciler.ApplyStatus(machine, status, true) {
 		c.deps.RequestScheduling()
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,12 +1,12 @@
 // Package reconcile reconciles the tasks on the workers with the stored records of
 // their machines. It compares each heartbeat with the records, responds with commands,
 // pushes urgent commands, stops tasks, releases machines that are unresponsive or not
-// needed, and adopts machines that no record lists.
+// needed, and registers machines that no record lists.
 //
 // A heartbeat may be delayed or duplicated, and commands of a previous owner may still
 // be in flight to the worker. The package therefore maintains these invariants:
 //
-//   - A heartbeat older than the last one applied is dropped.
+//   - The status in a heartbeat is applied only if it is newer than the last one applied.
 //   - A task missing from a heartbeat is proven absent only if the worker has
 //     acknowledged the current owner's fencing token (absence.go).
 //   - A start is sent only after the record that lists the task is stored. The response
@@ -14,11 +14,10 @@
 //   - A pushed start of unknown outcome is in doubt until the worker acknowledges a
 //     higher token, which proves that the start can no longer be executed (push.go,
 //     token.go).
-//   - The end of a task is acknowledged to its worker only after it is stored.
+//   - The completion of a task is acknowledged to its worker only after it is stored.
 //
 // The type Stops lists the reasons for which a task is stopped. A task also ends when
-// its machine is released. The reasons for that are in maintenance.go and
-// unresponsive.go.
+// its machine is released, for the reasons in maintenance.go and unresponsive.go.
 package reconcile
 
 import (
@@ -40,7 +39,8 @@
 	Self cluster.NodeID
 	// HeartbeatInterval is the maximum time between two heartbeats of a worker.
 	HeartbeatInterval cluster.Time
-	// WorkerLease is how long a worker runs its tasks without a response.
+	// WorkerLease is how long a worker runs its tasks without a response to its
+	// heartbeats.
 	WorkerLease cluster.Time
 	// CancelDeadline is the time within which the tasks of a cancelled job must stop.
 	CancelDeadline cluster.Time
@@ -64,17 +64,17 @@
 
 // MachineRecords writes and checks the records of machines.
 type MachineRecords interface {
-	// WriteMachine writes the record that lists a machine.
+	// WriteMachine queues a write of the record that lists a machine.
 	WriteMachine(machine *state.Machine, priority writequeue.Priority)
-	// RaiseToken stores a higher fencing token for a machine.
+	// RaiseToken begins to store a higher fencing token for a machine.
 	RaiseToken(machine *state.Machine)
-	// CheckOwner checks whether a machine was transferred to another shard.
+	// CheckOwner begins to check whether a machine was transferred to another shard.
 	CheckOwner(machine *state.Machine)
 }
 
 // JobRecords writes the records of jobs.
 type JobRecords interface {
-	// WriteJob writes a job's record.
+	// WriteJob queues a write of a job's record.
 	WriteJob(job *state.Job, priority writequeue.Priority)
 }
 
@@ -84,7 +84,8 @@
 	RecordRuntime(machine *state.Machine, assignment *state.Assignment)
 	// ExpectedRemainingSeconds returns the expected remaining run time of a task.
 	ExpectedRemainingSeconds(assignment *state.Assignment) float64
-	// HandleSlowMachine drains a machine on which tasks take much longer than on others.
+	// HandleSlowMachine drains a machine if it is much slower than others or repeatedly
+	// has stragglers.
 	HandleSlowMachine(machine *state.Machine)
 }
 
@@ -173,7 +174,7 @@
 // Configure replaces the configuration.
 func (r *Reconciler) Configure(config Config) { r.config = config }
 
-// redirect answers a heartbeat with a redirect to a controller, or to any other
+// redirect answers a heartbeat with a redirect to the controller to, or to any other
 // controller if to is empty or this controller.
 func (s *shared) redirect(request messages.RequestID, to cluster.NodeID) {
 	if to == s.config.Self {
@@ -183,7 +184,7 @@
 	s.loop.Emit(messages.Respond{Request: request, Status: messages.StatusMisdirected, Heartbeat: response})
 }
 
-// respondUnavailable answers a heartbeat with StatusUnavailable, so that the worker retries
+// respondUnavailable rejects a heartbeat with StatusUnavailable, so that the worker retries
 // later.
 func (s *shared) respondUnavailable(request messages.RequestID) {
 	s.loop.Emit(messages.Respond{Request: request, Status: messages.StatusUnavailable})
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -7,16 +7,17 @@
 )
 
 // ApplyStatus applies a worker's status to its machine. The argument pushed is true if the
-// status came in the reply to a push and not in a heartbeat. ApplyStatus returns false if
-// the status is not newer than the last one applied.
+// status came in the reply to a push and not in a heartbeat. If the status is not newer
+// than the last one applied, ApplyStatus ignores it and returns false.
 func (r *Reconciler) ApplyStatus(machine *state.Machine, status *cluster.HeartbeatStatus, pushed bool) bool {
 	newIncarnation := status.Incarnation > machine.Incarnation
 	if status.Incarnation < machine.Incarnation || !newIncarnation && status.SequenceNumber <= machine.SequenceNumber {
 		return false
 	}
-	// After a lease expiry or a lost start, messages to the machine may be lost although
-	// its heartbeats arrive. Its token is raised to detect this. The machine gets no new
-	// tasks until the worker acknowledges the token, and is released if that takes too long.
+	// A new incarnation or a lost start indicates that messages to the machine may be lost
+	// although its heartbeats arrive. Its token is raised to detect this. The machine gets
+	// no new tasks until the worker acknowledges the token, and is released if that takes
+	// too long.
 	unreachable := newIncarnation && machine.Incarnation > 0
 	machine.Incarnation, machine.SequenceNumber, machine.LastHeartbeat = status.Incarnation, status.SequenceNumber, r.loop.Now()
 	if machine.Booting {
@@ -44,7 +45,8 @@
 	return true
 }
 
-// handleBooted handles the first heartbeat of a machine.
+// handleBooted marks a machine as booted when its first status arrives, and requests a
+// scheduling run.
 func (r *Reconciler) handleBooted(machine *state.Machine) {
 	bootSeconds := int((r.loop.Now() - machine.OwnedSince) / second)
 	r.loop.Log(messages.LogDebug, "machine booted", "machine", string(machine.ID), "type", machine.MachineType, "after_s", bootSeconds)
@@ -70,7 +72,8 @@
 	return reported
 }
 
-// applyTaskStatus applies the reported state of a task that the machine's record lists.
+// applyTaskStatus applies the reported state of a task that is assigned to the machine,
+// unless the task's end was already applied.
 func (r *Reconciler) applyTaskStatus(machine *state.Machine, assignment *state.Assignment, task *cluster.TaskStatus) {
 	if assignment.Phase == state.PhaseEnded {
 		return
--- a/internal/reconcile/stops.go
+++ b/internal/reconcile/stops.go
@@ -15,15 +15,17 @@
 //   - MoveOffSlowMachine: the machine is slow, or the task is a straggler on it.
 //   - handlePreemptionNotice (draining.go): the cloud preempts the machine.
 //
-// Tasks that no record lists are stopped by unrecorded.go. In all other cases, a task
-// ends by itself or with its machine (see ReleaseReason).
+// A reported task that its machine's record does not list is also stopped (see
+// handleUnrecorded). Any other task ends by itself or with its machine (see
+// ReleaseReason).
 type Stops struct {
 	*shared
 	reconciler *Reconciler
 }
 
 // StopJob stops all tasks of a cancelled job without a grace period. This includes tasks
-// that are already being stopped with one, as their checkpoints are no longer needed.
+// that are already being stopped with one, because their checkpoints are no longer needed.
+// It skips tasks whose record is being written. They are withdrawn when it is stored.
 func (s *Stops) StopJob(job *state.Job) {
 	for _, assignment := range job.SortedAssignments() {
 		machine := s.state.Machines[assignment.MachineID]
@@ -57,9 +59,9 @@
 	s.stop(machine, assignment, assignment.Job.Spec.CheckpointWriteSeconds*slowCheckpointFactor+graceMarginSeconds)
 }
 
-// stop requests the stop of a task with a grace period in seconds. A start that was not
-// sent is withdrawn instead. A task whose record is being written is left as it is; if
-// its job has ended, it is withdrawn when the record is stored.
+// stop queues the push of a stop with a grace period in seconds. A start that was not sent
+// is withdrawn instead. stop has no effect if a stop was already requested or the record
+// that lists the task is being written.
 func (s *Stops) stop(machine *state.Machine, assignment *state.Assignment, grace float64) {
 	if assignment.StopRequested || assignment.Phase == state.PhaseRecording {
 		return
--- a/internal/reconcile/taskend.go
+++ b/internal/reconcile/taskend.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// rejectedStartBackoff is how long no tasks are started on a machine that rejected a
-	// start, or for a job whose task a worker did not know.
+	// rejectedStartBackoff is how long no tasks are started on a machine whose worker
+	// rejected a start, or for a job if a worker rejected one of its tasks as unknown.
 	rejectedStartBackoff = 3 * second
 	// faultyJobMachineCount is the number of machines on which tasks of a job must fail
 	// before the job is considered faulty.
@@ -23,7 +23,9 @@
 	maxBackoffDoublings = 6
 )
 
-// handleTaskEnded handles the reported end of a task that the machine's record lists.
+// handleTaskEnded handles the reported end of a task that is assigned to the machine. A
+// completed task is recorded as such. Any other task is marked as absent, so that it can
+// start again, and a failure is counted against the machine and the job.
 func (r *Reconciler) handleTaskEnded(machine *state.Machine, assignment *state.Assignment, cause cluster.Cause) {
 	job := assignment.Job
 	machine.MarkEnded(assignment, cause)
@@ -46,8 +48,8 @@
 	}
 }
 
-// recordTaskCompleted records the completion of a task. After the last task of a job, the
-// job's record is written immediately.
+// recordTaskCompleted records the completion of a task. After the last task of a job, it
+// queues an urgent write of the job's record.
 func (r *Reconciler) recordTaskCompleted(job *state.Job, index int) {
 	job.SetCompleted(index)
 	if job.FinalStatus == "" && job.ChunksLoading == 0 && job.CompletedCount == job.Spec.Tasks {
--- a/internal/reconcile/token.go
+++ b/internal/reconcile/token.go
@@ -5,7 +5,9 @@
 	"stairrelay/internal/state"
 )
 
-// applyToken applies the highest fencing token that a worker has seen.
+// applyToken updates whether a worker has acknowledged its machine's current token, given
+// the highest token that the worker has seen. Unless the token is being raised, an
+// acknowledgement proves that no pushed start is in doubt any longer.
 func (r *Reconciler) applyToken(machine *state.Machine, seen cluster.FencingToken) {
 	acknowledged := seen == machine.Token || seen == 0 && hasNoEarlierCommands(machine)
 	if machine.TokenAcknowledged && !acknowledged {
@@ -20,9 +22,9 @@
 	}
 }
 
-// hasNoEarlierCommands reports whether no command under an older token can be in flight
-// to a worker that has not seen any token. This is the case if the machine was never
-// owned under another claim and the outcome of no pushed start is unknown.
+// hasNoEarlierCommands reports whether no command under an earlier token can be in flight
+// to a worker that has not seen any token. This is the case if the machine still has its
+// initial token, the token is not being raised, and no pushed start is in doubt.
 func hasNoEarlierCommands(machine *state.Machine) bool {
 	return machine.Token == machine.InitialToken && !machine.StartInDoubt && !machine.RaisingToken
 }
--- a/internal/reconcile/unrecorded.go
+++ b/internal/reconcile/unrecorded.go
@@ -6,8 +6,10 @@
 	"stairrelay/internal/state"
 )
 
-// handleUnrecorded handles a reported task that the machine's record does not list. The
-// task is stopped, because it may already be starting on another machine.
+// handleUnrecorded handles a reported task attempt that is not assigned to the machine. If
+// the attempt is running, it is stopped, because the task may already be starting on another
+// machine. If it has ended, the end is acknowledged, unless it is a completion that has to
+// be stored first.
 func (r *Reconciler) handleUnrecorded(machine *state.Machine, task *cluster.TaskStatus) {
 	attempt := state.TaskAttempt{Task: task.Task, Attempt: task.Attempt}
 	if r.applyUnrecordedCompletion(machine, task) {
@@ -24,10 +26,13 @@
 	machine.UnrecordedToStop[attempt] = true
 }
 
-// applyUnrecordedCompletion records the completion of a task under a previous owner of its
-// shard that did not store it. Otherwise the task would run again. The worker reports the
-// task until its completion is stored and acknowledged. The result is false if the status
-// reports no completion or the job does not need it; the caller then handles the status.
+// applyUnrecordedCompletion records the completion of a task that the machine's record no
+// longer lists, because a previous owner removed the task but did not store its completion.
+// Without this, the task would run again. The worker reports the task until its completion
+// is stored and acknowledged.
+//
+// The result is true if the completion was recorded, or if the job's records are still
+// being loaded and may contain it. If the result is false, the caller must handle the status.
 func (r *Reconciler) applyUnrecordedCompletion(machine *state.Machine, task *cluster.TaskStatus) bool {
 	if task.State != cluster.Ended || task.Cause != cluster.CauseCompleted || machine.Assignments[task.Task] != nil {
 		return false
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// hangMargin is added to the worker lease before a machine is considered hung.
+	// hangMargin is how long after the expiry of its lease a machine with cancelled tasks
+	// is considered hung.
 	hangMargin = 2 * second
-	// lossMargin is added to the worker lease before a machine is considered lost.
+	// lossMargin is how long after the expiry of its lease a machine is considered lost.
 	lossMargin = 5 * second
 	// unansweredPushTimeout is the time without a reply to a push after which a machine
 	// with cancelled tasks may be considered hung.
@@ -58,8 +59,9 @@
 }
 
 // missingHeartbeatReason returns the reason to release a machine that has stopped sending
-// heartbeats, or releaseNone. If no worker sends heartbeats, the cause is more likely on
-// this controller's side, and the timeout is longer.
+// heartbeats, or releaseNone. The timeout is shorter if the machine is missing from the
+// cloud's list. It is longer if no owned machine sends heartbeats, because the cause is then
+// more likely on this controller's side.
 func (s *maintenanceScan) missingHeartbeatReason(machine *state.Machine) ReleaseReason {
 	age, lease := s.heartbeatAge(machine), s.config.WorkerLease
 	switch {
@@ -72,8 +74,8 @@
 }
 
 // firstAcknowledgementTimeout returns how long an acquired machine with cancelled tasks may
-// take to acknowledge its token. Heartbeats alone do not prove that it is responsive, as
-// they may have been delayed.
+// take to acknowledge its token. Heartbeats alone do not prove that the machine is
+// responsive, because they may have been delayed.
 func (m *Maintenance) firstAcknowledgementTimeout() cluster.Time {
 	return max(minFirstAcknowledgementTimeout, 2*m.config.HeartbeatInterval)
 }
@@ -97,9 +99,9 @@
 }
 
 // hasLongCancelledTask reports whether a machine may run a task that this process has
-// known to be cancelled for more than half of the cancellation deadline. If the shard
-// changed owners several times since, the rest of the deadline may be shorter than
-// firstAcknowledgementTimeout.
+// known to be cancelled for more than half of the cancellation deadline. If the shard has
+// changed owners several times since the cancellation, the rest of the deadline may be
+// shorter than firstAcknowledgementTimeout.
 func (m *Maintenance) hasLongCancelledTask(machine *state.Machine) bool {
 	for _, assignment := range machine.Assignments {
 		known := m.state.Jobs.FinalJob(assignment.Task.Job)
@@ -121,8 +123,8 @@
 	return false
 }
 
-// ignoresStop reports whether a cancelled task is still running long after its stop was
-// requested. The stops may not reach the machine.
+// ignoresStop reports whether a machine may still run a cancelled task long after its stop
+// was requested. The worker may ignore the stop, or the stop may not reach it.
 func (m *Maintenance) ignoresStop(machine *state.Machine) bool {
 	timeout := min(m.config.WorkerLease+hangMargin, m.config.CancelDeadline/2)
 	for _, assignment := range machine.Assignments {
--- a/internal/writequeue/batch.go
+++ b/internal/writequeue/batch.go
@@ -37,8 +37,8 @@
 	keys        map[string]bool
 }
 
-// nextTransaction returns the next transaction to send, or nil if no queued write
-// can be sent now.
+// nextTransaction takes writes from the queues and returns the next transaction to
+// send, or nil if no queued write can be sent now.
 func (q *Queue) nextTransaction() *transaction {
 	now := q.loop.Now()
 	q.putBudget.Refill(now)
@@ -54,7 +54,7 @@
 	q.promoteBackground()
 	b := q.newBatch()
 	for priority := PriorityClaim; priority < PriorityCount; priority++ {
-		// Background writes leave part of the budget to more urgent ones that may
+		// Background writes leave part of the budget to more urgent writes that may
 		// be queued next.
 		if priority == PriorityBackground && b.budget < q.putBudget.Capacity()/3 {
 			if len(q.queues[priority]) > 0 {
@@ -63,7 +63,7 @@
 			break
 		}
 		queue := q.queues[priority]
-		q.queues[priority] = nil // writes enqueued by a Build go behind the rest
+		q.queues[priority] = nil // collects writes that Build functions enqueue, which go behind the rest
 		rest := b.fillFrom(queue, priority)
 		q.queues[priority] = append(rest, q.queues[priority]...)
 	}
@@ -135,10 +135,11 @@
 	return false
 }
 
-// add builds a write and adds it, unless the claim of its shard was lost or it has
-// no operations.
+// add builds a write and adds its operations to the transaction. If the claim of the
+// write's shard was lost, it calls OnOwnershipLost instead. A write without operations
+// is dropped.
 func (b *batch) add(write *Write, priority Priority) {
-	// After the claim is lost, the known mod revision is that of the new owner's
+	// After the claim was lost, the known mod revision may be that of the new owner's
 	// claim, which must not guard a write of this controller.
 	if write.ShardID != cluster.NoShard && priority != PriorityClaim && !b.queue.ownership.ClaimOf(write.ShardID).Owned {
 		write.notifyOwnershipLost()
--- a/internal/writequeue/health.go
+++ b/internal/writequeue/health.go
@@ -26,25 +26,25 @@
 	LastSuccess cluster.Time
 	// HealthySince is the start of the current series of successful requests.
 	HealthySince cluster.Time
-	// ProbeUntil is the time until which the store is probed even while it is not
-	// failing.
+	// ProbeUntil is the time until which the store is probed even if no request has
+	// failed.
 	ProbeUntil cluster.Time
 
 	failing         bool
 	failingSince    cluster.Time // start of the current series of failures
 	inFlight        int          // requests without a reply, other than watches
-	unansweredSince cluster.Time // when inFlight last became 1 or a reply last arrived
+	unansweredSince cluster.Time // when inFlight last increased to 1 or a reply last arrived
 }
 
 // MarkFailing records that requests have been failing since the given time. It has no
-// effect if they are known to be failing already.
+// effect if they are already known to be failing.
 func (h *Health) MarkFailing(since cluster.Time) {
 	if !h.failing {
 		h.failing, h.failingSince = true, since
 	}
 }
 
-// IsFailing reports whether the last request failed.
+// IsFailing reports whether requests have been failing since the last success.
 func (h *Health) IsFailing() bool { return h.failing }
 
 // IsUnavailableFor reports whether requests have been failing for longer than the
@@ -53,20 +53,21 @@
 	return h.failing && now-h.failingSince > duration
 }
 
-// IsStable reports whether requests have been succeeding for longer than stableAfter.
+// IsStable reports whether requests have been succeeding for longer than stableAfter,
+// the last one recently.
 func (h *Health) IsStable(now cluster.Time) bool {
 	return !h.failing && h.LastSuccess > 0 && now-h.LastSuccess < stableFreshness && now-h.HealthySince > stableAfter
 }
 
-// IsUnresponsive reports whether requests are failing, or have been in flight without
-// any reply for longer than SlowThreshold. The latter detects a network partition long
-// before a request times out.
+// IsUnresponsive reports whether requests have been failing for longer than
+// unresponsiveAfter, or have been in flight without any reply for longer than
+// SlowThreshold. The latter detects a network partition long before a request times out.
 func (h *Health) IsUnresponsive(now cluster.Time) bool {
 	return h.IsUnavailableFor(now, unresponsiveAfter) || h.inFlight > 0 && now-h.unansweredSince > SlowThreshold
 }
 
-// ShouldProbe reports whether a request should be sent only to find out whether the
-// store replies.
+// ShouldProbe reports whether a request should be sent for the sole purpose of finding
+// out whether the store replies.
 func (h *Health) ShouldProbe(now cluster.Time) bool {
 	return (h.failing || now < h.ProbeUntil) && h.inFlight == 0
 }
@@ -78,7 +79,7 @@
 	}
 }
 
-// recordOutcome records the outcome of a request that was recorded by recordRequest.
+// recordOutcome records the outcome of a request that was counted by recordRequest.
 func (h *Health) recordOutcome(now cluster.Time, outcome messages.Outcome) {
 	h.inFlight, h.unansweredSince = h.inFlight-1, now
 	switch outcome {
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -18,13 +18,13 @@
 	// maxTransactionsInFlight is the maximum number of transactions in flight.
 	maxTransactionsInFlight = 6
 	// backgroundCreditPerPut is the credit for background writes that each put earns.
-	// It prevents the starvation of background writes. Ended tasks are acknowledged
-	// only after such writes, so without them heartbeats and records would grow.
+	// It prevents the starvation of background writes. Most completed tasks are
+	// acknowledged only after such a write, so without them heartbeats would grow.
 	backgroundCreditPerPut = 0.25
 	// maxBackgroundCredit limits the credit for background writes.
 	maxBackgroundCredit = 2
-	// demandSmoothing is the weight of the latest sample in the moving average of
-	// the demand.
+	// demandSmoothing is the weight of the latest sample in the exponential moving
+	// average of the demand.
 	demandSmoothing = 0.4
 )
 
@@ -44,8 +44,8 @@
 	SentAt   cluster.Time
 }
 
-// ShardOwnership provides the claims of shards and is notified when writes confirm
-// or refute them.
+// ShardOwnership provides the claims of shards and is notified when a transaction
+// shows that a claim is still in force or was replaced.
 type ShardOwnership interface {
 	// ClaimOf returns a shard's claim.
 	ClaimOf(cluster.ShardID) Claim
@@ -63,7 +63,8 @@
 	// RequestRPS is the limit on requests per second, shared by all controllers.
 	RequestRPS float64
 	// WriteRPS is the limit on puts per second, shared by all controllers. If the
-	// settings announce a change of the limit, it is the lower of the two.
+	// settings announce a change of the limit, it is the lower one of the limits before
+	// and after the change.
 	WriteRPS float64
 	// CurrentWriteRPS is the limit before an announced change. It is used instead of a
 	// lower WriteRPS until the store throttles this controller.
@@ -79,7 +80,8 @@
 	ShareByDemand func(limit, demand float64, liveControllers int) float64
 }
 
-// Counters counts the requests sent to the store, by kind, since they were last reset.
+// Counters counts the requests sent to the store, the puts in them, and conflicts,
+// since the last reset.
 type Counters struct {
 	PutsByPriority [PriorityCount]int
 	Transactions   int
@@ -88,12 +90,13 @@
 	Reads          int
 }
 
-// Queue sends reads and writes to the store within this controller's share of the
-// store's rate limits.
+// Queue sends reads and writes to the store. It delays writes to stay within this
+// controller's share of the store's rate limits. Reads count against the share but are
+// not delayed.
 //
 // A transaction whose outcome is unknown is sent again unchanged. It is conditional
 // on the mod revisions of the keys that it sets, so at most one copy of it is
-// applied, and the write ID in its records shows whether one was.
+// applied. The write ID in the stored records shows whether a copy was applied.
 type Queue struct {
 	Health Health
 
@@ -117,7 +120,8 @@
 	backgroundCredit float64
 }
 
-// New returns a queue with full budgets. Enqueued writes are sent by Dispatch.
+// New returns a queue with full budgets. It sends enqueued writes only when Dispatch is
+// called.
 func New(loop *eventloop.Loop, config Config, ownership ShardOwnership) *Queue {
 	q := &Queue{loop: loop, ownership: ownership, inFlightKeys: map[string]bool{}}
 	q.Configure(config)
@@ -133,7 +137,8 @@
 	q.requestBudget.Fill()
 }
 
-// SetLiveControllers sets the number of live controllers, which share the limits.
+// SetLiveControllers sets the number of live controllers, which share the limits, and
+// adapts the budgets of this controller.
 func (q *Queue) SetLiveControllers(live int) {
 	q.liveControllers = max(live, 1)
 	requests := q.config.RequestRPS * (q.config.BudgetShare / float64(q.liveControllers))
@@ -156,11 +161,11 @@
 // Demand returns the smoothed number of puts per second that this controller could use.
 func (q *Queue) Demand() float64 { return q.demand }
 
-// divideWriteRate sets the put budget to this controller's share of the write rate.
-// The shares follow the demand, since work is spread unevenly over the shards. With
-// equal shares, most of the rate would be unused while the starts of one shard wait.
-// Controllers learn each other's demand from pings. While they disagree, the store
-// throttles what exceeds the limit.
+// divideWriteRate sets the rate of the put budget to this controller's share of the
+// write rate. The shares follow the demand, because work is spread unevenly over the
+// shards. With equal shares, most of the rate would be unused while the starts of one
+// shard wait. Controllers learn each other's demand from pings. While their knowledge
+// differs, the shares may exceed the limit, and the store throttles the excess.
 func (q *Queue) divideWriteRate() {
 	rate := q.config.ShareByDemand(q.writeRPS*q.config.BudgetShare, q.demand, q.liveControllers)
 	q.putBudget.SetRate(rate, max(rate, float64(q.config.MaxTxnOps)))
@@ -204,9 +209,9 @@
 }
 
 // requeue enqueues a write again after its transaction failed because of another write.
-// It lowers the priority by one step, so that the two don't fail together again in
-// the next transaction. The write of a claim keeps its priority, since writes of
-// lower priority are dropped while the shard is not owned.
+// It lowers the priority by one step, so that the two writes are less likely to fail
+// together again. The write of a claim keeps its priority, because writes of lower
+// priority are dropped while the shard is not owned.
 func (q *Queue) requeue(write *Write) {
 	if write.priority == PriorityClaim {
 		q.Enqueue(PriorityClaim, write)
@@ -216,7 +221,7 @@
 }
 
 // RaisePriority moves the queued write that key identifies to a higher priority. It
-// has no effect if there is none with a lower priority.
+// has no effect if no such write is queued with a lower priority.
 func (q *Queue) RaisePriority(key string, priority Priority) {
 	for lower := priority + 1; lower < PriorityCount; lower++ {
 		for i, write := range q.queues[lower] {
@@ -260,8 +265,8 @@
 }
 
 // sortStarts sorts the writes of starts by the CPU time lost per put, largest first,
-// so that the write budget starts as much work as possible. The rank of each write
-// grows while it is queued, so none starves.
+// so that the write budget starts as much work as possible. The CPU time lost grows
+// while a write is queued, so no write starves.
 func (q *Queue) sortStarts() {
 	queue := q.queues[PriorityStart]
 	if len(queue) < 2 || q.putBudget.Level() < 1 {
@@ -278,8 +283,8 @@
 	slices.SortStableFunc(queue, func(a, b *Write) int { return cmp.Compare(rank[b], rank[a]) })
 }
 
-// promoteBackground moves a background write before the starts if there is credit for
-// one.
+// promoteBackground moves the first background write before the starts if there is
+// credit for one write, and resets the credit.
 func (q *Queue) promoteBackground() {
 	background := q.queues[PriorityBackground]
 	if q.backgroundCredit < 1 || len(background) == 0 {
@@ -290,8 +295,8 @@
 	q.queues[PriorityStart] = append([]*Write{background[0]}, q.queues[PriorityStart]...)
 }
 
-// Dispatch sends queued writes as far as the budgets, the maximum number of
-// transactions in flight and the keys in flight allow.
+// Dispatch sends queued writes until the budgets, the maximum number of transactions
+// in flight or the keys in flight prevent it.
 func (q *Queue) Dispatch() {
 	for q.inFlight < maxTransactionsInFlight {
 		next := q.nextTransaction()
@@ -302,8 +307,8 @@
 	}
 }
 
-// wakeAfter starts a timer, unless one is running, so that the controller calls Dispatch
-// again after the delay.
+// wakeAfter starts a timer, unless one is running. When the timer fires, the controller
+// runs an event loop step, which calls Dispatch again.
 func (q *Queue) wakeAfter(delay cluster.Time) {
 	if q.wakeScheduled {
 		return
--- a/internal/writequeue/queue_test.go
+++ b/internal/writequeue/queue_test.go
@@ -8,7 +8,7 @@
 	"stairrelay/internal/messages"
 )
 
-// fakeOwnership returns the same claim for every shard and records its calls.
+// fakeOwnership returns the same claim for every shard and records the notifications.
 type fakeOwnership struct {
 	claim   Claim
 	deposed []cluster.ShardID
@@ -42,8 +42,8 @@
 	return loop, New(loop, config, ownership), ownership
 }
 
-// TestRetriesDoNotOverdrawPutBudget guards against retries during a network partition
-// that use up the put budget, so that the controller can't write afterwards.
+// TestRetriesDoNotOverdrawPutBudget checks that retries during a network partition don't
+// use up the put budget. Otherwise the controller couldn't write for some time afterwards.
 func TestRetriesDoNotOverdrawPutBudget(t *testing.T) {
 	_, q, _ := newTestQueue()
 	pending := &transaction{operations: make([]messages.TxnOp, 20), shardID: cluster.NoShard}
--- a/internal/writequeue/reads.go
+++ b/internal/writequeue/reads.go
@@ -6,7 +6,8 @@
 	"stairrelay/internal/messages"
 )
 
-// recordOutcome updates the health and the request budget after a request.
+// recordOutcome updates the health after a request. If the request was throttled, it
+// also lowers the request budget below zero, so that writes are delayed.
 func (q *Queue) recordOutcome(outcome messages.Outcome) {
 	q.Health.recordOutcome(q.loop.Now(), outcome)
 	if outcome == messages.Throttled {
@@ -26,7 +27,8 @@
 	return q.requestBudget.Level() < -q.requestBudget.Capacity()
 }
 
-// ReadKey reads a key. Reads are charged to the request budget but never delayed.
+// ReadKey reads a key and calls handle with the reply. Reads are charged to the request
+// budget but never delayed.
 func (q *Queue) ReadKey(key string, handle func(messages.GetReply)) {
 	q.requestBudget.Refill(q.loop.Now())
 	q.requestBudget.Spend(1)
@@ -39,7 +41,8 @@
 	q.loop.Emit(messages.StoreGet{Call: call, Key: key})
 }
 
-// ListPrefix reads all keys with a prefix. It is charged like ReadKey.
+// ListPrefix reads all keys with a prefix and calls handle with the reply. It is charged
+// like ReadKey.
 func (q *Queue) ListPrefix(prefix string, handle func(messages.ListReply)) {
 	q.requestBudget.Spend(1)
 	q.counters.Reads++
@@ -52,8 +55,8 @@
 }
 
 // ReadChanges reads the changes of the keys with a prefix after a revision, without
-// waiting for further ones. It is charged like ReadKey. The outcome doesn't count for
-// the health of the store, since the revision may have been compacted.
+// waiting for further changes, and calls handle with the reply. It is charged like
+// ReadKey. The outcome doesn't count for the health of the store.
 func (q *Queue) ReadChanges(prefix string, since cluster.Revision, handle func(messages.WatchReply)) {
 	q.requestBudget.Spend(1)
 	q.counters.Reads++
--- a/internal/writequeue/reply.go
+++ b/internal/writequeue/reply.go
@@ -40,11 +40,12 @@
 	case messages.UnknownOutcome, messages.NotFound, messages.Compacted:
 		q.retryInDoubt(t)
 	default:
-		q.retryInDoubt(t) // an unexpected outcome: the transaction may have been applied
+		q.retryInDoubt(t) // after an unexpected outcome, the transaction may have been applied
 	}
 }
 
-// retryInDoubt sends a transaction again after an attempt with an unknown outcome.
+// retryInDoubt marks a transaction as in doubt after an attempt with an unknown outcome,
+// and sends it again after a delay.
 func (q *Queue) retryInDoubt(t *transaction) {
 	t.inDoubt = true
 	q.refund(t)
@@ -82,10 +83,10 @@
 	q.divideWriteRate()
 }
 
-// handleInvalid handles the rejection of a transaction as malformed. One of its
-// records may exceed the size limit of the store, so each write is retried in a
-// transaction of its own. If a write is rejected on its own, its OnTooLarge is called,
-// or its OnConflict if it has none.
+// handleInvalid handles the rejection of a transaction as malformed. A record in the
+// transaction may exceed the size limit of the store, so each write is retried in a
+// transaction of its own. If the transaction contained only one write, the write's
+// OnTooLarge is called, or its OnConflict if OnTooLarge is nil.
 func (q *Queue) handleInvalid(t *transaction) {
 	q.loop.Log(messages.LogInfo, "store rejected a transaction as malformed", "key_count", len(t.operations), "key", t.operations[0].Key, "write_count", len(t.writes))
 	for _, write := range t.writes {
@@ -117,8 +118,9 @@
 }
 
 // handleConflict handles the failure of a compare. It reports a conflict to the
-// writes whose keys another writer changed, and the loss of ownership to those whose
-// shard's claim was replaced. The other writes are queued again.
+// writes whose keys another writer changed. If the shard's claim was replaced, it reports
+// the loss of ownership to the writes of the shard, and to ShardOwnership if the replaced
+// claim is the latest one of this controller. The other writes are queued again.
 func (q *Queue) handleConflict(t *transaction, failedKeys []string) {
 	changed := make(map[string]bool, len(failedKeys))
 	for _, key := range failedKeys {
@@ -126,8 +128,8 @@
 	}
 	deposed := t.claim != 0 && changed[q.ownership.ClaimOf(t.shardID).Key]
 	if deposed {
-		// The reply to a transaction under an earlier claim doesn't refute a later
-		// claim of this controller.
+		// The conflict of a transaction under an earlier claim doesn't mean that a later
+		// claim of this controller was replaced.
 		if claim := q.ownership.ClaimOf(t.shardID); claim.Owned && claim.ModRevision == t.claim {
 			q.ownership.HandleDeposed(t.shardID)
 		}
@@ -145,9 +147,9 @@
 }
 
 // resolveInDoubt finds out whether a transaction whose retry failed with a conflict
-// was applied by an earlier attempt. Since transactions are atomic, one key that has
-// the transaction's write ID is sufficient. All keys are tried, since a later write
-// may have changed some of them.
+// was applied by an earlier attempt. Because transactions are atomic, one record with
+// the transaction's write ID is sufficient proof. All keys are read if necessary, because
+// later writes may have replaced some of the records.
 func (q *Queue) resolveInDoubt(t *transaction, failedKeys []string) {
 	var keys []string
 	for _, operation := range t.operations {
@@ -158,8 +160,8 @@
 	q.findWriteID(t, keys, failedKeys)
 }
 
-// findWriteID reads the keys one after the other. If one has the write ID of the
-// transaction, the transaction was applied. If none has, the conflict is final.
+// findWriteID reads the keys one after the other. If a record has the write ID of the
+// transaction, the transaction was applied. If none has it, the conflict is reported.
 func (q *Queue) findWriteID(t *transaction, keys, failedKeys []string) {
 	if len(keys) == 0 {
 		q.finish(t)
--- a/internal/writequeue/transactions_test.go
+++ b/internal/writequeue/transactions_test.go
@@ -32,7 +32,7 @@
 	return w
 }
 
-// check fails the test if an outcome was not reported the expected number of times.
+// check fails the test if a callback was not called the expected number of times.
 func (w *testWrite) check(t *testing.T, applied, conflicts, tooLarge, lost int) {
 	t.Helper()
 	if w.applied != applied || w.conflicts != conflicts || w.tooLarge != tooLarge || w.lost != lost {
@@ -85,8 +85,8 @@
 	loop.Deliver(messages.Reply{Call: transaction.Call, Body: body})
 }
 
-// TestMostUrgentWriteFirst checks that writes are sent by priority, and in the order
-// of their queueing within a priority.
+// TestMostUrgentWriteFirst checks that writes are sent in the order of their priority, and
+// within a priority in the order in which they were enqueued.
 func TestMostUrgentWriteFirst(t *testing.T) {
 	loop, q, _ := newTestQueue()
 	q.Enqueue(PriorityStart, &newTestWrite("groups/a").Write)
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestShardWriteConditionalOnClaim guards against writes by a former owner of a shard:
-// a write is conditional on the shard's claim, and is dropped if the claim was lost.
+// TestShardWriteConditionalOnClaim checks that a write of a shard is conditional on the
+// shard's claim, and that it is dropped if the claim was lost.
 func TestShardWriteConditionalOnClaim(t *testing.T) {
 	loop, q, ownership := newTestQueue()
 	q.Enqueue(PriorityStart, &newTestWrite("groups/a").Write)
@@ -121,8 +121,8 @@
 	late.check(t, 0, 0, 0, 1)
 }
 
-// TestKeyInOneTransactionAtATime checks that a write stays queued while another write
-// of the same key is in flight.
+// TestKeyInOneTransactionAtATime checks that a write stays queued until another write of
+// the same key has ended.
 func TestKeyInOneTransactionAtATime(t *testing.T) {
 	loop, q, _ := newTestQueue()
 	first, second := newTestWrite("groups/a"), newTestWrite("groups/a")
@@ -171,7 +171,7 @@
 }
 
 // sendInDoubt sends a write whose first attempt has an unknown outcome and whose second
-// one conflicts. It returns the first attempt and the read that resolves its outcome.
+// attempt conflicts. It returns the first attempt and the read that resolves its outcome.
 func sendInDoubt(t *testing.T, loop *eventloop.Loop, q *Queue, write *testWrite) (messages.StoreTxn, messages.StoreGet) {
 	t.Helper()
 	q.Enqueue(PriorityStart, &write.Write)
@@ -189,8 +189,8 @@
 	return first, read
 }
 
-// TestInDoubtTransactionApplied checks that the conflict of a retry is reported as
-// success if the key has the transaction's write ID.
+// TestInDoubtTransactionApplied checks that a transaction whose retry conflicts is reported
+// as applied if the stored record has the transaction's write ID.
 func TestInDoubtTransactionApplied(t *testing.T) {
 	loop, q, ownership := newTestQueue()
 	write := newTestWrite("groups/a")
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestInDoubtTransactionNotApplied checks that the conflict of a retry is reported as
-// such if the key has another write ID.
+// TestInDoubtTransactionNotApplied checks that a transaction whose retry conflicts is
+// reported as a conflict if the stored record has another write ID.
 func TestInDoubtTransactionNotApplied(t *testing.T) {
 	loop, q, _ := newTestQueue()
 	write := newTestWrite("groups/a")
@@ -218,8 +218,8 @@
 	write.check(t, 0, 1, 0, 0)
 }
 
-// TestInvalidTransactionRetriedSeparately guards against an invalid write that blocks the
-// others in its transaction: after a rejection the writes are sent one by one.
+// TestInvalidTransactionRetriedSeparately checks that the writes of a rejected transaction
+// are retried separately, so that an invalid write doesn't block the others.
 func TestInvalidTransactionRetriedSeparately(t *testing.T) {
 	loop, q, _ := newTestQueue()
 	writes := []*testWrite{newTestWrite("groups/a"), newTestWrite("groups/b")}
--- a/internal/writequeue/watch.go
+++ b/internal/writequeue/watch.go
@@ -18,20 +18,20 @@
 type PrefixWatch struct {
 	Prefix string
 	// Position is the revision up to which the changes are known. The watch advances
-	// it. Its owner may also advance it after reading later changes by other means.
+	// it. The caller may also advance it after reading later changes by other means.
 	Position *cluster.Revision
-	// Pause is the delay between a reply and the next request. Changes made in the
+	// Delay is the time between a reply and the next request. Changes made in the
 	// meantime arrive in one reply.
 	Delay cluster.Time
 	// OnChange is called with each key that was changed or deleted.
 	OnChange func(messages.KV)
-	// OnCompacted is called when the store no longer keeps the changes after
-	// Position, so that all keys must be read again. The watch has ended then.
+	// OnCompacted is called, after Delay, when the store no longer keeps the changes
+	// after Position, so that all keys must be read again. The watch has then ended.
 	OnCompacted func()
 }
 
-// Watch watches the keys with a prefix until its position has been compacted. Watch
-// requests are not charged to the request budget. They are long polls, so their
+// Watch watches the keys with a prefix until the watch's position has been compacted.
+// Watch requests are not charged to the request budget. They are long polls, so their
 // outcomes don't count for the health of the store.
 func (q *Queue) Watch(watch PrefixWatch) {
 	call := eventloop.Call(q.loop, func(reply messages.WatchReply) {
--- a/internal/writequeue/write.go
+++ b/internal/writequeue/write.go
@@ -8,9 +8,9 @@
 //   - A key is in at most one transaction in flight.
 //   - A write of a shard, other than that of its claim, is sent only in a transaction
 //     that is conditional on the claim.
-//   - A write that was sent is reported exactly once, as applied, conflicting, too
-//     large or lost to another owner, even if the outcome of its transaction was in
-//     doubt.
+//   - A callback reports the outcome of a write that was sent exactly once: applied,
+//     conflicting, too large, or ownership lost. This holds even if the outcome of the
+//     transaction was in doubt.
 package writequeue
 
 import (
@@ -31,7 +31,7 @@
 	PriorityScaleOut                   // provisioning requests and changes of a shard's machines
 	PriorityAdmission                  // admissions of submitted jobs
 	PriorityStart                      // assignments of tasks to machines
-	PriorityOutcome                    // outcomes of tasks and jobs
+	PriorityOutcome                    // outcomes of tasks and jobs, releases of machines
 	PriorityBackground                 // checkpoints, repairs and other deferrable writes
 	// PriorityCount is the number of priorities. As a priority it is lower than
 	// every other one.
@@ -47,15 +47,15 @@
 	// Keys are the keys that Build may change. The first one identifies the write.
 	Keys []string
 	// Build returns the operations and, for each of them, the mod revision that its
-	// key must have. If it returns no operations, the write is dropped and none of
-	// the callbacks is called.
+	// key must have. If it returns no operations, the write is dropped and no callback
+	// is called.
 	Build func(writeID string) ([]messages.TxnOp, []cluster.ModRevision)
 	// ExtraCompares are additional conditions. Build may set them.
 	ExtraCompares []messages.Compare
 	// MaxExtraCompares is the maximum number of ExtraCompares that Build sets.
 	MaxExtraCompares int
 	// CPUsWaiting returns the number of CPUs that are idle until the write is
-	// applied. If it is nil, there are none.
+	// applied. It may be nil, which means 0.
 	CPUsWaiting func() float64
 	// OnApplied is called with the revision of the write after it was applied.
 	OnApplied func(cluster.Revision)
@@ -65,14 +65,15 @@
 	// OnTooLarge is called if the store rejects the write as malformed when it is
 	// sent in a transaction of its own. If it is nil, OnConflict is called instead.
 	OnTooLarge func()
-	// OnConflict is called if another writer changed one of the keys.
+	// OnConflict is called if another writer changed one of the keys or a key of
+	// ExtraCompares.
 	OnConflict func()
 	// OnOwnershipLost is called if the shard's claim was lost. It may be nil.
 	OnOwnershipLost func()
 
 	priority  Priority // of the queue to which it was last added
 	queuedAt  cluster.Time
-	sendAlone bool // the store rejected a transaction that contained it as malformed
+	sendAlone bool // because a transaction with this and other writes was rejected as malformed
 }
 
 // conflictsIn reports whether changed, the keys that other writers have changed,
@@ -130,10 +131,10 @@
 	writeID        string
 	compares       []messages.Compare
 	operations     []messages.TxnOp
-	inDoubt        bool // an earlier attempt may have been applied, or may still be
+	inDoubt        bool // an earlier attempt may have been applied, or may still be applied
 	sendCount      int
 	firstSentAt    cluster.Time
 	putsByPriority [PriorityCount]int
 	shardID        cluster.ShardID     // the shard whose claim guards it, or cluster.NoShard
-	claim          cluster.ModRevision // of that claim, or 0 if the transaction writes the claim
+	claim          cluster.ModRevision // mod revision of that claim, or 0 if there is none or the transaction writes it
 }
