--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -106,8 +106,8 @@
 	})
 }
 
-// listedMachines returns the machines that the readable records among items list. A
-// quarantined record is not readable.
+// listedMachines returns the machines that the readable records among items list.
+// Quarantined records count as unreadable.
 func (r *quarantineRepair) listedMachines(items []messages.KV) map[cluster.MachineID]bool {
 	listed := map[cluster.MachineID]bool{}
 	for _, item := range items {
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -47,10 +47,10 @@
 	return append(commands, starts...)
 }
 
-// mayStartOn reports whether starts may be sent to a machine now. None are sent while the
-// machine is being released, during its backoff after a rejected start, or while this
+// mayStartOn reports whether starts may be sent to a machine now. No starts are sent while
+// the machine is being released, during its backoff after a rejected start, or while this
 // controller must not start tasks of the shard. While the outcome of a pushed start is
-// unknown, none are sent because the machine may be unreachable.
+// unknown, no starts are sent because the machine may be unreachable.
 func (c *Commands) mayStartOn(machine *state.Machine) bool {
 	if machine.StartInDoubt || machine.Releasing || c.loop.Now() < machine.NoStartsBefore {
 		return false
--- a/internal/reconcile/heartbeats.go
+++ b/internal/reconcile/heartbeats.go
@@ -75,7 +75,7 @@
 	return false
 }
 
-// Redirect answers a heartbeat with a redirect to the controller to, or to any other
+// Redirect answers a heartbeat with a redirect to the given controller, or to any other
 // controller if to is empty or this controller.
 func (h *Heartbeats) Redirect(request messages.RequestID, to cluster.NodeID) { h.redirect(request, to) }
 
--- a/internal/reconcile/heartbeats_test.go
+++ b/internal/reconcile/heartbeats_test.go
@@ -12,7 +12,7 @@
 // testRequest is the request ID of the heartbeats in these tests.
 const testRequest = messages.RequestID(1)
 
-// response returns the response to the heartbeat testRequest that was sent in the current
+// response returns the response to the request testRequest that was sent in the current
 // event loop step, or nil if there is none.
 func (h *harness) response() *messages.Respond {
 	h.t.Helper()
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -98,10 +98,10 @@
 	}
 }
 
-// pushCommands pushes stops to machines that may not have received those of their cancelled
-// tasks, and then tokens to machines that have not acknowledged them, up to
-// maxPushesPerScan. Stops come first because after a failover these pushes may be the only
-// way to reach a machine before the cancellation deadline.
+// pushCommands pushes the stops of cancelled tasks to machines that may not have received
+// them, and then tokens to machines that have not acknowledged them. It sends at most
+// maxPushesPerScan pushes. Stops come first because after a failover these pushes may be
+// the only way to reach a machine before the cancellation deadline.
 func (m *Maintenance) pushCommands(machines []*state.Machine) {
 	pushes := 0
 	for _, machine := range machines {
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -139,7 +139,7 @@
 
 // answer answers a heartbeat after a search. The argument recorded is nil if the records
 // could not be read. A machine that no record lists may be registered, but only by the owner
-// of the shard that ShardFor returns, so that two controllers don't register it.
+// of the shard that ShardFor returns, so that two controllers never register the machine.
 func (o *Orphans) answer(heartbeat messages.Heartbeat, recorded *state.RecordedMachines) {
 	id := heartbeat.Status.Machine
 	switch {
@@ -148,7 +148,7 @@
 	case recorded == nil:
 		o.respondUnavailable(heartbeat.Request)
 	case recorded.Listed[id]:
-		shard, _ := o.deps.Directory.LastShardOf(id) // found, as the record was just read
+		shard, _ := o.deps.Directory.LastShardOf(id) // found, because the record was just read
 		o.redirectToOwner(heartbeat.Request, shard)
 	default:
 		shard := o.ShardFor(id)
@@ -186,7 +186,8 @@
 // released or have failed.
 func (o *Orphans) minAge() cluster.Time { return 3*o.config.CloudListLag + 45*second }
 
-// isTooNew reports whether a machine was first found in no record less than minAge ago.
+// isTooNew reports whether a machine was found to be in no record for the first time less
+// than minAge ago.
 func (o *Orphans) isTooNew(id cluster.MachineID) bool {
 	first, ok := o.unrecordedSince[id]
 	return ok && o.loop.Now()-first < o.minAge()
@@ -217,8 +218,8 @@
 	}
 }
 
-// ForgetUnlisted forgets since when a machine has been in no record if the machine is no
-// longer in the cloud's list or has become known.
+// ForgetUnlisted removes the machines that are no longer in the cloud's list or have become
+// known from unrecordedSince.
 func (o *Orphans) ForgetUnlisted(listed map[cluster.MachineID]bool) {
 	for id := range o.unrecordedSince {
 		if !listed[id] || o.state.Machines[id] != nil {
@@ -276,7 +277,8 @@
 
 // registerQueued registers the queued machines of a shard, in groups of at most the
 // target size. If the shard is no longer owned under the given claim, it drops the machines
-// instead. When a group has been registered or dropped, it scans the owned machines.
+// instead. Each time a group has been registered or dropped, it runs the maintenance of
+// the owned machines.
 func (o *Orphans) registerQueued(shard *state.Shard, claim cluster.Revision) {
 	waiting := shard.PendingRegistrations
 	shard.PendingRegistrations = nil
@@ -297,8 +299,8 @@
 	}
 }
 
-// ShardFor returns the shard that is responsible for an unknown machine. It is determined
-// by the trailing digits of the machine's ID.
+// ShardFor returns the shard that is responsible for an unknown machine. The shard is
+// determined by the trailing digits of the machine's ID.
 func (o *Orphans) ShardFor(id cluster.MachineID) *state.Shard {
 	const maxDigits = 10
 	number := 0
--- a/internal/reconcile/push.go
+++ b/internal/reconcile/push.go
@@ -86,8 +86,9 @@
 }
 
 // handlePushReply handles the outcome of a push that contained the given starts. If the
-// push was not executed, it requeues the starts. If the outcome is unknown, it raises the
-// machine's token, so that starts that arrive late are not executed.
+// push was not executed, it requeues the starts. If the outcome is unknown and there are
+// starts, it raises the machine's token, so that starts that arrive late are not executed.
+// Stops that may not have arrived are sent again.
 func (c *Commands) handlePushReply(machine *state.Machine, starts []*state.Assignment, reply messages.WorkerReply) {
 	switch reply.Outcome {
 	case messages.OK:
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -174,7 +174,7 @@
 // Configure replaces the configuration.
 func (r *Reconciler) Configure(config Config) { r.config = config }
 
-// redirect answers a heartbeat with a redirect to the controller to, or to any other
+// redirect answers a heartbeat with a redirect to the given controller, or to any other
 // controller if to is empty or this controller.
 func (s *shared) redirect(request messages.RequestID, to cluster.NodeID) {
 	if to == s.config.Self {
--- a/internal/reconcile/stops.go
+++ b/internal/reconcile/stops.go
@@ -25,7 +25,8 @@
 
 // StopJob stops all tasks of a cancelled job without a grace period. This includes tasks
 // that are already being stopped with one, because their checkpoints are no longer needed.
-// It skips tasks whose record is being written. They are withdrawn when it is stored.
+// It skips tasks whose record is being written. Their starts are withdrawn when the record
+// is stored.
 func (s *Stops) StopJob(job *state.Job) {
 	for _, assignment := range job.SortedAssignments() {
 		machine := s.state.Machines[assignment.MachineID]
--- a/internal/reconcile/token.go
+++ b/internal/reconcile/token.go
@@ -7,7 +7,7 @@
 
 // applyToken updates whether a worker has acknowledged its machine's current token, given
 // the highest token that the worker has seen. Unless the token is being raised, an
-// acknowledgement proves that no pushed start is in doubt any longer.
+// acknowledgement proves that pushed starts in doubt can no longer be executed.
 func (r *Reconciler) applyToken(machine *state.Machine, seen cluster.FencingToken) {
 	acknowledged := seen == machine.Token || seen == 0 && hasNoEarlierCommands(machine)
 	if machine.TokenAcknowledged && !acknowledged {
