--- a/internal/jobs/admissionrecords.go
+++ b/internal/jobs/admissionrecords.go
@@ -72,7 +72,7 @@
 		a.writeQueue.Watch(writequeue.PrefixWatch{
 			Prefix:      AdmissionKeyPrefix,
 			Position:    &a.appliedRevision,
-			Pause:       watchDelay,
+			Delay:       watchDelay,
 			OnChange:    func(kv messages.KV) { a.Apply(kv, nil) },
 			OnCompacted: a.load,
 		})
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -168,7 +168,7 @@
 		r.writeQueue.Watch(writequeue.PrefixWatch{
 			Prefix:      state.JobKeyPrefix,
 			Position:    &r.state.Jobs.AppliedRevision,
-			Pause:       watchDelay,
+			Delay:       watchDelay,
 			OnChange:    r.applyWatched,
 			OnCompacted: r.load,
 		})
