--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -44,7 +44,7 @@
 // the count reaches a multiple of stallThreshold.
 func (c *Controller) recordShardProgress(shard *state.Shard, reason stallReason) {
 	progress := &c.progress[shard.ID]
-	progress.plannedStarts, progress.storedTransactions = shard.PlannedStarts, shard.StoredTransactions
+	progress.plannedStarts, progress.storedTransactions = shard.TotalAttemptCount, shard.StoredTransactions
 	if reason == stallNone {
 		progress.stalledCheckpoints = 0
 		return
@@ -111,7 +111,7 @@
 // hasStalledStarts reports whether pending tasks fit on the shard's machines and no start
 // was planned since the last checkpoint.
 func (c *Controller) hasStalledStarts(shard *state.Shard) bool {
-	return shard.PlannedStarts == c.progress[shard.ID].plannedStarts && c.scheduler.HasStartableTasks(shard)
+	return shard.TotalAttemptCount == c.progress[shard.ID].plannedStarts && c.scheduler.HasStartableTasks(shard)
 }
 
 // stalledShardCount returns the number of shards that have made no progress for at least
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -169,7 +169,7 @@
 func (q *JobQueue) rankJobs(shard *state.Shard) {
 	shardCPU := q.totalCPU(shard)
 	shard.GuaranteedJobs = q.jobsWithinGuarantee(shard)
-	shard.AvoidSpot = slices.ContainsFunc(shard.Jobs, func(job *state.Job) bool {
+	shard.HasOnDemandPreference = slices.ContainsFunc(shard.Jobs, func(job *state.Job) bool {
 		return job.IsActive() && !job.Blocked && q.spot.prefersOnDemand(job)
 	})
 	ranked := make([]rankedJob, 0, len(shard.Jobs))
--- a/internal/scheduling/runtimes.go
+++ b/internal/scheduling/runtimes.go
@@ -76,7 +76,7 @@
 	// Only complete runs with an observed start count. A task that resumes from a
 	// checkpoint runs for a shorter time, and the start time of a task that an earlier
 	// owner started is unknown.
-	if assignment.RunningSince == 0 || job.Spec.RuntimeSeconds <= 0 || assignment.StartUnobserved || job.RestartedTasks[assignment.Task.Index] {
+	if assignment.RunningSince == 0 || job.Spec.RuntimeSeconds <= 0 || assignment.StartUnobserved || job.RequeuedTasks[assignment.Task.Index] {
 		return
 	}
 	runSeconds := (r.loop.Now() - assignment.RunningSince).Seconds()
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -46,7 +46,7 @@
 	for name, change := range map[string]func(*state.Assignment){
 		"not observed":       func(a *state.Assignment) { a.RunningSince = 0 },
 		"start not observed": func(a *state.Assignment) { a.StartUnobserved = true },
-		"restarted":          func(a *state.Assignment) { a.Job.RestartedTasks[a.Task.Index] = true },
+		"restarted":          func(a *state.Assignment) { a.Job.RequeuedTasks[a.Task.Index] = true },
 		"no estimate":        func(a *state.Assignment) { a.Job.Spec.RuntimeSeconds = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/scheduling/spot.go
+++ b/internal/scheduling/spot.go
@@ -90,7 +90,7 @@
 // checkpoints prefer spot machines. All other jobs accept both markets equally.
 func (s *SpotPreference) IsPreferredMarket(shard *state.Shard, job *state.Job, spot bool) bool {
 	if job.Spec.CheckpointIntervalSeconds > 0 {
-		return spot || !shard.AvoidSpot
+		return spot || !shard.HasOnDemandPreference
 	}
 	return !spot || !s.prefersOnDemand(job)
 }
--- a/internal/scheduling/spot_test.go
+++ b/internal/scheduling/spot_test.go
@@ -36,7 +36,7 @@
 	if tight.Spec.Class, tight.Spec.DeadlineSeconds = "tight", 40; isPreferred(shard, tight, spot) || !isPreferred(shard, short, spot) {
 		t.Error("a job that would miss its deadline with a restarted task does not avoid spot machines, or a job with enough time does")
 	}
-	if shard.AvoidSpot = true; isPreferred(shard, checkpointing, onDemand) || !isPreferred(shard, checkpointing, spot) {
+	if shard.HasOnDemandPreference = true; isPreferred(shard, checkpointing, onDemand) || !isPreferred(shard, checkpointing, spot) {
 		t.Error("a job that saves checkpoints does not prefer spot machines while another job needs on-demand ones")
 	}
 	if f.Spot.IsOnDemandWorthImageFetch(long) || !f.Spot.IsOnDemandWorthImageFetch(jobWith(150, 0)) {
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -69,7 +69,7 @@
 	job := assignment.Job
 	if assignment.Phase != state.PhaseAcknowledged || assignment.ConfirmedAbsent ||
 		assignment.RunningSince == 0 || assignment.State != cluster.Running ||
-		job.CompletedRuns < minRunsToFindStragglers || job.RestartedTasks[assignment.Task.Index] {
+		job.CompletedRuns < minRunsToFindStragglers || job.RequeuedTasks[assignment.Task.Index] {
 		return false
 	}
 	mean := job.TotalRunSeconds / float64(job.CompletedRuns)
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -40,7 +40,7 @@
 	FirstPendingHint  int // no task with a lower index is pending
 	Assignments       map[int]*Assignment
 	ListedAssignments map[*Assignment]bool // all that machines list, including ended ones and several of the same task
-	RestartedTasks    map[int]bool         // tasks that became pending again after they were assigned
+	RequeuedTasks     map[int]bool         // tasks that became pending again after they were assigned
 	TaskErrors        int
 	FailedMachines    map[cluster.MachineID]bool
 }
@@ -108,7 +108,7 @@
 			Assignments:       map[int]*Assignment{},
 			ListedAssignments: map[*Assignment]bool{},
 			FailedMachines:    map[cluster.MachineID]bool{},
-			RestartedTasks:    map[int]bool{},
+			RequeuedTasks:     map[int]bool{},
 		},
 		JobRecordState: JobRecordState{
 			ModRevisions: make([]cluster.ModRevision, chunks),
@@ -167,7 +167,7 @@
 		return
 	}
 	j.TaskStates[i] = TaskPending
-	j.RestartedTasks[i] = true
+	j.RequeuedTasks[i] = true
 	j.AssignedCount--
 	delete(j.Assignments, i)
 	j.FirstPendingHint = min(j.FirstPendingHint, i)
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -41,7 +41,7 @@
 	// a later transaction of the same owner.
 	AttemptBase        cluster.Revision
 	LastStoredRevision cluster.Revision // of the last transaction of the shard under the claim
-	PlannedStarts      uint64           // number of attempts created; never reset
+	TotalAttemptCount  uint64           // number of attempts created; never reset
 	StoredTransactions uint64           // number of transactions of the shard that were stored; never reset
 }
 
@@ -58,14 +58,14 @@
 
 // ShardJobs holds the jobs of an owned shard and their queue.
 type ShardJobs struct {
-	Jobs               []*Job        // sorted by ID
-	DeferredJobRecords []messages.KV // job records seen while the shard was loading, to be applied afterwards
-	QueueOrder         []*Job        // in scheduling order, as of QueueOrderAt; nil if it has to be recomputed
-	QueueOrderAt       cluster.Time
-	GuaranteedJobs     map[*Job]bool // jobs within their team's guaranteed quota, as of QueueOrderAt
-	NextPreemptionAt   cluster.Time  // earliest time of the next preemption
-	NextOfferAt        cluster.Time  // earliest time to offer idle machines to other shards
-	AvoidSpot          bool          // a job of the shard prefers on-demand machines
+	Jobs                  []*Job        // sorted by ID
+	DeferredJobRecords    []messages.KV // job records seen while the shard was loading, to be applied afterwards
+	QueueOrder            []*Job        // in scheduling order, as of QueueOrderAt; nil if it has to be recomputed
+	QueueOrderAt          cluster.Time
+	GuaranteedJobs        map[*Job]bool // jobs within their team's guaranteed quota, as of QueueOrderAt
+	NextPreemptionAt      cluster.Time  // earliest time of the next preemption
+	NextOfferAt           cluster.Time  // earliest time to offer idle machines to other shards
+	HasOnDemandPreference bool          // a job of the shard prefers on-demand machines
 }
 
 // ShardProvisioning tracks the machines that an owned shard requests from the cloud.
@@ -103,6 +103,6 @@
 		s.AttemptBase, s.AttemptCount = s.LastStoredRevision, 0
 	}
 	s.AttemptCount++
-	s.PlannedStarts++
+	s.TotalAttemptCount++
 	return cluster.NewAttempt(uint64(s.AttemptBase), s.AttemptCount)
 }
