--- a/internal/fairshare/load.go
+++ b/internal/fairshare/load.go
@@ -1,7 +1,11 @@
 // Package fairshare decides how the capacity of the whole fleet is shared among the
-// shards: how much capacity each shard should have, how much it transfers to which
-// shards with a shortfall, and whether it may scale out. It keeps no state; its input
-// is a snapshot of the load of every shard.
+// shards: how much capacity each shard should have, how much it transfers to which other
+// shards, and whether it may scale out. It keeps no state; its input is a snapshot of the
+// load of every shard.
+//
+// A shard lacks capacity if its demand exceeds what it has, including booting machines. It
+// has a shortfall if the machines that it has now are less than its target, the share of
+// the total available capacity that it should have.
 package fairshare
 
 import "stairrelay/internal/cluster"
@@ -10,13 +14,12 @@
 const cpu = cluster.AmountsPerUnit
 
 // scaleInReserve is the capacity that a shard keeps beyond its demand and its spare
-// share when it releases machines to save cost. It is enough for one or two typical
-// jobs.
+// capacity when it releases machines to save cost.
 const scaleInReserve = 8 * cpu
 
-// scaleOutYieldMargin is how much less capacity another shard with a shortfall must
-// have for this shard to let it scale out first. A smaller difference is not worth a
-// delay.
+// scaleOutYieldMargin is how much less capacity than this shard another shard that lacks
+// capacity must have to be allowed to scale out first. A smaller difference is not worth
+// a delay.
 const scaleOutYieldMargin = 16 * cpu
 
 // ShardLoad is the capacity of a shard and the demand of its jobs by priority. All
@@ -24,7 +27,7 @@
 type ShardLoad struct {
 	Shard     cluster.ShardID                        `cbor:"Part"`
 	Available cluster.Amount                         `cbor:"Have"`   // on running machines
-	Booting   cluster.Amount                         `cbor:"Coming"` // on machines that are booting
+	Booting   cluster.Amount                         `cbor:"Coming"` // on booting machines
 	Demand    [cluster.Production + 1]cluster.Amount `cbor:"Demand"` // by cluster.Priority
 }
 
@@ -40,9 +43,9 @@
 // totalCapacity returns the capacity of the shard, including machines that are booting.
 func (l ShardLoad) totalCapacity() cluster.Amount { return l.Available + l.Booting }
 
-// hasShortfall reports whether the shard's demand exceeds its capacity, including
+// lacksCapacity reports whether the shard's demand exceeds its capacity, including
 // machines that are booting.
-func (l ShardLoad) hasShortfall() bool { return l.TotalDemand() > l.totalCapacity() }
+func (l ShardLoad) lacksCapacity() bool { return l.TotalDemand() > l.totalCapacity() }
 
 // ReleasableCapacity returns the capacity that the shard can release if it keeps its
 // demand, spareShare of its demand as spare capacity, and scaleInReserve. It is
@@ -56,11 +59,10 @@
 // Snapshot holds the load of each shard whose load is known.
 type Snapshot map[cluster.ShardID]ShardLoad
 
-// OthersHaveShortfall reports whether a shard other than the given one has a
-// shortfall.
-func (s Snapshot) OthersHaveShortfall(shard cluster.ShardID) bool {
+// OthersLackCapacity reports whether any shard other than the given one lacks capacity.
+func (s Snapshot) OthersLackCapacity(shard cluster.ShardID) bool {
 	for other, load := range s {
-		if other != shard && load.hasShortfall() {
+		if other != shard && load.lacksCapacity() {
 			return true
 		}
 	}
@@ -68,12 +70,12 @@
 }
 
 // CanScaleOutFirst reports whether the shard may scale out without waiting for another
-// one. It must wait while another shard with a shortfall has much less capacity, so
+// one. It must wait while another shard lacks capacity and has much less than this one, so
 // that the remaining capacity of the cloud goes to that shard first.
 func (s Snapshot) CanScaleOutFirst(shard cluster.ShardID) bool {
 	capacity := s[shard].totalCapacity()
 	for other, load := range s {
-		if other != shard && load.hasShortfall() && load.totalCapacity()+scaleOutYieldMargin < capacity {
+		if other != shard && load.lacksCapacity() && load.totalCapacity()+scaleOutYieldMargin < capacity {
 			return false
 		}
 	}
--- a/internal/fairshare/plan.go
+++ b/internal/fairshare/plan.go
@@ -31,8 +31,9 @@
 	return plan
 }
 
-// computeTargets divides the available capacity of all shards by priority, the highest
-// first, and within a priority by max-min fairness.
+// computeTargets divides the total available capacity among the shards. The demand of the
+// highest priority is met first, and within a priority the capacity is divided by max-min
+// fairness.
 func computeTargets(loads Snapshot) map[cluster.ShardID]cluster.Amount {
 	shards := make([]cluster.ShardID, 0, len(loads))
 	var remaining cluster.Amount
@@ -99,7 +100,7 @@
 }
 
 // Recipients returns the shards other than donor that are below their targets, in
-// descending order of their shortfalls and by shard id where shortfalls are equal.
+// descending order of their shortfalls and by shard ID where shortfalls are equal.
 func (p *Plan) Recipients(donor cluster.ShardID) []Shortfall {
 	recipients := make([]Shortfall, 0, len(p.Loads))
 	for shard := range p.Loads {
--- a/internal/fairshare/plan_test.go
+++ b/internal/fairshare/plan_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestRecipients checks that the largest shortfall comes first, and the lower shard id
-// where shortfalls are equal.
+// TestRecipients checks that recipients are sorted by shortfall, largest first, and by
+// shard ID where shortfalls are equal.
 func TestRecipients(t *testing.T) {
 	plan := NewPlan(Snapshot{
 		0: load(200, 0),
@@ -129,25 +129,25 @@
 	}
 }
 
-// TestScaleOutOrder checks that booting machines count as capacity, and that a shard
-// lets another one with a shortfall go first if that one has over 16 CPUs less.
+// TestScaleOutOrder checks that booting machines count as capacity, and that a shard may
+// not scale out first if another shard lacks capacity and has over 16 CPUs less.
 func TestScaleOutOrder(t *testing.T) {
 	for _, test := range []struct {
-		name                string
-		loads               Snapshot
-		othersHaveShortfall bool
-		canScaleOutFirst    bool // for shard 0
+		name               string
+		loads              Snapshot
+		othersLackCapacity bool
+		canScaleOutFirst   bool // for shard 0
 	}{
 		{"no other shard", Snapshot{0: load(50, 0, 0, 90)}, false, true},
-		{"the other shard has no shortfall", Snapshot{0: load(50, 0, 0, 90), 1: load(2, 8, 0, 10)}, false, true},
-		{"the other shard has a shortfall and much less capacity", Snapshot{0: load(50, 0, 0, 90), 1: load(10, 0, 0, 11)}, true, false},
-		{"the other shard has a shortfall and 16 CPUs less", Snapshot{0: load(20, 6, 0, 90), 1: load(5, 5, 0, 11)}, true, true},
-		{"the other shard has a shortfall and 17 CPUs less", Snapshot{0: load(20, 7, 0, 90), 1: load(5, 5, 0, 11)}, true, false},
+		{"the other shard has enough capacity", Snapshot{0: load(50, 0, 0, 90), 1: load(2, 8, 0, 10)}, false, true},
+		{"the other shard lacks capacity and has much less", Snapshot{0: load(50, 0, 0, 90), 1: load(10, 0, 0, 11)}, true, false},
+		{"the other shard lacks capacity and has 16 CPUs less", Snapshot{0: load(20, 6, 0, 90), 1: load(5, 5, 0, 11)}, true, true},
+		{"the other shard lacks capacity and has 17 CPUs less", Snapshot{0: load(20, 7, 0, 90), 1: load(5, 5, 0, 11)}, true, false},
 		{"the load of shard 0 is unknown", Snapshot{1: load(10, 0, 0, 11)}, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.loads.OthersHaveShortfall(0); got != test.othersHaveShortfall {
-				t.Errorf("OthersHaveShortfall(0) = %v, want %v", got, test.othersHaveShortfall)
+			if got := test.loads.OthersLackCapacity(0); got != test.othersLackCapacity {
+				t.Errorf("OthersLackCapacity(0) = %v, want %v", got, test.othersLackCapacity)
 			}
 			if got := test.loads.CanScaleOutFirst(0); got != test.canScaleOutFirst {
 				t.Errorf("CanScaleOutFirst(0) = %v, want %v", got, test.canScaleOutFirst)
--- a/internal/provisioning/completion.go
+++ b/internal/provisioning/completion.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// completionRetryDelay is the delay before a completion is retried after its outcome
-// could not be read from the store.
+// completionRetryDelay is the delay before a completion is retried after a conflict if the
+// request's record could not be read to find out the cause.
 const completionRetryDelay = second
 
 // completion completes an answered request. One transaction stores the granted machines
@@ -24,13 +24,13 @@
 	group         *inventory.NewGroup
 }
 
-// complete stores the machines that the cloud granted for a request, if any, and
-// deletes the request.
+// complete enqueues the transaction that stores the machines that the cloud granted for a
+// request, if any, and deletes the request.
 func (r *Requests) complete(shard *state.Shard, request *state.ProvisioningRequest, ids []cluster.MachineID) {
 	groupID := request.GroupID
 	if groupID == "" {
-		// The request was created under an earlier claim. The current claim rejects
-		// late copies of its creation, so a new group id is safe.
+		// The request was created under an earlier claim. Late copies of the write that
+		// created it fail under the current claim, so a new group ID is safe.
 		groupID = r.deps.Names.NextGroup(shard)
 	}
 	c := &completion{
@@ -69,15 +69,15 @@
 		Keys:      keys,
 		Build:     c.build,
 		OnApplied: c.handleApplied,
-		// If the transaction only deletes the request, no write id shows whether an
+		// If the transaction only deletes the request, no write ID shows whether an
 		// earlier attempt was applied, but the absence of the key does.
 		OnConflict: func() { c.requests.queue.ReadKey(key, c.handleConflict) },
 	})
 }
 
 // createsGroup reports whether the transaction creates the record of a group. If no
-// machines were granted, an empty group is stored only while a late copy of the
-// request's creation may still arrive: the copy requires the key of the group to be
+// machines were granted, an empty group is stored only while a late copy of the write that
+// created the request may still arrive. The copy requires the key of the group to be
 // absent, so it fails and can't create the request again.
 func (c *completion) createsGroup() bool { return len(c.machines) > 0 || c.request.CreateInDoubt }
 
@@ -101,7 +101,10 @@
 	}
 }
 
-// handleConflict is called with the current record of the request after a conflict.
+// handleConflict handles the reply to the read of the request's key after a conflict. The
+// completion was applied if it stores no machines and the key is absent. Otherwise another
+// writer has changed or deleted the request, or the read has failed and the completion is
+// retried.
 func (c *completion) handleConflict(reply messages.GetReply) {
 	switch {
 	case !c.shard.IsOwnedUnder(c.claimRevision):
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -72,7 +72,7 @@
 func (h *fakeDependencies) HandleDeposed(cluster.ShardID)             {}
 func (h *fakeDependencies) HandleStored(writequeue.StoredTransaction) {}
 
-// harness is a Provisioner of the first of three controllers, 100 s after its start.
+// harness is a Provisioner of the first of three controllers. Its clock starts at 100 s.
 type harness struct {
 	*Provisioner
 
@@ -124,13 +124,13 @@
 	return h
 }
 
-// shareWithUnknownDemand returns the share of a limit next to controllers with unknown
-// demands.
+// shareWithUnknownDemand returns this controller's share of a limit if the demands of all
+// other live controllers are unknown.
 func shareWithUnknownDemand(limit, demand float64, live int) float64 {
 	return ratelimit.ShareByDemand(limit, demand, live, make([]ratelimit.Demand, live-1))
 }
 
-// setTime advances the time and keeps the effects that were not taken yet.
+// setTime sets the time and keeps the pending effects.
 func (h *harness) setTime(now cluster.Time) {
 	effects := h.loop.Effects()
 	h.loop.Begin(now, 0)
@@ -139,14 +139,14 @@
 	}
 }
 
-// takeEffects returns the effects emitted since its last call.
+// takeEffects removes and returns all pending effects.
 func (h *harness) takeEffects() []messages.Effect {
 	effects := h.loop.Effects()
 	h.loop.Begin(h.loop.Now(), 0)
 	return effects
 }
 
-// addMachines adds idle machines to an owned shard.
+// addMachines makes the first shard owned and adds idle machines to it.
 func (h *harness) addMachines(count int) []*state.Machine {
 	shard := h.state.Shards[0]
 	shard.Owned, shard.Ready = true, true
@@ -165,8 +165,8 @@
 	h.loop.RunTimers()
 }
 
-// takeEffect returns the only effect of a type since effects were last taken. It
-// reports false if there was none, and fails the test if there were several.
+// takeEffect removes all pending effects and returns the only one of type E. It reports
+// false if there is none, and fails the test if there are several.
 func takeEffect[E messages.Effect](t *testing.T, h *harness) (E, bool) {
 	t.Helper()
 	var found []E
--- a/internal/provisioning/machinelist.go
+++ b/internal/provisioning/machinelist.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// firstListDelay is the delay before the first controller reads the list.
+	// firstListDelay is the delay before the first controller reads the list for the
+	// first time.
 	firstListDelay = 2 * second
 	// minListInterval is the minimum interval between two reads of the list.
 	minListInterval = 8 * second
 	// emptyFleetIntervalFactor lengthens the interval for a controller without
 	// machines, which reads the list only to find orphans.
 	emptyFleetIntervalFactor = 4
-	// listRetryDelay is the delay before a page that the rate limiter has denied is
-	// tried again.
+	// listRetryDelay is the delay before the rate limiter is asked again for a page that
+	// it has denied.
 	listRetryDelay = second / 4
 	// listThrottledDelay is the delay before a page that the cloud has throttled is
 	// requested again.
@@ -43,8 +44,8 @@
 }
 
 // MachineList reads the cloud's list of machines at intervals. The list shows machines
-// that have failed, and orphans that no record lists. At most one regular read runs at
-// a time.
+// that have failed, and orphans that no record lists. At most one of these regular reads
+// runs at a time.
 type MachineList struct {
 	*shared
 	rateLimiter *CloudRateLimiter
@@ -52,7 +53,7 @@
 
 	reading       bool
 	nextReadAt    cluster.Time // earliest start of the next regular read
-	lastPageCount int          // of the last complete list
+	lastPageCount int          // number of pages of the last complete list
 }
 
 func newMachineList(common *shared, rateLimiter *CloudRateLimiter, scaleIn *ScaleIn) *MachineList {
@@ -81,7 +82,8 @@
 	return interval
 }
 
-// Poll starts a read of the list if one is due and the rate limiter allows it.
+// Poll starts a read of the list if one is due and the rate limiter allows it. The list is
+// applied once it is complete.
 func (l *MachineList) Poll() {
 	if l.reading || l.loop.Now() < l.nextReadAt || !l.rateLimiter.TryAcquire() {
 		return
@@ -100,14 +102,16 @@
 // machines that are missing from the records.
 func (l *MachineList) RequestRead() { l.nextReadAt = 0 }
 
-// Read reads the whole list and calls done with it, or with false if the cloud has not
-// returned a page. The caller charges the request for the first page.
+// Read reads the whole list and then calls done with it, or with ok false if the request
+// for a page has failed. Throttled requests are retried. The caller charges the request for
+// the first page to the rate limiter.
 func (l *MachineList) Read(done func(items []cluster.ListedMachine, ok bool)) {
 	reading := &machineListReading{list: l, done: done}
 	reading.requestPage("")
 }
 
-// Apply updates the machines from a complete list.
+// Apply updates the machines from a complete list. It releases machines whose failure is
+// confirmed, and passes machines that it doesn't know to Orphans.
 func (l *MachineList) Apply(items []cluster.ListedMachine) {
 	listed := make(map[cluster.MachineID]bool, len(items))
 	for _, item := range items {
@@ -124,7 +128,8 @@
 	l.deps.Orphans.ForgetUnlisted(listed)
 }
 
-// applyItem updates one machine from its entry in the list.
+// applyItem updates or releases one machine according to its entry in the list, or passes
+// an unknown machine to Orphans.
 func (l *MachineList) applyItem(item cluster.ListedMachine) {
 	machine := l.state.Machines[item.ID]
 	if machine == nil {
@@ -173,7 +178,8 @@
 	r.requestPage(after)
 }
 
-// handlePage handles the page that follows a machine, and requests the next one.
+// handlePage handles the reply to the request for the page that follows a machine. It
+// requests the next page, or calls done if the list is complete or the request has failed.
 func (r *machineListReading) handlePage(after cluster.MachineID, page messages.ListMachinesReply) {
 	switch {
 	case page.Outcome == messages.Throttled:
--- a/internal/provisioning/machinelist_test.go
+++ b/internal/provisioning/machinelist_test.go
@@ -30,8 +30,9 @@
 	return reply
 }
 
-// listRequests returns the requests for pages since effects were last taken.
-func (h *harness) listRequests() []messages.CloudListMachines {
+// takeListRequests removes all pending effects and returns the requests for pages of the
+// list among them.
+func (h *harness) takeListRequests() []messages.CloudListMachines {
 	var requests []messages.CloudListMachines
 	for _, effect := range h.takeEffects() {
 		if request, ok := effect.(messages.CloudListMachines); ok {
@@ -41,8 +42,8 @@
 	return requests
 }
 
-// TestMachineListWithinCloudRate checks that reading the list of a large fleet does not
-// use up the share of the cloud's rate limit that provisioning needs.
+// TestMachineListWithinCloudRate checks that reading the list of a large fleet stays within
+// the controller's share of the cloud's rate limit and repeats a throttled request.
 func TestMachineListWithinCloudRate(t *testing.T) {
 	const throttledCall = 3 // throttled once, so that the page is requested again
 	h := newHarness(t)
@@ -53,7 +54,7 @@
 	h.List.nextReadAt = 1 << 62
 	for ; h.loop.Now() < startedAt+30*second && !listed; h.setTime(h.loop.Now() + 50*millisecond) {
 		h.loop.RunTimers()
-		for _, request := range h.listRequests() {
+		for _, request := range h.takeListRequests() {
 			reply := listPage(request.After)
 			if calls++; calls == throttledCall {
 				reply = messages.ListMachinesReply{Outcome: messages.Throttled}
@@ -75,7 +76,7 @@
 		t.Errorf("%d calls within %.1f s, want at most %.1f", calls, elapsed, allowed)
 	}
 	if rate := float64(listPages*testControllers) / h.List.interval().Seconds(); rate > config.CloudRPS*listRateShare*1.01 {
-		t.Errorf("regular reads use %.1f of %.1f calls per second", rate, config.CloudRPS)
+		t.Errorf("regular reads of all controllers use %.1f of %.1f calls per second, want at most half", rate, config.CloudRPS)
 	}
 }
 
@@ -86,7 +87,7 @@
 	h.RateLimiter.bucket.SetRate(1, 10)
 	h.RateLimiter.bucket.Fill()
 	h.List.Poll()
-	request := h.listRequests()[0]
+	request := h.takeListRequests()[0]
 	h.loop.Deliver(messages.Reply{Call: request.Call, Body: messages.ListMachinesReply{Outcome: messages.Throttled}})
 	if h.RateLimiter.TryAcquire() {
 		t.Error("a request was allowed right after one was throttled")
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -47,10 +47,10 @@
 	ShareByDemand func(limit, demand float64) float64
 }
 
-// Members compares this controller with the other reachable controllers.
+// Members shows this controller's place among the reachable controllers.
 type Members interface {
 	// IsFirstReachable reports whether this controller is the first of the reachable
-	// controllers.
+	// controllers in the order of Config.Nodes.
 	IsFirstReachable() bool
 }
 
@@ -59,8 +59,8 @@
 	// CanAnswerWorkers reports whether the ownership lease of a shard allows this
 	// controller to answer the shard's workers.
 	CanAnswerWorkers(*state.Shard) bool
-	// HandleForeignWrite is called when a writer other than this controller has changed
-	// a record of an owned shard.
+	// HandleForeignWrite handles the finding that a writer other than this controller has
+	// changed a record of an owned shard.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
 	// DropCorruptShard drops a shard that has an invalid record.
 	DropCorruptShard(shard *state.Shard, key, reason string)
@@ -70,10 +70,10 @@
 type MachineRecords interface {
 	// WriteMachine enqueues a write of the record that lists the machine.
 	WriteMachine(*state.Machine, writequeue.Priority)
-	// TargetGroupSize returns the number of machines that a new group should list at
-	// most.
+	// TargetGroupSize returns the maximum number of machines that a new group should list.
 	TargetGroupSize() int
-	// AddNewGroup is called when the first record of a group has been stored.
+	// AddNewGroup adds a group and its machines to the state once the group's first record
+	// has been stored.
 	AddNewGroup(*inventory.NewGroup, cluster.Revision)
 }
 
@@ -100,17 +100,17 @@
 	// RequestScheduling requests a scheduling run, as pending tasks may now be
 	// assignable.
 	RequestScheduling func()
-	// CountMachineScans adds the machines to the number of machine scans in the
-	// periodic log line.
+	// CountMachineScans adds the number of given machines to the count of machine scans in
+	// the periodic log line.
 	CountMachineScans func([]*state.Machine)
-	// StretchDelay lengthens a delay while the process is overloaded.
+	// StretchDelay returns the given delay, lengthened while the process is overloaded.
 	StretchDelay func(cluster.Time) cluster.Time
 }
 
 // Provisioner requests machines from the cloud and releases them. It sets no timers
 // until its periodic methods are first called.
 type Provisioner struct {
-	// RateLimiter limits requests to this controller's share of the cloud's rate limit.
+	// RateLimiter limits calls of the cloud to this controller's share of the rate limit.
 	RateLimiter *CloudRateLimiter
 	// Types holds the cloud's machine types.
 	Types *TypeCache
--- a/internal/provisioning/ratelimiter.go
+++ b/internal/provisioning/ratelimiter.go
@@ -8,13 +8,13 @@
 const (
 	// burstSeconds is the burst that the cloud allows, in seconds of the rate.
 	burstSeconds = 2
-	// demandDecay is multiplied by the demand each second. The slow decay keeps the
-	// share between bursts of provisioning requests.
+	// demandDecay is the factor by which the demand decays each second. The slow decay
+	// keeps the share between bursts of provisioning requests.
 	demandDecay = 0.8
 )
 
-// CloudRateLimiter limits this controller's requests to its share of the cloud's rate
-// limit, which all controllers have in common. The limit is shared by demand. With even
+// CloudRateLimiter limits this controller's calls of the cloud's API to its share of the
+// rate limit that all controllers have in common. The limit is shared by demand. With even
 // shares, the owner of the only shard with work could use just a fraction of the limit,
 // and the rest would go unused.
 type CloudRateLimiter struct {
@@ -22,10 +22,10 @@
 	config *Config
 
 	bucket                ratelimit.TokenBucket
-	demand                float64 // requests per second that this controller could use
-	callsSinceMeasurement int     // requests since MeasureDemand was last called
-	wasDenied             bool    // whether a request was denied since then
-	unreportedCalls       int     // requests since TakeCallCount was last called
+	demand                float64 // calls per second that this controller could use
+	callsSinceMeasurement int     // calls since MeasureDemand was last called
+	wasDenied             bool    // whether a call was denied since MeasureDemand was last called
+	unreportedCalls       int     // calls since TakeCallCount was last called
 }
 
 // newCloudRateLimiter returns a limiter with a full bucket.
@@ -36,8 +36,9 @@
 	return r
 }
 
-// MeasureDemand updates the demand from the requests since its last call. It must be
-// called once a second. The demand rises immediately and decays slowly.
+// MeasureDemand updates the demand and the share from the calls of the cloud since it was
+// last called. It must be called once a second. The demand rises immediately, to the whole
+// limit if a call was denied, and decays slowly.
 func (r *CloudRateLimiter) MeasureDemand() {
 	needed := float64(r.callsSinceMeasurement)
 	if r.wasDenied {
@@ -47,13 +48,14 @@
 	r.SetDemand(max(needed, r.demand*demandDecay))
 }
 
-// SetDemand sets the number of requests per second that this controller could use.
+// SetDemand sets the number of calls per second that this controller could use, and updates
+// its share.
 func (r *CloudRateLimiter) SetDemand(demand float64) {
 	r.demand = demand
 	r.UpdateShare()
 }
 
-// Demand returns the number of requests per second that this controller could use.
+// Demand returns the number of calls per second that this controller could use.
 func (r *CloudRateLimiter) Demand() float64 { return r.demand }
 
 // UpdateShare recomputes this controller's share. It must be called after the demand of
@@ -64,11 +66,11 @@
 	r.bucket.SetRate(rate, max(burstSeconds*rate, 1))
 }
 
-// Share returns the number of requests per second that this controller may make.
+// Share returns the number of calls per second that this controller may make.
 func (r *CloudRateLimiter) Share() float64 { return r.bucket.Rate() }
 
-// TryAcquire charges a request if the share allows it, and reports whether it does. A
-// denied request raises the demand.
+// TryAcquire charges a call if the share allows it, and reports whether it did. A denied
+// call raises the demand at the next measurement.
 func (r *CloudRateLimiter) TryAcquire() bool {
 	if !r.bucket.Take(r.loop.Now(), 1) {
 		r.wasDenied = true
@@ -78,8 +80,8 @@
 	return true
 }
 
-// ForceAcquire charges a request that does not wait for the share, such as a retry or
-// the fetch of the machine types, without which no task can start.
+// ForceAcquire charges a call that is made even if it exceeds the share, such as a retry
+// or the fetch of the machine types, without which no task can start.
 func (r *CloudRateLimiter) ForceAcquire() {
 	r.bucket.Refill(r.loop.Now())
 	r.bucket.Spend(1)
@@ -91,12 +93,12 @@
 	r.unreportedCalls++
 }
 
-// HandleThrottled empties the bucket after the cloud has throttled a request. While the
+// HandleThrottled empties the bucket after the cloud has throttled a call. While the
 // controllers have different information about each other, their shares may add up to
 // more than the limit.
 func (r *CloudRateLimiter) HandleThrottled() { r.bucket.LowerTo(0) }
 
-// TakeCallCount returns the number of requests since its last call.
+// TakeCallCount returns the number of calls charged since it was last called.
 func (r *CloudRateLimiter) TakeCallCount() int {
 	count := r.unreportedCalls
 	r.unreportedCalls = 0
--- a/internal/provisioning/record.go
+++ b/internal/provisioning/record.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/state"
 )
 
-// RequestKeyPrefix is the prefix of the keys of provisioning requests.
+// RequestKeyPrefix is the prefix of the keys of stored provisioning requests.
 const RequestKeyPrefix = "rentals/"
 
 // RequestRecord is the stored form of a provisioning request.
--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -10,16 +10,16 @@
 
 const (
 	// maxBackoffDoublings is the maximum number of times that the backoff of an option
-	// doubles. A longer backoff saves writes, as each request costs two puts.
+	// doubles. A longer backoff saves writes: each request is stored and later deleted.
 	maxBackoffDoublings = 2
 	// invalidOptionBackoff is the backoff of an option that the cloud rejects as
 	// invalid.
 	invalidOptionBackoff = 300 * second
-	// requestThrottledDelay is the delay before a request that the cloud has throttled
-	// is retried.
+	// requestThrottledDelay is the delay before a call that the cloud has throttled is
+	// retried.
 	requestThrottledDelay = second / 2
-	// requestRetryDelay is the delay before a request that failed or has an unknown
-	// outcome is retried.
+	// requestRetryDelay is the delay before a call that failed or has an unknown outcome
+	// is retried.
 	requestRetryDelay = 3 * second
 )
 
@@ -30,13 +30,14 @@
 	*shared
 	rateLimiter *CloudRateLimiter
 
-	// onAnswered is called when the cloud has granted machines or is out of capacity,
-	// so that another request can be made.
+	// onAnswered is called when the cloud has granted machines or is out of capacity for
+	// an option, so that another request can be made.
 	onAnswered func()
 }
 
 // ApplyRecord adds a stored request of an earlier owner to the shard and calls the
-// cloud for it again. It ignores the requests of other shards.
+// cloud for it again. It ignores the requests of other shards, and drops the shard if the
+// record is malformed.
 func (r *Requests) ApplyRecord(kv messages.KV, shard *state.Shard) {
 	shardID, request, err := decodeRequest(kv)
 	if err != nil {
@@ -50,8 +51,8 @@
 	r.call(shard, request)
 }
 
-// Create stores a request for machines and calls the cloud once it is stored. The
-// caller charges the first call.
+// Create enqueues the write of a new request for machines and calls the cloud once the
+// request is stored. The caller charges the first call to the rate limiter.
 func (r *Requests) Create(shard *state.Shard, option state.ProvisioningOption, count int) {
 	request := &state.ProvisioningRequest{
 		Name:    r.deps.Names.NextProvisioningRequest(shard),
@@ -70,8 +71,9 @@
 		},
 		// The key of the request is absent again once the request is complete, so a late
 		// copy of this write could create the request again, and the next owner would
-		// record its machines a second time. The condition that the group's key is absent
-		// prevents that, as the key exists until the next claim rejects the copy.
+		// record its machines a second time. The copy therefore also requires the group's
+		// key to be absent. Completion creates that key, which then exists until the next
+		// claim makes the copy fail.
 		ExtraCompares: []messages.Compare{{Key: state.GroupKey(request.GroupID), ModRevision: 0}},
 		OnConflict:    func() { r.deps.Ownership.HandleForeignWrite(shard, key, "a request with this name already exists") },
 	}
@@ -82,7 +84,9 @@
 	r.queue.Enqueue(writequeue.PriorityScaleOut, write)
 }
 
-// call calls the cloud for the machines of a stored request.
+// call calls the cloud for the machines of a stored request. It charges all calls for the
+// request but the first to the rate limiter. It does nothing if the request was answered
+// or is no longer current.
 func (r *Requests) call(shard *state.Shard, request *state.ProvisioningRequest) {
 	if !shard.IsProvisioningCurrent(request) || request.Answered {
 		return
@@ -123,8 +127,8 @@
 	}
 }
 
-// handleGranted is called when the cloud has granted machines, possibly fewer than
-// requested.
+// handleGranted completes a request for which the cloud has granted machines. If there are
+// fewer than requested, the option is backed off.
 func (r *Requests) handleGranted(shard *state.Shard, request *state.ProvisioningRequest, ids []cluster.MachineID) {
 	option := request.Option
 	r.loop.Log(messages.LogDebug, "machines provisioned", "shard", int(shard.ID), "type", option.Type, "zone", option.Zone, "spot", option.Spot, "requested", request.Count, "granted", len(ids))
@@ -137,9 +141,9 @@
 	r.onAnswered()
 }
 
-// handleOutOfCapacity is called when the cloud has no capacity for a request's option.
-// Each consecutive call for the option doubles its backoff, at most maxBackoffDoublings
-// times.
+// handleOutOfCapacity completes a request for whose option the cloud has no capacity, and
+// backs off the option. Each consecutive rejection doubles the backoff, at most
+// maxBackoffDoublings times.
 func (r *Requests) handleOutOfCapacity(shard *state.Shard, request *state.ProvisioningRequest) {
 	option := request.Option
 	doublings := shard.OutOfCapacityCount[option]
--- a/internal/provisioning/requests_test.go
+++ b/internal/provisioning/requests_test.go
@@ -10,8 +10,8 @@
 
 var testOption = state.ProvisioningOption{Type: "small", Zone: "a"}
 
-// loadStoredRequest has an owned shard load the stored record of a provisioning
-// request.
+// loadStoredRequest makes the first shard owned and applies the stored record of a
+// provisioning request to it.
 func loadStoredRequest(h *harness) (*state.Shard, *state.ProvisioningRequest) {
 	shard := h.state.Shards[0]
 	shard.Owned = true
@@ -22,8 +22,9 @@
 	return shard, shard.ProvisioningRequests["r-1"]
 }
 
-// scaleOutCall returns the scale-out call since effects were last taken.
-func (h *harness) scaleOutCall(t *testing.T) messages.CloudScaleOut {
+// takeScaleOutCall removes all pending effects and returns the only scale-out call. It
+// fails the test if there is none.
+func (h *harness) takeScaleOutCall(t *testing.T) messages.CloudScaleOut {
 	t.Helper()
 	call, sent := takeEffect[messages.CloudScaleOut](t, h)
 	if !sent {
@@ -45,11 +46,11 @@
 	} {
 		h := newHarness(t)
 		shard, request := loadStoredRequest(h)
-		first := h.scaleOutCall(t)
+		first := h.takeScaleOutCall(t)
 		h.loop.Deliver(messages.Reply{Call: first.Call, Body: messages.ScaleOutReply{Outcome: test.outcome}})
 		h.setTime(h.loop.Now() + test.delay)
 		h.loop.RunTimers()
-		repeated := h.scaleOutCall(t)
+		repeated := h.takeScaleOutCall(t)
 		if repeated.Name != first.Name || repeated.Count != first.Count || request.Answered {
 			t.Errorf("outcome %d: retried as %+v, first sent as %+v", test.outcome, repeated, first)
 		}
@@ -93,7 +94,7 @@
 	h.takeEffects()
 	h.Requests.ApplyRecord(messages.KV{Key: "rentals/r-2", Value: []byte(`{"p":"x"}`)}, shard)
 	if len(h.fakes.corruptKeys) != 1 || h.fakes.corruptKeys[0] != "rentals/r-2" {
-		t.Errorf("dropped for %v, want rentals/r-2", h.fakes.corruptKeys)
+		t.Errorf("shard dropped because of %v, want rentals/r-2", h.fakes.corruptKeys)
 	}
 	h.Requests.ApplyRecord(messages.KV{Key: "rentals/r-3", Value: []byte(`{"p":1,"n":1}`)}, shard)
 	if len(shard.ProvisioningRequests) != 1 || len(h.takeEffects()) != 0 {
--- a/internal/provisioning/scalein.go
+++ b/internal/provisioning/scalein.go
@@ -16,7 +16,7 @@
 	// MaxMachinesPerScaleIn is the maximum number of machines in one call of the
 	// cloud's API.
 	MaxMachinesPerScaleIn = 100
-	// scaleInDelay is how long machines whose release is stored are batched for one
+	// scaleInDelay is how long machines whose release is confirmed are batched for one
 	// call.
 	scaleInDelay = 50 * millisecond
 	// scaleInRetryDelay is the delay before the machines of a failed call can be part
@@ -43,11 +43,11 @@
 	unlogged      releaseSummary
 }
 
-// releaseSummary counts the releases that are not logged yet. While there are any, a
-// log line is scheduled.
+// releaseSummary counts the releases that are not logged yet. While there are any, a log
+// line is scheduled.
 type releaseSummary struct {
 	machinesByReason map[string]int // nil if there are none
-	taskCount        int            // live tasks on these machines
+	taskCount        int            // number of live tasks on these machines
 }
 
 // add counts a release. It reports whether the release is the first one, for which a
@@ -62,7 +62,8 @@
 	return isFirst
 }
 
-// takeLogArgs returns the arguments of the log line and resets the summary.
+// takeLogArgs returns the arguments of the log line, which are the number of machines for
+// each reason and the number of live tasks, and resets the summary.
 func (s *releaseSummary) takeLogArgs() []any {
 	args := make([]any, 0, 2*len(s.machinesByReason)+2)
 	for _, reason := range slices.Sorted(maps.Keys(s.machinesByReason)) {
@@ -73,8 +74,9 @@
 	return args
 }
 
-// Release starts the release of a machine: the release is stored in its record before
-// the cloud is called. Release does nothing if the machine is being released already.
+// Release starts the release of a machine for a reason that is logged. It enqueues the write
+// of the machine's record, which must list the release before the cloud is called. It does
+// nothing if the machine is being released already.
 func (s *ScaleIn) Release(machine *state.Machine, reason string) {
 	if machine.Releasing {
 		return
@@ -89,10 +91,13 @@
 }
 
 func (s *ScaleIn) logReleases() {
-	s.loop.Log(messages.LogInfo, "releasing machines", s.unlogged.takeLogArgs()...)
+	s.loop.Log(messages.LogInfo, "releasing machines; counts by reason", s.unlogged.takeLogArgs()...)
 }
 
-// ReleaseBeforeRecorded releases a machine without waiting for its record to be stored.
+// ReleaseBeforeRecorded starts the release of a machine and lets the cloud be called before
+// the machine's record is stored. It does nothing if the ownership lease of the shard no
+// longer allows this controller to answer the shard's workers.
+//
 // It is used for a machine with cancelled tasks during an outage of the store, as the
 // tasks must not keep running until the outage ends. It is safe because no other shard
 // can acquire a machine whose record lists tasks, and the tasks can't start elsewhere
@@ -105,7 +110,8 @@
 	}
 }
 
-// ScheduleCall schedules a call to the cloud for the machines whose release is stored.
+// ScheduleCall schedules a call to the cloud for the machines whose release is confirmed,
+// unless one is scheduled already. See state.Machine.ConfirmRelease.
 func (s *ScaleIn) ScheduleCall() {
 	if s.callScheduled {
 		return
@@ -117,7 +123,8 @@
 	})
 }
 
-// call calls the cloud for the machines whose release is stored.
+// call calls the cloud to terminate machines whose release is confirmed. It does nothing
+// if there are none or the rate limiter denies the call.
 func (s *ScaleIn) call() {
 	machines := s.confirmedReleases()
 	if len(machines) == 0 || !s.rateLimiter.TryAcquire() {
@@ -132,8 +139,8 @@
 	s.loop.Emit(messages.CloudScaleIn{IDs: ids, Call: call})
 }
 
-// confirmedReleases returns machines whose release is stored and that are in no call
-// yet, at most as many as one call may release.
+// confirmedReleases returns machines of the owned shards whose release is confirmed and that
+// are in no call, at most as many as one call may release.
 func (s *ScaleIn) confirmedReleases() []*state.Machine {
 	var machines []*state.Machine
 	for _, shard := range s.state.Shards {
@@ -168,9 +175,9 @@
 	}
 }
 
-// HandleTerminated is called when the cloud has confirmed that a machine is terminated,
-// and all its tasks with it. The tasks may start elsewhere once that is stored in the
-// record.
+// HandleTerminated records that the cloud has terminated a machine and all its tasks, and
+// enqueues the write of the machine's record. The tasks may start elsewhere once the record
+// is stored.
 func (s *ScaleIn) HandleTerminated(machine *state.Machine) {
 	machine.Terminated = true
 	for _, assignment := range machine.Assignments {
--- a/internal/provisioning/scalein_test.go
+++ b/internal/provisioning/scalein_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("%d machines in the second call, want the 20 that were in no call before", len(second.IDs))
 	}
 	if third := nextCall(); len(third.IDs) != 0 {
-		t.Errorf("%d machines in two calls at a time", len(third.IDs))
+		t.Errorf("%d machines in the third call, want 0 because all are in a call or wait for a retry", len(third.IDs))
 	}
 	h.advance(scaleInRetryDelay)
 	if again := nextCall(); !slices.Equal(again.IDs, first.IDs) {
--- a/internal/provisioning/scaleout.go
+++ b/internal/provisioning/scaleout.go
@@ -22,7 +22,7 @@
 	maxMachinesPerRequest = 50
 	// maxStoreOutage is how long the store may be unavailable before scale-out stops.
 	maxStoreOutage = second
-	// significantDiscount is the ratio of the on-demand price to the spot price from
+	// significantDiscount is the minimum ratio of the on-demand price to the spot price at
 	// which the price difference matters.
 	significantDiscount = 1.5
 	// microCPUsPerCPU converts a CPU amount to CPUs.
@@ -31,8 +31,8 @@
 
 // WorkQueue provides the work that waits for machines.
 type WorkQueue interface {
-	// PendingWork returns the pending tasks that the quotas of their teams allow to
-	// run.
+	// PendingWork returns the next task of each starving job and the other pending tasks
+	// that fit into the quotas of their teams.
 	PendingWork(*state.Shard) scheduling.PendingWork
 }
 
@@ -57,14 +57,14 @@
 
 // MachineSharing shares the machines among the shards.
 type MachineSharing interface {
-	// CordonSurplus cordons the machines that the owned shards should transfer or
-	// release.
+	// CordonSurplus cordons the machines that the owned shards should transfer or release,
+	// and offers idle machines to shards with a shortfall.
 	CordonSurplus()
-	// AcceptOffers acquires idle machines that other shards offer and that the work can
-	// use. It removes the tasks that fit on them from the work.
+	// AcceptOffers starts to acquire idle machines that other shards offer and that the
+	// work can use. It removes the tasks that fit on them from the work.
 	AcceptOffers(*state.Shard, scheduling.PendingWork)
-	// CanScaleOut reports whether a shard may request machines now, or has to wait for
-	// shards with less capacity.
+	// CanScaleOut reports whether a shard may request machines now. The result is false if
+	// it has to wait for shards with less capacity.
 	CanScaleOut(*state.Shard) bool
 	// ShardLoads returns the known loads of all shards.
 	ShardLoads() fairshare.Snapshot
@@ -81,8 +81,8 @@
 	scheduled bool // whether Schedule has scheduled a run
 }
 
-// Schedule schedules a run before the next regular one. Machines take long to boot, and
-// waiting for the regular run would add to that.
+// Schedule schedules a run before the next regular one, unless one is scheduled already.
+// Machines take long to boot, and waiting for the regular run would add to that.
 func (s *ScaleOut) Schedule() {
 	if s.scheduled {
 		return
@@ -94,8 +94,10 @@
 	})
 }
 
-// Run requests machines for the owned shards, after reading the machine list if that is
-// due and rebalancing the machines. It must be called once a second.
+// Run starts a read of the machine list if one is due, rebalances the machines among the
+// shards, and requests machines for the owned shards. It requests none while no machine
+// types are known or the store has been unavailable for longer than maxStoreOutage. It must
+// be called once a second.
 func (s *ScaleOut) Run() {
 	s.list.Poll()
 	s.deps.Sharing.CordonSurplus()
@@ -106,8 +108,8 @@
 	}
 }
 
-// RunShard requests machines for the pending work of an owned shard that does not fit
-// on machines that are free or expected.
+// RunShard accepts the idle machines that other shards offer to an owned shard, and requests
+// machines for the pending work that does not fit on machines that are free or expected.
 func (s *ScaleOut) RunShard(shard *state.Shard) {
 	work := s.deps.Work.PendingWork(shard)
 	if len(work) == 0 {
@@ -169,7 +171,8 @@
 }
 
 // requestMachines requests machines for the work, for each job those with the lowest
-// price per task.
+// price per task. It stops at maxUnansweredRequests, or when the rate limiter denies a
+// call. It removes from the work the tasks that it has handled.
 func (s *ScaleOut) requestMachines(shard *state.Shard, work scheduling.PendingWork) {
 	unanswered := shard.UnansweredRequestCount()
 	for unanswered < maxUnansweredRequests {
@@ -233,9 +236,9 @@
 	return option, found
 }
 
-// cheapestOption returns the option with the lowest price per task of a job that the
-// job may use and that is not backed off. Ties are broken by the name of the machine
-// type, then by the order of the type's zones, then in favor of spot machines. It
+// cheapestOption returns the option with the lowest price per task of a job, among those
+// that the job may use and that are not backed off. Ties are broken by the name of the
+// machine type, then by the order of the type's zones, then in favor of spot machines. It
 // reports false if there is no such option.
 func (s *ScaleOut) cheapestOption(shard *state.Shard, job *state.Job) (cheapest state.ProvisioningOption, found bool) {
 	lowestCost := 0.0
@@ -267,10 +270,10 @@
 	return options
 }
 
-// isOnDemandWorthwhile reports whether to request an on-demand machine for work that
-// may use spot machines while none are available. If the on-demand price is
-// significantly higher, it is worthwhile only if the capacity that the shard can expect
-// would take longer for the work than the machine takes to boot.
+// isOnDemandWorthwhile reports whether to request an on-demand option for a job that may
+// use spot machines. If the option's on-demand price is significantly higher than its spot
+// price, the request is worthwhile only if the capacity that the shard can expect would
+// take longer for the work than the machine takes to boot.
 func (s *ScaleOut) isOnDemandWorthwhile(shard *state.Shard, work scheduling.PendingWork, option state.ProvisioningOption) bool {
 	machineType := s.state.MachineTypes[option.Type]
 	if machineType.OnDemandPrice < significantDiscount*machineType.SpotPrice {
--- a/internal/provisioning/scaleout_test.go
+++ b/internal/provisioning/scaleout_test.go
@@ -12,7 +12,8 @@
 )
 
 // newScaleOutHarness returns a harness with an owned shard whose pending tasks request one
-// CPU each. Large machines cost twice as much per task as small ones, and spot half.
+// CPU each. Large machines cost twice as much per task as small ones, and spot machines
+// half as much as on-demand ones.
 func newScaleOutHarness(t *testing.T, tasks int, spot bool) (*harness, *state.Shard) {
 	t.Helper()
 	h := newHarness(t)
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestOnDemandFallback checks that, without spot machines, on-demand ones are requested
-// only if the existing capacity would need longer for the work than they take to boot.
+// TestOnDemandFallback checks that, without spot machines, on-demand ones are requested only
+// if the existing capacity would need longer for the work than a machine takes to boot.
 func TestOnDemandFallback(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/provisioning/spot.go
+++ b/internal/provisioning/spot.go
@@ -2,7 +2,7 @@
 
 import "stairrelay/internal/cluster"
 
-// The rate before any observations is one interruption per machine hour.
+// The rate before any observations is one interruption per hour of a spot machine.
 const (
 	assumedInterruptions = 1
 	assumedServedSeconds = 3600
@@ -12,7 +12,7 @@
 // has no observations.
 type SpotInterruptions struct {
 	count         float64 // spot machines that were preempted or lost
-	servedSeconds float64 // total of all spot machines
+	servedSeconds float64 // time that all spot machines have served together
 }
 
 // RecordInterruption counts a spot machine that was preempted or lost.
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -17,12 +17,12 @@
 	// typesFetchInterval is the interval at which machine types are fetched from the
 	// cloud, as prices change.
 	typesFetchInterval = 60 * second
-	// typesFetchRetryDelay is the delay after a failed fetch.
+	// typesFetchRetryDelay is the delay before a failed fetch is retried.
 	typesFetchRetryDelay = 2 * second
 	// typesWriteDelay is the delay before fetched types are stored. More urgent writes
 	// go first when a controller starts.
 	typesWriteDelay = 3 * second
-	// typesLoadRetryDelay is the delay after a failed read of the stored types.
+	// typesLoadRetryDelay is the delay before a failed read of the stored types is retried.
 	typesLoadRetryDelay = second
 )
 
@@ -50,8 +50,8 @@
 	writing     bool
 }
 
-// Fetch fetches the machine types from the cloud, and repeats that at regular
-// intervals.
+// Fetch fetches the machine types from the cloud. It then repeats the fetch at regular
+// intervals, or sooner after a failure.
 func (t *TypeCache) Fetch() {
 	t.rateLimiter.ForceAcquire()
 	call := eventloop.Call(t.loop, func(reply messages.ListMachineTypesReply) {
@@ -66,7 +66,8 @@
 	t.loop.Emit(messages.CloudListMachineTypes{Call: call})
 }
 
-// apply adds machine types from the cloud or the store.
+// apply adds machine types from the cloud or the store to the state and requests a
+// scheduling run.
 func (t *TypeCache) apply(types []cluster.MachineType) {
 	for _, machineType := range types {
 		t.state.MachineTypes[machineType.Name] = machineType
@@ -74,8 +75,9 @@
 	t.deps.RequestScheduling()
 }
 
-// Load reads the stored machine types. They are used if the cloud has not returned any
-// yet.
+// Load reads the stored machine types, and retries that until it succeeds. The stored types
+// are used if the cloud has not returned any yet. Load then stores the cloud's types if
+// that is needed.
 func (t *TypeCache) Load() {
 	t.queue.ReadKey(machineTypesKey, func(reply messages.GetReply) {
 		switch reply.Outcome { //nolint:exhaustive // all other outcomes are failures
@@ -91,7 +93,8 @@
 	})
 }
 
-// applyStored handles the stored record of the machine types.
+// applyStored applies the stored machine types if none are known yet. It ignores a record
+// that can't be decoded.
 func (t *TypeCache) applyStored(kv messages.KV) {
 	t.loaded, t.modRevision = true, kv.ModRevision
 	var record MachineTypesRecord
@@ -106,8 +109,8 @@
 	}
 }
 
-// write stores the machine types if they differ from the stored ones in more than
-// prices. Only the first reachable controller does, as one put is enough.
+// write enqueues a write of the machine types if they differ from the stored ones in more
+// than prices. Only the first reachable controller does so, as one write is enough.
 func (t *TypeCache) write() {
 	if !t.deps.Members.IsFirstReachable() || !t.loaded || t.writing || len(t.state.MachineTypes) == 0 {
 		return
--- a/internal/provisioning/typecache_test.go
+++ b/internal/provisioning/typecache_test.go
@@ -16,7 +16,8 @@
 	SpotPrice:     0.07,
 }
 
-// replyWithCloudTypes fetches the machine types, and has the cloud reply with one.
+// replyWithCloudTypes fetches the machine types, and has the cloud reply with one. It then
+// advances the time until the types are to be stored.
 func (h *harness) replyWithCloudTypes(t *testing.T, machineType cluster.MachineType) {
 	t.Helper()
 	h.Types.Fetch()
@@ -36,9 +37,9 @@
 	h.loop.Deliver(messages.Reply{Call: read.Call, Body: messages.GetReply{Outcome: outcome, KV: kv}})
 }
 
-// sentTypesWrite dispatches the queued writes and returns the write of the machine
-// types. It reports false if none was sent.
-func (h *harness) sentTypesWrite(t *testing.T) (messages.StoreTxn, bool) {
+// takeTypesWrite dispatches the queued writes, removes all pending effects and returns the
+// write of the machine types. It reports false if none was sent.
+func (h *harness) takeTypesWrite(t *testing.T) (messages.StoreTxn, bool) {
 	t.Helper()
 	h.Types.queue.Dispatch()
 	return takeEffect[messages.StoreTxn](t, h)
@@ -58,11 +59,11 @@
 func TestTypesStored(t *testing.T) {
 	h := newHarness(t)
 	h.replyWithCloudTypes(t, smallType)
-	if _, sent := h.sentTypesWrite(t); sent {
+	if _, sent := h.takeTypesWrite(t); sent {
 		t.Fatal("types were written before the stored ones were read")
 	}
 	h.replyWithStoredTypes(t, messages.NotFound, nil)
-	write, sent := h.sentTypesWrite(t)
+	write, sent := h.takeTypesWrite(t)
 	if !sent || len(write.Then) != 1 || write.Then[0].Key != machineTypesKey {
 		t.Fatalf("sent %+v, want one write of the machine types", write)
 	}
@@ -71,13 +72,13 @@
 	pricier := smallType
 	pricier.OnDemandPrice = 0.3
 	h.replyWithCloudTypes(t, pricier)
-	if _, sent := h.sentTypesWrite(t); sent {
+	if _, sent := h.takeTypesWrite(t); sent {
 		t.Error("types were written again for a changed price")
 	}
 	larger := smallType
 	larger.Capacity.CPU = 8_000_000
 	h.replyWithCloudTypes(t, larger)
-	if write, sent := h.sentTypesWrite(t); !sent || write.If[len(write.If)-1].ModRevision != 8 {
+	if write, sent := h.takeTypesWrite(t); !sent || write.If[len(write.If)-1].ModRevision != 8 {
 		t.Errorf("write of a larger machine type sent: %v, with conditions %+v", sent, write.If)
 	}
 }
--- a/internal/ratelimit/share_test.go
+++ b/internal/ratelimit/share_test.go
@@ -20,7 +20,7 @@
 		{"idle next to demand within the limit", 0, 2, []Demand{{4, true}}, 1 + 1.5},
 		{"idle next to demand above the limit", 0, 2, []Demand{{100, true}}, 1},
 		{"demands far above the limit reduced in proportion", 6, 2, []Demand{{18, true}}, 1 + 2},
-		{"demands slightly above the limit reduced in proportion", 6, 2, []Demand{{2, true}}, 1 + 7.5*8/10},
+		{"demands slightly above the 8 reduced in proportion", 6, 2, []Demand{{2, true}}, 1 + 7.5*8/10},
 		{"an unknown demand counts as an even share", 100, 2, []Demand{unknown}, 1 + 125*8/129.0},
 		{"the rate of an unknown demand is ignored", 0, 2, []Demand{{Rate: 100}}, 1 + 4.0/2},
 		{"more live controllers reduce the even share", 0, 4, []Demand{idle}, 0.5 + 2},
@@ -34,7 +34,7 @@
 }
 
 // TestSharesAddUpToLimit checks that the shares of controllers with the same information
-// neither exceed the limit nor leave a part of it unused.
+// add up to the limit, and that each is at least an even share of a fifth of the limit.
 func TestSharesAddUpToLimit(t *testing.T) {
 	const limit = 3.6
 	for _, demands := range [][]float64{{0, 0, 0}, {1, 0, 0}, {5, 1, 0}, {50, 20, 1}, {3.6, 3.6, 3.6}} {
--- a/internal/scheduling/assign.go
+++ b/internal/scheduling/assign.go
@@ -21,8 +21,9 @@
 	maxStoreOutage = second
 )
 
-// RunIfRequested runs a scheduling round for each owned shard if one was requested and
-// MinInterval has passed since the last one. If it is too early, it sets a timer.
+// RunIfRequested runs a scheduling round for each owned shard that is ready if a run was
+// requested and the minimum interval since the last run has passed. If it is too early,
+// it sets a timer that wakes the loop at the end of the interval.
 func (s *Scheduler) RunIfRequested() {
 	now := s.shared.loop.Now()
 	switch s.Trigger.decide(now) {
@@ -48,12 +49,12 @@
 	capacities []freeCapacity
 	kinds      []grouprecord.Kind // kinds of the machines in capacities
 	usage      state.TeamUsage    // includes the tasks assigned in this round
-	reserved   state.TeamUsage    // quota reserved for each team's starving jobs
+	reserved   state.TeamUsage    // part of each team's quota that is reserved for its starving jobs
 }
 
 // ScheduleShard assigns a shard's pending tasks to its machines and, at most once per
-// preemptionInterval, preempts running tasks for jobs that are still pending. It does
-// nothing while the store is unavailable.
+// preemptionInterval, preempts running tasks for the tasks that are still pending. It does
+// nothing while the store has been unavailable for longer than maxStoreOutage.
 func (s *Scheduler) ScheduleShard(shard *state.Shard) {
 	if s.shared.deps.Store.IsUnavailableFor(maxStoreOutage) {
 		return
@@ -81,8 +82,9 @@
 }
 
 // assignStarvingJobs assigns one task of each starving job. If the task doesn't fit on a
-// machine or into the team's quota yet, it reserves a machine and a part of the quota for
-// the job. Without a reservation, smaller tasks would keep taking the freed resources.
+// machine or into the team's quota yet, assignStarvingJobs reserves a machine and a part of
+// the quota for the job. Without a reservation, smaller tasks would keep taking the freed
+// resources.
 func (r *round) assignStarvingJobs() {
 	for _, job := range r.jobs {
 		if !r.Queue.isStarving(job) {
@@ -99,9 +101,9 @@
 	}
 }
 
-// reserveMachine returns the machine to reserve for a starving job: the one that is
-// already reserved for it, or else the one with the most free CPUs. The result is nil
-// if the job may use none of the shard's machines.
+// reserveMachine reserves a machine for a starving job and returns it: the one that is
+// already reserved for the job, or else the one with the most free CPUs. The result is nil
+// if the job may use none of the shard's machines that can get new tasks.
 func (r *round) reserveMachine(job *state.Job) *state.Machine {
 	var best *state.Machine
 	var mostFree cluster.Amount
@@ -158,9 +160,9 @@
 	return isWithinQuota(a.usage[a.job.Spec.Team].Plus(a.job.Spec.ResourceRequest), a.quota)
 }
 
-// fillMachine assigns tasks of the job to a machine until it is full. It returns false
-// if no more tasks of the job can be assigned to any machine, because the team's quota
-// is used up or no task is pending.
+// fillMachine assigns as many tasks of the job to a machine as fit and its constraints
+// allow. It returns false if no more tasks of the job can be assigned to any machine,
+// because the team's quota is used up or no task is pending.
 func (a *jobAssigner) fillMachine(candidate machineCandidate) bool {
 	job, machine := a.job, candidate.capacity.machine
 	previous := cluster.TaskID{}
--- a/internal/scheduling/attemptedtransfers.go
+++ b/internal/scheduling/attemptedtransfers.go
@@ -26,7 +26,8 @@
 	a[from][offer.Key] = offer.ModRevision
 }
 
-// forgetWithdrawn removes the groups that a controller no longer offers.
+// forgetWithdrawn removes the groups that a controller no longer offers. offers holds its
+// current offers.
 func (a attemptedTransfers) forgetWithdrawn(from cluster.NodeID, offers []messages.TransferOffer) {
 	maps.DeleteFunc(a[from], func(key string, _ cluster.ModRevision) bool {
 		return !slices.ContainsFunc(offers, func(offer messages.TransferOffer) bool { return offer.Key == key })
--- a/internal/scheduling/candidates.go
+++ b/internal/scheduling/candidates.go
@@ -18,20 +18,20 @@
 	ImageCached                         // in the machine's image cache
 )
 
-// Concurrent image fetches share a machine's bandwidth, so that fetching in sequence
-// starts the first task sooner and the second no later. A large machine may still
-// fetch a second image if it would otherwise be nearly idle until the first arrives.
+// Concurrent image fetches share a machine's bandwidth. Fetching one image after the other
+// starts the tasks of the first image sooner and those of the second no later. A large
+// machine may still fetch a second image while few of its CPUs wait for images.
 const (
-	// nearlyIdleDivisor defines a nearly idle machine: the tasks that wait for images
-	// use less than 1/nearlyIdleDivisor of its CPUs.
-	nearlyIdleDivisor = 8
-	// minTasksForSecondFetch is how many tasks of a job an empty machine must have
-	// room for to start a second fetch while it is nearly idle.
+	// secondFetchDivisor limits the CPUs that wait for images: a second fetch may start if
+	// the waiting tasks request less than 1/secondFetchDivisor of the machine's CPUs.
+	secondFetchDivisor = 8
+	// minTasksForSecondFetch is the number of tasks of a job for which the machine must
+	// have enough CPUs when it is empty, so that a second fetch may start.
 	minTasksForSecondFetch = 16
 )
 
-// ImageFetches is the set of images that a machine is fetching. The zero value is an
-// empty set.
+// ImageFetches holds the images that a machine is fetching and the CPUs of the tasks that
+// wait for them. The zero value holds none.
 type ImageFetches struct {
 	images     []imageFetch
 	waitingCPU cluster.Amount // total CPUs of the tasks that wait for an image
@@ -54,11 +54,11 @@
 	f.images = append(f.images, imageFetch{image: image, priority: priority})
 }
 
-// State returns the state of an image that is not cached, for a task that requests
-// taskCPU on a machine with machineCPU. The result is ImageFetching, ImageAbsent or
-// ImageBlocked.
+// State returns the state of an image that is not cached, for a task with the given
+// priority that requests taskCPU, on a machine with machineCPU in total. The result is
+// ImageFetching, ImageAbsent or ImageBlocked.
 func (f *ImageFetches) State(image string, priority cluster.Priority, taskCPU, machineCPU cluster.Amount) ImageState {
-	otherHasPrecedence := false // another image is being fetched for urgent tasks or tasks of at least this priority
+	otherHasPrecedence := false // another image is being fetched for a task of at least this priority, or for an urgent one
 	for _, fetch := range f.images {
 		if fetch.image == image {
 			return ImageFetching
@@ -66,8 +66,8 @@
 		otherHasPrecedence = otherHasPrecedence || fetch.priority >= min(priority, cluster.Urgent)
 	}
 	takesManyTasks := machineCPU >= minTasksForSecondFetch*taskCPU
-	isNearlyIdle := f.waitingCPU*nearlyIdleDivisor < machineCPU
-	if otherHasPrecedence && !(takesManyTasks && isNearlyIdle) {
+	fewWait := f.waitingCPU*secondFetchDivisor < machineCPU
+	if otherHasPrecedence && !(takesManyTasks && fewWait) {
 		return ImageBlocked
 	}
 	return ImageAbsent
--- a/internal/scheduling/candidates_test.go
+++ b/internal/scheduling/candidates_test.go
@@ -8,8 +8,8 @@
 
 const cpu = cluster.AmountsPerUnit
 
-// TestImageFetches checks that a second image is fetched concurrently only for tasks of
-// a higher priority, or if the machine would otherwise be nearly idle.
+// TestImageFetches checks that a second image is fetched concurrently only for a task of a
+// higher priority than the waiting ones, or if few CPUs of a large machine wait.
 func TestImageFetches(t *testing.T) {
 	for _, test := range []struct {
 		name                string
@@ -22,7 +22,7 @@
 		{"equal priority", cluster.Normal, 4, cluster.Normal, 1, 8, ImageBlocked},
 		{"higher priority", cluster.Normal, 4, cluster.Urgent, 1, 8, ImageAbsent},
 		{"urgent tasks wait for the other image", cluster.Urgent, 4, cluster.Production, 1, 8, ImageBlocked},
-		{"large machine, nearly idle", cluster.Normal, 1, cluster.Normal, 1, 16, ImageAbsent},
+		{"large machine, one sixteenth of its CPUs waits", cluster.Normal, 1, cluster.Normal, 1, 16, ImageAbsent},
 		{"large machine, one eighth of its CPUs waits", cluster.Normal, 2, cluster.Normal, 1, 16, ImageBlocked},
 		{"room for too few tasks of the job", cluster.Normal, 1, cluster.Normal, 2, 31, ImageBlocked},
 	} {
@@ -44,7 +44,7 @@
 }
 
 // TestImageFetchesOfSeveralTasks checks that the highest priority and the total CPUs of
-// all waiting tasks decide.
+// all waiting tasks determine whether another image may be fetched.
 func TestImageFetchesOfSeveralTasks(t *testing.T) {
 	var fetches ImageFetches
 	fetches.Add("other", cluster.Urgent, cpu)
@@ -58,14 +58,15 @@
 	if got := fetches.State("new", cluster.Normal, cpu, 16*cpu); got != ImageBlocked {
 		t.Errorf("state %d for a lower priority than that of a waiting task, want ImageBlocked", got)
 	}
-	// Each image that is being fetched blocks images for tasks of a lower priority.
+	// The first image still blocks the new one while a third image is being fetched too.
 	fetches.Add("third", cluster.BestEffort, 0)
 	if got := fetches.State("new", cluster.Normal, cpu, 16*cpu); got != ImageBlocked {
 		t.Errorf("state %d for a lower priority than that of a task waiting for the first of two images, want ImageBlocked", got)
 	}
 }
 
-// TestCandidateOrder checks Compare for all pairs of candidates in a sorted list.
+// TestCandidateOrder checks Compare for all pairs of candidates in a sorted list, and that
+// risky spot machines rank after on-demand machines.
 func TestCandidateOrder(t *testing.T) {
 	order := []Candidate{
 		{ImageCached, true, true, 1},
--- a/internal/scheduling/capacity.go
+++ b/internal/scheduling/capacity.go
@@ -17,9 +17,10 @@
 	machineCPU   cluster.Amount // total CPUs of the machine
 }
 
-// listFreeCapacity returns the schedulable machines of a shard with at least minCPU
-// free, and their distinct kinds. The kinds let the caller check once per kind, rather
-// than once per machine, what a job may use.
+// listFreeCapacity returns the schedulable machines of a shard with at least minCPU free,
+// and their distinct kinds. It omits machines of unknown types, machines of groups that are
+// offered to another shard, and cordoned machines other than scale-in candidates. The kinds
+// let the caller check once per kind, rather than once per machine, what a job may use.
 func (s *Scheduler) listFreeCapacity(shard *state.Shard, minCPU cluster.Amount) ([]freeCapacity, []grouprecord.Kind) {
 	var capacities []freeCapacity
 	var kinds []grouprecord.Kind
@@ -73,7 +74,7 @@
 }
 
 // PackFreeCapacity removes from work the tasks that fit into the free resources of a
-// shard's machines.
+// shard's machines, taking into account which machines a job may use.
 func (s *Scheduler) PackFreeCapacity(shard *state.Shard, work PendingWork) {
 	capacities, _ := s.listFreeCapacity(shard, 1)
 	for i := range capacities {
--- a/internal/scheduling/eligibility.go
+++ b/internal/scheduling/eligibility.go
@@ -5,9 +5,8 @@
 	"stairrelay/internal/state"
 )
 
-// maxFailedMachines limits how many machines a job avoids because its tasks failed there.
-// A job that has failed on this many machines is assumed to be faulty itself and avoids
-// none of them.
+// maxFailedMachines is the number of machines on which tasks of a job must have failed for
+// the job to be considered faulty itself. It then no longer avoids these machines.
 const maxFailedMachines = 3
 
 // Eligibility decides which machines may get new tasks and which of them a job may use.
@@ -27,8 +26,8 @@
 		now-machine.LastHeartbeat < 2*e.config.HeartbeatInterval+second
 }
 
-// IsAllowedOn reports whether a job may use a machine of this type, zone and market,
-// and has not failed on it.
+// IsAllowedOn reports whether a job may use machines of this machine's type, zone and
+// market, and does not avoid this machine because its tasks failed there.
 func (e *Eligibility) IsAllowedOn(job *state.Job, machine *state.Machine) bool {
 	return e.isKindAllowed(job, machine.MachineType, machine.Zone, machine.Spot) && !avoids(job, machine)
 }
@@ -72,8 +71,8 @@
 	return zones
 }
 
-// avoids reports whether a job must not use a machine because it has failed there. The
-// result is false once the job has failed on maxFailedMachines machines.
+// avoids reports whether a job must not use a machine because a task of the job failed
+// there. The result is false once tasks have failed on maxFailedMachines machines.
 func avoids(job *state.Job, machine *state.Machine) bool {
 	return len(job.FailedMachines) > 0 && len(job.FailedMachines) < maxFailedMachines && job.FailedMachines[machine.ID]
 }
--- a/internal/scheduling/fixture_test.go
+++ b/internal/scheduling/fixture_test.go
@@ -114,7 +114,7 @@
 	return machine
 }
 
-// addJob adds a job of the team red. Each of its tasks requests a whole machine.
+// addJob adds a job of the team red. Each of its tasks requests all CPUs of a machine.
 func (f *fixture) addJob(spec cluster.JobSpec) *state.Job {
 	spec.Team, spec.ResourceRequest = "red", cluster.Resources{CPU: 4 * cpu}
 	job := state.NewJob(spec, f.shard.ID, 0, f.loop.Now())
--- a/internal/scheduling/loads.go
+++ b/internal/scheduling/loads.go
@@ -17,8 +17,8 @@
 	queue *JobQueue
 
 	owned            []fairshare.ShardLoad
-	computedAt       cluster.Time // when owned was computed, or 0
-	ownershipChanges int          // value of Ownership.Changes at that time
+	computedAt       cluster.Time // when owned was computed, or 0 if it was not yet
+	ownershipChanges int          // value of Ownership.Changes when owned was computed
 }
 
 // Owned returns the loads of the owned shards that are ready.
@@ -58,7 +58,8 @@
 	return loads
 }
 
-// compute returns the load of an owned shard.
+// compute returns the load of an owned shard. Machines that are being released or drained
+// don't count as capacity, and their tasks don't count as demand.
 func (l *ShardLoads) compute(shard *state.Shard) fairshare.ShardLoad {
 	load := fairshare.ShardLoad{Shard: shard.ID}
 	l.deps.CountMachineScans(shard.Machines)
--- a/internal/scheduling/offers.go
+++ b/internal/scheduling/offers.go
@@ -18,7 +18,7 @@
 const (
 	// offerDuration is how long an offer is valid. Offered machines get no tasks.
 	offerDuration = 5 * second
-	// offerInterval is the minimum time between two offers of a shard.
+	// offerInterval is the minimum time between two rounds of offers of a shard.
 	offerInterval = second
 	// minIdleTime is how long a machine must have been idle to be offered.
 	minIdleTime = second / 2
@@ -65,8 +65,9 @@
 	return kindCounts
 }
 
-// expireOffers withdraws the offers that were not accepted in time. An offered group
-// gets no tasks, so this must not depend on whether a shard still has a shortfall.
+// expireOffers withdraws the offers that were not accepted in time and requests a
+// scheduling run. It must be called even if no shard has a shortfall, as an offered group
+// gets no tasks.
 func (r *Rebalancer) expireOffers() {
 	for _, group := range r.state.Groups {
 		if group.Offer != nil && r.loop.Now() > group.Offer.Until {
@@ -76,8 +77,9 @@
 	}
 }
 
-// OfferIdleMachines offers a shard's idle machines to shards with a shortfall. The
-// machines are regrouped first if necessary, so that one write transfers many.
+// OfferIdleMachines offers a shard's idle machines to shards with a shortfall, at most once
+// per offerInterval. The machines are regrouped first if necessary, so that one write
+// transfers many.
 func (r *Rebalancer) OfferIdleMachines(shard *state.Shard, plan *fairshare.Plan) {
 	if r.loop.Now() < shard.NextOfferAt {
 		return
@@ -116,7 +118,8 @@
 	return spare
 }
 
-// idleMachines returns the machines of a shard that can be transferred to another.
+// idleMachines returns the machines of a shard that can be transferred to another shard.
+// The result is nil if the shard is not owned or not ready.
 func (r *Rebalancer) idleMachines(shard *state.Shard) []*state.Machine {
 	if !shard.Owned || !shard.Ready {
 		return nil
@@ -131,8 +134,9 @@
 	return idle
 }
 
-// isTransferable reports whether a machine has been idle for minIdleTime, neither its
-// record nor its worker lists a task, and its group is neither being written nor offered.
+// isTransferable reports whether a machine has been idle for minIdleTime, its address is
+// known, neither its record nor its worker lists a task, and its group is not offered and
+// has no write in flight.
 func (r *Rebalancer) isTransferable(machine *state.Machine) bool {
 	return len(machine.Assignments) == 0 && machine.RecordedTaskCount == 0 &&
 		!machine.Group.WriteInFlight && machine.Group.Offer == nil &&
@@ -204,8 +208,9 @@
 	return len(machines) == len(group.Machines) && !slices.ContainsFunc(machines, isOther)
 }
 
-// AcceptOffers acquires the groups offered to a shard that can run some of its pending
-// work, and removes from work the tasks that fit on them.
+// AcceptOffers starts to acquire the groups that are offered to a shard and can run some of
+// its pending work, and removes from work the tasks that fit on them. An offer of another
+// controller is tried only once.
 func (r *Rebalancer) AcceptOffers(shard *state.Shard, work PendingWork) {
 	for _, peer := range r.deps.Peers.Peers() {
 		if peer.IsUnreachable() || peer.PingAge() > membership.MaxPingAge {
@@ -227,7 +232,7 @@
 }
 
 // packOffer removes from work the tasks that fit on the offered machines. It reports
-// whether there were any.
+// whether any task did.
 func (r *Rebalancer) packOffer(offer messages.TransferOffer, work PendingWork) bool {
 	packed := 0
 	for _, kind := range offer.Kinds {
@@ -241,7 +246,7 @@
 }
 
 // ForgetWithdrawnOffers forgets the attempts to accept offers that a controller no longer
-// makes. offers holds those in its latest ping.
+// makes. offers holds the offers in the controller's latest ping.
 func (r *Rebalancer) ForgetWithdrawnOffers(from cluster.NodeID, offers []messages.TransferOffer) {
 	r.attempted.forgetWithdrawn(from, offers)
 }
--- a/internal/scheduling/pendingwork.go
+++ b/internal/scheduling/pendingwork.go
@@ -5,7 +5,7 @@
 	"stairrelay/internal/state"
 )
 
-// PendingTasks counts pending tasks of one job.
+// PendingTasks is a number of pending tasks of one job.
 type PendingTasks struct {
 	Job      *state.Job
 	Count    int
@@ -15,13 +15,15 @@
 // PendingWork is the pending tasks of a shard, in scheduling order.
 type PendingWork []PendingTasks
 
-// PendingWork returns the pending tasks of a shard that fit into their teams' quotas.
+// PendingWork returns the next task of each starving job of a shard and the other pending
+// tasks that fit into their teams' quotas. The next task of a starving job is listed even
+// if it exceeds the quota.
 func (q *JobQueue) PendingWork(shard *state.Shard) PendingWork {
 	usage := shard.UsageByTeam()
 	var work PendingWork
 	jobs, _ := q.Jobs(shard)
 	// The next task of each starving job comes first, as in assignStarvingJobs.
-	// Otherwise machines of the kind that it needs might never be requested.
+	// Otherwise machines of the kinds that these tasks need might never be requested.
 	listed := map[*state.Job]int{}
 	for _, job := range jobs {
 		if q.isStarving(job) {
@@ -62,7 +64,7 @@
 }
 
 // TasksPerMachine returns how many tasks with a request fit on an empty machine. The
-// result is at least 1, because callers divide by it.
+// result is 1 even if none fits, because callers divide by it.
 func TasksPerMachine(capacity, request cluster.Resources) int {
 	return max(capacity.FitCount(request), 1)
 }
--- a/internal/scheduling/pendingwork_test.go
+++ b/internal/scheduling/pendingwork_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestPendingWorkWithinQuota checks that no more tasks are listed than the team's quota
-// allows, and that the next task of a starving job comes first.
+// TestPendingWorkWithinQuota checks that the next task of a starving job comes first, and
+// that other tasks are listed only as far as the team's quota allows.
 func TestPendingWorkWithinQuota(t *testing.T) {
 	f := newFixture()
 	f.state.Teams["red"].QuotaLimit.CPU = 20 * cpu
--- a/internal/scheduling/preempt.go
+++ b/internal/scheduling/preempt.go
@@ -9,8 +9,8 @@
 // leaves time for the preempted tasks to stop and for the job's tasks to be assigned.
 const preemptionBackoff = 8 * second
 
-// preemptorKey identifies jobs that are treated alike as preemptors: if no victims are
-// found for one of them, the others are skipped.
+// preemptorKey identifies jobs for which a search is expected to find the same victims. If
+// no resources can be freed for one of them, the others are skipped.
 type preemptorKey struct {
 	class, team string
 	guaranteed  bool // whether the job is within the team's guaranteed quota
@@ -23,10 +23,11 @@
 	failedPreemptors map[preemptorKey]bool
 }
 
-// preempt stops checkpointable tasks for pending jobs. An urgent job preempts tasks of a
-// lower priority. A job within its team's guaranteed quota preempts tasks of other teams
-// that are beyond theirs. The preempting job must rank before its victim. Otherwise the
-// victim would be assigned to the freed resources again, and be preempted repeatedly.
+// preempt stops checkpointable tasks to free resources for jobs with pending tasks. An
+// urgent job preempts tasks of jobs with a lower priority. A job within its team's
+// guaranteed quota preempts tasks of jobs beyond the guaranteed quotas of other teams. Such
+// victims normally rank after the preempting job. Otherwise they would be assigned to the
+// freed resources again, and be preempted repeatedly.
 func (r *round) preempt() {
 	p := &preemption{round: r, machines: r.preemptibleMachines(), failedPreemptors: map[preemptorKey]bool{}}
 	if len(p.machines) == 0 {
@@ -62,8 +63,10 @@
 	return machines
 }
 
-// preemptFor stops tasks to free resources for a job. It returns false if the team's
-// quota is used up before all pending tasks of the job fit, which ends the search.
+// preemptFor stops tasks to free resources for a job. If the team's quota doesn't allow one
+// more task, it frees quota instead by stopping tasks of the same team, provided that the
+// job is urgent. It returns false, which ends the search, if the quota allows some of the
+// job's pending tasks but is used up before all of them fit.
 func (p *preemption) preemptFor(job *state.Job, key preemptorKey) bool {
 	request := job.Spec.ResourceRequest
 	quotaLeft := p.shared.state.Teams[job.Spec.Team].QuotaLimit.Minus(p.usage[job.Spec.Team])
@@ -102,7 +105,7 @@
 
 // fitWithinQuota returns how many times a request fits into the free resources of a
 // machine, up to limit, and subtracts these requests from quotaLeft. withinQuota is
-// false if quotaLeft runs out before that.
+// false, and quotaLeft negative, if the quota allows fewer of them.
 func fitWithinQuota(request, free cluster.Resources, limit int, quotaLeft *cluster.Resources) (count int, withinQuota bool) {
 	for count < limit && request.FitsIn(free) {
 		*quotaLeft = quotaLeft.Minus(request)
@@ -115,8 +118,9 @@
 	return count, true
 }
 
-// selectVictims returns the tasks to stop on a machine so that one task of a job fits,
-// and the resources that are free once they have stopped. These may be too few.
+// selectVictims returns the tasks to stop on a machine so that one task of a job fits. free
+// is what will be available once these tasks and those already stopping have stopped; it
+// may be too little for the task.
 func (p *preemption) selectVictims(job *state.Job, machine *state.Machine) (victims []*state.Assignment, free cluster.Resources) {
 	free = p.shared.freeResources(machine)
 	for _, assignment := range machine.SortedAssignments() {
@@ -137,7 +141,8 @@
 // isPreemptibleFor reports whether tasks of victim may be preempted for job. Either job is
 // urgent and has a higher priority, or it is within its team's guaranteed quota and victim
 // belongs to another team and is beyond that team's guaranteed quota. In the second case,
-// victim must not be an urgent job of a higher priority.
+// victim must not be an urgent job of a higher priority. Jobs that are exempt from
+// preemption are never victims.
 func (p *preemption) isPreemptibleFor(victim, job *state.Job) bool {
 	if p.Queue.isPreemptionExempt(victim) {
 		return false
@@ -151,8 +156,8 @@
 		p.usage[team.Name].CPU > team.GuaranteedQuota.CPU
 }
 
-// preemptWithinTeam frees quota for an urgent job by preempting checkpointable tasks of
-// lower priority of the same team.
+// preemptWithinTeam frees quota for an urgent job by preempting checkpointable tasks of the
+// same team that have a lower priority.
 func (p *preemption) preemptWithinTeam(job *state.Job, quotaLeft cluster.Resources) {
 	pending := cluster.Amount(job.PendingCount())
 	need := cluster.Resources{CPU: job.Spec.ResourceRequest.CPU * pending, GPU: job.Spec.ResourceRequest.GPU * pending}
--- a/internal/scheduling/preempt_test.go
+++ b/internal/scheduling/preempt_test.go
@@ -7,14 +7,14 @@
 	"stairrelay/internal/state"
 )
 
-// TestFirstTaskIsPreemptionExempt checks that the first task of a job is not preempted
-// for an urgent job if it had to wait too long.
+// TestFirstTaskIsPreemptionExempt checks that a job's first task is not preempted for an
+// urgent job once half of the first-task target has passed since the job became ready.
 func TestFirstTaskIsPreemptionExempt(t *testing.T) {
-	for _, waited := range []bool{true, false} {
+	for _, pastHalf := range []bool{true, false} {
 		f := newFixture()
 		machine := f.addMachine("m-1")
 		submitted := f.loop.WallTime() - 1000
-		if waited {
+		if pastHalf {
 			submitted = f.loop.WallTime() - cluster.WallTime(f.config.FirstTaskTarget/millisecond)*3/4
 		}
 		victim := f.addJob(cluster.JobSpec{ID: "j-1", Tasks: 9, CheckpointIntervalSeconds: 10, SubmittedAt: submitted})
@@ -22,8 +22,8 @@
 		assignment := f.addRunningTask(victim, machine)
 		r := &round{Scheduler: f.Scheduler, shard: f.shard, jobs: []*state.Job{urgent}, guaranteed: map[*state.Job]bool{}, usage: f.shard.UsageByTeam()}
 		r.preempt()
-		if assignment.StopRequested == waited {
-			t.Errorf("job has waited too long: %v, stopped: %v", waited, assignment.StopRequested)
+		if assignment.StopRequested == pastHalf {
+			t.Errorf("past half of the first-task target: %v, stopped: %v", pastHalf, assignment.StopRequested)
 		}
 	}
 }
@@ -34,8 +34,8 @@
 	r.preempt()
 }
 
-// TestPreemptionByPriority checks that, within a team, tasks are preempted only for
-// urgent jobs of a higher priority.
+// TestPreemptionByPriority checks that, within a team, tasks are preempted only for urgent
+// jobs of a higher priority, and that a preemption starts the job's backoff.
 func TestPreemptionByPriority(t *testing.T) {
 	for _, test := range []struct {
 		name             string
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	// queueOrderInterval is how long the order of a shard's jobs is cached unless jobs
-	// are added, removed or unblocked, because ranking hundreds of jobs is expensive.
+	// queueOrderInterval is how long the order of a shard's jobs is cached unless a job
+	// is added or unblocked, because ranking hundreds of jobs is expensive.
 	queueOrderInterval = 200 * millisecond
-	// defaultObjectiveSeconds is the time within which a job without objectives should
-	// finish, unless its deadline is longer.
+	// defaultObjectiveSeconds is the time within which a job should finish if neither its
+	// class nor a dependent job gives it an objective. If the job has a longer deadline,
+	// the deadline is used instead.
 	defaultObjectiveSeconds = 600
-	// missedToleranceMillis is how long after its latest start a job is still expected
-	// to meet an objective.
+	// missedToleranceMillis is how long after the latest start for an objective a job is
+	// still expected to meet that objective.
 	missedToleranceMillis = 500
 	// starvingHorizons is the number of horizons after which a job without assigned
-	// tasks is starving.
+	// tasks is starving. See JobQueue.horizon.
 	starvingHorizons = 2
-	// minShardCPU avoids a division by zero for shards without machines.
+	// minShardCPU is added to the total CPUs of a shard to avoid a division by zero if it
+	// has no machines.
 	minShardCPU = cluster.AmountsPerUnit
 )
 
@@ -55,15 +57,15 @@
 	return jobs, shard.GuaranteedJobs
 }
 
-// hasSchedulableTasks reports whether a job has pending tasks and is neither blocked,
-// still being loaded nor backing off.
+// hasSchedulableTasks reports whether a job has pending tasks that may be scheduled now. A
+// job that is finished, being cancelled, blocked, being loaded or backing off has none.
 func (q *JobQueue) hasSchedulableTasks(job *state.Job) bool {
 	return job.IsActive() && !job.Blocked && job.ChunksLoading == 0 && job.PendingCount() > 0 && q.loop.Now() >= job.BackoffUntil
 }
 
-// isStarving reports whether a job has no assigned task and has waited too long for one.
-// The limit is starvingHorizons horizons since the job became ready, or less for the first
-// task; see isFirstStartOverdue.
+// isStarving reports whether a job has no assigned task although starvingHorizons horizons
+// have passed since it became ready. For a job that has not run any task yet, a shorter
+// time is enough; see isFirstStartOverdue.
 func (q *JobQueue) isStarving(job *state.Job) bool {
 	return q.isFirstStartOverdue(job) ||
 		job.AssignedCount == 0 && float64(q.loop.WallTime()) > float64(job.ReadySince)+starvingHorizons*q.horizon(job)
@@ -73,27 +75,32 @@
 // this task is scheduled before all other work. Without this, large jobs would starve
 // under a steady load of small and urgent ones.
 func (q *JobQueue) isFirstStartOverdue(job *state.Job) bool {
-	return job.FirstRunAt == 0 && job.CompletedCount == 0 && job.AssignedCount == 0 && q.hasWaitedLong(job)
+	return job.FirstRunAt == 0 && job.CompletedCount == 0 && job.AssignedCount == 0 && q.isPastHalfTarget(job)
 }
 
-// isPreemptionExempt reports whether a job's only assigned task must not be preempted,
-// because the job has waited too long for it. If the task were preempted, the job would
-// have to wait again, without the precedence of a first task.
+// isPreemptionExempt reports whether a job's only assigned task must not be preempted: the
+// job has not completed any task, and half of the first-task target has passed since it
+// became ready. If the task were preempted, the job would have to wait again, without the
+// precedence of a first task.
 func (q *JobQueue) isPreemptionExempt(job *state.Job) bool {
-	return job.CompletedCount == 0 && job.AssignedCount == 1 && q.hasWaitedLong(job)
+	return job.CompletedCount == 0 && job.AssignedCount == 1 && q.isPastHalfTarget(job)
 }
 
-// hasWaitedLong reports whether half of the first-task target has passed since a job
+// isPastHalfTarget reports whether half of the first-task target has passed since a job
 // became ready.
-func (q *JobQueue) hasWaitedLong(job *state.Job) bool {
-	waited := float64(q.loop.WallTime()) - float64(job.ReadySince)
-	return waited > float64(q.config.FirstTaskTarget/millisecond)/2
-}
-
-// LatestStart returns when a job's pending tasks must start to meet the earliest
-// objective that can still be met, in milliseconds of Unix time. Objectives are those of
-// its class, its deadline and the deadlines of jobs that depend on it. The result is
-// NoLatestStart if none can be met.
+func (q *JobQueue) isPastHalfTarget(job *state.Job) bool {
+	sinceReady := float64(q.loop.WallTime()) - float64(job.ReadySince)
+	return sinceReady > float64(q.config.FirstTaskTarget/millisecond)/2
+}
+
+// LatestStart returns the time by which a job's pending tasks must start to meet one of
+// its objectives, in milliseconds of Unix time. Of the latest starts for all objectives it
+// is the earliest that has not passed by more than missedToleranceMillis, or NoLatestStart
+// if all have.
+//
+// The objectives are those of the job's class and the earliest deadline of the jobs that
+// depend on it. A job without objectives should finish within its own deadline or within
+// defaultObjectiveSeconds, whichever is longer.
 func (q *JobQueue) LatestStart(job *state.Job) float64 {
 	readyMillis, runMillis := float64(job.ReadySince), q.runtimes.ExpectedSeconds(job)*millisPerSecond
 	starts := q.appendLatestStarts(make([]float64, 0, typicalObjectiveCount), job, readyMillis, runMillis)
@@ -139,8 +146,10 @@
 	return starts
 }
 
-// horizon returns the longest time that the objectives allow a job, in milliseconds. It
-// is the unit of the limits on how long a job may be delayed.
+// horizon returns the longest time that the objectives of its class allow a job, in
+// milliseconds. Limits on how long a job may be delayed are multiples of the horizon. For
+// a job without objectives it is the job's deadline or defaultObjectiveSeconds, whichever
+// is longer.
 func (q *JobQueue) horizon(job *state.Job) float64 {
 	horizon := 0.0
 	for _, objective := range q.config.SLOs {
@@ -164,8 +173,9 @@
 	rank JobRank
 }
 
-// rankJobs recomputes the order of a shard's jobs, the jobs within their guaranteed
-// quota, and whether any job should avoid spot machines.
+// rankJobs recomputes the order of a shard's jobs, the set of jobs within their team's
+// guaranteed quota, and whether any job prefers on-demand machines. For each job that is
+// schedulable for the first time, it records whether the job is within the quota.
 func (q *JobQueue) rankJobs(shard *state.Shard) {
 	shardCPU := q.totalCPU(shard)
 	shard.GuaranteedJobs = q.jobsWithinGuarantee(shard)
@@ -215,8 +225,9 @@
 	}
 }
 
-// jobsWithinGuarantee maps each unfinished job to whether it fits into its team's
-// guaranteed quota together with the team's unfinished jobs that became ready earlier.
+// jobsWithinGuarantee maps each unfinished job that is not blocked to whether it fits into
+// its team's guaranteed quota together with the team's other such jobs that became ready
+// earlier.
 func (q *JobQueue) jobsWithinGuarantee(shard *state.Shard) map[*state.Job]bool {
 	var unfinished []*state.Job
 	for _, job := range shard.Jobs {
--- a/internal/scheduling/rank.go
+++ b/internal/scheduling/rank.go
@@ -11,8 +11,9 @@
 const NoLatestStart = 1e18
 
 // overdueHorizons is the number of horizons after which a job that has missed its
-// objectives is scheduled as if it were urgent. Otherwise large jobs and jobs of low
-// priority would starve under a steady load of small and urgent ones.
+// objectives is scheduled as if it were urgent. A horizon is the longest time that the
+// job's objectives allow. Without this limit, large jobs and jobs of low priority would
+// starve under a steady load of small and urgent ones.
 const overdueHorizons = 4
 
 // maxDelayHorizons is the maximum number of horizons by which a job is delayed in favor
@@ -27,9 +28,9 @@
 	WithinGuarantee   bool    // whether the job and the team's earlier unfinished jobs fit into the guaranteed quota
 	Now               float64 // current time
 	ReadySince        float64 // when the job became ready
-	LatestStart       float64 // when it must start to meet the earliest objective that it still can, or NoLatestStart
-	Horizon           float64 // longest time that its objectives allow, in milliseconds
-	WholeShardSeconds float64 // how long its pending tasks would occupy all machines of the shard
+	LatestStart       float64 // see JobQueue.LatestStart; NoLatestStart if no objective can be met
+	Horizon           float64 // longest time that the job's objectives allow, in milliseconds
+	WholeShardSeconds float64 // how long the job's pending tasks would occupy all machines of the shard
 }
 
 // JobRank determines the position of a job in the queue of its shard.
@@ -42,11 +43,11 @@
 
 // RankJob returns the rank of a job. Urgent and overdue jobs come first, by priority, then
 // jobs within their team's guaranteed quota, then jobs that can still meet an objective.
-// Equal jobs are ordered by latest start, or by when they became ready if they have
-// missed all objectives.
+// Jobs that are equal in these respects are ordered by latest start, or by when they became
+// ready if they have missed all objectives.
 //
-// The latest start is delayed by shortJobWeight times WholeShardSeconds, so that small
-// jobs come before large ones.
+// The latest start is delayed by shortJobWeight times WholeShardSeconds, but by at most
+// maxDelayHorizons horizons, so that small jobs come before large ones.
 func RankJob(input RankInput, shortJobWeight float64) JobRank {
 	rank := JobRank{withinGuarantee: input.WithinGuarantee, latestStart: input.LatestStart}
 	if input.Priority >= cluster.Urgent {
--- a/internal/scheduling/rank_test.go
+++ b/internal/scheduling/rank_test.go
@@ -22,7 +22,7 @@
 	}{
 		{"production", input(func(f *RankInput) { f.Priority = cluster.Production })},
 		{"urgent and within the guarantee", input(func(f *RankInput) { f.Priority, f.WithinGuarantee = cluster.Urgent, true })},
-		{"overdue, so urgent, by the time at which it became ready", input(overdue)},
+		{"overdue, ranked as urgent by the time when it became ready", input(overdue)},
 		{"urgent", input(func(f *RankInput) { f.Priority = cluster.Urgent })},
 		{"urgent, a little later", input(func(f *RankInput) { f.Priority = cluster.Urgent; f.LatestStart++ })},
 		{"within the guarantee", input(func(f *RankInput) { f.WithinGuarantee = true })},
--- a/internal/scheduling/rebalance.go
+++ b/internal/scheduling/rebalance.go
@@ -10,7 +10,7 @@
 
 const (
 	// yieldingScaleOutInterval is the minimum time between two scale-outs of a shard
-	// while a much smaller shard has a shortfall.
+	// while another shard lacks capacity and has much less than this one.
 	yieldingScaleOutInterval = 4 * second
 	// typicalRequestPercent is the CPU and memory of a shard's typical request, as a
 	// percentage of the mean request of its tasks.
@@ -18,8 +18,9 @@
 )
 
 // Rebalancer moves machines between shards according to their demand. Package fairshare
-// computes the capacity that each shard should have. The rebalancer cordons machines of
-// owned shards that have more and offers them to other shards once they are idle.
+// computes the capacity that each shard should have. If an owned shard has more than that,
+// the rebalancer cordons some of its machines and offers them to other shards once they
+// are idle.
 type Rebalancer struct {
 	*shared
 	trigger     *Trigger
@@ -30,8 +31,9 @@
 	attempted   attemptedTransfers
 }
 
-// CordonSurplus cordons the machines that the owned shards should transfer or release, and
-// offers idle machines to shards with a shortfall.
+// CordonSurplus selects anew which machines of the owned shards are cordoned, because they
+// should be transferred or released. It also withdraws expired offers, and offers idle
+// machines to shards with a shortfall.
 func (r *Rebalancer) CordonSurplus() {
 	r.expireOffers()
 	plan := fairshare.NewPlan(r.loads.All())
@@ -42,14 +44,16 @@
 	}
 }
 
-// cordonShardSurplus cordons the machines that one shard should transfer. If no shard has
-// a shortfall, it cordons machines for scale-in instead.
+// cordonShardSurplus cordons the machines that one shard should transfer, preempts their
+// tasks for urgent work of other shards, and offers idle machines to shards with a
+// shortfall. If no shard has one, it cordons machines for scale-in instead. It uncordons
+// all other machines.
 func (r *Rebalancer) cordonShardSurplus(shard *state.Shard, load fairshare.ShardLoad, plan *fairshare.Plan) {
-	spare := plan.TransferableCapacity(shard.ID)
-	machines := r.uncordonMachines(shard, spare)
+	transferable := plan.TransferableCapacity(shard.ID)
+	machines := r.uncordonMachines(shard, transferable)
 	r.sortByRemainingTime(machines)
 	shortfallPriority := plan.ShortfallPriority(shard.ID)
-	for _, i := range fairshare.SelectWithinBudget(r.machineCPUs(machines), spare) {
+	for _, i := range fairshare.SelectWithinBudget(r.machineCPUs(machines), transferable) {
 		machines[i].Cordon()
 		r.evictForPriority(machines[i], shortfallPriority)
 	}
@@ -62,12 +66,12 @@
 
 // uncordonMachines uncordons all machines of a shard, so that the caller can select again
 // which to cordon, and returns those that are schedulable. It requests a scheduling run
-// if a machine was cordoned and the shard has no spare capacity to transfer.
-func (r *Rebalancer) uncordonMachines(shard *state.Shard, spare cluster.Amount) []*state.Machine {
+// if a machine was cordoned and the shard has no capacity to transfer.
+func (r *Rebalancer) uncordonMachines(shard *state.Shard, transferable cluster.Amount) []*state.Machine {
 	var schedulable []*state.Machine
 	r.deps.CountMachineScans(shard.Machines)
 	for _, machine := range shard.Machines {
-		if machine.Cordoned && spare <= 0 {
+		if machine.Cordoned && transferable <= 0 {
 			r.trigger.Request()
 		}
 		machine.Uncordon()
@@ -78,8 +82,8 @@
 	return schedulable
 }
 
-// sortByRemainingTime sorts machines by the time until all their tasks have finished,
-// shortest first.
+// sortByRemainingTime sorts machines by the expected time until all their tasks have
+// finished, shortest first.
 func (r *Rebalancer) sortByRemainingTime(machines []*state.Machine) {
 	remaining := map[*state.Machine]float64{}
 	for _, machine := range machines {
@@ -101,9 +105,9 @@
 	return cpus
 }
 
-// selectScaleInCandidates cordons the machines that a shard doesn't need, most expensive
-// first. They are released once their tasks have finished, and new tasks use the cheaper
-// machines.
+// selectScaleInCandidates cordons the machines that a shard doesn't need, those with the
+// highest price per usable CPU first. They are released once their tasks have finished,
+// and new tasks use the cheaper machines.
 func (r *Rebalancer) selectScaleInCandidates(shard *state.Shard, machines []*state.Machine, load fairshare.ShardLoad) {
 	request := typicalRequest(shard)
 	sort.SliceStable(machines, func(i, j int) bool {
@@ -114,8 +118,9 @@
 	}
 }
 
-// pricePerUsableCPU returns a machine's price per CPU that tasks with a request can use.
-// CPUs that remain free when the machine is full of such tasks are not counted.
+// pricePerUsableCPU returns a machine's hourly price divided by the CPUs that tasks with a
+// request can use. CPUs that remain free when the machine is full of such tasks are not
+// counted. The result is 0 if the machine's type is unknown.
 func (r *Rebalancer) pricePerUsableCPU(machine *state.Machine, request cluster.Resources) float64 {
 	machineType := r.state.MachineTypes[machine.MachineType]
 	if machineType.Capacity.CPU == 0 {
@@ -128,8 +133,9 @@
 	return price / float64(request.CPU*cluster.Amount(TasksPerMachine(machineType.Capacity, request)))
 }
 
-// typicalRequest returns the resource request of a somewhat larger than average task of
-// a shard. It is zero if the shard has no unfinished tasks.
+// typicalRequest returns the mean resource request of a shard's unfinished tasks, with CPU
+// and memory scaled by typicalRequestPercent. The result is zero if there are no such
+// tasks. Tasks of blocked jobs don't count.
 func typicalRequest(shard *state.Shard) cluster.Resources {
 	var sum cluster.Resources
 	var tasks cluster.Amount
@@ -168,15 +174,16 @@
 	}
 }
 
-// isEvictable reports whether tasks of a job may be preempted for work of a priority.
+// isEvictable reports whether tasks of a job may be preempted for work of the given
+// priority: the job has a lower one, saves checkpoints and is not exempt from preemption.
 func (r *Rebalancer) isEvictable(job *state.Job, priority cluster.Priority) bool {
 	return job.EffectivePriority < priority && job.Spec.CheckpointIntervalSeconds > 0 && !r.queue.isPreemptionExempt(job)
 }
 
-// CanScaleOut reports whether a shard may request machines now. While a much smaller
-// shard has a shortfall, it returns true only once per yieldingScaleOutInterval, so that
-// the cloud's remaining capacity goes to that shard first. Returning true in this case
-// starts a new interval.
+// CanScaleOut reports whether a shard may request machines now. While another shard lacks
+// capacity and has much less than this one, CanScaleOut returns true only once per
+// yieldingScaleOutInterval, so that the cloud's remaining capacity goes to the other shard
+// first. Returning true in this case starts a new interval.
 func (r *Rebalancer) CanScaleOut(shard *state.Shard) bool {
 	if r.loads.All().CanScaleOutFirst(shard.ID) {
 		return true
@@ -190,8 +197,8 @@
 }
 
 // SurplusPredicate returns a function that reports whether an idle machine is of no use
-// to any shard and can be released. A machine is not surplus while another shard has a
-// shortfall, because that shard can acquire it. The function caches the loads and the
+// to any shard and can be released. A machine is not surplus while another shard lacks
+// capacity, because that shard can acquire it. The function caches the loads and the
 // pending work, so it is valid only for the current event.
 func (r *Rebalancer) SurplusPredicate() func(*state.Machine) bool {
 	var loads fairshare.Snapshot
@@ -200,7 +207,7 @@
 		if loads == nil {
 			loads = r.loads.All()
 		}
-		if loads.OthersHaveShortfall(machine.ShardID) {
+		if loads.OthersLackCapacity(machine.ShardID) {
 			return false
 		}
 		work, computed := workByShard[machine.ShardID]
--- a/internal/scheduling/rebalance_test.go
+++ b/internal/scheduling/rebalance_test.go
@@ -128,7 +128,7 @@
 }
 
 // TestAcceptOfferBetweenOwnedShards checks that a shard with pending work acquires a group
-// that another owned shard offers to it, and that the work that fits is removed.
+// that another owned shard offers to it, and that the tasks that fit are removed from work.
 func TestAcceptOfferBetweenOwnedShards(t *testing.T) {
 	f := newFixture()
 	group := f.addIdleMachine("m-1").Group
@@ -298,14 +298,14 @@
 	}
 }
 
-// TestCanScaleOut checks that a shard scales out less often while a much smaller shard has
-// a shortfall.
+// TestCanScaleOut checks that a shard may scale out only once per interval while another
+// shard lacks capacity and has much less.
 func TestCanScaleOut(t *testing.T) {
 	f := newFixture()
 	f.loop.Begin(10*second, 1_000_000)
 	for range 5 {
 		if !f.Rebalancer.CanScaleOut(f.shard) {
-			t.Fatal("scale-out not allowed though no other shard has a shortfall")
+			t.Fatal("scale-out not allowed though no other shard lacks capacity")
 		}
 	}
 	other := f.state.Shards[1]
--- a/internal/scheduling/runtimes.go
+++ b/internal/scheduling/runtimes.go
@@ -70,11 +70,11 @@
 }
 
 // RecordRuntime updates the statistics of a machine, a job and its class when a task has
-// completed.
+// completed. It ignores tasks whose whole run was not observed and jobs without an estimate.
 func (r *Runtimes) RecordRuntime(machine *state.Machine, assignment *state.Assignment) {
 	job := assignment.Job
-	// Only complete runs with an observed start count. A task that resumes from a
-	// checkpoint runs for a shorter time, and the start time of a task that an earlier
+	// Only complete runs with an observed start count. A requeued task may resume from a
+	// checkpoint and run for a shorter time, and the start time of a task that an earlier
 	// owner started is unknown.
 	if assignment.RunningSince == 0 || job.Spec.RuntimeSeconds <= 0 || assignment.StartUnobserved || job.RequeuedTasks[assignment.Task.Index] {
 		return
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -40,13 +40,13 @@
 	}
 }
 
-// TestPartialRunsAreIgnored checks that runs that are incomplete or whose start was not
-// observed don't affect the expected run times.
+// TestPartialRunsAreIgnored checks that runs that may be incomplete, whose start was not
+// observed or that have no estimate don't affect the expected run times.
 func TestPartialRunsAreIgnored(t *testing.T) {
 	for name, change := range map[string]func(*state.Assignment){
 		"not observed":       func(a *state.Assignment) { a.RunningSince = 0 },
 		"start not observed": func(a *state.Assignment) { a.StartUnobserved = true },
-		"restarted":          func(a *state.Assignment) { a.Job.RequeuedTasks[a.Task.Index] = true },
+		"requeued":           func(a *state.Assignment) { a.Job.RequeuedTasks[a.Task.Index] = true },
 		"no estimate":        func(a *state.Assignment) { a.Job.Spec.RuntimeSeconds = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestStragglerIsRestarted checks that a task that runs far longer than other tasks of its
-// job is stopped, but only after several checks have found it.
-func TestStragglerIsRestarted(t *testing.T) {
+// TestMachineWithStragglerIsDrained checks that a machine is drained and its straggler
+// stopped, but only after several checks have found the straggler.
+func TestMachineWithStragglerIsDrained(t *testing.T) {
 	f := newFixture()
 	machine := f.addMachine("m-1")
 	f.loop.Begin(second, 1_000_000)
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -1,9 +1,8 @@
 // Package scheduling assigns pending tasks to machines, preempts running tasks for
 // others, and transfers machines between shards.
 //
-// The order of jobs (RankJob) and of the candidate machines for a job
-// (Candidate.Compare) are pure functions. The other types work on the state of the
-// owned shards:
+// The functions that order jobs (RankJob) and the candidate machines for a job
+// (Candidate.Compare) are pure. The other types work on the state of the owned shards:
 //
 //   - Trigger decides when Scheduler runs a scheduling round for each owned shard.
 //   - JobQueue orders a shard's jobs and lists their pending tasks.
@@ -14,9 +13,9 @@
 //
 // Invariants: a task is assigned only within its team's quota, and only to a machine
 // whose worker has acknowledged the fencing token and whose group is not offered to
-// another shard. Nothing is assigned during an outage of the store, the external
-// consensus-backed key-value store. This package only plans assignments; a task is started
-// once its assignment is stored.
+// another shard. Nothing is assigned once the store, the external consensus-backed
+// key-value store, has been unavailable for longer than maxStoreOutage. This package only
+// plans assignments; a task is started once its assignment is stored.
 package scheduling
 
 import (
@@ -110,8 +109,8 @@
 	// SpotInterruptionRate returns the expected number of interruptions of a spot machine
 	// per second.
 	SpotInterruptionRate func() float64
-	// CountMachineScans adds the number of machines to the count of machine scans in the
-	// periodic log line.
+	// CountMachineScans adds the number of given machines to the count of machine scans in
+	// the periodic log line.
 	CountMachineScans func([]*state.Machine)
 	// StretchDelay returns the given delay, lengthened while the process is overloaded.
 	StretchDelay func(cluster.Time) cluster.Time
@@ -124,7 +123,7 @@
 	Trigger *Trigger
 	// Runtimes predicts how long tasks run.
 	Runtimes *Runtimes
-	// Stragglers drains slow machines and restarts straggling tasks.
+	// Stragglers drains machines that are slow or have stragglers.
 	Stragglers *Stragglers
 	// Spot decides which jobs should use on-demand machines.
 	Spot *SpotPreference
--- a/internal/scheduling/spot.go
+++ b/internal/scheduling/spot.go
@@ -3,17 +3,17 @@
 import "stairrelay/internal/state"
 
 const (
-	// maxSpotLossSeconds is the expected loss above which a job should use on-demand
-	// machines, regardless of its objectives.
+	// maxSpotLossSeconds is the weighted expected loss per task above which a job should
+	// use on-demand machines, regardless of its objectives.
 	maxSpotLossSeconds = 2
 	// minExpectedLostTasks is the expected number of interrupted tasks at or above which
 	// a job's objectives are at risk on spot machines.
 	minExpectedLostTasks = 0.1
-	// lossWeight multiplies the expected loss per task, because a job finishes only when
-	// the last of its tasks does.
+	// lossWeight is the weight of the expected loss per task. It is greater than 1 because
+	// a job finishes only when the last of its tasks does.
 	lossWeight = 4
-	// minDeadlineFactor is the minimum fraction of a job's deadline that an objective
-	// may require.
+	// minDeadlineFactor is the minimum DeadlineFactor of an objective. Smaller factors are
+	// treated as this one.
 	minDeadlineFactor = 0.1
 	// tightObjectiveRuntimes is the number of run times that an objective must allow so
 	// that a restarted task can still meet it.
@@ -39,9 +39,9 @@
 }
 
 // prefersOnDemand reports whether a job should use on-demand machines: its expected loss
-// is too high, or it is likely to lose a task and has an objective that a restarted task
-// would miss. For other jobs a preference would only spread the tasks over more
-// machines, each of which has to fetch the image.
+// is too high, or at least minExpectedLostTasks interruptions are expected and it has an
+// objective that a restarted task may miss. For other jobs a preference would only spread
+// the tasks over more machines, each of which has to fetch the image.
 func (s *SpotPreference) prefersOnDemand(job *state.Job) bool {
 	loss := s.expectedLossSeconds(job)
 	if loss == 0 || loss > maxSpotLossSeconds {
@@ -71,9 +71,10 @@
 	return tightest
 }
 
-// IsOnDemandWorthImageFetch reports whether a job's expected loss on spot machines
-// exceeds the time to fetch its image, so that an on-demand machine without the image is
-// better than a spot machine with it.
+// IsOnDemandWorthImageFetch reports whether a job's expected loss on spot machines exceeds
+// both maxSpotLossSeconds and the longest time that any machine type needs to fetch its
+// image. An on-demand machine without the image is then better than a spot machine with
+// it.
 func (s *SpotPreference) IsOnDemandWorthImageFetch(job *state.Job) bool {
 	fetchSeconds := 0.0
 	for _, machineType := range s.state.MachineTypes {
@@ -84,10 +85,10 @@
 	return s.expectedLossSeconds(job) > max(fetchSeconds, maxSpotLossSeconds)
 }
 
-// IsPreferredMarket reports whether a job prefers machines of a market, spot or
-// on-demand, among candidates that are otherwise equal. Jobs for which prefersOnDemand
-// is true prefer on-demand machines. If the shard has such jobs, jobs that save
-// checkpoints prefer spot machines. All other jobs accept both markets equally.
+// IsPreferredMarket reports whether a job prefers machines of a market, spot or on-demand,
+// among candidates with the same image state. Jobs for which prefersOnDemand is true prefer
+// on-demand machines. If the shard has such jobs, jobs that save checkpoints prefer spot
+// machines. For all other jobs the result is true for both markets.
 func (s *SpotPreference) IsPreferredMarket(shard *state.Shard, job *state.Job, spot bool) bool {
 	if job.Spec.CheckpointIntervalSeconds > 0 {
 		return spot || !shard.HasOnDemandPreference
--- a/internal/scheduling/spot_test.go
+++ b/internal/scheduling/spot_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestSpotPreference checks that only jobs with a high expected loss or a tight objective
-// prefer on-demand machines, and that jobs with checkpoints then leave these to them.
+// prefer on-demand machines, and that jobs with checkpoints then prefer spot machines.
 func TestSpotPreference(t *testing.T) {
 	f := newFixture()
 	f.spotInterruptionRate = 11.0 / 23_600 // nearly two interruptions per hour
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// slowMachineRatio is the relative pace above which a machine is slow: the smoothed
-	// ratio of its run times to those of the same jobs' other tasks.
+	// slowMachineRatio is the relative pace above which a machine is slow. The pace is the
+	// smoothed ratio of the run times on the machine to the mean run times of the same jobs.
 	slowMachineRatio = 2.2
 	// minPaceSamples is the minimum number of run times needed to classify a machine as
 	// slow.
@@ -64,7 +64,7 @@
 }
 
 // isStraggler reports whether a running task takes far longer than its job's completed
-// tasks. A task that has been restarted before is never a straggler.
+// tasks. A task that has been requeued before is never a straggler.
 func (s *Stragglers) isStraggler(assignment *state.Assignment) bool {
 	job := assignment.Job
 	if assignment.Phase != state.PhaseAcknowledged || assignment.ConfirmedAbsent ||
@@ -76,7 +76,6 @@
 	return s.secondsSince(assignment.RunningSince) > stragglerFactor*mean+stragglerAllowanceSeconds
 }
 
-// hasStraggler reports whether any task of a machine is a straggler.
 func (s *Stragglers) hasStraggler(machine *state.Machine) bool {
 	for _, assignment := range machine.Assignments {
 		if s.isStraggler(assignment) {
--- a/internal/scheduling/trigger.go
+++ b/internal/scheduling/trigger.go
@@ -2,9 +2,9 @@
 
 import "stairrelay/internal/cluster"
 
-// Trigger rate-limits scheduling runs. Requests are coalesced: a run starts when one is
-// requested, but not before the minimum interval since the last run has passed. A timer
-// is set for a request that arrives earlier.
+// Trigger rate-limits scheduling runs. Requests are coalesced: one run handles all requests
+// since the last run, and starts at the earliest when the minimum interval since the last
+// run has passed. A timer is set if a run is requested earlier.
 type Trigger struct {
 	requested  bool
 	notBefore  cluster.Time
@@ -15,7 +15,7 @@
 type triggerDecision int
 
 const (
-	runNone  triggerDecision = iota // no run is requested, or a timer is already set
+	runNone  triggerDecision = iota // do nothing, as no run is requested or a timer is already set
 	runNow                          // start a run now
 	runLater                        // set a timer for the run
 )
--- a/internal/scheduling/trigger_test.go
+++ b/internal/scheduling/trigger_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestTriggerInterval checks that requests within the minimum interval are handled by one
-// run at its end, with one timer.
+// run at the end of the interval, and that only one timer is set.
 func TestTriggerInterval(t *testing.T) {
 	f := newFixture()
 	f.addMachine("m-1")
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -11,8 +11,9 @@
 // without it has been stored.
 type AssignmentPhase uint8
 
-// The phases of an assignment. It goes through the first five in order; one that is
-// restored from the record of an earlier owner begins with PhaseUnverified.
+// The phases of an assignment. Normally, an assignment goes through the first five in
+// order. One that is restored from the record of an earlier owner begins with
+// PhaseUnverified.
 const (
 	// PhaseRecording means that no stored record lists the task yet.
 	PhaseRecording AssignmentPhase = iota
@@ -70,11 +71,12 @@
 	return a.Phase == PhaseEnded && a.Cause == cluster.CauseCompleted
 }
 
-// IsLive reports whether the task uses resources of its machine.
+// IsLive reports whether the task counts as using resources of its machine. A task does
+// unless it has ended or is proven not to be on the machine.
 func (a *Assignment) IsLive() bool { return a.Phase != PhaseEnded && !a.ConfirmedAbsent }
 
-// IsCheckpointable reports whether a heartbeat has shown the task, it has not ended, and
-// its job writes checkpoints.
+// IsCheckpointable reports whether a heartbeat has shown the task, the task has not ended,
+// and its job saves checkpoints.
 func (a *Assignment) IsCheckpointable() bool {
 	return a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent && a.Job.Spec.CheckpointIntervalSeconds > 0
 }
@@ -85,7 +87,8 @@
 	return a.StopSentAt > 0 && float64(now-a.StopSentAt)/float64(cluster.Second) > a.GraceSeconds+2
 }
 
-// IsOutcomeStored reports whether the job's stored record contains the task's outcome.
+// IsOutcomeStored reports whether the task's completion or the final status of its job is
+// stored.
 func (a *Assignment) IsOutcomeStored() bool {
 	return a.Job.FinalStatus != "" || a.Job.TaskStates[a.Task.Index] == TaskCompletionStored
 }
@@ -103,8 +106,9 @@
 }
 
 // MarkRemovedFromRecord records that the stored record no longer lists the completed
-// task. It reports whether the assignment may be removed. It must be kept until the task's
-// outcome is stored, as nothing else prevents the task from being started again.
+// task. It reports whether the assignment may be removed. The assignment must be kept
+// until the task's outcome is stored, as nothing else prevents the task from being started
+// again.
 func (a *Assignment) MarkRemovedFromRecord() bool {
 	a.RemovedFromRecord = true
 	return a.IsOutcomeStored()
--- a/internal/state/cordon.go
+++ b/internal/state/cordon.go
@@ -6,7 +6,8 @@
 func (l *StartLimits) Cordon() { l.Cordoned = true }
 
 // CordonForScaleIn excludes the machine from new assignments because it costs more than
-// others. Only jobs that would lose too much work on spot machines may still use it.
+// others. If it is an on-demand machine, jobs that would lose too much work on spot
+// machines may still use it.
 func (l *StartLimits) CordonForScaleIn() { l.Cordoned, l.ScaleInCandidate = true, true }
 
 // Uncordon makes the machine available for new assignments again.
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -30,14 +30,14 @@
 	NextWritePriority  writequeue.Priority // priority of the next write, or writequeue.PriorityCount if none is needed
 	RecordCheckPending bool                // the record is being read after a conflict
 
-	RecordSize    int // size of the record in bytes, as last built
-	AddedBytes    int // estimated growth of the record since then
+	RecordSize    int // size of the record in bytes when it was last built
+	AddedBytes    int // estimated growth of the record since it was last built
 	MinSplitCount int // minimum number of records to split into, after one was rejected as too large
 }
 
-// GroupOffer allows a shard to acquire the group until a deadline. Until then, no tasks
-// are started on the group's machines. A write by the owner after the deadline
-// makes a late transfer fail.
+// GroupOffer allows a shard to acquire the group until a deadline. While the offer exists,
+// no tasks are assigned to the group's machines. A later write of the group's record
+// changes its mod revision, so that a late transfer fails.
 type GroupOffer struct {
 	ToShard cluster.ShardID
 	Until   cluster.Time
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -39,8 +39,8 @@
 	CompletedCount    int
 	FirstPendingHint  int // no task with a lower index is pending
 	Assignments       map[int]*Assignment
-	ListedAssignments map[*Assignment]bool // all that machines list, including ended ones and several of the same task
-	RequeuedTasks     map[int]bool         // tasks that became pending again after they were assigned
+	ListedAssignments map[*Assignment]bool // assignments that machines list, including ended ones and several of the same task
+	RequeuedTasks     map[int]bool         // tasks that became pending again after they had been assigned
 	TaskErrors        int
 	FailedMachines    map[cluster.MachineID]bool
 }
@@ -61,23 +61,23 @@
 
 // JobQueueState is what determines a job's place in the queue.
 type JobQueueState struct {
-	EffectivePriority   cluster.Priority // its own or that of a dependent job, whichever is higher
+	EffectivePriority   cluster.Priority // highest priority among the job and all its dependents
 	ArrivedAt           cluster.Time
 	Blocked             bool             // by unmet dependencies
-	ReadySince          cluster.WallTime // when it was submitted or its dependencies were met; SLO times count from here
+	ReadySince          cluster.WallTime // when the job was submitted or its dependencies were met; SLO times count from here
 	BackoffUntil        cluster.Time
 	NextPreemptionAt    cluster.Time      // earliest next preemption in favor of the job
 	ReservedMachine     cluster.MachineID // kept free for the job while it is starving
 	GuaranteeChecked    bool              // InitiallyGuaranteed is set
-	InitiallyGuaranteed bool              // it fitted into its team's guaranteed quota when it was first schedulable; for logging
+	InitiallyGuaranteed bool              // the job fitted into its team's guaranteed quota when it was first schedulable; for logging
 }
 
 // RuntimeStats summarizes the run times of a job's completed tasks.
 type RuntimeStats struct {
 	CompletedRuns   int // tasks whose whole run was observed by this controller
 	TotalRunSeconds float64
-	FirstRunAt      cluster.Time
-	LastRunAt       cluster.Time
+	FirstRunAt      cluster.Time // when a heartbeat first showed a task running
+	LastRunAt       cluster.Time // when the last task to start was first shown running
 }
 
 // JobKeyPrefix is the key prefix of the jobs' own records.
@@ -173,8 +173,9 @@
 	j.FirstPendingHint = min(j.FirstPendingHint, i)
 }
 
-// Unassign records that a machine no longer lists a task of the job. After a failover,
-// two machines may list the same task; it then stays assigned to the other one.
+// Unassign records that a machine no longer lists a task of the job. If the task was
+// assigned to this machine, it becomes pending again. If other machines also list the
+// task, as may happen after a failover, it is assigned to the one with the lowest ID.
 func (j *Job) Unassign(a *Assignment) {
 	delete(j.ListedAssignments, a)
 	if j.Assignments[a.Task.Index] != a {
@@ -192,7 +193,8 @@
 	}
 }
 
-// SetCompleted records that a task ran to completion.
+// SetCompleted records that a task ran to completion and that this is not stored yet. It
+// does nothing if the task is already completed.
 func (j *Job) SetCompleted(i int) {
 	switch j.TaskStates[i] {
 	case TaskAssigned:
@@ -244,7 +246,7 @@
 	return ""
 }
 
-// RecomputeDirtyChunks determines which chunks have outcomes that are not stored.
+// RecomputeDirtyChunks updates DirtyChunks from the states of the tasks.
 func (j *Job) RecomputeDirtyChunks() {
 	for chunk := range j.DirtyChunks {
 		j.DirtyChunks[chunk] = false
@@ -257,8 +259,8 @@
 }
 
 // SelectWriteKeys returns the keys that a write of the job sets and the chunks stored
-// under them, at most maxOps: the job's own record, then the changed chunks, then other
-// chunks that exist. Chunks that do not fit are left to the next write.
+// under them, at most maxOps of each: the job's own record, then the other dirty chunks,
+// then chunks that are already stored. Chunks that do not fit are left to the next write.
 func (j *Job) SelectWriteKeys(maxOps int) ([]string, []int) {
 	keys, chunks := []string{j.ChunkKey(0)}, []int{0}
 	for _, changed := range []bool{true, false} {
--- a/internal/state/jobregistry.go
+++ b/internal/state/jobregistry.go
@@ -10,16 +10,17 @@
 //
 // Every owned job is known. A final status never changes once it is known, and a known
 // job is never removed. A job is listed as a dependent of another job at most once, and
-// only if its record names that job as a dependency.
+// only if its own record names the other job as a dependency.
 type JobRegistry struct {
 	// Known holds all known jobs, whichever controller owns their shards.
 	Known map[cluster.JobID]*KnownJob
-	// Owned holds the jobs of the owned shards, each until no machine lists a task of it.
+	// Owned holds the jobs of the owned shards. A job is kept until its final status is
+	// stored and none of its tasks is assigned.
 	Owned map[cluster.JobID]*Job
 	// Dependents maps a job to the jobs whose records name it as a dependency.
 	Dependents map[cluster.JobID][]cluster.JobID
 	// AppliedRevision is the store revision up to which the jobs' own records have been
-	// applied. It is 0 before the first read.
+	// applied. It is 0 until the first read has been applied.
 	AppliedRevision cluster.Revision
 }
 
@@ -82,8 +83,9 @@
 	return nil
 }
 
-// Owns reports whether job is the current object of an owned job. It is not if its shard
-// was lost since the job was read, even if the shard has been acquired again.
+// Owns reports whether job is the current object of an owned job. The result is false if
+// the job's shard was lost after the object was created, even if the shard has been
+// acquired again.
 func (r *JobRegistry) Owns(job *Job) bool { return r.Owned[job.Spec.ID] == job }
 
 // AddDependent records that the job id depends on dependency.
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -66,7 +66,7 @@
 type TokenState struct {
 	Token                        cluster.FencingToken
 	TokenAcknowledged            bool                 // the highest token that the worker has seen is Token
-	UnacknowledgedSince          cluster.Time         // since when Token has not been acknowledged
+	UnacknowledgedSince          cluster.Time         // when Token was set; meaningful until it is acknowledged
 	AwaitingFirstAcknowledgement bool                 // acquired with its shard and not acknowledged since
 	InitialToken                 cluster.FencingToken // Token of a machine that no other claim has owned; otherwise 0
 	FencedOff                    bool                 // the worker has seen a higher token
@@ -117,17 +117,17 @@
 type RemovalState struct {
 	Draining             bool
 	PreemptionDeadline   cluster.Time // when the cloud preempts the machine
-	MissingFromCloudList bool         // absent from the cloud's list when it was last read
-	Terminated           bool         // the cloud has terminated it, which is yet to be recorded
-	Releasing            bool         // to be released to the cloud once that is recorded
-	ReleaseConfirmed     bool         // the release is recorded, so that the cloud may be called
+	MissingFromCloudList bool         // absent from the cloud's list when the list was last read
+	Terminated           bool         // terminated by the cloud, which is yet to be recorded
+	Releasing            bool         // to be released to the cloud
+	ReleaseConfirmed     bool         // the cloud may be called to release the machine
 	ScaleInCallInFlight  bool
 }
 
 // PaceEstimate compares the run times on a machine with those on other machines.
 type PaceEstimate struct {
 	PaceSamples     int     // number of tasks compared with other tasks of their jobs
-	RelativePace    float64 // smoothed ratio of its run times to the means of their jobs; above 1 is slow
+	RelativePace    float64 // smoothed ratio of the tasks' run times to the means of their jobs; above 1 is slow
 	StragglerChecks int     // number of checks that found a straggler; never reset
 }
 
@@ -136,11 +136,12 @@
 	return grouprecord.Kind{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot}
 }
 
-// TaskCount returns the number of tasks assigned to the machine.
+// TaskCount returns the number of the machine's assignments, including those of tasks that
+// have ended.
 func (m *Machine) TaskCount() int { return len(m.Assignments) }
 
-// AddAssignment adds an assignment to the machine and to its job. It replaces an
-// assignment of the same task.
+// AddAssignment adds an assignment to the machine and to the assignment's job. It replaces
+// the machine's assignment of the same task, if any.
 func (m *Machine) AddAssignment(a *Assignment) {
 	if old := m.Assignments[a.Task]; old != nil { // the record lists the task twice
 		m.Usage.Remove(old)
@@ -150,10 +151,12 @@
 	m.Usage.Add(a)
 }
 
-// RemoveAssignment removes an assignment after a record without it has been stored. It
-// returns false if the machine does not have the assignment. Removing it earlier could
-// run the task twice: it might be started elsewhere while a new owner of the shard still
-// finds it recorded here.
+// RemoveAssignment removes an assignment after a record without it has been stored. If the
+// task has ended, the worker has yet to be told that its end is recorded. The job is not
+// changed. RemoveAssignment returns false if the machine does not have the assignment.
+//
+// Removing the assignment earlier could run the task twice: the task might be started
+// elsewhere while a new owner of the shard still finds it recorded on this machine.
 func (m *Machine) RemoveAssignment(a *Assignment, now cluster.Time) bool {
 	if m.Assignments[a.Task] != a {
 		return false
@@ -170,8 +173,8 @@
 }
 
 // BeginTokenRaise records that a higher token is to be stored with the machine's record.
-// It returns false if that is already so, or if the machine is being released and needs
-// no new token.
+// It returns false if this is recorded already, or if the machine is being released and
+// needs no new token.
 func (m *Machine) BeginTokenRaise() bool {
 	if m.RaisingToken || m.Releasing {
 		return false
@@ -200,7 +203,8 @@
 	return sorted
 }
 
-// HasRunningTask reports whether a heartbeat has shown a task that has not ended since.
+// HasRunningTask reports whether a heartbeat has shown a task of the machine that has not
+// ended since.
 func (m *Machine) HasRunningTask() bool {
 	for _, a := range m.Assignments {
 		if a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent {
@@ -210,8 +214,7 @@
 	return false
 }
 
-// HasCheckpointableTask reports whether the machine has a task that can write a
-// checkpoint.
+// HasCheckpointableTask reports whether the machine has a task that can save a checkpoint.
 func (m *Machine) HasCheckpointableTask() bool {
 	for _, a := range m.Assignments {
 		if a.IsCheckpointable() {
@@ -252,8 +255,9 @@
 	}
 }
 
-// AddCachedImage records that the worker has fetched or used a job's image. It removes
-// the least recently used images that no longer fit into a cache of cacheGB.
+// AddCachedImage records that the worker has fetched or used a job's image, which becomes
+// the most recently used one. If the image was not cached, the least recently used images
+// that no longer fit into a cache of cacheGB are removed.
 func (m *Machine) AddCachedImage(j *Job, cacheGB float64) {
 	for i, image := range m.CachedImages {
 		if image.Name == j.Spec.Image {
@@ -282,7 +286,8 @@
 	return false
 }
 
-// ResetSentStops records that the stops that were sent may not have arrived.
+// ResetSentStops discards the times at which stops were sent, as the stops may not have
+// arrived. They can then be pushed again, and their grace periods begin again.
 func (m *Machine) ResetSentStops() {
 	for _, a := range m.Assignments {
 		a.StopSentAt = 0
--- a/internal/state/ownedjobs.go
+++ b/internal/state/ownedjobs.go
@@ -5,7 +5,8 @@
 	"sort"
 )
 
-// AddOwnedJob adds a job to its shard, whose jobs stay sorted by ID.
+// AddOwnedJob adds a job to its shard, whose jobs stay sorted by ID. The queue order of the
+// shard has to be recomputed.
 func (s *State) AddOwnedJob(job *Job) {
 	s.Jobs.Owned[job.Spec.ID] = job
 	shard := s.Shards[job.ShardID]
--- a/internal/state/provisioning.go
+++ b/internal/state/provisioning.go
@@ -2,8 +2,9 @@
 
 import "stairrelay/internal/cluster"
 
-// IsProvisioningCurrent reports whether request is still an open request of the shard. It
-// is not if it was completed, or if the shard was lost or loaded again in the meantime.
+// IsProvisioningCurrent reports whether request is still an open request of the shard. The
+// result is false if the request was completed, or if the shard was lost, even if it has
+// been acquired again.
 func (s *Shard) IsProvisioningCurrent(request *ProvisioningRequest) bool {
 	return s.Owned && s.ProvisioningRequests[request.Name] == request
 }
@@ -26,8 +27,8 @@
 	return now < p.OptionBackoffUntil[option]
 }
 
-// MarkAnswered records that the cloud has granted the given number of machines. An
-// answered request is not repeated.
+// MarkAnswered records that the cloud has answered the request and granted the given number
+// of machines, which may be 0. An answered request is not retried.
 func (r *ProvisioningRequest) MarkAnswered(granted int) {
 	r.Answered, r.GrantedCount = true, granted
 }
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -36,12 +36,12 @@
 // AttemptNumbers holds the state from which the attempts of a shard's tasks are numbered.
 type AttemptNumbers struct {
 	AttemptCount uint64 // number of attempts with the current AttemptBase
-	// AttemptBase is a store revision that is never used as a base again. It is the
+	// AttemptBase is a store revision that no other owner uses as a base. It is the
 	// revision of the owner's claim or, once AttemptCount has reached its maximum, that of
 	// a later transaction of the same owner.
 	AttemptBase        cluster.Revision
 	LastStoredRevision cluster.Revision // of the last transaction of the shard under the claim
-	TotalAttemptCount  uint64           // number of attempts created; never reset
+	TotalAttemptCount  uint64           // number of attempts with any AttemptBase; never reset
 	StoredTransactions uint64           // number of transactions of the shard that were stored; never reset
 }
 
@@ -52,8 +52,8 @@
 	PendingRegistrations []grouprecord.Machine          // machines that the next batch adds to the records
 	QuarantinedGroups    map[string]cluster.ModRevision // malformed group records under repair, by key
 
-	AwaitingFirstAcknowledgementCount int          // machines acquired with the shard that have not acknowledged the token of this claim
-	LastAcknowledgedAt                cluster.Time // when one of them last acknowledged it; initially when the shard was loaded
+	AwaitingFirstAcknowledgementCount int          // machines acquired with the shard that have not acknowledged their tokens under this claim
+	LastAcknowledgedAt                cluster.Time // when a machine acquired with the shard last did; initially when the shard was loaded
 }
 
 // ShardJobs holds the jobs of an owned shard and their queue.
@@ -72,7 +72,7 @@
 type ShardProvisioning struct {
 	ProvisioningRequests map[string]*ProvisioningRequest
 	OptionBackoffUntil   map[ProvisioningOption]cluster.Time
-	OutOfCapacityCount   map[ProvisioningOption]int // consecutive rejections for lack of capacity
+	OutOfCapacityCount   map[ProvisioningOption]int // consecutive rejections for lack of capacity, up to the maximum number of backoff doublings
 	LastScaleOutAt       cluster.Time
 }
 
--- a/internal/state/shardownership.go
+++ b/internal/state/shardownership.go
@@ -14,12 +14,12 @@
 	backoffBase         = cluster.Second
 	maxBackoffDoublings = 5
 	maxBackoff          = 30 * cluster.Second
-	// firstCorruptPause is the pause before a shard is acquired again after its records
-	// were found corrupt. It doubles each time, at most maxCorruptDoublings times and up
-	// to maxCorruptPause.
-	firstCorruptPause   = 2 * cluster.Second
+	// corruptBackoffBase is the backoff before a shard is acquired again after its records
+	// were first found corrupt. It doubles each further time, at most maxCorruptDoublings
+	// times and up to maxCorruptBackoff.
+	corruptBackoffBase  = 2 * cluster.Second
 	maxCorruptDoublings = 4
-	maxCorruptPause     = 20 * cluster.Second
+	maxCorruptBackoff   = 20 * cluster.Second
 )
 
 // ShardOwnership is this controller's view of the ownership of a shard. Decisions on
@@ -38,9 +38,9 @@
 	ClaimRevision cluster.Revision
 	ConfirmedAt   cluster.Time // start of the last store request that showed the claim to be in force
 
-	CorruptRecordCount int          // how often its records were found corrupt
-	AcquireNotBefore   cluster.Time // earliest time to acquire it again
-	FailbackOffered    bool         // its owner offers to hand it back to this controller
+	CorruptRecordCount int          // how often the shard's records were found corrupt
+	AcquireNotBefore   cluster.Time // earliest time to acquire the shard again
+	FailbackOffered    bool         // the owner offers to hand the shard back to this controller
 	OwnershipChangedAt cluster.Time
 	OwnerChanges       []cluster.Time // times of the owner changes within ownerChangeWindow
 }
@@ -55,14 +55,16 @@
 	return s.Owned && s.ClaimRevision == claim
 }
 
-// RecordOwner records the owner, term and mod revision of a newer claim record.
+// RecordOwner records the owner, term and mod revision of a newer claim record. It counts
+// as an owner change and ends an offer of the earlier owner to hand the shard back.
 func (s *ShardOwnership) RecordOwner(owner cluster.NodeID, term cluster.Term, modRevision cluster.ModRevision, now cluster.Time) {
 	s.Owner, s.Term, s.ModRevision = owner, term, modRevision
 	s.FailbackOffered = false
 	s.RecordOwnerChange(now)
 }
 
-// RecordOwnerChange records that the shard has a new owner.
+// RecordOwnerChange counts an owner change for the backoff and forgets the changes that
+// are older than ownerChangeWindow. It does not change the recorded owner.
 func (s *ShardOwnership) RecordOwnerChange(now cluster.Time) {
 	s.OwnershipChangedAt = now
 	recent := s.OwnerChanges[:0]
@@ -75,8 +77,9 @@
 }
 
 // IsBackoffOver reports whether the shard may be acquired from another owner again. Each
-// recent owner change doubles the backoff. Without it, nodes that believe each other to
-// have failed would acquire the shard from one another several times a second.
+// owner change within ownerChangeWindow doubles the backoff, up to maxBackoff. Without a
+// backoff, nodes that believe each other to have failed would acquire the shard from one
+// another several times a second.
 func (s *ShardOwnership) IsBackoffOver(now cluster.Time) bool {
 	recentChanges := 0
 	for _, changedAt := range s.OwnerChanges {
@@ -91,18 +94,18 @@
 	return now-s.OwnershipChangedAt > backoff
 }
 
-// PostponeAcquisition delays the next acquisition of the shard after its records were
-// found corrupt. The delay grows each time but is bounded, so that the shard's jobs are
-// not without an owner for long.
+// PostponeAcquisition sets the earliest time of the next acquisition after the shard's
+// records were found corrupt. The backoff grows each time but is bounded, so that the
+// shard's jobs are not without an owner for long.
 func (s *ShardOwnership) PostponeAcquisition(now cluster.Time) {
-	pause := firstCorruptPause << min(s.CorruptRecordCount, maxCorruptDoublings)
-	s.AcquireNotBefore = now + min(pause, maxCorruptPause)
+	backoff := corruptBackoffBase << min(s.CorruptRecordCount, maxCorruptDoublings)
+	s.AcquireNotBefore = now + min(backoff, maxCorruptBackoff)
 	s.CorruptRecordCount++
 }
 
-// BeginOwnership records that this controller has acquired the shard. Nothing known
-// under an earlier claim is kept, as the shard's records are read again. The claim is the
-// base of new attempt numbers.
+// BeginOwnership records that this controller has acquired the shard. It discards the
+// provisioning requests and backoffs of an earlier claim, as the shard's records are read
+// again. The claim is the base of new attempt numbers.
 func (s *Shard) BeginOwnership(self cluster.NodeID, term cluster.Term, claim cluster.Revision, now cluster.Time) {
 	s.Owned, s.Ready = true, false
 	s.ClaimRevision = claim
@@ -113,8 +116,9 @@
 	s.OutOfCapacityCount = map[ProvisioningOption]int{}
 }
 
-// EndOwnership records that this controller no longer owns the shard. It does not remove
-// the shard's machines and jobs.
+// EndOwnership records that this controller no longer owns the shard. It discards the
+// quarantined groups and deferred job records, but does not remove the shard's machines
+// and jobs.
 func (s *Shard) EndOwnership(now cluster.Time) {
 	s.Owned, s.Ready = false, false
 	s.OwnershipChangedAt = now
--- a/internal/state/shardownership_test.go
+++ b/internal/state/shardownership_test.go
@@ -10,25 +10,25 @@
 // have failed do not keep acquiring a shard from one another at a high rate.
 func TestBackoffGrowsWithOwnerChanges(t *testing.T) {
 	const (
-		second       = cluster.Second
-		duration     = 120 * second
-		maxChanges   = 12 // after pauses of 2, 4, 8, 16 and then 30 s
-		minLastPause = 4 * second
+		second         = cluster.Second
+		duration       = 120 * second
+		maxChanges     = 12 // after backoffs of 2, 4, 8, 16 and then 30 s
+		minLastBackoff = 4 * second
 	)
 	shard := &Shard{}
 	now := 100 * second
 	shard.RecordOwnerChange(now)
-	changes, lastPause := 0, cluster.Time(0)
+	changes, lastBackoff := 0, cluster.Time(0)
 	for end := now + duration; now < end; now += second / 10 {
 		if shard.IsBackoffOver(now) {
-			lastPause = now - shard.OwnershipChangedAt
+			lastBackoff = now - shard.OwnershipChangedAt
 			shard.RecordOwnerChange(now)
 			changes++
 		}
 	}
-	if changes == 0 || changes > maxChanges || lastPause < minLastPause {
-		t.Errorf("%d owner changes in %d s, the last after a pause of %d s; want at most %d and a last pause of at least %d s",
-			changes, duration/second, lastPause/second, maxChanges, minLastPause/second)
+	if changes == 0 || changes > maxChanges || lastBackoff < minLastBackoff {
+		t.Errorf("%d owner changes in %d s, the last after a backoff of %d s; want at least one and at most %d, and a last backoff of at least %d s",
+			changes, duration/second, lastBackoff/second, maxChanges, minLastBackoff/second)
 	}
 }
 
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestBackoffForgetsOldChanges checks that owner changes before the window don't count.
+// TestBackoffForgetsOldChanges checks that owner changes before the window don't affect the
+// backoff.
 func TestBackoffForgetsOldChanges(t *testing.T) {
 	shard := &Shard{}
 	if !shard.IsBackoffOver(0) {
@@ -66,14 +67,15 @@
 	}
 }
 
-// TestPostponeAcquisition checks that the pause doubles each time up to its maximum.
+// TestPostponeAcquisition checks that the backoff after corrupt records doubles each time
+// up to its maximum.
 func TestPostponeAcquisition(t *testing.T) {
 	const now = 100 * cluster.Second
 	shard := &Shard{}
 	for i, want := range []cluster.Time{2, 4, 8, 16, 20, 20, 20} {
 		shard.PostponeAcquisition(now)
 		if got := shard.AcquireNotBefore - now; got != want*cluster.Second {
-			t.Errorf("pause %d is %d s, want %d s", i+1, got/cluster.Second, want)
+			t.Errorf("backoff %d is %d s, want %d s", i+1, got/cluster.Second, want)
 		}
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -21,7 +21,7 @@
 	Jobs JobRegistry
 	// Teams holds the configured teams and the shards that serve them.
 	Teams map[string]*Team
-	// MachineTypes holds the machine types that the cloud last reported.
+	// MachineTypes holds the known machine types of the cloud.
 	MachineTypes map[string]cluster.MachineType
 }
 
@@ -68,9 +68,9 @@
 	return g
 }
 
-// AddMachine adds the machine described by an entry of a group's record, owned from now
-// on under the given fencing token. It replaces an existing machine with the same ID and
-// keeps its assignments.
+// AddMachine adds the machine described by an entry of a group's record to the group and
+// its shard. The machine is owned from now on under the given fencing token. It replaces
+// an existing machine with the same ID and takes over its assignments.
 func (s *State) AddMachine(g *MachineGroup, entry grouprecord.Machine, token cluster.FencingToken, now cluster.Time) *Machine {
 	m := NewMachine(g, entry, token, now)
 	if old := s.Machines[m.ID]; old != nil {
--- a/internal/state/team.go
+++ b/internal/state/team.go
@@ -13,8 +13,9 @@
 	ShardID cluster.ShardID
 }
 
-// AssignTeamsToShards distributes the teams over the shards by guaranteed quota, largest
-// first. The result depends only on the settings, so that all nodes compute the same one.
+// AssignTeamsToShards returns the shard of each team. The teams are assigned in descending
+// order of their guaranteed quotas, each to the shard with the lowest sum of quotas so
+// far. The result depends only on the settings, so that all nodes compute the same one.
 func AssignTeamsToShards(teams []cluster.Team, shards int) map[string]cluster.ShardID {
 	sorted := slices.Clone(teams)
 	sort.SliceStable(sorted, func(i, j int) bool {
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -7,15 +7,16 @@
 
 // MarkDispatchedInResponse records that the start is sent in the response to the heartbeat
 // with the given sequence number. Only a later heartbeat without the task shows that the
-// start was lost, as the worker sends it after the response has arrived or timed out.
+// start was lost, as the worker sends the next heartbeat after the response has arrived or
+// timed out.
 func (a *Assignment) MarkDispatchedInResponse(sequence cluster.SequenceNumber) {
 	a.Phase = PhaseDispatched
 	a.Pushed = false
 	a.DispatchedAtSequence = sequence
 }
 
-// MarkDispatchedByPush records that the start is pushed. It may still arrive until the
-// outcome of the push is known, even if heartbeats do not show the task.
+// MarkDispatchedByPush records that the start is pushed. Until the outcome of the push is
+// known, the start may still arrive, even if heartbeats do not show the task.
 func (a *Assignment) MarkDispatchedByPush() {
 	a.Phase = PhaseDispatched
 	a.Pushed = true
@@ -33,7 +34,8 @@
 }
 
 // RecordRunning records that a heartbeat has shown the task running. It reports whether
-// that heartbeat was the first to do so.
+// that heartbeat was the first to do so; only the first one sets the run times of the task
+// and its job.
 func (a *Assignment) RecordRunning(now cluster.Time) bool {
 	if a.RunningSince != 0 {
 		return false
@@ -47,8 +49,8 @@
 }
 
 // RequestStop records that the task is to be stopped after a grace period for a
-// checkpoint. A repeated request keeps the time of the first one, from which it is
-// measured how long the worker has ignored the stop.
+// checkpoint. A repeated request replaces the grace period. It keeps the time of the first
+// request, which shows how long the worker has been ignoring the stop.
 func (a *Assignment) RequestStop(graceSeconds float64, now cluster.Time) {
 	a.StopRequested, a.GraceSeconds = true, graceSeconds
 	if a.StopRequestedAt == 0 {
@@ -56,7 +58,8 @@
 	}
 }
 
-// MarkStopSent records when the stop was first sent. The grace period begins then.
+// MarkStopSent records when the stop was sent, unless an earlier time is recorded. The
+// grace period begins at the recorded time.
 func (a *Assignment) MarkStopSent(now cluster.Time) {
 	if a.StopSentAt == 0 {
 		a.StopSentAt = now
@@ -78,7 +81,7 @@
 }
 
 // RecordFirstAcknowledgement records that a machine acquired with the shard has
-// acknowledged the token of this claim.
+// acknowledged its token for the first time under this claim.
 func (s *Shard) RecordFirstAcknowledgement(m *Machine, now cluster.Time) {
 	m.AwaitingFirstAcknowledgement = false
 	s.AwaitingFirstAcknowledgementCount--
@@ -101,7 +104,8 @@
 // EndPush records that the outcome of the push is known.
 func (m *Machine) EndPush() { m.PushInFlight = false }
 
-// MarkStartInDoubt records that the outcome of pushed starts is unknown. They may arrive
-// minutes late, when the tasks already run elsewhere. Until the worker has acknowledged a
-// higher token, nothing else is started on the machine and no end is acknowledged.
+// MarkStartInDoubt records that the outcome of pushed starts is unknown. The starts may
+// arrive minutes late, when the tasks already run elsewhere. Until the worker has
+// acknowledged a higher token, no task is started on the machine and no end of a task is
+// acknowledged to the worker.
 func (m *Machine) MarkStartInDoubt() { m.StartInDoubt = true }
--- a/internal/state/usage.go
+++ b/internal/state/usage.go
@@ -9,8 +9,8 @@
 // Usage is updated whenever a task starts or stops being live, because scheduling reads
 // it many times a second and there may be thousands of tasks.
 //
-// A task counts while it is live on an owned machine: from when it is listed there until
-// a heartbeat shows that it has ended or is absent.
+// A task counts while it is live on a machine of an owned shard: from its assignment until
+// it has ended or is proven not to be on the machine.
 
 // TeamUsage is the resources used by each team's live tasks on the machines of a shard.
 type TeamUsage map[string]cluster.Resources
