--- a/internal/scheduling/spot_test.go
+++ b/internal/scheduling/spot_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestSpotPreference checks that only jobs with a high expected loss or a tight objective
-// prefer on-demand machines, and that jobs with checkpoints then leave these to them.
+// prefer on-demand machines, and that jobs with checkpoints then prefer spot machines.
 func TestSpotPreference(t *testing.T) {
 	f := newFixture()
 	f.spotInterruptionRate = 11.0 / 23_600 // nearly two interruptions per hour
@@ -36,7 +36,7 @@
 	if tight.Spec.Class, tight.Spec.DeadlineSeconds = "tight", 40; isPreferred(shard, tight, spot) || !isPreferred(shard, short, spot) {
 		t.Error("a job that would miss its deadline with a restarted task does not avoid spot machines, or a job with enough time does")
 	}
-	if shard.AvoidSpot = true; isPreferred(shard, checkpointing, onDemand) || !isPreferred(shard, checkpointing, spot) {
+	if shard.HasOnDemandPreference = true; isPreferred(shard, checkpointing, onDemand) || !isPreferred(shard, checkpointing, spot) {
 		t.Error("a job that saves checkpoints does not prefer spot machines while another job needs on-demand ones")
 	}
 	if f.Spot.IsOnDemandWorthImageFetch(long) || !f.Spot.IsOnDemandWorthImageFetch(jobWith(150, 0)) {
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -36,12 +36,12 @@
 // AttemptNumbers holds the state from which the attempts of a shard's tasks are numbered.
 type AttemptNumbers struct {
 	AttemptCount uint64 // number of attempts with the current AttemptBase
-	// AttemptBase is a store revision that is never used as a base again. It is the
+	// AttemptBase is a store revision that no other owner uses as a base. It is the
 	// revision of the owner's claim or, once AttemptCount has reached its maximum, that of
 	// a later transaction of the same owner.
 	AttemptBase        cluster.Revision
 	LastStoredRevision cluster.Revision // of the last transaction of the shard under the claim
-	PlannedStarts      uint64           // number of attempts created; never reset
+	TotalAttemptCount  uint64           // number of attempts with any AttemptBase; never reset
 	StoredTransactions uint64           // number of transactions of the shard that were stored; never reset
 }
 
@@ -52,27 +52,27 @@
 	PendingRegistrations []grouprecord.Machine          // machines that the next batch adds to the records
 	QuarantinedGroups    map[string]cluster.ModRevision // malformed group records under repair, by key
 
-	AwaitingFirstAcknowledgementCount int          // machines acquired with the shard that have not acknowledged the token of this claim
-	LastAcknowledgedAt                cluster.Time // when one of them last acknowledged it; initially when the shard was loaded
+	AwaitingFirstAcknowledgementCount int          // machines acquired with the shard that have not acknowledged their tokens under this claim
+	LastAcknowledgedAt                cluster.Time // when a machine acquired with the shard last did; initially when the shard was loaded
 }
 
 // ShardJobs holds the jobs of an owned shard and their queue.
 type ShardJobs struct {
-	Jobs               []*Job        // sorted by ID
-	DeferredJobRecords []messages.KV // job records seen while the shard was loading, to be applied afterwards
-	QueueOrder         []*Job        // in scheduling order, as of QueueOrderAt; nil if it has to be recomputed
-	QueueOrderAt       cluster.Time
-	GuaranteedJobs     map[*Job]bool // jobs within their team's guaranteed quota, as of QueueOrderAt
-	NextPreemptionAt   cluster.Time  // earliest time of the next preemption
-	NextOfferAt        cluster.Time  // earliest time to offer idle machines to other shards
-	AvoidSpot          bool          // a job of the shard prefers on-demand machines
+	Jobs                  []*Job        // sorted by ID
+	DeferredJobRecords    []messages.KV // job records seen while the shard was loading, to be applied afterwards
+	QueueOrder            []*Job        // in scheduling order, as of QueueOrderAt; nil if it has to be recomputed
+	QueueOrderAt          cluster.Time
+	GuaranteedJobs        map[*Job]bool // jobs within their team's guaranteed quota, as of QueueOrderAt
+	NextPreemptionAt      cluster.Time  // earliest time of the next preemption
+	NextOfferAt           cluster.Time  // earliest time to offer idle machines to other shards
+	HasOnDemandPreference bool          // a job of the shard prefers on-demand machines
 }
 
 // ShardProvisioning tracks the machines that an owned shard requests from the cloud.
 type ShardProvisioning struct {
 	ProvisioningRequests map[string]*ProvisioningRequest
 	OptionBackoffUntil   map[ProvisioningOption]cluster.Time
-	OutOfCapacityCount   map[ProvisioningOption]int // consecutive rejections for lack of capacity
+	OutOfCapacityCount   map[ProvisioningOption]int // consecutive rejections for lack of capacity, up to the maximum number of backoff doublings
 	LastScaleOutAt       cluster.Time
 }
 
@@ -103,6 +103,6 @@
 		s.AttemptBase, s.AttemptCount = s.LastStoredRevision, 0
 	}
 	s.AttemptCount++
-	s.PlannedStarts++
+	s.TotalAttemptCount++
 	return cluster.NewAttempt(uint64(s.AttemptBase), s.AttemptCount)
 }
