--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -18,7 +18,7 @@
 // stores no writes.
 type shardProgress struct {
 	stalledCheckpoints int    // consecutive checkpoints without progress
-	plannedStarts      uint64 // shard.PlannedStarts at the last checkpoint
+	plannedStarts      uint64 // shard.TotalAttemptCount at the last checkpoint
 	storedTransactions uint64 // shard.StoredTransactions at the last checkpoint
 }
 
