--- a/cmd/stairrelay/command.go
+++ b/cmd/stairrelay/command.go
@@ -9,14 +9,14 @@
 	"stairrelay/internal/settings"
 )
 
-// version is the version of this release.
 const version = "0.1.0"
 
 // operatorsEnv is the environment variable for the path of the operators' settings file.
 // Operators can set it where the platform controls the command line.
 const operatorsEnv = "STAIRRELAY_OPERATORS"
 
-// settingsError marks an error in the settings, which has its own exit status.
+// settingsError marks an error in the settings, for which the program exits with
+// exitSettings.
 type settingsError struct{ err error }
 
 // Error returns the text of the underlying error.
@@ -76,7 +76,8 @@
 	return runController(command.Context(), loaded)
 }
 
-// checkConfig validates the settings and prints warnings about them.
+// checkConfig loads the settings and prints a warning for each questionable one, and "ok".
+// It returns an error if the settings are invalid.
 func (o *options) checkConfig(command *cobra.Command, arguments []string) error {
 	loaded, err := o.loadSettings(arguments[0])
 	if err != nil {
--- a/cmd/stairrelay/controller.go
+++ b/cmd/stairrelay/controller.go
@@ -24,7 +24,8 @@
 )
 
 // runController runs a controller until one of its servers fails or ctx ends, and returns
-// the error of the server or of ctx.
+// the error of the server or of ctx. It also returns an error if the controller cannot be
+// started.
 func runController(ctx context.Context, config *settings.Settings) error {
 	limitResources(config)
 	log := newLogger()
@@ -104,7 +105,7 @@
 }
 
 // start starts both servers and returns a channel that receives the error of each server
-// when it ends.
+// when the server ends.
 func (s *controllerServers) start(log *slog.Logger) <-chan error {
 	all := []*server{s.public, s.peers}
 	failed := make(chan error, len(all)) // buffered so that no goroutine blocks without a reader
--- a/cmd/stairrelay/main.go
+++ b/cmd/stairrelay/main.go
@@ -10,7 +10,6 @@
 	"os"
 )
 
-// The exit statuses.
 const (
 	exitSuccess  = 0
 	exitFailure  = 1 // invalid command line, or the controller failed
--- a/cmd/stairrelay/main_test.go
+++ b/cmd/stairrelay/main_test.go
@@ -52,7 +52,7 @@
 // validSettings is a settings file without errors or warnings.
 var validSettings = settingsText(freeAddress, freeAddress)
 
-// writeFile writes a file to a new directory and returns its path.
+// writeFile writes a file to a new directory and returns the file's path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -62,7 +62,7 @@
 	return path
 }
 
-// result is the result of a command line.
+// result holds the exit status and the output of a command line.
 type result struct {
 	status         int
 	stdout, stderr string
@@ -155,7 +155,7 @@
 }
 
 // TestInvalidSettings checks that check-config and the start of a controller both fail with
-// exit status 2 and name the invalid field.
+// exit status 2 and name what is missing or invalid.
 func TestInvalidSettings(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none.toml")
 	for name, test := range map[string]struct {
@@ -216,8 +216,8 @@
 	})
 }
 
-// TestPortInUse checks that a port that can't be opened is reported as a failure of the
-// controller, not of the settings, and that the error names the setting.
+// TestPortInUse checks that the exit status for a port in use is 1, as for a failure of the
+// controller, and that the error names the setting.
 func TestPortInUse(t *testing.T) {
 	restoreProcessLimits(t)
 	for setting, text := range map[string]string{
@@ -231,8 +231,8 @@
 	}
 }
 
-// TestRunUntilContextCancelled checks that a controller runs until its context ends and then
-// closes its ports.
+// TestRunUntilContextCancelled checks that a controller ends when its context ends, and that
+// it then accepts no more connections from users and workers.
 func TestRunUntilContextCancelled(t *testing.T) {
 	restoreProcessLimits(t)
 	t.Setenv(operatorsEnv, "")
--- a/cmd/stairrelay/process.go
+++ b/cmd/stairrelay/process.go
@@ -29,8 +29,8 @@
 	instanceIDBytes = 4
 )
 
-// limitResources configures the Go runtime for the resource limits of the process. The CPU
-// limit is a fraction of a core, so only one thread at a time executes Go code.
+// limitResources configures the Go runtime for the resource limits of the process. Only one
+// thread at a time executes Go code, as the process is meant to use less than one core.
 func limitResources(config *settings.Settings) {
 	runtime.GOMAXPROCS(1)
 	if config.MemoryMB > 0 {
--- a/cmd/stairrelay/server.go
+++ b/cmd/stairrelay/server.go
@@ -14,10 +14,10 @@
 	http     *http.Server
 }
 
-// listen opens a server's listener on an address. The setting is the name of the address in
-// the settings, which prefixes an error.
+// listen opens a listener on an address and returns it with the HTTP server that is to
+// serve it. An error is prefixed with setting, the name of the address in the settings.
 func listen(ctx context.Context, setting, address string, httpServer *http.Server) (*server, error) {
-	// TCP keep-alives would only add load, because the server's timeouts close connections
+	// TCP keep-alives are not needed, because the server's timeouts close connections
 	// without traffic.
 	config := net.ListenConfig{KeepAlive: -1}
 	listener, err := config.Listen(ctx, "tcp", address)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -34,8 +34,9 @@
 	return &Client{service: wire.NewJSONClient(address, options), reply: reply}
 }
 
-// Do starts a call and returns immediately. Calls have timeouts but are never cancelled,
-// because the controller waits for the reply to each effect.
+// Do starts the call for an effect and returns immediately. The reply is passed to the
+// function given to New. Calls have timeouts but are never cancelled, because the
+// controller waits for the reply to each effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
 	switch effect := effect.(type) {
@@ -69,8 +70,9 @@
 	return messages.ListMachinesReply{Outcome: readOutcome(err), Items: page.Machines, More: page.More}
 }
 
-// readOutcome returns the outcome of a read that ended with err. Reads have no side effects,
-// so a failed one is NotApplied and can be retried, unless its response can't be decoded.
+// readOutcome returns the outcome of a read that ended with err. It is UnknownOutcome if the
+// response cannot be decoded, and NotApplied after any other error, since reads have no side
+// effects and can be retried.
 func readOutcome(err error) messages.Outcome {
 	if err == nil {
 		return messages.OK
@@ -95,8 +97,8 @@
 	return messages.ScaleOutReply{Outcome: wire.OutcomeOf(err), IDs: ids}
 }
 
-// isOutOfCapacity reports whether a scale-out failed because the cloud has no capacity for
-// the requested machines.
+// isOutOfCapacity reports whether err, the error of a scale-out, means that the cloud has no
+// capacity for the requested machines.
 func isOutOfCapacity(err error) bool {
 	statusErr, ok := errors.AsType[*wire.StatusError](err)
 	return ok && statusErr.Status == http.StatusServiceUnavailable && wire.IsOutOfCapacity(statusErr.Body)
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestOutcomes checks the outcome of each status. In particular, a lack of capacity must not
+// TestOutcomes checks the outcomes of responses. In particular, a lack of capacity must not
 // be mistaken for an outage of the cloud.
 func TestOutcomes(t *testing.T) {
 	for _, test := range []struct {
@@ -68,7 +68,7 @@
 		{messages.CloudListMachines{}, 200, `[]`, fmt.Sprint(messages.ListMachinesReply{Outcome: messages.UnknownOutcome})},
 	} {
 		if got := fmt.Sprint(execute[any](t, wiretest.ServeStatus(t, test.status, test.body), test.effect)); got != test.want {
-			t.Errorf("%T answered %d %s: got %s, want %s", test.effect, test.status, test.body, got, test.want)
+			t.Errorf("%T, response %d %s: got %s, want %s", test.effect, test.status, test.body, got, test.want)
 		}
 	}
 }
--- a/internal/cloud/outcomes_test.go
+++ b/internal/cloud/outcomes_test.go
@@ -15,7 +15,7 @@
 }
 
 // TestUndecodableResponses checks the outcome of each status with a body that can't be
-// decoded. A change that may have been executed must not be reported as not applied.
+// decoded. A change that may have been applied must not be reported as NotApplied.
 func TestUndecodableResponses(t *testing.T) {
 	const (
 		ok         = messages.OK
--- a/internal/cloud/requests_test.go
+++ b/internal/cloud/requests_test.go
@@ -8,7 +8,8 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
-// TestRequests checks that the requests to the cloud are unchanged byte for byte.
+// TestRequests checks the exact method, URI, content type and body of each request to the
+// cloud.
 func TestRequests(t *testing.T) {
 	scaleOut := messages.CloudScaleOut{Name: "n0-b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}
 	wiretest.CheckRequests(t, newExecutor, []wiretest.RequestTest{
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -120,8 +120,8 @@
 	return names
 }
 
-// fileExists reports whether a file exists in the repository. name is either a path
-// relative to the root, with * as a wildcard, or one of names, which have no directory.
+// fileExists reports whether a file exists in the repository. A name with a slash is a path
+// relative to the root, with * as a wildcard. Any other name must be in names.
 func fileExists(t *testing.T, names map[string]bool, name string) bool {
 	t.Helper()
 	if !strings.Contains(name, "/") {
--- a/internal/docscheck/documents_test.go
+++ b/internal/docscheck/documents_test.go
@@ -18,9 +18,9 @@
 var logHeading = regexp.MustCompile(`^## Log\b`)
 
 // readDocuments reads the documents that describe the current sources. It leaves out
-// documents and sections about earlier versions, which may name what no longer exists:
-// subdirectories of docs, files with "history" in their names, and all but the first
-// section of docs/results.md.
+// documents and sections about earlier versions, which may name files and tests that no
+// longer exist: subdirectories of docs, files with "history" in their names, and all but
+// the first section of docs/results.md.
 func readDocuments(t *testing.T) []document {
 	t.Helper()
 	paths := []string{"README.md"}
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -24,7 +24,8 @@
 const (
 	// nodeCount is the number of controllers.
 	nodeCount = 3
-	// heartbeatInterval and leaseDuration must match sharedSettings.
+	// heartbeatInterval and leaseDuration must equal report_s and lease_s in
+	// sharedSettings.
 	heartbeatInterval = 500 * time.Millisecond
 	leaseDuration     = 6 * time.Second
 	// callTimeout is the timeout of a call to the users' API.
@@ -281,8 +282,8 @@
 	c.t.Fatalf("timed out waiting for condition: %s", description)
 }
 
-// submit submits a job to a controller and returns the HTTP status code, or 0 if there
-// was no response.
+// submit submits a job to a controller, registers it with the fake workers and returns
+// the HTTP status code, or 0 if there was no response.
 func (c *processCluster) submit(node int, id, team string, tasks int, run time.Duration) int {
 	c.t.Helper()
 	info := simulation.JobInfo{
@@ -296,16 +297,16 @@
 	return code
 }
 
-// mustSubmit submits a job and fails the test unless it is accepted.
+// mustSubmit submits a job and fails the test unless the job is accepted.
 func (c *processCluster) mustSubmit(node int, id, team string, tasks int, run time.Duration) {
 	c.t.Helper()
 	if code := c.submit(node, id, team, tasks, run); code != http.StatusCreated {
-		c.t.Fatalf("submitting %s to %s: status %d", id, nodeName(node), code)
+		c.t.Fatalf("submitting %s to %s: status %d, want 201", id, nodeName(node), code)
 	}
 }
 
 // callUserAPI calls the users' API of a controller. It returns the HTTP status code, or
-// 0 if there was no response, and the state of the job in the response.
+// 0 if there was no response, and the job's status in the response, if any.
 func (c *processCluster) callUserAPI(method string, node int, path, body string) (int, string) {
 	c.t.Helper()
 	request, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+c.publicAddresses[node]+path, strings.NewReader(body))
@@ -324,7 +325,7 @@
 	return response.StatusCode, view.Status
 }
 
-// jobStatus returns the state of a job, or the HTTP status code if it is not 200.
+// jobStatus returns the status of a job, or the HTTP status code if that is not 200.
 func (c *processCluster) jobStatus(node int, id string) string {
 	code, status := c.callUserAPI(http.MethodGet, node, "/v2/runs/"+id, "")
 	if code != http.StatusOK {
--- a/internal/e2e/connections_test.go
+++ b/internal/e2e/connections_test.go
@@ -17,8 +17,9 @@
 	reservedDescriptors = 200
 )
 
-// workersWithinDescriptorLimit returns the number of workers whose connections fit into
-// the process's limit of file descriptors. The process holds both ends of each.
+// workersWithinDescriptorLimit returns the number of workers, at most maxWorkers, whose
+// connections fit into the process's limit of file descriptors. The process holds both
+// ends of each connection.
 func workersWithinDescriptorLimit(t *testing.T) int {
 	t.Helper()
 	var descriptorLimit syscall.Rlimit
@@ -29,8 +30,8 @@
 	return min(maxWorkers, (int(descriptorLimit.Cur)-reservedDescriptors)/descriptorsPerConnection)
 }
 
-// TestFleetHeartbeatsWithinConnectionLimit checks that a controller with fewer
-// connections than workers responds to each heartbeat before the worker's timeout.
+// TestFleetHeartbeatsWithinConnectionLimit checks that a controller responds to each
+// heartbeat in time, with and without a connection limit below the number of workers.
 func TestFleetHeartbeatsWithinConnectionLimit(t *testing.T) {
 	workers := workersWithinDescriptorLimit(t)
 	for _, test := range []struct {
@@ -58,14 +59,14 @@
 }
 
 // sendAllHeartbeats sends a heartbeat from each worker and returns how long the slowest
-// response took. All workers send concurrently, or at most half as many as the connection
-// limit if there is one. Workers connect if necessary and close the connection if the
+// response took. All workers send concurrently or, if there is a connection limit, at most
+// half as many as the limit. Workers connect if necessary and close the connection if the
 // response asks for it.
 func sendAllHeartbeats(t *testing.T, addr string, senders []*heartbeatSender, maxConnections int) time.Duration {
 	t.Helper()
 	concurrency := len(senders)
 	if maxConnections > 0 {
-		concurrency = maxConnections / 2 // workers spread their heartbeats over the interval
+		concurrency = maxConnections / 2 // because real workers spread their heartbeats over the interval
 	}
 	var slowest time.Duration
 	var mu sync.Mutex
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -14,8 +14,8 @@
 	"stairrelay/internal/simulation/httpfake"
 )
 
-// TestUserAPIOnEveryNode checks that every controller accepts the jobs of every team and
-// returns the state of every job.
+// TestUserAPIOnEveryNode checks that a controller accepts jobs of any team, that every
+// controller returns the status of every job, and the status codes of invalid requests.
 func TestUserAPIOnEveryNode(t *testing.T) {
 	c := startCluster(t)
 	for i, team := range teamNames {
@@ -23,7 +23,7 @@
 	}
 	for node := range nodeCount {
 		for i := range teamNames {
-			c.waitFor("every controller returns done", func() bool { return c.jobStatus(node, fmt.Sprintf("j-00000%d", i)) == "done" })
+			c.waitFor("every controller returns the status done", func() bool { return c.jobStatus(node, fmt.Sprintf("j-00000%d", i)) == "done" })
 		}
 	}
 	for body, want := range map[string]int{
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestNodeKillsAndStoreOutage checks that accepted jobs are completed, and run only once,
+// TestNodeKillsAndStoreOutage checks that accepted jobs are done, or cancelled on request,
 // although controllers are killed and the store has an outage.
 func TestNodeKillsAndStoreOutage(t *testing.T) {
 	c := startCluster(t)
@@ -57,7 +57,7 @@
 	c.mustSubmit(0, "j-000019", "red", 4, 60*time.Second)
 	c.waitFor("j-000019 is running", func() bool { return c.jobStatus(1, "j-000019") == "running" })
 	c.killNode(0)
-	c.waitFor("n1 returns the job's state while n0 is down", func() bool { return c.jobStatus(1, "j-000010") != "0" && c.jobStatus(1, "j-000010") != "503" })
+	c.waitFor("n1 returns the job's status while n0 is down", func() bool { return c.jobStatus(1, "j-000010") != "0" && c.jobStatus(1, "j-000010") != "503" })
 	c.startNode(0)
 	c.services.WithLock(func() { c.services.StoreDown = true })
 	time.Sleep(2 * time.Second)
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestBadSettingsExit checks that missing settings are reported in one line and with exit
-// status 2.
+// TestBadSettingsExit checks that missing settings are reported in one line and that the
+// exit status is 2.
 func TestBadSettingsExit(t *testing.T) {
 	dir := t.TempDir()
 	for _, args := range [][]string{{"--config", filepath.Join(dir, "none.toml")}, {"check-config", filepath.Join(dir, "none.toml")}, {}} {
--- a/internal/e2e/heartbeat_bench_test.go
+++ b/internal/e2e/heartbeat_bench_test.go
@@ -51,8 +51,8 @@
 
 // startHeartbeatServer starts a controller whose store rejects all calls. After half a
 // second, the controller regards the store as unavailable and responds to heartbeats
-// with 503 without delay. The server accepts at most maxConnections connections; 0 means
-// no limit. It returns the server's address and connection limiter.
+// with 503 without delay. The server keeps at most maxConnections connections open; 0
+// means no limit. The function returns the server's address and connection limiter.
 func startHeartbeatServer(tb testing.TB, maxConnections int) (string, *sockets.ConnectionLimiter) {
 	tb.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -149,9 +149,9 @@
 }
 
 // isClosedByServer reports whether the server has closed the idle connection. HTTP
-// clients check this before they reuse a connection. The read does not block. It has no
-// deadline, because on a busy machine a deadline may pass before the read begins, and
-// the read would then fail without detecting the close.
+// clients check this before they reuse a connection. The check is a read that does not
+// block. It uses no read deadline, because on a busy machine the deadline may pass before
+// the read begins, and the read would then fail without detecting the close.
 func (s *heartbeatSender) isClosedByServer() bool {
 	connection, ok := s.connection.(syscall.Conn)
 	if !ok {
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -38,8 +38,8 @@
 	return n
 }
 
-// TestDependencyPipeline checks that a job does not start before its dependencies are
-// done, and is cancelled with any of them, across teams and controllers.
+// TestDependencyPipeline checks that a job starts only after its dependencies are done, is
+// cancelled with them, and is rejected if its dependencies are invalid.
 func TestDependencyPipeline(t *testing.T) {
 	c := startCluster(t)
 	if status := c.submit(0, "j-000051", "red", 1, 3*time.Second); status != 201 {
@@ -54,7 +54,7 @@
 	c.waitFor("the last job is done", func() bool { return c.jobStatus(0, "j-000053") == "done" })
 	for _, id := range []string{"j-000051", "j-000052", "j-000053"} {
 		if n := c.startCount(id); n != 1 {
-			t.Errorf("%s was started %d times", id, n)
+			t.Errorf("%s was started %d times, want 1", id, n)
 		}
 	}
 
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -8,8 +8,8 @@
 )
 
 // Executors start the calls to other processes that effects request. They must not block,
-// because they run on the goroutine of Engine.Run. They pass the reply to each call to
-// Engine.DeliverReply.
+// because they run on the goroutine of Engine.Run. The reply to each call must be passed
+// to Engine.DeliverReply from another goroutine.
 type Executors struct {
 	Store   func(messages.Effect)
 	Cloud   func(messages.Effect)
@@ -35,8 +35,8 @@
 	}
 }
 
-// respond passes a response to the caller of Request. Only the first response to a request
-// is delivered; further ones are dropped.
+// respond passes a response to the caller of Request. It drops further responses to the
+// same request.
 func (e *Engine) respond(response messages.Respond) {
 	if responses := e.pendingRequests[response.Request]; responses != nil {
 		responses <- response
@@ -48,7 +48,8 @@
 // usage of the process.
 const statsMessage = "stats"
 
-// writeLog writes a log line of the controller.
+// writeLog writes a log line of the controller. It appends the resource usage to the stats
+// line.
 func (e *Engine) writeLog(line messages.Log) {
 	arguments := line.Args
 	if line.Message == statsMessage {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -16,12 +16,12 @@
 const inboxSize = 256
 
 // Requester passes a request to the controller and waits for the response. It returns
-// false if the request's context ends first.
+// false if there is no response before the context ends.
 type Requester interface {
 	Request(ctx context.Context, makeEvent func(messages.RequestID) messages.Event) (messages.Respond, bool)
 }
 
-// ReplyFunc passes the reply to an outgoing call to the controller.
+// ReplyFunc delivers the reply to one of the controller's outgoing calls.
 type ReplyFunc func(call messages.CallID, body messages.ReplyBody)
 
 // Engine runs the state machine of a controller. Request and DeliverReply are safe for
@@ -39,8 +39,8 @@
 	usage           usageMeter
 }
 
-// queuedEvent is an event in the inbox. The event itself is created when it is dequeued,
-// because only then is its request ID known.
+// queuedEvent is an entry of the inbox. Its event is created when the entry is dequeued,
+// because the request ID is not known before.
 type queuedEvent struct {
 	makeEvent  func(messages.RequestID) messages.Event
 	responses  chan<- messages.Respond // nil if no response is expected
@@ -84,8 +84,8 @@
 	}
 }
 
-// DeliverReply passes the reply to an outgoing call to the controller. It blocks while the
-// inbox is full, and drops the reply if the engine has stopped.
+// DeliverReply queues the reply to one of the controller's outgoing calls. It blocks while
+// the inbox is full, and drops the reply if the engine has stopped.
 func (e *Engine) DeliverReply(call messages.CallID, body messages.ReplyBody) {
 	makeEvent := func(messages.RequestID) messages.Event { return messages.Reply{Call: call, Body: body} }
 	select {
@@ -124,8 +124,8 @@
 	}
 }
 
-// register assigns a request ID to an event, creates the event and records the channel for
-// its response.
+// register creates the event of an inbox entry with a new request ID, and records the
+// channel for the response to it.
 func (e *Engine) register(queued queuedEvent) messages.Event {
 	e.lastRequestID++
 	if queued.responses != nil {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -55,6 +55,7 @@
 
 func newHealthCheck(id messages.RequestID) messages.Event { return messages.Health{Request: id} }
 
+// TestRequestAnswered checks that each request gets the response with its own request ID.
 func TestRequestAnswered(t *testing.T) {
 	engine, _ := newEngine(t)
 	startEngine(t, engine)
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestRespondOnce checks that a second response to a request is dropped, since sending it
-// would block the engine.
+// TestRespondOnce checks that a second response to a request is dropped. Sending it would
+// block the engine.
 func TestRespondOnce(t *testing.T) {
 	engine, _ := newEngine(t)
 	responses := make(chan messages.Respond, 1)
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -21,7 +21,7 @@
 	cpuQuota       float64       // CPU cores that the process may use; 0 means no limit
 	windowStart    time.Time     // start of the current window
 	windowStartCPU time.Duration // CPU time of the process at windowStart
-	maxEventDelay  time.Duration // maximum since windowStart
+	maxEventDelay  time.Duration // since windowStart
 	reportedHigh   bool          // whether the last measured load exceeded a threshold
 	peakCPUUsage   float64       // maximum since the last stats line
 	peakEventDelay time.Duration // maximum since the last stats line
@@ -30,9 +30,10 @@
 // recordDelay records the time between an event's arrival and its processing.
 func (m *loadMeter) recordDelay(delay time.Duration) { m.maxEventDelay = max(m.maxEventDelay, delay) }
 
-// measure returns the load of the current window once the window has ended, and reports
-// whether to send it to the controller. That is the case while the load is high, and once
-// more after it has dropped. Within a window, measure returns false.
+// measure ends the window if it is at least measureInterval old, and starts a new one. It
+// returns the load of the ended window and reports whether the load is to be sent to the
+// controller, which is the case while it is high and once more after it has dropped. It
+// returns false if the window has not ended or the CPU time cannot be read.
 func (m *loadMeter) measure() (load messages.ProcessLoad, shouldReport bool) {
 	now := time.Now()
 	elapsed := now.Sub(m.windowStart)
@@ -56,7 +57,8 @@
 	return load, wasHigh || m.reportedHigh
 }
 
-// takePeaks returns the maximum CPU usage and event delay since the last call.
+// takePeaks returns the maximum CPU usage and event delay since the last call, and resets
+// them.
 func (m *loadMeter) takePeaks() (cpuUsage float64, eventDelay time.Duration) {
 	cpuUsage, eventDelay = m.peakCPUUsage, m.peakEventDelay
 	m.peakCPUUsage, m.peakEventDelay = 0, 0
--- a/internal/engine/usage.go
+++ b/internal/engine/usage.go
@@ -21,8 +21,8 @@
 	steps       int           // events since the last stats line
 }
 
-// sample returns the usage since the last sample as arguments of a log line. The result is
-// nil if the CPU time cannot be read.
+// sample returns the usage since the last sample as arguments of a log line, and resets the
+// peaks of the load meter. The result is nil if the CPU time cannot be read.
 func (u *usageMeter) sample(load *loadMeter) []any {
 	cpuTime, err := processCPUTime()
 	if err != nil {
--- a/internal/peers/client_test.go
+++ b/internal/peers/client_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestFailedCalls checks that the outcome of a failed call is unknown, unless the message
-// was too large to be sent.
+// TestFailedCalls checks that the outcome of a failed call is UnknownOutcome, or NotApplied
+// if the message was too large to be sent.
 func TestFailedCalls(t *testing.T) {
 	for name, address := range map[string]string{
 		"refused connection": wiretest.UnusedAddress(t),
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestUnansweredMessage checks that the status is 400 if the controller does not answer a
-// message, with the controller's error as the body.
+// TestUnansweredMessage checks that the status is 400, with the controller's error as the
+// body, if its response has no message, and that the handler notices a disconnect.
 func TestUnansweredMessage(t *testing.T) {
 	data, err := Encode(ping)
 	if err != nil {
@@ -78,7 +78,7 @@
 	recorder := httptest.NewRecorder()
 	Handler(requester, log).ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodPost, messagePath, strings.NewReader(string(data))))
 	if recorder.Code != http.StatusBadRequest || recorder.Body.String() != "unknown sender\n" {
-		t.Errorf("answered %d %q", recorder.Code, recorder.Body)
+		t.Errorf("response %d %q, want 400 with the controller's error", recorder.Code, recorder.Body)
 	}
 	newHandler := func(requester engine.Requester) http.Handler { return Handler(requester, log) }
 	wiretest.CheckClientDisconnect(t, newHandler, http.MethodPost, messagePath, string(data))
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -10,7 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxMessageSize is the maximum size of an encoded message in bytes.
+// MaxMessageSize is the maximum size of an encoded message in bytes. The text of
+// ErrTooLarge contains it.
 const MaxMessageSize = 1 << 20
 
 // Limits of the decoder, so that a malformed message cannot exhaust memory or the stack.
@@ -20,7 +21,7 @@
 )
 
 // ErrTooLarge is the error for a message that is larger than MaxMessageSize.
-var ErrTooLarge = errors.New("message too large")
+var ErrTooLarge = errors.New("message exceeds the limit of 1 MiB")
 
 // ErrMissingVersionOrSender is the error for a message without a protocol version or
 // without a sender.
@@ -41,7 +42,8 @@
 	return mode
 }
 
-// Encode encodes a message. It returns ErrTooLarge if the result exceeds MaxMessageSize.
+// Encode encodes a message. The error wraps ErrTooLarge if the result exceeds
+// MaxMessageSize.
 func Encode(message messages.PeerMessage) ([]byte, error) {
 	data, err := cbor.Marshal(message)
 	if err != nil {
@@ -53,8 +55,9 @@
 	return data, nil
 }
 
-// Decode decodes a message. Unknown fields are ignored, for compatibility between
-// controllers of different releases.
+// Decode decodes a message. It returns ErrMissingVersionOrSender if the message lacks one
+// of the two. Unknown fields are ignored, for compatibility between controllers of
+// different releases.
 func Decode(data []byte) (messages.PeerMessage, error) {
 	var message messages.PeerMessage
 	// Unlike Unmarshal, a Decoder allows trailing bytes.
--- a/internal/peers/handler.go
+++ b/internal/peers/handler.go
@@ -23,7 +23,8 @@
 	loggedErrors sync.Map // texts of the errors that have been logged
 }
 
-// ServeHTTP passes a message to the controller and writes the controller's response.
+// ServeHTTP passes a message to the controller and writes the message in the controller's
+// response. The status is 400 if the response has no message.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxMessageSize))
 	if err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// Do starts to send a message and returns immediately. Calls have timeouts but are never
-// cancelled, because the controller waits for the reply to each effect.
+// Do starts to send a message and returns immediately. The reply is passed to the function
+// given to New. Calls have timeouts but are never cancelled, because the controller waits
+// for the reply to each effect.
 func (c *Client) Do(call messages.PeerCall) {
 	go func() { c.reply(call.Call, c.send(context.Background(), call)) }()
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -26,8 +26,8 @@
 	return messages.Respond{Status: messages.StatusOK, Peer: &request.Message}, true
 }
 
-// TestHandler checks that a message is unchanged after a round trip, and that malformed
-// messages are rejected.
+// TestHandler checks that a message is unchanged after a round trip, and that malformed and
+// oversized messages are rejected.
 func TestHandler(t *testing.T) {
 	handler := Handler(echoRequester{}, slog.New(slog.NewTextHandler(&bytes.Buffer{}, nil)))
 	post := func(body []byte) (int, []byte) {
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -3,14 +3,14 @@
 import "math"
 
 // Upper bounds of the numbers in the platform file. A larger value would overflow when
-// it is converted, or was given in the wrong unit.
+// it is converted, or is probably in the wrong unit.
 const (
-	maxSeconds   = 1e7 // about 116 days
-	maxRate      = 1e9 // requests per second
-	maxQuota     = 1e9 // CPUs or GPUs
-	maxMegabytes = 1e9
-	maxCPUShare  = 1e4 // CPU cores
-	maxCount     = 1e9
+	maxSeconds  = 1e7 // about 116 days
+	maxRate     = 1e9 // requests per second
+	maxQuota    = 1e9 // CPUs or GPUs
+	maxSize     = 1e9 // MB or KB, the unit of the field
+	maxCPUShare = 1e4 // CPU cores
+	maxCount    = 1e9
 )
 
 // numericField is a numeric field of the platform file with its bounds.
@@ -33,18 +33,18 @@
 		{"cluster.workers.cancel_s", table.Workers.CancelSeconds, maxSeconds, true},
 		{"cluster.state.rps", table.Store.RPS, maxRate, true},
 		{"cluster.state.write_rps", table.Store.WriteRPS, maxRate, true},
-		{"cluster.state.value_kb", table.Store.ValueKB, maxMegabytes, true},
+		{"cluster.state.value_kb", table.Store.ValueKB, maxSize, true},
 		{"cluster.state.txn_ops", float64(table.Store.TxnOps), maxCount, true},
 		{"cluster.cloud.rps", table.Cloud.RPS, maxRate, true},
 		{"cluster.cloud.list_lag_s", table.Cloud.ListLagSeconds, maxSeconds, false},
-		{"cluster.machine_limits.mem_mb", limits.MemoryMB, maxMegabytes, false},
+		{"cluster.machine_limits.mem_mb", limits.MemoryMB, maxSize, false},
 		{"cluster.machine_limits.max_connections", float64(limits.MaxConnections), maxCount, false},
 		{"cluster.machine_limits.core_share", limits.CPUShare, maxCPUShare, false},
 	}
 }
 
 // checkNumbers returns an error for the first number that is negative, NaN or above its
-// maximum, or else for the first required number that is not set.
+// maximum, or else for the first required number that is 0 or not set.
 func (f *platformFile) checkNumbers() error {
 	fields := f.numericFields()
 	for _, field := range fields {
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -42,7 +42,7 @@
 }
 
 // applyOperators validates the text of the operators' file against the schema and
-// overrides the values in tuning that the file sets. It returns a *FieldError if the
+// overwrites those values in tuning that the file sets. It returns a *FieldError if the
 // text violates the schema.
 func applyOperators(tuning *controller.Tuning, text []byte) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
@@ -51,7 +51,7 @@
 	}
 	schema, err := compileSchema()
 	if err != nil {
-		return fmt.Errorf("schema: %w", err)
+		return fmt.Errorf("compiling the built-in schema: %w", err)
 	}
 	if err := schema.Validate(document); err != nil {
 		return firstCause(err)
@@ -76,9 +76,8 @@
 	return compiler.Compile(schemaName)
 }
 
-// firstCause converts a schema validation error into a *FieldError with the path of the
-// innermost invalid field and a problem of one line. It returns any other error
-// unchanged.
+// firstCause converts a schema validation error into a *FieldError for the innermost of
+// its first causes, with the problem in one line. It returns any other error unchanged.
 func firstCause(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
@@ -93,7 +92,7 @@
 	}
 }
 
-// apply overrides the values in tuning that the file sets.
+// apply overwrites those values in tuning that the file sets.
 func (f *operatorsFile) apply(tuning *controller.Tuning) {
 	setSeconds(&tuning.CheckpointInterval, f.CheckpointSeconds)
 	setSeconds(&tuning.PingInterval, f.PingSeconds)
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -7,7 +7,7 @@
 )
 
 // connectionWarningThreshold is the value of max_connections below which operators are
-// warned that only few workers and users can be connected at the same time.
+// warned that only a few workers and users can be connected at the same time.
 const connectionWarningThreshold = 256
 
 // parsePlatform decodes and validates the text of the platform file.
--- a/internal/settings/servicelimits.go
+++ b/internal/settings/servicelimits.go
@@ -63,8 +63,9 @@
 	return min(current, *next)
 }
 
-// setStoreLimits sets the limits of the store. It also keeps the current write rate,
-// which may be used until the store enforces a lower one.
+// setStoreLimits sets each limit of the store to the lower of its current and its
+// upcoming value. It also sets the current write rate, which may be used until the store
+// enforces the upcoming one.
 func (s *Settings) setStoreLimits(limits *storeTable) {
 	lowest := limits.lowest()
 	s.Controller.CurrentWriteRPS = limits.WriteRPS
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -45,7 +45,7 @@
 list_lag_s = 3.0
 `
 
-// writeFile writes a file to a new temporary directory and returns its path.
+// writeFile writes a file to a new temporary directory and returns the file's path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -259,7 +259,7 @@
 }
 
 // TestNextStoreLimits checks that the lower of the current and the upcoming limits
-// applies, as limits change without notice, and that the current write rate is kept too.
+// applies, as limits change without notice, and that the current write rate is also kept.
 func TestNextStoreLimits(t *testing.T) {
 	for name, test := range map[string]struct {
 		next          string
--- a/internal/settings/teams.go
+++ b/internal/settings/teams.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// quotaLimit converts a team's quota limit, where 0 means no limit. If 0 were taken as
-// an actual limit, every job of the team would be rejected with status 422.
+// quotaLimit converts a team's quota limit, where 0 means no limit. If 0 were converted
+// to a limit of 0, every job of the team would be rejected with status 422.
 func quotaLimit(limit float64) cluster.Amount {
 	if limit == 0 {
 		return cluster.NoLimit
@@ -68,7 +68,6 @@
 	return cluster.FloorAmount(limit)
 }
 
-// setSLOs sets the service-level objectives.
 func (s *Settings) setSLOs(tables []sloTable) {
 	for _, table := range tables {
 		s.Controller.SLOs = append(s.Controller.SLOs, cluster.SLO(table))
--- a/internal/settings/workertimes.go
+++ b/internal/settings/workertimes.go
@@ -26,7 +26,7 @@
 		return
 	}
 	// Each second of cancel_s extends the window by slightly less than a second, because
-	// part of it is an allowance for clock drift.
+	// part of that second is an allowance for clock drift.
 	const margin = 1.01
 	missing := toSeconds(ownership.MinResponseWindow - window)
 	sufficient := math.Ceil(workers.CancelSeconds + missing*margin)
--- a/internal/simulation/cancellations.go
+++ b/internal/simulation/cancellations.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// minRemainingToCancel is the run time that a task must have left for
-	// CancelRunning to consider it.
+	// CancelRunning considers only tasks whose remaining run time exceeds
+	// minRemainingToCancel.
 	minRemainingToCancel = 5 * second
-	// maxCancelSpread is the time within which CancelRunning cancels all its jobs.
+	// maxCancelSpread is the time within which CancelRunning cancels all jobs that
+	// it has selected.
 	maxCancelSpread = 200 * millisecond
 	// maxHungMachines is the maximum number of machines that CancelRunning hangs.
 	maxHungMachines = 8
@@ -34,7 +35,8 @@
 	}
 }
 
-// CancelAtEnd cancels a share of the jobs when their last task ends, for a duration.
+// CancelAtEnd cancels a share of the jobs as soon as all their tasks are done. It applies
+// to jobs whose last task is done within the given duration.
 func (c *Cancellations) CancelAtEnd(share float64, duration cluster.Time) {
 	c.atEndChance = share
 	c.atEndUntil = c.Now + duration
@@ -54,9 +56,10 @@
 	}
 }
 
-// CancelRunning cancels up to limit running jobs, those with the longest remaining
-// run time first, within maxCancelSpread. If hang is positive, some of their machines
-// hang for that time. It returns the number of jobs that it cancels.
+// CancelRunning selects up to limit running jobs, those with the longest remaining run
+// time first, and cancels them within maxCancelSpread. If hang is positive, up to
+// maxHungMachines of their machines hang for that time. It returns the number of selected
+// jobs.
 func (c *Cancellations) CancelRunning(limit int, hang cluster.Time) int {
 	running := c.runningJobs()
 	ids := c.jobs.sortedIDs()
@@ -79,7 +82,7 @@
 	return cancelled
 }
 
-// runningJob describes the running tasks of a job.
+// runningJob describes those running tasks of a job that CancelRunning considers.
 type runningJob struct {
 	workers   []*SimulatedWorker // one per task
 	remaining cluster.Time       // longest remaining run time of its tasks
@@ -102,8 +105,8 @@
 	return jobs
 }
 
-// hangWorkers hangs up to limit machines that do not hang already, and returns how
-// many.
+// hangWorkers makes up to limit machines hang that do not hang already, and returns the
+// number of these machines.
 func (c *Cancellations) hangWorkers(workers []*SimulatedWorker, limit int, duration cluster.Time) int {
 	hung := 0
 	for _, worker := range workers {
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -9,7 +9,8 @@
 // clock holds the simulated time and the queue of future events. Events with the
 // same due time run in the order in which they were queued.
 type clock struct {
-	// Now is the due time of the event that is running.
+	// Now is the due time of the event that is running or, between events, of the
+	// last one that ran.
 	Now          cluster.Time
 	events       eventHeap
 	lastSequence uint64
--- a/internal/simulation/clock_test.go
+++ b/internal/simulation/clock_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestClockOrdersEvents guards against events that run out of order. Events with the
-// same due time run in the order in which they were queued.
+// TestClockOrdersEvents checks that events run in the order of their due times, and
+// those with the same due time in the order in which they were queued.
 func TestClockOrdersEvents(t *testing.T) {
 	var c clock
 	var order []string
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestClockTreatsNegativeDelayAsZero guards against simulated time that runs backwards.
+// TestClockTreatsNegativeDelayAsZero checks that simulated time does not run backwards
+// if an event is scheduled with a negative delay.
 func TestClockTreatsNegativeDelayAsZero(t *testing.T) {
 	var c clock
 	c.After(second, func() {
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -29,8 +29,8 @@
 	call.replyAfter(c.network.delay(), reply)
 }
 
-// scaleOut provisions machines. Some requests are executed late and their replies
-// are lost.
+// scaleOut provisions machines unless the cloud API is down. Some requests are executed
+// late and their replies are lost.
 func (c *CloudAPI) scaleOut(call pendingCall, request messages.CloudScaleOut) {
 	switch {
 	case c.isDown():
@@ -56,8 +56,8 @@
 	call.replyAfter(c.network.delay(), messages.ScaleInReply{Outcome: messages.OK})
 }
 
-// listMachines replies with a page of the current list after half of the list lag,
-// so that the controller gets a stale list.
+// listMachines takes a page of the current list and delivers it after half of the list
+// lag, so that the controller gets a stale list.
 func (c *CloudAPI) listMachines(call pendingCall, request messages.CloudListMachines) {
 	if c.isDown() {
 		call.replyAfter(c.network.delay(), messages.ListMachinesReply{Outcome: messages.NotApplied})
--- a/internal/simulation/command_calls.go
+++ b/internal/simulation/command_calls.go
@@ -8,12 +8,11 @@
 )
 
 const (
-	// connectTimeout is how long a controller tries to connect to a removed machine.
+	// connectTimeout is the timeout of a connection attempt to a removed machine.
 	connectTimeout = 1500 * millisecond
-	// commandTimeout is how long a controller waits for a machine that does not
-	// respond.
+	// commandTimeout is the timeout of a call to a machine that does not respond.
 	commandTimeout = 2500 * millisecond
-	// commandReplyTimeout is how long a controller waits for a reply that is lost.
+	// commandReplyTimeout is the timeout of a call whose reply is lost.
 	commandReplyTimeout = 2 * second
 )
 
@@ -79,9 +78,9 @@
 	call.replyAfter(c.network.delay(), reply)
 }
 
-// deliverLate delivers commands after the controller has timed out. A machine that
-// hangs handles them when it recovers. If its lease has expired by then, it first
-// drops its tasks.
+// deliverLate delivers commands after the controller's call has timed out. A machine
+// that hangs handles them when it recovers. If the worker's lease has expired by then,
+// the worker first drops its tasks.
 func (c *commandChannel) deliverLate(worker *SimulatedWorker, commands messages.PushCommands) {
 	if worker.removed {
 		return
--- a/internal/simulation/edge_case_requests.go
+++ b/internal/simulation/edge_case_requests.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// Bounds of the random pause between two requests.
-	minEdgeCasePause = 100 * millisecond
-	maxEdgeCasePause = 500 * millisecond
-	// rejectedQueryCount is how often a rejected job is queried within
-	// rejectedQueryPeriod.
+	// Bounds of the random delay between two requests.
+	minEdgeCaseDelay = 100 * millisecond
+	maxEdgeCaseDelay = 500 * millisecond
+	// rejectedQueryCount is the number of queries about a rejected job, which are
+	// sent within rejectedQueryPeriod.
 	rejectedQueryCount  = 3
 	rejectedQueryPeriod = 20 * second
 )
@@ -26,7 +26,7 @@
 	rejectedCount int
 }
 
-// SendFor sends requests for a duration.
+// SendFor sends requests at random intervals for a duration.
 func (o *EdgeCaseRequests) SendFor(duration cluster.Time) { o.sendUntil(o.Now + duration) }
 
 func (o *EdgeCaseRequests) sendUntil(until cluster.Time) {
@@ -34,7 +34,7 @@
 		return
 	}
 	o.sendOne()
-	o.After(o.RandomBetween(minEdgeCasePause, maxEdgeCasePause), func() { o.sendUntil(until) })
+	o.After(o.RandomBetween(minEdgeCaseDelay, maxEdgeCaseDelay), func() { o.sendUntil(until) })
 }
 
 func (o *EdgeCaseRequests) sendOne() {
@@ -67,8 +67,8 @@
 	})
 }
 
-// cancelDone cancels a job that is done. The controllers must respond with its
-// status.
+// cancelDone requests the cancellation of a job that was reported done. The controllers
+// must respond with the job's status.
 func (o *EdgeCaseRequests) cancelDone() {
 	const kind = FaultDoneJobCancelled
 	job := o.randomJob(func(job *Job) bool { return job.Accepted && job.ReportedStatus == cluster.JobDone })
@@ -90,8 +90,8 @@
 	return jobs[o.Rand.IntN(len(jobs))]
 }
 
-// checkStatusResponse checks a response that must contain the status of a job. The
-// status itself is checked only if current returns true.
+// checkStatusResponse checks a response that must contain the status of a job, unless the
+// request is undecided. The status itself is checked only if current returns true.
 func (o *EdgeCaseRequests) checkStatusResponse(kind FaultKind, job *Job, response messages.Respond, current func() bool) {
 	switch {
 	case isUndecided(response.Status):
@@ -125,7 +125,8 @@
 	o.submitRejected(rejectedSubmission{kind: FaultUnschedulableSubmission, spec: spec, want: messages.StatusUnschedulable})
 }
 
-// submitMalformed submits a job whose request body is invalid.
+// submitMalformed sends the controller a submission whose body the HTTP server has found
+// to be invalid.
 func (o *EdgeCaseRequests) submitMalformed() {
 	o.submitRejected(rejectedSubmission{
 		kind:      FaultMalformedSubmission,
@@ -150,7 +151,7 @@
 	}
 }
 
-// submitRejected sends a submission that must be rejected, and then queries the job,
+// submitRejected sends a submission that must be rejected, and queries about the job,
 // which must be unknown.
 func (o *EdgeCaseRequests) submitRejected(submission rejectedSubmission) {
 	request := func(id messages.RequestID) messages.Event {
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// stallLogText is the message that a controller logs for a stalled shard. It is
-	// tolerated until stallLogGracePeriod after the last fault, because it refers to
-	// the time before it is logged.
+	// stallLogText is the message that a controller logs for a shard that has made no
+	// progress for some time. The message is a violation only from
+	// stallLogGracePeriod after the last fault on, because it may refer to the time
+	// before the faults were over.
 	stallLogText        = "shard makes no progress"
 	stallLogGracePeriod = 60 * second
 )
@@ -54,8 +55,8 @@
 	}
 }
 
-// handleLog records a controller's log line. A line at level error is a violation,
-// and so is a stalled shard after the grace period.
+// handleLog logs a controller's log line, except for the frequent stats and load lines.
+// A line at level error is a violation, and so is a stalled shard after the grace period.
 func (x *effectExecutor) handleLog(node *Node, line messages.Log) {
 	if line.Message != "stats" && line.Message != "load" {
 		x.Log(fmt.Sprintf("%s logs %s: %s %v", node.ID, line.Level, line.Message, line.Args))
--- a/internal/simulation/failovers.go
+++ b/internal/simulation/failovers.go
@@ -8,7 +8,7 @@
 	"stairrelay/internal/messages"
 )
 
-// maxCapturedHeartbeats is the maximum number of heartbeats kept for a replay.
+// maxCapturedHeartbeats is the maximum number of heartbeats captured for a replay.
 const maxCapturedHeartbeats = 60
 
 // Failovers tracks the owners of the shards in the store and injects faults when an
@@ -16,21 +16,22 @@
 type Failovers struct {
 	*environment
 	nodes         *nodeSet
-	owners        map[string]string // by key of the shard's record
+	owners        map[string]string // by key of the shard's claim record
 	captureChance float64
 	captureUntil  cluster.Time
 	captured      []cluster.HeartbeatStatus
 	hooks         []acquireHook
 }
 
-// acquireHook is an action to run at the next change of owner before it expires.
+// acquireHook is an action to run at the next change of a shard's owner, unless the hook
+// has expired by then.
 type acquireHook struct {
 	expiresAt cluster.Time
 	action    func(owner cluster.NodeID)
 }
 
-// CaptureHeartbeats copies a share of the heartbeats for a duration. The copies are
-// replayed to every controller right after the next failover of a shard.
+// CaptureHeartbeats captures copies of a share of the heartbeats for a duration. The
+// copies are replayed to every controller right after the next change of a shard's owner.
 func (f *Failovers) CaptureHeartbeats(share float64, duration cluster.Time) {
 	f.captureChance = share
 	f.captureUntil = f.Now + duration
@@ -48,8 +49,8 @@
 	f.hooks = append(f.hooks, acquireHook{expiresAt: f.Now + within, action: action})
 }
 
-// recordShardOwners updates the shard owners after a transaction and handles
-// changes of owner.
+// recordShardOwners updates the shard owners from the claim records that a transaction
+// has written, and replays heartbeats and runs hooks if an owner has changed.
 func (f *Failovers) recordShardOwners(operations []messages.TxnOp) {
 	for _, operation := range operations {
 		if !strings.HasPrefix(operation.Key, "parts/") || operation.Value == nil {
--- a/internal/simulation/fake_cloud.go
+++ b/internal/simulation/fake_cloud.go
@@ -30,8 +30,8 @@
 	bootedAt      cluster.Time // when the machine finishes booting
 }
 
-// NewFakeCloud returns a cloud without machines. boot returns the boot time of each
-// new machine.
+// NewFakeCloud returns a cloud without machines. boot is called for the boot time of
+// each new machine.
 func NewFakeCloud(types []cluster.MachineType, capacity map[string]int, boot func() cluster.Time) *FakeCloud {
 	return &FakeCloud{
 		MachineTypes:      types,
@@ -47,8 +47,9 @@
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
-// ScaleOut provisions machines, at most as many as the pool has left. It is
-// idempotent: a repeated request with the same name gets the original reply.
+// ScaleOut provisions machines, at most as many as the pool has left. The outcome is
+// messages.NotFound if the pool is empty. ScaleOut is idempotent: a repeated request with
+// the same name gets the original reply.
 func (c *FakeCloud) ScaleOut(now cluster.Time, request messages.CloudScaleOut) messages.ScaleOutReply {
 	if ids, known := c.machinesByRequest[request.Name]; known {
 		return messages.ScaleOutReply{Outcome: messages.OK, IDs: ids}
@@ -82,7 +83,8 @@
 	return id
 }
 
-// RemoveMachine removes a machine. It reports false if there is no such machine.
+// RemoveMachine removes a machine and returns its capacity to the pool. It reports false
+// if there is no such machine.
 func (c *FakeCloud) RemoveMachine(id cluster.MachineID) bool {
 	machine := c.machines[id]
 	if machine == nil {
--- a/internal/simulation/fake_store.go
+++ b/internal/simulation/fake_store.go
@@ -19,7 +19,7 @@
 // and a change log.
 type FakeStore struct {
 	Revision cluster.Revision
-	// Limits apply to transactions. A zero value means no limit.
+	// Limits are checked by Admit. A limit of 0 means no limit.
 	Limits StoreLimits
 	// Rejected counts the transactions that exceeded the limits.
 	Rejected  struct{ Size, Rate int }
@@ -42,8 +42,9 @@
 	refilledAt cluster.Time
 }
 
-// Admit checks a transaction against the limits. It returns messages.OK, Invalid if
-// a size limit is exceeded, or Throttled if the rate limit is exceeded.
+// Admit checks a transaction against the limits and counts it if it exceeds one. It
+// returns messages.Invalid if a size limit is exceeded, messages.Throttled if the rate
+// limit is exceeded, and messages.OK otherwise.
 func (s *FakeStore) Admit(now cluster.Time, then []messages.TxnOp, compares []messages.Compare) messages.Outcome {
 	if !s.isWithinSizeLimits(then, compares) {
 		s.Rejected.Size++
@@ -82,8 +83,8 @@
 	return true
 }
 
-// Commit applies a transaction if all its compares succeed. Otherwise it returns
-// messages.Conflict with the failed keys.
+// Commit applies a transaction if all its compares succeed. Otherwise the outcome is
+// messages.Conflict, with the keys of the failed compares.
 func (s *FakeStore) Commit(compares []messages.Compare, then []messages.TxnOp) messages.TxnReply {
 	if failed := s.failedCompares(compares); len(failed) > 0 {
 		return messages.TxnReply{Outcome: messages.Conflict, Revision: s.Revision, FailedKeys: failed}
@@ -118,7 +119,8 @@
 	s.changeLog = append(s.changeLog, kv)
 }
 
-// Get returns a key, or messages.NotFound if it does not exist.
+// Get returns a key with its value. The outcome is messages.NotFound if the key does not
+// exist.
 func (s *FakeStore) Get(key string) messages.GetReply {
 	kv, ok := s.keys[key]
 	if !ok {
@@ -127,7 +129,7 @@
 	return messages.GetReply{Outcome: messages.OK, KV: kv}
 }
 
-// List returns the keys with a prefix, sorted.
+// List returns the keys with a prefix and their values, sorted by key.
 func (s *FakeStore) List(prefix string) messages.ListReply {
 	reply := messages.ListReply{Outcome: messages.OK, Revision: s.Revision}
 	for key, kv := range s.keys {
@@ -139,7 +141,7 @@
 	return reply
 }
 
-// Changes returns the changes to keys with a prefix after a revision.
+// Changes returns the changes after a revision to keys with a prefix.
 func (s *FakeStore) Changes(prefix string, since cluster.Revision) messages.WatchReply {
 	reply := messages.WatchReply{Outcome: messages.OK, Revision: s.Revision}
 	for _, kv := range s.changeLog {
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -41,7 +41,7 @@
 	FetchDuration cluster.Time // time to fetch an image
 	LeaseDuration cluster.Time
 	LookupJob     func(cluster.JobID) (JobInfo, bool)
-	DoneTasks     map[cluster.TaskID]bool // completed tasks, shared by all workers since results are kept off the machine
+	DoneTasks     map[cluster.TaskID]bool // tasks that are done; shared by all workers, since results outlive the machine
 	OnStart       func(w *FakeWorker, t *Task)
 	OnDone        func(t cluster.TaskID) // optional
 	FaultyUntil   cluster.Time           // every task fails until then
@@ -98,7 +98,8 @@
 	w.leaseRenewedAt = now
 }
 
-// completeTaskState moves a task to the state that follows its current one.
+// completeTaskState moves a task to the state that follows its current one, and calls
+// OnDone if the task is done.
 func (w *FakeWorker) completeTaskState(task *Task, now cluster.Time) {
 	info, _ := w.LookupJob(task.ID.Job)
 	switch task.State {
@@ -128,8 +129,8 @@
 	t.Cause = cause
 }
 
-// runTask runs a task whose image has been fetched. The task has no run time if it
-// was completed before or if the machine is faulty.
+// runTask runs a task whose image has been fetched, and calls OnStart. The run time is 0
+// if the task was done before or the machine is faulty.
 func (w *FakeWorker) runTask(task *Task, info JobInfo) {
 	task.State = cluster.Running
 	task.Remaining = info.RunDuration
@@ -189,8 +190,8 @@
 }
 
 // HandleHeartbeatResponse handles the response to a heartbeat that was sent at sentAt. It
-// renews the lease and executes the commands. It ignores a response for another
-// incarnation, with an older fencing token or without one.
+// adopts the fencing token, renews the lease and executes the commands. It ignores a
+// response for another incarnation, with an older fencing token or without a token.
 func (w *FakeWorker) HandleHeartbeatResponse(incarnation cluster.Incarnation, sentAt cluster.Time, response messages.HeartbeatResponse) {
 	if incarnation != w.Incarnation || response.FencingToken < w.FencingToken || response.FencingToken == 0 {
 		return
@@ -200,8 +201,9 @@
 	w.executeCommands(response.Commands)
 }
 
-// HandleCommands executes pushed commands. It returns messages.Conflict for an older
-// fencing token or another incarnation.
+// HandleCommands adopts the fencing token of pushed commands and executes them. If the
+// token is older or the incarnation differs, it does neither and the outcome is
+// messages.Conflict.
 func (w *FakeWorker) HandleCommands(pushed messages.PushCommands) messages.WorkerReply {
 	if pushed.FencingToken < w.FencingToken || pushed.Incarnation != w.Incarnation {
 		return messages.WorkerReply{Outcome: messages.Conflict, Status: w.NextStatus()}
@@ -224,8 +226,9 @@
 	}
 }
 
-// startTask starts a task. The worker keeps a single attempt of each task and ignores
-// a start command while it has one.
+// startTask starts a task. The task ends immediately if it is unknown or does not fit on
+// the machine. The worker keeps a single attempt of each task, and ignores a start command
+// while it has one.
 func (w *FakeWorker) startTask(command cluster.Command) {
 	if w.Tasks[command.Task] != nil {
 		return
@@ -252,8 +255,9 @@
 	return used.Plus(request).FitsIn(w.Capacity)
 }
 
-// stopTask stops a task. A running task first saves a checkpoint if the grace period
-// suffices. A task that is already saving one continues unless the grace period is 0.
+// stopTask stops a task. A running task first saves a checkpoint if it can and the grace
+// period suffices. A task that is already saving a checkpoint continues unless the grace
+// period is 0.
 func (w *FakeWorker) stopTask(command cluster.Command) {
 	task := w.Tasks[command.Task]
 	if task == nil || task.Attempt != command.Attempt || task.State == cluster.Ended {
@@ -272,7 +276,7 @@
 	}
 }
 
-// acknowledgeTask removes a task that has ended.
+// acknowledgeTask removes a task that has ended. It ignores a command for another attempt.
 func (w *FakeWorker) acknowledgeTask(command cluster.Command) {
 	task := w.Tasks[command.Task]
 	if task != nil && task.Attempt == command.Attempt && task.State == cluster.Ended {
--- a/internal/simulation/fault_kinds.go
+++ b/internal/simulation/fault_kinds.go
@@ -1,10 +1,10 @@
 package simulation
 
-// FaultKind is a kind of fault or other rare event. Tests check that each kind
-// occurred. Otherwise a run without violations would prove nothing.
+// FaultKind is a kind of fault or other rare event. Tests check that the kinds
+// that they inject have occurred. Otherwise a run without violations would prove nothing.
 type FaultKind string
 
-// The kinds of faults that the simulation counts when they take effect.
+// Kinds of faults that the simulation counts when they take effect.
 const (
 	FaultLateWrite                          FaultKind = "late writes"
 	FaultLateWriteApplied                   FaultKind = "late writes applied"
@@ -33,7 +33,7 @@
 	FaultSubmitAfterWrite                   FaultKind = "repeated submissions right after a write"
 	FaultCancelAfterWrite                   FaultKind = "cancellations right after a write"
 	FaultRepeatedSubmission                 FaultKind = "repeated submissions of unfinished jobs"
-	FaultDoneJobCancelled                   FaultKind = "cancellations of completed jobs"
+	FaultDoneJobCancelled                   FaultKind = "cancellations of jobs that are done"
 	FaultUnschedulableSubmission            FaultKind = "submissions of jobs that fit no machine"
 	FaultMalformedSubmission                FaultKind = "malformed submissions"
 )
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// minHeartbeatPause is the minimum time between a worker's heartbeat and the next
-	// one that a change triggers.
-	minHeartbeatPause = second / 2
+	// minHeartbeatInterval is the minimum time between a worker's heartbeat and the
+	// next one that a change on the worker triggers.
+	minHeartbeatInterval = second / 2
 	// heartbeatResponseTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatResponseTimeout = 4 * second
-	// nextNodePause is how long a worker waits before it tries the next controller.
-	nextNodePause = second
+	// nextNodeDelay is how long a worker waits before it tries the next controller.
+	nextNodeDelay = second
 )
 
 // heartbeatSender sends the workers' heartbeats to the controllers.
@@ -36,14 +36,15 @@
 	s.send(worker)
 }
 
-// schedule sends an additional heartbeat after a change on the worker.
+// schedule schedules an additional heartbeat after a change on the worker, at least
+// minHeartbeatInterval after the last one.
 func (s *heartbeatSender) schedule(worker *SimulatedWorker) {
-	pause := max(worker.lastHeartbeatAt+minHeartbeatPause-s.Now, 0)
-	s.After(pause, func() { s.send(worker) })
+	delay := max(worker.lastHeartbeatAt+minHeartbeatInterval-s.Now, 0)
+	s.After(delay, func() { s.send(worker) })
 }
 
-// send sends a worker's heartbeat. If an exchange is pending, the heartbeat is
-// queued until it finishes.
+// send sends a worker's heartbeat, unless the machine was removed or hangs. If an
+// exchange is pending, the heartbeat is queued until the exchange has finished.
 func (s *heartbeatSender) send(worker *SimulatedWorker) {
 	if worker.removed || worker.exchangePending || s.Now < worker.hungUntil {
 		worker.heartbeatQueued = worker.exchangePending
@@ -112,7 +113,7 @@
 }
 
 // deliverLate delivers a heartbeat that was sent during a partition, if it arrives
-// at all. Its response is discarded.
+// at all. The response to it is discarded.
 func (x *heartbeatExchange) deliverLate(partitionedUntil cluster.Time) {
 	if delay, arrives := x.sender.network.lateArrival(partitionedUntil); arrives {
 		x.sender.After(delay, func() { x.node.SendRequest(heartbeatRequest(x.status), func(messages.Respond) {}) })
@@ -125,10 +126,11 @@
 	}
 }
 
-// finish ends the exchange. The next heartbeat can be sent after a pause.
-func (x *heartbeatExchange) finish(pause cluster.Time) {
+// finish ends the exchange. After the delay, the worker can send the next heartbeat, and
+// a queued one is scheduled.
+func (x *heartbeatExchange) finish(delay cluster.Time) {
 	x.finished = true
-	x.sender.After(pause, func() {
+	x.sender.After(delay, func() {
 		x.worker.exchangePending = false
 		if x.worker.heartbeatQueued {
 			x.worker.heartbeatQueued = false
@@ -137,15 +139,16 @@
 	})
 }
 
-// tryNextNode ends the exchange and switches the worker to the next controller.
+// tryNextNode ends the exchange, switches the worker to the next controller and queues
+// another heartbeat.
 func (x *heartbeatExchange) tryNextNode() {
 	x.worker.nodeIndex = (x.worker.nodeIndex + 1) % len(x.sender.nodes.Nodes)
 	x.worker.heartbeatQueued = true
-	x.finish(nextNodePause)
+	x.finish(nextNodeDelay)
 }
 
-// handleResponse handles a controller's response, unless a fault keeps the worker from
-// receiving it. The worker then tries the next controller after the timeout.
+// handleResponse handles a controller's response. If a fault keeps the worker from
+// receiving it, the worker tries the next controller after the timeout.
 func (x *heartbeatExchange) handleResponse(response messages.Respond) {
 	s, worker := x.sender, x.worker
 	if x.finished || worker.removed {
@@ -171,7 +174,8 @@
 	}
 }
 
-// accept passes a successful response to the worker and ends the exchange.
+// accept passes a successful response to the worker and ends the exchange. It queues
+// another heartbeat if the response has a new fencing token or commands.
 func (x *heartbeatExchange) accept(response messages.HeartbeatResponse) {
 	previousToken := x.worker.FencingToken
 	x.worker.HandleHeartbeatResponse(x.status.Incarnation, x.sentAt, response)
@@ -182,8 +186,9 @@
 	x.finish(0)
 }
 
-// redirect switches the worker to the controller named in the response, or to the next
-// one if the name is unknown or the same.
+// redirect ends the exchange, switches the worker to the controller named in the response
+// and queues another heartbeat. If the name is unknown or that of the controller that
+// responded, the worker tries the next controller instead.
 func (x *heartbeatExchange) redirect(to cluster.NodeID) {
 	index := slices.IndexFunc(x.sender.nodes.Nodes, func(node *Node) bool { return node.ID == to })
 	if index < 0 || to == x.node.ID {
--- a/internal/simulation/httpfake/cloud.go
+++ b/internal/simulation/httpfake/cloud.go
@@ -17,8 +17,8 @@
 	amountsPerUnit = 1e6
 )
 
-// ServeCloud starts the cloud API and the workers of machines that boot, and returns
-// the address of the API.
+// ServeCloud starts the cloud API and returns its address. It also starts a goroutine that
+// starts the workers of machines as they boot.
 func (s *Services) ServeCloud() (string, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", s.serveMachineTypes)
@@ -154,7 +154,7 @@
 	return encoded
 }
 
-// startBootedWorkers starts the workers of machines that have booted.
+// startBootedWorkers starts the workers of machines as they boot, until Close.
 func (s *Services) startBootedWorkers() {
 	for s.ctx.Err() == nil {
 		var booted []cluster.ListedMachine
--- a/internal/simulation/httpfake/services.go
+++ b/internal/simulation/httpfake/services.go
@@ -21,7 +21,7 @@
 	bootDuration = cluster.Time(200 * time.Millisecond)
 	// fetchDuration is how long a worker takes to fetch an image.
 	fetchDuration = cluster.Time(100 * time.Millisecond)
-	// headerTimeout bounds how long a server waits for a request's header.
+	// headerTimeout is how long a server waits for a request's header.
 	headerTimeout = 5 * time.Second
 )
 
@@ -41,7 +41,7 @@
 	UnreachableMachines map[cluster.MachineID]bool
 	// StartCounts holds the number of starts of each task.
 	StartCounts map[cluster.TaskID]int
-	// DuplicateRuns lists the tasks that started while running on another machine.
+	// DuplicateRuns lists the tasks that started while they ran on another machine.
 	DuplicateRuns []string
 	doneTasks     map[cluster.TaskID]bool
 	initialCount  int // number of machines provisioned by AddMachine
@@ -93,7 +93,7 @@
 	fn()
 }
 
-// AddMachine provisions a machine in addition to the available capacity.
+// AddMachine provisions a machine without using up the available capacity.
 func (s *Services) AddMachine(machineType, zone string, spot bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,8 @@
 
 func (s *Services) now() cluster.Time { return cluster.Time(time.Since(s.startedAt)) }
 
-// serve starts a server on the loopback interface and returns its address.
+// serve starts a server on the loopback interface, which Close stops, and returns the
+// server's address.
 func (s *Services) serve(handler http.Handler) (string, error) {
 	listener, err := new(net.ListenConfig).Listen(s.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/simulation/httpfake/store.go
+++ b/internal/simulation/httpfake/store.go
@@ -13,8 +13,8 @@
 // watchPollInterval is how often a watch checks for changes.
 const watchPollInterval = 20 * time.Millisecond
 
-// item is an entry of a list or a change. Key is set in a list. PutKey or DeletedKey
-// holds the key of a change.
+// item is a key in a list or a change in a watch or transaction. In a list, Key holds the
+// key. In a change, either PutKey or DeletedKey does.
 type item struct {
 	Key         string          `json:"key,omitempty"`
 	PutKey      string          `json:"set,omitempty"`
@@ -34,13 +34,14 @@
 	return item{PutKey: kv.Key, Value: kv.Value, ModRevision: uint64(kv.ModRevision)}
 }
 
-// revisionResponse is the body of a response without items.
+// revisionResponse is the body of the response to a transaction or to a read of a key that
+// does not exist.
 type revisionResponse struct {
 	Revision cluster.Revision `json:"epoch"`
 	Failed   []string         `json:"failed,omitempty"`
 }
 
-// ServeStore starts the store and returns its address.
+// ServeStore starts the HTTP server of the store and returns the server's address.
 func (s *Services) ServeStore() (string, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /multi", s.serveTransaction)
--- a/internal/simulation/httpfake/worker.go
+++ b/internal/simulation/httpfake/worker.go
@@ -16,13 +16,13 @@
 const (
 	// heartbeatTimeout is the timeout of a heartbeat request.
 	heartbeatTimeout = 4 * time.Second
-	// heartbeatRetryPause is the pause after a failed heartbeat.
-	heartbeatRetryPause = time.Second
-	// redirectPause is the pause after a redirected heartbeat.
-	redirectPause = 10 * time.Millisecond
+	// heartbeatRetryDelay is the delay of the next heartbeat after a failed one.
+	heartbeatRetryDelay = time.Second
+	// redirectDelay is the delay of the next heartbeat after a redirected one.
+	redirectDelay = 10 * time.Millisecond
 )
 
-// httpWorker is a worker served over HTTP. It is guarded by the lock of services.
+// httpWorker is a worker with an HTTP server. The lock of services guards its state.
 type httpWorker struct {
 	*simulation.FakeWorker
 	services *Services
@@ -70,7 +70,7 @@
 }
 
 // recordTaskStart counts the start of a task, and records a duplicate run if another
-// machine runs it.
+// machine already runs the task.
 func (s *Services) recordTaskStart(on *simulation.FakeWorker, started *simulation.Task) {
 	s.StartCounts[started.ID]++
 	for _, other := range s.workers {
@@ -84,7 +84,8 @@
 	}
 }
 
-// terminate removes the worker's machine.
+// terminate marks the worker's machine as removed, drops its tasks and stops its
+// heartbeats.
 func (w *httpWorker) terminate() {
 	if w.removed {
 		return
@@ -146,8 +147,8 @@
 	writeJSON(response, http.StatusOK, encodeHeartbeat(w.NextStatus(), w.address))
 }
 
-// abortIfUnreachable drops a request to an unreachable machine. It holds the
-// connection until the client disconnects and then aborts the handler.
+// abortIfUnreachable drops a request to an unreachable machine. It holds the connection
+// until the client disconnects or the services are closed, and then aborts the handler.
 func (w *httpWorker) abortIfUnreachable(request *http.Request) {
 	if !w.isUnreachable() {
 		return
@@ -173,20 +174,20 @@
 	current := 0
 	for ctx.Err() == nil {
 		result := w.sendHeartbeat(client, nodes[current])
-		pause := heartbeatRetryPause
+		delay := heartbeatRetryDelay
 		redirect, redirected := otherNodeIndex(nodes, result.redirect, current)
 		switch {
 		case result.accepted:
-			pause = w.services.heartbeatInterval
+			delay = w.services.heartbeatInterval
 		case redirected:
 			current = redirect
-			pause = redirectPause
+			delay = redirectDelay
 		default:
 			current = (current + 1) % len(nodes)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// lostJobTimeout is how long requests about an accepted job may remain
-	// unanswered once all faults are over.
+	// lostJobTimeout is how long requests about an accepted job may get no response
+	// once all faults are over.
 	lostJobTimeout = 75 * second
 	// maxFailoverDuration is the maximum duration of a failover after a controller
 	// was killed.
@@ -36,21 +36,22 @@
 	c.starvation.check()
 }
 
-// checkLostJobs checks that requests about accepted jobs are answered once all faults
-// are over.
+// checkLostJobs checks that no accepted job has been without a response to its requests
+// for longer than lostJobTimeout since all faults are over.
 func (c *invariantChecker) checkLostJobs() {
 	if !c.faultsOver() {
 		return
 	}
 	for _, job := range c.jobs.Jobs {
 		if job.Accepted && c.Now-max(c.FaultsOverAt, job.lastResponseAt) > lostJobTimeout {
-			c.reportViolation("forgotten: no request about %s was answered for 75 s", job.Spec.ID)
+			c.reportViolation("forgotten: no request about %s got a response for 75 s", job.Spec.ID)
 			return
 		}
 	}
 }
 
-// handleTaskStart checks the invariants that the start of a task can violate.
+// handleTaskStart records the start of a task and checks the invariants that it can
+// violate.
 func (c *invariantChecker) handleTaskStart(on *FakeWorker, task *Task) {
 	c.Log(fmt.Sprintf("%s runs %s attempt %d", on.ID, task.ID, task.Attempt))
 	job := c.jobs.Jobs[task.ID.Job]
@@ -71,7 +72,7 @@
 	c.checkStartAfterCancel(task, job)
 }
 
-// checkDuplicateRun checks that a task does not start while another machine runs it.
+// checkDuplicateRun checks that a task does not start while another machine executes it.
 func (c *invariantChecker) checkDuplicateRun(on *FakeWorker, task *Task) {
 	// Only machines on which the task has started before can still run it.
 	startedOn := c.startedOn[task.ID]
@@ -153,9 +154,9 @@
 	return job.CancelConfirmedAt > 0 && c.Now-job.CancelConfirmedAt > c.config.CancelDeadline
 }
 
-// checkQuotasAndCancellations checks that the executing tasks keep to the quota
-// limits of the teams, and that no task of a cancelled job runs after the
-// cancellation deadline.
+// checkQuotasAndCancellations checks that the executing tasks keep to the CPU quota
+// limits of the teams, and that no task of a cancelled job runs after the cancellation
+// deadline, unless only lease expiry can end it.
 func (c *invariantChecker) checkQuotasAndCancellations() {
 	usage := map[string]cluster.Amount{}
 	for _, id := range c.machines.liveIDs() {
@@ -178,10 +179,10 @@
 	}
 }
 
-// onlyLeaseExpiryCanStop reports whether only lease expiry can end a cancelled job's
-// task on a machine. This requires that the machine hangs past its lease. In
-// addition, after the cancellation was confirmed, either the cloud must have been
-// down, or the store while a shard failed over, so that the new owner could not load
+// onlyLeaseExpiryCanStop reports whether only lease expiry can end a cancelled job's task
+// on a machine, because the machine hangs past its lease and could not be removed. The
+// latter is the case if, after the cancellation was confirmed, the cloud was down, or the
+// store was down while a shard may have failed over, so that the new owner could not load
 // the shard's machines.
 func (c *invariantChecker) onlyLeaseExpiryCanStop(job *Job, worker *SimulatedWorker) bool {
 	if !worker.isLeaseExpiredWhileHung(c.Now) {
@@ -193,7 +194,7 @@
 	return cloudDown || storeDown && failoverPending
 }
 
-// describeTeamTasks lists a team's executing tasks for the message of a quota
+// describeTeamTasks returns a list of a team's executing tasks for the message of a quota
 // violation.
 func (c *invariantChecker) describeTeamTasks(team string) string {
 	var list strings.Builder
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -10,8 +10,8 @@
 
 const testCPU = cluster.Amount(1_000_000)
 
-// newCheckedCluster returns a cluster with two running machines and no running
-// controllers, in which a test can violate invariants.
+// newCheckedCluster returns a simulated cluster with two running machines and no running
+// controllers. Tests violate invariants in it.
 func newCheckedCluster(t *testing.T) *Simulator {
 	t.Helper()
 	cfg := controller.Config{
@@ -56,8 +56,8 @@
 	otherMachine = cluster.MachineID("m-000002")
 )
 
-// invariantViolations maps test names to a violation and the invariant that must be
-// reported.
+// invariantViolations maps the names of tests to a function that violates an invariant and
+// the name of that invariant.
 var invariantViolations = map[string]struct {
 	violate func(s *Simulator)
 	want    string
@@ -101,7 +101,7 @@
 		s.Users.CheckReportedStatus(job, cluster.JobCancelled)
 		s.Users.CheckReportedStatus(job, cluster.JobRunning)
 	}, "went_back"},
-	"no request about a job is answered": {func(s *Simulator) {
+	"no request about a job gets a response": {func(s *Simulator) {
 		addTestJob(s, "j-1")
 		s.FaultsOverAt = second
 		s.After(second+lostJobTimeout+millisecond, s.checker.checkLostJobs)
@@ -115,22 +115,22 @@
 	}, "left_waiting"},
 }
 
-// TestInvariantViolationsAreReported guards against a checker that misses violations,
-// which would let every simulation pass.
+// TestInvariantViolationsAreReported checks that the violation of each invariant in
+// invariantViolations is reported.
 func TestInvariantViolationsAreReported(t *testing.T) {
 	for name, test := range invariantViolations {
 		t.Run(name, func(t *testing.T) {
 			s := newCheckedCluster(t)
 			test.violate(s)
 			if len(s.Violations) != 1 || !strings.Contains(s.Violations[0], test.want+":") {
-				t.Errorf("violations %v, want one of %s", s.Violations, test.want)
+				t.Errorf("violations %v, want exactly one, of the invariant %s", s.Violations, test.want)
 			}
 		})
 	}
 }
 
-// TestValidRunReportsNoViolations guards against violations that are reported for a job
-// that runs as it should.
+// TestValidRunReportsNoViolations checks that no violation is reported while a job runs on
+// one machine within the quota limit of its team.
 func TestValidRunReportsNoViolations(t *testing.T) {
 	s := newCheckedCluster(t)
 	s.FaultsOverAt = second
@@ -140,6 +140,6 @@
 	s.repeatEvery(checkInterval, s.checker.checkAll)
 	s.RunUntil(60 * second)
 	if len(s.Violations) > 0 {
-		t.Errorf("violations %v", s.Violations)
+		t.Errorf("violations %v, want none", s.Violations)
 	}
 }
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// Job is a job with the responses that its user has received.
+// Job is a job with what its user knows about it from responses.
 type Job struct {
 	Spec              cluster.JobSpec
 	Info              JobInfo
@@ -19,7 +19,7 @@
 	SubmittedAt       cluster.Time
 	FirstStartAt      cluster.Time // when its first task started, or 0 if none has
 	finalReportedAt   cluster.Time // when a final status was first reported to the user
-	lastResponseAt    cluster.Time // when a request about it was last answered
+	lastResponseAt    cluster.Time // when a request about it last got a response
 	lastStartAt       cluster.Time // when one of its tasks last started
 	starvingSince     cluster.Time // since when it has been waiting despite free capacity, or 0
 }
@@ -28,7 +28,7 @@
 // reported.
 func (j *Job) isUnfinished() bool { return j.Accepted && !j.ReportedStatus.IsFinal() }
 
-// jobTable holds the submitted jobs and the set of their completed tasks.
+// jobTable holds the submitted jobs and the set of their tasks that are done.
 type jobTable struct {
 	// Jobs maps the job IDs to the submitted jobs.
 	Jobs      map[cluster.JobID]*Job
--- a/internal/simulation/machine_faults.go
+++ b/internal/simulation/machine_faults.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// DuplicateHeartbeat delivers a heartbeat with a machine's current status after a
-// delay.
+// DuplicateHeartbeat delivers a heartbeat with a machine's current status to a random
+// controller after a delay.
 func (m *Machines) DuplicateHeartbeat(id cluster.MachineID, delay cluster.Time) {
 	if worker := m.live(id); worker != nil {
 		m.heartbeats.deliverDuplicate(worker.NextStatus(), delay)
@@ -60,8 +60,7 @@
 	}
 }
 
-// MakeFaulty picks up to count random machines that fail all their tasks for a
-// duration.
+// MakeFaulty makes up to count random machines fail all their tasks for a duration.
 func (m *Machines) MakeFaulty(count int, duration cluster.Time) {
 	for range count {
 		if worker := m.Workers[m.Random()]; worker != nil {
@@ -70,8 +69,8 @@
 	}
 }
 
-// Reboot restarts a worker immediately. The worker loses its tasks and begins a new
-// incarnation.
+// Reboot restarts a worker immediately. The worker drops its tasks, begins a new
+// incarnation and sends a heartbeat.
 func (m *Machines) Reboot(id cluster.MachineID) {
 	worker := m.live(id)
 	if worker == nil {
@@ -82,8 +81,8 @@
 	m.heartbeats.schedule(worker)
 }
 
-// Preempt gives a spot machine a preemption notice and removes it when the notice
-// period ends.
+// Preempt gives a spot machine a preemption notice and removes the machine when the notice
+// period ends. It does nothing for an on-demand machine.
 func (m *Machines) Preempt(id cluster.MachineID, notice cluster.Time) {
 	worker := m.live(id)
 	if worker == nil || !worker.Spot {
@@ -94,11 +93,11 @@
 	m.After(notice, func() { m.Remove(id) })
 }
 
-// EnableFastBoots makes new machines boot within 1 to 2 s for a duration.
+// EnableFastBoots makes machines that are provisioned within a duration boot in 1 to 2 s.
 func (m *Machines) EnableFastBoots(duration cluster.Time) { m.fastBootsUntil = m.Now + duration }
 
-// HasFastBoots reports whether a machine that is provisioned now boots within 1 to
-// 2 s, and counts the fault if so.
+// HasFastBoots reports whether a machine that is provisioned now boots in 1 to 2 s, and
+// counts the fault if so.
 func (m *Machines) HasFastBoots() bool {
 	if m.Now >= m.fastBootsUntil {
 		return false
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -14,7 +14,7 @@
 // Machines holds the machines that have booted and their workers.
 type Machines struct {
 	*environment
-	// Workers holds the workers of all machines that have ever booted, also of
+	// Workers holds the workers of all machines that have ever booted, including
 	// removed ones.
 	Workers        map[cluster.MachineID]*SimulatedWorker
 	cloud          *FakeCloud
@@ -53,14 +53,15 @@
 	return now-w.leaseRenewedAt > w.LeaseDuration
 }
 
-// isLeaseExpiredWhileHung reports whether the machine hangs and its lease has
-// expired. Its tasks make no further progress, because the worker drops them first
-// when the machine recovers.
+// isLeaseExpiredWhileHung reports whether the machine hangs and the worker's lease has
+// expired. The tasks make no further progress, because the worker drops them first when
+// the machine recovers.
 func (w *SimulatedWorker) isLeaseExpiredWhileHung(now cluster.Time) bool {
 	return now < w.hungUntil && w.isLeaseExpired(now)
 }
 
-// Add provisions a machine without a boot delay.
+// Add provisions a machine that boots without delay and does not use up the available
+// capacity.
 func (m *Machines) Add(machineType, zone string, spot bool) {
 	m.cloud.AvailableCapacity[CapacityKey(machineType, zone, spot)]++
 	reply := m.cloud.ScaleOut(m.Now, messages.CloudScaleOut{
@@ -84,7 +85,7 @@
 	}
 }
 
-// LiveCount returns the number of machines that are up.
+// LiveCount returns the number of machines that are up: booted and not removed.
 func (m *Machines) LiveCount() int { return len(m.liveIDs()) }
 
 // Random returns a random machine that is up, or an empty ID if there is none.
@@ -118,8 +119,8 @@
 	return worker
 }
 
-// advance starts the workers of machines that have booted, and advances all workers
-// that do not hang to the current time.
+// advance starts the workers of machines that have booted, and advances all workers that
+// do not hang to the current time. Workers whose tasks have changed send a heartbeat.
 func (m *Machines) advance() {
 	for _, machine := range m.cloud.CompleteBoots(m.Now) {
 		m.startWorker(machine)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -28,7 +28,7 @@
 	set             *nodeSet
 	controller      *controller.Controller
 	running         bool
-	generation      int // incremented when the process ends, so that pending replies are dropped
+	generation      int // incremented when the process is killed, so that pending replies are dropped
 	startedAt       cluster.Time
 	pendingRequests map[messages.RequestID]func(messages.Respond)
 	lastRequestID   messages.RequestID
@@ -51,8 +51,8 @@
 	n.step(messages.Tick{})
 }
 
-// Kill ends the process immediately, without a shutdown. Requests that are waiting
-// for its response get the status StatusNone.
+// Kill ends the process immediately, without a shutdown. Pending requests get a response
+// with the status StatusNone.
 func (n *Node) Kill() {
 	n.set.lastKillAt = n.set.Now
 	n.running = false
@@ -63,8 +63,9 @@
 	n.pendingRequests = nil
 }
 
-// SendRequest sends a request to the controller and calls handle with the response.
-// The response has the status StatusNone if no process is running.
+// SendRequest sends a request to the controller and calls handle with the response. The
+// response has the status StatusNone if no process is running or the process is killed
+// before it responds.
 func (n *Node) SendRequest(request func(messages.RequestID) messages.Event, handle func(messages.Respond)) {
 	n.set.After(n.set.RandomBetween(millisecond, 5*millisecond), func() {
 		if !n.running {
@@ -88,8 +89,9 @@
 	n.set.After(n.set.network.delay(), func() { handle(response) })
 }
 
-// step passes an event to the controller and executes the resulting effects.
-// Events that arrive while the process is paused are handled when the pause ends.
+// step passes an event to the controller and executes the resulting effects. An event
+// that arrives while the process is paused is handled when the pause ends, unless the
+// process has been killed by then.
 func (n *Node) step(event messages.Event) {
 	if n.set.Now < n.PausedUntil {
 		generation := n.generation
--- a/internal/simulation/peer_calls.go
+++ b/internal/simulation/peer_calls.go
@@ -33,7 +33,7 @@
 	c.After(message.Timeout, exchange.timeOut)
 }
 
-// peerExchange is a message between controllers and its reply.
+// peerExchange is a message between controllers and the reply to it.
 type peerExchange struct {
 	channel  *peerChannel
 	call     pendingCall
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// readAfterWriteRounds is the number of requests sent to each controller.
+	// readAfterWriteRounds is the number of requests sent to each controller after
+	// each report.
 	readAfterWriteRounds = 3
-	// maxReadAfterWritePause is the time within which all requests are sent.
-	maxReadAfterWritePause = 50 * millisecond
+	// maxReadAfterWriteDelay is the maximum random delay of each request.
+	maxReadAfterWriteDelay = 50 * millisecond
 	// submissionTimeout is how long a user waits for the response to a submission
 	// or a cancellation.
 	submissionTimeout = 5 * second
 )
 
-// ReadAfterWrite checks read-after-write consistency: once a job is reported as
-// accepted or ended, requests to any controller must reflect that.
+// ReadAfterWrite checks read-after-write consistency: once a job has been reported as
+// accepted, done or cancelled, responses of all controllers must be consistent with that.
 type ReadAfterWrite struct {
 	*environment
 	nodes *nodeSet
@@ -30,7 +31,8 @@
 // controllers right after a job is reported as accepted, done or cancelled.
 func (r *ReadAfterWrite) EnableFor(duration cluster.Time) { r.until = r.Now + duration }
 
-// start schedules requests about a job whose status was just reported.
+// start schedules requests to all controllers about a job whose status was just reported,
+// if the checks are enabled.
 func (r *ReadAfterWrite) start(job *Job) {
 	if r.Now >= r.until {
 		return
@@ -38,7 +40,7 @@
 	for range readAfterWriteRounds {
 		for _, node := range r.nodes.Nodes {
 			draw := r.Rand.IntN(10)
-			r.After(r.RandomBetween(0, maxReadAfterWritePause), func() { r.checkAt(node, job, draw) })
+			r.After(r.RandomBetween(0, maxReadAfterWriteDelay), func() { r.checkAt(node, job, draw) })
 		}
 	}
 }
@@ -97,7 +99,7 @@
 	r.FaultCounts[sent.kind]++
 }
 
-// isRejection reports whether a status means that the job is unknown or cannot be run.
+// isRejection reports whether a status means that the job is unknown or is rejected.
 func isRejection(status messages.ResponseStatus) bool {
 	return status == messages.StatusJobNotFound || status == messages.StatusBadRequest || status == messages.StatusUnschedulable
 }
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -151,9 +151,8 @@
 	})
 }
 
-// BusiestNode returns the node to which most workers send their heartbeats. Only
-// nodes with a running controller are considered; the result is nil if there is
-// none.
+// BusiestNode returns the node to which most workers send their heartbeats, considering
+// only nodes with a running controller. The result is nil if no controller is running.
 func (s *Simulator) BusiestNode() *Node {
 	workerCounts := make([]int, len(s.Nodes))
 	for _, id := range s.Machines.liveIDs() {
--- a/internal/simulation/status_invariants.go
+++ b/internal/simulation/status_invariants.go
@@ -4,8 +4,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// checkReportedStatus checks a status that is reported to a user. It returns false
-// if the status contradicts the state of the tasks and must not be recorded.
+// checkReportedStatus checks a status that is reported to a user. It returns false if the
+// job is reported done before all its tasks are. Such a status must not be recorded.
 func (c *invariantChecker) checkReportedStatus(job *Job, status cluster.JobStatus) bool {
 	if status == cluster.JobDone {
 		if index, found := c.jobs.findUndoneTask(job); found {
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/messages"
 )
 
-// storeCallTimeout is how long a controller waits for a reply from the store.
+// storeCallTimeout is how long a controller waits for the reply to a call to the store.
 const storeCallTimeout = 1200 * millisecond
 
 // StoreAPI delivers the controllers' calls to the store and injects faults into them.
@@ -25,7 +25,7 @@
 	replyLoss replyLossFault
 }
 
-// replyLossFault is the fault that some transactions get no reply.
+// replyLossFault is a fault that drops the replies to some transactions.
 type replyLossFault struct {
 	chance           float64
 	until            cluster.Time
@@ -38,14 +38,14 @@
 	s.slowUntil = s.Now + duration
 }
 
-// LoseWriteReplies drops the replies to a share of the transactions for a duration.
-// The transactions are applied 2 to 12 s later, possibly after newer ones from the
-// same controller. With applyImmediately they are applied without that delay.
+// LoseWriteReplies drops the replies to a share of the transactions for a duration. The
+// transactions are applied 2 to 12 s later, possibly after newer ones from the same
+// controller, or without that delay if applyImmediately is set.
 func (s *StoreAPI) LoseWriteReplies(share float64, duration cluster.Time, applyImmediately bool) {
 	s.replyLoss = replyLossFault{chance: share, until: s.Now + duration, applyImmediately: applyImmediately}
 }
 
-// storeCall is a call to the store.
+// storeCall is a pending call to the store with its possible replies.
 type storeCall struct {
 	pendingCall
 	write       bool
@@ -82,8 +82,8 @@
 	})
 }
 
-// watch waits for changes. A watch without a timeout is an ordinary read that
-// returns immediately.
+// watch replies when there are changes or the watch times out. A watch with a timeout of 0
+// is an ordinary read that does not wait.
 func (s *StoreAPI) watch(node *Node, watch messages.StoreWatch) {
 	if watch.Timeout > 0 {
 		s.pollWatch(node.newCall(watch.Call), watch, s.Now+watch.Timeout)
@@ -181,8 +181,8 @@
 	}
 }
 
-// applyLate applies a transaction after the controller has timed out. During an
-// outage it is postponed until the store is back.
+// applyLate applies a transaction after the controller's call has timed out. During an
+// outage, the transaction is postponed until the store is available again.
 func (s *StoreAPI) applyLate(call storeCall) {
 	if s.Now < s.DownUntil {
 		s.After(s.DownUntil-s.Now+s.RandomBetween(0, second), func() { s.applyLate(call) })
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-// LowerStoreLimits makes the store enforce the lower limits from now on.
+// LowerStoreLimits makes the store enforce the lower limits of the configuration.
 func (s *Simulator) LowerStoreLimits() {
 	s.Store.Limits = StoreLimits{WriteRPS: s.config.WriteRPS, ValueBytes: s.config.MaxValueBytes, TxnOps: s.config.MaxTxnOps}
 	s.FaultCounts[FaultStoreLimitsLowered]++
@@ -36,8 +36,8 @@
 	n.set.After(downtime, n.Start)
 }
 
-// IsUpgraded reports whether all nodes run, or will run when started, the current
-// version.
+// IsUpgraded reports whether all nodes run the current version, or will run it once they
+// have been started.
 func (s *nodeSet) IsUpgraded() bool { return len(s.upgradedNodes()) == len(s.Nodes) }
 
 // upgradedNodes returns the nodes with the current version.
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -8,13 +8,14 @@
 const (
 	// userTimeout is how long a user waits for the response to a query.
 	userTimeout = 2 * second
-	// A user polls a job after a random pause between minPollPause and
-	// maxPollPause. Once the job has ended the pause is finalPollFactor times as long.
-	minPollPause    = 2 * second
-	maxPollPause    = 6 * second
+	// A user polls a job at random intervals between minPollInterval and
+	// maxPollInterval. After a final status was reported, the intervals are
+	// finalPollFactor times as long.
+	minPollInterval = 2 * second
+	maxPollInterval = 6 * second
 	finalPollFactor = 5
-	// retryPause is the minimum time before a user retries an unsuccessful request.
-	retryPause = second
+	// retryDelay is the minimum delay before a user retries an unsuccessful request.
+	retryDelay = second
 	// dependencyPollInterval is how often a user checks whether a job's
 	// dependencies have been accepted.
 	dependencyPollInterval = 100 * millisecond
@@ -36,8 +37,8 @@
 	u.trySubmit(job)
 }
 
-// SubmitAfterDependencies submits a job as soon as its dependencies have been
-// accepted. If late is set, it waits until they have ended.
+// SubmitAfterDependencies submits a job as soon as all its dependencies have been accepted
+// or, if late is set, a final status of each was reported.
 func (u *Users) SubmitAfterDependencies(job *Job, late bool) {
 	for _, id := range job.Spec.Dependencies {
 		dependency := u.jobs.Jobs[id]
@@ -54,7 +55,7 @@
 	sentAt := u.Now
 	node := u.submissionTarget(job)
 	if node == nil {
-		u.After(retryPause, func() { u.trySubmit(job) })
+		u.After(retryDelay, func() { u.trySubmit(job) })
 		return
 	}
 	node.SendRequest(submitRequest(job.Spec), func(response messages.Respond) {
@@ -67,8 +68,8 @@
 			if len(job.Spec.Dependencies) > 0 && !u.nodes.IsUpgraded() {
 				u.FaultCounts[FaultDependentRejectedInUpgrade]++
 			}
-			pause := max(retryPause, cluster.Time(response.RetryAfter)*second)
-			u.After(pause, func() { u.trySubmit(job) })
+			delay := max(retryDelay, cluster.Time(response.RetryAfter)*second)
+			u.After(delay, func() { u.trySubmit(job) })
 		}
 	})
 }
@@ -82,7 +83,8 @@
 	return u.nodes.randomNode()
 }
 
-// handleAccepted handles the response to a submission that was sent at sentAt.
+// handleAccepted handles the response to an accepted submission that was sent at sentAt,
+// and starts to poll the job.
 func (u *Users) handleAccepted(job *Job, sentAt cluster.Time, status cluster.JobStatus) {
 	first := !job.Accepted
 	job.Accepted = true
@@ -98,11 +100,11 @@
 
 // poll queries a job's status periodically.
 func (u *Users) poll(job *Job) {
-	pause := u.RandomBetween(minPollPause, maxPollPause)
+	interval := u.RandomBetween(minPollInterval, maxPollInterval)
 	if job.ReportedStatus.IsFinal() {
-		pause *= finalPollFactor
+		interval *= finalPollFactor
 	}
-	u.After(pause, func() {
+	u.After(interval, func() {
 		sentAt := u.Now
 		u.nodes.randomNode().SendRequest(queryRequest(job.Spec.ID), func(response messages.Respond) {
 			u.handlePollResponse(job, sentAt, response)
@@ -111,8 +113,8 @@
 	})
 }
 
-// handlePollResponse handles the response to a query that was sent at sentAt, unless
-// the user's timeout has expired.
+// handlePollResponse handles the response to a query that was sent at sentAt. It ignores a
+// response that arrives after the user's timeout.
 func (u *Users) handlePollResponse(job *Job, sentAt cluster.Time, response messages.Respond) {
 	if u.Now-sentAt > userTimeout {
 		return
@@ -144,12 +146,12 @@
 		case response.Status == messages.StatusJobNotFound && accepted:
 			u.reportViolation("forgotten: cancellation of accepted job %s returned not found", job.Spec.ID)
 		default:
-			u.After(retryPause, func() { u.Cancel(job) })
+			u.After(retryDelay, func() { u.Cancel(job) })
 		}
 	})
 }
 
-// QueryUnknownJob queries a job that was never submitted, which must not succeed.
+// QueryUnknownJob queries a job that was never submitted. The query must not succeed.
 func (u *Users) QueryUnknownJob(id cluster.JobID) {
 	u.nodes.randomNode().SendRequest(queryRequest(id), func(response messages.Respond) {
 		if response.Status == messages.StatusOK {
--- a/internal/simulation/version_filter.go
+++ b/internal/simulation/version_filter.go
@@ -150,8 +150,8 @@
 	})
 }
 
-// withoutDependenciesOfAll returns a JSON array of job records without their
-// dependencies. A value of another type is returned unchanged.
+// withoutDependenciesOfAll returns a JSON array of job records without the dependencies of
+// the jobs. A value of another type is returned unchanged.
 func withoutDependenciesOfAll(list json.RawMessage) json.RawMessage {
 	var records []json.RawMessage
 	if json.Unmarshal(list, &records) != nil {
--- a/internal/simulation/version_filter_test.go
+++ b/internal/simulation/version_filter_test.go
@@ -10,7 +10,7 @@
 	"stairrelay/internal/messages"
 )
 
-// TestProductionRecordsPassUnchanged guards against a filter that changes records
+// TestProductionRecordsPassUnchanged checks that the filter does not change records
 // written by the production version.
 func TestProductionRecordsPassUnchanged(t *testing.T) {
 	text, err := os.ReadFile("../controller/testdata/production/records.json")
@@ -63,7 +63,7 @@
 }
 
 // TestProductionVersionReadsOldMessages checks that new fields are removed from
-// messages that the production version reads, but not for the current version.
+// messages that the production version reads, but not from those for the current version.
 func TestProductionVersionReadsOldMessages(t *testing.T) {
 	proxied := messages.PeerRequest{Message: messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: "j-1", Spec: cluster.JobSpec{Team: "red", Dependencies: []cluster.JobID{"j-0"}}}}}
 	read := filterSubmission(t, ProductionVersion, proxied)
--- a/internal/sockets/budget.go
+++ b/internal/sockets/budget.go
@@ -1,5 +1,5 @@
 // Package sockets limits the sockets that a controller uses for workers, users and its
-// own calls. Without limits, a controller that serves all workers and users alone would
+// own calls. Without limits, a controller that alone serves all workers and users could
 // run out of sockets: connections that users keep open and calls to unresponsive
 // machines would prevent workers and health checks from connecting.
 package sockets
@@ -10,11 +10,11 @@
 	reservedSockets = 16
 	// socketsPerPeer is the number of sockets reserved for each other controller.
 	socketsPerPeer = 8
-	// minSharedSockets is the minimum that is divided between calls and inbound
-	// connections, even if there are fewer sockets.
+	// minSharedSockets is the minimum number of sockets that are divided between calls
+	// to workers and inbound connections, even if the process may open fewer.
 	minSharedSockets = 8
-	// workerCallDivisor gives a tenth of the shared sockets to calls to workers,
-	// and as many to idle connections to workers.
+	// workerCallDivisor reserves a tenth of the shared sockets for calls to workers,
+	// and another tenth for idle connections to workers.
 	workerCallDivisor = 10
 	// minWorkerCalls is the minimum number of concurrent calls to workers.
 	minWorkerCalls = 2
@@ -26,8 +26,8 @@
 	MaxInboundConnections int // connections from workers and users
 }
 
-// NewBudget divides the given number of sockets in a process with the given number of
-// peers. If sockets is 0, the budget has no limits.
+// NewBudget returns the budget of a process that may open the given number of sockets
+// and has the given number of peers. If sockets is 0, the budget has no limits.
 func NewBudget(sockets, peers int) Budget {
 	if sockets <= 0 {
 		return Budget{}
--- a/internal/sockets/budget_test.go
+++ b/internal/sockets/budget_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestBudget checks that the budget has room for the workers of a large site, a few
-// hundred users, a few hundred calls and a reserve.
+// TestBudget checks that the budget of a large site suffices for its workers, 300 users and
+// 300 calls to workers, and leaves at least 30 sockets for other uses.
 func TestBudget(t *testing.T) {
 	for _, test := range []struct{ sockets, peers, workers int }{
 		{3092, 2, 1884},
--- a/internal/sockets/calllimiter.go
+++ b/internal/sockets/calllimiter.go
@@ -10,7 +10,7 @@
 	// addresses.
 	unresponsiveDivisor = 4
 	// maxUnresponsive is the maximum number of addresses recorded as unresponsive.
-	// If there are that many, most belong to machines that no longer exist.
+	// When it is reached, most of them belong to machines that no longer exist.
 	maxUnresponsive = 1 << 14
 )
 
@@ -37,12 +37,12 @@
 	return limiter
 }
 
-// Acquire waits up to the given time for a slot for a call to addr and reports whether
-// it acquired one. The caller must call release exactly once, when the call has ended,
+// Acquire waits until the timeout for a slot for a call to addr and reports whether it
+// acquired one. The caller must then call release exactly once, when the call has ended,
 // and pass whether the address answered.
-func (l *CallLimiter) Acquire(addr string, wait time.Duration) (release func(answered bool), acquired bool) {
+func (l *CallLimiter) Acquire(addr string, timeout time.Duration) (release func(answered bool), acquired bool) {
 	slots := l.semaphoreFor(addr)
-	if !slots.acquire(wait) {
+	if !slots.acquire(timeout) {
 		return nil, false
 	}
 	release = func(answered bool) {
--- a/internal/sockets/connectionlimiter.go
+++ b/internal/sockets/connectionlimiter.go
@@ -16,15 +16,15 @@
 )
 
 // closeWorkersDuration is how long workers are told to close their connections after a
-// new connection found no idle user connection to evict. There may then be far more
-// workers than connections, and workers that kept theirs open would leave none for the
-// others. At other times workers may keep their connections, since a new connection for
-// each heartbeat costs CPU time.
+// new connection exceeded the limit while no user connection was idle. There may then be
+// far more workers than connections, so that open connections of some workers would
+// prevent others from connecting. At other times workers may keep their connections,
+// since a new connection for each heartbeat costs CPU time.
 const closeWorkersDuration = time.Minute
 
 // ConnectionLimiter limits the number of connections of workers and users. When most
-// are in use it tells clients to close their connection after a response, and it closes
-// idle connections to make room for new ones. It is safe for concurrent use.
+// connections are in use, it tells clients to close theirs after a response. When a new
+// connection exceeds the limit, it closes an idle one. It is safe for concurrent use.
 type ConnectionLimiter struct {
 	limit int // 0 means no limit
 
@@ -37,12 +37,12 @@
 	closeWorkersUntil time.Time
 }
 
-// connection is an open connection.
+// connection is an open connection with the role of its client.
 type connection struct {
 	net.Conn
 	role        role
-	idleList    *idleList     // the idle list that contains it, or nil
-	idleElement *list.Element // its element in idleList
+	idleList    *idleList     // the idle list that contains the connection, or nil
+	idleElement *list.Element // the connection's element in idleList
 }
 
 // role is the kind of client of a connection. It is unknown until a request has passed
@@ -64,8 +64,8 @@
 	return &ConnectionLimiter{limit: limit, connections: map[net.Conn]*connection{}}
 }
 
-// NewServer returns a server whose connections count towards the limit. It closes
-// connections that are idle for idleTimeout; otherwise the connection of a machine that
+// NewServer returns a server whose connections count towards the limit. The server closes
+// connections that are idle for idleTimeout. Otherwise the connection of a machine that
 // lost power would stay open forever.
 func (l *ConnectionLimiter) NewServer(handler http.Handler, idleTimeout time.Duration) *http.Server {
 	return &http.Server{
@@ -105,7 +105,7 @@
 }
 
 // connState is the server's ConnState hook. It tracks which connections are open and
-// which of them are idle.
+// which of them are idle, and evicts an idle one if a new connection exceeds the limit.
 func (l *ConnectionLimiter) connState(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,10 +136,10 @@
 }
 
 // evictIdle closes an idle connection if the limit is exceeded. It evicts the user
-// connection that has been idle the longest. If no user connection is idle, it evicts
-// the worker connection that has been idle the shortest, as its next heartbeat is due
-// last. It removes the evicted connection from its list, since connState is called only
-// later and the next new connection must evict a different one.
+// connection that has been idle the longest. If no user connection is idle, it evicts the
+// worker connection that has been idle the shortest, as the next heartbeat on it is due
+// last, and sets closeWorkersUntil. The evicted connection leaves its idle list at once,
+// since connState runs only later and the next new connection must evict another one.
 func (l *ConnectionLimiter) evictIdle() {
 	if l.limit <= 0 || len(l.connections) <= l.limit {
 		return
--- a/internal/sockets/connectionlimiter_test.go
+++ b/internal/sockets/connectionlimiter_test.go
@@ -74,8 +74,8 @@
 	return response.Close, response.Body.Close()
 }
 
-// waitFor waits until condition returns true. If it does not in time, the test fails
-// with the message that describe returns.
+// waitFor waits until condition returns true. After waitTimeout, it fails the test with
+// the message that describe returns.
 func waitFor(t *testing.T, condition func() bool, describe func() string) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
@@ -85,12 +85,12 @@
 	}
 }
 
-// waitForOpenConnections waits until at most the wanted number of connections is open.
-// The server notices a closed connection only after a delay, and it counts until then.
-func waitForOpenConnections(t *testing.T, limiter *ConnectionLimiter, want int) {
+// waitForAtMostOpen waits until the limiter counts at most the given number of open
+// connections. A connection that a client has closed counts until the server notices.
+func waitForAtMostOpen(t *testing.T, limiter *ConnectionLimiter, limit int) {
 	t.Helper()
-	waitFor(t, func() bool { return limiter.OpenConnections() <= want }, func() string {
-		return fmt.Sprintf("%d connections are open, want %d", limiter.OpenConnections(), want)
+	waitFor(t, func() bool { return limiter.OpenConnections() <= limit }, func() string {
+		return fmt.Sprintf("%d connections are open, want at most %d", limiter.OpenConnections(), limit)
 	})
 }
 
@@ -120,8 +120,8 @@
 	return entry, clientConn
 }
 
-// TestMoreWorkersThanConnections checks that every heartbeat is answered when there are
-// more workers than connections. Otherwise workers' leases would expire.
+// TestMoreWorkersThanConnections checks that every heartbeat gets a response when there are
+// more workers than connections, and that at least half of the limit is used but not more.
 func TestMoreWorkersThanConnections(t *testing.T) {
 	const limit, workers, rounds = 32, 128, 3
 	limiter := NewConnectionLimiter(limit)
@@ -140,7 +140,7 @@
 			if closeAnnounced {
 				_ = connections[worker].Close()
 				delete(connections, worker)
-				waitForOpenConnections(t, limiter, len(connections))
+				waitForAtMostOpen(t, limiter, len(connections))
 			}
 			maxOpen = max(maxOpen, limiter.OpenConnections())
 		}
@@ -149,12 +149,12 @@
 		t.Errorf("%d connections were open, want at most %d", maxOpen, limit)
 	}
 	if maxOpen < limit/2 {
-		t.Errorf("at most %d connections were open with a limit of %d, want at least half of them used", maxOpen, limit)
+		t.Errorf("at most %d connections were open with a limit of %d, want at least half of the limit", maxOpen, limit)
 	}
 }
 
-// TestIdleUsersEvictedForWorkers checks that idle connections of users are closed when
-// workers need a connection, and that idle connections of workers are kept.
+// TestIdleUsersEvictedForWorkers checks that new connections of workers evict idle
+// connections of users, the longest idle first, and no connections of workers.
 func TestIdleUsersEvictedForWorkers(t *testing.T) {
 	limiter := NewConnectionLimiter(8)
 	mux := http.NewServeMux()
@@ -177,7 +177,7 @@
 			t.Fatal(err)
 		}
 		if closeAnnounced {
-			t.Errorf("user %d was told to close while connections were available", i)
+			t.Errorf("user %d was told to close the connection while others were available", i)
 		}
 		// The server may mark the connection as idle after the client has read the
 		// response. Evictions depend on the order in which connections become idle.
@@ -186,7 +186,7 @@
 	}
 	closeAnnounced, err := sendRequest(t, dial(t, address), "/v2/x") // takes the last connection
 	if err != nil || !closeAnnounced {
-		t.Errorf("the user with the last connection was not told to close; error %v", err)
+		t.Errorf("the user with the last connection was not told to close it; error %v", err)
 	}
 	for range 3 { // the last two exceed the limit and evict two idle users
 		worker := dial(t, address)
@@ -203,11 +203,11 @@
 			t.Errorf("worker %d lost its connection: %v", i, err)
 		}
 	}
-	waitForOpenConnections(t, limiter, 0) // after the idle timeout
+	waitForAtMostOpen(t, limiter, 0) // after the idle timeout
 }
 
-// TestEvictsForEachNewConnection checks that each of several concurrent new connections
-// evicts a different idle connection. Otherwise the limit would be exceeded.
+// TestEvictsForEachNewConnection checks that each of several new connections evicts a
+// different idle connection, even if no eviction has been reported to connState yet.
 func TestEvictsForEachNewConnection(t *testing.T) {
 	limiter := NewConnectionLimiter(2)
 	var users []net.Conn
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestShortestIdleWorkerEvicted checks that without idle users the worker that was idle
-// the shortest is evicted, as the longest idle one is due to send a heartbeat.
+// TestShortestIdleWorkerEvicted checks that, if no user connection is idle, the worker
+// connection that has been idle the shortest is evicted.
 func TestShortestIdleWorkerEvicted(t *testing.T) {
 	limiter := NewConnectionLimiter(2)
 	longest, _ := addIdleConnection(t, limiter, workerRole)
--- a/internal/sockets/middleware.go
+++ b/internal/sockets/middleware.go
@@ -13,22 +13,23 @@
 	workerCloseShare = 15
 )
 
-// UserMiddleware wraps a handler of user requests. It marks their connections as users'
-// and tells the clients to close them while most connections are in use.
+// UserMiddleware wraps a handler of user requests. It marks the connections of the
+// requests as users' and tells the clients to close them while most connections are in
+// use.
 func (l *ConnectionLimiter) UserMiddleware(handler http.Handler) http.Handler {
 	return middleware(handler, l.recordUser)
 }
 
-// WorkerMiddleware wraps a handler of worker requests. It marks their connections as
-// workers' and tells the clients to close them while nearly all connections are in use,
-// and for closeWorkersDuration after a new connection found no idle user connection to
-// evict.
+// WorkerMiddleware wraps a handler of worker requests. It marks the connections of the
+// requests as workers' and tells the workers to close them while nearly all connections
+// are in use, and for closeWorkersDuration after a new connection exceeded the limit while no user
+// connection was idle.
 func (l *ConnectionLimiter) WorkerMiddleware(handler http.Handler) http.Handler {
 	return middleware(handler, l.recordWorker)
 }
 
-// middleware calls record with the connection of each request. If record returns true,
-// the response tells the client to close the connection.
+// middleware wraps a handler and calls record with the connection of each request. If
+// record returns true, the response tells the client to close the connection.
 func middleware(handler http.Handler, record func(*connection) (shouldClose bool)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if entry, ok := r.Context().Value(connectionKey{}).(*connection); ok && record(entry) {
--- a/internal/sockets/semaphore.go
+++ b/internal/sockets/semaphore.go
@@ -9,8 +9,8 @@
 // newSemaphore returns a semaphore with the given number of slots, but at least one.
 func newSemaphore(slots int) semaphore { return make(semaphore, max(slots, 1)) }
 
-// acquire waits up to the given time for a slot and reports whether it acquired one.
-func (s semaphore) acquire(wait time.Duration) bool {
+// acquire waits until the timeout for a slot and reports whether it acquired one.
+func (s semaphore) acquire(timeout time.Duration) bool {
 	if s == nil {
 		return true
 	}
@@ -19,7 +19,7 @@
 		return true
 	default: // no slot is free: wait for one with a timer
 	}
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case s <- struct{}{}:
--- a/internal/store/outcomes_test.go
+++ b/internal/store/outcomes_test.go
@@ -15,7 +15,7 @@
 }
 
 // TestUndecodableResponses checks the outcome of each status with a body that can't be
-// decoded. A transaction that may have been applied must not be reported as not applied.
+// decoded. A transaction that may have been applied must not be reported as NotApplied.
 func TestUndecodableResponses(t *testing.T) {
 	const (
 		unknown    = messages.UnknownOutcome
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestInterruptedList checks that a list has no items if a later page can't be read, since
-// the missing keys would look deleted.
+// TestInterruptedList checks that the reply has no items if a later page can't be read. The
+// keys missing from an incomplete list would be taken for deleted.
 func TestInterruptedList(t *testing.T) {
 	respond := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("since") != "" {
--- a/internal/store/requests_test.go
+++ b/internal/store/requests_test.go
@@ -8,7 +8,8 @@
 	"stairrelay/internal/wire/wiretest"
 )
 
-// TestRequests checks that the requests to the store are unchanged byte for byte.
+// TestRequests checks the exact method, URI, content type and body of each request to the
+// store.
 func TestRequests(t *testing.T) {
 	txn := messages.StoreTxn{
 		If:   []messages.Compare{{Key: "jobs/j-1", ModRevision: 0}},
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,7 +16,8 @@
 const (
 	dialTimeout = time.Second
 	callTimeout = 1200 * time.Millisecond
-	// watchTimeoutMargin is added to the timeout of a watch to get that of its HTTP call.
+	// watchTimeoutMargin is how much longer the timeout of a watch's HTTP call is than
+	// the timeout of the watch.
 	watchTimeoutMargin = 3 * time.Second
 	// throttleBackoff is the delay before a throttled read of a page is retried.
 	throttleBackoff = 200 * time.Millisecond
@@ -46,8 +47,9 @@
 	}
 }
 
-// Do starts a call and returns immediately. Calls have timeouts but are never cancelled,
-// because the controller waits for the reply to each effect.
+// Do starts the call for an effect and returns immediately. The reply is passed to the
+// function given to New. Calls have timeouts but are never cancelled, because the
+// controller waits for the reply to each effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
 	switch effect := effect.(type) {
@@ -103,8 +105,9 @@
 	return messages.GetReply{Outcome: messages.OK, KV: kv}
 }
 
-// list reads all pages of a list. It returns the revision of the first page, so that a
-// watch from there returns all changes made while the other pages are read.
+// list reads all pages of a list. The reply has the revision of the first page, so that a
+// watch from that revision returns all changes made while the other pages were read. If a
+// page cannot be read, the reply has no items.
 func (c *Client) list(ctx context.Context, list messages.StoreList) messages.ListReply {
 	page, err := c.readPage(ctx, list.Prefix, "")
 	if err != nil {
@@ -123,8 +126,8 @@
 	return reply
 }
 
-// readNextPage reads a page after the first one. It retries a throttled read, because
-// restarting the whole list would take even more requests.
+// readNextPage reads a page after the first one. It retries while the read is throttled,
+// because restarting the whole list would take even more requests.
 func (c *Client) readNextPage(ctx context.Context, prefix, lastKey string) (wire.KVPage, error) {
 	for {
 		page, err := c.readPage(ctx, prefix, lastKey)
@@ -159,8 +162,8 @@
 	}
 	changes, err := wire.CallAndDecode(ctx, c.watchService, call, wire.DecodeKVPage)
 	// The response contains all changes and is not paginated. If it exceeds the size
-	// limit, a retry would fail in the same way, so the reply makes the caller list the
-	// keys instead.
+	// limit, a retry would fail in the same way, so the outcome is Compacted, which makes
+	// the controller list the keys instead.
 	if errors.Is(err, wire.ErrResponseTooLarge) || wire.IsStatus(err, http.StatusGone) {
 		return messages.WatchReply{Outcome: messages.Compacted}
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestOutcomes checks the outcome of each status. A call must not be reported as executed
-// if it may have failed.
+// TestOutcomes checks the outcomes of responses. A transaction must not be reported as
+// applied if it may have failed.
 func TestOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		effect messages.Effect
@@ -92,13 +92,13 @@
 		{messages.StoreWatch{}, 200, `{"events":[]}`, fmt.Sprint(messages.WatchReply{Outcome: messages.UnknownOutcome})},
 	} {
 		if got := fmt.Sprint(execute[any](t, wiretest.ServeStatus(t, test.status, test.body), test.effect)); got != test.want {
-			t.Errorf("%T answered %d %s: got %s, want %s", test.effect, test.status, test.body, got, test.want)
+			t.Errorf("%T, response %d %s: got %s, want %s", test.effect, test.status, test.body, got, test.want)
 		}
 	}
 }
 
-// TestWatchTooLarge checks that the outcome of a watch is Compacted if its response exceeds
-// the size limit. With UnknownOutcome, the same watch would be retried forever.
+// TestWatchTooLarge checks that the outcome of a watch, but not of a list, is Compacted if
+// the response is too large. With UnknownOutcome, the watch would be retried forever.
 func TestWatchTooLarge(t *testing.T) {
 	respond := func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"epoch":4,"events":[`))
--- a/internal/users/users.go
+++ b/internal/users/users.go
@@ -12,8 +12,8 @@
 	"stairrelay/internal/wire"
 )
 
-// retryAfterSeconds is the Retry-After value of a request that the controller did not answer
-// in time.
+// retryAfterSeconds is the Retry-After header of the response to a request for which the
+// controller returned no response.
 const retryAfterSeconds = 1
 
 // Handler returns a handler of users' requests, health checks and heartbeats. It passes
@@ -57,8 +57,8 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		// If a job with this ID exists, the user must not get a 400 for a repeated
-		// submission. Only the controller knows whether it exists.
+		// If a job with this ID exists, this is a repeated submission and must not be
+		// rejected. Only the controller knows whether the job exists.
 		submit.Rejection = messages.StatusBadRequest
 		submit.Reason = err.Error()
 	}
@@ -90,13 +90,14 @@
 }
 
 // jobIDFromPath returns the job ID in the path of a request and reports whether it is
-// valid. No job has an invalid ID.
+// valid. If it is not, the job cannot exist.
 func jobIDFromPath(r *http.Request) (cluster.JobID, bool) {
 	id := r.PathValue("id")
 	return cluster.JobID(id), wire.IsValidJobID(id)
 }
 
-// serve passes a request to the controller and writes the response.
+// serve passes a request to the controller and writes the controller's response, or status
+// 503 if there is none.
 func (h *handler) serve(w http.ResponseWriter, r *http.Request, makeEvent func(messages.RequestID) messages.Event) {
 	response, answered := h.requester.Request(r.Context(), makeEvent)
 	if !answered {
--- a/internal/users/users_test.go
+++ b/internal/users/users_test.go
@@ -22,7 +22,8 @@
 // maxBodySize is the protocol's limit for the size of a request body.
 const maxBodySize = 64 << 10
 
-// The header that records which handler a request went through, and its values.
+// The response header that names the part of newHandler that served the request, and its
+// values.
 const (
 	handledByHeader = "Handled-By"
 	userMiddleware  = "user middleware"
@@ -73,7 +74,7 @@
 		t.Run(name, func(t *testing.T) {
 			got := serve(t, &wiretest.FakeRequester{Response: test.response}, http.MethodGet, "/v2/runs/j-000412", "")
 			if got.Code != test.status || got.Body.String() != test.body {
-				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.body)
+				t.Errorf("response %d %q, want %d %q", got.Code, got.Body, test.status, test.body)
 			}
 			if contentType := got.Header().Get("Content-Type"); contentType != test.contentType {
 				t.Errorf("Content-Type %q, want %q", contentType, test.contentType)
@@ -120,7 +121,7 @@
 			requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.StatusOK}}
 			got := serve(t, requester, test.method, test.path, test.body)
 			if got.Code != test.status || got.Body.String() != test.responseBody {
-				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.responseBody)
+				t.Errorf("response %d %q, want %d %q", got.Code, got.Body, test.status, test.responseBody)
 			}
 			if handledBy := got.Header().Get(handledByHeader); handledBy != userMiddleware {
 				t.Errorf("handled by %q, want %q", handledBy, userMiddleware)
@@ -158,11 +159,11 @@
 	padded := func(length int) string { return validSubmission + strings.Repeat(" ", length-len(validSubmission)) }
 	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.StatusCreated}}
 	if got := serve(t, requester, http.MethodPost, "/v2/runs", padded(maxBodySize)); got.Code != http.StatusCreated {
-		t.Errorf("largest body: answered %d %q", got.Code, got.Body)
+		t.Errorf("largest body: response %d %q, want 201", got.Code, got.Body)
 	}
 	got := serve(t, requester, http.MethodPost, "/v2/runs", padded(maxBodySize+1))
 	if got.Code != http.StatusBadRequest || got.Body.String() != "body unreadable or too large\n" {
-		t.Errorf("oversized body: answered %d %q", got.Code, got.Body)
+		t.Errorf("oversized body: response %d %q, want 400", got.Code, got.Body)
 	}
 	if events := requester.Events(); len(events) != 1 {
 		t.Errorf("%d events, want only that for the largest body", len(events))
@@ -187,12 +188,12 @@
 	request := httptest.NewRequestWithContext(ctx, http.MethodGet, "/v2/runs/j-7", nil)
 	newHandler(&wiretest.FakeRequester{NoResponse: true}).ServeHTTP(recorder, request)
 	if retryAfter := recorder.Header().Get("Retry-After"); recorder.Code != http.StatusServiceUnavailable || retryAfter != "1" {
-		t.Errorf("answered %d, Retry-After %q", recorder.Code, retryAfter)
+		t.Errorf("status %d, Retry-After %q; want 503 and 1", recorder.Code, retryAfter)
 	}
 }
 
 // TestUserDisconnects checks that the handler stops waiting for the controller when the user
-// closes the connection, since a goroutine would leak otherwise.
+// closes the connection. Otherwise the handler's goroutine would leak.
 func TestUserDisconnects(t *testing.T) {
 	wiretest.CheckClientDisconnect(t, newHandler, http.MethodGet, "/v2/runs/j-7", "")
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -39,7 +39,7 @@
 	http *http.Client
 }
 
-// NewClient returns a Client with the given options.
+// NewClient returns a Client whose connections are limited by the given options.
 func NewClient(options ClientOptions) *Client {
 	dialer := &net.Dialer{Timeout: options.DialTimeout, KeepAlive: -1}
 	transport := &http.Transport{
@@ -70,9 +70,10 @@
 	Body   []byte
 }
 
-// Do sends a request and reads the whole response. The error wraps ErrNotSent if the
-// request is malformed or no connection could be established. After any other error the
-// request may have been applied, or may be applied later.
+// Do sends a request and reads the whole response. The error is ErrResponseTooLarge if
+// the body of the response exceeds MaxResponseSize, and wraps ErrNotSent if the request
+// could not be created or dialing the server failed. After any other error the request
+// may have been applied, or may be applied later.
 func (c *Client) Do(ctx context.Context, request Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
@@ -107,15 +108,15 @@
 	return httpRequest, nil
 }
 
-// classifyCallError wraps err in ErrNotSent if no connection was established. Otherwise
-// the request may have been applied.
+// classifyCallError wraps an error of a call that got no response. The result also wraps
+// ErrNotSent if dialing the server failed. Otherwise the request may have been applied.
 func classifyCallError(err error) error {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	return fmt.Errorf("sending request: %w", err)
+	return fmt.Errorf("no response received: %w", err)
 }
 
-// BaseURL returns the URL of a host:port address, without a path.
+// BaseURL returns the HTTP URL of a host:port address, without a path.
 func BaseURL(address string) string { return "http://" + address }
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// TestErrNotSent checks that ErrNotSent is returned if no connection could be established.
+// TestErrNotSent checks that the error wraps ErrNotSent if the connection is refused or the
+// address is malformed, but not if the address is empty.
 func TestErrNotSent(t *testing.T) {
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -160,7 +161,7 @@
 	if !ok || typeErr.Name != "x" {
 		t.Errorf("machine types: error %#v", typeErr)
 	}
-	taskErr, ok := errors.AsType[*UnknownTaskError](decoders["heartbeat"]([]byte(`{"coach":"m-1","shift":1,"legs":[{"leg":"j-1/0","status":"flying"}]}`)))
+	taskErr, ok := errors.AsType[*InvalidTaskStatusError](decoders["heartbeat"]([]byte(`{"coach":"m-1","shift":1,"legs":[{"leg":"j-1/0","status":"flying"}]}`)))
 	if !ok || taskErr.Task != "j-1/0" || taskErr.State != "flying" {
 		t.Errorf("heartbeat: error %#v", taskErr)
 	}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// scaleOutRequest is the JSON encoding of a scale-out. The fields are in the order of
+// scaleOutRequest is the JSON encoding of a scale-out request. The fields are in the order of
 // their JSON names, which is the order on the wire in all versions.
 type scaleOutRequest struct {
 	Name  string `json:"charter"`
@@ -74,7 +74,7 @@
 	Zone  string `json:"yard"`
 }
 
-// EncodeScaleOut encodes the request of a scale-out.
+// EncodeScaleOut encodes the body of a scale-out request.
 func EncodeScaleOut(scaleOut messages.CloudScaleOut) []byte {
 	return marshal(scaleOutRequest{
 		Name:  scaleOut.Name,
@@ -85,12 +85,12 @@
 	})
 }
 
-// scaleInRequest is the JSON encoding of a scale-in.
+// scaleInRequest is the JSON encoding of a scale-in request.
 type scaleInRequest struct {
 	IDs []cluster.MachineID `json:"coaches"`
 }
 
-// EncodeScaleIn encodes the request of a scale-in.
+// EncodeScaleIn encodes the body of a scale-in request.
 func EncodeScaleIn(ids []cluster.MachineID) []byte { return marshal(scaleInRequest{IDs: ids}) }
 
 // DecodeScaleOutResponse decodes the IDs of the machines that a scale-out created. A
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -11,8 +11,8 @@
 
 // Errors of calls without a usable response.
 var (
-	// ErrNotSent means that the request did not reach the server.
-	ErrNotSent = errors.New("not sent")
+	// ErrNotSent means that the request did not reach the server and was not applied.
+	ErrNotSent = errors.New("request not sent")
 	// ErrResponseTooLarge means that the response was larger than MaxResponseSize and
 	// was discarded.
 	ErrResponseTooLarge = errors.New("response too large")
@@ -63,15 +63,15 @@
 	return fmt.Sprintf("machine type %q has no name or no CPUs", e.Name)
 }
 
-// UnknownTaskError reports a task in a heartbeat whose ID is invalid or whose state is
-// unknown.
-type UnknownTaskError struct {
+// InvalidTaskStatusError reports a task in a heartbeat whose ID is invalid or whose state
+// is unknown.
+type InvalidTaskStatusError struct {
 	Task  string
 	State string
 }
 
 // Error names the task and its state.
-func (e *UnknownTaskError) Error() string {
+func (e *InvalidTaskStatusError) Error() string {
 	return fmt.Sprintf("task %q in state %q has an invalid ID or an unknown state", e.Task, e.State)
 }
 
--- a/internal/wire/json_client.go
+++ b/internal/wire/json_client.go
@@ -12,7 +12,7 @@
 	baseURL string
 }
 
-// NewJSONClient returns a client for the service at an address.
+// NewJSONClient returns a client for the service at a host:port address.
 func NewJSONClient(address string, options ClientOptions) *JSONClient {
 	return &JSONClient{client: NewClient(options), baseURL: BaseURL(address)}
 }
@@ -44,7 +44,8 @@
 	return response.Body, nil
 }
 
-// CallAndDecode sends a request and decodes the body of the response.
+// CallAndDecode sends a request and decodes the body of the response. The error is that of
+// the call or of decode.
 func CallAndDecode[T any](ctx context.Context, client *JSONClient, call Call, decode func([]byte) (T, error)) (T, error) {
 	body, err := client.Call(ctx, call)
 	if err != nil {
--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -44,8 +44,8 @@
 	timeoutParameter  = "blockMs"
 )
 
-// MachinesPath returns the path of a page of the machine list. The page starts with the
-// machine that follows after; an empty after selects the first page.
+// MachinesPath returns the path of the page of the machine list that begins after the
+// given machine, or of the first page if the machine ID is empty.
 func MachinesPath(after cluster.MachineID, pageSize int) string {
 	query := url.Values{pageSizeParameter: {strconv.Itoa(pageSize)}}
 	if after != "" {
@@ -57,8 +57,8 @@
 // KeyPath returns the path of a key. The store expects slashes in the key unescaped.
 func KeyPath(key string) string { return keysPath + "/" + key }
 
-// KeysPath returns the path of a page of the keys with a prefix. The page starts with
-// the key that follows after; an empty after selects the first page.
+// KeysPath returns the path of the page of the keys with a prefix that begins after the
+// given key, or of the first page if that key is empty.
 func KeysPath(prefix, after string, pageSize int) string {
 	query := url.Values{
 		prefixParameter:   {prefix},
@@ -71,7 +71,7 @@
 }
 
 // WatchPath returns the path of a watch of the keys with a prefix. The watch reports
-// changes after the given revision and waits for them until the timeout.
+// changes after the given revision, and waits for one until the timeout if there is none.
 func WatchPath(prefix string, after cluster.Revision, timeout time.Duration) string {
 	query := url.Values{
 		prefixParameter:  {prefix},
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -12,8 +12,8 @@
 const (
 	// submissionBody is the kind of body of a submission, as named in errors.
 	submissionBody = "submission"
-	// noMachineType replaces an empty list of machine types, which allows none. A
-	// missing list allows all types.
+	// noMachineType replaces an empty list of machine types, so that the job fits no
+	// machine type. A missing list allows all types.
 	noMachineType = "-"
 	// amountRoundingTolerance keeps ceilAmount from adding a millionth because of a
 	// floating-point error. For example, 4.03*1e6 is slightly more than 4,030,000.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,8 +1,8 @@
 // Package wire implements the external protocols: the JSON encoding of requests and
 // responses, the paths of all endpoints, and the HTTP client that calls them.
 //
-// The protocols use names of their own, which only this package knows. The other
-// packages use the terms in the right column.
+// The protocols use the names in the left column. The other packages use the terms in
+// the right column instead.
 //
 //	user API            | term
 //	--------------------+-------------------------------------------------
@@ -74,9 +74,9 @@
 // MaxBodySize is the protocol's size limit for request bodies, in bytes.
 const MaxBodySize = 64 << 10
 
-// marshal encodes a payload as JSON. It returns nil if the payload contains a stored
-// value that is not valid JSON or a number that is not finite. The controller produces
-// neither. If it did, the receiver would reject the request, as it would have no body.
+// marshal encodes a payload as JSON. It returns nil if the payload contains a
+// json.RawMessage that is not valid JSON or a number that is not finite. The controller
+// produces neither; a receiver would reject a request without a body.
 func marshal(payload any) []byte {
 	text, err := json.Marshal(payload)
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestInvalidSubmissions checks that invalid submissions are rejected. A valid ID must
-// still be returned, since the job may already exist.
+// TestInvalidSubmissions checks that invalid submissions are rejected, and that a valid ID
+// is still returned, since the job may already exist.
 func TestInvalidSubmissions(t *testing.T) {
 	for name, test := range map[string]struct {
 		from, to string
--- a/internal/wire/wiretest/clients.go
+++ b/internal/wire/wiretest/clients.go
@@ -11,8 +11,8 @@
 	"stairrelay/internal/messages"
 )
 
-// ExecutorFactory creates a client for the service at an address and returns its method
-// that executes effects.
+// ExecutorFactory creates a client for the service at an address and returns the
+// client's method that executes effects.
 type ExecutorFactory func(address string, reply engine.ReplyFunc) func(messages.Effect)
 
 // execute executes an effect with a client for the service at an address and returns
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -16,8 +16,8 @@
 	"stairrelay/internal/messages"
 )
 
-// replyTimeout is how long a test waits for the reply to an effect. It is longer than
-// the timeout of any call.
+// replyTimeout is how long a test waits for the reply to an effect or for a
+// cancellation. It is longer than the timeouts of the calls under test.
 const replyTimeout = 10 * time.Second
 
 // Serve starts a server, which is closed when the test ends, and returns its address.
@@ -52,8 +52,8 @@
 type FakeRequester struct {
 	// Response is the response to each request.
 	Response messages.Respond
-	// NoResponse makes Request wait until the context is cancelled, and return no
-	// response.
+	// NoResponse makes Request wait until the context is cancelled, and then return
+	// no response.
 	NoResponse bool
 
 	mu     sync.Mutex
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -11,11 +11,13 @@
 const heartbeatBody = "heartbeat"
 
 const (
-	// maxMachineIDLength keeps the records of a machine within the store's limits.
+	// maxMachineIDLength keeps the records that contain a machine ID within the store's
+	// limit for the size of a value.
 	maxMachineIDLength = 150
-	// unsafePathCharacters are not allowed in a machine ID, since it becomes part
-	// of the path of a key.
-	unsafePathCharacters = " /?#%"
+	// forbiddenMachineIDCharacters are not allowed in a machine ID. The ID is the first
+	// of the space-separated fields of a machine entry in a group record, so a space
+	// would corrupt the entry. The other characters have a special meaning in URLs.
+	forbiddenMachineIDCharacters = " /?#%"
 	// noPreemptionNotice is the PreemptionNotice of a machine that has received
 	// none.
 	noPreemptionNotice = -1
@@ -64,7 +66,9 @@
 }
 
 // DecodeHeartbeatStatus decodes the status that a worker sends in a heartbeat, or in
-// response to a command push or a status query.
+// response to a command push or a status query. A body without a valid machine ID or
+// without an incarnation is an error, and so is a task with an invalid ID or an unknown
+// state.
 func DecodeHeartbeatStatus(body []byte) (cluster.HeartbeatStatus, error) {
 	var payload heartbeatStatus
 	if err := unmarshal(body, heartbeatBody, &payload); err != nil {
@@ -97,16 +101,16 @@
 	return decoded, nil
 }
 
-// isValidMachineID reports whether a machine ID can be a component of a key.
+// isValidMachineID reports whether a machine ID can be stored in a group record.
 func isValidMachineID(id string) bool {
-	return id != "" && len(id) <= maxMachineIDLength && !strings.ContainsAny(id, unsafePathCharacters)
+	return id != "" && len(id) <= maxMachineIDLength && !strings.ContainsAny(id, forbiddenMachineIDCharacters)
 }
 
 func (t *taskStatus) decode() (cluster.TaskStatus, error) {
 	task, wellFormed := cluster.ParseTaskID(t.Task)
 	state, known := taskStates[t.State]
 	if !wellFormed || !known {
-		return cluster.TaskStatus{}, &UnknownTaskError{Task: t.Task, State: t.State}
+		return cluster.TaskStatus{}, &InvalidTaskStatusError{Task: t.Task, State: t.State}
 	}
 	decoded := cluster.TaskStatus{
 		Task:         task,
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -23,7 +23,8 @@
 	loggedErrors *logDeduplicator
 }
 
-// ServeHTTP passes a heartbeat to the controller and responds with its commands.
+// ServeHTTP passes a heartbeat to the controller and writes the controller's response:
+// commands, a redirection or an error.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodySize))
 	if err != nil {
@@ -40,7 +41,7 @@
 	heartbeat := func(id messages.RequestID) messages.Event { return messages.Heartbeat{Request: id, Status: status} }
 	response, answered := h.requester.Request(r.Context(), heartbeat)
 	if !answered {
-		http.Error(w, "given up", http.StatusServiceUnavailable)
+		http.Error(w, "given up", http.StatusServiceUnavailable) // no response; same text in all releases
 		return
 	}
 	if response.Heartbeat == nil {
@@ -54,7 +55,8 @@
 	_, _ = w.Write(wire.EncodeHeartbeatResponse(response.Status, *response.Heartbeat))
 }
 
-// logMalformed logs an error unless the same error of the same host has been logged before.
+// logMalformed logs an error unless the same error of the same host has been logged before
+// or too many errors have been logged.
 func (h *handler) logMalformed(remoteAddress string, err error) {
 	host, _, splitErr := net.SplitHostPort(remoteAddress) // the port differs between connections
 	if splitErr != nil {
@@ -65,7 +67,8 @@
 	}
 }
 
-// maxLoggedErrors limits the number of malformed heartbeats that are logged.
+// maxLoggedErrors limits the number of malformed heartbeats that are logged. Once more than
+// this number have been logged, no further ones are.
 const maxLoggedErrors = 1000
 
 // logDeduplicator records what has been logged, so that a worker that repeats a malformed
@@ -75,7 +78,8 @@
 	seen map[string]bool
 }
 
-// add adds a key. It reports false if the key was added before or the limit is reached.
+// add adds a key and reports whether it did. It does not add a key that was added before,
+// nor any key once there are more than maxLoggedErrors.
 func (d *logDeduplicator) add(key string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/workers/handler_test.go
+++ b/internal/workers/handler_test.go
@@ -74,7 +74,7 @@
 			requester := &wiretest.FakeRequester{Response: test.response}
 			got := serveHeartbeat(t, newTestHandler(requester), validHeartbeat)
 			if got.Code != test.status || got.Body.String() != test.body {
-				t.Errorf("answered %d %q, want %d %q", got.Code, got.Body, test.status, test.body)
+				t.Errorf("response %d %q, want %d %q", got.Code, got.Body, test.status, test.body)
 			}
 			if contentType := got.Header().Get("Content-Type"); contentType != test.contentType {
 				t.Errorf("Content-Type %q, want %q", contentType, test.contentType)
@@ -101,7 +101,7 @@
 			requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.StatusOK}}
 			got := serveHeartbeat(t, newTestHandler(requester), test.body)
 			if got.Code != http.StatusBadRequest || got.Body.String() != test.responseBody {
-				t.Errorf("answered %d %q, want 400 %q", got.Code, got.Body, test.responseBody)
+				t.Errorf("response %d %q, want 400 %q", got.Code, got.Body, test.responseBody)
 			}
 			if events := requester.Events(); len(events) != 0 {
 				t.Errorf("events %+v, want none", events)
@@ -115,12 +115,12 @@
 	body := validHeartbeat + strings.Repeat(" ", maxBodySize-len(validHeartbeat))
 	requester := &wiretest.FakeRequester{Response: messages.Respond{Status: messages.StatusOK, Heartbeat: &messages.HeartbeatResponse{}}}
 	if got := serveHeartbeat(t, newTestHandler(requester), body); got.Code != http.StatusOK {
-		t.Errorf("answered %d %q", got.Code, got.Body)
+		t.Errorf("response %d %q, want 200", got.Code, got.Body)
 	}
 }
 
-// TestMalformedHeartbeatLoggedOnce checks that a worker that repeats a malformed heartbeat
-// does not flood the log, and that the total number of such log lines is limited.
+// TestMalformedHeartbeatLoggedOnce checks that a malformed heartbeat that a host repeats is
+// logged once, and that the total number of such log lines is limited.
 func TestMalformedHeartbeatLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
 	handler := Handler(&wiretest.FakeRequester{}, slog.New(slog.NewTextHandler(&log, nil)))
@@ -151,12 +151,12 @@
 	request := httptest.NewRequestWithContext(ctx, http.MethodPost, "/checkin", strings.NewReader(validHeartbeat))
 	newTestHandler(&wiretest.FakeRequester{NoResponse: true}).ServeHTTP(recorder, request)
 	if recorder.Code != http.StatusServiceUnavailable || recorder.Body.String() != "given up\n" {
-		t.Errorf("answered %d %q", recorder.Code, recorder.Body)
+		t.Errorf("response %d %q, want 503", recorder.Code, recorder.Body)
 	}
 }
 
 // TestWorkerDisconnects checks that the handler stops waiting for the controller when the
-// worker closes the connection, as it does after a timeout of 4s.
+// worker closes the connection, as workers do after a timeout of 4s.
 func TestWorkerDisconnects(t *testing.T) {
 	wiretest.CheckClientDisconnect(t, newTestHandler, http.MethodPost, "/checkin", validHeartbeat)
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -1,4 +1,4 @@
-// Package workers sends commands to workers and serves their heartbeats.
+// Package workers sends commands and status queries to workers and serves their heartbeats.
 package workers
 
 import (
@@ -28,8 +28,8 @@
 	reply   engine.ReplyFunc
 }
 
-// New returns a Client that makes at most the given number of concurrent calls, or any
-// number if it is 0. The Client passes the replies to the given function.
+// New returns a Client that passes the replies to the given function. The Client makes at
+// most the given number of concurrent calls; 0 means no limit.
 func New(calls int, reply engine.ReplyFunc) *Client {
 	return &Client{
 		client:  wire.NewClient(wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: 1, MaxIdleConns: calls}),
@@ -38,9 +38,9 @@
 	}
 }
 
-// Do starts to push commands or to query a status, and returns immediately. Calls have
-// timeouts but are never cancelled, because the controller waits for the reply to each
-// effect.
+// Do starts to push commands or to query a status, and returns immediately. The reply is
+// passed to the function given to New. Calls have timeouts but are never cancelled, because
+// the controller waits for the reply to each effect.
 func (c *Client) Do(effect messages.Effect) {
 	ctx := context.Background()
 	switch effect := effect.(type) {
@@ -69,7 +69,8 @@
 	})
 }
 
-// send waits for a free slot and makes a call.
+// send waits for a free slot and makes a call. The outcome is NotApplied if no slot becomes
+// free within slotTimeout.
 func (c *Client) send(ctx context.Context, address string, request wire.Request) messages.WorkerReply {
 	release, acquired := c.limiter.Acquire(address, slotTimeout)
 	if !acquired {
@@ -81,8 +82,9 @@
 	return reply
 }
 
-// call makes a call. The outcome is NotApplied only if no connection was made. Otherwise a
-// hung machine may still receive the commands and execute them minutes later.
+// call makes a call without waiting for a slot. After a failure, the outcome is NotApplied
+// only if the request was not sent. Otherwise a machine that hangs may still receive the
+// commands and execute them minutes later.
 func (c *Client) call(ctx context.Context, request wire.Request) messages.WorkerReply {
 	response, err := c.client.Do(ctx, request)
 	if errors.Is(err, wire.ErrNotSent) {
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -16,7 +16,8 @@
 	return wiretest.Execute[messages.WorkerReply](t, func(reply engine.ReplyFunc) { New(0, reply).Do(effect) })
 }
 
-// TestRequests checks that the requests to workers are unchanged byte for byte.
+// TestRequests checks the exact method, URI, content type and body of each request to a
+// worker, and that the status in the response is decoded.
 func TestRequests(t *testing.T) {
 	stop := cluster.Command{Kind: cluster.Stop, Task: cluster.TaskID{Job: "j-000377", Index: 1}, Attempt: 1, GraceSeconds: 10}
 	for name, test := range map[string]struct {
@@ -46,8 +47,8 @@
 	}
 }
 
-// TestOutcomes checks the outcome of each response. Commands that may have been executed
-// must not be reported as not applied.
+// TestOutcomes checks the outcomes of responses. Commands that may have been executed must
+// not be reported as NotApplied.
 func TestOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
 		status int
@@ -71,7 +72,7 @@
 }
 
 // TestNoConnection checks that the outcome is NotApplied if the connection is refused, and
-// unknown if it is closed without a response.
+// UnknownOutcome if it is closed without a response.
 func TestNoConnection(t *testing.T) {
 	if got := callWorker(t, messages.PushCommands{Addr: wiretest.UnusedAddress(t)}); got.Outcome != messages.NotApplied {
 		t.Errorf("refused: outcome %v, want NotApplied", got.Outcome)
