--- a/cmd/stairrelay/command.go
+++ b/cmd/stairrelay/command.go
@@ -48,7 +48,7 @@
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.Flags().StringVar(&opts.configPath, "config", "", "the platform's settings file (TOML)")
 	root.PersistentFlags().StringVar(&opts.operatorsPath, "operators", os.Getenv(operatorsEnv),
-		"the operators' settings file (JSON); also "+operatorsEnv)
+		"the operators' settings file (JSON); defaults to the value of "+operatorsEnv)
 	root.AddCommand(&cobra.Command{
 		Use:   "check-config FILE",
 		Short: "Check the settings without starting a controller",
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -11,7 +11,7 @@
 )
 
 // MaxMessageSize is the maximum size of an encoded message in bytes. The text of
-// ErrTooLarge contains it.
+// ErrTooLarge contains this limit.
 const MaxMessageSize = 1 << 20
 
 // Limits of the decoder, so that a malformed message cannot exhaust memory or the stack.
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -8,7 +8,7 @@
 	maxSeconds  = 1e7 // about 116 days
 	maxRate     = 1e9 // requests per second
 	maxQuota    = 1e9 // CPUs or GPUs
-	maxSize     = 1e9 // MB or KB, the unit of the field
+	maxSize     = 1e9 // in the unit of the field, MB or KB
 	maxCPUShare = 1e4 // CPU cores
 	maxCount    = 1e9
 )
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -76,8 +76,8 @@
 	return compiler.Compile(schemaName)
 }
 
-// firstCause converts a schema validation error into a *FieldError for the innermost of
-// its first causes, with the problem in one line. It returns any other error unchanged.
+// firstCause converts a schema validation error into a *FieldError for its first
+// innermost cause, with the problem in one line. It returns any other error unchanged.
 func firstCause(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -57,9 +57,8 @@
 
 // Load reads and validates the platform file and, unless operatorsPath is empty, the
 // operators' file. Settings that the operators' file does not contain have their default
-// values. The error wraps a *FieldError if a field is invalid, a *SyntaxError
-// if the platform file cannot be decoded, and the error of package os if a file cannot
-// be read.
+// values. The error wraps a *FieldError if a field is invalid, a *SyntaxError if the
+// platform file cannot be decoded, and the error of package os if a file cannot be read.
 func Load(platformPath, operatorsPath string) (*Settings, error) {
 	settings, err := loadPlatform(platformPath)
 	if err != nil {
--- a/internal/simulation/fake_store.go
+++ b/internal/simulation/fake_store.go
@@ -119,8 +119,8 @@
 	s.changeLog = append(s.changeLog, kv)
 }
 
-// Get returns a key with its value. The outcome is messages.NotFound if the key does not
-// exist.
+// Get returns a key with its value and mod revision. The outcome is messages.NotFound if
+// the key does not exist.
 func (s *FakeStore) Get(key string) messages.GetReply {
 	kv, ok := s.keys[key]
 	if !ok {
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -36,8 +36,8 @@
 	s.send(worker)
 }
 
-// schedule schedules an additional heartbeat after a change on the worker, at least
-// minHeartbeatInterval after the last one.
+// schedule sends an additional heartbeat after a change on the worker, but no earlier than
+// minHeartbeatInterval after the last heartbeat.
 func (s *heartbeatSender) schedule(worker *SimulatedWorker) {
 	delay := max(worker.lastHeartbeatAt+minHeartbeatInterval-s.Now, 0)
 	s.After(delay, func() { s.send(worker) })
--- a/internal/simulation/httpfake/services.go
+++ b/internal/simulation/httpfake/services.go
@@ -41,7 +41,8 @@
 	UnreachableMachines map[cluster.MachineID]bool
 	// StartCounts holds the number of starts of each task.
 	StartCounts map[cluster.TaskID]int
-	// DuplicateRuns lists the tasks that started while they ran on another machine.
+	// DuplicateRuns lists the tasks that started while already running on another
+	// machine.
 	DuplicateRuns []string
 	doneTasks     map[cluster.TaskID]bool
 	initialCount  int // number of machines provisioned by AddMachine
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -11,7 +11,7 @@
 const testCPU = cluster.Amount(1_000_000)
 
 // newCheckedCluster returns a simulated cluster with two running machines and no running
-// controllers. Tests violate invariants in it.
+// controllers, in which tests violate invariants.
 func newCheckedCluster(t *testing.T) *Simulator {
 	t.Helper()
 	cfg := controller.Config{
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -22,7 +22,7 @@
 	checkedAt cluster.Time
 }
 
-// machineLoad describes the tasks on all machines that have not ended.
+// machineLoad describes the tasks that have not ended, on all machines.
 type machineLoad struct {
 	tasks map[cluster.TaskID]bool
 	usage map[string]cluster.Resources // by team
--- a/internal/sockets/connectionlimiter_test.go
+++ b/internal/sockets/connectionlimiter_test.go
@@ -121,7 +121,7 @@
 }
 
 // TestMoreWorkersThanConnections checks that every heartbeat gets a response when there are
-// more workers than connections, and that at least half of the limit is used but not more.
+// more workers than connections, and that at least half of the allowed connections are used.
 func TestMoreWorkersThanConnections(t *testing.T) {
 	const limit, workers, rounds = 32, 128, 3
 	limiter := NewConnectionLimiter(limit)
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestIdleUsersEvictedForWorkers checks that new connections of workers evict idle
-// connections of users, the longest idle first, and no connections of workers.
+// TestIdleUsersEvictedForWorkers checks that new connections of workers evict the user
+// connection that has been idle the longest, and no connections of workers.
 func TestIdleUsersEvictedForWorkers(t *testing.T) {
 	limiter := NewConnectionLimiter(8)
 	mux := http.NewServeMux()
