--- a/internal/settings/servicelimits.go
+++ b/internal/settings/servicelimits.go
@@ -12,7 +12,8 @@
 	maxValueKB = 60
 )
 
-// check validates the limits of the store, including upcoming ones.
+// check checks that the limits of the store, including upcoming ones, are not below the
+// lowest supported limits.
 func (t *storeTable) check() error {
 	if t.Next != nil {
 		if err := t.Next.check(); err != nil {
@@ -28,13 +29,13 @@
 	return nil
 }
 
-// check validates the limits that are set.
+// check checks that the limits that are set are greater than 0.
 func (t *nextStoreTable) check() error {
 	if t.WriteRPS != nil && !isPositive(*t.WriteRPS) {
-		return fieldErrorf("cluster.state.next.write_rps", "must be greater than 0")
+		return fieldErrorf("cluster.state.next.write_rps", "must be finite and greater than 0")
 	}
 	if t.ValueKB != nil && !isPositive(*t.ValueKB) {
-		return fieldErrorf("cluster.state.next.value_kb", "must be greater than 0")
+		return fieldErrorf("cluster.state.next.value_kb", "must be finite and greater than 0")
 	}
 	if t.TxnOps != nil && *t.TxnOps <= 0 {
 		return fieldErrorf("cluster.state.next.txn_ops", "must be greater than 0")
--- a/internal/simulation/fake_cloud.go
+++ b/internal/simulation/fake_cloud.go
@@ -19,7 +19,7 @@
 	MachineTypes      []cluster.MachineType
 	AvailableCapacity map[string]int                 // number of machines that can still be provisioned, by CapacityKey
 	BootDuration      func() cluster.Time            // returns the boot time of the next machine
-	machinesByRequest map[string][]cluster.MachineID // by name of the scale-out request, which makes it idempotent
+	machinesByRequest map[string][]cluster.MachineID // by name of the scale-out request, so that repeated requests are idempotent
 	machines          map[cluster.MachineID]*cloudMachine
 	lastMachineNumber int
 }
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -20,7 +20,7 @@
 	Remaining    cluster.Time // time left in the current state
 }
 
-// JobInfo is the information about a job that a worker looks up when it runs a task.
+// JobInfo is the information about a job that a worker needs to run tasks of the job.
 type JobInfo struct {
 	ResourceRequest cluster.Resources
 	RunDuration     cluster.Time // run time of a task
--- a/internal/simulation/heartbeats.go
+++ b/internal/simulation/heartbeats.go
@@ -26,7 +26,7 @@
 	failovers *Failovers
 }
 
-// loop sends a worker's periodic heartbeats, with jitter, until it is removed.
+// loop sends a worker's periodic heartbeats, with jitter, until the machine is removed.
 func (s *heartbeatSender) loop(worker *SimulatedWorker) {
 	if worker.removed {
 		return
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -21,7 +21,7 @@
 	finalReportedAt   cluster.Time // when a final status was first reported to the user
 	lastResponseAt    cluster.Time // when a request about it last got a response
 	lastStartAt       cluster.Time // when one of its tasks last started
-	starvingSince     cluster.Time // since when it has been waiting despite free capacity, or 0
+	starvingSince     cluster.Time // time since which the job has waited despite free capacity, or 0
 }
 
 // isUnfinished reports whether the job was accepted and no final status has been
@@ -75,8 +75,8 @@
 	return job.Info, true
 }
 
-// findUndoneTask returns the index of the first task of a job that is not done. It
-// reports false if all tasks are done.
+// findUndoneTask returns the index of a job's first task that is not done. It reports
+// false if all tasks are done.
 func (t *jobTable) findUndoneTask(job *Job) (int, bool) {
 	for index := range job.Spec.Tasks {
 		if !t.doneTasks[cluster.TaskID{Job: job.Spec.ID, Index: index}] {
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// dropOrDelay drops a call or delivers it late. In both cases the controller gets no
-// reply.
+// dropOrDelay drops a call or delivers it late. In both cases the controller's call times
+// out.
 func (s *StoreAPI) dropOrDelay(call storeCall, partitionedUntil cluster.Time) {
 	if delay, arrives := s.network.lateArrival(partitionedUntil); arrives {
 		s.After(delay, func() { call.apply() })
--- a/internal/sockets/calllimiter_test.go
+++ b/internal/sockets/calllimiter_test.go
@@ -17,7 +17,7 @@
 	}
 	release(false)
 	if _, ok := limiter.Acquire("unresponsive", timeout); !ok {
-		t.Fatal("an unresponsive address is never called again")
+		t.Fatal("no slot for a call to an unresponsive address")
 	}
 	if _, ok := limiter.Acquire("unresponsive", timeout); ok {
 		t.Error("two concurrent calls to an unresponsive address, want at most one")
