--- a/internal/settings/servicelimits.go
+++ b/internal/settings/servicelimits.go
@@ -12,7 +12,8 @@
 	maxValueKB = 60
 )
 
-// check validates the limits of the store, including upcoming ones.
+// check checks that the limits of the store, including upcoming ones, are not below the
+// lowest supported limits.
 func (t *storeTable) check() error {
 	if t.Next != nil {
 		if err := t.Next.check(); err != nil {
@@ -28,13 +29,13 @@
 	return nil
 }
 
-// check validates the limits that are set.
+// check checks that the limits that are set are greater than 0.
 func (t *nextStoreTable) check() error {
 	if t.WriteRPS != nil && !isPositive(*t.WriteRPS) {
-		return fieldErrorf("cluster.state.next.write_rps", "must be greater than 0")
+		return fieldErrorf("cluster.state.next.write_rps", "must be finite and greater than 0")
 	}
 	if t.ValueKB != nil && !isPositive(*t.ValueKB) {
-		return fieldErrorf("cluster.state.next.value_kb", "must be greater than 0")
+		return fieldErrorf("cluster.state.next.value_kb", "must be finite and greater than 0")
 	}
 	if t.TxnOps != nil && *t.TxnOps <= 0 {
 		return fieldErrorf("cluster.state.next.txn_ops", "must be greater than 0")
@@ -63,8 +64,9 @@
 	return min(current, *next)
 }
 
-// setStoreLimits sets the limits of the store. It also keeps the current write rate,
-// which may be used until the store enforces a lower one.
+// setStoreLimits sets each limit of the store to the lower of its current and its
+// upcoming value. It also sets the current write rate, which may be used until the store
+// enforces the upcoming one.
 func (s *Settings) setStoreLimits(limits *storeTable) {
 	lowest := limits.lowest()
 	s.Controller.CurrentWriteRPS = limits.WriteRPS
