--- a/internal/controller/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestAcquireBackoffBounded checks that the delays before an acquisition add up to less
-// than 75 s, the longest time for which a simulation lets queries fail.
+// than 75 s, the longest time for which the simulator tolerates failing queries.
 func TestAcquireBackoffBounded(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, WorkerLease: 22 * second, MaxValueBytes: 4096, MaxTxnOps: 12, Tuning: DefaultTuning()})
 	shard, tuning := c.state.Shards[0], c.config.Tuning
--- a/internal/controller/acquire_conflict_test.go
+++ b/internal/controller/acquire_conflict_test.go
@@ -6,8 +6,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestAcquireResentAfterBatchConflict checks that an acquisition is retried after its
-// transaction conflicts on another write. Otherwise no controller would serve the shard.
+// TestAcquireResentAfterBatchConflict checks that an acquisition is sent again if its
+// transaction conflicts because of another write in it, so that the shard gets an owner.
 func TestAcquireResentAfterBatchConflict(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[1]
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestAdmissionInDoubtAnsweredAsRetry checks that an admission that may already be stored
-// is answered as a retry. Other controllers may have reported a later state of the job.
+// TestAdmissionInDoubtAnsweredAsRetry checks that a submission is answered with 200, like
+// a repeated one, if this or another controller may already have stored its admission.
 func TestAdmissionInDoubtAnsweredAsRetry(t *testing.T) {
 	for name, want := range map[string]messages.ResponseStatus{"new": 201, "reply lost": 200, "stored by another controller": 200} {
 		h := newControllerHarness()
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestAdmissionResentAfterBatchConflict checks that submissions are stored by a later
-// transaction if theirs conflicts on another write.
+// TestAdmissionResentAfterBatchConflict checks that a submission is accepted, and none of
+// its writes stays queued, if its first transaction conflicts because of another write.
 func TestAdmissionResentAfterBatchConflict(t *testing.T) {
 	h := newControllerHarness()
 	machine, _ := h.addRunningMachine(h.addTestJob("j-9", 1))
@@ -55,7 +55,7 @@
 	h := newControllerHarness()
 	h.store.revision = 40
 	h.store.keys["accepts/b1-1"] = messages.KV{Key: "accepts/b1-1", Value: []byte(`{"j":[{"id":"j-1","s":{"Team":"red","Tasks":1}}],"w":"b1-1"}`), ModRevision: 40}
-	h.failsReads = true
+	h.failsListsAndWatches = true
 	h.submit(1, "j-1")
 	h.runFor(4 * second)
 	for _, response := range h.sentResponses {
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestDuplicateSubmissionInOneRecord checks that a job submitted twice before either
-// submission is written is stored once, and that one of the two is answered as a retry.
+// TestDuplicateSubmissionInOneRecord checks that two submissions of a job before it is
+// stored get 201 and 200, and that no transaction compares a key twice.
 func TestDuplicateSubmissionInOneRecord(t *testing.T) {
 	h := newControllerHarness()
 	for i := range messages.RequestID(2) {
--- a/internal/controller/all_controllers_down_test.go
+++ b/internal/controller/all_controllers_down_test.go
@@ -6,8 +6,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// TestAllControllersDownLongerThanLease checks that tasks stop when all controllers are
-// down for longer than a worker lease, that none runs twice, and that all jobs complete.
+// TestAllControllersDownLongerThanLease checks that tasks stop if all controllers are
+// down for longer than a worker lease, and that they run again after the restart.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	c := newTestCluster(t, 2)
 	other := c.submitJob("j-000002", 2, 20*second)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -32,9 +32,10 @@
 	}
 }
 
-// BenchmarkFleet measures one simulated second of a loaded fleet. core-ms/s is the CPU time
-// of one controller per simulated second; us/step and allocs/step are per event. The
-// standard metrics include the simulation.
+// BenchmarkFleet measures one simulated second of a loaded fleet. core-ms/s is the CPU
+// time of one controller per simulated second; us/step and allocs/step are per event;
+// tasks is the final number of tasks on machines. The standard metrics include the
+// simulation.
 func BenchmarkFleet(b *testing.B) {
 	for _, machines := range []int{500, 1000, 2000, 4000, 8000} {
 		b.Run(fmt.Sprintf("%d-machines", machines), func(b *testing.B) { benchFleet(b, 3, machines) })
--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/cluster_harness_test.go
@@ -68,7 +68,8 @@
 	return c
 }
 
-// submitJob submits a job of team red, whose shard is first owned by n1.
+// submitJob submits a job of team red, whose shard is first owned by n1. Each task runs
+// for the given time.
 func (c *testCluster) submitJob(id cluster.JobID, tasks int, run cluster.Time) *simulation.Job {
 	spec := newJobSpec(id, "red", tasks, run)
 	spec.SubmittedAt = wallTime(c.Now)
@@ -98,7 +99,8 @@
 	return record.Owner
 }
 
-// waitFor runs until holds returns true, and fails if that takes longer than within.
+// waitFor runs until holds returns true. It fails if that takes longer than within or if
+// an invariant is violated.
 func (c *testCluster) waitFor(what string, within cluster.Time, holds func() bool) {
 	c.t.Helper()
 	at := c.Now
--- a/internal/controller/combined_faults_test.go
+++ b/internal/controller/combined_faults_test.go
@@ -8,7 +8,8 @@
 // combinedFaultsPerRun is the number of combined faults in a simulated run.
 const combinedFaultsPerRun = 5
 
-// combinedFaults returns the faults that affect many machines or controllers at once.
+// combinedFaults returns the faults that planCombinedFaults chooses from. Most of them
+// affect many machines or controllers, or combine several single faults.
 func combinedFaults(cancelDeadline cluster.Time) []faultScenario {
 	return []faultScenario{
 		{"a controller pauses", pauseProcess},
@@ -27,7 +28,8 @@
 	}
 }
 
-// planCombinedFaults plans random combined faults that begin before until.
+// planCombinedFaults schedules random combined faults. Each begins at least
+// maxFaultDuration before until.
 func planCombinedFaults(sim *simulation.Simulator, until, cancelDeadline cluster.Time) {
 	faults := combinedFaults(cancelDeadline)
 	for range combinedFaultsPerRun {
@@ -80,8 +82,8 @@
 	sim.FaultCounts[faultFaultyMachinesWithoutCloud]++
 }
 
-// crashBusiestRepeatedly crashes the busiest controller three times within half a minute.
-// It may be a different one each time.
+// crashBusiestRepeatedly crashes the controller that is the busiest at the time, three
+// times within half a minute.
 func crashBusiestRepeatedly(sim *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for _, delay := range []cluster.Time{0, 12 * second, 25 * second} {
 		sim.After(delay, func() { crashBusiest(sim) })
@@ -89,13 +91,13 @@
 	sim.FaultCounts[faultBusiestNodeKilledRepeatedly]++
 }
 
-// drawStoreSlowdown returns a random additional reply delay of a slow store.
+// drawStoreSlowdown returns a random latency to add to the replies of a slow store.
 func drawStoreSlowdown(sim *simulation.Simulator) cluster.Time {
 	return sim.RandomBetween(second/5, 4*second/5)
 }
 
 // fastBootsWithSlowStore makes machines boot fast, so that they get tasks early, while
-// writes are slow, and crashes the busiest controller during that time.
+// the store is slow, and crashes the busiest controller during that time.
 func fastBootsWithSlowStore(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 	sim.Machines.EnableFastBoots(duration)
 	sim.StoreAPI.Slow(drawStoreSlowdown(sim), duration)
@@ -112,10 +114,11 @@
 	sim.FaultCounts[faultSlowStoreRejectsNode]++
 }
 
-// storeRejectionThenOutage makes the store reject one controller and, a few seconds later,
-// takes the store down for longer than the cancel deadline, while users cancel jobs. In
-// most cases the outage begins within a second of another controller acquiring a shard,
-// which takes about five seconds. The fault is injected at most once per simulated run.
+// storeRejectionThenOutage makes the store reject one controller and, a few seconds
+// later, takes the store down for longer than the cancel deadline, while users cancel
+// jobs. In two thirds of the cases the outage begins right after the next acquisition of
+// a shard, or after ten seconds without one. The fault is injected at most once per
+// simulated run.
 func storeRejectionThenOutage(sim *simulation.Simulator, node *simulation.Node, cancelDeadline cluster.Time) {
 	if sim.FaultCounts[faultRejectionThenOutage] > 0 {
 		return
@@ -140,9 +143,10 @@
 	cancelBeforeAndInOutage(sim)
 }
 
-// outageAtAcquire begins an outage within a second of the next acquisition of a shard. In
-// most cases it also crashes another controller, after which no running controller may
-// know what was reported to users.
+// outageAtAcquire begins an outage within a second of the next acquisition of a shard, if
+// there is one within the given time. In some cases it also crashes a controller other
+// than the new owner. The crashed controller may be the only one that knows what was
+// reported to users.
 func outageAtAcquire(sim *simulation.Simulator, within cluster.Time, beginOutage func()) {
 	crashOther := sim.Chance(0.8)
 	sim.Failovers.OnShardAcquired(within, func(owner cluster.NodeID) {
@@ -159,8 +163,8 @@
 	})
 }
 
-// cancelBeforeAndInOutage makes users cancel a job every second at first and every
-// eight seconds during the outage.
+// cancelBeforeAndInOutage makes users cancel a random job about once a second for seven
+// seconds, and then about every eight seconds, when the outage has begun.
 func cancelBeforeAndInOutage(sim *simulation.Simulator) {
 	for i := range 10 {
 		delay := cluster.Time(i) * second
--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -9,7 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// deliverStatus delivers the next heartbeat status of a machine.
+// deliverStatus applies the next heartbeat status of a machine, which lists the given
+// tasks.
 func (h *controllerHarness) deliverStatus(machine *state.Machine, tasks ...cluster.TaskStatus) {
 	h.reconciler.ApplyStatus(machine, &cluster.HeartbeatStatus{Machine: machine.ID, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1, Tasks: tasks}, false)
 }
@@ -31,7 +32,7 @@
 		t.Fatalf("stored %q, want the machine without the task", record)
 	}
 	if machine.Assignments[assignment.Task] != assignment || !assignment.RemovedFromRecord || len(machine.EndedToAcknowledge) > 0 {
-		t.Fatalf("before the outcome is stored: assigned %v, removed from the record %v, acknowledged %v", machine.Assignments[assignment.Task] == assignment, assignment.RemovedFromRecord, machine.EndedToAcknowledge)
+		t.Fatalf("before the outcome is stored: assigned %v, removed from the record %v, acknowledged %v; want true, true, false", machine.Assignments[assignment.Task] == assignment, assignment.RemovedFromRecord, machine.EndedToAcknowledge)
 	}
 	written := machine.Group.ModRevision
 	h.jobs.Records.WriteJob(job, writequeue.PriorityOutcome)
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestTaskCompletedUnderPreviousOwner checks that a completion that the previous owner did
-// not store is stored before it is acknowledged, so that the task is not started again.
+// TestTaskCompletedUnderPreviousOwner checks which tasks that ended under the previous
+// owner are marked as completed, and that this is stored before it is acknowledged.
 func TestTaskCompletedUnderPreviousOwner(t *testing.T) {
 	completed := cluster.TaskStatus{Task: cluster.TaskID{Job: "j-1", Index: 1}, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseCompleted}
 	for _, test := range []struct {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -21,9 +21,9 @@
 	BootTimeoutFactor    float64
 	RateBudgetShare      float64
 	FailbackDelay        cluster.Time
-	ShortJobWeight       float64      // multiplied by the time that a job's pending tasks would occupy the whole shard; delays the job in the queue
+	ShortJobWeight       float64      // multiplied by the time that a job's pending tasks would occupy the whole shard; the product delays the job's latest start in the queue order
 	SpareCapacityShare   float64      // spare capacity as a fraction of a shard's demand
-	FirstTaskTarget      cluster.Time // a job's first task takes precedence over all others after half of this time
+	FirstTaskTarget      cluster.Time // time within which a job's first task should start; after half of it, the task is scheduled before all other work
 }
 
 // Config holds the settings of a Controller.
@@ -44,8 +44,8 @@
 	CloudListLag      cluster.Time
 	InstanceID        string // unique to this process
 	Tuning            Tuning
-	// CurrentWriteRPS is used instead of a lower WriteRPS until the store throttles this
-	// controller.
+	// CurrentWriteRPS is the store's current limit. It is used instead of a lower
+	// WriteRPS until the store throttles this controller.
 	CurrentWriteRPS float64
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -58,7 +58,8 @@
 	provisioner *provisioning.Provisioner
 }
 
-// New returns a new Controller. It starts with the first call of Step.
+// New returns a new Controller. Its components and periodic tasks start at the first call
+// of Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
 		config:        cfg,
@@ -81,7 +82,7 @@
 	return c
 }
 
-// Step handles one event and returns the effects to execute.
+// Step handles one event and all timers that are due, and returns the effects to execute.
 func (c *Controller) Step(now cluster.Time, wall cluster.WallTime, ev messages.Event) []messages.Effect {
 	paused := membership.IsPause(now - c.loop.Now())
 	c.loop.Begin(now, wall)
@@ -120,7 +121,9 @@
 // set.
 func (c *Controller) NextWake() (cluster.Time, bool) { return c.loop.NextWake() }
 
-// flush runs the work that the handlers of a step have requested, once per step.
+// flush runs the work that the handlers of a step have requested: scheduling, command
+// pushes, writes to the store and responses to heartbeats. It is called once at the end
+// of each step.
 func (c *Controller) flush() {
 	c.scheduler.RunIfRequested()
 	c.reconciler.Commands.PushQueued()
@@ -133,7 +136,8 @@
 	c.loop.Emit(messages.Respond{Request: request, Status: status, Error: reason})
 }
 
-// startLoops starts the components and the periodic tasks.
+// startLoops starts the components, requests the stored jobs and the machine types, and
+// starts the periodic tasks.
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
 	c.members.Start()
@@ -154,8 +158,9 @@
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
 
-// writeBackgroundState writes the state that isn't urgent: the outcomes of tasks whose
-// jobs are still active, and machine records that list removable entries.
+// writeBackgroundState queues the writes that aren't urgent: newly completed tasks of
+// unfinished jobs, and machine records that still list absent tasks or have to be split
+// or merged. It also logs shards that make no progress.
 func (c *Controller) writeBackgroundState() {
 	c.jobs.Records.WriteOutcomes()
 	c.inventory.MaintainRecords()
--- a/internal/controller/controller_harness_test.go
+++ b/internal/controller/controller_harness_test.go
@@ -51,21 +51,23 @@
 	return items
 }
 
-// controllerHarness runs one of three controllers with an in-memory store. The controller
-// owns all shards.
+// controllerHarness runs one of three controllers with an in-memory store. At the start,
+// the controller owns all shards.
 type controllerHarness struct {
 	*Controller
 	store            *testStore
 	sentResponses    []messages.Respond
 	sentTransactions []messages.StoreTxn
-	// losesReply reports whether a transaction is applied but its reply is lost.
+	// losesReply reports whether the store's reply to a transaction that it has processed is
+	// lost.
 	losesReply func(messages.StoreTxn) bool
 	// rejectsAsMalformed reports whether the store rejects a transaction as malformed. It
 	// may be nil.
 	rejectsAsMalformed func(messages.StoreTxn) bool
 	// throttles reports whether the store throttles a transaction. It may be nil.
-	throttles  func(messages.StoreTxn) bool
-	failsReads bool
+	throttles func(messages.StoreTxn) bool
+	// failsListsAndWatches makes lists and watches fail. Reads of single keys succeed.
+	failsListsAndWatches bool
 }
 
 func newControllerHarness() *controllerHarness {
@@ -88,8 +90,8 @@
 // peerInstanceID returns the instance ID of a peer of newHarnessWithKnownPeers.
 func peerInstanceID(id cluster.NodeID) string { return "boot-" + string(id) }
 
-// newHarnessWithSetup returns a harness at 100 s. It calls setup with the controller
-// before that time.
+// newHarnessWithSetup returns a harness whose time is 100 s. It calls setup with the new
+// controller before it sets that time.
 func newHarnessWithSetup(setup func(*Controller)) *controllerHarness {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0", "n1", "n2"}, InstanceID: "b0", HeartbeatInterval: 5 * second, WorkerLease: 26 * second, CancelDeadline: 60 * second,
 		StoreRPS: 1000, WriteRPS: 1000, MaxValueBytes: 4096, MaxTxnOps: 12, CloudRPS: 5, Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
@@ -113,7 +115,8 @@
 	h.store.keys[shard.Key()] = messages.KV{Key: shard.Key(), Value: []byte(`{"holder":"n0","term":1,"w":"b0-1"}`), ModRevision: 30}
 }
 
-// runFor advances the time by a duration and handles the effects.
+// runFor advances the time by a duration, runs the timers that are due and handles the
+// effects.
 func (h *controllerHarness) runFor(duration cluster.Time) {
 	for end := h.loop.Now() + duration; h.loop.Now() <= end; setTime(h.Controller, h.loop.Now()+20*millisecond) {
 		h.loop.RunTimers()
@@ -135,7 +138,7 @@
 	case messages.StoreList:
 		h.loop.Deliver(messages.Reply{Call: effect.Call, Body: h.list(effect)})
 	case messages.StoreWatch:
-		if effect.Timeout == 0 { // otherwise it is a long poll
+		if effect.Timeout == 0 { // a long poll gets no reply
 			h.loop.Deliver(messages.Reply{Call: effect.Call, Body: h.readChanges(effect)})
 		}
 	case messages.Respond:
@@ -143,7 +146,8 @@
 	}
 }
 
-// commit applies a transaction unless the harness is set to reject it.
+// commit applies a transaction unless the harness is set to reject or throttle it. The
+// outcome in the reply is unknown if the harness is set to lose the reply.
 func (h *controllerHarness) commit(transaction messages.StoreTxn) messages.TxnReply {
 	if h.rejectsAsMalformed != nil && h.rejectsAsMalformed(transaction) {
 		return messages.TxnReply{Outcome: messages.Invalid}
@@ -159,14 +163,14 @@
 }
 
 func (h *controllerHarness) list(request messages.StoreList) messages.ListReply {
-	if h.failsReads {
+	if h.failsListsAndWatches {
 		return messages.ListReply{Outcome: messages.UnknownOutcome}
 	}
 	return messages.ListReply{Outcome: messages.OK, Items: h.store.list(request.Prefix, 0), Revision: h.store.revision}
 }
 
 func (h *controllerHarness) readChanges(request messages.StoreWatch) messages.WatchReply {
-	if h.failsReads {
+	if h.failsListsAndWatches {
 		return messages.WatchReply{Outcome: messages.UnknownOutcome}
 	}
 	items := h.store.list(request.Prefix, request.SinceRevision)
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -25,7 +25,7 @@
 )
 
 // goldenDecisions is a file with one line for each run: its name, the number of its
-// effects and their digest.
+// effects and their digest. The flag -update rewrites the file.
 const goldenDecisions = "testdata/decisions.txt"
 
 // The numbers of random runs that are recorded in addition to the traces.
@@ -37,11 +37,6 @@
 
 // TestDecisions checks that simulated runs have the effects that are recorded in
 // testdata/decisions.txt. It guards against unintended changes of behavior.
-//
-// Effects are hashed in their wire and stored encodings, so that renaming Go identifiers
-// does not change the digests. Log lines are not included. The flag -update rewrites the
-// recorded digests. If STAIRRELAY_DECISIONS names a directory, the effects of each run are
-// written to a file in it, for comparison with those of another build.
 func TestDecisions(t *testing.T) {
 	recorder := &decisionRecorder{digests: map[string]string{}}
 	t.Run("runs", recorder.recordAll)
@@ -123,7 +118,10 @@
 	})
 }
 
-// decisionDigest hashes the effects of one run.
+// decisionDigest hashes the effects of one run in their wire and stored encodings, so
+// that renaming Go identifiers does not change the digest. Log lines are not included. If
+// the environment variable STAIRRELAY_DECISIONS names a directory, the effects are also
+// written to a file in it, for comparison with those of another build.
 type decisionDigest struct {
 	t       *testing.T
 	out     io.Writer
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -14,7 +14,7 @@
 
 // Dependencies can't form a cycle, because a job may only depend on jobs that were
 // accepted before and a repeated submission does not change the dependencies of an
-// accepted job (see TestDependenciesOfSubmissions).
+// accepted job.
 
 // testTeams are the teams of testConfig.
 var testTeams = []string{"red", "green", "blue"}
@@ -27,7 +27,8 @@
 	return newJob(spec, run)
 }
 
-// submitDependent submits a job that depends on the given jobs, once they are accepted.
+// submitDependent returns a job that depends on the given jobs and is submitted as soon
+// as these are accepted.
 func (c *testCluster) submitDependent(id cluster.JobID, team string, run cluster.Time, dependencies ...cluster.JobID) *simulation.Job {
 	job := c.newDependent(id, team, run, dependencies...)
 	c.Users.SubmitAfterDependencies(job, false)
@@ -53,9 +54,9 @@
 	return c.request(node, submitRequest(job.Spec))
 }
 
-// submitChain submits a chain of count jobs and returns it once all are accepted. The
-// chain starts with first, each other job depends on the one before it, and the teams
-// alternate.
+// submitChain submits count-1 jobs that form a chain with first, which the caller has
+// submitted. Each depends on the one before it, and the teams alternate. It returns the
+// chain once all its jobs are accepted.
 func (c *testCluster) submitChain(first *simulation.Job, count int, run cluster.Time) []*simulation.Job {
 	c.t.Helper()
 	chain := []*simulation.Job{first}
@@ -117,8 +118,8 @@
 	c.checkNoViolations()
 }
 
-// TestDependencyChainCancelled checks that after the first job of a chain is cancelled all
-// controllers report all jobs as cancelled in time, and that no other job starts a task.
+// TestDependencyChainCancelled checks that after the first job of a chain is cancelled,
+// all jobs are reported as cancelled by the cancel deadline and no other starts a task.
 func TestDependencyChainCancelled(t *testing.T) {
 	c := newIdleCluster(t, 3)
 	first := c.submitDependent("j-100000", "red", 600*second)
@@ -140,8 +141,8 @@
 	c.checkNoViolations()
 }
 
-// TestDependenciesOfSubmissions checks which dependencies a submission may name and how
-// it is answered.
+// TestDependenciesOfSubmissions checks how submissions with known, unknown and duplicate
+// dependencies are answered, also if the submission is repeated or the store is down.
 func TestDependenciesOfSubmissions(t *testing.T) {
 	c := newTestCluster(t, 2)
 	for i, node := range c.Nodes {
@@ -171,7 +172,8 @@
 }
 
 // checkRecentDependencies checks that jobs may depend on jobs that another controller has
-// just accepted, whether these are stored in a record each or in one record together.
+// just accepted, whether each of these is stored in a record of its own or several share
+// one.
 func (c *testCluster) checkRecentDependencies() {
 	c.t.Helper()
 	for round, count := range []int{1, 14} {
@@ -215,8 +217,7 @@
 }
 
 // checkRepeatedSubmissions checks that every controller answers a repeated submission
-// with 200 whatever its dependencies are. If it could change the dependencies of an
-// accepted job, a cycle could form.
+// with 200, even if it names other dependencies than the accepted job.
 func (c *testCluster) checkRepeatedSubmissions() {
 	c.t.Helper()
 	for _, node := range c.Nodes {
@@ -267,8 +268,8 @@
 	c.runAndCheck(60 * second)
 }
 
-// TestCancellationVisibleAtPartitionedController checks that a partitioned controller
-// reports no dependent as unfinished after the cancellation of its dependency.
+// TestCancellationVisibleAtPartitionedController checks that a controller that can't
+// reach its peers reports no dependent as unfinished once its dependency is cancelled.
 func TestCancellationVisibleAtPartitionedController(t *testing.T) {
 	for i := range 3 {
 		for _, team := range testTeams {
@@ -292,8 +293,8 @@
 	}
 }
 
-// checkNotReportedUnfinished checks that a controller reports a cancelled job as
-// cancelled if it answers a query for it.
+// checkNotReportedUnfinished checks that a controller either reports a cancelled job as
+// cancelled or rejects the query.
 func (c *testCluster) checkNotReportedUnfinished(node *simulation.Node, job *simulation.Job) {
 	c.t.Helper()
 	if response := c.queryAt(node, job.Spec.ID); response.Status == messages.StatusOK && response.View.Status != cluster.JobCancelled {
--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -7,16 +7,16 @@
 	"stairrelay/internal/messages"
 )
 
-// TestDeposedOwnerStopsAnsweringInOutage checks that a deposed owner stops answering its
-// workers in time if its successor crashes before it notifies any controller.
+// TestDeposedOwnerStopsAnsweringInOutage checks that cancelled tasks end in time if the
+// store goes down and the new owner crashes before it notifies the deposed owner.
 func TestDeposedOwnerStopsAnsweringInOutage(t *testing.T) {
-	for seed := uint64(1); seed <= 5; seed++ { // for some seeds the others learn of the acquisition before the partition
+	for seed := uint64(1); seed <= 5; seed++ { // for some seeds other controllers learn of the acquisition before the new owner is partitioned
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := newTestClusterWithSeed(t, seed, 2)
 			owner, next, third := c.Nodes[1], c.Nodes[2], c.Nodes[0]
 			owner.StoreUnavailableUntil = c.Now + 14*second
 			c.RunUntil(c.Now + 2*second)
-			third.StoreUnavailableUntil = c.Now + 20*second // otherwise it would see the acquisition and notify the former owner
+			third.StoreUnavailableUntil = c.Now + 20*second // otherwise it would read the new claim and notify the deposed owner
 			c.waitFor("the next owner acquires the shard", 10*second, func() bool { return c.longJobOwner() == next.ID })
 			next.WorkersPartitionedUntil, next.PeersPartitionedUntil = c.Now+300*second, c.Now+300*second
 			c.cancelVia(next, c.longJob)
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestDeposedOwnerLearnsFromThirdController checks that a deposed owner stops answering
-// its workers after a third controller has notified it of the acquisition.
+// TestDeposedOwnerLearnsFromThirdController checks that a deposed owner stops accepting
+// heartbeats after a third controller has notified it of the acquisition.
 func TestDeposedOwnerLearnsFromThirdController(t *testing.T) {
 	c := newTestCluster(t, 2)
 	owner, next := c.Nodes[1], c.Nodes[2]
@@ -68,7 +68,7 @@
 		owner.SendRequest(heartbeatRequest(worker.NextStatus()), func(response messages.Respond) { status = response.Status })
 		c.RunUntil(c.Now + second)
 		if status == messages.StatusOK {
-			t.Errorf("the former owner still answers %s", id)
+			t.Errorf("the deposed owner still accepts heartbeats of %s", id)
 		}
 	}
 	if status == messages.StatusNone {
--- a/internal/controller/emptied_group_test.go
+++ b/internal/controller/emptied_group_test.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestEmptyGroupKeptUnderUnseenClaim checks that an emptied group's key is kept while the
-// claim that created it may be in force. A late write would create a deleted key again.
+// TestEmptyGroupKeptUnderUnseenClaim checks that an emptied group's key is kept while its
+// creator's claim may be in force. A late write could create a deleted key again.
 func TestEmptyGroupKeptUnderUnseenClaim(t *testing.T) {
 	const creationClaim = cluster.Revision(40)
 	for _, test := range []struct {
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -18,7 +18,8 @@
 	return ""
 }
 
-// shardUsageMismatch compares the cached usage of a shard's machines and teams.
+// shardUsageMismatch describes the first difference in the cached usage of a shard's
+// machines and teams.
 func shardUsageMismatch(shard *state.Shard) string {
 	teams := state.TeamUsage{}
 	for _, machine := range shard.Machines {
@@ -39,8 +40,8 @@
 	return ""
 }
 
-// machineUsageMismatch compares a machine's cached usage with its tasks, and adds the
-// tasks to the usage of their teams.
+// machineUsageMismatch describes the difference between a machine's cached usage and its
+// tasks, and adds the tasks to the usage of their teams.
 func machineUsageMismatch(machine *state.Machine, teams state.TeamUsage) string {
 	var sum cluster.Resources
 	count := 0
@@ -59,8 +60,8 @@
 }
 
 // OwnedMachineCounts returns the number of booted machines in the owned shards whose
-// workers have acknowledged their fencing tokens, and the number of all booted machines in
-// them.
+// workers have acknowledged their fencing tokens, and the number of all booted machines
+// in these shards.
 func (c *Controller) OwnedMachineCounts() (acknowledged, booted int) {
 	for _, machine := range c.state.Machines {
 		if machine.Booting {
@@ -74,7 +75,8 @@
 	return acknowledged, booted
 }
 
-// StalledShardCount returns the number of stalled shards.
+// StalledShardCount returns the number of shards without progress for at least
+// stallThreshold checkpoints.
 func (c *Controller) StalledShardCount() int { return c.stalledShardCount() }
 
 // WorkCounts holds counters of a controller's work since the last periodic log line.
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -38,8 +38,8 @@
 	return starts
 }
 
-// flushEffects runs the work that is due at the end of an event loop step and returns
-// its effects.
+// flushEffects runs the work that is due at the end of an event loop step and returns its
+// effects. Earlier effects are discarded.
 func flushEffects(h *controllerHarness) []messages.Effect {
 	takeEffects(h.Controller)
 	h.flush()
@@ -51,8 +51,8 @@
 	return messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: id, Addr: string(id), Type: "small", Zone: "a", Incarnation: 1, SequenceNumber: 1, PreemptionNotice: -1}}
 }
 
-// effectsDuring lets the store reply for a duration and returns the effects that follow
-// its replies.
+// effectsDuring advances the time by a duration, replies to requests to the store, and
+// returns the effects that follow the replies.
 func effectsDuring(h *controllerHarness, d cluster.Time) []messages.Effect {
 	var effects []messages.Effect
 	for end := h.loop.Now() + d; h.loop.Now() < end; {
@@ -75,7 +75,7 @@
 }
 
 // TestStartWaitsForRecord checks that a task on a newly booted machine is not started
-// before its record is stored. Otherwise a next owner would start the task a second time.
+// before a record of it is stored. Otherwise a new owner would start it a second time.
 func TestStartWaitsForRecord(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -150,7 +150,7 @@
 }
 
 // TestMachineOfOpenProvisioningNotRegistered checks that an unknown machine is not
-// registered while a provisioning request of its kind is open. It might be recorded twice.
+// registered while a request of its kind is open, as it might be recorded twice.
 func TestMachineOfOpenProvisioningNotRegistered(t *testing.T) {
 	for _, test := range []struct {
 		name, zone string
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -11,8 +11,8 @@
 const (
 	// singleFaultsPerRun is the number of single faults in a simulated run.
 	singleFaultsPerRun = 18
-	// maxOutageDuration limits the outages of the store in single faults. Longer outages
-	// are a combined fault.
+	// maxOutageDuration is the maximum duration of a store outage, except in
+	// storeRejectionThenOutage.
 	maxOutageDuration = 20 * second
 	// restartDelay is the usual time between a controller's crash and its restart.
 	restartDelay = 6 * second
@@ -56,10 +56,10 @@
 		node.StorePartitionedUntil, node.PeersPartitionedUntil = sim.Now+duration, sim.Now+duration
 	}},
 	{"all controllers restarted, one of them twice", restartTwice},
-	{"writes without a reply applied late", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
+	{"replies to writes lost, the writes applied late", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 		sim.StoreAPI.LoseWriteReplies(0.3, duration, false)
 	}},
-	{"writes applied, their replies lost", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
+	{"replies to writes lost, the writes applied immediately", func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 		sim.StoreAPI.LoseWriteReplies(0.3, duration, true)
 	}},
 	{"machines that reach no controller", onTwoMachines((*simulation.Machines).BlockHeartbeats)},
@@ -76,7 +76,8 @@
 	}},
 }
 
-// planSingleFaults schedules independent faults at random times.
+// planSingleFaults schedules independent faults at random times. Each begins at least
+// maxFaultDuration before until.
 func planSingleFaults(sim *simulation.Simulator, until cluster.Time) {
 	for range singleFaultsPerRun {
 		at := sim.RandomBetween(5*second, until-maxFaultDuration)
@@ -85,7 +86,7 @@
 	}
 }
 
-// planFault schedules a fault of a random controller.
+// planFault schedules a fault with a random controller as its target.
 func planFault(sim *simulation.Simulator, fault faultScenario, at, duration cluster.Time) {
 	node := sim.Nodes[sim.Rand.IntN(len(sim.Nodes))]
 	sim.After(at, func() {
@@ -122,10 +123,10 @@
 	restart(sim, node, delay)
 }
 
-// restart kills a controller's process and starts a new one after a delay.
-func restart(sim *simulation.Simulator, node *simulation.Node, delay cluster.Time) {
+// restart kills a controller's process and starts a new one after a downtime.
+func restart(sim *simulation.Simulator, node *simulation.Node, downtime cluster.Time) {
 	node.Kill()
-	sim.After(delay, node.Start)
+	sim.After(downtime, node.Start)
 }
 
 func partitionFromAll(sim *simulation.Simulator, node *simulation.Node, duration cluster.Time) {
@@ -133,7 +134,8 @@
 	node.StorePartitionedUntil, node.WorkersPartitionedUntil, node.PeersPartitionedUntil = until, until, until
 }
 
-// onTwoMachines returns a scenario that injects a fault into two random machines.
+// onTwoMachines returns a scenario that injects a fault into two random machines, which
+// may be the same.
 func onTwoMachines(inject func(*simulation.Machines, cluster.MachineID, cluster.Time)) func(*simulation.Simulator, *simulation.Node, cluster.Time) {
 	return func(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 		inject(sim.Machines, sim.Machines.Random(), duration)
@@ -146,7 +148,8 @@
 	sim.CloudAPI.DownUntil = sim.Now + duration
 }
 
-// preemptMachines removes three machines, each with or without a preemption notice.
+// preemptMachines picks three random machines. It either preempts a machine with notice,
+// which has no effect on an on-demand machine, or removes it without notice.
 func preemptMachines(sim *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for range 3 {
 		if sim.Chance(0.5) {
@@ -180,8 +183,8 @@
 	sim.After(duration, func() { crash(sim, node) })
 }
 
-// cancelOnHungMachines cancels running jobs while their machines hang. In some cases the
-// busiest controller crashes as well, or the store is down.
+// cancelOnHungMachines cancels running jobs and makes some of their machines hang. In
+// some cases the busiest controller crashes as well, or the store is down.
 func cancelOnHungMachines(sim *simulation.Simulator, _ *simulation.Node, duration cluster.Time) {
 	sim.Cancellations.CancelRunning(8, sim.RandomBetween(10*second, 45*second))
 	switch sim.Rand.IntN(3) {
--- a/internal/controller/group_check_test.go
+++ b/internal/controller/group_check_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestGroupRecordCheckTerminates checks that the check after a conflict on a group's
-// record ends although more writes are queued. The group's tasks wait for its end.
+// record ends, and drops the shard, although more writes of the group are queued.
 func TestGroupRecordCheckTerminates(t *testing.T) {
 	h := newControllerHarness()
 	machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
--- a/internal/controller/hung_machine_test.go
+++ b/internal/controller/hung_machine_test.go
@@ -8,12 +8,12 @@
 	"stairrelay/internal/cluster"
 )
 
-// failoverTime is the downtime of a controller after which another one acquires its
-// shards.
+// failoverTime is a downtime of a controller that is long enough for another one to
+// acquire its shards.
 const failoverTime = 9 * second
 
-// restartEachOwner restarts each owner of the long job's shard after it has owned the
-// shard for ownershipDuration.
+// restartEachOwner kills each owner of the long job's shard ownershipDuration after the
+// acquisition, and starts it again after failoverTime.
 func (c *testCluster) restartEachOwner(ownershipDuration cluster.Time) {
 	var last cluster.NodeID
 	var check func()
@@ -27,17 +27,18 @@
 	check()
 }
 
-// restartNode restarts the controller with the given ID after a delay.
-func (c *testCluster) restartNode(id cluster.NodeID, delay cluster.Time) {
+// restartNode kills the controller with the given ID and starts it again after a
+// downtime.
+func (c *testCluster) restartNode(id cluster.NodeID, downtime cluster.Time) {
 	for _, node := range c.Nodes {
 		if node.ID == id {
-			restart(c.Simulator, node, delay)
+			restart(c.Simulator, node, downtime)
 		}
 	}
 }
 
-// hangMachinesOfJob makes the machines that have tasks of the long job hang.
-func (c *testCluster) hangMachinesOfJob(duration cluster.Time) {
+// hangMachinesWithTasks makes all machines that have tasks hang for a duration.
+func (c *testCluster) hangMachinesWithTasks(duration cluster.Time) {
 	for id, worker := range c.Machines.Workers {
 		if len(worker.Tasks) > 0 {
 			c.Machines.Hang(id, duration)
@@ -46,7 +47,7 @@
 }
 
 // TestHungMachineAcrossShortOwnerships checks that a cancelled job's tasks on a hung
-// machine are gone in time although each owner crashes while it waits for the machine.
+// machine end by the cancel deadline although each owner soon crashes.
 func TestHungMachineAcrossShortOwnerships(t *testing.T) {
 	// Ten owners in two minutes have 12 s each, of which failure detection takes 6.6 s.
 	const tenInTwoMinutes = 5400 * millisecond
@@ -65,7 +66,7 @@
 				t.Fatalf("ownership duration %v is not shorter than the time for which a new owner waits for a machine", time.Duration(test.ownershipDuration))
 			}
 			c := newTestClusterWithConfig(t, cfg, 1, 2)
-			c.hangMachinesOfJob(2 * cfg.CancelDeadline)
+			c.hangMachinesWithTasks(2 * cfg.CancelDeadline)
 			c.cancelVia(c.Nodes[1], c.longJob)
 			c.restartEachOwner(test.ownershipDuration)
 			c.RunUntil(c.longJob.CancelConfirmedAt + cfg.CancelDeadline)
@@ -77,15 +78,15 @@
 	}
 }
 
-// TestHungMachineReleasedInOutage checks that the hung machine of a cancelled job is
-// released during a store outage longer than the cancel deadline.
-func TestHungMachineReleasedInOutage(t *testing.T) {
+// TestCancelledTasksOnHungMachineEndInOutage checks that a cancelled job's tasks on a
+// hung machine end in time during a store outage longer than the cancel deadline.
+func TestCancelledTasksOnHungMachineEndInOutage(t *testing.T) {
 	c := newTestCluster(t, 2)
-	c.hangMachinesOfJob(100 * second)
+	c.hangMachinesWithTasks(100 * second)
 	c.cancelVia(c.Nodes[1], c.longJob)
 	c.StoreAPI.DownUntil = c.Now + 80*second
 	if c.countRunningTasks(c.longJob) == 0 {
-		t.Fatal("the tasks ended before the outage")
+		t.Fatal("the tasks ended before the outage, so the test is inconclusive")
 	}
 	c.runAndCheck(120 * second)
 }
--- a/internal/controller/isolated_controller_test.go
+++ b/internal/controller/isolated_controller_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestIsolatedControllerOwnershipExpires checks that an owner that reaches only its
-// workers stops answering them when its ownership lease expires.
+// workers redirects them after its ownership lease has expired.
 func TestIsolatedControllerOwnershipExpires(t *testing.T) {
 	cfg := testConfig()
 	sim := newSimulator(1, cfg)
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -5,7 +5,7 @@
 	"stairrelay/internal/state"
 )
 
-// jobsConfig returns the settings of the jobs.
+// jobsConfig returns the settings of package jobs.
 func (c *Controller) jobsConfig() jobs.Config {
 	return jobs.Config{
 		Self:               c.config.Self,
@@ -28,7 +28,7 @@
 	})
 }
 
-// jobTasks forwards calls of jobs to the reconciler and the inventory.
+// jobTasks forwards calls from package jobs to the reconciler and the inventory.
 type jobTasks struct{ controller *Controller }
 
 // WithdrawUnsentStarts implements jobs.TaskStopper.
@@ -44,7 +44,7 @@
 	t.controller.inventory.RemoveAssignment(machine, assignment)
 }
 
-// jobScheduler forwards calls of jobs to the scheduler and the provisioner.
+// jobScheduler forwards calls from package jobs to the scheduler and the provisioner.
 type jobScheduler struct{ controller *Controller }
 
 // RequestScheduling implements jobs.Scheduler.
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -66,7 +66,7 @@
 }
 
 // waitFor runs until holds returns true, and returns how long that took. It fails if that
-// takes longer than within.
+// takes longer than within or if an invariant is violated.
 func (f *fleet) waitFor(what string, within cluster.Time, holds func() bool) cluster.Time {
 	f.t.Helper()
 	start := f.Now
@@ -80,27 +80,27 @@
 	return f.Now - start
 }
 
-// maxBootingMachines is the number of running machines that may be unowned because they
-// were provisioned during the test and have not sent a heartbeat yet.
-const maxBootingMachines = 10
+// maxUnownedMachines is the maximum number of running machines that may be unowned
+// because they were provisioned during the test and have not sent a heartbeat yet.
+const maxUnownedMachines = 10
 
-// waitForAllOwned runs until the running machines are owned and have acknowledged their
-// fencing tokens, and returns how long that took. At least nine tenths of the fleet must
-// run.
+// waitForAllOwned runs until all running machines but maxUnownedMachines, and at least
+// nine tenths of the fleet, are owned and all owned machines have acknowledged their
+// fencing tokens. It returns how long that took.
 func (f *fleet) waitForAllOwned(within cluster.Time) cluster.Time {
 	f.t.Helper()
-	return f.waitFor("all machines acknowledge their fencing token", within, func() bool {
+	return f.waitFor("all machines are owned and have acknowledged their fencing tokens", within, func() bool {
 		acknowledged, all := f.countOwnedMachines()
-		return acknowledged == all && all >= f.Machines.LiveCount()-maxBootingMachines && all >= f.machineCount*9/10
+		return acknowledged == all && all >= f.Machines.LiveCount()-maxUnownedMachines && all >= f.machineCount*9/10
 	})
 }
 
-// waitForAllDone runs until all jobs are done, and returns how long that took. It checks
-// that no shard is stalled, that the cached usage is consistent and that no transaction
-// exceeded the size limits.
+// waitForAllDone runs until all jobs have ended, and returns how long that took. It
+// checks that no shard is stalled, that the cached usage is consistent and that no
+// transaction exceeded the size limits.
 func (f *fleet) waitForAllDone(within cluster.Time) cluster.Time {
 	f.t.Helper()
-	took := f.waitFor("all jobs are done", within, func() bool { return f.UnfinishedJobCount() == 0 })
+	took := f.waitFor("all jobs have ended", within, func() bool { return f.UnfinishedJobCount() == 0 })
 	for _, c := range f.Controllers() {
 		if stalled := c.StalledShardCount(); stalled > 0 {
 			f.t.Errorf("%d shards are stalled", stalled)
@@ -117,8 +117,8 @@
 
 const largeFleetMachines = 4000
 
-// TestLargeFleetFaults checks that a large fleet recovers in bounded time from faults that
-// affect all of its machines.
+// TestLargeFleetFaults checks that a large fleet recovers in bounded time from the loss
+// of controllers, a store outage and the partition of a zone.
 func TestLargeFleetFaults(t *testing.T) {
 	t.Run("two of five controllers lost, and an outage during the failover", func(t *testing.T) {
 		t.Parallel()
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -7,15 +7,15 @@
 	"stairrelay/internal/messages"
 )
 
-// acknowledgeTerm makes a peer of newHarnessWithKnownPeers reply to a ping that was
-// sent now, with term as the latest that it knows of shard 0.
+// acknowledgeTerm delivers the reply of a peer of newHarnessWithKnownPeers to a ping sent
+// now, in which term is the latest term of shard 0 that the peer knows.
 func acknowledgeTerm(h *controllerHarness, id cluster.NodeID, term cluster.Term) {
 	ping := &messages.Ping{InstanceID: peerInstanceID(id), KnownTerms: []cluster.Term{term, 1, 1}}
 	h.members.HandlePingReply(h.members.Peer(id), ping, h.loop.Now())
 }
 
-// sendAcquire makes the controller acquire shard 0 and returns the transaction, to
-// which the store has not replied.
+// sendAcquire makes the controller send the acquisition of shard 0 and returns the
+// transaction without replying to it.
 func sendAcquire(t *testing.T, h *controllerHarness) messages.StoreTxn {
 	t.Helper()
 	shard := h.state.Shards[0]
--- a/internal/controller/loop_helpers_test.go
+++ b/internal/controller/loop_helpers_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// takeEffects returns the emitted effects and discards them.
+// takeEffects returns the emitted effects and removes them from the event loop.
 func takeEffects(c *Controller) []messages.Effect {
 	effects := c.loop.Effects()
 	c.loop.Begin(c.loop.Now(), c.loop.WallTime())
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestOnlyStopsBeforeTokenAcknowledged checks that a machine gets stops at any time, but
-// no start while its token is being raised and no pushed start before it is acknowledged.
+// no start while its token is raised and no pushed start until it acknowledges the token.
 func TestOnlyStopsBeforeTokenAcknowledged(t *testing.T) {
 	stop, both := []cluster.CommandKind{cluster.Stop}, []cluster.CommandKind{cluster.Stop, cluster.Start}
 	for _, test := range []struct {
@@ -112,7 +112,7 @@
 		takeEffects(h.Controller)
 		h.reconciler.Commands.PushQueued()
 		if sent := len(h.loop.Effects()) > 0; sent != resent {
-			t.Errorf("push outcome %v: stop is sent again: %v", outcome, sent)
+			t.Errorf("push outcome %v: stop is sent again: %v, want the opposite", outcome, sent)
 		}
 	}
 }
--- a/internal/controller/machine_maintenance_test.go
+++ b/internal/controller/machine_maintenance_test.go
@@ -37,7 +37,7 @@
 			}
 		}
 		if machine.Releasing != test.released {
-			t.Errorf("listed %v, silent %v: released %v", test.listed, test.silent, machine.Releasing)
+			t.Errorf("listed %v, silent %v: released %v, want the opposite", test.listed, test.silent, machine.Releasing)
 		}
 	}
 }
--- a/internal/controller/many_controllers_test.go
+++ b/internal/controller/many_controllers_test.go
@@ -26,7 +26,7 @@
 	demand := map[cluster.NodeID]float64{"n0": 4}
 	busy := rateShare("n0", demand)
 	if busy < 0.75*3.6 {
-		t.Errorf("the controller with work gets %.2f of 3.6 cloud calls per second", busy)
+		t.Errorf("the controller with work gets %.2f of 3.6 cloud calls per second, want at least three quarters", busy)
 	}
 	sum := 0.0
 	for _, node := range newSevenNodeController().config.Nodes {
@@ -48,8 +48,8 @@
 		CloudRPS: 4, StoreRPS: 100, WriteRPS: 25, MaxTxnOps: 20, MaxValueBytes: 16384, WorkerLease: 14 * second, HeartbeatInterval: 5 * second / 2, Tuning: DefaultTuning()})
 }
 
-// TestFailbackOnlyToSpreadLoad checks that a shard is offered back to its preferred owner
-// only if the current owner has other work. Moving all work elsewhere would gain nothing.
+// TestFailbackOnlyToSpreadLoad checks that the owner's only shard with work is not
+// offered to its preferred owner, but an idle shard or one of several with work is.
 func TestFailbackOnlyToSpreadLoad(t *testing.T) {
 	c := newSevenNodeController()
 	c.Step(second, 0, messages.Tick{})
@@ -119,7 +119,7 @@
 }
 
 // TestOwnerWithoutHeartbeatsFailsOver checks that an owner without heartbeats reports its
-// workers as unreachable, and counts as failed where the heartbeats arrive.
+// workers as unreachable, and that a controller with heartbeats considers it failed.
 func TestOwnerWithoutHeartbeatsFailsOver(t *testing.T) {
 	const machines = 20 // a large fleet, which has a shorter heartbeat timeout
 	c := newSevenNodeController()
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/messages"
 )
 
-// membershipConfig returns the settings of the membership.
+// membershipConfig returns the settings of package membership.
 func (c *Controller) membershipConfig() membership.Config {
 	tuning := &c.config.Tuning
 	return membership.Config{
@@ -43,8 +43,8 @@
 	}
 }
 
-// membershipHost forwards calls of the membership to the components that handle shards,
-// transfer offers and cloud demand.
+// membershipHost forwards calls from package membership to the components that handle
+// shards, transfer offers and cloud demand.
 type membershipHost struct{ controller *Controller }
 
 // DescribeShards implements membership.Host.
--- a/internal/controller/message_bounds_test.go
+++ b/internal/controller/message_bounds_test.go
@@ -11,8 +11,8 @@
 	"stairrelay/internal/messages"
 )
 
-// TestOversizedPeerRequestRejected checks that a ping with more entries than a valid one
-// can have is rejected and logged once. Processing it could block the event loop.
+// TestOversizedPeerRequestRejected checks that a ping with too many entries or too large
+// a count is rejected, and logged only once. Processing it could block the event loop.
 func TestOversizedPeerRequestRejected(t *testing.T) {
 	for name, ping := range map[string]messages.Ping{
 		"Parts":          {Shards: make([]messages.ShardTerm, 4)},
@@ -57,7 +57,7 @@
 		switch effect := effect.(type) {
 		case messages.Respond:
 			if effect.Status != messages.StatusBadRequest || !strings.HasPrefix(effect.Error, field) {
-				t.Errorf("answered %d %q", effect.Status, effect.Error)
+				t.Errorf("answered %d %q, want 400 and the name of the field", effect.Status, effect.Error)
 			}
 		case messages.Log:
 			lines++
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -12,8 +12,8 @@
 	"stairrelay/internal/state"
 )
 
-// TestOverloadedController checks that a controller short of CPU time schedules less
-// often, rejects submissions, and does not push starts to machines that run tasks.
+// TestOverloadedController checks that an overloaded controller schedules less often,
+// rejects low-priority jobs, and pushes no starts to machines that run tasks.
 func TestOverloadedController(t *testing.T) {
 	c := New(Config{Self: "n0", Nodes: []cluster.NodeID{"n0"}, HeartbeatInterval: 5 * second, StoreRPS: 100, WriteRPS: 100, MaxValueBytes: 4096, MaxTxnOps: 12,
 		Teams: []cluster.Team{{Name: "red", QuotaLimit: cluster.Resources{CPU: 100_000_000}}}, Tuning: DefaultTuning()})
@@ -58,11 +58,11 @@
 		t.Errorf("overloaded, starts are pushed to %v, want only the idle machine", addresses)
 	}
 	if delay := c.processHealth.StretchDelay(scheduling.MinInterval); delay <= scheduling.MinInterval || delay > second {
-		t.Errorf("overloaded, the scheduling interval is %v", time.Duration(delay))
+		t.Errorf("overloaded, the scheduling interval is %v, want a longer one than without load but at most 1s", time.Duration(delay))
 	}
 	c.processHealth.RecordLoad(messages.ProcessLoad{EventDelay: 2 * second})
 	retryAfter := c.jobs.Submissions.OverloadRetryAfter
 	if retryAfter(cluster.BestEffort) == 0 || retryAfter(cluster.Normal) == 0 || retryAfter(cluster.Production) != 0 {
-		t.Errorf("2 s behind: retry after %d, %d, %d s for best effort, normal, production", retryAfter(cluster.BestEffort), retryAfter(cluster.Normal), retryAfter(cluster.Production))
+		t.Errorf("with an event delay of 2 s: retry after %d, %d, %d s for best effort, normal, production; want 0 only for production", retryAfter(cluster.BestEffort), retryAfter(cluster.Normal), retryAfter(cluster.Production))
 	}
 }
--- a/internal/controller/owner_failures_test.go
+++ b/internal/controller/owner_failures_test.go
@@ -24,10 +24,10 @@
 	c.After(38*second, func() { c.Users.Cancel(c.longJob) })
 	c.runAndCheck(120 * second)
 	if len(crashes) < 2 || c.longJob.ReportedStatus != cluster.JobCancelled || c.longJob.CancelConfirmedAt-startedAt > 90*second {
-		t.Errorf("crashes %v, the cancelled job is %s, confirmed after %v", crashes, c.longJob.ReportedStatus, time.Duration(c.longJob.CancelConfirmedAt-startedAt))
+		t.Errorf("crashes %v, the cancelled job is %s, confirmed after %v; want crashes of several owners and a confirmation within 90s", crashes, c.longJob.ReportedStatus, time.Duration(c.longJob.CancelConfirmedAt-startedAt))
 	}
 	c.runAndCheck(300 * second)
 	if other.ReportedStatus != cluster.JobDone {
-		t.Errorf("the other job is %s", other.ReportedStatus)
+		t.Errorf("the other job is %s, want done", other.ReportedStatus)
 	}
 }
--- a/internal/controller/ownership_adapter.go
+++ b/internal/controller/ownership_adapter.go
@@ -5,7 +5,7 @@
 	"stairrelay/internal/state"
 )
 
-// ownershipConfig returns the settings of the shard ownership.
+// ownershipConfig returns the settings of package ownership.
 func (c *Controller) ownershipConfig() ownership.Config {
 	return ownership.Config{
 		Self:           c.config.Self,
@@ -17,7 +17,8 @@
 	}
 }
 
-// shardStore loads acquired shards and drops those no longer owned.
+// shardStore loads the records of acquired shards and drops the state of shards that are
+// no longer owned.
 type shardStore struct{ controller *Controller }
 
 // LoadShard implements ownership.ShardStore and inventory.Shards.
--- a/internal/controller/ownership_lease_test.go
+++ b/internal/controller/ownership_lease_test.go
@@ -19,12 +19,12 @@
 // of shard 0 to do.
 type leaseTest struct {
 	name         string
-	n2PingSentAt cluster.Time // when the last ping was sent that n2 replied to; 0 if it replied to none
+	n2PingSentAt cluster.Time // when the last ping that n2 replied to was sent; 0 if there is none
 	prepare      func(h *controllerHarness, n2 *membership.Peer)
 	owned        bool
 	confirmedAt  cluster.Time
-	canAnswer    bool // 8 s later
-	canStart     bool // 8 s later
+	canAnswer    bool // whether the owner may answer workers 8 s later
+	canStart     bool // whether the owner may start tasks 8 s later
 }
 
 var leaseTests = []leaseTest{
@@ -145,7 +145,7 @@
 }
 
 // TestOwnershipConfirmedByStoreReads checks that an owner renews its lease by reading its
-// claim record from the store even if a peer acknowledges nothing.
+// claim record from the store although no peer acknowledges the claim.
 func TestOwnershipConfirmedByStoreReads(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -43,7 +43,7 @@
 		sendHeartbeat(at, 3+i)
 	}
 	if count := released(); count > 0 {
-		t.Errorf("%d machines released after a pause", count)
+		t.Errorf("%d machines released after a pause, want none", count)
 	}
 	for i := range cluster.SequenceNumber(60) {
 		at += second
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -125,19 +125,19 @@
 func (h *controllerHarness) checkProductionMachines(t *testing.T) {
 	m1, m2, m3 := h.state.Machines["m-000001"], h.state.Machines["m-000002"], h.state.Machines["m-000003"]
 	if m1 == nil || m2 == nil || m3 == nil {
-		t.Fatalf("machines %+v, %+v, %+v", m1, m2, m3)
+		t.Fatalf("got machines %+v, %+v, %+v, want three", m1, m2, m3)
 	}
 	if len(m1.Assignments) != 3 || m1.Address != "10.1.0.232:9000" || !m1.Spot || m1.Zone != "a" {
-		t.Errorf("machine %+v", m1)
+		t.Errorf("machine %+v, want a spot machine with three tasks", m1)
 	}
 	if !m2.Booting {
-		t.Errorf("machine %+v", m2)
+		t.Errorf("machine %+v, want a booting machine", m2)
 	}
 	if !m3.ReleaseConfirmed || len(m3.Assignments) != 1 {
-		t.Errorf("machine %+v", m3)
+		t.Errorf("machine %+v, want a released machine with one task", m3)
 	}
 	if assignment := m1.Assignments[cluster.TaskID{Job: "j-000412", Index: 4}]; assignment == nil || assignment.Attempt != 30<<20|2 {
-		t.Errorf("task 4 is listed as %+v", assignment)
+		t.Errorf("task 4 is listed as %+v, want attempt 2 under claim 30", assignment)
 	}
 }
 
@@ -146,16 +146,16 @@
 	var request provisioning.RequestRecord
 	wantRequest := provisioning.RequestRecord{Shard: 0, Type: "small", Zone: "a", Spot: true, Count: 3, WriteID: "b1-12"}
 	if json.Unmarshal(records["rentals/r-b1-30-1"], &request) != nil || request != wantRequest {
-		t.Errorf("provisioning request %+v", request)
+		t.Errorf("decoded an unexpected provisioning request: %+v", request)
 	}
 	var claim ownership.ClaimRecord
 	wantClaim := ownership.ClaimRecord{Owner: "n0", Term: 7, WriteID: "b1-13"}
 	if json.Unmarshal(records["parts/0"], &claim) != nil || !reflect.DeepEqual(claim, wantClaim) {
-		t.Errorf("claim %+v", claim)
+		t.Errorf("decoded an unexpected claim record: %+v", claim)
 	}
 	var cache provisioning.MachineTypesRecord
 	if json.Unmarshal(records["types"], &cache) != nil || len(cache.Types) != 1 || cache.Types[0].SpotPrice != 0.07 || len(cache.Types[0].Zones) != 2 || cache.WriteID != "b1-14" {
-		t.Errorf("machine types %+v", cache)
+		t.Errorf("decoded unexpected machine types: %+v", cache)
 	}
 }
 
@@ -163,8 +163,8 @@
 // reads: ranges and bitmaps.
 var productionOutcomes = regexp.MustCompile(`^(|[0-9]+(-[0-9]+)?(,[0-9]+(-[0-9]+)?)*|b[A-Za-z0-9+/]+)$`)
 
-// TestRecordsMatchProductionEncoding checks that records of jobs without dependencies are
-// encoded as by the version in production, which must read them during an upgrade.
+// TestRecordsMatchProductionEncoding checks that records are encoded as by the version in
+// production, which must read them during an upgrade. Their jobs have no dependencies.
 func TestRecordsMatchProductionEncoding(t *testing.T) {
 	bitmapSeen := map[bool]bool{}
 	for key, old := range loadProductionRecords(t) {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -10,12 +10,12 @@
 
 // stallThreshold is the number of consecutive checkpoints without progress after which a
 // stalled shard is logged. It is logged again after each further stallThreshold
-// checkpoints.
+// checkpoints. Checkpoints are the periodic calls of writeBackgroundState.
 const stallThreshold = 15
 
-// shardProgress tracks how long a shard has made no progress. It detects stalls in which
-// all controllers are alive, but none owns the shard, or its owner starts no tasks or
-// stores no writes.
+// shardProgress tracks for how long a shard has made no progress. A shard makes no
+// progress if no controller serves it, or if its owner starts none of the tasks that it
+// could start or stores none of its pending writes.
 type shardProgress struct {
 	stalledCheckpoints int    // consecutive checkpoints without progress
 	plannedStarts      uint64 // shard.PlannedStarts at the last checkpoint
@@ -33,15 +33,17 @@
 	stallNoWrites stallReason = "its writes are not stored"
 )
 
-// checkShardProgress updates the progress of all shards. It is called at each checkpoint.
+// checkShardProgress updates the progress of all shards and logs stalled ones. It is
+// called at each checkpoint.
 func (c *Controller) checkShardProgress() {
 	for _, shard := range c.state.Shards {
 		c.recordShardProgress(shard, c.shardStallReason(shard))
 	}
 }
 
-// recordShardProgress counts a checkpoint without progress, and logs the shard each time
-// the count reaches a multiple of stallThreshold.
+// recordShardProgress records the result of a checkpoint. It counts consecutive
+// checkpoints without progress, and logs the shard each time the count reaches a multiple
+// of stallThreshold.
 func (c *Controller) recordShardProgress(shard *state.Shard, reason stallReason) {
 	progress := &c.progress[shard.ID]
 	progress.plannedStarts, progress.storedTransactions = shard.PlannedStarts, shard.StoredTransactions
@@ -61,10 +63,11 @@
 }
 
 // shardStallReason returns why a shard makes no progress, as far as this controller
-// knows.
+// knows. The result is stallNone if the shard is not stalled, or while the store is
+// unavailable.
 func (c *Controller) shardStallReason(shard *state.Shard) stallReason {
 	switch {
-	case c.writeQueue.IsUnavailableFor(second): // no controller can make progress
+	case c.writeQueue.IsUnavailableFor(second): // without the store, progress can neither be made nor observed
 		return stallNone
 	case !shard.Owned:
 		if c.isServedByPeer(shard) {
@@ -81,8 +84,9 @@
 	return stallNone
 }
 
-// isServedByPeer reports whether the shard's owner is a peer whose current ping lists the
-// shard, or a peer that is considered alive although its pings don't arrive.
+// isServedByPeer reports whether a shard's owner is a peer that serves it. A peer whose
+// last ping is recent must list the shard in that ping. A peer without a recent ping must
+// not be considered failed.
 func (c *Controller) isServedByPeer(shard *state.Shard) bool {
 	owner := c.members.Peer(shard.Owner)
 	if owner == nil {
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// runStallChecks runs count progress checks while nothing else happens and returns the
-// logged reasons.
+// runStallChecks runs count progress checks at intervals of 2 s, during which only pings
+// arrive, and returns the logged reasons.
 func (h *controllerHarness) runStallChecks(count int) []string {
 	takeEffects(h.Controller)
 	for range count {
@@ -44,8 +44,8 @@
 	return loggedStalls(h.loop.Effects())
 }
 
-// TestStalledShardIsLogged checks that a shard without an owner, or whose owner makes
-// no progress, is logged, and no other.
+// TestStalledShardIsLogged checks that a shard without an owner, or whose owner makes no
+// progress, is logged as stalled, and that other shards are not.
 func TestStalledShardIsLogged(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -60,16 +60,16 @@
 			h.state.Shards[0].Owned, h.state.Shards[0].Owner = false, "n1"
 			h.receivePing(h.members.Peer("n1"), &messages.Ping{Shards: []messages.ShardTerm{{Shard: 0, Term: 2}}})
 		}, ""},
-		{"idle machines and waiting tasks", func(h *controllerHarness) {
+		{"idle machines and pending tasks", func(h *controllerHarness) {
 			h.addRunningMachine(h.addTestJob("j-1", 1))
 			h.addTestJob("j-2", 2)
 		}, "waiting tasks fit on its machines and none is started"},
-		{"waiting tasks that fit nowhere", func(h *controllerHarness) {
+		{"pending tasks that fit nowhere", func(h *controllerHarness) {
 			machine, _ := h.addRunningMachine(h.addTestJob("j-1", 1))
 			machine.Draining = true
 			h.addTestJob("j-2", 2)
 		}, ""},
-		{"waiting tasks bound to another zone", func(h *controllerHarness) {
+		{"pending tasks bound to another zone", func(h *controllerHarness) {
 			h.addRunningMachine(h.addTestJob("j-1", 1))
 			far := h.inventory.AddMachine(h.state.AddGroup(h.state.Shards[0], "far", 31), grouprecord.Machine{ID: "m-9", Kind: grouprecord.Kind{Type: "small", Zone: "b"}}, 31)
 			job := h.addTestJob("j-2", 2)
@@ -109,7 +109,7 @@
 }
 
 // TestProgressEndsStall checks that a single stored transaction restarts the count of
-// checks without progress.
+// checkpoints without progress.
 func TestProgressEndsStall(t *testing.T) {
 	h := newControllerHarness()
 	h.inventory.RegisterMachines(h.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -44,9 +44,9 @@
 	})
 }
 
-// provisioningOrphans forwards machines that the cloud lists, but no record does, to the
-// reconciler. It looks the reconciler up at each call, because the reconciler is created
-// after the provisioner.
+// provisioningOrphans forwards the machines that the cloud lists but no known record does
+// to the reconciler. It looks the reconciler up at each call, because the reconciler is
+// created after the provisioner.
 type provisioningOrphans struct{ controller *Controller }
 
 // HandleListed implements provisioning.Orphans.
--- a/internal/controller/provisioning_late_write_test.go
+++ b/internal/controller/provisioning_late_write_test.go
@@ -17,12 +17,12 @@
 	requested := h.awaitScaleOut(t)
 	first := h.sentTransactions[0]
 	if first.Then[0].Key != "rentals/"+requested.Name {
-		t.Fatalf("the first transaction writes %s", first.Then[0].Key)
+		t.Fatalf("the first transaction writes %s, want the provisioning request", first.Then[0].Key)
 	}
 	h.loop.Deliver(messages.Reply{Call: requested.Call, Body: messages.ScaleOutReply{Outcome: messages.OK, IDs: []cluster.MachineID{"m-1", "m-2"}}})
 	h.runFor(second)
 	if len(h.state.Groups) != 1 || len(shard.ProvisioningRequests) != 0 {
-		t.Fatalf("%d groups, %d open requests", len(h.state.Groups), len(shard.ProvisioningRequests))
+		t.Fatalf("%d groups, %d open requests; want one group and no open request", len(h.state.Groups), len(shard.ProvisioningRequests))
 	}
 	if reply := h.store.commit(first); reply.Outcome != messages.Conflict {
 		t.Errorf("a late copy of the request's creation was applied: %v", h.store.keys)
@@ -48,7 +48,7 @@
 	}
 }
 
-// awaitScaleOut lets the store reply until machines are requested from the cloud, and
+// awaitScaleOut runs the controller until it requests machines from the cloud, and
 // returns the request.
 func (h *controllerHarness) awaitScaleOut(t *testing.T) messages.CloudScaleOut {
 	t.Helper()
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -14,13 +14,15 @@
 )
 
 const (
-	// faultPeriod is the time from the start of a run in which faults begin.
+	// faultPeriod is the time at the start of a run during which faults begin.
 	faultPeriod = 240 * second
 	// maxFaultDuration is the maximum duration of a fault.
 	maxFaultDuration = 40 * second
-	// completionTimeout is the time after faultPeriod within which all jobs must be done.
+	// completionTimeout is the time after faultPeriod within which all jobs must have
+	// ended.
 	completionTimeout = 540 * second
-	// maxStartDelay is the maximum time until the largest job of a class starts.
+	// maxStartDelay is the maximum time from the submission of the largest job of a class
+	// to its start.
 	maxStartDelay = 240 * second
 )
 
@@ -69,7 +71,7 @@
 }
 
 // TestRandomFaults checks the protocol's invariants under random crashes, partitions,
-// hangs, outages and late messages, and that all jobs are done in bounded time afterwards.
+// hangs, outages and late messages, and that all jobs end in bounded time afterwards.
 func TestRandomFaults(t *testing.T) {
 	from, to := seedRange(t, 1, 25)
 	var seen faultTotals
@@ -143,11 +145,12 @@
 }
 
 // simulateRandomFaults simulates a cluster with faults of all kinds and returns how often
-// each kind occurred.
+// each kind occurred. It makes the checks of runWithFaults, and checks that the largest
+// job of each class starts within maxStartDelay.
 func simulateRandomFaults(t *testing.T, seed uint64, cfg controller.Config, options ...simulation.Option) map[simulation.FaultKind]int {
 	t.Helper()
 	sim := newSimulator(seed, cfg, options...)
-	if len(cfg.Nodes) == 3 { // otherwise no machine is running at the start
+	if len(cfg.Nodes) == 3 { // in larger clusters no machine is running at the start
 		addMachinesPerZone(sim, 1)
 	}
 	runWithFaults(t, sim, cfg, func(teams []string, until cluster.Time) {
@@ -162,7 +165,7 @@
 	for _, job := range largestJobs(sim) {
 		delay := job.FirstStartAt - job.SubmittedAt
 		if !job.CancelRequested && (job.FirstStartAt == 0 || delay > maxStartDelay) {
-			t.Errorf("%s, the largest job of class %s, started %v after its submission", job.Spec.ID, job.Spec.Class, time.Duration(delay))
+			t.Errorf("%s, the largest job of class %s, started %v after its submission, want a start within 4m (a negative time means that it never started)", job.Spec.ID, job.Spec.Class, time.Duration(delay))
 		}
 	}
 	return sim.FaultCounts
@@ -198,15 +201,16 @@
 	}
 }
 
-// enableRandomMessageFaults delays, duplicates and slows down messages at random.
+// enableRandomMessageFaults makes the network deliver random messages late, twice or
+// slowly.
 func enableRandomMessageFaults(sim *simulation.Simulator) {
 	sim.Network.LateDelivery = true
 	sim.Network.HeartbeatDuplicateChance = 0.03
 	sim.Network.SlowPeerChance = 0.03
 }
 
-// checkUsageSums checks every second that the controllers' cached resource usage equals
-// the sum over their tasks.
+// checkUsageSums schedules a check every second that the controllers' cached resource
+// usage equals the sum over their tasks.
 func checkUsageSums(t *testing.T, sim *simulation.Simulator) {
 	t.Helper()
 	var check func()
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -13,15 +13,16 @@
 	plannedJobCount = 45
 	// initialJobCount is the number of those jobs that are submitted at the start.
 	initialJobCount = 10
-	// longJobInterval is the interval of long jobs among the planned jobs. The tasks of a
-	// long job run for longer than the cancellation deadline, so that a task that is not
-	// stopped is detected.
+	// longJobInterval is the number of planned jobs per long job. The tasks of a long job
+	// run for longer than the cancel deadline, so that a task that is not stopped is
+	// detected.
 	longJobInterval = 9
 	// plannedPipelineCount is the number of pipelines in a run.
 	plannedPipelineCount = 6
 )
 
-// planJobs schedules the submission of random jobs and the cancellation of some of them.
+// planJobs schedules the submission of random jobs, the cancellation of some of them, and
+// queries of unknown jobs.
 func planJobs(sim *simulation.Simulator, teams []string, until cluster.Time) {
 	for i := range plannedJobCount {
 		at := sim.RandomBetween(0, until)
@@ -124,8 +125,8 @@
 }
 
 // randomPipeline returns the jobs of a random pipeline: a first job, parallel jobs that
-// depend on it, a job that depends on all of these, and a last job that depends on the
-// previous one and on the first.
+// depend on it, a middle job that depends on all parallel jobs, and a last job that
+// depends on the middle job and on the first.
 func (p *pipelinePlanner) randomPipeline() []*simulation.Job {
 	first := p.randomJob()
 	jobs := []*simulation.Job{first}
--- a/internal/controller/rejected_split_test.go
+++ b/internal/controller/rejected_split_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestRejectedSplitIsSplitFurther checks that a group whose halves the store rejects as
-// too large is split further until the waiting start is recorded.
+// too large is split further, until a task in it is recorded and can start.
 func TestRejectedSplitIsSplitFurther(t *testing.T) {
 	h := newControllerHarness()
 	dropTimers(h.Controller)
--- a/internal/controller/scale_out_zone_cluster_test.go
+++ b/internal/controller/scale_out_zone_cluster_test.go
@@ -25,6 +25,6 @@
 	c.waitFor("its tasks run again", 90*second, func() bool { return c.countRunningTasks(job) == 3 })
 	c.runAndCheck(90 * second)
 	if job.ReportedStatus != cluster.JobDone {
-		t.Errorf("the job is %s", job.ReportedStatus)
+		t.Errorf("the job is %s, want done", job.ReportedStatus)
 	}
 }
--- a/internal/controller/scale_out_zone_test.go
+++ b/internal/controller/scale_out_zone_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestScaleOutInZoneOfJob checks that machines for a job bound to a zone are requested
-// only there, even if the zone is out of capacity. The job can't use others.
+// only there, and not at all while the zone is out of capacity.
 func TestScaleOutInZoneOfJob(t *testing.T) {
 	for _, test := range []struct {
 		name          string
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -14,8 +14,8 @@
 // shardLoad loads the records of a newly acquired shard. The workers' heartbeats are
 // reconciled with the records only after these are loaded.
 //
-// A load is abandoned if this controller loses the claim under which it began. No record
-// is applied before all records were read.
+// A load is abandoned if this controller loses the shard, even if it acquires the shard
+// again under another claim. No record is applied before all records were read.
 type shardLoad struct {
 	controller           *Controller
 	shard                *state.Shard
@@ -31,13 +31,14 @@
 	load := &shardLoad{controller: c, shard: shard, claimRevision: shard.ClaimRevision}
 	load.read(state.GroupKeyPrefix, &load.groups)
 	load.read(provisioning.RequestKeyPrefix, &load.provisioningRequests)
-	// Admissions are listed before jobs. The watch delivers the jobs that are admitted in
-	// between.
+	// Admissions are listed before jobs. A job that is admitted between the two reads is
+	// delivered by the watch.
 	load.read(jobs.AdmissionKeyPrefix, &load.admissions)
 	load.read(state.JobKeyPrefix, &load.jobs)
 }
 
-// read lists the records with a prefix into result, and retries until it succeeds.
+// read lists the records with a prefix into result, and retries until that succeeds. It
+// calls finish once all records of the load were read.
 func (l *shardLoad) read(prefix string, result **messages.ListReply) {
 	l.controller.writeQueue.ListPrefix(prefix, func(reply messages.ListReply) {
 		if !l.shard.IsOwnedUnder(l.claimRevision) {
@@ -59,8 +60,9 @@
 	return l.groups != nil && l.provisioningRequests != nil && l.admissions != nil && l.jobs != nil
 }
 
-// finish applies the records and marks the shard as ready. It doesn't mark the shard if
-// the records show that its ownership was lost, or if some of them are corrupt.
+// finish applies the records and marks the shard as ready. If applying them shows that
+// the shard was lost, it does nothing more. If some group records are corrupt, it starts
+// their repair instead, after which the shard is loaded again.
 func (l *shardLoad) finish() {
 	c, shard := l.controller, l.shard
 	l.applyRecords()
@@ -113,8 +115,10 @@
 	}
 }
 
-// awaitAcknowledgements records which machines have not acknowledged this claim's fencing
-// token. After a worker lease, it logs how many still have not.
+// awaitAcknowledgements marks the shard's machines as not having acknowledged this
+// claim's fencing token. One worker lease later, it logs how many machines were awaited,
+// how many of these are still silent, and how long after the acquisition the last one
+// acknowledged its token. If all are silent, the logged time is that of the load.
 func (l *shardLoad) awaitAcknowledgements() {
 	c, shard := l.controller, l.shard
 	awaited := shard.AwaitFirstAcknowledgements(c.loop.Now())
@@ -123,7 +127,7 @@
 	}
 	c.loop.After(c.config.WorkerLease, func() {
 		if shard.IsOwnedUnder(l.claimRevision) {
-			c.loop.Log(messages.LogInfo, "counted fencing token acknowledgements",
+			c.loop.Log(messages.LogInfo, "waited one worker lease for machines to acknowledge their new fencing tokens",
 				"shard", int(shard.ID),
 				"machines", awaited,
 				"silent", shard.AwaitingFirstAcknowledgementCount,
--- a/internal/controller/simulator_setup_test.go
+++ b/internal/controller/simulator_setup_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// sevenNodeConfig returns a configuration with more controllers than teams, one team
-// without guaranteed quota or quota limit, a short cancellation deadline and a large lag
-// of the cloud's machine list.
+// sevenNodeConfig returns a configuration with seven controllers, one team without
+// guaranteed quota or quota limit, a short cancel deadline and a large lag of the cloud's
+// machine list.
 func sevenNodeConfig() controller.Config {
 	cfg := testConfig()
 	cfg.Nodes = []cluster.NodeID{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}
@@ -92,8 +92,9 @@
 	return simulation.NewFakeCloud(types, capacity, func() cluster.Time { return randomBootDuration(simulator()) })
 }
 
-// randomBootDuration returns how long a machine takes to boot. One in ten machines may
-// boot unusually fast or slowly.
+// randomBootDuration returns how long a machine takes to boot. While fast boots are
+// enabled, all machines boot fast. Otherwise one in ten may boot unusually fast or
+// slowly.
 func randomBootDuration(sim *simulation.Simulator) cluster.Time {
 	switch {
 	case sim.Machines.HasFastBoots():
--- a/internal/controller/slow_store_test.go
+++ b/internal/controller/slow_store_test.go
@@ -14,8 +14,8 @@
 // slowStoreJobCount is the number of jobs submitted to a slow store.
 const slowStoreJobCount = 30
 
-// TestSlowStore checks that a slow store causes no violations, that jobs still end, and
-// that a submission takes about one round trip rather than several.
+// TestSlowStore checks that a slow store causes no violations, that all jobs are done,
+// and that the median submission takes about one round trip rather than several.
 func TestSlowStore(t *testing.T) {
 	for _, delay := range []cluster.Time{0, 200 * millisecond, 600 * millisecond} {
 		slow := time.Duration(delay)
@@ -28,7 +28,7 @@
 			latencies := measureSubmissionLatencies(sim)
 			sim.RunUntil(100 * second)
 			if len(*latencies) != slowStoreJobCount || len(sim.Violations) > 0 {
-				t.Fatalf("%d responses, violations %v", len(*latencies), sim.Violations)
+				t.Fatalf("%d responses, violations %v; want a response to each submission and no violation", len(*latencies), sim.Violations)
 			}
 			slices.Sort(*latencies)
 			median, longest := (*latencies)[slowStoreJobCount/2], (*latencies)[slowStoreJobCount-1]
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/writequeue"
 )
 
-// Counters counts events since the last periodic log line.
+// Counters counts events since logStats last ran.
 type Counters struct {
 	Heartbeats    int
 	Submissions   int
@@ -25,17 +25,18 @@
 func (n *Counters) AddMachineScans(machines []*state.Machine) { n.MachineScans += len(machines) }
 
 // capacityUsage is the CPU capacity of the machines of all owned shards, and its usage.
+// The fields from recording on are the CPUs that tasks request.
 type capacityUsage struct {
-	total     cluster.Amount // of machines that have booted
-	spot      cluster.Amount
-	idle      cluster.Amount
-	booting   cluster.Amount
-	recording cluster.Amount // of tasks in this phase; likewise ready to ended
-	ready     cluster.Amount
-	fetching  cluster.Amount
+	total     cluster.Amount // of booted machines
+	spot      cluster.Amount // of booted spot machines
+	idle      cluster.Amount // of booted machines without live tasks
+	booting   cluster.Amount // of booting machines
+	recording cluster.Amount // in state.PhaseRecording
+	ready     cluster.Amount // in state.PhaseReady
+	fetching  cluster.Amount // in a later phase, but not running yet
 	running   cluster.Amount
-	ended     cluster.Amount
-	pending   cluster.Amount // of tasks not assigned to a machine
+	ended     cluster.Amount // in state.PhaseEnded
+	pending   cluster.Amount // not assigned to a machine
 }
 
 func (u *capacityUsage) addMachine(machine *state.Machine, cpu cluster.Amount) {
@@ -70,7 +71,8 @@
 	}
 }
 
-// capacityUsage returns the usage of the owned shards.
+// capacityUsage returns the usage of the owned shards. Pending tasks of shards that are
+// still loading are not included.
 func (c *Controller) capacityUsage() capacityUsage {
 	var usage capacityUsage
 	for _, shard := range c.state.Shards {
@@ -87,7 +89,7 @@
 	return usage
 }
 
-// logStats writes the periodic log lines.
+// logStats writes the periodic log lines and resets the counters.
 func (c *Controller) logStats() {
 	counts := c.counters
 	c.counters = Counters{}
--- a/internal/controller/store_limits_test.go
+++ b/internal/controller/store_limits_test.go
@@ -17,8 +17,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// These tests cover limits of the store that are lower than those under which the records
-// were written.
+// These tests cover the limits of the store, also if they are lower than the limits under
+// which the records were written.
 
 // TestOutcomesWithinSizeLimit checks that state.EncodeCompleted stays within the size
 // limit and lists exactly the completed tasks below the index that it returns.
@@ -56,7 +56,7 @@
 	}
 }
 
-// configureLimits sets the store's limit of operations per transaction.
+// configureLimits changes the controller's limit of operations per transaction.
 func (h *controllerHarness) configureLimits(maxTxnOps int) {
 	h.config.MaxTxnOps = maxTxnOps
 	h.writeQueue.Configure(h.writeQueueConfig())
@@ -64,8 +64,8 @@
 	h.inventory.Configure(h.inventoryConfig())
 }
 
-// TestLargestJobInSmallTransactions checks that a job's outcomes are stored although they
-// need more chunks than a transaction may write, and deleted after the job has ended.
+// TestLargestJobInSmallTransactions checks that a job's outcomes are stored in more
+// chunks than a transaction may write, and that its chunks are deleted after its end.
 func TestLargestJobInSmallTransactions(t *testing.T) {
 	const tasks = 100_000
 	h := newControllerHarness()
@@ -131,8 +131,9 @@
 	}
 }
 
-// addGroupWithTasks adds a group of machines with tasks of a job on each. The indexes
-// of the tasks are not consecutive, so the record can't encode them as ranges.
+// addGroupWithTasks adds a group of machines with tasks of a job on each, and stores its
+// record. The indexes of the tasks are not consecutive, so the record can't encode them
+// as ranges.
 func (h *controllerHarness) addGroupWithTasks(name string, job *state.Job, machines, tasks, from int) *state.MachineGroup {
 	group := h.state.AddGroup(h.state.Shards[0], name, 0)
 	for i := range machines {
@@ -178,9 +179,9 @@
 	return listed, longest
 }
 
-// TestOversizedRecordSplitInOneTransaction checks that a group record far above the value
-// limit is split until none exceeds it, and that no machine is lost or listed twice.
-func TestOversizedRecordSplitInOneTransaction(t *testing.T) {
+// TestOversizedRecordSplit checks that one transaction splits an oversized record as far
+// as its operation limit allows, and that no machine is lost or listed twice.
+func TestOversizedRecordSplit(t *testing.T) {
 	for _, test := range []struct {
 		machines, operations int
 		withinLimit          bool
@@ -193,10 +194,10 @@
 			h.inventory.Split(group)
 			h.runFor(200 * millisecond)
 			if len(h.sentTransactions) == 0 || len(h.sentTransactions[0].Then) != min(test.operations, max(before/(h.config.MaxValueBytes/2), 2)) {
-				t.Fatalf("a record of %d bytes: want one split in the first of %d transactions", before, len(h.sentTransactions))
+				t.Fatalf("a record of %d bytes is not split as far as necessary or allowed by the first of %d transactions", before, len(h.sentTransactions))
 			}
 			if longest := h.checkMachinesListedOnce(t, test.machines); test.withinLimit != (longest <= h.config.MaxValueBytes) {
-				t.Errorf("a record of %d bytes: the longest record after the first split has %d bytes", before, longest)
+				t.Errorf("a record of %d bytes: after the first split the longest record has an unexpected length of %d bytes", before, longest)
 			}
 			for range 4 { // records that are still too large are split further
 				h.inventory.SplitAndMerge(h.state.Shards[0])
--- a/internal/controller/store_writes_test.go
+++ b/internal/controller/store_writes_test.go
@@ -19,7 +19,7 @@
 	h.inventory.RegisterMachines(creator, []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: "m-1"}}, func() {})
 	h.runFor(100 * millisecond)
 	if len(h.sentTransactions) == 0 || len(h.state.Groups) != 1 {
-		t.Fatalf("%d transactions, %d groups", len(h.sentTransactions), len(h.state.Groups))
+		t.Fatalf("%d transactions, %d groups; want a transaction that creates one group", len(h.sentTransactions), len(h.state.Groups))
 	}
 	first := h.sentTransactions[0]
 	key := first.Then[0].Key
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -47,17 +47,18 @@
 	o.controller.ownership.RecordConfirmation(shard, stored.Claim, stored.SentAt)
 }
 
-// probeStore sends a read to the store if no other request is sent. While requests fail,
-// the read shows when the store has recovered. While a peer reports the store as
-// unreachable, the read distinguishes a partition of that peer from an outage.
+// probeStore reads a claim record from the store if no other request is in flight and
+// either requests are failing or a peer has recently reported a failure of the store. The
+// read shows when the store has recovered, or distinguishes a partition of that peer from
+// an outage.
 func (c *Controller) probeStore() {
 	if c.writeQueue.Health.ShouldProbe(c.loop.Now()) {
 		c.ownership.RereadClaim(c.state.Shards[max(slices.Index(c.config.Nodes, c.config.Self), 0)])
 	}
 }
 
-// shareByDemand returns this controller's share of a rate limit that all live controllers
-// have in common. reported returns the demand in a peer's ping.
+// shareByDemand returns this controller's share of a rate limit that is divided among the
+// live controllers by demand. reported returns the demand in a peer's ping.
 func (c *Controller) shareByDemand(limit, demand float64, liveControllers int, reported func(*messages.Ping) float64) float64 {
 	if c.members == nil { // writequeue.New calls this before the members are created
 		return ratelimit.ShareByDemand(limit, demand, liveControllers, nil)
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// loseNextWriteReply sends the queued write, reports its outcome as unknown to the
-// controller, and returns it without applying it.
-func loseNextWriteReply(t *testing.T, h *controllerHarness) messages.StoreTxn {
+// delayNextWrite takes the queued write from the controller, reports its outcome as
+// unknown, and returns the write, which the caller may apply later.
+func delayNextWrite(t *testing.T, h *controllerHarness) messages.StoreTxn {
 	t.Helper()
 	h.writeQueue.Dispatch()
 	effects := takeEffects(h.Controller)
@@ -111,7 +111,7 @@
 	for owner := range successiveOwners {
 		id := cluster.MachineID(fmt.Sprintf("m-%d", 3*owner)) // these IDs map to shard 0
 		h.inventory.RegisterMachines(shard, []grouprecord.Machine{{ID: id, Kind: grouprecord.Kind{Type: "small", Zone: "a", Spot: false}, Address: string(id)}}, func() {})
-		delayed = append(delayed, loseNextWriteReply(t, h))
+		delayed = append(delayed, delayNextWrite(t, h))
 		deposeOwner(t, h)
 		acquireAndLoadShard(t, h)
 	}
@@ -153,7 +153,7 @@
 }
 
 // TestNoAcquireDuringOutage checks that no shard is acquired during a store outage. The
-// acquisition would wait for its end and could depose an owner that is back.
+// write could be applied after the outage and depose an owner that has recovered.
 func TestNoAcquireDuringOutage(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		h := newControllerHarness()
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -78,7 +78,7 @@
 		}
 		r.config.SLOs = append(r.config.SLOs, cluster.SLO{Kind: "finished", Class: command.arg(0), WithinSeconds: within})
 	// production VALUE_BYTES TXN_OPS WRITE_RPS: all controllers start with the production
-	// version under these limits. The settings announce those of upgradeConfig.
+	// version under these limits. The settings announce the lower limits of upgradeConfig.
 	case command.verb == "production" && len(command.args) == 3:
 		r.limitsBeforeUpgrade = r.parseLimits(command)
 	default:
@@ -110,20 +110,21 @@
 // until returns the time at which a duration from now ends.
 func (r *traceRunner) until(duration cluster.Time) cluster.Time { return r.simulator.Now + duration }
 
-// addMachines: machines small a 2 [spot=1].
+// addMachines adds running machines, as in "machines small a 2 spot=1".
 func (r *traceRunner) addMachines(command traceCommand) {
 	for range command.count(2) {
 		r.simulator.Machines.Add(command.arg(0), command.arg(1), command.isSet("spot"))
 	}
 }
 
-// setCapacity: capacity small a 2 [spot=1].
+// setCapacity sets how many machines the cloud can still provide, as in
+// "capacity small a 2 spot=1".
 func (r *traceRunner) setCapacity(command traceCommand) {
 	key := simulation.CapacityKey(command.arg(0), command.arg(1), command.isSet("spot"))
 	r.cloud.AvailableCapacity[key] = command.count(2)
 }
 
-// submit: submit j-000001 red via n0 tasks=3 run=10 cpu=1.
+// submit submits a job, as in "submit j-000001 red via n0 tasks=3 run=10 cpu=1".
 func (r *traceRunner) submit(command traceCommand) {
 	id := command.arg(0)
 	run := command.runDuration()
@@ -166,8 +167,8 @@
 	}
 }
 
-// submitBurst: burst 50 red via n0 priority=1 submits many jobs at once, and writes the
-// number of responses by status.
+// submitBurst submits many jobs at once, as in "burst 50 red via n0 priority=1", and
+// later writes the number of responses by status to the trace.
 func (r *traceRunner) submitBurst(command traceCommand) {
 	const (
 		reportDelay = 3500 * millisecond
@@ -184,8 +185,8 @@
 	r.simulator.After(reportDelay, func() { r.write(fmt.Sprintf("users of priority %v: %v", priority, responses)) })
 }
 
-// submitStream: stream red via n0 every=4s for=60s tasks=1 run=10 submits small jobs at
-// a fixed interval.
+// submitStream submits small jobs at a fixed interval, as in
+// "stream red via n0 every=4s for=60s tasks=1 run=10".
 func (r *traceRunner) submitStream(command traceCommand) {
 	interval, left := command.durationOption("every"), command.durationOption("for")
 	run, tasks := command.runDuration(), int(command.number("tasks", 1))
@@ -206,13 +207,13 @@
 	next()
 }
 
-// query: query j-000001 via n0.
+// query queries a job, as in "query j-000001 via n0".
 func (r *traceRunner) query(command traceCommand) {
 	id := command.arg(0)
 	command.node(2).SendRequest(queryRequest(cluster.JobID(id)), r.writeResponse("asks for", id))
 }
 
-// cancel: cancel j-000001 via n0.
+// cancel cancels a job, as in "cancel j-000001 via n0".
 func (r *traceRunner) cancel(command traceCommand) {
 	id := command.arg(0)
 	if job := r.jobs[id]; job != nil {
@@ -221,8 +222,8 @@
 	command.node(2).SendRequest(cancelRequest(cluster.JobID(id)), r.writeResponse("cancels", id))
 }
 
-// corruptMachineGroup: corrupt m-000001 overwrites the record that lists a machine with an
-// invalid value.
+// corruptMachineGroup overwrites the record that lists a machine with an invalid value,
+// as in "corrupt m-000001".
 func (r *traceRunner) corruptMachineGroup(command traceCommand) {
 	for _, record := range r.simulator.Store.List("groups/").Items {
 		if strings.Contains(string(record.Value), command.arg(0)) {
@@ -231,8 +232,9 @@
 	}
 }
 
-// partitionNode: partition n0 store 10s partitions a controller from the "store", the
-// "workers" or the "peers"; from the "servers", which are store and peers; or from "all".
+// partitionNode partitions a controller, as in "partition n0 store 10s". It may be
+// partitioned from the "store", the "workers", the "peers", the "servers" (the store and
+// the peers) or "all".
 func (r *traceRunner) partitionNode(command traceCommand) {
 	node, until := command.node(0), r.until(command.duration(2))
 	switch from := command.arg(1); from {
@@ -251,8 +253,8 @@
 	}
 }
 
-// pauseNodes: pause n0 20s, or pause all 20s, pauses processes while their clocks
-// continue.
+// pauseNodes pauses processes while their clocks continue, as in "pause n0 20s" or
+// "pause all 20s".
 func (r *traceRunner) pauseNodes(command traceCommand) {
 	name := command.arg(0)
 	for _, node := range r.simulator.Nodes {
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -17,7 +17,8 @@
 
 var updateGolden = flag.Bool("update", false, "rewrite the recorded traces or decisions of the selected tests")
 
-// minTraces is the minimum number of traces.
+// minTraces is the number of traces below which TestTraces fails, because some are
+// missing.
 const minTraces = 8
 
 // TestTraces checks that controllers and workers act as in the recorded traces. A trace
@@ -61,7 +62,8 @@
 	t.Fatalf("%s: got %d more lines than recorded", file, len(gotLines)-len(wantLines))
 }
 
-// replayTrace runs a trace's commands and returns the trace with its newly recorded lines.
+// replayTrace runs a trace's commands and returns the trace with its newly recorded
+// lines. It checks that no invariant was violated.
 func replayTrace(t *testing.T, text string, options ...simulation.Option) string {
 	t.Helper()
 	runner := newTraceRunner(t, options)
@@ -101,7 +103,8 @@
 	return runner
 }
 
-// runLine copies a comment or command to the output, and runs a command.
+// runLine runs a command. It copies commands and comments to the output, and ignores
+// recorded lines.
 func (r *traceRunner) runLine(line string) {
 	r.t.Helper()
 	isCommand := strings.HasPrefix(line, ">")
@@ -250,6 +253,6 @@
 			return node
 		}
 	}
-	c.runner.fail("no node %s", name)
+	c.runner.fail("there is no controller %s", name)
 	return nil
 }
--- a/internal/controller/transfer_lost_test.go
+++ b/internal/controller/transfer_lost_test.go
@@ -12,8 +12,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestTransferAbortedWhenShardIsLost checks that machines stay with the shard that offered
-// them if the recipient is lost before the store has replied to the transfer.
+// TestTransferAbortedWhenShardIsLost checks that machines stay with the shard that
+// offered them if the recipient shard is lost before the transfer is confirmed.
 func TestTransferAbortedWhenShardIsLost(t *testing.T) {
 	h := newControllerHarness()
 	source, recipient := h.state.Shards[0], h.state.Shards[1]
--- a/internal/controller/transfer_offer_size_test.go
+++ b/internal/controller/transfer_offer_size_test.go
@@ -10,8 +10,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// TestTransferOfferWithinTransaction checks that the records rewritten by a transfer offer
-// fit into one transaction. A larger one would always be rejected.
+// TestTransferOfferWithinTransaction checks that the records rewritten by a transfer
+// offer fit into one transaction. The store would always reject a larger one.
 func TestTransferOfferWithinTransaction(t *testing.T) {
 	const groups, length, protocolLimit = 12, 12_000, 64 << 10
 	h := newControllerHarness()
@@ -41,6 +41,6 @@
 	}
 	rewritten := len(queue[0].Keys) - 1 // without the new group
 	if rewritten < 2 || rewritten*length > protocolLimit {
-		t.Errorf("one transaction rewrites %d records of %d bytes", rewritten, length)
+		t.Errorf("one transaction rewrites %d records of %d bytes, want at least two records and at most 64 KiB", rewritten, length)
 	}
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/simulation"
 )
 
-// limitsBeforeUpgrade are the limits of the store until some time after the upgrade, when
-// they are lowered to those of upgradeConfig.
+// limitsBeforeUpgrade are the limits of the store before and during the upgrade. Some
+// time after the upgrade, they are lowered to those of upgradeConfig.
 var limitsBeforeUpgrade = simulation.StoreLimits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
 
 func upgradeConfig() controller.Config {
@@ -31,8 +31,8 @@
 	simulation.FaultDependentStarted,
 }
 
-// TestRollingUpgrade checks that a rolling upgrade from the production version violates no
-// invariant while jobs run and faults occur, and the store's limits are lowered after it.
+// TestRollingUpgrade checks that a rolling upgrade from the production version under
+// faults, and lower limits of the store after it, violate no invariant.
 func TestRollingUpgrade(t *testing.T) {
 	from, to := seedRange(t, 1, 12)
 	var seen faultTotals
@@ -45,8 +45,10 @@
 	seen.check(t, requiredUpgradeFaults, to-from >= 10)
 }
 
-// simulateUpgrade simulates a cluster during an upgrade and returns how often each kind of
-// fault occurred.
+// simulateUpgrade simulates a cluster during an upgrade and returns how often each kind
+// of fault occurred. It makes the checks of runWithFaults, and checks that all
+// controllers are upgraded and that no transaction exceeds the size limits that the
+// settings announce.
 func simulateUpgrade(t *testing.T, seed uint64, options ...simulation.Option) map[simulation.FaultKind]int {
 	t.Helper()
 	cfg := upgradeConfig()
@@ -70,8 +72,9 @@
 	return sim.FaultCounts
 }
 
-// planUpgrade schedules the upgrade of one random controller, and later that of the two
-// others at the same time. Before that, the others crash and may be partitioned.
+// planUpgrade schedules the upgrade of one random controller, later that of the two
+// others at the same time, and then the lowering of the store's limits. Before their
+// upgrade, the two others crash and may be partitioned.
 func planUpgrade(sim *simulation.Simulator) {
 	order := sim.Rand.Perm(len(sim.Nodes))
 	first, rest := sim.Nodes[order[0]], []*simulation.Node{}
--- a/internal/controller/write_order_test.go
+++ b/internal/controller/write_order_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// countWrites returns how often a key was written by the transactions so far.
+// countWrites returns how many operations on a key the transactions sent so far contain,
+// including rejected and throttled transactions.
 func (h *controllerHarness) countWrites(key string) int {
 	count := 0
 	for _, transaction := range h.sentTransactions {
@@ -35,14 +36,14 @@
 // limitPutRate limits the puts to rate per second, with a burst of one and an empty budget
 // at the start.
 func (h *controllerHarness) limitPutRate(rate float64) {
-	dropTimers(h.Controller) // so that the rate is not divided again
+	dropTimers(h.Controller) // so that the controller doesn't recompute the rate
 	h.writeQueue.PutBudget().SetRate(rate, 1)
 	h.writeQueue.PutBudget().Refill(h.loop.Now())
 	h.writeQueue.PutBudget().LowerTo(0)
 }
 
-// TestRecordWithMostWaitingCPUsWrittenFirst checks that a record with more CPUs waiting to
-// start is written before one that was queued earlier, and that both are written.
+// TestRecordWithMostWaitingCPUsWrittenFirst checks that a record whose waiting starts
+// need more CPUs is written before one queued earlier, and that both are written.
 func TestRecordWithMostWaitingCPUsWrittenFirst(t *testing.T) {
 	h := newControllerHarness()
 	job := h.addTestJob("j-1", 1000)
@@ -63,7 +64,7 @@
 	}
 }
 
-// TestRaisedTokenWrittenBeforeStarts checks that a record with a token to raise is written
+// TestRaisedTokenWrittenBeforeStarts checks that a record that raises a token is written
 // before one with more waiting starts. Otherwise the machine's worker lease might expire.
 func TestRaisedTokenWrittenBeforeStarts(t *testing.T) {
 	h := newControllerHarness()
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -12,7 +12,7 @@
 )
 
 // enforceWriteRate makes the store throttle operations above rate per second, with a
-// burst of one second. It returns the number of throttled transactions.
+// burst of one second. It returns a counter of the throttled transactions.
 func (h *controllerHarness) enforceWriteRate(rate float64) *int {
 	throttled := 0
 	var allowed ratelimit.TokenBucket
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestCurrentWriteRateIsUsed checks that the controllers use the current write rate as
-// long as the store accepts it.
+// TestCurrentWriteRateIsUsed checks that the current write rate applies instead of the
+// lower one while the store does not throttle it.
 func TestCurrentWriteRateIsUsed(t *testing.T) {
 	h := newHarnessWithRates(25, 18)
 	throttled := h.enforceWriteRate(25)
@@ -86,12 +86,13 @@
 	h.runFor(5 * second)
 	h.checkSharedRate(t, 25)
 	if *throttled > 0 {
-		t.Errorf("%d transactions were throttled", *throttled)
+		t.Errorf("%d transactions were throttled, want none", *throttled)
 	}
 	h.checkGroupsReady(t, groups)
 }
 
-// checkSharedRate checks that the controllers share the given write rate.
+// checkSharedRate checks that the controllers share the given write rate, and that this
+// one's budget does not exceed it.
 func (h *controllerHarness) checkSharedRate(t *testing.T, rate float64) {
 	t.Helper()
 	if h.writeQueue.SharedWriteRPS() != rate {
@@ -116,7 +117,7 @@
 	h.checkSharedRate(t, 6)
 	h.checkGroupsReady(t, groups)
 
-	// Nothing is lost either if the store then throttles all transactions for a while.
+	// Writes are also retried if the store then throttles all transactions for a while.
 	limited := h.throttles
 	throttledAll := 0
 	h.throttles = func(messages.StoreTxn) bool { throttledAll++; return true }
--- a/internal/controller/zone_partition_guards_test.go
+++ b/internal/controller/zone_partition_guards_test.go
@@ -15,8 +15,8 @@
 // inside must stop answering its machines, and a controller outside must not restart
 // tasks that may still run inside.
 
-// heartbeatResponseStatus returns the status of the response to a heartbeat of a machine.
-// The result is 0 if there is none.
+// heartbeatResponseStatus delivers a machine's next heartbeat and returns the status of
+// the response. The result is 0 if there is no response.
 func heartbeatResponseStatus(h *controllerHarness, machine *state.Machine) messages.ResponseStatus {
 	takeEffects(h.Controller)
 	h.reconciler.Heartbeats.Handle(messages.Heartbeat{Request: 1, Status: cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: machine.SequenceNumber + 1, FencingToken: machine.Token, PreemptionNotice: -1}})
@@ -30,8 +30,8 @@
 	return 0
 }
 
-// TestPartitionedOwnerStopsAnsweringMachines checks that an owner stops answering its
-// machines after a worker lease if no peer replies, or else after the response window.
+// TestPartitionedOwnerStopsAnsweringMachines checks that a partitioned owner redirects
+// its machines after a worker lease, or after the response window if a peer replies.
 func TestPartitionedOwnerStopsAnsweringMachines(t *testing.T) {
 	newOwner := func() *controllerHarness {
 		h := newHarnessWithKnownPeers()
@@ -49,7 +49,7 @@
 	for _, test := range []struct {
 		name        string
 		after       cluster.Time
-		peerReplies bool // whether the other controller in the zone replies
+		peerReplies bool // whether the peer in the same zone replies
 		status      messages.ResponseStatus
 	}{
 		{"no peer replies, within the lease", config.WorkerLease - 2*second, false, 200},
@@ -72,7 +72,7 @@
 }
 
 // TestTaskOfPartitionedZoneNotRestarted checks that a task on a silent machine is not
-// restarted before the cloud has terminated the machine and its record shows that.
+// restarted before the cloud has terminated the machine and a stored record shows that.
 func TestTaskOfPartitionedZoneNotRestarted(t *testing.T) {
 	h := newControllerHarness()
 	shard := h.state.Shards[0]
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -6,9 +6,9 @@
 	"stairrelay/internal/cluster"
 )
 
-// partitionZone partitions a zone, which contains all machines and the controller inside,
-// from the other controllers and the store until a time. The machines still reach the
-// controller inside.
+// partitionZone partitions a zone until the given time. The zone contains all machines
+// and the controller inside, which reach each other but neither the store nor the other
+// controllers.
 func (c *testCluster) partitionZone(inside cluster.NodeID, until cluster.Time) {
 	for _, node := range c.Nodes {
 		if node.ID == inside {
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestZonePartitionDuringCloudOutage checks that cancelled tasks in a partitioned zone end
-// in time although the new owner can neither reach nor release their machines.
+// TestZonePartitionDuringCloudOutage checks that cancelled tasks in a partitioned zone
+// end in time although the new owner can neither reach nor release their machines.
 func TestZonePartitionDuringCloudOutage(t *testing.T) {
 	c := newTestCluster(t, 2)
 	inside, outside := c.Nodes[1], c.Nodes[2]
@@ -44,7 +44,7 @@
 	c.waitFor("a controller outside acquires the shard", 30*second, func() bool { return c.longJobOwner() != inside.ID })
 	outside := c.Nodes[2]
 	if c.longJobOwner() != outside.ID {
-		t.Fatalf("acquired by %s", c.longJobOwner())
+		t.Fatalf("the shard was acquired by %s, not by the expected controller", c.longJobOwner())
 	}
 	c.cancelVia(outside, c.longJob)
 	if c.countRunningTasks(c.longJob) == 0 {
