--- a/internal/fairshare/load.go
+++ b/internal/fairshare/load.go
@@ -3,9 +3,9 @@
 // shards, and whether it may scale out. It keeps no state; its input is a snapshot of the
 // load of every shard.
 //
-// A shard lacks capacity if its demand exceeds what it has, including booting machines. It
-// has a shortfall if the machines that it has now are less than its target, the share of
-// the total available capacity that it should have.
+// A shard lacks capacity if its demand exceeds its capacity, including booting machines. It
+// has a shortfall if its available capacity, without booting machines, is below its target.
+// The target is the share of the total available capacity that the shard should have.
 package fairshare
 
 import "stairrelay/internal/cluster"
@@ -17,9 +17,9 @@
 // capacity when it releases machines to save cost.
 const scaleInReserve = 8 * cpu
 
-// scaleOutYieldMargin is how much less capacity than this shard another shard that lacks
-// capacity must have to be allowed to scale out first. A smaller difference is not worth
-// a delay.
+// scaleOutYieldMargin is the difference in capacity up to which a shard does not wait for
+// the scale-out of a smaller shard that lacks capacity. Such a difference is not worth a
+// delay.
 const scaleOutYieldMargin = 16 * cpu
 
 // ShardLoad is the capacity of a shard and the demand of its jobs by priority. All
--- a/internal/fairshare/plan.go
+++ b/internal/fairshare/plan.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// rebalanceMarginDivisor sets the margin above its target that a shard keeps to one sixth
-// of the target.
+// rebalanceMarginDivisor determines the margin above a shard's target within which the shard
+// transfers no capacity: the target divided by this number.
 const rebalanceMarginDivisor = 6
 
 // Plan divides the available capacity of all shards among them.
--- a/internal/fairshare/plan_test.go
+++ b/internal/fairshare/plan_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/cluster"
 )
 
-// load returns the load of a shard in CPUs, with the demand by priority in ascending
-// order.
+// load returns a load with the given numbers of CPUs. demand holds those for each priority,
+// in ascending order of the priorities.
 func load(available, booting cluster.Amount, demand ...cluster.Amount) ShardLoad {
 	l := ShardLoad{Available: available * cpu, Booting: booting * cpu}
 	for priority, amount := range demand {
--- a/internal/provisioning/completion.go
+++ b/internal/provisioning/completion.go
@@ -44,8 +44,8 @@
 	c.enqueue()
 }
 
-// bootingMachines returns the granted machines as the first record of their group lists
-// them.
+// bootingMachines returns the entries of granted machines in the first record of their
+// group.
 func bootingMachines(option state.ProvisioningOption, ids []cluster.MachineID) []grouprecord.Machine {
 	kind := grouprecord.Kind{Type: option.Type, Zone: option.Zone, Spot: option.Spot}
 	machines := make([]grouprecord.Machine, 0, len(ids))
--- a/internal/provisioning/machinelist.go
+++ b/internal/provisioning/machinelist.go
@@ -13,7 +13,8 @@
 	// firstListDelay is the delay before the first controller reads the list for the
 	// first time.
 	firstListDelay = 2 * second
-	// minListInterval is the minimum interval between two reads of the list.
+	// minListInterval is the minimum interval between the regular reads of the list, unless
+	// RequestRead makes one due earlier.
 	minListInterval = 8 * second
 	// emptyFleetIntervalFactor lengthens the interval for a controller without
 	// machines, which reads the list only to find orphans.
@@ -34,12 +35,14 @@
 	failedSilenceIntervals = 2
 )
 
-// Orphans tracks machines in the cloud's list that no record known to this controller
-// lists.
+// Orphans handles machines in the cloud's list that belong to no owned shard, and finds
+// those that no record lists.
 type Orphans interface {
-	// HandleListed is called for each such machine in a list.
+	// HandleListed handles one such machine in the list.
 	HandleListed(cluster.ListedMachine)
-	// ForgetUnlisted is called after HandleListed with all machines in the list.
+	// ForgetUnlisted discards what is known of machines that are not in listed, the set of
+	// all machines in the list, or that belong to an owned shard by now. It is called once for
+	// each list, after the calls of HandleListed.
 	ForgetUnlisted(listed map[cluster.MachineID]bool)
 }
 
@@ -70,7 +73,7 @@
 	return firstListDelay + l.interval()*cluster.Time(index)/cluster.Time(len(l.config.Nodes))
 }
 
-// interval returns the time between two reads. It grows with the number of pages and of
+// interval returns the time between two regular reads. It grows with the number of pages and of
 // live controllers, so that the reads of all controllers stay within listRateShare.
 func (l *MachineList) interval() cluster.Time {
 	calls := float64(l.lastPageCount * l.queue.LiveControllers())
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -70,7 +70,8 @@
 type MachineRecords interface {
 	// WriteMachine enqueues a write of the record that lists the machine.
 	WriteMachine(*state.Machine, writequeue.Priority)
-	// TargetGroupSize returns the maximum number of machines that a new group should list.
+	// TargetGroupSize returns the target size of a new group in machines. A new group may be
+	// smaller but should not be larger.
 	TargetGroupSize() int
 	// AddNewGroup adds a group and its machines to the state once the group's first record
 	// has been stored.
@@ -108,7 +109,7 @@
 }
 
 // Provisioner requests machines from the cloud and releases them. It sets no timers
-// until its periodic methods are first called.
+// before the first call of a method of its components.
 type Provisioner struct {
 	// RateLimiter limits calls of the cloud to this controller's share of the rate limit.
 	RateLimiter *CloudRateLimiter
--- a/internal/provisioning/requests.go
+++ b/internal/provisioning/requests.go
@@ -72,8 +72,8 @@
 		// The key of the request is absent again once the request is complete, so a late
 		// copy of this write could create the request again, and the next owner would
 		// record its machines a second time. The copy therefore also requires the group's
-		// key to be absent. Completion creates that key, which then exists until the next
-		// claim makes the copy fail.
+		// key to be absent. If a copy may still arrive, completion creates that key, which
+		// then exists until the next claim makes the copy fail.
 		ExtraCompares: []messages.Compare{{Key: state.GroupKey(request.GroupID), ModRevision: 0}},
 		OnConflict:    func() { r.deps.Ownership.HandleForeignWrite(shard, key, "a request with this name already exists") },
 	}
--- a/internal/provisioning/typecache.go
+++ b/internal/provisioning/typecache.go
@@ -76,8 +76,8 @@
 }
 
 // Load reads the stored machine types, and retries that until it succeeds. The stored types
-// are used if the cloud has not returned any yet. Load then stores the cloud's types if
-// that is needed.
+// are used if the cloud has not returned any yet. Load then enqueues a write of the known
+// types if one is needed.
 func (t *TypeCache) Load() {
 	t.queue.ReadKey(machineTypesKey, func(reply messages.GetReply) {
 		switch reply.Outcome { //nolint:exhaustive // all other outcomes are failures
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// almostEqual compares rates up to rounding errors.
+// almostEqual reports whether two rates are equal except for rounding errors.
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 // TestTokenBucket checks that tokens are gained at the rate up to the capacity, and
--- a/internal/ratelimit/share.go
+++ b/internal/ratelimit/share.go
@@ -1,7 +1,8 @@
 package ratelimit
 
-// evenShareDivisor sets the fraction of a limit that is divided evenly to one fifth. The
-// even share lets an idle controller start immediately when work arrives.
+// evenShareDivisor determines the part of a limit that is divided evenly: the limit divided
+// by this number. The even share lets an idle controller start immediately when work
+// arrives.
 const evenShareDivisor = 5
 
 // demandMargin is the headroom factor on a measured demand. A controller that is held
--- a/internal/scheduling/eligibility.go
+++ b/internal/scheduling/eligibility.go
@@ -6,7 +6,7 @@
 )
 
 // maxFailedMachines is the number of machines on which tasks of a job must have failed for
-// the job to be considered faulty itself. It then no longer avoids these machines.
+// the job to be considered faulty itself. The job then no longer avoids these machines.
 const maxFailedMachines = 3
 
 // Eligibility decides which machines may get new tasks and which of them a job may use.
--- a/internal/scheduling/offers.go
+++ b/internal/scheduling/offers.go
@@ -25,8 +25,8 @@
 )
 
 // TransferOffers returns the groups that the owned shards offer to others, at most
-// membership.MaxTransferOffers. Groups whose record is being written are left out, as
-// their mod revision is about to change.
+// membership.MaxTransferOffers. Groups with a pending write of their record are left out,
+// as their mod revision is about to change.
 func (r *Rebalancer) TransferOffers() []messages.TransferOffer {
 	var offers []messages.TransferOffer
 	for _, group := range r.state.SortedGroups() {
--- a/internal/scheduling/preempt.go
+++ b/internal/scheduling/preempt.go
@@ -26,8 +26,8 @@
 // preempt stops checkpointable tasks to free resources for jobs with pending tasks. An
 // urgent job preempts tasks of jobs with a lower priority. A job within its team's
 // guaranteed quota preempts tasks of jobs beyond the guaranteed quotas of other teams. Such
-// victims normally rank after the preempting job. Otherwise they would be assigned to the
-// freed resources again, and be preempted repeatedly.
+// victims normally rank after the preempting job, so that they are not assigned to the freed
+// resources again and preempted repeatedly.
 func (r *round) preempt() {
 	p := &preemption{round: r, machines: r.preemptibleMachines(), failedPreemptors: map[preemptorKey]bool{}}
 	if len(p.machines) == 0 {
@@ -139,10 +139,10 @@
 }
 
 // isPreemptibleFor reports whether tasks of victim may be preempted for job. Either job is
-// urgent and has a higher priority, or it is within its team's guaranteed quota and victim
-// belongs to another team and is beyond that team's guaranteed quota. In the second case,
-// victim must not be an urgent job of a higher priority. Jobs that are exempt from
-// preemption are never victims.
+// urgent and has a higher priority than victim, or job is within its team's guaranteed
+// quota, victim is beyond the guaranteed quota of another team, and that team uses more CPUs
+// than the quota. In the second case, victim must not be an urgent job of a higher priority.
+// Jobs that are exempt from preemption are never victims.
 func (p *preemption) isPreemptibleFor(victim, job *state.Job) bool {
 	if p.Queue.isPreemptionExempt(victim) {
 		return false
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -64,8 +64,8 @@
 }
 
 // isStarving reports whether a job has no assigned task although starvingHorizons horizons
-// have passed since it became ready. For a job that has not run any task yet, a shorter
-// time is enough; see isFirstStartOverdue.
+// have passed since it became ready. For a job that has not run any task yet, half of the
+// first-task target is enough; see isFirstStartOverdue.
 func (q *JobQueue) isStarving(job *state.Job) bool {
 	return q.isFirstStartOverdue(job) ||
 		job.AssignedCount == 0 && float64(q.loop.WallTime()) > float64(job.ReadySince)+starvingHorizons*q.horizon(job)
--- a/internal/scheduling/rebalance_test.go
+++ b/internal/scheduling/rebalance_test.go
@@ -18,8 +18,8 @@
 	return machine
 }
 
-// shortfallOf returns a plan in which the second shard has a shortfall of some CPUs and
-// the first one has CPUs to spare.
+// shortfallOf returns a plan in which the second shard has a shortfall of the given number
+// of CPUs and the first one has CPUs to spare.
 func shortfallOf(cpus cluster.Amount) *fairshare.Plan {
 	return fairshare.NewPlan(fairshare.Snapshot{
 		0: {Shard: 0, Available: 96 * cpu},
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -7,8 +7,8 @@
 	"stairrelay/internal/state"
 )
 
-// completeTask runs the job's next pending task on a machine until it completes after
-// some seconds.
+// completeTask runs the job's next pending task on a machine and completes the task after
+// the given number of seconds.
 func (f *fixture) completeTask(job *state.Job, machine *state.Machine, seconds cluster.Time) {
 	assignment := f.addRunningTask(job, machine)
 	assignment.RunningSince = f.loop.Now()
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -70,7 +70,8 @@
 
 // MachineGroups moves machines between groups and shards.
 type MachineGroups interface {
-	// TargetGroupSize returns the maximum number of machines that a group should have.
+	// TargetGroupSize returns the target size of a new group in machines. A new group may be
+	// smaller but should not be larger.
 	TargetGroupSize() int
 	// Regroup moves machines into the target group, or into a new one if target is nil.
 	// It then calls done with the group, or with nil if the machines could not be moved.
@@ -147,8 +148,8 @@
 	deps   Dependencies
 }
 
-// New returns a new scheduler. It starts no timers, so the owner of the loop must
-// call RunIfRequested and the other periodic methods.
+// New returns a scheduler for which no run is requested. It sets no timers: the owner of the
+// loop must call RunIfRequested in each event loop step.
 func New(loop *eventloop.Loop, st *state.State, config Config, deps Dependencies) *Scheduler {
 	base := &shared{loop: loop, state: st, config: config, deps: deps}
 	s := &Scheduler{shared: base, Trigger: &Trigger{}}
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -7,8 +7,8 @@
 )
 
 // AssignmentPhase is the progress of an assignment. The stored record of the machine's
-// group lists the task from PhaseReady on. An assignment is removed only after a record
-// without it has been stored.
+// group lists the task from PhaseReady on, but may omit the task once it has completed. An
+// assignment is removed only after a record without it has been stored.
 type AssignmentPhase uint8
 
 // The phases of an assignment. Normally, an assignment goes through the first five in
@@ -48,7 +48,7 @@
 	StartUnobserved   bool // an earlier owner of the shard sent the start
 
 	Pushed               bool                   // the start was pushed, not sent in the response to a heartbeat
-	DispatchedAtSequence cluster.SequenceNumber // of the heartbeat in whose response the start was sent
+	DispatchedAtSequence cluster.SequenceNumber // sequence number of the heartbeat in whose response the start was sent
 
 	StopRequested   bool
 	StopRequestedAt cluster.Time // time of the first request
--- a/internal/state/completedindexes.go
+++ b/internal/state/completedindexes.go
@@ -16,9 +16,9 @@
 const maxRangeBytes = 12
 
 // EncodeCompleted encodes which tasks of a chunk are completed in at most limit bytes.
-// It also returns the number of tasks covered: completed tasks from that index on did
-// not fit. Omitting them is safe, as a completed task that is started again ends
-// immediately.
+// It also returns the number of tasks covered. If this is less than len(states), the
+// completed tasks from that index on did not fit. Omitting them is safe, as a completed
+// task that is started again ends immediately.
 func EncodeCompleted(states []uint8, limit int) (string, int) {
 	ranges, covered := encodeRanges(states, limit)
 	bitmapLength := base64.RawStdEncoding.EncodedLen((len(states)+7)/8) + len(bitmapPrefix)
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -15,8 +15,7 @@
 //
 // A machine is listed in exactly one group. It moves between groups only in a transaction
 // that writes both records. It moves between shards only with its whole group, in a
-// compare-and-swap that requires the group's record to be unchanged since it listed no
-// tasks.
+// compare-and-swap on the mod revision of a group record that lists no tasks.
 type MachineGroup struct {
 	ID          string
 	ShardID     cluster.ShardID
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -56,7 +56,7 @@
 	RewriteNeeded         bool
 	FinalWriteInFlight    bool         // a write of the final status is in flight and may have been applied already
 	RecordTooLarge        bool         // the store rejected the record with its outcomes as too large
-	NextBackgroundWriteAt cluster.Time // earliest next background write while starts wait for their records
+	NextBackgroundWriteAt cluster.Time // earliest time of the next background write as long as record writes for task starts are queued
 }
 
 // JobQueueState is what determines a job's place in the queue.
@@ -64,7 +64,7 @@
 	EffectivePriority   cluster.Priority // highest priority among the job and all its dependents
 	ArrivedAt           cluster.Time
 	Blocked             bool             // by unmet dependencies
-	ReadySince          cluster.WallTime // when the job was submitted or its dependencies were met; SLO times count from here
+	ReadySince          cluster.WallTime // when the job was submitted or its dependencies were met; all SLO times but deadlines count from here
 	BackoffUntil        cluster.Time
 	NextPreemptionAt    cluster.Time      // earliest next preemption in favor of the job
 	ReservedMachine     cluster.MachineID // kept free for the job while it is starving
@@ -72,9 +72,10 @@
 	InitiallyGuaranteed bool              // the job fitted into its team's guaranteed quota when it was first schedulable; for logging
 }
 
-// RuntimeStats summarizes the run times of a job's completed tasks.
+// RuntimeStats records when a job's tasks began to run, and for how long the completed ones
+// ran.
 type RuntimeStats struct {
-	CompletedRuns   int // tasks whose whole run was observed by this controller
+	CompletedRuns   int // number of completed tasks whose whole run this controller observed
 	TotalRunSeconds float64
 	FirstRunAt      cluster.Time // when a heartbeat first showed a task running
 	LastRunAt       cluster.Time // when the last task to start was first shown running
@@ -174,8 +175,8 @@
 }
 
 // Unassign records that a machine no longer lists a task of the job. If the task was
-// assigned to this machine, it becomes pending again. If other machines also list the
-// task, as may happen after a failover, it is assigned to the one with the lowest ID.
+// assigned to this machine, it becomes pending again, unless other machines also list it, as
+// may happen after a failover. It is then assigned to the one of these with the lowest ID.
 func (j *Job) Unassign(a *Assignment) {
 	delete(j.ListedAssignments, a)
 	if j.Assignments[a.Task.Index] != a {
@@ -258,9 +259,10 @@
 	}
 }
 
-// SelectWriteKeys returns the keys that a write of the job sets and the chunks stored
+// SelectWriteKeys returns the keys that a write of the job may change and the chunks stored
 // under them, at most maxOps of each: the job's own record, then the other dirty chunks,
-// then chunks that are already stored. Chunks that do not fit are left to the next write.
+// then stored chunks without changes, which a write of the final status deletes. Chunks that
+// do not fit are left to the next write.
 func (j *Job) SelectWriteKeys(maxOps int) ([]string, []int) {
 	keys, chunks := []string{j.ChunkKey(0)}, []int{0}
 	for _, changed := range []bool{true, false} {
--- a/internal/state/jobregistry.go
+++ b/internal/state/jobregistry.go
@@ -28,11 +28,11 @@
 type KnownJob struct {
 	ShardID         cluster.ShardID
 	FinalStatus     cluster.JobStatus // empty while unfinished
-	FinalSince      cluster.Time      // when this process learned the final status; DistantPast if it was in the first read
-	FinalRecorded   bool              // the job's own record contains the final status; otherwise it follows from that of a dependency
+	FinalSince      cluster.Time      // when this process learned the final status; DistantPast if the first read showed the status
+	FinalRecorded   bool              // the job's own record contains the final status; otherwise a final status follows from that of a dependency
 	Tasks           int
 	Team            string
-	ResourceRequest cluster.Resources // of a cancelled job
+	ResourceRequest cluster.Resources // request of each task; known only if the job was cancelled
 	Spec            *cluster.JobSpec  // nil if the job is finished or its record has not been read
 	Dependencies    []cluster.JobID
 
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -66,9 +66,9 @@
 type TokenState struct {
 	Token                        cluster.FencingToken
 	TokenAcknowledged            bool                 // the highest token that the worker has seen is Token
-	UnacknowledgedSince          cluster.Time         // when Token was set; meaningful until it is acknowledged
-	AwaitingFirstAcknowledgement bool                 // acquired with its shard and not acknowledged since
-	InitialToken                 cluster.FencingToken // Token of a machine that no other claim has owned; otherwise 0
+	UnacknowledgedSince          cluster.Time         // when Token was set or the worker ceased to acknowledge it; meaningless while TokenAcknowledged is set
+	AwaitingFirstAcknowledgement bool                 // the machine was acquired with its shard, and its worker has not acknowledged Token since
+	InitialToken                 cluster.FencingToken // initial token of a machine that this controller added to the records under the current claim; 0 for other machines
 	FencedOff                    bool                 // the worker has seen a higher token
 	RaisingToken                 bool                 // a higher token is to be stored
 }
@@ -95,11 +95,11 @@
 
 // CommandState holds the commands for a worker and the state of their push.
 type CommandState struct {
-	EndedToAcknowledge map[TaskAttempt]bool // ended attempts that the record no longer lists
+	EndedToAcknowledge map[TaskAttempt]bool // ended attempts whose ends are to be acknowledged to the worker
 	UnrecordedToStop   map[TaskAttempt]bool // running attempts that the record does not list
 	StartInDoubt       bool                 // a pushed start with unknown outcome may still arrive
 
-	PushQueued   bool // commands are to be pushed before the next heartbeat
+	PushQueued   bool // urgent commands are to be pushed at the end of the event loop step
 	PushInFlight bool
 	LastPushAt   cluster.Time
 }
@@ -109,7 +109,7 @@
 	NoStartsBefore   cluster.Time // set after a rejected start
 	TaskErrors       int
 	FailedJobs       map[cluster.JobID]bool // jobs whose tasks failed on the machine
-	Cordoned         bool                   // gets no new tasks
+	Cordoned         bool                   // gets no new tasks; CordonForScaleIn describes an exception
 	ScaleInCandidate bool                   // cordoned only because it costs more than others
 }
 
@@ -117,14 +117,14 @@
 type RemovalState struct {
 	Draining             bool
 	PreemptionDeadline   cluster.Time // when the cloud preempts the machine
-	MissingFromCloudList bool         // absent from the cloud's list when the list was last read
-	Terminated           bool         // terminated by the cloud, which is yet to be recorded
+	MissingFromCloudList bool         // not booting, and absent from the cloud's list when the list was last read
+	Terminated           bool         // the cloud has terminated the machine, but the stored record may still list it
 	Releasing            bool         // to be released to the cloud
 	ReleaseConfirmed     bool         // the cloud may be called to release the machine
 	ScaleInCallInFlight  bool
 }
 
-// PaceEstimate compares the run times on a machine with those on other machines.
+// PaceEstimate shows whether tasks run longer on a machine than other tasks of their jobs.
 type PaceEstimate struct {
 	PaceSamples     int     // number of tasks compared with other tasks of their jobs
 	RelativePace    float64 // smoothed ratio of the tasks' run times to the means of their jobs; above 1 is slow
@@ -152,8 +152,8 @@
 }
 
 // RemoveAssignment removes an assignment after a record without it has been stored. If the
-// task has ended, the worker has yet to be told that its end is recorded. The job is not
-// changed. RemoveAssignment returns false if the machine does not have the assignment.
+// task has ended, it adds the attempt to EndedToAcknowledge. The job is not changed.
+// RemoveAssignment returns false if the machine does not have the assignment.
 //
 // Removing the assignment earlier could run the task twice: the task might be started
 // elsewhere while a new owner of the shard still finds it recorded on this machine.
@@ -203,8 +203,8 @@
 	return sorted
 }
 
-// HasRunningTask reports whether a heartbeat has shown a task of the machine that has not
-// ended since.
+// HasRunningTask reports whether the machine has a task that a heartbeat has shown and that
+// has neither ended nor been proven absent since.
 func (m *Machine) HasRunningTask() bool {
 	for _, a := range m.Assignments {
 		if a.Phase == PhaseAcknowledged && !a.ConfirmedAbsent {
@@ -224,8 +224,8 @@
 	return false
 }
 
-// HasStaleAttempt reports whether an earlier attempt of the task has yet to be
-// acknowledged or stopped.
+// HasStaleAttempt reports whether an earlier attempt of the task has yet to be stopped, or
+// has ended and its end has yet to be acknowledged.
 func (m *Machine) HasStaleAttempt(task cluster.TaskID) bool {
 	for attempt := range m.EndedToAcknowledge {
 		if attempt.Task == task {
@@ -240,8 +240,8 @@
 	return false
 }
 
-// PruneStaleAttempts removes the attempts to be acknowledged or stopped that a heartbeat
-// no longer shows.
+// PruneStaleAttempts removes attempts from EndedToAcknowledge and UnrecordedToStop if they
+// are not in present, the set of the attempts that the last heartbeat shows.
 func (m *Machine) PruneStaleAttempts(present map[TaskAttempt]bool) {
 	for attempt := range m.EndedToAcknowledge {
 		if !present[attempt] {
--- a/internal/state/shard.go
+++ b/internal/state/shard.go
@@ -40,7 +40,7 @@
 	// revision of the owner's claim or, once AttemptCount has reached its maximum, that of
 	// a later transaction of the same owner.
 	AttemptBase        cluster.Revision
-	LastStoredRevision cluster.Revision // of the last transaction of the shard under the claim
+	LastStoredRevision cluster.Revision // latest revision of the claim and of the shard's stored transactions under it
 	TotalAttemptCount  uint64           // number of attempts with any AttemptBase; never reset
 	StoredTransactions uint64           // number of transactions of the shard that were stored; never reset
 }
@@ -48,12 +48,12 @@
 // ShardInventory holds the machines of an owned shard.
 type ShardInventory struct {
 	Machines             []*Machine                     // sorted by ID
-	Usage                TeamUsage                      // of the tasks on the machines
-	PendingRegistrations []grouprecord.Machine          // machines that the next batch adds to the records
-	QuarantinedGroups    map[string]cluster.ModRevision // malformed group records under repair, by key
+	Usage                TeamUsage                      // resources used by the live tasks on the machines
+	PendingRegistrations []grouprecord.Machine          // machines that the next registration stores in new groups
+	QuarantinedGroups    map[string]cluster.ModRevision // mod revisions of the malformed group records to be deleted, by key
 
-	AwaitingFirstAcknowledgementCount int          // machines acquired with the shard that have not acknowledged their tokens under this claim
-	LastAcknowledgedAt                cluster.Time // when a machine acquired with the shard last did; initially when the shard was loaded
+	AwaitingFirstAcknowledgementCount int          // number of machines acquired with the shard, except booting ones, that have not acknowledged their tokens since
+	LastAcknowledgedAt                cluster.Time // time of the latest first acknowledgement by a machine acquired with the shard; time of the load if there is none
 }
 
 // ShardJobs holds the jobs of an owned shard and their queue.
@@ -63,9 +63,9 @@
 	QueueOrder            []*Job        // in scheduling order, as of QueueOrderAt; nil if it has to be recomputed
 	QueueOrderAt          cluster.Time
 	GuaranteedJobs        map[*Job]bool // jobs within their team's guaranteed quota, as of QueueOrderAt
-	NextPreemptionAt      cluster.Time  // earliest time of the next preemption
+	NextPreemptionAt      cluster.Time  // earliest time of the next search for tasks to preempt
 	NextOfferAt           cluster.Time  // earliest time to offer idle machines to other shards
-	HasOnDemandPreference bool          // a job of the shard prefers on-demand machines
+	HasOnDemandPreference bool          // a job of the shard prefers on-demand machines, as of QueueOrderAt
 }
 
 // ShardProvisioning tracks the machines that an owned shard requests from the cloud.
@@ -82,8 +82,8 @@
 	Spot       bool
 }
 
-// ProvisioningRequest is a recorded request for machines. It is retried under its name
-// until the cloud has answered it.
+// ProvisioningRequest is a request for machines. It is stored before the cloud is called,
+// and retried under its name until the cloud has answered it.
 type ProvisioningRequest struct {
 	Name          string
 	Option        ProvisioningOption
--- a/internal/state/shardownership.go
+++ b/internal/state/shardownership.go
@@ -29,7 +29,7 @@
 	PreferredOwner cluster.NodeID
 	Owner          cluster.NodeID
 	Term           cluster.Term
-	ModRevision    cluster.ModRevision // of the claim record as last seen
+	ModRevision    cluster.ModRevision // mod revision of the claim record as last seen
 	RecordRead     bool                // the claim record was read from the store at least once
 
 	Owned         bool // by this controller
@@ -56,7 +56,7 @@
 }
 
 // RecordOwner records the owner, term and mod revision of a newer claim record. It counts
-// as an owner change and ends an offer of the earlier owner to hand the shard back.
+// an owner change and drops an offer of the earlier owner to hand the shard back.
 func (s *ShardOwnership) RecordOwner(owner cluster.NodeID, term cluster.Term, modRevision cluster.ModRevision, now cluster.Time) {
 	s.Owner, s.Term, s.ModRevision = owner, term, modRevision
 	s.FailbackOffered = false
@@ -94,9 +94,9 @@
 	return now-s.OwnershipChangedAt > backoff
 }
 
-// PostponeAcquisition sets the earliest time of the next acquisition after the shard's
-// records were found corrupt. The backoff grows each time but is bounded, so that the
-// shard's jobs are not without an owner for long.
+// PostponeAcquisition delays the next acquisition of the shard by a backoff, because the
+// shard's records were found corrupt. The backoff grows each time but is bounded, so that
+// the shard's jobs are not without an owner for long.
 func (s *ShardOwnership) PostponeAcquisition(now cluster.Time) {
 	backoff := corruptBackoffBase << min(s.CorruptRecordCount, maxCorruptDoublings)
 	s.AcquireNotBefore = now + min(backoff, maxCorruptBackoff)
@@ -105,7 +105,7 @@
 
 // BeginOwnership records that this controller has acquired the shard. It discards the
 // provisioning requests and backoffs of an earlier claim, as the shard's records are read
-// again. The claim is the base of new attempt numbers.
+// again. The revision of the claim becomes the base of new attempt numbers.
 func (s *Shard) BeginOwnership(self cluster.NodeID, term cluster.Term, claim cluster.Revision, now cluster.Time) {
 	s.Owned, s.Ready = true, false
 	s.ClaimRevision = claim
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -14,7 +14,7 @@
 type State struct {
 	// Shards holds all shards, indexed by their ID.
 	Shards []*Shard
-	// Machines and Groups hold those of the owned shards.
+	// Machines and Groups hold the machines and machine groups of the owned shards.
 	Machines map[cluster.MachineID]*Machine
 	Groups   map[string]*MachineGroup
 	// Jobs holds the known jobs of all shards.
@@ -69,8 +69,8 @@
 }
 
 // AddMachine adds the machine described by an entry of a group's record to the group and
-// its shard. The machine is owned from now on under the given fencing token. It replaces
-// an existing machine with the same ID and takes over its assignments.
+// its shard. The machine is owned from now on under the given fencing token. If a machine
+// with the same ID exists, the new one replaces it and takes over its assignments.
 func (s *State) AddMachine(g *MachineGroup, entry grouprecord.Machine, token cluster.FencingToken, now cluster.Time) *Machine {
 	m := NewMachine(g, entry, token, now)
 	if old := s.Machines[m.ID]; old != nil {
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -34,8 +34,8 @@
 }
 
 // RecordRunning records that a heartbeat has shown the task running. It reports whether
-// that heartbeat was the first to do so; only the first one sets the run times of the task
-// and its job.
+// that heartbeat was the first to do so. Only the first one sets RunningSince, the job's
+// LastRunAt and, if it is not set yet, the job's FirstRunAt.
 func (a *Assignment) RecordRunning(now cluster.Time) bool {
 	if a.RunningSince != 0 {
 		return false
@@ -68,7 +68,7 @@
 
 // AwaitFirstAcknowledgements marks the shard's machines as not having acknowledged the
 // fencing token of a new claim, and returns their number. Machines that are booting are
-// excluded, as they have had no other token.
+// excluded, as their workers do not send heartbeats yet.
 func (s *Shard) AwaitFirstAcknowledgements(now cluster.Time) int {
 	s.AwaitingFirstAcknowledgementCount, s.LastAcknowledgedAt = 0, now
 	for _, machine := range s.Machines {
@@ -88,7 +88,7 @@
 	s.LastAcknowledgedAt = now
 }
 
-// MarkBooted records a machine's first heartbeat. Its idle time begins then.
+// MarkBooted records a machine's first heartbeat. The machine's idle time begins then.
 func (m *Machine) MarkBooted(now cluster.Time) {
 	m.Booting = false
 	m.IdleSince = now
--- a/internal/state/transitions_test.go
+++ b/internal/state/transitions_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestRecordRunning checks that only the first heartbeat that shows a task running sets
-// the run times of its job.
+// the task's RunningSince and its job's FirstRunAt and LastRunAt.
 func TestRecordRunning(t *testing.T) {
 	job := NewJob(cluster.JobSpec{ID: "j-1", Tasks: 2}, 0, 0, 0)
 	first, second := &Assignment{Job: job}, &Assignment{Job: job}
