--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -111,7 +111,7 @@
 // Provisioner requests machines from the cloud and releases them. It sets no timers
 // before the first call of a method of its components.
 type Provisioner struct {
-	// RateLimiter limits calls of the cloud to this controller's share of the rate limit.
+	// RateLimiter keeps calls to the cloud within this controller's share of the rate limit.
 	RateLimiter *CloudRateLimiter
 	// Types holds the cloud's machine types.
 	Types *TypeCache
--- a/internal/provisioning/ratelimiter.go
+++ b/internal/provisioning/ratelimiter.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// burstSeconds is the burst that the cloud allows, in seconds of the rate.
+	// burstSeconds is the burst of calls that the cloud allows, divided by the rate.
 	burstSeconds = 2
 	// demandDecay is the factor by which the demand decays each second. The slow decay
 	// keeps the share between bursts of provisioning requests.
 	demandDecay = 0.8
 )
 
-// CloudRateLimiter limits this controller's calls of the cloud's API to its share of the
-// rate limit that all controllers have in common. The limit is shared by demand. With even
+// CloudRateLimiter keeps this controller's calls to the cloud within its share of the rate
+// limit that all controllers have in common. The limit is shared by demand. With even
 // shares, the owner of the only shard with work could use just a fraction of the limit,
 // and the rest would go unused.
 type CloudRateLimiter struct {
@@ -36,7 +36,7 @@
 	return r
 }
 
-// MeasureDemand updates the demand and the share from the calls of the cloud since it was
+// MeasureDemand updates the demand and the share from the calls to the cloud since it was
 // last called. It must be called once a second. The demand rises immediately, to the whole
 // limit if a call was denied, and decays slowly.
 func (r *CloudRateLimiter) MeasureDemand() {
--- a/internal/provisioning/spot.go
+++ b/internal/provisioning/spot.go
@@ -2,7 +2,8 @@
 
 import "stairrelay/internal/cluster"
 
-// The rate before any observations is one interruption per hour of a spot machine.
+// The rate is estimated as if one interruption in one hour of service had been observed
+// beforehand.
 const (
 	assumedInterruptions = 1
 	assumedServedSeconds = 3600
--- a/internal/scheduling/trigger.go
+++ b/internal/scheduling/trigger.go
@@ -4,7 +4,7 @@
 
 // Trigger rate-limits scheduling runs. Requests are coalesced: one run handles all requests
 // since the last run, and starts at the earliest when the minimum interval since the last
-// run has passed. A timer is set if a run is requested earlier.
+// run has passed. A timer is set if a run is requested before then.
 type Trigger struct {
 	requested  bool
 	notBefore  cluster.Time
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -11,7 +11,7 @@
 const (
 	TaskPending   uint8 = iota
 	TaskAssigned        // assigned to a machine on which it may be running
-	TaskCompleted       // completed, but not stored yet
+	TaskCompleted       // completed, but the completion is not stored yet
 	TaskCompletionStored
 )
 
@@ -68,7 +68,7 @@
 	BackoffUntil        cluster.Time
 	NextPreemptionAt    cluster.Time      // earliest next preemption in favor of the job
 	ReservedMachine     cluster.MachineID // kept free for the job while it is starving
-	GuaranteeChecked    bool              // InitiallyGuaranteed is set
+	GuaranteeChecked    bool              // InitiallyGuaranteed has been determined
 	InitiallyGuaranteed bool              // the job fitted into its team's guaranteed quota when it was first schedulable; for logging
 }
 
