--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -80,8 +80,8 @@
 // Count returns the attempt's count among the attempts with the same base revision.
 func (a Attempt) Count() uint64 { return uint64(a) & MaxAttemptCount }
 
-// NoShard is the shard of a write that belongs to no shard and so depends on no shard
-// claim.
+// NoShard is the shard ID of a write that belongs to no shard. Such a write does not
+// depend on a shard claim.
 const NoShard ShardID = -1
 
 // AmountsPerUnit is the number of Amounts in one CPU, GPU or GB.
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -81,7 +81,7 @@
 }
 
 // AllowsMachineType reports whether the job's tasks may run on machines of a type in a
-// zone and fit on one. If zone is empty, one allowed zone of the type is enough.
+// zone and fit on one. If zone is empty, any zone in which the type is offered counts.
 func (s *JobSpec) AllowsMachineType(t MachineType, zone string) bool {
 	if !s.ResourceRequest.FitsIn(t.Capacity) {
 		return false
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -3,7 +3,7 @@
 // TaskState is the state of a task in a worker's heartbeat.
 type TaskState int
 
-// The states of a task, in order.
+// The states of a task, in the order in which they occur.
 const (
 	Fetching TaskState = iota // fetching its image
 	Running
@@ -16,10 +16,10 @@
 
 // The causes of the end of a task.
 const (
-	CauseNone             Cause = iota // it has not ended
-	CauseCompleted                     // it ran to completion
-	CauseStopped                       // a command stopped it
-	CauseFailed                        // it ended with an error
+	CauseNone             Cause = iota // the task has not ended
+	CauseCompleted                     // the task ran to completion
+	CauseStopped                       // a command stopped the task
+	CauseFailed                        // the task ended with an error
 	CauseNoCapacity                    // the machine does not have enough free resources
 	CauseDuplicateAttempt              // another attempt of the task is on the machine
 	CauseUnknownTask                   // the worker does not know the task
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -60,8 +60,8 @@
 // After sets a timer that calls run after the given delay.
 func (l *Loop) After(delay cluster.Time, run func()) { l.timers.add(l.now+delay, run) }
 
-// Every calls run immediately, and then again each time the interval has passed. After
-// each run it calls interval to get the time until the next one.
+// Every calls run immediately and then repeatedly. After each run it calls interval to
+// get the delay until the next run.
 func (l *Loop) Every(interval func() cluster.Time, run func()) {
 	var repeat func()
 	repeat = func() {
--- a/internal/jobs/admissionqueue.go
+++ b/internal/jobs/admissionqueue.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// add queues a job to be stored. The submission is answered when the job is stored, or
-// rejected after admissionTimeout. If the store is unresponsive after proxyDelay, the
-// submission is also forwarded to another controller.
+// add queues a job to be stored. The submission is answered when the job is stored and
+// the duplicate check is complete, or rejected after admissionTimeout. If the store is
+// unresponsive after proxyDelay, the submission is also forwarded to another controller.
 func (q *admissionQueue) add(spec cluster.JobSpec, respond func(messages.Respond)) {
 	admission := &pendingAdmission{spec: spec, respond: respond, deadline: q.loop.Now() + admissionTimeout}
 	q.loop.After(admissionTimeout, func() {
--- a/internal/jobs/admissionrecords.go
+++ b/internal/jobs/admissionrecords.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// Apply registers the jobs that an admission record lists, and applies the record of
-// each. If the admission record was read to load a shard that this controller has
-// acquired, loading is that shard; otherwise it is nil.
+// Apply registers the jobs that an admission record lists, and applies the specification
+// of each like a job's own record. If the admission record was read to load a shard that
+// this controller has acquired, loading is that shard; otherwise it is nil.
 func (a *AdmissionRecords) Apply(kv messages.KV, loading *state.Shard) {
 	if kv.Value == nil {
 		return
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// notifyOfEarlierEnd notifies the owner of a dependent if a job is finished and this
-// controller owns the job's shard. The dependent was not known when the final status was
+// notifyOfEarlierEnd sends the final status of a finished job to the owner of a dependent
+// if this controller owns the job's shard. The dependent was not known when the status was
 // stored, so its owner was not notified then.
 func (g *dependencyGraph) notifyOfEarlierEnd(id cluster.JobID, dependent *state.KnownJob) {
 	known := g.state.Jobs.FinalJob(id)
@@ -106,7 +106,7 @@
 // applyFinalStatus sets the final status of a job, which is either stored or implied by
 // the cancellation of a dependency, and updates the job's dependents. It does nothing if
 // the job already has a final status. An owned job that is cancelled because of a
-// dependency is stopped, and its cancellation is stored.
+// dependency is stopped, and a write of its cancellation is enqueued.
 func (g *dependencyGraph) applyFinalStatus(id cluster.JobID, known *state.KnownJob, final cluster.JobStatus) {
 	if known.FinalStatus != "" {
 		return
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -36,9 +36,8 @@
 	}
 }
 
-// TestCancellationPropagatesToDependents checks that a stored cancellation cancels all
-// dependents across shards, and that owned ones are stopped and being stored as
-// cancelled.
+// TestCancellationPropagatesToDependents checks that a stored cancellation cancels the
+// dependents in all shards, stops the owned ones and enqueues writes of their cancellation.
 func TestCancellationPropagatesToDependents(t *testing.T) {
 	jobs := newTestJobs(t)
 	jobs.applySpec("a", "red")
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -22,7 +22,7 @@
 	tasks     *fakeTasks
 }
 
-// fakeOwnership takes the ownership of shards from the state, and is never deposed.
+// fakeOwnership reports a shard as owned if the state does, and ignores HandleDeposed.
 type fakeOwnership struct{ state *state.State }
 
 func (f fakeOwnership) ClaimOf(id cluster.ShardID) writequeue.Claim {
--- a/internal/jobs/outcomes.go
+++ b/internal/jobs/outcomes.go
@@ -10,8 +10,8 @@
 )
 
 // backgroundWriteIntervals is the minimum time between two background writes of a job
-// while task starts are queued, as a number of checkpoint intervals. Writing in each
-// interval would use up the write budget that the starts need.
+// while task starts are queued, as a multiple of Config.CheckpointInterval. Writing in
+// each interval would use up the write budget that the starts need.
 const backgroundWriteIntervals = 4
 
 // WriteOutcomes enqueues background writes of the newly completed tasks of unfinished
@@ -34,9 +34,12 @@
 	return r.loop.Now() < job.NextBackgroundWriteAt && len(r.writeQueue.Queued(writequeue.PriorityStart)) > 0
 }
 
-// acknowledgeStoredTasks lets the machine records drop the tasks whose completion is
-// stored. These tasks have exited, so their ends are acknowledged to the workers. An
-// assignment that is already removed from the machine's record is removed from memory.
+// acknowledgeStoredTasks handles a job's assignments whose completion is stored. It marks
+// such an assignment as absent from its machine, because the task has exited, and requests
+// an acknowledgement of the task's end to the worker. The next write of the machine's
+// record then omits the assignment. An assignment that the machine's record no longer
+// lists is removed from memory instead. Assignments on a machine with a start in doubt are
+// skipped.
 func (r *Records) acknowledgeStoredTasks(job *state.Job) {
 	for assignment := range job.ListedAssignments {
 		machine := r.state.Machines[assignment.MachineID]
@@ -54,10 +57,10 @@
 	}
 }
 
-// handleFinalStatusStored updates a job after its final status is stored: it updates and
-// notifies the dependents and calls the waiters. If the job is still owned, it stops the
-// remaining tasks of a cancelled job, requests scheduling, and removes the job from the
-// owned jobs unless tasks of it are still assigned.
+// handleFinalStatusStored updates a job after its final status is stored: it updates the
+// dependents, notifies their owners and calls the waiters. If the job is still owned, it
+// stops the remaining tasks of a cancelled job, requests scheduling, and removes the job
+// from the owned jobs unless tasks of it are still assigned.
 func (r *Records) handleFinalStatusStored(job *state.Job, final cluster.JobStatus) {
 	job.FinalStatus = final
 	if known := r.state.Jobs.Known[job.Spec.ID]; known != nil {
--- a/internal/jobs/proxy.go
+++ b/internal/jobs/proxy.go
@@ -42,9 +42,9 @@
 	return false
 }
 
-// canStore reports whether a peer can store a submission, according to its last ping. A
-// release without support for dependencies is excluded for jobs that have any, because it
-// would start them immediately.
+// canStore reports whether a peer can store a submission, according to its last ping. If
+// the job has dependencies, a peer whose release does not support them is excluded,
+// because it would start the job immediately.
 func canStore(peer *membership.Peer, spec *cluster.JobSpec) bool {
 	if peer.IsUnreachable() || peer.IsSuspected() || !peer.HasAnswered() {
 		return false
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -104,7 +104,7 @@
 	if job.RestoreCompleted(0, record.CompletedIndexes) {
 		return job
 	}
-	// This is safe, because a completed task that is started again exits immediately.
+	// Starting a completed task again is safe, because it exits immediately.
 	r.logCorruptIndexes(kv.Key)
 	return state.NewJob(*record.Spec, shard, kv.ModRevision, r.loop.Now())
 }
--- a/internal/jobs/recordwrite.go
+++ b/internal/jobs/recordwrite.go
@@ -20,9 +20,9 @@
 	records        *Records
 	job            *state.Job
 	priority       writequeue.Priority
-	eligibleChunks []int // chunks that the write may set
+	eligibleChunks []int // chunks that the write may set or delete
 
-	writtenChunks []int // chunks that the write sets
+	writtenChunks []int // chunks that the write sets or deletes
 	writtenTasks  []int // tasks that the write stores as completed
 	finalStatus   cluster.JobStatus
 }
@@ -56,9 +56,9 @@
 	})
 }
 
-// build returns the records of the chunks that have changed. For a job that ends it
-// returns the record of the final status and the deletions of all chunks but the first.
-// The result is nil if nothing has to be written.
+// build returns the records of the eligible chunks that have changed. For a job that ends,
+// it returns the record of the final status and the deletions of the other eligible chunks
+// that are stored. The result is nil if nothing has to be written.
 func (w *recordWrite) build(writeID string) ([]messages.TxnOp, []cluster.ModRevision) {
 	job := w.job
 	job.RewriteNeeded = false
@@ -82,8 +82,8 @@
 }
 
 // isChunkUnchanged reports whether a chunk need not be written. For an unfinished job,
-// that is a chunk without newly completed tasks. For a job that ends, that is a chunk
-// other than the first that was never stored.
+// that is a chunk without newly completed tasks. For a job that ends, it is any chunk but
+// the first, if the chunk was never stored.
 func (w *recordWrite) isChunkUnchanged(chunk int) bool {
 	if w.finalStatus == "" {
 		return !w.job.DirtyChunks[chunk]
@@ -191,8 +191,8 @@
 	r.Ownership.DropCorruptShard(r.state.Shards[job.ShardID], job.ChunkKey(0), "changed by another writer")
 }
 
-// deleteLeftoverChunks deletes the chunks of a finished job that did not fit into the
-// transaction of its last write.
+// deleteLeftoverChunks enqueues deletions of the stored chunks of a finished job that did
+// not fit into the transaction of its last write.
 func (r *Records) deleteLeftoverChunks(job *state.Job, written []int) {
 	for chunk := 1; chunk < len(job.ModRevisions); chunk++ {
 		if job.ModRevisions[chunk] != 0 && !slices.Contains(written, chunk) {
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -117,7 +117,7 @@
 }
 
 // evaluate admits or rejects the submission, or answers it as an idempotent retry if its
-// job is known. dependenciesChecked reports whether the jobs that it depends on were
+// job is known. dependenciesChecked reports whether the submission's dependencies were
 // already looked up.
 func (s *submission) evaluate(dependenciesChecked bool) {
 	clusterState := s.submissions.state
@@ -172,7 +172,7 @@
 		switch status { //nolint:exhaustive // the only other status is StatusUnavailable
 		case messages.StatusNone:
 			s.evaluate(true)
-		case messages.StatusUnschedulable: // rejected, unless its ID was accepted before
+		case messages.StatusUnschedulable: // the submission is rejected unless its ID was accepted before
 			s.invalidStatus, s.invalidReason = messages.StatusUnschedulable, "awaits a job that was never accepted"
 			s.evaluate(true)
 		default:
--- a/internal/membership/failure.go
+++ b/internal/membership/failure.go
@@ -6,15 +6,15 @@
 	// livenessWindow is how long a peer counts as alive after a change of its
 	// liveness key was seen.
 	livenessWindow = 6 * second
-	// maxContactAge is the maximum time since another peer reached an unreachable peer
-	// for the unreachable peer to count as alive.
+	// maxContactAge is how long an unreachable peer counts as alive after it has answered
+	// a ping of another peer.
 	maxContactAge = 3 * second
 	// isolatedFailureTimeout is how long a peer must have been unreachable and must not
 	// have written to the store before a node that reaches no peer considers it failed.
 	isolatedFailureTimeout = 6 * second
-	// isolatedStoreHealthyTime is how long the store must have been available to such a
-	// node before it considers a peer failed. After a shorter time, the node could have
-	// missed the peer's writes.
+	// isolatedStoreHealthyTime is how long the store must have been available to a node
+	// that reaches no peer before this node considers a peer failed. After a shorter time,
+	// the node could have missed the peer's writes.
 	isolatedStoreHealthyTime = 8 * second
 )
 
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -12,7 +12,7 @@
 // one write of the key is queued or in flight.
 type nodeLiveness struct {
 	writing     bool
-	modRevision cluster.ModRevision // last known revision of the record
+	modRevision cluster.ModRevision // last known mod revision of the record
 }
 
 // livenessRecord is the record under a node's liveness key. Each write has a new ID, so
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -11,9 +11,9 @@
 // because an acquisition is a compare-and-swap in the store and fencing tokens exclude
 // the former owner.
 //
-// The fields of pings about shards, offers and demand for cloud calls belong to other
-// packages. The Host sets these fields in outgoing pings and handles them in incoming
-// pings.
+// A ping also has fields about shards, offers and demand for cloud calls, which belong to
+// other packages. The Host sets these fields in outgoing pings and handles them in
+// incoming pings.
 package membership
 
 import (
@@ -53,8 +53,8 @@
 	PingInterval cluster.Time
 	// PingTimeout is the timeout of a ping that follows an answered one.
 	PingTimeout cluster.Time
-	// PingRetries is the number of retries after an unanswered ping. The first has a
-	// timeout of InitialRetryTimeout, which doubles with each retry.
+	// PingRetries is the number of retries after an unanswered ping. The timeout of the
+	// first retry is InitialRetryTimeout, and it doubles with each further retry.
 	PingRetries         int
 	InitialRetryTimeout cluster.Time
 	// ProbeCount is the number of failed probes, ProbeInterval apart, after which a peer
@@ -73,8 +73,8 @@
 	// HandleReachabilityChange is called when a peer becomes unreachable or reachable
 	// again.
 	HandleReachabilityChange()
-	// ReviewOwnership is called after each failed call to an unreachable peer. The host
-	// may have to acquire the peer's shards.
+	// ReviewOwnership starts to acquire the shards that this controller should own. It is
+	// called after each failed call to an unreachable peer.
 	ReviewOwnership()
 }
 
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// RecordWrite records that a new write by a process was seen in the store. It
+// RecordWrite records that a new write by a process was seen in the store. Such a write
 // shows that the process is alive even if it is unreachable.
 func (m *Members) RecordWrite(instanceID string) {
 	for _, peer := range m.peers {
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -27,10 +27,10 @@
 	acknowledgement Acknowledgement
 
 	suspected        bool // the last ping and its retries were not answered
-	unreachable      bool // the subsequent probes were not answered either
+	unreachable      bool // the last ping, its retries and ProbeCount probes were not answered
 	unreachableSince cluster.Time
 
-	livenessRead        bool // the liveness key was read since it became unreachable
+	livenessRead        bool // the liveness key was read since the peer became unreachable
 	livenessModRevision cluster.ModRevision
 	livenessChangedAt   cluster.Time // when a change of its liveness key was last seen
 }
@@ -72,11 +72,12 @@
 	return acknowledgements
 }
 
-// IsSuspected reports whether the peer has not answered the last ping and its retries.
+// IsSuspected reports whether the peer has answered neither the last ping nor its retries.
 func (p *Peer) IsSuspected() bool { return p.suspected }
 
-// IsUnreachable reports whether the peer has not answered the subsequent probes either.
-// An unreachable peer has not necessarily failed; see Members.IsFailed.
+// IsUnreachable reports whether the peer has left the last ping, its retries and
+// Config.ProbeCount subsequent probes unanswered. An unreachable peer has not necessarily
+// failed; see Members.IsFailed.
 func (p *Peer) IsUnreachable() bool { return p.unreachable }
 
 // IsHealthyFor reports whether the peer has reported for longer than the given duration
@@ -87,7 +88,7 @@
 
 // beginInstance resets the state kept for a process of the peer. The acknowledgement of
 // the earlier process doesn't count for the new one: the earlier process may have claimed
-// shards after it, and the new process does not know these claims.
+// shards after that acknowledgement, and the new process does not know these claims.
 func (p *Peer) beginInstance(instanceID string) {
 	p.instanceID, p.healthySince = instanceID, 0
 	p.acknowledgement = Acknowledgement{InstanceSeenAt: p.loop.Now()}
--- a/internal/membership/pings.go
+++ b/internal/membership/pings.go
@@ -22,7 +22,8 @@
 // controller for longer than storeUnreachableAfter.
 func (m *Members) IsStoreUnreachable() bool { return m.store.IsUnavailableFor(storeUnreachableAfter) }
 
-// MakePing returns a ping for a peer, which is also the response to a peer's ping.
+// MakePing returns the ping to send to a peer, either as a request or as the response to
+// the peer's ping.
 func (m *Members) MakePing(to *Peer) *messages.Ping {
 	ping := &messages.Ping{
 		InstanceID:         m.config.InstanceID,
--- a/internal/membership/pingvalidation.go
+++ b/internal/membership/pingvalidation.go
@@ -49,8 +49,9 @@
 	return nil
 }
 
-// validateOffer returns a *PingError if an offer has a negative machine count, or more
-// machines than the maximum number of bytes in a group's record.
+// validateOffer returns a *PingError if an offer has negative or excessive machine counts.
+// The limit is MaxValueBytes, because a group's record needs at least one byte for each
+// machine.
 func (m *Members) validateOffer(offer *messages.TransferOffer) error {
 	machines, limit := 0, m.config.MaxValueBytes
 	for _, kind := range offer.Kinds {
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -39,7 +39,7 @@
 }
 
 // StretchDelay returns the delay to use between two runs of deferrable work. While the
-// process is overloaded, it is longer than the given delay, up to maxOverloadDelay.
+// process is overloaded, the given delay is extended, up to maxOverloadDelay.
 func (h *ProcessHealth) StretchDelay(delay cluster.Time) cluster.Time {
 	if !h.IsOverloaded() {
 		return delay
--- a/internal/membership/upgrades.go
+++ b/internal/membership/upgrades.go
@@ -7,10 +7,10 @@
 	"stairrelay/internal/cluster"
 )
 
-// Rolling upgrades. A controller of a release without job dependencies ignores that field
-// of a job's record and would start the job before its dependencies are done. Such a
-// record may therefore be stored only after all controllers are known to be upgraded to a
-// release that supports dependencies.
+// Rolling upgrades. A controller of a release without job dependencies ignores the
+// dependencies in a job's record and would start the job before they are done. A record
+// with dependencies may therefore be stored only after all controllers are known to be
+// upgraded to a release that supports them.
 //
 // A controller is known to be upgraded if one of its pings reports the feature level or
 // a claim record lists it. A claim record lists the owner and all controllers that the
--- a/internal/membership/workers.go
+++ b/internal/membership/workers.go
@@ -35,8 +35,8 @@
 	process           *ProcessHealth
 	fleet             Fleet
 
-	lastOwnedHeartbeat cluster.Time // from a machine owned here
-	lastHeartbeat      cluster.Time // from any machine
+	lastOwnedHeartbeat cluster.Time // last heartbeat from a machine owned here, or last reply to Probe
+	lastHeartbeat      cluster.Time // last heartbeat from any machine
 	unreachable        bool
 	probeAddress       string // address of a silent worker
 }
@@ -79,8 +79,8 @@
 // CanReachWorkers reports whether this node reaches its workers. The result becomes false
 // when this node owns several booted machines and none of them has sent a heartbeat
 // within the heartbeat timeout, for example because of a network partition. It stays
-// false until a heartbeat or a reply to Probe arrives, even if the shards are lost in the
-// meantime.
+// false until a heartbeat of an owned machine or a reply to Probe arrives, even if the
+// shards are lost in the meantime.
 func (w *WorkerReachability) CanReachWorkers() bool {
 	timeout := w.heartbeatTimeout()
 	if w.loop.Now()-w.lastOwnedHeartbeat < timeout {
--- a/internal/messages/messages_test.go
+++ b/internal/messages/messages_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestEventsAndEffects checks that its tables list all events and effects, and that no
-// event type is also an effect type.
+// TestEventsAndEffects checks that the tables in the test list all events and effects, and
+// that no event type is also an effect type.
 func TestEventsAndEffects(t *testing.T) {
 	events := []Event{
 		Tick{}, Submit{}, Query{}, Cancel{}, Health{}, Heartbeat{}, PeerRequest{}, ProcessLoad{}, Reply{},
@@ -46,8 +46,8 @@
 	return names
 }
 
-// markedTypes returns the sorted names of the package's types that have a method, by the
-// method's name.
+// markedTypes maps the name of each method in the package to the sorted names of the types
+// that have the method.
 func markedTypes(t *testing.T) map[string][]string {
 	t.Helper()
 	sources, err := filepath.Glob("*.go")
--- a/internal/messages/peer.go
+++ b/internal/messages/peer.go
@@ -22,7 +22,8 @@
 // PeerMessage is a message between controllers, either a request or the response to one.
 // A request sets exactly one of Ping, Notice, Query, Cancel and Submission. The response
 // to a Ping sets Ping, that to a Query sets Views, and that to any other request sets
-// Status. Views then holds the job of an accepted submission or of a cancellation.
+// Status. The response to a Cancel or a Submission may also set Views, to the view of the
+// job concerned.
 //
 // Controllers of different releases exchange messages during an upgrade, so the encoded
 // field names of this type and of the types that it contains must not change.
@@ -66,7 +67,7 @@
 	ShardLoads  []fairshare.ShardLoad `cbor:"Loads"`
 
 	FeatureLevel int            `cbor:"Level"` // of the sender's release; 0 for releases without job dependencies
-	KnownTerms   []cluster.Term `cbor:"Terms"` // latest term of each shard known to the sender, indexed by shard ID
+	KnownTerms   []cluster.Term `cbor:"Terms"` // latest term that the sender knows of each shard, indexed by shard ID
 }
 
 // ShardTerm is a shard that the sender owns and the term of its ownership.
@@ -87,7 +88,7 @@
 }
 
 // TransferOffer offers a machine group with idle machines to another shard. The recipient
-// takes it over by a compare-and-swap on the group's record.
+// shard's owner takes the group over by a compare-and-swap on the group's record.
 type TransferOffer struct {
 	Key         string              `cbor:"Key"`
 	ModRevision cluster.ModRevision `cbor:"Mark"`
--- a/internal/ownership/claims.go
+++ b/internal/ownership/claims.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// RereadClaim reads a shard's claim record and applies it. If it shows this controller's
-// current claim, the read also confirms the ownership.
+// RereadClaim reads a shard's claim record and applies it. If the record holds this
+// controller's current claim, the read also confirms the ownership.
 func (m *Manager) RereadClaim(shard *state.Shard) {
 	sentAt := m.loop.Now()
 	m.queue.ReadKey(shard.Key(), func(reply messages.GetReply) {
@@ -96,8 +96,8 @@
 	})
 }
 
-// applyRead applies a claim record returned by a read that was sent at sentAt, and
-// records the confirmation of the claim in it.
+// applyRead applies a claim record returned by a read that was sent at sentAt. If the
+// record holds this controller's current claim, applyRead records the confirmation.
 func (m *Manager) applyRead(shard *state.Shard, kv messages.KV, sentAt cluster.Time) {
 	m.ApplyClaim(kv)
 	m.RecordConfirmation(shard, kv.ModRevision, sentAt)
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -58,8 +58,9 @@
 type Claim struct {
 	ShardID cluster.ShardID
 	Term    cluster.Term
-	// ConfirmedAt is when the last request to the store was sent whose reply showed that
-	// the claim was in force.
+	// ConfirmedAt is the time as of which the store last confirmed the claim. This is when
+	// the confirming request was sent, because the claim may have been lost before the
+	// reply arrived.
 	ConfirmedAt cluster.Time
 }
 
@@ -89,8 +90,8 @@
 }
 
 // RecordConfirmation records that the reply to a request sent at sentAt showed that a
-// claim of a shard was in force. It is ignored unless that claim is this controller's
-// current one.
+// claim of a shard was in force. The confirmation is ignored unless that claim is this
+// controller's current one.
 func (m *Manager) RecordConfirmation(shard *state.Shard, claim cluster.ModRevision, sentAt cluster.Time) {
 	if shard.Owned && shard.ModRevision == claim {
 		shard.ConfirmedAt = max(shard.ConfirmedAt, sentAt)
