--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -81,7 +81,8 @@
 }
 
 // AllowsMachineType reports whether the job's tasks may run on machines of a type in a
-// zone and fit on one. If zone is empty, any zone in which the type is offered counts.
+// zone and fit on one. If zone is empty, it suffices that the type is offered in a zone
+// that the job allows.
 func (s *JobSpec) AllowsMachineType(t MachineType, zone string) bool {
 	if !s.ResourceRequest.FitsIn(t.Capacity) {
 		return false
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -27,7 +27,7 @@
 	acknowledgement Acknowledgement
 
 	suspected        bool // the last ping and its retries were not answered
-	unreachable      bool // the last ping, its retries and ProbeCount probes were not answered
+	unreachable      bool // the last ping, its retries and ProbeCount subsequent probes were not answered
 	unreachableSince cluster.Time
 
 	livenessRead        bool // the liveness key was read since the peer became unreachable
--- a/internal/membership/upgrades.go
+++ b/internal/membership/upgrades.go
@@ -10,7 +10,7 @@
 // Rolling upgrades. A controller of a release without job dependencies ignores the
 // dependencies in a job's record and would start the job before they are done. A record
 // with dependencies may therefore be stored only after all controllers are known to be
-// upgraded to a release that supports them.
+// upgraded to a release that supports dependencies.
 //
 // A controller is known to be upgraded if one of its pings reports the feature level or
 // a claim record lists it. A claim record lists the owner and all controllers that the
