--- a/internal/grouprecord/address.go
+++ b/internal/grouprecord/address.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// An IPv4 address with a port is stored as 8 characters of base64. Any other address is
-// stored as text with a prefix.
+// An IPv4 address with a port is stored as 8 characters of base64, an empty address as
+// noAddress, and any other address as text after plainPrefix.
 const (
 	noAddress    = "."
 	plainPrefix  = "="
--- a/internal/grouprecord/size.go
+++ b/internal/grouprecord/size.go
@@ -25,8 +25,8 @@
 // minMachines is the minimum of TargetMachines.
 const minMachines = 4
 
-// TargetMachines returns the number of machines that a new record should list. With a few
-// tasks on each machine, the record takes about half of the limit.
+// TargetMachines returns the maximum number of machines that a new record should list. With
+// a few tasks on each machine, such a record takes about half of the limit.
 func (l ValueLimit) TargetMachines() int { return max(int(l)/targetMachineBytes, minMachines) }
 
 // maxTaskBytes is the maximum size of a task in a record, not counting its job ID: a range
@@ -77,8 +77,8 @@
 
 // Estimates of what a task adds to a record, in bytes.
 const (
-	rangeGrowthBytes = 1  // in a range that it continues, which sometimes gets another digit
-	rangeBytes       = 16 // in a new range
+	rangeGrowthBytes = 1  // for a task that continues a range, whose last index may get another digit
+	rangeBytes       = 16 // for a task in a new range
 	jobQuotingBytes  = 3  // quotes and comma of a job ID in the table of jobs
 )
 
--- a/internal/grouprecord/size_test.go
+++ b/internal/grouprecord/size_test.go
@@ -153,7 +153,7 @@
 func TestSplit(t *testing.T) {
 	taskCount := func(machine int) int { return machine }
 	for _, test := range []struct {
-		machines []int // by their number of tasks
+		machines []int // the number of tasks of each machine
 		records  int
 		want     [][]int
 	}{
--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -97,9 +97,9 @@
 	inv.dropGroup(group, to)
 }
 
-// dropGroup removes a group that was transferred to another shard, or whose record was
-// deleted or quarantined, and makes the tasks assigned to its machines pending again. If to
-// is a shard, it is recorded as the owner hint of the machines.
+// dropGroup removes from memory a group that was transferred to another shard, or whose
+// record was deleted or quarantined. It makes the tasks assigned to the group's machines
+// pending again. If to is a shard, it is recorded as the owner hint of the machines.
 //
 // This can't run a task twice. The record of a transferred group lists no tasks, so no
 // start was sent. A shard with a quarantined record starts no tasks before it is repaired.
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -47,8 +47,8 @@
 	RereadClaim(*state.Shard)
 	// LoadShard reads the records of an owned shard.
 	LoadShard(*state.Shard)
-	// HandleForeignWrite is called when a record of an owned shard was changed by a
-	// writer other than its owner.
+	// HandleForeignWrite handles a record of an owned shard that another writer has
+	// modified. It reads the shard's claim to find out whether the shard has a new owner.
 	HandleForeignWrite(shard *state.Shard, key, reason string)
 	// DropCorruptShard drops an owned shard that has an invalid or unexpectedly modified
 	// record.
@@ -142,7 +142,8 @@
 // Configure replaces the configuration.
 func (inv *Inventory) Configure(config Config) { inv.config = config }
 
-// TargetGroupSize returns the number of machines that a new group should have.
+// TargetGroupSize returns the maximum number of machines that should be put into a new
+// group. The limit does not apply to merges and splits.
 func (inv *Inventory) TargetGroupSize() int { return inv.config.ValueLimit.TargetMachines() }
 
 // HasRoom reports whether a group's record can list one more task of a job.
--- a/internal/inventory/load.go
+++ b/internal/inventory/load.go
@@ -28,8 +28,8 @@
 	}
 	if err != nil {
 		// If the record's shard can't be determined, every shard that is loaded
-		// quarantines the record. The first repair deletes the record, and those of the
-		// other shards then fail with a conflict and load the shards again.
+		// quarantines the record. The first repair deletes the record. The repairs of the
+		// other shards then fail with a conflict, and the shards are loaded again.
 		if of, ok := grouprecord.ShardOf(item.Value); !ok || !inv.isShard(of) || of == shard.ID {
 			inv.quarantineRecord(shard, item, err)
 		}
@@ -72,7 +72,7 @@
 // loaded, if the groups belong to other shards owned here and the record is later. The ID
 // of such a group may differ from the record's, because another shard may have merged groups
 // after a transfer. It returns false if the record must be ignored, because one of its
-// machines has a fencing token that is later than the record.
+// machines has a fencing token that is higher than the record's mod revision.
 func (inv *Inventory) dropOlderMachines(item messages.KV, entries []grouprecord.Machine, shard *state.Shard) bool {
 	for i := range entries {
 		m := inv.state.Machines[entries[i].ID]
--- a/internal/inventory/merge.go
+++ b/internal/inventory/merge.go
@@ -9,8 +9,8 @@
 	"stairrelay/internal/writequeue"
 )
 
-// SplitAndMerge splits the groups of a shard whose records approach the value limit, and
-// merges small groups to save puts, because each changed group costs one.
+// SplitAndMerge splits those groups of a shard whose records approach the value limit. It
+// merges small groups to save puts, because the record of each changed group costs one put.
 func (inv *Inventory) SplitAndMerge(shard *state.Shard) {
 	limit := inv.config.ValueLimit
 	var small []*state.MachineGroup
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -40,7 +40,8 @@
 	listRetryDelay = second
 )
 
-// quarantineRepair is the repair of a shard's quarantined records under one claim.
+// quarantineRepair repairs a shard that has quarantined records. The repair is abandoned if
+// the shard is no longer owned under the claim with the revision claimRevision.
 type quarantineRepair struct {
 	inventory     *Inventory
 	shard         *state.Shard
--- a/internal/inventory/stored_test.go
+++ b/internal/inventory/stored_test.go
@@ -120,7 +120,7 @@
 }
 
 // TestTokenIsRevisionOfItsRecord checks that a raised token is the revision of the write
-// of the record, and that the worker must acknowledge it again.
+// of the record, and that the worker has yet to acknowledge the token.
 func TestTokenIsRevisionOfItsRecord(t *testing.T) {
 	h, _, m := newHarnessWithMachine(t, state.PhaseAcknowledged)
 	m.TokenAcknowledged = true
--- a/internal/inventory/transfer.go
+++ b/internal/inventory/transfer.go
@@ -28,9 +28,9 @@
 	recordSize      int                 // of the last encoded record, in bytes
 }
 
-// AcquireGroup begins the transfer to a shard of a group that was offered to it when the
-// group's record had the given mod revision. The transfer is abandoned if the record has
-// changed since, or if a machine of the group is in use.
+// AcquireGroup begins the transfer of a group to a shard to which the group was offered. The
+// argument modRevision is that of the group's record at the time of the offer. The transfer
+// is abandoned if the record has changed since, or if a machine of the group is in use.
 func (inv *Inventory) AcquireGroup(shard *state.Shard, key string, modRevision cluster.ModRevision) {
 	t := &groupTransfer{
 		inventory:       inv,
@@ -66,7 +66,8 @@
 	})
 }
 
-// isInUse reports whether a machine must stay with its shard.
+// isInUse reports whether a machine must stay with its shard, because it may have tasks or
+// is being released.
 func isInUse(entry grouprecord.Machine) bool { return len(entry.Tasks) > 0 || entry.Releasing }
 
 // lock locks the group if it is owned here. It returns false if the group can no longer be
--- a/internal/inventory/write.go
+++ b/internal/inventory/write.go
@@ -7,8 +7,9 @@
 	"stairrelay/internal/writequeue"
 )
 
-// tokenRaiseWeight multiplies the CPUs of a machine whose token is being raised. Until the
-// higher token is stored, the machine gets no new tasks and its worker's lease may expire.
+// tokenRaiseWeight is the weight in cpusWaiting of the CPUs of a machine whose token is being
+// raised. Until the higher token is stored, the machine gets no new tasks and its worker's
+// lease may expire.
 const tokenRaiseWeight = 4
 
 // cpusWaiting returns the weighted number of CPUs that are idle until the records of the
--- a/internal/reconcile/absence.go
+++ b/internal/reconcile/absence.go
@@ -6,17 +6,19 @@
 	"stairrelay/internal/writequeue"
 )
 
-// absenceEvidence holds the properties of a status that determine whether the start of a
-// task that the status does not list is proven lost.
+// absenceEvidence describes the status that is being applied. If the status does not list a
+// task, provesStartLost uses this description to decide whether the task's start is lost.
 type absenceEvidence struct {
 	sequence       cluster.SequenceNumber
 	newIncarnation bool // first status of a new incarnation, which starts without tasks
 	pushed         bool // the status is the reply to a push
 }
 
-// applyMissingTasks marks the machine's tasks that a status does not list as absent, and
-// requeues dispatched starts that are proven lost. It reports whether a start sent in a
-// heartbeat response was lost.
+// applyMissingTasks handles the tasks that are assigned to the machine but missing from a
+// status. A dispatched start is requeued if it is proven lost, and is kept otherwise. Any
+// other task is marked as absent, unless its start was not sent yet or it has completed and
+// its outcome is not stored yet. The result is true if a start that was sent in a heartbeat
+// response is proven lost.
 //
 // It must be called only if the worker has acknowledged the machine's current token.
 // Otherwise the status may be stale, or the worker may still execute a start sent by a
@@ -46,15 +48,16 @@
 	return startLostInResponse
 }
 
-// provesStartLost reports whether the dispatched start of a task that the status does not
-// list can no longer be executed. Requeueing a start that is still in flight could run the
-// task twice.
+// provesStartLost reports whether the dispatched start of a task can no longer be executed,
+// given that the status does not list the task. Requeueing a start that is still in flight
+// could run the task twice.
 //
-// The first status of a new incarnation proves every such start lost. Otherwise, a start
-// sent in a heartbeat response is lost if a later heartbeat does not list the task,
-// because the worker sends the next heartbeat only after it has received the response or
-// stopped waiting for it. The reply to a push does not prove such a start lost. A pushed
-// start is lost if the push has completed with a known outcome.
+// The first status of a new incarnation proves that a start is lost, however it was sent.
+// Otherwise, a pushed start is lost if the push has completed with a known outcome. A start
+// sent in a heartbeat response is lost if a later heartbeat does not list the task, because
+// the worker sends the next heartbeat only after it has received the response or stopped
+// waiting for it. The status in the reply to a push does not prove this, because the
+// heartbeat response may still be in flight.
 func (e absenceEvidence) provesStartLost(machine *state.Machine, assignment *state.Assignment) bool {
 	if e.newIncarnation {
 		return true
--- a/internal/reconcile/absence_test.go
+++ b/internal/reconcile/absence_test.go
@@ -8,10 +8,11 @@
 	"stairrelay/internal/state"
 )
 
-// The sequence number and the incarnation of the last heartbeat that was applied before the
-// status of a lostStartCase.
 const (
-	dispatchedAt    = cluster.SequenceNumber(5)
+	// dispatchSequence is the sequence number of the heartbeat in whose response the start
+	// was sent.
+	dispatchSequence = cluster.SequenceNumber(5)
+	// lastIncarnation is the worker's incarnation before the status is applied.
 	lastIncarnation = cluster.Incarnation(2)
 )
 
@@ -34,8 +35,8 @@
 	},
 	{
 		name:    "sent in the response to this heartbeat",
-		prepare: func(machine *state.Machine, _ *state.Assignment) { machine.SequenceNumber = dispatchedAt - 1 },
-		status:  func(status *cluster.HeartbeatStatus) { status.SequenceNumber = dispatchedAt },
+		prepare: func(machine *state.Machine, _ *state.Assignment) { machine.SequenceNumber = dispatchSequence - 1 },
+		status:  func(status *cluster.HeartbeatStatus) { status.SequenceNumber = dispatchSequence },
 	},
 	{
 		name:   "new incarnation of the worker",
@@ -73,11 +74,11 @@
 			h := newHarness(t)
 			machine := h.addMachine()
 			assignment := h.assign(machine, h.addJob(), state.PhaseDispatched)
-			machine.Incarnation, machine.SequenceNumber, assignment.DispatchedAtSequence = lastIncarnation, dispatchedAt, dispatchedAt
+			machine.Incarnation, machine.SequenceNumber, assignment.DispatchedAtSequence = lastIncarnation, dispatchSequence, dispatchSequence
 			if test.prepare != nil {
 				test.prepare(machine, assignment)
 			}
-			status := statusWithCurrentToken(machine, dispatchedAt+1)
+			status := statusWithCurrentToken(machine, dispatchSequence+1)
 			if test.status != nil {
 				test.status(status)
 			}
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -58,9 +58,9 @@
 	return c.deps.Ownership.CanStartTasks(c.state.Shards[machine.ShardID])
 }
 
-// isStopDue reports whether the stop of a task is to be sent now. A task that is to be
-// stopped with a grace period and is writing a checkpoint is sent no stop, unless the grace
-// period of an earlier stop has expired.
+// isStopDue reports whether the stop of a task is to be sent now. If urgentOnly is true, a
+// stop that was already sent is not due. While a task writes a checkpoint, a stop with a
+// grace period is not due, unless the grace period of an earlier stop has expired.
 func (c *Commands) isStopDue(assignment *state.Assignment, urgentOnly bool) bool {
 	if !assignment.StopRequested || urgentOnly && assignment.StopSentAt > 0 {
 		return false
@@ -70,7 +70,7 @@
 }
 
 // stop returns the command that stops a task and marks the stop as sent. If the grace
-// period of an earlier stop has expired, the command has none.
+// period of an earlier stop has expired, the command has no grace period.
 func (c *Commands) stop(assignment *state.Assignment) cluster.Command {
 	grace := assignment.GraceSeconds
 	if assignment.IsGraceExpired(c.loop.Now()) {
--- a/internal/reconcile/harness_test.go
+++ b/internal/reconcile/harness_test.go
@@ -224,8 +224,8 @@
 	return machine, h.assign(machine, job, state.PhaseAcknowledged)
 }
 
-// statusWithCurrentToken returns a status of the machine's current incarnation that
-// acknowledges its current token, so that it may prove a missing task absent.
+// statusWithCurrentToken returns a status that lists the given tasks. It has the machine's
+// current incarnation and token, so it may prove that a task that it omits is absent.
 func statusWithCurrentToken(machine *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
 	return &cluster.HeartbeatStatus{
 		Machine:          machine.ID,
--- a/internal/reconcile/heartbeats.go
+++ b/internal/reconcile/heartbeats.go
@@ -6,9 +6,9 @@
 	"stairrelay/internal/state"
 )
 
-// MaxHeartbeatHold is the maximum time for which a heartbeat is held, so that its response
-// can contain starts whose record is being written. It must be shorter than the 4 s after
-// which a worker stops waiting for a response.
+// MaxHeartbeatHold is how long the response to a heartbeat waits for the record of a start
+// to be stored. The response is sent no later than at the first scan after this time. The
+// time must be shorter than the 4 s after which a worker stops waiting for a response.
 const MaxHeartbeatHold = 600 * millisecond
 
 // Heartbeats handles and answers the heartbeats of workers.
--- a/internal/reconcile/heldheartbeats.go
+++ b/internal/reconcile/heldheartbeats.go
@@ -11,7 +11,7 @@
 )
 
 // heldHeartbeats tracks the machines whose heartbeats are not answered yet. A machine whose
-// heartbeat has been answered in the meantime is dropped at the next scan.
+// heartbeat was answered between two scans is dropped at the second one.
 //
 // All held heartbeats are checked every heldHeartbeatScanInterval. Between two scans, only
 // new heartbeats and those of machines whose record was stored are checked.
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -134,8 +134,9 @@
 	return hasCancelledTask(machine) && (!machine.TokenAcknowledged || m.heartbeatAge(machine) > 2*m.config.HeartbeatInterval)
 }
 
-// needsToken reports whether a machine has yet to acknowledge its token. A machine whose
-// token is being raised or that is being released does not need the current one.
+// needsToken reports whether a machine's token should be pushed because the worker has not
+// acknowledged it. The token need not be pushed while a higher one is being stored or the
+// machine is being released.
 func needsToken(machine *state.Machine) bool {
 	return !machine.TokenAcknowledged && !machine.RaisingToken && !machine.Releasing
 }
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -15,8 +15,8 @@
 	// redirectHintMaxAge is the maximum age of an owner hint that is used to redirect a
 	// worker without reading the records.
 	redirectHintMaxAge = 15 * second
-	// registrationHintMaxAge is the maximum age of an owner hint that prevents the
-	// registration of a machine from the cloud's list.
+	// registrationHintMaxAge is the age up to which a machine's owner hint prevents its
+	// registration after it was found in the cloud's list.
 	registrationHintMaxAge = 60 * second
 	// ownerSearchBatchDelay is how long heartbeats are collected for one search, which
 	// reads the records of all shards.
@@ -50,7 +50,8 @@
 
 // MachineRegistrar adds machines to the records.
 type MachineRegistrar interface {
-	// TargetGroupSize returns how many machines one group's record should list.
+	// TargetGroupSize returns the maximum number of machines that should be put into a new
+	// group.
 	TargetGroupSize() int
 	// RegisterMachines adds machines that no record lists to a new group of a shard. It
 	// calls done when the write has succeeded or failed.
@@ -63,8 +64,8 @@
 // crashed before it wrote the record.
 //
 // At most one search for owners runs at a time. It covers all heartbeats that arrived
-// before it began. A machine in registering is being checked, queried or registered and
-// must not be registered a second time.
+// before it began. The map registering contains the machines that are being checked,
+// queried or registered, so that no machine is registered twice.
 type Orphans struct {
 	*shared
 	reconciler *Reconciler
@@ -148,7 +149,7 @@
 	case recorded == nil:
 		o.respondUnavailable(heartbeat.Request)
 	case recorded.Listed[id]:
-		shard, _ := o.deps.Directory.LastShardOf(id) // found, because the record was just read
+		shard, _ := o.deps.Directory.LastShardOf(id) // always known, because the record was just read
 		o.redirectToOwner(heartbeat.Request, shard)
 	default:
 		shard := o.ShardFor(id)
@@ -186,8 +187,8 @@
 // released or have failed.
 func (o *Orphans) minAge() cluster.Time { return 3*o.config.CloudListLag + 45*second }
 
-// isTooNew reports whether a machine was found to be in no record for the first time less
-// than minAge ago.
+// isTooNew reports whether less than minAge has passed since a machine was first found to be
+// in no record.
 func (o *Orphans) isTooNew(id cluster.MachineID) bool {
 	first, ok := o.unrecordedSince[id]
 	return ok && o.loop.Now()-first < o.minAge()
@@ -218,8 +219,8 @@
 	}
 }
 
-// ForgetUnlisted removes the machines that are no longer in the cloud's list or have become
-// known from unrecordedSince.
+// ForgetUnlisted removes a machine from unrecordedSince if it is no longer in the cloud's
+// list or has become known to this controller.
 func (o *Orphans) ForgetUnlisted(listed map[cluster.MachineID]bool) {
 	for id := range o.unrecordedSince {
 		if !listed[id] || o.state.Machines[id] != nil {
@@ -228,8 +229,8 @@
 	}
 }
 
-// registerCandidates reads the records and queues the registration of candidates that no
-// record has listed for at least minAge. The age of a machine in the cloud's list is not
+// registerCandidates reads the records and queues the registration of the candidates that
+// have been in no record for at least minAge. The age of a machine in the cloud's list is not
 // sufficient: a machine that another shard has just released may still be in the list.
 func (o *Orphans) registerCandidates() {
 	candidates := o.candidates
@@ -241,8 +242,8 @@
 	})
 }
 
-// registerIfOrphaned queues the registration of a machine from the cloud's list if no record
-// has listed it for at least minAge.
+// registerIfOrphaned queues the registration of a machine from the cloud's list if the
+// machine has been in no record for at least minAge.
 func (o *Orphans) registerIfOrphaned(listed cluster.ListedMachine, recorded *state.RecordedMachines) {
 	delete(o.registering, listed.ID)
 	shard := o.ShardFor(listed.ID)
@@ -277,8 +278,8 @@
 
 // registerQueued registers the queued machines of a shard, in groups of at most the
 // target size. If the shard is no longer owned under the given claim, it drops the machines
-// instead. Each time a group has been registered or dropped, it runs the maintenance of
-// the owned machines.
+// instead. Each time the registration of a group has succeeded or failed or a group was
+// dropped, it runs the maintenance of the owned machines.
 func (o *Orphans) registerQueued(shard *state.Shard, claim cluster.Revision) {
 	waiting := shard.PendingRegistrations
 	shard.PendingRegistrations = nil
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -46,10 +46,11 @@
 	CancelDeadline cluster.Time
 	// CloudListLag is the maximum lag of the cloud's machine list.
 	CloudListLag cluster.Time
-	// BootTimeoutFactor is multiplied by the boot time of a machine type to get its boot
-	// timeout.
+	// BootTimeoutFactor is multiplied by the boot time of a machine type. The boot timeout
+	// is the product plus bootMarginSeconds.
 	BootTimeoutFactor float64
-	// ScaleInIdleTime is how long a machine must be idle before it is released.
+	// ScaleInIdleTime is how long a machine that is not cordoned must be idle before it is
+	// released as surplus.
 	ScaleInIdleTime cluster.Time
 }
 
--- a/internal/reconcile/stops.go
+++ b/internal/reconcile/stops.go
@@ -4,7 +4,8 @@
 	"stairrelay/internal/state"
 )
 
-// graceMarginSeconds is added to the time that a task needs to write a checkpoint.
+// graceMarginSeconds is added to the time allowed for writing a checkpoint. The sum is the
+// grace period of a stop.
 const graceMarginSeconds = 1
 
 // Stops stops tasks. It has a method for each reason:
--- a/internal/reconcile/taskend.go
+++ b/internal/reconcile/taskend.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// rejectedStartBackoff is how long no tasks are started on a machine whose worker
-	// rejected a start, or for a job if a worker rejected one of its tasks as unknown.
+	// rejectedStartBackoff is how long no tasks are started on a machine after its worker
+	// has rejected a start. If the worker rejected the task as unknown, no tasks of the
+	// task's job are started for this time instead.
 	rejectedStartBackoff = 3 * second
 	// faultyJobMachineCount is the number of machines on which tasks of a job must fail
 	// before the job is considered faulty.
--- a/internal/reconcile/unresponsive.go
+++ b/internal/reconcile/unresponsive.go
@@ -6,15 +6,18 @@
 )
 
 const (
-	// hangMargin is how long after the expiry of its lease a machine with cancelled tasks
-	// is considered hung.
+	// hangMargin is added to the worker lease. The sum is the time without a heartbeat after
+	// which a machine with cancelled tasks is considered hung. It is also the maximum time
+	// that a machine may take to stop the tasks.
 	hangMargin = 2 * second
-	// lossMargin is how long after the expiry of its lease a machine is considered lost.
+	// lossMargin is added to the worker lease. The sum is the time without a heartbeat, or
+	// without an acknowledgement of the token, after which a machine may be considered lost.
 	lossMargin = 5 * second
 	// unansweredPushTimeout is the time without a reply to a push after which a machine
 	// with cancelled tasks may be considered hung.
 	unansweredPushTimeout = 1500 * millisecond
-	// minFirstAcknowledgementTimeout is the minimum of firstAcknowledgementTimeout.
+	// minFirstAcknowledgementTimeout is the lower bound of firstAcknowledgementTimeout,
+	// which otherwise depends on the heartbeat interval.
 	minFirstAcknowledgementTimeout = 5 * second
 )
 
--- a/internal/writequeue/batch.go
+++ b/internal/writequeue/batch.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// fillFrom adds the writes of a queue that fit, and returns the others in their
-// order.
+// fillFrom moves writes from a queue to the transaction, as far as they fit, and returns
+// the writes that stay queued, in their order.
 func (b *batch) fillFrom(queue []*Write, priority Priority) []*Write {
 	var rest []*Write
 	for i, write := range queue {
--- a/internal/writequeue/health.go
+++ b/internal/writequeue/health.go
@@ -72,7 +72,8 @@
 	return (h.failing || now < h.ProbeUntil) && h.inFlight == 0
 }
 
-// recordRequest records that a request was sent to which a prompt reply is expected.
+// recordRequest records that a request was sent. It must not be called for watch requests,
+// because the store replies to them only after a change or a timeout.
 func (h *Health) recordRequest(now cluster.Time) {
 	if h.inFlight++; h.inFlight == 1 {
 		h.unansweredSince = now
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -19,7 +19,8 @@
 	maxTransactionsInFlight = 6
 	// backgroundCreditPerPut is the credit for background writes that each put earns.
 	// It prevents the starvation of background writes. Most completed tasks are
-	// acknowledged only after such a write, so without them heartbeats would grow.
+	// acknowledged to their workers only after a background write. Until then, the
+	// heartbeats list them.
 	backgroundCreditPerPut = 0.25
 	// maxBackgroundCredit limits the credit for background writes.
 	maxBackgroundCredit = 2
@@ -264,9 +265,11 @@
 	}
 }
 
-// sortStarts sorts the writes of starts by the CPU time lost per put, largest first,
-// so that the write budget starts as much work as possible. The CPU time lost grows
-// while a write is queued, so no write starves.
+// sortStarts sorts the writes of starts so that the write budget starts as much work as
+// possible. The rank of a write is the time for which it has been queued, multiplied by
+// one plus the number of CPUs that wait for it, and divided by its number of keys. The
+// highest rank comes first. The rank of a write grows while it is queued, so no write
+// starves.
 func (q *Queue) sortStarts() {
 	queue := q.queues[PriorityStart]
 	if len(queue) < 2 || q.putBudget.Level() < 1 {
--- a/internal/writequeue/write.go
+++ b/internal/writequeue/write.go
@@ -8,9 +8,9 @@
 //   - A key is in at most one transaction in flight.
 //   - A write of a shard, other than that of its claim, is sent only in a transaction
 //     that is conditional on the claim.
-//   - A callback reports the outcome of a write that was sent exactly once: applied,
-//     conflicting, too large, or ownership lost. This holds even if the outcome of the
-//     transaction was in doubt.
+//   - For each write that is sent, exactly one callback reports the final outcome:
+//     applied, conflicting, too large, or ownership lost. This holds even if the outcome
+//     of the transaction was in doubt.
 package writequeue
 
 import (
@@ -32,7 +32,7 @@
 	PriorityAdmission                  // admissions of submitted jobs
 	PriorityStart                      // assignments of tasks to machines
 	PriorityOutcome                    // outcomes of tasks and jobs, releases of machines
-	PriorityBackground                 // checkpoints, repairs and other deferrable writes
+	PriorityBackground                 // periodic writes of records, repairs and other deferrable writes
 	// PriorityCount is the number of priorities. As a priority it is lower than
 	// every other one.
 	PriorityCount
@@ -135,6 +135,6 @@
 	sendCount      int
 	firstSentAt    cluster.Time
 	putsByPriority [PriorityCount]int
-	shardID        cluster.ShardID     // the shard whose claim guards it, or cluster.NoShard
-	claim          cluster.ModRevision // mod revision of that claim, or 0 if there is none or the transaction writes it
+	shardID        cluster.ShardID     // the shard of its writes, or cluster.NoShard
+	claim          cluster.ModRevision // mod revision of the claim that guards the transaction, or 0 if none does
 }
