--- a/cmd/stairrelay/main.go
+++ b/cmd/stairrelay/main.go
@@ -1,5 +1,6 @@
 // Command stairrelay runs a controller of a cluster scheduler. The shards of the cluster
-// are divided among several controllers. If one fails, its shards fail over to the others.
+// are divided among several controllers. If a controller fails, its shards fail over to
+// the others.
 package main
 
 import (
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -27,7 +27,7 @@
 	reply   engine.ReplyFunc
 }
 
-// New returns a Client of the cloud at the given address, which passes the replies to the
+// New returns a Client of the cloud at the given address. The Client passes replies to the
 // given function.
 func New(address string, reply engine.ReplyFunc) *Client {
 	options := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleConnections}
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -12,7 +12,8 @@
 // root is the path of the repository's root, relative to this package.
 const root = "../.."
 
-// externalFiles holds the names of files in the documents that are not in the repository.
+// externalFiles holds the names of files that documents may name although the files are
+// not in the repository.
 var externalFiles = map[string]bool{
 	"settings.toml": true, // the platform's settings, passed to each controller at its start
 }
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -7,9 +7,9 @@
 	"stairrelay/internal/messages"
 )
 
-// Executors start the calls to other processes that effects request. They must not block,
-// because they run on the goroutine of Engine.Run. The reply to each call must be passed
-// to Engine.DeliverReply from another goroutine.
+// Executors holds the functions that start the controller's calls to other processes. The
+// functions must not block, because they run on the goroutine of Engine.Run. The reply to
+// each call must be passed to Engine.DeliverReply from another goroutine.
 type Executors struct {
 	Store   func(messages.Effect)
 	Cloud   func(messages.Effect)
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -55,9 +55,9 @@
 	return data, nil
 }
 
-// Decode decodes a message. It returns ErrMissingVersionOrSender if the message lacks one
-// of the two. Unknown fields are ignored, for compatibility between controllers of
-// different releases.
+// Decode decodes a message. It returns ErrMissingVersionOrSender if the message has no
+// protocol version or no sender. Unknown fields are ignored, for compatibility between
+// controllers of different releases.
 func Decode(data []byte) (messages.PeerMessage, error) {
 	var message messages.PeerMessage
 	// Unlike Unmarshal, a Decoder allows trailing bytes.
--- a/internal/peers/handler.go
+++ b/internal/peers/handler.go
@@ -24,7 +24,7 @@
 }
 
 // ServeHTTP passes a message to the controller and writes the message in the controller's
-// response. The status is 400 if the response has no message.
+// response. The status is 400 if there is no response or it has no message.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxMessageSize))
 	if err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -29,7 +29,7 @@
 	reply     engine.ReplyFunc
 }
 
-// New returns a Client of the controllers at the given addresses, which passes the replies
+// New returns a Client of the controllers at the given addresses. The Client passes replies
 // to the given function.
 func New(addresses map[cluster.NodeID]string, reply engine.ReplyFunc) *Client {
 	return &Client{
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -21,8 +21,9 @@
 	required bool // has no default and must be greater than 0
 }
 
-// numericFields returns the numeric fields of the file, except those of teams and of
-// cluster.state.next, which have their own checks.
+// numericFields returns the numeric fields of the file, except those of objectives, which
+// have no bounds, and those of teams and of cluster.state.next, which have their own
+// checks.
 func (f *platformFile) numericFields() []numericField {
 	table := &f.Cluster
 	limits := &table.Limits
--- a/internal/settings/platformfile.go
+++ b/internal/settings/platformfile.go
@@ -62,8 +62,8 @@
 	DeadlineFactor float64 `toml:"times"`
 }
 
-// workersTable holds the heartbeat interval, the lease duration and the cancellation
-// deadline of workers.
+// workersTable holds the heartbeat interval and the lease duration of workers, and the
+// cancellation deadline of jobs.
 type workersTable struct {
 	HeartbeatSeconds float64 `toml:"report_s"`
 	LeaseSeconds     float64 `toml:"lease_s"`
--- a/internal/simulation/cancellations.go
+++ b/internal/simulation/cancellations.go
@@ -105,8 +105,8 @@
 	return jobs
 }
 
-// hangWorkers makes up to limit machines hang that do not hang already, and returns the
-// number of these machines.
+// hangWorkers makes up to limit of the workers' machines hang and returns how many. It
+// skips machines that already hang.
 func (c *Cancellations) hangWorkers(workers []*SimulatedWorker, limit int, duration cluster.Time) int {
 	hung := 0
 	for _, worker := range workers {
--- a/internal/simulation/edge_case_requests.go
+++ b/internal/simulation/edge_case_requests.go
@@ -169,7 +169,7 @@
 		o.FaultCounts[submission.kind]++
 	case isUndecided(response.Status):
 	case response.Status == messages.StatusTooManyRequests && submission.rejection == messages.StatusNone:
-		// An overloaded controller may reject a submission before it validates it.
+		// An overloaded controller may reject a submission without validating it.
 	default:
 		o.reportViolation("unexpected_status: %s return status %d: %s", submission.kind, response.Status, submission.spec.ID)
 	}
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -8,9 +8,9 @@
 
 const (
 	// stallLogText is the message that a controller logs for a shard that has made no
-	// progress for some time. The message is a violation only from
-	// stallLogGracePeriod after the last fault on, because it may refer to the time
-	// before the faults were over.
+	// progress for some time. The message is a violation only if it is logged more than
+	// stallLogGracePeriod after the last fault has ended. An earlier message may refer
+	// to the time before that.
 	stallLogText        = "shard makes no progress"
 	stallLogGracePeriod = 60 * second
 )
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -52,7 +52,7 @@
 // from its seed if all values are drawn in the same order.
 type randomSource struct {
 	Rand *rand.Rand
-	// NoRandomFaults disables all faults that a test does not request explicitly.
+	// NoRandomFaults disables all faults that are injected with a probability.
 	NoRandomFaults bool
 }
 
--- a/internal/simulation/fake_cloud.go
+++ b/internal/simulation/fake_cloud.go
@@ -134,8 +134,8 @@
 // listPageSize is the maximum number of machines on a page of the list.
 const listPageSize = 500
 
-// ListPage returns the page of the sorted list that begins after the given machine,
-// and whether more machines follow it.
+// ListPage returns a page of the sorted list and reports whether more machines follow the
+// page. The page begins after the given machine, or is the first one if the ID is empty.
 func (c *FakeCloud) ListPage(now cluster.Time, after cluster.MachineID) (page []cluster.ListedMachine, more bool) {
 	list := c.List(now)
 	first := sort.Search(len(list), func(i int) bool { return list[i].ID > after })
--- a/internal/simulation/fake_store.go
+++ b/internal/simulation/fake_store.go
@@ -33,7 +33,8 @@
 	return &FakeStore{keys: map[string]messages.KV{}, Revision: 1}
 }
 
-// comparesPerOp is the number of compares that the protocol allows per operation.
+// comparesPerOp is the ratio of the protocol's limit for the compares in a transaction to
+// its limit for the operations.
 const comparesPerOp = 4
 
 // writeBudget is a token bucket that limits the rate of operations.
@@ -129,7 +130,7 @@
 	return messages.GetReply{Outcome: messages.OK, KV: kv}
 }
 
-// List returns the keys with a prefix and their values, sorted by key.
+// List returns the keys that have the given prefix, with their values, sorted by key.
 func (s *FakeStore) List(prefix string) messages.ListReply {
 	reply := messages.ListReply{Outcome: messages.OK, Revision: s.Revision}
 	for key, kv := range s.keys {
@@ -141,7 +142,8 @@
 	return reply
 }
 
-// Changes returns the changes after a revision to keys with a prefix.
+// Changes returns the changes that were made after the given revision to keys with the
+// given prefix.
 func (s *FakeStore) Changes(prefix string, since cluster.Revision) messages.WatchReply {
 	reply := messages.WatchReply{Outcome: messages.OK, Revision: s.Revision}
 	for _, kv := range s.changeLog {
--- a/internal/simulation/fake_worker.go
+++ b/internal/simulation/fake_worker.go
@@ -233,7 +233,7 @@
 	if w.Tasks[command.Task] != nil {
 		return
 	}
-	// A task in state Ended is not counted as using resources in hasCapacityFor.
+	// The initial state is Ended, so that hasCapacityFor does not count the task itself.
 	task := &Task{ID: command.Task, Attempt: command.Attempt, State: cluster.Ended}
 	w.Tasks[command.Task] = task
 	info, known := w.LookupJob(command.Task.Job)
--- a/internal/simulation/httpfake/store.go
+++ b/internal/simulation/httpfake/store.go
@@ -14,7 +14,7 @@
 const watchPollInterval = 20 * time.Millisecond
 
 // item is a key in a list or a change in a watch or transaction. In a list, Key holds the
-// key. In a change, either PutKey or DeletedKey does.
+// key. In a change, either PutKey or DeletedKey holds it.
 type item struct {
 	Key         string          `json:"key,omitempty"`
 	PutKey      string          `json:"set,omitempty"`
@@ -129,8 +129,8 @@
 	}{items, truncated, list.Revision})
 }
 
-// keyPage returns the page of a sorted list that begins after the given key, and
-// whether more keys follow it.
+// keyPage returns a page of a sorted list and reports whether more keys follow the page.
+// The page begins after the given key, or is the first one if that key is empty.
 func keyPage(list []messages.KV, after string, size int) ([]item, bool) {
 	items := []item{}
 	for _, kv := range list {
--- a/internal/simulation/httpfake/wire_types.go
+++ b/internal/simulation/httpfake/wire_types.go
@@ -49,7 +49,8 @@
 	Tasks            []taskStatus           `json:"legs"`
 }
 
-// taskStatus is a task in a heartbeatStatus. Cause is set only if the task has ended.
+// taskStatus is a task in a heartbeatStatus. Cause and Checkpointed are set only if the
+// task has ended.
 type taskStatus struct {
 	Task         string          `json:"leg"`
 	Attempt      cluster.Attempt `json:"boarding"`
--- a/internal/simulation/httpfake/worker.go
+++ b/internal/simulation/httpfake/worker.go
@@ -107,7 +107,8 @@
 	return false
 }
 
-// pushCommands is the body of a command push. The pointers distinguish missing fields.
+// pushCommands is the body of a command push. Pointers distinguish a missing
+// field from a zero.
 type pushCommands struct {
 	FencingToken *uint64   `json:"baton"`
 	Incarnation  *uint64   `json:"shift"`
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -180,10 +180,10 @@
 }
 
 // onlyLeaseExpiryCanStop reports whether only lease expiry can end a cancelled job's task
-// on a machine, because the machine hangs past its lease and could not be removed. The
-// latter is the case if, after the cancellation was confirmed, the cloud was down, or the
-// store was down while a shard may have failed over, so that the new owner could not load
-// the shard's machines.
+// on a machine, because the machine hangs past its lease and could not be removed. A
+// machine could not be removed if, after the cancellation was confirmed, the cloud was
+// down, or the store was down while a shard may have failed over. In the second case, the
+// new owner could not load the shard's machines.
 func (c *invariantChecker) onlyLeaseExpiryCanStop(job *Job, worker *SimulatedWorker) bool {
 	if !worker.isLeaseExpiredWhileHung(c.Now) {
 		return false
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -7,7 +7,7 @@
 	"stairrelay/internal/cluster"
 )
 
-// Job is a job with what its user knows about it from responses.
+// Job is a submitted job with the data that the simulation keeps about it.
 type Job struct {
 	Spec              cluster.JobSpec
 	Info              JobInfo
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -54,7 +54,7 @@
 }
 
 // isLeaseExpiredWhileHung reports whether the machine hangs and the worker's lease has
-// expired. The tasks make no further progress, because the worker drops them first when
+// expired. The tasks make no further progress, because the worker drops them as soon as
 // the machine recovers.
 func (w *SimulatedWorker) isLeaseExpiredWhileHung(now cluster.Time) bool {
 	return now < w.hungUntil && w.isLeaseExpired(now)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,8 +8,8 @@
 // a partition are lost or delivered late.
 type Network struct {
 	*environment
-	// LateDelivery delivers some of the messages that are sent during a partition
-	// after the partition has ended.
+	// LateDelivery makes some of the messages that would be lost arrive late. A message
+	// that is sent during a partition arrives after the partition has ended.
 	LateDelivery bool
 	// HeartbeatDuplicateChance is the probability that a heartbeat is delivered a
 	// second time, up to three lease durations later.
@@ -28,8 +28,8 @@
 	return n.RandomBetween(millisecond, 8*millisecond)
 }
 
-// lateArrival returns a random delay for a message that is sent during a
-// partition, and whether the message arrives at all.
+// lateArrival returns a random delay for a message that does not arrive in time, and
+// whether the message arrives at all. It arrives after partitionedUntil.
 func (n *Network) lateArrival(partitionedUntil cluster.Time) (cluster.Time, bool) {
 	if !n.LateDelivery || n.Chance(0.4) {
 		return 0, false
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -21,7 +21,7 @@
 	WorkersPartitionedUntil cluster.Time // partitioned from the workers
 	PeersPartitionedUntil   cluster.Time // partitioned from the other controllers
 	StoreUnavailableUntil   cluster.Time // the store responds with 503
-	PeersRefuseUntil        cluster.Time // connections to and from other controllers are refused
+	PeersRefuseUntil        cluster.Time // connections between this and other controllers are refused in both directions
 	StoreRepliesLostUntil   cluster.Time // transactions are applied, but the replies are lost
 	PausedUntil             cluster.Time // the process is paused while its clocks continue
 
--- a/internal/simulation/read_after_write.go
+++ b/internal/simulation/read_after_write.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// readAfterWriteRounds is the number of requests sent to each controller after
-	// each report.
+	// readAfterWriteRounds is the number of requests sent to each controller after a
+	// job was reported as accepted, done or cancelled.
 	readAfterWriteRounds = 3
 	// maxReadAfterWriteDelay is the maximum random delay of each request.
 	maxReadAfterWriteDelay = 50 * millisecond
--- a/internal/simulation/status_invariants.go
+++ b/internal/simulation/status_invariants.go
@@ -5,7 +5,7 @@
 )
 
 // checkReportedStatus checks a status that is reported to a user. It returns false if the
-// job is reported done before all its tasks are. Such a status must not be recorded.
+// job is reported done before all its tasks are done. Such a status must not be recorded.
 func (c *invariantChecker) checkReportedStatus(job *Job, status cluster.JobStatus) bool {
 	if status == cluster.JobDone {
 		if index, found := c.jobs.findUndoneTask(job); found {
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -159,7 +159,7 @@
 	return 0
 }
 
-// injectReplyLoss drops the reply to a transaction if such a fault is active, and
+// injectReplyLoss drops the reply to a transaction if a reply-loss fault affects it, and
 // reports whether it did. The transaction is still applied, immediately or late.
 func (s *StoreAPI) injectReplyLoss(call storeCall) bool {
 	switch {
@@ -199,7 +199,8 @@
 	return ok && txn.Outcome == messages.OK
 }
 
-// applyTxn applies a controller's transaction unless it exceeds the limits.
+// applyTxn applies a controller's transaction unless it exceeds the limits or a compare
+// fails.
 func (s *StoreAPI) applyTxn(node *Node, txn messages.StoreTxn) messages.TxnReply {
 	if outcome := s.store.Admit(s.Now, txn.Then, txn.If); outcome != messages.OK {
 		return messages.TxnReply{Outcome: outcome}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -37,8 +37,8 @@
 	u.trySubmit(job)
 }
 
-// SubmitAfterDependencies submits a job as soon as all its dependencies have been accepted
-// or, if late is set, a final status of each was reported.
+// SubmitAfterDependencies submits a job as soon as all its dependencies have been accepted.
+// If late is set, it waits until a final status of each dependency has been reported.
 func (u *Users) SubmitAfterDependencies(job *Job, late bool) {
 	for _, id := range job.Spec.Dependencies {
 		dependency := u.jobs.Jobs[id]
--- a/internal/simulation/version_filter.go
+++ b/internal/simulation/version_filter.go
@@ -26,8 +26,7 @@
 const (
 	// dependenciesField holds the dependencies in a job's specification.
 	dependenciesField = "aw"
-	// upgradedNodesField holds the upgraded controllers in a shard's ownership
-	// record.
+	// upgradedNodesField holds the upgraded controllers in a shard's claim record.
 	upgradedNodesField = "up"
 )
 
--- a/internal/sockets/budget_test.go
+++ b/internal/sockets/budget_test.go
@@ -17,7 +17,7 @@
 }
 
 // TestBudgetServesAllWorkers checks that one of seven controllers can serve all 900
-// workers and its calls when the others are down.
+// workers and make its calls to workers when the others are down.
 func TestBudgetServesAllWorkers(t *testing.T) {
 	const sockets, peers, workers = 1200, 6, 900
 	budget := NewBudget(sockets, peers)
--- a/internal/sockets/calllimiter.go
+++ b/internal/sockets/calllimiter.go
@@ -38,8 +38,8 @@
 }
 
 // Acquire waits until the timeout for a slot for a call to addr and reports whether it
-// acquired one. The caller must then call release exactly once, when the call has ended,
-// and pass whether the address answered.
+// acquired one. If it did, the caller must call release exactly once, when the call has
+// ended, and pass whether the address answered. Otherwise release is nil.
 func (l *CallLimiter) Acquire(addr string, timeout time.Duration) (release func(answered bool), acquired bool) {
 	slots := l.semaphoreFor(addr)
 	if !slots.acquire(timeout) {
@@ -61,9 +61,9 @@
 	return l.responsive
 }
 
-// recordResult records whether an address answered. If too many addresses are recorded
-// as unresponsive, it clears the records first; addresses that are still unresponsive
-// are recorded again after the next call.
+// recordResult records whether an address answered. Before it records an address as
+// unresponsive, it clears the records if there are too many. Addresses that are still
+// unresponsive are recorded again after the next call to them.
 func (l *CallLimiter) recordResult(addr string, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sockets/middleware.go
+++ b/internal/sockets/middleware.go
@@ -22,8 +22,8 @@
 
 // WorkerMiddleware wraps a handler of worker requests. It marks the connections of the
 // requests as workers' and tells the workers to close them while nearly all connections
-// are in use, and for closeWorkersDuration after a new connection exceeded the limit while no user
-// connection was idle.
+// are in use, and for closeWorkersDuration after a new connection exceeded the limit
+// while no user connection was idle.
 func (l *ConnectionLimiter) WorkerMiddleware(handler http.Handler) http.Handler {
 	return middleware(handler, l.recordWorker)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,7 +19,8 @@
 	// watchTimeoutMargin is how much longer the timeout of a watch's HTTP call is than
 	// the timeout of the watch.
 	watchTimeoutMargin = 3 * time.Second
-	// throttleBackoff is the delay before a throttled read of a page is retried.
+	// throttleBackoff is the delay before the throttled read of a list's second or later
+	// page is retried.
 	throttleBackoff = 200 * time.Millisecond
 	// pageSize is the maximum number of keys in a page of a list.
 	pageSize = 1000
@@ -35,7 +36,7 @@
 	reply        engine.ReplyFunc
 }
 
-// New returns a Client of the store at the given address, which passes the replies to the
+// New returns a Client of the store at the given address. The Client passes replies to the
 // given function.
 func New(address string, reply engine.ReplyFunc) *Client {
 	callOptions := wire.ClientOptions{DialTimeout: dialTimeout, MaxIdleConnsPerHost: maxIdleCallConnections}
@@ -142,8 +143,8 @@
 	}
 }
 
-// readPage reads the page of a list that starts after a key, or the first page if the key
-// is empty.
+// readPage reads a page of a list. The page begins after the given key, or is the first
+// one if that key is empty.
 func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.KVPage, error) {
 	call := wire.Call{
 		Method:  http.MethodGet,
--- a/internal/users/users.go
+++ b/internal/users/users.go
@@ -83,8 +83,8 @@
 		http.NotFound(w, r)
 		return
 	}
-	// The body is read only so that the connection can be reused. An error doesn't affect
-	// the cancellation.
+	// The body is ignored, but must be read so that the connection can be reused. An error
+	// doesn't affect the cancellation.
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, wire.MaxBodySize))
 	h.serve(w, r, func(id messages.RequestID) messages.Event { return messages.Cancel{Request: id, ID: job} })
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -72,8 +72,8 @@
 
 // Do sends a request and reads the whole response. The error is ErrResponseTooLarge if
 // the body of the response exceeds MaxResponseSize, and wraps ErrNotSent if the request
-// could not be created or dialing the server failed. After any other error the request
-// may have been applied, or may be applied later.
+// could not be created or dialing the server failed. After an error that does not wrap
+// ErrNotSent, the request may have been applied, or may be applied later.
 func (c *Client) Do(ctx context.Context, request Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -29,7 +29,7 @@
 }
 
 // DecodeMachineTypes decodes the machine types of the cloud. A machine type without a
-// name or CPUs is an error.
+// name or without CPUs is an error.
 func DecodeMachineTypes(body []byte) ([]cluster.MachineType, error) {
 	var payload struct {
 		Types []machineType `json:"fleets"`
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -55,7 +55,7 @@
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// InvalidMachineTypeError reports a machine type without a name or CPUs.
+// InvalidMachineTypeError reports a machine type without a name or without CPUs.
 type InvalidMachineTypeError struct{ Name string }
 
 // Error names the machine type.
--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -44,8 +44,8 @@
 	timeoutParameter  = "blockMs"
 )
 
-// MachinesPath returns the path of the page of the machine list that begins after the
-// given machine, or of the first page if the machine ID is empty.
+// MachinesPath returns the path of a page of the machine list. The page begins after the
+// given machine, or is the first one if the machine ID is empty.
 func MachinesPath(after cluster.MachineID, pageSize int) string {
 	query := url.Values{pageSizeParameter: {strconv.Itoa(pageSize)}}
 	if after != "" {
@@ -57,8 +57,8 @@
 // KeyPath returns the path of a key. The store expects slashes in the key unescaped.
 func KeyPath(key string) string { return keysPath + "/" + key }
 
-// KeysPath returns the path of the page of the keys with a prefix that begins after the
-// given key, or of the first page if that key is empty.
+// KeysPath returns the path of a page of the list of keys with a prefix. The page begins
+// after the given key, or is the first one if that key is empty.
 func KeysPath(prefix, after string, pageSize int) string {
 	query := url.Values{
 		prefixParameter:   {prefix},
--- a/internal/wire/submission_checks.go
+++ b/internal/wire/submission_checks.go
@@ -16,7 +16,7 @@
 const sweepShape = "sweep"
 
 // InvalidFieldError reports an invalid field of a submission. The text is part of the
-// response to the user, so the field has its name in the protocol.
+// response to the user, so Field is the name of the field in the protocol.
 type InvalidFieldError struct {
 	Field   string
 	Problem string
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -65,7 +65,7 @@
 //	/multi              | transaction
 //	when, then          | compares, operations
 //	set, drop           | put, delete
-//	since, blockMs      | of a watch: revision that precedes it, timeout
+//	since, blockMs      | of a watch: revision before the first change, timeout
 //	permit              | lease of the store; not used
 package wire
 
@@ -76,7 +76,8 @@
 
 // marshal encodes a payload as JSON. It returns nil if the payload contains a
 // json.RawMessage that is not valid JSON or a number that is not finite. The controller
-// produces neither; a receiver would reject a request without a body.
+// produces neither. If it did, the receiver would reject the request, which would have no
+// body.
 func marshal(payload any) []byte {
 	text, err := json.Marshal(payload)
 	if err != nil {
--- a/internal/wire/wiretest/clients.go
+++ b/internal/wire/wiretest/clients.go
@@ -51,11 +51,13 @@
 	}
 }
 
-// maxRecordedRequests is the maximum number of requests that a server records.
+// maxRecordedRequests is the number of requests that a server records before it blocks
+// until the test has received one.
 const maxRecordedRequests = 16
 
 // ServeAndRecord starts a server that responds to each request with status 200 and the
-// same body. It returns the server's address and the requests that it receives.
+// same body. It returns the server's address and a channel of the requests that the server
+// receives.
 func ServeAndRecord(t *testing.T, responseBody string) (address string, requests <-chan Request) {
 	t.Helper()
 	recorded := make(chan Request, maxRecordedRequests)
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -18,8 +18,8 @@
 	// of the space-separated fields of a machine entry in a group record, so a space
 	// would corrupt the entry. The other characters have a special meaning in URLs.
 	forbiddenMachineIDCharacters = " /?#%"
-	// noPreemptionNotice is the PreemptionNotice of a machine that has received
-	// none.
+	// noPreemptionNotice is the PreemptionNotice of a machine that has received no
+	// notice.
 	noPreemptionNotice = -1
 )
 
@@ -101,7 +101,8 @@
 	return decoded, nil
 }
 
-// isValidMachineID reports whether a machine ID can be stored in a group record.
+// isValidMachineID reports whether a machine ID is not empty, at most maxMachineIDLength
+// bytes long, and without forbidden characters.
 func isValidMachineID(id string) bool {
 	return id != "" && len(id) <= maxMachineIDLength && !strings.ContainsAny(id, forbiddenMachineIDCharacters)
 }
--- a/internal/workers/handler.go
+++ b/internal/workers/handler.go
@@ -68,7 +68,7 @@
 }
 
 // maxLoggedErrors limits the number of malformed heartbeats that are logged. Once more than
-// this number have been logged, no further ones are.
+// maxLoggedErrors have been logged, no others are logged.
 const maxLoggedErrors = 1000
 
 // logDeduplicator records what has been logged, so that a worker that repeats a malformed
@@ -79,7 +79,7 @@
 }
 
 // add adds a key and reports whether it did. It does not add a key that was added before,
-// nor any key once there are more than maxLoggedErrors.
+// nor any key once there are more than maxLoggedErrors keys.
 func (d *logDeduplicator) add(key string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -16,8 +16,8 @@
 const (
 	dialTimeout = 1500 * time.Millisecond
 	callTimeout = 2500 * time.Millisecond
-	// slotTimeout is how long a call waits for a free slot before it fails as not
-	// applied.
+	// slotTimeout is how long a call waits for a free slot before it fails with
+	// the outcome NotApplied.
 	slotTimeout = time.Second
 )
 
@@ -83,8 +83,8 @@
 }
 
 // call makes a call without waiting for a slot. After a failure, the outcome is NotApplied
-// only if the request was not sent. Otherwise a machine that hangs may still receive the
-// commands and execute them minutes later.
+// only if the request was not sent. If it was sent, a machine that hangs may still receive
+// the commands and execute them minutes later.
 func (c *Client) call(ctx context.Context, request wire.Request) messages.WorkerReply {
 	response, err := c.client.Do(ctx, request)
 	if errors.Is(err, wire.ErrNotSent) {
