--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -96,7 +96,7 @@
 func TestComparesOfBurstWithinLimit(t *testing.T) {
 	h := newControllerHarness()
 	h.runFor(second)
-	// No write is dispatched in between, as if the store were slow.
+	// No write is dispatched between the submissions, as if the store were slow.
 	for i := range messages.RequestID(60) {
 		h.submit(1+i, cluster.JobID(fmt.Sprintf("j-%03d", i)))
 	}
--- a/internal/controller/combined_faults_test.go
+++ b/internal/controller/combined_faults_test.go
@@ -82,8 +82,8 @@
 	sim.FaultCounts[faultFaultyMachinesWithoutCloud]++
 }
 
-// crashBusiestRepeatedly crashes the controller that is the busiest at the time, three
-// times within half a minute.
+// crashBusiestRepeatedly crashes a controller three times within half a minute. Each time
+// it chooses the controller that is then the busiest.
 func crashBusiestRepeatedly(sim *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for _, delay := range []cluster.Time{0, 12 * second, 25 * second} {
 		sim.After(delay, func() { crashBusiest(sim) })
--- a/internal/controller/completed_tasks_test.go
+++ b/internal/controller/completed_tasks_test.go
@@ -21,7 +21,7 @@
 	h := newControllerHarness()
 	job := h.addTestJob("j-1", 2)
 	machine, assignment := h.addRunningMachine(job)
-	job.RecordTooLarge = true // prevents a checkpoint from storing its outcomes
+	job.RecordTooLarge = true // prevents background writes of its outcomes
 	machine.Group.ModRevision = 0
 	h.deliverStatus(machine, cluster.TaskStatus{Task: assignment.Task, Attempt: assignment.Attempt, State: cluster.Ended, Cause: cluster.CauseCompleted})
 	h.inventory.WriteMachine(machine, writequeue.PriorityStart)
@@ -46,7 +46,7 @@
 }
 
 // TestTaskCompletedUnderPreviousOwner checks which tasks that ended under the previous
-// owner are marked as completed, and that this is stored before it is acknowledged.
+// owner are marked as completed, and that a completion is stored before it is acknowledged.
 func TestTaskCompletedUnderPreviousOwner(t *testing.T) {
 	completed := cluster.TaskStatus{Task: cluster.TaskID{Job: "j-1", Index: 1}, Attempt: 3, State: cluster.Ended, Cause: cluster.CauseCompleted}
 	for _, test := range []struct {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -21,7 +21,7 @@
 	BootTimeoutFactor    float64
 	RateBudgetShare      float64
 	FailbackDelay        cluster.Time
-	ShortJobWeight       float64      // multiplied by the time that a job's pending tasks would occupy the whole shard; the product delays the job's latest start in the queue order
+	ShortJobWeight       float64      // multiplied by the time that a job's pending tasks would occupy the whole shard; the product, up to a limit, delays the job's latest start in the queue order
 	SpareCapacityShare   float64      // spare capacity as a fraction of a shard's demand
 	FirstTaskTarget      cluster.Time // time within which a job's first task should start; after half of it, the task is scheduled before all other work
 }
@@ -49,7 +49,7 @@
 	CurrentWriteRPS float64
 }
 
-// DefaultTuning returns the default parameters.
+// DefaultTuning returns the parameters that apply unless operators set others.
 func DefaultTuning() Tuning {
 	s := cluster.Time(time.Second)
 	return Tuning{
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -58,8 +58,8 @@
 	provisioner *provisioning.Provisioner
 }
 
-// New returns a new Controller. Its components and periodic tasks start at the first call
-// of Step.
+// New returns a new Controller. Its components and periodic timers start at the first
+// call of Step.
 func New(cfg Config) *Controller {
 	c := &Controller{
 		config:        cfg,
@@ -137,7 +137,7 @@
 }
 
 // startLoops starts the components, requests the stored jobs and the machine types, and
-// starts the periodic tasks.
+// starts the periodic timers.
 func (c *Controller) startLoops() {
 	t := c.config.Tuning
 	c.members.Start()
@@ -158,9 +158,9 @@
 	c.loop.Every(eventloop.FixedInterval(30*second), c.logStats)
 }
 
-// writeBackgroundState queues the writes that aren't urgent: newly completed tasks of
-// unfinished jobs, and machine records that still list absent tasks or have to be split
-// or merged. It also logs shards that make no progress.
+// writeBackgroundState queues the writes that aren't urgent. They record newly completed
+// tasks of unfinished jobs, remove absent tasks from group records, and split and merge
+// group records. It also logs shards that make no progress.
 func (c *Controller) writeBackgroundState() {
 	c.jobs.Records.WriteOutcomes()
 	c.inventory.MaintainRecords()
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// encode returns the wire encoding of an effect. The result is false for a log line, which
-// is not a decision.
+// encode returns an effect as text that contains its wire encoding. The second result is
+// false for a log line, which is not a decision.
 func (d *decisionDigest) encode(effect messages.Effect) (string, bool) {
 	switch e := effect.(type) {
 	case messages.Log:
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -119,7 +119,7 @@
 }
 
 // TestDependencyChainCancelled checks that after the first job of a chain is cancelled,
-// all jobs are reported as cancelled by the cancel deadline and no other starts a task.
+// all jobs are reported as cancelled by the cancel deadline and only the first one ran.
 func TestDependencyChainCancelled(t *testing.T) {
 	c := newIdleCluster(t, 3)
 	first := c.submitDependent("j-100000", "red", 600*second)
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -40,8 +40,9 @@
 	return ""
 }
 
-// machineUsageMismatch describes the difference between a machine's cached usage and its
-// tasks, and adds the tasks to the usage of their teams.
+// machineUsageMismatch describes the difference between a machine's cached usage and the
+// sum over its tasks, and adds the tasks' requests to teams. The result is empty if there
+// is no difference.
 func machineUsageMismatch(machine *state.Machine, teams state.TeamUsage) string {
 	var sum cluster.Resources
 	count := 0
@@ -59,9 +60,8 @@
 	return ""
 }
 
-// OwnedMachineCounts returns the number of booted machines in the owned shards whose
-// workers have acknowledged their fencing tokens, and the number of all booted machines
-// in these shards.
+// OwnedMachineCounts returns two counts of the booted machines in the owned shards: those
+// whose workers have acknowledged their fencing tokens, and all of them.
 func (c *Controller) OwnedMachineCounts() (acknowledged, booted int) {
 	for _, machine := range c.state.Machines {
 		if machine.Booting {
@@ -76,7 +76,7 @@
 }
 
 // StalledShardCount returns the number of shards without progress for at least
-// stallThreshold checkpoints.
+// stallThreshold progress checks.
 func (c *Controller) StalledShardCount() int { return c.stalledShardCount() }
 
 // WorkCounts holds counters of a controller's work since the last periodic log line.
--- a/internal/controller/fast_boot_test.go
+++ b/internal/controller/fast_boot_test.go
@@ -74,8 +74,8 @@
 	return last
 }
 
-// TestStartWaitsForRecord checks that a task on a newly booted machine is not started
-// before a record of it is stored. Otherwise a new owner would start it a second time.
+// TestStartWaitsForRecord checks that no task is started on a new machine before a record
+// that lists the task is stored. Otherwise a new owner would start the task again.
 func TestStartWaitsForRecord(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestMachineOfOpenProvisioningNotRegistered checks that an unknown machine is not
-// registered while a request of its kind is open, as it might be recorded twice.
+// TestMachineOfOpenProvisioningNotRegistered checks that a machine is not registered while
+// a provisioning request for its kind is open, as the machine might be recorded twice.
 func TestMachineOfOpenProvisioningNotRegistered(t *testing.T) {
 	for _, test := range []struct {
 		name, zone string
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -148,8 +148,8 @@
 	sim.CloudAPI.DownUntil = sim.Now + duration
 }
 
-// preemptMachines picks three random machines. It either preempts a machine with notice,
-// which has no effect on an on-demand machine, or removes it without notice.
+// preemptMachines picks three random machines. It preempts each of them with notice, which
+// has no effect on an on-demand machine, or removes it without notice.
 func preemptMachines(sim *simulation.Simulator, _ *simulation.Node, _ cluster.Time) {
 	for range 3 {
 		if sim.Chance(0.5) {
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -10,7 +10,6 @@
 	"stairrelay/internal/state"
 )
 
-// inventoryConfig returns the settings of the inventory.
 func (c *Controller) inventoryConfig() inventory.Config {
 	return inventory.Config{
 		ValueLimit:         grouprecord.ValueLimit(c.config.MaxValueBytes),
--- a/internal/controller/jobs_adapter.go
+++ b/internal/controller/jobs_adapter.go
@@ -5,7 +5,6 @@
 	"stairrelay/internal/state"
 )
 
-// jobsConfig returns the settings of package jobs.
 func (c *Controller) jobsConfig() jobs.Config {
 	return jobs.Config{
 		Self:               c.config.Self,
--- a/internal/controller/late_acquire_reply_test.go
+++ b/internal/controller/late_acquire_reply_test.go
@@ -7,8 +7,9 @@
 	"stairrelay/internal/messages"
 )
 
-// acknowledgeTerm delivers the reply of a peer of newHarnessWithKnownPeers to a ping sent
-// now, in which term is the latest term of shard 0 that the peer knows.
+// acknowledgeTerm delivers a peer's reply to a ping that was sent now. The reply contains
+// term as the latest term of shard 0 that the peer knows. The harness must be from
+// newHarnessWithKnownPeers.
 func acknowledgeTerm(h *controllerHarness, id cluster.NodeID, term cluster.Term) {
 	ping := &messages.Ping{InstanceID: peerInstanceID(id), KnownTerms: []cluster.Term{term, 1, 1}}
 	h.members.HandlePingReply(h.members.Peer(id), ping, h.loop.Now())
--- a/internal/controller/machine_commands_test.go
+++ b/internal/controller/machine_commands_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestOnlyStopsBeforeTokenAcknowledged checks that a machine gets stops at any time, but
-// no start while its token is raised and no pushed start until it acknowledges the token.
+// no start while its token is being raised and no pushed start before the acknowledgement.
 func TestOnlyStopsBeforeTokenAcknowledged(t *testing.T) {
 	stop, both := []cluster.CommandKind{cluster.Stop}, []cluster.CommandKind{cluster.Stop, cluster.Start}
 	for _, test := range []struct {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -7,7 +7,6 @@
 	"stairrelay/internal/messages"
 )
 
-// membershipConfig returns the settings of package membership.
 func (c *Controller) membershipConfig() membership.Config {
 	tuning := &c.config.Tuning
 	return membership.Config{
--- a/internal/controller/ownership_adapter.go
+++ b/internal/controller/ownership_adapter.go
@@ -5,7 +5,6 @@
 	"stairrelay/internal/state"
 )
 
-// ownershipConfig returns the settings of package ownership.
 func (c *Controller) ownershipConfig() ownership.Config {
 	return ownership.Config{
 		Self:           c.config.Self,
--- a/internal/controller/peerrequests.go
+++ b/internal/controller/peerrequests.go
@@ -54,8 +54,8 @@
 	c.respondToPeer(request, messages.PeerMessage{Ping: c.members.MakePing(from)})
 }
 
-// answerSubmission handles a submission that a peer forwards because it can't reach the
-// store, and responds with the outcome.
+// answerSubmission handles a submission that a peer forwards because the peer can't reach
+// the store, and responds with the outcome.
 func (c *Controller) answerSubmission(request messages.RequestID, submission *messages.ProxiedSubmission) {
 	spec := submission.Spec
 	spec.ID = submission.ID
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -164,7 +164,7 @@
 var productionOutcomes = regexp.MustCompile(`^(|[0-9]+(-[0-9]+)?(,[0-9]+(-[0-9]+)?)*|b[A-Za-z0-9+/]+)$`)
 
 // TestRecordsMatchProductionEncoding checks that records are encoded as by the version in
-// production, which must read them during an upgrade. Their jobs have no dependencies.
+// production, which must read them during an upgrade. No recorded job has dependencies.
 func TestRecordsMatchProductionEncoding(t *testing.T) {
 	bitmapSeen := map[bool]bool{}
 	for key, old := range loadProductionRecords(t) {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -8,18 +8,18 @@
 	"stairrelay/internal/state"
 )
 
-// stallThreshold is the number of consecutive checkpoints without progress after which a
-// stalled shard is logged. It is logged again after each further stallThreshold
-// checkpoints. Checkpoints are the periodic calls of writeBackgroundState.
+// stallThreshold is the number of consecutive calls of checkShardProgress after which a
+// shard that has made no progress is logged. The shard is logged again after every
+// stallThreshold further calls without progress.
 const stallThreshold = 15
 
 // shardProgress tracks for how long a shard has made no progress. A shard makes no
 // progress if no controller serves it, or if its owner starts none of the tasks that it
 // could start or stores none of its pending writes.
 type shardProgress struct {
-	stalledCheckpoints int    // consecutive checkpoints without progress
-	plannedStarts      uint64 // shard.TotalAttemptCount at the last checkpoint
-	storedTransactions uint64 // shard.StoredTransactions at the last checkpoint
+	stalledChecks      int    // consecutive checks without progress
+	plannedStarts      uint64 // shard.TotalAttemptCount at the last check
+	storedTransactions uint64 // shard.StoredTransactions at the last check
 }
 
 // stallReason is the reason why a shard makes no progress, as logged. It is empty if the
@@ -34,30 +34,29 @@
 )
 
 // checkShardProgress updates the progress of all shards and logs stalled ones. It is
-// called at each checkpoint.
+// called once per CheckpointInterval.
 func (c *Controller) checkShardProgress() {
 	for _, shard := range c.state.Shards {
 		c.recordShardProgress(shard, c.shardStallReason(shard))
 	}
 }
 
-// recordShardProgress records the result of a checkpoint. It counts consecutive
-// checkpoints without progress, and logs the shard each time the count reaches a multiple
-// of stallThreshold.
+// recordShardProgress records the result of a check. It counts consecutive checks without
+// progress, and logs the shard each time the count reaches a multiple of stallThreshold.
 func (c *Controller) recordShardProgress(shard *state.Shard, reason stallReason) {
 	progress := &c.progress[shard.ID]
 	progress.plannedStarts, progress.storedTransactions = shard.TotalAttemptCount, shard.StoredTransactions
 	if reason == stallNone {
-		progress.stalledCheckpoints = 0
+		progress.stalledChecks = 0
 		return
 	}
-	if progress.stalledCheckpoints++; progress.stalledCheckpoints%stallThreshold != 0 {
+	if progress.stalledChecks++; progress.stalledChecks%stallThreshold != 0 {
 		return
 	}
 	c.loop.Log(messages.LogInfo, "shard makes no progress",
 		"shard", int(shard.ID),
 		"reason", string(reason),
-		"checkpoints", progress.stalledCheckpoints,
+		"checkpoints", progress.stalledChecks,
 		"owner", string(shard.Owner),
 		"acquiring", shard.Acquiring)
 }
@@ -98,8 +97,8 @@
 	return slices.ContainsFunc(owner.LastPing().Shards, func(owned messages.ShardTerm) bool { return owned.Shard == shard.ID })
 }
 
-// hasStalledWrites reports whether writes of the shard's machine records are pending and
-// no transaction of the shard was stored since the last checkpoint.
+// hasStalledWrites reports whether writes of the shard's group records are pending and no
+// transaction of the shard was stored since the last check.
 func (c *Controller) hasStalledWrites(shard *state.Shard) bool {
 	if shard.StoredTransactions != c.progress[shard.ID].storedTransactions {
 		return false
@@ -113,17 +112,17 @@
 }
 
 // hasStalledStarts reports whether pending tasks fit on the shard's machines and no start
-// was planned since the last checkpoint.
+// was planned since the last check.
 func (c *Controller) hasStalledStarts(shard *state.Shard) bool {
 	return shard.TotalAttemptCount == c.progress[shard.ID].plannedStarts && c.scheduler.HasStartableTasks(shard)
 }
 
 // stalledShardCount returns the number of shards that have made no progress for at least
-// stallThreshold checkpoints.
+// stallThreshold checks.
 func (c *Controller) stalledShardCount() int {
 	stalled := 0
 	for _, shard := range c.state.Shards {
-		if c.progress[shard.ID].stalledCheckpoints >= stallThreshold {
+		if c.progress[shard.ID].stalledChecks >= stallThreshold {
 			stalled++
 		}
 	}
--- a/internal/controller/progress_test.go
+++ b/internal/controller/progress_test.go
@@ -109,7 +109,7 @@
 }
 
 // TestProgressEndsStall checks that a single stored transaction restarts the count of
-// checkpoints without progress.
+// checks without progress.
 func TestProgressEndsStall(t *testing.T) {
 	h := newControllerHarness()
 	h.inventory.RegisterMachines(h.state.Shards[0], []grouprecord.Machine{{ID: "m-1", Kind: grouprecord.Kind{Type: "small", Zone: "a"}, Address: "m-1"}}, func() {})
--- a/internal/controller/provisioning_adapter.go
+++ b/internal/controller/provisioning_adapter.go
@@ -8,7 +8,6 @@
 	"stairrelay/internal/scheduling"
 )
 
-// provisioningConfig returns the settings of the provisioner.
 func (c *Controller) provisioningConfig() provisioning.Config {
 	return provisioning.Config{
 		Self:                 c.config.Self,
@@ -44,9 +43,9 @@
 	})
 }
 
-// provisioningOrphans forwards the machines that the cloud lists but no known record does
-// to the reconciler. It looks the reconciler up at each call, because the reconciler is
-// created after the provisioner.
+// provisioningOrphans forwards calls about machines that the cloud lists, but no known
+// record lists, from the provisioner to the reconciler. It looks the reconciler up at each
+// call, because the reconciler is created after the provisioner.
 type provisioningOrphans struct{ controller *Controller }
 
 // HandleListed implements provisioning.Orphans.
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -14,9 +14,10 @@
 )
 
 const (
-	// faultPeriod is the time at the start of a run during which faults begin.
+	// faultPeriod is the period at the start of a run during which faults begin.
 	faultPeriod = 240 * second
-	// maxFaultDuration is the maximum duration of a fault.
+	// maxFaultDuration limits the duration of single faults. All faults have ended this
+	// long after faultPeriod.
 	maxFaultDuration = 40 * second
 	// completionTimeout is the time after faultPeriod within which all jobs must have
 	// ended.
@@ -171,9 +172,9 @@
 	return sim.FaultCounts
 }
 
-// runWithFaults runs a simulation with random message faults and the faults and jobs that
-// plan schedules, until completionTimeout after faultPeriod. It checks that no invariant
-// was violated and that all jobs have ended.
+// runWithFaults runs a simulation until faultPeriod + completionTimeout, with random
+// message faults and with the faults and jobs that plan schedules. It checks that no
+// invariant was violated and that all jobs have ended.
 func runWithFaults(t *testing.T, sim *simulation.Simulator, cfg controller.Config, plan func(teams []string, until cluster.Time)) {
 	t.Helper()
 	enableRandomMessageFaults(sim)
@@ -201,8 +202,8 @@
 	}
 }
 
-// enableRandomMessageFaults makes the network deliver random messages late, twice or
-// slowly.
+// enableRandomMessageFaults enables random message faults. Messages sent during a partition
+// may arrive after it, heartbeats may arrive twice, and peer messages may be slow.
 func enableRandomMessageFaults(sim *simulation.Simulator) {
 	sim.Network.LateDelivery = true
 	sim.Network.HeartbeatDuplicateChance = 0.03
@@ -226,8 +227,8 @@
 	sim.After(second, check)
 }
 
-// largestJobs returns the job of each class that needs the most CPU time. Jobs with
-// dependencies are excluded, because they can't start before these have ended.
+// largestJobs returns, for each class, the job that needs the most CPU time. Jobs with
+// dependencies are excluded, because they can't start before their dependencies are done.
 func largestJobs(sim *simulation.Simulator) map[string]*simulation.Job {
 	size := func(job *simulation.Job) float64 {
 		return float64(job.Spec.ResourceRequest.CPU) * float64(job.Spec.Tasks) * job.Spec.RuntimeSeconds
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -11,11 +11,12 @@
 const (
 	// plannedJobCount is the number of jobs in a run, in addition to its pipelines.
 	plannedJobCount = 45
-	// initialJobCount is the number of those jobs that are submitted at the start.
+	// initialJobCount is the number of planned jobs that are submitted within the first
+	// three seconds.
 	initialJobCount = 10
 	// longJobInterval is the number of planned jobs per long job. The tasks of a long job
-	// run for longer than the cancel deadline, so that a task that is not stopped is
-	// detected.
+	// run for longer than the cancel deadline, so that a cancelled task that is not
+	// stopped is detected.
 	longJobInterval = 9
 	// plannedPipelineCount is the number of pipelines in a run.
 	plannedPipelineCount = 6
@@ -72,7 +73,8 @@
 	return job
 }
 
-// setRandomPlacement sets a random placement constraint in some of the specs.
+// setRandomPlacement sets a random placement constraint in a spec with a probability of
+// one half.
 func setRandomPlacement(sim *simulation.Simulator, spec *cluster.JobSpec) {
 	switch sim.Rand.IntN(8) {
 	case 0:
--- a/internal/controller/reconcile_adapter.go
+++ b/internal/controller/reconcile_adapter.go
@@ -6,7 +6,6 @@
 	"stairrelay/internal/state"
 )
 
-// reconcileConfig returns the settings of the reconciler.
 func (c *Controller) reconcileConfig() reconcile.Config {
 	return reconcile.Config{
 		Self:              c.config.Self,
@@ -55,8 +54,8 @@
 	*scheduling.Stragglers
 }
 
-// machineReleaser forwards the reconciler's calls that release machines to the scheduler
-// and the provisioner.
+// machineReleaser implements reconcile.MachineReleaser. It releases machines through the
+// provisioner, and the scheduler determines which machines are surplus.
 type machineReleaser struct{ controller *Controller }
 
 // Release implements reconcile.MachineReleaser.
--- a/internal/controller/scheduling_adapter.go
+++ b/internal/controller/scheduling_adapter.go
@@ -5,7 +5,6 @@
 	"stairrelay/internal/state"
 )
 
-// schedulingConfig returns the settings of the scheduler.
 func (c *Controller) schedulingConfig() scheduling.Config {
 	tuning := &c.config.Tuning
 	return scheduling.Config{
@@ -33,9 +32,9 @@
 	})
 }
 
-// taskStopper forwards the scheduler's calls that stop tasks and drain machines to the
-// reconciler. It looks the reconciler up at each call, because the reconciler is created
-// after the scheduler.
+// taskStopper lets the scheduler stop tasks and drain machines through the reconciler. It
+// looks the reconciler up at each call, because the reconciler is created after the
+// scheduler.
 type taskStopper struct{ controller *Controller }
 
 // Preempt implements scheduling.TaskStopper.
--- a/internal/controller/shardload.go
+++ b/internal/controller/shardload.go
@@ -12,7 +12,7 @@
 const loadRetryDelay = second / 3
 
 // shardLoad loads the records of a newly acquired shard. The workers' heartbeats are
-// reconciled with the records only after these are loaded.
+// reconciled with the records only after the load.
 //
 // A load is abandoned if this controller loses the shard, even if it acquires the shard
 // again under another claim. No record is applied before all records were read.
@@ -37,8 +37,8 @@
 	load.read(state.JobKeyPrefix, &load.jobs)
 }
 
-// read lists the records with a prefix into result, and retries until that succeeds. It
-// calls finish once all records of the load were read.
+// read stores a list of the records with a prefix in result. It retries a failed read
+// unless the shard was lost, and calls finish once all records of the load were read.
 func (l *shardLoad) read(prefix string, result **messages.ListReply) {
 	l.controller.writeQueue.ListPrefix(prefix, func(reply messages.ListReply) {
 		if !l.shard.IsOwnedUnder(l.claimRevision) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// awaitAcknowledgements marks the shard's machines as not having acknowledged this
+// awaitAcknowledgements marks the shard's booted machines as not having acknowledged this
 // claim's fencing token. One worker lease later, it logs how many machines were awaited,
 // how many of these are still silent, and how long after the acquisition the last one
 // acknowledged its token. If all are silent, the logged time is that of the load.
--- a/internal/controller/simulator_setup_test.go
+++ b/internal/controller/simulator_setup_test.go
@@ -74,8 +74,8 @@
 	return sim
 }
 
-// testCloud returns a cloud with little capacity. The simulator provides the randomness of
-// its boot durations.
+// testCloud returns a cloud with little capacity. The boot durations of its
+// machines are random numbers of the simulator that the function simulator returns.
 func testCloud(simulator func() *simulation.Simulator) *simulation.FakeCloud {
 	types := []cluster.MachineType{
 		{Name: "small", Capacity: cluster.Resources{CPU: 4 * cpu, Memory: 16 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.2, SpotPrice: 0.07, BootSeconds: 15, Zones: zones},
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -14,7 +14,8 @@
 	Queries       int
 	Cancellations int
 	CommandPushes int
-	// MachineScans is the total number of machines visited by all loops over machines.
+	// MachineScans is the number of machines that were passed to AddMachineScans. A
+	// machine is counted in each call.
 	MachineScans int
 }
 
--- a/internal/controller/storeaccess.go
+++ b/internal/controller/storeaccess.go
@@ -10,7 +10,6 @@
 	"stairrelay/internal/writequeue"
 )
 
-// writeQueueConfig returns the settings of the write queue.
 func (c *Controller) writeQueueConfig() writequeue.Config {
 	return writequeue.Config{
 		InstanceID:      c.config.InstanceID,
@@ -27,7 +26,7 @@
 }
 
 // shardClaims provides the claims of the shards to the write queue and handles the
-// results of its transactions.
+// results of the queue's transactions.
 type shardClaims struct{ controller *Controller }
 
 // ClaimOf implements writequeue.ShardOwnership.
--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -64,8 +64,7 @@
 	"preempt": func(r *traceRunner, c traceCommand) { r.simulator.Machines.Preempt(c.machine(), c.duration(1)) },
 }
 
-// applySetting applies a command that changes the settings. It reports whether the command
-// is one of these.
+// applySetting applies a command if it changes the settings, and reports whether it does.
 func (r *traceRunner) applySetting(command traceCommand) bool {
 	r.t.Helper()
 	switch {
@@ -148,8 +147,8 @@
 	command.node(3).SendRequest(submitRequest(job.Spec), r.writeResponse("submits", id))
 }
 
-// writeResponse returns a handler that writes a user's response to the trace and checks
-// the job status in it.
+// writeResponse returns a handler that writes the response to a user to the trace and
+// checks the job status in the response.
 func (r *traceRunner) writeResponse(request, id string) func(messages.Respond) {
 	return func(response messages.Respond) {
 		switch {
--- a/internal/controller/trace_test.go
+++ b/internal/controller/trace_test.go
@@ -103,8 +103,8 @@
 	return runner
 }
 
-// runLine runs a command. It copies commands and comments to the output, and ignores
-// recorded lines.
+// runLine runs a line if it is a command. It copies commands and comments to the output,
+// and ignores recorded lines.
 func (r *traceRunner) runLine(line string) {
 	r.t.Helper()
 	isCommand := strings.HasPrefix(line, ">")
@@ -177,7 +177,7 @@
 	return command
 }
 
-// arg returns the argument at an index.
+// arg returns the argument at an index. It fails the test if there are too few arguments.
 func (c traceCommand) arg(index int) string {
 	c.runner.t.Helper()
 	if index >= len(c.args) {
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -8,8 +8,8 @@
 	"stairrelay/internal/simulation"
 )
 
-// limitsBeforeUpgrade are the limits of the store before and during the upgrade. Some
-// time after the upgrade, they are lowered to those of upgradeConfig.
+// limitsBeforeUpgrade are the limits of the store until they are lowered to those of
+// upgradeConfig, which happens after the upgrade of the last controllers has begun.
 var limitsBeforeUpgrade = simulation.StoreLimits{WriteRPS: 40, ValueBytes: 4096, TxnOps: 12}
 
 func upgradeConfig() controller.Config {
@@ -31,8 +31,8 @@
 	simulation.FaultDependentStarted,
 }
 
-// TestRollingUpgrade checks that a rolling upgrade from the production version under
-// faults, and lower limits of the store after it, violate no invariant.
+// TestRollingUpgrade checks that no invariant is violated during a rolling upgrade from
+// the production version under faults and after the store's limits are lowered.
 func TestRollingUpgrade(t *testing.T) {
 	from, to := seedRange(t, 1, 12)
 	var seen faultTotals
@@ -73,8 +73,8 @@
 }
 
 // planUpgrade schedules the upgrade of one random controller, later that of the two
-// others at the same time, and then the lowering of the store's limits. Before their
-// upgrade, the two others crash and may be partitioned.
+// others at the same time, and then the lowering of the store's limits. Of the two others,
+// one crashes before its upgrade, one may crash at a failover and one may be partitioned.
 func planUpgrade(sim *simulation.Simulator) {
 	order := sim.Rand.Perm(len(sim.Nodes))
 	first, rest := sim.Nodes[order[0]], []*simulation.Node{}
@@ -96,7 +96,7 @@
 }
 
 // planOldNodeCrashes schedules crashes of controllers that are not upgraded yet: one after
-// the first upgrade, and one within a second of the next shard acquisition.
+// the first upgrade begins, and one within a second of the next shard acquisition.
 func planOldNodeCrashes(sim *simulation.Simulator, old []*simulation.Node, firstUpgradeAt cluster.Time) {
 	sim.After(firstUpgradeAt+sim.RandomBetween(second, 15*second), func() {
 		sim.FaultCounts[faultOldNodeRestarted]++
