--- a/internal/controller/trace_commands_test.go
+++ b/internal/controller/trace_commands_test.go
@@ -231,9 +231,9 @@
 	}
 }
 
-// partitionNode partitions a controller, as in "partition n0 store 10s". The controller may be
-// partitioned from the "store", the "workers", the "peers", the "servers" (the store and
-// the peers) or "all".
+// partitionNode partitions a controller, as in "partition n0 store 10s". The controller may
+// be partitioned from the "store", the "workers", the "peers", the "servers" (the store
+// and the peers) or "all".
 func (r *traceRunner) partitionNode(command traceCommand) {
 	node, until := command.node(0), r.until(command.duration(2))
 	switch from := command.arg(1); from {
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -113,8 +113,8 @@
 	})
 }
 
-// planOldNodePartition schedules, in some runs, a partition between a controller before its
-// upgrade and its peers. A peer that starts during the partition can't learn the version
+// planOldNodePartition partitions, in some runs, a controller from its peers before the
+// controller is upgraded. A peer that starts during the partition can't learn the version
 // of that controller.
 func planOldNodePartition(sim *simulation.Simulator, node *simulation.Node, firstUpgradeAt, restUpgradeAt cluster.Time) {
 	if !sim.Chance(0.6) {
