--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -114,5 +114,5 @@
 		"shard", int(shard.ID),
 		"term", uint64(term),
 		"previous_owner", string(previousOwner))
-	m.store.LoadShard(shard)
+	m.loader.LoadShard(shard)
 }
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -117,7 +117,7 @@
 }
 
 // ShardStore keeps the machines, jobs and machine groups of owned shards.
-type ShardStore interface {
+type ShardLoader interface {
 	// LoadShard starts to load the records of an acquired shard. It calls
 	// Manager.MarkReady once they are loaded.
 	LoadShard(*state.Shard)
@@ -136,7 +136,7 @@
 	shards []*state.Shard // indexed by shard ID
 	queue  *writequeue.Queue
 	peers  Peers
-	store  ShardStore
+	loader ShardLoader
 
 	claimsRevision   cluster.Revision // revision up to which claim records are applied
 	checks           []ownershipCheck // indexed by shard ID
@@ -145,14 +145,14 @@
 }
 
 // New returns a Manager that owns no shards and does not know their owners yet.
-func New(loop *eventloop.Loop, config Config, shards []*state.Shard, queue *writequeue.Queue, peers Peers, store ShardStore) *Manager {
+func New(loop *eventloop.Loop, config Config, shards []*state.Shard, queue *writequeue.Queue, peers Peers, loader ShardLoader) *Manager {
 	return &Manager{
 		loop:   loop,
 		config: config,
 		shards: shards,
 		queue:  queue,
 		peers:  peers,
-		store:  store,
+		loader: loader,
 		checks: make([]ownershipCheck, len(shards)),
 	}
 }
--- a/internal/ownership/ownershiploss.go
+++ b/internal/ownership/ownershiploss.go
@@ -22,7 +22,7 @@
 	m.loop.Log(messages.LogInfo, "shard ownership lost", "shard", int(id), "term", uint64(shard.Term))
 	shard.EndOwnership(m.loop.Now())
 	m.changes++
-	m.store.DropShard(shard)
+	m.loader.DropShard(shard)
 	for _, handle := range m.checks[id].takeCallbacks() {
 		handle(false)
 	}
--- a/internal/reconcile/harness_test.go
+++ b/internal/reconcile/harness_test.go
@@ -93,7 +93,7 @@
 func (h *harness) WriteJob(*state.Job, writequeue.Priority)           {}
 func (h *harness) RecordRuntime(*state.Machine, *state.Assignment)    {}
 func (h *harness) ExpectedRemainingSeconds(*state.Assignment) float64 { return h.remainingSeconds }
-func (h *harness) HandleSlowMachine(*state.Machine)                   {}
+func (h *harness) DrainIfSlow(*state.Machine)                         {}
 func (h *harness) RecordHeartbeat()                                   {}
 func (h *harness) RecordOwnedHeartbeat()                              {}
 func (h *harness) HasOwnedHeartbeatWithin(cluster.Time) bool          { return h.receivesHeartbeats }
--- a/internal/reconcile/maintenance.go
+++ b/internal/reconcile/maintenance.go
@@ -168,7 +168,7 @@
 	if storeUnavailable {
 		return
 	}
-	s.deps.Runtimes.HandleSlowMachine(machine)
+	s.deps.Runtimes.DrainIfSlow(machine)
 	if reason := s.releaseReason(machine); reason != releaseNone {
 		s.deps.Releaser.Release(machine, reason)
 	}
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -87,7 +87,7 @@
 	ExpectedRemainingSeconds(assignment *state.Assignment) float64
 	// HandleSlowMachine drains a machine if it is much slower than others or repeatedly
 	// has stragglers.
-	HandleSlowMachine(machine *state.Machine)
+	DrainIfSlow(machine *state.Machine)
 }
 
 // WorkerReachability tracks whether workers can reach this controller.
--- a/internal/scheduling/preempt.go
+++ b/internal/scheduling/preempt.go
@@ -48,7 +48,7 @@
 func (p *preemption) mayPreempt(job *state.Job) bool {
 	return job.PendingCount() > 0 &&
 		(job.EffectivePriority >= cluster.Urgent || p.guaranteed[job]) &&
-		p.shared.loop.Now() >= job.NextPreemptionAt
+		p.shared.loop.Now() >= job.PreemptionBackoffUntil
 }
 
 // preemptibleMachines returns a shard's schedulable machines with checkpointable tasks.
@@ -98,7 +98,7 @@
 		}
 	}
 	if p.failedPreemptors[key] = fitting == 0; fitting > 0 {
-		job.NextPreemptionAt = p.shared.loop.Now() + preemptionBackoff
+		job.PreemptionBackoffUntil = p.shared.loop.Now() + preemptionBackoff
 	}
 	return true
 }
@@ -175,7 +175,7 @@
 			quotaLeft = quotaLeft.Plus(assignment.ResourceRequest)
 			if !assignment.StopRequested {
 				p.shared.deps.Stops.Preempt(machine, assignment)
-				job.NextPreemptionAt = p.shared.loop.Now() + preemptionBackoff
+				job.PreemptionBackoffUntil = p.shared.loop.Now() + preemptionBackoff
 			}
 		}
 	}
--- a/internal/scheduling/preempt_test.go
+++ b/internal/scheduling/preempt_test.go
@@ -57,8 +57,8 @@
 			if assignment.StopRequested != test.want {
 				t.Errorf("stopped: %v, want %v", assignment.StopRequested, test.want)
 			}
-			if backedOff := job.NextPreemptionAt == preemptionBackoff; backedOff != test.want {
-				t.Errorf("next preemption not before %v", job.NextPreemptionAt)
+			if backedOff := job.PreemptionBackoffUntil == preemptionBackoff; backedOff != test.want {
+				t.Errorf("next preemption not before %v", job.PreemptionBackoffUntil)
 			}
 		})
 	}
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -100,14 +100,14 @@
 		f.completeTask(job, fast, 10)
 	}
 	for range minPaceSamples {
-		f.Stragglers.HandleSlowMachine(slow)
+		f.Stragglers.DrainIfSlow(slow)
 		if slow.Draining {
 			t.Fatalf("drained after %d run times", slow.PaceSamples)
 		}
 		f.completeTask(job, slow, 100)
 	}
-	f.Stragglers.HandleSlowMachine(fast)
-	f.Stragglers.HandleSlowMachine(slow)
+	f.Stragglers.DrainIfSlow(fast)
+	f.Stragglers.DrainIfSlow(slow)
 	if fast.Draining || !slow.Draining || !runningTask.StopRequested {
 		t.Errorf("fast machine draining %v, slow one %v (pace %v), its task stopped %v", fast.Draining, slow.Draining, slow.RelativePace, runningTask.StopRequested)
 	}
@@ -126,7 +126,7 @@
 	assignment := f.addRunningTask(job, machine)
 	assignment.RunningSince = f.loop.Now()
 	f.loop.Begin(f.loop.Now()+30*second, 1_000_000) // 2.5 times the mean plus 5 s
-	f.Stragglers.HandleSlowMachine(machine)
+	f.Stragglers.DrainIfSlow(machine)
 	if machine.StragglerChecks != 0 {
 		t.Error("a task at the limit counts as a straggler")
 	}
@@ -135,7 +135,7 @@
 		if assignment.StopRequested {
 			t.Fatalf("task stopped before check %d", check)
 		}
-		f.Stragglers.HandleSlowMachine(machine)
+		f.Stragglers.DrainIfSlow(machine)
 	}
 	if !assignment.StopRequested || !machine.Draining {
 		t.Errorf("task stopped: %v, machine draining: %v; want both", assignment.StopRequested, machine.Draining)
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -31,7 +31,7 @@
 // HandleSlowMachine drains a machine if it is much slower than others or repeatedly has
 // stragglers. The stragglers and the tasks that can save a checkpoint are stopped, so
 // that they restart on other machines.
-func (s *Stragglers) HandleSlowMachine(machine *state.Machine) {
+func (s *Stragglers) DrainIfSlow(machine *state.Machine) {
 	if machine.Draining || machine.Releasing {
 		return
 	}
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -61,15 +61,15 @@
 
 // JobQueueState is what determines a job's place in the queue.
 type JobQueueState struct {
-	EffectivePriority   cluster.Priority // highest priority among the job and all its dependents
-	ArrivedAt           cluster.Time
-	Blocked             bool             // by unmet dependencies
-	ReadySince          cluster.WallTime // when the job was submitted or its dependencies were met; all SLO times but deadlines count from here
-	BackoffUntil        cluster.Time
-	NextPreemptionAt    cluster.Time      // earliest next preemption in favor of the job
-	ReservedMachine     cluster.MachineID // kept free for the job while it is starving
-	GuaranteeChecked    bool              // InitiallyGuaranteed has been determined
-	InitiallyGuaranteed bool              // the job fitted into its team's guaranteed quota when it was first schedulable; for logging
+	EffectivePriority      cluster.Priority // highest priority among the job and all its dependents
+	ArrivedAt              cluster.Time
+	Blocked                bool             // by unmet dependencies
+	ReadySince             cluster.WallTime // when the job was submitted or its dependencies were met; all SLO times but deadlines count from here
+	BackoffUntil           cluster.Time
+	PreemptionBackoffUntil cluster.Time      // earliest next preemption in favor of the job
+	ReservedMachine        cluster.MachineID // kept free for the job while it is starving
+	GuaranteeChecked       bool              // InitiallyGuaranteed has been determined
+	InitiallyGuaranteed    bool              // the job fitted into its team's guaranteed quota when it was first schedulable; for logging
 }
 
 // RuntimeStats records when a job's tasks began to run, and for how long the completed ones
