--- a/internal/controller/acquire_backoff_test.go
+++ b/internal/controller/acquire_backoff_test.go
@@ -30,9 +30,9 @@
 		c.ownership.DropCorruptShard(shard, "k", "test")
 		corruptBackoff = max(corruptBackoff, shard.AcquireNotBefore-c.loop.Now())
 	}
-	const isolated = 8 * second // the store must be available for this long before a controller that reaches no peer may consider a peer failed
-	if sum := detect + backoff + corruptBackoff + isolated; backoff == 0 || corruptBackoff == 0 || sum >= 75*second {
-		t.Errorf("failure detection %v, backoff %v, delay after corrupt records %v, isolated %v: %v in total; want a backoff and a delay above 0, and a total below 75s",
-			time.Duration(detect), time.Duration(backoff), time.Duration(corruptBackoff), time.Duration(isolated), time.Duration(sum))
+	const isolatedStoreHealthyTime = 8 * second // the store must be available for this long before a controller that reaches no peer may consider a peer failed
+	if sum := detect + backoff + corruptBackoff + isolatedStoreHealthyTime; backoff == 0 || corruptBackoff == 0 || sum >= 75*second {
+		t.Errorf("failure detection %v, backoff %v, delay after corrupt records %v, store healthy time while isolated %v: %v in total; want a backoff and a delay above 0, and a total below 75s",
+			time.Duration(detect), time.Duration(backoff), time.Duration(corruptBackoff), time.Duration(isolatedStoreHealthyTime), time.Duration(sum))
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -71,7 +71,7 @@
 	c.writeQueue = writequeue.New(c.loop, c.writeQueueConfig(), shardClaims{controller: c})
 	c.workerReachability = membership.NewWorkerReachability(c.loop, cfg.HeartbeatInterval, c.processHealth, ownedFleet{c})
 	c.members = membership.New(c.loop, c.membershipConfig(), c.writeQueue, c.workerReachability, membershipHost{c})
-	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, c.members, shardStore{c})
+	c.ownership = ownership.New(c.loop, c.ownershipConfig(), c.state.Shards, c.writeQueue, c.members, shardLoader{c})
 	c.jobs = c.newJobs()
 	c.inventory = inventory.New(c.loop, c.inventoryConfig(), c.state, c.writeQueue, c.recordNames, c.inventoryDependencies())
 	c.scheduler = c.newScheduler()
--- a/internal/controller/inventory_adapter.go
+++ b/internal/controller/inventory_adapter.go
@@ -22,7 +22,7 @@
 // inventoryDependencies returns the components that the inventory calls.
 func (c *Controller) inventoryDependencies() inventory.Dependencies {
 	return inventory.Dependencies{
-		Shards:    inventoryShards{Manager: c.ownership, shardStore: shardStore{c}},
+		Shards:    inventoryShards{Manager: c.ownership, shardLoader: shardLoader{c}},
 		Jobs:      c.jobs.Records,
 		Workers:   inventoryWorkers{controller: c},
 		Scheduler: inventoryScheduler{controller: c},
@@ -33,7 +33,7 @@
 // inventoryShards implements inventory.Shards.
 type inventoryShards struct {
 	*ownership.Manager
-	shardStore
+	shardLoader
 }
 
 // inventoryWorkers forwards the inventory's calls about workers to the reconciler.
--- a/internal/controller/ownership_adapter.go
+++ b/internal/controller/ownership_adapter.go
@@ -16,12 +16,12 @@
 	}
 }
 
-// shardStore loads the records of acquired shards and drops the state of shards that are
+// shardLoader loads the records of acquired shards and drops the state of shards that are
 // no longer owned.
-type shardStore struct{ controller *Controller }
+type shardLoader struct{ controller *Controller }
 
-// LoadShard implements ownership.ShardStore and inventory.Shards.
-func (s shardStore) LoadShard(shard *state.Shard) { s.controller.loadShard(shard) }
+// LoadShard implements ownership.ShardLoader and inventory.Shards.
+func (s shardLoader) LoadShard(shard *state.Shard) { s.controller.loadShard(shard) }
 
-// DropShard implements ownership.ShardStore.
-func (s shardStore) DropShard(shard *state.Shard) { s.controller.inventory.DropShard(shard) }
+// DropShard implements ownership.ShardLoader.
+func (s shardLoader) DropShard(shard *state.Shard) { s.controller.inventory.DropShard(shard) }
--- a/internal/controller/simulator_setup_test.go
+++ b/internal/controller/simulator_setup_test.go
@@ -74,9 +74,10 @@
 	return sim
 }
 
-// testCloud returns a cloud with little capacity. The boot durations of its
-// machines are random numbers of the simulator that the function simulator returns.
-func testCloud(simulator func() *simulation.Simulator) *simulation.FakeCloud {
+// testCloud returns a cloud with little capacity. The boot durations of its machines are
+// random numbers of the simulator that getSimulator returns. The parameter is a function
+// because the simulator is created after its cloud.
+func testCloud(getSimulator func() *simulation.Simulator) *simulation.FakeCloud {
 	types := []cluster.MachineType{
 		{Name: "small", Capacity: cluster.Resources{CPU: 4 * cpu, Memory: 16 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.2, SpotPrice: 0.07, BootSeconds: 15, Zones: zones},
 		{Name: "big", Capacity: cluster.Resources{CPU: 16 * cpu, Memory: 64 * cpu}, CacheGB: 20, FetchGBPerSecond: 0.3, OnDemandPrice: 0.9, SpotPrice: 0.3, BootSeconds: 25, Zones: []string{"a", "b"}},
@@ -89,7 +90,7 @@
 		capacity[simulation.CapacityKey("small", zone, true)] = 3
 		capacity[simulation.CapacityKey("small", zone, false)] = 2
 	}
-	return simulation.NewFakeCloud(types, capacity, func() cluster.Time { return randomBootDuration(simulator()) })
+	return simulation.NewFakeCloud(types, capacity, func() cluster.Time { return randomBootDuration(getSimulator()) })
 }
 
 // randomBootDuration returns how long a machine takes to boot. While fast boots are
--- a/internal/controller/successive_owners_test.go
+++ b/internal/controller/successive_owners_test.go
@@ -61,8 +61,8 @@
 }
 
 // statusUnderToken returns a heartbeat status of the machine's current incarnation
-// under its current fencing token. It confirms that all tasks it does not list are
-// gone.
+// under its current fencing token. The status lists the given tasks, and applying it
+// confirms that all other tasks are absent from the machine.
 func statusUnderToken(machine *state.Machine, sequence cluster.SequenceNumber, tasks ...cluster.TaskStatus) *cluster.HeartbeatStatus {
 	return &cluster.HeartbeatStatus{Machine: machine.ID, Addr: machine.Address, Incarnation: machine.Incarnation, SequenceNumber: sequence, FencingToken: machine.Token, PreemptionNotice: -1, Tasks: tasks}
 }
--- a/internal/fairshare/load.go
+++ b/internal/fairshare/load.go
@@ -47,9 +47,9 @@
 // machines that are booting.
 func (l ShardLoad) lacksCapacity() bool { return l.TotalDemand() > l.totalCapacity() }
 
-// ReleasableCapacity returns the capacity that the shard can release if it keeps its
-// demand, spareShare of its demand as spare capacity, and scaleInReserve. It is
-// negative if the shard has less than that.
+// ReleasableCapacity returns the available capacity that the shard does not need to keep.
+// The shard keeps its demand, spare capacity of spareShare times the demand, and
+// scaleInReserve. The result is negative if the shard has less than this.
 func (l ShardLoad) ReleasableCapacity(spareShare float64) cluster.Amount {
 	demand := l.TotalDemand()
 	spare := cluster.Amount(float64(demand) * spareShare)
--- a/internal/grouprecord/decode.go
+++ b/internal/grouprecord/decode.go
@@ -141,8 +141,9 @@
 	return tasks, nil
 }
 
-// parseIndexes parses first-last, or a single index. A negative index is an
-// error, because the minus sign is parsed as the separator.
+// parseIndexes parses first-last, or a single index. It returns an error if the first
+// index is negative, because the minus sign is parsed as the separator. The caller must
+// check that last is not less than first.
 func parseIndexes(text string) (first, last int, err error) {
 	low, high, isRange := strings.Cut(text, "-")
 	if first, err = strconv.Atoi(low); err != nil {
--- a/internal/inventory/quarantine.go
+++ b/internal/inventory/quarantine.go
@@ -21,7 +21,7 @@
 // quarantineRecord quarantines an invalid group record, and drops the group if part of the
 // record was already loaded.
 func (inv *Inventory) quarantineRecord(shard *state.Shard, item messages.KV, reason error) {
-	inv.loop.Log(messages.LogInfo, "invalid group record quarantined; the shard starts no tasks until it is repaired", "key", item.Key, "error", reason.Error())
+	inv.loop.Log(messages.LogInfo, "invalid group record quarantined; its shard starts no tasks until the shard is repaired", "key", item.Key, "error", reason.Error())
 	if shard.QuarantinedGroups == nil {
 		shard.QuarantinedGroups = map[string]cluster.ModRevision{}
 	}
--- a/internal/jobs/admissionwrite.go
+++ b/internal/jobs/admissionwrite.go
@@ -66,7 +66,8 @@
 }
 
 // handleStored applies the records of the admitted jobs. It answers each submission as
-// soon as the duplicate check of that submission is complete.
+// soon as the duplicate check of that submission is complete. If the write is in doubt, it
+// answers the submissions as idempotent retries without waiting for the check.
 func (w *admissionWrite) handleStored(stored cluster.Revision) {
 	revision := cluster.ModRevision(stored)
 	for i, admission := range w.batch {
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -116,7 +116,7 @@
 	UpgradedNodes() []cluster.NodeID
 }
 
-// ShardStore keeps the machines, jobs and machine groups of owned shards.
+// ShardLoader loads and drops the machines, jobs and machine groups of shards.
 type ShardLoader interface {
 	// LoadShard starts to load the records of an acquired shard. It calls
 	// Manager.MarkReady once they are loaded.
--- a/internal/ownership/manager_test.go
+++ b/internal/ownership/manager_test.go
@@ -35,12 +35,12 @@
 
 func (p *fakePeers) UpgradedNodes() []cluster.NodeID { return p.upgraded }
 
-// fakeShardStore records the shards loaded and dropped.
-type fakeShardStore struct{ loaded, dropped []cluster.ShardID }
+// fakeShardLoader records the shards loaded and dropped.
+type fakeShardLoader struct{ loaded, dropped []cluster.ShardID }
 
-func (s *fakeShardStore) LoadShard(shard *state.Shard) { s.loaded = append(s.loaded, shard.ID) }
+func (s *fakeShardLoader) LoadShard(shard *state.Shard) { s.loaded = append(s.loaded, shard.ID) }
 
-func (s *fakeShardStore) DropShard(shard *state.Shard) { s.dropped = append(s.dropped, shard.ID) }
+func (s *fakeShardLoader) DropShard(shard *state.Shard) { s.dropped = append(s.dropped, shard.ID) }
 
 // queueOwnership connects a manager to its write queue as the controller does.
 type queueOwnership struct{ manager *Manager }
@@ -60,9 +60,9 @@
 // owner of shard 0. Its time starts at 100 s, and no owners are known.
 type testManager struct {
 	*Manager
-	loop  *eventloop.Loop
-	peers *fakePeers
-	store *fakeShardStore
+	loop   *eventloop.Loop
+	peers  *fakePeers
+	loader *fakeShardLoader
 }
 
 func newTestManager() *testManager {
@@ -85,12 +85,12 @@
 		Controllers:   len(nodes),
 		ShareByDemand: func(limit, _ float64, live int) float64 { return limit / float64(live) },
 	}, queueOwnership)
-	peers, store := &fakePeers{upgraded: []cluster.NodeID{"n0", "n2"}}, &fakeShardStore{}
+	peers, loader := &fakePeers{upgraded: []cluster.NodeID{"n0", "n2"}}, &fakeShardLoader{}
 	shards := state.New(nodes, nil).Shards
 	for _, shard := range shards {
 		shard.RecordRead = true
 	}
-	m := &testManager{Manager: New(loop, config, shards, queue, peers, store), loop: loop, peers: peers, store: store}
+	m := &testManager{Manager: New(loop, config, shards, queue, peers, loader), loop: loop, peers: peers, loader: loader}
 	queueOwnership.manager = m.Manager
 	m.advanceTo(100 * second)
 	return m
@@ -235,8 +235,8 @@
 	if shard.ConfirmedAt != m.loop.Now() {
 		t.Errorf("confirmed as of %v, want the time when the transaction was sent", shard.ConfirmedAt)
 	}
-	if !slices.Equal(m.store.loaded, []cluster.ShardID{1}) {
-		t.Errorf("loaded shards %v, want shard 1", m.store.loaded)
+	if !slices.Equal(m.loader.loaded, []cluster.ShardID{1}) {
+		t.Errorf("loaded shards %v, want shard 1", m.loader.loaded)
 	}
 }
 
@@ -249,8 +249,8 @@
 	txn := onlyEffect[messages.StoreTxn](t, m)
 	m.ApplyClaim(claimKV(0, "n1", 2, "b1-7", 32))
 	m.reply(txn.Call, messages.TxnReply{Outcome: messages.OK, Revision: 31})
-	if shard.Owned || shard.Acquiring || shard.Owner != "n1" || len(m.store.loaded) > 0 {
-		t.Errorf("%+v, loaded shards %v; want the claim of n1 and no loaded shard", shard.ShardOwnership, m.store.loaded)
+	if shard.Owned || shard.Acquiring || shard.Owner != "n1" || len(m.loader.loaded) > 0 {
+		t.Errorf("%+v, loaded shards %v; want the claim of n1 and no loaded shard", shard.ShardOwnership, m.loader.loaded)
 	}
 }
 
@@ -348,8 +348,8 @@
 	if !slices.Equal(o.checkResults, wantResults) {
 		t.Errorf("results of the ownership check %v, want %v", o.checkResults, wantResults)
 	}
-	if !slices.Equal(m.store.dropped, wantDropped) {
-		t.Errorf("dropped shards %v, want %v", m.store.dropped, wantDropped)
+	if !slices.Equal(m.loader.dropped, wantDropped) {
+		t.Errorf("dropped shards %v, want %v", m.loader.dropped, wantDropped)
 	}
 	if o.lostWrites != wantWrites {
 		t.Errorf("%d writes failed because of the loss, want %d", o.lostWrites, wantWrites)
--- a/internal/provisioning/harness_test.go
+++ b/internal/provisioning/harness_test.go
@@ -146,9 +146,9 @@
 	return effects
 }
 
-// addMachines makes the first shard owned and ready, and adds idle machines to it in a new
-// group.
-func (h *harness) addMachines(count int) []*state.Machine {
+// ownShardWithMachines makes the first shard owned and ready, and adds idle machines to it
+// in a new group.
+func (h *harness) ownShardWithMachines(count int) []*state.Machine {
 	shard := h.state.Shards[0]
 	shard.Owned, shard.Ready = true, true
 	group := h.state.AddGroup(shard, "g", 1)
--- a/internal/provisioning/scalein.go
+++ b/internal/provisioning/scalein.go
@@ -91,7 +91,7 @@
 }
 
 func (s *ScaleIn) logReleases() {
-	s.loop.Log(messages.LogInfo, "releasing machines; counts by reason", s.unlogged.takeLogArgs()...)
+	s.loop.Log(messages.LogInfo, "releasing machines; counts by reason and number of live tasks", s.unlogged.takeLogArgs()...)
 }
 
 // ReleaseBeforeRecorded starts the release of a machine and lets the cloud be called before
--- a/internal/provisioning/scalein_test.go
+++ b/internal/provisioning/scalein_test.go
@@ -12,7 +12,7 @@
 // release is stored. Otherwise another shard could acquire the machine.
 func TestReleaseRecordedBeforeCall(t *testing.T) {
 	h := newHarness(t)
-	machine := h.addMachines(1)[0]
+	machine := h.ownShardWithMachines(1)[0]
 	h.ScaleIn.Release(machine, "idle")
 	h.ScaleIn.Release(machine, "idle") // has no further effect
 	if len(h.fakes.written) != 1 || !machine.Releasing {
@@ -41,7 +41,7 @@
 // delay, and that no call exceeds the limit of the API.
 func TestScaleInCallRetried(t *testing.T) {
 	h := newHarness(t)
-	for _, machine := range h.addMachines(MaxMachinesPerScaleIn + 20) {
+	for _, machine := range h.ownShardWithMachines(MaxMachinesPerScaleIn + 20) {
 		machine.ConfirmRelease()
 	}
 	nextCall := func() messages.CloudScaleIn {
@@ -72,7 +72,7 @@
 // with their counts by reason.
 func TestReleasesLoggedTogether(t *testing.T) {
 	h := newHarness(t)
-	machines := h.addMachines(3)
+	machines := h.ownShardWithMachines(3)
 	h.ScaleIn.Release(machines[0], "silent and not listed")
 	h.ScaleIn.Release(machines[1], "idle")
 	h.ScaleIn.Release(machines[2], "idle")
@@ -100,7 +100,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t)
-			machine := h.addMachines(1)[0]
+			machine := h.ownShardWithMachines(1)[0]
 			machine.LastHeartbeat = h.loop.Now() - test.silence
 			h.List.Apply([]cluster.ListedMachine{{ID: machine.ID, Status: test.status}})
 			if machine.Releasing != test.released {
--- a/internal/provisioning/scaleout_test.go
+++ b/internal/provisioning/scaleout_test.go
@@ -68,16 +68,16 @@
 		{"nothing if all options are out of capacity", 4, false, backOff(small, smallOtherZone, large), nil},
 		{"at most four requests with one group each", 400, false, nil, map[state.ProvisioningOption]int{small: 40}},
 		{"booting machines count", 9, false, func(h *harness, _ *state.Shard) {
-			h.addMachines(1)[0].Booting = true
+			h.ownShardWithMachines(1)[0].Booting = true
 		}, map[state.ProvisioningOption]int{small: 2}},
 		{"recently acquired machines count", 9, false, func(h *harness, _ *state.Shard) {
-			h.addMachines(1)
+			h.ownShardWithMachines(1)
 		}, map[state.ProvisioningOption]int{small: 2}},
 		{"machines that do not acknowledge their tokens do not count", 9, false, func(h *harness, _ *state.Shard) {
-			h.addMachines(1)[0].OwnedSince -= acknowledgementTimeout
+			h.ownShardWithMachines(1)[0].OwnedSince -= acknowledgementTimeout
 		}, map[state.ProvisioningOption]int{small: 3}},
 		{"machines that are being released do not count", 4, false, func(h *harness, _ *state.Shard) {
-			machine := h.addMachines(1)[0]
+			machine := h.ownShardWithMachines(1)[0]
 			machine.Booting = true
 			machine.BeginRelease()
 		}, map[state.ProvisioningOption]int{small: 1}},
--- a/internal/reconcile/commands.go
+++ b/internal/reconcile/commands.go
@@ -81,9 +81,9 @@
 }
 
 // cleanupCommands returns the commands that stop unrecorded tasks, and those that
-// acknowledge ended attempts whose outcome need not be stored. While the outcome of a
-// pushed start is unknown, no end is acknowledged, because the worker forgets an
-// acknowledged attempt and would execute a delayed copy of its start.
+// acknowledge ended attempts whose outcome is stored or need not be stored. While the
+// outcome of a pushed start is unknown, no end is acknowledged, because the worker forgets
+// an acknowledged attempt and would execute a delayed copy of its start.
 func cleanupCommands(machine *state.Machine) []cluster.Command {
 	var commands []cluster.Command
 	for _, attempt := range state.SortedAttempts(machine.UnrecordedToStop) {
--- a/internal/reconcile/orphans.go
+++ b/internal/reconcile/orphans.go
@@ -155,16 +155,16 @@
 		shard := o.ShardFor(id)
 		o.redirectToOwner(heartbeat.Request, shard.ID)
 		if shard.Owned {
-			o.queryStatus(shard, &heartbeat.Status, recorded)
+			o.registerIfResponding(shard, &heartbeat.Status, recorded)
 		}
 	}
 }
 
-// queryStatus requests the status of an orphan from its worker and queues the machine's
-// registration if the worker replies. The heartbeat alone is not sufficient, because it may
-// be a delayed copy from a machine that no longer exists. Nothing is requested if an open
-// provisioning request may be for the machine.
-func (o *Orphans) queryStatus(shard *state.Shard, status *cluster.HeartbeatStatus, recorded *state.RecordedMachines) {
+// registerIfResponding requests the status of an orphan from its worker and queues the
+// machine's registration if the worker replies. The heartbeat alone is not sufficient,
+// because it may be a delayed copy from a machine that no longer exists. Nothing is requested
+// if an open provisioning request may be for the machine.
+func (o *Orphans) registerIfResponding(shard *state.Shard, status *cluster.HeartbeatStatus, recorded *state.RecordedMachines) {
 	id := status.Machine
 	kind := grouprecord.Kind{Type: status.Type, Zone: status.Zone, Spot: status.Spot}
 	if !shard.Ready || recorded.RequestedKinds[kind] || o.registering[id] || status.Addr == "" {
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -85,8 +85,8 @@
 	RecordRuntime(machine *state.Machine, assignment *state.Assignment)
 	// ExpectedRemainingSeconds returns the expected remaining run time of a task.
 	ExpectedRemainingSeconds(assignment *state.Assignment) float64
-	// HandleSlowMachine drains a machine if it is much slower than others or repeatedly
-	// has stragglers.
+	// DrainIfSlow drains a machine if it is much slower than others or repeatedly has
+	// stragglers.
 	DrainIfSlow(machine *state.Machine)
 }
 
--- a/internal/reconcile/stops.go
+++ b/internal/reconcile/stops.go
@@ -10,9 +10,10 @@
 
 // Stops stops tasks. It has a method for each reason:
 //
-//   - StopJob: the job was cancelled, or a job that it depends on did not succeed.
-//   - Preempt: the resources are needed for a task of higher priority or of a team below
-//     its fair share, or another shard needs the machine.
+//   - StopJob: the job, or a job that it depends on, was cancelled.
+//   - Preempt: the resources or the team's quota are needed for an urgent job of higher
+//     priority, the resources are needed for a job within the guaranteed quota of another
+//     team, or another shard needs the machine for urgent jobs of higher priority.
 //   - MoveOffSlowMachine: the machine is slow, or the task is a straggler on it.
 //   - handlePreemptionNotice (draining.go): the cloud preempts the machine.
 //
--- a/internal/reconcile/unrecorded.go
+++ b/internal/reconcile/unrecorded.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if !machine.UnrecordedToStop[attempt] {
-		r.loop.Log(messages.LogInfo, "worker runs a task that the machine's record does not list; stopping it", "machine", string(machine.ID), "task", task.Task.String(), "attempt", uint64(task.Attempt))
+		r.loop.Log(messages.LogInfo, "worker runs a task attempt that the machine's record does not list; stopping it", "machine", string(machine.ID), "task", task.Task.String(), "attempt", uint64(task.Attempt))
 	}
 	machine.UnrecordedToStop[attempt] = true
 }
--- a/internal/scheduling/eligibility.go
+++ b/internal/scheduling/eligibility.go
@@ -5,9 +5,10 @@
 	"stairrelay/internal/state"
 )
 
-// maxFailedMachines is the number of machines on which tasks of a job must have failed for
-// the job to be considered faulty itself. The job then no longer avoids these machines.
-const maxFailedMachines = 3
+// stopAvoidingMachineCount is the number of machines on which tasks of a job must have
+// failed for the job to no longer avoid these machines. The cause is then more likely the
+// job than the machines.
+const stopAvoidingMachineCount = 3
 
 // Eligibility decides which machines may get new tasks and which of them a job may use.
 type Eligibility struct {
@@ -72,9 +73,9 @@
 }
 
 // avoids reports whether a job must not use a machine because a task of the job failed
-// there. The result is false once tasks have failed on maxFailedMachines machines.
+// there. The result is false once tasks have failed on stopAvoidingMachineCount machines.
 func avoids(job *state.Job, machine *state.Machine) bool {
-	return len(job.FailedMachines) > 0 && len(job.FailedMachines) < maxFailedMachines && job.FailedMachines[machine.ID]
+	return len(job.FailedMachines) > 0 && len(job.FailedMachines) < stopAvoidingMachineCount && job.FailedMachines[machine.ID]
 }
 
 // isZoneAllowed reports whether a job's zone constraint allows one more task in a zone,
--- a/internal/scheduling/preempt_test.go
+++ b/internal/scheduling/preempt_test.go
@@ -94,8 +94,9 @@
 	}
 }
 
-// TestPreemptionWithinQuota checks that no more tasks are preempted than the quota of the
-// job's team allows, and that tasks of the same team are preempted if it is used up.
+// TestPreemptionWithinQuota checks that tasks are preempted for no more tasks of an urgent
+// job than the quota of its team allows, and that lower-priority tasks of the same team are
+// preempted if that quota is used up.
 func TestPreemptionWithinQuota(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -146,10 +146,10 @@
 	return starts
 }
 
-// horizon returns the longest time that the objectives of its class allow a job, in
-// milliseconds. Limits on how long a job may be delayed are multiples of the horizon. For
-// a job without objectives it is the job's deadline or defaultObjectiveSeconds, whichever
-// is longer.
+// horizon returns the longest time, in milliseconds, that the objectives of a job's class
+// allow for the job. Limits on how long a job may be delayed are multiples of the horizon.
+// For a job without objectives it is the job's deadline or defaultObjectiveSeconds,
+// whichever is longer.
 func (q *JobQueue) horizon(job *state.Job) float64 {
 	horizon := 0.0
 	for _, objective := range q.config.SLOs {
--- a/internal/scheduling/runtimes_test.go
+++ b/internal/scheduling/runtimes_test.go
@@ -75,9 +75,9 @@
 		runningSince, now cluster.Time
 		want              float64
 	}{
-		{0, 2 * second, 22},               // not started yet
-		{second, 6 * second, 15},          // expected to run for 20 s
-		{second, 100 * second, 20.0 / 10}, // runs longer than expected
+		{0, 2 * second, 22},               // not started: the expected 20 s and an allowance for the start
+		{second, 6 * second, 15},          // has run for 5 s of the expected 20 s
+		{second, 100 * second, 20.0 / 10}, // has run for longer than expected: a tenth of the expected 20 s
 	} {
 		assignment.RunningSince = test.runningSince
 		f.loop.Begin(test.now, 1_000_000)
--- a/internal/scheduling/stragglers.go
+++ b/internal/scheduling/stragglers.go
@@ -28,7 +28,7 @@
 // Stragglers detects slow machines and straggling tasks.
 type Stragglers struct{ *shared }
 
-// HandleSlowMachine drains a machine if it is much slower than others or repeatedly has
+// DrainIfSlow drains a machine if it is much slower than others or repeatedly has
 // stragglers. The stragglers and the tasks that can save a checkpoint are stopped, so
 // that they restart on other machines.
 func (s *Stragglers) DrainIfSlow(machine *state.Machine) {
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -15,7 +15,9 @@
 	*environment
 	// DownUntil is when the outage of the store ends.
 	DownUntil cluster.Time
-	// Delay is the additional latency of all replies.
+	// Delay is the additional latency of replies to the calls that the store executes,
+	// except for watches with a timeout. Replies that report an outage or a timeout are
+	// sent without it.
 	Delay     cluster.Time
 	store     *FakeStore
 	network   *Network
--- a/internal/simulation/version_filter_test.go
+++ b/internal/simulation/version_filter_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestProductionVersionReadsOldMessages checks that new fields are removed from
-// messages that the production version reads, but not from those for the current version.
-func TestProductionVersionReadsOldMessages(t *testing.T) {
+// TestProductionVersionReceivesNoNewFields checks that new fields are removed from messages
+// that the production version receives, but not from those that the current version receives.
+func TestProductionVersionReceivesNoNewFields(t *testing.T) {
 	proxied := messages.PeerRequest{Message: messages.PeerMessage{Submission: &messages.ProxiedSubmission{ID: "j-1", Spec: cluster.JobSpec{Team: "red", Dependencies: []cluster.JobID{"j-0"}}}}}
 	read := filterSubmission(t, ProductionVersion, proxied)
 	if len(read.Spec.Dependencies) != 0 || read.Spec.Team != "red" {
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -66,7 +66,7 @@
 	Blocked                bool             // by unmet dependencies
 	ReadySince             cluster.WallTime // when the job was submitted or its dependencies were met; all SLO times but deadlines count from here
 	BackoffUntil           cluster.Time
-	PreemptionBackoffUntil cluster.Time      // earliest next preemption in favor of the job
+	PreemptionBackoffUntil cluster.Time      // no tasks are preempted for the job before this time
 	ReservedMachine        cluster.MachineID // kept free for the job while it is starving
 	GuaranteeChecked       bool              // InitiallyGuaranteed has been determined
 	InitiallyGuaranteed    bool              // the job fitted into its team's guaranteed quota when it was first schedulable; for logging
--- a/internal/state/shardownership.go
+++ b/internal/state/shardownership.go
@@ -9,8 +9,9 @@
 const (
 	// ownerChangeWindow is the time during which an owner change lengthens the backoff.
 	ownerChangeWindow = 60 * cluster.Second
-	// backoffBase is doubled for each recent owner change, at most maxBackoffDoublings
-	// times and up to maxBackoff.
+	// backoffBase is the base of the backoff before a shard with recent owner changes is
+	// acquired from another owner. The backoff doubles with each of these changes, at most
+	// maxBackoffDoublings times and up to maxBackoff.
 	backoffBase         = cluster.Second
 	maxBackoffDoublings = 5
 	maxBackoff          = 30 * cluster.Second
--- a/internal/writequeue/batch.go
+++ b/internal/writequeue/batch.go
@@ -139,8 +139,9 @@
 // write's shard was lost, it calls OnOwnershipLost instead. A write without operations
 // is dropped.
 func (b *batch) add(write *Write, priority Priority) {
-	// After the claim was lost, the known mod revision may be that of the new owner's
-	// claim, which must not guard a write of this controller.
+	// After the claim was lost, the known mod revision of the claim record may be the new
+	// owner's. A compare with it would succeed and let this controller write to a shard
+	// that it no longer owns.
 	if write.ShardID != cluster.NoShard && priority != PriorityClaim && !b.queue.ownership.ClaimOf(write.ShardID).Owned {
 		write.notifyOwnershipLost()
 		return
--- a/internal/writequeue/reply.go
+++ b/internal/writequeue/reply.go
@@ -88,7 +88,7 @@
 // transaction of its own. If the transaction contained only one write, the write's
 // OnTooLarge is called, or its OnConflict if OnTooLarge is nil.
 func (q *Queue) handleInvalid(t *transaction) {
-	q.loop.Log(messages.LogInfo, "store rejected a transaction as malformed", "key_count", len(t.operations), "key", t.operations[0].Key, "write_count", len(t.writes))
+	q.loop.Log(messages.LogInfo, "store rejected a transaction as malformed; retrying its writes separately, or notifying the writer if there is only one", "key_count", len(t.operations), "key", t.operations[0].Key, "write_count", len(t.writes))
 	for _, write := range t.writes {
 		switch {
 		case len(t.writes) > 1:
